--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -586,9 +586,7 @@
                 plain["expect"].pop("p99_ms_max", None)
             file.write_text(json.dumps(plain))
             words = ["lab", "run", str(file), "--seed", str(seed), "--records", str(out), "--json"]
-            done = subprocess.run(
-                [sys.executable, "-m", "sagetrack", *words], capture_output=True, text=True
-            )
+            done = subprocess.run([sys.executable, "-m", "sagetrack", *words], capture_output=True, text=True)
             if done.returncode not in (0, 1) or not out.exists():
                 raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr else "no records")
             if json.loads(done.stdout.splitlines()[-1])["late"]:
@@ -661,4 +659,5 @@
         raise fail(str(error)) from None
     print(out)
 
+
 import sagetrack.cli.scale  # noqa: E402, F401  (its commands register themselves)
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -60,9 +60,7 @@
 
 
 @app.command("dump")
-def dump(
-    folder: Folder, space: Annotated[str | None, typer.Option(help="this space alone")] = None
-) -> None:
+def dump(folder: Folder, space: Annotated[str | None, typer.Option(help="this space alone")] = None) -> None:
     """Write every value as a line of JSON; what is no MessagePack as text of its bytes in base 16."""
     import msgspec
 
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -60,9 +60,7 @@
         return file.read()
 
 
-def load(
-    environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_file
-) -> Config:
+def load(environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_file) -> Config:
     """Read the file that LB_CONFIG names; `read` may have its own way with errors of the disk."""
     path = environment.get("LB_CONFIG")
     if not path:
--- a/sagetrack/decide/balance.py
+++ b/sagetrack/decide/balance.py
@@ -17,13 +17,49 @@
 from sagetrack.decide.decaying import DecayingSums
 from sagetrack.decide.door import PROMISED_WORTH, Door, Why
 from sagetrack.decide.interface import (
-    NEVER_RAN, Action, AttemptEnded, AttemptWritten, Cancel, Demands, Effect, Event, Fail, Fellows, Learned,
-    Leaving, ListedServer, ListKind, Log, Outcome, Reason, Refuse, RequestArrived, RequestGone, Scope, Send,
-    ServerList, ServerStatus, SetTimer, Settings, Shares, Sharing, StreamStarted, TimerFired, Turns,
+    NEVER_RAN,
+    Action,
+    AttemptEnded,
+    AttemptWritten,
+    Cancel,
+    Demands,
+    Effect,
+    Event,
+    Fail,
+    Fellows,
+    Learned,
+    Leaving,
+    ListedServer,
+    ListKind,
+    Log,
+    Outcome,
+    Reason,
+    Refuse,
+    RequestArrived,
+    RequestGone,
+    Scope,
+    Send,
+    ServerList,
+    ServerStatus,
+    SetTimer,
+    Settings,
+    Shares,
+    Sharing,
+    StreamStarted,
+    TimerFired,
+    Turns,
     WatchList,
 )
 from sagetrack.decide.knowledge import (
-    CLOSED, HALF_OPEN, MOST_OPEN, OLDEST_US, OPEN, Latency, Sight, advise, join,
+    CLOSED,
+    HALF_OPEN,
+    MOST_OPEN,
+    OLDEST_US,
+    OPEN,
+    Latency,
+    Sight,
+    advise,
+    join,
 )
 from sagetrack.decide.lives import Lives
 from sagetrack.decide.parts import HeldPart
@@ -218,13 +254,21 @@
                 self.asked = [n / 2 for n in self.asked]
                 self.served = [n / 2 for n in self.served]
         return Request(
-            event.request, event.klass, event.key,
+            event.request,
+            event.klass,
+            event.key,
             min(self.now_us + event.patience_us - event.waited_us, self.ends_us),
-            self.now_us + max(0, klass.aim_us - used_us - event.waited_us), size, first_try,
+            self.now_us + max(0, klass.aim_us - used_us - event.waited_us),
+            size,
+            first_try,
             self.excess(event.tenant),
-            uploading=event.uploading, once=event.uploading or event.only >= 0, client=event.client,
-            member=self.door.member(event.tenant) if self.door is not None else 0, tenant=event.tenant,
-            only=event.only, told_us=-1 if event.only < 0 else 0,
+            uploading=event.uploading,
+            once=event.uploading or event.only >= 0,
+            client=event.client,
+            member=self.door.member(event.tenant) if self.door is not None else 0,
+            tenant=event.tenant,
+            only=event.only,
+            told_us=-1 if event.only < 0 else 0,
         )
 
     # At the door, where it is switched on: fair queues, limits and promises
@@ -931,10 +975,19 @@
                 oldest_us = next(iter(s.out.values())) if s.out else self.now_us
                 jammed = self.now_us - oldest_us > self.silent_us
                 seen_us = max(s.judged_us, oldest_us + int(self.silent_us)) if jammed else s.judged_us
-                sights.append(Sight(
-                    number, s.entry.started_us, self.settings.proxy, seen_us, states[s.breaker.state],
-                    s.breaker.open_until_us, s.weight, jammed, spent_us,
-                ))
+                sights.append(
+                    Sight(
+                        number,
+                        s.entry.started_us,
+                        self.settings.proxy,
+                        seen_us,
+                        states[s.breaker.state],
+                        s.breaker.open_until_us,
+                        s.weight,
+                        jammed,
+                        spent_us,
+                    )
+                )
         told = [i for i, count in enumerate(self.answers) if count >= FEW_ANSWERS]
         return sights, [Latency(i, self.smoothed[i], self.unhindered[i]) for i in told]
 
@@ -1115,4 +1168,3 @@
         if self.now_us - self.logged_us >= LOG_GAP_US:
             self.logged_us = self.now_us
             self.actions.append(Log(line if server is None else f"server {server}: {line}", server))
-
--- a/sagetrack/decide/knowledge.py
+++ b/sagetrack/decide/knowledge.py
@@ -53,7 +53,6 @@
     unhindered_us: float
 
 
-
 def join(*all_: Iterable[Sight]) -> dict[tuple[int, int], Sight]:
     """Everything that is known from several sources, whatever their order and however often they come."""
     joined: dict[tuple[int, int], Sight] = {}
--- a/sagetrack/lab/plots.py
+++ b/sagetrack/lab/plots.py
@@ -86,8 +86,6 @@
             fontsize=8,
             color="#333333",
         )
-    top.set_title(
-        "{scenario}, seed {seed}, {driver} time".format_map(records.header)
-    )
+    top.set_title("{scenario}, seed {seed}, {driver} time".format_map(records.header))
     figure.savefig(path, dpi=110)
     plt.close(figure)
--- a/sagetrack/lab/scripted.py
+++ b/sagetrack/lab/scripted.py
@@ -11,6 +11,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
+
 @dataclass
 class Message:
     """A request or an answer, as it was read."""
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -342,9 +342,7 @@
         count = gateway.world.scenario.fleet.gateways
         now = self.clock.now_us()
         settings = Settings(period_us=int(peers.period_ms * 1000))
-        self.machine = Membership(
-            gateway.number, count, settings, seed, now, self.send, 1 + now // 1_000_000
-        )
+        self.machine = Membership(gateway.number, count, settings, seed, now, self.send, 1 + now // 1_000_000)
         self.machine.on_change = lambda member, state: gateway.handle(Fellows(self.machine.alive))
         others = [number for number in range(count) if number != gateway.number]
         warm = peers.warm_start and now > 0  # nobody knows anything at the begin of a run
--- a/sagetrack/ops/process.py
+++ b/sagetrack/ops/process.py
@@ -159,4 +159,3 @@
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(serve())
-
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -171,9 +171,7 @@
         due = [self.next_ping_us]
         if self.probe is not None:
             probe = self.probe
-            due.append(
-                probe.end_us if probe.asked else probe.indirect_us if probe.again else probe.again_us
-            )
+            due.append(probe.end_us if probe.asked else probe.indirect_us if probe.again else probe.again_us)
         due += [relayed.nack_us for relayed in self.relayed.values()]
         due += [peer.suspected_until_us for peer in self.peers.values() if peer.state is State.SUSPECT]
         return min(due)
--- a/sagetrack/peers/warm.py
+++ b/sagetrack/peers/warm.py
@@ -182,5 +182,3 @@
 
 def latencies_from(facts: Iterable[ClassFact]) -> tuple[Latency, ...]:
     return tuple(Latency(f.klass, f.smoothed * 100.0, f.unhindered * 100.0) for f in facts)
-
-
--- a/test.sh
+++ b/test.sh
@@ -10,6 +10,7 @@
     cat requirements.txt requirements-dev.txt >.venv-dev/built
 fi
 $python -m ruff check .
+$python -m ruff format --check .
 $python -m mypy
 .venv-dev/bin/lint-imports --no-cache
 $python -m pytest
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -337,9 +337,11 @@
 @on_loop
 async def test_a_failure_while_a_failed_call_is_told_does_not_end_the_watch() -> None:
     """Whoever hears of it may fail: the next call is set before."""
-    async with peer(lambda exchange: exchange.reset()) as registry, running(
-        configuration("127.0.0.1:1", discovery=registry.address)
-    ) as run:
+    async with (
+        peer(lambda exchange: exchange.reset()) as registry,
+        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+    ):
+
         def fails(kind: ListKind, entries: object) -> None:
             raise RuntimeError("a planted fault")
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -364,9 +364,7 @@
 def forget_the_client(patch: pytest.MonkeyPatch) -> None:
     """As it was: what is begun is written, whoever still waits."""
     patch.setattr(Pools, "withdraw", lambda self, attempt: None)
-    patch.setattr(
-        Pools, "may_begin", lambda self, a, life: a.host.drained_us is None and a.host.life == life
-    )
+    patch.setattr(Pools, "may_begin", lambda self, a, life: a.host.drained_us is None and a.host.life == life)
 
 
 def forget_the_word(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -207,9 +207,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 3), st.sampled_from(VARIANTS), st.lists(STEPS, min_size=10, max_size=150))
-def test_rules_hold_on_any_sequence(
-    seed: int, rules: Settings, steps: list[tuple[str, int, int]]
-) -> None:
+def test_rules_hold_on_any_sequence(seed: int, rules: Settings, steps: list[tuple[str, int, int]]) -> None:
     world = World(seed, rules)
     for what, first, second in steps:
         if what == "arrive":
