--- a/sagetrack/__main__.py
+++ b/sagetrack/__main__.py
@@ -10,7 +10,7 @@
         from sagetrack.cli.app import main as command_line  # late: the platform's path needs none of it
 
         return command_line()
-    from sagetrack.ops.process import main as gateway
+    from sagetrack.server.process import main as gateway
 
     return gateway()
 
--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -523,7 +523,7 @@
     front: Annotated[bool, typer.Option("--front", help="the clients' side, not the back")] = False,
 ) -> None:
     """Feed mutated HTTP/2 frames to the back; exit 1 if any breaks it or an attempt does not end once."""
-    from sagetrack.h2.fuzz import fuzz, fuzz_front
+    from sagetrack.grpc.fuzz import fuzz, fuzz_front
 
     try:
         with bar("fuzz", False) as tell:
--- a/sagetrack/cli/run.py
+++ b/sagetrack/cli/run.py
@@ -13,7 +13,7 @@
     operator: Annotated[str, typer.Option(help="the operator's own file; else $LB_OPERATOR")] = "",
 ) -> None:
     """Run one gateway until it is told to end."""
-    from sagetrack.ops.process import main
+    from sagetrack.server.process import main
 
     if config:
         os.environ["LB_CONFIG"] = config
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sagetrack.decide.interface import Settings
-from sagetrack.decide.reading import WireError, parse_settings
+from sagetrack.policy.interface import Settings
+from sagetrack.policy.reading import WireError, parse_settings
 
 Address = tuple[str, int]
 
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-from sagetrack.decide.asking import FIRST_PAUSE_US, LONGEST_PAUSE_US
-from sagetrack.decide.interface import Settings
+from sagetrack.policy.asking import FIRST_PAUSE_US, LONGEST_PAUSE_US
+from sagetrack.policy.interface import Settings
 
 SILENCE_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
 AFTER_WAIT_S = 2.0  # or this long after the wait that was asked for is over, if that is later
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     AttemptWritten,
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import Upload
 from sagetrack.core.calls import Entry
 from sagetrack.core.permission import ServerState
-from sagetrack.decide.interface import LoadReport, Outcome
+from sagetrack.policy.interface import LoadReport, Outcome
 
 Answer = Any  # of a protocol: from its back to its front
 
--- a/sagetrack/roster/discovery.py
+++ b/sagetrack/discovery/discovery.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from sagetrack.decide.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 from sagetrack.config.platform import Address, Names, parse_address, stable_id
 from sagetrack.core.calls import Entry, OnList, Reply
--- a/sagetrack/roster/split.py
+++ b/sagetrack/discovery/split.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from sagetrack.core.calls import Entry
-from sagetrack.decide.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 HTTP = "http"  # what a server speaks whose type is not mapped
 
--- a/sagetrack/dns/back.py
+++ b/sagetrack/dns/back.py
@@ -20,7 +20,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.permission import ServerState
 from sagetrack.core.interfaces import Call, Watcher
-from sagetrack.decide.interface import LoadReport, Outcome, ServerStatus, Settings
+from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
 from sagetrack.dns.message import Answer, MessageError, Query, Rcode, parse_answer, upstream_query
 
 SOCKETS = 4  # to one server at once
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -11,7 +11,7 @@
 from sagetrack.config.platform import Address, stable_id
 from sagetrack.core.calls import Entry
 from sagetrack.core.gateway import Gateway
-from sagetrack.decide.interface import Effect, ListedServer, ListKind, RequestClass, Settings
+from sagetrack.policy.interface import Effect, ListedServer, ListKind, RequestClass, Settings
 from sagetrack.dns.back import Upstreams
 from sagetrack.dns.cache import Cache
 from sagetrack.dns.front import Front, Limits
--- a/sagetrack/h2/back.py
+++ b/sagetrack/grpc/back.py
@@ -27,11 +27,11 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.permission import ServerState
 from sagetrack.core.interfaces import Call, Watcher
-from sagetrack.decide.interface import LoadReport, Outcome, ServerStatus, Settings
-from sagetrack.h2 import outcomes
-from sagetrack.h2.messages import MessageError, Unpacker, pack
-from sagetrack.h2.metadata import TranslationError
-from sagetrack.h2.translate import more, piece, to_new, to_old, with_timeout
+from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
+from sagetrack.grpc import outcomes
+from sagetrack.grpc.messages import MessageError, Unpacker, pack
+from sagetrack.grpc.metadata import TranslationError
+from sagetrack.grpc.translate import more, piece, to_new, to_old, with_timeout
 
 STREAMS = 100  # of one connection, until its server's SETTINGS say otherwise; and at the most
 LINES = 4  # connections to one server
--- a/sagetrack/h2/front.py
+++ b/sagetrack/grpc/front.py
@@ -25,11 +25,11 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Client, Source
 from sagetrack.core.hangup import hung_up
-from sagetrack.h2.calls_pb2 import Answer
-from sagetrack.h2.messages import MessageError, Unpacker, goaway, pack
-from sagetrack.h2.metadata import TranslationError
-from sagetrack.h2.outcomes import Status
-from sagetrack.h2.translate import from_new, old_body, refusal, split_head, to_new_answer
+from sagetrack.grpc.calls_pb2 import Answer
+from sagetrack.grpc.messages import MessageError, Unpacker, goaway, pack
+from sagetrack.grpc.metadata import TranslationError
+from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.translate import from_new, old_body, refusal, split_head, to_new_answer
 
 STREAMS = 100  # of one connection at once
 CONNECTIONS = 256
--- a/sagetrack/h2/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -20,13 +20,13 @@
 from sagetrack.core.calls import Header, Reply
 from sagetrack.core.permission import ServerState
 from sagetrack.core.interfaces import Call, Client
-from sagetrack.decide.interface import Outcome, RequestClass, Settings
-from sagetrack.h2.back import Line, NewHost, NewPools
-from sagetrack.h2.calls_pb2 import Answer
-from sagetrack.h2.front import ClientLine, NewFront, ReadError
-from sagetrack.h2.messages import pack
-from sagetrack.h2.outcomes import Status
-from sagetrack.h2.translate import more, to_new
+from sagetrack.policy.interface import Outcome, RequestClass, Settings
+from sagetrack.grpc.back import Line, NewHost, NewPools
+from sagetrack.grpc.calls_pb2 import Answer
+from sagetrack.grpc.front import ClientLine, NewFront, ReadError
+from sagetrack.grpc.messages import pack
+from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.translate import more, to_new
 
 STREAMS = 4
 SLOW_S = 0.25  # for one piece of bytes: a hang
--- a/sagetrack/h2/mixed.py
+++ b/sagetrack/grpc/mixed.py
@@ -10,9 +10,9 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.permission import ServerState
 from sagetrack.core.interfaces import Answer, Attempt, Back, Call, Source, Watcher
-from sagetrack.decide.interface import LoadReport, Outcome, ServerStatus
-from sagetrack.decide.moving import Move
-from sagetrack.h2.back import NewAttempt, NewPools
+from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.moving import Move
+from sagetrack.grpc.back import NewAttempt, NewPools
 
 
 Turned = dict[int, tuple[float, float]]
--- a/sagetrack/h2/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -12,9 +12,9 @@
 from google.protobuf.message import DecodeError
 
 from sagetrack.core.calls import Header, Reply
-from sagetrack.h2.calls_pb2 import Answer, Call, Field
-from sagetrack.h2.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
-from sagetrack.h2.outcomes import Status
+from sagetrack.grpc.calls_pb2 import Answer, Call, Field
+from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
+from sagetrack.grpc.outcomes import Status
 
 SERVICE = "/sagetrack.v2.Calls/"
 METADATA = {b"x-call-id": "x-call-id", b"x-call-class": "x-call-class", b"x-caller": "x-caller",
--- a/sagetrack/http/client.py
+++ b/sagetrack/http1/client.py
@@ -14,11 +14,11 @@
 from sagetrack.core.permission import ClientState, Closing, Denial, may_close
 from sagetrack.core.trace import Step
 from sagetrack.core.violations import Rule
-from sagetrack.http.http1 import end_to_end
-from sagetrack.http.requests import Request, RequestError, RequestReader, read_call
+from sagetrack.http1.http1 import end_to_end
+from sagetrack.http1.requests import Request, RequestError, RequestReader, read_call
 
 if TYPE_CHECKING:
-    from sagetrack.http.front import Server
+    from sagetrack.http1.front import Server
 
 READY_PATH = b"/health/ready"
 PIPELINED = 16  # requests read ahead on one connection
--- a/sagetrack/http/front.py
+++ b/sagetrack/http1/front.py
@@ -19,8 +19,8 @@
 from sagetrack.core.metrics import Reasons
 from sagetrack.core.permission import FIRST_REQUEST_S, OVERDUE_S, Closing, may_take_clients
 from sagetrack.core.trace import Step
-from sagetrack.http.back import Pools
-from sagetrack.http.client import ClientConnection, Phase
+from sagetrack.http1.back import Pools
+from sagetrack.http1.client import ClientConnection, Phase
 
 BACKLOG = 1024  # connections that may wait to be accepted
 POLL_S = 0.02  # between looks at what is still to end, during a drain
--- a/sagetrack/http/line.py
+++ b/sagetrack/http1/line.py
@@ -8,7 +8,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.calls import Reply
-from sagetrack.http.http1 import ReplyError, ReplyReader
+from sagetrack.http1.http1 import ReplyError, ReplyReader
 
 LIST_LIMIT = 16 * 1024 * 1024
 
--- a/sagetrack/http/upstream.py
+++ b/sagetrack/http1/upstream.py
@@ -13,11 +13,11 @@
 from sagetrack.core.calls import Reply
 from sagetrack.core.clock import now_us
 from sagetrack.core.permission import ServerState
-from sagetrack.decide.interface import Outcome
-from sagetrack.http.http1 import ReplyError, ReplyReader
+from sagetrack.policy.interface import Outcome
+from sagetrack.http1.http1 import ReplyError, ReplyReader
 
 if TYPE_CHECKING:
-    from sagetrack.http.back import Pools
+    from sagetrack.http1.back import Pools
 
 HELD_BACK_S = 0.05  # an answer of unknown length that is not whole by then is passed on as it comes
 
--- a/sagetrack/lab/bodies.py
+++ b/sagetrack/lab/bodies.py
@@ -25,8 +25,8 @@
 import h2.exceptions
 import uvloop
 
-from sagetrack.h2.calls_pb2 import Answer
-from sagetrack.h2.messages import pack
+from sagetrack.grpc.calls_pb2 import Answer
+from sagetrack.grpc.messages import pack
 from sagetrack.lab.measure import free_port, memory_mb
 from sagetrack.lab.newserver import Asked, NewConnection
 from sagetrack.lab.real import ROOT, LabError, need_files
--- a/sagetrack/lab/cold.py
+++ b/sagetrack/lab/cold.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from sagetrack.decide.interface import Event, Fellows, Learned, ListKind, ServerList, Sharing
+from sagetrack.policy.interface import Event, Fellows, Learned, ListKind, ServerList, Sharing
 from sagetrack.lab.judges import Violation, cold_windows, judge
 from sagetrack.lab.records import Records
 from sagetrack.lab.scenario import Scenario, Trouble, altered, load
--- a/sagetrack/lab/doorcost.py
+++ b/sagetrack/lab/doorcost.py
@@ -16,9 +16,9 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.interface import (
     AttemptEnded,
     Effect,
     Event,
--- a/sagetrack/lab/faults.py
+++ b/sagetrack/lab/faults.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -24,7 +24,7 @@
     ServerList,
     ServerStatus,
 )
-from sagetrack.decide.knowledge import Latency, Sight
+from sagetrack.policy.knowledge import Latency, Sight
 from sagetrack.lab.virtual import Held, VirtualGateway
 
 EVERY = 20  # calls of which one is mistreated
--- a/sagetrack/lab/newserver.py
+++ b/sagetrack/lab/newserver.py
@@ -15,9 +15,9 @@
 import h2.exceptions
 import h2.settings
 
-from sagetrack.h2.calls_pb2 import Answer, Call
-from sagetrack.h2.messages import Unpacker, goaway, pack
-from sagetrack.h2.metadata import timeout_us
+from sagetrack.grpc.calls_pb2 import Answer, Call
+from sagetrack.grpc.messages import Unpacker, goaway, pack
+from sagetrack.grpc.metadata import timeout_us
 from sagetrack.lab.server import Job, Result
 
 if TYPE_CHECKING:
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -6,8 +6,8 @@
 
 import time
 
-from sagetrack.decide.interface import Learned
-from sagetrack.decide.knowledge import Sight
+from sagetrack.policy.interface import Learned
+from sagetrack.policy.knowledge import Sight
 from sagetrack.lab.membership import Fleet, death, partition
 from sagetrack.lab.scale.gateway import BASE_US, FEW_TENANTS, Hollow
 from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
@@ -90,5 +90,5 @@
     Probe("warm-start-by-servers", "peers", "an answer to who has just started", "servers", "all seen",
           "sagetrack/peers/warm.py: split", warm_start_by_servers, least=25),
     Probe("learned-by-servers", "peers", "one datagram of sights is taken up", "servers", "10 sights in it",
-          "sagetrack/decide/balance.py: on_learned", learned_by_servers, least=25),
+          "sagetrack/policy/balance.py: on_learned", learned_by_servers, least=25),
 )  # fmt: skip
--- a/sagetrack/lab/scale/world.py
+++ b/sagetrack/lab/scale/world.py
@@ -9,7 +9,7 @@
 from itertools import accumulate
 from typing import Any
 
-from sagetrack.decide.interface import Effect, ListedServer, RequestClass, Scope, Settings, Tenant
+from sagetrack.policy.interface import Effect, ListedServer, RequestClass, Scope, Settings, Tenant
 from sagetrack.lab.scale.target import (
     CHANGES_PER_DAY,
     DAY_S,
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.interface import (
     AttemptEnded,
     Cancel,
     Demands,
@@ -37,8 +37,8 @@
     TellPeers,
     TimerFired,
 )
-from sagetrack.decide.limits import Rate
-from sagetrack.decide.reading import parse_settings
+from sagetrack.policy.limits import Rate
+from sagetrack.policy.reading import parse_settings
 from sagetrack.lab.records import Records
 from sagetrack.lab.scenario import Scenario, Trouble, platform_settings
 from sagetrack.lab.server import Job, Result
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -10,8 +10,8 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.log import log
-from sagetrack.decide.interface import Demands, Event, Fellows, Learned
-from sagetrack.decide.knowledge import Latency, Sight
+from sagetrack.policy.interface import Demands, Event, Fellows, Learned
+from sagetrack.policy.knowledge import Latency, Sight
 from sagetrack.peers.codec import Ask, CodecError, Datagram, Tell, Wanted, decode, encode
 from sagetrack.peers.demand import Herald, demands_in, wanted
 from sagetrack.peers.membership import Counts, Membership, Settings, State
--- a/sagetrack/decide/__init__.py
+++ b/sagetrack/policy/__init__.py
@@ -1,7 +1,7 @@
 """The decisions of a load-balancing gateway: pure, no clock, no I/O."""
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     AttemptWritten,
--- a/sagetrack/decide/balance.py
+++ b/sagetrack/policy/balance.py
@@ -1,4 +1,4 @@
-"""All decisions of the balancer. Its settings, events and actions are in sagetrack/decide/interface.py.
+"""All decisions of the balancer. Its settings, events and actions are in sagetrack/policy/interface.py.
 
 The ordinary path: a request arrives and a weighted random draw picks among the servers whose breaker lets it
 through. A server's weight in the draw is its listed weight times the weight of the feedback controller, less
@@ -12,11 +12,11 @@
 from collections import deque
 from collections.abc import Iterable
 
-from sagetrack.decide.asking import first_call_us, longest_pause_us
-from sagetrack.decide.breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
-from sagetrack.decide.decaying import DecayingSums
-from sagetrack.decide.door import PROMISED_WORTH, Door, Why
-from sagetrack.decide.interface import (
+from sagetrack.policy.asking import first_call_us, longest_pause_us
+from sagetrack.policy.breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
+from sagetrack.policy.decaying import DecayingSums
+from sagetrack.policy.door import PROMISED_WORTH, Door, Why
+from sagetrack.policy.interface import (
     NEVER_RAN,
     Action,
     AttemptEnded,
@@ -50,7 +50,7 @@
     Turns,
     WatchList,
 )
-from sagetrack.decide.knowledge import (
+from sagetrack.policy.knowledge import (
     CLOSED,
     HALF_OPEN,
     MOST_OPEN,
@@ -61,11 +61,11 @@
     advise,
     join,
 )
-from sagetrack.decide.lives import Lives
-from sagetrack.decide.parts import HeldPart
-from sagetrack.decide.ring import ExactSum, Place, Ring
-from sagetrack.decide.shares import sharers
-from sagetrack.decide.state import CEILING, FLOOR, Attempt, Habit, Part, Request, Server, rendezvous
+from sagetrack.policy.lives import Lives
+from sagetrack.policy.parts import HeldPart
+from sagetrack.policy.ring import ExactSum, Place, Ring
+from sagetrack.policy.shares import sharers
+from sagetrack.policy.state import CEILING, FLOOR, Attempt, Habit, Part, Request, Server, rendezvous
 
 # The breaker
 RECENT = 100  # outcomes of all servers that tell what fails in common
--- a/sagetrack/decide/interface.py
+++ b/sagetrack/policy/interface.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.knowledge import Latency, Sight
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.knowledge import Latency, Sight
 
 
 class Effect(Enum):
--- a/sagetrack/decide/reading.py
+++ b/sagetrack/policy/reading.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     Effect,
     Goal,
     LoadReport,
--- a/sagetrack/ops/admin.py
+++ b/sagetrack/server/admin.py
@@ -12,7 +12,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.transient import persist
-from sagetrack.ops.listen import bind
+from sagetrack.server.listen import bind
 
 LINE_LIMIT = 256  # bytes
 CALLERS = 12  # connections at once; the oldest yields to the next
--- a/sagetrack/ops/fairness.py
+++ b/sagetrack/server/fairness.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.limits import Rate
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.limits import Rate
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
--- a/sagetrack/ops/fellowship.py
+++ b/sagetrack/server/fellowship.py
@@ -10,9 +10,9 @@
 from sagetrack.config.platform import Address, Config, ConfigError, parse_address
 from sagetrack.core.clock import machine_us, now_us
 from sagetrack.core.log import log
-from sagetrack.decide.interface import Learned
+from sagetrack.policy.interface import Learned
 from sagetrack.core.gateway import Gateway
-from sagetrack.ops.overlap import Overlap
+from sagetrack.server.overlap import Overlap
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
--- a/sagetrack/ops/instance.py
+++ b/sagetrack/server/instance.py
@@ -11,27 +11,27 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import watching
 from sagetrack.core.transient import persist
-from sagetrack.decide.interface import ListKind, Shares
-from sagetrack.http.back import Pools
-from sagetrack.http.front import Server
+from sagetrack.policy.interface import ListKind, Shares
+from sagetrack.http1.back import Pools
+from sagetrack.http1.front import Server
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Back
-from sagetrack.http.line import HttpLine, connect
-from sagetrack.ops.fairness import shares_in, with_door
-from sagetrack.ops.fellowship import Handover, node_for
-from sagetrack.ops.listen import bind, inherit
-from sagetrack.ops.newer import Newer, keys_for, mixed_back, reader, renew, with_newer
-from sagetrack.ops.overlap import Overlap
-from sagetrack.ops.startup import Startup
-from sagetrack.roster.discovery import CallError, Discovery, number_of, parse_list
-from sagetrack.roster.split import HTTP, Split
+from sagetrack.http1.line import HttpLine, connect
+from sagetrack.server.fairness import shares_in, with_door
+from sagetrack.server.fellowship import Handover, node_for
+from sagetrack.server.listen import bind, inherit
+from sagetrack.server.newer import Newer, keys_for, mixed_back, reader, renew, with_newer
+from sagetrack.server.overlap import Overlap
+from sagetrack.server.startup import Startup
+from sagetrack.discovery.discovery import CallError, Discovery, number_of, parse_list
+from sagetrack.discovery.split import HTTP, Split
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
     from sagetrack.dns.service import Service
-    from sagetrack.h2.front import NewFront
+    from sagetrack.grpc.front import NewFront
     from sagetrack.peers.node import Node
-    from sagetrack.ops.keeping import Keeping
+    from sagetrack.server.keeping import Keeping
 
 DNS = "dns"
 ZONE_S = 1.0  # between looks at what our own zone follows
@@ -77,7 +77,7 @@
             self.split = Split({number_of(asked.type, config.names.kinds): DNS})
         self.on_http = self.gateway.on_list
         if mixed is not None:
-            from sagetrack.h2.translate import untranslatable
+            from sagetrack.grpc.translate import untranslatable
 
             self.newer = Newer(mixed, self.gateway)
             if operator is not None and operator.newer.compare_per_s:
@@ -149,7 +149,7 @@
         asked = self.operator.newer if self.operator is not None else None
         if asked is None or not asked.listen:
             return
-        from sagetrack.h2.front import NewFront
+        from sagetrack.grpc.front import NewFront
 
         drain, allowance = self.server.drain, self.server.allowance
         front = NewFront(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
@@ -165,7 +165,7 @@
     def start_store(self) -> None:
         """Open the store, where the operator has one."""
         if self.operator is not None and self.operator.store.folder:
-            from sagetrack.ops.keeping import Keeping
+            from sagetrack.server.keeping import Keeping
 
             self.keeping = Keeping(self.config, self.operator, self.gateway)
 
--- a/sagetrack/ops/keeping.py
+++ b/sagetrack/server/keeping.py
@@ -15,7 +15,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.decide.interface import Learned
+from sagetrack.policy.interface import Learned
 from sagetrack.peers.handover import Note
 from sagetrack.store.engine import Options, Space, StoreError
 from sagetrack.store.files import Disk
--- a/sagetrack/ops/newer.py
+++ b/sagetrack/server/newer.py
@@ -14,25 +14,25 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Back, Call, Client
 from sagetrack.core.log import log
-from sagetrack.decide.interface import ListKind, Turns
-from sagetrack.decide.moving import Move
-from sagetrack.http.requests import Request, RequestError, read_call
-from sagetrack.roster.discovery import number_of
+from sagetrack.policy.interface import ListKind, Turns
+from sagetrack.policy.moving import Move
+from sagetrack.http1.requests import Request, RequestError, read_call
+from sagetrack.discovery.discovery import number_of
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import NewerSettings, Operator
-    from sagetrack.h2.front import Read
-    from sagetrack.h2.mixed import Mixed, Turned
-    from sagetrack.h2.shadow import Shadow
-    from sagetrack.h2.tls import Keys
+    from sagetrack.grpc.front import Read
+    from sagetrack.grpc.mixed import Mixed, Turned
+    from sagetrack.grpc.shadow import Shadow
+    from sagetrack.grpc.tls import Keys
 
 LOOK_S = 1.0  # between looks at the share of the newer format
 
 
 def reader(config: Config) -> Read:
     """Reads calls of the newer format as those of the older one are read: one set of rules for both."""
-    from sagetrack.h2.front import ReadError
-    from sagetrack.h2.outcomes import Status
+    from sagetrack.grpc.front import ReadError
+    from sagetrack.grpc.outcomes import Status
 
     def read(
         method: str, target: bytes, headers: list[Header], body: bytes, budget_us: int, client: Client,
@@ -82,7 +82,7 @@
 
     def compare(self, asked: NewerSettings, names: list[str], wanted: Callable[[], bool]) -> None:
         """Hold answers of both formats against each other, at so many a second."""
-        from sagetrack.h2.shadow import Shadow
+        from sagetrack.grpc.shadow import Shadow
 
         self.shadow = Shadow(self.gateway, asked.compare_per_s, asked.compare_ignore, names, wanted)
         self.mixed.on_answer = self.shadow.answered
@@ -124,7 +124,7 @@
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.tls:
         return None
-    from sagetrack.h2.tls import Keys, KeysError
+    from sagetrack.grpc.tls import Keys, KeysError
 
     try:
         return Keys(asked.ca, asked.certificate, asked.key)
@@ -134,7 +134,7 @@
 
 def renew(keys: Keys) -> None:
     """SIGHUP: read the keys again; bad ones are one line, and the old ones stay."""
-    from sagetrack.h2.tls import KeysError
+    from sagetrack.grpc.tls import KeysError
 
     try:
         keys.renew()
@@ -147,8 +147,8 @@
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.types:
         return None
-    from sagetrack.h2.back import NewPools
-    from sagetrack.h2.mixed import Mixed
+    from sagetrack.grpc.back import NewPools
+    from sagetrack.grpc.mixed import Mixed
 
     new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
     kinds = [number_of(name, config.names.kinds) for name in asked.types]
--- a/sagetrack/ops/overlap.py
+++ b/sagetrack/server/overlap.py
@@ -18,7 +18,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.log import log
-from sagetrack.roster.discovery import list_as_json
+from sagetrack.discovery.discovery import list_as_json
 
 NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
 LIST = "sagetrack-list.json"  # the address servers as a process last heard of them
--- a/sagetrack/ops/process.py
+++ b/sagetrack/server/process.py
@@ -64,7 +64,7 @@
         signal.signal(signum, _end_early)
     # Imported late: a signal during the start must find its handler.
     from sagetrack.core.log import unbuffered
-    from sagetrack.ops.startup import Startup
+    from sagetrack.server.startup import Startup
 
     sys.stderr = unbuffered()
 
@@ -90,12 +90,12 @@
 
     import uvloop
 
-    from sagetrack.ops.admin import Admin
+    from sagetrack.server.admin import Admin
     from sagetrack.config.platform import Address
     from sagetrack.core.drain import MARGIN_S
     from sagetrack.core.log import log
-    from sagetrack.ops.instance import Instance
-    from sagetrack.ops.reload import Reloader
+    from sagetrack.server.instance import Instance
+    from sagetrack.server.reload import Reloader
 
     startup.done("imports")
 
--- a/sagetrack/ops/reload.py
+++ b/sagetrack/server/reload.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError, load
-from sagetrack.roster.discovery import Discovery
+from sagetrack.discovery.discovery import Discovery
 from sagetrack.core.log import log
 
 
--- a/sagetrack/sim/host.py
+++ b/sagetrack/simulator/host.py
@@ -10,10 +10,10 @@
 import sys
 from typing import TextIO
 
-from sagetrack.decide.interface import Event, ListedServer, ListKind, ServerList
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.reading import WireError, parse_settings
-from sagetrack.sim.wire import (
+from sagetrack.policy.interface import Event, ListedServer, ListKind, ServerList
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.reading import WireError, parse_settings
+from sagetrack.simulator.wire import (
     LIST_KINDS,
     PARSERS,
     Fields,
--- a/sagetrack/sim/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -13,7 +13,7 @@
 import base64
 from collections.abc import Callable, Mapping
 
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -39,7 +39,7 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.decide.reading import WireError, parse_load
+from sagetrack.policy.reading import WireError, parse_load
 
 Fields = Mapping[str, str]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -22,8 +22,8 @@
     SetTimer,
     Settings,
 )
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.breaker import MINIMUM, Breaker, State
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.breaker import MINIMUM, Breaker, State
 
 SAFE = RequestClass(aim_us=200_000, give_up_us=400_000, worth=3.0, late_worth=0.2, effect=Effect.SAFE)
 KEYED = RequestClass(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from sagetrack.decide.interface import Outcome
-from sagetrack.ops import admin as admin_module
-from sagetrack.ops.admin import CALLERS, LINE_LIMIT, Admin
+from sagetrack.policy.interface import Outcome
+from sagetrack.server import admin as admin_module
+from sagetrack.server.admin import CALLERS, LINE_LIMIT, Admin
 from sagetrack.core.metrics import Metrics
 from tests.helpers import Driver, sends, trip
 from tests.sockets import (
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -3,10 +3,10 @@
 import random
 
 from tests.helpers import Driver, sends, trip
-from sagetrack.decide.interface import ListedServer, ListKind, Outcome, RequestGone
-from sagetrack.decide.balance import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
-from sagetrack.decide.breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
-from sagetrack.decide.state import CEILING, FLOOR
+from sagetrack.policy.interface import ListedServer, ListKind, Outcome, RequestGone
+from sagetrack.policy.balance import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
+from sagetrack.policy.breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
+from sagetrack.policy.state import CEILING, FLOOR
 
 
 def tripped() -> Breaker:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 
 from sagetrack.cli.app import app
-from sagetrack.decide.interface import Learned
+from sagetrack.policy.interface import Learned
 from sagetrack.lab.cold import CASES, Case, ColdGateways, figures, measure
 from sagetrack.lab.faults import COLD_FAULTS, COLD_SHOWN_BY
 from sagetrack.lab.judges import cold_sum, cold_windows
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -23,7 +23,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import stable_id
 from sagetrack.core.calls import Entry
-from sagetrack.decide.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 from sagetrack.dns.cache import OVERHEAD, Cache
 from sagetrack.dns.front import PIPELINED, Limits
 from sagetrack.dns.limits import Access, InWork, ResponseRate, Verdict
@@ -41,7 +41,7 @@
 from sagetrack.dns.zone import Member, ZoneError, Zones
 from sagetrack.lab.dns import Manner, Nameserver, nameserver
 from sagetrack.lab.dnsfuzz import Found, examine, fuzz, seeds
-from sagetrack.roster.split import Split
+from sagetrack.discovery.split import Split
 from tests.sockets import configuration, on_loop, running, until
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -14,9 +14,9 @@
 from sagetrack.config.checked import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.door import Door, DoorSettings, Why
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.door import Door, DoorSettings, Why
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     Demands,
@@ -36,14 +36,14 @@
     Tenant,
     TimerFired,
 )
-from sagetrack.decide.limits import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
-from sagetrack.decide.queues import FairQueues, fair_parts
+from sagetrack.policy.limits import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
+from sagetrack.policy.queues import FairQueues, fair_parts
 from sagetrack.lab.figures import figures
 from sagetrack.lab.judges import judge
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.virtual import play
-from sagetrack.ops.fairness import shares_in, with_door
-from sagetrack.ops.reload import read_again
+from sagetrack.server.fairness import shares_in, with_door
+from sagetrack.server.reload import read_again
 from sagetrack.peers.codec import Datagram, decode, encode
 from sagetrack.peers.demand import PLACES, Herald, demands_in, wanted
 from tests.sockets import configuration, on_loop, request, running
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from sagetrack.roster.discovery import parse_list
-from sagetrack.decide.balance import LIST_TOKEN
-from sagetrack.decide.interface import (
+from sagetrack.discovery.discovery import parse_list
+from sagetrack.policy.balance import LIST_TOKEN
+from sagetrack.policy.interface import (
     FetchList, ListKind, ServerList, ServerStatus, TimerFired, WatchList,
 )  # fmt: skip
 from tests.sockets import (
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -9,8 +9,8 @@
 
 from sagetrack.core.deadlines import REST_S
 from sagetrack.core.permission import Closing
-from sagetrack.http import client as client_module
-from sagetrack.http import front as server_module
+from sagetrack.http1 import client as client_module
+from sagetrack.http1 import front as server_module
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 from tests.test_gateway_process import connect, program
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from sagetrack.decide.interface import ListKind, Outcome
+from sagetrack.policy.interface import ListKind, Outcome
 from sagetrack.config.platform import parse
-from sagetrack.roster.discovery import parse_list
-from sagetrack.http.upstream import Attempt, HostConnection
+from sagetrack.discovery.discovery import parse_list
+from sagetrack.http1.upstream import Attempt, HostConnection
 from sagetrack.core.calls import Reply
 from tests.sockets import (
     Exchange,
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from sagetrack.ops.overlap import LIST, Overlap
-from sagetrack.roster.discovery import list_as_json
+from sagetrack.server.overlap import LIST, Overlap
+from sagetrack.discovery.discovery import list_as_json
 from tests.sockets import (
     configuration,
     endpoint,
@@ -198,7 +198,7 @@
 
 
 def test_cold_servers_get_from_two_processes_what_one_may_send() -> None:
-    from sagetrack.decide.interface import Sharing
+    from sagetrack.policy.interface import Sharing
     from tests.helpers import Driver
 
     driver = Driver()
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -23,24 +23,24 @@
 from sagetrack.core.calls import Entry, Reply
 from sagetrack.core.permission import ServerState
 from sagetrack.core.interfaces import Call
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.interface import (
     AttemptEnded, Effect, ListedServer, ListKind, Outcome, RequestArrived, RequestClass, Send, ServerList,
     ServerStatus, Turns,
 )  # fmt: skip
-from sagetrack.decide.moving import LEAST, STEP_US, Move
-from sagetrack.h2 import outcomes
-from sagetrack.h2.back import Line, NewPools
-from sagetrack.h2.fuzz import fuzz, fuzz_front
-from sagetrack.h2.messages import LIMIT, MessageError, Unpacker, pack
-from sagetrack.h2.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
-from sagetrack.h2.mixed import Mixed
-from sagetrack.h2.outcomes import Reset, Status
-from sagetrack.h2.shadow import Report, difference
-from sagetrack.h2.tls import Keys, KeysError
-from sagetrack.h2.translate import from_new, to_new, to_new_answer, to_old, untranslatable
-from sagetrack.http.back import Pools
-from sagetrack.http.upstream import Message
+from sagetrack.policy.moving import LEAST, STEP_US, Move
+from sagetrack.grpc import outcomes
+from sagetrack.grpc.back import Line, NewPools
+from sagetrack.grpc.fuzz import fuzz, fuzz_front
+from sagetrack.grpc.messages import LIMIT, MessageError, Unpacker, pack
+from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
+from sagetrack.grpc.mixed import Mixed
+from sagetrack.grpc.outcomes import Reset, Status
+from sagetrack.grpc.shadow import Report, difference
+from sagetrack.grpc.tls import Keys, KeysError
+from sagetrack.grpc.translate import from_new, to_new, to_new_answer, to_old, untranslatable
+from sagetrack.http1.back import Pools
+from sagetrack.http1.upstream import Message
 from sagetrack.lab.newserver import Asked, NewConnection
 from sagetrack.lab.scripted import peer
 from tests.sockets import configuration, on_loop, request, running, until
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.decide.balance import FALL_MARGIN
-from sagetrack.decide.breaker import COOLDOWN_US, State
-from sagetrack.decide.interface import Fellows, Learned, ListedServer, ListKind, Outcome, ServerStatus
-from sagetrack.decide.knowledge import CLOSED, OPEN, Latency, Sight, advise, join, trust
-from sagetrack.decide.shares import sharers
+from sagetrack.policy.balance import FALL_MARGIN
+from sagetrack.policy.breaker import COOLDOWN_US, State
+from sagetrack.policy.interface import Fellows, Learned, ListedServer, ListKind, Outcome, ServerStatus
+from sagetrack.policy.knowledge import CLOSED, OPEN, Latency, Sight, advise, join, trust
+from sagetrack.policy.shares import sharers
 from sagetrack.lab.membership import Fleet, death, partition
 from sagetrack.lab.restart import pairs
 from sagetrack.lab.scenario import load
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -12,7 +12,7 @@
     may_send, may_take_clients,
 )  # fmt: skip
 from sagetrack.core.violations import Rule
-from sagetrack.decide.interface import Outcome, RequestArrived, RequestClass, Send
+from sagetrack.policy.interface import Outcome, RequestArrived, RequestClass, Send
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, peer, request, running, silent, until
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from sagetrack.decide.interface import Send
+from sagetrack.policy.interface import Send
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -21,9 +21,9 @@
 
 import pytest
 
-from sagetrack.decide.balance import Balancer
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.interface import (
+from sagetrack.policy.balance import Balancer
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
     AttemptWritten,
@@ -60,7 +60,7 @@
     Turns,
     WatchList,
 )
-from sagetrack.decide.knowledge import CLOSED, OPEN, Latency, Sight
+from sagetrack.policy.knowledge import CLOSED, OPEN, Latency, Sight
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
 EVENTS = 6000  # of a day
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, timers, trip
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     Action,
     Cancel,
     Fail,
@@ -31,9 +31,9 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.decide.balance import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
-from sagetrack.decide.breaker import COOLDOWN_US, MINIMUM, State
-from sagetrack.decide.state import rendezvous
+from sagetrack.policy.balance import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
+from sagetrack.policy.breaker import COOLDOWN_US, MINIMUM, State
+from sagetrack.policy.state import rendezvous
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 
 from tests.helpers import SAFE, START_US, UNSAFE
 from tests.helpers import SETTINGS as PLAIN
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     NEVER_RAN,
     Action,
     AttemptEnded,
@@ -32,7 +32,7 @@
     Settings,
     TimerFired,
 )
-from sagetrack.decide.balance import Balancer
+from sagetrack.policy.balance import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 ORDERED = replace(UNSAFE, in_order=True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sagetrack.decide.interface import Event, Learned
+from sagetrack.policy.interface import Event, Learned
 from sagetrack.lab.judges import judge
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.virtual import VirtualGateway, play
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -20,10 +20,10 @@
 
 from sagetrack.config.operator import Operator, StoreSettings
 from sagetrack.config.platform import parse, stable_id
-from sagetrack.decide.knowledge import CLOSED, HALF_OPEN, OPEN, Latency, Sight
-from sagetrack.ops.instance import Instance
-from sagetrack.ops.keeping import KNOWN, SECONDS
-from sagetrack.ops.overlap import Overlap
+from sagetrack.policy.knowledge import CLOSED, HALF_OPEN, OPEN, Latency, Sight
+from sagetrack.server.instance import Instance
+from sagetrack.server.keeping import KNOWN, SECONDS
+from sagetrack.server.overlap import Overlap
 from sagetrack.peers import handover
 from sagetrack.peers.codec import Message, Tell, Wanted, decode, encode
 from sagetrack.peers.demand import demands_in
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sagetrack.decide.interface import (
+from sagetrack.policy.interface import (
     AttemptEnded,
     Cancel,
     CloseIdle,
@@ -40,15 +40,15 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.decide.reading import WireError, parse_settings
-from sagetrack.sim.wire import (
+from sagetrack.policy.reading import WireError, parse_settings
+from sagetrack.simulator.wire import (
     OUTCOMES,
     PARSERS,
     format_action,
     parse_server,
     split_line,
 )
-from sagetrack.sim.host import Host
+from sagetrack.simulator.host import Host
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -268,7 +268,7 @@
     text = "\n".join(script) + "\n"
     outputs = [
         subprocess.run(
-            [sys.executable, "-B", "-m", "sagetrack.sim.host"],
+            [sys.executable, "-B", "-m", "sagetrack.simulator.host"],
             input=text,
             capture_output=True,
             text=True,
@@ -301,7 +301,7 @@
                 lines.append(f"dropped requestId=t/{i}x{step - 2}")
         lines.append("go")
     result = subprocess.run(
-        [sys.executable, "-B", "-m", "sagetrack.sim.host"],
+        [sys.executable, "-B", "-m", "sagetrack.simulator.host"],
         input="\n".join(lines) + "\n",
         capture_output=True,
         text=True,
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -12,19 +12,19 @@
 
 import pytest
 
-from sagetrack.decide import balance
-from sagetrack.decide.balance import OVER_SHARE, SUBSET, TENANT_MEMORY
-from sagetrack.decide.state import Server
-from sagetrack.decide.decaying import DecayingSums
-from sagetrack.decide.door import DoorSettings
-from sagetrack.decide.interface import ListedServer, ListKind, Outcome, Refuse, Scope, ServerStatus, Tenant
-from sagetrack.decide.ring import ExactSum, Place, Ring
+from sagetrack.policy import balance
+from sagetrack.policy.balance import OVER_SHARE, SUBSET, TENANT_MEMORY
+from sagetrack.policy.state import Server
+from sagetrack.policy.decaying import DecayingSums
+from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.interface import ListedServer, ListKind, Outcome, Refuse, Scope, ServerStatus, Tenant
+from sagetrack.policy.ring import ExactSum, Place, Ring
 from sagetrack.config.platform import Names
 from sagetrack.core.deadlines import watching
-from sagetrack.ops import overlap as overlaps
-from sagetrack.ops.overlap import LIST, Overlap
-from sagetrack.roster import discovery as rosters
-from sagetrack.roster.discovery import Discovery
+from sagetrack.server import overlap as overlaps
+from sagetrack.server.overlap import LIST, Overlap
+from sagetrack.discovery import discovery as rosters
+from sagetrack.discovery.discovery import Discovery
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
 from tests.sockets import endpoint, hosts_list, on_loop, until
 
