--- a/sagetrack/cli/check.py
+++ b/sagetrack/cli/check.py
@@ -17,7 +17,7 @@
 ) -> None:
     """Say all that is wrong with files, a line each with file, line and key; exit 2 if anything is."""
     from sagetrack.config.check import check as check_platform
-    from sagetrack.config.checked import FileError
+    from sagetrack.config.validation import FileError
     from sagetrack.config.operator import load
     from sagetrack.lab.scenario import load as load_scenario
 
--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -12,8 +12,8 @@
 
 import typer
 
-from sagetrack.cli.cold import cold
-from sagetrack.cli.jams import jams
+from sagetrack.cli.slow_start import cold
+from sagetrack.cli.overload import jams
 from sagetrack.cli.soak import soak
 
 if TYPE_CHECKING:
@@ -413,7 +413,7 @@
 ) -> None:
     """Measure DNS and HTTP on one gateway with one slow server of each, alone and together."""
     from sagetrack.lab.real import LabError
-    from sagetrack.lab.together import measure as measure_both
+    from sagetrack.lab.mixed_protocols import measure as measure_both
 
     try:
         with bar("together", json_) as tell:
@@ -442,7 +442,7 @@
     seconds: Annotated[float, typer.Option(help="for how long", min=1, max=600)] = 10.0,
 ) -> None:
     """Send a gateway forged answers beside the true ones; exit 1 if one of them reaches a client."""
-    from sagetrack.lab.dnsforge import forge
+    from sagetrack.lab.dns_spoofing import forge
     from sagetrack.lab.real import LabError
 
     try:
@@ -468,7 +468,7 @@
     load: Annotated[float, typer.Option(help="times what the servers can do", min=0.01, max=100.0)] = 2.0,
 ) -> None:
     """Measure what fair queues cost, in a crowd or in calm: time of a call, memory."""
-    from sagetrack.lab.doorcost import measure as measure_door
+    from sagetrack.lab.fair_queue_benchmark import measure as measure_door
 
     try:
         sizes = [int(size) for size in clients.split(",")]
--- a/sagetrack/cli/jams.py
+++ b/sagetrack/cli/overload.py
@@ -29,7 +29,7 @@
     """
     from sagetrack.cli.lab import fail
     from sagetrack.lab.faults import JAM_FAULTS
-    from sagetrack.lab.jams import MOST_GATEWAYS, measure
+    from sagetrack.lab.overload import MOST_GATEWAYS, measure
     from sagetrack.lab.judges import Violation
 
     counts = sizes_of(gateways, MOST_GATEWAYS)
--- a/sagetrack/cli/cold.py
+++ b/sagetrack/cli/slow_start.py
@@ -27,7 +27,7 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.cli.lab import fail
-    from sagetrack.lab.cold import CASES, MOST_GATEWAYS, measure
+    from sagetrack.lab.slow_start import CASES, MOST_GATEWAYS, measure
     from sagetrack.lab.faults import COLD_FAULTS
     from sagetrack.lab.judges import Violation
 
--- a/sagetrack/config/check.py
+++ b/sagetrack/config/check.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from sagetrack.config.checked import Fault, read
+from sagetrack.config.validation import Fault, read
 from sagetrack.config.platform import ConfigError, parse
 
 Host = Annotated[str, Meta(pattern=r"^\S+:\d{1,5}$")]
@@ -89,7 +89,7 @@
     read(path, Platform, _across)
     import json
 
-    from sagetrack.config.checked import FileError
+    from sagetrack.config.validation import FileError
 
     with open(path, "rb") as file:
         raw = json.load(file)
--- a/sagetrack/config/operator.py
+++ b/sagetrack/config/operator.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from sagetrack.config.checked import Fault, read
+from sagetrack.config.validation import Fault, read
 
 VARIABLE = "LB_OPERATOR"
 
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from sagetrack.policy.interface import Settings
-from sagetrack.policy.reading import WireError, parse_settings
+from sagetrack.policy.parsing import WireError, parse_settings
 
 Address = tuple[str, int]
 
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from sagetrack.policy.asking import FIRST_PAUSE_US, LONGEST_PAUSE_US
+from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
 from sagetrack.policy.interface import Settings
 
 SILENCE_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -46,13 +46,13 @@
 )
 
 from sagetrack.core.clock import now_us, wall_us
-from sagetrack.core.calls import Entry, Roster
+from sagetrack.core.endpoints import Entry, Roster
 from sagetrack.core.interfaces import Answer, Attempt, Back, Call, Recorder, Source
 from sagetrack.core.log import log
 from sagetrack.core.metrics import Counter, Metrics, Reasons
-from sagetrack.core.permission import Denial, Sending, ServerState, may_repeat, may_send
-from sagetrack.core.trace import Step, Trace
-from sagetrack.core.violations import Rule, Violations
+from sagetrack.core.send_rules import Denial, Sending, ServerState, may_repeat, may_send
+from sagetrack.core.event_trace import Step, Trace
+from sagetrack.core.invariants import Rule, Violations
 
 WATCH_S = 0.15  # between looks for calls whose time is over
 LATE_US = 50_000  # past its time, a call is looked at once more before it is answered here
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -7,8 +7,8 @@
 from typing import Any, Protocol
 
 from sagetrack.core.bodies import Upload
-from sagetrack.core.calls import Entry
-from sagetrack.core.permission import ServerState
+from sagetrack.core.endpoints import Entry
+from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.interface import LoadReport, Outcome
 
 Answer = Any  # of a protocol: from its back to its front
--- a/sagetrack/core/violations.py
+++ b/sagetrack/core/invariants.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from sagetrack.core.log import log
-from sagetrack.core.trace import Step, Trace
+from sagetrack.core.event_trace import Step, Trace
 
 
 class Rule(Enum):
--- a/sagetrack/discovery/discovery.py
+++ b/sagetrack/discovery/client.py
@@ -12,7 +12,7 @@
 from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 from sagetrack.config.platform import Address, Names, parse_address, stable_id
-from sagetrack.core.calls import Entry, OnList, Reply
+from sagetrack.core.endpoints import Entry, OnList, Reply
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import Watching
 from sagetrack.core.log import log
--- a/sagetrack/discovery/split.py
+++ b/sagetrack/discovery/split.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 HTTP = "http"  # what a server speaks whose type is not mapped
--- a/sagetrack/dns/front.py
+++ b/sagetrack/dns/downstream.py
@@ -14,7 +14,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
-from sagetrack.core.transient import check_listens
+from sagetrack.core.transient_errors import check_listens
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.dns.cache import STALE_TTL_S, Cache, Hit, Subject
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -9,12 +9,12 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Address, stable_id
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.gateway import Gateway
 from sagetrack.policy.interface import Effect, ListedServer, ListKind, RequestClass, Settings
-from sagetrack.dns.back import Upstreams
+from sagetrack.dns.upstream import Upstreams
 from sagetrack.dns.cache import Cache
-from sagetrack.dns.front import Front, Limits
+from sagetrack.dns.downstream import Front, Limits
 from sagetrack.dns.limits import Access, ResponseRate
 
 if TYPE_CHECKING:
--- a/sagetrack/dns/back.py
+++ b/sagetrack/dns/upstream.py
@@ -16,9 +16,9 @@
 from typing import cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.clock import now_us
-from sagetrack.core.permission import ServerState
+from sagetrack.core.send_rules import ServerState
 from sagetrack.core.interfaces import Call, Watcher
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
 from sagetrack.dns.message import Answer, MessageError, Query, Rcode, parse_answer, upstream_query
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -17,13 +17,13 @@
 import h2.connection
 
 from sagetrack.core.bodies import Allowance, Upload
-from sagetrack.core.calls import Header, Reply
-from sagetrack.core.permission import ServerState
+from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.send_rules import ServerState
 from sagetrack.core.interfaces import Call, Client
 from sagetrack.policy.interface import Outcome, RequestClass, Settings
-from sagetrack.grpc.back import Line, NewHost, NewPools
+from sagetrack.grpc.upstream import Line, NewHost, NewPools
 from sagetrack.grpc.calls_pb2 import Answer
-from sagetrack.grpc.front import ClientLine, NewFront, ReadError
+from sagetrack.grpc.downstream import ClientLine, NewFront, ReadError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.outcomes import Status
 from sagetrack.grpc.translate import more, to_new
--- a/sagetrack/grpc/shadow.py
+++ b/sagetrack/grpc/mirroring.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from sagetrack.core.calls import Header, Reply
+from sagetrack.core.endpoints import Header, Reply
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.log import log
 from sagetrack.policy.interface import Effect
-from sagetrack.policy.limits import Buckets, Rate
+from sagetrack.policy.concurrency_limit import Buckets, Rate
 
 # Fields that say of an answer's way and not of what it is (RFC 9110, 6.6.1 and 7.6.1)
 PASSING = frozenset({
--- a/sagetrack/grpc/mixed.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -6,13 +6,13 @@
 from dataclasses import replace
 from typing import Any
 
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.clock import now_us
-from sagetrack.core.permission import ServerState
+from sagetrack.core.send_rules import ServerState
 from sagetrack.core.interfaces import Answer, Attempt, Back, Call, Source, Watcher
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
-from sagetrack.policy.moving import Move
-from sagetrack.grpc.back import NewAttempt, NewPools
+from sagetrack.policy.migration import Move
+from sagetrack.grpc.upstream import NewAttempt, NewPools
 
 
 Turned = dict[int, tuple[float, float]]
--- a/sagetrack/grpc/back.py
+++ b/sagetrack/grpc/upstream.py
@@ -23,9 +23,9 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import LARGE_LIMIT, STALL_S, nothing
-from sagetrack.core.calls import Entry, Reply
+from sagetrack.core.endpoints import Entry, Reply
 from sagetrack.core.clock import now_us
-from sagetrack.core.permission import ServerState
+from sagetrack.core.send_rules import ServerState
 from sagetrack.core.interfaces import Call, Watcher
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
 from sagetrack.grpc import outcomes
--- a/sagetrack/http1/http1.py
+++ b/sagetrack/http1/codec.py
@@ -7,7 +7,7 @@
 import httptools
 
 from sagetrack.core.bodies import LARGE_LIMIT
-from sagetrack.core.calls import Header, Reply
+from sagetrack.core.endpoints import Header, Reply
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
--- a/sagetrack/http1/back.py
+++ b/sagetrack/http1/connection_pool.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass
 
 from sagetrack.policy.interface import LoadReport, Outcome, Reports, ServerStatus, Settings
-from sagetrack.policy.reading import parse_load
+from sagetrack.policy.parsing import parse_load
 
 from sagetrack.core.bodies import STALL_S, nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REST_S
-from sagetrack.core.calls import Entry, Reply
+from sagetrack.core.endpoints import Entry, Reply
 from sagetrack.core.interfaces import Call, Watcher
-from sagetrack.http1.http1 import header
-from sagetrack.http1.upstream import Attempt, Host, HostConnection, Life, Message
+from sagetrack.http1.codec import header
+from sagetrack.http1.upstream_connection import Attempt, Host, HostConnection, Life, Message
 
 IDLE_SHARE = 0.8  # of the host's idle time: no connection is kept unused for longer
 SPARE_IDLE_US = 5_000_000  # the same for what only a burst has needed
--- a/sagetrack/http1/line.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -7,8 +7,8 @@
 from typing import cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.calls import Reply
-from sagetrack.http1.http1 import ReplyError, ReplyReader
+from sagetrack.core.endpoints import Reply
+from sagetrack.http1.codec import ReplyError, ReplyReader
 
 LIST_LIMIT = 16 * 1024 * 1024
 
--- a/sagetrack/http1/client.py
+++ b/sagetrack/http1/downstream.py
@@ -8,17 +8,17 @@
 
 from sagetrack.config.platform import stable_id
 from sagetrack.core.bodies import Upload
-from sagetrack.core.calls import Header, Reply
-from sagetrack.core.hangup import hung_up
+from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.peer_close import hung_up
 from sagetrack.core.interfaces import Call, Source
-from sagetrack.core.permission import ClientState, Closing, Denial, may_close
-from sagetrack.core.trace import Step
-from sagetrack.core.violations import Rule
-from sagetrack.http1.http1 import end_to_end
+from sagetrack.core.send_rules import ClientState, Closing, Denial, may_close
+from sagetrack.core.event_trace import Step
+from sagetrack.core.invariants import Rule
+from sagetrack.http1.codec import end_to_end
 from sagetrack.http1.requests import Request, RequestError, RequestReader, read_call
 
 if TYPE_CHECKING:
-    from sagetrack.http1.front import Server
+    from sagetrack.http1.listener import Server
 
 READY_PATH = b"/health/ready"
 PIPELINED = 16  # requests read ahead on one connection
--- a/sagetrack/http1/front.py
+++ b/sagetrack/http1/listener.py
@@ -13,14 +13,14 @@
 from sagetrack.config.platform import Config
 from sagetrack.core.drain import LEAVE_ACCEPT_S, Drain
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.calls import Alone, Roster, Siblings
-from sagetrack.core.hangup import Hangups
+from sagetrack.core.endpoints import Alone, Roster, Siblings
+from sagetrack.core.peer_close import Hangups
 from sagetrack.core.log import log
 from sagetrack.core.metrics import Reasons
-from sagetrack.core.permission import FIRST_REQUEST_S, OVERDUE_S, Closing, may_take_clients
-from sagetrack.core.trace import Step
-from sagetrack.http1.back import Pools
-from sagetrack.http1.client import ClientConnection, Phase
+from sagetrack.core.send_rules import FIRST_REQUEST_S, OVERDUE_S, Closing, may_take_clients
+from sagetrack.core.event_trace import Step
+from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.downstream import ClientConnection, Phase
 
 BACKLOG = 1024  # connections that may wait to be accepted
 POLL_S = 0.02  # between looks at what is still to end, during a drain
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -11,10 +11,10 @@
 from sagetrack.core.bodies import LARGE_LIMIT, Allowance, Upload
 from sagetrack.core.clock import now_us
 from sagetrack.config.platform import Config, stable_id
-from sagetrack.core.calls import Header
+from sagetrack.core.endpoints import Header
 from sagetrack.core.interfaces import Call, Client
-from sagetrack.http1.upstream import Message
-from sagetrack.http1.http1 import BODY_LIMIT, HEAD_LIMIT, end_to_end, header, trimmed
+from sagetrack.http1.upstream_connection import Message
+from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, end_to_end, header, trimmed
 
 ID_LIMIT = 128
 SLICE = 4096  # bytes parsed before it is looked at how many requests they held
--- a/sagetrack/http1/upstream.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -10,14 +10,14 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import Upload, nothing
-from sagetrack.core.calls import Reply
+from sagetrack.core.endpoints import Reply
 from sagetrack.core.clock import now_us
-from sagetrack.core.permission import ServerState
+from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.interface import Outcome
-from sagetrack.http1.http1 import ReplyError, ReplyReader
+from sagetrack.http1.codec import ReplyError, ReplyReader
 
 if TYPE_CHECKING:
-    from sagetrack.http1.back import Pools
+    from sagetrack.http1.connection_pool import Pools
 
 HELD_BACK_S = 0.05  # an answer of unknown length that is not whole by then is passed on as it comes
 
--- a/sagetrack/lab/torture.py
+++ b/sagetrack/lab/crash_test.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.storefaults import Crash, SimFiles
+from sagetrack.lab.faulty_filesystem import Crash, SimFiles
 from sagetrack.store.engine import Options, Store, StoreError
 from sagetrack.store.files import Disk
 from sagetrack.store.format import FormatError, Op
@@ -248,7 +248,7 @@
 
 def kill_once(folder: Path, draw: random.Random, before: int, tried: Tried) -> int:
     """Let a writer write for a moment, kill it, and look; returns the last batch that is there."""
-    code = f"from sagetrack.lab.torture import writer; writer({str(folder)!r})"
+    code = f"from sagetrack.lab.crash_test import writer; writer({str(folder)!r})"
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
     assert process.stdout is not None
     os.set_blocking(process.stdout.fileno(), False)
--- a/sagetrack/lab/doorcost.py
+++ b/sagetrack/lab/fair_queue_benchmark.py
@@ -16,8 +16,8 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.admission import DoorSettings
 from sagetrack.policy.interface import (
     AttemptEnded,
     Effect,
--- a/sagetrack/lab/faults.py
+++ b/sagetrack/lab/faults.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -24,7 +24,7 @@
     ServerList,
     ServerStatus,
 )
-from sagetrack.policy.knowledge import Latency, Sight
+from sagetrack.policy.peer_observations import Latency, Sight
 from sagetrack.lab.virtual import Held, VirtualGateway
 
 EVERY = 20  # calls of which one is mistreated
--- a/sagetrack/lab/figures.py
+++ b/sagetrack/lab/figures.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrack.policy.queues import fair_parts
+from sagetrack.policy.fair_queue import fair_parts
 from sagetrack.lab.judges import RULES, Violation
 from sagetrack.lab.records import Records
 from sagetrack.lab.scenario import Expect, Scenario
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -7,7 +7,7 @@
 from itertools import accumulate, pairwise
 
 from sagetrack.config.platform import parse
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.policy.interface import (
     AttemptEnded,
     Event,
@@ -202,7 +202,7 @@
     return values | {"bytes": float(len(text)), "held_bytes": held, "each_bytes": held / size}
 
 
-BALANCE = "sagetrack/policy/balance.py"
+BALANCE = "sagetrack/policy/load_balancer.py"
 HOLDS_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
 PROBES = (
     Probe("decision-by-tenants", "gateway", "one call, decided and answered", "tenants",
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -7,15 +7,15 @@
 import time
 
 from sagetrack.policy.interface import Learned
-from sagetrack.policy.knowledge import Sight
+from sagetrack.policy.peer_observations import Sight
 from sagetrack.lab.membership import Fleet, death, partition
 from sagetrack.lab.scale.gateway import BASE_US, FEW_TENANTS, Hollow
 from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
 from sagetrack.lab.scale.world import FleetAhead
 from sagetrack.peers.codec import Datagram, encode
-from sagetrack.peers.demand import FELLOWS, demands_in, wanted
+from sagetrack.peers.demand_gossip import FELLOWS, demands_in, wanted
 from sagetrack.peers.membership import Settings
-from sagetrack.peers.warm import ASKED, split
+from sagetrack.peers.warm_start import ASKED, split
 
 WATCHED_S = 100.0  # after the death
 CUT_S, HEALED_S = 60.0, 240.0  # how long a third is cut off; how long its end is watched
@@ -86,9 +86,9 @@
           "no loss, 1 to 10 ms one way", "sagetrack/peers/membership.py", healing_by_gateways, least=16,
           most=200, quick_most=100, virtual=("healed_s",)),
     Probe("demands-by-tenants", "peers", "demands are told, and one telling is read", "tenants",
-          "6 fellows", "sagetrack/peers/demand.py", demands_by_tenants),
+          "6 fellows", "sagetrack/peers/demand_gossip.py", demands_by_tenants),
     Probe("warm-start-by-servers", "peers", "an answer to who has just started", "servers", "all seen",
-          "sagetrack/peers/warm.py: split", warm_start_by_servers, least=25),
+          "sagetrack/peers/warm_start.py: split", warm_start_by_servers, least=25),
     Probe("learned-by-servers", "peers", "one datagram of sights is taken up", "servers", "10 sights in it",
-          "sagetrack/policy/balance.py: on_learned", learned_by_servers, least=25),
+          "sagetrack/policy/load_balancer.py: on_learned", learned_by_servers, least=25),
 )  # fmt: skip
--- a/sagetrack/lab/scenario.py
+++ b/sagetrack/lab/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from sagetrack.config.checked import Fault, read
+from sagetrack.config.validation import Fault, read
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -298,7 +298,7 @@
 
 def altered(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
     """The same with other values, named as in `fleet.servers`; `checked.FileError` for bad ones."""
-    from sagetrack.config.checked import FileError, faults_of
+    from sagetrack.config.validation import FileError, faults_of
 
     raw = msgspec.to_builtins(scenario)
     for name, value in settings.items():
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -28,7 +28,7 @@
 from sagetrack.lab.soak.proxy import Order, Route
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import NONE, Control, Faults, ShimError, build
-from sagetrack.lab.soak.troubles import Kind, Trouble, drawn
+from sagetrack.lab.soak.fault_schedule import Kind, Trouble, drawn
 
 READY_S = 15.0
 LEAVE_S = 3.7  # after SIGTERM, until the platform kills
--- a/sagetrack/lab/sockets.py
+++ b/sagetrack/lab/sockets.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from sagetrack.lab.newserver import NewServerConnection
+from sagetrack.lab.grpc_server import NewServerConnection
 from sagetrack.lab.server import Job, Result, Server
 from sagetrack.lab.world import GONE, Listed, World
 
--- a/sagetrack/lab/throughput.py
+++ b/sagetrack/lab/throughput.py
@@ -86,7 +86,7 @@
 
 def _serve_newer(count: int, core: int, pipe: Any) -> None:
     """The same of the newer format."""
-    from sagetrack.lab.newserver import NewConnection
+    from sagetrack.lab.grpc_server import NewConnection
 
     os.sched_setaffinity(0, {core})
 
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.admission import DoorSettings
 from sagetrack.policy.interface import (
     AttemptEnded,
     Cancel,
@@ -37,16 +37,16 @@
     TellPeers,
     TimerFired,
 )
-from sagetrack.policy.limits import Rate
-from sagetrack.policy.reading import parse_settings
+from sagetrack.policy.concurrency_limit import Rate
+from sagetrack.policy.parsing import parse_settings
 from sagetrack.lab.records import Records
 from sagetrack.lab.scenario import Scenario, Trouble, platform_settings
 from sagetrack.lab.server import Job, Result
 from sagetrack.lab.world import GONE, Listed, Try, World
 from sagetrack.peers.codec import Ask, Datagram, Tell, Wanted, decode, encode
-from sagetrack.peers.demand import Herald, demands_in, wanted
+from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
 from sagetrack.peers.membership import Membership, Settings
-from sagetrack.peers.warm import Asker, Teller, latencies_from
+from sagetrack.peers.warm_start import Asker, Teller, latencies_from
 
 KEPT_US = 1_000_000  # between two writes of what a gateway knows
 BASE_US = 1_000_000_000  # the gateways' clock at the run's begin: 0 would mean long ago
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sagetrack.core.log import log
-from sagetrack.policy.knowledge import Latency, Sight
+from sagetrack.policy.peer_observations import Latency, Sight
 
 FILE = "sagetrack-knowledge.bin"
 MAGIC = b"SGTK2"  # 1 had times of the writer's own line
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -11,11 +11,11 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.log import log
 from sagetrack.policy.interface import Demands, Event, Fellows, Learned
-from sagetrack.policy.knowledge import Latency, Sight
+from sagetrack.policy.peer_observations import Latency, Sight
 from sagetrack.peers.codec import Ask, CodecError, Datagram, Tell, Wanted, decode, encode
-from sagetrack.peers.demand import Herald, demands_in, wanted
+from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
 from sagetrack.peers.membership import Counts, Membership, Settings, State
-from sagetrack.peers.warm import Asker, Teller, latencies_from
+from sagetrack.peers.warm_start import Asker, Teller, latencies_from
 
 BIND_AGAIN_S = 0.5  # while an older process of this gateway holds the address
 LEAST_WAIT_S = 0.005
--- a/sagetrack/peers/warm.py
+++ b/sagetrack/peers/warm_start.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from sagetrack.policy.knowledge import CLOSED, Latency, Sight
+from sagetrack.policy.peer_observations import CLOSED, Latency, Sight
 from sagetrack.peers.codec import LIMIT, Ask, ClassFact, ServerFact, Tell, size
 
 ASKED = 3  # peers that are asked
--- a/sagetrack/policy/__init__.py
+++ b/sagetrack/policy/__init__.py
@@ -1,6 +1,6 @@
 """The decisions of a load-balancing gateway: pure, no clock, no I/O."""
 
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
--- a/sagetrack/policy/door.py
+++ b/sagetrack/policy/admission.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from sagetrack.policy.limits import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
-from sagetrack.policy.queues import FairQueues
+from sagetrack.policy.concurrency_limit import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
+from sagetrack.policy.fair_queue import FairQueues
 
 Item = TypeVar("Item", bound=Hashable)
 # What one of each holds, in bytes, as measured (docs/operators/fairness.md)
--- a/sagetrack/policy/limits.py
+++ b/sagetrack/policy/concurrency_limit.py
@@ -11,7 +11,7 @@
 from collections.abc import Hashable, Sequence
 from dataclasses import dataclass, field
 
-from sagetrack.policy.queues import fair_parts
+from sagetrack.policy.fair_queue import fair_parts
 
 # The limit on calls in work
 TOLERANCE = 2.0  # times the unhindered latency that is no sign of a crowd
--- a/sagetrack/policy/interface.py
+++ b/sagetrack/policy/interface.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from sagetrack.policy.door import DoorSettings
-from sagetrack.policy.knowledge import Latency, Sight
+from sagetrack.policy.admission import DoorSettings
+from sagetrack.policy.peer_observations import Latency, Sight
 
 
 class Effect(Enum):
--- a/sagetrack/policy/balance.py
+++ b/sagetrack/policy/load_balancer.py
@@ -12,10 +12,10 @@
 from collections import deque
 from collections.abc import Iterable
 
-from sagetrack.policy.asking import first_call_us, longest_pause_us
-from sagetrack.policy.breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
-from sagetrack.policy.decaying import DecayingSums
-from sagetrack.policy.door import PROMISED_WORTH, Door, Why
+from sagetrack.policy.discovery_backoff import first_call_us, longest_pause_us
+from sagetrack.policy.circuit_breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
+from sagetrack.policy.decayed_sums import DecayingSums
+from sagetrack.policy.admission import PROMISED_WORTH, Door, Why
 from sagetrack.policy.interface import (
     NEVER_RAN,
     Action,
@@ -50,7 +50,7 @@
     Turns,
     WatchList,
 )
-from sagetrack.policy.knowledge import (
+from sagetrack.policy.peer_observations import (
     CLOSED,
     HALF_OPEN,
     MOST_OPEN,
@@ -61,10 +61,10 @@
     advise,
     join,
 )
-from sagetrack.policy.lives import Lives
-from sagetrack.policy.parts import HeldPart
-from sagetrack.policy.ring import ExactSum, Place, Ring
-from sagetrack.policy.shares import sharers
+from sagetrack.policy.incarnations import Lives
+from sagetrack.policy.concurrency_share import HeldPart
+from sagetrack.policy.endpoint_ring import ExactSum, Place, Ring
+from sagetrack.policy.fleet_size import sharers
 from sagetrack.policy.state import CEILING, FLOOR, Attempt, Habit, Part, Request, Server, rendezvous
 
 # The breaker
--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -11,7 +11,7 @@
 from typing import Protocol, cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.transient import persist
+from sagetrack.core.transient_errors import persist
 from sagetrack.server.listen import bind
 
 LINE_LIMIT = 256  # bytes
--- a/sagetrack/server/fairness.py
+++ b/sagetrack/server/admission_settings.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError
-from sagetrack.policy.door import DoorSettings
-from sagetrack.policy.limits import Rate
+from sagetrack.policy.admission import DoorSettings
+from sagetrack.policy.concurrency_limit import Rate
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
--- a/sagetrack/server/fellowship.py
+++ b/sagetrack/server/fleet.py
@@ -12,7 +12,7 @@
 from sagetrack.core.log import log
 from sagetrack.policy.interface import Learned
 from sagetrack.core.gateway import Gateway
-from sagetrack.server.overlap import Overlap
+from sagetrack.server.hot_restart import Overlap
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
--- a/sagetrack/server/instance.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -7,31 +7,31 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError, parse_address
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import watching
-from sagetrack.core.transient import persist
+from sagetrack.core.transient_errors import persist
 from sagetrack.policy.interface import ListKind, Shares
-from sagetrack.http1.back import Pools
-from sagetrack.http1.front import Server
+from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.listener import Server
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Back
-from sagetrack.http1.line import HttpLine, connect
-from sagetrack.server.fairness import shares_in, with_door
-from sagetrack.server.fellowship import Handover, node_for
+from sagetrack.http1.discovery_connection import HttpLine, connect
+from sagetrack.server.admission_settings import shares_in, with_door
+from sagetrack.server.fleet import Handover, node_for
 from sagetrack.server.listen import bind, inherit
-from sagetrack.server.newer import Newer, keys_for, mixed_back, reader, renew, with_newer
-from sagetrack.server.overlap import Overlap
-from sagetrack.server.startup import Startup
-from sagetrack.discovery.discovery import CallError, Discovery, number_of, parse_list
+from sagetrack.server.grpc_upstreams import Newer, keys_for, mixed_back, reader, renew, with_newer
+from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.startup_timing import Startup
+from sagetrack.discovery.client import CallError, Discovery, number_of, parse_list
 from sagetrack.discovery.split import HTTP, Split
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
     from sagetrack.dns.service import Service
-    from sagetrack.grpc.front import NewFront
+    from sagetrack.grpc.downstream import NewFront
     from sagetrack.peers.node import Node
-    from sagetrack.server.keeping import Keeping
+    from sagetrack.server.persistence import Keeping
 
 DNS = "dns"
 ZONE_S = 1.0  # between looks at what our own zone follows
@@ -149,7 +149,7 @@
         asked = self.operator.newer if self.operator is not None else None
         if asked is None or not asked.listen:
             return
-        from sagetrack.grpc.front import NewFront
+        from sagetrack.grpc.downstream import NewFront
 
         drain, allowance = self.server.drain, self.server.allowance
         front = NewFront(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
@@ -165,7 +165,7 @@
     def start_store(self) -> None:
         """Open the store, where the operator has one."""
         if self.operator is not None and self.operator.store.folder:
-            from sagetrack.server.keeping import Keeping
+            from sagetrack.server.persistence import Keeping
 
             self.keeping = Keeping(self.config, self.operator, self.gateway)
 
@@ -178,7 +178,7 @@
         asked = self.operator.dns if self.operator is not None else None
         if asked is None or not asked.listen:
             return
-        from sagetrack.dns.front import Limits
+        from sagetrack.dns.downstream import Limits
         from sagetrack.dns.service import Cold, Plan, Service, ZonePlan
 
         own = asked.zone
--- a/sagetrack/server/newer.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -9,21 +9,21 @@
 
 from sagetrack.config.platform import Config, ConfigError
 from sagetrack.core.bodies import Upload
-from sagetrack.core.calls import Entry, Header
+from sagetrack.core.endpoints import Entry, Header
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Back, Call, Client
 from sagetrack.core.log import log
 from sagetrack.policy.interface import ListKind, Turns
-from sagetrack.policy.moving import Move
+from sagetrack.policy.migration import Move
 from sagetrack.http1.requests import Request, RequestError, read_call
-from sagetrack.discovery.discovery import number_of
+from sagetrack.discovery.client import number_of
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import NewerSettings, Operator
-    from sagetrack.grpc.front import Read
-    from sagetrack.grpc.mixed import Mixed, Turned
-    from sagetrack.grpc.shadow import Shadow
+    from sagetrack.grpc.downstream import Read
+    from sagetrack.grpc.protocol_router import Mixed, Turned
+    from sagetrack.grpc.mirroring import Shadow
     from sagetrack.grpc.tls import Keys
 
 LOOK_S = 1.0  # between looks at the share of the newer format
@@ -31,7 +31,7 @@
 
 def reader(config: Config) -> Read:
     """Reads calls of the newer format as those of the older one are read: one set of rules for both."""
-    from sagetrack.grpc.front import ReadError
+    from sagetrack.grpc.downstream import ReadError
     from sagetrack.grpc.outcomes import Status
 
     def read(
@@ -82,7 +82,7 @@
 
     def compare(self, asked: NewerSettings, names: list[str], wanted: Callable[[], bool]) -> None:
         """Hold answers of both formats against each other, at so many a second."""
-        from sagetrack.grpc.shadow import Shadow
+        from sagetrack.grpc.mirroring import Shadow
 
         self.shadow = Shadow(self.gateway, asked.compare_per_s, asked.compare_ignore, names, wanted)
         self.mixed.on_answer = self.shadow.answered
@@ -147,8 +147,8 @@
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.types:
         return None
-    from sagetrack.grpc.back import NewPools
-    from sagetrack.grpc.mixed import Mixed
+    from sagetrack.grpc.upstream import NewPools
+    from sagetrack.grpc.protocol_router import Mixed
 
     new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
     kinds = [number_of(name, config.names.kinds) for name in asked.types]
--- a/sagetrack/server/overlap.py
+++ b/sagetrack/server/hot_restart.py
@@ -18,7 +18,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.log import log
-from sagetrack.discovery.discovery import list_as_json
+from sagetrack.discovery.client import list_as_json
 
 NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
 LIST = "sagetrack-list.json"  # the address servers as a process last heard of them
--- a/sagetrack/server/keeping.py
+++ b/sagetrack/server/persistence.py
@@ -20,7 +20,7 @@
 from sagetrack.store.engine import Options, Space, StoreError
 from sagetrack.store.files import Disk
 from sagetrack.store.format import FormatError, Op
-from sagetrack.store.keeper import Keeper
+from sagetrack.store.writer import Keeper
 from sagetrack.store.recorder import Recorder
 
 if TYPE_CHECKING:
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -25,9 +25,9 @@
 
 def _take_operators(path: str, gateway: str) -> Operator | None:
     """Read the operator's file and log as it says; None, and a line for each fault, if it cannot be used."""
-    from sagetrack.config.checked import FileError, UnreadableError
+    from sagetrack.config.validation import FileError, UnreadableError
     from sagetrack.config.operator import load
-    from sagetrack.core.transient import persist_before_loop
+    from sagetrack.core.transient_errors import persist_before_loop
 
     def read() -> Operator:
         try:
@@ -64,13 +64,13 @@
         signal.signal(signum, _end_early)
     # Imported late: a signal during the start must find its handler.
     from sagetrack.core.log import unbuffered
-    from sagetrack.server.startup import Startup
+    from sagetrack.server.startup_timing import Startup
 
     sys.stderr = unbuffered()
 
     startup = Startup()
     from sagetrack.config.platform import ConfigError, load, read_file
-    from sagetrack.core.transient import persist_before_loop
+    from sagetrack.core.transient_errors import persist_before_loop
 
     startup.done("imports")
     try:
@@ -94,7 +94,7 @@
     from sagetrack.config.platform import Address
     from sagetrack.core.drain import MARGIN_S
     from sagetrack.core.log import log
-    from sagetrack.server.instance import Instance
+    from sagetrack.server.gateway_assembly import Instance
     from sagetrack.server.reload import Reloader
 
     startup.done("imports")
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError, load
-from sagetrack.discovery.discovery import Discovery
+from sagetrack.discovery.client import Discovery
 from sagetrack.core.log import log
 
 
@@ -22,7 +22,7 @@
 
 def read_again(path: str) -> Operator:
     """The operator's file as it is now; ConfigError if it cannot be read."""
-    from sagetrack.config.checked import FileError
+    from sagetrack.config.validation import FileError
     from sagetrack.config.operator import load as load_operator
 
     try:
--- a/sagetrack/simulator/host.py
+++ b/sagetrack/simulator/host.py
@@ -11,8 +11,8 @@
 from typing import TextIO
 
 from sagetrack.policy.interface import Event, ListedServer, ListKind, ServerList
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.reading import WireError, parse_settings
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.parsing import WireError, parse_settings
 from sagetrack.simulator.wire import (
     LIST_KINDS,
     PARSERS,
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -39,7 +39,7 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.policy.reading import WireError, parse_load
+from sagetrack.policy.parsing import WireError, parse_load
 
 Fields = Mapping[str, str]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,8 +22,8 @@
     SetTimer,
     Settings,
 )
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.breaker import MINIMUM, Breaker, State
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.circuit_breaker import MINIMUM, Breaker, State
 
 SAFE = RequestClass(aim_us=200_000, give_up_us=400_000, worth=3.0, late_worth=0.2, effect=Effect.SAFE)
 KEYED = RequestClass(
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,7 +15,7 @@
 from sagetrack.config.platform import parse, stable_id
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REST_S
-from sagetrack.http1.front import Server
+from sagetrack.http1.listener import Server
 from sagetrack.core.gateway import Gateway
 from sagetrack.lab.scripted import (
     Exchange,
@@ -31,7 +31,7 @@
     reply,
     silent,
 )
-from sagetrack.server.instance import Instance
+from sagetrack.server.gateway_assembly import Instance
 
 __all__ = [
     "Client", "Exchange", "Message", "Peer", "Running", "Script", "answers", "configuration",
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,8 +14,8 @@
 
 from sagetrack.policy.interface import AttemptEnded, AttemptWritten, Outcome, RequestArrived, StreamStarted
 from sagetrack.http1 import requests as requests_module
-from sagetrack.http1 import client as client_module
-from sagetrack.http1 import front as server_module
+from sagetrack.http1 import downstream as client_module
+from sagetrack.http1 import listener as server_module
 from sagetrack.core.bodies import HIGH, LEAST, Allowance, Upload
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
 from tests.sockets import (
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parent.parent / "sagetrack" / "policy" / "balance.py"
+MODULE = Path(__file__).parent.parent / "sagetrack" / "policy" / "load_balancer.py"
 
 
 def test_the_module_holds_at_most_1200_lines_of_110_characters() -> None:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,8 +4,8 @@
 
 from tests.helpers import Driver, sends, trip
 from sagetrack.policy.interface import ListedServer, ListKind, Outcome, RequestGone
-from sagetrack.policy.balance import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
-from sagetrack.policy.breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
+from sagetrack.policy.load_balancer import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
+from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
 from sagetrack.policy.state import CEILING, FLOOR
 
 
--- a/tests/test_checked.py
+++ b/tests/test_checked.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.check import check
-from sagetrack.config.checked import FileError, json_lines, read, toml_lines
+from sagetrack.config.validation import FileError, json_lines, read, toml_lines
 from sagetrack.config.operator import Operator, load
 from tests.sockets import configuration
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-import sagetrack.server.fellowship as fellowship
+import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
 from sagetrack.policy.interface import Learned, ListedServer, ListKind, Send, ServerList
-from sagetrack.server.fellowship import Handover
-from sagetrack.server.overlap import Overlap
+from sagetrack.server.fleet import Handover
+from sagetrack.server.hot_restart import Overlap
 from tests.helpers import SETTINGS, Driver
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 from sagetrack.cli.app import app
 from sagetrack.policy.interface import Learned
-from sagetrack.lab.cold import CASES, Case, ColdGateways, figures, measure
+from sagetrack.lab.slow_start import CASES, Case, ColdGateways, figures, measure
 from sagetrack.lab.faults import COLD_FAULTS, COLD_SHOWN_BY
 from sagetrack.lab.judges import cold_sum, cold_windows
 from sagetrack.lab.records import Record, Records
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,9 +11,9 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.drain import LEAVE_ACCEPT_S
 from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
-from sagetrack.http1.upstream import HostConnection
-from sagetrack.http1.client import PIPELINED
-from sagetrack.discovery.discovery import parse_list
+from sagetrack.http1.upstream_connection import HostConnection
+from sagetrack.http1.downstream import PIPELINED
+from sagetrack.discovery.client import parse_list
 from tests.sockets import (
     Exchange,
     Running,
@@ -261,7 +261,9 @@
 @on_loop
 async def test_a_second_answer_crosses_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is on its way as the next request is: nobody takes it for that one's answer."""
-    monkeypatch.setattr("sagetrack.http1.back.REST_S", 60.0, raising=False)  # however busy this machine is
+    monkeypatch.setattr(
+        "sagetrack.http1.connection_pool.REST_S", 60.0, raising=False
+    )  # however busy this machine is
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
@@ -282,7 +284,7 @@
 
 @on_loop
 async def test_the_next_request_waits_for_its_connections_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sagetrack.http1.back.REST_S", 0.1)
+    monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.1)
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
@@ -318,7 +320,7 @@
         client = await run.connect()
         assert (await client.ask(request())).status == 200
         (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.back.REST_S", 0.5)
+        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.5)
         kept.idle_since_us, kept.took_us = now_us(), 1_000_000
         client.send(request("transfer"))
         await until(lambda: kept.parked)
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sagetrack.policy.balance import COLD_COST, COME_BACK, CROWD, SUBSET, WAIT
+from sagetrack.policy.load_balancer import COLD_COST, COME_BACK, CROWD, SUBSET, WAIT
 from sagetrack.policy.interface import ListedServer, Outcome, Refuse, RequestClass, ServerStatus
 from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sagetrack.http1.front import RESERVE
+from sagetrack.http1.listener import RESERVE
 from tests.sockets import (
     Client, Exchange, Peer, Running, configuration, endpoint, host_id, list_reply, on_loop, peer, reply,
     request, running, silent, until,
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -19,13 +19,13 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.platform import Address, Names, parse_address
-from sagetrack.core.calls import Entry, Reply
+from sagetrack.core.endpoints import Entry, Reply
 from sagetrack.core.deadlines import LEAST_GRACE_S, SILENCE_S, watching
-from sagetrack.policy.balance import LIST_TOKEN, Balancer
+from sagetrack.policy.load_balancer import LIST_TOKEN, Balancer
 from sagetrack.policy.interface import (
     Action, ListKind, ServerList, ServerStatus, SetTimer, Settings, TimerFired, WatchList,
 )  # fmt: skip
-from sagetrack.discovery.discovery import CallError, Discovery, Line
+from sagetrack.discovery.client import CallError, Discovery, Line
 from tests.helpers import SETTINGS, START_US, Driver, timers
 from tests.sockets import (
     Exchange, Running, Script, answers, configuration, endpoint, host_id, hosts_list, list_reply, on_loop,
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -22,10 +22,10 @@
 
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import stable_id
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 from sagetrack.dns.cache import OVERHEAD, Cache
-from sagetrack.dns.front import PIPELINED, Limits
+from sagetrack.dns.downstream import PIPELINED, Limits
 from sagetrack.dns.limits import Access, InWork, ResponseRate, Verdict
 from sagetrack.dns.message import (
     MessageError,
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,11 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sagetrack.config.checked import FileError
+from sagetrack.config.validation import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.door import Door, DoorSettings, Why
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.admission import Door, DoorSettings, Why
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -36,16 +36,16 @@
     Tenant,
     TimerFired,
 )
-from sagetrack.policy.limits import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
-from sagetrack.policy.queues import FairQueues, fair_parts
+from sagetrack.policy.concurrency_limit import Buckets, Levels, Promises, Rate, RepeatBudget, WorkLimit
+from sagetrack.policy.fair_queue import FairQueues, fair_parts
 from sagetrack.lab.figures import figures
 from sagetrack.lab.judges import judge
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.virtual import play
-from sagetrack.server.fairness import shares_in, with_door
+from sagetrack.server.admission_settings import shares_in, with_door
 from sagetrack.server.reload import read_again
 from sagetrack.peers.codec import Datagram, decode, encode
-from sagetrack.peers.demand import PLACES, Herald, demands_in, wanted
+from sagetrack.peers.demand_gossip import PLACES, Herald, demands_in, wanted
 from tests.sockets import configuration, on_loop, request, running
 
 SCENARIOS = Path(__file__).resolve().parent.parent / "scenarios"
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from sagetrack.lab.soak.shim import ACCEPT_ERRORS
-from sagetrack.server.overlap import Overlap
+from sagetrack.server.hot_restart import Overlap
 from tests.sockets import (
     Exchange, Peer, configuration, endpoint, host_id, list_reply, on_loop, peer, reply, request, running,
     silent, until,
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from sagetrack.discovery.discovery import parse_list
-from sagetrack.policy.balance import LIST_TOKEN
+from sagetrack.discovery.client import parse_list
+from sagetrack.policy.load_balancer import LIST_TOKEN
 from sagetrack.policy.interface import (
     FetchList, ListKind, ServerList, ServerStatus, TimerFired, WatchList,
 )  # fmt: skip
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -8,9 +8,9 @@
 import pytest
 
 from sagetrack.core.deadlines import REST_S
-from sagetrack.core.permission import Closing
-from sagetrack.http1 import client as client_module
-from sagetrack.http1 import front as server_module
+from sagetrack.core.send_rules import Closing
+from sagetrack.http1 import downstream as client_module
+from sagetrack.http1 import listener as server_module
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 from tests.test_gateway_process import connect, program
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -6,9 +6,9 @@
 
 from sagetrack.policy.interface import ListKind, Outcome
 from sagetrack.config.platform import parse
-from sagetrack.discovery.discovery import parse_list
-from sagetrack.http1.upstream import Attempt, HostConnection
-from sagetrack.core.calls import Reply
+from sagetrack.discovery.client import parse_list
+from sagetrack.http1.upstream_connection import Attempt, HostConnection
+from sagetrack.core.endpoints import Reply
 from tests.sockets import (
     Exchange,
     Running,
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from sagetrack.server.overlap import LIST, Overlap
-from sagetrack.discovery.discovery import list_as_json
+from sagetrack.server.hot_restart import LIST, Overlap
+from sagetrack.discovery.client import list_as_json
 from tests.sockets import (
     configuration,
     endpoint,
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -16,32 +16,32 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sagetrack.config.checked import FileError
+from sagetrack.config.validation import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.core.bodies import Allowance, Upload
-from sagetrack.core.calls import Entry, Reply
-from sagetrack.core.permission import ServerState
+from sagetrack.core.endpoints import Entry, Reply
+from sagetrack.core.send_rules import ServerState
 from sagetrack.core.interfaces import Call
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.policy.interface import (
     AttemptEnded, Effect, ListedServer, ListKind, Outcome, RequestArrived, RequestClass, Send, ServerList,
     ServerStatus, Turns,
 )  # fmt: skip
-from sagetrack.policy.moving import LEAST, STEP_US, Move
+from sagetrack.policy.migration import LEAST, STEP_US, Move
 from sagetrack.grpc import outcomes
-from sagetrack.grpc.back import Line, NewPools
+from sagetrack.grpc.upstream import Line, NewPools
 from sagetrack.grpc.fuzz import fuzz, fuzz_front
 from sagetrack.grpc.messages import LIMIT, MessageError, Unpacker, pack
 from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
-from sagetrack.grpc.mixed import Mixed
+from sagetrack.grpc.protocol_router import Mixed
 from sagetrack.grpc.outcomes import Reset, Status
-from sagetrack.grpc.shadow import Report, difference
+from sagetrack.grpc.mirroring import Report, difference
 from sagetrack.grpc.tls import Keys, KeysError
 from sagetrack.grpc.translate import from_new, to_new, to_new_answer, to_old, untranslatable
-from sagetrack.http1.back import Pools
-from sagetrack.http1.upstream import Message
-from sagetrack.lab.newserver import Asked, NewConnection
+from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.upstream_connection import Message
+from sagetrack.lab.grpc_server import Asked, NewConnection
 from sagetrack.lab.scripted import peer
 from tests.sockets import configuration, on_loop, request, running, until
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -20,13 +20,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call
-from sagetrack.core.permission import ServerState
+from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.interface import Effect, ListedServer, ListKind, ServerStatus
-from sagetrack.http1.back import Pools
-from sagetrack.http1.upstream import HostConnection, Message
+from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.upstream_connection import HostConnection, Message
 from tests.helpers import SETTINGS
 
 SERVERS, STEPS = 3, 120
@@ -317,7 +317,7 @@
     loop = SimpleNamespace(
         call_later=world.call_later, create_connection=world.create_connection, create_task=world.create_task
     )
-    for module in ("sagetrack.core.gateway", "sagetrack.http1.back"):
+    for module in ("sagetrack.core.gateway", "sagetrack.http1.connection_pool"):
         patch.setattr(f"{module}.now_us", lambda: world.now)
     patch.setattr("asyncio.get_running_loop", lambda: loop)
     try:
--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from sagetrack.cli.app import app
-from sagetrack.lab.jams import JamFigures, figures, measure, percentiles, scenario_for
+from sagetrack.lab.overload import JamFigures, figures, measure, percentiles, scenario_for
 from sagetrack.lab.records import Records
 
 SMALL = {"fleet.servers": 20, "seconds": 30, "trouble.1.at_s": 8, "trouble.1.seconds": 7}  # for CI
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,15 +17,15 @@
 
 import pytest
 
-import sagetrack.http1.client as client_module
+import sagetrack.http1.downstream as client_module
 from sagetrack.config.operator import load as load_operator
-from sagetrack.core.calls import Entry
+from sagetrack.core.endpoints import Entry
 from sagetrack.core.clock import now_us
-from sagetrack.core.hangup import hung_up
+from sagetrack.core.peer_close import hung_up
 from sagetrack.policy.interface import (
     Action, ListedServer, Outcome, RequestArrived, SetTimer, TimerFired,
 )  # fmt: skip
-from sagetrack.http1.client import PIPELINED, ClientConnection
+from sagetrack.http1.downstream import PIPELINED, ClientConnection
 from tests.sockets import (
     Client, Running, configuration, host_id, on_loop, peer, reply, request, rested, running, silent, until,
 )  # fmt: skip
@@ -133,7 +133,7 @@
         unheard(run)
         assert (await run.ask(request())).status == 200
         (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.back.REST_S", 60.0)
+        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 60.0)
         kept.idle_since_us, kept.took_us = now_us(), 200_000_000
         client, connection = await crowding(run)
         await until(lambda: kept.parked)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.policy.balance import COLD_COST, CROWD, HELD, SUBSET
+from sagetrack.policy.load_balancer import COLD_COST, CROWD, HELD, SUBSET
 from sagetrack.policy.interface import (
     Fellows, ListedServer, Outcome, RequestGone, ServerStatus, Sharing, TimerFired,
 )  # fmt: skip
-from sagetrack.policy.parts import CUT, MOST_EASE, OWED_US, SAVED_US, STEP, HeldPart
+from sagetrack.policy.concurrency_share import CUT, MOST_EASE, OWED_US, SAVED_US, STEP, HeldPart
 from tests.helpers import SAFE, SETTINGS, Driver, sends, timers, trip
 
 SECOND_US = 1_000_000
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.policy.balance import FALL_MARGIN
-from sagetrack.policy.breaker import COOLDOWN_US, State
+from sagetrack.policy.load_balancer import FALL_MARGIN
+from sagetrack.policy.circuit_breaker import COOLDOWN_US, State
 from sagetrack.policy.interface import Fellows, Learned, ListedServer, ListKind, Outcome, ServerStatus
-from sagetrack.policy.knowledge import CLOSED, OPEN, Latency, Sight, advise, join, trust
-from sagetrack.policy.shares import sharers
+from sagetrack.policy.peer_observations import CLOSED, OPEN, Latency, Sight, advise, join, trust
+from sagetrack.policy.fleet_size import sharers
 from sagetrack.lab.membership import Fleet, death, partition
 from sagetrack.lab.restart import pairs
 from sagetrack.lab.scenario import load
@@ -25,7 +25,7 @@
 from sagetrack.peers.membership import Membership, Settings
 from sagetrack.peers.membership import State as Life
 from sagetrack.peers.node import Node
-from sagetrack.peers.warm import MOST_PARTS, TRIES, Asker, Teller, sights_from, split
+from sagetrack.peers.warm_start import MOST_PARTS, TRIES, Asker, Teller, sights_from, split
 from tests.helpers import START_US, Driver, sends
 from tests.sockets import on_loop, until
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from sagetrack.core.permission import (
+from sagetrack.core.send_rules import (
     FIRST_REQUEST_S, OVERDUE_S, ClientState, Closing, Denial, Sending, ServerState, may_close, may_repeat,
     may_send, may_take_clients,
 )  # fmt: skip
-from sagetrack.core.violations import Rule
+from sagetrack.core.invariants import Rule
 from sagetrack.policy.interface import Outcome, RequestArrived, RequestClass, Send
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, peer, request, running, silent, until
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -53,7 +53,7 @@
             before = {sight.server for sight in gateway.gateway.balancer.sights()[0]}
         assert before
         StandingDisk.go, StandingDisk.asked = threading.Event(), threading.Event()
-        monkeypatch.setattr("sagetrack.server.keeping.Disk", StandingDisk)
+        monkeypatch.setattr("sagetrack.server.persistence.Disk", StandingDisk)
         try:
             async with running(config, operator) as gateway:
                 keeping = gateway.instance.keeping
@@ -104,7 +104,7 @@
     config.write_text(json.dumps(configuration("127.0.0.1:9")))
     script.write_text(
         "import os, signal, sys\n"
-        "import sagetrack.server.startup as startup\n"
+        "import sagetrack.server.startup_timing as startup\n"
         "told = startup.Startup.tell\n"
         "def tell(self):\n"
         "    told(self)\n"
@@ -121,7 +121,7 @@
     )  # fmt: skip
     assert done.returncode == 0, done.stderr
     loaded = set(done.stdout.split())
-    assert "sagetrack.server.instance" in loaded
+    assert "sagetrack.server.gateway_assembly" in loaded
     unasked = ("store", "peers", "dns", "grpc", "lab", "cli", "simulator")
     ours = {name for name in loaded if re.match(rf"sagetrack\.({'|'.join(unasked)})\b", name)}
     assert ours == set()
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -21,8 +21,8 @@
 
 import pytest
 
-from sagetrack.policy.balance import Balancer
-from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.load_balancer import Balancer
+from sagetrack.policy.admission import DoorSettings
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -60,7 +60,7 @@
     Turns,
     WatchList,
 )
-from sagetrack.policy.knowledge import CLOSED, OPEN, Latency, Sight
+from sagetrack.policy.peer_observations import CLOSED, OPEN, Latency, Sight
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
 EVENTS = 6000  # of a day
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -31,8 +31,8 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.policy.balance import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
-from sagetrack.policy.breaker import COOLDOWN_US, MINIMUM, State
+from sagetrack.policy.load_balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
+from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, State
 from sagetrack.policy.state import rendezvous
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -32,7 +32,7 @@
     Settings,
     TimerFired,
 )
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 
 GROUP = {n: n // 3 for n in range(6)}
 ORDERED = replace(UNSAFE, in_order=True)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from sagetrack.policy.balance import Balancer
+from sagetrack.policy.load_balancer import Balancer
 from sagetrack.lab.scale import process
 from sagetrack.lab.scale.fit import fit
 from sagetrack.lab.scale.page import BEGIN, END, NEEDS, NOT_RUN, filled, measured, ranking
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 from sagetrack.lab.soak.oracle import History, Restart, Withdrawal, judge
 from sagetrack.lab.soak.run import Size, soak
 from sagetrack.lab.soak.shim import Control, Faults, build
-from sagetrack.lab.soak.troubles import Kind, drawn
+from sagetrack.lab.soak.fault_schedule import Kind, drawn
 
 S = 1_000_000
 GROUPS = {0: 0, 1: 1, 2: 0}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,14 +21,14 @@
 from sagetrack.lab.judges import judge
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.virtual import VirtualGateway, play
-from sagetrack.lab.storefaults import Crash, SimFiles
-from sagetrack.lab.torture import SMALL, Life, Tried, crash_once, kill_once, look, sample, state_of
+from sagetrack.lab.faulty_filesystem import Crash, SimFiles
+from sagetrack.lab.crash_test import SMALL, Life, Tried, crash_once, kill_once, look, sample, state_of
 from sagetrack.store.engine import FullError, Options, Space, Store, StoreError
 from sagetrack.store.files import Disk
 from sagetrack.store.format import HEAD, LOG_MAGIC, NewerError, Op, frame, head
-from sagetrack.store.keeper import Keeper
+from sagetrack.store.writer import Keeper
 from sagetrack.store.recorder import EVENTS, Recorder, bound_us, read_second, step_of
-from sagetrack.config.checked import FileError
+from sagetrack.config.validation import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.scripted import peer
 from tests.sockets import configuration, on_loop, request, running
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -20,15 +20,15 @@
 
 from sagetrack.config.operator import Operator, StoreSettings
 from sagetrack.config.platform import parse, stable_id
-from sagetrack.policy.knowledge import CLOSED, HALF_OPEN, OPEN, Latency, Sight
-from sagetrack.server.instance import Instance
-from sagetrack.server.keeping import KNOWN, SECONDS
-from sagetrack.server.overlap import Overlap
+from sagetrack.policy.peer_observations import CLOSED, HALF_OPEN, OPEN, Latency, Sight
+from sagetrack.server.gateway_assembly import Instance
+from sagetrack.server.persistence import KNOWN, SECONDS
+from sagetrack.server.hot_restart import Overlap
 from sagetrack.peers import handover
 from sagetrack.peers.codec import Message, Tell, Wanted, decode, encode
-from sagetrack.peers.demand import demands_in
+from sagetrack.peers.demand_gossip import demands_in
 from sagetrack.peers.handover import STALE_US, Note
-from sagetrack.peers.warm import latencies_from, sights_from
+from sagetrack.peers.warm_start import latencies_from, sights_from
 from sagetrack.store.engine import Store
 from sagetrack.store.files import Disk, Looking
 from sagetrack.store.format import BASE_MAGIC, LOG_MAGIC, Op, read_head, read_manifest
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -40,7 +40,7 @@
     TimerFired,
     WatchList,
 )
-from sagetrack.policy.reading import WireError, parse_settings
+from sagetrack.policy.parsing import WireError, parse_settings
 from sagetrack.simulator.wire import (
     OUTCOMES,
     PARSERS,
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -12,19 +12,19 @@
 
 import pytest
 
-from sagetrack.policy import balance
-from sagetrack.policy.balance import OVER_SHARE, SUBSET, TENANT_MEMORY
+from sagetrack.policy import load_balancer
+from sagetrack.policy.load_balancer import OVER_SHARE, SUBSET, TENANT_MEMORY
 from sagetrack.policy.state import Server
-from sagetrack.policy.decaying import DecayingSums
-from sagetrack.policy.door import DoorSettings
+from sagetrack.policy.decayed_sums import DecayingSums
+from sagetrack.policy.admission import DoorSettings
 from sagetrack.policy.interface import ListedServer, ListKind, Outcome, Refuse, Scope, ServerStatus, Tenant
-from sagetrack.policy.ring import ExactSum, Place, Ring
+from sagetrack.policy.endpoint_ring import ExactSum, Place, Ring
 from sagetrack.config.platform import Names
 from sagetrack.core.deadlines import watching
-from sagetrack.server import overlap as overlaps
-from sagetrack.server.overlap import LIST, Overlap
-from sagetrack.discovery import discovery as rosters
-from sagetrack.discovery.discovery import Discovery
+from sagetrack.server import hot_restart
+from sagetrack.server.hot_restart import LIST, Overlap
+from sagetrack.discovery import client as discovery_client
+from sagetrack.discovery.client import Discovery
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
 from tests.sockets import endpoint, hosts_list, on_loop, until
 
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("servers", [40, 2000])
 def test_a_changed_entry_touches_no_other_server(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen: 7 ms for one changed entry of 9,600, as the ring was put in order anew and all weights added."""
-    monkeypatch.setattr(balance, "Server", Looked)
+    monkeypatch.setattr(load_balancer, "Server", Looked)
     driver = Driver(replace(SETTINGS, proxies=3, proxy=1), servers=servers)
     for entry in CHANGES:
         Looked.at.clear()
@@ -258,14 +258,14 @@
     scope: Scope, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen: 18.5 ms for a keyed call with one repeat at 9,600 servers, as it walked all of them."""
-    monkeypatch.setattr(balance, "Server", Looked)
+    monkeypatch.setattr(load_balancer, "Server", Looked)
     for servers in (40, 2000):
         assert servers_looked_at_by_a_repeat(servers, scope) <= 10 + SUBSET + 2  # and its proxy's own
 
 
 @pytest.mark.parametrize("door", [None, DoorSettings()])
 def test_a_refusal_looks_at_few_servers(door: DoorSettings | None, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance, "Server", Looked)
+    monkeypatch.setattr(load_balancer, "Server", Looked)
     driver = Driver(replace(SETTINGS, door=door), servers=2000)
     driver.balancer.shed = driver.balancer.shed_dear = 1.0
     Looked.at.clear()
@@ -302,7 +302,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.lists, self.entries = 0, 0
-        replaced, encoded = os.replace, rosters.as_json
+        replaced, encoded = os.replace, discovery_client.as_json
 
         def replace_(old: Path, new: Path) -> None:
             self.lists += new.name == LIST
@@ -313,7 +313,7 @@
             return encoded(item)
 
         monkeypatch.setattr(os, "replace", replace_)
-        monkeypatch.setattr(rosters, "as_json", as_json)
+        monkeypatch.setattr(discovery_client, "as_json", as_json)
 
 
 def take(discovery: Discovery, index: int, *entries: dict[str, object], whole: bool = False) -> None:
@@ -346,7 +346,7 @@
 
 @on_loop
 async def test_news_held_back_is_written_before_long(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(overlaps, "LIST_EVERY_S", 0.01)
+    monkeypatch.setattr(hot_restart, "LIST_EVERY_S", 0.01)
     writes, overlap = Writes(monkeypatch), Overlap(str(tmp_path))
     discovery = a_discovery(overlap)
     for index in range(1, 20):
