--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -635,8 +635,9 @@
                 print(
                     f"{one.case.name}: {len(one.cpu_s)} starts, nine in ten within {cpu:.2f} s of CPU "
                     f"({one.quarter_s:.1f} s on a quarter of a core), {elapsed:.1f} s elapsed\n"
-                    f"    {one.parts}", flush=True,
-                )  # fmt: skip
+                    f"    {one.parts}",
+                    flush=True,
+                )
     except LabError as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
--- a/sagetrack/cli/overload.py
+++ b/sagetrack/cli/overload.py
@@ -16,7 +16,7 @@
     play_all,
     seeds_of,
     sizes_of,
-)  # fmt: skip
+)
 
 LARGEST = 20.0  # times the usual load
 HEADER = "gateways  load  seed  before: served  goodput in it  after  held 50 90 99 all  jammed  served"
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -58,9 +58,11 @@
     from sagetrack.lab.scale.target import Sizes
 
     sizes = Sizes(
-        whole("--gateways", gateways, 3, 65_535), whole("--servers", servers, 25, 10_000_000),
-        whole("--services", services, 4, 10_000_000), whole("--tenants", tenants, 10, 100_000_000),
-    )  # fmt: skip
+        whole("--gateways", gateways, 3, 65_535),
+        whole("--servers", servers, 25, 10_000_000),
+        whole("--services", services, 4, 10_000_000),
+        whole("--tenants", tenants, 10, 100_000_000),
+    )
     from_seed = whole("--seed", seed, 0, 2**63)
     if file:
         writable(Path(file))
--- a/sagetrack/cli/slow_start.py
+++ b/sagetrack/cli/slow_start.py
@@ -16,7 +16,7 @@
     play_all,
     seeds_of,
     sizes_of,
-)  # fmt: skip
+)
 
 HEADER = "case         gateways  seed  windows past  most of budget  used of could  answered  in time"
 
--- a/sagetrack/core/bodies.py
+++ b/sagetrack/core/bodies.py
@@ -40,9 +40,20 @@
     """A request's body between the client that sends it and the host that it goes to."""
 
     __slots__ = (
-        "allowance", "begun", "broken", "buffered", "discarding", "ended", "ended_us", "length", "on_data",
-        "on_end", "on_room", "pieces", "received",
-    )  # fmt: skip
+        "allowance",
+        "begun",
+        "broken",
+        "buffered",
+        "discarding",
+        "ended",
+        "ended_us",
+        "length",
+        "on_data",
+        "on_end",
+        "on_room",
+        "pieces",
+        "received",
+    )
 
     def __init__(self, length: int | None, allowance: Allowance) -> None:
         self.length = length  # None: it comes in chunks
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -110,12 +110,23 @@
     grace_s = max(LEAST_GRACE_S, settings.stop_sending_within_us / 1e6)
     if settings.endpoints_are_pushed:
         return Watching(
-            hold_s=grace_s / 4, retry_hold_s=0.0, answer_s=grace_s / 8, connect_s=grace_s / 8,
-            pause_s=grace_s / 16, longest_pause_s=grace_s / 16, busy_s=0.0, first_s=grace_s / 4,
-        )  # fmt: skip
+            hold_s=grace_s / 4,
+            retry_hold_s=0.0,
+            answer_s=grace_s / 8,
+            connect_s=grace_s / 8,
+            pause_s=grace_s / 16,
+            longest_pause_s=grace_s / 16,
+            busy_s=0.0,
+            first_s=grace_s / 4,
+        )
     planned_s = min(grace_s, (4.0 + grace_s) / 3)
     return Watching(
-        hold_s=SILENCE_S - AFTER_WAIT_S, retry_hold_s=RETRY_HOLD_S, answer_s=planned_s / 2,
-        connect_s=planned_s * 3 / 8, pause_s=FIRST_PAUSE_US / 1e6, longest_pause_s=LONGEST_PAUSE_US / 1e6,
-        busy_s=BUSY_S, first_s=0.0,
-    )  # fmt: skip
+        hold_s=SILENCE_S - AFTER_WAIT_S,
+        retry_hold_s=RETRY_HOLD_S,
+        answer_s=planned_s / 2,
+        connect_s=planned_s * 3 / 8,
+        pause_s=FIRST_PAUSE_US / 1e6,
+        longest_pause_s=LONGEST_PAUSE_US / 1e6,
+        busy_s=BUSY_S,
+        first_s=0.0,
+    )
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -211,9 +211,18 @@
         waited_us = max(0, now - call.received_us) if call.received_us else 0
         self.held[call.id] = InFlightRequest(call, now + call.client_timeout_us - waited_us)
         event = RequestArrived(
-            call.id, call.klass, call.client_timeout_us, call.key, call.work_us, call.is_retry, call.tenant,
-            call.upload is not None, call.who, call.mirror_target, waited_us,
-        )  # fmt: skip
+            call.id,
+            call.klass,
+            call.client_timeout_us,
+            call.key,
+            call.work_us,
+            call.is_retry,
+            call.tenant,
+            call.upload is not None,
+            call.who,
+            call.mirror_target,
+            waited_us,
+        )
         self.post(lambda: event)
         return True
 
@@ -472,9 +481,7 @@
         loop has been elsewhere since it left, so that its request and its end are found together.
         """
         held, gateway = self.held, self.gateway
-        denial = self.objection() or may_send(
-            held.closed, held.left_us(now_us()), server, held.call.has_gone
-        )  # fmt: skip
+        denial = self.objection() or may_send(held.closed, held.left_us(now_us()), server, held.call.has_gone)
         if denial is None:
             return True
         gateway.withhold(held.call.id, denial)
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -9,9 +9,17 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-TRANSIENT = frozenset({
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN, errno.EIO,
-})  # fmt: skip
+TRANSIENT = frozenset(
+    {
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EINTR,
+        errno.EAGAIN,
+        errno.EIO,
+    }
+)
 PATIENCE_S = 6.0  # with them, at a start: by then it has to be ready
 PAUSE_S = 0.05  # between two tries
 
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -153,9 +153,14 @@
     """Asks for the list when told to, and tells `on_list` what came; failures too."""
 
     def __init__(
-        self, address: Address, names: Names, on_list: OnEndpointList, pushed: bool, connect: Connect,
+        self,
+        address: Address,
+        names: Names,
+        on_list: OnEndpointList,
+        pushed: bool,
+        connect: Connect,
         limits: Watching,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.names, self.on_list, self.connect = names, on_list, connect
         self.pushed = pushed  # nobody asks for changes: they are watched for from the start, whatever fails
         self.limits = limits
--- a/sagetrack/discovery/split.py
+++ b/sagetrack/discovery/split.py
@@ -55,7 +55,12 @@
     """The word that this server has left."""
     listed = entry.listed
     left = ListedServer(
-        listed.server, ServerStatus.GONE, listed.weight, listed.zone, listed.group, listed.kind,
+        listed.server,
+        ServerStatus.GONE,
+        listed.weight,
+        listed.zone,
+        listed.group,
+        listed.kind,
         listed.started_us,
-    )  # fmt: skip
+    )
     return Endpoint(entry.name, entry.address, left)
--- a/sagetrack/dns/downstream.py
+++ b/sagetrack/dns/downstream.py
@@ -100,7 +100,7 @@
         client_timeout_us: int,
         own: Own = lambda query: None,
         forwards: bool = True,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.gateway, self.cache, self.access, self.rate, self.limits = gateway, cache, access, rate, limits
         self.client_timeout_us, self.own, self.forwards = client_timeout_us, own, forwards
         self.loop = asyncio.get_running_loop()
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -256,9 +256,14 @@
 
 
 def reply(
-    query: Query, answer: Answer, limit: int, age_s: int = 0, stale_ttl: int | None = None,
-    extended: Extended | None = None, text: str = "",
-) -> bytes:  # fmt: skip
+    query: Query,
+    answer: Answer,
+    limit: int,
+    age_s: int = 0,
+    stale_ttl: int | None = None,
+    extended: Extended | None = None,
+    text: str = "",
+) -> bytes:
     """An answer for this client: its id, its question in its letter case, TTLs less their age, our OPT.
 
     Over `limit` bytes it is cut to its question with TC set, so that the client asks again over TCP.
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -72,13 +72,21 @@
         plan.latency_objective_us, plan.deadline_us, late_priority_weight=0.5, effect=Effect.SAFE
     )
     return Settings(
-        classes=(query,), proxies=plan.gateways, proxy=plan.gateway, max_attempts=4, hedging=True,
+        classes=(query,),
+        proxies=plan.gateways,
+        proxy=plan.gateway,
+        max_attempts=4,
+        hedging=True,
         max_concurrency=plan.crowd,
-        lossy=True, start_capacity=plan.cold.start_capacity, warm_after_us=plan.cold.warm_after_us,
-        overload_multiple=plan.cold.overload_multiple, overload_window_us=plan.cold.overload_window_us,
-        connect_timeout_us=min(1_000_000, plan.latency_objective_us), stop_sending_within_us=2_000_000,
+        lossy=True,
+        start_capacity=plan.cold.start_capacity,
+        warm_after_us=plan.cold.warm_after_us,
+        overload_multiple=plan.cold.overload_multiple,
+        overload_window_us=plan.cold.overload_window_us,
+        connect_timeout_us=min(1_000_000, plan.latency_objective_us),
+        stop_sending_within_us=2_000_000,
         max_retry_after_us=2_000_000,
-    )  # fmt: skip
+    )
 
 
 class Service:
@@ -94,9 +102,15 @@
 
             gateways = [Member(name, *place) for name, place in plan.zone.gateways]
             self.zones = Zones(
-                plan.zone.origin, seed, plan.zone.ttl_s, plan.zone.ttl_s, gateways, plan.zone.files,
-                serial, weights,
-            )  # fmt: skip
+                plan.zone.origin,
+                seed,
+                plan.zone.ttl_s,
+                plan.zone.ttl_s,
+                gateways,
+                plan.zone.files,
+                serial,
+                weights,
+            )
         self.tender: asyncio.TimerHandle | None = None
         self.named: list[Endpoint] = []  # in the operator's file
         self.listed: list[Endpoint] = []  # in the first whole list
@@ -106,11 +120,15 @@
         self.gateway = Gateway(made, seed, [CLASS], self.back, {})
         self.cache = Cache(plan.cache_bytes, plan.stale_s)
         self.front = Front(
-            self.gateway, self.cache, Access(plan.allow, plan.deny), ResponseRate(plan.answers_per_s),
-            plan.limits, plan.deadline_us,
+            self.gateway,
+            self.cache,
+            Access(plan.allow, plan.deny),
+            ResponseRate(plan.answers_per_s),
+            plan.limits,
+            plan.deadline_us,
             self.zones.answer if self.zones is not None else lambda query: None,
             bool(plan.upstreams) or plan.listed,
-        )  # fmt: skip
+        )
 
     async def start(self, shared: bool = False) -> list[Address]:
         """Listen; OSError if an address cannot be had. `shared` with another process, as at an upgrade."""
--- a/sagetrack/grpc/downstream.py
+++ b/sagetrack/grpc/downstream.py
@@ -164,9 +164,10 @@
         self.h2 = h2.connection.H2Connection(config)
         codes = h2.settings.SettingCodes
         values = {
-            codes.MAX_CONCURRENT_STREAMS: STREAMS, codes.MAX_HEADER_LIST_SIZE: 32 * 1024,
+            codes.MAX_CONCURRENT_STREAMS: STREAMS,
+            codes.MAX_HEADER_LIST_SIZE: 32 * 1024,
             codes.INITIAL_WINDOW_SIZE: BODY_LIMIT + 32 * 1024,
-        }  # fmt: skip
+        }
         self.h2.local_settings = h2.settings.Settings(client=False, initial_values=values)
         self.streams: dict[int, Stream] = {}
         self.last = 0
@@ -528,9 +529,12 @@
         """For the stats."""
         c = self.counts
         return {
-            "new_clients": len(self.lines), "new_clients_total": c.connections, "new_calls_total": c.calls,
-            "new_unreadable_total": c.unreadable, "new_clients_calmed_total": c.calmed,
-        }  # fmt: skip
+            "new_clients": len(self.lines),
+            "new_clients_total": c.connections,
+            "new_calls_total": c.calls,
+            "new_unreadable_total": c.unreadable,
+            "new_clients_calmed_total": c.calmed,
+        }
 
     def close(self) -> None:
         if self.sweeper is not None:
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -254,9 +254,14 @@
 
 
 def _read(
-    method: str, target: bytes, headers: list[Header], body: bytes, budget_us: int, client: Client,
+    method: str,
+    target: bytes,
+    headers: list[Header],
+    body: bytes,
+    budget_us: int,
+    client: Client,
     upload: Upload | None,
-) -> Call:  # fmt: skip
+) -> Call:
     ids = [value for name, value in headers if name.lower() == b"x-call-id"]
     if not ids:
         raise ReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -20,9 +20,18 @@
 from sagetrack.policy.interface import Effect
 
 # Fields that say of an answer's way and not of what it is (RFC 9110, 6.6.1 and 7.6.1)
-PASSING = frozenset({
-    b"date", b"server", b"connection", b"keep-alive", b"transfer-encoding", b"content-length", b"via", b"age",
-})  # fmt: skip
+PASSING = frozenset(
+    {
+        b"date",
+        b"server",
+        b"connection",
+        b"keep-alive",
+        b"transfer-encoding",
+        b"content-length",
+        b"via",
+        b"age",
+    }
+)
 TOLD_US = 60_000_000  # between two lines in the log on one difference
 PREFIX = "shadow\n"  # no header, and so no client's id, can be that
 
@@ -80,9 +89,13 @@
     """Compares answers of both formats, at so many calls a second."""
 
     def __init__(
-        self, gateway: Gateway, per_s: float, ignored: list[str], names: list[str],
+        self,
+        gateway: Gateway,
+        per_s: float,
+        ignored: list[str],
+        names: list[str],
         wanted: Callable[[], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.gateway, self.names, self.wanted = gateway, names, wanted
         kinds = enumerate(gateway.settings.classes)
         self.safe = frozenset(number for number, kind in kinds if kind.effect is Effect.SAFE)
@@ -102,9 +115,12 @@
         self.number += 1
         self.report.asked += 1
         copy = replace(
-            call, id=f"{PREFIX}{self.number:x}", client=Comparer(self, answer, newer), is_retry=True,
+            call,
+            id=f"{PREFIX}{self.number:x}",
+            client=Comparer(self, answer, newer),
+            is_retry=True,
             mirror_target=int(not newer),
-        )  # fmt: skip
+        )
         self.gateway.arrive(copy)
 
     def compared(self, call: Call, first: Reply, other: Reply, newer: bool) -> None:
@@ -119,10 +135,12 @@
         """For the stats."""
         r = self.report
         found: dict[str, float] = {
-            "new_compared_total": r.same + sum(r.different.values()), "new_compared_same_total": r.same,
-            "new_compared_refused_total": r.refused, "new_compared_failed_total": r.failed,
+            "new_compared_total": r.same + sum(r.different.values()),
+            "new_compared_same_total": r.same,
+            "new_compared_refused_total": r.refused,
+            "new_compared_failed_total": r.failed,
             "new_compared_long_total": r.long,
-        }  # fmt: skip
+        }
         by_class: dict[str, int] = {}
         for (klass, _), count in r.different.items():
             by_class[self.names[klass]] = by_class.get(self.names[klass], 0) + count
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -17,8 +17,13 @@
 from sagetrack.grpc.outcomes import Status
 
 SERVICE = "/sagetrack.v2.Calls/"
-METADATA = {b"x-call-id": "x-call-id", b"x-call-class": "x-call-class", b"x-caller": "x-caller",
-            b"x-call-cost": "x-call-cost", b"x-again": "x-again"}  # fmt: skip
+METADATA = {
+    b"x-call-id": "x-call-id",
+    b"x-call-class": "x-call-class",
+    b"x-caller": "x-caller",
+    b"x-call-cost": "x-call-cost",
+    b"x-again": "x-again",
+}
 KEY, KEY_BIN = b"idempotency-key", "idempotency-key-bin"
 NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # of a field, RFC 9110, 5.5
@@ -76,10 +81,14 @@
     if length is not None:
         first.length = length
     pseudo = [
-        (":method", "POST"), (":scheme", "http"), (":path", SERVICE + klass), (":authority", authority),
-        ("te", "trailers"), ("content-type", "application/grpc+proto"),
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", SERVICE + klass),
+        (":authority", authority),
+        ("te", "trailers"),
+        ("content-type", "application/grpc+proto"),
         ("grpc-timeout", timeout_header(wait_us)),
-    ]  # fmt: skip
+    ]
     return [*pseudo, *metadata.items()], first.SerializeToString()
 
 
--- a/sagetrack/grpc/upstream.py
+++ b/sagetrack/grpc/upstream.py
@@ -578,9 +578,7 @@
             attempt = NewAttempt(host, call, watcher, now, wait_us, [], deque())
             self.end(attempt, Outcome.NOT_SENT)
             return attempt
-        attempt = NewAttempt(
-            host, call, watcher, now, wait_us, headers, deque([pack(first)]), moved_us=now
-        )  # fmt: skip
+        attempt = NewAttempt(host, call, watcher, now, wait_us, headers, deque([pack(first)]), moved_us=now)
         if not self.may_begin(attempt):
             self.end(attempt, Outcome.NOT_SENT)
             return attempt
@@ -663,12 +661,17 @@
         c = self.counts
         lines = [line for host in self.hosts.values() for line in host.lines]
         return {
-            "new_servers": len(self.hosts), "new_connections": len(lines),
-            "new_streams": sum(len(line.attempts) for line in lines), "new_opened_total": c.opened,
-            "new_streams_total": c.streams, "new_streams_refused_total": c.refused_streams,
-            "new_resets_total": c.resets, "new_goaways_total": c.goaways, "new_broken_total": c.broken,
+            "new_servers": len(self.hosts),
+            "new_connections": len(lines),
+            "new_streams": sum(len(line.attempts) for line in lines),
+            "new_opened_total": c.opened,
+            "new_streams_total": c.streams,
+            "new_streams_refused_total": c.refused_streams,
+            "new_resets_total": c.resets,
+            "new_goaways_total": c.goaways,
+            "new_broken_total": c.broken,
             "new_untranslated_total": c.untranslated,
-        }  # fmt: skip
+        }
 
     def close(self) -> None:
         self.sweeper.cancel()
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -52,9 +52,19 @@
     """
 
     __slots__ = (
-        "_body", "_headers", "_interim", "_length", "_limit", "_parser", "_passes", "_replies", "_size",
-        "_unparsed", "has_begun", "in_body",
-    )  # fmt: skip
+        "_body",
+        "_headers",
+        "_interim",
+        "_length",
+        "_limit",
+        "_parser",
+        "_passes",
+        "_replies",
+        "_size",
+        "_unparsed",
+        "has_begun",
+        "in_body",
+    )
 
     def __init__(self, limit: int = BODY_LIMIT, passes: bool = False) -> None:
         self._limit = limit
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -110,9 +110,16 @@
             watcher.on_end(attempt, outcome, reply, load_of(reply))
 
         attempt = Attempt(
-            host, payload, wait_us, on_end, watcher.may_begin, watcher.on_first_byte, watcher.on_written,
-            watcher.on_begun, upload=call.upload,
-        )  # fmt: skip
+            host,
+            payload,
+            wait_us,
+            on_end,
+            watcher.may_begin,
+            watcher.on_first_byte,
+            watcher.on_written,
+            watcher.on_begun,
+            upload=call.upload,
+        )
         attempt.on_piece = lambda data: watcher.on_piece(attempt, data)
         self.send(attempt)
         return attempt
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -33,11 +33,20 @@
 CLIENT_LEFT = "client_left"  # the one reason for an end that is not this process's
 NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    413: b"Content Too Large", 417: b"Expectation Failed", 431: b"Request Header Fields Too Large",
-    501: b"Not Implemented", 502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    417: b"Expectation Failed",
+    431: b"Request Header Fields Too Large",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
     505: b"HTTP Version Not Supported",
-}  # fmt: skip
+}
 Phase = dict["ClientConnection", float]  # since when each is in it, the longest first
 
 
@@ -45,9 +54,24 @@
     """One connection of a client; its requests are answered one after the other."""
 
     __slots__ = (
-        "call", "chunked", "current", "deaf", "descriptor", "last", "opened_s", "paused_s", "phase", "poll",
-        "reader", "served", "server", "source", "stuck", "swallowing", "transport",
-    )  # fmt: skip
+        "call",
+        "chunked",
+        "current",
+        "deaf",
+        "descriptor",
+        "last",
+        "opened_s",
+        "paused_s",
+        "phase",
+        "poll",
+        "reader",
+        "served",
+        "server",
+        "source",
+        "stuck",
+        "swallowing",
+        "transport",
+    )
 
     def __init__(self, server: Server) -> None:
         self.server = server
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -37,8 +37,16 @@
     """One request as it was read; `fault` tells that it can't be, and nothing after it."""
 
     __slots__ = (
-        "body", "fault", "headers", "keep_alive", "method", "received_us", "target", "upload", "version",
-    )  # fmt: skip
+        "body",
+        "fault",
+        "headers",
+        "keep_alive",
+        "method",
+        "received_us",
+        "target",
+        "upload",
+        "version",
+    )
 
     def __init__(self, fault: RequestError | None = None) -> None:
         self.method = b""
@@ -56,9 +64,18 @@
     """Turns the bytes of one client's connection into requests."""
 
     __slots__ = (
-        "_allowance", "_body_size", "_fed_us", "_parser", "_unparsed", "done", "expects", "in_body",
-        "is_broken", "reading", "rest",
-    )  # fmt: skip
+        "_allowance",
+        "_body_size",
+        "_fed_us",
+        "_parser",
+        "_unparsed",
+        "done",
+        "expects",
+        "in_body",
+        "is_broken",
+        "reading",
+        "rest",
+    )
 
     def __init__(self, allowance: Allowance) -> None:
         self._parser = httptools.HttpRequestParser(self)
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -100,9 +100,23 @@
     """One connection to a host; it carries one attempt at a time."""
 
     __slots__ = (
-        "attempt", "begun", "body_written", "counted", "flushed", "holding", "host", "idle_since_us", "life",
-        "parked", "paused", "poll", "pools", "replies", "took_us", "transport",
-    )  # fmt: skip
+        "attempt",
+        "begun",
+        "body_written",
+        "counted",
+        "flushed",
+        "holding",
+        "host",
+        "idle_since_us",
+        "life",
+        "parked",
+        "paused",
+        "poll",
+        "pools",
+        "replies",
+        "took_us",
+        "transport",
+    )
 
     def __init__(self, pools: Pools, host: Host, attempt: Attempt | None) -> None:
         self.pools, self.host, self.attempt = pools, host, attempt
--- a/sagetrack/lab/bodies.py
+++ b/sagetrack/lab/bodies.py
@@ -177,9 +177,11 @@
             file.write_text(json.dumps(made))
             operator.write_text('[newer]\ntypes = ["newer"]\n')
             environment = os.environ | {
-                "LB_CONFIG": str(file), "LB_OPERATOR": str(operator), "PYTHONPATH": str(ROOT),
+                "LB_CONFIG": str(file),
+                "LB_OPERATOR": str(operator),
+                "PYTHONPATH": str(ROOT),
                 "TMPDIR": folder,
-            }  # fmt: skip
+            }
             command = [sys.executable, "-m", "sagetrack"]
             gateway = subprocess.Popen(command, env=environment, stdout=subprocess.DEVNULL)
             try:
@@ -231,6 +233,12 @@
     answers = await asyncio.gather(*clients, return_exceptions=True)
     whole = sum(answer == size for answer in answers)
     return Held(
-        streams, size // 1000, whole, round(idle, 1), round(sending, 1), round(peak, 1),
-        round((peak - idle) * 1000 / streams, 1), round(time.monotonic() - began, 1),
-    )  # fmt: skip
+        streams,
+        size // 1000,
+        whole,
+        round(idle, 1),
+        round(sending, 1),
+        round(peak, 1),
+        round((peak - idle) * 1000 / streams, 1),
+        round(time.monotonic() - began, 1),
+    )
--- a/sagetrack/lab/dns_spoofing.py
+++ b/sagetrack/lab/dns_spoofing.py
@@ -93,9 +93,12 @@
         place = upstream.get_extra_info("sockname")[1]
         operator.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\nupstreams = ["127.0.0.1:{place}"]\n')
         process = subprocess.Popen(
-            [sys.executable, "-m", "sagetrack"], cwd=ROOT, env=environment, stdout=subprocess.DEVNULL,
+            [sys.executable, "-m", "sagetrack"],
+            cwd=ROOT,
+            env=environment,
+            stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
-        )  # fmt: skip
+        )
         try:
             await asyncio.to_thread(_await_answer, port, process)
             found.sent, start = 0, loop.time()
@@ -118,7 +121,10 @@
         config, operator = Path(folder) / "config.json", Path(folder) / "operator.toml"
         config.write_text(json.dumps(configuration(free_port(), [free_port()], free_port(), free_port())))
         environment = os.environ | {
-            "PYTHONPATH": str(ROOT), "TMPDIR": folder, "LB_CONFIG": str(config), "LB_OPERATOR": str(operator)
-        }  # fmt: skip
+            "PYTHONPATH": str(ROOT),
+            "TMPDIR": folder,
+            "LB_CONFIG": str(config),
+            "LB_OPERATOR": str(operator),
+        }
         uvloop.run(play())
     return found
--- a/sagetrack/lab/dnsfuzz.py
+++ b/sagetrack/lab/dnsfuzz.py
@@ -37,10 +37,14 @@
     made = []
     for number, (kind, manner) in enumerate(
         (
-            ("A", Manner()), ("A", Manner(records=20)), ("A", Manner(negative=True)), ("AAAA", Manner()),
-            ("A", Manner(cut=True)), ("A", Manner(rcode=2)),
+            ("A", Manner()),
+            ("A", Manner(records=20)),
+            ("A", Manner(negative=True)),
+            ("AAAA", Manner()),
+            ("A", Manner(cut=True)),
+            ("A", Manner(rcode=2)),
         )
-    ):  # fmt: skip
+    ):
         wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
         query = parse_query(wire)
         made.append(
--- a/sagetrack/lab/dnsthroughput.py
+++ b/sagetrack/lab/dnsthroughput.py
@@ -243,10 +243,14 @@
             if run.bad > 0.01 * max(1, run.done):
                 raise LabError(f"{what}: {run.bad} of {run.done} answers were no good")
             return Result(
-                what, run.done / took, cpu * 1e6 / max(1, run.done),
-                run.times.get_value_at_percentile(50) / 1000, run.times.get_value_at_percentile(99) / 1000,
-                memory_mb(process.pid), run.lost,
-            )  # fmt: skip
+                what,
+                run.done / took,
+                cpu * 1e6 / max(1, run.done),
+                run.times.get_value_at_percentile(50) / 1000,
+                run.times.get_value_at_percentile(99) / 1000,
+                memory_mb(process.pid),
+                run.lost,
+            )
         finally:
             process.kill()
             process.wait()
--- a/sagetrack/lab/fair_queue_benchmark.py
+++ b/sagetrack/lab/fair_queue_benchmark.py
@@ -100,8 +100,9 @@
                 outcome = Outcome.OK
                 if ends - now > action.timeout_us:
                     ends, outcome = now + action.timeout_us, Outcome.TIMEOUT
-                over = AttemptEnded(action.request, attempt, action.server, outcome, ends - now,
-                                    outcome is Outcome.OK)  # fmt: skip
+                over = AttemptEnded(
+                    action.request, attempt, action.server, outcome, ends - now, outcome is Outcome.OK
+                )
                 heapq.heappush(due, (ends, order, over))
             elif isinstance(action, SetTimer):
                 heapq.heappush(due, (action.due_us, order, TimerFired(action.token)))
@@ -129,16 +130,25 @@
         tracemalloc.stop()
     made = balancer.admission
     return Cost(
-        clients, door, spent / 1000 / calls, len(made.queues) if made else len(balancer.waiting),
-        made.promises.count if made else 0, held, made.bytes() / 1024 if made else 0.0,
+        clients,
+        door,
+        spent / 1000 / calls,
+        len(made.queues) if made else len(balancer.waiting),
+        made.promises.count if made else 0,
+        held,
+        made.bytes() / 1024 if made else 0.0,
         memory_kb if made else 0.0,
-    )  # fmt: skip
+    )
 
 
 def measure(
-    sizes: list[int], calls: int, rounds: int, memory_kb: int, progress: Callable[[float], None],
+    sizes: list[int],
+    calls: int,
+    rounds: int,
+    memory_kb: int,
+    progress: Callable[[float], None],
     load: float = 2.0,
-) -> list[dict[str, Any]]:  # fmt: skip
+) -> list[dict[str, Any]]:
     """Medians by number of clients, fair queues on and off by turns; memory in a round of its own."""
     rows = []
     total, at = len(sizes) * (2 * rounds + 1), 0
--- a/sagetrack/lab/grpc_server.py
+++ b/sagetrack/lab/grpc_server.py
@@ -226,9 +226,14 @@
         self.fresh = False
         patience = timeout_us(asked.headers.get("grpc-timeout", "1u"))
         job = self.jobs[asked] = Job(
-            call, work, request.key, int(request.kind.window_ms * 1000), request.kind.scope, now + patience,
+            call,
+            work,
+            request.key,
+            int(request.kind.window_ms * 1000),
+            request.kind.scope,
+            now + patience,
             lambda job, result: self.served(asked, job, result),
-        )  # fmt: skip
+        )
         way = host.distance_us(self.gateway)
         world.clock.at(now + way * ways, lambda: self.deliver(asked, job, now))
 
--- a/sagetrack/lab/judges.py
+++ b/sagetrack/lab/judges.py
@@ -265,8 +265,14 @@
 
 Judge = Callable[[Records, Scenario], Iterator[Violation]]
 JUDGES: tuple[Judge, ...] = (
-    one_answer, repeats, refused_harmless, drains, cold_budget, cold_sum, late_refusals
-)  # fmt: skip
+    one_answer,
+    repeats,
+    refused_harmless,
+    drains,
+    cold_budget,
+    cold_sum,
+    late_refusals,
+)
 RULES = ("one_answer", "repeats", "drains", "cold_budget", "cold_sum", "late_refusals")
 
 
--- a/sagetrack/lab/membership.py
+++ b/sagetrack/lab/membership.py
@@ -67,9 +67,14 @@
         """A member begins, or begins again with a higher incarnation."""
         self.dead.discard(number)
         member = Membership(
-            number, self.count, self.settings, self.draw.getrandbits(32), self.clock.now_us(),
-            self._sender(number), incarnation,
-        )  # fmt: skip
+            number,
+            self.count,
+            self.settings,
+            self.draw.getrandbits(32),
+            self.clock.now_us(),
+            self._sender(number),
+            incarnation,
+        )
         member.on_change = lambda of, state: self.changed.append((self.clock.now_us(), number, of, state))
         self.members[number] = member
         self._wake(number, member)
--- a/sagetrack/lab/mixed_protocols.py
+++ b/sagetrack/lab/mixed_protocols.py
@@ -112,8 +112,10 @@
             else:
                 server = await loop.create_server(
                     lambda turned=turned: _Echo(turned),  # type: ignore[misc]
-                    "127.0.0.1", 0, backlog=256,
-                )  # fmt: skip
+                    "127.0.0.1",
+                    0,
+                    backlog=256,
+                )
                 ports.append(server.sockets[0].getsockname()[1])
         pipe.send(ports)
         await asyncio.Event().wait()
@@ -219,10 +221,14 @@
 def _told(given: int, within: int, bad: int, lost: int, times: Any, worst: float) -> dict[str, Any]:
     of = max(1, given)
     return {
-        "asked": given, "within": within / of, "refused": bad / of, "lost": lost,
+        "asked": given,
+        "within": within / of,
+        "refused": bad / of,
+        "lost": lost,
         "p50_ms": times.get_value_at_percentile(50) / 1000,
-        "p99_ms": times.get_value_at_percentile(99) / 1000, "late": worst > 0.02,
-    }  # fmt: skip
+        "p99_ms": times.get_value_at_percentile(99) / 1000,
+        "late": worst > 0.02,
+    }
 
 
 async def _pace(rate: float, seconds: float, ask: Callable[[float], None], turn: Callable[[], None]) -> float:
@@ -278,9 +284,14 @@
 
 
 def _measure(
-    share: float, seconds: float, rounds: int, cores: list[int], ports: dict[bool, list[int]],
-    slow: dict[bool, Any], progress: Callable[[float], None],
-) -> dict[str, Any]:  # fmt: skip
+    share: float,
+    seconds: float,
+    rounds: int,
+    cores: list[int],
+    ports: dict[bool, list[int]],
+    slow: dict[bool, Any],
+    progress: Callable[[float], None],
+) -> dict[str, Any]:
     parts: list[Part] = []
     context = multiprocessing.get_context("fork")
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
@@ -295,12 +306,18 @@
             f"queries = 100000\naim_ms = {DNS_AIM_S * 1000:.0f}\n"
         )
         environment = os.environ | {
-            "PYTHONPATH": str(ROOT), "TMPDIR": folder, "LB_CONFIG": str(config), "LB_OPERATOR": str(operator)
-        }  # fmt: skip
+            "PYTHONPATH": str(ROOT),
+            "TMPDIR": folder,
+            "LB_CONFIG": str(config),
+            "LB_OPERATOR": str(operator),
+        }
         process = subprocess.Popen(
-            [sys.executable, "-m", "sagetrack"], cwd=ROOT, env=environment, stdout=subprocess.DEVNULL,
+            [sys.executable, "-m", "sagetrack"],
+            cwd=ROOT,
+            env=environment,
+            stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
-        )  # fmt: skip
+        )
         try:
             os.sched_setaffinity(process.pid, {cores[0]})
             dnsthroughput._await_answer(listen[True], process)
--- a/sagetrack/lab/overload.py
+++ b/sagetrack/lab/overload.py
@@ -96,9 +96,13 @@
 
 
 def measure(
-    gateways: int, size: float, seed: int, fault: str = "", more: dict[str, Any] | None = None,
+    gateways: int,
+    size: float,
+    seed: int,
+    fault: str = "",
+    more: dict[str, Any] | None = None,
     dead: float = 0.0,
-) -> tuple[JamFigures, list[Violation]]:  # fmt: skip
+) -> tuple[JamFigures, list[Violation]]:
     """Play the burst and judge it by all rules; `checked.FileError` for values out of range.
 
     `dead`: so many of the gateways die as the burst begins and stay dead, and the others are not told.
--- a/sagetrack/lab/plots.py
+++ b/sagetrack/lab/plots.py
@@ -18,8 +18,12 @@
 from sagetrack.lab.records import Records
 
 OUTCOMES = {
-    "served": "#2a7f4f", "late": "#b8a12f", "refused": "#c8701f", "failed": "#b02a2a", "unanswered": "#5a2a6b"
-}  # fmt: skip
+    "served": "#2a7f4f",
+    "late": "#b8a12f",
+    "refused": "#c8701f",
+    "failed": "#b02a2a",
+    "unanswered": "#5a2a6b",
+}
 
 
 def troubles(records: Records) -> list[tuple[str, float, float]]:
--- a/sagetrack/lab/readiness.py
+++ b/sagetrack/lab/readiness.py
@@ -122,10 +122,15 @@
     host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"  # nobody calls from there
     listen = f"{host}:{free_port()}"
     config: dict[str, Any] = {
-        "name": "g0", "listen": listen, "admin": f"{host}:{free_port()}", "seed": "1",
-        "discovery": agent.door.address, "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": agent.known(), "settings": settings,
-    }  # fmt: skip
+        "name": "g0",
+        "listen": listen,
+        "admin": f"{host}:{free_port()}",
+        "seed": "1",
+        "discovery": agent.door.address,
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": agent.known(),
+        "settings": settings,
+    }
     if case.gateways > 1:
         peers = [f"127.40.{number // 250}.{number % 250 + 1}:9" for number in range(case.gateways)]
         config |= {"peer_listen": f"{host}:{free_port()}", "peers": peers}
--- a/sagetrack/lab/real.py
+++ b/sagetrack/lab/real.py
@@ -121,9 +121,15 @@
             environment["LB_ACCEPT_FD"] = str(listener.fileno())
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "sagetrack"], cwd=ROOT, env=environment, pass_fds=descriptors,
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, preexec_fn=_die_with_parent,
-            )  # fmt: skip
+                [sys.executable, "-m", "sagetrack"],
+                cwd=ROOT,
+                env=environment,
+                pass_fds=descriptors,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                preexec_fn=_die_with_parent,
+            )
         self.admin = config["admin"]
 
     def last_words(self) -> str:
@@ -205,14 +211,19 @@
             known = [self.ways[gateway, other].address for other in self.world.alive]
             peers = {"peer_listen": f"{host}:{port}", "peers": known}
         return peers | {
-            "name": f"g{gateway}", "listen": f"127.10.{gateway + 1}.1:{self.ports[gateway]}",
-            "discovery": agent.door.address, "admin": f"127.0.0.1:{admin}",
+            "name": f"g{gateway}",
+            "listen": f"127.10.{gateway + 1}.1:{self.ports[gateway]}",
+            "discovery": agent.door.address,
+            "admin": f"127.0.0.1:{admin}",
             "seed": f"{self.world.seed}/{gateway}/{self.lives}",
             "limits": {
-                "cores": 1.0, "memory_mb": scenario.gateways.memory_mb, "sockets": scenario.gateways.sockets
+                "cores": 1.0,
+                "memory_mb": scenario.gateways.memory_mb,
+                "sockets": scenario.gateways.sockets,
             },
-            "known": agent.known(), "settings": platform_settings(scenario, gateway),
-        }  # fmt: skip
+            "known": agent.known(),
+            "settings": platform_settings(scenario, gateway),
+        }
 
     def listen(self, gateway: int) -> None:
         """Hold the gateway's listening socket, or find it a port that is free."""
@@ -395,10 +406,12 @@
         kind = this.request.kind
         spent = self.world.clock.now_us() - this.sent_us
         headers = [
-            "Host: gateway", f"X-Call-Id: {this.call}", f"X-Call-Class: {kind.name}",
+            "Host: gateway",
+            f"X-Call-Id: {this.call}",
+            f"X-Call-Class: {kind.name}",
             f"X-Caller: {self.world.scenario.members[this.request.member].name}",
             f"X-Budget-Ms: {max(1, (this.budget_us - spent) // 1000)}",
-        ]  # fmt: skip
+        ]
         if this.request.client:
             headers.append(f"X-Client: {this.request.client}")
         body = b""
@@ -483,10 +496,12 @@
     async def _rude(self, number: int) -> None:
         """Say what cannot be read, read the answer, and begin again."""
         nonsense = (
-            b"\x00\xff\x17nonsense\r\n\r\n", b"GET / HTTP/9.9\r\n\r\n", b"POST /register HTTP/1.1\r\n\r\n",
+            b"\x00\xff\x17nonsense\r\n\r\n",
+            b"GET / HTTP/9.9\r\n\r\n",
+            b"POST /register HTTP/1.1\r\n\r\n",
             b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
             b"GET /none HTTP/1.1\r\nX-Budget-Ms: soon\r\n\r\n",
-        )  # fmt: skip
+        )
         gateways = list(self.world.alive)
         while True:
             gateway = gateways[number % len(gateways)]
--- a/sagetrack/lab/scale/agent.py
+++ b/sagetrack/lab/scale/agent.py
@@ -33,9 +33,24 @@
 
 
 PROBES = (
-    Probe("text-by-servers", "agent", "the text of a whole list is read", "servers", "names of 16 bytes",
-          "sagetrack/discovery/client.py: _ask", text_by_servers, least=25),
-    Probe("handing-on-by-servers", "agent", "the list is written for the next process, at each change",
-          "servers", "names of 16 bytes", "sagetrack/server/hot_restart.py: keep_list", handing_on_by_servers,
-          least=25),
-)  # fmt: skip
+    Probe(
+        "text-by-servers",
+        "agent",
+        "the text of a whole list is read",
+        "servers",
+        "names of 16 bytes",
+        "sagetrack/discovery/client.py: _ask",
+        text_by_servers,
+        least=25,
+    ),
+    Probe(
+        "handing-on-by-servers",
+        "agent",
+        "the list is written for the next process, at each change",
+        "servers",
+        "names of 16 bytes",
+        "sagetrack/server/hot_restart.py: keep_list",
+        handing_on_by_servers,
+        least=25,
+    ),
+)
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -16,9 +16,11 @@
     """Each change as the whole text, as a gateway reads it today, sent to each of so many gateways."""
     text = len(json.dumps(fleet.platform(fleet.sizes.tenants)))
     return {
-        "bytes": float(text * size), "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
-        "machine_bytes_per_s": text * size / IN_FORCE_S / MACHINES, "messages": float(size),
-    }  # fmt: skip
+        "bytes": float(text * size),
+        "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
+        "machine_bytes_per_s": text * size / IN_FORCE_S / MACHINES,
+        "messages": float(size),
+    }
 
 
 def lists_to_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
@@ -29,8 +31,24 @@
 
 
 PROBES = (
-    Probe("change-to-gateways", "control", "a changed configuration goes to all", "gateways",
-          "all tenants in the text", "none: a file and SIGHUP on each machine", change_to_gateways, least=3),
-    Probe("lists-to-gateways", "control", "the whole list goes to all, and one changed entry", "gateways",
-          "all servers in the list", "none of ours: discovery serves them", lists_to_gateways, least=3),
-)  # fmt: skip
+    Probe(
+        "change-to-gateways",
+        "control",
+        "a changed configuration goes to all",
+        "gateways",
+        "all tenants in the text",
+        "none: a file and SIGHUP on each machine",
+        change_to_gateways,
+        least=3,
+    ),
+    Probe(
+        "lists-to-gateways",
+        "control",
+        "the whole list goes to all, and one changed entry",
+        "gateways",
+        "all servers in the list",
+        "none of ours: discovery serves them",
+        lists_to_gateways,
+        least=3,
+    ),
+)
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -28,10 +28,14 @@
     spent_us = (time.thread_time_ns() - began) / 1000
     held = held_bytes(lambda: Fleet(size, fleet.seed, 0.0, Settings()))
     values: Values = {
-        "known_s": seen.median_s, "known_p99_s": seen.p99_s, "missed": float(seen.missed),
-        "messages_per_s": seen.sent_per_s, "bytes_per_s": seen.bytes_per_s, "held_bytes": held / size,
+        "known_s": seen.median_s,
+        "known_p99_s": seen.p99_s,
+        "missed": float(seen.missed),
+        "messages_per_s": seen.sent_per_s,
+        "bytes_per_s": seen.bytes_per_s,
+        "held_bytes": held / size,
         "each_bytes": held / size / size,
-    }  # fmt: skip
+    }
     if meter.times:
         values["cpu_us_per_s"] = spent_us / size / (WATCHED_S + WARM_S)
     return values
@@ -50,8 +54,12 @@
     assert told is not None
     data = encode(Datagram(0, 1, [told]))
     values = meter.event(lambda: (wanted(demands), demands_in(told, size)), few=1)
-    return values | {"bytes": float(len(data)), "bytes_per_s": float(FELLOWS * len(data)),
-                     "messages_per_s": float(FELLOWS), "entries": float(len(told.demands))}  # fmt: skip
+    return values | {
+        "bytes": float(len(data)),
+        "bytes_per_s": float(FELLOWS * len(data)),
+        "messages_per_s": float(FELLOWS),
+        "entries": float(len(told.demands)),
+    }
 
 
 def warm_start_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
@@ -78,17 +86,58 @@
 
 
 PROBES = (
-    Probe("membership-by-gateways", "peers", "a gateway's part of a second of membership; a death",
-          "gateways", "no loss, 1 to 10 ms one way", "sagetrack/peers/membership.py",
-          membership_by_gateways, least=16, quick_most=200,
-          virtual=("known_s", "known_p99_s", "missed", "messages_per_s", "bytes_per_s")),
-    Probe("healing-by-gateways", "peers", "a third is cut off for 60 s", "gateways",
-          "no loss, 1 to 10 ms one way", "sagetrack/peers/membership.py", healing_by_gateways, least=16,
-          most=200, quick_most=100, virtual=("healed_s",)),
-    Probe("demands-by-tenants", "peers", "demands are told, and one telling is read", "tenants",
-          "6 fellows", "sagetrack/peers/demand_gossip.py", demands_by_tenants),
-    Probe("warm-start-by-servers", "peers", "an answer to who has just started", "servers", "all seen",
-          "sagetrack/peers/warm_start.py: split", warm_start_by_servers, least=25),
-    Probe("learned-by-servers", "peers", "one datagram of sights is taken up", "servers", "10 sights in it",
-          "sagetrack/policy/load_balancer.py: on_learned", learned_by_servers, least=25),
-)  # fmt: skip
+    Probe(
+        "membership-by-gateways",
+        "peers",
+        "a gateway's part of a second of membership; a death",
+        "gateways",
+        "no loss, 1 to 10 ms one way",
+        "sagetrack/peers/membership.py",
+        membership_by_gateways,
+        least=16,
+        quick_most=200,
+        virtual=("known_s", "known_p99_s", "missed", "messages_per_s", "bytes_per_s"),
+    ),
+    Probe(
+        "healing-by-gateways",
+        "peers",
+        "a third is cut off for 60 s",
+        "gateways",
+        "no loss, 1 to 10 ms one way",
+        "sagetrack/peers/membership.py",
+        healing_by_gateways,
+        least=16,
+        most=200,
+        quick_most=100,
+        virtual=("healed_s",),
+    ),
+    Probe(
+        "demands-by-tenants",
+        "peers",
+        "demands are told, and one telling is read",
+        "tenants",
+        "6 fellows",
+        "sagetrack/peers/demand_gossip.py",
+        demands_by_tenants,
+    ),
+    Probe(
+        "warm-start-by-servers",
+        "peers",
+        "an answer to who has just started",
+        "servers",
+        "all seen",
+        "sagetrack/peers/warm_start.py: split",
+        warm_start_by_servers,
+        least=25,
+    ),
+    Probe(
+        "learned-by-servers",
+        "peers",
+        "one datagram of sights is taken up",
+        "servers",
+        "10 sights in it",
+        "sagetrack/policy/load_balancer.py: on_learned",
+        learned_by_servers,
+        least=25,
+    ),
+)
--- a/sagetrack/lab/scale/process.py
+++ b/sagetrack/lab/scale/process.py
@@ -78,8 +78,10 @@
         newer = (entry for index, told in self.changes if index > since for entry in told)
         entries = b", ".join(self.entries.values() if whole else newer)
         return b'{"index": %d, "snapshot": %s, "endpoints": [%s]}' % (
-            self.index, b"true" if whole else b"false", entries,
-        )  # fmt: skip
+            self.index,
+            b"true" if whole else b"false",
+            entries,
+        )
 
     async def serve(self, exchange: Exchange) -> None:
         query = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
@@ -179,12 +181,16 @@
         refused, failed = (counts[kind] - already[kind] for kind in ("deferred", "errored"))
         self.found |= {
             f"{name}_own_hold_ms": await ticking,
-            f"{name}_p50_ms": ms_at(run, 50), f"{name}_p99_ms": ms_at(run, 99),
+            f"{name}_p50_ms": ms_at(run, 50),
+            f"{name}_p99_ms": ms_at(run, 99),
             f"{name}_longest_ms": float(run.times.get_max_value()) / 1000,
-            f"{name}_refused": refused, f"{name}_failed": failed, f"{name}_done": float(run.finished),
+            f"{name}_refused": refused,
+            f"{name}_failed": failed,
+            f"{name}_done": float(run.finished),
             f"{name}_core": (cpu_s(pid) - before_s) / (time.monotonic() - began),
-            f"{name}_over_s": over_s, f"{name}_memory_mb": memory_mb(pid),
-        }  # fmt: skip
+            f"{name}_over_s": over_s,
+            f"{name}_memory_mb": memory_mb(pid),
+        }
 
     def quiet(self) -> asyncio.Task[None]:
         return asyncio.create_task(asyncio.sleep(0))
@@ -231,11 +237,15 @@
                     listener = socket.create_server(("127.0.0.1", 0))
                     port = listener.getsockname()[1]
                     config = {
-                        "name": f"g{life}", "listen": f"127.0.0.1:{port}", "discovery": discovery.address,
-                        "seed": "1", "admin": f"127.0.0.1:{free_port()}", "known": known,
+                        "name": f"g{life}",
+                        "listen": f"127.0.0.1:{port}",
+                        "discovery": discovery.address,
+                        "seed": "1",
+                        "admin": f"127.0.0.1:{free_port()}",
+                        "known": known,
                         "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096},
                         "settings": fleet.platform(fleet.sizes.tenants) | {"balancers": 1},
-                    }  # fmt: skip
+                    }
                     with listener:
                         process = GatewayProcess(Path(folder), config, listener, life)
                     processes.append(process)
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -14,9 +14,7 @@
 from sagetrack.lab.scale.target import Sizes, needed_bytes
 from sagetrack.lab.scale.world import FleetAhead
 
-PROBES: tuple[Probe, ...] = (
-    *gateway.PROBES, *agent.PROBES, *peers.PROBES, *servers.PROBES, *control.PROBES
-)  # fmt: skip
+PROBES: tuple[Probe, ...] = (*gateway.PROBES, *agent.PROBES, *peers.PROBES, *servers.PROBES, *control.PROBES)
 VERSION = 1  # of the form below
 
 
@@ -50,9 +48,17 @@
     """A probe's figures as JSON has them: sizes reached, and how far what was fitted goes beyond them."""
     probe, reached = found.probe, found.points[-1][0]
     return {
-        "probe": probe.name, "role": probe.role, "about": probe.about, "axis": probe.axis,
-        "held": probe.held, "mechanism": probe.mechanism, "kind": "hollow", "command": command,
-        "reached": reached, "target": found.target, "extrapolated": reached < found.target,
+        "probe": probe.name,
+        "role": probe.role,
+        "about": probe.about,
+        "axis": probe.axis,
+        "held": probe.held,
+        "mechanism": probe.mechanism,
+        "kind": "hollow",
+        "command": command,
+        "reached": reached,
+        "target": found.target,
+        "extrapolated": reached < found.target,
         "virtual": list(probe.virtual),
         "points": [{"size": size} | rounded(values) for size, values in found.points],
         "fits": {measure: rounded(asdict(fit)) for measure, fit in found.fits.items()},
@@ -63,7 +69,7 @@
                 if reached == found.target or measure in found.fits
             }
         ),
-    }  # fmt: skip
+    }
 
 
 def rounded(values: dict[str, float]) -> dict[str, float]:
@@ -73,7 +79,7 @@
 
 def measure(
     sizes: Sizes, seed: int, names: Sequence[str], quick: bool, times: bool, progress: Callable[[float], None]
-) -> dict[str, Any]:  # fmt: skip
+) -> dict[str, Any]:
     """Ask all probes, or those that are named. ScaleError or LabError if that cannot be done.
 
     Without `times` only what is the same every time is taken: work, bytes, messages, memory, simulated time.
@@ -94,14 +100,21 @@
     day = fleet.day()
     seconds = process.QUICK_SECONDS if quick else process.SECONDS
     return {
-        "version": VERSION, "made": time.strftime("%Y-%m-%d"), "python": platform.python_version(),
-        "cores": len(os.sched_getaffinity(0)), "seed": seed, "quick": quick, "times": times,
-        "sizes": asdict(sizes), "rows": rows,
+        "version": VERSION,
+        "made": time.strftime("%Y-%m-%d"),
+        "python": platform.python_version(),
+        "cores": len(os.sched_getaffinity(0)),
+        "seed": seed,
+        "quick": quick,
+        "times": times,
+        "sizes": asdict(sizes),
+        "rows": rows,
         "real": process.measure(fleet, seconds, step) if real else None,
         "day": {kind: sum(one.kind == kind for one in day) for kind in sorted({one.kind for one in day})},
-        "largest_service": max(fleet.services), "smallest_service": min(fleet.services),
+        "largest_service": max(fleet.services),
+        "smallest_service": min(fleet.services),
         "seconds": round(time.monotonic() - began, 1),
-    }  # fmt: skip
+    }
 
 
 def command_of(name: str, quick: bool) -> str:
@@ -121,11 +134,18 @@
             slope = f"{fit['slope']:.3g} ±{fit['slope_residual']:.2f}" if fit else "-"
             at = row["at_target"].get(name)
             whence = "extrapolated" if row["extrapolated"] else "reached"
-            lines.append([
-                row["probe"], name, f"{row['axis']} {sizes[0]} to {sizes[-1]}",
-                " ".join(f"{point[name]:.4g}" for point in row["points"]), grows, slope,
-                "-" if at is None else f"{at:.4g}", whence,
-            ])  # fmt: skip
+            lines.append(
+                [
+                    row["probe"],
+                    name,
+                    f"{row['axis']} {sizes[0]} to {sizes[-1]}",
+                    " ".join(f"{point[name]:.4g}" for point in row["points"]),
+                    grows,
+                    slope,
+                    "-" if at is None else f"{at:.4g}",
+                    whence,
+                ]
+            )
     if not found["times"]:
         lines.append(["times", ", ".join(TIMES), "", "", "", "", "not run", ""])
     for name, value in (found["real"] or {}).items():
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -44,15 +44,24 @@
             used_s[number, server] = now_s
             heapq.heappush(ends, (now_s + IDLE_S, number, server))
     return {
-        "open_each": sum(open_at) / servers, "open_most": float(most), "calls": float(calls),
-        "handshakes_per_call": handshakes / max(1, calls), "messages_per_s": handshakes / WATCHED_S / servers,
-    }  # fmt: skip
+        "open_each": sum(open_at) / servers,
+        "open_most": float(most),
+        "calls": float(calls),
+        "handshakes_per_call": handshakes / max(1, calls),
+        "messages_per_s": handshakes / WATCHED_S / servers,
+    }
 
 
 PROBES = (
-    Probe("connections-by-gateways", "servers", "connections held to one server of the mean service",
-          "gateways", "one service of the mean size at its part of the load, 10 s idle",
-          "sagetrack/http1/connection_pool.py: Pools; sagetrack/policy/load_balancer.py: subset",
-          connections_by_gateways,
-          least=3, virtual=("open_each", "open_most", "handshakes_per_call", "messages_per_s")),
-)  # fmt: skip
+    Probe(
+        "connections-by-gateways",
+        "servers",
+        "connections held to one server of the mean service",
+        "gateways",
+        "one service of the mean size at its part of the load, 10 s idle",
+        "sagetrack/http1/connection_pool.py: Pools; sagetrack/policy/load_balancer.py: subset",
+        connections_by_gateways,
+        least=3,
+        virtual=("open_each", "open_most", "handshakes_per_call", "messages_per_s"),
+    ),
+)
--- a/sagetrack/lab/scale/world.py
+++ b/sagetrack/lab/scale/world.py
@@ -85,15 +85,21 @@
         """Settings with the first so many tenants, whose shares then add up to 1."""
         whole = sum(self.shares[:tenants]) or 1.0
         return Settings(
-            classes=CLASSES, proxies=gateways, proxy=gateway, zone=gateway % self.sizes.zones,
+            classes=CLASSES,
+            proxies=gateways,
+            proxy=gateway,
+            zone=gateway % self.sizes.zones,
             tenants=tuple(Tenant(share / whole) for share in self.shares[:tenants]),
-        )  # fmt: skip
+        )
 
     def platform(self, tenants: int) -> dict[str, Any]:
         """The platform's settings object with so many tenants, as a gateway's file has it."""
         return {
-            "balancers": self.sizes.gateways, "index": 0, "zone": 0,
-            "zones": [f"z{number}" for number in range(self.sizes.zones)], "shapes": ["plain"],
+            "balancers": self.sizes.gateways,
+            "index": 0,
+            "zone": 0,
+            "zones": [f"z{number}" for number in range(self.sizes.zones)],
+            "shapes": ["plain"],
             "lanes": [
                 {"name": "lookup", "effect": "free", "aimUs": 1_000_000, "giveUpUs": 3_000_000, "value": 1.0}
             ],
@@ -101,15 +107,20 @@
                 {"name": tenant_name(number), "fraction": round(share, 9)}
                 for number, share in enumerate(self.shares[:tenants])
             ],
-        }  # fmt: skip
+        }
 
     def endpoint(self, number: int, status: str = "SERVING", address: str = "") -> dict[str, Any]:
         """A server as discovery lists it."""
         return {
-            "name": f"s-{number:014d}", "address": address or f"10.0.{number // 250}.{number % 250}:8080",
-            "zone": f"z{self.zone_of[number]}", "type": "plain", "group": number // 4, "status": status,
-            "weight": 1.0, "since_ms": 0,
-        }  # fmt: skip
+            "name": f"s-{number:014d}",
+            "address": address or f"10.0.{number // 250}.{number % 250}:8080",
+            "zone": f"z{self.zone_of[number]}",
+            "type": "plain",
+            "group": number // 4,
+            "status": status,
+            "weight": 1.0,
+            "since_ms": 0,
+        }
 
     def zone(self, zone: int, count: int) -> tuple[int, ...]:
         """Those of the first so many servers that are in a zone."""
--- a/sagetrack/lab/scenario.py
+++ b/sagetrack/lab/scenario.py
@@ -139,9 +139,24 @@
     """Something that happens on the way."""
 
     kind: Literal[
-        "slow", "burst", "deploy", "gateway-death", "gateway-upgrade", "discovery-down", "partition", "skew",
-        "crowd", "vanish", "spoilt", "reset", "rude", "overbook", "reload", "slow-dns", "goaway",
-    ]  # fmt: skip
+        "slow",
+        "burst",
+        "deploy",
+        "gateway-death",
+        "gateway-upgrade",
+        "discovery-down",
+        "partition",
+        "skew",
+        "crowd",
+        "vanish",
+        "spoilt",
+        "reset",
+        "rude",
+        "overbook",
+        "reload",
+        "slow-dns",
+        "goaway",
+    ]
     at_s: NotNegative
     seconds: Positive = 5.0
     part: Share = 0.2  # of servers or gateways it befalls
@@ -339,33 +354,44 @@
         "membershipMode": "pushed",
         "lanes": [
             {
-                "name": klass.name, "effect": effects[klass.effect], "group": scopes[klass.scope],
-                "aimUs": int(klass.aim_ms * 1000), "giveUpUs": int(klass.deadline_ms * 1000),
-                "windowUs": int(klass.window_ms * 1000), "value": klass.worth, "lateValue": klass.late_worth,
+                "name": klass.name,
+                "effect": effects[klass.effect],
+                "group": scopes[klass.scope],
+                "aimUs": int(klass.aim_ms * 1000),
+                "giveUpUs": int(klass.deadline_ms * 1000),
+                "windowUs": int(klass.window_ms * 1000),
+                "value": klass.worth,
+                "lateValue": klass.late_worth,
                 "streamed": False,
             }
             for klass in scenario.classes
         ],
-        "tenants": [
-            {"name": member.name, "fraction": member.share / whole} for member in scenario.members
-        ],
+        "tenants": [{"name": member.name, "fraction": member.share / whole} for member in scenario.members],
         "clients": {"marksRetry": clients.marks_retry},
         "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
         "overShareWorth": 1.0,
         "prices": {"crossZone": 0.02},
         "report": {"how": "silent", "fields": []},
         "caps": {
-            "maxAttempts": rules.max_attempts, "mayCancel": rules.may_cancel, "peers": scenario.peers.use,
+            "maxAttempts": rules.max_attempts,
+            "mayCancel": rules.may_cancel,
+            "peers": scenario.peers.use,
             "probes": False,
-            "secondCopies": rules.second_copies, "retryAfter": rules.max_retry_after_ms > 0, "multiplex": 1,
+            "secondCopies": rules.second_copies,
+            "retryAfter": rules.max_retry_after_ms > 0,
+            "multiplex": 1,
             "maxRetryAfterUs": int(rules.max_retry_after_ms * 1000),
             "connectTimeoutUs": int(scenario.network.connect_timeout_ms * 1000),
-            "keepaliveUs": int(fleet.idle_s * 1e6), "cpuUsPerS": 0,
+            "keepaliveUs": int(fleet.idle_s * 1e6),
+            "cpuUsPerS": 0,
         },
         "contract": {
-            "answerSlackUs": ANSWER_SLACK_US, "stopSendingWithinUs": int(rules.drain_grace_ms * 1000),
-            "mustAskInUs": 10_000_000, "startCapacity": fleet.cold_share,
-            "warmAfterUs": int(fleet.cold_s * 1e6), "tipMultiple": fleet.fall_multiple,
+            "answerSlackUs": ANSWER_SLACK_US,
+            "stopSendingWithinUs": int(rules.drain_grace_ms * 1000),
+            "mustAskInUs": 10_000_000,
+            "startCapacity": fleet.cold_share,
+            "warmAfterUs": int(fleet.cold_s * 1e6),
+            "tipMultiple": fleet.fall_multiple,
             "fallUs": int(fleet.fall_s * 1e6),
         },
-    }  # fmt: skip
+    }
--- a/sagetrack/lab/scripted.py
+++ b/sagetrack/lab/scripted.py
@@ -113,9 +113,15 @@
 
 def endpoint(name: str, address: str, **extra: object) -> dict[str, object]:
     entry: dict[str, object] = {
-        "name": name, "address": address, "zone": "a", "type": "m", "group": 0,
-        "status": "SERVING", "weight": 1.0, "since_ms": 0,
-    }  # fmt: skip
+        "name": name,
+        "address": address,
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": "SERVING",
+        "weight": 1.0,
+        "since_ms": 0,
+    }
     return entry | extra
 
 
--- a/sagetrack/lab/slow_start.py
+++ b/sagetrack/lab/slow_start.py
@@ -75,23 +75,35 @@
         Case("most-jump", "six in ten cold, short aims, load jumps 2.5 times", SHORT, (JUMP,)),
         Case("few-jump", "three of 25 cold, load jumps 2.5 times", FEW | {"load.rate": 120}, (JUMP,)),
         Case(
-            "deaths", "a third of the gateways is killed four times; the number is known 5 s late", {},
-            tuple(dies(at_s, 0.3, 0.34) for at_s in (4.5, 5.5, 7.0, 10.0)), number_late_s=5.0,
+            "deaths",
+            "a third of the gateways is killed four times; the number is known 5 s late",
+            {},
+            tuple(dies(at_s, 0.3, 0.34) for at_s in (4.5, 5.5, 7.0, 10.0)),
+            number_late_s=5.0,
         ),
         Case(
-            "restarts", "all gateways end in order and start again every 0.6 s", SHORT, (JUMP, *RELEASE),
+            "restarts",
+            "all gateways end in order and start again every 0.6 s",
+            SHORT,
+            (JUMP, *RELEASE),
             orderly=True,
         ),
         Case(
-            "late-number", "four in ten gateways die and return; the others know 5 s later", {},
-            (dies(0.5, 6.0, 0.4),), number_late_s=5.0,
+            "late-number",
+            "four in ten gateways die and return; the others know 5 s later",
+            {},
+            (dies(0.5, 6.0, 0.4),),
+            number_late_s=5.0,
         ),
         Case(
-            "overlap", "all gateways are upgraded: old and new process take calls for 6 s", {},
-            (Trouble(kind="gateway-upgrade", at_s=3.5, seconds=1, part=1.0),), overlap_s=OVERLAP_S,
+            "overlap",
+            "all gateways are upgraded: old and new process take calls for 6 s",
+            {},
+            (Trouble(kind="gateway-upgrade", at_s=3.5, seconds=1, part=1.0),),
+            overlap_s=OVERLAP_S,
         ),
     )
-}  # fmt: skip
+}
 
 
 class ColdGateways(VirtualGateways):
@@ -268,13 +280,20 @@
 
 
 def measure(
-    case: Case, gateways: int, seed: int, fault: str = "", tell: Callable[[float], None] | None = None,
+    case: Case,
+    gateways: int,
+    seed: int,
+    fault: str = "",
+    tell: Callable[[float], None] | None = None,
     seconds: float = 0.0,
-) -> tuple[ColdFigures, list[Violation]]:  # fmt: skip
+) -> tuple[ColdFigures, list[Violation]]:
     """Play a case and judge it by all rules; `checked.FileError` for sizes out of range."""
     scenario = case.scenario(gateways, seconds)
     records = play(
-        scenario, seed, tell, fault=fault,
+        scenario,
+        seed,
+        tell,
+        fault=fault,
         fleet=lambda world, clock, make: ColdGateways(case, world, clock, make),
-    )  # fmt: skip
+    )
     return figures(records, scenario, case.name), judge(records, scenario)
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -26,9 +26,11 @@
 BUDGETS_MS = (150, 400, 800, 1_500, 2_500)
 PIECE = 16 * 1024  # of a long body
 GARBAGE = (
-    b"no request at all\r\n\r\n", b"GET /search HTTP/9.9\r\n\r\n",
-    b"POST /transfer/1 HTTP/1.1\r\nContent-Length: -4\r\n\r\n", b"GET /search/1 HTTP/1.1\r\nHost",
-)  # fmt: skip
+    b"no request at all\r\n\r\n",
+    b"GET /search HTTP/9.9\r\n\r\n",
+    b"POST /transfer/1 HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
+    b"GET /search/1 HTTP/1.1\r\nHost",
+)
 
 
 class Plan(msgspec.Struct):
@@ -59,9 +61,13 @@
     """A request in full; `more` bytes are added to its body."""
     method = "GET" if klass == "search" else "POST"
     lines = [
-        f"{method} /{klass}/{call} HTTP/1.1", "Host: gateway", f"X-Call-Id: {call}", f"X-Call-Class: {klass}",
-        "X-Caller: acme", f"X-Budget-Ms: {budget_ms}",
-    ]  # fmt: skip
+        f"{method} /{klass}/{call} HTTP/1.1",
+        "Host: gateway",
+        f"X-Call-Id: {call}",
+        f"X-Call-Class: {klass}",
+        "X-Caller: acme",
+        f"X-Budget-Ms: {budget_ms}",
+    ]
     if klass in ("hold", "reserve"):
         lines.append(f"Idempotency-Key: {call}")
     body = b"" if klass == "search" else call.encode() + b"x" * more
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -80,10 +80,15 @@
 
     def entry(self, listed: Listed) -> dict[str, Any]:
         return {
-            "name": f"s-{listed.number}", "address": self.addresses[listed.number], "zone": "a", "type": "m",
-            "group": listed.number % GROUPS, "status": listed.status, "weight": 1.0,
+            "name": f"s-{listed.number}",
+            "address": self.addresses[listed.number],
+            "zone": "a",
+            "type": "m",
+            "group": listed.number % GROUPS,
+            "status": listed.status,
+            "weight": 1.0,
             "since_ms": listed.since_ms,
-        }  # fmt: skip
+        }
 
     def whole(self) -> dict[str, Any]:
         listed = [one for one in self.registry.servers.values() if one.status != "DELETED"]
--- a/sagetrack/lab/soak/fault_schedule.py
+++ b/sagetrack/lab/soak/fault_schedule.py
@@ -37,11 +37,25 @@
 
 
 WEIGHTS = {
-    Kind.KILL: 1, Kind.TERM: 2, Kind.UPGRADE: 2, Kind.CROSSED_UPGRADE: 1, Kind.HOLD: 2, Kind.RELOAD: 1,
-    Kind.HALF_RELOAD: 1, Kind.SYSTEM: 4, Kind.STEP: 1, Kind.DISCOVERY_DOWN: 2, Kind.DISCOVERY_SILENT: 2,
-    Kind.DISCOVERY_RESET: 2, Kind.DRAIN: 3, Kind.CRASH: 2, Kind.BEHAVE: 5, Kind.MUTE: 3, Kind.RESET: 2,
+    Kind.KILL: 1,
+    Kind.TERM: 2,
+    Kind.UPGRADE: 2,
+    Kind.CROSSED_UPGRADE: 1,
+    Kind.HOLD: 2,
+    Kind.RELOAD: 1,
+    Kind.HALF_RELOAD: 1,
+    Kind.SYSTEM: 4,
+    Kind.STEP: 1,
+    Kind.DISCOVERY_DOWN: 2,
+    Kind.DISCOVERY_SILENT: 2,
+    Kind.DISCOVERY_RESET: 2,
+    Kind.DRAIN: 3,
+    Kind.CRASH: 2,
+    Kind.BEHAVE: 5,
+    Kind.MUTE: 3,
+    Kind.RESET: 2,
     Kind.STALL: 1,
-}  # fmt: skip
+}
 LENGTHS_S = {Kind.MUTE: (0.2, 1.6), Kind.STALL: (0.1, 0.8), Kind.HOLD: (0.5, 2.0), Kind.DRAIN: (3.5, 5.0)}
 USUAL_S = (0.4, 3.0)
 
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -20,7 +20,7 @@
     Sent,
     Unanswered,
     Whole,
-)  # fmt: skip
+)
 
 S = 1_000_000  # microseconds
 SCHEDULING_S = 0.25
@@ -240,9 +240,10 @@
     found = []
     for restart in history.restarts:
         times = [
-            event.at_us for event in events
+            event.at_us
+            for event in events
             if isinstance(event, Whole) and event.server == restart.server and event.at_us >= restart.at_us
-        ]  # fmt: skip
+        ]
         for first, at_us in enumerate(times):
             sent = sum(at_us <= time < at_us + WINDOW_S * S for time in times[first:])
             allowed = cold_budget((at_us - restart.at_us) / S + WINDOW_S)
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -32,7 +32,7 @@
     Restart,
     Withdrawal,
     judge,
-)  # fmt: skip
+)
 from sagetrack.lab.soak.proxy import Order, Route
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import NONE, Control, Faults, ShimError, build
@@ -94,21 +94,37 @@
         lane = {"aimUs": 400_000, "giveUpUs": 2_500_000, "lateValue": 0.3, "value": 1.0}
         keyed = lane | {"effect": "guarded", "windowUs": 2_000_000}
         return {
-            "name": f"g{self.number}", "listen": f"127.0.0.1:{self.port}", "discovery": self.agent.address,
-            "seed": f"{self.number}/{time.monotonic_ns()}", "limits": {"sockets": 512, "memory_mb": 128},
+            "name": f"g{self.number}",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": self.agent.address,
+            "seed": f"{self.number}/{time.monotonic_ns()}",
+            "limits": {"sockets": 512, "memory_mb": 128},
             "known": self.agent.whole(),
-            "peer_listen": f"127.0.0.1:{self.peer_port}", "peers": self.peers,
+            "peer_listen": f"127.0.0.1:{self.peer_port}",
+            "peers": self.peers,
             "settings": {
-                "balancers": self.size.gateways, "index": self.number, "zones": ["a"], "shapes": ["m"],
-                "tenants": [{"name": "acme"}], "membershipMode": "pushed",
+                "balancers": self.size.gateways,
+                "index": self.number,
+                "zones": ["a"],
+                "shapes": ["m"],
+                "tenants": [{"name": "acme"}],
+                "membershipMode": "pushed",
                 "caps": {
-                    "maxAttempts": 4, "mayCancel": True, "peers": True, "connectTimeoutUs": 1_600_000,
-                    "keepaliveUs": 10_000_000, "secondCopies": True, "maxRetryAfterUs": 1_000_000,
+                    "maxAttempts": 4,
+                    "mayCancel": True,
+                    "peers": True,
+                    "connectTimeoutUs": 1_600_000,
+                    "keepaliveUs": 10_000_000,
+                    "secondCopies": True,
+                    "maxRetryAfterUs": 1_000_000,
                 },
                 "contract": {
-                    "stopSendingWithinUs": 2_000_000, "mustAskInUs": 10_000_000,
-                    "startCapacity": START_CAPACITY, "warmAfterUs": int(WARM_S * 1e6),
-                    "tipMultiple": MULTIPLE, "fallUs": 3_000_000,
+                    "stopSendingWithinUs": 2_000_000,
+                    "mustAskInUs": 10_000_000,
+                    "startCapacity": START_CAPACITY,
+                    "warmAfterUs": int(WARM_S * 1e6),
+                    "tipMultiple": MULTIPLE,
+                    "fallUs": 3_000_000,
                 },
                 "lanes": [
                     lane | {"name": "search", "effect": "free"},
@@ -117,7 +133,7 @@
                     lane | {"name": "transfer", "effect": "single_shot"},
                 ],
             },
-        }  # fmt: skip
+        }
 
     def write(self) -> bytes:
         data = json.dumps(self.configuration()).encode()
@@ -129,16 +145,26 @@
         self.write()
         admin = free_port()
         names = {
-            "LB_CONFIG": str(self.file), "LB_ACCEPT_FD": str(self.listener.fileno()),
-            "LB_ADMIN": f"127.0.0.1:{admin}", "LB_OPERATOR": str(self.operator),
-            "TMPDIR": str(self.shared), "PYTHONPATH": str(ROOT),
-        }  # fmt: skip
+            "LB_CONFIG": str(self.file),
+            "LB_ACCEPT_FD": str(self.listener.fileno()),
+            "LB_ADMIN": f"127.0.0.1:{admin}",
+            "LB_OPERATOR": str(self.operator),
+            "TMPDIR": str(self.shared),
+            "PYTHONPATH": str(ROOT),
+        }
         if self.library is not None:
             names |= self.control.environment(self.library)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "sagetrack", cwd=ROOT, env=os.environ | names, stdout=self.log,
-            stderr=self.log, pass_fds=[self.listener.fileno()], preexec_fn=_die_with_parent,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "sagetrack",
+            cwd=ROOT,
+            env=os.environ | names,
+            stdout=self.log,
+            stderr=self.log,
+            pass_fds=[self.listener.fileno()],
+            preexec_fn=_die_with_parent,
+        )
         self.processes.append(process)
         self.admins.append(admin)
         return process
@@ -190,10 +216,17 @@
     async def party(self, name: str, *arguments: str) -> asyncio.subprocess.Process:
         errors = (self.folder / f"{name}.log").open("ab")
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", f"sagetrack.lab.soak.{name.split('-')[0]}", *arguments, cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=errors,
-            env=os.environ | {"PYTHONPATH": str(ROOT)}, preexec_fn=_die_with_parent,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            f"sagetrack.lab.soak.{name.split('-')[0]}",
+            *arguments,
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=errors,
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+            preexec_fn=_die_with_parent,
+        )
 
     async def start_server(self, number: int) -> None:
         file = self.folder / f"server-{number}.events"
--- a/sagetrack/lab/soak/shim.py
+++ b/sagetrack/lab/soak/shim.py
@@ -38,8 +38,14 @@
 
 NONE = Faults()
 ACCEPT_ERRORS = (
-    errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EINTR, errno.EMFILE, errno.EPROTO, errno.ENOMEM,
-)  # fmt: skip
+    errno.ECONNABORTED,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.EINTR,
+    errno.EMFILE,
+    errno.EPROTO,
+    errno.ENOMEM,
+)
 
 
 def build(folder: Path) -> Path:
--- a/sagetrack/lab/sockets.py
+++ b/sagetrack/lab/sockets.py
@@ -194,9 +194,14 @@
         self.fresh = False
         patience = int(message.headers.get(b"x-budget-ms", b"0") or 0) * 1000
         job = self.job = Job(
-            call, work, request.key, int(request.kind.window_ms * 1000), request.kind.scope,
-            sent_us + patience, lambda job, result: self.served(job, result),
-        )  # fmt: skip
+            call,
+            work,
+            request.key,
+            int(request.kind.window_ms * 1000),
+            request.kind.scope,
+            sent_us + patience,
+            lambda job, result: self.served(job, result),
+        )
         world.clock.at(world.clock.now_us() + way * ways, lambda: self.deliver(job, sent_us))
 
     def deliver(self, job: Job, sent_us: int) -> None:
@@ -289,11 +294,15 @@
     def endpoint(self, entry: Listed) -> dict[str, Any]:
         since = self.world.since_us(self.gateway, entry)
         return {
-            "name": f"s-{entry.server}", "address": self.addresses(self.gateway, entry.server),
+            "name": f"s-{entry.server}",
+            "address": self.addresses(self.gateway, entry.server),
             "zone": self.world.scenario.fleet.zones[entry.zone],
-            "type": "v2" if entry.server in self.world.newer else "plain", "group": entry.rack,
-            "status": entry.status, "weight": 1.0, "since_ms": self.base_ms + since // 1000 if since else 0,
-        }  # fmt: skip
+            "type": "v2" if entry.server in self.world.newer else "plain",
+            "group": entry.rack,
+            "status": entry.status,
+            "weight": 1.0,
+            "since_ms": self.base_ms + since // 1000 if since else 0,
+        }
 
     def known(self) -> dict[str, Any]:
         """The whole list in discovery's form."""
--- a/sagetrack/lab/sweep.py
+++ b/sagetrack/lab/sweep.py
@@ -64,9 +64,13 @@
     records = play_virtual(job.scenario, job.seed, fault=job.fault)
     made: Figures = figures(records, job.scenario, judge(records, job.scenario))
     return {
-        "id": job.id, "scenario": job.scenario.name, "settings": dict(job.settings), "seed": job.seed,
-        **made.plain(), "wall_s": round(time.perf_counter() - started, 3),
-    }  # fmt: skip
+        "id": job.id,
+        "scenario": job.scenario.name,
+        "settings": dict(job.settings),
+        "seed": job.seed,
+        **made.plain(),
+        "wall_s": round(time.perf_counter() - started, 3),
+    }
 
 
 def done(path: Path) -> dict[str, dict[str, Any]]:
@@ -121,9 +125,37 @@
 
 # Quantiles of Student's t for 95 in 100, both sides, by degrees of freedom (standard tables).
 T95 = (
-    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
-    2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
-)  # fmt: skip
+    12.706,
+    4.303,
+    3.182,
+    2.776,
+    2.571,
+    2.447,
+    2.365,
+    2.306,
+    2.262,
+    2.228,
+    2.201,
+    2.179,
+    2.160,
+    2.145,
+    2.131,
+    2.120,
+    2.110,
+    2.101,
+    2.093,
+    2.086,
+    2.080,
+    2.074,
+    2.069,
+    2.064,
+    2.060,
+    2.056,
+    2.052,
+    2.048,
+    2.045,
+    2.042,
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -162,6 +194,11 @@
     spread = statistics.stdev(differences) if count > 1 else math.inf
     quantile = T95[count - 2] if 2 <= count <= len(T95) + 1 else 1.96
     return Difference(
-        figure, count, statistics.fmean(x for x, _ in values), statistics.fmean(y for _, y in values),
-        statistics.fmean(differences), quantile * spread / math.sqrt(count), sum(d > 0 for d in differences),
-    )  # fmt: skip
+        figure,
+        count,
+        statistics.fmean(x for x, _ in values),
+        statistics.fmean(y for _, y in values),
+        statistics.fmean(differences),
+        quantile * spread / math.sqrt(count),
+        sum(d > 0 for d in differences),
+    )
--- a/sagetrack/lab/throughput.py
+++ b/sagetrack/lab/throughput.py
@@ -276,25 +276,43 @@
         name="throughput", fleet=Fleet(servers=len(ports), gateways=1), classes=[kind], clients=Clients()
     )
     return {
-        "name": "g0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": "1",
+        "name": "g0",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "1",
         "admin": f"127.0.0.1:{admin}",
         "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096},
         "known": {
-            "index": 1, "snapshot": True,
+            "index": 1,
+            "snapshot": True,
             "endpoints": [
-                {"name": f"s-{n}", "address": f"127.0.0.1:{p}", "zone": "a", "type": type_, "group": n // 4,
-                 "status": "SERVING", "weight": 1.0, "since_ms": 0}
+                {
+                    "name": f"s-{n}",
+                    "address": f"127.0.0.1:{p}",
+                    "zone": "a",
+                    "type": type_,
+                    "group": n // 4,
+                    "status": "SERVING",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
                 for n, p in enumerate(ports)
             ],
         },
         "settings": platform_settings(scenario, 0),
-    }  # fmt: skip
+    }
 
 
 def _round(
-    what: str, build: Path | None, servers: int, ports: list[int], discovery: int, core: int, seconds: float,
+    what: str,
+    build: Path | None,
+    servers: int,
+    ports: list[int],
+    discovery: int,
+    core: int,
+    seconds: float,
     newer: bool = False,
-) -> Result:  # fmt: skip
+) -> Result:
     port = free_port()
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         if build is None:
@@ -315,9 +333,12 @@
             if newer:
                 environment["LB_OPERATOR"] = str(operator)
             process = subprocess.Popen(
-                [sys.executable, "-m", module], cwd=build, env=environment,
-                stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-            )  # fmt: skip
+                [sys.executable, "-m", module],
+                cwd=build,
+                env=environment,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+            )
         try:
             os.sched_setaffinity(process.pid, {core})
             _await_port(port, process)
@@ -339,20 +360,30 @@
                 return float(open_.times.get_value_at_percentile(percentile)) / 1000
 
             return Result(
-                what, servers, closed.finished / seconds,
+                what,
+                servers,
+                closed.finished / seconds,
                 closed.failed / max(1, closed.finished + closed.failed),
-                cpu * 1e6 / max(1, done), at(50), at(99), at(99.9), memory_mb(process.pid),
+                cpu * 1e6 / max(1, done),
+                at(50),
+                at(99),
+                at(99.9),
+                memory_mb(process.pid),
                 done < 0.99 * rate * seconds,
-            )  # fmt: skip
+            )
         finally:
             process.kill()
             process.wait()
 
 
 def measure(
-    sizes: list[int], seconds: float, rounds: int, builds: list[Path], progress: Callable[[int, int], None],
+    sizes: list[int],
+    seconds: float,
+    rounds: int,
+    builds: list[Path],
+    progress: Callable[[int, int], None],
     newer: bool = False,
-) -> list[Result]:  # fmt: skip
+) -> list[Result]:
     """Rounds of the relay and of each build by turns, for each number of servers. LabError if one fails.
 
     `newer`: this build also before as many servers of the newer format, which have a core of their own.
@@ -413,12 +444,12 @@
             median = statistics.median
             rows.append(
                 {
-                    "what": what, "servers": size, "per_s": round(median(r.per_s for r in mine)),
+                    "what": what,
+                    "servers": size,
+                    "per_s": round(median(r.per_s for r in mine)),
                     "refused": round(median(r.refused for r in mine), 3),
                     "cpu_us": round(median(r.cpu_us for r in mine), 1),
-                    "cpu_us_range": [
-                        round(edge(r.cpu_us for r in mine), 1) for edge in (min, max)
-                    ],
+                    "cpu_us_range": [round(edge(r.cpu_us for r in mine), 1) for edge in (min, max)],
                     "times_relay": round(median(r.cpu_us for r in mine) / base, 2) if base else 0.0,
                     "p50_ms": round(median(r.p50_ms for r in mine), 2),
                     "p99_ms": round(median(r.p99_ms for r in mine), 2),
@@ -426,5 +457,5 @@
                     "memory_mb": round(median(r.memory_mb for r in mine), 1),
                     "late": any(r.late for r in mine),
                 }
-            )  # fmt: skip
+            )
     return rows
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -68,10 +68,12 @@
     if not door.use:
         return None
     return AdmissionSettings(
-        patience=door.patience, memory_bytes=int(door.memory_mb * 1024 * 1024), adaptive=door.adaptive,
+        patience=door.patience,
+        memory_bytes=int(door.memory_mb * 1024 * 1024),
+        adaptive=door.adaptive,
         client_rate=Rate(door.client_per_s, 5.0) if door.client_per_s else None,
         member_rate=Rate(door.member_per_s, 10.0) if door.member_per_s else None,
-    )  # fmt: skip
+    )
 
 
 class Timer:
@@ -187,9 +189,7 @@
         marks = self.world.scenario.clients.marks_retry and this.number > 1
         request = this.request
         key = request.key or int(request.id, 16)
-        event = RequestArrived(
-            this.call, kind, left, key, None, marks, request.member, client=request.client
-        )  # fmt: skip
+        event = RequestArrived(this.call, kind, left, key, None, marks, request.member, client=request.client)
         self.handle(event)
 
     def leave(self, this: Try) -> None:
@@ -268,9 +268,14 @@
         request = held.this.request
         work = request.work_us + (world.scenario.fleet.handshake_ms * 1000 if fresh else 0.0)
         job = Job(
-            held.this.call, work, request.key, int(request.kind.window_ms * 1000), request.kind.scope,
-            held.this.sent_us + held.this.budget_us, lambda job, result: self.served(held, attempt, result),
-        )  # fmt: skip
+            held.this.call,
+            work,
+            request.key,
+            int(request.kind.window_ms * 1000),
+            request.kind.scope,
+            held.this.sent_us + held.this.budget_us,
+            lambda job, result: self.served(held, attempt, result),
+        )
         attempt.job = job
         if world.receive(server, job, self.number, attempt.sent_us) is Result.REJECTED:
             self.back(held, attempt, Outcome.REJECTED)
@@ -449,11 +454,16 @@
     def _listed(self, gateway: int, entries: list[Listed]) -> tuple[ListedServer, ...]:
         return tuple(
             ListedServer(
-                entry.server, STATUS[entry.status], 1.0, entry.zone, entry.rack, 0,
+                entry.server,
+                STATUS[entry.status],
+                1.0,
+                entry.zone,
+                entry.rack,
+                0,
                 since + BASE_US if (since := self.world.since_us(gateway, entry)) else 0,
             )
             for entry in entries
-        )  # fmt: skip
+        )
 
     def start(self) -> None:
         for number in range(self.world.scenario.fleet.gateways):
--- a/sagetrack/lab/world.py
+++ b/sagetrack/lab/world.py
@@ -220,11 +220,18 @@
         }
         speed = self.draw_fleet.uniform(*fleet.speed)
         server = Server(
-            number, fleet, zone, rack, speed, now, cold, keys,
+            number,
+            fleet,
+            zone,
+            rack,
+            speed,
+            now,
+            cold,
+            keys,
             lambda job, effect: self.records.add(
                 "run", self.clock.now_us(), job.call, number, job.key, int(effect)
             ),
-        )  # fmt: skip
+        )
         self.servers[number] = server
         if newer:
             self.newer.add(number)
@@ -258,8 +265,10 @@
             return Result.SERVED
         point = self.draw_client.random()
         for share, result in (
-            (fleet.error_share, Result.ERROR), (self.spoilt, Result.SPOILT), (self.resets, Result.RESET)
-        ):  # fmt: skip
+            (fleet.error_share, Result.ERROR),
+            (self.spoilt, Result.SPOILT),
+            (self.resets, Result.RESET),
+        ):
             if point < share:
                 return result
             point -= share
@@ -411,11 +420,18 @@
         key = draw.getrandbits(53) if kind.effect == "keyed" else None
         zone = draw.randrange(len(scenario.fleet.zones))
         request = Request(
-            f"{self.count:x}", kind, klass, member, zone, key, work, due_us,
+            f"{self.count:x}",
+            kind,
+            klass,
+            member,
+            zone,
+            key,
+            work,
+            due_us,
             draw.random() < (scenario.clients.honour if who.honour is None else who.honour),
             draw.random() < scenario.clients.keep,
             self.count if who.once else self.clients[member].draw(self.draw_who),
-        )  # fmt: skip
+        )
         self._send_try(request)
         self._plan_arrival()
 
@@ -431,9 +447,17 @@
         this = Try(f"{request.id}-{request.tries:x}", request, request.tries, gateway, budget, now)
         self.tries[this.call] = this
         self.records.add(
-            "ask", now, this.call, gateway, request.klass, request.member, budget, request.key, request.id,
+            "ask",
+            now,
+            this.call,
+            gateway,
+            request.klass,
+            request.member,
+            budget,
+            request.key,
+            request.id,
             this.number,
-        )  # fmt: skip
+        )
         if request.client:
             self.records.add("client", now, request.id, request.client)
         # The platform lets a final answer be this late: until then a client listens.
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -46,7 +46,7 @@
         now = now_us()
         self.machine = Membership(
             me, len(self.peers), settings, seed, now, self.send, incarnation=now // 1_000_000
-        )  # fmt: skip
+        )
         self.machine.on_change = self.on_change
         others = [number for number in range(len(self.peers)) if number != me]
         self.asker = Asker(me, others, seed ^ 0x5A5A, now, self.ask) if warm and others else None
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -160,10 +160,15 @@
     """A sight in the wire's units; rounded so that a cooldown is never told as shorter than it is."""
     cooldown = -(-max(0, sight.open_until_us - now_us) // 100_000)
     return ServerFact(
-        sight.server, life_of(sight.started_us), sight.state, sight.jammed, round(100 * sight.weight),
-        min(255, cooldown), min(65_535, max(0, now_us - sight.seen_us) // 10_000),
+        sight.server,
+        life_of(sight.started_us),
+        sight.state,
+        sight.jammed,
+        round(100 * sight.weight),
+        min(255, cooldown),
+        min(65_535, max(0, now_us - sight.seen_us) // 10_000),
         min(65_535, max(0, sight.spent_us) // 1000),
-    )  # fmt: skip
+    )
 
 
 def sights_from(
@@ -177,10 +182,17 @@
             continue
         found.append(
             Observation(
-                fact.server, started_us, by, now_us - fact.age * 10_000, fact.state,
-                now_us + fact.cooldown * 100_000, fact.weight / 100, fact.jammed, fact.spent * 1000,
+                fact.server,
+                started_us,
+                by,
+                now_us - fact.age * 10_000,
+                fact.state,
+                now_us + fact.cooldown * 100_000,
+                fact.weight / 100,
+                fact.jammed,
+                fact.spent * 1000,
             )
-        )  # fmt: skip
+        )
     return found
 
 
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -184,8 +184,16 @@
         """How long a newcomer would wait here."""
         return self.queues.ahead_us(member, client) / self.rate()
 
-    def push(self, item: Item, now_us: int, member: int, client: int, work_us: float, priority_weight: float,
-             due_us: int) -> None:  # fmt: skip
+    def push(
+        self,
+        item: Item,
+        now_us: int,
+        member: int,
+        client: int,
+        work_us: float,
+        priority_weight: float,
+        due_us: int,
+    ) -> None:
         self.queues.credit = self.rate() * CREDIT_US / sum(self.shares)
         self.queues.push(item, member, client, work_us, priority_weight, due_us)
         self.rows[member].waiting += 1
@@ -220,8 +228,9 @@
 
     # What is learnt and told
 
-    def ended(self, klass: int, latency_us: float, size: float, in_work: int, good: bool,
-              turned_back: bool) -> None:  # fmt: skip
+    def ended(
+        self, klass: int, latency_us: float, size: float, in_work: int, good: bool, turned_back: bool
+    ) -> None:
         """An attempt is over: what its class costs is learnt where nothing waits, or nothing is known."""
         if self.settings.adaptive and klass < len(self.costs) and self.costs[klass][1] >= FEW_ANSWERS:
             self.limit.learn(latency_us, self.work_of(klass, size), in_work, turned_back)
@@ -247,9 +256,16 @@
         return mean * size
 
     def advise(
-        self, now_us: int, member: int, client: int, key: int, work_us: float, draw: float,
-        most_us: int, left_us: int,
-    ) -> int:  # fmt: skip
+        self,
+        now_us: int,
+        member: int,
+        client: int,
+        key: int,
+        work_us: float,
+        draw: float,
+        most_us: int,
+        left_us: int,
+    ) -> int:
         """When a call that is sent away is to come back, and the promise that it is let in then.
 
         `left_us`: until its client gives up.
@@ -281,19 +297,23 @@
     def figures(self, names: Sequence[str]) -> dict[str, float]:
         """For the stats."""
         found: dict[str, float] = {
-            "door_limit": round(self.limit.limit, 1), "door_waiting": len(self.queues),
-            "door_bytes": self.bytes(), "door_promised": self.promises.count,
-        }  # fmt: skip
+            "door_limit": round(self.limit.limit, 1),
+            "door_waiting": len(self.queues),
+            "door_bytes": self.bytes(),
+            "door_promised": self.promises.count,
+        }
         for why, count in self.reasons.items():
             found[f"door_refused_{why.value}_total"] = count
         for number, row in enumerate(self.rows):
             name = names[number] if number < len(names) else str(number)
             found |= {
                 f"member_{name}_share": round(self.shares[number] / sum(self.shares), 4),
-                f"member_{name}_asked_total": row.asked, f"member_{name}_served_total": row.served,
-                f"member_{name}_refused_total": row.refused, f"member_{name}_waiting": row.waiting,
+                f"member_{name}_asked_total": row.asked,
+                f"member_{name}_served_total": row.served,
+                f"member_{name}_refused_total": row.refused,
+                f"member_{name}_waiting": row.waiting,
                 f"member_{name}_advised_total": self.promises.advised[number],
                 f"member_{name}_kept_total": self.promises.kept[number],
                 f"member_{name}_ignored_total": self.promises.ignored[number],
-            }  # fmt: skip
+            }
         return found
--- a/sagetrack/policy/concurrency_limit.py
+++ b/sagetrack/policy/concurrency_limit.py
@@ -323,9 +323,17 @@
         return max(0.0, self.line_us[member] - now_us)
 
     def promise(
-        self, member: int, client: int, key: int, now_us: int, first_us: float, work_us: float, draw: float,
-        most_us: int, left_us: int,
-    ) -> int:  # fmt: skip
+        self,
+        member: int,
+        client: int,
+        key: int,
+        now_us: int,
+        first_us: float,
+        work_us: float,
+        draw: float,
+        most_us: int,
+        left_us: int,
+    ) -> int:
         """The wait that is told, in microseconds, for a call that takes this long of the member's part.
 
         `first_us`: what waits here already takes so long. `draw`: even between 0 and 1. What would be due
--- a/sagetrack/policy/interface.py
+++ b/sagetrack/policy/interface.py
@@ -195,9 +195,15 @@
         if not self.classes:
             raise ValueError("classes is empty")
         durations = (
-            "max_poll_interval_us", "warm_after_us", "max_retry_after_us", "key_cooldown_us", "keepalive_us",
-            "connect_timeout_us", "answer_slack_us", "stop_sending_within_us",
-        )  # fmt: skip
+            "max_poll_interval_us",
+            "warm_after_us",
+            "max_retry_after_us",
+            "key_cooldown_us",
+            "keepalive_us",
+            "connect_timeout_us",
+            "answer_slack_us",
+            "stop_sending_within_us",
+        )
         least: dict[str, float] = dict.fromkeys((*durations, "proxy", "cpu_us_per_s"), 0)
         counts = (
             "proxies",
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -39,9 +39,14 @@
     def rank(self) -> tuple[int, int, int, int, float, bool, int]:
         """What overrules what of the same server by the same gateway: a total order."""
         return (
-            self.started_us, self.seen_us, self.state, self.open_until_us, -self.weight, self.jammed,
+            self.started_us,
+            self.seen_us,
+            self.state,
+            self.open_until_us,
+            -self.weight,
+            self.jammed,
             self.spent_us,
-        )  # fmt: skip
+        )
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -28,15 +28,19 @@
         return Rate(per_s, max(1.0, burst)) if per_s > 0 else None
 
     admission = AdmissionSettings(
-        shares=shares_in(config, operator), flows=queues.flows, patience=queues.patience,
-        memory_bytes=int(queues.memory_mb * 1024 * 1024), adaptive=limits.adaptive, repeats=limits.repeats,
+        shares=shares_in(config, operator),
+        flows=queues.flows,
+        patience=queues.patience,
+        memory_bytes=int(queues.memory_mb * 1024 * 1024),
+        adaptive=limits.adaptive,
+        repeats=limits.repeats,
         member_rate=rate(limits.member_per_s, limits.member_burst),
         client_rate=rate(limits.client_per_s, limits.client_burst),
         class_rates=tuple(
             rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
             for name in config.names.classes
         ),
-    )  # fmt: skip
+    )
     header = queues.client_header.lower().encode()
     settings = replace(config.settings, admission=admission)
     return replace(config, settings=settings, client_header=header, whole_seconds=queues.whole_seconds)
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -62,9 +62,17 @@
         settings = Settings(period_us=asked.period_ms * 1000, timeout_us=asked.timeout_ms * 1000)
         warm = asked.warm_start
     return Node(
-        me, listen, peers, settings, config.seed, lambda event: gateway.post(lambda: event),
-        gateway.balancer.sights, gateway.lives, warm, demands_of(gateway),
-    )  # fmt: skip
+        me,
+        listen,
+        peers,
+        settings,
+        config.seed,
+        lambda event: gateway.post(lambda: event),
+        gateway.balancer.sights,
+        gateway.lives,
+        warm,
+        demands_of(gateway),
+    )
 
 
 def demands_of(gateway: Gateway) -> Callable[[], list[float]] | None:
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -195,13 +195,20 @@
             listed=bool(asked.type),
             latency_objective_us=asked.aim_ms * 1000,
             deadline_us=asked.deadline_ms * 1000,
-            cache_bytes=int(asked.cache_mb * 1024 * 1024), stale_s=asked.stale_s, allow=asked.allow,
-            deny=asked.deny, answers_per_s=asked.answers_per_s, limits=limits, crowd=asked.crowd,
-            gateways=ours.proxies, gateway=ours.proxy, zone=zone,
+            cache_bytes=int(asked.cache_mb * 1024 * 1024),
+            stale_s=asked.stale_s,
+            allow=asked.allow,
+            deny=asked.deny,
+            answers_per_s=asked.answers_per_s,
+            limits=limits,
+            crowd=asked.crowd,
+            gateways=ours.proxies,
+            gateway=ours.proxy,
+            zone=zone,
             cold=Cold(
                 ours.start_capacity, ours.warm_after_us, ours.overload_multiple, ours.overload_window_us
             ),
-        )  # fmt: skip
+        )
         try:
             self.dns = Service(plan, self.config.seed ^ 0xD5, self.server_weights, now_us() // 1_000_000)
         except ValueError as error:  # a zone that cannot be read
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -35,15 +35,21 @@
     from sagetrack.grpc.outcomes import Status
 
     def read(
-        method: str, target: bytes, headers: list[Header], body: bytes, budget_us: int, client: Client,
+        method: str,
+        target: bytes,
+        headers: list[Header],
+        body: bytes,
+        budget_us: int,
+        client: Client,
         upload: Upload | None,
-    ) -> Call:  # fmt: skip
+    ) -> Call:
         request = Request()
         request.upload = upload
         request.method, request.target, request.body = method.encode(), target, [body] if body else []
         request.headers = [
-            *headers, *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else [])
-        ]  # fmt: skip
+            *headers,
+            *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else []),
+        ]
         try:
             return read_call(request, target.partition(b"?")[0], config, client)
         except RequestError as error:
@@ -110,10 +116,15 @@
         """For the stats."""
         move = self.mixed.move
         found = self.shadow.figures() if self.shadow is not None else {}
-        return found | self.mixed.new.figures() | {
-            "new_failing": round(move.new.failing, 4), "old_failing": round(move.old.failing, 4),
-            "new_returns_total": move.returns,
-        }  # fmt: skip
+        return (
+            found
+            | self.mixed.new.figures()
+            | {
+                "new_failing": round(move.new.failing, 4),
+                "old_failing": round(move.old.failing, 4),
+                "new_returns_total": move.returns,
+            }
+        )
 
     def close(self) -> None:
         self.timer.cancel()
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -154,9 +154,11 @@
             log(f"the list of address servers is not handed on: {error.strerror}")
 
     def newer_list(
-        self, discovery: Address, known: dict[str, Any],
+        self,
+        discovery: Address,
+        known: dict[str, Any],
         usable: Callable[[dict[str, Any]], bool] = lambda newer: True,
-    ) -> dict[str, Any]:  # fmt: skip
+    ) -> dict[str, Any]:
         """That list, if it can be used, is from the same service and newer than what the platform knew."""
         if self.folder is None:
             return known
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -34,9 +34,12 @@
     """Reads LB_CONFIG once for each time that is asked, or once for several that come together."""
 
     def __init__(
-        self, discovery: Discovery, operator: str | None = None, on_operator: OnOperator | None = None,
+        self,
+        discovery: Discovery,
+        operator: str | None = None,
+        on_operator: OnOperator | None = None,
         on_keys: Callable[[], None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.discovery, self.operator, self.on_operator = discovery, operator, on_operator
         self.on_keys = on_keys
         self.asked = False
--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -47,7 +47,7 @@
     read_manifest,
     read_record,
     record,
-)  # fmt: skip
+)
 
 LOG = re.compile(r"log-([0-9a-f]{16})")
 BASE = re.compile(r"base-([0-9a-f]{16})")
--- a/sagetrack/store/recorder.py
+++ b/sagetrack/store/recorder.py
@@ -81,9 +81,17 @@
             return None
         answered, refused, failed, sent = grown
         made = Second(
-            VERSION, at_s, answered, refused, failed, sent, self.outcomes, self.latencies, self.events,
+            VERSION,
+            at_s,
+            answered,
+            refused,
+            failed,
+            sent,
+            self.outcomes,
+            self.latencies,
+            self.events,
             self.lost,
-        )  # fmt: skip
+        )
         self.outcomes, self.events, self.lost = {}, [], 0
         self.latencies = [{} for _ in range(self.classes)]
         return msgspec.msgpack.encode(made)
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -49,9 +49,13 @@
     """
 
     def __init__(
-        self, make: Callable[[], Files], options: Options, log: Callable[[str], None], sync: Sync = "every",
+        self,
+        make: Callable[[], Files],
+        options: Options,
+        log: Callable[[str], None],
+        sync: Sync = "every",
         every_s: float = 0.1,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.make, self.options, self.log, self.sync, self.every_s = make, options, log, sync, every_s
         self.store: Store | None = None
         self.counts = Counts()
@@ -252,8 +256,13 @@
         """For the stats."""
         c, store = self.counts, self.store
         return {
-            "store_batches_total": c.batches, "store_syncs_total": c.syncs, "store_dropped_total": c.dropped,
-            "store_failures_total": c.failures, "store_bases_total": c.bases, "store_failing": int(c.failing),
-            "store_slowest_commit_ms": round(c.slowest_ms, 1), "store_waiting_bytes": self.waiting_bytes,
+            "store_batches_total": c.batches,
+            "store_syncs_total": c.syncs,
+            "store_dropped_total": c.dropped,
+            "store_failures_total": c.failures,
+            "store_bases_total": c.bases,
+            "store_failing": int(c.failing),
+            "store_slowest_commit_ms": round(c.slowest_ms, 1),
+            "store_waiting_bytes": self.waiting_bytes,
             "store_bytes": store.bytes if store is not None else 0,
-        }  # fmt: skip
+        }
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -34,10 +34,28 @@
 from sagetrack.server.gateway_assembly import Instance
 
 __all__ = [
-    "Client", "Exchange", "Message", "Peer", "Running", "Script", "answers", "configuration",
-    "endpoint", "host_id", "hosts_list", "list_reply", "on_loop", "peer", "read_message", "reply",
-    "request", "rested", "running", "silent", "until",
-]  # fmt: skip
+    "Client",
+    "Exchange",
+    "Message",
+    "Peer",
+    "Running",
+    "Script",
+    "answers",
+    "configuration",
+    "endpoint",
+    "host_id",
+    "hosts_list",
+    "list_reply",
+    "on_loop",
+    "peer",
+    "read_message",
+    "reply",
+    "request",
+    "rested",
+    "running",
+    "silent",
+    "until",
+]
 
 PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
 
@@ -88,9 +106,13 @@
             "membershipMode": "pushed",
             "report": {"how": "piggyback", "fields": ["queue"]},
             "caps": {
-                "maxAttempts": 4, "mayCancel": True, "connectTimeoutUs": 5_000_000,
-                "keepaliveUs": 60_000_000, "secondCopies": False,
-            } | caps,
+                "maxAttempts": 4,
+                "mayCancel": True,
+                "connectTimeoutUs": 5_000_000,
+                "keepaliveUs": 60_000_000,
+                "secondCopies": False,
+            }
+            | caps,
             "contract": {"stopSendingWithinUs": 1_000_000, "mustAskInUs": 400_000},
             "lanes": [
                 lane | {"name": "search", "effect": "free", "value": 1.0},
@@ -98,7 +120,7 @@
                 lane | {"name": "transfer", "effect": "single_shot"},
             ],
         },
-    }  # fmt: skip
+    }
 
 
 def host_id(number: int) -> int:
@@ -165,9 +187,12 @@
     global _count
     _count += 1
     fields: dict[str, str] = {
-        "host": "backend.local", "x_call_id": f"{_count:016x}", "x_call_class": klass,
-        "x_caller": "acme", "x_budget_ms": str(budget_ms),
-    }  # fmt: skip
+        "host": "backend.local",
+        "x_call_id": f"{_count:016x}",
+        "x_call_class": klass,
+        "x_caller": "acme",
+        "x_budget_ms": str(budget_ms),
+    }
     if klass == "hold":
         fields["idempotency_key"] = f"key{_count}"
     if klass != "search":
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -83,9 +83,17 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"\n", b"statu\n", b"status now\n", b"STATUS\n", b"\xff\xfe\n", b"\0\n", b"x" * (LINE_LIMIT + 1),
-     b"stats" + b" " * 100_000 + b"\n"],
-)  # fmt: skip
+    [
+        b"\n",
+        b"statu\n",
+        b"status now\n",
+        b"STATUS\n",
+        b"\xff\xfe\n",
+        b"\0\n",
+        b"x" * (LINE_LIMIT + 1),
+        b"stats" + b" " * 100_000 + b"\n",
+    ],
+)
 @on_loop
 async def test_what_is_no_call_gets_failure(data: bytes) -> None:
     async with running(configuration("127.0.0.1:1")) as run, second_address(run) as port:
@@ -148,19 +156,29 @@
         told = {name: count for name, count in told.items() if name not in calls}
         reasons = {name: told.pop(name) for name in list(told) if name.partition("{")[0] in BY_REASON}
         assert {name: count for name, count in reasons.items() if count} == {
-            'svc_attempts_total{outcome="ok"}': 3, 'svc_attempts_total{outcome="error"}': 1,
-            'svc_attempts_total{outcome="full"}': 1, 'svc_refused_total{reason="unserved"}': 1,
-        }  # fmt: skip
+            'svc_attempts_total{outcome="ok"}': 3,
+            'svc_attempts_total{outcome="error"}': 1,
+            'svc_attempts_total{outcome="full"}': 1,
+            'svc_refused_total{reason="unserved"}': 1,
+        }
         assert {name.partition("{")[0] for name in reasons} == BY_REASON  # also those of 0
         assert told == {
-            'svc_answered_total{group="search"}': 3, 'svc_answered_total{group="hold"}': 0,
-            'svc_answered_total{group="transfer"}': 0, 'svc_deferred_total{group="search"}': 0,
-            'svc_deferred_total{group="hold"}': 1, 'svc_deferred_total{group="transfer"}': 0,
-            'svc_errored_total{group="search"}': 0, 'svc_errored_total{group="hold"}': 0,
-            'svc_errored_total{group="transfer"}': 1, 'svc_sends_total{group="search"}': 3,
-            'svc_sends_total{group="hold"}': 1, 'svc_sends_total{group="transfer"}': 2,
-            "svc_current": 1, "svc_cluster_size": 1, "svc_cluster_unhealthy": 0,
-        }  # fmt: skip
+            'svc_answered_total{group="search"}': 3,
+            'svc_answered_total{group="hold"}': 0,
+            'svc_answered_total{group="transfer"}': 0,
+            'svc_deferred_total{group="search"}': 0,
+            'svc_deferred_total{group="hold"}': 1,
+            'svc_deferred_total{group="transfer"}': 0,
+            'svc_errored_total{group="search"}': 0,
+            'svc_errored_total{group="hold"}': 0,
+            'svc_errored_total{group="transfer"}': 1,
+            'svc_sends_total{group="search"}': 3,
+            'svc_sends_total{group="hold"}': 1,
+            'svc_sends_total{group="transfer"}': 2,
+            "svc_current": 1,
+            "svc_cluster_size": 1,
+            "svc_cluster_unhealthy": 0,
+        }
         waits.answer(reply())
         assert (await client.answer()).status == 200
         assert figures(await call(port, b"stats\n"))["svc_current"] == 0
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -32,9 +32,13 @@
 
 def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "sagetrack", *words], cwd=ROOT, env=os.environ | environment, text=True,
-        capture_output=True, timeout=120,
-    )  # fmt: skip
+        [sys.executable, "-m", "sagetrack", *words],
+        cwd=ROOT,
+        env=os.environ | environment,
+        text=True,
+        capture_output=True,
+        timeout=120,
+    )
 
 
 def test_check_names_all_that_is_wrong_and_ends_with_2(tmp_path: Path) -> None:
@@ -59,9 +63,13 @@
 
 def test_the_platforms_path_loads_no_command_line_library(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-X", "importtime", "-m", "sagetrack"], cwd=ROOT, text=True, capture_output=True,
-        env=os.environ | {"LB_CONFIG": str(tmp_path / "none")}, timeout=60,
-    )  # fmt: skip
+        [sys.executable, "-X", "importtime", "-m", "sagetrack"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        env=os.environ | {"LB_CONFIG": str(tmp_path / "none")},
+        timeout=60,
+    )
     assert done.returncode == 2
     for library in (
         "typer",
@@ -114,13 +122,31 @@
     file = tmp_path / "records.gz"
     patient = [f"class.{n}.{what}=20000" for n in (1, 2, 3) for what in ("deadline_ms", "aim_ms")]
     done = command(
-        "lab", "run", "scenarios/upgrade.toml", "--json", *SHORT, "--set", "trouble.1.at_s=0.5",
-        "--set", "trouble.2.at_s=1.0", "--set", 'trouble.2.kind="gateway-death"',
-        "--set", "trouble.2.seconds=0.5",
-        "--set", "trouble.3.at_s=1.5", "--set", 'trouble.3.kind="deploy"', "--set", "discovery.drain_s=0.5",
+        "lab",
+        "run",
+        "scenarios/upgrade.toml",
+        "--json",
+        *SHORT,
+        "--set",
+        "trouble.1.at_s=0.5",
+        "--set",
+        "trouble.2.at_s=1.0",
+        "--set",
+        'trouble.2.kind="gateway-death"',
+        "--set",
+        "trouble.2.seconds=0.5",
+        "--set",
+        "trouble.3.at_s=1.5",
+        "--set",
+        'trouble.3.kind="deploy"',
+        "--set",
+        "discovery.drain_s=0.5",
         *(part for words in patient for part in ("--set", words)),
-        "--records", str(file), "--plot", str(tmp_path / "run.png"),
-    )  # fmt: skip
+        "--records",
+        str(file),
+        "--plot",
+        str(tmp_path / "run.png"),
+    )
     assert done.stdout, f"exit {done.returncode}, and it said: {done.stderr}"
     row = json.loads(done.stdout.splitlines()[-1])
     assert row["rules_broken"] == {}, (row["violations"], done.stderr)
@@ -133,9 +159,13 @@
     for signum in (signal.SIGINT, signal.SIGHUP):
         marker = f"LAB_TEST_{os.getpid()}_{signum}"
         process = subprocess.Popen(
-            [sys.executable, "-m", "sagetrack", "lab", "run", "scenarios/everyday.toml"], cwd=ROOT,
-            env=os.environ | {marker: "1"}, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-        )  # fmt: skip
+            [sys.executable, "-m", "sagetrack", "lab", "run", "scenarios/everyday.toml"],
+            cwd=ROOT,
+            env=os.environ | {marker: "1"},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         end = time.monotonic() + 30
         while len(marked(marker)) < 4 and time.monotonic() < end:
             assert process.poll() is None
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -22,9 +22,10 @@
 # capacity is warm at 11 s and bears 4 times what it has. A call is 100 ms of work, a window 3 s.
 
 SCENARIO = Scenario(
-    name="cold", fleet=Fleet(servers=1, gateways=2, cold_share=0.2, cold_s=10, fall_multiple=4, fall_s=3),
+    name="cold",
+    fleet=Fleet(servers=1, gateways=2, cold_share=0.2, cold_s=10, fall_multiple=4, fall_s=3),
     classes=[RequestKind(name="lookup", work_ms=100)],
-)  # fmt: skip
+)
 STARTED_US = 1_000_000
 PLANNED = 4 * 0.2 * 3 / 0.1  # N of the first window: 24 calls
 BUDGET = math.floor(PLANNED + 2 * math.sqrt(PLANNED) + 2)  # 35
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,7 @@
     running,
     silent,
     until,
-)  # fmt: skip
+)
 
 KINDS = 4
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -31,7 +31,7 @@
     Settings,
     TimerFired,
     WatchEndpoints,
-)  # fmt: skip
+)
 from sagetrack.policy.load_balancer import LIST_TOKEN, LoadBalancer
 from tests.helpers import SETTINGS, START_US, Driver, timers
 from tests.sockets import (
@@ -50,7 +50,7 @@
     running,
     silent,
     until,
-)  # fmt: skip
+)
 
 MINUTE_US = 60_000_000
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
@@ -361,10 +361,13 @@
 
 @settings(max_examples=300, deadline=None)
 @given(
-    grace_us=st.integers(0, 120_000_000), must_ask_us=st.integers(0, 10**12), pushed=st.booleans(),
-    faults=st.lists(st.sampled_from(KINDS), min_size=1, max_size=9), once_more=st.booleans(),
+    grace_us=st.integers(0, 120_000_000),
+    must_ask_us=st.integers(0, 10**12),
+    pushed=st.booleans(),
+    faults=st.lists(st.sampled_from(KINDS), min_size=1, max_size=9),
+    once_more=st.booleans(),
     seed=st.integers(0, 1000),
-)  # fmt: skip
+)
 @example(2_000_000, 10_000_000, False, ["hangs"], False, 1)
 @example(2_000_000, 10_000_000, False, ["hangs"] * 5, False, 1)
 @example(2_000_000, 10_000_000, False, ["busy"] * 5, True, 1)
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -84,7 +84,8 @@
 @pytest.mark.parametrize(
     ("data", "rcode"),
     [
-        (b"", None), (b"\0" * 11, None),
+        (b"", None),
+        (b"\0" * 11, None),
         (answer_to(query()), None),
         (b"\0\1\x28\0\0\1\0\0\0\0\0\0" + query()[12:], Rcode.NOTIMP),
         (b"\0\1\0\0\0\2\0\0\0\0\0\0" + query()[12:] * 2, Rcode.FORMERR),
@@ -96,7 +97,7 @@
         (query(use_edns=0)[:-1], Rcode.FORMERR),
         (query(use_edns=0)[:-2] + b"\0\5\0\x0a\0\x09x", Rcode.FORMERR),
     ],
-)  # fmt: skip
+)
 def test_what_cannot_be_answered_is_told_why(data: bytes, rcode: Rcode | None) -> None:
     with pytest.raises(MessageError) as caught:
         parse_query(data)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -245,9 +245,12 @@
 
 KINDS = (RequestClass(1_000_000, 4_000_000, late_priority_weight=0.5, effect=Effect.SAFE),)
 BASE = Settings(
-    classes=KINDS, tenants=(Tenant(0.5), Tenant(0.5)), max_attempts=2, max_retry_after_us=4_000_000,
+    classes=KINDS,
+    tenants=(Tenant(0.5), Tenant(0.5)),
+    max_attempts=2,
+    max_retry_after_us=4_000_000,
     admission=AdmissionSettings(adaptive=False),
-)  # fmt: skip
+)
 
 
 class Fleet:
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -37,9 +37,13 @@
     names["LB_OPERATOR"] = str(operator)
     names |= control.environment(build(folder))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "sagetrack", cwd=ROOT, env=os.environ | names,
+        sys.executable,
+        "-m",
+        "sagetrack",
+        cwd=ROOT,
+        env=os.environ | names,
         stderr=asyncio.subprocess.DEVNULL,
-    )  # fmt: skip
+    )
     try:
         await until(lambda: control.failed or process.returncode is not None)
         await asyncio.sleep(MOMENT_S)
@@ -94,7 +98,11 @@
     file.write_text("no JSON")
     with open("/dev/full", "w") as full:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "sagetrack", cwd=ROOT, stderr=full,
+            sys.executable,
+            "-m",
+            "sagetrack",
+            cwd=ROOT,
+            stderr=full,
             env=os.environ | {"LB_CONFIG": str(file)},
-        )  # fmt: skip
+        )
         assert await process.wait() == 2
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -28,7 +28,7 @@
     running,
     silent,
     until,
-)  # fmt: skip
+)
 from tests.test_gateway_process import READY, ROOT, ask, connect, free_port
 from tests.test_gateway_upgrade import marks, start
 
@@ -161,9 +161,11 @@
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host) | {"listen": f"127.0.0.1:{port}"}))
         process = await asyncio.create_subprocess_shell(
-            f"ulimit -n 64; exec {sys.executable} -m sagetrack", cwd=ROOT,
-            env=os.environ | {"LB_CONFIG": str(file)}, stderr=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
+            f"ulimit -n 64; exec {sys.executable} -m sagetrack",
+            cwd=ROOT,
+            env=os.environ | {"LB_CONFIG": str(file)},
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         try:
             while await ask(port, READY) != 200:
                 assert process.returncode is None
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -16,7 +16,7 @@
     ServerStatus,
     TimerFired,
     WatchEndpoints,
-)  # fmt: skip
+)
 from sagetrack.policy.load_balancer import LIST_TOKEN
 from tests.sockets import (
     Exchange,
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -33,9 +33,14 @@
 
 async def start(environment: dict[str, str]) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "sagetrack", cwd=ROOT, env=os.environ | environment,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "sagetrack",
+        cwd=ROOT,
+        env=os.environ | environment,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
 
 
 def free_port() -> int:
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -40,9 +40,15 @@
     descriptor = listener.fileno()
     names = {"LB_CONFIG": str(file), "LB_ACCEPT_FD": str(descriptor), "TMPDIR": str(folder)}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "sagetrack", cwd=ROOT, env=os.environ | names, pass_fds=[descriptor],
-        stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "sagetrack",
+        cwd=ROOT,
+        env=os.environ | names,
+        pass_fds=[descriptor],
+        stdout=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
 
 
 def as_written(known: dict[str, object]) -> dict[str, object]:
@@ -97,10 +103,15 @@
         known = {"file": plain.fileno(), "unbound": unbound.fileno()}
         number = str(known.get(value, value))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "sagetrack", cwd=ROOT, pass_fds=list(known.values()),
+            sys.executable,
+            "-m",
+            "sagetrack",
+            cwd=ROOT,
+            pass_fds=list(known.values()),
             env=os.environ | {"LB_CONFIG": str(file), "LB_ACCEPT_FD": number, "TMPDIR": str(tmp_path)},
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         _, errors = await process.communicate()
     assert process.returncode == 2
     assert errors.count(b"\n") == 1 and errors.startswith(b"sagetrack: LB_ACCEPT_FD ")
@@ -136,14 +147,19 @@
 @pytest.mark.parametrize(
     "left",
     [
-        b"", b"{", b"[]", b"null", b"\xff", b'{"known":{"index":9}}',
+        b"",
+        b"{",
+        b"[]",
+        b"null",
+        b"\xff",
+        b'{"known":{"index":9}}',
         b'{"discovery":["127.0.0.1",8500],"known":[]}',
         json.dumps(NEWS).encode()[:-5],
         json.dumps(NEWS | {"discovery": ["127.0.0.1", 8501]}).encode(),
         json.dumps(NEWS | {"known": {"index": 7}}).encode(),
         json.dumps(NEWS | {"known": {"index": "new"}}).encode(),
     ],
-)  # fmt: skip
+)
 def test_a_list_that_is_stale_foreign_or_half_written_is_not_used(tmp_path: Path, left: bytes) -> None:
     (tmp_path / LIST).write_bytes(left)
     known = {"index": 7}
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -49,7 +49,7 @@
     SendAttempt,
     ServerStatus,
     TrafficShift,
-)  # fmt: skip
+)
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.migration import LEAST, STEP_US, Move
 from tests.sockets import configuration, on_loop, request, running, until
@@ -159,8 +159,9 @@
     assert outcomes.of_goaway(5, 3) is Outcome.NOT_SENT and outcomes.of_goaway(3, 3) is None
     assert (outcomes.of_loss(True), outcomes.of_loss(False)) == (Outcome.RESET, Outcome.CONNECT_FAILED)
     assert (outcomes.of_deadline(True), outcomes.of_deadline(False)) == (
-        Outcome.TIMEOUT, Outcome.CONNECT_FAILED,
-    )  # fmt: skip
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+    )
 
 
 def test_a_share_moves_by_weight_and_goes_back_when_the_newer_format_fails() -> None:
@@ -241,9 +242,10 @@
 
 @asynccontextmanager
 async def rigged(
-    most: int = 100, on_call: Callable[[NewConnection, Asked], None] | None = None,
+    most: int = 100,
+    on_call: Callable[[NewConnection, Asked], None] | None = None,
     keys: tuple[ssl.SSLContext, Callable[[], ssl.SSLContext | None]] | None = None,
-) -> AsyncIterator[Rig]:  # fmt: skip
+) -> AsyncIterator[Rig]:
     rig: Rig
 
     def make() -> NewConnection:
@@ -639,8 +641,12 @@
     key = b"Idempotency-Key: k%d\r\n" % number if klass == "hold" else b""
     method = b"POST" if klass == "hold" else b"GET"
     return b"%s /%s/7 HTTP/1.1\r\nHost: g\r\nX-Call-Id: id%d\r\nX-Call-Class: %s\r\n%s" % (
-        method, path.encode(), number, klass.encode(), key,
-    )  # fmt: skip
+        method,
+        path.encode(),
+        number,
+        klass.encode(),
+        key,
+    )
 
 
 @on_loop
--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -89,10 +89,17 @@
 @pytest.mark.parametrize(
     "options",
     [
-        ("--gateways", "0"), ("--gateways", "1001"), ("--gateways", "many"), ("--size", "0.5"),
-        ("--size", "21"), ("--size", "nan"), ("--seed", "-1"), ("--seeds", "0"), ("--fault", "unknown"),
+        ("--gateways", "0"),
+        ("--gateways", "1001"),
+        ("--gateways", "many"),
+        ("--size", "0.5"),
+        ("--size", "21"),
+        ("--size", "nan"),
+        ("--seed", "-1"),
+        ("--seeds", "0"),
+        ("--fault", "unknown"),
     ],
-)  # fmt: skip
+)
 def test_an_option_out_of_range_is_one_line(options: tuple[str, ...]) -> None:
     done = CliRunner().invoke(app, ["lab", "jams", *options])
     assert done.exit_code == 2
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -198,9 +198,11 @@
 
 KEYED = Scenario(name="k")
 BASE: list[Record] = [
-    ("start", 0, 1, 0, 0, 0, 1.0), ("start", 0, 2, 0, 1, 0, 1.0),
-    ("ask", 1_000, "c", 0, 0, 0, 500_000, 5, "1", 1), ("recv", 2_000, "c", 1, 0, "taken", 100, 1_500),
-]  # fmt: skip
+    ("start", 0, 1, 0, 0, 0, 1.0),
+    ("start", 0, 2, 0, 1, 0, 1.0),
+    ("ask", 1_000, "c", 0, 0, 0, 500_000, 5, "1", 1),
+    ("recv", 2_000, "c", 1, 0, "taken", 100, 1_500),
+]
 END: Record = ("told", 9**9, 0, 1, "SERVING")
 DRAIN: Record = ("told", 3_000, 0, 2, "DRAINING")
 COLD: Record = ("start", 4_000, 3, 0, 0, 1, 1.0)
@@ -217,8 +219,11 @@
         ("one_answer", {}, [("answer", 4_000, "c", 0, "broken", 0)]),
         ("one_answer", {}, [("told", 900_000, 0, 1, "SERVING")]),
         ("", {}, [("gateway", 500, 0, "down"), ("answer", 4_000, "c", 0, "broken", 0)]),
-        ("one_answer", {}, [("gateway", 500, 0, "down"), ("gateway", 800, 0, "up"),
-                            ("answer", 4_000, "c", 0, "broken", 0)]),
+        (
+            "one_answer",
+            {},
+            [("gateway", 500, 0, "down"), ("gateway", 800, 0, "up"), ("answer", 4_000, "c", 0, "broken", 0)],
+        ),
         ("", RACK, [("recv", 2_500, "c", 1, 0, "taken", 100, 2_500), SERVED]),
         ("repeats", RACK, [("recv", 2_500, "c", 2, 0, "taken", 100, 2_500), SERVED]),
         ("repeats", RACK, [("recv", 6_000_000, "c", 1, 0, "taken", 100, 6_000_000), SERVED]),
@@ -230,7 +235,7 @@
         ("cold_budget", {}, [SERVED, COLD, ("recv", 5_000, "d", 3, 0, "taken", 3_000_000, 5_000)]),
         ("", {}, [SERVED, COLD, ("recv", 5_000, "d", 3, 0, "taken", 2_000_000, 5_000)]),
     ],
-)  # fmt: skip
+)
 def test_a_judge_tells_right_from_wrong(rule: str, settings: dict[str, object], more: list[Record]) -> None:
     records = Records()
     records.rows = BASE + more
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -30,7 +30,7 @@
     RequestArrived,
     SetTimer,
     TimerFired,
-)  # fmt: skip
+)
 from tests.sockets import (
     Client,
     Running,
@@ -44,7 +44,7 @@
     running,
     silent,
     until,
-)  # fmt: skip
+)
 from tests.test_crossings import Late, outcomes
 from tests.test_h2 import Rig, asked_for, head_of, rigged
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -44,9 +44,14 @@
     row = json.loads(line)
     assert row.pop("timestamp").endswith("Z")
     assert row == {
-        "event": "refused", "level": "info", "gateway": "g1", "server": "s-1", "call": "c", "class": "lookup",
+        "event": "refused",
+        "level": "info",
+        "gateway": "g1",
+        "server": "s-1",
+        "call": "c",
+        "class": "lookup",
         "member": "acme",
-    }  # fmt: skip
+    }
 
 
 def test_the_plain_log_heeds_a_level(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
     RequestCancelled,
     ServerStatus,
     TimerFired,
-)  # fmt: skip
+)
 from sagetrack.policy.load_balancer import COLD_COST, CROWD, HELD, SUBSET
 from tests.helpers import SAFE, SETTINGS, Driver, sends, timers, trip
 
@@ -228,7 +228,7 @@
         overload_window_us=3 * SECOND_US,
         overload_multiple=4.0,
         classes=(replace(SAFE, latency_objective_us=4 * SECOND_US, request_timeout_us=8 * SECOND_US),),
-    )  # fmt: skip
+    )
     driver = Driver(settings, servers=0)
     driver.list_servers(*(ListedServer(n, ServerStatus.READY, started_us=driver.now_us) for n in range(25)))
     return driver
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -38,10 +38,17 @@
 
 NOW = 1_700_000_000_000_000
 SIGHTS = st.builds(
-    Observation, st.integers(1, 4), st.sampled_from([0, 5_000_000]), st.integers(0, 3),
-    st.integers(NOW - 3, NOW), st.integers(0, 2), st.integers(NOW, NOW + 2),
-    st.sampled_from([0.05, 0.5, 1.0]), st.booleans(), st.integers(0, 2),
-)  # fmt: skip
+    Observation,
+    st.integers(1, 4),
+    st.sampled_from([0, 5_000_000]),
+    st.integers(0, 3),
+    st.integers(NOW - 3, NOW),
+    st.integers(0, 2),
+    st.integers(NOW, NOW + 2),
+    st.sampled_from([0.05, 0.5, 1.0]),
+    st.booleans(),
+    st.integers(0, 2),
+)
 
 
 # The codec
@@ -370,9 +377,16 @@
 
     def node(me: int, sights: list[Observation]) -> Node:
         return Node(
-            me, addresses[me], addresses, Settings(period_us=20_000, timeout_us=10_000), me, learned.append,
-            lambda: (sights, []), lambda: lives, warm=me == 0,
-        )  # fmt: skip
+            me,
+            addresses[me],
+            addresses,
+            Settings(period_us=20_000, timeout_us=10_000),
+            me,
+            learned.append,
+            lambda: (sights, []),
+            lambda: lives,
+            warm=me == 0,
+        )
 
     nodes = [node(0, []), node(1, facts(3))]
     for each in nodes:
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -20,7 +20,7 @@
     may_retry,
     may_send,
     may_take_clients,
-)  # fmt: skip
+)
 from sagetrack.policy.interface import Outcome, RequestArrived, RequestClass, SendAttempt
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, peer, request, running, silent, until
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -115,10 +115,15 @@
         "sys.exit(main())\n"
     )
     done = subprocess.run(
-        [sys.executable, str(script)], cwd=ROOT, text=True, capture_output=True, timeout=60,
-        env=os.environ | {"LB_CONFIG": str(config), "PYTHONPATH": str(ROOT), "TMPDIR": str(tmp_path)}
+        [sys.executable, str(script)],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=60,
+        env=os.environ
+        | {"LB_CONFIG": str(config), "PYTHONPATH": str(ROOT), "TMPDIR": str(tmp_path)}
         | {"SAGETRACK_STARTUP": "1"},
-    )  # fmt: skip
+    )
     assert done.returncode == 0, done.stderr
     loaded = set(done.stdout.split())
     assert "sagetrack.server.gateway_assembly" in loaded
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -79,9 +79,14 @@
 PLAIN = Settings(classes=CLASSES, hedging=True)
 TENANTED = replace(PLAIN, tenants=TENANTS, over_quota_priority=0.2)
 COLD = replace(
-    TENANTED, start_capacity=0.1, warm_after_us=8_000_000, overload_multiple=2.0, overload_window_us=500_000,
-    prices=Prices(cross_zone=0.05), warm_keys=True,
-)  # fmt: skip
+    TENANTED,
+    start_capacity=0.1,
+    warm_after_us=8_000_000,
+    overload_multiple=2.0,
+    overload_window_us=500_000,
+    prices=Prices(cross_zone=0.05),
+    warm_keys=True,
+)
 DOOR = replace(COLD, admission=AdmissionSettings(), clients_mark_retries=True)
 DAYS: dict[str, tuple[Settings, int]] = {  # settings, servers
     "plain": (PLAIN, 12),
@@ -184,11 +189,20 @@
         name = f"r{self.next_request}"
         tenant = min(roll.randrange(6), roll.randrange(6))
         key = roll.randrange(12) if roll.random() < 0.6 else None
-        self.handle(RequestArrived(
-            name, klass, client_timeout_us, key, int(roll.expovariate(1 / 8000)) or None, repeat, tenant,
-            uploading=roll.random() < 0.02, client=roll.randrange(20),
-            mirror_target=roll.randrange(2) if self.settings.grpc_kinds and roll.random() < 0.05 else -1,
-        ))  # fmt: skip
+        self.handle(
+            RequestArrived(
+                name,
+                klass,
+                client_timeout_us,
+                key,
+                int(roll.expovariate(1 / 8000)) or None,
+                repeat,
+                tenant,
+                uploading=roll.random() < 0.02,
+                client=roll.randrange(20),
+                mirror_target=roll.randrange(2) if self.settings.grpc_kinds and roll.random() < 0.05 else -1,
+            )
+        )
 
     def answer(self) -> None:
         if not self.out:
@@ -209,9 +223,13 @@
         cold = self.settings.warm_after_us and roll.random() < 0.5
         started_us = self.now_us - roll.randrange(2_000_000) if cold else 0 * roll.randrange(2)  # long ago
         return ListedServer(
-            number, weight=roll.choice((1.0, 1.0, 0.5, 2.0)), zone=roll.randrange(3), group=roll.randrange(4),
-            kind=roll.randrange(2), started_us=started_us,
-        )  # fmt: skip
+            number,
+            weight=roll.choice((1.0, 1.0, 0.5, 2.0)),
+            zone=roll.randrange(3),
+            group=roll.randrange(4),
+            kind=roll.randrange(2),
+            started_us=started_us,
+        )
 
     def list_all(self) -> None:
         while len(self.entries) < self.most:
@@ -252,10 +270,19 @@
             state = OPEN if roll.random() < 0.4 else CLOSED
             by = roll.randrange(1, 4)
             seen_us, left_us = self.now_us - roll.randrange(1_000_000), roll.randrange(1, 2_000_000)
-            sights.append(Observation(
-                number, self.entries[number].started_us, by, seen_us, state, self.now_us + left_us,
-                roll.uniform(0.05, 1.0), roll.random() < 0.2, 0,
-            ))  # fmt: skip
+            sights.append(
+                Observation(
+                    number,
+                    self.entries[number].started_us,
+                    by,
+                    seen_us,
+                    state,
+                    self.now_us + left_us,
+                    roll.uniform(0.05, 1.0),
+                    roll.random() < 0.2,
+                    0,
+                )
+            )
         self.handle(ObservationsReceived(tuple(sights), (ClassLatency(0, 9_000.0, 7_000.0),)))
 
     def odd(self) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -117,12 +117,23 @@
 # is kept now, so that the first whole list and one that takes many away at once pay it in, and nothing else.
 # `gateways` is one step up of 71, from four on, where a call asks for its part of all places, and no slope.
 CEILINGS = {
-    "decision-by-tenants": 0.1, "decision-by-servers": 0.5, "decision-by-gateways": 2.0,
-    "decision-by-services": 0.5, "repeat-by-servers": 35.0, "refusal-by-servers": 0.5,
-    "list-by-servers": 608.0, "change-by-servers": 0.5, "zone-by-servers": 94.0, "sights-by-servers": 18.1,
-    "configuration-by-tenants": 143.0, "text-by-servers": 0.01, "handing-on-by-servers": 0.01,
-    "demands-by-tenants": 21.0, "warm-start-by-servers": 150.0, "learned-by-servers": 21.5,
-}  # fmt: skip
+    "decision-by-tenants": 0.1,
+    "decision-by-servers": 0.5,
+    "decision-by-gateways": 2.0,
+    "decision-by-services": 0.5,
+    "repeat-by-servers": 35.0,
+    "refusal-by-servers": 0.5,
+    "list-by-servers": 608.0,
+    "change-by-servers": 0.5,
+    "zone-by-servers": 94.0,
+    "sights-by-servers": 18.1,
+    "configuration-by-tenants": 143.0,
+    "text-by-servers": 0.01,
+    "handing-on-by-servers": 0.01,
+    "demands-by-tenants": 21.0,
+    "warm-start-by-servers": 150.0,
+    "learned-by-servers": 21.5,
+}
 
 
 @pytest.mark.parametrize("probe", CEILINGS)
@@ -187,8 +198,10 @@
 
 
 def test_a_warm_start_is_told_a_bounded_number_of_datagrams() -> None:
-    points = [KNOWN["warm-start-by-servers"].run(FleetAhead(Sizes(), 1), size, Meter(False))
-              for size in (100, 1_000, 2_000)]  # fmt: skip
+    points = [
+        KNOWN["warm-start-by-servers"].run(FleetAhead(Sizes(), 1), size, Meter(False))
+        for size in (100, 1_000, 2_000)
+    ]
     assert points[0]["entries"] == 100  # all of them
     assert [point["messages"] for point in points[1:]] == [32, 32]
     assert points[1]["entries"] == points[2]["entries"] < 1_000
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
     Sent,
     Unanswered,
     Whole,
-)  # fmt: skip
+)
 from sagetrack.lab.soak.fault_schedule import Kind, drawn
 from sagetrack.lab.soak.oracle import History, Restart, Withdrawal, judge
 from sagetrack.lab.soak.run import Size, soak
@@ -34,8 +34,11 @@
 
 
 GOOD: list[AnyEvent] = [
-    sent(), Begun(1_000, "c", 0, 1, 999), Whole(1_100, "c", 0, 1), Answered(30_000, "c", 200, True),
-]  # fmt: skip
+    sent(),
+    Begun(1_000, "c", 0, 1, 999),
+    Whole(1_100, "c", 0, 1),
+    Answered(30_000, "c", 200, True),
+]
 
 
 def rules(told: list[AnyEvent], history: History | None = None) -> set[str]:
@@ -79,8 +82,14 @@
 
 
 def test_a_kept_connection_may_end_under_a_request_that_nobody_has_begun() -> None:
-    assert not rules([sent(), Unanswered(1_000, "c", True), sent(2_000, again=True, fresh=True),
-                      Answered(3_000, "c", 200, True)])  # fmt: skip
+    assert not rules(
+        [
+            sent(),
+            Unanswered(1_000, "c", True),
+            sent(2_000, again=True, fresh=True),
+            Answered(3_000, "c", 200, True),
+        ]
+    )
 
 
 def test_a_withdrawn_server_gets_nothing_after_word_counts() -> None:
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -161,22 +161,50 @@
     told = sights_from(by=10, facts=tell.servers, lives=lives, now_us=heard_us)
     assert sorted(told, key=lambda sight: sight.server) == [
         Observation(
-            server=7, started_us=0, by=10, seen_us=heard_us, state=HALF_OPEN, open_until_us=heard_us,
-            weight=0.62, jammed=False, spent_us=65_535_000,
+            server=7,
+            started_us=0,
+            by=10,
+            seen_us=heard_us,
+            state=HALF_OPEN,
+            open_until_us=heard_us,
+            weight=0.62,
+            jammed=False,
+            spent_us=65_535_000,
         ),
         Observation(
-            server=8, started_us=NOW_US - 5_000_000, by=10, seen_us=heard_us - 59_000_000, state=CLOSED,
-            open_until_us=heard_us, weight=0.33, jammed=True, spent_us=0,
+            server=8,
+            started_us=NOW_US - 5_000_000,
+            by=10,
+            seen_us=heard_us - 59_000_000,
+            state=CLOSED,
+            open_until_us=heard_us,
+            weight=0.33,
+            jammed=True,
+            spent_us=0,
         ),
         Observation(
-            server=0x1A2B3C4D, started_us=NOW_US - 3_600_000_000, by=10, seen_us=heard_us - 250_000,
-            state=CLOSED, open_until_us=heard_us, weight=1.0, jammed=False, spent_us=0,
+            server=0x1A2B3C4D,
+            started_us=NOW_US - 3_600_000_000,
+            by=10,
+            seen_us=heard_us - 250_000,
+            state=CLOSED,
+            open_until_us=heard_us,
+            weight=1.0,
+            jammed=False,
+            spent_us=0,
         ),
         Observation(
-            server=0xFFFFFFFF, started_us=NOW_US - 90_000_123, by=10, seen_us=heard_us - 1_000_000,
-            state=OPEN, open_until_us=heard_us + 4_000_000, weight=0.05, jammed=True, spent_us=12_000,
+            server=0xFFFFFFFF,
+            started_us=NOW_US - 90_000_123,
+            by=10,
+            seen_us=heard_us - 1_000_000,
+            state=OPEN,
+            open_until_us=heard_us + 4_000_000,
+            weight=0.05,
+            jammed=True,
+            spent_us=12_000,
         ),
-    ]  # fmt: skip
+    ]
 
 
 def test_demands_in_a_datagram_keep_their_units() -> None:
