--- a/sagetrack/__main__.py
+++ b/sagetrack/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> int:
+    """Run the gateway, or a command if one is given; returns the exit status."""
     if len(sys.argv) > 1:
         from sagetrack.cli.app import main as command_line  # late: the platform's path needs none of it
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -313,6 +313,27 @@
         elif what == 8 and self.settings.grpc_kinds:
             self.handle(TrafficShift({0: (0.5, 1.5)}, {1: (1.0, 0.0)}))
 
+    def fire_timers(self) -> None:
+        """Timers that are due, and attempts whose time is over."""
+        while self.timers and self.timers[0][0] <= self.now_us:
+            self.handle(TimerFired(heapq.heappop(self.timers)[1]))
+        for sent in [s for s in self.out if s[2] + s[0].timeout_us <= self.now_us]:
+            if sent in self.out:
+                self.end(sent, Outcome.TIMEOUT)
+
+    def draw_event(self, slow: bool) -> None:
+        point = self.random.random()
+        if point < 0.45:
+            self.arrive()
+        elif point < (0.6 if slow else 0.96):
+            self.answer()
+        elif point < 0.975:
+            self.change_list()
+        elif point > 0.998:
+            self.list_all()
+        elif point > 0.975:
+            self.odd()
+
     def play(self) -> list[str]:
         """A digest of all actions so far at the end of each quarter."""
         roll, marks = self.random, []
@@ -320,22 +341,8 @@
         for number in range(1, EVENTS + 1):
             slow = self.now_us < self.slow_until_us
             self.now_us += int(roll.expovariate(1 / 3000))
-            while self.timers and self.timers[0][0] <= self.now_us:
-                self.handle(TimerFired(heapq.heappop(self.timers)[1]))
-            for sent in [s for s in self.out if s[2] + s[0].timeout_us <= self.now_us]:
-                if sent in self.out:
-                    self.end(sent, Outcome.TIMEOUT)
-            point = roll.random()
-            if point < 0.45:
-                self.arrive()
-            elif point < (0.6 if slow else 0.96):
-                self.answer()
-            elif point < 0.975:
-                self.change_list()
-            elif point > 0.998:
-                self.list_all()
-            elif point > 0.975:
-                self.odd()
+            self.fire_timers()
+            self.draw_event(slow)
             for sent in self.out[:1]:
                 if roll.random() < 0.2:
                     self.handle(AttemptSent(sent[0].request, sent[1]))
