--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -387,7 +387,7 @@
     day = Day(*DAYS[name], seed)
     assert day.play() == DIGESTS[f"{name} {seed}"], "the first mark that differs tells the quarter"
     # An empty day would prove nothing.
-    assert day.counts["Send"] > 500 and day.counts["Refuse"] > 10 and day.counts["further"] > 20
+    assert day.counts["SendAttempt"] > 500 and day.counts["Reject"] > 10 and day.counts["further"] > 20
 
 
 if __name__ == "__main__":
