--- a/sagetrack/core/bodies.py
+++ b/sagetrack/core/bodies.py
@@ -11,18 +11,18 @@
 
 from sagetrack.core.clock import now_us
 
-LARGE_LIMIT = 32 * 1024 * 1024  # of a body that passes through, either way
-HIGH = 64 * 1024  # bytes held for one body before its sender is paused
-LEAST = 8 * 1024  # the same where very many are under way
+STREAMED_BODY_LIMIT = 32 * 1024 * 1024  # of a body that passes through, either way
+MAX_BUFFER_PER_BODY = 64 * 1024  # bytes held for one body before its sender is paused
+MIN_BUFFER_PER_BODY = 8 * 1024  # the same where very many are under way
 HELD_SHARE = 0.125  # of the memory limit, for all bodies under way together
-STALL_S = 10.0  # without a byte moved: the side that does not take or give it is given up
+BODY_STALL_TIMEOUT_S = 10.0  # without a byte moved: the side that does not take or give it is given up
 
 
-def nothing() -> None:
+def do_nothing() -> None:
     """Nobody is to be told."""
 
 
-class Allowance:
+class BodyMemoryBudget:
     """What all bodies under way may hold together: the more there are, the less for each."""
 
     __slots__ = ("active", "total")
@@ -33,88 +33,88 @@
 
     @property
     def each(self) -> int:
-        return max(LEAST, min(HIGH, self.total // max(1, self.active)))
+        return max(MIN_BUFFER_PER_BODY, min(MAX_BUFFER_PER_BODY, self.total // max(1, self.active)))
 
 
-class Upload:
+class StreamedBody:
     """A request's body between the client that sends it and the host that it goes to."""
 
     __slots__ = (
-        "allowance",
-        "begun",
-        "broken",
+        "body_budget",
         "buffered",
+        "chunks",
+        "completed_us",
         "discarding",
-        "ended",
-        "ended_us",
+        "forwarding_started",
+        "is_aborted",
+        "is_complete",
         "length",
+        "on_capacity",
+        "on_complete",
         "on_data",
-        "on_end",
-        "on_room",
-        "pieces",
         "received",
     )
 
-    def __init__(self, length: int | None, allowance: Allowance) -> None:
+    def __init__(self, length: int | None, body_budget: BodyMemoryBudget) -> None:
         self.length = length  # None: it comes in chunks
-        self.allowance = allowance
-        allowance.active += 1
-        self.pieces: deque[bytes] = deque()
+        self.body_budget = body_budget
+        body_budget.active += 1
+        self.chunks: deque[bytes] = deque()
         self.buffered = 0
         self.received = 0
-        self.ended = False  # its last byte has come
-        self.ended_us = 0
-        self.broken = False  # its last byte will never come
-        self.begun = False  # some of it has gone on: no other host can be sent all of it
+        self.is_complete = False  # its last byte has come
+        self.completed_us = 0
+        self.is_aborted = False  # its last byte will never come
+        self.forwarding_started = False  # some of it has gone on: no other host can be sent all of it
         self.discarding = False  # nobody wants the rest
-        self.on_data: Callable[[], None] = nothing  # there is more to take, or the end
-        self.on_room: Callable[[], None] = nothing  # the sender may go on
-        self.on_end: Callable[[], None] = nothing  # the last byte has come
+        self.on_data: Callable[[], None] = do_nothing  # there is more to take, or the end
+        self.on_capacity: Callable[[], None] = do_nothing  # the sender may go on
+        self.on_complete: Callable[[], None] = do_nothing  # the last byte has come
 
     @property
     def is_full(self) -> bool:
         """Whether its sender has to wait."""
-        return not self.discarding and self.buffered >= self.allowance.each
+        return not self.discarding and self.buffered >= self.body_budget.each
 
     @property
-    def is_over(self) -> bool:
-        return self.ended or self.broken
+    def is_finished(self) -> bool:
+        return self.is_complete or self.is_aborted
 
     def feed(self, data: bytes) -> None:
         self.received += len(data)
         if self.discarding:
             return
-        self.pieces.append(data)
+        self.chunks.append(data)
         self.buffered += len(data)
         self.on_data()
 
     def take(self) -> bytes:
         """The next piece; its sender may go on once there is room."""
         was_full = self.is_full
-        piece = self.pieces.popleft()
-        self.begun = True
+        piece = self.chunks.popleft()
+        self.forwarding_started = True
         self.buffered -= len(piece)
         if was_full and not self.is_full:
-            self.on_room()
+            self.on_capacity()
         return piece
 
-    def end(self) -> None:
-        if not self.is_over:
-            self.ended, self.ended_us = True, now_us()
-            self.allowance.active -= 1
-            self.on_end()
+    def complete(self) -> None:
+        if not self.is_finished:
+            self.is_complete, self.completed_us = True, now_us()
+            self.body_budget.active -= 1
+            self.on_complete()
             self.on_data()
 
-    def fail(self) -> None:
-        if not self.is_over:
-            self.broken = True
-            self.allowance.active -= 1
+    def abort(self) -> None:
+        if not self.is_finished:
+            self.is_aborted = True
+            self.body_budget.active -= 1
         self.discard()
 
     def discard(self) -> None:
         """Let what is held and what still comes go nowhere."""
         self.discarding = True
-        self.on_data = self.on_end = nothing
-        self.pieces.clear()
+        self.on_data = self.on_complete = do_nothing
+        self.chunks.clear()
         self.buffered = 0
-        self.on_room()
+        self.on_capacity()
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -10,60 +10,60 @@
 from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
 from sagetrack.policy.interface import Settings
 
-SILENCE_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
+SILENT_WATCH_LIMIT_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
 AFTER_WAIT_S = 2.0  # or this long after the wait that was asked for is over, if that is later
 BUSY_S = 2.6  # beside the longest pause, after a second refusal in a row: 4 s together
 RETRY_HOLD_S = 0.001  # for news, after a failure: the least that can be asked for
-REST_S = 0.015  # a second answer comes some milliseconds after the first (seen: 1.6 to 8.6)
-LEAST_GRACE_S = 0.4  # what is planned with where the settings allow less: a call needs some time
+REUSE_DELAY_S = 0.015  # a second answer comes some milliseconds after the first (seen: 1.6 to 8.6)
+MIN_GRACE_S = 0.4  # what is planned with where the settings allow less: a call needs some time
 
 
 @dataclass(slots=True, frozen=True)
-class Watching:
+class DiscoveryTimeouts:
     """How the list of servers is asked for."""
 
-    hold_s: float  # how long a watch asks to wait for news
-    retry_hold_s: float  # the same for the first one after a failure
-    answer_s: float  # for an answer, beyond that wait
-    connect_s: float
-    pause_s: float  # at most, after a failure; where the module asks again, after the first
-    longest_pause_s: float  # at most, after any number of failures
-    busy_s: float  # at most, besides that, after a second refusal in a row
-    first_s: float  # at the start: how long clients may be kept waiting for the first list
+    poll_wait_s: float  # how long a watch asks to wait for news
+    retry_poll_wait_s: float  # the same for the first one after a failure
+    response_timeout_s: float  # for an answer, beyond that wait
+    connect_timeout_s: float
+    first_backoff_s: float  # at most, after a failure; where the module asks again, after the first
+    max_backoff_s: float  # at most, after any number of failures
+    rejection_backoff_s: float  # at most, besides that, after a second refusal in a row
+    initial_list_timeout_s: float  # at the start: how long clients may be kept waiting for the first list
 
     @property
-    def call_s(self) -> float:
+    def max_call_s(self) -> float:
         """The longest time for a call, from the connection on, that waits for no news."""
-        return self.connect_s + self.answer_s
+        return self.connect_timeout_s + self.response_timeout_s
 
     @property
-    def noticed_s(self) -> float:
+    def max_stall_s(self) -> float:
         """The longest time from a watch's falling silent to the answer on the next connection."""
-        return self.hold_s + self.answer_s + self.pause_s + self.call_s
+        return self.poll_wait_s + self.response_timeout_s + self.first_backoff_s + self.max_call_s
 
     @property
-    def returned_s(self) -> float:
+    def max_recovery_s(self) -> float:
         """The longest time from discovery's return, after failures, to its answer.
 
         The call that is under way then has been lost: it is given up. The one after it may be refused, as
         many ask at a return.
         """
-        lost_s = max(self.connect_s, self.retry_hold_s + self.answer_s)
-        refused_s = self.longest_pause_s + self.call_s
-        return lost_s + refused_s + self.longest_pause_s + self.call_s
+        lost_s = max(self.connect_timeout_s, self.retry_poll_wait_s + self.response_timeout_s)
+        max_rejection_s = self.max_backoff_s + self.max_call_s
+        return lost_s + max_rejection_s + self.max_backoff_s + self.max_call_s
 
     @property
-    def refused_s(self) -> float:
+    def max_rejection_s(self) -> float:
         """The longest time from the last of several refusals to the answer."""
-        return self.longest_pause_s + self.busy_s + self.call_s
+        return self.max_backoff_s + self.rejection_backoff_s + self.max_call_s
 
     @property
-    def moved_s(self) -> float:
+    def max_relocation_s(self) -> float:
         """The longest time from a new address to its answer, where the first call there fails."""
-        return self.call_s + self.longest_pause_s + self.call_s
+        return self.max_call_s + self.max_backoff_s + self.max_call_s
 
 
-def watching(settings: Settings) -> Watching:
+def discovery_timeouts(settings: Settings) -> DiscoveryTimeouts:
     """Limits that bring every change of the list here before the grace for sending has passed.
 
     G is the grace, and at least 0.4 s where limits are shares of it.
@@ -107,26 +107,26 @@
 
         call 7/8 g + pause 1.4 + call 7/8 g = 1.4 + 7/4 g    (G = 2: 4.9 of 6)
     """
-    grace_s = max(LEAST_GRACE_S, settings.stop_sending_within_us / 1e6)
+    grace_s = max(MIN_GRACE_S, settings.stop_sending_within_us / 1e6)
     if settings.endpoints_are_pushed:
-        return Watching(
-            hold_s=grace_s / 4,
-            retry_hold_s=0.0,
-            answer_s=grace_s / 8,
-            connect_s=grace_s / 8,
-            pause_s=grace_s / 16,
-            longest_pause_s=grace_s / 16,
-            busy_s=0.0,
-            first_s=grace_s / 4,
+        return DiscoveryTimeouts(
+            poll_wait_s=grace_s / 4,
+            retry_poll_wait_s=0.0,
+            response_timeout_s=grace_s / 8,
+            connect_timeout_s=grace_s / 8,
+            first_backoff_s=grace_s / 16,
+            max_backoff_s=grace_s / 16,
+            rejection_backoff_s=0.0,
+            initial_list_timeout_s=grace_s / 4,
         )
     planned_s = min(grace_s, (4.0 + grace_s) / 3)
-    return Watching(
-        hold_s=SILENCE_S - AFTER_WAIT_S,
-        retry_hold_s=RETRY_HOLD_S,
-        answer_s=planned_s / 2,
-        connect_s=planned_s * 3 / 8,
-        pause_s=FIRST_PAUSE_US / 1e6,
-        longest_pause_s=LONGEST_PAUSE_US / 1e6,
-        busy_s=BUSY_S,
-        first_s=0.0,
+    return DiscoveryTimeouts(
+        poll_wait_s=SILENT_WATCH_LIMIT_S - AFTER_WAIT_S,
+        retry_poll_wait_s=RETRY_HOLD_S,
+        response_timeout_s=planned_s / 2,
+        connect_timeout_s=planned_s * 3 / 8,
+        first_backoff_s=FIRST_PAUSE_US / 1e6,
+        max_backoff_s=LONGEST_PAUSE_US / 1e6,
+        rejection_backoff_s=BUSY_S,
+        initial_list_timeout_s=0.0,
     )
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -11,7 +11,7 @@
 Header = tuple[bytes, bytes]
 
 
-class Reply:
+class Response:
     """One whole answer, or the head of one whose body passes through."""
 
     __slots__ = ("body", "headers", "keep_alive", "length", "status")
@@ -39,11 +39,11 @@
     """Who tells what servers there are."""
 
     @property
-    def unheard_us(self) -> int | None:
+    def time_without_contact_us(self) -> int | None:
         """How long before the list that is being told there was no word of it; None: there was none yet."""
         ...
 
-    def take_known(self, raw: dict[str, Any]) -> None:
+    def restore_known_endpoints(self, raw: dict[str, Any]) -> None:
         """Begin with the list from before."""
         ...
 
@@ -60,19 +60,19 @@
     others: int  # that run
     serving: int  # those of them that serve
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Count them again."""
         ...
 
-    def serve(self) -> None:
+    def mark_serving(self) -> None:
         """Say that this process takes clients."""
         ...
 
-    def begin_leaving(self) -> None:
+    def mark_draining(self) -> None:
         """Say that this process takes clients no longer."""
         ...
 
-    def leave(self) -> None: ...
+    def release(self) -> None: ...
 
 
 class NoSiblings:
@@ -81,14 +81,14 @@
     others = 0
     serving = 0
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """There is nobody to count."""
 
-    def serve(self) -> None:
+    def mark_serving(self) -> None:
         """There is nobody to tell."""
 
-    def begin_leaving(self) -> None:
+    def mark_draining(self) -> None:
         """There is nobody to tell."""
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """There is nobody to tell."""
--- a/sagetrack/core/event_trace.py
+++ b/sagetrack/core/event_trace.py
@@ -19,13 +19,13 @@
     """What has happened."""
 
     ATTEMPT_FAILED = "attempt_failed"
-    ATTEMPT_WITHHELD = "attempt_withheld"
-    REFUSED = "refused"
+    ATTEMPT_DENIED = "attempt_withheld"
+    REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_LEFT = "client_left"
-    CLOSED = "closed"  # a client's connection, by this process
+    CLIENT_GONE = "client_left"
+    CONNECTION_CLOSED = "closed"  # a client's connection, by this process
     VIOLATION = "violation"
-    STATE = "state"  # of this process, of a server or of discovery
+    STATE_CHANGED = "state"  # of this process, of a server or of discovery
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -16,11 +16,11 @@
 from sagetrack.core.clock import now_us, wall_us
 from sagetrack.core.endpoints import Endpoint, EndpointSource
 from sagetrack.core.event_trace import Step, Trace
-from sagetrack.core.interfaces import Answer, Attempt, Call, Recorder, Source, UpstreamPool
-from sagetrack.core.invariants import InvariantViolations, Rule
+from sagetrack.core.interfaces import AnyResponse, Attempt, Call, Recorder, Source, UpstreamPool
+from sagetrack.core.invariants import Invariant, InvariantViolations
 from sagetrack.core.log import log
-from sagetrack.core.metrics import Counter, Metrics, Reasons
-from sagetrack.core.send_rules import DenialReason, Sending, ServerState, may_retry, may_send
+from sagetrack.core.metrics import Counter, Metrics, ReasonCounter
+from sagetrack.core.send_rules import AttemptRecord, DenialReason, ServerState, may_retry, may_send
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -64,28 +64,28 @@
     call: Call
     deadline_us: int
     attempts: list[Attempt | None] = field(default_factory=list)  # None: never sent
-    sendings: list[Sending] = field(default_factory=list)  # the same, as far as repeats depend on them
-    out: int = 0
+    sendings: list[AttemptRecord] = field(default_factory=list)  # the same, as far as repeats depend on them
+    attempts_in_flight: int = 0
     stream: Attempt | None = None  # the one whose answer the client is getting
-    closed: bool = False
+    is_finished: bool = False
     timed_out: bool = False
     overdue: bool = False  # was found unanswered past its time
 
     def left_us(self, now_us: int) -> int:
         """What is left of its client's time, which counts from its last byte."""
-        upload = self.call.upload
-        if upload is None:
+        streamed_body = self.call.streamed_body
+        if streamed_body is None:
             return self.deadline_us - now_us
-        since_us = upload.ended_us if upload.ended else now_us
+        since_us = streamed_body.completed_us if streamed_body.is_complete else now_us
         return since_us + self.call.client_timeout_us - now_us
 
     @property
     def is_current(self) -> bool:
         """Whether it was taken, which is when its last byte had come, and has not ended."""
         return (
-            not self.closed
+            not self.is_finished
             and self.call.mirror_target < 0
-            and (self.call.upload is None or self.call.upload.ended)
+            and (self.call.streamed_body is None or self.call.streamed_body.is_complete)
         )
 
 
@@ -109,61 +109,66 @@
     """One protocol's calls: one module, one back. Made on a running loop."""
 
     def __init__(
-        self, settings: Settings, seed: int, classes: Sequence[str], back: UpstreamPool, known: dict[str, Any]
+        self,
+        settings: Settings,
+        seed: int,
+        classes: Sequence[str],
+        upstream: UpstreamPool,
+        known: dict[str, Any],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.balancer = LoadBalancer(settings, seed)
-        self.back = back
-        self.roster: EndpointSource | None = None  # from the start on
+        self.upstream = upstream
+        self.endpoint_source: EndpointSource | None = None  # from the start on
         self.events: deque[Callable[[], Event | None]] = deque()
         self.handling = False
-        self.held: dict[str, InFlightRequest] = {}
+        self.in_flight: dict[str, InFlightRequest] = {}
         self.closed = False
-        self.known = known
+        self.known_endpoints = known
         self.recorder: Recorder | None = None
-        self.places: dict[int, ListedServer] = {}  # the servers that are listed
+        self.listed_servers: dict[int, ListedServer] = {}  # the servers that are listed
         self.trace = Trace()
         self.violations = InvariantViolations(self.trace)
-        self.withheld = Reasons("withheld_total", "reason", (denial.value for denial in DenialReason))
-        self.ended = Reasons("attempts_total", "outcome", (outcome.value for outcome in Outcome))
-        self.unserved = Reasons("refused_total", "reason", ())
+        self.withheld = ReasonCounter("withheld_total", "reason", (denial.value for denial in DenialReason))
+        self.ended = ReasonCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome))
+        self.unserved = ReasonCounter("refused_total", "reason", ())
         self.watcher: asyncio.TimerHandle | None = None
         gauges = {
-            "current": lambda: sum(held.is_current for held in self.held.values()),
-            "cluster_size": lambda: len(self.back.listed),
+            "current": lambda: sum(held.is_current for held in self.in_flight.values()),
+            "cluster_size": lambda: len(self.upstream.listed),
             "cluster_unhealthy": lambda: self.balancer.avoided(),
         }
         self.metrics = Metrics(classes, gauges)
         for counts in (self.violations, self.withheld, self.ended, self.unserved):
-            self.metrics.more.append(counts.figures)
+            self.metrics.extra_figures.append(counts.figures)
 
-    def start(self, roster: EndpointSource) -> None:
+    def start(self, endpoint_source: EndpointSource) -> None:
         """Begin with the list from before, and ask for a newer one when the module says so."""
-        self.roster = roster
-        roster.take_known(self.known)
+        self.endpoint_source = endpoint_source
+        endpoint_source.restore_known_endpoints(self.known_endpoints)
         self.watcher = self.loop.call_later(WATCH_S, self.answer_overdue)
 
-    def share(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """So many processes are this gateway now."""
         self.post(lambda: ProcessCountChanged(processes))
 
-    def lives(self) -> dict[int, int]:
+    def server_start_times(self) -> dict[int, int]:
         """When each listed server started."""
-        return self.back.lives()
+        return self.upstream.server_start_times()
 
     @property
     def can_serve(self) -> bool:
         """Whether there is any server to send to."""
-        return bool(self.back.listed)
+        return bool(self.upstream.listed)
 
     def close(self) -> None:
         self.closed = True
         if self.watcher is not None:
             self.watcher.cancel()
-        if self.roster is not None:
-            self.roster.close()
-        self.back.close()
+        if self.endpoint_source is not None:
+            self.endpoint_source.close()
+        self.upstream.close()
 
     # Events in
 
@@ -186,7 +191,7 @@
         try:
             return event()
         except Exception:
-            self.violations.note(Rule.HANDLING, "event", traceback.format_exc())
+            self.violations.note(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
             return None
 
     def handle(self, event: Event) -> None:
@@ -194,22 +199,24 @@
             actions = self.balancer.handle(now_us(), event)
         except Exception:
             # Guards against one bad decision ending the process and all that it holds.
-            self.violations.note(Rule.HANDLING, "module", f"{event!r}\n{traceback.format_exc()}")
+            self.violations.note(Invariant.NO_HANDLER_ERROR, "module", f"{event!r}\n{traceback.format_exc()}")
             actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
         for action in actions:
             try:
-                self.carry_out(action)
+                self.execute(action)
             except Exception:
                 # Guards the client whose event is being handled: an error here would end its connection.
-                self.violations.note(Rule.HANDLING, "action", f"{action!r}\n{traceback.format_exc()}")
+                self.violations.note(
+                    Invariant.NO_HANDLER_ERROR, "action", f"{action!r}\n{traceback.format_exc()}"
+                )
 
-    def arrive(self, call: Call) -> bool:
+    def submit(self, call: Call) -> bool:
         """Take a request; False if one with its id is held already."""
-        if call.id in self.held:
+        if call.id in self.in_flight:
             return False
         now = now_us()
         waited_us = max(0, now - call.received_us) if call.received_us else 0
-        self.held[call.id] = InFlightRequest(call, now + call.client_timeout_us - waited_us)
+        self.in_flight[call.id] = InFlightRequest(call, now + call.client_timeout_us - waited_us)
         event = RequestArrived(
             call.id,
             call.klass,
@@ -218,27 +225,29 @@
             call.work_us,
             call.is_retry,
             call.tenant,
-            call.upload is not None,
-            call.who,
+            call.streamed_body is not None,
+            call.client_id,
             call.mirror_target,
             waited_us,
         )
         self.post(lambda: event)
         return True
 
-    def leave(self, id_: str) -> None:
+    def cancel_request(self, id_: str) -> None:
         """The client has gone; nothing is owed to it."""
-        held = self.held.get(id_)
-        if held is None or held.closed:
+        held = self.in_flight.get(id_)
+        if held is None or held.is_finished:
             return
-        self.trace.note(Step.CLIENT_LEFT, id_)
+        self.trace.note(Step.CLIENT_GONE, id_)
         self.finish(id_, held)
         self.post(lambda: RequestCancelled(id_))
-        for attempt in held.attempts if held.stream is not None or held.call.upload is not None else ():
+        for attempt in (
+            held.attempts if held.stream is not None or held.call.streamed_body is not None else ()
+        ):
             if attempt is not None:
-                self.back.cancel(attempt)  # what goes through it has lost one of its ends
+                self.upstream.cancel(attempt)  # what goes through it has lost one of its ends
 
-    def leave_by(self, wait_s: float) -> None:
+    def shut_down_within(self, wait_s: float) -> None:
         """Answer everything within this time, what comes until then too: the process may be killed after."""
         end_us = now_us() + int(wait_s * 1e6)
         self.post(lambda: ShutdownStarted(end_us))
@@ -246,10 +255,10 @@
 
     def give_up(self) -> None:
         """Wait for no answer any longer; the module decides what its client is told."""
-        for held in list(self.held.values()):
-            for attempt in held.attempts if not held.closed and held.stream is None else ():
+        for held in list(self.in_flight.values()):
+            for attempt in held.attempts if not held.is_finished and held.stream is None else ():
                 if attempt is not None:
-                    self.back.cancel(attempt)
+                    self.upstream.cancel(attempt)
 
     def answer_overdue(self) -> None:
         """Answer calls whose time is over, whoever has failed to: none is left without an answer.
@@ -258,42 +267,49 @@
         """
         self.watcher = self.loop.call_later(WATCH_S, self.answer_overdue)
         now = now_us()
-        for id_, held in list(self.held.items()):
-            if held.closed or held.stream is not None or held.left_us(now) > -LATE_US:
+        for id_, held in list(self.in_flight.items()):
+            if held.is_finished or held.stream is not None or held.left_us(now) > -LATE_US:
                 continue
             if not held.overdue:
                 held.overdue = True
                 continue
-            self.violations.note(Rule.UNANSWERED, id_, f"{-held.left_us(now) / 1000:.0f} ms past its time")
-            self.carry_out(Fail(id_))
+            self.violations.note(
+                Invariant.ANSWERED_IN_TIME, id_, f"{-held.left_us(now) / 1000:.0f} ms past its time"
+            )
+            self.execute(Fail(id_))
             self.post(lambda id_=id_: RequestCancelled(id_))  # type: ignore[misc]
 
-    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         self.post(lambda: self.take_list(kind, entries))
 
     def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
             named = {entry.listed.server for entry in entries}
-            for server in [server for server in self.back.listed if server not in named]:
-                self.back.remove(server)
-                self.places.pop(server, None)
+            for server in [server for server in self.upstream.listed if server not in named]:
+                self.upstream.remove(server)
+                self.listed_servers.pop(server, None)
         for entry in entries:
             if entry.listed.status is ServerStatus.GONE:
-                self.back.remove(entry.listed.server)
-                self.places.pop(entry.listed.server, None)
+                self.upstream.remove(entry.listed.server)
+                self.listed_servers.pop(entry.listed.server, None)
             else:
-                self.back.put(entry)
-                self.places[entry.listed.server] = entry.listed
+                self.upstream.put(entry)
+                self.listed_servers[entry.listed.server] = entry.listed
         if any(entry.listed.status is not ServerStatus.READY for entry in entries):
-            self.trace.note(Step.STATE, "list", changes(entries))
+            self.trace.note(Step.STATE_CHANGED, "list", changes(entries))
         if self.recorder is not None:
             self.recorder.event(f"list {kind.value}: {changes(entries)}")
         listed = tuple(entry.listed for entry in entries)
-        return EndpointList(kind, listed, wall_us(), None if self.roster is None else self.roster.unheard_us)
+        return EndpointList(
+            kind,
+            listed,
+            wall_us(),
+            None if self.endpoint_source is None else self.endpoint_source.time_without_contact_us,
+        )
 
     # Actions out
 
-    def carry_out(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         match action:
             case SendAttempt():
                 self.send(action)
@@ -307,8 +323,8 @@
                 if held is not None:
                     count(self.metrics.deferred, held.call)
                     self.unserved.add(action.reason.value)
-                    self.trace.note(Step.REFUSED, action.request, action.reason.value)
-                    held.call.client.on_refused(held.call, action.retry_after_us)
+                    self.trace.note(Step.REJECTED, action.request, action.reason.value)
+                    held.call.client.on_rejected(held.call, action.retry_after_us)
             case Fail():
                 held = self.owed(action.request)
                 if held is not None:
@@ -318,15 +334,15 @@
             case Cancel():
                 self.cancel(action)
             case WatchEndpoints():
-                if self.roster is not None:
-                    self.roster.watch(action.on)
+                if self.endpoint_source is not None:
+                    self.endpoint_source.watch(action.on)
             case FetchEndpoints():
-                if self.roster is not None:
-                    self.roster.fetch()
+                if self.endpoint_source is not None:
+                    self.endpoint_source.fetch()
             case Probe():
                 self.probe(action.server)
             case CloseIdle():
-                self.back.close_idle(action.server)
+                self.upstream.close_idle(action.server)
             case Log():
                 about = {} if action.server is None else {"server": action.server}
                 log(action.line, "info", "module", **about)
@@ -337,31 +353,31 @@
 
     def owed(self, id_: str) -> InFlightRequest | None:
         """The request, if it still waits for its final answer, which it has from now on."""
-        held = self.held.get(id_)
-        if held is None or held.closed:
+        held = self.in_flight.get(id_)
+        if held is None or held.is_finished:
             return None
         self.finish(id_, held)
         return held
 
     def finish(self, id_: str, held: InFlightRequest) -> None:
-        held.closed = True
-        if held.out == 0:
-            del self.held[id_]
+        held.is_finished = True
+        if held.attempts_in_flight == 0:
+            del self.in_flight[id_]
             return
         for attempt in held.attempts:
             if attempt is not None:
-                self.back.withdraw(attempt)
+                self.upstream.cancel_unsent(attempt)
 
     def send(self, action: SendAttempt) -> None:
         id_ = action.request
-        held = self.held.get(id_)
+        held = self.in_flight.get(id_)
         if held is None:
             return
         number = len(held.attempts)
         left_us = held.left_us(now_us())
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
-        listed = self.places.get(action.server)
-        sending = Sending(listed.zone, listed.group) if listed is not None else Sending(-1, -1)
+        listed = self.listed_servers.get(action.server)
+        sending = AttemptRecord(listed.zone, listed.group) if listed is not None else AttemptRecord(-1, -1)
         # Its end may come before `begin` is back: then the list has its place already.
         held.attempts.append(None)
         held.sendings.append(sending)
@@ -370,50 +386,54 @@
             self.withhold(id_, denial)
             self.post(lambda: self.moot(action, number))
             return
-        held.out += 1
+        held.attempts_in_flight += 1
         watch = GatewayAttemptObserver(self, held, number, action.begin_by_us)
-        held.attempts[number] = self.back.begin(held.call, action.server, wait_us, watch)
+        held.attempts[number] = self.upstream.begin(held.call, action.server, wait_us, watch)
 
     def objection(self, held: InFlightRequest, server: int, number: int, wait_us: int) -> DenialReason | None:
         """Why an attempt that the module has chosen is not begun; a choice that breaks a rule is told."""
         if number >= self.settings.max_attempts:
             return DenialReason.TOO_MANY_ATTEMPTS
-        upload = held.call.upload
-        if upload is not None and (upload.begun or upload.broken):  # none can have all of it
-            return DenialReason.BODY_SPENT
-        state = ServerState.SERVING if server in self.back.listed else ServerState.NOT_LISTED
-        denial = may_send(held.closed, wait_us, state, lambda: False)
+        streamed_body = held.call.streamed_body
+        if streamed_body is not None and (
+            streamed_body.forwarding_started or streamed_body.is_aborted
+        ):  # none can have all of it
+            return DenialReason.BODY_CONSUMED
+        state = ServerState.SERVING if server in self.upstream.listed else ServerState.NOT_LISTED
+        denial = may_send(held.is_finished, wait_us, state, lambda: False)
         if denial is not None:
             return denial
         klass = self.settings.classes[held.call.klass]
         denial = may_retry(self.settings, klass, held.sendings[number], held.sendings, now_us())
         if denial is not None:
-            self.violations.note(Rule.REPEAT, held.call.id, f"{denial.value} at server {server}")
+            self.violations.note(
+                Invariant.RETRIES_ARE_SAFE, held.call.id, f"{denial.value} at server {server}"
+            )
         return denial
 
     def withhold(self, id_: str, denial: DenialReason) -> None:
         """Count what was not sent."""
         self.withheld.add(denial.value)
-        self.trace.note(Step.ATTEMPT_WITHHELD, id_, denial.value)
+        self.trace.note(Step.ATTEMPT_DENIED, id_, denial.value)
 
     def moot(self, action: SendAttempt, number: int) -> Event:
-        held = self.held.get(action.request)
-        finished = held is None or held.closed
+        held = self.in_flight.get(action.request)
+        finished = held is None or held.is_finished
         return AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, finished)
 
     def attempt_begun(
-        self, held: InFlightRequest, number: int, attempt: Attempt, head: Answer, source: Source
+        self, held: InFlightRequest, number: int, attempt: Attempt, head: AnyResponse, source: Source
     ) -> Event | None:
-        if held.closed or held.stream is not None:
-            self.back.cancel(attempt)
+        if held.is_finished or held.stream is not None:
+            self.upstream.cancel(attempt)
             return None
         held.stream = attempt
-        held.call.client.on_begun(held.call, head, source)
+        held.call.client.on_response_started(held.call, head, source)
         return StreamStarted(held.call.id, number)
 
-    def pass_on(self, held: InFlightRequest, attempt: Attempt, data: bytes) -> None:
-        if held.stream is attempt and not held.closed:
-            held.call.client.on_piece(held.call, data)
+    def on_response_data(self, held: InFlightRequest, attempt: Attempt, data: bytes) -> None:
+        if held.stream is attempt and not held.is_finished:
+            held.call.client.on_response_data(held.call, data)
 
     def attempt_ended(
         self,
@@ -421,11 +441,11 @@
         number: int,
         attempt: Attempt,
         outcome: Outcome,
-        answer: Answer | None,
+        answer: AnyResponse | None,
         load: LoadReport | None,
     ) -> Event:
         id_ = held.call.id
-        held.out -= 1
+        held.attempts_in_flight -= 1
         held.sendings[number].outcome = outcome
         self.ended.add(outcome.value)
         if outcome is not Outcome.OK:
@@ -435,34 +455,34 @@
             good = outcome is Outcome.OK
             self.recorder.attempt(held.call.klass, outcome.value, attempt.latency_us, good)
         held.timed_out = outcome is Outcome.TIMEOUT
-        if not held.closed and held.stream is attempt:
+        if not held.is_finished and held.stream is attempt:
             self.finish(id_, held)
             if outcome is Outcome.OK and answer is not None:
                 count(self.metrics.answered, held.call)
-                held.call.client.on_ended(held.call, answer)
+                held.call.client.on_response_ended(held.call, answer)
             else:
                 count(self.metrics.errored, held.call)
-                held.call.client.on_broken(held.call)
-        elif not held.closed and outcome is Outcome.OK and answer is not None:
+                held.call.client.on_response_aborted(held.call)
+        elif not held.is_finished and outcome is Outcome.OK and answer is not None:
             self.finish(id_, held)
             count(self.metrics.answered, held.call)
-            held.call.client.on_served(held.call, answer)
-        elif held.closed and held.out == 0:
-            self.held.pop(id_, None)
-        return AttemptEnded(id_, number, attempt.server, outcome, attempt.latency_us, held.closed, load)
+            held.call.client.on_response(held.call, answer)
+        elif held.is_finished and held.attempts_in_flight == 0:
+            self.in_flight.pop(id_, None)
+        return AttemptEnded(id_, number, attempt.server, outcome, attempt.latency_us, held.is_finished, load)
 
     def cancel(self, action: Cancel) -> None:
-        held = self.held.get(action.request)
+        held = self.in_flight.get(action.request)
         if held is not None and 0 <= action.attempt < len(held.attempts):
             attempt = held.attempts[action.attempt]
             if attempt is not None:
-                self.back.cancel(attempt)
+                self.upstream.cancel(attempt)
 
     def probe(self, server: int) -> None:
         def told(outcome: Outcome, latency_us: int, load: LoadReport | None) -> None:
             self.post(lambda: Probed(server, outcome, latency_us, load))
 
-        self.back.probe(server, told)
+        self.upstream.probe(server, told)
 
 
 class GatewayAttemptObserver:
@@ -481,12 +501,14 @@
         loop has been elsewhere since it left, so that its request and its end are found together.
         """
         held, gateway = self.held, self.gateway
-        denial = self.objection() or may_send(held.closed, held.left_us(now_us()), server, held.call.has_gone)
+        denial = self.objection() or may_send(
+            held.is_finished, held.left_us(now_us()), server, held.call.has_gone
+        )
         if denial is None:
             return True
         gateway.withhold(held.call.id, denial)
         if denial is DenialReason.CLIENT_GONE:
-            gateway.leave(held.call.id)
+            gateway.cancel_request(held.call.id)
         return False
 
     def objection(self) -> DenialReason | None:
@@ -500,20 +522,20 @@
     def on_first_byte(self) -> None:
         self.held.sendings[self.number].begun_us = now_us()
 
-    def on_written(self) -> None:
+    def on_request_sent(self) -> None:
         call = self.held.call
         self.gateway.metrics.sends.add(call.klass)
-        if call.upload is not None:
+        if call.streamed_body is not None:
             self.gateway.post(lambda: AttemptSent(call.id, self.number))
 
-    def on_begun(self, attempt: Attempt, head: Answer, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
         self.gateway.post(lambda: self.gateway.attempt_begun(self.held, self.number, attempt, head, source))
 
-    def on_piece(self, attempt: Attempt, data: bytes) -> None:
-        self.gateway.pass_on(self.held, attempt, data)
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        self.gateway.on_response_data(self.held, attempt, data)
 
-    def on_end(
-        self, attempt: Attempt, outcome: Outcome, answer: Answer | None, load: LoadReport | None
+    def on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
     ) -> None:
         self.gateway.post(
             lambda: self.gateway.attempt_ended(self.held, self.number, attempt, outcome, answer, load)
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from sagetrack.core.bodies import Upload
+from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.interface import LoadReport, Outcome
 
-Answer = Any  # of a protocol: from its back to its front
+AnyResponse = Any  # of a protocol: from its back to its front
 
 
 class Source(Protocol):
@@ -33,7 +33,7 @@
 
 
 class AttemptObserver(Protocol):
-    """Who is told what becomes of an attempt: it ends once, with `on_end`."""
+    """Who is told what becomes of an attempt: it ends once, with `on_attempt_ended`."""
 
     def may_begin(self, server: ServerState) -> bool:
         """Whether anything may be sent now to the server in this state: asked right before the first byte."""
@@ -43,18 +43,18 @@
         """Its first byte goes out in this turn."""
         ...
 
-    def on_written(self) -> None:
+    def on_request_sent(self) -> None:
         """Its last byte is on its way."""
         ...
 
-    def on_begun(self, attempt: Attempt, head: Answer, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
         """Its answer is too long to be held, and passes through from here on."""
         ...
 
-    def on_piece(self, attempt: Attempt, data: bytes) -> None: ...
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None: ...
 
-    def on_end(
-        self, attempt: Attempt, outcome: Outcome, answer: Answer | None, load: LoadReport | None
+    def on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
     ) -> None: ...
 
 
@@ -70,7 +70,7 @@
     @property
     def listed(self) -> Collection[int]: ...
 
-    def lives(self) -> dict[int, int]:
+    def server_start_times(self) -> dict[int, int]:
         """When each listed server started."""
         ...
 
@@ -80,7 +80,7 @@
 
     def cancel(self, attempt: Any) -> None: ...
 
-    def withdraw(self, attempt: Any) -> None:
+    def cancel_unsent(self, attempt: Any) -> None:
         """End an attempt of which its server has nothing yet: as it never ran, every class allows that."""
         ...
 
@@ -96,21 +96,21 @@
 class Client(Protocol):
     """Who waits for the final answer of a request; it gets just one of these.
 
-    An answer that is too long to be held begins with `on_begun`, goes on with `on_piece` and ends with
-    `on_ended` or `on_broken`.
+    An answer that is too long to be held begins with `on_response_started`, goes on with `on_response_data`
+    and ends with `on_response_ended` or `on_response_aborted`.
     """
 
-    def on_served(self, call: Call, answer: Any) -> None: ...
+    def on_response(self, call: Call, answer: Any) -> None: ...
 
-    def on_begun(self, call: Call, head: Any, source: Source) -> None: ...
+    def on_response_started(self, call: Call, head: Any, source: Source) -> None: ...
 
-    def on_piece(self, call: Call, data: bytes) -> None: ...
+    def on_response_data(self, call: Call, data: bytes) -> None: ...
 
-    def on_ended(self, call: Call, answer: Any) -> None: ...
+    def on_response_ended(self, call: Call, answer: Any) -> None: ...
 
-    def on_broken(self, call: Call) -> None: ...
+    def on_response_aborted(self, call: Call) -> None: ...
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None: ...
+    def on_rejected(self, call: Call, retry_after_us: int) -> None: ...
 
     def on_failed(self, call: Call, timed_out: bool) -> None: ...
 
@@ -133,8 +133,8 @@
     tenant: int
     message: Any  # for the back of its protocol
     client: Client
-    upload: Upload | None = None  # the body, if it is too long to be held
-    who: int = 0  # the client within its tenant, where it is known
+    streamed_body: StreamedBody | None = None  # the body, if it is too long to be held
+    client_id: int = 0  # the client within its tenant, where it is known
     mirror_target: int = -1  # a copy, to compare answers: see RequestArrived
     received_us: int = 0  # when its last byte was read; 0: only now
     has_gone: Callable[[], bool] = never_gone  # its client has hung up, whether or not the loop has seen it
--- a/sagetrack/core/invariants.py
+++ b/sagetrack/core/invariants.py
@@ -11,14 +11,16 @@
 from sagetrack.core.log import log
 
 
-class Rule(Enum):
+class Invariant(Enum):
     """What is watched while the program runs."""
 
-    REPEAT = "repeat"  # a repeat was chosen that may run twice; it was not sent
-    WITHDRAWN = "withdrawn"  # a server that may get nothing was chosen; nothing was sent
-    UNANSWERED = "unanswered"  # a call's time was over without an answer; it was answered then
-    CLOSED = "closed_unanswered"  # a connection was closed under a call that was owed an answer
-    HANDLING = "handling"  # an event or an action ended with an error
+    RETRIES_ARE_SAFE = "repeat"  # a repeat was chosen that may run twice; it was not sent
+    NO_SEND_TO_WITHDRAWN = "withdrawn"  # a server that may get nothing was chosen; nothing was sent
+    ANSWERED_IN_TIME = "unanswered"  # a call's time was over without an answer; it was answered then
+    NO_CLOSE_BEFORE_RESPONSE = (
+        "closed_unanswered"  # a connection was closed under a call that was owed an answer
+    )
+    NO_HANDLER_ERROR = "handling"  # an event or an action ended with an error
 
 
 class InvariantViolations:
@@ -26,9 +28,9 @@
 
     def __init__(self, trace: Trace) -> None:
         self.trace = trace
-        self.counts = dict.fromkeys(Rule, 0)
+        self.counts = dict.fromkeys(Invariant, 0)
 
-    def note(self, rule: Rule, about: str, detail: str) -> None:
+    def note(self, rule: Invariant, about: str, detail: str) -> None:
         self.counts[rule] += 1
         self.trace.note(Step.VIOLATION, about, f"{rule.value}: {detail}")
         log(f"violation of rule {rule.value}: {detail}", "error", f"violation {rule.value}", call=about)
--- a/sagetrack/core/log.py
+++ b/sagetrack/core/log.py
@@ -1,7 +1,7 @@
 """The program's log: events with fields, bounded in rate for each event; where lines go is set once.
 
-Until `use` is called, an event is one plain line on standard error. `use` hands over to another sink, which
-the operator's file asks for. Nothing is logged for each request.
+Until `use_sink` is called, an event is one plain line on standard error. `use_sink` hands over to another
+sink, which the operator's file asks for. Nothing is logged for each request.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 EVENTS = 256  # events that are told apart; the rest share one bound
 
 
-class Bound:
+class LogRateLimit:
     """A token bucket for each event: a flood of one kind neither hides the others nor costs the program.
 
     What was held back is counted and told with the next line of that event that passes.
@@ -51,7 +51,7 @@
         return held
 
 
-def levels_from(least: str, sink: Sink) -> Sink:
+def with_minimum_level(least: str, sink: Sink) -> Sink:
     """The same sink for this level and those above it."""
     admitted = LEVELS[LEVELS.index(least) :]
 
@@ -62,13 +62,13 @@
     return write
 
 
-def plain(level: str, event: str, fields: dict[str, object]) -> None:
+def plain_sink(level: str, event: str, fields: dict[str, object]) -> None:
     """One line on standard error, as the platform keeps it."""
     named = "".join(f" {name}={value}" for name, value in fields.items() if name != "server")
     print(f"sagetrack: {event}{named}", file=sys.stderr, flush=True)
 
 
-def unbuffered() -> TextIO:
+def unbuffered_stderr() -> TextIO:
     """Standard error without a buffer: a line that cannot be written is dropped, not kept for the exit."""
     raw = io.FileIO(sys.__stderr__.fileno() if sys.__stderr__ else 2, "w", closefd=False)
     return io.TextIOWrapper(cast(BinaryIO, raw), "utf-8", "backslashreplace", write_through=True)
@@ -85,15 +85,15 @@
     return any(event & (select.POLLOUT | select.POLLERR) for _, event in poll.poll(0))
 
 
-_sink: Sink = plain
-_bound = Bound()
+_sink: Sink = plain_sink
+_rate_limit = LogRateLimit()
 _unwritten = 0  # lines since the last one that was written
 
 
-def use(sink: Sink, bound: Bound | None = None) -> None:
+def use_sink(sink: Sink, rate_limit: LogRateLimit | None = None) -> None:
     """Send what is logged from now on to another sink, under another bound."""
-    global _sink, _bound
-    _sink, _bound = sink, bound or Bound()
+    global _sink, _rate_limit
+    _sink, _rate_limit = sink, rate_limit or LogRateLimit()
 
 
 def log(event: str, level: str = "info", kind: str | None = None, **fields: object) -> None:
@@ -101,7 +101,7 @@
 
     The fields with fixed names are `gateway`, `server`, `call`, `class` and `member`.
     """
-    held = _bound.admit(kind or event.partition(":")[0][:40], monotonic())
+    held = _rate_limit.admit(kind or event.partition(":")[0][:40], monotonic())
     if held < 0:
         return
     if held:
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -24,7 +24,7 @@
         self.by_class[klass] += 1
 
 
-class Reasons:
+class ReasonCounter:
     """A count for each reason that something was done or withheld."""
 
     __slots__ = ("counts", "label", "name")
@@ -47,7 +47,9 @@
     def __init__(self, classes: Sequence[str], gauges: Gauges) -> None:
         self.classes = list(classes)
         self.gauges = gauges
-        self.more: list[Callable[[], Mapping[str, float]]] = []  # figures of parts that were switched on
+        self.extra_figures: list[
+            Callable[[], Mapping[str, float]]
+        ] = []  # figures of parts that were switched on
         self.answered = Counter(len(classes))  # requests served
         self.deferred = Counter(len(classes))  # refused
         self.errored = Counter(len(classes))  # failed
@@ -67,7 +69,9 @@
             for klass, count in zip(self.classes, counter.by_class, strict=True)
         ]
         lines += [f"{PREFIX}{name} {gauge()}" for name, gauge in self.gauges.items()]
-        lines += [f"{PREFIX}{name} {value}" for more in self.more for name, value in more().items()]
+        lines += [
+            f"{PREFIX}{name} {value}" for extra in self.extra_figures for name, value in extra().items()
+        ]
         return "".join(f"{line}\n" for line in lines)
 
 
--- a/sagetrack/core/peer_close.py
+++ b/sagetrack/core/peer_close.py
@@ -4,9 +4,10 @@
 of a FIN that waits at its sender behind bytes for which there is no room here.
 
 The rule: no attempt begins more than 0.1 s after its client's close. The sum, for every attempt: the look
-(`hung_up`) and the first byte are in one turn of the loop with nothing awaited between them, so that what
-passes between them is the writing itself, however late the turn is. No sweep is in the sum; `Hangups` frees
-what such a client holds within a turn of the loop, and nothing depends on how long that one takes.
+(`has_peer_closed`) and the first byte are in one turn of the loop with nothing awaited between them, so that
+what passes between them is the writing itself, however late the turn is. No sweep is in the sum;
+`PeerCloseWatcher` frees what such a client holds within a turn of the loop, and nothing depends on how long
+that one takes.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's bits have the same values
 
 
-def hung_up(poll: select.poll) -> bool:
+def has_peer_closed(poll: select.poll) -> bool:
     """Whether the peer of the one socket in there has closed or reset its connection: one system call."""
     return any(event & GONE for _, event in poll.poll(0))
 
 
-class Hangups:
+class PeerCloseWatcher:
     """Connections on which nothing is read for now: the kernel wakes the loop when one of their peers leaves.
 
     It costs one system call to watch and one to stop, however long it lasts and however many there are: a
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -14,8 +14,8 @@
 
 from sagetrack.policy.interface import NEVER_RAN, Effect, Outcome, RequestClass, Scope, Settings
 
-FIRST_REQUEST_S = 0.5  # for the first request on a new connection to come: until then none is closed
-OVERDUE_S = 2.0  # in which a client has to send a head, or anything at all
+FIRST_REQUEST_TIMEOUT_S = 0.5  # for the first request on a new connection to come: until then none is closed
+REQUEST_HEAD_TIMEOUT_S = 2.0  # in which a client has to send a head, or anything at all
 
 
 class DenialReason(Enum):
@@ -28,20 +28,20 @@
     SERVER_WITHDRAWN = "server_withdrawn"  # it drains or is gone
     SERVER_RESTARTED = "server_restarted"  # another life than the one that was chosen
     NOT_LISTED = "not_listed"
-    BODY_SPENT = "body_spent"  # some of its body has gone to another server, or will never come
+    BODY_CONSUMED = "body_spent"  # some of its body has gone to another server, or will never come
     TOO_MANY_ATTEMPTS = "too_many_attempts"
     # Repeating
     MAY_HAVE_RUN = "may_have_run"
     OUT_OF_SCOPE = "out_of_scope"  # this server would not drop a repeat of what may have run elsewhere
     WINDOW_OVER = "window_over"  # the servers drop repeats no longer
-    STILL_OUT = "still_out"  # another attempt is out, and there may be one at a time
+    ATTEMPT_IN_FLIGHT = "still_out"  # another attempt is out, and there may be one at a time
     # Closing
-    ANSWER_OWED = "answer_owed"
-    UNREAD = "unread"  # something has come that was not read yet
-    UNFINISHED = "unfinished"  # part of a request has come, and its client is in time
-    NOT_HEARD = "not_heard"  # new: its first request may be on its way, and would be lost
+    RESPONSE_PENDING = "answer_owed"
+    UNREAD_DATA = "unread"  # something has come that was not read yet
+    INCOMPLETE_REQUEST = "unfinished"  # part of a request has come, and its client is in time
+    AWAITS_FIRST_REQUEST = "not_heard"  # new: its first request may be on its way, and would be lost
     # Starting
-    LEAVING = "leaving"
+    SHUTTING_DOWN = "leaving"
     NO_SERVERS = "no_servers"
     NOT_LISTENING = "not_listening"
 
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Sending:
+class AttemptRecord:
     """One attempt of a call, as far as repeats depend on it."""
 
     zone: int
@@ -102,7 +102,11 @@
 
 
 def may_retry(
-    settings: Settings, klass: RequestClass, attempt: Sending, others: Iterable[Sending], now_us: int
+    settings: Settings,
+    klass: RequestClass,
+    attempt: AttemptRecord,
+    others: Iterable[AttemptRecord],
+    now_us: int,
 ) -> DenialReason | None:
     """Whether an attempt may be begun beside what has been begun of the same call; None if it may."""
     for other in others:
@@ -111,7 +115,7 @@
         if klass.effect is Effect.UNSAFE:
             return DenialReason.MAY_HAVE_RUN
         if other.is_out and not settings.hedging:
-            return DenialReason.STILL_OUT
+            return DenialReason.ATTEMPT_IN_FLIGHT
         if klass.effect is Effect.KEYED:
             if not _drops_repeats(klass.scope, attempt, other):
                 return DenialReason.OUT_OF_SCOPE
@@ -121,52 +125,54 @@
     return None
 
 
-def _drops_repeats(scope: Scope, attempt: Sending, other: Sending) -> bool:
+def _drops_repeats(scope: Scope, attempt: AttemptRecord, other: AttemptRecord) -> bool:
     """Whether the one's server drops repeats of what the other's may have run."""
     if scope is Scope.ALL:
         return True
     return attempt.zone == other.zone if scope is Scope.ZONE else attempt.group == other.group
 
 
-class Closing(Enum):
+class CloseReason(Enum):
     """What a client's connection is to be closed for."""
 
     IDLE = "idle"  # it has stayed as it is for too long, or this process leaves
-    ROOM = "room"  # its descriptor is needed
-    EXHAUSTED = "exhausted"  # the same, and nobody else has one to give
+    RECLAIM_DESCRIPTOR = "room"  # its descriptor is needed
+    DESCRIPTORS_EXHAUSTED = "exhausted"  # the same, and nobody else has one to give
 
 
 @dataclass(slots=True)
-class ClientState:
+class ClientConnectionState:
     """A client's connection, as far as closing it depends on it."""
 
-    owed: bool  # a request was read, and its answer is not written
-    begun: bool  # part of a request has come
-    heard: bool  # has sent something
+    response_pending: bool  # a request was read, and its answer is not written
+    request_incomplete: bool  # part of a request has come
+    has_sent_data: bool  # has sent something
     age_s: float  # since it was accepted, or since it is as it is now
-    unread: Callable[[], bool]  # asks the kernel
+    has_unread_data: Callable[[], bool]  # asks the kernel
 
 
-def may_close(client: ClientState, purpose: Closing) -> DenialReason | None:
+def may_close(client: ClientConnectionState, purpose: CloseReason) -> DenialReason | None:
     """Whether a client's connection may be closed without a word; None if it may.
 
     A request that crosses the close of a kept connection is sent again by its client. One on a new connection
     is not: it is lost.
     """
-    if client.owed:
-        return DenialReason.ANSWER_OWED
-    if purpose is not Closing.EXHAUSTED:
-        if client.begun and (purpose is Closing.IDLE or client.age_s < OVERDUE_S):
-            return DenialReason.UNFINISHED
-        if not client.heard and client.age_s < FIRST_REQUEST_S:
-            return DenialReason.NOT_HEARD
-    return DenialReason.UNREAD if client.unread() else None
+    if client.response_pending:
+        return DenialReason.RESPONSE_PENDING
+    if purpose is not CloseReason.DESCRIPTORS_EXHAUSTED:
+        if client.request_incomplete and (
+            purpose is CloseReason.IDLE or client.age_s < REQUEST_HEAD_TIMEOUT_S
+        ):
+            return DenialReason.INCOMPLETE_REQUEST
+        if not client.has_sent_data and client.age_s < FIRST_REQUEST_TIMEOUT_S:
+            return DenialReason.AWAITS_FIRST_REQUEST
+    return DenialReason.UNREAD_DATA if client.has_unread_data() else None
 
 
 def may_take_clients(leaving: bool, listening: bool, has_servers: bool) -> DenialReason | None:
     """Whether this process may say that it takes clients; None if it may."""
     if leaving:
-        return DenialReason.LEAVING
+        return DenialReason.SHUTTING_DOWN
     if not listening:
         return DenialReason.NOT_LISTENING
     return None if has_servers else DenialReason.NO_SERVERS
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -31,14 +31,14 @@
     return error.errno in TRANSIENT
 
 
-def check_listens(server: asyncio.Server) -> asyncio.Server:
+def require_sockets(server: asyncio.Server) -> asyncio.Server:
     """The server, if it has a socket; OSError if asyncio has passed over all that it could not make."""
     if not server.sockets:
         raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
     return server
 
 
-async def persist(call: Callable[[], Result]) -> Result:
+async def retry_while_transient(call: Callable[[], Result]) -> Result:
     """What a call returns, made again while its errors are transient; the last of them if they stay."""
     end_s = time.monotonic() + PATIENCE_S
     while True:
@@ -50,7 +50,7 @@
         await asyncio.sleep(PAUSE_S)
 
 
-def persist_before_loop(call: Callable[[], Result]) -> Result:
+def retry_while_transient_blocking(call: Callable[[], Result]) -> Result:
     """The same where nothing else is to be done meanwhile."""
     end_s = time.monotonic() + PATIENCE_S
     while True:
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -11,10 +11,10 @@
 
 from sagetrack.config.platform import Address, Names, parse_address, stable_id
 from sagetrack.core.clock import now_us
-from sagetrack.core.deadlines import Watching
-from sagetrack.core.endpoints import Endpoint, OnEndpointList, Reply
+from sagetrack.core.deadlines import DiscoveryTimeouts
+from sagetrack.core.endpoints import Endpoint, OnEndpointList, Response
 from sagetrack.core.log import log
-from sagetrack.core.metrics import Reasons
+from sagetrack.core.metrics import ReasonCounter
 from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 LIST = b"/registry/instances"
@@ -39,7 +39,7 @@
     @property
     def is_open(self) -> bool: ...
 
-    async def ask(self, head: bytes) -> Reply:
+    async def ask(self, head: bytes) -> Response:
         """The whole answer; CallError if there is none."""
         ...
 
@@ -159,12 +159,12 @@
         on_list: OnEndpointList,
         pushed: bool,
         connect: Connect,
-        limits: Watching,
+        limits: DiscoveryTimeouts,
     ) -> None:
         self.names, self.on_list, self.connect = names, on_list, connect
         self.pushed = pushed  # nobody asks for changes: they are watched for from the start, whatever fails
         self.limits = limits
-        self.calls = Reasons("discovery_calls_total", "outcome", ())
+        self.calls = ReasonCounter("discovery_calls_total", "outcome", ())
         self.away_since_us: int | None = None  # the first of the calls in a row that have failed
         self.heard_us: int | None = None  # the last answer but the one that is being told
         self.failed = True  # no list has come since the last failure
@@ -207,7 +207,7 @@
         self.noted = {}
         return {"index": self.noted_index, "snapshot": True, "endpoints": list(self.raw.values())}
 
-    def take_known(self, raw: dict[str, Any]) -> None:
+    def restore_known_endpoints(self, raw: dict[str, Any]) -> None:
         """Begin with the list that this gateway had before it was restarted."""
         entries: list[Endpoint] = []
         try:
@@ -223,9 +223,9 @@
 
     async def has_asked(self) -> None:
         """Wait until the first call has ended, or for as long as that may keep clients waiting."""
-        if self.limits.first_s > 0.0:
+        if self.limits.initial_list_timeout_s > 0.0:
             with suppress(TimeoutError):
-                async with asyncio.timeout(self.limits.first_s):
+                async with asyncio.timeout(self.limits.initial_list_timeout_s):
                     await self.first.wait()
 
     def watch(self, on: bool) -> None:
@@ -293,7 +293,7 @@
         if self.pushed and not self.closed:
             # The whole list next, which costs nothing here: whatever was missed, it is in there.
             self.index = None
-            wait_s = self.limits.pause_s * random.uniform(0.5, 1.0)
+            wait_s = self.limits.first_backoff_s * random.uniform(0.5, 1.0)
             if self.again is not None:
                 self.again.cancel()
             self.again = asyncio.get_running_loop().call_later(wait_s, self.watch, True)
@@ -312,12 +312,12 @@
             self.fetching = None
 
     async def _connect(self) -> Line:
-        async with asyncio.timeout(self.limits.connect_s):
+        async with asyncio.timeout(self.limits.connect_timeout_s):
             return await self.connect(self.address)
 
     async def _ask(self, call: Line, target: bytes, wait_s: float) -> None:
         head = b"GET %s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (target, self.address[0].encode(), self.address[1])
-        async with asyncio.timeout(wait_s + self.limits.answer_s):
+        async with asyncio.timeout(wait_s + self.limits.response_timeout_s):
             reply = await call.ask(head)
         self.refused += reply.status in BUSY
         if reply.status != 200:
@@ -342,7 +342,7 @@
         self.first.set()
 
     @property
-    def unheard_us(self) -> int | None:
+    def time_without_contact_us(self) -> int | None:
         """How long before the list that is being told there was no word of it; None: there was none yet."""
         return None if self.heard_us is None else now_us() - self.heard_us
 
@@ -370,7 +370,7 @@
     async def _watch(self) -> None:
         if self.refused >= REFUSED_TWICE and not self.pushed:
             # Guards against a crowd that feeds itself: calls that come too often keep each other waiting.
-            await asyncio.sleep(self.limits.busy_s * random.uniform(0.5, 1.0))
+            await asyncio.sleep(self.limits.rejection_backoff_s * random.uniform(0.5, 1.0))
         call = await self._connect()
         try:
             while True:
@@ -380,8 +380,8 @@
                     await self._ask(call, LIST, 0.0)
                 else:
                     # Waited for in vain, a long wait for news would take what is left of the time.
-                    hold_s = self.limits.retry_hold_s if self.retries else self.limits.hold_s
-                    target = LIST + b"?from=%d&hold_ms=%d" % (self.index, round(hold_s * 1000))
-                    await self._ask(call, target, hold_s)
+                    poll_wait_s = self.limits.retry_poll_wait_s if self.retries else self.limits.poll_wait_s
+                    target = LIST + b"?from=%d&hold_ms=%d" % (self.index, round(poll_wait_s * 1000))
+                    await self._ask(call, target, poll_wait_s)
         finally:
             call.close()
--- a/sagetrack/dns/downstream.py
+++ b/sagetrack/dns/downstream.py
@@ -16,7 +16,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
-from sagetrack.core.transient_errors import check_listens
+from sagetrack.core.transient_errors import require_sockets
 from sagetrack.dns.cache import STALE_TTL_S, Cache, Hit, Subject
 from sagetrack.dns.limits import Access, InWork, ResponseRate, Verdict
 from sagetrack.dns.message import (
@@ -123,7 +123,7 @@
             tcp = await self.loop.create_server(
                 lambda: TcpClient(self), host, port, backlog=256, reuse_port=shared
             )
-            self.tcp.append(check_listens(tcp))
+            self.tcp.append(require_sockets(tcp))
             port = tcp.sockets[0].getsockname()[1]
             udp, _ = await self.loop.create_datagram_endpoint(
                 lambda: UdpFront(self), (host, port), reuse_port=shared
@@ -204,7 +204,7 @@
         self.number += 1
         call = Call(f"q{self.number:x}", 0, self.client_timeout_us, None, None, False, 0, query, self)
         self.calls[call.id] = pending
-        self.gateway.arrive(call)
+        self.gateway.submit(call)
 
     def over(self, call: Call) -> list[Waiter]:
         """A call is over: whoever waits for it is to be answered now."""
@@ -218,13 +218,13 @@
             self.waiting.pop(waiter.key, None)
         return pending.waiters
 
-    def on_served(self, call: Call, answer: Answer) -> None:
+    def on_response(self, call: Call, answer: Answer) -> None:
         self.cache.put(call.message.subject, answer, now_us())
         for waiter in self.over(call):
             self.counts.answered += 1
             self.give(waiter, reply(waiter.query, answer, waiter.limit))
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         text = f"come back in {retry_after_us / 1e6:.1f} s" if retry_after_us else "busy"
         self.given_up(call, Extended.NOT_READY, text, refused=True)
 
@@ -265,16 +265,16 @@
 
     # Not of DNS: answers do not pass through in pieces
 
-    def on_begun(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
         raise AssertionError("DNS answers come whole")
 
-    def on_piece(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, call: Call, data: bytes) -> None:
         raise AssertionError("DNS answers come whole")
 
-    def on_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, call: Call, answer: Any) -> None:
         raise AssertionError("DNS answers come whole")
 
-    def on_broken(self, call: Call) -> None:
+    def on_response_aborted(self, call: Call) -> None:
         raise AssertionError("DNS answers come whole")
 
     # Connections
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -165,7 +165,7 @@
         if kind is not ListKind.DELTA:
             self.listed = entries
             entries = [*self.named, *entries]
-        self.gateway.on_list(kind, entries)
+        self.gateway.on_endpoint_list(kind, entries)
 
     def list_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
         """Name, address and listed weight of the servers that are ready now, for our own zone."""
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -264,7 +264,7 @@
 
 
 class Upstreams:
-    """Carries queries to upstream servers. Every attempt ends once, by its watcher's `on_end`."""
+    """Carries queries to upstream servers. Every attempt ends once, by its watcher's `on_attempt_ended`."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -277,7 +277,7 @@
     def listed(self) -> Collection[int]:
         return self.servers.keys()
 
-    def lives(self) -> dict[int, int]:
+    def server_start_times(self) -> dict[int, int]:
         return {number: server.started_us for number, server in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
@@ -336,7 +336,7 @@
             return attempt
         self.counts.udp += 1
         attempt.written = True
-        watcher.on_written()
+        watcher.on_request_sent()
         return attempt
 
     def socket_to(self, upstream: Upstream, now: int) -> UdpSocket:
@@ -380,7 +380,7 @@
     def cancel(self, attempt: Attempt) -> None:
         self.end(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         if isinstance(attempt.at, TcpLine) and attempt in attempt.at.early:
             self.end(attempt, Outcome.CANCELLED)  # it has run over UDP
 
@@ -393,7 +393,7 @@
             attempt.timer.cancel()
         if attempt.at is not None:
             attempt.at.forget(attempt)
-        attempt.watcher.on_end(attempt, outcome, answer, None)
+        attempt.watcher.on_attempt_ended(attempt, outcome, answer, None)
 
     def close(self) -> None:
         for task in self.opening:
--- a/sagetrack/grpc/downstream.py
+++ b/sagetrack/grpc/downstream.py
@@ -18,13 +18,13 @@
 import h2.settings
 
 from sagetrack.config.platform import Address
-from sagetrack.core.bodies import LARGE_LIMIT, Allowance, Upload
+from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Client, Source
-from sagetrack.core.peer_close import hung_up
-from sagetrack.core.transient_errors import check_listens
+from sagetrack.core.peer_close import has_peer_closed
+from sagetrack.core.transient_errors import require_sockets
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import MessageError, Unpacker, goaway, pack
 from sagetrack.grpc.metadata import TranslationError
@@ -41,7 +41,7 @@
 SWEEP_S = 0.5
 CONTENT = "application/grpc+proto"
 
-Read = Callable[[str, bytes, list[Header], bytes, int, Client, Upload | None], Call]
+Read = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Call]
 """A call from method, target, headers, body and budget (us; 0: the class's own), or with a body that still
 comes; ReadError if it is none."""
 
@@ -75,7 +75,7 @@
     unpacker: Unpacker = field(default_factory=lambda: Unpacker(BODY_LIMIT + 32 * 1024))
     messages: list[bytes] = field(default_factory=list)
     held: int = 0  # bytes of them
-    upload: Upload | None = None  # the body, once it is too long to be held
+    streamed_body: StreamedBody | None = None  # the body, once it is too long to be held
     shut: int = 0  # bytes that its window has not been opened for, while the body has no room
     call: Call | None = None
     out: bytearray = field(default_factory=bytearray)
@@ -88,33 +88,33 @@
 
     # As the client of a call
 
-    def on_served(self, call: Call, answer: Any) -> None:
-        reply: Reply = answer
+    def on_response(self, call: Call, answer: Any) -> None:
+        reply: Response = answer
         self.out += pack(to_new_answer(reply.headers, reply.body))
         self.end([("grpc-status", "0")])
 
-    def on_begun(self, call: Call, head: Any, source: Source) -> None:
-        reply: Reply = head
+    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+        reply: Response = head
         first = Answer.FromString(to_new_answer(reply.headers, b""))
         if reply.length is not None:
             first.length = reply.length
         self.source = source
         self.send(pack(first.SerializeToString()))
 
-    def on_piece(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, call: Call, data: bytes) -> None:
         self.send(pack(Answer(body=data).SerializeToString()))
 
-    def on_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, call: Call, answer: Any) -> None:
         self.source = None
         if answer.body:
             self.out += pack(Answer(body=answer.body).SerializeToString())
         self.end([("grpc-status", "0")])
 
-    def on_broken(self, call: Call) -> None:
+    def on_response_aborted(self, call: Call) -> None:
         self.source = None
         self.end([("grpc-status", str(int(Status.DATA_LOSS))), ("grpc-message", "the answer broke off")])
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         self.end(refusal(retry_after_us))
 
     def on_failed(self, call: Call, timed_out: bool) -> None:
@@ -133,8 +133,8 @@
     def end(self, trailers: list[tuple[str, str]]) -> None:
         """The one end of the call."""
         self.call = None
-        if self.upload is not None:
-            self.upload.fail()  # the rest, if there is any, is nobody's
+        if self.streamed_body is not None:
+            self.streamed_body.abort()  # the rest, if there is any, is nobody's
         if self.trailers is None:
             self.trailers = trailers
             self.connection.push(self)
@@ -148,10 +148,10 @@
         """The client has gone, or wants it no more."""
         self.over = True
         call, self.call = self.call, None
-        if self.upload is not None:
-            self.upload.fail()
+        if self.streamed_body is not None:
+            self.streamed_body.abort()
         if call is not None:
-            self.front.gateway.leave(call.id)
+            self.front.gateway.cancel_request(call.id)
 
 
 class ClientLine(asyncio.Protocol):
@@ -258,7 +258,7 @@
         stream.moved_us = now_us()
         try:
             for message in stream.unpacker.feed(data):
-                if stream.upload is not None:
+                if stream.streamed_body is not None:
                     self.front.feed(stream, message)
                 else:
                     stream.messages.append(message)
@@ -266,7 +266,7 @@
         except MessageError as error:
             self.front.stop(stream, Status.RESOURCE_EXHAUSTED, str(error))
             return
-        if stream.upload is None and stream.held > self.front.most_held:
+        if stream.streamed_body is None and stream.held > self.front.most_held:
             self.front.hand_over(stream)
 
     def acknowledge(self, stream: Stream | None, number: int, size: int) -> None:
@@ -275,7 +275,7 @@
         The connection's is opened at once, so that a body that waits for its server holds up nothing else.
         """
         with suppress(h2.exceptions.H2Error):
-            if stream is None or stream.upload is None or not stream.upload.is_full:
+            if stream is None or stream.streamed_body is None or not stream.streamed_body.is_full:
                 self.h2.acknowledge_received_data(size, number)
             elif size:
                 stream.shut += size
@@ -351,7 +351,7 @@
 
     def has_gone(self) -> bool:
         """Whether the client has hung up, heard or not: asked before anything goes out for its calls."""
-        return self.over or (self.poll is not None and hung_up(self.poll))
+        return self.over or (self.poll is not None and has_peer_closed(self.poll))
 
     def leave(self) -> None:
         """Take no more streams: the client opens a connection elsewhere, what is in work is answered."""
@@ -390,7 +390,11 @@
             self.leave()
         for stream in list(self.streams.values()):
             # A client that reads nothing of an answer, or never ends its call, does not hold its place.
-            sends = stream.upload is not None and not stream.upload.is_over and not stream.upload.is_full
+            sends = (
+                stream.streamed_body is not None
+                and not stream.streamed_body.is_finished
+                and not stream.streamed_body.is_full
+            )
             waits = stream.out or stream.call is None or sends
             if waits and now - stream.moved_us > STUCK_S * 1e6:
                 with suppress(h2.exceptions.H2Error):
@@ -404,9 +408,9 @@
     """All clients of the newer format."""
 
     def __init__(
-        self, gateway: Gateway, read: Read, stands_by: Callable[[], bool], allowance: Allowance
+        self, gateway: Gateway, read: Read, stands_by: Callable[[], bool], body_budget: BodyMemoryBudget
     ) -> None:
-        self.gateway, self.read, self.stands_by, self.allowance = gateway, read, stands_by, allowance
+        self.gateway, self.read, self.stands_by, self.body_budget = gateway, read, stands_by, body_budget
         self.most_held = BODY_LIMIT
         self.counts = FrontCounts()
         self.lines: set[ClientLine] = set()
@@ -423,7 +427,7 @@
             server = await loop.create_server(
                 lambda: ClientLine(self), host, port, ssl=secured, backlog=256, reuse_port=shared
             )
-            self.servers.append(check_listens(server))
+            self.servers.append(require_sockets(server))
         self.sweep()
         return [server.sockets[0].getsockname()[:2] for server in self.servers]
 
@@ -432,28 +436,34 @@
 
     def whole(self, stream: Stream) -> None:
         """A call has come to its end."""
-        upload = stream.upload
-        if upload is None:
+        streamed_body = stream.streamed_body
+        if streamed_body is None:
             self.ask(stream)
-        elif stream.unpacker.rest or (upload.length is not None and upload.length != upload.received):
+        elif stream.unpacker.rest or (
+            streamed_body.length is not None and streamed_body.length != streamed_body.received
+        ):
             # Its server must not take it for whole.
-            self.stop(stream, Status.INVALID_ARGUMENT, f"a body that ends after {upload.received} bytes")
+            self.stop(
+                stream, Status.INVALID_ARGUMENT, f"a body that ends after {streamed_body.received} bytes"
+            )
         else:
-            upload.end()
+            streamed_body.complete()
 
     def feed(self, stream: Stream, message: bytes) -> None:
         """A further piece of a body that passes through."""
-        upload = stream.upload
-        assert upload is not None
-        if upload.discarding:
+        streamed_body = stream.streamed_body
+        assert streamed_body is not None
+        if streamed_body.discarding:
             return
         try:
-            upload.feed(old_body(message))
+            streamed_body.feed(old_body(message))
         except TranslationError as error:
             self.stop(stream, Status.INVALID_ARGUMENT, str(error))
             return
-        if upload.received > (LARGE_LIMIT if upload.length is None else upload.length):
-            most = LARGE_LIMIT if upload.length is None else upload.length
+        if streamed_body.received > (
+            STREAMED_BODY_LIMIT if streamed_body.length is None else streamed_body.length
+        ):
+            most = STREAMED_BODY_LIMIT if streamed_body.length is None else streamed_body.length
             self.stop(stream, Status.RESOURCE_EXHAUSTED, f"a body of over {most} bytes")
 
     def stop(self, stream: Stream, status: int, why: str) -> None:
@@ -461,7 +471,7 @@
         call = stream.call
         stream.refuse(status, why)
         if call is not None:
-            self.gateway.leave(call.id)
+            self.gateway.cancel_request(call.id)
 
     def hand_over(self, stream: Stream) -> None:
         """Its body is too long to be held: the call goes on before it is whole."""
@@ -482,15 +492,15 @@
             body += b"".join(old_body(message) for message in stream.messages[1:])
             if length is not None and (len(body) > length or (len(body) < length and not passes)):
                 raise TranslationError(f"a body of {len(body)} bytes that was to have {length}")
-            if length is not None and length > LARGE_LIMIT:
-                raise TranslationError(f"a body of {length} bytes, over {LARGE_LIMIT}")
+            if length is not None and length > STREAMED_BODY_LIMIT:
+                raise TranslationError(f"a body of {length} bytes, over {STREAMED_BODY_LIMIT}")
             method, target, headers = split_head(head)
             if passes:
-                stream.upload = Upload(length, self.allowance)
-                stream.upload.on_room = lambda: stream.connection.open(stream)
-                stream.upload.feed(body)
+                stream.streamed_body = StreamedBody(length, self.body_budget)
+                stream.streamed_body.on_capacity = lambda: stream.connection.open(stream)
+                stream.streamed_body.feed(body)
                 body = b""
-            call = self.read(method, target, headers, body, budget_us, stream, stream.upload)
+            call = self.read(method, target, headers, body, budget_us, stream, stream.streamed_body)
         except TranslationError as error:
             stream.refuse(Status.INVALID_ARGUMENT, str(error))
             return
@@ -501,7 +511,7 @@
         stream.call = call
         call.has_gone = stream.connection.has_gone
         stream.moved_us = now_us()
-        if not self.gateway.arrive(call):
+        if not self.gateway.submit(call):
             stream.call = None
             stream.refuse(Status.ALREADY_EXISTS, "this x-call-id is in use")
 
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -16,8 +16,8 @@
 import h2.config
 import h2.connection
 
-from sagetrack.core.bodies import Allowance, Upload
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
+from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.interfaces import Call, Client
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.calls_pb2 import Answer
@@ -64,16 +64,16 @@
     def on_first_byte(self) -> None:
         """Of no concern here."""
 
-    def on_written(self) -> None:
+    def on_request_sent(self) -> None:
         """Of no concern here."""
 
-    def on_begun(self, attempt: Any, head: Any, source: Any) -> None:
+    def on_response_started(self, attempt: Any, head: Any, source: Any) -> None:
         """Of no concern here."""
 
-    def on_piece(self, attempt: Any, data: bytes) -> None:
+    def on_response_data(self, attempt: Any, data: bytes) -> None:
         """Of no concern here."""
 
-    def on_end(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
         self.ends.append((outcome, answer))
 
 
@@ -212,22 +212,22 @@
         self.ended = 0
         self.left = 0
 
-    def arrive(self, call: Call) -> bool:
+    def submit(self, call: Call) -> bool:
         if call.id in self.owed:
             return False
         self.owed[call.id] = call
-        if call.upload is not None:
-            call.upload.on_data = lambda: self.drain(call)
+        if call.streamed_body is not None:
+            call.streamed_body.on_data = lambda: self.drain(call)
             self.drain(call)
         if self.draw.random() < 0.5:
             self.end(call)
         return True
 
     def drain(self, call: Call) -> None:
-        while call.upload is not None and call.upload.pieces:
-            call.upload.take()
+        while call.streamed_body is not None and call.streamed_body.chunks:
+            call.streamed_body.take()
 
-    def leave(self, id_: str) -> None:
+    def cancel_request(self, id_: str) -> None:
         self.left += self.owed.pop(id_, None) is not None
 
     def end(self, call: Call) -> None:
@@ -236,15 +236,15 @@
         self.ended += 1
         match self.draw.randrange(4):
             case 0:
-                call.client.on_refused(call, self.draw.randrange(2_000_000))
+                call.client.on_rejected(call, self.draw.randrange(2_000_000))
             case 1:
                 call.client.on_failed(call, self.draw.random() < 0.5)
             case 2:
-                call.client.on_begun(call, Reply(200, [(b"X-A", b"b")], b"", True, 3000), self)
-                call.client.on_piece(call, bytes(3000))
-                call.client.on_ended(call, Reply(200, [], b"", True))
+                call.client.on_response_started(call, Response(200, [(b"X-A", b"b")], b"", True, 3000), self)
+                call.client.on_response_data(call, bytes(3000))
+                call.client.on_response_ended(call, Response(200, [], b"", True))
             case _:
-                call.client.on_served(call, Reply(200, [(b"X-A", b"b")], b"true", True))
+                call.client.on_response(call, Response(200, [(b"X-A", b"b")], b"true", True))
 
     def pause(self) -> None:
         """As the source of an answer; it has no more."""
@@ -260,13 +260,13 @@
     body: bytes,
     budget_us: int,
     client: Client,
-    upload: Upload | None,
+    streamed_body: StreamedBody | None,
 ) -> Call:
     ids = [value for name, value in headers if name.lower() == b"x-call-id"]
     if not ids:
         raise ReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
     message = Message(b"", body)
-    return Call(ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, upload)
+    return Call(ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, streamed_body)
 
 
 def true_calls(draw: random.Random) -> bytes:
@@ -300,7 +300,7 @@
     found, draw = Found(), random.Random(seed)
     while found.frames < frames:
         taker: Any = _Taker(draw)
-        front = NewFront(taker, _read, lambda: False, Allowance(64))
+        front = NewFront(taker, _read, lambda: False, BodyMemoryBudget(64))
         front.most_held = 500  # so that bodies pass through too
         line = ClientLine(front)
         transport: Any = _Transport()
@@ -323,8 +323,8 @@
         found.failed += taker.left
         if taker.owed:
             found.wrong.append(f"{len(taker.owed)} calls left in work: {data.hex()}")
-        if front.allowance.active:
-            found.wrong.append(f"{front.allowance.active} bodies never ended: {data.hex()}")
+        if front.body_budget.active:
+            found.wrong.append(f"{front.body_budget.active} bodies never ended: {data.hex()}")
         if front.lines:
             found.wrong.append(f"a connection that is over is kept: {data.hex()}")
         progress(found.frames / frames)
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.log import log
@@ -36,7 +36,7 @@
 PREFIX = "shadow\n"  # no header, and so no client's id, can be that
 
 
-def difference(one: Reply, other: Reply, ignored: frozenset[bytes] = PASSING) -> str | None:
+def difference(one: Response, other: Response, ignored: frozenset[bytes] = PASSING) -> str | None:
     """How two answers differ, None if they do not: `status`, `body`, or `header` and the field's name.
 
     Names count without case, values to the byte; of a field that comes several times the order counts.
@@ -107,9 +107,9 @@
     def answered(self, call: Call, newer: bool, answer: Any) -> None:
         """A call has had its answer, whole, from a server of this format."""
         now = now_us()
-        if call.mirror_target >= 0 or call.upload is not None or call.klass not in self.safe:
+        if call.mirror_target >= 0 or call.streamed_body is not None or call.klass not in self.safe:
             return
-        if self.bucket.wait_us(0, now) > 0 or not isinstance(answer, Reply) or not self.wanted():
+        if self.bucket.wait_us(0, now) > 0 or not isinstance(answer, Response) or not self.wanted():
             return
         self.bucket.take(0, now)
         self.number += 1
@@ -121,9 +121,9 @@
             is_retry=True,
             mirror_target=int(not newer),
         )
-        self.gateway.arrive(copy)
+        self.gateway.submit(copy)
 
-    def compared(self, call: Call, first: Reply, other: Reply, newer: bool) -> None:
+    def compared(self, call: Call, first: Response, other: Response, newer: bool) -> None:
         old, new = (other, first) if newer else (first, other)
         found = difference(old, new, self.ignored)
         if found is None:
@@ -150,27 +150,27 @@
 class Comparer:
     """The client of a copy."""
 
-    def __init__(self, shadow: Shadow, answer: Reply, newer: bool) -> None:
+    def __init__(self, shadow: Shadow, answer: Response, newer: bool) -> None:
         self.shadow, self.answer, self.newer = shadow, answer, newer
 
-    def on_served(self, call: Call, answer: Any) -> None:
+    def on_response(self, call: Call, answer: Any) -> None:
         self.shadow.compared(call, self.answer, answer, self.newer)
 
-    def on_begun(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
         """Too long to be held: given up, as nobody wants it."""
         self.shadow.report.long += 1
-        self.shadow.gateway.leave(call.id)
+        self.shadow.gateway.cancel_request(call.id)
 
-    def on_piece(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, call: Call, data: bytes) -> None:
         """It was given up."""
 
-    def on_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, call: Call, answer: Any) -> None:
         """It was given up."""
 
-    def on_broken(self, call: Call) -> None:
+    def on_response_aborted(self, call: Call) -> None:
         """It was given up."""
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         self.shadow.report.refused += 1
 
     def on_failed(self, call: Call, timed_out: bool) -> None:
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -8,7 +8,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import Answer, Attempt, AttemptObserver, Call, Source, UpstreamPool
+from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, Call, Source, UpstreamPool
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.upstream import NewAttempt, NewPools
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
@@ -33,23 +33,23 @@
     def on_first_byte(self) -> None:
         self.watcher.on_first_byte()
 
-    def on_written(self) -> None:
-        self.watcher.on_written()
+    def on_request_sent(self) -> None:
+        self.watcher.on_request_sent()
 
-    def on_begun(self, attempt: Attempt, head: Answer, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
         self.streams = True
-        self.watcher.on_begun(attempt, head, source)
+        self.watcher.on_response_started(attempt, head, source)
 
-    def on_piece(self, attempt: Attempt, data: bytes) -> None:
-        self.watcher.on_piece(attempt, data)
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        self.watcher.on_response_data(attempt, data)
 
-    def on_end(
-        self, attempt: Attempt, outcome: Outcome, answer: Answer | None, load: LoadReport | None
+    def on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
     ) -> None:
         told = outcome is Outcome.OK or outcome in FAILED
         if told and self.mixed.move.record(self.newer, outcome is not Outcome.OK, now_us()):
             self.mixed.on_move()
-        self.watcher.on_end(attempt, outcome, answer, load)
+        self.watcher.on_attempt_ended(attempt, outcome, answer, load)
         if outcome is Outcome.OK and not self.streams and self.mixed.on_answer is not None:
             self.mixed.on_answer(self.call, self.newer, answer)  # the client has its own by now
 
@@ -130,8 +130,8 @@
     def listed(self) -> Collection[int]:
         return self.numbers.keys()
 
-    def lives(self) -> dict[int, int]:
-        return self.old.lives() | self.new.lives()
+    def server_start_times(self) -> dict[int, int]:
+        return self.old.server_start_times() | self.new.server_start_times()
 
     def begin(self, call: Call, server: int, wait_us: int, watcher: AttemptObserver) -> Any:
         newer = self.speaks_new(server)
@@ -141,8 +141,8 @@
     def cancel(self, attempt: Any) -> None:
         (self.new if isinstance(attempt, NewAttempt) else self.old).cancel(attempt)
 
-    def withdraw(self, attempt: Any) -> None:
-        (self.new if isinstance(attempt, NewAttempt) else self.old).withdraw(attempt)
+    def cancel_unsent(self, attempt: Any) -> None:
+        (self.new if isinstance(attempt, NewAttempt) else self.old).cancel_unsent(attempt)
 
     def close_idle(self, server: int) -> None:
         (self.new if self.speaks_new(server) else self.old).close_idle(server)
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -11,7 +11,7 @@
 
 from google.protobuf.message import DecodeError
 
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.endpoints import Header, Response
 from sagetrack.grpc.calls_pb2 import Answer, Call, Field
 from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
 from sagetrack.grpc.outcomes import Status
@@ -103,7 +103,7 @@
     return Call(body=data).SerializeToString()
 
 
-def to_old(message: bytes) -> tuple[Reply, int | None]:
+def to_old(message: bytes) -> tuple[Response, int | None]:
     """An old answer from the first message of a new one, and the length of its body where that is told.
 
     TranslationError where it has no counterpart.
@@ -112,7 +112,7 @@
         answer = Answer.FromString(message)
     except DecodeError:
         raise TranslationError("an answer that the schema does not know") from None
-    return Reply(200, old_fields(answer.fields), answer.body, True), (
+    return Response(200, old_fields(answer.fields), answer.body, True), (
         answer.length if answer.HasField("length") else None
     )
 
--- a/sagetrack/grpc/upstream.py
+++ b/sagetrack/grpc/upstream.py
@@ -22,9 +22,9 @@
 from h2.connection import ConnectionState
 
 from sagetrack.config.platform import Address
-from sagetrack.core.bodies import LARGE_LIMIT, STALL_S, nothing
+from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, STREAMED_BODY_LIMIT, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Endpoint, Reply
+from sagetrack.core.endpoints import Endpoint, Response
 from sagetrack.core.interfaces import AttemptObserver, Call
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc import outcomes
@@ -91,7 +91,7 @@
     paused: bool = False
     moved_us: int = 0
     unpacker: Unpacker = field(default_factory=Unpacker)
-    reply: Reply | None = None
+    reply: Response | None = None
     length: int | None = None
     body: bytearray = field(default_factory=bytearray)
     got: int = 0  # bytes of messages
@@ -107,7 +107,7 @@
     @property
     def left_us(self) -> int:
         """How long its answer will be waited for; the time of a request counts from its last byte."""
-        if self.call.upload is not None and not self.call.upload.ended:
+        if self.call.streamed_body is not None and not self.call.streamed_body.is_complete:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
@@ -200,9 +200,9 @@
         attempt.stream, attempt.begun = stream, True
         self.attempts[stream] = attempt
         self.pool.counts.streams += 1
-        upload = attempt.call.upload
-        if upload is not None:
-            upload.on_data = lambda: self.pump_and_flush(attempt)
+        streamed_body = attempt.call.streamed_body
+        if streamed_body is not None:
+            streamed_body.on_data = lambda: self.pump_and_flush(attempt)
         self.pump(attempt)
 
     def pump_and_flush(self, attempt: NewAttempt) -> None:
@@ -213,11 +213,11 @@
         """Send what the windows take of an attempt's messages, and the end with the last of them."""
         if attempt.ended or attempt.written or not attempt.begun or self.over:
             return
-        upload = attempt.call.upload
+        streamed_body = attempt.call.streamed_body
         try:
             while not self.stuck:
-                if not attempt.out and upload is not None and upload.pieces:
-                    attempt.out.append(pack(more(upload.take())))
+                if not attempt.out and streamed_body is not None and streamed_body.chunks:
+                    attempt.out.append(pack(more(streamed_body.take())))
                 if not attempt.out:
                     break
                 window = min(
@@ -231,14 +231,16 @@
                     data = data[:window]
                 self.h2.send_data(attempt.stream, data)
                 attempt.moved_us = now_us()
-            if not attempt.out and (upload is None or (upload.ended and not upload.pieces)):
+            if not attempt.out and (
+                streamed_body is None or (streamed_body.is_complete and not streamed_body.chunks)
+            ):
                 self.h2.end_stream(attempt.stream)
                 attempt.written = True
         except h2.exceptions.H2Error:
             return  # its end is on its way to us
         if attempt.written:
             self.flush()
-            attempt.watcher.on_written()
+            attempt.watcher.on_request_sent()
 
     def flush(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -342,14 +344,14 @@
                     part = piece(message)
                 attempt.had += len(part)
                 if attempt.streams:
-                    attempt.watcher.on_piece(attempt, part)
+                    attempt.watcher.on_response_data(attempt, part)
                 else:
                     attempt.body += part
         except (MessageError, TranslationError):
             self.give_up(attempt, Outcome.ERROR)
             return
         self.acknowledge(attempt, size)
-        if attempt.got > LARGE_LIMIT + 64 * 1024:
+        if attempt.got > STREAMED_BODY_LIMIT + 64 * 1024:
             self.give_up(attempt, Outcome.ERROR)
         elif not attempt.streams and attempt.reply is not None and len(attempt.body) > HELD:
             self.pass_through(attempt)
@@ -364,11 +366,11 @@
         attempt.latency_us = now_us() - attempt.sent_us
         for timer in attempt.timers:
             timer.cancel()
-        head = Reply(200, attempt.reply.headers, b"", True, attempt.length)
-        attempt.watcher.on_begun(attempt, head, attempt)
+        head = Response(200, attempt.reply.headers, b"", True, attempt.length)
+        attempt.watcher.on_response_started(attempt, head, attempt)
         body, attempt.body = bytes(attempt.body), bytearray()
         if not attempt.ended:
-            attempt.watcher.on_piece(attempt, body)
+            attempt.watcher.on_response_data(attempt, body)
 
     def acknowledge(self, attempt: NewAttempt, size: int) -> None:
         """Open the server's window again for what the client has taken.
@@ -416,7 +418,7 @@
             outcome = Outcome.ERROR
         reply = None
         if outcome is Outcome.OK and attempt.reply is not None:
-            reply = Reply(200, attempt.reply.headers, bytes(attempt.body), True)
+            reply = Response(200, attempt.reply.headers, bytes(attempt.body), True)
         if not attempt.written:
             self.reset(attempt)
         self.pool.end(attempt, outcome, reply)
@@ -496,14 +498,14 @@
             self.h2.ping(b"sagetrk2")
             self.flush()
         for attempt in list(self.attempts.values()):
-            long = attempt.streams or attempt.call.upload is not None
-            if long and not attempt.paused and now - attempt.moved_us > STALL_S * 1e6:
+            long = attempt.streams or attempt.call.streamed_body is not None
+            if long and not attempt.paused and now - attempt.moved_us > BODY_STALL_TIMEOUT_S * 1e6:
                 self.give_up(attempt, outcomes.of_deadline(attempt.begun))
         self.rest()
 
 
 class NewPools:
-    """Carries calls to servers of the newer format. Every attempt ends once, by its watcher's `on_end`."""
+    """Carries calls to servers of the newer format. Each attempt ends once, by `on_attempt_ended`."""
 
     def __init__(
         self, settings: Settings, secure: Callable[[], ssl.SSLContext | None] = lambda: None
@@ -519,7 +521,7 @@
     def listed(self) -> Collection[int]:
         return self.hosts.keys()
 
-    def lives(self) -> dict[int, int]:
+    def server_start_times(self) -> dict[int, int]:
         return {number: host.started_us for number, host in self.hosts.items()}
 
     def put(self, entry: Endpoint) -> None:
@@ -566,11 +568,11 @@
         host = self.hosts.get(server)
         if host is None:
             return None
-        upload = call.upload
+        streamed_body = call.streamed_body
         authority = f"{host.address[0]}:{host.address[1]}"
         now = now_us()
         try:
-            length = upload.length if upload is not None else None
+            length = streamed_body.length if streamed_body is not None else None
             headers, first = to_new(call.message.head, call.message.body, length, wait_us, authority)
         except TranslationError:
             # The front turns such a call away with the reason; this is for what it cannot know.
@@ -583,10 +585,12 @@
             self.end(attempt, Outcome.NOT_SENT)
             return attempt
         later = self.loop.call_later
-        if upload is None or upload.ended:
+        if streamed_body is None or streamed_body.is_complete:
             attempt.timers.append(later(wait_us / 1e6, self.on_timeout, attempt))
         else:
-            upload.on_end = lambda: attempt.timers.append(later(wait_us / 1e6, self.on_timeout, attempt))
+            streamed_body.on_complete = lambda: attempt.timers.append(
+                later(wait_us / 1e6, self.on_timeout, attempt)
+            )
         line = self.line_to(host)
         if line is None:
             self.end(attempt, Outcome.NOT_SENT)  # every stream is taken: nothing was sent
@@ -631,11 +635,11 @@
             attempt.line.reset(attempt)
         self.end(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, attempt: NewAttempt) -> None:
+    def cancel_unsent(self, attempt: NewAttempt) -> None:
         if not attempt.begun:
             self.end(attempt, Outcome.NOT_SENT)
 
-    def end(self, attempt: NewAttempt, outcome: Outcome, reply: Reply | None = None) -> None:
+    def end(self, attempt: NewAttempt, outcome: Outcome, reply: Response | None = None) -> None:
         if attempt.ended:
             return
         attempt.ended = True
@@ -643,11 +647,11 @@
             attempt.latency_us = now_us() - attempt.sent_us
         for timer in attempt.timers:
             timer.cancel()
-        if attempt.call.upload is not None:
-            attempt.call.upload.on_data = attempt.call.upload.on_end = nothing
+        if attempt.call.streamed_body is not None:
+            attempt.call.streamed_body.on_data = attempt.call.streamed_body.on_complete = do_nothing
         if attempt.line is not None:
             attempt.line.forget(attempt)
-        attempt.watcher.on_end(attempt, outcome, reply, None)
+        attempt.watcher.on_attempt_ended(attempt, outcome, reply, None)
 
     def sweep(self) -> None:
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -6,8 +6,8 @@
 
 import httptools
 
-from sagetrack.core.bodies import LARGE_LIMIT
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.bodies import STREAMED_BODY_LIMIT
+from sagetrack.core.endpoints import Header, Response
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
@@ -72,7 +72,7 @@
         self._length: int | None = None
         self.in_body = False  # the head of a good answer has come, its end has not
         self._parser = httptools.HttpResponseParser(self)
-        self._replies: list[Reply] = []
+        self._replies: list[Response] = []
         self._headers: list[Header] = []
         self._body: list[bytes] = []
         self._size = 0
@@ -80,7 +80,7 @@
         self._unparsed = 0  # bytes since the parser last gave something away
         self.has_begun = False  # an answer has begun and is not yet whole
 
-    def feed(self, data: bytes) -> Reply | None:
+    def feed(self, data: bytes) -> Response | None:
         """The answer that these bytes complete, if they do; bytes beyond it are an error."""
         self._unparsed += len(data)
         try:
@@ -111,9 +111,9 @@
         """Whether nobody can tell yet how long it will be."""
         return self.in_body and self._length is None
 
-    def begin(self) -> Reply:
+    def begin(self) -> Response:
         """The head of the answer that is coming."""
-        return Reply(200, self._headers, b"", False, self._length)
+        return Response(200, self._headers, b"", False, self._length)
 
     def take(self) -> bytes:
         """What has come of its body since the last time."""
@@ -153,7 +153,7 @@
 
     @property
     def _most(self) -> int:
-        return LARGE_LIMIT if self.in_body else self._limit
+        return STREAMED_BODY_LIMIT if self.in_body else self._limit
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
@@ -167,7 +167,7 @@
         if status >= 200:  # what comes before the answer proper is not passed on
             keep_alive = self._parser.should_keep_alive()
             body = b"".join(self._body)
-            self._replies.append(Reply(status, self._headers, body, keep_alive, self._length))
+            self._replies.append(Response(status, self._headers, body, keep_alive, self._length))
         else:
             self._interim += 1
             if self._interim > INTERIM_LIMIT:
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from sagetrack.core.bodies import STALL_S, nothing
+from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.deadlines import REST_S
-from sagetrack.core.endpoints import Endpoint, Reply
+from sagetrack.core.deadlines import REUSE_DELAY_S
+from sagetrack.core.endpoints import Endpoint, Response
 from sagetrack.core.interfaces import AttemptObserver, Call
 from sagetrack.http1.codec import header
 from sagetrack.http1.upstream_connection import Attempt, Host, HostConnection, Life, Message
@@ -35,7 +35,7 @@
 
 
 class Pools:
-    """Carries attempts to hosts. Every attempt that is sent ends once, by its `on_end`."""
+    """Carries attempts to hosts. Every attempt that is sent ends once, by its `on_attempt_ended`."""
 
     def __init__(self, settings: Settings, room: Callable[[], None] = lambda: None) -> None:
         self.settings = settings
@@ -54,7 +54,7 @@
     def listed(self) -> Collection[int]:
         return self.hosts.keys()
 
-    def lives(self) -> dict[int, int]:
+    def server_start_times(self) -> dict[int, int]:
         return {number: host.started_us for number, host in self.hosts.items()}
 
     def put(self, entry: Endpoint) -> None:
@@ -106,21 +106,21 @@
         def payload(left_us: int) -> bytes:
             return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, left_us // 1000), message.body)
 
-        def on_end(attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
-            watcher.on_end(attempt, outcome, reply, load_of(reply))
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, reply: Response | None) -> None:
+            watcher.on_attempt_ended(attempt, outcome, reply, load_of(reply))
 
         attempt = Attempt(
             host,
             payload,
             wait_us,
-            on_end,
+            on_attempt_ended,
             watcher.may_begin,
             watcher.on_first_byte,
-            watcher.on_written,
-            watcher.on_begun,
-            upload=call.upload,
+            watcher.on_request_sent,
+            watcher.on_response_started,
+            streamed_body=call.streamed_body,
         )
-        attempt.on_piece = lambda data: watcher.on_piece(attempt, data)
+        attempt.on_response_data = lambda data: watcher.on_response_data(attempt, data)
         self.send(attempt)
         return attempt
 
@@ -130,25 +130,25 @@
         if host is None:
             return
 
-        def on_end(attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, reply: Response | None) -> None:
             told(outcome, attempt.latency_us, load_of(reply))
 
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
         address = f"{host.address[0]}:{host.address[1]}".encode()
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, address)
-        self.send(Attempt(host, lambda left_us: payload, PROBE_TIMEOUT_US, on_end))
+        self.send(Attempt(host, lambda left_us: payload, PROBE_TIMEOUT_US, on_attempt_ended))
 
     def send(self, attempt: Attempt) -> None:
         """Begin an attempt on a kept connection, or on a new one where none is free."""
         attempt.sent_us = now_us()
         later = self.loop.call_later
-        upload = attempt.upload
-        if upload is None or upload.ended:
+        streamed_body = attempt.streamed_body
+        if streamed_body is None or streamed_body.is_complete:
             attempt.timers.append(later(attempt.timeout_us / 1e6, self.on_timeout, attempt))
         else:  # the time of a request counts from its last byte
             end_s = attempt.timeout_us / 1e6
-            upload.on_end = lambda: attempt.timers.append(later(end_s, self.on_timeout, attempt))
-        if upload is not None:
+            streamed_body.on_complete = lambda: attempt.timers.append(later(end_s, self.on_timeout, attempt))
+        if streamed_body is not None:
             attempt.moved_us = now_us()
             self.moving.add(attempt)
         self.place(attempt)
@@ -166,7 +166,7 @@
             # The write itself failed: nothing has reached the host, so the same attempt may begin anew.
             self.counts.stale += 1
         # Of a server that answers in less than the rest takes, the wait would count as slowness and silence.
-        if host.idle and host.idle[0].took_us >= 2 * REST_S * 1e6:
+        if host.idle and host.idle[0].took_us >= 2 * REUSE_DELAY_S * 1e6:
             self.park(attempt, host.idle.pop(0))
             return
         self.room()
@@ -196,7 +196,7 @@
         """The most recently used free connection that has rested: those at the bottom age and are closed."""
         now = now_us()
         oldest_us = now - int(self.settings.keepalive_us * IDLE_SHARE)
-        rested_us = now - int(REST_S * 1e6)
+        rested_us = now - int(REUSE_DELAY_S * 1e6)
         at = len(host.idle)
         while at > 0:
             at -= 1
@@ -216,7 +216,7 @@
         comes a moment after the first shows while nothing else is out there, and ends the connection.
         """
         attempt.connection, connection.parked = connection, attempt
-        wait_s = REST_S - (now_us() - connection.idle_since_us) / 1e6
+        wait_s = REUSE_DELAY_S - (now_us() - connection.idle_since_us) / 1e6
         attempt.timers.append(self.loop.call_later(wait_s, self.on_rested, connection))
 
     def on_rested(self, connection: HostConnection) -> None:
@@ -257,12 +257,12 @@
             connection.attempt = connection.parked = None
             connection.close()
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         """Give up what waits for its connection."""
         if attempt.connection is None or not attempt.connection.begun:
             self.cancel(attempt, Outcome.NOT_SENT)
 
-    def end(self, attempt: Attempt, outcome: Outcome, reply: Reply | None = None) -> None:
+    def end(self, attempt: Attempt, outcome: Outcome, reply: Response | None = None) -> None:
         if attempt.ended:
             return
         attempt.ended = True
@@ -271,12 +271,12 @@
         for timer in attempt.timers:
             timer.cancel()
         self.moving.discard(attempt)
-        if attempt.upload is not None:
-            attempt.upload.on_data = attempt.upload.on_end = nothing
+        if attempt.streamed_body is not None:
+            attempt.streamed_body.on_data = attempt.streamed_body.on_complete = do_nothing
         if outcome is Outcome.CONNECT_FAILED:
             self.counts.failed += 1
         attempt.connection = attempt.opening = None
-        attempt.on_end(attempt, outcome, reply)
+        attempt.on_attempt_ended(attempt, outcome, reply)
 
     def begin_stream(self, attempt: Attempt) -> None:
         """The answer has begun, in time: from now on only a stall ends it."""
@@ -289,7 +289,7 @@
 
     def end_stalled(self) -> None:
         """Give up long bodies that the host neither takes nor gives."""
-        oldest_us = now_us() - int(STALL_S * 1e6)
+        oldest_us = now_us() - int(BODY_STALL_TIMEOUT_S * 1e6)
         for attempt in list(self.moving):
             connection = attempt.connection
             if connection is None or attempt.moved_us >= oldest_us or connection.paused:
@@ -331,7 +331,7 @@
         if opening.cancelled() or opening.exception() is not None:
             self.on_lost(connection)
 
-    def on_reply(self, connection: HostConnection, reply: Reply) -> None:
+    def on_reply(self, connection: HostConnection, reply: Response) -> None:
         attempt, connection.attempt = connection.attempt, None
         if attempt is None:
             connection.close()
@@ -409,7 +409,7 @@
             self.let_go_of_idle(host)
 
 
-def outcome_of(reply: Reply) -> Outcome:
+def outcome_of(reply: Response) -> Outcome:
     if reply.status == 200:
         return Outcome.OK
     if reply.status in (503, 504) and header(reply.headers, b"x-rejected") == b"1":
@@ -417,7 +417,7 @@
     return Outcome.ERROR
 
 
-def load_of(reply: Reply | None) -> LoadReport | None:
+def load_of(reply: Response | None) -> LoadReport | None:
     """The load report that came with an answer; what cannot be read is as good as none."""
     text = header(reply.headers, b"x-load-report") if reply is not None else None
     if text is None:
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.endpoints import Reply
+from sagetrack.core.endpoints import Response
 from sagetrack.http1.codec import ReplyError, ReplyReader
 
 LIST_LIMIT = 16 * 1024 * 1024
@@ -20,7 +20,7 @@
         self.error = error
         self.transport: asyncio.Transport | None = None
         self.replies = ReplyReader(LIST_LIMIT)
-        self.answer: asyncio.Future[Reply] | None = None
+        self.answer: asyncio.Future[Response] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
@@ -51,7 +51,7 @@
     def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    async def ask(self, head: bytes) -> Reply:
+    async def ask(self, head: bytes) -> Response:
         if self.transport is None or self.transport.is_closing():
             raise self.error("the connection has ended")
         self.answer = asyncio.get_running_loop().create_future()
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING, cast
 
 from sagetrack.config.platform import stable_id
-from sagetrack.core.bodies import Upload
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.bodies import StreamedBody
+from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.event_trace import Step
 from sagetrack.core.interfaces import Call, Source
-from sagetrack.core.invariants import Rule
-from sagetrack.core.peer_close import hung_up
-from sagetrack.core.send_rules import ClientState, Closing, DenialReason, may_close
+from sagetrack.core.invariants import Invariant
+from sagetrack.core.peer_close import has_peer_closed
+from sagetrack.core.send_rules import ClientConnectionState, CloseReason, DenialReason, may_close
 from sagetrack.http1.codec import end_to_end
 from sagetrack.http1.requests import Request, RequestError, RequestReader, read_call
 
@@ -76,11 +76,11 @@
     def __init__(self, server: Server) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
-        self.reader = RequestReader(server.allowance)
+        self.reader = RequestReader(server.body_budget)
         self.source: Source | None = None  # of the answer that passes through
         self.chunked = False  # how that one is framed
         self.last = False  # and whether the connection ends with it
-        self.swallowing: Upload | None = None  # the rest of a body whose request has had its answer
+        self.swallowing: StreamedBody | None = None  # the rest of a body whose request has had its answer
         self.paused_s: float | None = None  # since when nothing is read
         self.phase: Phase | None = None
         self.opened_s = 0.0
@@ -120,9 +120,9 @@
         self.source = None
         call, self.call = self.call, None
         if call is not None:
-            self.server.gateway.leave(call.id)
-        if self.reader.upload is not None:
-            self.reader.upload.fail()
+            self.server.gateway.cancel_request(call.id)
+        if self.reader.streamed_body is not None:
+            self.reader.streamed_body.abort()
 
     def unwatch(self) -> None:
         if self in self.server.paused:
@@ -144,11 +144,15 @@
         server = self.server
         if self.deaf:
             return
-        upload = self.reader.upload
+        streamed_body = self.reader.streamed_body
         if self.stuck:
             stuck_s = STUCK_S if self.source is None else STREAM_STUCK_S
             self.enter(server.ending, asyncio.get_running_loop().time() + stuck_s)
-        elif upload is not None and self.current is not None and self.current.upload is upload:
+        elif (
+            streamed_body is not None
+            and self.current is not None
+            and self.current.streamed_body is streamed_body
+        ):
             self.enter(server.bodies)
         elif self.current is not None or self.reader.done:
             self.enter(None)
@@ -159,21 +163,21 @@
         elif self.served or self.phase is not server.silent:
             self.enter(server.kept)
 
-    def may_close(self, purpose: Closing) -> DenialReason | None:
+    def may_close(self, purpose: CloseReason) -> DenialReason | None:
         """Why it may not be closed now without a word; None if it may."""
         now_s = asyncio.get_running_loop().time()
-        state = ClientState(
-            owed=self.deaf or self.current is not None or bool(self.reader.done),
-            begun=self.reader.has_begun,
-            heard=self.served or self.reader.has_begun,
+        state = ClientConnectionState(
+            response_pending=self.deaf or self.current is not None or bool(self.reader.done),
+            request_incomplete=self.reader.has_begun,
+            has_sent_data=self.served or self.reader.has_begun,
             age_s=now_s - (self.phase or {}).get(self, self.opened_s),
-            unread=lambda: bool(self.poll.poll(0)),
+            has_unread_data=lambda: bool(self.poll.poll(0)),
         )
         return may_close(state, purpose)
 
     def heed_end(self) -> None:
         """Hear that the client has gone while nothing is read here, where the loop does not look."""
-        if hung_up(self.poll):
+        if has_peer_closed(self.poll):
             self.on_hangup()
 
     def on_hangup(self) -> None:
@@ -182,7 +186,7 @@
 
     def has_gone(self) -> bool:
         """Whether the client of a call has hung up, heard or not: asked before anything goes out for it."""
-        return self.transport is None or self.transport.is_closing() or hung_up(self.poll)
+        return self.transport is None or self.transport.is_closing() or has_peer_closed(self.poll)
 
     def turn_away(self) -> None:
         """On the way out: refuse in words a request that has begun and is not whole by now.
@@ -190,9 +194,9 @@
         A close without a word could cross its last byte, with which it is owed an answer.
         """
         if self.reader.has_begun:
-            if self.may_close(Closing.EXHAUSTED) is None:
+            if self.may_close(CloseReason.DESCRIPTORS_EXHAUSTED) is None:
                 self.give_up_reading(RequestError(503, "this gateway is leaving: ask again"))
-        elif self.may_close(Closing.IDLE) is None:
+        elif self.may_close(CloseReason.IDLE) is None:
             self.close("drain")
 
     def close(self, reason: str = "answered") -> None:
@@ -216,10 +220,12 @@
             return
         self.server.closed.add(reason)
         if reason not in ORDINARY:
-            self.server.gateway.trace.note(Step.CLOSED, self.call.id if self.call is not None else "", reason)
+            self.server.gateway.trace.note(
+                Step.CONNECTION_CLOSED, self.call.id if self.call is not None else "", reason
+            )
         owed = self.call is not None and self.source is None and not self.stuck
         if owed and self.call is not None and not self.has_gone():
-            self.server.gateway.violations.note(Rule.CLOSED, self.call.id, reason)
+            self.server.gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, self.call.id, reason)
 
     def pause_writing(self) -> None:
         self.stuck = True
@@ -296,11 +302,11 @@
         request = self.current
         if self.swallowing is not None and self.reader.is_broken:
             self.close()
-        if request is None or request.upload is None or request.fault is None:
+        if request is None or request.streamed_body is None or request.fault is None:
             return
         call, self.call = self.call, None
         if call is not None:
-            self.server.gateway.leave(call.id)
+            self.server.gateway.cancel_request(call.id)
         if self.source is not None:
             self.abort("broken_body")  # its answer has begun: the client can tell that it is not whole
         else:
@@ -339,8 +345,8 @@
     def take(self, request: Request) -> None:
         if request.fault is not None:
             raise request.fault
-        if request.upload is not None:
-            request.upload.on_room = self.read_on_soon
+        if request.streamed_body is not None:
+            request.streamed_body.on_capacity = self.read_on_soon
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             if request.method not in (b"GET", b"HEAD"):
@@ -353,9 +359,9 @@
             raise RequestError(400, why)
         self.call = call
         call.has_gone = self.has_gone
-        if not call.who and self.server.config.settings.admission is not None:
-            call.who = self.address_id()
-        if not self.server.gateway.arrive(call):
+        if not call.client_id and self.server.config.settings.admission is not None:
+            call.client_id = self.address_id()
+        if not self.server.gateway.submit(call):
             self.call = None
             raise RequestError(400, "this X-Call-Id is in use")
 
@@ -365,11 +371,11 @@
         peer = self.transport.get_extra_info("peername")
         return -stable_id(peer[0], 8) if peer else 0
 
-    def on_served(self, call: Call, reply: Reply) -> None:
+    def on_response(self, call: Call, reply: Response) -> None:
         if self.call is call:
             self.answer(200, end_to_end(reply.headers, NOT_PASSED_BACK), reply.body)
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         if self.call is call:
             told = b"%.3f" % (retry_after_us / 1e6)
             if self.server.config.whole_seconds:  # not before it is due
@@ -398,14 +404,14 @@
 
     def is_last(self, request: Request) -> bool:
         """Whether the connection ends with the answer to this request."""
-        if request.upload is not None and not request.upload.ended:
+        if request.streamed_body is not None and not request.streamed_body.is_complete:
             return True  # its body is not whole yet, and nobody waits for the rest
         # What was read is answered, on the way out too, but not without end.
         more = bool(self.reader.done) or self.reader.has_begun
         drain = self.server.drain
-        if drain.is_on and more and drain.is_past_words(asyncio.get_running_loop().time()):
+        if drain.is_draining and more and drain.is_past_answer_cutoff(asyncio.get_running_loop().time()):
             more = False
-        return not request.keep_alive or (drain.is_on and not more)
+        return not request.keep_alive or (drain.is_draining and not more)
 
     def go_on(self, request: Request, last: bool) -> None:
         """After an answer: the next request, or the end."""
@@ -416,22 +422,22 @@
             self.settle()
             return
         self.reader.done.clear()
-        if request.upload is not None and not request.upload.is_over:
-            self.swallow(request.upload)
+        if request.streamed_body is not None and not request.streamed_body.is_finished:
+            self.swallow(request.streamed_body)
         else:
             self.end(linger=request.fault is not None)
 
-    def swallow(self, upload: Upload) -> None:
+    def swallow(self, streamed_body: StreamedBody) -> None:
         """Read the rest of a body that nobody wants, and close then.
 
         Guards against a reset that overtakes the answer: the client reads it when it has sent everything.
         """
-        self.swallowing = upload
-        upload.discard()
-        upload.on_end = self.close
+        self.swallowing = streamed_body
+        streamed_body.discard()
+        streamed_body.on_complete = self.close
         self.enter(self.server.bodies)
 
-    def on_begun(self, call: Call, head: Reply, source: Source) -> None:
+    def on_response_started(self, call: Call, head: Response, source: Source) -> None:
         request, transport = self.current, self.transport
         if self.call is not call or request is None or transport is None:
             return
@@ -448,21 +454,21 @@
             lines.append(b"Connection: close")
         transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
-    def on_piece(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, call: Call, data: bytes) -> None:
         if self.call is call and self.transport is not None and data:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
-    def on_ended(self, call: Call, reply: Reply) -> None:
+    def on_response_ended(self, call: Call, reply: Response) -> None:
         request = self.current
         if self.call is not call or request is None or self.transport is None:
             return
-        self.on_piece(call, reply.body)
+        self.on_response_data(call, reply.body)
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
         self.source = None
         self.go_on(request, self.last)
 
-    def on_broken(self, call: Call) -> None:
+    def on_response_aborted(self, call: Call) -> None:
         if self.call is call:
             self.call = self.source = None
             self.abort("broken_answer")  # the client can tell that what it has is not whole
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -10,15 +10,20 @@
 from contextlib import suppress
 
 from sagetrack.config.platform import Config
-from sagetrack.core.bodies import Allowance
-from sagetrack.core.drain import LEAVE_ACCEPT_S, Drain
+from sagetrack.core.bodies import BodyMemoryBudget
+from sagetrack.core.drain import SHUTDOWN_ACCEPT_S, Drain
 from sagetrack.core.endpoints import EndpointSource, NoSiblings, SiblingProcesses
 from sagetrack.core.event_trace import Step
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.core.metrics import Reasons
-from sagetrack.core.peer_close import Hangups
-from sagetrack.core.send_rules import FIRST_REQUEST_S, OVERDUE_S, Closing, may_take_clients
+from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.peer_close import PeerCloseWatcher
+from sagetrack.core.send_rules import (
+    FIRST_REQUEST_TIMEOUT_S,
+    REQUEST_HEAD_TIMEOUT_S,
+    CloseReason,
+    may_take_clients,
+)
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.downstream import ClientConnection, Phase
 
@@ -30,7 +35,7 @@
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 EXHAUSTED_TIMES = 10  # of them in a row: this process may hold fewer descriptors than it was told
 # How long a connection may stay as it is, in seconds
-SILENT_S = OVERDUE_S  # accepted, and no byte has come
+SILENT_S = REQUEST_HEAD_TIMEOUT_S  # accepted, and no byte has come
 READING_S = 2.4  # the head of a request has begun to come; for the first one since it was accepted
 READ_SIZE = 64 * 1024  # bytes taken from a connection at once
 KEPT_S = 20.0  # between requests
@@ -72,9 +77,9 @@
         self.kept: Phase = {}
         self.ending: Phase = {}
         self.paused: set[ClientConnection] = set()  # nothing is read on them for now
-        self.hangups = Hangups()  # of those
+        self.hangups = PeerCloseWatcher()  # of those
         self.accepting: set[asyncio.Task[object]] = set()
-        self.allowance = Allowance(config.memory_mb)
+        self.body_budget = BodyMemoryBudget(config.memory_mb)
         self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
         longest_us = max(klass.request_timeout_us for klass in config.settings.classes)
         self.drain = Drain(longest_us / 1e6)
@@ -86,14 +91,14 @@
         self.drainer: asyncio.TimerHandle | None = None
         self.own_limit = descriptor_limit(config.sockets)
         self.exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
-        self.accept_errors = Reasons("accept_errors_total", "error", ())
-        self.closed = Reasons("client_closes_total", "reason", ())  # by this process
-        gateway.metrics.more += [self.accept_errors.figures, self.closed.figures]
+        self.accept_errors = ReasonCounter("accept_errors_total", "error", ())
+        self.closed = ReasonCounter("client_closes_total", "reason", ())  # by this process
+        gateway.metrics.extra_figures += [self.accept_errors.figures, self.closed.figures]
         pools.room = self.make_room
 
     def prepare(self, roster: EndpointSource) -> None:
         """Have servers from this roster: nobody is let in before there is a list of them."""
-        self.gateway.share(1 + self.overlap.others)
+        self.gateway.set_process_count(1 + self.overlap.others)
         self.gateway.start(roster)
 
     def start(self, listener: socket.socket) -> None:
@@ -102,11 +107,14 @@
         loop = asyncio.get_running_loop()
         loop.add_reader(self.listener.fileno(), self.accept)
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
-        self.overlap.serve()
+        self.overlap.mark_serving()
 
     @property
     def is_ready(self) -> bool:
-        return may_take_clients(self.drain.is_on, self.listener is not None, self.gateway.can_serve) is None
+        return (
+            may_take_clients(self.drain.is_draining, self.listener is not None, self.gateway.can_serve)
+            is None
+        )
 
     # Connections in
 
@@ -151,7 +159,7 @@
             return True
         self.exhausted += 1
         if error.errno == errno.EMFILE and self.exhausted >= EXHAUSTED_TIMES:
-            self.give_up_client(Closing.ROOM)
+            self.give_up_client(CloseReason.RECLAIM_DESCRIPTOR)
         log(f"nothing can be accepted for a moment: {name}", "warning", "accept")
         assert self.listener is not None
         loop = asyncio.get_running_loop()
@@ -165,9 +173,9 @@
 
     def prepare_room(self) -> bool:
         """Have a descriptor for one more client, if need be by giving up another."""
-        if self.has_room() or self.give_up_client(Closing.ROOM, HURRIED_S):
+        if self.has_room() or self.give_up_client(CloseReason.RECLAIM_DESCRIPTOR, HURRIED_S):
             return True
-        return not self.is_full() or self.give_up_client(Closing.EXHAUSTED)
+        return not self.is_full() or self.give_up_client(CloseReason.DESCRIPTORS_EXHAUSTED)
 
     async def take(self, accepted: socket.socket) -> None:
         with suppress(OSError):  # without it answers are as right, and a little later
@@ -204,8 +212,10 @@
 
         Guards against a handshake for each request, as silent clients crowd out kept connections to hosts.
         """
-        if self.is_full() and not (self.give_up_client(Closing.ROOM) or self.pools.give_up_idle()):
-            self.give_up_client(Closing.EXHAUSTED)
+        if self.is_full() and not (
+            self.give_up_client(CloseReason.RECLAIM_DESCRIPTOR) or self.pools.give_up_idle()
+        ):
+            self.give_up_client(CloseReason.DESCRIPTORS_EXHAUSTED)
 
     def make_way(self) -> None:
         """Come down to our part where it has become smaller: a second process of this gateway has started.
@@ -217,20 +227,20 @@
         if over <= 0:
             return
         for _ in range(over - sum(connection.deaf for connection in self.ending)):
-            room = self.give_up_client(Closing.ROOM) or self.pools.give_up_idle()
-            if not (room or self.give_up_client(Closing.EXHAUSTED)):
+            room = self.give_up_client(CloseReason.RECLAIM_DESCRIPTOR) or self.pools.give_up_idle()
+            if not (room or self.give_up_client(CloseReason.DESCRIPTORS_EXHAUSTED)):
                 return
 
-    def give_up_client(self, purpose: Closing, kept_s: float = 0.0) -> bool:
+    def give_up_client(self, purpose: CloseReason, kept_s: float = 0.0) -> bool:
         """Close a connection on which nothing is asked, or not yet all of it: the oldest such.
 
         Who had its time for a head goes first, then who never spoke, then who was kept for at least `kept_s`.
         Only where nobody else can give a descriptor, who is new or still writing goes too.
         """
         now_s = asyncio.get_running_loop().time()
-        candidates = [(phase, OVERDUE_S) for phase in (self.silent, self.reading, self.bodies)]
-        candidates += [(self.silent, FIRST_REQUEST_S), (self.kept, kept_s)]
-        if purpose is Closing.EXHAUSTED:
+        candidates = [(phase, REQUEST_HEAD_TIMEOUT_S) for phase in (self.silent, self.reading, self.bodies)]
+        candidates += [(self.silent, FIRST_REQUEST_TIMEOUT_S), (self.kept, kept_s)]
+        if purpose is CloseReason.DESCRIPTORS_EXHAUSTED:
             candidates += [(phase, 0.0) for phase in (self.silent, self.reading, self.bodies)]
         for phase, least_s in candidates:
             for connection, since_s in phase.items():
@@ -245,9 +255,9 @@
         """Close what has stayed as it is for too long."""
         loop = asyncio.get_running_loop()
         others = self.overlap.others
-        self.overlap.look()
+        self.overlap.refresh()
         if self.overlap.others != others:
-            self.gateway.share(1 + self.overlap.others)
+            self.gateway.set_process_count(1 + self.overlap.others)
         self.make_way()
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
         now_s = loop.time()
@@ -256,7 +266,7 @@
             for connection, since_s in list(phase.items()):
                 if now_s - since_s < limit_s:
                     break
-                if connection.may_close(Closing.IDLE) is None:
+                if connection.may_close(CloseReason.IDLE) is None:
                     connection.close("idle")
         for connection, since_s in list(self.reading.items()):
             if now_s - since_s >= READING_S:
@@ -283,16 +293,16 @@
 
     def standby(self) -> bool:
         """Begin a drain, which lasts until `active`."""
-        begun = self.drain.standby(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE, "process", self.drain.phase.value)
+        begun = self.drain.begin_standby(asyncio.get_running_loop().time())
+        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
         if begun and self.drainer is None:
             self.close_idle()
         return begun
 
     def active(self) -> bool:
         """End a drain."""
-        ended = self.drain.active(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE, "process", self.drain.phase.value)
+        ended = self.drain.end_standby(asyncio.get_running_loop().time())
+        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
         return ended
 
     async def leave(self) -> None:
@@ -302,18 +312,18 @@
         given up then, in words.
         """
         loop = asyncio.get_running_loop()
-        self.drain.leave(loop.time())
-        self.gateway.trace.note(Step.STATE, "process", self.drain.phase.value)
-        self.gateway.leave_by(self.drain.words_s - loop.time())
-        self.overlap.begin_leaving()
-        self.overlap.look()
+        self.drain.begin_shutdown(loop.time())
+        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.shut_down_within(self.drain.answer_cutoff_s - loop.time())
+        self.overlap.mark_draining()
+        self.overlap.refresh()
         if self.overlap.serving:
             self.stop_listening()  # another process takes what waits and what comes
         self.close_idle()
         while self.listener is not None or self.connections or self.accepting:
-            if self.listener is not None and loop.time() >= self.drain.since_s + LEAVE_ACCEPT_S:
+            if self.listener is not None and loop.time() >= self.drain.since_s + SHUTDOWN_ACCEPT_S:
                 self.stop_listening()
-            if self.listener is None and not self.drain.awaits_unfinished(loop.time()):
+            if self.listener is None and not self.drain.awaits_incomplete_requests(loop.time()):
                 for connection in list(self.connections):
                     connection.turn_away()
             await asyncio.sleep(POLL_S)
@@ -330,11 +340,11 @@
     def close_idle(self) -> None:
         """During a drain: close what has nothing to do, as soon as its time has come."""
         loop = asyncio.get_running_loop()
-        self.drainer = loop.call_later(POLL_S, self.close_idle) if self.drain.is_on else None
+        self.drainer = loop.call_later(POLL_S, self.close_idle) if self.drain.is_draining else None
         now_s = loop.time()
         for connection in list(self.connections):
-            due = self.drain.closes_idle(now_s, connection.opened_s, connection.served)
-            if due and connection.may_close(Closing.IDLE) is None:
+            due = self.drain.may_close_idle(now_s, connection.opened_s, connection.served)
+            if due and connection.may_close(CloseReason.IDLE) is None:
                 connection.close("drain")
 
     def close(self) -> None:
@@ -346,7 +356,7 @@
         for timer in (self.sweeper, self.drainer):
             if timer is not None:
                 timer.cancel()
-        self.overlap.leave()
+        self.overlap.release()
         for connection in list(self.connections):
             connection.abort()
         self.hangups.close()
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -7,7 +7,7 @@
 import httptools
 
 from sagetrack.config.platform import Config, stable_id
-from sagetrack.core.bodies import LARGE_LIMIT, Allowance, Upload
+from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Header
 from sagetrack.core.interfaces import Call, Client
@@ -43,8 +43,8 @@
         "keep_alive",
         "method",
         "received_us",
+        "streamed_body",
         "target",
-        "upload",
         "version",
     )
 
@@ -55,7 +55,7 @@
         self.body: list[bytes] = []
         self.keep_alive = False
         self.fault = fault
-        self.upload: Upload | None = None  # where its body goes, if it is too long to be held
+        self.streamed_body: StreamedBody | None = None  # where its body goes, if it is too long to be held
         self.version = "1.1"
         self.received_us = 0  # when its last byte was read
 
@@ -64,7 +64,7 @@
     """Turns the bytes of one client's connection into requests."""
 
     __slots__ = (
-        "_allowance",
+        "_body_budget",
         "_body_size",
         "_fed_us",
         "_parser",
@@ -77,9 +77,9 @@
         "rest",
     )
 
-    def __init__(self, allowance: Allowance) -> None:
+    def __init__(self, body_budget: BodyMemoryBudget) -> None:
         self._parser = httptools.HttpRequestParser(self)
-        self._allowance = allowance
+        self._body_budget = body_budget
         self.reading: Request | None = None
         self._body_size = 0
         self.in_body = False
@@ -96,9 +96,9 @@
         return self.reading is not None or self._unparsed > 0 or bool(self.rest)
 
     @property
-    def upload(self) -> Upload | None:
+    def streamed_body(self) -> StreamedBody | None:
         """The long body that is being read."""
-        return self.reading.upload if self.reading is not None else None
+        return self.reading.streamed_body if self.reading is not None else None
 
     @property
     def received(self) -> int:
@@ -114,12 +114,12 @@
             return
         at, view = 0, memoryview(self.rest)
         while at < len(view) and not self.is_broken and len(self.done) < most:
-            upload = self.upload
-            if upload is not None and upload.is_full:
+            streamed_body = self.streamed_body
+            if streamed_body is not None and streamed_body.is_full:
                 break  # back-pressure: the rest waits, and the client with it
             size = SLICE
-            if upload is not None and upload.length is not None:
-                size = max(SLICE, min(BODY_SLICE, upload.length - upload.received))
+            if streamed_body is not None and streamed_body.length is not None:
+                size = max(SLICE, min(BODY_SLICE, streamed_body.length - streamed_body.received))
             piece = view[at : at + size]
             at += len(piece)
             fault = self._parse(piece)
@@ -132,9 +132,9 @@
         self.is_broken = True
         reading, self.reading, self.rest = self.reading, None, b""
         self.in_body = False
-        if reading is not None and reading.upload is not None:
+        if reading is not None and reading.streamed_body is not None:
             reading.fault = fault  # it was handed over at its head: the one who has it is told
-            reading.upload.fail()
+            reading.streamed_body.abort()
         else:
             self.done.append(Request(fault))
 
@@ -183,7 +183,7 @@
         if coding is not None and coding.lower() != b"chunked":
             raise RequestError(501, "no transfer encoding but chunked is read")
         length = header(headers, b"content-length")
-        if length is not None and int(length) > LARGE_LIMIT:
+        if length is not None and int(length) > STREAMED_BODY_LIMIT:
             raise RequestError(413, "the body is too long")
         self.in_body = True
         if length is not None and int(length) > BODY_LIMIT:
@@ -199,10 +199,10 @@
         request = self.reading
         self._unparsed = 0
         self._body_size += len(data)
-        if self._body_size > LARGE_LIMIT:
+        if self._body_size > STREAMED_BODY_LIMIT:
             raise RequestError(413, "the body is too long")
-        if request.upload is not None:
-            request.upload.feed(data)
+        if request.streamed_body is not None:
+            request.streamed_body.feed(data)
             return
         request.body.append(data)
         if self._body_size > BODY_LIMIT:
@@ -211,9 +211,9 @@
     def _hand_over(self, request: Request, length: int | None) -> None:
         """From here on the body passes through, and the request is taken before it is whole."""
         request.keep_alive = self._parser.should_keep_alive()
-        request.upload = Upload(length, self._allowance)
+        request.streamed_body = StreamedBody(length, self._body_budget)
         for piece in request.body:
-            request.upload.feed(piece)
+            request.streamed_body.feed(piece)
         request.body.clear()
         self.done.append(request)
 
@@ -223,8 +223,8 @@
         self.reading = None
         self._unparsed = 0
         self.in_body = self.expects = False
-        if request.upload is not None:
-            request.upload.end()
+        if request.streamed_body is not None:
+            request.streamed_body.complete()
             return
         request.received_us = self._fed_us
         request.keep_alive = self._parser.should_keep_alive()
@@ -278,9 +278,9 @@
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
         message=Message(_head(request, body), body),
         client=client,
-        upload=request.upload,
+        streamed_body=request.streamed_body,
         received_us=request.received_us,
-        who=stable_id(named_by, 8) if (named_by := headers.get(config.client_header)) else 0,
+        client_id=stable_id(named_by, 8) if (named_by := headers.get(config.client_header)) else 0,
     )
 
 
@@ -296,7 +296,7 @@
     """What goes on to a host, all but the budget and the empty line."""
     lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
     lines += [b"%s: %s" % pair for pair in end_to_end(request.headers, NOT_PASSED_ON)]
-    length = len(body) if request.upload is None else request.upload.length
+    length = len(body) if request.streamed_body is None else request.streamed_body.length
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
     elif length or request.method == b"POST":
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING, cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.bodies import Upload, nothing
+from sagetrack.core.bodies import StreamedBody, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Reply
+from sagetrack.core.endpoints import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.codec import ReplyError, ReplyReader
 from sagetrack.policy.interface import Outcome
@@ -59,13 +59,15 @@
     host: Host
     payload: Callable[[int], bytes]  # of the microseconds that are left when its first byte goes out
     timeout_us: int
-    on_end: Callable[[Attempt, Outcome, Reply | None], None]
+    on_attempt_ended: Callable[[Attempt, Outcome, Response | None], None]
     may_begin: Callable[[ServerState], bool] = if_serving
-    on_first_byte: Callable[[], None] = nothing  # which goes out in this turn
-    on_written: Callable[[], None] = nothing  # its last byte is with the kernel
-    on_begun: Callable[[Attempt, Reply, HostConnection], None] | None = None  # the answer passes through
-    on_piece: Callable[[bytes], None] = lambda data: None
-    upload: Upload | None = None  # what follows the payload
+    on_first_byte: Callable[[], None] = do_nothing  # which goes out in this turn
+    on_request_sent: Callable[[], None] = do_nothing  # its last byte is with the kernel
+    on_response_started: Callable[[Attempt, Response, HostConnection], None] | None = (
+        None  # the answer passes through
+    )
+    on_response_data: Callable[[bytes], None] = lambda data: None
+    streamed_body: StreamedBody | None = None  # what follows the payload
     written: bool = False
     streams: bool = False  # its answer passes through
     moved_us: int = 0  # when a byte of a long body was last seen to move
@@ -83,7 +85,7 @@
     @property
     def left_us(self) -> int:
         """How long its answer will be waited for; the time of a request counts from its last byte."""
-        if self.upload is not None and not self.upload.ended:
+        if self.streamed_body is not None and not self.streamed_body.is_complete:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
@@ -167,10 +169,10 @@
 
     def carry(self, attempt: Attempt) -> None:
         """Begin to send what follows the payload, if anything does."""
-        self.body_written = attempt.upload is None
-        if attempt.upload is not None:
+        self.body_written = attempt.streamed_body is None
+        if attempt.streamed_body is not None:
             attempt.moved_us = now_us()
-            attempt.upload.on_data = self.pump
+            attempt.streamed_body.on_data = self.pump
         self.pump()
 
     def pump(self) -> None:
@@ -178,18 +180,23 @@
         attempt = self.attempt
         if attempt is None or self.transport is None:
             return
-        upload = attempt.upload
-        while upload is not None and self.flushed and upload.pieces:
-            data = upload.take()
+        streamed_body = attempt.streamed_body
+        while streamed_body is not None and self.flushed and streamed_body.chunks:
+            data = streamed_body.take()
             attempt.moved_us = now_us()
-            self.write(data if upload.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
-        if upload is not None and upload.ended and not upload.pieces and not self.body_written:
+            self.write(data if streamed_body.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
+        if (
+            streamed_body is not None
+            and streamed_body.is_complete
+            and not streamed_body.chunks
+            and not self.body_written
+        ):
             self.body_written = True
-            if upload.length is None:
+            if streamed_body.length is None:
                 self.write(b"0\r\n\r\n")
         if self.body_written and self.flushed and not attempt.written and not self.transport.is_closing():
             attempt.written = True
-            attempt.on_written()
+            attempt.on_request_sent()
 
     def pause_writing(self) -> None:
         self.flushed = False
@@ -220,7 +227,7 @@
             self.close()
         elif attempt.streams:
             attempt.moved_us = now_us()
-            attempt.on_piece(self.replies.take())
+            attempt.on_response_data(self.replies.take())
         elif self.replies.is_long:
             self.begin()
         elif self.replies.may_be_long and self.holding is None:
@@ -235,16 +242,16 @@
         """From now on the answer is passed on as it comes."""
         self.stop_holding()
         attempt = self.attempt
-        if attempt is None or attempt.on_begun is None:
+        if attempt is None or attempt.on_response_started is None:
             return
         if not attempt.written:
             self.pools.on_garbage(self)  # it can't be the answer to what it has not had
             return
         self.pools.begin_stream(attempt)
-        attempt.on_begun(attempt, self.replies.begin(), self)
+        attempt.on_response_started(attempt, self.replies.begin(), self)
         body = self.replies.take()
         if self.attempt is attempt and body:
-            attempt.on_piece(body)
+            attempt.on_response_data(body)
 
     def pause(self) -> None:
         """The client takes no more for now."""
--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -11,7 +11,7 @@
 from typing import Protocol, cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.transient_errors import persist
+from sagetrack.core.transient_errors import retry_while_transient
 from sagetrack.server.listen import bind
 
 LINE_LIMIT = 256  # bytes
@@ -71,7 +71,7 @@
         Guards against a server without a socket: asyncio passes over one that cannot be made.
         """
         loop = asyncio.get_running_loop()
-        listener = await persist(lambda: bind(address, BACKLOG))
+        listener = await retry_while_transient(lambda: bind(address, BACKLOG))
         self.server = await loop.create_server(lambda: Caller(self), sock=listener, backlog=BACKLOG)
 
     def answer(self, line: bytes) -> bytes:
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -69,7 +69,7 @@
         config.seed,
         lambda event: gateway.post(lambda: event),
         gateway.balancer.sights,
-        gateway.lives,
+        gateway.server_start_times,
         warm,
         demands_of(gateway),
     )
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -8,11 +8,11 @@
 
 from sagetrack.config.platform import Config, ConfigError, parse_address
 from sagetrack.core.clock import now_us
-from sagetrack.core.deadlines import watching
+from sagetrack.core.deadlines import discovery_timeouts
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import UpstreamPool
-from sagetrack.core.transient_errors import persist
+from sagetrack.core.transient_errors import retry_while_transient
 from sagetrack.discovery.client import CallError, Discovery, number_of, parse_list
 from sagetrack.discovery.split import HTTP, Split
 from sagetrack.http1.connection_pool import Pools
@@ -66,7 +66,7 @@
         admission = self.gateway.balancer.admission
         if admission is not None:
             members = [name.decode() for name in config.names.tenants]
-            self.gateway.metrics.more.append(lambda: admission.figures(members))
+            self.gateway.metrics.extra_figures.append(lambda: admission.figures(members))
         self.server = Server(config, self.gateway, self.pools)
         self.overlap = Overlap(config.folder if config.accept_fd is not None else None)
         self.server.overlap = self.overlap
@@ -75,23 +75,23 @@
         self.split: Split | None = None
         if asked is not None and asked.listen and asked.type:
             self.split = Split({number_of(asked.type, config.names.kinds): DNS})
-        self.on_http = self.gateway.on_list
+        self.on_http = self.gateway.on_endpoint_list
         if mixed is not None:
             from sagetrack.grpc.translate import untranslatable
 
             self.newer = Newer(mixed, self.gateway)
             if operator is not None and operator.newer.compare_per_s:
-                self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_on)
+                self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_draining)
             self.on_http = self.newer.on_list
             self.server.objection = untranslatable
-            self.gateway.metrics.more.append(self.newer.figures)
+            self.gateway.metrics.extra_figures.append(self.newer.figures)
         if self.keys is not None:
-            self.gateway.metrics.more.append(self.keys.figures)
+            self.gateway.metrics.extra_figures.append(self.keys.figures)
         self.keeping: Keeping | None = None
         on_list = self.on_http if self.split is None else self.on_list
-        limits = watching(config.settings)
+        limits = discovery_timeouts(config.settings)
         self.discovery = Discovery(config.discovery, config.names, on_list, pushed, _ask_discovery, limits)
-        self.gateway.metrics.more.append(self.discovery.calls.figures)
+        self.gateway.metrics.extra_figures.append(self.discovery.calls.figures)
 
     async def start(self) -> None:
         """Begin to take clients; OSError or ConfigError if the listening socket cannot be had.
@@ -104,13 +104,15 @@
         self.start_store()
         part("store")
         overlap.join()
-        self.gateway.known = overlap.newer_list(
-            config.discovery, self.gateway.known, lambda raw: bool(parse_list(raw, config.names)[2])
+        self.gateway.known_endpoints = overlap.newer_list(
+            config.discovery, self.gateway.known_endpoints, lambda raw: bool(parse_list(raw, config.names)[2])
         )
         self.discovery.on_news = overlap.hand_on
         descriptor = config.accept_fd
         listener: socket.socket = (
-            await persist(lambda: bind(config.listen)) if descriptor is None else inherit(descriptor)
+            await retry_while_transient(lambda: bind(config.listen))
+            if descriptor is None
+            else inherit(descriptor)
         )
         self.server.prepare(self.discovery)
         part("list")
@@ -151,8 +153,8 @@
             return
         from sagetrack.grpc.downstream import NewFront
 
-        drain, allowance = self.server.drain, self.server.allowance
-        front = NewFront(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
+        drain, body_budget = self.server.drain, self.server.body_budget
+        front = NewFront(self.gateway, reader(self.config), lambda: drain.is_draining, body_budget)
         secured = self.keys.serve() if self.keys is not None else None
         places = [parse_address(place, "newer.listen") for place in asked.listen]
         try:
@@ -160,7 +162,7 @@
         except OSError as error:
             raise ConfigError(f"newer.listen {', '.join(asked.listen)}: {error.strerror or error}") from None
         self.new_front = front
-        self.gateway.metrics.more.append(front.figures)
+        self.gateway.metrics.extra_figures.append(front.figures)
 
     def start_store(self) -> None:
         """Open the store, where the operator has one."""
@@ -213,7 +215,7 @@
             self.dns = Service(plan, self.config.seed ^ 0xD5, self.server_weights, now_us() // 1_000_000)
         except ValueError as error:  # a zone that cannot be read
             raise ConfigError(f"dns.zone: {error}") from None
-        self.dns.front.stands_by = lambda: self.server.drain.is_on
+        self.dns.front.stands_by = lambda: self.server.drain.is_draining
         if self.split is not None:
             self.dns.listed = list(self.split.current[DNS].values())
         try:
@@ -222,7 +224,7 @@
             raise ConfigError(f"dns.listen {', '.join(asked.listen)}: {error.strerror or error}") from None
         if zone is not None:
             self.follow_zone()
-        self.gateway.metrics.more.append(self.dns.figures)
+        self.gateway.metrics.extra_figures.append(self.dns.figures)
 
     def server_weights(self) -> dict[str, float]:
         """What the module makes of each server now."""
@@ -248,7 +250,7 @@
         config, gateway = self.config, self.gateway
         self.node = node_for(config, self.operator, gateway)
         if self.node is not None:
-            gateway.metrics.more.append(self.node.figures)
+            gateway.metrics.extra_figures.append(self.node.figures)
             self.server.describe_peers = self.node.describe
             self.node.start()
         if self.overlap.folder is not None:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError
-from sagetrack.core.bodies import Upload
+from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint, Header
 from sagetrack.core.gateway import Gateway
@@ -41,10 +41,10 @@
         body: bytes,
         budget_us: int,
         client: Client,
-        upload: Upload | None,
+        streamed_body: StreamedBody | None,
     ) -> Call:
         request = Request()
-        request.upload = upload
+        request.streamed_body = streamed_body
         request.method, request.target, request.body = method.encode(), target, [body] if body else []
         request.headers = [
             *headers,
@@ -63,7 +63,7 @@
     """Both formats behind one back, the share between them, and the keys."""
 
     def __init__(self, mixed: Mixed, gateway: Gateway) -> None:
-        self.mixed, self.gateway, self.tell = mixed, gateway, gateway.on_list
+        self.mixed, self.gateway, self.tell = mixed, gateway, gateway.on_endpoint_list
         self.shadow: Shadow | None = None
         self.loop = asyncio.get_running_loop()
         mixed.on_move = self.left
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -54,13 +54,13 @@
             log(f"TMPDIR {self.folder} cannot be used, other processes are not seen: {error.strerror}")
             self.folder = None
             return
-        self.look()
+        self.refresh()
 
-    def serve(self) -> None:
+    def mark_serving(self) -> None:
         """Say that this process takes clients."""
         self._mark("serving")
 
-    def begin_leaving(self) -> None:
+    def mark_draining(self) -> None:
         """Say that this process takes clients no longer: another that leaves must not count on it.
 
         It goes on sharing the limits until its end, as one that starts does.
@@ -81,7 +81,7 @@
         os.replace(old, new)
         self.path = new
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Count the others again; marks of processes that have ended are cleared away.
 
         Where the folder cannot be read, as there is no descriptor for it, the counts stay as they were.
@@ -176,7 +176,7 @@
             log(f"a list of address servers that was left behind cannot be used: {error!r}")
             return known
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Be seen no longer. News that is held back is written first, but where another process serves."""
         if self.writing is not None:
             self.writing.cancel()
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -51,7 +51,7 @@
         self.was_read = asyncio.Event()
         self.has_list = False
         self.keeper.start(loop, self.open)
-        gateway.metrics.more.append(self.keeper.figures)
+        gateway.metrics.extra_figures.append(self.keeper.figures)
         self.recorder: Recorder | None = None
         if asked.recorder:
             self.recorder = gateway.recorder = Recorder(len(config.settings.classes))
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -27,7 +27,7 @@
     """Read the operator's file and log as it says; None, and a line for each fault, if it cannot be used."""
     from sagetrack.config.operator import load
     from sagetrack.config.validation import FileError, UnreadableError
-    from sagetrack.core.transient_errors import persist_before_loop
+    from sagetrack.core.transient_errors import retry_while_transient_blocking
 
     def read() -> Operator:
         try:
@@ -36,7 +36,7 @@
             raise error.error from None
 
     try:
-        operator = persist_before_loop(read)
+        operator = retry_while_transient_blocking(read)
     except OSError as error:
         say(f"{path}: {error.strerror}")
         return None
@@ -45,14 +45,14 @@
             say(str(fault))
         return None
     log = operator.log
-    from sagetrack.core.log import Bound, levels_from, plain, use
+    from sagetrack.core.log import LogRateLimit, plain_sink, use_sink, with_minimum_level
 
     if log.format == "plain":
-        use(levels_from(log.level, plain), Bound(log.burst, log.rate))
+        use_sink(with_minimum_level(log.level, plain_sink), LogRateLimit(log.burst, log.rate))
     else:
         from sagetrack.core.structured import sink
 
-        use(sink(log.format, log.level, gateway), Bound(log.burst, log.rate))
+        use_sink(sink(log.format, log.level, gateway), LogRateLimit(log.burst, log.rate))
     return operator
 
 
@@ -63,18 +63,18 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, _end_early)
     # Imported late: a signal during the start must find its handler.
-    from sagetrack.core.log import unbuffered
+    from sagetrack.core.log import unbuffered_stderr
     from sagetrack.server.startup_timing import Startup
 
-    sys.stderr = unbuffered()
+    sys.stderr = unbuffered_stderr()
 
     startup = Startup()
     from sagetrack.config.platform import ConfigError, load, read_file
-    from sagetrack.core.transient_errors import persist_before_loop
+    from sagetrack.core.transient_errors import retry_while_transient_blocking
 
     startup.done("imports")
     try:
-        config = load(read=lambda path: persist_before_loop(lambda: read_file(path)))
+        config = load(read=lambda path: retry_while_transient_blocking(lambda: read_file(path)))
     except ConfigError as error:
         say(str(error))
         return 2
@@ -91,7 +91,7 @@
     import uvloop
 
     from sagetrack.config.platform import Address
-    from sagetrack.core.drain import MARGIN_S
+    from sagetrack.core.drain import EXIT_MARGIN_S
     from sagetrack.core.log import log
     from sagetrack.server.admin import Admin
     from sagetrack.server.gateway_assembly import Instance
@@ -127,7 +127,7 @@
             assert address is not None
             why = os.strerror(error.errno) if error.errno else str(error)
             log(f"cannot listen on {address[0]}:{address[1]}: {why}", "error")
-            instance.overlap.leave()
+            instance.overlap.release()
             return 1
         startup.tell()
         if early:
@@ -138,7 +138,7 @@
         instance.leave_peers()
         leaving = loop.create_task(server.leave())
         await asyncio.sleep(0)  # the way out has begun, and it knows when the last answers are due
-        until_s = server.drain.words_s + MARGIN_S / 2
+        until_s = server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
         dns_leaving = loop.create_task(instance.dns.front.leave(until_s)) if instance.dns else None
         front = instance.new_front
         new_leaving = loop.create_task(front.leave(until_s)) if front is not None else None
@@ -153,7 +153,7 @@
         admin.close()
         if instance.keeping is not None:
             instance.keeping.close()
-        instance.overlap.leave()
+        instance.overlap.release()
         gateway.close()
         return 0
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,7 +14,7 @@
 from sagetrack.config.operator import Operator
 from sagetrack.config.platform import parse, stable_id
 from sagetrack.core.clock import now_us
-from sagetrack.core.deadlines import REST_S
+from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.core.gateway import Gateway
 from sagetrack.http1.listener import Server
 from sagetrack.lab.scripted import (
@@ -83,7 +83,7 @@
 
 async def rested(run: Running) -> None:
     """Wait until every kept connection to a host may be used again."""
-    oldest_us = int(REST_S * 1e6)
+    oldest_us = int(REUSE_DELAY_S * 1e6)
     hosts = run.instance.pools.hosts.values()
     await until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -76,7 +76,7 @@
             answer = await call(port, line + ending)
             assert answer.startswith(word) and answer.count(b"\n") == 1
             assert (await run.ask(READY)).status == ready
-        run.server.drain.leave(0.0)
+        run.server.drain.begin_shutdown(0.0)
         for line in (b"status", b"standby", b"active"):
             assert (await call(port, line + ending)).startswith(b"FAILURE")
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sagetrack.core.bodies import HIGH, LEAST, Allowance, Upload
+from sagetrack.core.bodies import MAX_BUFFER_PER_BODY, MIN_BUFFER_PER_BODY, BodyMemoryBudget, StreamedBody
 from sagetrack.http1 import downstream as client_module
 from sagetrack.http1 import listener as server_module
 from sagetrack.http1 import requests as requests_module
@@ -125,7 +125,9 @@
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
             await rested(run)
         assert host.opened == 1 and run.gateway.metrics.answered.by_class[0] == 3
-        assert not run.gateway.held and not run.gateway.balancer.requests and not run.instance.pools.moving
+        assert (
+            not run.gateway.in_flight and not run.gateway.balancer.requests and not run.instance.pools.moving
+        )
         client.close()
 
 
@@ -181,7 +183,7 @@
             pass
         assert b"\r\n0\r\n" not in rest and len(rest) < len(LONG) + 100
         await until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
-        assert not run.gateway.held and not run.gateway.balancer.requests
+        assert not run.gateway.in_flight and not run.gateway.balancer.requests
         assert len(host.seen) == 1  # what the client has begun to get is not asked for again
         client.close()
 
@@ -194,7 +196,9 @@
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
         await until(lambda: host.ended == 1)
-        assert not run.gateway.held and not run.gateway.balancer.requests and not run.instance.pools.moving
+        assert (
+            not run.gateway.in_flight and not run.gateway.balancer.requests and not run.instance.pools.moving
+        )
 
 
 @on_loop
@@ -230,7 +234,7 @@
         assert host.whole == [LONG] * 3
         assert b"Content-Length: 251000" in host.heads[0] and b"Transfer-Encoding: chunked" in host.heads[1]
         assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.moving
-        assert run.server.allowance.active == 0
+        assert run.server.body_budget.active == 0
         client.close()
 
 
@@ -278,13 +282,13 @@
         answer = await client.answer()
         assert answer.status == 400 and answer.headers["connection"] == "close"
         await until(lambda: host.broken == 1)
-        assert not host.whole and not run.gateway.held and run.server.allowance.active == 0
+        assert not host.whole and not run.gateway.in_flight and run.server.body_budget.active == 0
         client.close()
 
 
 @on_loop
 async def test_a_body_without_end_is_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(requests_module, "LARGE_LIMIT", 200_000)
+    monkeypatch.setattr(requests_module, "STREAMED_BODY_LIMIT", 200_000)
     async with sink() as host, running(configuration(host.address)) as run:
         head = request("transfer", content_length="", transfer_encoding="chunked")
         assert (await run.ask(head + chunk(LONG))).status == 413
@@ -332,8 +336,8 @@
         await until(lambda: host.heads)
         client.close()
         await until(lambda: host.broken == 1)
-        await until(lambda: not run.gateway.held)
-        assert not run.gateway.balancer.requests and run.server.allowance.active == 0
+        await until(lambda: not run.gateway.in_flight)
+        assert not run.gateway.balancer.requests and run.server.body_budget.active == 0
 
 
 @on_loop
@@ -350,8 +354,11 @@
         client.send(request("transfer", body))
         await until(lambda: any(c.paused_s is not None for c in run.server.connections))
         (connection,) = run.server.connections
-        upload = connection.reader.upload
-        assert upload is not None and upload.buffered <= HIGH + 2 * requests_module.BODY_SLICE
+        streamed_body = connection.reader.streamed_body
+        assert (
+            streamed_body is not None
+            and streamed_body.buffered <= MAX_BUFFER_PER_BODY + 2 * requests_module.BODY_SLICE
+        )
         assert len(connection.reader.rest) <= server_module.READ_SIZE
         opened.set()
         assert (await client.answer()).body == b"%d" % len(body)
@@ -415,17 +422,17 @@
 
 
 def test_bodies_share_what_all_may_hold() -> None:
-    allowance = Allowance(memory_mb=8)
-    uploads = [Upload(None, allowance) for _ in range(4)]
-    assert allowance.each == HIGH
-    uploads += [Upload(None, allowance) for _ in range(60)]
-    assert allowance.each == 16 * 1024
-    uploads += [Upload(None, allowance) for _ in range(1000)]
-    assert allowance.each == LEAST
-    for upload in uploads:
-        upload.end()
-        upload.fail()  # once over, it is counted no more
-    assert allowance.active == 0
+    body_budget = BodyMemoryBudget(memory_mb=8)
+    streamed_bodies = [StreamedBody(None, body_budget) for _ in range(4)]
+    assert body_budget.each == MAX_BUFFER_PER_BODY
+    streamed_bodies += [StreamedBody(None, body_budget) for _ in range(60)]
+    assert body_budget.each == 16 * 1024
+    streamed_bodies += [StreamedBody(None, body_budget) for _ in range(1000)]
+    assert body_budget.each == MIN_BUFFER_PER_BODY
+    for streamed_body in streamed_bodies:
+        streamed_body.complete()
+        streamed_body.abort()  # once over, it is counted no more
+    assert body_budget.active == 0
 
 
 # The module
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -121,5 +121,5 @@
         assert 0 <= age_us < 5_000_000
         for handover in (old, new):
             handover.close()
-        overlap.leave()
+        overlap.release()
         client.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 from sagetrack.config.platform import parse
 from sagetrack.core import gateway as gateway_module
 from sagetrack.core.clock import now_us
-from sagetrack.core.drain import LEAVE_ACCEPT_S
+from sagetrack.core.drain import SHUTDOWN_ACCEPT_S
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.downstream import PIPELINED
 from sagetrack.http1.upstream_connection import HostConnection
@@ -72,12 +72,12 @@
 
 def tell(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
     names = parse(configuration()).names
-    run.gateway.on_list(kind, parse_list(hosts_list(8, *endpoints), names)[2])
+    run.gateway.on_endpoint_list(kind, parse_list(hosts_list(8, *endpoints), names)[2])
 
 
 def nothing_is_left(run: Running) -> bool:
     pools = run.instance.pools
-    return pools.open == 0 and not run.gateway.held and not run.gateway.balancer.requests
+    return pools.open == 0 and not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
 # A client leaves
@@ -94,14 +94,14 @@
         async with running(config) as run:
             late, told = Late(run), outcomes(run)
             if not taken_back:
-                run.instance.pools.withdraw = lambda attempt: None  # type: ignore[method-assign]
+                run.instance.pools.cancel_unsent = lambda attempt: None  # type: ignore[method-assign]
                 run.instance.pools.cancel = lambda attempt, outcome=None: None  # type: ignore
             client = await run.connect()
             client.send(request("transfer"))
             await until(lambda: late.held)
             client.close()
-            (held,) = run.gateway.held.values()
-            await until(lambda: held.closed)
+            (held,) = run.gateway.in_flight.values()
+            await until(lambda: held.is_finished)
             if taken_back:
                 assert told == [Outcome.NOT_SENT]
             late.release()
@@ -125,7 +125,7 @@
             host.seen[0].answer(reply(200, b"first"))
             assert (await client.answer()).body == b"first"
             late.release()
-            await until(lambda: not run.gateway.held)
+            await until(lambda: not run.gateway.in_flight)
             assert not other.seen
             client.close()
 
@@ -178,7 +178,7 @@
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
             if not told:
                 host.seen[0].answer(reply())
-            await until(lambda: not run.server.connections and not run.gateway.held)
+            await until(lambda: not run.server.connections and not run.gateway.in_flight)
         assert len(host.seen) == 1 and not run.server.paused
 
 
@@ -262,7 +262,7 @@
 async def test_a_second_answer_crosses_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is on its way as the next request is: nobody takes it for that one's answer."""
     monkeypatch.setattr(
-        "sagetrack.http1.connection_pool.REST_S", 60.0, raising=False
+        "sagetrack.http1.connection_pool.REUSE_DELAY_S", 60.0, raising=False
     )  # however busy this machine is
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
@@ -284,7 +284,7 @@
 
 @on_loop
 async def test_the_next_request_waits_for_its_connections_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.1)
+    monkeypatch.setattr("sagetrack.http1.connection_pool.REUSE_DELAY_S", 0.1)
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
@@ -320,14 +320,14 @@
         client = await run.connect()
         assert (await client.ask(request())).status == 200
         (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.5)
+        monkeypatch.setattr("sagetrack.http1.connection_pool.REUSE_DELAY_S", 0.5)
         kept.idle_since_us, kept.took_us = now_us(), 1_000_000
         client.send(request("transfer"))
         await until(lambda: kept.parked)
         tell(run, ListKind.DELTA, endpoint("s-1", other.address))
         if what == "left":
             client.close()
-            await until(lambda: not run.gateway.held)
+            await until(lambda: not run.gateway.in_flight)
         else:
             kind, entries = word(what, host.address)
             tell(run, kind, *entries)
@@ -350,7 +350,9 @@
         client.send(request("transfer"))
         leaving = asyncio.create_task(server.leave())
         loop = asyncio.get_running_loop()
-        await until(lambda: server.drain.is_on and loop.time() > server.drain.since_s + LEAVE_ACCEPT_S + 0.05)
+        await until(
+            lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
+        )
         assert server.listener is not None and not host.seen
         del server.prepare_room
         assert (await client.answer()).status == 200
@@ -370,12 +372,12 @@
             clients = [await run.connect() for _ in range(2)]
             for client in clients:
                 client.send(request("transfer"))
-            await until(lambda: host.seen and len(run.gateway.held) == 2)
-            run.gateway.leave_by(0.1)
+            await until(lambda: host.seen and len(run.gateway.in_flight) == 2)
+            run.gateway.shut_down_within(0.1)
             told = sorted([(await client.answer()).status for client in clients])
             assert told == [502, 503] and len(host.seen) == 1
             assert (await run.ask(request("transfer"))).status == 503  # what comes later is refused at once
-            assert not [held for held in run.gateway.held.values() if not held.closed]
+            assert not [held for held in run.gateway.in_flight.values() if not held.is_finished]
             for client in clients:
                 client.close()
 
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -19,8 +19,8 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.platform import Address, Names, parse_address
-from sagetrack.core.deadlines import LEAST_GRACE_S, SILENCE_S, watching
-from sagetrack.core.endpoints import Endpoint, Reply
+from sagetrack.core.deadlines import MIN_GRACE_S, SILENT_WATCH_LIMIT_S, discovery_timeouts
+from sagetrack.core.endpoints import Endpoint, Response
 from sagetrack.discovery.client import CallError, Discovery, Line
 from sagetrack.policy.interface import (
     Action,
@@ -86,8 +86,8 @@
 
     def __init__(self, run: Running, left: int) -> None:
         self.run, self.left, self.told = run, left, 0
-        self.carry_out, self.handle = run.gateway.carry_out, run.gateway.balancer.handle
-        run.gateway.carry_out = self.hurry  # type: ignore[method-assign]
+        self.carry_out, self.handle = run.gateway.execute, run.gateway.balancer.handle
+        run.gateway.execute = self.hurry  # type: ignore[method-assign]
         run.gateway.balancer.handle = self.listen  # type: ignore[method-assign]
 
     def listen(self, now_us: int, event: Any) -> list[Action]:
@@ -113,7 +113,7 @@
     """Make the first call at once, and let it fail quickly up to the last time; that pause is the longest."""
     failed = Failures(run, failures)
     draw_longest(run.gateway.balancer)
-    run.gateway.carry_out(WatchEndpoints())
+    run.gateway.execute(WatchEndpoints())
     return failed
 
 
@@ -150,7 +150,7 @@
         await until(lambda: failed.told == 5)
         registry.script = answers(drains(9))  # it is back, and has had the change all the time
         assert not is_draining(run)
-        async with asyncio.timeout(SILENCE_S + grace_s(run)):
+        async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
             await until(lambda: is_draining(run))
         registry.script = silent
 
@@ -167,7 +167,7 @@
             failed = begin(run, 5)
             await until(lambda: failed.told == 5)
             registry.server = await asyncio.start_server(registry.serve, *place)
-            async with asyncio.timeout(SILENCE_S + grace_s(run)):
+            async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
                 await until(lambda: is_draining(run))
             registry.script = silent
 
@@ -189,7 +189,7 @@
         registry.script = hangs
         await hung.wait()
         failed.left = 0  # from now on every pause is real
-        async with asyncio.timeout(SILENCE_S + grace_s(run)):
+        async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
             await until(lambda: is_draining(run))
         registry.script = silent
 
@@ -212,7 +212,7 @@
         begin(run, 0)
         await until(lambda: silent_on)
         assert not is_draining(run)
-        async with asyncio.timeout(SILENCE_S + grace_s(run)):
+        async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
             await until(lambda: is_draining(run))
         registry.script = silent
 
@@ -246,7 +246,7 @@
         peer(answers(drains(9))) as registry,
         running(asks(registry.address, must_ask_us=10**12)) as run,
     ):
-        async with asyncio.timeout(SILENCE_S):
+        async with asyncio.timeout(SILENT_WATCH_LIMIT_S):
             await until(lambda: is_draining(run))
         registry.script = silent
 
@@ -284,7 +284,7 @@
 
     def __init__(self, settings: Settings, faults: list[str], refused_after: bool, seed: int) -> None:
         self.settings, self.faults, self.refused_after = settings, faults, refused_after
-        self.limits = watching(settings)
+        self.limits = discovery_timeouts(settings)
         self.loop = asyncio.get_running_loop()
         self.driver = Driver(settings, servers=0, seed=seed)
         self.calls = 0
@@ -295,7 +295,7 @@
         self.discovery = Discovery(
             ("127.0.0.1", 9), names, self.on_list, settings.endpoints_are_pushed, self.connect, self.limits
         )
-        self.discovery.take_known(hosts_list(7, endpoint("s-0", "127.0.0.1:1")))
+        self.discovery.restore_known_endpoints(hosts_list(7, endpoint("s-0", "127.0.0.1:1")))
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         statuses = [entry.listed.status for entry in entries]
@@ -322,7 +322,7 @@
         if fault == "no connection":
             await self.loop.create_future()
         if not fault:
-            await asyncio.sleep(0.99 * self.limits.connect_s)
+            await asyncio.sleep(0.99 * self.limits.connect_timeout_s)
             if self.refused_after and call == len(self.faults):
                 fault = "busy, late"
                 if "busy" in self.faults:  # a second refusal: it cannot be reached before the last
@@ -336,20 +336,20 @@
     def __init__(self, played: Played, fault: str) -> None:
         self.played, self.fault = played, fault
 
-    async def ask(self, head: bytes) -> Reply:
+    async def ask(self, head: bytes) -> Response:
         self.played.asked.append(head.split(b" ")[1])
-        late_s = 0.99 * self.played.limits.answer_s
+        late_s = 0.99 * self.played.limits.response_timeout_s
         if self.fault == "hangs":
             await asyncio.get_running_loop().create_future()
         if self.fault == "reset":
             raise CallError("the connection ended")
         if self.fault == "busy":
-            return Reply(429, [], b"", True)
+            return Response(429, [], b"", True)
         await asyncio.sleep(late_s)
         if self.fault:
-            return Reply(503, [], b"", True)
+            return Response(503, [], b"", True)
         left = hosts_list(8, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
-        return Reply(200, [], json.dumps(left).encode(), True)
+        return Response(200, [], json.dumps(left).encode(), True)
 
     def close(self) -> None: ...
 
@@ -396,18 +396,20 @@
         assert played.back_s is not None
         return here_s - played.back_s
 
-    assert in_virtual_time(play) < SILENCE_S + grace_us / 1e6
+    assert in_virtual_time(play) < SILENT_WATCH_LIMIT_S + grace_us / 1e6
 
 
 @given(grace_us=st.integers(0, 10**10), pushed=st.booleans())
 def test_the_sums_of_the_limits_leave_time_for_every_grace(grace_us: int, pushed: bool) -> None:
-    limits = watching(replace(SETTINGS, stop_sending_within_us=grace_us, endpoints_are_pushed=pushed))
+    limits = discovery_timeouts(
+        replace(SETTINGS, stop_sending_within_us=grace_us, endpoints_are_pushed=pushed)
+    )
     grace_s = grace_us / 1e6
-    assert max(limits.noticed_s, limits.returned_s) <= SILENCE_S + 0.75 * grace_s
-    assert limits.refused_s <= SILENCE_S + 0.75 * grace_s
-    assert limits.moved_s <= MOVED_S + grace_s
-    if pushed and grace_s >= LEAST_GRACE_S:  # what the agent has counts at once
-        assert max(limits.noticed_s, limits.returned_s) <= 0.75 * grace_s + 1e-9
+    assert max(limits.max_stall_s, limits.max_recovery_s) <= SILENT_WATCH_LIMIT_S + 0.75 * grace_s
+    assert limits.max_rejection_s <= SILENT_WATCH_LIMIT_S + 0.75 * grace_s
+    assert limits.max_relocation_s <= MOVED_S + grace_s
+    if pushed and grace_s >= MIN_GRACE_S:  # what the agent has counts at once
+        assert max(limits.max_stall_s, limits.max_recovery_s) <= 0.75 * grace_s + 1e-9
 
 
 @pytest.mark.parametrize("must_ask_us", [10_000_000, MINUTE_US])
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -2,49 +2,59 @@
 
 from __future__ import annotations
 
-from sagetrack.core.drain import FIRST_REQUEST_S, LEAVE_QUIET_S, STANDBY_QUIET_S, Drain, Phase
+from sagetrack.core.drain import (
+    FIRST_REQUEST_TIMEOUT_S,
+    SHUTDOWN_IDLE_DELAY_S,
+    STANDBY_IDLE_DELAY_S,
+    Drain,
+    DrainPhase,
+)
 
 
 def test_a_drain_goes_on_and_off_and_repeats_do_no_harm() -> None:
     drain = Drain(1.0)
-    assert not drain.is_on and drain.active(0.0)
-    assert drain.standby(1.0) and drain.standby(2.0)
-    assert drain.is_on and drain.since_s == 1.0  # a second call does not put off the end
-    assert drain.active(3.0) and drain.active(4.0)
-    assert not drain.is_on
+    assert not drain.is_draining and drain.end_standby(0.0)
+    assert drain.begin_standby(1.0) and drain.begin_standby(2.0)
+    assert drain.is_draining and drain.since_s == 1.0  # a second call does not put off the end
+    assert drain.end_standby(3.0) and drain.end_standby(4.0)
+    assert not drain.is_draining
 
 
 def test_the_way_out_is_the_end() -> None:
     drain = Drain(1.0)
-    drain.standby(1.0)
-    drain.leave(2.0)
-    drain.leave(3.0)
-    assert drain.phase is Phase.LEAVING and drain.since_s == 2.0
-    assert not drain.standby(4.0) and not drain.active(4.0) and drain.is_on
+    drain.begin_standby(1.0)
+    drain.begin_shutdown(2.0)
+    drain.begin_shutdown(3.0)
+    assert drain.phase is DrainPhase.SHUTTING_DOWN and drain.since_s == 2.0
+    assert not drain.begin_standby(4.0) and not drain.end_standby(4.0) and drain.is_draining
 
 
 def test_idle_connections_close_late_enough_to_be_told_and_soon_enough_for_the_rule() -> None:
     drain = Drain(1.0)
-    assert not drain.closes_idle(60.0, 0.0, True)
-    drain.standby(100.0)
-    assert not drain.closes_idle(100.0 + STANDBY_QUIET_S / 2, 0.0, True)
-    assert drain.closes_idle(100.0 + STANDBY_QUIET_S, 0.0, True)
-    assert STANDBY_QUIET_S + FIRST_REQUEST_S < 2.0  # what comes on one is 2 s old when 4 s are over
-    drain.leave(200.0)
-    assert not drain.closes_idle(200.0, 0.0, True)
-    assert drain.closes_idle(200.0 + LEAVE_QUIET_S, 0.0, True)
+    assert not drain.may_close_idle(60.0, 0.0, True)
+    drain.begin_standby(100.0)
+    assert not drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S / 2, 0.0, True)
+    assert drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S, 0.0, True)
+    assert (
+        STANDBY_IDLE_DELAY_S + FIRST_REQUEST_TIMEOUT_S < 2.0
+    )  # what comes on one is 2 s old when 4 s are over
+    drain.begin_shutdown(200.0)
+    assert not drain.may_close_idle(200.0, 0.0, True)
+    assert drain.may_close_idle(200.0 + SHUTDOWN_IDLE_DELAY_S, 0.0, True)
 
 
 def test_a_new_connection_has_time_for_its_first_request() -> None:
     drain = Drain(1.0)
-    drain.leave(100.0)
-    assert not drain.closes_idle(101.0, 101.0 - FIRST_REQUEST_S / 2, False)
-    assert drain.closes_idle(101.0, 101.0 - FIRST_REQUEST_S, False)
+    drain.begin_shutdown(100.0)
+    assert not drain.may_close_idle(101.0, 101.0 - FIRST_REQUEST_TIMEOUT_S / 2, False)
+    assert drain.may_close_idle(101.0, 101.0 - FIRST_REQUEST_TIMEOUT_S, False)
 
 
 def test_the_end_is_before_the_kill_and_follows_the_settings() -> None:
     for longest_s, kill_s in ((0.4, 1.1), (1.67, 2.37), (5.0, 3.7)):
         drain = Drain(longest_s)
-        drain.leave(10.0)
-        assert kill_s - 0.2 <= drain.words_s - 10.0 + 1e-9 and drain.words_s - 10.0 < kill_s
-        assert not drain.is_past_words(drain.words_s - 0.001) and drain.is_past_words(drain.words_s)
+        drain.begin_shutdown(10.0)
+        assert kill_s - 0.2 <= drain.answer_cutoff_s - 10.0 + 1e-9 and drain.answer_cutoff_s - 10.0 < kill_s
+        assert not drain.is_past_answer_cutoff(drain.answer_cutoff_s - 0.001) and drain.is_past_answer_cutoff(
+            drain.answer_cutoff_s
+        )
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -106,9 +106,9 @@
         overlap.join()
         for mark in tmp_path.iterdir():
             mark.unlink()
-        overlap.serve()  # as the process does once it takes clients
-        overlap.look()
-        overlap.leave()
+        overlap.mark_serving()  # as the process does once it takes clients
+        overlap.refresh()
+        overlap.release()
         run.server.overlap = overlap
         assert (await run.ask(request())).status == 200
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -89,7 +89,7 @@
         assert answer.status == status
         assert answer.status not in (429, 503)
         assert ("allow" in answer.headers) is (status == 405)
-        assert not host.seen and not run.gateway.held
+        assert not host.seen and not run.gateway.in_flight
         assert (await run.ask(request())).status == 200
 
 
@@ -192,7 +192,7 @@
 async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
     """It may bring what has crossed the end of an older connection, and that is sent only once more."""
     async with peer() as host, running(configuration(host)) as run:
-        run.server.drain.leave(asyncio.get_running_loop().time() - 60)
+        run.server.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
         client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
@@ -221,7 +221,7 @@
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
             connection.served = True
-            run.server.drain.leave(asyncio.get_running_loop().time() - 60)
+            run.server.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
             client.sendall(request("transfer"))  # and the loop has had no turn since
             run.server.close_idle()
             assert not connection.deaf
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from sagetrack.core.deadlines import REST_S
-from sagetrack.core.send_rules import Closing
+from sagetrack.core.deadlines import REUSE_DELAY_S
+from sagetrack.core.send_rules import CloseReason
 from sagetrack.http1 import downstream as client_module
 from sagetrack.http1 import listener as server_module
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
@@ -83,7 +83,7 @@
             crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
             for asker in (client, other):
-                await asyncio.sleep(2 * REST_S)  # the kept connection rests for so long
+                await asyncio.sleep(2 * REUSE_DELAY_S)  # the kept connection rests for so long
                 asker.send(request("transfer"))
                 try:
                     assert (await asker.answer()).status == 200
@@ -203,11 +203,11 @@
         server.reading[first] -= server_module.SILENT_S
         for client in (overdue, kept, writing):
             if client is writing:  # in time for its request: only where nobody else has a descriptor
-                assert not server.give_up_client(Closing.ROOM)
-            assert server.give_up_client(Closing.EXHAUSTED)
+                assert not server.give_up_client(CloseReason.RECLAIM_DESCRIPTOR)
+            assert server.give_up_client(CloseReason.DESCRIPTORS_EXHAUSTED)
             assert await client.reader.read() == b""
             client.close()
-        assert not server.give_up_client(Closing.EXHAUSTED)
+        assert not server.give_up_client(CloseReason.DESCRIPTORS_EXHAUSTED)
 
 
 @on_loop
@@ -215,7 +215,7 @@
     """It ends before a deadline of 20 s, or the 3.6 s that it may take, has to be waited out."""
     import signal
 
-    from sagetrack.core.drain import LEAVE_UNFINISHED_S
+    from sagetrack.core.drain import SHUTDOWN_INCOMPLETE_WAIT_S
 
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         begun, held = await connect(port), await connect(port)
@@ -228,7 +228,7 @@
         turned_away = await begun.answer()  # in words, while the other is still held
         assert turned_away.status == 503 and turned_away.headers["connection"] == "close"
         assert await begun.reader.read() == b""
-        assert loop.time() - since_s >= LEAVE_UNFINISHED_S
+        assert loop.time() - since_s >= SHUTDOWN_INCOMPLETE_WAIT_S
         host.seen[0].answer(reply())
         assert (await held.answer()).status == 200
         assert await process.wait() == 0
