--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -92,7 +92,7 @@
         assert [event.outcome for event in told] == [outcome]
         assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
         assert len(host.seen) == 1  # an unsafe request goes out once
-        assert not run.gateway.held
+        assert not run.gateway.in_flight
 
 
 @on_loop
@@ -132,7 +132,7 @@
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
         await until(lambda: host.ended == 1)  # the host can tell that nobody waits
-        assert run.instance.pools.open == 0 and not run.gateway.held
+        assert run.instance.pools.open == 0 and not run.gateway.in_flight
 
 
 @on_loop
@@ -254,7 +254,7 @@
         await until(lambda: host.ended == 1)
         await until(lambda: told)
         assert told[0].outcome is Outcome.CANCELLED and told[0].finished
-        assert not run.gateway.held and not run.gateway.balancer.requests
+        assert not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
 @on_loop
@@ -279,7 +279,7 @@
         client.send(data)
         await until(lambda: host.seen)
         id_ = host.seen[0].message.headers["x-call-id"]
-        run.gateway.carry_out(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
+        run.gateway.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
         assert [event.outcome for event in told] == [Outcome.NOT_SENT]
         client.close()
         await asyncio.sleep(0)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from sagetrack.config.platform import parse
-from sagetrack.core.endpoints import Reply
+from sagetrack.core.endpoints import Response
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.upstream_connection import Attempt, HostConnection
 from sagetrack.policy.interface import ListKind, Outcome
@@ -62,11 +62,11 @@
         if not idle(run):
             idle(run).append(connection)
 
-        def on_end(attempt: Attempt, outcome: Outcome, answer: Reply | None) -> None:
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
             ended.append(outcome)
 
         data = request("transfer")
-        pool.send(Attempt(pool.hosts[host_id(0)], lambda left_us: data, 20_000_000, on_end))
+        pool.send(Attempt(pool.hosts[host_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended))
         await until(lambda: ended)
         assert ended == [Outcome.OK] and host.opened == 2
 
@@ -129,7 +129,7 @@
         await until(lambda: host.seen)
         names = parse(configuration(host)).names
         _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names)
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
         host.seen[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
@@ -146,15 +146,15 @@
     async with peer() as host, running(configuration(host)) as run:
         pools, ended = run.instance.pools, list[Outcome]()
 
-        def on_end(attempt: Attempt, outcome: Outcome, answer: Reply | None) -> None:
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
             ended.append(outcome)
 
         known = pools.hosts[host_id(0)]
-        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
+        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         pools.drain(known)
         await until(lambda: ended)
         assert ended == [Outcome.NOT_SENT] and not host.seen
-        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
+        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         assert ended == [Outcome.NOT_SENT] * 2
 
 
@@ -166,7 +166,7 @@
         await until(lambda: old.seen)
         names = parse(configuration(old)).names
         _, _, entries = parse_list(hosts_list(8, endpoint("s-0", new.address)), names)
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
         await asking
         assert not idle(run)  # the old connection is not kept for the new address
@@ -181,7 +181,7 @@
         assert (await run.ask(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
             _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names)
-            run.gateway.on_list(ListKind.DELTA, entries)
+            run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
         assert host.opened == 2
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -125,9 +125,9 @@
     overlap.join()
     assert (overlap.others, overlap.serving) == (0, 0)
     assert sorted(os.listdir(tmp_path)) == [f"sagetrack-{os.getpid()}.starting", "sagetrack-x.serving"]
-    overlap.serve()
+    overlap.mark_serving()
     assert marks(tmp_path, "serving") == {os.getpid()}
-    overlap.leave()
+    overlap.release()
     assert os.listdir(tmp_path) == ["sagetrack-x.serving"]
 
 
@@ -230,9 +230,9 @@
 ) -> None:
     overlap = Overlap(str(tmp_path / "missing"))
     overlap.join()
-    overlap.serve()
-    overlap.look()
+    overlap.mark_serving()
+    overlap.refresh()
     overlap.keep_list(DISCOVERY, {"index": 1})
-    overlap.leave()
+    overlap.release()
     assert (overlap.others, overlap.serving) == (0, 0)
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -19,8 +19,8 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.config.validation import FileError
-from sagetrack.core.bodies import Allowance, Upload
-from sagetrack.core.endpoints import Endpoint, Reply
+from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
+from sagetrack.core.endpoints import Endpoint, Response
 from sagetrack.core.interfaces import Call
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc import outcomes
@@ -190,8 +190,8 @@
     def __init__(self, pauses: bool = False) -> None:
         self.pauses = pauses
         self.written = 0
-        self.ends: list[tuple[Outcome, Reply | None]] = []
-        self.head: Reply | None = None
+        self.ends: list[tuple[Outcome, Response | None]] = []
+        self.head: Response | None = None
         self.pieces: list[bytes] = []
         self.source: Any = None
 
@@ -201,18 +201,18 @@
     def on_first_byte(self) -> None:
         """Of no concern here."""
 
-    def on_written(self) -> None:
+    def on_request_sent(self) -> None:
         self.written += 1
 
-    def on_begun(self, attempt: Any, head: Any, source: Any) -> None:
+    def on_response_started(self, attempt: Any, head: Any, source: Any) -> None:
         self.head, self.source = head, source
         if self.pauses:
             source.pause()
 
-    def on_piece(self, attempt: Any, data: bytes) -> None:
+    def on_response_data(self, attempt: Any, data: bytes) -> None:
         self.pieces.append(data)
 
-    def on_end(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
         self.ends.append((outcome, answer))
 
 
@@ -225,10 +225,14 @@
         self.asked: list[tuple[NewConnection, Asked]] = []
 
     def ask(
-        self, body: bytes = b"", upload: Upload | None = None, wait_us: int = 10_000_000, pauses: bool = False
+        self,
+        body: bytes = b"",
+        streamed_body: StreamedBody | None = None,
+        wait_us: int = 10_000_000,
+        pauses: bool = False,
     ) -> Heard:
         heard = Heard(pauses)
-        call = Call("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, upload)  # type: ignore[arg-type]
+        call = Call("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
         self.pools.begin(call, 1, wait_us, heard)
         return heard
 
@@ -361,15 +365,15 @@
 async def test_long_bodies_pass_in_bounded_memory_both_ways() -> None:
     size = 3_000_000
     async with rigged(on_call=lambda c, a: c.answer(a, body=a.body, parts=30)) as rig:
-        upload = Upload(size, Allowance(64))
-        heard = rig.ask(upload=upload)
+        streamed_body = StreamedBody(size, BodyMemoryBudget(64))
+        heard = rig.ask(streamed_body=streamed_body)
         fed = most = 0
         while fed < size:
-            await until(lambda: not upload.is_full)
-            upload.feed(b"z" * 50_000)
+            await until(lambda: not streamed_body.is_full)
+            streamed_body.feed(b"z" * 50_000)
             fed += 50_000
-            most = max(most, upload.buffered)
-        upload.end()
+            most = max(most, streamed_body.buffered)
+        streamed_body.complete()
         await until(lambda: heard.head is not None)
         heard.source.pause()
         for _ in range(50):
@@ -553,11 +557,11 @@
 
 
 def test_answers_differ_by_status_header_or_body_and_not_by_what_is_of_the_way() -> None:
-    one = Reply(200, [(b"X-A", b"1"), (b"Date", b"now")], b"b", True)
-    assert difference(one, Reply(200, [(b"x-a", b"1"), (b"date", b"then")], b"b", False)) is None
-    assert difference(one, Reply(200, [(b"X-A", b"2")], b"b", True)) == "header x-a"
-    assert difference(one, Reply(404, [(b"X-A", b"1")], b"b", True)) == "status 200 404"
-    assert difference(one, Reply(200, [(b"X-A", b"1")], b"c", True)) == "body"
+    one = Response(200, [(b"X-A", b"1"), (b"Date", b"now")], b"b", True)
+    assert difference(one, Response(200, [(b"x-a", b"1"), (b"date", b"then")], b"b", False)) is None
+    assert difference(one, Response(200, [(b"X-A", b"2")], b"b", True)) == "header x-a"
+    assert difference(one, Response(404, [(b"X-A", b"1")], b"b", True)) == "status 200 404"
+    assert difference(one, Response(200, [(b"X-A", b"1")], b"c", True)) == "body"
     report = Report(most=1)
     assert report.enter(0, "body", 0) and not report.enter(0, "body", 1) and report.enter(0, "status 1 2", 2)
     assert report.different == {(0, "body"): 2, (0, "other"): 1}
@@ -683,14 +687,14 @@
     async with fronted(tmp_path, on_call=take) as (client, gateway, front):
 
         async def send(number: int, size: int, told: int | None) -> Heard:
-            upload, heard = Upload(told, Allowance(64)), Heard()
+            streamed_body, heard = StreamedBody(told, BodyMemoryBudget(64)), Heard()
             message = Message(head_of(number), b"")
-            call = Call("a", 0, 5_000_000, None, None, False, 0, message, None, upload)  # type: ignore[arg-type]
+            call = Call("a", 0, 5_000_000, None, None, False, 0, message, None, streamed_body)  # type: ignore[arg-type]
             client.pools.begin(call, 1, 5_000_000, heard)
             for _ in range(0, size, 50_000):
-                await until(lambda: not upload.is_full or heard.ends)
-                upload.feed(b"z" * 50_000)
-            upload.end()
+                await until(lambda: not streamed_body.is_full or heard.ends)
+                streamed_body.feed(b"z" * 50_000)
+            streamed_body.complete()
             await until(lambda: heard.ends)
             return heard
 
@@ -701,7 +705,7 @@
         for number, told in ((3, 1_000_001), (4, 900_000)):  # shorter and longer than it was to be
             assert (await send(number, 1_000_000, told)).ends[0][0] is not Outcome.OK
         assert len(whole) == 2
-        await until(lambda: not gateway.gateway.held and not front.allowance.active)
+        await until(lambda: not gateway.gateway.in_flight and not front.body_budget.active)
 
 
 @on_loop
@@ -750,4 +754,4 @@
             calls.append(heard)
         await until(lambda: calls[0].ends)
         assert front.counts.calmed == 1 and not front.lines
-        await until(lambda: not gateway.gateway.held)
+        await until(lambda: not gateway.gateway.in_flight)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -167,10 +167,10 @@
     left: bool = False
     tried: list[Tried] = field(default_factory=list)
 
-    def on_served(self, call: Call, answer: Any) -> None:
+    def on_response(self, call: Call, answer: Any) -> None:
         self.answers.append("served")
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         ran = any(t.may_have_run for t in self.tried)
         self.world.rule(not ran or call.klass < 2, "an unsafe call refused though it may have run")
         self.answers.append("refused")
@@ -178,14 +178,14 @@
     def on_failed(self, call: Call, timed_out: bool) -> None:
         self.answers.append("failed")
 
-    def on_begun(self, call: Call, head: Any, source: Any) -> None:
+    def on_response_started(self, call: Call, head: Any, source: Any) -> None:
         self.answers.append("long")  # none here is
 
-    def on_piece(self, call: Call, data: bytes) -> None: ...
+    def on_response_data(self, call: Call, data: bytes) -> None: ...
 
-    def on_ended(self, call: Call, answer: Any) -> None: ...
+    def on_response_ended(self, call: Call, answer: Any) -> None: ...
 
-    def on_broken(self, call: Call) -> None: ...
+    def on_response_aborted(self, call: Call) -> None: ...
 
 
 class World:
@@ -262,7 +262,7 @@
     def list_one(self, gateway: Gateway, number: int, status: ServerStatus, started: int = 0) -> None:
         entry = Endpoint(f"s{number}", ("h", number), ListedServer(number, status, started_us=started))
         (self.withdrawn.discard if status is ServerStatus.READY else self.withdrawn.add)(number)
-        gateway.on_list(ListKind.DELTA, [entry])
+        gateway.on_endpoint_list(ListKind.DELTA, [entry])
 
     def arrive(self, gateway: Gateway) -> None:
         self.count += 1
@@ -271,7 +271,7 @@
         message = Message(b"GET %s X\r\n" % name.encode(), b"")
         client.call = Call(name, klass, 400_000, None, None, False, 0, message, client)
         self.asked.append(client)
-        gateway.arrive(client.call)
+        gateway.submit(client.call)
 
     def leave(self, gateway: Gateway) -> None:
         here = [one for one in self.asked if not one.left and not one.answers]
@@ -279,7 +279,7 @@
             one = self.draw.choice(here)
             one.left = True
             assert one.call is not None
-            gateway.leave(one.call.id)
+            gateway.cancel_request(one.call.id)
 
     def step(self, gateway: Gateway) -> None:
         draw = self.draw
@@ -337,7 +337,7 @@
         leaves_at = draw.randrange(2 * STEPS)
         for number in range(STEPS):
             if number == leaves_at:
-                gateway.leave_by(0.2)
+                gateway.shut_down_within(0.2)
             world.step(gateway)
         world.advance(5_000_000)  # every deadline is over, and every timer of the pools has run
         for asked in world.asked:
@@ -345,7 +345,7 @@
         pools.close()
         world.settle()
         assert not world.broken, world.broken
-        left = gateway.held or gateway.balancer.requests or gateway.balancer.out
+        left = gateway.in_flight or gateway.balancer.requests or gateway.balancer.out
         assert not left, "calls left over"
         assert pools.open == 0 and not world.wires and not world.openings, "connections left over"
 
@@ -363,7 +363,7 @@
 
 def forget_the_client(patch: pytest.MonkeyPatch) -> None:
     """As it was: what is begun is written, whoever still waits."""
-    patch.setattr(Pools, "withdraw", lambda self, attempt: None)
+    patch.setattr(Pools, "cancel_unsent", lambda self, attempt: None)
     patch.setattr(Pools, "may_begin", lambda self, a, life: a.host.drained_us is None and a.host.life == life)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,7 +21,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.peer_close import hung_up
+from sagetrack.core.peer_close import has_peer_closed
 from sagetrack.http1.downstream import PIPELINED, ClientConnection
 from sagetrack.policy.interface import (
     Action,
@@ -70,7 +70,7 @@
 async def leaves(client: Client, connection: ClientConnection) -> None:
     """It closes, and the kernel of the gateway's machine knows."""
     client.close()
-    await until(lambda: hung_up(connection.poll))
+    await until(lambda: has_peer_closed(connection.poll))
 
 
 def ends_between_turns(transport: asyncio.BaseTransport | None, poll: select.poll) -> None:
@@ -80,11 +80,11 @@
     with socket.socket(fileno=os.dup(bare.fileno())) as same:
         same.shutdown(socket.SHUT_RDWR)
     poll.poll(5_000)  # ms: it comes at once on this machine
-    assert hung_up(poll)
+    assert has_peer_closed(poll)
 
 
 async def nothing_is_owed(run: Running) -> None:
-    await until(lambda: not run.gateway.held)
+    await until(lambda: not run.gateway.in_flight)
 
 
 # What the loop has not seen
@@ -149,7 +149,7 @@
         unheard(run)
         assert (await run.ask(request())).status == 200
         (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 60.0)
+        monkeypatch.setattr("sagetrack.http1.connection_pool.REUSE_DELAY_S", 60.0)
         kept.idle_since_us, kept.took_us = now_us(), 200_000_000
         client, connection = await crowding(run)
         await until(lambda: kept.parked)
@@ -178,9 +178,9 @@
     """The module's timers, held until they are fired."""
 
     def __init__(self, run: Running) -> None:
-        self.run, self.carry_out = run, run.gateway.carry_out
+        self.run, self.carry_out = run, run.gateway.execute
         self.held: list[SetTimer] = []
-        run.gateway.carry_out = self.take  # type: ignore[method-assign]
+        run.gateway.execute = self.take  # type: ignore[method-assign]
 
     def take(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -196,7 +196,7 @@
             await until(lambda due_us=timer.due_us: now_us() >= due_us)  # type: ignore[misc]
             event = TimerFired(timer.token)
             self.run.gateway.post(lambda event=event: event)  # type: ignore[misc]
-            if len(next(iter(self.run.gateway.held.values())).attempts) > 1:
+            if len(next(iter(self.run.gateway.in_flight.values())).attempts) > 1:
                 return
 
 
@@ -211,10 +211,10 @@
             client, connection = await crowding(run, "search")
             await until(lambda: one.seen or other.seen)
             (first,) = one.seen + other.seen
-            (held,) = run.gateway.held.values()
+            (held,) = run.gateway.in_flight.values()
             await leaves(client, connection)
             await timers.fire()
-            assert len(held.attempts) == 2 and held.closed
+            assert len(held.attempts) == 2 and held.is_finished
             first.answer(reply())
             await nothing_is_owed(run)
             assert len(one.seen + other.seen) == 1
@@ -237,14 +237,17 @@
                 before = len(host.seen)
                 clients.append(await run.connect())
                 clients[-1].send(request("transfer"))
-                await until(lambda: len(run.gateway.held) == len(clients))
-                out = sum(held.out for held in run.gateway.held.values())
+                await until(lambda: len(run.gateway.in_flight) == len(clients))
+                out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
                 await until(lambda out=out: len(host.seen) == out)  # type: ignore[misc]
             clients.pop().close()
-            await until(lambda: len(run.gateway.held) == len(clients))
+            await until(lambda: len(run.gateway.in_flight) == len(clients))
             assert len(host.seen) == len(clients)
             client, connection = await crowding(run)
-            assert connection.call is not None and run.gateway.held[connection.call.id].out == 0
+            assert (
+                connection.call is not None
+                and run.gateway.in_flight[connection.call.id].attempts_in_flight == 0
+            )
             await leaves(client, connection)
             for exchange in list(host.seen):
                 exchange.answer(reply())
@@ -307,12 +310,12 @@
     def counting(poll: Any) -> bool:
         nonlocal looks
         looks += 1
-        return hung_up(poll)
+        return has_peer_closed(poll)
 
     async with peer(silent) as host, running(configuration(host)) as run:
         made = [await crowding(run) for _ in range(40)]
         await until(lambda: len(run.server.paused) == 40)
-        monkeypatch.setattr(client_module, "hung_up", counting, raising=False)
+        monkeypatch.setattr(client_module, "has_peer_closed", counting, raising=False)
         asked = 0
         look = run.server.hangups.look
 
@@ -374,8 +377,8 @@
         await until(lambda: front.lines and client.line.transport is not None)
         for n in range(1, 100):
             asked_for(client, head_of(n), b"x")
-        await until(lambda: len(run.gateway.held) == 100 and late.held)
-        out = sum(held.out for held in run.gateway.held.values())
+        await until(lambda: len(run.gateway.in_flight) == 100 and late.held)
+        out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
         await until(lambda: len(late.held) == out)
         (line,) = front.lines
         assert len(line.streams) == 100
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -11,33 +11,33 @@
 import pytest
 
 from sagetrack.core import log as module
-from sagetrack.core.log import Bound, log, use
+from sagetrack.core.log import LogRateLimit, log, use_sink
 from sagetrack.core.structured import sink
 
 
 @pytest.fixture(autouse=True)
 def restored() -> Iterator[None]:
-    use(module.plain)
+    use_sink(module.plain_sink)
     yield
-    use(module.plain)
+    use_sink(module.plain_sink)
 
 
 def test_a_flood_of_one_event_hides_no_other_and_is_counted() -> None:
-    bound = Bound(burst=3, rate=1)
-    assert [bound.admit("flood", 0.0) for _ in range(5)] == [0, 0, 0, -1, -1]
-    assert bound.admit("other", 0.0) == 0
-    assert bound.admit("flood", 1.0) == 2
+    rate_limit = LogRateLimit(burst=3, rate=1)
+    assert [rate_limit.admit("flood", 0.0) for _ in range(5)] == [0, 0, 0, -1, -1]
+    assert rate_limit.admit("other", 0.0) == 0
+    assert rate_limit.admit("flood", 1.0) == 2
 
 
 def test_endless_kinds_of_events_share_one_bound() -> None:
-    bound = Bound(burst=1, rate=0.001)
-    passed = sum(bound.admit(f"event {number}", 0.0) >= 0 for number in range(10_000))
-    assert passed <= module.EVENTS + 1 and len(bound.buckets) <= module.EVENTS + 1
+    rate_limit = LogRateLimit(burst=1, rate=0.001)
+    passed = sum(rate_limit.admit(f"event {number}", 0.0) >= 0 for number in range(10_000))
+    assert passed <= module.EVENTS + 1 and len(rate_limit.buckets) <= module.EVENTS + 1
 
 
 def test_json_lines_carry_the_fields_by_their_names() -> None:
     out = io.StringIO()
-    use(sink("json", "info", "g1", out))
+    use_sink(sink("json", "info", "g1", out))
     log("refused", server="s-1", call="c", class_="lookup", member="acme")
     log("hidden", level="debug")
     (line,) = out.getvalue().splitlines()
@@ -55,7 +55,7 @@
 
 
 def test_the_plain_log_heeds_a_level(capsys: pytest.CaptureFixture[str]) -> None:
-    use(module.levels_from("warning", module.plain))
+    use_sink(module.with_minimum_level("warning", module.plain_sink))
     log("hidden")
     log("shown", "warning")
     assert capsys.readouterr().err == "sagetrack: shown\n"
@@ -70,7 +70,7 @@
     reader, writer = os.pipe()
     with open(writer, "w") as stream, open(reader) as lines:
         monkeypatch.setattr(sys, "stderr", stream)
-        use(module.plain, Bound(10_000, 10_000))
+        use_sink(module.plain_sink, LogRateLimit(10_000, 10_000))
         for number in range(2_000):  # more than a pipe holds
             log(f"line {number}: {'x' * 100}")
         assert module._unwritten > 0
--- a/tests/test_permission.py
+++ b/tests/test_send_rules.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from sagetrack.core.invariants import Rule
+from sagetrack.core.invariants import Invariant
 from sagetrack.core.send_rules import (
-    FIRST_REQUEST_S,
-    OVERDUE_S,
-    ClientState,
-    Closing,
+    FIRST_REQUEST_TIMEOUT_S,
+    REQUEST_HEAD_TIMEOUT_S,
+    AttemptRecord,
+    ClientConnectionState,
+    CloseReason,
     DenialReason,
-    Sending,
     ServerState,
     may_close,
     may_retry,
@@ -25,11 +25,11 @@
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, peer, request, running, silent, until
 
-HERE = Sending(zone=0, group=1)
+HERE = AttemptRecord(zone=0, group=1)
 ONE_AT_A_TIME = replace(SETTINGS, hedging=False)
 
 
-def asked(gone: bool = False) -> tuple[list[bool], ClientState]:
+def asked(gone: bool = False) -> tuple[list[bool], ClientConnectionState]:
     """A client that may be closed, and the looks at what it has sent."""
     looks: list[bool] = []
 
@@ -37,7 +37,13 @@
         looks.append(True)
         return gone
 
-    return looks, ClientState(owed=False, begun=False, heard=True, age_s=0.0, unread=unread)
+    return looks, ClientConnectionState(
+        response_pending=False,
+        request_incomplete=False,
+        has_sent_data=True,
+        age_s=0.0,
+        has_unread_data=unread,
+    )
 
 
 def test_nothing_is_sent_for_a_call_that_is_over_or_to_a_server_that_is_not_there() -> None:
@@ -54,69 +60,69 @@
 @pytest.mark.parametrize(
     ("klass", "other", "at_us", "denial"),
     [
-        (UNSAFE, Sending(0, 1), 1, None),  # never begun
-        (UNSAFE, Sending(0, 1, 0, Outcome.REJECTED), 1, None),
-        (UNSAFE, Sending(0, 1, 0, Outcome.CONNECT_FAILED), 1, None),
-        (UNSAFE, Sending(0, 1, 0), 1, DenialReason.MAY_HAVE_RUN),
-        (UNSAFE, Sending(0, 1, 0, Outcome.RESET), 1, DenialReason.MAY_HAVE_RUN),
-        (KEYED, Sending(0, 1, 0, Outcome.TIMEOUT), 1, None),
-        (KEYED, Sending(0, 2, 0, Outcome.TIMEOUT), 1, DenialReason.OUT_OF_SCOPE),
-        (KEYED, Sending(0, 2, 0, Outcome.REJECTED), 1, None),
-        (KEYED, Sending(0, 1, 0, Outcome.TIMEOUT), KEYED.window_us, DenialReason.WINDOW_OVER),
-        (SAFE, Sending(0, 2, 0), 1, None),
+        (UNSAFE, AttemptRecord(0, 1), 1, None),  # never begun
+        (UNSAFE, AttemptRecord(0, 1, 0, Outcome.REJECTED), 1, None),
+        (UNSAFE, AttemptRecord(0, 1, 0, Outcome.CONNECT_FAILED), 1, None),
+        (UNSAFE, AttemptRecord(0, 1, 0), 1, DenialReason.MAY_HAVE_RUN),
+        (UNSAFE, AttemptRecord(0, 1, 0, Outcome.RESET), 1, DenialReason.MAY_HAVE_RUN),
+        (KEYED, AttemptRecord(0, 1, 0, Outcome.TIMEOUT), 1, None),
+        (KEYED, AttemptRecord(0, 2, 0, Outcome.TIMEOUT), 1, DenialReason.OUT_OF_SCOPE),
+        (KEYED, AttemptRecord(0, 2, 0, Outcome.REJECTED), 1, None),
+        (KEYED, AttemptRecord(0, 1, 0, Outcome.TIMEOUT), KEYED.window_us, DenialReason.WINDOW_OVER),
+        (SAFE, AttemptRecord(0, 2, 0), 1, None),
     ],
 )
 def test_a_repeat_goes_out_only_where_it_cannot_run_twice(
-    klass: RequestClass, other: Sending, at_us: int, denial: DenialReason | None
+    klass: RequestClass, other: AttemptRecord, at_us: int, denial: DenialReason | None
 ) -> None:
     assert may_retry(SETTINGS, klass, HERE, [HERE, other], at_us) is denial
 
 
 def test_a_second_attempt_waits_for_the_end_of_the_first_where_there_may_be_one() -> None:
-    out, over = Sending(0, 1, 0), Sending(0, 1, 0, Outcome.RESET)
-    assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [out], 1) is DenialReason.STILL_OUT
+    out, over = AttemptRecord(0, 1, 0), AttemptRecord(0, 1, 0, Outcome.RESET)
+    assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [out], 1) is DenialReason.ATTEMPT_IN_FLIGHT
     assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [over], 1) is None
 
 
 def test_a_refusal_proves_nothing_where_the_settings_say_so() -> None:
-    full = Sending(0, 1, 0, Outcome.REJECTED)
+    full = AttemptRecord(0, 1, 0, Outcome.REJECTED)
     unproven = replace(SETTINGS, rejection_may_have_run=True)
     assert may_retry(unproven, UNSAFE, HERE, [full], 1) is DenialReason.MAY_HAVE_RUN
 
 
 def test_no_connection_is_closed_under_a_request() -> None:
-    for purpose in Closing:
+    for purpose in CloseReason:
         _, client = asked()
         assert may_close(client, purpose) is None
-        assert may_close(replace(client, owed=True), purpose) is DenialReason.ANSWER_OWED
-        assert may_close(replace(client, unread=lambda: True), purpose) is DenialReason.UNREAD
+        assert may_close(replace(client, response_pending=True), purpose) is DenialReason.RESPONSE_PENDING
+        assert may_close(replace(client, has_unread_data=lambda: True), purpose) is DenialReason.UNREAD_DATA
     _, client = asked()
-    begun = replace(client, begun=True)
-    assert may_close(begun, Closing.IDLE) is DenialReason.UNFINISHED
-    assert may_close(begun, Closing.ROOM) is DenialReason.UNFINISHED
-    assert may_close(replace(begun, age_s=OVERDUE_S), Closing.ROOM) is None
-    assert may_close(begun, Closing.EXHAUSTED) is None
+    begun = replace(client, request_incomplete=True)
+    assert may_close(begun, CloseReason.IDLE) is DenialReason.INCOMPLETE_REQUEST
+    assert may_close(begun, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.INCOMPLETE_REQUEST
+    assert may_close(replace(begun, age_s=REQUEST_HEAD_TIMEOUT_S), CloseReason.RECLAIM_DESCRIPTOR) is None
+    assert may_close(begun, CloseReason.DESCRIPTORS_EXHAUSTED) is None
 
 
 def test_a_new_connection_has_time_for_its_first_request() -> None:
     _, client = asked()
-    new = replace(client, heard=False)
-    assert may_close(new, Closing.ROOM) is DenialReason.NOT_HEARD
-    assert may_close(replace(new, age_s=FIRST_REQUEST_S), Closing.ROOM) is None
-    assert may_close(new, Closing.EXHAUSTED) is None
+    new = replace(client, has_sent_data=False)
+    assert may_close(new, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.AWAITS_FIRST_REQUEST
+    assert may_close(replace(new, age_s=FIRST_REQUEST_TIMEOUT_S), CloseReason.RECLAIM_DESCRIPTOR) is None
+    assert may_close(new, CloseReason.DESCRIPTORS_EXHAUSTED) is None
 
 
 def test_the_kernel_is_asked_last_and_only_where_all_else_allows_it() -> None:
     looks, client = asked()
-    may_close(replace(client, owed=True), Closing.IDLE)
+    may_close(replace(client, response_pending=True), CloseReason.IDLE)
     assert not looks
-    may_close(client, Closing.IDLE)
+    may_close(client, CloseReason.IDLE)
     assert looks
 
 
 def test_clients_are_taken_only_where_they_can_be_served() -> None:
     assert may_take_clients(False, True, True) is None
-    assert may_take_clients(True, True, True) is DenialReason.LEAVING
+    assert may_take_clients(True, True, True) is DenialReason.SHUTTING_DOWN
     assert may_take_clients(False, False, True) is DenialReason.NOT_LISTENING
     assert may_take_clients(False, True, False) is DenialReason.NO_SERVERS
 
@@ -127,12 +133,12 @@
         client = await run.connect()
         client.send(request("transfer", b"x"))
         await until(lambda: first.seen or second.seen)
-        (held,) = run.gateway.held.values()
+        (held,) = run.gateway.in_flight.values()
         for server in run.instance.pools.hosts:
-            run.gateway.carry_out(SendAttempt(held.call.id, server, 1_000_000))
+            run.gateway.execute(SendAttempt(held.call.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.seen) + len(second.seen) == 1
-        assert run.gateway.violations.counts[Rule.REPEAT] == 2
+        assert run.gateway.violations.counts[Invariant.RETRIES_ARE_SAFE] == 2
         client.close()
 
 
@@ -147,8 +153,8 @@
         begun_s = asyncio.get_running_loop().time()
         assert (await run.ask(request(budget_ms=200))).status == 502
         assert asyncio.get_running_loop().time() - begun_s < 0.2 + 0.5
-        assert run.gateway.violations.counts[Rule.UNANSWERED] == 1
-        assert not run.gateway.held
+        assert run.gateway.violations.counts[Invariant.ANSWERED_IN_TIME] == 1
+        assert not run.gateway.in_flight
 
 
 @on_loop
@@ -160,5 +166,5 @@
             raise RuntimeError("a planted fault")
 
         run.gateway.post(broken)
-        assert run.gateway.violations.counts[Rule.HANDLING] == 1
+        assert run.gateway.violations.counts[Invariant.NO_HANDLER_ERROR] == 1
         assert (await run.ask(request())).status == 200
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -280,7 +280,7 @@
     overlap.join()
     try:
         assert files_in(tmp_path) == [f"sagetrack-{os.getpid()}.starting"]
-        overlap.serve()
+        overlap.mark_serving()
         assert files_in(tmp_path) == [f"sagetrack-{os.getpid()}.serving"]
         with (
             open(tmp_path / "sagetrack-1.serving", "w") as one,
@@ -288,10 +288,10 @@
         ):
             fcntl.flock(one, fcntl.LOCK_EX)
             fcntl.flock(two, fcntl.LOCK_EX)
-            overlap.look()
+            overlap.refresh()
             assert (overlap.others, overlap.serving) == (2, 1)
     finally:
-        overlap.leave()
+        overlap.release()
 
 
 # The store
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sagetrack.config.platform import Names
-from sagetrack.core.deadlines import watching
+from sagetrack.core.deadlines import discovery_timeouts
 from sagetrack.discovery import client as discovery_client
 from sagetrack.discovery.client import Discovery
 from sagetrack.policy import load_balancer
@@ -293,7 +293,7 @@
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
-    names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), watching(SETTINGS)
+    names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), discovery_timeouts(SETTINGS)
     discovery = Discovery(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
     discovery.on_news = overlap.hand_on
     return discovery
@@ -339,7 +339,7 @@
     take(discovery, 203, endpoint("s-498", "127.0.0.1:9"), endpoint("s-new", "127.0.0.1:8"))
     take(discovery, 204, endpoint("s-new", "127.0.0.1:8", status="DELETED"))
     assert (writes.lists, writes.entries) == (1, 500)
-    overlap.leave()
+    overlap.release()
     assert (writes.lists, writes.entries) == (2, 551)  # and the last one at the latest on the way out
     drained = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     stands = hosts_list(204, *drained, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
@@ -368,7 +368,7 @@
     take(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # held back
     successor.keep_list(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
     overlap.serving = 1
-    overlap.leave()
+    overlap.release()
     assert successor.newer_list(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
 
 
