--- a/sagetrack/core/clock.py
+++ b/sagetrack/core/clock.py
@@ -1,7 +1,7 @@
-"""Time: one line that only moves forward, and the wall clock, which others' stamps are read by.
+"""The clocks: a monotonic one for all differences, and the wall clock for the stamps of others.
 
-Deadlines, windows, waits and ages are differences on the one line, which no step of the wall clock moves. A
-stamp in Unix time is compared with the wall clock as it is when the stamp is read, and with nothing else.
+Deadlines, windows, waits and ages are differences of `now_us`, which no step of the wall clock moves. A stamp
+in Unix time is compared with `wall_us` at the moment it is read, and with nothing else.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def now_us() -> int:
-    """The process's line: Unix time at its start, carried on by the monotonic clock, in microseconds."""
+    """Return the process's monotonic time in microseconds; at the start of the process it is Unix time."""
     return (_OFFSET_NS + time.monotonic_ns()) // 1000
 
 
 def wall_us() -> int:
-    """Unix time as the machine has it now, in microseconds: it may step either way."""
+    """Return Unix time as the machine has it now, in microseconds: it may step either way."""
     return time.time_ns() // 1000
 
 
 def machine_us() -> int:
-    """A line that all processes of this machine share until it is booted anew, in microseconds."""
+    """Return monotonic time that all processes share until the machine is rebooted, in microseconds."""
     return time.monotonic_ns() // 1000
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -1,4 +1,4 @@
-"""What fronts, backs and the gateway between them speak of: answers, and entries of the roster."""
+"""Endpoints, and the source that discovers them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,15 @@
 from sagetrack.config.platform import Address
 from sagetrack.policy.interface import ListedServer, ListKind
 
-Header = tuple[bytes, bytes]
-
-
-class Response:
-    """One whole answer, or the head of one whose body passes through."""
-
-    __slots__ = ("body", "headers", "keep_alive", "length", "status")
-
-    def __init__(
-        self, status: int, headers: list[Header], body: bytes, keep_alive: bool, length: int | None = None
-    ) -> None:
-        self.status, self.headers, self.body, self.keep_alive = status, headers, body, keep_alive
-        self.length = length  # as it was announced
-
 
 class Endpoint:
-    """One server of a list, for the module and for the pools."""
+    """One server of an endpoint list.
+
+    Attributes:
+        name: Its name at service discovery.
+        address: Host and port to connect to.
+        listed: What the load balancer knows of it.
+    """
 
     __slots__ = ("address", "listed", "name")
 
@@ -36,59 +28,25 @@
 
 
 class EndpointSource(Protocol):
-    """Who tells what servers there are."""
+    """Service discovery: tells an `OnEndpointList` callback which endpoints there are."""
 
     @property
     def time_without_contact_us(self) -> int | None:
-        """How long before the list that is being told there was no word of it; None: there was none yet."""
+        """Time since the source was last heard before the list now being delivered; None if never before."""
         ...
 
     def restore_known_endpoints(self, raw: dict[str, Any]) -> None:
-        """Begin with the list from before."""
+        """Deliver the list that was known before the start, as service discovery encodes it."""
         ...
 
-    def watch(self, on: bool) -> None: ...
-
-    def fetch(self) -> None: ...
-
-    def close(self) -> None: ...
-
-
-class SiblingProcesses(Protocol):
-    """Other processes of the same gateway, as at an upgrade."""
-
-    others: int  # that run
-    serving: int  # those of them that serve
-
-    def refresh(self) -> None:
-        """Count them again."""
+    def watch(self, on: bool) -> None:
+        """Start or stop watching for changes."""
         ...
 
-    def mark_serving(self) -> None:
-        """Say that this process takes clients."""
+    def fetch(self) -> None:
+        """Poll the complete list once."""
         ...
 
-    def mark_draining(self) -> None:
-        """Say that this process takes clients no longer."""
+    def close(self) -> None:
+        """Stop for good; no list is delivered afterwards."""
         ...
-
-    def release(self) -> None: ...
-
-
-class NoSiblings:
-    """No other process."""
-
-    others = 0
-    serving = 0
-
-    def refresh(self) -> None:
-        """There is nobody to count."""
-
-    def mark_serving(self) -> None:
-        """There is nobody to tell."""
-
-    def mark_draining(self) -> None:
-        """There is nobody to tell."""
-
-    def release(self) -> None:
-        """There is nobody to tell."""
--- a/sagetrack/core/event_trace.py
+++ b/sagetrack/core/event_trace.py
@@ -1,7 +1,6 @@
-"""The last things out of the ordinary, call by call: for operators who ask what became of a request.
+"""A flight recorder: the latest unusual events of a process, for operators who look into one request.
 
-Bounded and in memory. Nothing is noted for a request that is served by its first attempt; the log has no line
-for each request either.
+It is bounded and in memory. A request that its first attempt serves leaves no entry.
 """
 
 from __future__ import annotations
@@ -12,11 +11,11 @@
 
 from sagetrack.core.clock import now_us, wall_us
 
-ENTRIES = 512
+MAX_ENTRIES = 512
 
 
 class Step(Enum):
-    """What has happened."""
+    """What has happened. The values are part of the output of the admin address."""
 
     ATTEMPT_FAILED = "attempt_failed"
     ATTEMPT_DENIED = "attempt_withheld"
@@ -29,26 +28,43 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class TraceEntry:
+    """One event.
+
+    Attributes:
+        at_us: When it happened, by `now_us`.
+        step: What has happened.
+        about: The id of the request, or the name of what else has changed.
+        detail: Free text.
+    """
+
     at_us: int
     step: Step
-    about: str  # a call's id, or what else has changed
+    about: str
     detail: str
 
-    def line(self, ahead_us: int) -> str:
-        """For people: Unix time in seconds, by the wall clock as it stands now."""
-        return f"{(self.at_us + ahead_us) / 1e6:.3f} {self.step.value} {self.about} {self.detail}".rstrip()
+    def line(self, wall_offset_us: int) -> str:
+        """Return the entry as text, with Unix time in seconds.
+
+        Args:
+            wall_offset_us: How far the wall clock is ahead of `now_us` at the moment.
+        """
+        return (
+            f"{(self.at_us + wall_offset_us) / 1e6:.3f} {self.step.value} {self.about} {self.detail}".rstrip()
+        )
 
 
-class Trace:
-    """The newest entries of one process, the oldest first."""
+class EventTrace:
+    """The latest entries of one process, oldest first."""
 
-    def __init__(self, most: int = ENTRIES) -> None:
-        self.entries: deque[Entry] = deque(maxlen=most)
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        self.entries: deque[TraceEntry] = deque(maxlen=max_entries)
 
     def note(self, step: Step, about: str, detail: str = "") -> None:
-        self.entries.append(Entry(now_us(), step, about, detail))
+        """Add an entry; the oldest is dropped where there are too many."""
+        self.entries.append(TraceEntry(now_us(), step, about, detail))
 
     def lines(self) -> list[str]:
-        ahead_us = wall_us() - now_us()
-        return [entry.line(ahead_us) for entry in self.entries]
+        """Return the entries as text, oldest first."""
+        wall_offset_us = wall_us() - now_us()
+        return [entry.line(wall_offset_us) for entry in self.entries]
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -15,7 +15,7 @@
 
 from sagetrack.core.clock import now_us, wall_us
 from sagetrack.core.endpoints import Endpoint, EndpointSource
-from sagetrack.core.event_trace import Step, Trace
+from sagetrack.core.event_trace import EventTrace, Step
 from sagetrack.core.interfaces import AnyResponse, Attempt, Call, Recorder, Source, UpstreamPool
 from sagetrack.core.invariants import Invariant, InvariantViolations
 from sagetrack.core.log import log
@@ -128,7 +128,7 @@
         self.known_endpoints = known
         self.recorder: Recorder | None = None
         self.listed_servers: dict[int, ListedServer] = {}  # the servers that are listed
-        self.trace = Trace()
+        self.trace = EventTrace()
         self.violations = InvariantViolations(self.trace)
         self.withheld = ReasonCounter("withheld_total", "reason", (denial.value for denial in DenialReason))
         self.ended = ReasonCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome))
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -1,4 +1,4 @@
-"""What fronts, the gateway and backs ask of each other: calls, attempts, and who hears of them."""
+"""The interfaces between the downstream side, the gateway and the upstream side of a protocol."""
 
 from __future__ import annotations
 
@@ -11,118 +11,181 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.interface import LoadReport, Outcome
 
-AnyResponse = Any  # of a protocol: from its back to its front
+AnyResponse = Any  # a response of the protocol: its upstream side makes it, its downstream side reads it
 
 
 class Source(Protocol):
-    """Where an answer that passes through comes from."""
+    """The upstream end of a streamed response, for backpressure."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading from the server: the client is slower."""
+        ...
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on after `pause`."""
+        ...
 
 
 class Attempt(Protocol):
-    """One sending of a call to one server, as its protocol's back has it."""
+    """One attempt of a call at one server, as the protocol's upstream pool holds it."""
 
     @property
-    def server(self) -> int: ...
+    def server(self) -> int:
+        """The id of the server it was sent to."""
+        ...
 
     @property
-    def latency_us(self) -> int: ...
+    def latency_us(self) -> int:
+        """Time from its start to its end, in microseconds."""
+        ...
 
 
 class AttemptObserver(Protocol):
-    """Who is told what becomes of an attempt: it ends once, with `on_attempt_ended`."""
+    """Receives what becomes of one attempt, which ends exactly once, with `on_attempt_ended`."""
 
     def may_begin(self, server: ServerState) -> bool:
-        """Whether anything may be sent now to the server in this state: asked right before the first byte."""
+        """Return whether the request may be sent now to the server in this state.
+
+        The upstream pool asks right before the first byte, with nothing awaited in between.
+        """
         ...
 
     def on_first_byte(self) -> None:
-        """Its first byte goes out in this turn."""
+        """Record that the first byte of the request is sent in this turn of the event loop."""
         ...
 
     def on_request_sent(self) -> None:
-        """Its last byte is on its way."""
+        """Record that the last byte of the request was handed to the kernel."""
         ...
 
     def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
-        """Its answer is too long to be held, and passes through from here on."""
+        """Take the head of a response that is too long to be buffered and is streamed from here on."""
         ...
 
-    def on_response_data(self, attempt: Attempt, data: bytes) -> None: ...
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        """Take the next bytes of a streamed response."""
+        ...
 
     def on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
-    ) -> None: ...
+    ) -> None:
+        """Take the outcome, the response if there is one, and the server's load report if it sent one."""
+        ...
 
 
 class UpstreamPool(Protocol):
-    """A protocol's servers: what is listed, and attempts at them."""
+    """The servers of a protocol: those that are listed, and the attempts at them."""
 
     def put(self, entry: Endpoint) -> None:
-        """Learn of a server, of its new address, that it has started anew, or that it drains."""
+        """Add a server, or update its address, its start time or whether it drains."""
         ...
 
-    def remove(self, server: int) -> None: ...
+    def remove(self, server: int) -> None:
+        """Take a server out; nothing new is sent to it."""
+        ...
 
     @property
-    def listed(self) -> Collection[int]: ...
+    def listed(self) -> Collection[int]:
+        """The ids of the servers that are listed."""
+        ...
 
     def server_start_times(self) -> dict[int, int]:
-        """When each listed server started."""
+        """Return when each listed server started, in microseconds: it tells incarnations apart."""
         ...
 
     def begin(self, call: Call, server: int, wait_us: int, watcher: AttemptObserver) -> Attempt | None:
-        """Send a call to a server and wait for so long; None if that cannot be begun at all."""
+        """Start an attempt that may take `wait_us`; None if the server is not listed."""
         ...
 
-    def cancel(self, attempt: Any) -> None: ...
+    def cancel(self, attempt: Any) -> None:
+        """Stop waiting for an attempt and close its connection or stream, so that the server can tell."""
+        ...
 
     def cancel_unsent(self, attempt: Any) -> None:
-        """End an attempt of which its server has nothing yet: as it never ran, every class allows that."""
+        """Cancel an attempt if nothing of it was sent yet: every class allows that, as it has not run."""
         ...
 
-    def close_idle(self, server: int) -> None: ...
+    def close_idle(self, server: int) -> None:
+        """Close the idle connections to a server."""
+        ...
 
     def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Ask a server for its load, where the settings allow it."""
+        """Poll a server for its load, where the settings allow it.
+
+        Args:
+            server: The id of the server.
+            told: Called once with the outcome, the latency in microseconds and the load report.
+        """
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all connections at once."""
+        ...
 
 
 class Client(Protocol):
-    """Who waits for the final answer of a request; it gets just one of these.
+    """The downstream side of a call, which receives exactly one final response.
 
-    An answer that is too long to be held begins with `on_response_started`, goes on with `on_response_data`
-    and ends with `on_response_ended` or `on_response_aborted`.
+    That is one of `on_response`, `on_rejected` and `on_failed`, or a streamed response: one
+    `on_response_started`, any number of `on_response_data`, and one of `on_response_ended` and
+    `on_response_aborted`.
     """
 
-    def on_response(self, call: Call, answer: Any) -> None: ...
+    def on_response(self, call: Call, answer: Any) -> None:
+        """Take a complete response."""
+        ...
 
-    def on_response_started(self, call: Call, head: Any, source: Source) -> None: ...
+    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+        """Take the head of a streamed response."""
+        ...
 
-    def on_response_data(self, call: Call, data: bytes) -> None: ...
+    def on_response_data(self, call: Call, data: bytes) -> None:
+        """Take the next bytes of a streamed response."""
+        ...
 
-    def on_response_ended(self, call: Call, answer: Any) -> None: ...
+    def on_response_ended(self, call: Call, answer: Any) -> None:
+        """Take the end of a streamed response, which is complete."""
+        ...
 
-    def on_response_aborted(self, call: Call) -> None: ...
+    def on_response_aborted(self, call: Call) -> None:
+        """Learn that the rest of a streamed response will not come."""
+        ...
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None: ...
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+        """Learn that the call is rejected; a retry has a chance after `retry_after_us`."""
+        ...
 
-    def on_failed(self, call: Call, timed_out: bool) -> None: ...
+    def on_failed(self, call: Call, timed_out: bool) -> None:
+        """Learn that the call has failed; `timed_out` if its last attempt took too long."""
+        ...
 
 
 def never_gone() -> bool:
-    """Nobody can hang up."""
+    """Return False: the default for calls whose client cannot disconnect."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A client's request, as the gateway takes it. What it says is its protocol's own."""
+    """A client's request, as the gateway takes it from any protocol.
+
+    Attributes:
+        id: The request id, unique among the requests in flight.
+        klass: The index of its request class in the settings.
+        client_timeout_us: How long its client waits, from the last byte of the request on.
+        key: The hash of its ordering or idempotency key, None without one.
+        work_us: The work it announces, None if it does not.
+        is_retry: Whether its client has sent it before.
+        tenant: The index of its tenant.
+        message: The request for the upstream side of its protocol, which alone reads it.
+        client: Receives the final response.
+        streamed_body: The body, if it is too long to be buffered.
+        client_id: The client within its tenant, 0 where it is not known.
+        mirror_target: -1 for a client's request; else it is a mirrored one, and this names the protocol that
+            its servers speak: see `RequestArrived`.
+        received_us: When its last byte was read; 0 stands for now.
+        has_gone: Asks whether its client has disconnected, also where the event loop has not seen it yet.
+    """
 
     id: str
     klass: int
@@ -131,18 +194,22 @@
     work_us: int | None
     is_retry: bool
     tenant: int
-    message: Any  # for the back of its protocol
+    message: Any
     client: Client
-    streamed_body: StreamedBody | None = None  # the body, if it is too long to be held
-    client_id: int = 0  # the client within its tenant, where it is known
-    mirror_target: int = -1  # a copy, to compare answers: see RequestArrived
-    received_us: int = 0  # when its last byte was read; 0: only now
-    has_gone: Callable[[], bool] = never_gone  # its client has hung up, whether or not the loop has seen it
+    streamed_body: StreamedBody | None = None
+    client_id: int = 0
+    mirror_target: int = -1
+    received_us: int = 0
+    has_gone: Callable[[], bool] = never_gone
 
 
 class Recorder(Protocol):
-    """Keeps a record of what happens, where the operator has a store."""
+    """Records what happens in the durable store, where the operator has one."""
 
-    def attempt(self, klass: int, outcome: str, latency_us: int, good: bool) -> None: ...
+    def attempt(self, klass: int, outcome: str, latency_us: int, good: bool) -> None:
+        """Record the end of an attempt."""
+        ...
 
-    def event(self, line: str) -> None: ...
+    def event(self, line: str) -> None:
+        """Record a line about the gateway or its servers."""
+        ...
--- a/sagetrack/core/invariants.py
+++ b/sagetrack/core/invariants.py
@@ -1,4 +1,4 @@
-"""Rules that were about to be broken, or were: counted by rule and told in the log with the call's id.
+"""Invariants checked while the program runs: each violation is counted, traced and logged with its request.
 
 A count that is not 0 is a fault of this program, whatever its clients and servers do.
 """
@@ -7,34 +7,39 @@
 
 from enum import Enum
 
-from sagetrack.core.event_trace import Step, Trace
+from sagetrack.core.event_trace import EventTrace, Step
 from sagetrack.core.log import log
 
 
 class Invariant(Enum):
-    """What is watched while the program runs."""
+    """What always has to hold. The values are labels of an exported metric."""
 
-    RETRIES_ARE_SAFE = "repeat"  # a repeat was chosen that may run twice; it was not sent
-    NO_SEND_TO_WITHDRAWN = "withdrawn"  # a server that may get nothing was chosen; nothing was sent
-    ANSWERED_IN_TIME = "unanswered"  # a call's time was over without an answer; it was answered then
-    NO_CLOSE_BEFORE_RESPONSE = (
-        "closed_unanswered"  # a connection was closed under a call that was owed an answer
-    )
-    NO_HANDLER_ERROR = "handling"  # an event or an action ended with an error
+    RETRIES_ARE_SAFE = "repeat"  # violated by choosing an attempt that may run twice; it was not sent
+    NO_SEND_TO_WITHDRAWN = "withdrawn"  # by choosing a server that may get nothing; nothing was sent
+    ANSWERED_IN_TIME = "unanswered"  # by a request past its deadline without a response; it was failed then
+    NO_CLOSE_BEFORE_RESPONSE = "closed_unanswered"  # by closing a connection that awaited a response
+    NO_HANDLER_ERROR = "handling"  # by an event or an action whose handling raised an exception
 
 
 class InvariantViolations:
-    """Counts of one process."""
+    """Counts of violations in one process, by invariant."""
 
-    def __init__(self, trace: Trace) -> None:
-        self.trace = trace
+    def __init__(self, trace: EventTrace) -> None:
+        self._trace = trace
         self.counts = dict.fromkeys(Invariant, 0)
 
     def note(self, rule: Invariant, about: str, detail: str) -> None:
+        """Count a violation, add it to the trace and log it.
+
+        Args:
+            rule: What was violated.
+            about: The id of the request, or what was being handled.
+            detail: What happened.
+        """
         self.counts[rule] += 1
-        self.trace.note(Step.VIOLATION, about, f"{rule.value}: {detail}")
-        log(f"violation of rule {rule.value}: {detail}", "error", f"violation {rule.value}", call=about)
+        self._trace.note(Step.VIOLATION, about, f"{rule.value}: {detail}")
+        log(f"invariant violated: {rule.value}: {detail}", "error", f"violation {rule.value}", call=about)
 
     def figures(self) -> dict[str, float]:
-        """For the stats."""
+        """Return the counts by metric name and labels."""
         return {f'violations_total{{rule="{rule.value}"}}': count for rule, count in self.counts.items()}
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -1,7 +1,7 @@
-"""The figures that operators fetch: counters by class, gauges computed when asked, one text form for all.
+"""Exported metrics: counters by request class, gauges computed on demand, and their text form.
 
-A counter is raised by whoever brings about what it counts, at the one place where that happens; nothing else
-keeps such a count. Nothing here knows what protocol a request came by.
+A counter is raised by whoever brings about what it counts, at the one place where that happens. Metrics are
+independent of the protocol that a request came by.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Counter:
-    """One count for each class, from the start of the process."""
+    """One count for each request class since the start of the process."""
 
     __slots__ = ("by_class",)
 
@@ -21,11 +21,18 @@
         self.by_class = [0] * classes
 
     def add(self, klass: int) -> None:
+        """Count one more of this class."""
         self.by_class[klass] += 1
 
 
 class ReasonCounter:
-    """A count for each reason that something was done or withheld."""
+    """A count for each value of one label, such as the reason of a denial.
+
+    Attributes:
+        name: The metric's name, without prefix.
+        label: The label's name.
+        counts: The counts by label value, in the order in which they are exported.
+    """
 
     __slots__ = ("counts", "label", "name")
 
@@ -34,29 +41,38 @@
         self.counts = dict.fromkeys(reasons, 0)
 
     def add(self, reason: str) -> None:
+        """Count one more; a reason that was not listed at the start is added."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def figures(self) -> dict[str, float]:
-        """For the stats."""
+        """Return the counts by metric name and label."""
         return {f'{self.name}{{{self.label}="{reason}"}}': count for reason, count in self.counts.items()}
 
 
 class Metrics:
-    """All figures of one gateway."""
+    """All metrics of one gateway.
+
+    Attributes:
+        classes: The names of the request classes.
+        gauges: Functions that compute a value, by metric name.
+        extra_figures: Functions of optional parts that return values by metric name, in order of export.
+        answered: Requests with a complete response.
+        deferred: Requests that were rejected.
+        errored: Requests that have failed.
+        sends: Attempts of which the whole request was sent.
+    """
 
     def __init__(self, classes: Sequence[str], gauges: Gauges) -> None:
         self.classes = list(classes)
         self.gauges = gauges
-        self.extra_figures: list[
-            Callable[[], Mapping[str, float]]
-        ] = []  # figures of parts that were switched on
-        self.answered = Counter(len(classes))  # requests served
-        self.deferred = Counter(len(classes))  # refused
-        self.errored = Counter(len(classes))  # failed
-        self.sends = Counter(len(classes))  # attempts written whole to a server
+        self.extra_figures: list[Callable[[], Mapping[str, float]]] = []
+        self.answered = Counter(len(classes))
+        self.deferred = Counter(len(classes))
+        self.errored = Counter(len(classes))
+        self.sends = Counter(len(classes))
 
     def render(self) -> str:
-        """A line for each figure."""
+        """Return one line for each metric."""
         counters = {
             "answered_total": self.answered,
             "deferred_total": self.deferred,
@@ -70,7 +86,7 @@
         ]
         lines += [f"{PREFIX}{name} {gauge()}" for name, gauge in self.gauges.items()]
         lines += [
-            f"{PREFIX}{name} {value}" for extra in self.extra_figures for name, value in extra().items()
+            f"{PREFIX}{name} {value}" for figures in self.extra_figures for name, value in figures().items()
         ]
         return "".join(f"{line}\n" for line in lines)
 
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the machine that a moment may mend, and how a start waits for that moment."""
+"""Errors of the operating system that may pass within moments, and retries of the calls that met them."""
 
 from __future__ import annotations
 
@@ -20,43 +20,60 @@
         errno.EIO,
     }
 )
-PATIENCE_S = 6.0  # with them, at a start: by then it has to be ready
-PAUSE_S = 0.05  # between two tries
+RETRY_TIMEOUT_S = 6.0  # of all retries of one call at the start, by whose end the process has to be ready
+RETRY_DELAY_S = 0.05  # between two attempts
 
 Result = TypeVar("Result")
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether the same call may well succeed a moment later."""
+    """Return whether the same call may succeed a moment later."""
     return error.errno in TRANSIENT
 
 
 def require_sockets(server: asyncio.Server) -> asyncio.Server:
-    """The server, if it has a socket; OSError if asyncio has passed over all that it could not make."""
+    """Return the server if it listens.
+
+    Raises:
+        OSError: It has no socket, as asyncio skips every address for which it cannot open one.
+    """
     if not server.sockets:
         raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
     return server
 
 
+def _is_final(error: OSError, end_s: float) -> bool:
+    """Return whether a call that has failed with this error is not retried, by `time.monotonic`."""
+    return not is_transient(error) or time.monotonic() >= end_s
+
+
 async def retry_while_transient(call: Callable[[], Result]) -> Result:
-    """What a call returns, made again while its errors are transient; the last of them if they stay."""
-    end_s = time.monotonic() + PATIENCE_S
+    """Return the result of a call, retried while its errors are transient.
+
+    Raises:
+        OSError: An error that is not transient, or the last one after `RETRY_TIMEOUT_S`.
+    """
+    end_s = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except OSError as error:
-            if not is_transient(error) or time.monotonic() >= end_s:
+            if _is_final(error, end_s):
                 raise
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
 
 def retry_while_transient_blocking(call: Callable[[], Result]) -> Result:
-    """The same where nothing else is to be done meanwhile."""
-    end_s = time.monotonic() + PATIENCE_S
+    """Do the same as `retry_while_transient` where no event loop runs yet; blocks between attempts.
+
+    Raises:
+        OSError: As `retry_while_transient`.
+    """
+    end_s = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except OSError as error:
-            if not is_transient(error) or time.monotonic() >= end_s:
+            if _is_final(error, end_s):
                 raise
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_DELAY_S)
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -12,9 +12,10 @@
 from sagetrack.config.platform import Address, Names, parse_address, stable_id
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import DiscoveryTimeouts
-from sagetrack.core.endpoints import Endpoint, OnEndpointList, Response
+from sagetrack.core.endpoints import Endpoint, OnEndpointList
 from sagetrack.core.log import log
 from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.responses import Response
 from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
 
 LIST = b"/registry/instances"
--- a/sagetrack/grpc/downstream.py
+++ b/sagetrack/grpc/downstream.py
@@ -20,10 +20,10 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Client, Source
 from sagetrack.core.peer_close import has_peer_closed
+from sagetrack.core.responses import Header, Response
 from sagetrack.core.transient_errors import require_sockets
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import MessageError, Unpacker, goaway, pack
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -17,8 +17,8 @@
 import h2.connection
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.interfaces import Call, Client
+from sagetrack.core.responses import Header, Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.downstream import ClientLine, NewFront, ReadError
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.log import log
+from sagetrack.core.responses import Header, Response
 from sagetrack.policy.concurrency_limit import Rate, RateLimiter
 from sagetrack.policy.interface import Effect
 
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -11,7 +11,7 @@
 
 from google.protobuf.message import DecodeError
 
-from sagetrack.core.endpoints import Header, Response
+from sagetrack.core.responses import Header, Response
 from sagetrack.grpc.calls_pb2 import Answer, Call, Field
 from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
 from sagetrack.grpc.outcomes import Status
--- a/sagetrack/grpc/upstream.py
+++ b/sagetrack/grpc/upstream.py
@@ -24,8 +24,9 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, STREAMED_BODY_LIMIT, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Endpoint, Response
+from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.messages import MessageError, Unpacker, pack
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -7,7 +7,7 @@
 import httptools
 
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT
-from sagetrack.core.endpoints import Header, Response
+from sagetrack.core.responses import Header, Response
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -9,8 +9,9 @@
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REUSE_DELAY_S
-from sagetrack.core.endpoints import Endpoint, Response
+from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.responses import Response
 from sagetrack.http1.codec import header
 from sagetrack.http1.upstream_connection import Attempt, Host, HostConnection, Life, Message
 from sagetrack.policy.interface import LoadReport, Outcome, Reports, ServerStatus, Settings
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from sagetrack.config.platform import Address
-from sagetrack.core.endpoints import Response
+from sagetrack.core.responses import Response
 from sagetrack.http1.codec import ReplyError, ReplyReader
 
 LIST_LIMIT = 16 * 1024 * 1024
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -8,11 +8,11 @@
 
 from sagetrack.config.platform import stable_id
 from sagetrack.core.bodies import StreamedBody
-from sagetrack.core.endpoints import Header, Response
 from sagetrack.core.event_trace import Step
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.invariants import Invariant
 from sagetrack.core.peer_close import has_peer_closed
+from sagetrack.core.responses import Header, Response
 from sagetrack.core.send_rules import ClientConnectionState, CloseReason, DenialReason, may_close
 from sagetrack.http1.codec import end_to_end
 from sagetrack.http1.requests import Request, RequestError, RequestReader, read_call
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -12,12 +12,13 @@
 from sagetrack.config.platform import Config
 from sagetrack.core.bodies import BodyMemoryBudget
 from sagetrack.core.drain import SHUTDOWN_ACCEPT_S, Drain
-from sagetrack.core.endpoints import EndpointSource, NoSiblings, SiblingProcesses
+from sagetrack.core.endpoints import EndpointSource
 from sagetrack.core.event_trace import Step
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
 from sagetrack.core.metrics import ReasonCounter
 from sagetrack.core.peer_close import PeerCloseWatcher
+from sagetrack.core.processes import NoSiblings, SiblingProcesses
 from sagetrack.core.send_rules import (
     FIRST_REQUEST_TIMEOUT_S,
     REQUEST_HEAD_TIMEOUT_S,
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -9,8 +9,8 @@
 from sagetrack.config.platform import Config, stable_id
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Header
 from sagetrack.core.interfaces import Call, Client
+from sagetrack.core.responses import Header
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, end_to_end, header, trimmed
 from sagetrack.http1.upstream_connection import Message
 from sagetrack.policy.interface import Effect
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -11,7 +11,7 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import StreamedBody, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Response
+from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.codec import ReplyError, ReplyReader
 from sagetrack.policy.interface import Outcome
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -10,10 +10,11 @@
 from sagetrack.config.platform import Config, ConfigError
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.clock import now_us
-from sagetrack.core.endpoints import Endpoint, Header
+from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Client, UpstreamPool
 from sagetrack.core.log import log
+from sagetrack.core.responses import Header
 from sagetrack.discovery.client import number_of
 from sagetrack.http1.requests import Request, RequestError, read_call
 from sagetrack.policy.interface import ListKind, TrafficShift
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -20,7 +20,8 @@
 
 from sagetrack.config.platform import Address, Names, parse_address
 from sagetrack.core.deadlines import MIN_GRACE_S, SILENT_WATCH_LIMIT_S, discovery_timeouts
-from sagetrack.core.endpoints import Endpoint, Response
+from sagetrack.core.endpoints import Endpoint
+from sagetrack.core.responses import Response
 from sagetrack.discovery.client import CallError, Discovery, Line
 from sagetrack.policy.interface import (
     Action,
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -2,13 +2,8 @@
 
 from __future__ import annotations
 
-from sagetrack.core.drain import (
-    FIRST_REQUEST_TIMEOUT_S,
-    SHUTDOWN_IDLE_DELAY_S,
-    STANDBY_IDLE_DELAY_S,
-    Drain,
-    DrainPhase,
-)
+from sagetrack.core.drain import SHUTDOWN_IDLE_DELAY_S, STANDBY_IDLE_DELAY_S, Drain, DrainPhase
+from sagetrack.core.send_rules import FIRST_REQUEST_TIMEOUT_S
 
 
 def test_a_drain_goes_on_and_off_and_repeats_do_no_harm() -> None:
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from sagetrack.config.platform import parse
-from sagetrack.core.endpoints import Response
+from sagetrack.core.responses import Response
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.upstream_connection import Attempt, HostConnection
 from sagetrack.policy.interface import ListKind, Outcome
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -20,8 +20,9 @@
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.config.validation import FileError
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.endpoints import Endpoint, Response
+from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import Call
+from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.fuzz import fuzz, fuzz_front
