--- /dev/null
+++ b/sagetrack/core/answer_watchdog.py
@@ -0,0 +1,55 @@
+"""A watchdog for the rule that every request has its final response by its client's deadline."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sagetrack.core.clock import now_us
+from sagetrack.core.context import GatewayContext
+from sagetrack.core.event_dispatcher import Executor
+from sagetrack.core.invariants import Invariant
+from sagetrack.policy.interface import Fail, RequestCancelled
+
+CHECK_INTERVAL_S = 0.15
+MAX_LATENESS_US = 50_000  # past its deadline, after which a request counts as overdue
+
+
+class AnswerWatchdog:
+    """Fails requests that are overdue, whatever the reason: none is left without a response.
+
+    A request has to be overdue at two checks in a row: where the process was suspended, the timers of the
+    load balancer are due as well, and run in between.
+    """
+
+    def __init__(self, context: GatewayContext, executor: Executor, loop: asyncio.AbstractEventLoop) -> None:
+        self._context, self._executor, self._loop = context, executor, loop
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Schedule the next check."""
+        self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
+
+    def close(self) -> None:
+        """Make no further check."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _check(self) -> None:
+        self.start()
+        context = self._context
+        now = now_us()
+        for id_, request in list(context.in_flight.items()):
+            remaining_us = request.remaining_us(now)
+            if (
+                request.is_finished
+                or request.streaming_attempt is not None
+                or remaining_us > -MAX_LATENESS_US
+            ):
+                continue
+            if not request.was_overdue:
+                request.was_overdue = True
+                continue
+            detail = f"{-remaining_us / 1000:.0f} ms past its time"
+            context.violations.note(Invariant.ANSWERED_IN_TIME, id_, detail)
+            self._executor.execute(Fail(id_))
+            context.post(lambda id_=id_: RequestCancelled(id_))  # type: ignore[misc]
--- /dev/null
+++ b/sagetrack/core/attempt_starter.py
@@ -0,0 +1,74 @@
+"""Starts the attempts that the load balancer chooses, unless a rule forbids it."""
+
+from __future__ import annotations
+
+from sagetrack.core.attempt_observer import GatewayAttemptObserver
+from sagetrack.core.clock import now_us
+from sagetrack.core.context import GatewayContext
+from sagetrack.core.in_flight import InFlightRequest
+from sagetrack.core.invariants import Invariant
+from sagetrack.core.send_rules import DenialReason, ServerState, may_retry, may_send
+from sagetrack.core.server_list import ServerList
+from sagetrack.policy.interface import AttemptEnded, Cancel, Event, Outcome, SendAttempt
+
+
+class AttemptStarter:
+    """Starts and cancels attempts."""
+
+    def __init__(self, context: GatewayContext, servers: ServerList) -> None:
+        self._context, self._servers = context, servers
+
+    def send(self, action: SendAttempt) -> None:
+        """Start an attempt; one that a rule forbids is reported to the load balancer as not sent."""
+        context = self._context
+        request = context.in_flight.get(action.request)
+        if request is None:
+            return
+        remaining_us = request.remaining_us(now_us())
+        wait_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
+        # Added first: the attempt may end before `begin` returns.
+        number = request.add_attempt(self._servers.new_attempt_record(action.server))
+        denial = self._denial(request, action.server, number, wait_us)
+        if denial is not None:
+            context.note_denial(action.request, denial)
+            context.post(lambda: self._not_sent(action, number))
+            return
+        request.attempts_in_flight += 1
+        observer = GatewayAttemptObserver(context, request, number, action.begin_by_us)
+        request.attempts[number] = context.upstream.begin(request.call, action.server, wait_us, observer)
+
+    def cancel(self, action: Cancel) -> None:
+        """Cancel an attempt, if it was started."""
+        request = self._context.in_flight.get(action.request)
+        if request is not None and 0 <= action.attempt < len(request.attempts):
+            attempt = request.attempts[action.attempt]
+            if attempt is not None:
+                self._context.upstream.cancel(attempt)
+
+    def _denial(
+        self, request: InFlightRequest, server: int, number: int, wait_us: int
+    ) -> DenialReason | None:
+        """Return why an attempt may not be started; an unsafe retry is noted as a violation."""
+        context = self._context
+        settings = context.settings
+        if number >= settings.max_attempts:
+            return DenialReason.TOO_MANY_ATTEMPTS
+        body = request.call.streamed_body
+        if body is not None and (body.forwarding_started or body.is_aborted):
+            return DenialReason.BODY_CONSUMED
+        state = ServerState.SERVING if server in context.upstream.listed else ServerState.NOT_LISTED
+        denial = may_send(request.is_finished, wait_us, state, lambda: False)
+        if denial is not None:
+            return denial
+        klass = settings.classes[request.call.klass]
+        records = request.attempt_records
+        denial = may_retry(settings, klass, records[number], records, now_us())
+        if denial is not None:
+            detail = f"{denial.value} at server {server}"
+            context.violations.note(Invariant.RETRIES_ARE_SAFE, request.call.id, detail)
+        return denial
+
+    def _not_sent(self, action: SendAttempt, number: int) -> Event:
+        request = self._context.in_flight.get(action.request)
+        finished = request is None or request.is_finished
+        return AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, finished)
--- /dev/null
+++ b/sagetrack/core/event_dispatcher.py
@@ -0,0 +1,83 @@
+"""Events to the load balancer and its actions back, strictly one event after the other."""
+
+from __future__ import annotations
+
+import traceback
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
+
+from sagetrack.core.clock import now_us
+from sagetrack.core.invariants import Invariant, InvariantViolations
+from sagetrack.policy.interface import Action, AttemptEnded, Event, Fail, RequestArrived
+from sagetrack.policy.load_balancer import LoadBalancer
+
+LazyEvent = Callable[[], Event | None]  # makes the event when its turn comes; None: it is void by then
+PostEvent = Callable[[LazyEvent], None]  # queues an event: see `EventDispatcher.post`
+
+
+class Executor(Protocol):
+    """Executes actions of the load balancer."""
+
+    def execute(self, action: Action) -> None:
+        """Execute one action."""
+        ...
+
+
+class EventDispatcher:
+    """A queue of events. The actions of one are executed before the next is handled.
+
+    Events are queued as functions that make them when their turn comes: an event describes the state as it is
+    then, and None stands for one that has become void meanwhile.
+    """
+
+    def __init__(self, balancer: LoadBalancer, violations: InvariantViolations) -> None:
+        self._balancer, self._violations = balancer, violations
+        self._executor: Executor | None = None
+        self._queue: deque[LazyEvent] = deque()
+        self._is_dispatching = False
+        self._is_closed = False
+
+    def start(self, executor: Executor) -> None:
+        """Set who executes the actions. To be called before the first `post`."""
+        self._executor = executor
+
+    def close(self) -> None:
+        """Stop: events that are queued or posted from now on are not handled."""
+        self._is_closed = True
+
+    def post(self, event: LazyEvent) -> None:
+        """Queue an event, and handle the queue unless that is under way already, further up the stack."""
+        self._queue.append(event)
+        if self._is_dispatching:
+            return
+        self._is_dispatching = True
+        try:
+            while self._queue and not self._is_closed:
+                made = self._make(self._queue.popleft())
+                if made is not None:
+                    self._dispatch(made)
+        finally:
+            self._is_dispatching = False
+
+    def _make(self, event: LazyEvent) -> Event | None:
+        try:
+            return event()
+        except Exception:  # noqa: BLE001, RUF100 the events queued behind this one would wait until the next post
+            self._violations.note(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
+            return None
+
+    def _dispatch(self, event: Event) -> None:
+        assert self._executor is not None
+        try:
+            actions = self._balancer.handle(now_us(), event)
+        except Exception:  # noqa: BLE001, RUF100 one faulty decision must not end the process with all its requests
+            detail = f"{event!r}\n{traceback.format_exc()}"
+            self._violations.note(Invariant.NO_HANDLER_ERROR, "module", detail)
+            actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
+        for action in actions:
+            try:
+                self._executor.execute(action)
+            except Exception:  # noqa: BLE001, RUF100 it would end the connection of the client that is being handled
+                detail = f"{action!r}\n{traceback.format_exc()}"
+                self._violations.note(Invariant.NO_HANDLER_ERROR, "action", detail)
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -1,112 +1,54 @@
-"""The one Balancer and the world round it: events in, actions out, timers, and the requests that are held.
+"""A gateway without its protocol: requests come in, the load balancer decides, and attempts go out.
 
-Nothing is chosen here. One event is handled and its actions are carried out before the next: what is found
-out meanwhile waits its turn.
+Nothing is chosen here. One event is handled and its actions are executed before the next; what happens
+meanwhile is queued.
 """
 
 from __future__ import annotations
 
 import asyncio
-import traceback
-from collections import deque
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Sequence
 from typing import Any
 
-from sagetrack.core.clock import now_us, wall_us
+from sagetrack.core.action_executor import TIMER_ROUNDING_S, ActionExecutor
+from sagetrack.core.answer_watchdog import AnswerWatchdog
+from sagetrack.core.attempt_starter import AttemptStarter
+from sagetrack.core.clock import now_us
+from sagetrack.core.context import GatewayContext
 from sagetrack.core.endpoints import Endpoint, EndpointSource
-from sagetrack.core.event_trace import EventTrace, Step
-from sagetrack.core.interfaces import AnyResponse, Attempt, Call, Recorder, Source, UpstreamPool
-from sagetrack.core.invariants import Invariant, InvariantViolations
-from sagetrack.core.log import log
-from sagetrack.core.metrics import Counter, Metrics, ReasonCounter
-from sagetrack.core.send_rules import AttemptRecord, DenialReason, ServerState, may_retry, may_send
+from sagetrack.core.event_dispatcher import EventDispatcher, PostEvent
+from sagetrack.core.event_trace import EventTrace
+from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
+from sagetrack.core.interfaces import Call, Recorder, UpstreamPool
+from sagetrack.core.invariants import InvariantViolations
+from sagetrack.core.metrics import Metrics, ReasonCounter
+from sagetrack.core.send_rules import DenialReason
+from sagetrack.core.server_list import ServerList
 from sagetrack.policy.interface import (
-    Action,
-    AttemptEnded,
-    AttemptSent,
-    Cancel,
-    CloseIdle,
-    EndpointList,
-    Event,
-    Fail,
-    FetchEndpoints,
-    ListedServer,
     ListKind,
-    LoadReport,
-    Log,
     Outcome,
-    Probe,
-    Probed,
     ProcessCountChanged,
-    Reject,
     RequestArrived,
-    RequestCancelled,
-    SendAttempt,
-    ServerStatus,
-    SetTimer,
     Settings,
     ShutdownStarted,
-    StreamStarted,
-    TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 
-WATCH_S = 0.15  # between looks for calls whose time is over
-LATE_US = 50_000  # past its time, a call is looked at once more before it is answered here
-
-
-@dataclass(slots=True, eq=False)
-class InFlightRequest:
-    """A request that is owed an answer, or whose attempts are not all over."""
-
-    call: Call
-    deadline_us: int
-    attempts: list[Attempt | None] = field(default_factory=list)  # None: never sent
-    sendings: list[AttemptRecord] = field(default_factory=list)  # the same, as far as repeats depend on them
-    attempts_in_flight: int = 0
-    stream: Attempt | None = None  # the one whose answer the client is getting
-    is_finished: bool = False
-    timed_out: bool = False
-    overdue: bool = False  # was found unanswered past its time
-
-    def left_us(self, now_us: int) -> int:
-        """What is left of its client's time, which counts from its last byte."""
-        streamed_body = self.call.streamed_body
-        if streamed_body is None:
-            return self.deadline_us - now_us
-        since_us = streamed_body.completed_us if streamed_body.is_complete else now_us
-        return since_us + self.call.client_timeout_us - now_us
-
-    @property
-    def is_current(self) -> bool:
-        """Whether it was taken, which is when its last byte had come, and has not ended."""
-        return (
-            not self.is_finished
-            and self.call.mirror_target < 0
-            and (self.call.streamed_body is None or self.call.streamed_body.is_complete)
-        )
-
-
-def changes(entries: Sequence[Endpoint]) -> str:
-    """What a list says, in few words: how many servers by status, and those that leave by name."""
-    by: dict[str, int] = {}
-    for entry in entries:
-        by[entry.listed.status.value] = by.get(entry.listed.status.value, 0) + 1
-    left = [entry.name for entry in entries if entry.listed.status is not ServerStatus.READY]
-    told = ", ".join(f"{count} {status}" for status, count in by.items()) or "nothing"
-    return told + (f" ({' '.join(left[:20])})" if left else "")
-
-
-def count(counter: Counter, call: Call) -> None:
-    """Count a client's call; a copy of one is nobody's."""
-    if call.mirror_target < 0:
-        counter.add(call.klass)
-
 
 class Gateway:
-    """One protocol's calls: one module, one back. Made on a running loop."""
+    """The requests of one protocol: one load balancer, one upstream pool. Made on a running event loop.
+
+    Attributes:
+        settings: The settings of the load balancer.
+        balancer: The load balancer.
+        known_endpoints: The endpoint list that was known before the start, as service discovery encodes it.
+        in_flight: The requests in flight, by id.
+        post: Queues an event for the load balancer: see `EventDispatcher.post`.
+        executor: Executes the actions of the load balancer.
+        trace: The flight recorder.
+        violations: Counts of violated invariants.
+        metrics: The exported metrics.
+    """
 
     def __init__(
         self,
@@ -114,104 +56,102 @@
         seed: int,
         classes: Sequence[str],
         upstream: UpstreamPool,
-        known: dict[str, Any],
+        known_endpoints: dict[str, Any],
     ) -> None:
-        self.loop = asyncio.get_running_loop()
+        """Make a gateway that serves nothing before `start`.
+
+        Args:
+            settings: The settings of the load balancer.
+            seed: Of the load balancer's random generator.
+            classes: The names of the request classes, in the order of the settings.
+            upstream: The servers' side of the protocol; closed with the gateway.
+            known_endpoints: The endpoint list that was known before the start.
+        """
+        self._loop = asyncio.get_running_loop()
         self.settings = settings
         self.balancer = LoadBalancer(settings, seed)
-        self.upstream = upstream
-        self.endpoint_source: EndpointSource | None = None  # from the start on
-        self.events: deque[Callable[[], Event | None]] = deque()
-        self.handling = False
-        self.in_flight: dict[str, InFlightRequest] = {}
-        self.closed = False
-        self.known_endpoints = known
-        self.recorder: Recorder | None = None
-        self.listed_servers: dict[int, ListedServer] = {}  # the servers that are listed
+        self.known_endpoints = known_endpoints
+        self._upstream = upstream
         self.trace = EventTrace()
         self.violations = InvariantViolations(self.trace)
-        self.withheld = ReasonCounter("withheld_total", "reason", (denial.value for denial in DenialReason))
-        self.ended = ReasonCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome))
-        self.unserved = ReasonCounter("refused_total", "reason", ())
-        self.watcher: asyncio.TimerHandle | None = None
-        gauges = {
-            "current": lambda: sum(held.is_current for held in self.in_flight.values()),
-            "cluster_size": lambda: len(self.upstream.listed),
-            "cluster_unhealthy": lambda: self.balancer.avoided(),
-        }
-        self.metrics = Metrics(classes, gauges)
-        for counts in (self.violations, self.withheld, self.ended, self.unserved):
+        self._dispatcher = EventDispatcher(self.balancer, self.violations)
+        self.post: PostEvent = self._dispatcher.post
+        self.in_flight = InFlightRequests(upstream, self.trace, self.post)
+        self.metrics = Metrics(
+            classes,
+            {
+                "current": self.in_flight.current_count,
+                "cluster_size": lambda: len(upstream.listed),
+                "cluster_unhealthy": lambda: self.balancer.avoided(),
+            },
+        )
+        self._context = self._make_context()
+        self._servers = ServerList(self._context)
+        attempts = AttemptStarter(self._context, self._servers)
+        self.executor = ActionExecutor(self._context, attempts, self._loop)
+        self._dispatcher.start(self.executor)
+        self._watchdog = AnswerWatchdog(self._context, self.executor, self._loop)
+
+    def _make_context(self) -> GatewayContext:
+        """Make what the parts share, and export its counters."""
+        context = GatewayContext(
+            settings=self.settings,
+            upstream=self._upstream,
+            in_flight=self.in_flight,
+            post=self.post,
+            metrics=self.metrics,
+            trace=self.trace,
+            violations=self.violations,
+            denials=ReasonCounter("withheld_total", "reason", (denial.value for denial in DenialReason)),
+            outcomes=ReasonCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome)),
+            rejections=ReasonCounter("refused_total", "reason", ()),
+        )
+        for counts in (self.violations, context.denials, context.outcomes, context.rejections):
             self.metrics.extra_figures.append(counts.figures)
+        return context
 
     def start(self, endpoint_source: EndpointSource) -> None:
-        """Begin with the list from before, and ask for a newer one when the module says so."""
-        self.endpoint_source = endpoint_source
+        """Begin with the endpoints known before; newer lists are asked for when the load balancer decides."""
+        self._context.endpoint_source = endpoint_source
         endpoint_source.restore_known_endpoints(self.known_endpoints)
-        self.watcher = self.loop.call_later(WATCH_S, self.answer_overdue)
+        self._watchdog.start()
+
+    @property
+    def recorder(self) -> Recorder | None:
+        """Records attempts and events into the durable store, where the operator has one."""
+        return self._context.recorder
+
+    @recorder.setter
+    def recorder(self, recorder: Recorder | None) -> None:
+        self._context.recorder = recorder
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes are this gateway now."""
+        """Inform the load balancer how many processes of this gateway run side by side now."""
         self.post(lambda: ProcessCountChanged(processes))
 
     def server_start_times(self) -> dict[int, int]:
-        """When each listed server started."""
-        return self.upstream.server_start_times()
+        """Return when each listed server started, in microseconds: it tells incarnations apart."""
+        return self._upstream.server_start_times()
 
     @property
     def can_serve(self) -> bool:
         """Whether there is any server to send to."""
-        return bool(self.upstream.listed)
+        return bool(self._upstream.listed)
 
     def close(self) -> None:
-        self.closed = True
-        if self.watcher is not None:
-            self.watcher.cancel()
-        if self.endpoint_source is not None:
-            self.endpoint_source.close()
-        self.upstream.close()
-
-    # Events in
-
-    def post(self, event: Callable[[], Event | None]) -> None:
-        """Queue what has happened. It is put into words when its turn comes, and may be void by then."""
-        self.events.append(event)
-        if self.handling:
-            return
-        self.handling = True
-        try:
-            while self.events and not self.closed:
-                happened = self.worded(self.events.popleft())
-                if happened is not None:
-                    self.handle(happened)
-        finally:
-            self.handling = False
-
-    def worded(self, event: Callable[[], Event | None]) -> Event | None:
-        """Guards the events that wait behind one that cannot be put into words: they would wait for good."""
-        try:
-            return event()
-        except Exception:
-            self.violations.note(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
-            return None
-
-    def handle(self, event: Event) -> None:
-        try:
-            actions = self.balancer.handle(now_us(), event)
-        except Exception:
-            # Guards against one bad decision ending the process and all that it holds.
-            self.violations.note(Invariant.NO_HANDLER_ERROR, "module", f"{event!r}\n{traceback.format_exc()}")
-            actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
-        for action in actions:
-            try:
-                self.execute(action)
-            except Exception:
-                # Guards the client whose event is being handled: an error here would end its connection.
-                self.violations.note(
-                    Invariant.NO_HANDLER_ERROR, "action", f"{action!r}\n{traceback.format_exc()}"
-                )
+        """Stop at once: no event is handled any more, and all upstream connections are closed."""
+        self._dispatcher.close()
+        self._watchdog.close()
+        if self._context.endpoint_source is not None:
+            self._context.endpoint_source.close()
+        self._upstream.close()
 
     def submit(self, call: Call) -> bool:
-        """Take a request; False if one with its id is held already."""
+        """Take a request, which will have exactly one final response unless it is cancelled.
+
+        Returns:
+            Whether it was taken: False if a request with its id is in flight already.
+        """
         if call.id in self.in_flight:
             return False
         now = now_us()
@@ -234,309 +174,18 @@
         return True
 
     def cancel_request(self, id_: str) -> None:
-        """The client has gone; nothing is owed to it."""
-        held = self.in_flight.get(id_)
-        if held is None or held.is_finished:
-            return
-        self.trace.note(Step.CLIENT_GONE, id_)
-        self.finish(id_, held)
-        self.post(lambda: RequestCancelled(id_))
-        for attempt in (
-            held.attempts if held.stream is not None or held.call.streamed_body is not None else ()
-        ):
-            if attempt is not None:
-                self.upstream.cancel(attempt)  # what goes through it has lost one of its ends
+        """Drop a request whose client has disconnected: no response is sent."""
+        self.in_flight.cancel(id_)
 
     def shut_down_within(self, wait_s: float) -> None:
-        """Answer everything within this time, what comes until then too: the process may be killed after."""
-        end_us = now_us() + int(wait_s * 1e6)
-        self.post(lambda: ShutdownStarted(end_us))
-        self.loop.call_later(wait_s + 0.001, self.give_up)  # the loop rounds: not before
-
-    def give_up(self) -> None:
-        """Wait for no answer any longer; the module decides what its client is told."""
-        for held in list(self.in_flight.values()):
-            for attempt in held.attempts if not held.is_finished and held.stream is None else ():
-                if attempt is not None:
-                    self.upstream.cancel(attempt)
-
-    def answer_overdue(self) -> None:
-        """Answer calls whose time is over, whoever has failed to: none is left without an answer.
+        """Answer everything in flight, and what is still submitted, within this time.
 
-        Each is looked at twice, as after a time in which this process was held up its timers are due too.
+        What is unanswered at its end is cancelled then; the process may be killed soon after.
         """
-        self.watcher = self.loop.call_later(WATCH_S, self.answer_overdue)
-        now = now_us()
-        for id_, held in list(self.in_flight.items()):
-            if held.is_finished or held.stream is not None or held.left_us(now) > -LATE_US:
-                continue
-            if not held.overdue:
-                held.overdue = True
-                continue
-            self.violations.note(
-                Invariant.ANSWERED_IN_TIME, id_, f"{-held.left_us(now) / 1000:.0f} ms past its time"
-            )
-            self.execute(Fail(id_))
-            self.post(lambda id_=id_: RequestCancelled(id_))  # type: ignore[misc]
+        end_us = now_us() + int(wait_s * 1e6)
+        self.post(lambda: ShutdownStarted(end_us))
+        self._loop.call_later(wait_s + TIMER_ROUNDING_S, self.in_flight.cancel_unanswered_attempts)
 
     def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        self.post(lambda: self.take_list(kind, entries))
-
-    def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
-        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            named = {entry.listed.server for entry in entries}
-            for server in [server for server in self.upstream.listed if server not in named]:
-                self.upstream.remove(server)
-                self.listed_servers.pop(server, None)
-        for entry in entries:
-            if entry.listed.status is ServerStatus.GONE:
-                self.upstream.remove(entry.listed.server)
-                self.listed_servers.pop(entry.listed.server, None)
-            else:
-                self.upstream.put(entry)
-                self.listed_servers[entry.listed.server] = entry.listed
-        if any(entry.listed.status is not ServerStatus.READY for entry in entries):
-            self.trace.note(Step.STATE_CHANGED, "list", changes(entries))
-        if self.recorder is not None:
-            self.recorder.event(f"list {kind.value}: {changes(entries)}")
-        listed = tuple(entry.listed for entry in entries)
-        return EndpointList(
-            kind,
-            listed,
-            wall_us(),
-            None if self.endpoint_source is None else self.endpoint_source.time_without_contact_us,
-        )
-
-    # Actions out
-
-    def execute(self, action: Action) -> None:
-        match action:
-            case SendAttempt():
-                self.send(action)
-            case SetTimer():
-                # A millisecond more: the loop rounds, and a timer must not fire before it is due.
-                delay_s = max(0, action.due_us - now_us()) / 1e6 + 0.001
-                event = TimerFired(action.token)
-                self.loop.call_later(delay_s, self.post, lambda: event)
-            case Reject():
-                held = self.owed(action.request)
-                if held is not None:
-                    count(self.metrics.deferred, held.call)
-                    self.unserved.add(action.reason.value)
-                    self.trace.note(Step.REJECTED, action.request, action.reason.value)
-                    held.call.client.on_rejected(held.call, action.retry_after_us)
-            case Fail():
-                held = self.owed(action.request)
-                if held is not None:
-                    count(self.metrics.errored, held.call)
-                    self.trace.note(Step.FAILED, action.request, "timed out" if held.timed_out else "")
-                    held.call.client.on_failed(held.call, held.timed_out)
-            case Cancel():
-                self.cancel(action)
-            case WatchEndpoints():
-                if self.endpoint_source is not None:
-                    self.endpoint_source.watch(action.on)
-            case FetchEndpoints():
-                if self.endpoint_source is not None:
-                    self.endpoint_source.fetch()
-            case Probe():
-                self.probe(action.server)
-            case CloseIdle():
-                self.upstream.close_idle(action.server)
-            case Log():
-                about = {} if action.server is None else {"server": action.server}
-                log(action.line, "info", "module", **about)
-                if self.recorder is not None:
-                    self.recorder.event(action.line)
-            case _:
-                log(f"not carried out: {action!r}")
-
-    def owed(self, id_: str) -> InFlightRequest | None:
-        """The request, if it still waits for its final answer, which it has from now on."""
-        held = self.in_flight.get(id_)
-        if held is None or held.is_finished:
-            return None
-        self.finish(id_, held)
-        return held
-
-    def finish(self, id_: str, held: InFlightRequest) -> None:
-        held.is_finished = True
-        if held.attempts_in_flight == 0:
-            del self.in_flight[id_]
-            return
-        for attempt in held.attempts:
-            if attempt is not None:
-                self.upstream.cancel_unsent(attempt)
-
-    def send(self, action: SendAttempt) -> None:
-        id_ = action.request
-        held = self.in_flight.get(id_)
-        if held is None:
-            return
-        number = len(held.attempts)
-        left_us = held.left_us(now_us())
-        wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
-        listed = self.listed_servers.get(action.server)
-        sending = AttemptRecord(listed.zone, listed.group) if listed is not None else AttemptRecord(-1, -1)
-        # Its end may come before `begin` is back: then the list has its place already.
-        held.attempts.append(None)
-        held.sendings.append(sending)
-        denial = self.objection(held, action.server, number, wait_us)
-        if denial is not None:
-            self.withhold(id_, denial)
-            self.post(lambda: self.moot(action, number))
-            return
-        held.attempts_in_flight += 1
-        watch = GatewayAttemptObserver(self, held, number, action.begin_by_us)
-        held.attempts[number] = self.upstream.begin(held.call, action.server, wait_us, watch)
-
-    def objection(self, held: InFlightRequest, server: int, number: int, wait_us: int) -> DenialReason | None:
-        """Why an attempt that the module has chosen is not begun; a choice that breaks a rule is told."""
-        if number >= self.settings.max_attempts:
-            return DenialReason.TOO_MANY_ATTEMPTS
-        streamed_body = held.call.streamed_body
-        if streamed_body is not None and (
-            streamed_body.forwarding_started or streamed_body.is_aborted
-        ):  # none can have all of it
-            return DenialReason.BODY_CONSUMED
-        state = ServerState.SERVING if server in self.upstream.listed else ServerState.NOT_LISTED
-        denial = may_send(held.is_finished, wait_us, state, lambda: False)
-        if denial is not None:
-            return denial
-        klass = self.settings.classes[held.call.klass]
-        denial = may_retry(self.settings, klass, held.sendings[number], held.sendings, now_us())
-        if denial is not None:
-            self.violations.note(
-                Invariant.RETRIES_ARE_SAFE, held.call.id, f"{denial.value} at server {server}"
-            )
-        return denial
-
-    def withhold(self, id_: str, denial: DenialReason) -> None:
-        """Count what was not sent."""
-        self.withheld.add(denial.value)
-        self.trace.note(Step.ATTEMPT_DENIED, id_, denial.value)
-
-    def moot(self, action: SendAttempt, number: int) -> Event:
-        held = self.in_flight.get(action.request)
-        finished = held is None or held.is_finished
-        return AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, finished)
-
-    def attempt_begun(
-        self, held: InFlightRequest, number: int, attempt: Attempt, head: AnyResponse, source: Source
-    ) -> Event | None:
-        if held.is_finished or held.stream is not None:
-            self.upstream.cancel(attempt)
-            return None
-        held.stream = attempt
-        held.call.client.on_response_started(held.call, head, source)
-        return StreamStarted(held.call.id, number)
-
-    def on_response_data(self, held: InFlightRequest, attempt: Attempt, data: bytes) -> None:
-        if held.stream is attempt and not held.is_finished:
-            held.call.client.on_response_data(held.call, data)
-
-    def attempt_ended(
-        self,
-        held: InFlightRequest,
-        number: int,
-        attempt: Attempt,
-        outcome: Outcome,
-        answer: AnyResponse | None,
-        load: LoadReport | None,
-    ) -> Event:
-        id_ = held.call.id
-        held.attempts_in_flight -= 1
-        held.sendings[number].outcome = outcome
-        self.ended.add(outcome.value)
-        if outcome is not Outcome.OK:
-            detail = f"{number} at server {attempt.server}: {outcome.value} after {attempt.latency_us} us"
-            self.trace.note(Step.ATTEMPT_FAILED, id_, detail)
-        if self.recorder is not None:
-            good = outcome is Outcome.OK
-            self.recorder.attempt(held.call.klass, outcome.value, attempt.latency_us, good)
-        held.timed_out = outcome is Outcome.TIMEOUT
-        if not held.is_finished and held.stream is attempt:
-            self.finish(id_, held)
-            if outcome is Outcome.OK and answer is not None:
-                count(self.metrics.answered, held.call)
-                held.call.client.on_response_ended(held.call, answer)
-            else:
-                count(self.metrics.errored, held.call)
-                held.call.client.on_response_aborted(held.call)
-        elif not held.is_finished and outcome is Outcome.OK and answer is not None:
-            self.finish(id_, held)
-            count(self.metrics.answered, held.call)
-            held.call.client.on_response(held.call, answer)
-        elif held.is_finished and held.attempts_in_flight == 0:
-            self.in_flight.pop(id_, None)
-        return AttemptEnded(id_, number, attempt.server, outcome, attempt.latency_us, held.is_finished, load)
-
-    def cancel(self, action: Cancel) -> None:
-        held = self.in_flight.get(action.request)
-        if held is not None and 0 <= action.attempt < len(held.attempts):
-            attempt = held.attempts[action.attempt]
-            if attempt is not None:
-                self.upstream.cancel(attempt)
-
-    def probe(self, server: int) -> None:
-        def told(outcome: Outcome, latency_us: int, load: LoadReport | None) -> None:
-            self.post(lambda: Probed(server, outcome, latency_us, load))
-
-        self.upstream.probe(server, told)
-
-
-class GatewayAttemptObserver:
-    """Hears of one attempt on behalf of the gateway."""
-
-    __slots__ = ("begin_by_us", "gateway", "held", "number")
-
-    def __init__(self, gateway: Gateway, held: InFlightRequest, number: int, begin_by_us: int = 0) -> None:
-        self.gateway, self.held, self.number = gateway, held, number
-        self.begin_by_us = begin_by_us
-
-    def may_begin(self, server: ServerState) -> bool:
-        """As above; the client's end is asked for here, where nothing comes between the look and the byte.
-
-        Guards against all that may hide a leaving client from the loop: it is not being read from, or the
-        loop has been elsewhere since it left, so that its request and its end are found together.
-        """
-        held, gateway = self.held, self.gateway
-        denial = self.objection() or may_send(
-            held.is_finished, held.left_us(now_us()), server, held.call.has_gone
-        )
-        if denial is None:
-            return True
-        gateway.withhold(held.call.id, denial)
-        if denial is DenialReason.CLIENT_GONE:
-            gateway.cancel_request(held.call.id)
-        return False
-
-    def objection(self) -> DenialReason | None:
-        """What has become of a repeat since it was chosen: its connection may have come up late."""
-        held, settings, now = self.held, self.gateway.settings, now_us()
-        if self.begin_by_us and now >= self.begin_by_us:
-            return DenialReason.WINDOW_OVER
-        klass = settings.classes[held.call.klass]
-        return may_retry(settings, klass, held.sendings[self.number], held.sendings, now)
-
-    def on_first_byte(self) -> None:
-        self.held.sendings[self.number].begun_us = now_us()
-
-    def on_request_sent(self) -> None:
-        call = self.held.call
-        self.gateway.metrics.sends.add(call.klass)
-        if call.streamed_body is not None:
-            self.gateway.post(lambda: AttemptSent(call.id, self.number))
-
-    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
-        self.gateway.post(lambda: self.gateway.attempt_begun(self.held, self.number, attempt, head, source))
-
-    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
-        self.gateway.on_response_data(self.held, attempt, data)
-
-    def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
-    ) -> None:
-        self.gateway.post(
-            lambda: self.gateway.attempt_ended(self.held, self.number, attempt, outcome, answer, load)
-        )
+        """Queue an endpoint list; it is applied when its turn comes."""
+        self.post(lambda: self._servers.apply(kind, entries))
--- /dev/null
+++ b/sagetrack/core/server_list.py
@@ -0,0 +1,69 @@
+"""The listed servers: endpoint lists are applied to the upstream pool and passed on to the load balancer."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from sagetrack.core.clock import wall_us
+from sagetrack.core.context import GatewayContext
+from sagetrack.core.endpoints import Endpoint
+from sagetrack.core.event_trace import Step
+from sagetrack.core.send_rules import AttemptRecord
+from sagetrack.policy.interface import EndpointList, Event, ListedServer, ListKind, ServerStatus
+
+MAX_NAMES_IN_SUMMARY = 20
+
+
+def summary(entries: Sequence[Endpoint]) -> str:
+    """Return how many servers a list has by status, and the names of the first that are not ready."""
+    count_by_status: dict[str, int] = {}
+    for entry in entries:
+        status = entry.listed.status.value
+        count_by_status[status] = count_by_status.get(status, 0) + 1
+    counts = ", ".join(f"{count} {status}" for status, count in count_by_status.items()) or "nothing"
+    names = [entry.name for entry in entries if entry.listed.status is not ServerStatus.READY]
+    return counts + (f" ({' '.join(names[:MAX_NAMES_IN_SUMMARY])})" if names else "")
+
+
+class ServerList:
+    """The servers that are listed now, by id."""
+
+    def __init__(self, context: GatewayContext) -> None:
+        self._context = context
+        self._listed: dict[int, ListedServer] = {}
+
+    def apply(self, kind: ListKind, entries: list[Endpoint]) -> Event:
+        """Apply a list to the upstream pool, and return the event that tells the load balancer.
+
+        Servers that a complete list does not name are removed; a DELTA names only those that have changed,
+        and an ERROR none.
+        """
+        context = self._context
+        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
+            named = {entry.listed.server for entry in entries}
+            for server in [server for server in context.upstream.listed if server not in named]:
+                self._remove(server)
+        for entry in entries:
+            if entry.listed.status is ServerStatus.GONE:
+                self._remove(entry.listed.server)
+            else:
+                context.upstream.put(entry)
+                self._listed[entry.listed.server] = entry.listed
+        if any(entry.listed.status is not ServerStatus.READY for entry in entries):
+            context.trace.note(Step.STATE_CHANGED, "list", summary(entries))
+        if context.recorder is not None:
+            context.recorder.event(f"list {kind.value}: {summary(entries)}")
+        listed = tuple(entry.listed for entry in entries)
+        source = context.endpoint_source
+        return EndpointList(
+            kind, listed, wall_us(), None if source is None else source.time_without_contact_us
+        )
+
+    def _remove(self, server: int) -> None:
+        self._context.upstream.remove(server)
+        self._listed.pop(server, None)
+
+    def new_attempt_record(self, server: int) -> AttemptRecord:
+        """Return the record of an attempt at a server, with the zone and group it has now."""
+        listed = self._listed.get(server)
+        return AttemptRecord(listed.zone, listed.group) if listed is not None else AttemptRecord(-1, -1)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,6 +25,18 @@
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 
+# Modules of the gateway that read the clock, for tests that replace `now_us` in all of them
+GATEWAY_CLOCK_USERS = tuple(
+    f"sagetrack.core.{name}"
+    for name in (
+        "action_executor",
+        "answer_watchdog",
+        "attempt_observer",
+        "attempt_starter",
+        "event_dispatcher",
+        "gateway",
+    )
+)
 SAFE = RequestClass(
     latency_objective_us=200_000,
     request_timeout_us=400_000,
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -87,8 +87,8 @@
 
     def __init__(self, run: Running, left: int) -> None:
         self.run, self.left, self.told = run, left, 0
-        self.carry_out, self.handle = run.gateway.execute, run.gateway.balancer.handle
-        run.gateway.execute = self.hurry  # type: ignore[method-assign]
+        self.carry_out, self.handle = run.gateway.executor.execute, run.gateway.balancer.handle
+        run.gateway.executor.execute = self.hurry  # type: ignore[method-assign]
         run.gateway.balancer.handle = self.listen  # type: ignore[method-assign]
 
     def listen(self, now_us: int, event: Any) -> list[Action]:
@@ -114,7 +114,7 @@
     """Make the first call at once, and let it fail quickly up to the last time; that pause is the longest."""
     failed = Failures(run, failures)
     draw_longest(run.gateway.balancer)
-    run.gateway.execute(WatchEndpoints())
+    run.gateway.executor.execute(WatchEndpoints())
     return failed
 
 
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -66,7 +66,7 @@
 
 
 def watcher(run: Running) -> None:
-    run.gateway.execute(WatchEndpoints())
+    run.gateway.executor.execute(WatchEndpoints())
 
 
 @on_loop
@@ -105,7 +105,7 @@
         watcher(run)
         await until(lambda: registry.seen)
         told = lists(run)
-        run.gateway.execute(WatchEndpoints(False))
+        run.gateway.executor.execute(WatchEndpoints(False))
         await until(lambda: registry.ended == 1)
         assert not told and run.instance.discovery.watching is None
 
@@ -119,7 +119,7 @@
         async with running(config) as run:
             only_our_calls(run)
             told = lists(run)
-            run.gateway.execute(FetchEndpoints())
+            run.gateway.executor.execute(FetchEndpoints())
             await until(lambda: told)
             assert asked(registry) == ["/registry/instances"]
             (event,) = told
@@ -285,7 +285,7 @@
         config["settings"] |= {"membershipMode": "on_request"}
         async with running(config) as run:
             only_our_calls(run)
-            run.gateway.execute(FetchEndpoints())
+            run.gateway.executor.execute(FetchEndpoints())
             await until(lambda: len(registry.seen) == 1)
             watcher(run)
             await until(lambda: len(registry.seen) == 2)
@@ -297,7 +297,7 @@
             assert [event.kind for event in told] == [ListKind.ERROR] and is_draining(run)
             # Said again, it is what the service has: it may have begun to count anew.
             registry.script = answers(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
-            run.gateway.execute(FetchEndpoints())
+            run.gateway.executor.execute(FetchEndpoints())
             await until(lambda: not is_draining(run))
             registry.script = silent
 
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -279,7 +279,7 @@
         client.send(data)
         await until(lambda: host.seen)
         id_ = host.seen[0].message.headers["x-call-id"]
-        run.gateway.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
+        run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
         assert [event.outcome for event in told] == [Outcome.NOT_SENT]
         client.close()
         await asyncio.sleep(0)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -27,7 +27,7 @@
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.upstream_connection import HostConnection, Message
 from sagetrack.policy.interface import Effect, ListedServer, ListKind, ServerStatus
-from tests.helpers import SETTINGS
+from tests.helpers import GATEWAY_CLOCK_USERS, SETTINGS
 
 SERVERS, STEPS = 3, 120
 RULES = replace(SETTINGS, hedging=True, may_cancel=False, connect_timeout_us=250_000, max_attempts=4)
@@ -317,7 +317,7 @@
     loop = SimpleNamespace(
         call_later=world.call_later, create_connection=world.create_connection, create_task=world.create_task
     )
-    for module in ("sagetrack.core.gateway", "sagetrack.http1.connection_pool"):
+    for module in (*GATEWAY_CLOCK_USERS, "sagetrack.http1.connection_pool"):
         patch.setattr(f"{module}.now_us", lambda: world.now)
     patch.setattr("asyncio.get_running_loop", lambda: loop)
     try:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -178,9 +178,9 @@
     """The module's timers, held until they are fired."""
 
     def __init__(self, run: Running) -> None:
-        self.run, self.carry_out = run, run.gateway.execute
+        self.run, self.carry_out = run, run.gateway.executor.execute
         self.held: list[SetTimer] = []
-        run.gateway.execute = self.take  # type: ignore[method-assign]
+        run.gateway.executor.execute = self.take  # type: ignore[method-assign]
 
     def take(self, action: Action) -> None:
         if isinstance(action, SetTimer):
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -135,7 +135,7 @@
         await until(lambda: first.seen or second.seen)
         (held,) = run.gateway.in_flight.values()
         for server in run.instance.pools.hosts:
-            run.gateway.execute(SendAttempt(held.call.id, server, 1_000_000))
+            run.gateway.executor.execute(SendAttempt(held.call.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.seen) + len(second.seen) == 1
         assert run.gateway.violations.counts[Invariant.RETRIES_ARE_SAFE] == 2
