--- a/sagetrack/core/bodies.py
+++ b/sagetrack/core/bodies.py
@@ -1,7 +1,7 @@
-"""Request bodies that pass through: too long to be held whole, each moves no faster than its slower side.
+"""Streamed request bodies, with flow control and a memory budget for all of them together.
 
-A body up to `BODY_LIMIT` is held whole, so that it can be sent again; a longer one can't be, once some of it
-has gone on.
+A short body is buffered completely, so that it can be sent again. A longer one is streamed: it moves no
+faster than its slower side, and cannot be sent again once part of it was forwarded.
 """
 
 from __future__ import annotations
@@ -11,33 +11,59 @@
 
 from sagetrack.core.clock import now_us
 
-STREAMED_BODY_LIMIT = 32 * 1024 * 1024  # of a body that passes through, either way
-MAX_BUFFER_PER_BODY = 64 * 1024  # bytes held for one body before its sender is paused
-MIN_BUFFER_PER_BODY = 8 * 1024  # the same where very many are under way
-HELD_SHARE = 0.125  # of the memory limit, for all bodies under way together
-BODY_STALL_TIMEOUT_S = 10.0  # without a byte moved: the side that does not take or give it is given up
+STREAMED_BODY_LIMIT = 32 * 1024 * 1024  # bytes of a streamed body, of a request or a response
+MAX_BUFFER_PER_BODY = 64 * 1024  # bytes buffered of one body before its sender is paused
+MIN_BUFFER_PER_BODY = 8 * 1024  # the same where very many bodies are streamed at once
+BUFFER_MEMORY_SHARE = 0.125  # of the memory limit, for the buffers of all streamed bodies together
+BODY_STALL_TIMEOUT_S = 10.0  # without a byte moved, after which the transfer is given up
 
 
 def do_nothing() -> None:
-    """Nobody is to be told."""
+    """Do nothing: the callback where none is set."""
 
 
 class BodyMemoryBudget:
-    """What all bodies under way may hold together: the more there are, the less for each."""
+    """The memory that all streamed bodies share: the more there are, the less each may buffer.
 
-    __slots__ = ("active", "total")
+    Attributes:
+        total_bytes: The budget of all bodies together.
+        active_bodies: How many bodies are being streamed.
+    """
+
+    __slots__ = ("active_bodies", "total_bytes")
 
     def __init__(self, memory_mb: int) -> None:
-        self.total = int(memory_mb * 1024 * 1024 * HELD_SHARE)
-        self.active = 0
+        """Make a budget that is a fixed share of the memory limit, in MiB."""
+        self.total_bytes = int(memory_mb * 1024 * 1024 * BUFFER_MEMORY_SHARE)
+        self.active_bodies = 0
 
     @property
-    def each(self) -> int:
-        return max(MIN_BUFFER_PER_BODY, min(MAX_BUFFER_PER_BODY, self.total // max(1, self.active)))
+    def bytes_per_body(self) -> int:
+        """How many bytes one body may buffer now."""
+        share = self.total_bytes // max(1, self.active_bodies)
+        return max(MIN_BUFFER_PER_BODY, min(MAX_BUFFER_PER_BODY, share))
 
 
 class StreamedBody:
-    """A request's body between the client that sends it and the host that it goes to."""
+    """A request's body between the client that sends it and the server that receives it.
+
+    The downstream side calls `feed`, `complete` and `abort`, the upstream side `take`.
+
+    Attributes:
+        length: The announced length in bytes; None if the body is chunked.
+        body_budget: The memory it shares with other bodies.
+        chunks: What is buffered, in order.
+        buffered: Bytes in `chunks`.
+        received: Bytes that have come from the client so far.
+        is_complete: Whether its last byte has come.
+        completed_us: When that was.
+        is_aborted: Whether its last byte will never come.
+        forwarding_started: Whether some of it was taken: no other server can receive all of it.
+        discarding: Whether what is left of it is dropped.
+        on_data: Called when there is more to take, and at the end.
+        on_capacity: Called when the sender may go on.
+        on_complete: Called when the last byte has come.
+    """
 
     __slots__ = (
         "body_budget",
@@ -56,31 +82,34 @@
     )
 
     def __init__(self, length: int | None, body_budget: BodyMemoryBudget) -> None:
-        self.length = length  # None: it comes in chunks
+        """Make an empty body that takes its part of the budget until it is finished."""
+        self.length = length
         self.body_budget = body_budget
-        body_budget.active += 1
+        body_budget.active_bodies += 1
         self.chunks: deque[bytes] = deque()
         self.buffered = 0
         self.received = 0
-        self.is_complete = False  # its last byte has come
+        self.is_complete = False
         self.completed_us = 0
-        self.is_aborted = False  # its last byte will never come
-        self.forwarding_started = False  # some of it has gone on: no other host can be sent all of it
-        self.discarding = False  # nobody wants the rest
-        self.on_data: Callable[[], None] = do_nothing  # there is more to take, or the end
-        self.on_capacity: Callable[[], None] = do_nothing  # the sender may go on
-        self.on_complete: Callable[[], None] = do_nothing  # the last byte has come
+        self.is_aborted = False
+        self.forwarding_started = False
+        self.discarding = False
+        self.on_data: Callable[[], None] = do_nothing
+        self.on_capacity: Callable[[], None] = do_nothing
+        self.on_complete: Callable[[], None] = do_nothing
 
     @property
     def is_full(self) -> bool:
         """Whether its sender has to wait."""
-        return not self.discarding and self.buffered >= self.body_budget.each
+        return not self.discarding and self.buffered >= self.body_budget.bytes_per_body
 
     @property
     def is_finished(self) -> bool:
+        """Whether nothing more will come of it."""
         return self.is_complete or self.is_aborted
 
     def feed(self, data: bytes) -> None:
+        """Buffer bytes that have come from the client, and notify the receiver."""
         self.received += len(data)
         if self.discarding:
             return
@@ -89,30 +118,32 @@
         self.on_data()
 
     def take(self) -> bytes:
-        """The next piece; its sender may go on once there is room."""
+        """Return the next chunk; its sender may go on once there is capacity. `chunks` must not be empty."""
         was_full = self.is_full
-        piece = self.chunks.popleft()
+        chunk = self.chunks.popleft()
         self.forwarding_started = True
-        self.buffered -= len(piece)
+        self.buffered -= len(chunk)
         if was_full and not self.is_full:
             self.on_capacity()
-        return piece
+        return chunk
 
     def complete(self) -> None:
+        """Record that the last byte has come, and notify the receiver. A second call does nothing."""
         if not self.is_finished:
             self.is_complete, self.completed_us = True, now_us()
-            self.body_budget.active -= 1
+            self.body_budget.active_bodies -= 1
             self.on_complete()
             self.on_data()
 
     def abort(self) -> None:
+        """Record that the rest will not come, unless it is complete, and drop what is buffered."""
         if not self.is_finished:
             self.is_aborted = True
-            self.body_budget.active -= 1
+            self.body_budget.active_bodies -= 1
         self.discard()
 
     def discard(self) -> None:
-        """Let what is held and what still comes go nowhere."""
+        """Drop what is buffered and what still comes; the receiver is not notified any more."""
         self.discarding = True
         self.on_data = self.on_complete = do_nothing
         self.chunks.clear()
--- a/sagetrack/core/drain.py
+++ b/sagetrack/core/drain.py
@@ -1,7 +1,7 @@
-"""Whether this process takes clients, stands by or leaves: the one place that knows.
+"""The phases of a process: active, on standby, or shutting down. The one place that knows them.
 
-Readiness, the operators' calls and SIGTERM all ask or move this one state. It knows of no protocol: times
-come in as readings of the caller's clock, and a connection is judged by what any protocol's has.
+Readiness, the calls of the admin address and SIGTERM all ask or change this one state. It is independent of
+the protocol. Times are readings of the caller's clock, in seconds.
 """
 
 from __future__ import annotations
@@ -9,81 +9,92 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LONGEST_DRAIN_DEADLINE_S = 3.0  # a longer deadline is counted as this when a process is made to leave
-KILL_GRACE_S = 0.7  # what the platform allows on top of that
-EXIT_MARGIN_S = 0.2  # kept of it for the last answers to go out, and for the exit itself
-SHUTDOWN_IDLE_DELAY_S = (
-    0.5  # after SIGTERM: until then a connection is closed only with word of it in an answer
-)
+from sagetrack.core.send_rules import FIRST_REQUEST_TIMEOUT_S
+
+LONGEST_DRAIN_DEADLINE_S = 3.0  # at a shutdown a longer request deadline counts as this
+KILL_GRACE_S = 0.7  # what the platform allows on top of that before it kills the process
+EXIT_MARGIN_S = 0.2  # of it, reserved for the last responses to go out and for the exit itself
 SHUTDOWN_ACCEPT_S = 0.7  # after SIGTERM: new connections go on coming for 0.4 s
-STANDBY_IDLE_DELAY_S = 1.2  # the same after `standby`: what is idle still then is hardly in use
-SHUTDOWN_INCOMPLETE_WAIT_S = 1.0  # after SIGTERM: by then who wants an answer has asked for it
-FIRST_REQUEST_TIMEOUT_S = 0.5  # for the first request on a new connection to come
+SHUTDOWN_INCOMPLETE_WAIT_S = 1.0  # after SIGTERM, for requests of which a part has come
+# Until then a connection is closed only after a response that announces it:
+SHUTDOWN_IDLE_DELAY_S = 0.5  # after SIGTERM
+STANDBY_IDLE_DELAY_S = 1.2  # after `standby`: a connection that is idle by then is hardly in use
 
 
 class DrainPhase(Enum):
+    """What the process does for clients. The values are part of the trace of the admin address."""
+
     ACTIVE = "active"
-    STANDBY = "standby"  # until `active`
+    STANDBY = "standby"  # until `end_standby`
     SHUTTING_DOWN = "leaving"  # for good
 
 
 @dataclass(slots=True)
 class Drain:
-    """The state machine: ACTIVE and STANDBY turn into each other and into LEAVING, which is the end."""
+    """The state machine: ACTIVE and STANDBY change into each other and into SHUTTING_DOWN, which is final.
+
+    Attributes:
+        longest_deadline_s: The longest deadline of a request.
+        phase: The phase it is in.
+        since_s: When that began; 0 for the phase at the start.
+    """
 
     longest_deadline_s: float
     phase: DrainPhase = DrainPhase.ACTIVE
     since_s: float = 0.0
 
     def begin_standby(self, now_s: float) -> bool:
-        """Begin a drain; one that is on goes on as it is. False on the way out."""
+        """Begin to drain, or go on draining; False if the process is shutting down."""
         if self.phase is DrainPhase.ACTIVE:
             self.phase, self.since_s = DrainPhase.STANDBY, now_s
         return self.phase is DrainPhase.STANDBY
 
     def end_standby(self, now_s: float) -> bool:
-        """End the drain, if one is on. False on the way out."""
+        """Become active again, or stay so; False if the process is shutting down."""
         if self.phase is DrainPhase.STANDBY:
             self.phase, self.since_s = DrainPhase.ACTIVE, now_s
         return self.phase is DrainPhase.ACTIVE
 
     def begin_shutdown(self, now_s: float) -> None:
-        """Begin the way out; a second word of it changes nothing."""
+        """Begin to shut down; a second call changes nothing."""
         if self.phase is not DrainPhase.SHUTTING_DOWN:
             self.phase, self.since_s = DrainPhase.SHUTTING_DOWN, now_s
 
     @property
     def is_draining(self) -> bool:
-        """Whether no new client should come, and each answer is the last on its connection."""
+        """Whether no new client should come, and each response is the last on its connection."""
         return self.phase is not DrainPhase.ACTIVE
 
     def may_close_idle(self, now_s: float, opened_s: float, used: bool) -> bool:
-        """Whether a connection with nothing to do is closed by now.
+        """Return whether an idle connection may be closed by now.
+
+        It is not closed at once: a close that crosses a request makes the client send it again, while a
+        response that announces the close does not. A new connection has time for its first request.
 
-        Not at once: a close that crosses a request makes the client send it again, while a last answer that
-        says so does not. A new connection has time for its first request.
+        Args:
+            now_s: The time now.
+            opened_s: When the connection was opened.
+            used: Whether it has carried a request.
         """
         if not self.is_draining or (not used and now_s - opened_s < FIRST_REQUEST_TIMEOUT_S):
             return False
-        quiet_s = SHUTDOWN_IDLE_DELAY_S if self.phase is DrainPhase.SHUTTING_DOWN else STANDBY_IDLE_DELAY_S
-        return now_s - self.since_s >= quiet_s
+        is_shutdown = self.phase is DrainPhase.SHUTTING_DOWN
+        delay_s = SHUTDOWN_IDLE_DELAY_S if is_shutdown else STANDBY_IDLE_DELAY_S
+        return now_s - self.since_s >= delay_s
 
     def awaits_incomplete_requests(self, now_s: float) -> bool:
-        """Whether a process that leaves still waits for requests that have begun and are not whole.
+        """Return whether a shutdown still waits for requests of which only a part has come.
 
-        Guards against staying away for long for the sake of connections that never finish one.
+        The wait is bounded, as there may be connections that never complete one.
         """
         return now_s - self.since_s < SHUTDOWN_INCOMPLETE_WAIT_S
 
     def is_past_answer_cutoff(self, now_s: float) -> bool:
+        """Return whether the process is shutting down and past `answer_cutoff_s`."""
         return self.phase is DrainPhase.SHUTTING_DOWN and now_s >= self.answer_cutoff_s
 
     @property
     def answer_cutoff_s(self) -> float:
-        """When a process that leaves gives up what is unanswered: a little later it may be killed."""
-        return (
-            self.since_s
-            + min(self.longest_deadline_s, LONGEST_DRAIN_DEADLINE_S)
-            + KILL_GRACE_S
-            - EXIT_MARGIN_S
-        )
+        """When a shutdown gives up requests that are unanswered: soon after it the process may be killed."""
+        deadline_s = min(self.longest_deadline_s, LONGEST_DRAIN_DEADLINE_S)
+        return self.since_s + deadline_s + KILL_GRACE_S - EXIT_MARGIN_S
--- a/sagetrack/core/log.py
+++ b/sagetrack/core/log.py
@@ -1,7 +1,7 @@
-"""The program's log: events with fields, bounded in rate for each event; where lines go is set once.
+"""The program's log: events with fields, limited in rate for each event; where lines go is set once.
 
-Until `use_sink` is called, an event is one plain line on standard error. `use_sink` hands over to another
-sink, which the operator's file asks for. Nothing is logged for each request.
+Until `use_sink` is called, an event is one plain line on standard error. The operator's file may ask for
+another sink. Nothing is logged for each request.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import select
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from time import monotonic
 from typing import BinaryIO, TextIO, cast
 
@@ -18,42 +19,59 @@
 LEVELS = ("debug", "info", "warning", "error")
 BURST = 20.0  # lines of one event at once
 RATE = 5.0  # lines of one event a second, in the long run
-LINE_LIMIT = 3_000  # characters of an event: what a pipe that takes anything takes at once
-EVENTS = 256  # events that are told apart; the rest share one bound
+LINE_LIMIT = 3_000  # characters of an event: what a pipe takes at once if it takes anything
+EVENTS = 256  # events with a limit of their own; all others share one
+EVENT_NAME_LIMIT = 40  # characters by which events are told apart
+
+
+@dataclass(slots=True)
+class _Bucket:
+    """The token bucket of one event.
+
+    Attributes:
+        tokens: Lines that may be written at once.
+        refilled_s: When that was computed.
+        suppressed: Lines that were suppressed since the last one that was written.
+    """
+
+    tokens: float
+    refilled_s: float
+    suppressed: int = 0
 
 
 class LogRateLimit:
-    """A token bucket for each event: a flood of one kind neither hides the others nor costs the program.
+    """A token bucket for each event: a flood of one event neither hides others nor costs the program.
 
-    What was held back is counted and told with the next line of that event that passes.
+    Suppressed lines are counted, and reported with the next line of that event that is written.
     """
 
     __slots__ = ("buckets", "burst", "rate")
 
     def __init__(self, burst: float = BURST, rate: float = RATE) -> None:
+        """Allow `burst` lines of an event at once, and `rate` lines a second in the long run."""
         self.burst, self.rate = burst, rate
-        self.buckets: dict[str, list[float]] = {}  # tokens, when they were counted, lines held back
+        self.buckets: dict[str, _Bucket] = {}
 
     def admit(self, event: str, now_s: float) -> int:
-        """Lines of this event that were held back before this one, or -1 if this one is held back too."""
+        """Return how many lines of this event were suppressed before this one; -1 if this one is, too."""
         bucket = self.buckets.get(event)
         if bucket is None:
             if len(self.buckets) >= EVENTS:
                 event = ""
-            bucket = self.buckets.setdefault(event, [self.burst, now_s, 0.0])
-        bucket[0] = min(self.burst, bucket[0] + (now_s - bucket[1]) * self.rate)
-        bucket[1] = now_s
-        if bucket[0] < 1.0:
-            bucket[2] += 1.0
+            bucket = self.buckets.setdefault(event, _Bucket(self.burst, now_s))
+        bucket.tokens = min(self.burst, bucket.tokens + (now_s - bucket.refilled_s) * self.rate)
+        bucket.refilled_s = now_s
+        if bucket.tokens < 1.0:
+            bucket.suppressed += 1
             return -1
-        bucket[0] -= 1.0
-        held, bucket[2] = int(bucket[2]), 0.0
-        return held
+        bucket.tokens -= 1.0
+        suppressed, bucket.suppressed = bucket.suppressed, 0
+        return suppressed
 
 
-def with_minimum_level(least: str, sink: Sink) -> Sink:
-    """The same sink for this level and those above it."""
-    admitted = LEVELS[LEVELS.index(least) :]
+def with_minimum_level(level: str, sink: Sink) -> Sink:
+    """Return a sink that passes events of this level and above on, and drops the others."""
+    admitted = LEVELS[LEVELS.index(level) :]
 
     def write(level: str, event: str, fields: dict[str, object]) -> None:
         if level in admitted:
@@ -63,19 +81,19 @@
 
 
 def plain_sink(level: str, event: str, fields: dict[str, object]) -> None:
-    """One line on standard error, as the platform keeps it."""
+    """Write an event and its fields, but for `server`, as one line on standard error."""
     named = "".join(f" {name}={value}" for name, value in fields.items() if name != "server")
     print(f"sagetrack: {event}{named}", file=sys.stderr, flush=True)
 
 
 def unbuffered_stderr() -> TextIO:
-    """Standard error without a buffer: a line that cannot be written is dropped, not kept for the exit."""
+    """Return standard error without a buffer: a line that cannot be written is dropped, not kept."""
     raw = io.FileIO(sys.__stderr__.fileno() if sys.__stderr__ else 2, "w", closefd=False)
     return io.TextIOWrapper(cast(BinaryIO, raw), "utf-8", "backslashreplace", write_through=True)
 
 
-def takes_a_line(stream: TextIO) -> bool:
-    """Whether a line can be written there without a wait; a pipe that nobody reads takes none once full."""
+def is_writable(stream: TextIO) -> bool:
+    """Return whether a line can be written there without blocking: not to a full pipe that nobody reads."""
     try:
         descriptor = stream.fileno()
     except (OSError, ValueError):
@@ -91,35 +109,35 @@
 
 
 def use_sink(sink: Sink, rate_limit: LogRateLimit | None = None) -> None:
-    """Send what is logged from now on to another sink, under another bound."""
+    """Write events to another sink from now on, under another rate limit or a new one of default size."""
     global _sink, _rate_limit
     _sink, _rate_limit = sink, rate_limit or LogRateLimit()
 
 
 def log(event: str, level: str = "info", kind: str | None = None, **fields: object) -> None:
-    """Log an event. `kind` names what it is bounded with; without it that is the first word and its length.
+    """Log an event.
 
-    The fields with fixed names are `gateway`, `server`, `call`, `class` and `member`.
+    Args:
+        event: The text, which begins with the event's name and a colon, or is the name.
+        level: One of `LEVELS`.
+        kind: Names the events that share one rate limit with it; by default, the event's name.
+        fields: Fields with fixed names: `gateway`, `server`, `call`, `class` and `member`.
     """
-    held = _rate_limit.admit(kind or event.partition(":")[0][:40], monotonic())
-    if held < 0:
+    suppressed = _rate_limit.admit(kind or event.partition(":")[0][:EVENT_NAME_LIMIT], monotonic())
+    if suppressed < 0:
         return
-    if held:
-        fields["held_back"] = held
+    if suppressed:
+        fields["suppressed"] = suppressed
     _write(level, event, fields)
 
 
 def _write(level: str, event: str, fields: dict[str, object]) -> None:
-    """Write a line, or count it as unwritten.
-
-    Guards the callers: a log on a full disk must not end what is being done, nor a pipe without a reader hold
-    up the loop.
-    """
+    """Write a line, or count it as unwritten: a full disk or a blocked pipe must not stop the callers."""
     global _unwritten
     if _unwritten:
         fields["unwritten"] = _unwritten
     try:
-        if not takes_a_line(sys.stderr):
+        if not is_writable(sys.stderr):
             raise BlockingIOError
         _sink(level, event[:LINE_LIMIT], fields)
         _unwritten = 0
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -82,6 +82,7 @@
 
     @property
     def is_out(self) -> bool:
+        """Whether it was sent and has not ended."""
         return self.begun_us is not None and self.outcome is None
 
 
--- a/sagetrack/core/structured.py
+++ b/sagetrack/core/structured.py
@@ -1,4 +1,4 @@
-"""Structured logging with `structlog`: JSON lines or a console's; loaded only where the operator asks."""
+"""Structured logging with `structlog`, as JSON lines or for a console; imported only on demand."""
 
 from __future__ import annotations
 
@@ -10,11 +10,18 @@
 
 from sagetrack.core.log import LEVELS, Sink
 
-CLASS = "class"  # fields are named in `log` as Python allows, in lines as operators know them
+PYTHON_FIELD, CLASS_FIELD = "class_", "class"  # the field's name in calls of `log` and in lines
 
 
 def sink(form: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
-    """A sink that renders `json` or `console` lines from a level on, each with `gateway` and a UTC time."""
+    """Return a sink that renders events, each with the gateway's name and a UTC time.
+
+    Args:
+        form: `json` or `console`.
+        level: The lowest level that is written, one of `LEVELS`.
+        gateway: The gateway's name.
+        stream: Where lines are written; standard error by default.
+    """
     out = stream or sys.stderr
     renderer: Callable[..., Any] = (
         structlog.processors.JSONRenderer()
@@ -27,11 +34,11 @@
         wrapper_class=structlog.BoundLoggerBase,
         cache_logger_on_first_use=True,
     ).bind(gateway=gateway)
-    least = LEVELS.index(level)
+    minimum = LEVELS.index(level)
 
-    def write(of: str, event: str, fields: dict[str, object]) -> None:
-        if LEVELS.index(of) >= least:
-            named = {CLASS if name == "class_" else name: value for name, value in fields.items()}
-            logger._proxy_to_logger("msg", event, level=of, **named)
+    def write(event_level: str, event: str, fields: dict[str, object]) -> None:
+        if LEVELS.index(event_level) >= minimum:
+            named = {CLASS_FIELD if name == PYTHON_FIELD else name: value for name, value in fields.items()}
+            logger._proxy_to_logger("msg", event, level=event_level, **named)
 
     return write
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -323,8 +323,8 @@
         found.failed += taker.left
         if taker.owed:
             found.wrong.append(f"{len(taker.owed)} calls left in work: {data.hex()}")
-        if front.body_budget.active:
-            found.wrong.append(f"{front.body_budget.active} bodies never ended: {data.hex()}")
+        if front.body_budget.active_bodies:
+            found.wrong.append(f"{front.body_budget.active_bodies} bodies never ended: {data.hex()}")
         if front.lines:
             found.wrong.append(f"a connection that is over is kept: {data.hex()}")
         progress(found.frames / frames)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -234,7 +234,7 @@
         assert host.whole == [LONG] * 3
         assert b"Content-Length: 251000" in host.heads[0] and b"Transfer-Encoding: chunked" in host.heads[1]
         assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.moving
-        assert run.server.body_budget.active == 0
+        assert run.server.body_budget.active_bodies == 0
         client.close()
 
 
@@ -282,7 +282,7 @@
         answer = await client.answer()
         assert answer.status == 400 and answer.headers["connection"] == "close"
         await until(lambda: host.broken == 1)
-        assert not host.whole and not run.gateway.in_flight and run.server.body_budget.active == 0
+        assert not host.whole and not run.gateway.in_flight and run.server.body_budget.active_bodies == 0
         client.close()
 
 
@@ -337,7 +337,7 @@
         client.close()
         await until(lambda: host.broken == 1)
         await until(lambda: not run.gateway.in_flight)
-        assert not run.gateway.balancer.requests and run.server.body_budget.active == 0
+        assert not run.gateway.balancer.requests and run.server.body_budget.active_bodies == 0
 
 
 @on_loop
@@ -424,15 +424,15 @@
 def test_bodies_share_what_all_may_hold() -> None:
     body_budget = BodyMemoryBudget(memory_mb=8)
     streamed_bodies = [StreamedBody(None, body_budget) for _ in range(4)]
-    assert body_budget.each == MAX_BUFFER_PER_BODY
+    assert body_budget.bytes_per_body == MAX_BUFFER_PER_BODY
     streamed_bodies += [StreamedBody(None, body_budget) for _ in range(60)]
-    assert body_budget.each == 16 * 1024
+    assert body_budget.bytes_per_body == 16 * 1024
     streamed_bodies += [StreamedBody(None, body_budget) for _ in range(1000)]
-    assert body_budget.each == MIN_BUFFER_PER_BODY
+    assert body_budget.bytes_per_body == MIN_BUFFER_PER_BODY
     for streamed_body in streamed_bodies:
         streamed_body.complete()
         streamed_body.abort()  # once over, it is counted no more
-    assert body_budget.active == 0
+    assert body_budget.active_bodies == 0
 
 
 # The module
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -706,7 +706,7 @@
         for number, told in ((3, 1_000_001), (4, 900_000)):  # shorter and longer than it was to be
             assert (await send(number, 1_000_000, told)).ends[0][0] is not Outcome.OK
         assert len(whole) == 2
-        await until(lambda: not gateway.gateway.in_flight and not front.body_budget.active)
+        await until(lambda: not gateway.gateway.in_flight and not front.body_budget.active_bodies)
 
 
 @on_loop
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -317,7 +317,7 @@
         await until(lambda: len(run.server.paused) == 40)
         monkeypatch.setattr(client_module, "has_peer_closed", counting, raising=False)
         asked = 0
-        look = run.server.hangups.look
+        look = run.server.hangups.call_back
 
         def counted() -> None:
             nonlocal asked
