--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -14,7 +14,7 @@
 from sagetrack.core.interfaces import UpstreamPool
 from sagetrack.core.transient_errors import persist
 from sagetrack.discovery.client import CallError, Discovery, number_of, parse_list
-from sagetrack.discovery.split import HTTP, Split
+from sagetrack.discovery.endpoints_by_protocol import HTTP, Split
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.discovery_connection import HttpLine, connect
 from sagetrack.http1.listener import Server
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -23,7 +23,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import stable_id
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.discovery.split import Split
+from sagetrack.discovery.endpoints_by_protocol import Split
 from sagetrack.dns.cache import OVERHEAD, Cache
 from sagetrack.dns.downstream import PIPELINED, Limits
 from sagetrack.dns.limits import Access, InWork, ResponseRate, Verdict
