--- a/sagetrack/discovery/endpoints_by_protocol.py
+++ b/sagetrack/discovery/endpoints_by_protocol.py
@@ -1,66 +1,61 @@
-"""One list of servers, parted by the protocol that each of them speaks. Pure.
+"""One endpoint list, divided by the protocol that each server speaks.
 
-The roster's `type` says which; nothing is found out by asking a server.
+An entry's `type` in the list decides; no server is probed for its protocol.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import replace
 
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.interface import ListKind, ServerStatus
 
-HTTP = "http"  # what a server speaks whose type is not mapped
+HTTP = "http"  # the protocol of a server whose type is not mapped to another one
 
 
-class Split:
-    """Which servers speak what, as the list stands.
+class EndpointsByProtocol:
+    """The servers of each protocol, as the list stands.
 
-    `protocols` maps a type's number (the module's `kind`) to a protocol. Changes to the list cost by what
-    changed; a whole list costs by its length.
+    An update costs time in proportion to its length.
+
+    Attributes:
+        protocols: From a type's index (`ListedServer.kind`) to a protocol.
+        endpoints: For each protocol its endpoints, by server id.
     """
 
     def __init__(self, protocols: Mapping[int, str] | None = None) -> None:
         self.protocols = dict(protocols or {})
-        self.current: dict[str, dict[int, Endpoint]] = {HTTP: {}, **{p: {} for p in self.protocols.values()}}
+        self.endpoints: dict[str, dict[int, Endpoint]] = {
+            HTTP: {},
+            **{p: {} for p in self.protocols.values()},
+        }
 
-    def take(self, kind: ListKind, entries: list[Endpoint]) -> dict[str, list[Endpoint]]:
-        """What each protocol hears of this list.
+    def update(self, kind: ListKind, entries: list[Endpoint]) -> dict[str, list[Endpoint]]:
+        """Take in an update, and return the entries of it that concern each protocol.
 
-        A server that changes its protocol is gone for the one that it had; a failed call is word for all.
+        A server that changes its protocol is listed as gone for the one that it had. A failed call concerns
+        all protocols and has no entries.
         """
-        parts: dict[str, list[Endpoint]] = {protocol: [] for protocol in self.current}
+        changes: dict[str, list[Endpoint]] = {protocol: [] for protocol in self.endpoints}
         if kind is ListKind.ERROR:
-            return parts
+            return changes
         if kind is not ListKind.DELTA:
-            for known in self.current.values():
-                known.clear()
+            for endpoints in self.endpoints.values():
+                endpoints.clear()
         for entry in entries:
             listed = entry.listed
-            mine = self.protocols.get(listed.kind, HTTP)
-            for protocol, known in self.current.items():
-                if protocol == mine:
-                    continue
-                if known.pop(listed.server, None) is not None:
-                    parts[protocol].append(gone(entry))
-            parts[mine].append(entry)
+            spoken = self.protocols.get(listed.kind, HTTP)
+            for protocol, endpoints in self.endpoints.items():
+                if protocol != spoken and endpoints.pop(listed.server, None) is not None:
+                    changes[protocol].append(_as_gone(entry))
+            changes[spoken].append(entry)
             if listed.status is ServerStatus.GONE:
-                self.current[mine].pop(listed.server, None)
+                self.endpoints[spoken].pop(listed.server, None)
             else:
-                self.current[mine][listed.server] = entry
-        return parts
+                self.endpoints[spoken][listed.server] = entry
+        return changes
 
 
-def gone(entry: Endpoint) -> Endpoint:
-    """The word that this server has left."""
-    listed = entry.listed
-    left = ListedServer(
-        listed.server,
-        ServerStatus.GONE,
-        listed.weight,
-        listed.zone,
-        listed.group,
-        listed.kind,
-        listed.started_us,
-    )
-    return Endpoint(entry.name, entry.address, left)
+def _as_gone(entry: Endpoint) -> Endpoint:
+    return Endpoint(entry.name, entry.address, replace(entry.listed, status=ServerStatus.GONE))
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -13,8 +13,10 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import UpstreamPool
 from sagetrack.core.transient_errors import persist
-from sagetrack.discovery.client import CallError, Discovery, number_of, parse_list
-from sagetrack.discovery.endpoints_by_protocol import HTTP, Split
+from sagetrack.discovery.client import DiscoveryClient
+from sagetrack.discovery.endpoint_parsing import index_of_name, parse_endpoint_list
+from sagetrack.discovery.endpoints_by_protocol import HTTP, EndpointsByProtocol
+from sagetrack.discovery.errors import DiscoveryCallError
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.discovery_connection import HttpLine, connect
 from sagetrack.http1.listener import Server
@@ -38,7 +40,7 @@
 
 
 async def _ask_discovery(address: tuple[str, int]) -> HttpLine:
-    return await connect(address, CallError)
+    return await connect(address, DiscoveryCallError)
 
 
 class Instance:
@@ -72,9 +74,9 @@
         self.server.overlap = self.overlap
         pushed = config.settings.endpoints_are_pushed
         asked = operator.dns if operator is not None else None
-        self.split: Split | None = None
+        self.split: EndpointsByProtocol | None = None
         if asked is not None and asked.listen and asked.type:
-            self.split = Split({number_of(asked.type, config.names.kinds): DNS})
+            self.split = EndpointsByProtocol({index_of_name(asked.type, config.names.kinds): DNS})
         self.on_http = self.gateway.on_list
         if mixed is not None:
             from sagetrack.grpc.translate import untranslatable
@@ -90,7 +92,9 @@
         self.keeping: Keeping | None = None
         on_list = self.on_http if self.split is None else self.on_list
         limits = watching(config.settings)
-        self.discovery = Discovery(config.discovery, config.names, on_list, pushed, _ask_discovery, limits)
+        self.discovery = DiscoveryClient(
+            config.discovery, config.names, on_list, pushed, _ask_discovery, limits
+        )
         self.gateway.metrics.more.append(self.discovery.calls.figures)
 
     async def start(self) -> None:
@@ -105,16 +109,18 @@
         part("store")
         overlap.join()
         self.gateway.known = overlap.newer_list(
-            config.discovery, self.gateway.known, lambda raw: bool(parse_list(raw, config.names)[2])
+            config.discovery,
+            self.gateway.known,
+            lambda raw: bool(parse_endpoint_list(raw, config.names).endpoints),
         )
-        self.discovery.on_news = overlap.hand_on
+        self.discovery.on_list_changed = overlap.hand_on
         descriptor = config.accept_fd
         listener: socket.socket = (
             await persist(lambda: bind(config.listen)) if descriptor is None else inherit(descriptor)
         )
         self.server.prepare(self.discovery)
         part("list")
-        await self.discovery.has_asked()
+        await self.discovery.wait_for_first_call()
         part("first call")
         if self.keeping is not None:
             await self.keeping.has_read()
@@ -139,7 +145,7 @@
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Tell each protocol of its own servers."""
         assert self.split is not None
-        parts = self.split.take(kind, entries)
+        parts = self.split.update(kind, entries)
         self.on_http(kind, parts[HTTP])
         if self.dns is not None:
             self.dns.on_list(kind, parts[DNS])
@@ -215,7 +221,7 @@
             raise ConfigError(f"dns.zone: {error}") from None
         self.dns.front.stands_by = lambda: self.server.drain.is_on
         if self.split is not None:
-            self.dns.listed = list(self.split.current[DNS].values())
+            self.dns.listed = list(self.split.endpoints[DNS].values())
         try:
             await self.dns.start(shared=self.config.accept_fd is not None)
         except OSError as error:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -14,7 +14,7 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Client, UpstreamPool
 from sagetrack.core.log import log
-from sagetrack.discovery.client import number_of
+from sagetrack.discovery.endpoint_parsing import index_of_name
 from sagetrack.http1.requests import Request, RequestError, read_call
 from sagetrack.policy.interface import ListKind, TrafficShift
 from sagetrack.policy.migration import Move
@@ -164,7 +164,7 @@
     from sagetrack.grpc.upstream import NewPools
 
     new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
-    kinds = [number_of(name, config.names.kinds) for name in asked.types]
+    kinds = [index_of_name(name, config.names.kinds) for name in asked.types]
     return Mixed(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
 
 
@@ -172,7 +172,7 @@
     """The configuration in which the module knows which servers speak the newer format."""
     if operator is None or not operator.newer.types:
         return config
-    kinds = frozenset(number_of(name, config.names.kinds) for name in operator.newer.types)
+    kinds = frozenset(index_of_name(name, config.names.kinds) for name in operator.newer.types)
     return replace(config, settings=replace(config.settings, grpc_kinds=kinds))
 
 
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -18,7 +18,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.log import log
-from sagetrack.discovery.client import list_as_json
+from sagetrack.discovery.endpoint_list_json import encode_endpoint_list
 
 NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
 LIST = "sagetrack-list.json"  # the address servers as a process last heard of them
@@ -143,7 +143,10 @@
         """Write it whole under another name first: nobody finds half of it."""
         if self.folder is None:
             return
-        data = b'{"discovery":%s,"known":%s}' % (json.dumps(list(discovery)).encode(), list_as_json(known))
+        data = b'{"discovery":%s,"known":%s}' % (
+            json.dumps(list(discovery)).encode(),
+            encode_endpoint_list(known),
+        )
         if len(data) > LIST_LIMIT:
             return
         fresh = self.folder / f"{LIST}.{os.getpid()}"
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -8,7 +8,7 @@
 
 from sagetrack.config.platform import Config, ConfigError, load
 from sagetrack.core.log import log
-from sagetrack.discovery.client import Discovery
+from sagetrack.discovery.client import DiscoveryClient
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        discovery: Discovery,
+        discovery: DiscoveryClient,
         operator: str | None = None,
         on_operator: OnOperator | None = None,
         on_keys: Callable[[], None] | None = None,
@@ -96,4 +96,4 @@
         """Apply what may change while the program runs: the address of discovery."""
         if config.discovery != self.discovery.address:
             log(f"discovery moves to {config.discovery[0]}:{config.discovery[1]}")
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 from sagetrack.core import gateway as gateway_module
 from sagetrack.core.clock import now_us
 from sagetrack.core.drain import LEAVE_ACCEPT_S
-from sagetrack.discovery.client import parse_list
+from sagetrack.discovery.endpoint_parsing import parse_endpoint_list
 from sagetrack.http1.downstream import PIPELINED
 from sagetrack.http1.upstream_connection import HostConnection
 from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
@@ -72,7 +72,7 @@
 
 def tell(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
     names = parse(configuration()).names
-    run.gateway.on_list(kind, parse_list(hosts_list(8, *endpoints), names)[2])
+    run.gateway.on_list(kind, parse_endpoint_list(hosts_list(8, *endpoints), names).endpoints)
 
 
 def nothing_is_left(run: Running) -> bool:
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -21,7 +21,9 @@
 from sagetrack.config.platform import Address, Names, parse_address
 from sagetrack.core.deadlines import LEAST_GRACE_S, SILENCE_S, watching
 from sagetrack.core.endpoints import Endpoint, Reply
-from sagetrack.discovery.client import CallError, Discovery, Line
+from sagetrack.discovery.client import DiscoveryClient
+from sagetrack.discovery.connection import DiscoveryConnection
+from sagetrack.discovery.errors import DiscoveryCallError
 from sagetrack.policy.interface import (
     Action,
     EndpointList,
@@ -234,7 +236,7 @@
         failed = begin(run, 5)
         await until(lambda: failed.told == 5)
         async with asyncio.timeout(MOVED_S + grace_s(run)):
-            run.instance.discovery.move(parse_address(new.address, "discovery"))
+            run.instance.discovery.change_address(parse_address(new.address, "discovery"))
             await until(lambda: is_draining(run))
         assert refused.is_set() and len(old.seen) == 5
         new.script = silent
@@ -292,7 +294,7 @@
         self.here_s: asyncio.Future[float] = self.loop.create_future()
         self.asked: list[bytes] = []
         names = Names({}, {}, {}, {})
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             ("127.0.0.1", 9), names, self.on_list, settings.endpoints_are_pushed, self.connect, self.limits
         )
         self.discovery.take_known(hosts_list(7, endpoint("s-0", "127.0.0.1:1")))
@@ -312,7 +314,7 @@
             elif isinstance(action, WatchEndpoints):
                 self.discovery.watch(action.on)
 
-    async def connect(self, address: Address) -> Line:
+    async def connect(self, address: Address) -> DiscoveryConnection:
         call, self.calls = self.calls, self.calls + 1
         if call == len(self.faults) - 1:
             self.back_s = self.loop.time()  # the last that fails is under way
@@ -342,7 +344,7 @@
         if self.fault == "hangs":
             await asyncio.get_running_loop().create_future()
         if self.fault == "reset":
-            raise CallError("the connection ended")
+            raise DiscoveryCallError("the connection ended")
         if self.fault == "busy":
             return Reply(429, [], b"", True)
         await asyncio.sleep(late_s)
@@ -455,7 +457,7 @@
         times = calls.setdefault(fault, [])
         connect = played.connect
 
-        async def noted(address: Address) -> Line:
+        async def noted(address: Address) -> DiscoveryConnection:
             times.append(played.loop.time())
             return await connect(address)
 
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sagetrack.discovery.client import parse_list
+from sagetrack.discovery.endpoint_parsing import parse_endpoint_list
 from sagetrack.policy.interface import (
     EndpointList,
     FetchEndpoints,
@@ -107,7 +107,7 @@
         told = lists(run)
         run.gateway.carry_out(WatchEndpoints(False))
         await until(lambda: registry.ended == 1)
-        assert not told and run.instance.discovery.watching is None
+        assert not told and run.instance.discovery.watch_task is None
 
 
 @on_loop
@@ -334,7 +334,9 @@
     for entry in withdrawals:
         async with peer() as host, running(configuration(host)) as run:
             changes = hosts_list(8, endpoint("s-0", host.address) | entry, snapshot=False)
-            run.gateway.on_list(ListKind.DELTA, parse_list(changes, run.instance.config.names)[2])
+            run.gateway.on_list(
+                ListKind.DELTA, parse_endpoint_list(changes, run.instance.config.names).endpoints
+            )
             assert (await run.ask(request("transfer", b"x"))).status == 503, entry
             assert not host.seen
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -6,7 +6,7 @@
 
 from sagetrack.config.platform import parse
 from sagetrack.core.endpoints import Reply
-from sagetrack.discovery.client import parse_list
+from sagetrack.discovery.endpoint_parsing import parse_endpoint_list
 from sagetrack.http1.upstream_connection import Attempt, HostConnection
 from sagetrack.policy.interface import ListKind, Outcome
 from tests.sockets import (
@@ -128,7 +128,9 @@
         asking = asyncio.create_task(run.ask(request()))
         await until(lambda: host.seen)
         names = parse(configuration(host)).names
-        _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names)
+        _, _, entries = parse_endpoint_list(
+            hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names
+        )
         run.gateway.on_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
         host.seen[0].answer(reply(200, b"done"))
@@ -165,7 +167,7 @@
         asking = asyncio.create_task(run.ask(request()))
         await until(lambda: old.seen)
         names = parse(configuration(old)).names
-        _, _, entries = parse_list(hosts_list(8, endpoint("s-0", new.address)), names)
+        _, _, entries = parse_endpoint_list(hosts_list(8, endpoint("s-0", new.address)), names)
         run.gateway.on_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
         await asking
@@ -180,7 +182,9 @@
         names = parse(configuration(host)).names
         assert (await run.ask(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
-            _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names)
+            _, _, entries = parse_endpoint_list(
+                hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names
+            )
             run.gateway.on_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sagetrack.discovery.client import list_as_json
+from sagetrack.discovery.endpoint_list_json import encode_endpoint_list
 from sagetrack.server.hot_restart import LIST, Overlap
 from tests.sockets import (
     configuration,
@@ -53,7 +53,7 @@
 
 def as_written(known: dict[str, object]) -> dict[str, object]:
     """The list as the next process reads it."""
-    read: dict[str, object] = json.loads(list_as_json(known))
+    read: dict[str, object] = json.loads(encode_endpoint_list(known))
     return read
 
 
@@ -188,7 +188,7 @@
         config["settings"]["membershipMode"] = "on_request"
         async with running(config) as run:
             kept: list[dict[str, object]] = []
-            run.instance.discovery.on_news = lambda address, known: kept.append(as_written(known()))
+            run.instance.discovery.on_list_changed = lambda address, known: kept.append(as_written(known()))
             run.instance.discovery.watch(True)
             await until(lambda: len(kept) == 2)
             assert kept[0] == hosts_list(
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -14,8 +14,8 @@
 
 from sagetrack.config.platform import Names
 from sagetrack.core.deadlines import watching
-from sagetrack.discovery import client as discovery_client
-from sagetrack.discovery.client import Discovery
+from sagetrack.discovery import endpoint_list_json
+from sagetrack.discovery.client import DiscoveryClient
 from sagetrack.policy import load_balancer
 from sagetrack.policy.admission import AdmissionSettings
 from sagetrack.policy.decayed_sums import DecayingSums
@@ -289,13 +289,13 @@
 REGISTRY = ("127.0.0.1", 9)
 
 
-def a_discovery(overlap: Overlap) -> Discovery:
+def a_discovery(overlap: Overlap) -> DiscoveryClient:
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
     names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), watching(SETTINGS)
-    discovery = Discovery(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
-    discovery.on_news = overlap.hand_on
+    discovery = DiscoveryClient(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
+    discovery.on_list_changed = overlap.hand_on
     return discovery
 
 
@@ -304,23 +304,23 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.lists, self.entries = 0, 0
-        replaced, encoded = os.replace, discovery_client.as_json
+        replaced, encoded = os.replace, endpoint_list_json.encode_endpoint
 
         def replace_(old: Path, new: Path) -> None:
             self.lists += new.name == LIST
             replaced(old, new)
 
-        def as_json(item: dict[str, Any]) -> Any:
+        def encode_endpoint(item: dict[str, Any]) -> Any:
             self.entries += 1
             return encoded(item)
 
         monkeypatch.setattr(os, "replace", replace_)
-        monkeypatch.setattr(discovery_client, "as_json", as_json)
+        monkeypatch.setattr(endpoint_list_json, "encode_endpoint", encode_endpoint)
 
 
-def take(discovery: Discovery, index: int, *entries: dict[str, object], whole: bool = False) -> None:
-    discovery.index = index
-    discovery.note({"endpoints": list(entries)}, whole)
+def take(discovery: DiscoveryClient, index: int, *entries: dict[str, object], whole: bool = False) -> None:
+    discovery.version = index
+    discovery.record_changes({"endpoints": list(entries)}, whole)
 
 
 @on_loop
