--- a/sagetrack/lab/membership.py
+++ b/sagetrack/lab/membership.py
@@ -13,7 +13,9 @@
 
 from sagetrack.lab.virtual import SimClock
 from sagetrack.peers.codec import Datagram, decode, encode
-from sagetrack.peers.membership import Membership, Settings, State
+from sagetrack.peers.member_table import MemberState
+from sagetrack.peers.membership import Membership
+from sagetrack.peers.settings import MembershipSettings
 
 WARM_US = 5_000_000  # before anything happens
 
@@ -49,7 +51,7 @@
         count: int,
         seed: int,
         loss: float,
-        settings: Settings,
+        settings: MembershipSettings,
         delay_us: tuple[int, int] = (1_000, 10_000),
     ) -> None:
         self.clock = SimClock()
@@ -59,7 +61,7 @@
         self.sides: dict[int, int] = {}  # while partitioned: each one's side
         self.members: dict[int, Membership] = {}
         self.planned: dict[int, int] = {}  # when each is looked at next
-        self.changed: list[tuple[int, int, int, State]] = []  # time, who, of whom, to what
+        self.changed: list[tuple[int, int, int, MemberState]] = []  # time, who, of whom, to what
         for number in range(count):
             self.start(number, 1)
 
@@ -124,7 +126,7 @@
     def views_equal(self) -> bool:
         """Whether every living member takes every dead one for dead, and no other."""
         return all(
-            (peer.state is State.DEAD) == (other in self.dead)
+            (peer.state is MemberState.DEAD) == (other in self.dead)
             for number, member in self.members.items()
             if number not in self.dead
             for other, peer in member.peers.items()
@@ -137,10 +139,10 @@
     loss: float,
     seconds: float = 60.0,
     deaths: int = 1,
-    settings: Settings | None = None,
+    settings: MembershipSettings | None = None,
 ) -> Outcome:
     """Some die at once, after a while; until when is it known, and who else is taken for dead?"""
-    fleet = Fleet(count, seed, loss, settings or Settings())
+    fleet = Fleet(count, seed, loss, settings or MembershipSettings())
     made = Outcome(count, loss)
     fleet.run(WARM_US)
     fleet.dead = set(fleet.draw.sample(range(count), deaths))
@@ -148,9 +150,9 @@
     fleet.run(WARM_US + int(seconds * 1e6))
     known: dict[tuple[int, int], float] = {}
     for time, who, of, state in fleet.changed:
-        if state is State.DEAD and of in victims and time >= WARM_US:
+        if state is MemberState.DEAD and of in victims and time >= WARM_US:
             known.setdefault((who, of), (time - WARM_US) / 1e6)
-        elif state is State.DEAD and of not in victims:
+        elif state is MemberState.DEAD and of not in victims:
             made.false_deaths += 1
     survivors = [number for number in range(count) if number not in victims]
     made.known_s = [known[s, v] for s in survivors for v in victims if (s, v) in known]
@@ -164,7 +166,7 @@
 
 def partition(count: int, seed: int, loss: float, seconds: float = 10.0, longest: float = 120.0) -> Outcome:
     """A third is cut off for a while; how long after its end are all views equal again?"""
-    fleet = Fleet(count, seed, loss, Settings())
+    fleet = Fleet(count, seed, loss, MembershipSettings())
     made = Outcome(count, loss)
     fleet.run(WARM_US)
     fleet.sides = {number: int(number < count // 3) for number in range(count)}
--- a/sagetrack/lab/scale/agent.py
+++ b/sagetrack/lab/scale/agent.py
@@ -39,7 +39,7 @@
         "the text of a whole list is read",
         "servers",
         "names of 16 bytes",
-        "sagetrack/discovery/client.py: _ask",
+        "sagetrack/discovery/client.py: _call",
         text_by_servers,
         least=25,
     ),
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -11,9 +11,9 @@
 from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
 from sagetrack.lab.scale.world import FleetAhead
 from sagetrack.peers.codec import Datagram, encode
-from sagetrack.peers.demand_gossip import FELLOWS, demands_in, wanted
-from sagetrack.peers.membership import Settings
-from sagetrack.peers.warm_start import ASKED, split
+from sagetrack.peers.demand_gossip import FANOUT, demand_message, demands_from
+from sagetrack.peers.settings import MembershipSettings
+from sagetrack.peers.warm_start import PEERS_ASKED, divide_response
 from sagetrack.policy.interface import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
@@ -26,7 +26,7 @@
     began = time.thread_time_ns()
     seen = death(size, fleet.seed, 0.0, WATCHED_S)
     spent_us = (time.thread_time_ns() - began) / 1000
-    held = held_bytes(lambda: Fleet(size, fleet.seed, 0.0, Settings()))
+    held = held_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
     values: Values = {
         "known_s": seen.median_s,
         "known_p99_s": seen.p99_s,
@@ -50,14 +50,14 @@
 def demands_by_tenants(fleet: FleetAhead, size: int, meter: Meter) -> Values:
     """What is asked for here becomes a datagram, and one that came becomes demands, as each second."""
     demands = [share * 1e9 for share in fleet.shares[:size]]
-    told = wanted(demands)
+    told = demand_message(demands)
     assert told is not None
     data = encode(Datagram(0, 1, [told]))
-    values = meter.event(lambda: (wanted(demands), demands_in(told, size)), few=1)
+    values = meter.event(lambda: (demand_message(demands), demands_from(told, size)), few=1)
     return values | {
         "bytes": float(len(data)),
-        "bytes_per_s": float(FELLOWS * len(data)),
-        "messages_per_s": float(FELLOWS),
+        "bytes_per_s": float(FANOUT * len(data)),
+        "messages_per_s": float(FANOUT),
         "entries": float(len(told.demands)),
     }
 
@@ -65,11 +65,15 @@
 def warm_start_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
     """A gateway that knows all servers answers one that has just started."""
     sights = [Observation(number, 0, 0, BASE_US, weight=0.5) for number in range(size)]
-    parts = split(1, sights, [], BASE_US)
-    values = meter.event(lambda: split(1, sights, [], BASE_US), few=1)
+    parts = divide_response(1, sights, [], BASE_US)
+    values = meter.event(lambda: divide_response(1, sights, [], BASE_US), few=1)
     told = sum(len(part.servers) for part in parts)
     length = sum(len(encode(Datagram(0, 1, [part]))) for part in parts)
-    return values | {"messages": float(len(parts)), "bytes": float(length * ASKED), "entries": float(told)}
+    return values | {
+        "messages": float(len(parts)),
+        "bytes": float(length * PEERS_ASKED),
+        "entries": float(told),
+    }
 
 
 def learned_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
@@ -126,7 +130,7 @@
         "an answer to who has just started",
         "servers",
         "all seen",
-        "sagetrack/peers/warm_start.py: split",
+        "sagetrack/peers/warm_start.py: divide_response",
         warm_start_by_servers,
         least=25,
     ),
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -17,10 +17,12 @@
 from sagetrack.lab.scenario import Scenario, Trouble, platform_settings
 from sagetrack.lab.server import Job, Result
 from sagetrack.lab.world import GONE, Listed, Try, World
-from sagetrack.peers.codec import Ask, Datagram, Tell, Wanted, decode, encode
-from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
-from sagetrack.peers.membership import Membership, Settings
-from sagetrack.peers.warm_start import Asker, Teller, latencies_from
+from sagetrack.peers.codec import Datagram, DemandGossip, WarmStartRequest, WarmStartResponse, decode, encode
+from sagetrack.peers.demand_gossip import DemandGossipSchedule, demand_message, demands_from
+from sagetrack.peers.membership import Membership
+from sagetrack.peers.observation_codec import latencies_from
+from sagetrack.peers.settings import MembershipSettings
+from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
 from sagetrack.policy.admission import AdmissionSettings
 from sagetrack.policy.concurrency_limit import Rate
 from sagetrack.policy.interface import (
@@ -346,42 +348,48 @@
         peers = gateway.world.scenario.peers
         count = gateway.world.scenario.fleet.gateways
         now = self.clock.now_us()
-        settings = Settings(period_us=int(peers.period_ms * 1000))
-        self.machine = Membership(gateway.number, count, settings, seed, now, self.send, 1 + now // 1_000_000)
-        self.machine.on_change = lambda member, state: gateway.handle(FleetSizeChanged(self.machine.alive))
+        settings = MembershipSettings(period_us=int(peers.period_ms * 1000))
+        self.membership = Membership(
+            gateway.number, count, settings, seed, now, self.send, 1 + now // 1_000_000
+        )
+        self.membership.on_change = lambda member, state: gateway.handle(
+            FleetSizeChanged(self.membership.alive)
+        )
         others = [number for number in range(count) if number != gateway.number]
         warm = peers.warm_start and now > 0  # nobody knows anything at the begin of a run
-        self.asker = Asker(gateway.number, others, seed ^ 1, now, self.ask) if warm else None
-        self.teller = Teller(now)
-        self.herald = Herald(gateway.number, count, seed ^ 2, now) if gateway.balancer.admission else None
+        self.warm_start_client = WarmStartClient(others, seed ^ 1, now, self.ask) if warm else None
+        self.warm_start_server = WarmStartServer(now)
+        self.demand_schedule = (
+            DemandGossipSchedule(gateway.number, count, seed ^ 2, now) if gateway.balancer.admission else None
+        )
         self.planned_us = -1
         self.clock.at(now, self.wake)
 
     def send(self, target: int, datagram: Datagram) -> None:
         if not self.gateway.dead:
-            self.machine.counts.sent += 1
+            self.membership.counts.sent += 1
             data = encode(datagram)
-            self.machine.counts.sent_bytes += len(data)
+            self.membership.counts.sent_bytes += len(data)
             self.gateway.fleet.carry(self.gateway.number, target, data)
 
-    def ask(self, target: int, ask: Ask) -> None:
-        self.send(target, Datagram(self.gateway.number, self.machine.incarnation, [ask]))
+    def ask(self, target: int, ask: WarmStartRequest) -> None:
+        self.send(target, Datagram(self.gateway.number, self.membership.incarnation, [ask]))
 
     def wake(self) -> None:
         if self.gateway.dead:
             return
         now = self.clock.now_us()
-        self.machine.tick(now)
-        due = self.machine.next_us()
-        if self.asker is not None and not self.asker.is_over:
-            self.asker.tick(now)
-            due = min(due, self.asker.due_us)
+        self.membership.tick(now)
+        due = self.membership.next_us()
+        if self.warm_start_client is not None and not self.warm_start_client.is_finished:
+            self.warm_start_client.tick(now)
+            due = min(due, self.warm_start_client.due_us)
         door = self.gateway.balancer.admission
-        if self.herald is not None and door is not None:
-            for target in self.herald.whom(now):
-                if (message := wanted(door.levels.tell(now + BASE_US))) is not None:
-                    self.send(target, Datagram(self.gateway.number, self.machine.incarnation, [message]))
-            due = min(due, self.herald.due_us)
+        if self.demand_schedule is not None and door is not None:
+            for target in self.demand_schedule.targets(now):
+                if (message := demand_message(door.levels.tell(now + BASE_US))) is not None:
+                    self.send(target, Datagram(self.gateway.number, self.membership.incarnation, [message]))
+            due = min(due, self.demand_schedule.due_us)
         if due != self.planned_us:
             self.planned_us = due
             self.clock.at(max(due, now + 1000), lambda: self.wake_at(due))
@@ -394,19 +402,19 @@
     def hear(self, data: bytes) -> None:
         now, gateway = self.clock.now_us(), self.gateway
         datagram = decode(data)
-        self.machine.handle(now, datagram)
+        self.membership.handle(now, datagram)
         for message in datagram.messages:
-            if isinstance(message, Ask):
+            if isinstance(message, WarmStartRequest):
                 sights, latencies = gateway.balancer.sights()
-                for part in self.teller.answer(now + BASE_US, message, sights, latencies):
-                    self.send(datagram.sender, Datagram(gateway.number, self.machine.incarnation, [part]))
-            elif isinstance(message, Tell) and self.asker is not None:
+                for part in self.warm_start_server.answer(now + BASE_US, message, sights, latencies):
+                    self.send(datagram.sender, Datagram(gateway.number, self.membership.incarnation, [part]))
+            elif isinstance(message, WarmStartResponse) and self.warm_start_client is not None:
                 lives = {n: s.entry.started_us for n, s in gateway.balancer.servers.items()}
-                found = self.asker.handle(now + BASE_US, datagram.sender, message, lives)
+                found = self.warm_start_client.handle(now + BASE_US, datagram.sender, message, lives)
                 gateway.handle(ObservationsReceived(tuple(found), latencies_from(message.classes)))
-            elif isinstance(message, Wanted) and gateway.balancer.admission is not None:
+            elif isinstance(message, DemandGossip) and gateway.balancer.admission is not None:
                 members = len(gateway.balancer.admission.shares)
-                gateway.handle(PeerDemands(datagram.sender, demands_in(message, members)))
+                gateway.handle(PeerDemands(datagram.sender, demands_from(message, members)))
         self.wake()
 
 
--- a/sagetrack/peers/__init__.py
+++ b/sagetrack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership between gateways, and what they tell each other."""
+"""Messages between gateways: membership, gossip of demand, warm starts, and the hand-over at a restart."""
--- a/sagetrack/peers/codec.py
+++ b/sagetrack/peers/codec.py
@@ -1,8 +1,8 @@
-"""Datagrams between gateways: at most 256 bytes, versioned, with a checksum; what cannot be read is rejected.
+"""Datagrams between gateways: at most 256 bytes, with a version and a checksum; unreadable ones are rejected.
 
 A datagram is one byte of version, four of CRC-32 (as in ISO 3309, by zlib) over what follows it, and a
-MessagePack array: sender, its incarnation, and messages. Each message is an array that begins with its
-number.
+MessagePack array: sender, its incarnation, and messages. Each message is an array that begins with its type's
+number. Names are not on the wire: the order of fields and the tags are the format.
 """
 
 from __future__ import annotations
@@ -14,136 +14,193 @@
 import msgspec
 from msgspec import Meta
 
+from sagetrack.peers.errors import CodecError
+
 VERSION = 1
-LIMIT = 256  # bytes of a datagram
-HEAD = 5
+DATAGRAM_LIMIT = 256  # bytes
+VERSION_BYTES = 1
+CHECKSUM_BYTES = 4
+HEADER_BYTES = VERSION_BYTES + CHECKSUM_BYTES
+ENVELOPE_BYTES = 16  # at most, of sender, incarnation and the beginnings of arrays
 Member = Annotated[int, Meta(ge=0, le=65_535)]
 Number = Annotated[int, Meta(ge=0, le=2**62)]
 Small = Annotated[int, Meta(ge=0, le=255)]
 
 
 class Ping(msgspec.Struct, tag=1, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Are you there? For `target`, so that one who has another's address does not answer for it."""
+    """Asks `target` for an acknowledgement; a member that has another's address does not answer for it."""
 
-    number: Number
+    sequence: Number
     target: Member
 
 
 class Ack(msgspec.Struct, tag=2, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """`target` is there."""
+    """Acknowledges the ping of `target` with this sequence number."""
 
-    number: Number
+    sequence: Number
     target: Member
 
 
 class PingRequest(msgspec.Struct, tag=3, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Ask `target` for me."""
+    """Asks the receiver for an indirect ping of `target` (SWIM's ping-req)."""
 
-    number: Number
+    sequence: Number
     target: Member
 
 
 class Nack(msgspec.Struct, tag=4, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """I asked `target` for you and heard nothing, but I hear you (Lifeguard)."""
+    """Says that an indirect ping of `target` has not been acknowledged yet (Lifeguard)."""
 
-    number: Number
+    sequence: Number
     target: Member
 
 
 class Update(msgspec.Struct, tag=5, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A member is alive (0), suspected by someone (1) or dead (2) in its so-and-so-manieth incarnation."""
+    """Says that a member is alive (0), suspected (1) or dead (2) in an incarnation.
+
+    Attributes:
+        member: The member that it is about.
+        state: A `MemberState`.
+        incarnation: The incarnation that it is about.
+        reporter: The member that suspects it, or has declared it dead.
+    """
 
     member: Member
     state: Annotated[int, Meta(ge=0, le=2)]
     incarnation: Number
-    by: Member
+    reporter: Member
 
 
-class Ask(msgspec.Struct, tag=6, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """I have just started: what do you know of the servers?"""
+class WarmStartRequest(msgspec.Struct, tag=6, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """Asks for what the receiver has observed of servers, as the sender has just started."""
 
-    number: Number
+    request_id: Number
 
 
 class ServerFact(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What the sender itself has seen of one server. Times in units that keep a fact under 20 bytes."""
+    """The sender's own observation of one server, in units that keep it under 20 bytes.
+
+    Attributes:
+        server: The server's id.
+        start_id: The lowest 24 bits of its start, in milliseconds: tells its incarnations apart.
+        state: Of its circuit breaker: closed, open, half-open.
+        overloaded: Whether it is.
+        weight: In hundredths.
+        cooldown: Left of its circuit breaker's, in tenths of a second.
+        age: Since it was observed, in hundredths of a second.
+        slow_start_used: Work done while it is warming up, in milliseconds.
+    """
 
     server: Annotated[int, Meta(ge=0, le=2**62)]
-    life: Annotated[int, Meta(ge=0, lt=2**24)]  # of its start, in milliseconds, the lowest 24 bits
-    state: Annotated[int, Meta(ge=0, le=2)]  # closed, open, half-open
-    jammed: bool
-    weight: Annotated[int, Meta(ge=0, le=100)]  # hundredths
-    cooldown: Small  # left, in tenths of a second
-    age: Annotated[int, Meta(ge=0, le=65_535)]  # since it was seen, in hundredths of a second
-    spent: Annotated[int, Meta(ge=0, le=65_535)] = 0  # while cold, in milliseconds of work
+    start_id: Annotated[int, Meta(ge=0, lt=2**24)]
+    state: Annotated[int, Meta(ge=0, le=2)]
+    overloaded: bool
+    weight: Annotated[int, Meta(ge=0, le=100)]
+    cooldown: Small
+    age: Annotated[int, Meta(ge=0, le=65_535)]
+    slow_start_used: Annotated[int, Meta(ge=0, le=65_535)] = 0
 
 
 class ClassFact(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Latencies of one class, in tenths of a millisecond."""
+    """Latencies of one request class, in tenths of a millisecond.
+
+    Attributes:
+        klass: The class's number.
+        smoothed: Smoothed latency.
+        baseline: Latency without queueing.
+    """
 
     klass: Small
     smoothed: Annotated[int, Meta(ge=1, lt=2**32)]
-    unhindered: Annotated[int, Meta(ge=1, lt=2**32)]
+    baseline: Annotated[int, Meta(ge=1, lt=2**32)]
 
 
-class Tell(msgspec.Struct, tag=7, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One part of an answer to Ask."""
+class WarmStartResponse(msgspec.Struct, tag=7, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """One part of the response to a `WarmStartRequest`; of use without the others.
 
-    number: Number
+    Attributes:
+        request_id: The request's.
+        part: Which part this is, from 0.
+        parts: How many there are.
+        classes: Latencies by request class.
+        servers: Observations of servers.
+    """
+
+    request_id: Number
     part: Small
     parts: Annotated[int, Meta(ge=1, le=255)]
     classes: Annotated[list[ClassFact], Meta(max_length=64)]
     servers: Annotated[list[ServerFact], Meta(max_length=64)]
 
 
-class Wanted(msgspec.Struct, tag=8, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Work that the sender was asked for of late, by member: (place, milliseconds for a second)."""
+class DemandGossip(msgspec.Struct, tag=8, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """The demand of tenants at the sender of late.
+
+    Attributes:
+        demands: A tenant's index, and milliseconds of work for a second.
+    """
 
     demands: Annotated[list[tuple[Member, Annotated[int, Meta(ge=0, lt=2**32)]]], Meta(max_length=24)]
 
 
-Message = Ping | Ack | PingRequest | Nack | Update | Ask | Tell | Wanted
+Message = Ping | Ack | PingRequest | Nack | Update | WarmStartRequest | WarmStartResponse | DemandGossip
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What one datagram says."""
+    """The content of one datagram.
+
+    Attributes:
+        sender: The member that sends it.
+        incarnation: The sender's incarnation.
+        messages: What it says.
+    """
 
     sender: Member
     incarnation: Number
     messages: Annotated[list[Message], Meta(max_length=64)]
 
 
-class CodecError(ValueError):
-    """These bytes are no datagram of this version."""
-
-
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Datagram] = msgspec.msgpack.Decoder(Datagram)
 
 
 def encode(datagram: Datagram) -> bytes:
-    """The bytes of a datagram; ValueError if they are more than the limit."""
+    """Return the bytes of a datagram.
+
+    Raises:
+        CodecError: They are more than `DATAGRAM_LIMIT`.
+    """
     body = _encoder.encode(datagram)
-    if len(body) + HEAD > LIMIT:
-        raise ValueError(f"a datagram of {len(body) + HEAD} bytes")
-    return bytes((VERSION,)) + zlib.crc32(body).to_bytes(4) + body
+    if len(body) + HEADER_BYTES > DATAGRAM_LIMIT:
+        size = len(body) + HEADER_BYTES
+        raise CodecError(f"datagram of {size} bytes; at most {DATAGRAM_LIMIT} are allowed")
+    return bytes((VERSION,)) + zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body
 
 
-def size(messages: Iterable[Message]) -> int:
-    """How many bytes a datagram with these has at the most."""
-    return HEAD + 16 + sum(len(_encoder.encode(message)) for message in messages)
+def encoded_size(messages: Iterable[Message]) -> int:
+    """Return how many bytes a datagram with these messages has at the most."""
+    return HEADER_BYTES + ENVELOPE_BYTES + sum(len(_encoder.encode(message)) for message in messages)
+
+
+def encoded_fact_size(fact: ClassFact | ServerFact) -> int:
+    """Return how many bytes of a datagram a fact takes."""
+    return len(_encoder.encode(fact))
 
 
 def decode(data: bytes) -> Datagram:
-    """Read a datagram; CodecError, whatever the bytes, if it cannot be read whole."""
-    if not HEAD < len(data) <= LIMIT:
-        raise CodecError(f"{len(data)} bytes")
+    """Read a datagram.
+
+    Raises:
+        CodecError: These bytes, whatever they are, are no complete datagram of this version.
+    """
+    if not HEADER_BYTES < len(data) <= DATAGRAM_LIMIT:
+        raise CodecError(f"datagram of {len(data)} bytes; {HEADER_BYTES + 1} to {DATAGRAM_LIMIT} are allowed")
     if data[0] != VERSION:
-        raise CodecError(f"version {data[0]}")
-    body = data[HEAD:]
-    if zlib.crc32(body) != int.from_bytes(data[1:HEAD]):
-        raise CodecError("checksum")
+        raise CodecError(f"datagram of version {data[0]}; {VERSION} is read here")
+    body = data[HEADER_BYTES:]
+    if zlib.crc32(body) != int.from_bytes(data[VERSION_BYTES:HEADER_BYTES]):
+        raise CodecError("datagram with a wrong checksum")
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise CodecError(str(error)) from None
+        raise CodecError(f"datagram of unknown content: {error}") from None
--- a/sagetrack/peers/demand_gossip.py
+++ b/sagetrack/peers/demand_gossip.py
@@ -1,7 +1,8 @@
-"""What members ask for at this gateway, told to a few others each second. Pure.
+"""The demand of tenants at this gateway, gossiped to a few others each second.
 
-Shares are to hold for all gateways together: each tells its demands to a few others drawn by lot, and reckons
-from those that it hears of to all. So a gateway sends the same few datagrams however many there are.
+Quotas are to hold for all gateways together: each sends its tenants' demand to a few others drawn at random,
+and extrapolates from what it receives to all. So a gateway sends the same few datagrams in a fleet of any
+size.
 """
 
 from __future__ import annotations
@@ -9,40 +10,63 @@
 import random
 from collections.abc import Sequence
 
-from sagetrack.peers.codec import Wanted
+from sagetrack.peers.codec import DemandGossip
 
-EVERY_US = 1_000_000
-FELLOWS = 6  # that are told each time
-PLACES = 24  # members that fit into a datagram, those of the highest demand
+INTERVAL_US = 1_000_000
+FANOUT = 6  # gateways that it is sent to each time
+MAX_DEMANDS = 24  # tenants that fit into a datagram, those of the highest demand
+LEAST_DEMAND_US = 1000  # of work for a second; less is not sent
 
 
-def wanted(demands: Sequence[float]) -> Wanted | None:
-    """The message; None where nobody asks. `demands` in microseconds of work for a second, by member."""
-    told = sorted(((int(us / 1000), n) for n, us in enumerate(demands) if us >= 1000), reverse=True)
-    return Wanted([(n, ms) for ms, n in told[:PLACES]]) if told else None
+def demand_message(demands: Sequence[float]) -> DemandGossip | None:
+    """Return the message, or None if there is no demand.
 
+    Args:
+        demands: Microseconds of work for a second, by tenant.
+    """
+    in_ms = ((int(us / 1000), tenant) for tenant, us in enumerate(demands) if us >= LEAST_DEMAND_US)
+    highest = sorted(in_ms, reverse=True)[:MAX_DEMANDS]
+    return DemandGossip([(tenant, ms) for ms, tenant in highest]) if highest else None
 
-def demands_in(message: Wanted, members: int) -> tuple[float, ...]:
-    """The demands that a message tells, in microseconds; members beyond our own settings are passed over."""
-    demands = [0.0] * members
-    for place, ms in message.demands:
-        if place < members:
-            demands[place] = ms * 1000.0
+
+def demands_from(message: DemandGossip, tenants: int) -> tuple[float, ...]:
+    """Return a message's demands, in microseconds by tenant; unknown tenants are ignored.
+
+    Args:
+        message: As received.
+        tenants: How many tenants the settings have.
+    """
+    demands = [0.0] * tenants
+    for tenant, ms in message.demands:
+        if tenant < tenants:
+            demands[tenant] = ms * 1000.0
     return tuple(demands)
 
 
-class Herald:
-    """When to tell, and whom."""
+class DemandGossipSchedule:
+    """When to send the demand, and to whom.
+
+    Attributes:
+        due_us: When it is to be sent next.
+    """
 
     def __init__(self, me: int, count: int, seed: int, now_us: int) -> None:
-        self.others = [number for number in range(count) if number != me]
-        self.draw = random.Random(seed)
-        # Not all at the same moment: a restart of many must not make their datagrams come together.
-        self.due_us = now_us + int(self.draw.random() * EVERY_US)
+        """Begin at a random time within the first interval.
+
+        Args:
+            me: This gateway's number.
+            count: Gateways in all.
+            seed: Of the randomness.
+            now_us: The time.
+        """
+        self._others = [number for number in range(count) if number != me]
+        self._random = random.Random(seed)
+        # Not all at the same time: a restart of many must not make their datagrams coincide.
+        self.due_us = now_us + int(self._random.random() * INTERVAL_US)
 
-    def whom(self, now_us: int) -> list[int]:
-        """Who is told now; nobody before it is time."""
+    def targets(self, now_us: int) -> list[int]:
+        """Return the gateways to send to now, none before it is due; the next interval begins."""
         if now_us < self.due_us:
             return []
-        self.due_us = now_us + EVERY_US
-        return self.draw.sample(self.others, min(FELLOWS, len(self.others)))
+        self.due_us = now_us + INTERVAL_US
+        return self._random.sample(self._others, min(FANOUT, len(self._others)))
--- /dev/null
+++ b/sagetrack/peers/failure_detector.py
@@ -0,0 +1,268 @@
+"""SWIM's failure detector: pings, indirect pings and what follows from their outcome, without I/O.
+
+In each protocol period a member pings one other, in a shuffled round (SWIM, section 4.3). Without an
+acknowledgement it pings once more, then asks a few others for an indirect ping, and in the end reports that
+the target does not answer. From Lifeguard: a member that is asked and hears nothing says so (nack), and one
+that receives fewer acknowledgements and nacks than it should slows its own pings (local health, LHA-Probe).
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from sagetrack.peers.codec import Ack, Message, Nack, Ping, PingRequest, Update
+from sagetrack.peers.member_table import MemberState, MemberTable
+from sagetrack.peers.settings import MembershipSettings
+
+RETURNED_PINGS = 4  # dead members that are pinged in a period once one has come back
+MAX_LOCAL_HEALTH = 8  # the period and timeout are at most this much longer, plus one
+MAX_RELAYED_PINGS = 64  # pings for other members that are under way at a time
+SEQUENCE_BITS = 40  # of the first sequence number, which is random
+
+
+class SendMessage(Protocol):
+    """Sends a message, with updates piggybacked, unless the limit on datagrams forbids it."""
+
+    def __call__(self, now_us: int, target: int, message: Message, first: Message | None = None) -> None:
+        """Send `first`, if any, and then `message` to the target."""
+
+
+class LocalHealth:
+    """How badly this member seems to receive others (Lifeguard's local health multiplier); 0 is well."""
+
+    def __init__(self) -> None:
+        self._score = 0
+
+    def worsen(self) -> None:
+        """An acknowledgement or nack was missed, or this member itself was suspected."""
+        self._score = min(MAX_LOCAL_HEALTH, self._score + 1)
+
+    def improve(self) -> None:
+        """An acknowledgement was received."""
+        self._score = max(0, self._score - 1)
+
+    def stretch(self, time_us: int) -> int:
+        """Return a period or timeout, longer the worse the health."""
+        return time_us * (self._score + 1)
+
+
+@dataclass(slots=True)
+class Probe:
+    """A ping of which the outcome is awaited.
+
+    Attributes:
+        sequence: Its sequence number.
+        target: The member that is pinged.
+        retry_us: When it is pinged once more.
+        indirect_us: When others are asked for an indirect ping.
+        deadline_us: When it counts as not acknowledged.
+        was_retried: Whether it was pinged once more.
+        is_indirect: Whether others were asked.
+        silent_helpers: Others that were asked and have not answered at all.
+    """
+
+    sequence: int
+    target: int
+    retry_us: int
+    indirect_us: int
+    deadline_us: int
+    was_retried: bool = False
+    is_indirect: bool = False
+    silent_helpers: set[int] = field(default_factory=set)
+
+    @property
+    def next_us(self) -> int:
+        """When something is due."""
+        if self.is_indirect:
+            return self.deadline_us
+        return self.indirect_us if self.was_retried else self.retry_us
+
+
+@dataclass(slots=True)
+class RelayedPing:
+    """An indirect ping that is made for another member.
+
+    Attributes:
+        requester: The member that asked for it.
+        requester_sequence: The sequence number that it asked with.
+        target: The member that is pinged.
+        due_us: When the nack is sent, and after that when the ping is forgotten.
+        was_nacked: Whether the nack was sent.
+    """
+
+    requester: int
+    requester_sequence: int
+    target: int
+    due_us: int
+    was_nacked: bool = False
+
+
+class FailureDetector:
+    """Pings members in turn. Call `tick` no later than `next_us`, and hand in the answers.
+
+    Attributes:
+        health: This member's local health.
+    """
+
+    def __init__(
+        self,
+        table: MemberTable,
+        settings: MembershipSettings,
+        draw: random.Random,
+        now_us: int,
+        send: SendMessage,
+        current_update: Callable[[int], Update],
+        on_unanswered: Callable[[int, int], None],
+    ) -> None:
+        """Begin with a ping at a random time within the first period.
+
+        Args:
+            table: What is believed of the other members.
+            settings: Parameters of membership.
+            draw: The source of randomness.
+            now_us: The time.
+            send: Sends a message.
+            current_update: Returns the update that says what is believed of a member.
+            on_unanswered: Called with the time and a member that was not heard in time.
+        """
+        self.health = LocalHealth()
+        self._table, self._settings, self._random = table, settings, draw
+        self._send, self._current_update, self._on_unanswered = send, current_update, on_unanswered
+        self._sequence = draw.getrandbits(SEQUENCE_BITS)
+        self._next_ping_us = now_us + int(draw.random() * settings.period_us)
+        self._probe: Probe | None = None
+        self._relayed: dict[int, RelayedPing] = {}  # by our sequence number
+        self._round: list[int] = []  # members that are still to be pinged in this round
+        self._maybe_returned: list[int] = []  # dead members that are pinged soon
+        self._periods = 0
+
+    def next_us(self) -> int:
+        """Return when something is due."""
+        due = [self._next_ping_us]
+        if self._probe is not None:
+            due.append(self._probe.next_us)
+        due += [relayed.due_us for relayed in self._relayed.values()]
+        return min(due)
+
+    def tick(self, now_us: int) -> None:
+        """Do what is due."""
+        self._expire_relayed(now_us)
+        probe = self._probe
+        if probe is not None:
+            self._continue_probe(now_us, probe)
+        if now_us >= self._next_ping_us:
+            self._next_ping_us = now_us + self.health.stretch(self._settings.period_us)
+            self._begin_period(now_us)
+
+    def on_ack(self, now_us: int, sender: int, ack: Ack) -> None:
+        """Take in an acknowledgement, and pass it on if the ping was made for another member."""
+        probe = self._probe
+        if probe is not None and probe.sequence == ack.sequence and probe.target == ack.target:
+            self._probe = None
+            self.health.improve()
+        relayed = self._relayed.pop(ack.sequence, None)
+        if relayed is not None and sender == relayed.target:
+            self._send(now_us, relayed.requester, Ack(relayed.requester_sequence, relayed.target))
+
+    def on_nack(self, sender: int, nack: Nack) -> None:
+        """Take in that a helper was not answered either: it is heard, so that our own receiving is well."""
+        if self._probe is not None and self._probe.sequence == nack.sequence:
+            self._probe.silent_helpers.discard(sender)
+
+    def on_ping_request(self, now_us: int, requester: int, request: PingRequest) -> None:
+        """Make an indirect ping for another member; beyond `MAX_RELAYED_PINGS` the request is ignored."""
+        target = request.target
+        if target not in self._table.peers or target == requester or len(self._relayed) >= MAX_RELAYED_PINGS:
+            return
+        sequence = self._next_sequence()
+        due_us = now_us + self._settings.timeout_us
+        self._relayed[sequence] = RelayedPing(requester, request.sequence, target, due_us)
+        self._send(now_us, target, Ping(sequence, target))
+
+    def on_member_returned(self) -> None:
+        """Ping all dead members soon: after a partition has healed, the others have returned too."""
+        if not self._maybe_returned:
+            self._maybe_returned = self._table.members(MemberState.DEAD)
+            self._random.shuffle(self._maybe_returned)
+
+    def _next_sequence(self) -> int:
+        self._sequence += 1
+        return self._sequence
+
+    def _expire_relayed(self, now_us: int) -> None:
+        for sequence, relayed in list(self._relayed.items()):
+            if now_us < relayed.due_us:
+                continue
+            if relayed.was_nacked:
+                del self._relayed[sequence]
+            else:
+                relayed.was_nacked = True
+                self._send(now_us, relayed.requester, Nack(relayed.requester_sequence, relayed.target))
+                relayed.due_us = now_us + self._settings.period_us
+
+    def _continue_probe(self, now_us: int, probe: Probe) -> None:
+        if not probe.was_retried and now_us >= probe.retry_us:
+            probe.was_retried = True  # a lost datagram is likelier than a death
+            self._send(now_us, probe.target, Ping(probe.sequence, probe.target))
+        if not probe.is_indirect and now_us >= probe.indirect_us:
+            self._request_indirect_pings(now_us, probe)
+        if now_us >= probe.deadline_us:
+            self._fail_probe(now_us, probe)
+
+    def _request_indirect_pings(self, now_us: int, probe: Probe) -> None:
+        probe.is_indirect = True
+        others = [member for member in self._table.members(MemberState.ALIVE) if member != probe.target]
+        for helper in self._random.sample(others, min(self._settings.indirect_pings, len(others))):
+            probe.silent_helpers.add(helper)
+            self._send(now_us, helper, PingRequest(probe.sequence, probe.target))
+
+    def _fail_probe(self, now_us: int, probe: Probe) -> None:
+        self._probe = None
+        if probe.silent_helpers or not probe.is_indirect:
+            self.health.worsen()
+        self._on_unanswered(now_us, probe.target)
+
+    def _begin_period(self, now_us: int) -> None:
+        if self._probe is not None:
+            self._fail_probe(now_us, self._probe)
+        self._periods += 1
+        dead = self._table.members(MemberState.DEAD)
+        any_alive = len(dead) < len(self._table.peers)
+        self._ping_dead_members(now_us, dead, any_alive)
+        if not any_alive:
+            return
+        target = self._next_target()
+        sequence = self._next_sequence()
+        timeout_us = self.health.stretch(self._settings.timeout_us)
+        deadline_us = now_us + self.health.stretch(self._settings.period_us) * 9 // 10
+        self._probe = Probe(sequence, target, now_us + timeout_us // 2, now_us + timeout_us, deadline_us)
+        self._send(now_us, target, Ping(sequence, target))
+
+    def _next_target(self) -> int:
+        """Return the next member of the round that is not dead; there has to be one."""
+        while True:
+            if not self._round:
+                self._round = list(self._table.peers)
+                self._random.shuffle(self._round)
+            target = self._round.pop()
+            if self._table.peers[target].state is not MemberState.DEAD:
+                return target
+
+    def _ping_dead_members(self, now_us: int, dead: list[int], any_alive: bool) -> None:
+        """Ping a dead member now and then, for good: so a partition heals, and one that returns is found."""
+        peers = self._table.peers
+        self._maybe_returned = [m for m in self._maybe_returned if peers[m].state is MemberState.DEAD]
+        if self._maybe_returned:
+            for target in self._maybe_returned[:RETURNED_PINGS]:
+                self._ping_dead(now_us, target)
+            del self._maybe_returned[:RETURNED_PINGS]
+        elif dead and (self._periods % self._settings.dead_ping_periods == 0 or not any_alive):
+            self._ping_dead(now_us, self._random.choice(dead))
+
+    def _ping_dead(self, now_us: int, target: int) -> None:
+        """Ping with the update of its death ahead: one that was only cut off refutes it in its answer."""
+        ping = Ping(self._next_sequence(), target)
+        self._send(now_us, target, ping, first=self._current_update(target))
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -1,8 +1,9 @@
-"""What a process leaves for the next one of the same gateway on the same machine: one file in $TMPDIR.
+"""The observations that a process leaves for its successor on the same machine: one file in $TMPDIR.
 
-It is written whole under another name first and renamed, with a checksum; what is torn, stale, of another
-version or of another gateway is passed over. Times are of the machine's own line (`clock.machine_us`), which
-both processes share and no step of the wall clock moves.
+The file is written under another name and renamed, so that no reader finds a part of it, and has a checksum;
+one that is damaged, stale, of another version or of another gateway is ignored. Times are readings of the
+machine's monotonic clock (`clock.machine_us`), which both processes share and no step of the wall clock
+moves.
 """
 
 from __future__ import annotations
@@ -19,67 +20,92 @@
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 FILE = "sagetrack-knowledge.bin"
-MAGIC = b"SGTK2"  # 1 had times of the writer's own line
-LIMIT = 1024 * 1024  # bytes: files count as memory
+MAGIC = b"SGTK2"  # SGTK1 had times of the writer's own clock
+CHECKSUM_BYTES = 4
+HEADER_BYTES = len(MAGIC) + CHECKSUM_BYTES
+MAX_BODY_BYTES = 1024 * 1024  # files count as memory
+READ_BYTES = MAX_BODY_BYTES + 64  # enough to see that a file is too long
 STALE_US = 60_000_000
 
 
-class Note(msgspec.Struct, array_like=True, frozen=True):
-    """What the file holds."""
+class HandoverRecord(msgspec.Struct, array_like=True, frozen=True):
+    """Content of the file; the order of the fields is its format.
+
+    Attributes:
+        gateway: The gateway's name.
+        written_us: When it was written.
+        observations: Of servers.
+        latencies: By request class.
+    """
 
     gateway: str
     written_us: int
-    sights: list[Observation]
+    observations: list[Observation]
     latencies: list[ClassLatency]
 
 
-def moved(sights: Iterable[Observation], by_us: int) -> list[Observation]:
-    """The same sights with their times on another line, which is so far ahead."""
+def shift_times(observations: Iterable[Observation], by_us: int) -> list[Observation]:
+    """Return the observations with their times on another clock, which is so far ahead."""
     return [
-        replace(sight, seen_us=sight.seen_us + by_us, open_until_us=sight.open_until_us + by_us)
-        for sight in sights
+        replace(one, seen_us=one.seen_us + by_us, open_until_us=one.open_until_us + by_us)
+        for one in observations
     ]
 
 
 def write(
-    folder: Path, gateway: str, now_us: int, sights: Iterable[Observation], latencies: Iterable[ClassLatency]
+    folder: Path,
+    gateway: str,
+    now_us: int,
+    observations: Iterable[Observation],
+    latencies: Iterable[ClassLatency],
 ) -> bool:
-    """Leave a note; False, and a line in the log, if that cannot be. Until it is whole the old one stands."""
-    body = msgspec.msgpack.encode(Note(gateway, now_us, list(sights), list(latencies)))
-    if len(body) > LIMIT:
-        log(f"what is known of servers is not handed on: {len(body)} bytes are too many")
+    """Write the file; until it is complete an older one stays.
+
+    Args:
+        folder: Where the successor looks for it.
+        gateway: The gateway's name.
+        now_us: The time on the machine's clock.
+        observations: Of servers, with times on that clock.
+        latencies: By request class.
+
+    Returns:
+        Whether it was written; if not, there is a log line.
+    """
+    record = HandoverRecord(gateway, now_us, list(observations), list(latencies))
+    body = msgspec.msgpack.encode(record)
+    if len(body) > MAX_BODY_BYTES:
+        log(f"health hand-over not written: {len(body)} bytes, at most {MAX_BODY_BYTES} are allowed")
         return False
     fresh = folder / f"{FILE}.{os.getpid()}"
     try:
-        fresh.write_bytes(MAGIC + zlib.crc32(body).to_bytes(4) + body)
+        fresh.write_bytes(MAGIC + zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body)
         os.replace(fresh, folder / FILE)
     except OSError as error:
-        log(f"what is known of servers is not handed on: {error.strerror}")
+        log(f"health hand-over not written: {error.strerror}")
         return False
     return True
 
 
-def parse(data: bytes, gateway: str, now_us: int) -> Note | None:
-    """The note in these bytes; None, whatever they are, if it is not whole, fresh and this gateway's."""
-    head = len(MAGIC) + 4
-    body = data[head:]
-    if len(data) > LIMIT + head or data[: len(MAGIC)] != MAGIC:
+def parse(data: bytes, gateway: str, now_us: int) -> HandoverRecord | None:
+    """Return the record in a file's bytes; None unless it is complete, fresh and this gateway's."""
+    body = data[HEADER_BYTES:]
+    if len(data) > MAX_BODY_BYTES + HEADER_BYTES or data[: len(MAGIC)] != MAGIC:
         return None
-    if zlib.crc32(body) != int.from_bytes(data[len(MAGIC) : head]):
+    if zlib.crc32(body) != int.from_bytes(data[len(MAGIC) : HEADER_BYTES]):
         return None
     try:
-        note: Note = msgspec.msgpack.decode(body, type=Note)
+        record: HandoverRecord = msgspec.msgpack.decode(body, type=HandoverRecord)
     except (msgspec.DecodeError, RecursionError):
         return None
-    if note.gateway != gateway or not 0 <= now_us - note.written_us <= STALE_US:
+    if record.gateway != gateway or not 0 <= now_us - record.written_us <= STALE_US:
         return None
-    return note
+    return record
 
 
-def read(folder: Path, gateway: str, now_us: int) -> Note | None:
-    """The note that lies there, if it can be used."""
+def read(folder: Path, gateway: str, now_us: int) -> HandoverRecord | None:
+    """Return the record that a predecessor has left in this folder, if it can be used."""
     try:
         with open(folder / FILE, "rb") as file:
-            return parse(file.read(LIMIT + 64), gateway, now_us)
+            return parse(file.read(READ_BYTES), gateway, now_us)
     except OSError:
         return None
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -1,4 +1,7 @@
-"""This gateway among the others: the socket round the state machines of membership and warm start."""
+"""This gateway among the others: the socket and the timer of the state machines.
+
+Those are membership, warm start and demand gossip; each has a module of its own that does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,132 +13,182 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.log import log
-from sagetrack.peers.codec import Ask, CodecError, Datagram, Tell, Wanted, decode, encode
-from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
-from sagetrack.peers.membership import Counts, Membership, Settings, State
-from sagetrack.peers.warm_start import Asker, Teller, latencies_from
+from sagetrack.peers.codec import (
+    Datagram,
+    DemandGossip,
+    Message,
+    WarmStartRequest,
+    WarmStartResponse,
+    decode,
+    encode,
+)
+from sagetrack.peers.demand_gossip import DemandGossipSchedule, demand_message, demands_from
+from sagetrack.peers.errors import CodecError
+from sagetrack.peers.member_table import MemberState
+from sagetrack.peers.membership import Counts, Membership
+from sagetrack.peers.observation_codec import latencies_from
+from sagetrack.peers.settings import MembershipSettings
+from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
 from sagetrack.policy.interface import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
-BIND_AGAIN_S = 0.5  # while an older process of this gateway holds the address
-LEAST_WAIT_S = 0.005
-READ_LIMIT = 2048
+BIND_RETRY_S = 0.5  # while an older process of this gateway has the address
+LEAST_WAIT_S = 0.005  # between two calls of the timer
+WARM_START_SEED, DEMAND_SEED = 0x5A5A, 0xA5  # set the seeds of the state machines apart
 
-Sights = Callable[[], tuple[list[Observation], list[ClassLatency]]]
+ObservationSource = Callable[[], tuple[list[Observation], list[ClassLatency]]]
 
 
 class Node(asyncio.DatagramProtocol):
-    """Made on a running loop; `start` binds, and goes on trying while the address is held by another."""
+    """This gateway's socket among the others.
+
+    Made on a running loop; `start` binds, and retries while another process has the address.
+
+    Attributes:
+        membership: Which gateways are alive.
+        warm_start_client: Asks for observations at the start; None if that is off.
+
+    Args:
+        me: This gateway's number.
+        listen: The address to bind.
+        peers: All gateways' addresses, by number.
+        settings: Parameters of membership.
+        seed: Of the randomness.
+        post: Hands an event to the load balancer.
+        observations: Returns this gateway's own observations and latencies.
+        start_times: Returns when each listed server started, in microseconds, by its id.
+        warm: Whether to ask the others for observations at the start.
+        demands: Returns the demand by tenant; None where fair queues are off.
+    """
 
     def __init__(
         self,
         me: int,
         listen: Address,
         peers: Sequence[Address],
-        settings: Settings,
+        settings: MembershipSettings,
         seed: int,
         post: Callable[[Event], None],
-        sights: Sights,
-        lives: Callable[[], dict[int, int]],
+        observations: ObservationSource,
+        start_times: Callable[[], dict[int, int]],
         warm: bool = True,
         demands: Callable[[], list[float]] | None = None,
     ) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.me, self.listen, self.peers = me, listen, list(peers)
-        self.post, self.sights, self.lives = post, sights, lives
+        self._loop = asyncio.get_running_loop()
+        self._me, self._listen, self._peers = me, listen, list(peers)
+        self._post, self._observations, self._start_times = post, observations, start_times
+        self._demands = demands
         now = now_us()
-        self.machine = Membership(
-            me, len(self.peers), settings, seed, now, self.send, incarnation=now // 1_000_000
-        )
-        self.machine.on_change = self.on_change
-        others = [number for number in range(len(self.peers)) if number != me]
-        self.asker = Asker(me, others, seed ^ 0x5A5A, now, self.ask) if warm and others else None
-        self.teller = Teller(now)
-        self.demands = demands  # of members, where fair queues are on
-        self.herald = Herald(me, len(self.peers), seed ^ 0xA5, now) if demands is not None else None
-        self.transport: asyncio.DatagramTransport | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.binding: asyncio.Task[None] | None = None
-        self.closed = False
+        incarnation = now // 1_000_000
+        count = len(self._peers)
+        self.membership = Membership(me, count, settings, seed, now, self._send, incarnation=incarnation)
+        self.membership.on_change = self._on_change
+        others = [number for number in range(count) if number != me]
+        self.warm_start_client: WarmStartClient | None = None
+        if warm and others:
+            self.warm_start_client = WarmStartClient(others, seed ^ WARM_START_SEED, now, self._request)
+        self._warm_start_server = WarmStartServer(now)
+        self._demand_schedule: DemandGossipSchedule | None = None
+        if demands is not None:
+            self._demand_schedule = DemandGossipSchedule(me, count, seed ^ DEMAND_SEED, now)
+        self._transport: asyncio.DatagramTransport | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._binding: asyncio.Task[None] | None = None
+        self._closed = False
 
     @property
     def counts(self) -> Counts:
-        return self.machine.counts
+        """Datagrams and what became of them."""
+        return self.membership.counts
 
     # Socket
 
     def start(self) -> None:
-        self.binding = self.loop.create_task(self.bind())
+        """Begin to bind the address."""
+        self._binding = self._loop.create_task(self._bind())
 
-    async def bind(self) -> None:
-        told = False
-        while not self.closed:
-            family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
+    async def _bind(self) -> None:
+        was_logged = False
+        while not self._closed:
+            host, port = self._listen
+            family = socket.AF_INET6 if ":" in host else socket.AF_INET
             try:
-                await self.loop.create_datagram_endpoint(lambda: self, self.listen, family=family)
-                self.wake()
+                await self._loop.create_datagram_endpoint(lambda: self, self._listen, family=family)
+                self._wake()
                 return
             except OSError as error:
-                if not told:
-                    told = True
-                    log(f"peers: {self.listen[0]}:{self.listen[1]} cannot be had yet: {error.strerror}")
-                await asyncio.sleep(BIND_AGAIN_S)
+                if not was_logged:
+                    was_logged = True
+                    log(f"peers: binding {host}:{port} failed, retrying: {error.strerror}")
+                await asyncio.sleep(BIND_RETRY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
+        """Take the socket that is bound."""
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """A port that nobody listens at: what is lost is lost, and the machines find out."""
+        """Ignore that a peer's port is closed: the datagram is lost, which the state machines notice."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
+        """Send no more: the socket is closed."""
+        self._transport = None
 
     def close(self) -> None:
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.binding is not None:
-            self.binding.cancel()
-        if self.transport is not None:
-            self.transport.close()
-
-    # Time
-
-    def wake(self) -> None:
-        """Do what is due, and be called again when more is."""
-        if self.closed or self.transport is None:
+        """Close the socket, and free the address."""
+        self._closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._binding is not None:
+            self._binding.cancel()
+        if self._transport is not None:
+            self._transport.close()
+
+    # Timer
+
+    def _wake(self) -> None:
+        """Do what is due, and set the timer for what is due next."""
+        if self._closed or self._transport is None:
             return
-        if self.timer is not None:
-            self.timer.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
         now = now_us()
-        self.machine.tick(now)
-        due = self.machine.next_us()
-        if self.asker is not None and not self.asker.is_over:
-            self.asker.tick(now)
-            due = min(due, self.asker.due_us)
-        if self.herald is not None and self.demands is not None:
-            whom = self.herald.whom(now)
-            message = wanted(self.demands()) if whom else None
-            for target in whom if message is not None else ():
-                assert message is not None
-                self.send(target, Datagram(self.me, self.machine.incarnation, [message]))
-            due = min(due, self.herald.due_us)
-        self.timer = self.loop.call_later(max(LEAST_WAIT_S, (due - now) / 1e6), self.wake)
+        self.membership.tick(now)
+        due_us = self.membership.next_us()
+        client = self.warm_start_client
+        if client is not None and not client.is_finished:
+            client.tick(now)
+            due_us = min(due_us, client.due_us)
+        if self._demand_schedule is not None:
+            self._gossip_demand(self._demand_schedule.targets(now))
+            due_us = min(due_us, self._demand_schedule.due_us)
+        self._timer = self._loop.call_later(max(LEAST_WAIT_S, (due_us - now) / 1e6), self._wake)
+
+    def _gossip_demand(self, targets: list[int]) -> None:
+        if not targets or self._demands is None:
+            return
+        message = demand_message(self._demands())
+        if message is not None:
+            for target in targets:
+                self._send_message(target, message)
 
     # Messages
 
-    def send(self, target: int, datagram: Datagram) -> None:
-        if self.transport is None:
+    def _send(self, target: int, datagram: Datagram) -> None:
+        if self._transport is None:
             return
         data = encode(datagram)
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self.transport.sendto(data, self.peers[target])
+        self._transport.sendto(data, self._peers[target])
+
+    def _send_message(self, target: int, message: Message) -> None:
+        self._send(target, Datagram(self._me, self.membership.incarnation, [message]))
 
-    def ask(self, target: int, ask: Ask) -> None:
-        self.send(target, Datagram(self.me, self.machine.incarnation, [ask]))
+    def _request(self, target: int, request: WarmStartRequest) -> None:
+        self._send_message(target, request)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Take in a datagram; one that is unreadable or not from its sender's own address is rejected."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
         try:
@@ -144,77 +197,85 @@
             self.counts.rejected += 1
             return
         sender = datagram.sender
-        # From its own address only: nobody speaks for another by writing its number.
-        if sender >= len(self.peers) or sender == self.me or self.peers[sender] != (addr[0], addr[1]):
+        # From its own address only: no member may speak for another by writing its number.
+        if sender >= len(self._peers) or sender == self._me or self._peers[sender] != (addr[0], addr[1]):
             self.counts.rejected += 1
             return
         now = now_us()
-        self.machine.handle(now, datagram)
+        self.membership.handle(now, datagram)
         for message in datagram.messages:
-            if isinstance(message, Ask):
-                self.tell(now, sender, message)
-            elif isinstance(message, Tell) and self.asker is not None:
-                self.learn(now, sender, message)
-            elif isinstance(message, Wanted) and self.demands is not None:
-                found = demands_in(message, len(self.demands()))
-                self.post(PeerDemands(sender, found))
-        self.wake()
-
-    def tell(self, now: int, asker: int, ask: Ask) -> None:
-        sights, latencies = self.sights()
-        for part in self.teller.answer(now, ask, sights, latencies):
-            self.send(asker, Datagram(self.me, self.machine.incarnation, [part]))
-
-    def learn(self, now: int, sender: int, tell: Tell) -> None:
-        assert self.asker is not None
-        if tell.number not in self.asker.numbers:
+            self._handle(now, sender, message)
+        self._wake()
+
+    def _handle(self, now: int, sender: int, message: Message) -> None:
+        if isinstance(message, WarmStartRequest):
+            self._answer(now, sender, message)
+        elif isinstance(message, WarmStartResponse):
+            if self.warm_start_client is not None:
+                self._learn(now, sender, message, self.warm_start_client)
+        elif isinstance(message, DemandGossip) and self._demands is not None:
+            demands = demands_from(message, len(self._demands()))
+            self._post(PeerDemands(sender, demands))
+
+    def _answer(self, now: int, requester: int, request: WarmStartRequest) -> None:
+        observations, latencies = self._observations()
+        for part in self._warm_start_server.answer(now, request, observations, latencies):
+            self._send_message(requester, part)
+
+    def _learn(self, now: int, sender: int, response: WarmStartResponse, client: WarmStartClient) -> None:
+        if response.request_id not in client.requests:
             self.counts.rejected += 1
             return
-        sights = self.asker.handle(now, sender, tell, self.lives())
-        self.post(ObservationsReceived(tuple(sights), latencies_from(tell.classes)))
+        observations = client.handle(now, sender, response, self._start_times())
+        self._post(ObservationsReceived(tuple(observations), latencies_from(response.classes)))
 
-    def on_change(self, member: int, state: State) -> None:
+    def _on_change(self, member: int, state: MemberState) -> None:
         log(f"peer {member}: {state.name.lower()}", kind="peer")
-        self.post(FleetSizeChanged(self.machine.alive))
+        self._post(FleetSizeChanged(self.membership.alive))
 
     # For operators
 
     def describe(self) -> list[str]:
-        """A line for each member, then what was sent and learnt."""
+        """Return a line for each member, then lines of what was sent and of the warm start."""
         now = now_us()
-        lines = [f"member {self.me} {self.peers[self.me][0]}:{self.peers[self.me][1]} self"]
-        for number, peer in sorted(self.machine.peers.items()):
-            host, port = self.peers[number]
+        host, port = self._peers[self._me]
+        lines = [f"member {self._me} {host}:{port} self"]
+        for number, peer in sorted(self.membership.peers.items()):
+            host, port = self._peers[number]
             since_s = (now - peer.since_us) / 1e6
             lines.append(f"member {number} {host}:{port} {peer.state.name.lower()} since {since_s:.1f} s")
+        return [*lines, self._describe_datagrams(), self._describe_warm_start()]
+
+    def _describe_datagrams(self) -> str:
         c = self.counts
-        lines.append(
+        held_back = c.rate_limited + self._warm_start_server.rate_limited
+        return (
             f"datagrams sent {c.sent} ({c.sent_bytes} bytes), "
             f"received {c.received} ({c.received_bytes} bytes), "
-            f"rejected {c.rejected}, held back {c.held_back + self.teller.held_back}, "
+            f"rejected {c.rejected}, held back {held_back}, "
             f"pings unanswered {c.unanswered}, refuted {c.refuted}"
         )
-        taken = self.asker.taken if self.asker is not None else None
-        if taken is None or not taken.sights:
-            lines.append("taken over at the start: nothing")
-        else:
-            lines.append(
-                f"taken over at the start: {taken.sights} sights from {taken.peers} whole answers within "
-                f"{taken.done_us / 1e6:.2f} s, "
-                f"{taken.youngest_us / 1e6:.1f} to {taken.oldest_us / 1e6:.1f} s old"
-            )
-        return lines
+
+    def _describe_warm_start(self) -> str:
+        result = self.warm_start_client.result if self.warm_start_client is not None else None
+        if result is None or not result.observations:
+            return "taken over at the start: nothing"
+        return (
+            f"taken over at the start: {result.observations} sights from {result.peers} whole answers within "
+            f"{result.completed_us / 1e6:.2f} s, "
+            f"{result.youngest_us / 1e6:.1f} to {result.oldest_us / 1e6:.1f} s old"
+        )
 
     def figures(self) -> dict[str, int]:
-        """For the stats."""
-        c, machine = self.counts, self.machine
+        """Return the exported metrics."""
+        c, membership, client = self.counts, self.membership, self.warm_start_client
         return {
-            "peers_alive": machine.alive,
-            "peers_suspect": len(machine.members(State.SUSPECT)),
-            "peers_dead": len(machine.members(State.DEAD)),
+            "peers_alive": membership.alive,
+            "peers_suspect": len(membership.members(MemberState.SUSPECT)),
+            "peers_dead": len(membership.members(MemberState.DEAD)),
             "peer_datagrams_sent_total": c.sent,
             "peer_bytes_sent_total": c.sent_bytes,
             "peer_datagrams_rejected_total": c.rejected,
             "peer_pings_unanswered_total": c.unanswered,
-            "peer_sights_taken": self.asker.taken.sights if self.asker is not None else 0,
+            "peer_sights_taken": client.result.observations if client is not None else 0,
         }
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -1,8 +1,8 @@
-"""A warm start: a gateway that begins asks others what they know, and folds in what comes, when it comes.
+"""Warm start: a gateway that starts asks others for their observations, and takes them in as they come.
 
-It is ready without waiting. It asks a few; a question that is not answered whole is asked again, later and
-later, at times that are spread, since many may start at once. Answers are split over datagrams that stand
-alone: each part is worth something without the others.
+It serves without waiting for them. It asks a few; a request that is not answered completely is repeated, with
+an exponential backoff and jitter, since many may start at once. A response is divided over datagrams that are
+of use without each other.
 """
 
 from __future__ import annotations
@@ -11,190 +11,201 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from sagetrack.peers.codec import LIMIT, Ask, ClassFact, ServerFact, Tell, size
+from sagetrack.peers.codec import (
+    DATAGRAM_LIMIT,
+    ClassFact,
+    ServerFact,
+    WarmStartRequest,
+    WarmStartResponse,
+    encoded_fact_size,
+    encoded_size,
+)
+from sagetrack.peers.observation_codec import class_fact, observations_from, server_fact
+from sagetrack.peers.token_bucket import TokenBucket
 from sagetrack.policy.peer_observations import CLOSED, ClassLatency, Observation
 
-ASKED = 3  # peers that are asked
-TRIES = 5
-FIRST_WAIT_US = 200_000  # until a question is asked again; doubles
-MOST_PARTS = 32  # of one answer: about 350 servers, the worst first
-TELLS_PER_S, TELL_BURST = 60.0, 120.0  # datagrams of answers, whoever asks
-LIFE = 2**24
-
-
-def life_of(started_us: int) -> int:
-    """What tells lives at one id apart on the wire."""
-    return started_us // 1000 % LIFE
+PEERS_ASKED = 3
+MAX_ATTEMPTS = 5
+ATTEMPTS_AT_ONE_PEER = 2  # after so many in vain, another peer is asked in its place
+FIRST_BACKOFF_US = 200_000  # doubles with each attempt
+SHORTEST_JITTER, LONGEST_JITTER = 0.5, 1.5  # times the backoff
+REQUEST_ID_BITS = 40
+MAX_PARTS = 32  # of one response: about 350 servers, the worst first
+MAX_CLASSES = 16  # of one response
+ARRAY_BYTES = 8  # at most, that the two arrays of a response grow by
+RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # datagrams, whoever asks
 
 
 @dataclass(slots=True)
-class Taken:
-    """What came in answer."""
+class WarmStartResult:
+    """What was received in response.
+
+    Attributes:
+        parts: Parts of responses, each counted once.
+        observations: Observations in them.
+        peers: Peers whose response is complete.
+        youngest_us: Age of the youngest observation when it came; -1: there was none.
+        oldest_us: Age of the oldest one.
+        completed_us: When the last response was complete, after the start.
+    """
 
     parts: int = 0
-    sights: int = 0
-    peers: int = 0  # that answered whole
-    youngest_us: int = -1  # age of the youngest sight when it came
+    observations: int = 0
+    peers: int = 0
+    youngest_us: int = -1
     oldest_us: int = -1
-    done_us: int = 0  # after the start
+    completed_us: int = 0
+
 
+class WarmStartClient:
+    """Asks for observations on behalf of a gateway that has just started.
 
-class Asker:
-    """Asks on behalf of a gateway that has just started."""
+    Attributes:
+        requests: The peer that each request goes to, by the request's id.
+        complete: Ids of requests whose response is complete.
+        due_us: When to call `tick`.
+        result: What was received.
+    """
 
     def __init__(
-        self, me: int, peers: Sequence[int], seed: int, now_us: int, send: Callable[[int, Ask], None]
+        self,
+        peers: Sequence[int],
+        seed: int,
+        now_us: int,
+        send: Callable[[int, WarmStartRequest], None],
     ) -> None:
-        self.random = random.Random(seed)
-        self.send = send
-        self.start_us = now_us
-        chosen = self.random.sample(list(peers), min(ASKED, len(peers)))
-        self.numbers = {self.random.getrandbits(40): peer for peer in chosen}
-        self.others = [peer for peer in peers if peer not in chosen]
-        self.parts: dict[int, set[int]] = {number: set() for number in self.numbers}
-        self.whole: set[int] = set()
-        self.tries = 0
+        """Choose the peers that are asked at first.
+
+        Args:
+            peers: The other gateways.
+            seed: Of the randomness.
+            now_us: The time.
+            send: Sends a request to a peer.
+        """
+        self._random = random.Random(seed)
+        self._send = send
+        self._start_us = now_us
+        chosen = self._random.sample(list(peers), min(PEERS_ASKED, len(peers)))
+        self.requests = {self._random.getrandbits(REQUEST_ID_BITS): peer for peer in chosen}
+        self.complete: set[int] = set()
         self.due_us = now_us
-        self.taken = Taken()
+        self.result = WarmStartResult()
+        self._others = [peer for peer in peers if peer not in chosen]
+        self._parts: dict[int, set[int]] = {request_id: set() for request_id in self.requests}
+        self._attempts = 0
 
     @property
-    def is_over(self) -> bool:
-        """Whether no more is asked: all have answered, or it has been tried often enough."""
-        return len(self.whole) == len(self.numbers) or self.tries >= TRIES
+    def is_finished(self) -> bool:
+        """Whether no more is asked: all responses are complete, or there were attempts enough."""
+        return len(self.complete) == len(self.requests) or self._attempts >= MAX_ATTEMPTS
 
     def tick(self, now_us: int) -> None:
-        """Ask again whoever has not answered whole; from the third time on someone else in its place."""
-        if self.is_over or now_us < self.due_us:
+        """Repeat requests whose response is not complete, if it is time to."""
+        if self.is_finished or now_us < self.due_us:
             return
-        for number, peer in list(self.numbers.items()):
-            if number in self.whole:
-                continue
-            if self.tries >= 2 and not self.parts[number] and self.others:
-                peer = self.numbers[number] = self.others.pop(self.random.randrange(len(self.others)))
-            self.send(peer, Ask(number))
-        wait = FIRST_WAIT_US * 2**self.tries
-        self.due_us = now_us + int(wait * self.random.uniform(0.5, 1.5))
-        self.tries += 1
-
-    def handle(self, now_us: int, sender: int, tell: Tell, lives: dict[int, int]) -> list[Observation]:
-        """Sights in one part of an answer; none for one that was not asked for. Doubles do no harm."""
-        if self.numbers.get(tell.number) != sender:
+        for request_id in list(self.requests):
+            if request_id not in self.complete:
+                self._send(self._peer_for(request_id), WarmStartRequest(request_id))
+        backoff_us = FIRST_BACKOFF_US * 2**self._attempts
+        self.due_us = now_us + int(backoff_us * self._random.uniform(SHORTEST_JITTER, LONGEST_JITTER))
+        self._attempts += 1
+
+    def _peer_for(self, request_id: int) -> int:
+        """Return whom to ask: another peer in place of one that has not answered at all for long."""
+        silent = self._attempts >= ATTEMPTS_AT_ONE_PEER and not self._parts[request_id]
+        if silent and self._others:
+            self.requests[request_id] = self._others.pop(self._random.randrange(len(self._others)))
+        return self.requests[request_id]
+
+    def handle(
+        self, now_us: int, sender: int, response: WarmStartResponse, start_times: dict[int, int]
+    ) -> list[Observation]:
+        """Take in one part of a response; duplicates do no harm.
+
+        Args:
+            now_us: The time.
+            sender: The peer that it comes from.
+            response: The part.
+            start_times: When each listed server started, in microseconds, by its id.
+
+        Returns:
+            The observations in it; none if it was not asked of this peer.
+        """
+        if self.requests.get(response.request_id) != sender:
             return []
-        seen = self.parts[tell.number]
-        if tell.part not in seen:
-            seen.add(tell.part)
-            self.taken.parts += 1
-            if len(seen) >= tell.parts and tell.number not in self.whole:
-                self.whole.add(tell.number)
-                self.taken.peers += 1
-                self.taken.done_us = now_us - self.start_us
-        sights = sights_from(sender, tell.servers, lives, now_us)
-        self.taken.sights += len(sights)
-        for sight in sights:
-            age = now_us - sight.seen_us
-            self.taken.oldest_us = max(self.taken.oldest_us, age)
-            self.taken.youngest_us = age if self.taken.youngest_us < 0 else min(self.taken.youngest_us, age)
-        return sights
-
-
-class Teller:
-    """Answers questions, within a bound whoever asks and however often."""
+        self._count_part(now_us, response)
+        observations = observations_from(sender, response.servers, start_times, now_us)
+        result = self.result
+        result.observations += len(observations)
+        for observation in observations:
+            age_us = now_us - observation.seen_us
+            result.oldest_us = max(result.oldest_us, age_us)
+            result.youngest_us = age_us if result.youngest_us < 0 else min(result.youngest_us, age_us)
+        return observations
+
+    def _count_part(self, now_us: int, response: WarmStartResponse) -> None:
+        received = self._parts[response.request_id]
+        if response.part in received:
+            return
+        received.add(response.part)
+        self.result.parts += 1
+        if len(received) >= response.parts and response.request_id not in self.complete:
+            self.complete.add(response.request_id)
+            self.result.peers += 1
+            self.result.completed_us = now_us - self._start_us
+
+
+class WarmStartServer:
+    """Answers requests, within a limit whoever asks and however often.
+
+    Attributes:
+        rate_limited: Datagrams that the limit held back.
+    """
 
     def __init__(self, now_us: int) -> None:
-        self.tokens, self.tokens_us = TELL_BURST, now_us
-        self.held_back = 0
+        self.rate_limited = 0
+        self._bucket = TokenBucket(RESPONSES_PER_S, RESPONSE_BURST, now_us)
 
     def answer(
-        self, now_us: int, ask: Ask, sights: Iterable[Observation], latencies: Sequence[ClassLatency]
-    ) -> list[Tell]:
-        """The parts of an answer; none of them beyond the bound."""
-        gained = (now_us - self.tokens_us) / 1e6 * TELLS_PER_S
-        self.tokens, self.tokens_us = min(TELL_BURST, self.tokens + gained), now_us
-        parts = split(ask.number, sights, latencies, now_us)
-        if self.tokens < len(parts):
-            self.held_back += len(parts)
+        self,
+        now_us: int,
+        request: WarmStartRequest,
+        observations: Iterable[Observation],
+        latencies: Sequence[ClassLatency],
+    ) -> list[WarmStartResponse]:
+        """Return the parts of a response; none if they exceed the limit."""
+        parts = divide_response(request.request_id, observations, latencies, now_us)
+        if not self._bucket.take(now_us, len(parts)):
+            self.rate_limited += len(parts)
             return []
-        self.tokens -= len(parts)
         return parts
 
 
-def split(
-    number: int, sights: Iterable[Observation], latencies: Sequence[ClassLatency], now_us: int
-) -> list[Tell]:
-    """An answer in parts that each fit a datagram; what is worth most comes first."""
-    order = sorted(sights, key=lambda s: (s.state == CLOSED and not s.jammed, s.weight, s.server))
-    classes = [class_fact(latency) for latency in latencies][:16]
-    room = LIMIT - size([Tell(number, 255, 255, [], [])]) - 8
+def divide_response(
+    request_id: int, observations: Iterable[Observation], latencies: Sequence[ClassLatency], now_us: int
+) -> list[WarmStartResponse]:
+    """Return a response in parts that each fit a datagram; what matters most comes first.
+
+    Latencies come before observations, and of these the servers that are not in order, with the lowest
+    weights.
+    """
+    order = sorted(observations, key=lambda o: (o.state == CLOSED and not o.jammed, o.weight, o.server))
+    facts: list[ClassFact | ServerFact] = [class_fact(latency) for latency in latencies[:MAX_CLASSES]]
+    facts += [server_fact(observation, now_us) for observation in order]
+    empty = WarmStartResponse(request_id, 255, 255, [], [])
+    capacity = DATAGRAM_LIMIT - encoded_size([empty]) - ARRAY_BYTES
     groups: list[tuple[list[ClassFact], list[ServerFact]]] = [([], [])]
     used = 0
-    facts: list[ClassFact | ServerFact] = [*classes, *(server_fact(sight, now_us) for sight in order)]
     for fact in facts:
-        length = fact_size(fact)
-        if used + length > room:
+        length = encoded_fact_size(fact)
+        if used + length > capacity:
             groups.append(([], []))
             used = 0
         used += length
+        classes, servers = groups[-1]
         if isinstance(fact, ClassFact):
-            groups[-1][0].append(fact)
+            classes.append(fact)
         else:
-            groups[-1][1].append(fact)
-    groups = groups[:MOST_PARTS]
-    return [Tell(number, part, len(groups), *group) for part, group in enumerate(groups)]
-
-
-def fact_size(fact: ClassFact | ServerFact) -> int:
-    """Bytes of a fact in a datagram."""
-    import msgspec
-
-    return len(msgspec.msgpack.encode(fact))
-
-
-def class_fact(latency: ClassLatency) -> ClassFact:
-    def tenths(time_us: float) -> int:
-        return min(2**32 - 1, max(1, round(time_us / 100)))
-
-    return ClassFact(latency.klass, tenths(latency.smoothed_us), tenths(latency.unhindered_us))
-
-
-def server_fact(sight: Observation, now_us: int) -> ServerFact:
-    """A sight in the wire's units; rounded so that a cooldown is never told as shorter than it is."""
-    cooldown = -(-max(0, sight.open_until_us - now_us) // 100_000)
-    return ServerFact(
-        sight.server,
-        life_of(sight.started_us),
-        sight.state,
-        sight.jammed,
-        round(100 * sight.weight),
-        min(255, cooldown),
-        min(65_535, max(0, now_us - sight.seen_us) // 10_000),
-        min(65_535, max(0, sight.spent_us) // 1000),
-    )
-
-
-def sights_from(
-    by: int, facts: Iterable[ServerFact], lives: dict[int, int], now_us: int
-) -> list[Observation]:
-    """Sights by a peer, of servers that this gateway lists in the same life; the ages are taken as told."""
-    found = []
-    for fact in facts:
-        started_us = lives.get(fact.server)
-        if started_us is None or life_of(started_us) != fact.life:
-            continue
-        found.append(
-            Observation(
-                fact.server,
-                started_us,
-                by,
-                now_us - fact.age * 10_000,
-                fact.state,
-                now_us + fact.cooldown * 100_000,
-                fact.weight / 100,
-                fact.jammed,
-                fact.spent * 1000,
-            )
-        )
-    return found
-
-
-def latencies_from(facts: Iterable[ClassFact]) -> tuple[ClassLatency, ...]:
-    return tuple(ClassLatency(f.klass, f.smoothed * 100.0, f.unhindered * 100.0) for f in facts)
+            servers.append(fact)
+    groups = groups[:MAX_PARTS]
+    return [WarmStartResponse(request_id, part, len(groups), *group) for part, group in enumerate(groups)]
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -52,14 +52,14 @@
     found = addresses(config, operator)
     if found is None:
         return None
-    from sagetrack.peers.membership import Settings
     from sagetrack.peers.node import Node
+    from sagetrack.peers.settings import MembershipSettings
 
     me, listen, peers = found
-    settings, warm = Settings(), True
+    settings, warm = MembershipSettings(), True
     if operator is not None:
         asked = operator.peers
-        settings = Settings(period_us=asked.period_ms * 1000, timeout_us=asked.timeout_ms * 1000)
+        settings = MembershipSettings(period_us=asked.period_ms * 1000, timeout_us=asked.timeout_ms * 1000)
         warm = asked.warm_start
     return Node(
         me,
@@ -106,24 +106,24 @@
             self.leave_note()
 
     def take(self) -> None:
-        from sagetrack.peers.handover import moved, read
+        from sagetrack.peers.handover import read, shift_times
 
         note = read(self.folder, self.config.name, machine_us())
         if note is None or note.written_us <= self.written_us:
             return
         self.written_us = note.written_us
         if not self.taken:
-            log(f"took over what the process before knew of {len(note.sights)} servers")
-        self.taken += len(note.sights)
-        sights = moved(note.sights, now_us() - machine_us())
+            log(f"took over what the process before knew of {len(note.observations)} servers")
+        self.taken += len(note.observations)
+        sights = shift_times(note.observations, now_us() - machine_us())
         event = ObservationsReceived(tuple(sights), tuple(note.latencies))
         self.gateway.post(lambda: event)
 
     def leave_note(self) -> None:
-        from sagetrack.peers.handover import moved, write
+        from sagetrack.peers.handover import shift_times, write
 
         sights, latencies = self.gateway.balancer.sights()
-        on_machine = moved(sights, machine_us() - now_us())
+        on_machine = shift_times(sights, machine_us() - now_us())
         write(self.folder, self.config.name, machine_us(), on_machine, latencies)
 
     def close(self) -> None:
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -15,7 +15,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.peers.handover import Note
+from sagetrack.peers.handover import HandoverRecord
 from sagetrack.policy.interface import ObservationsReceived
 from sagetrack.store.engine import Options, Space, StoreError
 from sagetrack.store.files import Disk
@@ -47,7 +47,7 @@
         self.folder = folder
         loop = asyncio.get_running_loop()
         self.loop = loop
-        self.note: Note | None = None
+        self.note: HandoverRecord | None = None
         self.was_read = asyncio.Event()
         self.has_list = False
         self.keeper.start(loop, self.open)
@@ -70,7 +70,7 @@
             with suppress(RuntimeError):  # the loop has ended meanwhile
                 self.loop.call_soon_threadsafe(self.on_read, note)
 
-    def on_read(self, note: Note | None) -> None:
+    def on_read(self, note: HandoverRecord | None) -> None:
         self.note = note
         self.was_read.set()
         if self.has_list:
@@ -82,14 +82,14 @@
             async with asyncio.timeout(READ_S):
                 await self.was_read.wait()
 
-    def read(self) -> Note | None:
+    def read(self) -> HandoverRecord | None:
         """What was known before."""
         store = self.keeper.store
         if not self.asked.knowledge or store is None:
             return None
         try:
             value = store.get(KNOWN, self.config.name.encode())
-            return None if value is None else msgspec.msgpack.decode(value, type=Note)
+            return None if value is None else msgspec.msgpack.decode(value, type=HandoverRecord)
         except (OSError, FormatError, msgspec.DecodeError) as error:
             log(f"what was known of servers cannot be read: {error}", "warning")
             return None
@@ -104,7 +104,7 @@
         if note is None:
             return
         now = now_us()
-        sights = tuple(sight for sight in note.sights if sight.seen_us <= now + FUTURE_US)
+        sights = tuple(sight for sight in note.observations if sight.seen_us <= now + FUTURE_US)
         age_s = (now - note.written_us) / 1e6
         log(f"took up what was known of {len(sights)} servers {age_s:.1f} s ago")
         event = ObservationsReceived(sights, tuple(note.latencies))
@@ -120,7 +120,7 @@
         ops = []
         if self.asked.knowledge and self.was_read.is_set():  # or what was known before would be lost
             sights, latencies = self.gateway.balancer.sights()
-            note = Note(self.config.name, now_us(), sights, latencies)
+            note = HandoverRecord(self.config.name, now_us(), sights, latencies)
             ops.append(Op(KNOWN, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms))
         if self.recorder is not None:
             m = self.gateway.metrics
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -19,7 +19,7 @@
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.virtual import play
 from sagetrack.peers.codec import Datagram, decode, encode
-from sagetrack.peers.demand_gossip import PLACES, Herald, demands_in, wanted
+from sagetrack.peers.demand_gossip import MAX_DEMANDS, DemandGossipSchedule, demand_message, demands_from
 from sagetrack.policy.admission import AdmissionController, AdmissionDenial, AdmissionSettings
 from sagetrack.policy.concurrency_limit import (
     ConcurrencyLimit,
@@ -231,14 +231,14 @@
 
 
 def test_demands_fit_into_a_datagram_and_few_are_told_at_a_time() -> None:
-    message = wanted([float(n) * 1e6 for n in range(1000)])
-    assert message is not None and len(message.demands) == PLACES
+    message = demand_message([float(n) * 1e6 for n in range(1000)])
+    assert message is not None and len(message.demands) == MAX_DEMANDS
     again = decode(encode(Datagram(1, 2, [message]))).messages[0]
-    assert again == message and demands_in(message, 3) == (0.0, 0.0, 0.0) and wanted([10.0]) is None
-    assert demands_in(message, 1000)[999] == 999e6
-    herald = Herald(2, 500, 1, 0)
-    told = herald.whom(SECOND)
-    assert len(told) == 6 and 2 not in told and herald.whom(SECOND + 1) == []
+    assert again == message and demands_from(message, 3) == (0.0, 0.0, 0.0) and demand_message([10.0]) is None
+    assert demands_from(message, 1000)[999] == 999e6
+    demand_schedule = DemandGossipSchedule(2, 500, 1, 0)
+    told = demand_schedule.targets(SECOND)
+    assert len(told) == 6 and 2 not in told and demand_schedule.targets(SECOND + 1) == []
 
 
 # The module with its door
--- /dev/null
+++ b/tests/test_membership.py
@@ -0,0 +1,81 @@
+"""Membership: deaths are noticed, partitions heal, and all members arrive at one view."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from sagetrack.lab.membership import Fleet, death, partition
+from sagetrack.peers.codec import (
+    Datagram,
+    Ping,
+    Update,
+)
+from sagetrack.peers.member_table import MemberState
+from sagetrack.peers.membership import Membership
+from sagetrack.peers.settings import MembershipSettings
+
+
+@pytest.mark.parametrize("loss", [0.0, 0.05])
+def test_a_death_is_known_to_all_and_nobody_else_is_taken_for_dead(loss: float) -> None:
+    made = death(8, 1, loss, 40.0)
+    assert made.missed == 0 and made.false_deaths == 0 and made.p99_s < 20.0
+
+
+def test_what_one_member_sends_does_not_grow_with_the_fleet() -> None:
+    small, large = death(4, 1, 0.0, 20.0), death(60, 1, 0.0, 20.0)
+    assert large.most_per_s < 1.5 * small.most_per_s + 1.0
+
+
+def test_a_partition_heals() -> None:
+    assert 0 <= partition(8, 1, 0.05).healed_s < 30
+
+
+def test_who_comes_back_overrules_word_of_its_death() -> None:
+    fleet = Fleet(5, 1, 0.0, MembershipSettings())
+    fleet.run(3_000_000)
+    fleet.dead = {4}
+    fleet.run(30_000_000)
+    assert all(fleet.members[n].peers[4].state is MemberState.DEAD for n in range(4))
+    fleet.start(4, 31)
+    fleet.run(40_000_000)
+    assert fleet.views_equal()
+
+
+def test_addresses_that_are_dead_for_good_cost_little() -> None:
+    fleet = Fleet(10, 1, 0.0, MembershipSettings())
+    fleet.dead = set(range(1, 10))
+    fleet.run(60_000_000)
+    member = fleet.members[0]
+    assert member.alive == 1 and member.counts.sent < 60 * 6
+    before = member.counts.sent
+    fleet.run(120_000_000)
+    assert member.counts.sent - before <= 60
+
+
+@settings(max_examples=50)
+@given(
+    st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2), st.integers(0, 3)), max_size=12), st.randoms()
+)
+def test_updates_come_to_the_same_view_in_any_order(
+    updates: list[tuple[int, int, int]], shuffle: random.Random
+) -> None:
+    views = []
+    for _ in range(2):
+        member = Membership(9, 10, MembershipSettings(), 1, 0, lambda target, datagram: None)
+        for of, state, incarnation in updates:
+            member.apply_update(0, Update(of, state, incarnation, 5))
+        views.append({number: peer.precedence for number, peer in member.peers.items()})
+        shuffle.shuffle(updates)
+    assert views[0] == views[1]
+
+
+def test_word_of_our_own_death_is_refuted() -> None:
+    sent: list[Datagram] = []
+    member = Membership(0, 3, MembershipSettings(), 1, 0, lambda target, datagram: sent.append(datagram), 5)
+    member.handle(0, Datagram(1, 1, [Update(0, 2, 5, 1), Ping(1, 0)]))
+    assert member.incarnation == 6
+    assert sent[0].incarnation == 6 and Update(0, 0, 6, 0) in sent[0].messages
--- /dev/null
+++ b/tests/test_peer_codec.py
@@ -0,0 +1,34 @@
+"""Datagrams between gateways: what is written is read, and nothing else is."""
+
+from __future__ import annotations
+
+import contextlib
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sagetrack.peers.codec import (
+    Datagram,
+    Ping,
+    Update,
+    decode,
+    encode,
+)
+from sagetrack.peers.errors import CodecError
+
+
+@given(st.binary(max_size=300))
+def test_no_bytes_break_the_codec(data: bytes) -> None:
+    with contextlib.suppress(CodecError):
+        assert encode(decode(data)) == data
+
+
+def test_a_datagram_with_one_bit_wrong_is_rejected() -> None:
+    data = encode(Datagram(1, 7, [Ping(5, 2), Update(3, 1, 9, 1)]))
+    assert decode(data).messages == [Ping(5, 2), Update(3, 1, 9, 1)]
+    for bit in range(8 * len(data)):
+        wrong = bytearray(data)
+        wrong[bit // 8] ^= 1 << bit % 8
+        with pytest.raises(CodecError):
+            decode(bytes(wrong))
--- /dev/null
+++ b/tests/test_peer_node.py
@@ -0,0 +1,65 @@
+"""Nodes on sockets: they find each other, learn from each other and reject strangers."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sagetrack.peers.codec import (
+    Datagram,
+    Update,
+    encode,
+)
+from sagetrack.peers.node import Node
+from sagetrack.peers.settings import MembershipSettings
+from sagetrack.policy.peer_observations import Observation
+from tests.observations import STARTED, observations
+from tests.sockets import on_loop, until
+
+
+@on_loop
+async def test_nodes_find_each_other_learn_and_reject_strangers() -> None:
+    loop = asyncio.get_running_loop()
+    learned: list[object] = []
+    addresses = []
+    for _ in range(2):
+        probe, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
+        addresses.append(probe.get_extra_info("sockname"))
+        probe.close()
+    await asyncio.sleep(0)
+    lives = {n: STARTED for n in range(1, 4)}
+
+    def node(me: int, sights: list[Observation]) -> Node:
+        return Node(
+            me,
+            addresses[me],
+            addresses,
+            MembershipSettings(period_us=20_000, timeout_us=10_000),
+            me,
+            learned.append,
+            lambda: (sights, []),
+            lambda: lives,
+            warm=me == 0,
+        )
+
+    nodes = [node(0, []), node(1, observations(3))]
+    for each in nodes:
+        each.start()
+    try:
+        await until(
+            lambda: nodes[0].warm_start_client is not None
+            and nodes[0].warm_start_client.result.observations == 3
+        )
+        stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
+        before = nodes[1].counts.rejected
+        for data in (b"", b"nonsense", encode(Datagram(0, 9, [Update(1, 2, 2**40, 0)]))):
+            stranger.sendto(data or b"x", addresses[1])
+        await until(lambda: nodes[1].counts.rejected == before + 3)
+        stranger.close()
+        assert nodes[1].membership.incarnation < 2**40
+        nodes[1].close()
+        await until(lambda: nodes[0].membership.alive == 1)
+        assert any("dead" in line for line in nodes[0].describe())
+        assert nodes[0].figures()["peers_dead"] == 1
+    finally:
+        for each in nodes:
+            each.close()
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -21,10 +21,10 @@
 from sagetrack.config.operator import Operator, StoreSettings
 from sagetrack.config.platform import parse, stable_id
 from sagetrack.peers import handover
-from sagetrack.peers.codec import Message, Tell, Wanted, decode, encode
-from sagetrack.peers.demand_gossip import demands_in
-from sagetrack.peers.handover import STALE_US, Note
-from sagetrack.peers.warm_start import latencies_from, sights_from
+from sagetrack.peers.codec import DemandGossip, Message, WarmStartResponse, decode, encode
+from sagetrack.peers.demand_gossip import demands_from
+from sagetrack.peers.handover import STALE_US, HandoverRecord
+from sagetrack.peers.observation_codec import latencies_from, observations_from
 from sagetrack.policy.peer_observations import CLOSED, HALF_OPEN, OPEN, ClassLatency, Observation
 from sagetrack.server.gateway_assembly import Instance
 from sagetrack.server.hot_restart import Overlap
@@ -150,15 +150,15 @@
 
 def test_knowledge_in_a_datagram_keeps_its_units() -> None:
     [tell] = decode(SENT["tell-of-knowledge"]).messages
-    assert isinstance(tell, Tell)
-    assert (tell.number, tell.part, tell.parts) == (2**30, 0, 1)
+    assert isinstance(tell, WarmStartResponse)
+    assert (tell.request_id, tell.part, tell.parts) == (2**30, 0, 1)
     assert latencies_from(tell.classes) == (
         ClassLatency(klass=0, smoothed_us=20_000.0, unhindered_us=15_500.0),
         ClassLatency(klass=2, smoothed_us=100.0, unhindered_us=1e9),
     )
     lives = {sight.server: sight.started_us for sight in SIGHTS}
     heard_us = NOW_US + 100
-    told = sights_from(by=10, facts=tell.servers, lives=lives, now_us=heard_us)
+    told = observations_from(by=10, facts=tell.servers, start_times=lives, now_us=heard_us)
     assert sorted(told, key=lambda sight: sight.server) == [
         Observation(
             server=7,
@@ -209,8 +209,8 @@
 
 def test_demands_in_a_datagram_keep_their_units() -> None:
     [message] = decode(SENT["wanted-of-demands"]).messages
-    assert isinstance(message, Wanted)
-    assert demands_in(message, members=6) == (1_500_000.0, 0.0, 20_000.0, 0.0, 1000.0, 0.0)
+    assert isinstance(message, DemandGossip)
+    assert demands_from(message, tenants=6) == (1_500_000.0, 0.0, 20_000.0, 0.0, 1000.0, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -226,11 +226,11 @@
 # What a process leaves for the next one
 
 
-def check_note(note: Note | None, expected: Note) -> None:
+def check_note(note: HandoverRecord | None, expected: HandoverRecord) -> None:
     assert note is not None
     assert note.gateway == expected.gateway
     assert note.written_us == expected.written_us
-    assert note.sights == expected.sights
+    assert note.observations == expected.observations
     assert note.latencies == expected.latencies
     assert note == expected
 
@@ -244,8 +244,8 @@
 def test_fields_of_knowledge_that_was_handed_over() -> None:
     """In full for one sight and one latency: a field that is not found would be given its default."""
     note = handover.read(folder=TMPDIR, gateway="n0", now_us=NOW_US)
-    assert note is not None and len(note.sights) == 4 and len(note.latencies) == 2
-    sight, latency = note.sights[1], note.latencies[0]
+    assert note is not None and len(note.observations) == 4 and len(note.latencies) == 2
+    sight, latency = note.observations[1], note.latencies[0]
     assert sight.server == 4_294_967_295
     assert sight.started_us == 1_764_633_509_999_877
     assert sight.by == 3
@@ -350,7 +350,7 @@
     for gateway, expected in (("n0", NOTE), ("n1", OTHER_NOTE)):
         value = looked_at.get(KNOWN, gateway.encode())
         assert value is not None
-        check_note(msgspec.msgpack.decode(value, type=Note), expected)
+        check_note(msgspec.msgpack.decode(value, type=HandoverRecord), expected)
 
 
 def test_seconds_in_a_store_are_read_as_they_were_meant(looked_at: Store) -> None:
