--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -250,7 +250,7 @@
         host, port = self.address
         head = b"GET %s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (target, host.encode(), port)
         async with asyncio.timeout(hold_s + self.limits.answer_s):
-            reply = await connection.ask(head)
+            reply = await connection.request(head)
         self._overloads += reply.status in OVERLOAD_STATUSES
         if reply.status != STATUS_OK:
             raise DiscoveryCallError(f"answered {reply.status}")
--- a/sagetrack/discovery/connection.py
+++ b/sagetrack/discovery/connection.py
@@ -17,7 +17,7 @@
         """Whether another call can be made on this connection."""
         ...
 
-    async def ask(self, head: bytes) -> Reply:
+    async def request(self, head: bytes) -> Reply:
         """Send a request that has no body, and return the complete response.
 
         Args:
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -51,7 +51,7 @@
     def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    async def ask(self, head: bytes) -> Reply:
+    async def request(self, head: bytes) -> Reply:
         if self.transport is None or self.transport.is_closing():
             raise self.error("the connection has ended")
         self.answer = asyncio.get_running_loop().create_future()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -282,7 +282,7 @@
 
 
 class Played:
-    """The module and the real caller of discovery over lines that do what they are told."""
+    """The module and the real discovery client over connections that follow a script."""
 
     def __init__(self, settings: Settings, faults: list[str], refused_after: bool, seed: int) -> None:
         self.settings, self.faults, self.refused_after = settings, faults, refused_after
@@ -329,16 +329,16 @@
                 fault = "busy, late"
                 if "busy" in self.faults:  # a second refusal: it cannot be reached before the last
                     self.back_s = self.loop.time()
-        return ScriptedLine(self, fault)
+        return ScriptedConnection(self, fault)
 
 
-class ScriptedLine:
+class ScriptedConnection:
     is_open = True
 
     def __init__(self, played: Played, fault: str) -> None:
         self.played, self.fault = played, fault
 
-    async def ask(self, head: bytes) -> Reply:
+    async def request(self, head: bytes) -> Reply:
         self.played.asked.append(head.split(b" ")[1])
         late_s = 0.99 * self.played.limits.answer_s
         if self.fault == "hangs":
--- /dev/null
+++ b/tests/test_observation_codec.py
@@ -0,0 +1,61 @@
+"""Observations in a datagram's units: rounded to the safe side, bounded, and of one incarnation alone."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sagetrack.peers.codec import ClassFact, Datagram, WarmStartResponse, decode, encode
+from sagetrack.peers.observation_codec import (
+    AGE_UNIT_US,
+    COOLDOWN_UNIT_US,
+    MAX_AGE_UNITS,
+    MAX_COOLDOWN_UNITS,
+    MAX_WORK_UNITS,
+    START_IDS,
+    class_fact,
+    latencies_from,
+    observations_from,
+    server_fact,
+    start_id,
+)
+from sagetrack.policy.peer_observations import OPEN, ClassLatency, Observation
+from tests.observations import NOW, STARTED
+
+
+@given(
+    st.integers(-10, 10**9),
+    st.integers(-(10**9), 10**9),
+    st.floats(0.0, 1.0),
+    st.booleans(),
+    st.integers(-5, 10**9),
+)
+def test_an_observation_comes_back_rounded_to_the_safe_side(
+    age_us: int, cooldown_us: int, weight: float, overloaded: bool, work_us: int
+) -> None:
+    sent = Observation(7, STARTED, 1, NOW - age_us, OPEN, NOW + cooldown_us, weight, overloaded, work_us)
+    fact = server_fact(sent, NOW)
+    assert decode(encode(Datagram(1, 1, [WarmStartResponse(1, 0, 1, [], [fact])]))).messages
+    (received,) = observations_from(1, [fact], {7: STARTED}, NOW)
+    expected_us = min(max(0, cooldown_us), MAX_COOLDOWN_UNITS * COOLDOWN_UNIT_US)
+    assert 0 <= received.open_until_us - NOW - expected_us < COOLDOWN_UNIT_US
+    expected_us = min(max(0, age_us), MAX_AGE_UNITS * AGE_UNIT_US)
+    assert 0 <= expected_us - (NOW - received.seen_us) < AGE_UNIT_US
+    assert abs(received.weight - weight) <= 0.005 + 1e-9
+    assert (received.state, received.jammed, received.by) == (OPEN, overloaded, 1)
+    assert 0 <= received.spent_us <= max(0, work_us) and received.spent_us <= MAX_WORK_UNITS * 1000
+
+
+def test_an_observation_of_another_incarnation_or_server_is_dropped() -> None:
+    fact = server_fact(Observation(7, STARTED, 1, NOW), NOW)
+    assert not observations_from(1, [fact], {7: STARTED + 1000}, NOW)
+    assert not observations_from(1, [fact], {8: STARTED}, NOW)
+    assert observations_from(1, [fact], {7: STARTED + 1}, NOW)  # told apart by milliseconds
+    assert start_id(STARTED) == start_id(STARTED + START_IDS * 1000) < START_IDS
+
+
+def test_latencies_are_at_least_one_unit_and_bounded() -> None:
+    assert class_fact(ClassLatency(3, 0.0, 1e15)) == ClassFact(3, 1, 2**32 - 1)
+    assert latencies_from([class_fact(ClassLatency(3, 20_049.0, 100.0))]) == (
+        ClassLatency(3, 20_000.0, 100.0),
+    )
