--- a/sagetrack/discovery/__init__.py
+++ b/sagetrack/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: endpoint lists are polled and watched, parsed, and handed to whoever selects servers."""
+"""Service discovery: endpoint lists are polled and watched, parsed, and handed to the load balancer."""
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -11,6 +11,7 @@
 import random
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
+from enum import StrEnum
 from typing import Any
 
 from sagetrack.config.platform import Address, Names
@@ -34,6 +35,17 @@
 OVERLOADS_UNTIL_WAIT = 2
 SHORTEST_JITTER = 0.5  # part of a wait that is not random
 
+
+class CallOutcome(StrEnum):
+    """How a call ended; the values are the metric's label."""
+
+    COMPLETE_LIST = "whole"
+    CHANGES = "changes"
+    NO_CHANGES = "no_news"
+    TIMEOUT = "late"
+    FAILED = "failed"
+
+
 OnListChanged = Callable[[Address, Callable[[], dict[str, Any]]], None]
 
 
@@ -84,7 +96,7 @@
         self._failing_since_us: int | None = None  # the first of the calls in a row that have failed
         self._last_response_us: int | None = None  # except the one that is being reported
         self._no_list_since_failure = True
-        self._last_call_failed = False  # the next call is only to tell whether discovery is reachable again
+        self._last_call_failed = False  # the next call only finds out whether discovery is back
         self._overloads = 0  # overload responses since the last list
         self._versions = VersionCheck()
         self._snapshot = EndpointListSnapshot()
@@ -173,7 +185,7 @@
         try:
             await call()
         except Exception as error:  # noqa: BLE001, RUF100 - a call that ends unreported is never made again
-            # Forgotten first: a listener may call again while it is told of the failure.
+            # Forgotten first: `on_list` may call again while the failure is reported to it.
             self._forget(asyncio.current_task())
             self._schedule_rewatch()
             self._note_failure(error)
@@ -195,14 +207,16 @@
 
     def _note_failure(self, error: Exception) -> None:
         timed_out = isinstance(error, TimeoutError)
-        self.calls.add("late" if timed_out else "failed")
+        self.calls.add(CallOutcome.TIMEOUT if timed_out else CallOutcome.FAILED)
         if self._failing_since_us is None:
             self._failing_since_us = now_us()
         log(f"discovery call failed: {'timeout, no response in time' if timed_out else error}")
 
     def _note_success(self, update: EndpointListUpdate) -> None:
-        outcome = "whole" if update.is_complete else "changes" if update.endpoints else "no_news"
-        self.calls.add(outcome)
+        if update.is_complete:
+            self.calls.add(CallOutcome.COMPLETE_LIST)
+        else:
+            self.calls.add(CallOutcome.CHANGES if update.endpoints else CallOutcome.NO_CHANGES)
         if self._failing_since_us is not None:
             log(f"discovery reachable again after {(now_us() - self._failing_since_us) / 1e6:.2f} s")
             self._failing_since_us = None
--- a/sagetrack/peers/codec.py
+++ b/sagetrack/peers/codec.py
@@ -82,7 +82,7 @@
 
     Attributes:
         server: The server's id.
-        start_id: The lowest 24 bits of its start, in milliseconds: tells its incarnations apart.
+        start_id: The lowest 24 bits of its start, in milliseconds and distinguishes its incarnations.
         state: Of its circuit breaker: closed, open, half-open.
         overloaded: Whether it is.
         weight: In hundredths.
--- a/sagetrack/peers/failure_detector.py
+++ b/sagetrack/peers/failure_detector.py
@@ -126,7 +126,7 @@
             now_us: The time.
             send: Sends a message.
             current_update: Returns the update that says what is believed of a member.
-            on_unanswered: Called with the time and a member that was not heard in time.
+            on_unanswered: Called with the time and a member that has not acknowledged in time.
         """
         self.health = LocalHealth()
         self._table, self._settings, self._random = table, settings, draw
@@ -168,7 +168,7 @@
             self._send(now_us, relayed.requester, Ack(relayed.requester_sequence, relayed.target))
 
     def on_nack(self, sender: int, nack: Nack) -> None:
-        """Take in that a helper was not answered either: it is heard, so that our own receiving is well."""
+        """Take in that a helper was not answered either; as it reaches us, our own receiving is well."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.silent_helpers.discard(sender)
 
--- a/sagetrack/peers/member_table.py
+++ b/sagetrack/peers/member_table.py
@@ -64,7 +64,7 @@
             now_us: The time.
         """
         self.peers = {number: MemberRecord(since_us=now_us) for number in range(count) if number != me}
-        self._settings = settings
+        self._me, self._settings = me, settings
 
     @property
     def alive(self) -> int:
@@ -122,6 +122,13 @@
         peer.suspicion_deadline_us = peer.since_us + self.suspicion_us(len(peer.confirmations) - 1)
         return True
 
+    def reporter(self, member: int) -> int:
+        """Return in whose name the state of a member is passed on: its own view, or one that suspects it."""
+        peer = self.peers[member]
+        if peer.state is MemberState.SUSPECT and self._me not in peer.confirmations:
+            return min(peer.confirmations)
+        return self._me
+
     def suspicion_us(self, confirmations: int) -> int:
         """Return how long a suspicion lasts with so many confirmations (Lifeguard's LHA-Suspicion)."""
         settings = self._settings
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -5,7 +5,7 @@
 which are piggybacked on the detector's messages (`dissemination`). A member that does not answer is suspected
 first, and refutes that with a higher incarnation. Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local
 Health Awareness for More Accurate Failure Detection", 2018) adds local health, suspicions that are the
-shorter the more members confirm them, and the buddy system: a suspected member is told so first.
+shorter the more members confirm them, and the buddy system: a suspected member is notified first.
 
 The members are a fixed list of addresses. Dead ones are pinged now and then for good, so that a partition
 heals and a member that returns is found. An incarnation begins at the start's Unix time, so that a gateway
@@ -212,12 +212,11 @@
             self.on_change(member, state)
 
     def _current_update(self, member: int) -> Update:
-        """Return what is believed of a member; a suspicion in the name of one member that has it."""
+        """Return what is believed of a member at present."""
         if member == self.me:
             return Update(self.me, MemberState.ALIVE, self.incarnation, self.me)
         peer = self._table.peers[member]
-        by_others = peer.state is MemberState.SUSPECT and self.me not in peer.confirmations
-        return Update(member, peer.state, peer.incarnation, min(peer.confirmations) if by_others else self.me)
+        return Update(member, peer.state, peer.incarnation, self._table.reporter(member))
 
     def _send(self, now_us: int, target: int, message: Message, first: Message | None = None) -> None:
         """Send messages with updates piggybacked, within the limit, which is the same in any fleet."""
--- a/sagetrack/peers/observation_codec.py
+++ b/sagetrack/peers/observation_codec.py
@@ -20,7 +20,7 @@
 
 
 def start_id(started_us: int) -> int:
-    """Return what tells a server's incarnations apart in a datagram."""
+    """Return what distinguishes a server's incarnations in a datagram."""
     return started_us // 1000 % START_IDS
 
 
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -33,7 +33,7 @@
 MAX_PARTS = 32  # of one response: about 350 servers, the worst first
 MAX_CLASSES = 16  # of one response
 ARRAY_BYTES = 8  # at most, that the two arrays of a response grow by
-RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # datagrams, whoever asks
+RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # datagrams, to all peers together
 
 
 @dataclass(slots=True)
@@ -156,7 +156,7 @@
 
 
 class WarmStartServer:
-    """Answers requests, within a limit whoever asks and however often.
+    """Answers requests, within a limit for all peers together.
 
     Attributes:
         rate_limited: Datagrams that the limit held back.
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -23,7 +23,6 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import stable_id
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.discovery.endpoints_by_protocol import EndpointsByProtocol
 from sagetrack.dns.cache import OVERHEAD, Cache
 from sagetrack.dns.downstream import PIPELINED, Limits
 from sagetrack.dns.limits import Access, InWork, ResponseRate, Verdict
@@ -556,19 +555,6 @@
     return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
 
 
-def test_a_list_is_parted_by_type_and_a_server_that_changes_leaves_its_old_side() -> None:
-    split = EndpointsByProtocol({9: "dns"})
-    parts = split.update(ListKind.FULL, [listed("a", "h:1"), listed("b", "h:2", 9)])
-    assert [e.name for e in parts["http"]] == ["a"] and [e.name for e in parts["dns"]] == ["b"]
-    parts = split.update(ListKind.DELTA, [listed("a", "h:1", 9)])
-    assert [e.listed.status for e in parts["http"]] == [ServerStatus.GONE]
-    assert [e.listed.status for e in parts["dns"]] == [ServerStatus.READY]
-    assert {e.name for e in split.endpoints["dns"].values()} == {"a", "b"} and not split.endpoints["http"]
-    assert not any(split.update(ListKind.ERROR, []).values()) and len(split.endpoints["dns"]) == 2
-    assert [e.name for e in split.update(ListKind.FULL, [listed("c", "h:3")])["http"]] == ["c"]
-    assert not split.endpoints["dns"]
-
-
 @on_loop
 async def test_the_list_of_servers_names_upstream_servers_and_drains_them() -> None:
     async with nameserver() as one, nameserver() as two, serving(listed=True) as (service, place):
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -221,6 +221,5 @@
     bucket = TokenBucket(10.0, 3.0, 0)
     assert [bucket.take(0, 1) for _ in range(4)] == [True, True, True, False]
     assert not bucket.take(99_000, 1) and bucket.take(100_000, 1)
-    assert not bucket.take(10_000_000, 4) and bucket.take(
-        10_000_000, 3
-    )  # all or none, and never above the burst
+    assert not bucket.take(10_000_000, 4)  # all or none, and never above the burst
+    assert bucket.take(10_000_000, 3)
