--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -22,7 +22,9 @@
 from sagetrack.core.deadlines import MIN_GRACE_S, SILENT_WATCH_LIMIT_S, discovery_timeouts
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.responses import Response
-from sagetrack.discovery.client import CallError, Discovery, Line
+from sagetrack.discovery.client import DiscoveryClient
+from sagetrack.discovery.connection import DiscoveryConnection
+from sagetrack.discovery.errors import DiscoveryCallError
 from sagetrack.policy.interface import (
     Action,
     EndpointList,
@@ -235,7 +237,7 @@
         failed = begin(run, 5)
         await until(lambda: failed.told == 5)
         async with asyncio.timeout(MOVED_S + grace_s(run)):
-            run.instance.discovery.move(parse_address(new.address, "discovery"))
+            run.instance.discovery.change_address(parse_address(new.address, "discovery"))
             await until(lambda: is_draining(run))
         assert refused.is_set() and len(old.seen) == 5
         new.script = silent
@@ -281,7 +283,7 @@
 
 
 class Played:
-    """The module and the real caller of discovery over lines that do what they are told."""
+    """The module and the real discovery client over connections that follow a script."""
 
     def __init__(self, settings: Settings, faults: list[str], refused_after: bool, seed: int) -> None:
         self.settings, self.faults, self.refused_after = settings, faults, refused_after
@@ -293,7 +295,7 @@
         self.here_s: asyncio.Future[float] = self.loop.create_future()
         self.asked: list[bytes] = []
         names = Names({}, {}, {}, {})
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             ("127.0.0.1", 9), names, self.on_list, settings.endpoints_are_pushed, self.connect, self.limits
         )
         self.discovery.restore_known_endpoints(hosts_list(7, endpoint("s-0", "127.0.0.1:1")))
@@ -313,7 +315,7 @@
             elif isinstance(action, WatchEndpoints):
                 self.discovery.watch(action.on)
 
-    async def connect(self, address: Address) -> Line:
+    async def connect(self, address: Address) -> DiscoveryConnection:
         call, self.calls = self.calls, self.calls + 1
         if call == len(self.faults) - 1:
             self.back_s = self.loop.time()  # the last that fails is under way
@@ -328,22 +330,22 @@
                 fault = "busy, late"
                 if "busy" in self.faults:  # a second refusal: it cannot be reached before the last
                     self.back_s = self.loop.time()
-        return ScriptedLine(self, fault)
+        return ScriptedConnection(self, fault)
 
 
-class ScriptedLine:
+class ScriptedConnection:
     is_open = True
 
     def __init__(self, played: Played, fault: str) -> None:
         self.played, self.fault = played, fault
 
-    async def ask(self, head: bytes) -> Response:
+    async def request(self, head: bytes) -> Response:
         self.played.asked.append(head.split(b" ")[1])
         late_s = 0.99 * self.played.limits.response_timeout_s
         if self.fault == "hangs":
             await asyncio.get_running_loop().create_future()
         if self.fault == "reset":
-            raise CallError("the connection ended")
+            raise DiscoveryCallError("the connection ended")
         if self.fault == "busy":
             return Response(429, [], b"", True)
         await asyncio.sleep(late_s)
@@ -458,7 +460,7 @@
         times = calls.setdefault(fault, [])
         connect = played.connect
 
-        async def noted(address: Address) -> Line:
+        async def noted(address: Address) -> DiscoveryConnection:
             times.append(played.loop.time())
             return await connect(address)
 
