--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -1,6 +1,6 @@
 """Deadlines that follow from the settings and the protocol, each with its sum written out.
 
-Nothing here reads a clock. Whoever has to be in time asks here how long it may take.
+Nothing here reads a clock. Whoever has to meet a deadline takes its limits from here.
 """
 
 from __future__ import annotations
@@ -10,102 +10,115 @@
 from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
 from sagetrack.policy.interface import Settings
 
-SILENT_WATCH_LIMIT_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
-AFTER_WAIT_S = 2.0  # or this long after the wait that was asked for is over, if that is later
-BUSY_S = 2.6  # beside the longest pause, after a second refusal in a row: 4 s together
-RETRY_HOLD_S = 0.001  # for news, after a failure: the least that can be asked for
-REUSE_DELAY_S = 0.015  # a second answer comes some milliseconds after the first (seen: 1.6 to 8.6)
-MIN_GRACE_S = 0.4  # what is planned with where the settings allow less: a call needs some time
+SILENT_WATCH_LIMIT_S = 6.0  # after a watch fell silent, when the changes it has missed count as delivered
+AFTER_POLL_WAIT_S = 2.0  # or this long after the end of the wait that was asked for, if that is later
+REJECTION_BACKOFF_S = 2.6  # beside the longest backoff, after a second rejection in a row: 4 s together
+RETRY_POLL_WAIT_S = 0.001  # of the poll after a failure: the least that can be asked for
+REUSE_DELAY_S = 0.015  # a surplus second response comes some milliseconds after the first (seen: 1.6 to 8.6)
+MIN_GRACE_S = 0.4  # the grace that is planned with where the settings allow less: a call takes some time
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryTimeouts:
-    """How the list of servers is asked for."""
+    """How service discovery is polled. All times are in seconds.
+
+    Attributes:
+        poll_wait_s: How long a watch asks service discovery to wait for a change.
+        retry_poll_wait_s: The same for the first poll after a failure.
+        response_timeout_s: For a response, beyond that wait.
+        connect_timeout_s: For a connection to open.
+        first_backoff_s: At most, after a failure; after the first one, where the load balancer decides.
+        max_backoff_s: At most, after any number of failures.
+        rejection_backoff_s: At most, in addition, after a second rejection in a row.
+        initial_list_timeout_s: At the start: how long clients may be kept waiting for the first list.
+    """
 
-    poll_wait_s: float  # how long a watch asks to wait for news
-    retry_poll_wait_s: float  # the same for the first one after a failure
-    response_timeout_s: float  # for an answer, beyond that wait
+    poll_wait_s: float
+    retry_poll_wait_s: float
+    response_timeout_s: float
     connect_timeout_s: float
-    first_backoff_s: float  # at most, after a failure; where the module asks again, after the first
-    max_backoff_s: float  # at most, after any number of failures
-    rejection_backoff_s: float  # at most, besides that, after a second refusal in a row
-    initial_list_timeout_s: float  # at the start: how long clients may be kept waiting for the first list
+    first_backoff_s: float
+    max_backoff_s: float
+    rejection_backoff_s: float
+    initial_list_timeout_s: float
 
     @property
     def max_call_s(self) -> float:
-        """The longest time for a call, from the connection on, that waits for no news."""
+        """The longest time for a call that waits for no change, from opening the connection on."""
         return self.connect_timeout_s + self.response_timeout_s
 
     @property
     def max_stall_s(self) -> float:
-        """The longest time from a watch's falling silent to the answer on the next connection."""
+        """The longest time from a watch's falling silent to the response on the next connection."""
         return self.poll_wait_s + self.response_timeout_s + self.first_backoff_s + self.max_call_s
 
     @property
     def max_recovery_s(self) -> float:
-        """The longest time from discovery's return, after failures, to its answer.
+        """The longest time from the recovery of service discovery, after failures, to its response.
 
-        The call that is under way then has been lost: it is given up. The one after it may be refused, as
-        many ask at a return.
+        The call that is in flight then is lost and times out. The one after it may be rejected, as many
+        gateways poll at a recovery.
         """
         lost_s = max(self.connect_timeout_s, self.retry_poll_wait_s + self.response_timeout_s)
-        max_rejection_s = self.max_backoff_s + self.max_call_s
-        return lost_s + max_rejection_s + self.max_backoff_s + self.max_call_s
+        rejected_s = self.max_backoff_s + self.max_call_s
+        return lost_s + rejected_s + self.max_backoff_s + self.max_call_s
 
     @property
     def max_rejection_s(self) -> float:
-        """The longest time from the last of several refusals to the answer."""
+        """The longest time from the last of several rejections to the response."""
         return self.max_backoff_s + self.rejection_backoff_s + self.max_call_s
 
     @property
     def max_relocation_s(self) -> float:
-        """The longest time from a new address to its answer, where the first call there fails."""
+        """The longest time from a new address to its response, where the first call there fails."""
         return self.max_call_s + self.max_backoff_s + self.max_call_s
 
 
 def discovery_timeouts(settings: Settings) -> DiscoveryTimeouts:
-    """Limits that bring every change of the list here before the grace for sending has passed.
+    """Return limits by which every change of the endpoint list is here before the grace for sending is over.
 
     G is the grace, and at least 0.4 s where limits are shares of it.
 
-    Pushed: the agent on this machine is asked, at no cost, and what it has counts as told at once, also while
-    a watch is silent or being opened anew, and when discovery returns. A watch that has fallen silent:
+    Pushed: the agent on this machine is polled, at no cost, and what it has counts as delivered at once, also
+    while a watch is silent or being opened anew, and when service discovery recovers. A watch that has fallen
+    silent:
 
-        hold G/4 + answer G/8 + pause G/16 + connect G/8 + answer G/8 = 11/16 of G
+        wait G/4 + response G/8 + backoff G/16 + connect G/8 + response G/8 = 11/16 of G
 
     which leaves 5/16 of G (0.6 s of 2) for a busy core and the attempt that was chosen a moment before. After
-    failures, with all pauses alike and the whole list asked for, which waits for no news:
+    failures, with all backoffs alike and polls of the complete list, which wait for no change:
 
-        answer G/8 + 2 x (pause G/16 + connect G/8 + answer G/8) = 3/4 of G
+        response G/8 + 2 x (backoff G/16 + connect G/8 + response G/8) = 3/4 of G
 
-    Asked for: one service of fixed capacity answers all gateways, and calls wait in turn, so that few are
-    made. Whatever has failed, a change counts as told 6 s after discovery had it and could be reached: until
-    6 + G there must be a newer list, and 6 + 3/4 G is planned with. What a watch of H seconds misses, silent
-    from its first moment on, counts as told after max(6, H + 2); H = 6 - 2 is the longest for which nothing
-    counts later than the silence itself allows, and whichever of the two clocks is read, it ends at 6. Limits
-    are shares of g = min(G, (4 + G)/3), which is G up to 2 s: as shares of a longer G they alone would use up
-    the time (at G = 4: 10.5 s of 10). The module asks again, and no setting moves the longest that it pauses
-    (decide/asking.py). A watch that falls silent, with the pause after a first failure:
+    Polled: one service of fixed capacity answers all gateways, and calls queue there, so that few are made.
+    Whatever has failed, a change counts as delivered 6 s after service discovery had it and could be reached:
+    until 6 + G there must be a newer list, and 6 + 3/4 G is planned with. What a watch of H seconds misses,
+    silent from its first moment on, counts as delivered after max(6, H + 2); H = 6 - 2 is the longest for
+    which nothing counts later than the silence itself allows, and whichever of the two clocks is read, it
+    ends at 6. Limits are shares of g = min(G, (4 + G)/3), which is G up to 2 s: as shares of a longer G they
+    alone would use up the time (at G = 4: 10.5 s of 10). The load balancer decides when to poll again, and no
+    setting changes its longest backoff (policy/discovery_backoff.py). A watch that falls silent, with the
+    backoff after a first failure:
 
-        hold 4 + answer g/2 + pause 0.5 + connect 3g/8 + answer g/2 = 4.5 + 11/8 g    (G = 2: 7.25 of 7.5)
+        wait 4 + response g/2 + backoff 0.5 + connect 3g/8 + response g/2 = 4.5 + 11/8 g  (G = 2: 7.25 of 7.5)
 
-    After any number of failures a call holds for 1 ms, as it is to tell only whether discovery is back. One
-    is under way at the return and lost (answer limit; that for connecting is shorter), the next is refused
-    as late as it may be, and the one after it answered:
+    After any number of failures a poll waits for 1 ms, as it only has to find out whether service discovery
+    has recovered. One is in flight at the recovery and lost (response limit; that for connecting is shorter),
+    the next is rejected as late as it may be, and the one after it is answered:
 
-        0.001 + answer g/2 + 2 x (pause 1.4 + connect 3g/8 + answer g/2) = 2.801 + 9/4 g    (G = 2: 7.301)
+        0.001 + response g/2 + 2 x (backoff 1.4 + connect 3g/8 + response g/2) = 2.801 + 9/4 g  (G = 2: 7.301)
 
-    Who refuses a second time in a row has more calls than it can answer, and counts as out of reach until it
-    has refused for the last time: if all asked again within 1.4 s, they would keep each other waiting (seen
-    with 32 gateways at a service of fixed capacity). From then on each waits for 2.6 s more at most:
+    A service that rejects a second time in a row has more calls than it can answer, and counts as unreachable
+    until its last rejection: if all gateways polled again within 1.4 s, they would keep each other waiting
+    (seen with 32 gateways at a service of fixed capacity). From then on each waits for 2.6 s more at most:
 
-        pause 1.4 + 2.6 + call 7/8 g = 4 + 7/8 g    (G = 2: 5.75 of 7.5)
+        backoff 1.4 + 2.6 + call 7/8 g = 4 + 7/8 g    (G = 2: 5.75 of 7.5)
 
     With g = (4 + G)/3 the first is 6.34 + 0.46 G and the second 5.81 + 0.75 G. A new process waits 1.4 s at
-    most with its first call, as if it were the first of those pauses. What a new address has to tell counts
-    4 s after the signal, and has to be here within 4 + G:
+    most before its first call, as if that were the first of those backoffs. What a new address has to deliver
+    counts 4 s after the signal, and has to be here within 4 + G:
 
-        call 7/8 g + pause 1.4 + call 7/8 g = 1.4 + 7/4 g    (G = 2: 4.9 of 6)
+        call 7/8 g + backoff 1.4 + call 7/8 g = 1.4 + 7/4 g    (G = 2: 4.9 of 6)
     """
     grace_s = max(MIN_GRACE_S, settings.stop_sending_within_us / 1e6)
     if settings.endpoints_are_pushed:
@@ -121,12 +134,12 @@
         )
     planned_s = min(grace_s, (4.0 + grace_s) / 3)
     return DiscoveryTimeouts(
-        poll_wait_s=SILENT_WATCH_LIMIT_S - AFTER_WAIT_S,
-        retry_poll_wait_s=RETRY_HOLD_S,
+        poll_wait_s=SILENT_WATCH_LIMIT_S - AFTER_POLL_WAIT_S,
+        retry_poll_wait_s=RETRY_POLL_WAIT_S,
         response_timeout_s=planned_s / 2,
         connect_timeout_s=planned_s * 3 / 8,
         first_backoff_s=FIRST_PAUSE_US / 1e6,
         max_backoff_s=LONGEST_PAUSE_US / 1e6,
-        rejection_backoff_s=BUSY_S,
+        rejection_backoff_s=REJECTION_BACKOFF_S,
         initial_list_timeout_s=0.0,
     )
