--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -93,7 +93,7 @@
         """Return when each listed server started, in microseconds: it tells incarnations apart."""
         ...
 
-    def begin(self, call: Call, server: int, wait_us: int, watcher: AttemptObserver) -> Attempt | None:
+    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
         """Start an attempt that may take `wait_us`; None if the server is not listed."""
         ...
 
@@ -109,12 +109,12 @@
         """Close the idle connections to a server."""
         ...
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Poll a server for its load, where the settings allow it.
 
         Args:
             server: The id of the server.
-            told: Called once with the outcome, the latency in microseconds and the load report.
+            on_result: Called once with the outcome, the latency in microseconds and the load report.
         """
         ...
 
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -7,7 +7,7 @@
 import os
 import time
 from collections.abc import Callable
-from typing import TypeVar
+from typing import Generic, TypeVar
 
 TRANSIENT = frozenset(
     {
@@ -42,9 +42,32 @@
     return server
 
 
-def _is_final(error: OSError, end_s: float) -> bool:
-    """Return whether a call that has failed with this error is not retried, by `time.monotonic`."""
-    return not is_transient(error) or time.monotonic() >= end_s
+class _Retries(Generic[Result]):
+    """A call that may be made several times, until `RETRY_TIMEOUT_S` after the first.
+
+    Attributes:
+        result: What it has returned, once it has succeeded.
+    """
+
+    result: Result
+
+    def __init__(self, call: Callable[[], Result]) -> None:
+        self._call = call
+        self._end_s = time.monotonic() + RETRY_TIMEOUT_S
+
+    def has_succeeded(self) -> bool:
+        """Make the call; False after a transient error, while there is time for a retry.
+
+        Raises:
+            OSError: Any other error of the call.
+        """
+        try:
+            self.result = self._call()
+        except OSError as error:
+            if not is_transient(error) or time.monotonic() >= self._end_s:
+                raise
+            return False
+        return True
 
 
 async def retry_while_transient(call: Callable[[], Result]) -> Result:
@@ -53,14 +76,10 @@
     Raises:
         OSError: An error that is not transient, or the last one after `RETRY_TIMEOUT_S`.
     """
-    end_s = time.monotonic() + RETRY_TIMEOUT_S
-    while True:
-        try:
-            return call()
-        except OSError as error:
-            if _is_final(error, end_s):
-                raise
+    retries = _Retries(call)
+    while not retries.has_succeeded():
         await asyncio.sleep(RETRY_DELAY_S)
+    return retries.result
 
 
 def retry_while_transient_blocking(call: Callable[[], Result]) -> Result:
@@ -69,11 +88,7 @@
     Raises:
         OSError: As `retry_while_transient`.
     """
-    end_s = time.monotonic() + RETRY_TIMEOUT_S
-    while True:
-        try:
-            return call()
-        except OSError as error:
-            if _is_final(error, end_s):
-                raise
+    retries = _Retries(call)
+    while not retries.has_succeeded():
         time.sleep(RETRY_DELAY_S)
+    return retries.result
--- /dev/null
+++ b/tests/test_in_flight.py
@@ -0,0 +1,112 @@
+"""Requests in flight: the time that is left, which of them are current, and how long they are kept."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
+from sagetrack.core.event_trace import EventTrace
+from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
+from sagetrack.core.interfaces import Call
+from sagetrack.core.send_rules import AttemptRecord
+from sagetrack.policy.interface import Event, RequestCancelled
+
+
+class Started:
+    """An attempt."""
+
+    server, latency_us = 1, 0
+
+
+class Upstream:
+    """Records which attempts are cancelled, and how."""
+
+    def __init__(self) -> None:
+        self.cancelled: list[Any] = []
+        self.cancelled_unsent: list[Any] = []
+
+    def cancel(self, attempt: Any) -> None:
+        self.cancelled.append(attempt)
+
+    def cancel_unsent(self, attempt: Any) -> None:
+        self.cancelled_unsent.append(attempt)
+
+
+class Table:
+    """A table of requests with what it does to others."""
+
+    def __init__(self) -> None:
+        self.upstream, self.posted = Upstream(), list[Event | None]()
+        self.requests = InFlightRequests(
+            self.upstream,  # type: ignore[arg-type]
+            EventTrace(),
+            lambda event: self.posted.append(event()),
+        )
+
+    def add(self, request: InFlightRequest, attempts: int = 0) -> list[Started]:
+        self.requests[request.call.id] = request
+        started = [Started() for _ in range(attempts)]
+        for attempt in started:
+            request.attempts[request.add_attempt(AttemptRecord(0, 0))] = attempt
+        request.attempts_in_flight = attempts
+        return started
+
+
+def request(body: StreamedBody | None = None, mirror_target: int = -1) -> InFlightRequest:
+    call = Call("a", 0, 1_000, None, None, False, 0, None, None, body)  # type: ignore[arg-type]
+    call.mirror_target = mirror_target
+    return InFlightRequest(call, 5_000)
+
+
+def test_the_time_left_runs_from_the_last_byte_of_a_streamed_body_on() -> None:
+    assert request().remaining_us(4_000) == 1_000
+    body = StreamedBody(None, BodyMemoryBudget(64))
+    streamed = request(body)
+    assert streamed.remaining_us(4_000) == streamed.remaining_us(9_000) == 1_000
+    body.complete()
+    assert streamed.remaining_us(body.completed_us + 300) == 700
+
+
+def test_a_request_is_current_once_it_is_complete_and_until_it_is_finished() -> None:
+    body = StreamedBody(None, BodyMemoryBudget(64))
+    streamed, table = request(body), Table()
+    table.add(streamed)
+    assert table.requests.current_count() == 0
+    body.complete()
+    assert table.requests.current_count() == 1
+    streamed.is_finished = True
+    assert table.requests.current_count() == 0
+    assert not request(mirror_target=1).is_current
+
+
+def test_a_finished_request_stays_until_its_last_attempt_has_ended() -> None:
+    table = Table()
+    table.add(request())
+    assert table.requests.finish_unanswered("a") is not None and not table.requests
+    attempts = table.add(request(), attempts=2)
+    assert table.requests.finish_unanswered("a") is table.requests["a"]
+    assert table.upstream.cancelled_unsent == attempts and not table.upstream.cancelled
+    assert table.requests.finish_unanswered("a") is None  # it has had its final response
+
+
+def test_a_client_that_disconnects_is_reported_once_and_ends_a_streamed_response() -> None:
+    table, one = Table(), request()
+    attempts = table.add(one, attempts=1)
+    table.requests.cancel("a")
+    assert table.posted == [RequestCancelled("a")] and not table.upstream.cancelled
+    table.requests.cancel("a")
+    assert table.posted == [RequestCancelled("a")]
+    one.is_finished, one.streaming_attempt = False, attempts[0]
+    table.requests.cancel("a")
+    assert table.upstream.cancelled == attempts
+
+
+def test_only_attempts_without_a_response_are_cancelled_at_the_end_of_a_shutdown() -> None:
+    table, one = Table(), request()
+    attempts = table.add(one, attempts=2)
+    one.streaming_attempt = attempts[0]
+    table.requests.cancel_unanswered_attempts()
+    assert not table.upstream.cancelled
+    one.streaming_attempt = None
+    table.requests.cancel_unanswered_attempts()
+    assert table.upstream.cancelled == attempts
