--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -13,7 +13,7 @@
 LIST_LIMIT = 16 * 1024 * 1024
 
 
-class HttpLine(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One connection that asks: one call at a time."""
 
     def __init__(self, error: Callable[[str], Exception]) -> None:
@@ -59,7 +59,9 @@
         return await self.answer
 
 
-async def connect(address: Address, error: Callable[[str], Exception] = ConnectionError) -> HttpLine:
+async def connect(
+    address: Address, error: Callable[[str], Exception] = ConnectionError
+) -> DiscoveryConnection:
     """A connection that is up; what goes wrong on it is raised as `error`."""
-    _, line = await asyncio.get_running_loop().create_connection(lambda: HttpLine(error), *address)
+    _, line = await asyncio.get_running_loop().create_connection(lambda: DiscoveryConnection(error), *address)
     return line
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -19,7 +19,7 @@
 from sagetrack.core.metrics import Reasons
 from sagetrack.core.peer_close import Hangups
 from sagetrack.core.send_rules import FIRST_REQUEST_S, OVERDUE_S, Closing, may_take_clients
-from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.downstream import ClientConnection, Phase
 
 BACKLOG = 1024  # connections that may wait to be accepted
@@ -63,7 +63,7 @@
 class Server:
     """All connections of clients."""
 
-    def __init__(self, config: Config, gateway: Gateway, pools: Pools) -> None:
+    def __init__(self, config: Config, gateway: Gateway, pools: ConnectionPools) -> None:
         self.config, self.gateway, self.pools = config, gateway, pools
         self.connections: set[ClientConnection] = set()
         self.silent: Phase = {}
@@ -89,7 +89,7 @@
         self.accept_errors = Reasons("accept_errors_total", "error", ())
         self.closed = Reasons("client_closes_total", "reason", ())  # by this process
         gateway.metrics.more += [self.accept_errors.figures, self.closed.figures]
-        pools.room = self.make_room
+        pools.on_descriptor_needed(self.make_room)
 
     def prepare(self, roster: EndpointSource) -> None:
         """Have servers from this roster: nobody is let in before there is a list of them."""
@@ -204,7 +204,7 @@
 
         Guards against a handshake for each request, as silent clients crowd out kept connections to hosts.
         """
-        if self.is_full() and not (self.give_up_client(Closing.ROOM) or self.pools.give_up_idle()):
+        if self.is_full() and not (self.give_up_client(Closing.ROOM) or self.pools.reclaim_idle()):
             self.give_up_client(Closing.EXHAUSTED)
 
     def make_way(self) -> None:
@@ -217,7 +217,7 @@
         if over <= 0:
             return
         for _ in range(over - sum(connection.deaf for connection in self.ending)):
-            room = self.give_up_client(Closing.ROOM) or self.pools.give_up_idle()
+            room = self.give_up_client(Closing.ROOM) or self.pools.reclaim_idle()
             if not (room or self.give_up_client(Closing.EXHAUSTED)):
                 return
 
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -1,4 +1,4 @@
-"""An address server as this gateway reaches it: attempts at it, and one connection to it."""
+"""An upstream server, the attempts at it, and one connection to it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import select
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import Upload, nothing
@@ -16,142 +16,169 @@
 from sagetrack.http1.codec import ReplyError, ReplyReader
 from sagetrack.policy.interface import Outcome
 
-if TYPE_CHECKING:
-    from sagetrack.http1.connection_pool import Pools
+STREAM_AFTER_S = 0.05  # a response of unknown length that is incomplete by then is streamed
 
-HELD_BACK_S = 0.05  # an answer of unknown length that is not whole by then is passed on as it comes
-
-Life = tuple[Address, int]  # where a host listens and when it started
+Incarnation = tuple[Address, int]  # where a server listens and when it started
 
 
 def if_serving(server: ServerState) -> bool:
-    """What nobody can lose interest in may begin while its server is there."""
+    """The send rule of attempts without a client, as probes: as long as the server is there."""
     return server is ServerState.SERVING
 
 
 @dataclass(slots=True, eq=False)
-class Host:
-    """One host as this gateway reaches it."""
+class UpstreamServer:
+    """One upstream server: its address, its drain state and its pool of idle connections."""
 
     id: int
     name: str
     address: Address
-    started_us: int = 0  # as discovery tells it
-    drained_us: int | None = None  # when this gateway was told that it drains or is gone
-    idle: list[HostConnection] = field(default_factory=list)  # the most recently used last
+    started_us: int = 0  # as discovery reports it
+    drained_us: int | None = None  # when this gateway learned that it drains or is gone
+    idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
     open: int = 0  # connections up or coming up
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
+        """The address and start time by which a restarted or moved server is told from the one before."""
         return self.address, self.started_us
 
-    def state(self, life: Life) -> ServerState:
-        """What has become of the host since it was as it was in that life."""
+    def state(self, incarnation: Incarnation) -> ServerState:
+        """Return what has become of the server since it was this incarnation."""
         if self.drained_us is not None:
             return ServerState.WITHDRAWN
-        return ServerState.SERVING if self.life == life else ServerState.RESTARTED
+        return ServerState.SERVING if self.incarnation == incarnation else ServerState.RESTARTED
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One request on its way to one host, until its outcome."""
+    """One request to one upstream server, until its outcome."""
 
-    host: Host
-    payload: Callable[[int], bytes]  # of the microseconds that are left when its first byte goes out
+    upstream: UpstreamServer
+    payload: Callable[[int], bytes]  # takes the microseconds that are left when its first byte goes out
     timeout_us: int
     on_end: Callable[[Attempt, Outcome, Reply | None], None]
-    may_begin: Callable[[ServerState], bool] = if_serving
-    on_first_byte: Callable[[], None] = nothing  # which goes out in this turn
+    may_send: Callable[[ServerState], bool] = if_serving
+    on_first_byte: Callable[[], None] = nothing  # which goes out in this turn of the loop
     on_written: Callable[[], None] = nothing  # its last byte is with the kernel
-    on_begun: Callable[[Attempt, Reply, HostConnection], None] | None = None  # the answer passes through
+    on_begun: Callable[[Attempt, Reply, UpstreamConnection], None] | None = None  # the response is streamed
     on_piece: Callable[[bytes], None] = lambda data: None
     upload: Upload | None = None  # what follows the payload
     written: bool = False
-    streams: bool = False  # its answer passes through
-    moved_us: int = 0  # when a byte of a long body was last seen to move
+    is_streaming: bool = False  # its response is passed on as it comes
+    last_progress_us: int = 0  # when a byte of a long body last moved
     sent_us: int = 0
     latency_us: int = 0
-    connection: HostConnection | None = None
+    connection: UpstreamConnection | None = None
     opening: asyncio.Task[object] | None = None
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
     ended: bool = False
 
     @property
     def server(self) -> int:
-        return self.host.id
+        """The number of the upstream server."""
+        return self.upstream.id
 
     @property
     def left_us(self) -> int:
-        """How long its answer will be waited for; the time of a request counts from its last byte."""
+        """How long its response is still waited for; the time of a request counts from its last byte."""
         if self.upload is not None and not self.upload.ended:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
+    def cancel_timers(self) -> None:
+        """Cancel its timeouts."""
+        for timer in self.timers:
+            timer.cancel()
+
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A request as it goes on to a host."""
+    """A request as it is forwarded to an upstream server."""
 
-    head: bytes  # request line and headers, all but the budget and the end
+    head: bytes  # request line and headers, all but the budget and the empty line
     body: bytes
 
 
-class HostConnection(asyncio.BufferedProtocol):
-    """One connection to a host; it carries one attempt at a time."""
+class ConnectionOwner(Protocol):
+    """What an upstream connection needs of the one that opened it."""
+
+    loop: asyncio.AbstractEventLoop
+    buffer: memoryview  # shared by all connections: what is read is copied at once
+
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        """The connection is up."""
+
+    def on_response(self, connection: UpstreamConnection, response: Reply) -> None:
+        """A response is complete."""
+
+    def on_protocol_error(self, connection: UpstreamConnection) -> None:
+        """The server sent what is no valid response."""
+
+    def on_stream_started(self, attempt: Attempt) -> None:
+        """The response is streamed from here on."""
+
+    def on_lost(self, connection: UpstreamConnection) -> None:
+        """The connection has ended."""
+
+
+class UpstreamConnection(asyncio.BufferedProtocol):
+    """One connection to an upstream server; it carries one attempt at a time."""
 
     __slots__ = (
         "attempt",
-        "begun",
         "body_written",
-        "counted",
         "flushed",
-        "holding",
-        "host",
+        "has_sent",
         "idle_since_us",
-        "life",
-        "parked",
+        "incarnation",
+        "is_counted",
+        "last_response_us",
+        "owner",
         "paused",
         "poll",
-        "pools",
-        "replies",
-        "took_us",
+        "responses",
+        "stream_timer",
         "transport",
+        "upstream",
+        "waiting_attempt",
     )
 
-    def __init__(self, pools: Pools, host: Host, attempt: Attempt | None) -> None:
-        self.pools, self.host, self.attempt = pools, host, attempt
-        self.life = host.life  # the one that it leads to
-        self.begun = False  # something of the attempt may have gone out
-        self.parked: Attempt | None = None  # the next one, until the connection has rested
+    def __init__(self, owner: ConnectionOwner, upstream: UpstreamServer, attempt: Attempt | None) -> None:
+        self.owner, self.upstream, self.attempt = owner, upstream, attempt
+        self.incarnation = upstream.incarnation  # the one that it leads to
+        self.has_sent = False  # something of the attempt may have gone out
+        self.waiting_attempt: Attempt | None = None  # the next one, until the connection may be reused
         self.transport: asyncio.Transport | None = None
-        self.replies = ReplyReader(passes=True)
-        self.holding: asyncio.TimerHandle | None = None  # until an answer of unknown length passes through
+        self.responses = ReplyReader(passes=True)
+        self.stream_timer: asyncio.TimerHandle | None = None  # until a response of unknown length is streamed
         self.paused = False  # the client takes no more for now
         self.body_written = True  # no more of the request is to be written
         self.flushed = True  # the last byte of what was written is with the kernel
         self.idle_since_us = 0
-        self.took_us = 0  # its last answer
-        self.counted = False
+        self.last_response_us = 0  # how long its last response took
+        self.is_counted = False
         self.poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by the loop."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # With no room in the buffer, pause_writing tells at once that the last byte is not yet written.
+        # Without room in the buffer, pause_writing tells at once that the last byte is not yet written.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
-        self.pools.on_connected(self)
+        self.owner.on_connected(self)
 
-    def is_fresh(self) -> bool:
-        """False once the host has closed it, or said something unasked, seen by the loop or not yet.
+    def is_usable(self) -> bool:
+        """Whether a request may be written: False once the server has closed it or sent something unasked.
 
-        Guards against writing a request to a connection that the host has closed: it would end as a reset,
-        and nobody could tell whether it has run.
+        The kernel is asked, since the loop may not have seen it yet: a request on a connection that the
+        server has closed would end as a reset, and it could not be known whether it has run.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
 
     def write(self, data: bytes) -> bool:
-        """False if the connection turned out broken before the last byte was written."""
+        """Write; False if the connection turned out broken before the last byte was written."""
         assert self.transport is not None
         if self.transport.is_closing():
             return False
@@ -159,29 +186,30 @@
         return not self.transport.is_closing()
 
     def close(self) -> None:
-        self.stop_holding()
+        """Close at once; what is not yet written is lost."""
+        self.cancel_stream_timer()
         if self.transport is not None:
             self.transport.abort()
 
-    # A request's body that passes through
+    # A request body that is streamed
 
     def carry(self, attempt: Attempt) -> None:
         """Begin to send what follows the payload, if anything does."""
         self.body_written = attempt.upload is None
         if attempt.upload is not None:
-            attempt.moved_us = now_us()
-            attempt.upload.on_data = self.pump
-        self.pump()
+            attempt.last_progress_us = now_us()
+            attempt.upload.on_data = self.write_body
+        self.write_body()
 
-    def pump(self) -> None:
-        """Write what there is of the body, for as long as the host takes it."""
+    def write_body(self) -> None:
+        """Write what there is of the body, for as long as the server takes it."""
         attempt = self.attempt
         if attempt is None or self.transport is None:
             return
         upload = attempt.upload
         while upload is not None and self.flushed and upload.pieces:
             data = upload.take()
-            attempt.moved_us = now_us()
+            attempt.last_progress_us = now_us()
             self.write(data if upload.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
         if upload is not None and upload.ended and not upload.pieces and not self.body_written:
             self.body_written = True
@@ -192,72 +220,80 @@
             attempt.on_written()
 
     def pause_writing(self) -> None:
+        """The server takes no more for now; called by the loop."""
         self.flushed = False
 
     def resume_writing(self) -> None:
+        """All that was written is with the kernel; called by the loop."""
         self.flushed = True
-        self.pump()
+        self.write_body()
 
-    # Answers
+    # Responses
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.pools.buffer
+        """Return the owner's buffer, whatever size is suggested; called by the loop."""
+        return self.owner.buffer
 
     def buffer_updated(self, size: int) -> None:
-        self.data_received(bytes(self.pools.buffer[:size]))
+        """Take what was read into the buffer; called by the loop."""
+        self.data_received(bytes(self.owner.buffer[:size]))
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes from the server, and pass on what they complete."""
         try:
-            reply = self.replies.feed(data)
+            response = self.responses.feed(data)
         except ReplyError:
-            self.pools.on_garbage(self)
+            self.owner.on_protocol_error(self)
             return
         attempt = self.attempt
-        if reply is not None:
-            self.stop_holding()
-            self.pools.on_reply(self, reply)
+        if response is not None:
+            self.cancel_stream_timer()
+            self.owner.on_response(self, response)
         elif attempt is None:
             self.close()
-        elif attempt.streams:
-            attempt.moved_us = now_us()
-            attempt.on_piece(self.replies.take())
-        elif self.replies.is_long:
-            self.begin()
-        elif self.replies.may_be_long and self.holding is None:
-            self.holding = self.pools.loop.call_later(HELD_BACK_S, self.begin)
-
-    def stop_holding(self) -> None:
-        if self.holding is not None:
-            self.holding.cancel()
-            self.holding = None
-
-    def begin(self) -> None:
-        """From now on the answer is passed on as it comes."""
-        self.stop_holding()
+        elif attempt.is_streaming:
+            attempt.last_progress_us = now_us()
+            attempt.on_piece(self.responses.take())
+        elif self.responses.is_long:
+            self.start_stream()
+        elif self.responses.may_be_long and self.stream_timer is None:
+            self.stream_timer = self.owner.loop.call_later(STREAM_AFTER_S, self.start_stream)
+
+    def cancel_stream_timer(self) -> None:
+        """Do not begin to stream the response by the clock."""
+        if self.stream_timer is not None:
+            self.stream_timer.cancel()
+            self.stream_timer = None
+
+    def start_stream(self) -> None:
+        """Pass the response on as it comes from here on."""
+        self.cancel_stream_timer()
         attempt = self.attempt
         if attempt is None or attempt.on_begun is None:
             return
         if not attempt.written:
-            self.pools.on_garbage(self)  # it can't be the answer to what it has not had
+            self.owner.on_protocol_error(self)  # no response can precede the end of its request
             return
-        self.pools.begin_stream(attempt)
-        attempt.on_begun(attempt, self.replies.begin(), self)
-        body = self.replies.take()
+        self.owner.on_stream_started(attempt)
+        attempt.on_begun(attempt, self.responses.begin(), self)
+        body = self.responses.take()
         if self.attempt is attempt and body:
             attempt.on_piece(body)
 
     def pause(self) -> None:
-        """The client takes no more for now."""
+        """Stop reading: the client takes no more for now."""
         if self.transport is not None and not self.paused and not self.transport.is_closing():
             self.paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
+        """Read again after `pause`."""
         if self.transport is not None and self.paused and not self.transport.is_closing():
             self.paused = False
             if self.attempt is not None:
-                self.attempt.moved_us = now_us()
+                self.attempt.last_progress_us = now_us()
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pools.on_lost(self)
+        """Report the end of the connection; called by the loop."""
+        self.owner.on_lost(self)
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -15,8 +15,8 @@
 from sagetrack.core.transient_errors import persist
 from sagetrack.discovery.client import CallError, Discovery, number_of, parse_list
 from sagetrack.discovery.split import HTTP, Split
-from sagetrack.http1.connection_pool import Pools
-from sagetrack.http1.discovery_connection import HttpLine, connect
+from sagetrack.http1.connection_pool import ConnectionPools
+from sagetrack.http1.discovery_connection import DiscoveryConnection, connect
 from sagetrack.http1.listener import Server
 from sagetrack.policy.interface import ListKind, TenantSharesChanged
 from sagetrack.server.admission_settings import shares_in, with_door
@@ -37,7 +37,7 @@
 ZONE_S = 1.0  # between looks at what our own zone follows
 
 
-async def _ask_discovery(address: tuple[str, int]) -> HttpLine:
+async def _ask_discovery(address: tuple[str, int]) -> DiscoveryConnection:
     return await connect(address, CallError)
 
 
@@ -55,7 +55,7 @@
         self.handover: Handover | None = None
         self.dns: Service | None = None
         self.zone_timer: asyncio.TimerHandle | None = None
-        self.pools = Pools(config.settings)
+        self.pools = ConnectionPools(config.settings)
         names = [name.decode() for name in config.names.classes]
         self.newer: Newer | None = None
         self.new_front: NewFront | None = None
@@ -228,14 +228,14 @@
         """What the module makes of each server now."""
         known = self.gateway.balancer.servers
         return {
-            host.name: known[number].weight for number, host in self.pools.hosts.items() if number in known
+            host.name: known[number].weight for number, host in self.pools.servers.items() if number in known
         }
 
     def follow_zone(self) -> None:
         """Let our own zone follow the list of servers, and its order their weights."""
         assert self.dns is not None
         self.zone_timer = asyncio.get_running_loop().call_later(ZONE_S, self.follow_zone)
-        ready = [host for host in self.pools.hosts.values() if host.drained_us is None]
+        ready = [host for host in self.pools.servers.values() if host.drained_us is None]
         known = self.gateway.balancer.servers
         self.dns.list_servers(
             (host.name, host.address, known[host.id].entry.weight) for host in ready if host.id in known
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -84,7 +84,7 @@
 async def rested(run: Running) -> None:
     """Wait until every kept connection to a host may be used again."""
     oldest_us = int(REST_S * 1e6)
-    hosts = run.instance.pools.hosts.values()
+    hosts = run.instance.pools.servers.values()
     await until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -125,7 +125,11 @@
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
             await rested(run)
         assert host.opened == 1 and run.gateway.metrics.answered.by_class[0] == 3
-        assert not run.gateway.held and not run.gateway.balancer.requests and not run.instance.pools.moving
+        assert (
+            not run.gateway.held
+            and not run.gateway.balancer.requests
+            and not run.instance.pools.attempts.transferring
+        )
         client.close()
 
 
@@ -194,7 +198,11 @@
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
         await until(lambda: host.ended == 1)
-        assert not run.gateway.held and not run.gateway.balancer.requests and not run.instance.pools.moving
+        assert (
+            not run.gateway.held
+            and not run.gateway.balancer.requests
+            and not run.instance.pools.attempts.transferring
+        )
 
 
 @on_loop
@@ -205,8 +213,8 @@
         await client.reader.readuntil(b"\r\n\r\n")
         pools = run.instance.pools
         pools.sweep()
-        (attempt,) = pools.moving
-        attempt.moved_us -= 60_000_000
+        (attempt,) = pools.attempts.transferring
+        attempt.last_progress_us -= 60_000_000
         pools.sweep()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await client.reader.readexactly(len(LONG))
@@ -229,7 +237,7 @@
             assert (await client.answer()).body == b"%d" % len(LONG)
         assert host.whole == [LONG] * 3
         assert b"Content-Length: 251000" in host.heads[0] and b"Transfer-Encoding: chunked" in host.heads[1]
-        assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.moving
+        assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.attempts.transferring
         assert run.server.allowance.active == 0
         client.close()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from sagetrack.core.drain import LEAVE_ACCEPT_S
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.downstream import PIPELINED
-from sagetrack.http1.upstream_connection import HostConnection
+from sagetrack.http1.upstream_connection import UpstreamConnection
 from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
 from tests.sockets import (
     Exchange,
@@ -38,20 +38,20 @@
     """Connections to hosts that are up and not yet seen to be: what they would carry is held back."""
 
     def __init__(self, run: Running, only: int | None = None) -> None:
-        self.pools = run.instance.pools
-        self.held: list[HostConnection] = []
-        self.see = self.pools.on_connected
+        self.attempts = run.instance.pools.attempts
+        self.held: list[UpstreamConnection] = []
+        self.see = self.attempts.on_connected
         self.only = only  # of one host
-        self.pools.on_connected = self.on_connected  # type: ignore[method-assign]
+        self.attempts.on_connected = self.on_connected  # type: ignore[method-assign]
 
-    def on_connected(self, connection: HostConnection) -> None:
-        if self.only in (None, connection.host.id):
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        if self.only in (None, connection.upstream.id):
             self.held.append(connection)
         else:
             self.see(connection)
 
     def release(self) -> None:
-        self.pools.on_connected = self.see  # type: ignore[method-assign]
+        self.attempts.on_connected = self.see  # type: ignore[method-assign]
         for connection in self.held:
             self.see(connection)
 
@@ -261,19 +261,17 @@
 @on_loop
 async def test_a_second_answer_crosses_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is on its way as the next request is: nobody takes it for that one's answer."""
-    monkeypatch.setattr(
-        "sagetrack.http1.connection_pool.REST_S", 60.0, raising=False
-    )  # however busy this machine is
+    monkeypatch.setattr("sagetrack.http1.idle_connections.REST_S", 60.0)  # however busy this machine is
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await until(lambda: host.seen)
         host.seen[0].answer(reply(200, b"one"))
         assert (await client.answer()).body == b"one"
-        (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        kept.took_us = 120_000_000
+        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        kept.last_response_us = 120_000_000
         client.send(request())
-        await until(lambda: len(host.seen) == 2 or kept.parked)
+        await until(lambda: len(host.seen) == 2 or kept.waiting_attempt)
         host.seen[0].answer(reply(200, b"one"))
         await until(lambda: len(host.seen) == 2)
         host.seen[1].answer(reply(200, b"two"))
@@ -284,14 +282,14 @@
 
 @on_loop
 async def test_the_next_request_waits_for_its_connections_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.1)
+    monkeypatch.setattr("sagetrack.http1.idle_connections.REST_S", 0.1)
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
             assert (await client.ask(request())).status == 200
             assert host.opened == 1
-            for kept in run.instance.pools.hosts[host_id(0)].idle:
-                kept.took_us = 1_000_000
+            for kept in run.instance.pools.servers[host_id(0)].idle:
+                kept.last_response_us = 1_000_000
         client.close()
 
 
@@ -301,8 +299,8 @@
         client = await run.connect()
         for opened in (1, 2):
             assert (await client.ask(request())).status == 200
-            for kept in run.instance.pools.hosts[host_id(0)].idle:
-                kept.took_us, kept.idle_since_us = 1_000, now_us() + 10_000_000
+            for kept in run.instance.pools.servers[host_id(0)].idle:
+                kept.last_response_us, kept.idle_since_us = 1_000, now_us() + 10_000_000
             assert host.opened == opened
         client.close()
 
@@ -319,11 +317,11 @@
     ):
         client = await run.connect()
         assert (await client.ask(request())).status == 200
-        (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 0.5)
-        kept.idle_since_us, kept.took_us = now_us(), 1_000_000
+        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        monkeypatch.setattr("sagetrack.http1.idle_connections.REST_S", 0.5)
+        kept.idle_since_us, kept.last_response_us = now_us(), 1_000_000
         client.send(request("transfer"))
-        await until(lambda: kept.parked)
+        await until(lambda: kept.waiting_attempt)
         tell(run, ListKind.DELTA, endpoint("s-1", other.address))
         if what == "left":
             client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -87,7 +87,7 @@
             crowd = await fill(run, run.server.most + KINDS * 4)
             assert run.server.clients >= run.server.most - 1 and within(run)
             up.append(True)
-            await until(lambda: run.instance.pools.hosts[host_id(0)].address == parsed(new))
+            await until(lambda: run.instance.pools.servers[host_id(0)].address == parsed(new))
             fresh = [await run.connect() for _ in range(20)]
             for client in fresh:
                 client.send(request("search"))
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -597,7 +597,7 @@
         file = tmp_path / "operator.toml"
         file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
         async with running(config, load_operator(str(file))) as gateway:
-            assert [host.name for host in gateway.instance.pools.hosts.values()] == ["s-0"]
+            assert [host.name for host in gateway.instance.pools.servers.values()] == ["s-0"]
             client = await Client.to(("127.0.0.1", port))
             assert (await client.ask(query())).answer[0][0].to_text() == "192.0.2.1"
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -63,7 +63,7 @@
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
             async with running(configuration(host, discovery=discovery.address)) as run:
-                hosts = run.instance.pools.hosts
+                hosts = run.instance.pools.servers
                 await until(lambda: hosts[host_id(0)].drained_us is not None)
         finally:
             sys.stderr = stream
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -93,7 +93,7 @@
         watches = [f"/registry/instances?from={n}&hold_ms=250" for n in (7, 8, 8, 9)]
         assert asked(registry) == ["/registry/instances", *watches]
         assert registry.opened == 1
-        assert set(run.instance.pools.hosts) == {host_id(1)} == set(run.gateway.balancer.servers)
+        assert set(run.instance.pools.servers) == {host_id(1)} == set(run.gateway.balancer.servers)
 
 
 @on_loop
@@ -126,7 +126,7 @@
             assert event.kind is ListKind.FULL
             (entry,) = event.servers
             assert (entry.zone, entry.group, entry.started_us, entry.weight) == (1, 3, 5_000, 2.0)
-            assert set(run.instance.pools.hosts) == {host_id(1)}
+            assert set(run.instance.pools.servers) == {host_id(1)}
 
 
 def reset(exchange: Exchange) -> None:
@@ -154,9 +154,9 @@
             told = lists(run)
             await until(lambda: len(told) >= 2)
             assert {event.kind for event in told} == {ListKind.ERROR}
-            assert set(run.instance.pools.hosts) == {host_id(0)}  # the old list stands
+            assert set(run.instance.pools.servers) == {host_id(0)}  # the old list stands
             registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-            await until(lambda: host_id(3) in run.instance.pools.hosts)
+            await until(lambda: host_id(3) in run.instance.pools.servers)
             registry.script = silent
 
 
@@ -168,7 +168,7 @@
     ):
         await until(lambda: len(registry.seen) >= 2)
         registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-        await until(lambda: host_id(3) in run.instance.pools.hosts)
+        await until(lambda: host_id(3) in run.instance.pools.servers)
         registry.script = silent
 
 
@@ -195,9 +195,9 @@
             peer(script) as registry,
             running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
         ):
-            await until(lambda: host_id(1) in run.instance.pools.hosts)
+            await until(lambda: host_id(1) in run.instance.pools.servers)
             registry.script = silent
-            assert set(run.instance.pools.hosts) == {host_id(1)}
+            assert set(run.instance.pools.servers) == {host_id(1)}
             assert (await run.ask(request())).status == 200
 
 
@@ -209,7 +209,7 @@
         async with running(config) as run:
             await until(lambda: registry.seen)
             assert asked(registry) == ["/registry/instances"]
-            assert not run.instance.pools.hosts
+            assert not run.instance.pools.servers
     await asyncio.sleep(0)
 
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -7,7 +7,7 @@
 from sagetrack.config.platform import parse
 from sagetrack.core.endpoints import Reply
 from sagetrack.discovery.client import parse_list
-from sagetrack.http1.upstream_connection import Attempt, HostConnection
+from sagetrack.http1.upstream_connection import Attempt, UpstreamConnection
 from sagetrack.policy.interface import ListKind, Outcome
 from tests.sockets import (
     Exchange,
@@ -28,8 +28,8 @@
 )
 
 
-def idle(run: Running, number: int = 0) -> list[HostConnection]:
-    return run.instance.pools.hosts[host_id(number)].idle
+def idle(run: Running, number: int = 0) -> list[UpstreamConnection]:
+    return run.instance.pools.servers[host_id(number)].idle
 
 
 @on_loop
@@ -56,7 +56,7 @@
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.instance.pools, idle(run)[0]
         host.seen[0].writer.close()
-        await until(lambda: not connection.is_fresh())
+        await until(lambda: not connection.is_usable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
         if not idle(run):
@@ -66,7 +66,7 @@
             ended.append(outcome)
 
         data = request("transfer")
-        pool.send(Attempt(pool.hosts[host_id(0)], lambda left_us: data, 20_000_000, on_end))
+        pool.attempts.send(Attempt(pool.servers[host_id(0)], lambda left_us: data, 20_000_000, on_end))
         await until(lambda: ended)
         assert ended == [Outcome.OK] and host.opened == 2
 
@@ -87,9 +87,9 @@
             taken.sendall(reply())
             await asking
             connection = idle(run)[0]
-            assert connection.is_fresh()
+            assert connection.is_usable()
             taken.close()  # and the loop has had no turn since
-            assert not connection.is_fresh()
+            assert not connection.is_usable()
 
 
 @on_loop
@@ -149,12 +149,12 @@
         def on_end(attempt: Attempt, outcome: Outcome, answer: Reply | None) -> None:
             ended.append(outcome)
 
-        known = pools.hosts[host_id(0)]
-        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
+        known = pools.servers[host_id(0)]
+        pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
         pools.drain(known)
         await until(lambda: ended)
         assert ended == [Outcome.NOT_SENT] and not host.seen
-        pools.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
+        pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_end))
         assert ended == [Outcome.NOT_SENT] * 2
 
 
@@ -226,19 +226,19 @@
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with peer(silent) as host, running(configuration(host)) as run:
         pools = run.instance.pools
-        connected = pools.on_connected
+        connected = pools.attempts.on_connected
 
-        def given_up(connection: HostConnection) -> None:
+        def given_up(connection: UpstreamConnection) -> None:
             attempt = connection.attempt
             if attempt is not None:
                 pools.cancel(attempt)
             connected(connection)
 
-        pools.on_connected = given_up  # type: ignore[method-assign]
+        pools.attempts.on_connected = given_up  # type: ignore[method-assign]
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: pools.counts.opened)
         await until(lambda: pools.open == 0)
-        (known,) = pools.hosts.values()
+        (known,) = pools.servers.values()
         assert known.open == 0 and not known.idle and not host.seen
         client.close()
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -33,7 +33,7 @@
 from sagetrack.grpc.tls import Keys, KeysError
 from sagetrack.grpc.translate import from_new, to_new, to_new_answer, to_old, untranslatable
 from sagetrack.grpc.upstream import Line, NewPools
-from sagetrack.http1.connection_pool import Pools
+from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.upstream_connection import Message
 from sagetrack.lab.grpc_server import Asked, NewConnection
 from sagetrack.lab.scripted import peer
@@ -597,7 +597,7 @@
 
 def test_a_server_that_changes_its_format_leaves_the_side_that_it_was_on() -> None:
     async def play() -> None:
-        old, new = Pools(SETTINGS), NewPools(SETTINGS)
+        old, new = ConnectionPools(SETTINGS), NewPools(SETTINGS)
         mixed = Mixed(old, new, [7], Move(None), lambda: None)
         for kind, at in ((0, old), (7, new), (0, old)):
             mixed.put(Endpoint("n", ("127.0.0.1", 9), ListedServer(1, kind=kind)))
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -24,8 +24,10 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call
 from sagetrack.core.send_rules import ServerState
-from sagetrack.http1.connection_pool import Pools
-from sagetrack.http1.upstream_connection import HostConnection, Message
+from sagetrack.http1.attempt_runner import AttemptRunner
+from sagetrack.http1.connection_pool import ConnectionPools
+from sagetrack.http1.idle_connections import IdleConnections
+from sagetrack.http1.upstream_connection import Message, UpstreamConnection
 from sagetrack.policy.interface import Effect, ListedServer, ListKind, ServerStatus
 from tests.helpers import SETTINGS
 
@@ -47,7 +49,7 @@
 class Opening:
     """A connection that is being opened, and the task of it."""
 
-    def __init__(self, world: World, made: Callable[[], HostConnection]) -> None:
+    def __init__(self, world: World, made: Callable[[], UpstreamConnection]) -> None:
         self.world, self.made = world, made
         self.over = self.was_cancelled = False
         self.error: Exception | None = None
@@ -91,7 +93,7 @@
 class Wire:
     """The transport of a connection to a server; what is written goes out whole, in part or not at all."""
 
-    def __init__(self, world: World, connection: HostConnection) -> None:
+    def __init__(self, world: World, connection: UpstreamConnection) -> None:
         self.world, self.connection = world, connection
         self.closing = self.paused = False
         self.asked = 0  # requests that are whole at the server and have had no answer
@@ -213,7 +215,7 @@
         heapq.heappush(self.timers, (due, self.count, lambda: None if handle.off else what(*args)))
         return handle
 
-    def create_connection(self, made: Callable[[], HostConnection], *address: Any) -> Opening:
+    def create_connection(self, made: Callable[[], UpstreamConnection], *address: Any) -> Opening:
         opening = Opening(self, made)
         self.openings.append(opening)
         return opening
@@ -242,7 +244,7 @@
             self.broken.append(what)
 
     def on_first_byte(self, wire: Wire, data: bytes) -> None:
-        server = wire.connection.host.id
+        server = wire.connection.upstream.id
         self.rule(server not in self.withdrawn, "begun at a server after word that it leaves")
         name = data.split(b" ")[1].decode()
         (asked,) = [one for one in self.asked if one.call is not None and one.call.id == name]
@@ -317,7 +319,12 @@
     loop = SimpleNamespace(
         call_later=world.call_later, create_connection=world.create_connection, create_task=world.create_task
     )
-    for module in ("sagetrack.core.gateway", "sagetrack.http1.connection_pool"):
+    for module in (
+        "sagetrack.core.gateway",
+        "sagetrack.http1.attempt_runner",
+        "sagetrack.http1.connection_pool",
+        "sagetrack.http1.idle_connections",
+    ):
         patch.setattr(f"{module}.now_us", lambda: world.now)
     patch.setattr("asyncio.get_running_loop", lambda: loop)
     try:
@@ -330,7 +337,7 @@
 
 def play(draw: random.Random) -> None:
     with world_of(draw) as world:
-        pools = Pools(RULES)
+        pools = ConnectionPools(RULES)
         gateway = Gateway(RULES, draw.randrange(2**32), ["safe", "keyed", "unsafe"], pools, {})
         for number in range(SERVERS):
             world.list_one(gateway, number, ServerStatus.READY)
@@ -363,29 +370,39 @@
 
 def forget_the_client(patch: pytest.MonkeyPatch) -> None:
     """As it was: what is begun is written, whoever still waits."""
-    patch.setattr(Pools, "withdraw", lambda self, attempt: None)
-    patch.setattr(Pools, "may_begin", lambda self, a, life: a.host.drained_us is None and a.host.life == life)
+    patch.setattr(ConnectionPools, "withdraw", lambda self, attempt: None)
+    patch.setattr(
+        AttemptRunner,
+        "may_send",
+        lambda self, attempt, incarnation: (
+            attempt.upstream.drained_us is None and attempt.upstream.incarnation == incarnation
+        ),
+    )
 
 
 def forget_the_word(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Pools, "may_begin", lambda self, attempt, life: attempt.may_begin(ServerState.SERVING))
+    patch.setattr(
+        AttemptRunner,
+        "may_send",
+        lambda self, attempt, incarnation: attempt.may_send(ServerState.SERVING),
+    )
 
 
 def forget_what_was_written(patch: pytest.MonkeyPatch) -> None:
     """Every loss is told as one of a connection that never came up."""
-    lost = Pools.on_lost
+    lost = AttemptRunner.on_lost
 
-    def on_lost(self: Pools, connection: HostConnection) -> None:
+    def on_lost(self: AttemptRunner, connection: UpstreamConnection) -> None:
         if connection.attempt is not None:
             connection.attempt.written = False
         lost(self, connection)
 
-    patch.setattr(Pools, "on_lost", on_lost)
+    patch.setattr(AttemptRunner, "on_lost", on_lost)
 
 
 def forget_an_idle_connection(patch: pytest.MonkeyPatch) -> None:
     """As it was: a server that is gone is looked up after it has been taken out."""
-    patch.setattr(Pools, "let_go_of_idle", lambda self, host: None)
+    patch.setattr(IdleConnections, "close_all", lambda self, upstream: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -148,13 +148,13 @@
     async with peer() as host, running(configuration(host)) as run:
         unheard(run)
         assert (await run.ask(request())).status == 200
-        (kept,) = run.instance.pools.hosts[host_id(0)].idle
-        monkeypatch.setattr("sagetrack.http1.connection_pool.REST_S", 60.0)
-        kept.idle_since_us, kept.took_us = now_us(), 200_000_000
+        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        monkeypatch.setattr("sagetrack.http1.idle_connections.REST_S", 60.0)
+        kept.idle_since_us, kept.last_response_us = now_us(), 200_000_000
         client, connection = await crowding(run)
-        await until(lambda: kept.parked)
+        await until(lambda: kept.waiting_attempt)
         await leaves(client, connection)
-        run.instance.pools.on_rested(kept)
+        run.instance.pools.attempts.on_reusable(kept)
         await nothing_is_owed(run)
         assert len(host.seen) == 1
 
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -128,7 +128,7 @@
         client.send(request("transfer", b"x"))
         await until(lambda: first.seen or second.seen)
         (held,) = run.gateway.held.values()
-        for server in run.instance.pools.hosts:
+        for server in run.instance.pools.servers:
             run.gateway.carry_out(SendAttempt(held.call.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.seen) + len(second.seen) == 1
