--- /dev/null
+++ b/sagetrack/http1/acceptor.py
@@ -0,0 +1,112 @@
+"""The listening socket: connections of clients are accepted as long as there are descriptors for them."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+from collections.abc import Callable
+from contextlib import suppress
+
+from sagetrack.core.log import log
+from sagetrack.core.metrics import Reasons
+
+BACKLOG = 1024  # connections that may wait to be accepted
+ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
+ACCEPT_RETRY_S = 0.01  # where there is no descriptor, and none can be reclaimed
+# Errors of accept that may be over in a moment; after any other the next connection may be accepted at once
+EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+EXHAUSTED_LIMIT = 10  # of them in a row: this process may have fewer descriptors than it was told
+
+
+class Acceptor:
+    """Accepts connections on a listening socket, a few in a turn of the loop."""
+
+    def __init__(
+        self,
+        reclaim: Callable[[], bool],
+        reclaim_idle: Callable[[], object],
+        connection: Callable[[], asyncio.BaseProtocol],
+    ) -> None:
+        self.reclaim = reclaim  # have a descriptor for one more; False if there is none
+        self.reclaim_idle = reclaim_idle  # close a client that is idle
+        self.connection = connection
+        self.listener: socket.socket | None = None
+        self.pending: set[asyncio.Task[object]] = set()  # accepted, not yet connections
+        self.exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
+        self.errors = Reasons("accept_errors_total", "error", ())
+
+    def start(self, listener: socket.socket) -> None:
+        """Accept connections on this socket, which listens."""
+        self.listener = listener
+        asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
+
+    def accept(self, limit: int = ACCEPTS_PER_TURN) -> bool:
+        """Accept what waits, a few in a turn, so that a crowd is met by reclaiming, not by an error.
+
+        True if nothing waits any more.
+        """
+        loop = asyncio.get_running_loop()
+        for _ in range(limit):
+            if self.listener is None:
+                return True
+            if not self.reclaim():
+                # What has been accepted is read first: some of it can then be reclaimed, or answered.
+                self._pause()
+                return False
+            try:
+                accepted, _ = self.listener.accept()
+            except BlockingIOError:
+                return True
+            except OSError as error:
+                if self._handle_error(error):
+                    continue
+                return False
+            self.exhausted = 0
+            task: asyncio.Task[object] = loop.create_task(self._connect(accepted))
+            self.pending.add(task)
+            task.add_done_callback(self.pending.discard)
+        return False
+
+    def stop(self) -> None:
+        """Close our descriptor; a shared socket goes on listening in other processes."""
+        if self.listener is not None:
+            asyncio.get_running_loop().remove_reader(self.listener.fileno())
+            self.listener.close()
+            self.listener = None
+
+    def _pause(self) -> None:
+        assert self.listener is not None
+        loop = asyncio.get_running_loop()
+        loop.remove_reader(self.listener.fileno())
+        loop.call_later(ACCEPT_RETRY_S, self._resume)
+
+    def _resume(self) -> None:
+        if self.listener is not None:
+            asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
+
+    def _handle_error(self, error: OSError) -> bool:
+        """Whether the next connection may be accepted at once; else nothing is accepted for a moment.
+
+        Connected clients have not caused it, and none is closed, but where this process has used up its
+        descriptors and goes on to fail: then an idle one.
+        """
+        name = errno.errorcode.get(error.errno or 0, "other")
+        self.errors.add(name)
+        if error.errno not in EXHAUSTED:
+            log(f"accept failed, continuing: {name}", "warning", "accept")
+            return True
+        self.exhausted += 1
+        if error.errno == errno.EMFILE and self.exhausted >= EXHAUSTED_LIMIT:
+            self.reclaim_idle()
+        log(f"accept failed, pausing for {ACCEPT_RETRY_S} s: {name}", "warning", "accept")
+        self._pause()
+        return False
+
+    async def _connect(self, accepted: socket.socket) -> None:
+        with suppress(OSError):  # without it responses are as right, and a little later
+            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        try:
+            await asyncio.get_running_loop().connect_accepted_socket(self.connection, accepted)
+        except OSError:
+            accepted.close()  # the client has closed it already
--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -8,13 +8,12 @@
 from sagetrack.core.bodies import STALL_S, nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Reply
+from sagetrack.http1.codec import READ_SIZE
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
 from sagetrack.http1.response_outcome import outcome_of
 from sagetrack.http1.upstream_connection import Attempt, Incarnation, UpstreamConnection
 from sagetrack.policy.interface import Outcome, Settings
 
-READ_SIZE = 64 * 1024  # bytes read from a connection at once
-
 
 class AttemptRunner:
     """Carries out attempts. Every attempt that is sent ends once, by its `on_end`."""
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -11,6 +11,7 @@
 
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
+READ_SIZE = 64 * 1024  # bytes read from a connection at once
 INTERIM_LIMIT = 8  # answers that may come ahead of the answer proper
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer"
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -1,136 +1,136 @@
-"""One client's connection: its requests are read, taken one after the other, and answered."""
+"""One client's connection: its requests are read ahead, handled one after the other, and answered."""
 
 from __future__ import annotations
 
 import asyncio
 import select
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
-from sagetrack.config.platform import stable_id
-from sagetrack.core.bodies import Upload
-from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.bodies import Allowance, Upload
+from sagetrack.core.drain import Drain
 from sagetrack.core.event_trace import Step
-from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.invariants import Rule
-from sagetrack.core.peer_close import hung_up
+from sagetrack.core.metrics import Reasons
+from sagetrack.core.peer_close import Hangups, hung_up
 from sagetrack.core.send_rules import ClientState, Closing, DenialReason, may_close
-from sagetrack.http1.codec import end_to_end
-from sagetrack.http1.requests import Request, RequestError, RequestReader, read_call
+from sagetrack.http1.codec import READ_SIZE
+from sagetrack.http1.connection_phases import ConnectionPhases, Phase
+from sagetrack.http1.exchange import Exchange, RequestHandling
+from sagetrack.http1.requests import Request, RequestError, RequestReader
 
-if TYPE_CHECKING:
-    from sagetrack.http1.listener import Server
-
-READY_PATH = b"/health/ready"
-PIPELINED = 16  # requests read ahead on one connection
-BODY_RATE = 64_000  # bytes a second that a body comes at, at the least
+MAX_PIPELINED = 16  # requests read ahead on one connection
+MIN_BODY_RATE = 64_000  # bytes a second at which a body has to come
 BODY_GRACE_S = 2.0  # on top of that
-LINGER_S = 0.5  # for the client to read an answer that it did not expect
-STUCK_S = 2.4  # an answer is not being read
-# The same for one that passes through: the kernel takes more only once a third of what it holds has been
-# read, which may be more than a megabyte, and a slow client has done nothing wrong.
-STREAM_STUCK_S = 30.0
+LINGER_S = 0.5  # for the client to read a response that it did not expect
+WRITE_TIMEOUT_S = 2.4  # for the client to read a response
+# The same for one that is streamed: the kernel takes more only once a third of what it holds has been read,
+# which may be more than a megabyte, and a slow client has done nothing wrong.
+STREAM_WRITE_TIMEOUT_S = 30.0
 ORDINARY = frozenset({"answered", "idle"})  # reasons for closing that need no trace
 CLIENT_LEFT = "client_left"  # the one reason for an end that is not this process's
-NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    413: b"Content Too Large",
-    417: b"Expectation Failed",
-    431: b"Request Header Fields Too Large",
-    501: b"Not Implemented",
-    502: b"Bad Gateway",
-    503: b"Service Unavailable",
-    504: b"Gateway Timeout",
-    505: b"HTTP Version Not Supported",
-}
-Phase = dict["ClientConnection", float]  # since when each is in it, the longest first
+
+
+class ClientContext:
+    """What all clients' connections share, and the list of them."""
+
+    def __init__(self, handling: RequestHandling, drain: Drain) -> None:
+        self.handling, self.drain = handling, drain
+        self.connections: set[ClientConnection] = set()
+        self.phases = ConnectionPhases()
+        self.paused: set[ClientConnection] = set()  # nothing is read on them for now
+        self.hangups = Hangups()  # of those
+        self.allowance = Allowance(handling.config.memory_mb)
+        self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
+        self.closed = Reasons("client_closes_total", "reason", ())  # by this process
+
+    def watch_paused(self, connection: ClientConnection) -> None:
+        """Have the kernel report the end of a connection on which nothing is read."""
+        self.paused.add(connection)
+        self.hangups.watch(connection.descriptor, connection.on_hangup)
+
+    def unwatch(self, connection: ClientConnection) -> None:
+        """Stop watching a connection, which is read again or has ended."""
+        if connection in self.paused:
+            self.paused.discard(connection)
+            self.hangups.forget(connection.descriptor)
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client; its requests are answered one after the other."""
+    """One connection of a client; its requests are handled one after the other."""
 
     __slots__ = (
-        "call",
-        "chunked",
-        "current",
-        "deaf",
+        "context",
         "descriptor",
-        "last",
+        "discarded",
+        "exchange",
+        "is_closing",
         "opened_s",
         "paused_s",
         "phase",
         "poll",
         "reader",
-        "served",
-        "server",
-        "source",
-        "stuck",
-        "swallowing",
         "transport",
+        "write_blocked",
     )
 
-    def __init__(self, server: Server) -> None:
-        self.server = server
+    def __init__(self, context: ClientContext) -> None:
+        self.context = context
         self.transport: asyncio.Transport | None = None
-        self.reader = RequestReader(server.allowance)
-        self.source: Source | None = None  # of the answer that passes through
-        self.chunked = False  # how that one is framed
-        self.last = False  # and whether the connection ends with it
-        self.swallowing: Upload | None = None  # the rest of a body whose request has had its answer
+        self.reader = RequestReader(context.allowance)
+        self.exchange = Exchange(self, context.handling)
+        self.discarded: Upload | None = None  # the rest of a body whose request has had its response
         self.paused_s: float | None = None  # since when nothing is read
         self.phase: Phase | None = None
         self.opened_s = 0.0
-        self.served = False  # has had an answer
-        self.current: Request | None = None  # taken and not yet answered
-        self.call: Call | None = None  # the same in the module's terms
-        self.deaf = False  # nothing more is read as a request
-        self.stuck = False  # the client does not read its answers
+        self.is_closing = False  # nothing more is read as a request
+        self.write_blocked = False  # the client does not read its responses
         self.descriptor = -1
         self.poll = select.poll()
 
     # Connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Take the transport; called by the loop."""
+        self.transport = self.exchange.transport = cast(asyncio.Transport, transport)  # uvloop's: no subclass
         self.descriptor = transport.get_extra_info("socket").fileno()
         self.poll.register(self.descriptor, select.POLLIN | select.POLLRDHUP)
         self.opened_s = asyncio.get_running_loop().time()
-        self.server.connections.add(self)
-        self.enter(self.server.silent, self.opened_s)
+        self.context.connections.add(self)
+        self.enter_phase(self.context.phases.awaiting_first_byte, self.opened_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.connections.discard(self)
-        self.unwatch()
-        self.enter(None)
-        self.deaf = True
-        self.drop_calls()
+        """Clean up after the end; called by the loop."""
+        self.context.connections.discard(self)
+        self.context.unwatch(self)
+        self.enter_phase(None)
+        self.is_closing = True
+        self.cancel_requests()
 
     def eof_received(self) -> None:
-        """The client has gone, though what was written to it may still be flushed."""
-        self.drop_calls()
+        """The client has closed, though what was written to it may still be flushed; called by the loop."""
+        self.cancel_requests()
         self.close(CLIENT_LEFT)
 
-    def drop_calls(self) -> None:
-        """Nothing goes on for a client that has gone, and nothing of what it has sent is taken."""
+    def cancel_requests(self) -> None:
+        """Cancel the request of a client that has gone, and handle none of those read ahead."""
         self.reader.done.clear()
-        self.source = None
-        call, self.call = self.call, None
-        if call is not None:
-            self.server.gateway.leave(call.id)
+        self.exchange.cancel()
         if self.reader.upload is not None:
             self.reader.upload.fail()
 
-    def unwatch(self) -> None:
-        if self in self.server.paused:
-            self.server.paused.discard(self)
-            self.server.hangups.forget(self.descriptor)
+    def on_hangup(self) -> None:
+        """The client has gone while nothing is read here, where the loop does not see it."""
+        self.abort(CLIENT_LEFT)
+        self.cancel_requests()
+
+    def has_gone(self) -> bool:
+        """Whether the client has closed, seen by the loop or not: asked before anything is sent for it."""
+        return self.transport is None or self.transport.is_closing() or hung_up(self.poll)
+
+    # Phases
 
-    def enter(self, phase: Phase | None, since_s: float | None = None) -> None:
-        """Note what this connection waits for, for the sweep."""
+    def enter_phase(self, phase: Phase | None, since_s: float | None = None) -> None:
+        """Note what this connection waits for, and since when; None if not for its client."""
         if phase is self.phase:
             return
         if self.phase is not None:
@@ -139,349 +139,252 @@
         if phase is not None:
             phase[self] = asyncio.get_running_loop().time() if since_s is None else since_s
 
-    def settle(self) -> None:
-        """Enter the phase that follows from what has come and what is owed."""
-        server = self.server
-        if self.deaf:
+    def update_phase(self) -> None:
+        """Enter the phase that follows from what has come and which response is due."""
+        phases = self.context.phases
+        if self.is_closing:
             return
-        upload = self.reader.upload
-        if self.stuck:
-            stuck_s = STUCK_S if self.source is None else STREAM_STUCK_S
-            self.enter(server.ending, asyncio.get_running_loop().time() + stuck_s)
-        elif upload is not None and self.current is not None and self.current.upload is upload:
-            self.enter(server.bodies)
-        elif self.current is not None or self.reader.done:
-            self.enter(None)
-        elif self.reader.in_body:
-            self.enter(server.bodies)
+        upload, request = self.reader.upload, self.exchange.request
+        if self.write_blocked:
+            timeout_s = WRITE_TIMEOUT_S if self.exchange.source is None else STREAM_WRITE_TIMEOUT_S
+            self.enter_phase(phases.closing, asyncio.get_running_loop().time() + timeout_s)
+        elif upload is not None and request is not None and request.upload is upload:
+            self.enter_phase(phases.receiving_body)
+        elif request is not None or self.reader.done:
+            self.enter_phase(None)
+        else:
+            self._await_request()
+
+    def _await_request(self) -> None:
+        phases, has_responded = self.context.phases, self.exchange.has_responded
+        if self.reader.in_body:
+            self.enter_phase(phases.receiving_body)
         elif self.reader.has_begun:
-            self.enter(server.reading, None if self.served else self.opened_s)
-        elif self.served or self.phase is not server.silent:
-            self.enter(server.kept)
+            self.enter_phase(phases.receiving_request, None if has_responded else self.opened_s)
+        elif has_responded or self.phase is not phases.awaiting_first_byte:
+            self.enter_phase(phases.idle)
+
+    def check_body_rate(self, now_s: float, since_s: float) -> None:
+        """Abandon a request whose body comes too slowly, unless it is this process that does not read."""
+        if self.paused_s is None and now_s - since_s > BODY_GRACE_S + self.reader.received / MIN_BODY_RATE:
+            self.abandon_request()
+
+    def abandon_request(self, fault: RequestError | None = None) -> None:
+        """Answer a request of which the rest has not come in time, and read nothing more."""
+        self.reader.break_off(fault or RequestError(408, "the request did not come in time"))
+        self.handle_fault()
+        self.take_next()
+
+    # Closing
 
     def may_close(self, purpose: Closing) -> DenialReason | None:
-        """Why it may not be closed now without a word; None if it may."""
+        """Why it may not be closed now without a response; None if it may."""
         now_s = asyncio.get_running_loop().time()
+        reader, exchange = self.reader, self.exchange
         state = ClientState(
-            owed=self.deaf or self.current is not None or bool(self.reader.done),
-            begun=self.reader.has_begun,
-            heard=self.served or self.reader.has_begun,
+            owed=self.is_closing or exchange.request is not None or bool(reader.done),
+            begun=reader.has_begun,
+            heard=exchange.has_responded or reader.has_begun,
             age_s=now_s - (self.phase or {}).get(self, self.opened_s),
             unread=lambda: bool(self.poll.poll(0)),
         )
         return may_close(state, purpose)
 
-    def heed_end(self) -> None:
-        """Hear that the client has gone while nothing is read here, where the loop does not look."""
-        if hung_up(self.poll):
-            self.on_hangup()
-
-    def on_hangup(self) -> None:
-        self.abort(CLIENT_LEFT)
-        self.drop_calls()
-
-    def has_gone(self) -> bool:
-        """Whether the client of a call has hung up, heard or not: asked before anything goes out for it."""
-        return self.transport is None or self.transport.is_closing() or hung_up(self.poll)
-
-    def turn_away(self) -> None:
-        """On the way out: refuse in words a request that has begun and is not whole by now.
+    def reject_incomplete(self) -> None:
+        """During a shutdown: respond to a request that has begun and is incomplete by now.
 
-        A close without a word could cross its last byte, with which it is owed an answer.
+        A close without a response could cross its last byte, with which a response is due.
         """
         if self.reader.has_begun:
             if self.may_close(Closing.EXHAUSTED) is None:
-                self.give_up_reading(RequestError(503, "this gateway is leaving: ask again"))
+                self.abandon_request(RequestError(503, "this gateway is leaving: ask again"))
         elif self.may_close(Closing.IDLE) is None:
             self.close("drain")
 
     def close(self, reason: str = "answered") -> None:
-        """Close once what was written is with the client, and within bounds."""
-        self.note_close(reason)
-        self.deaf = True
+        """Close once what was written is with the client, and within `WRITE_TIMEOUT_S`."""
+        self._note_close(reason)
+        self.is_closing = True
         if self.transport is not None:
-            self.enter(self.server.ending, asyncio.get_running_loop().time() + STUCK_S)
+            end_s = asyncio.get_running_loop().time() + WRITE_TIMEOUT_S
+            self.enter_phase(self.context.phases.closing, end_s)
             self.transport.close()
 
     def abort(self, reason: str = "aborted") -> None:
-        self.note_close(reason)
-        self.deaf = True
-        self.enter(None)
+        """Close at once; what the client has not taken yet is lost."""
+        self._note_close(reason)
+        self.is_closing = True
+        self.enter_phase(None)
         if self.transport is not None:
             self.transport.abort()
 
-    def note_close(self, reason: str) -> None:
-        """Count why this process ends the connection; one that is owed an answer must not be ended."""
+    def _note_close(self, reason: str) -> None:
+        """Count why this process closes the connection; with a response due it must not be closed."""
         if self.transport is None or self.transport.is_closing() or reason == CLIENT_LEFT:
             return
-        self.server.closed.add(reason)
+        self.context.closed.add(reason)
+        gateway, call = self.context.handling.gateway, self.exchange.call
         if reason not in ORDINARY:
-            self.server.gateway.trace.note(Step.CLOSED, self.call.id if self.call is not None else "", reason)
-        owed = self.call is not None and self.source is None and not self.stuck
-        if owed and self.call is not None and not self.has_gone():
-            self.server.gateway.violations.note(Rule.CLOSED, self.call.id, reason)
+            gateway.trace.note(Step.CLOSED, call.id if call is not None else "", reason)
+        awaits_response = self.exchange.awaits_response and not self.write_blocked
+        if awaits_response and call is not None and not self.has_gone():
+            gateway.violations.note(Rule.CLOSED, call.id, reason)
 
-    def pause_writing(self) -> None:
-        self.stuck = True
-        if self.source is not None:
-            self.source.pause()
-        self.settle()
+    def _close_after_response(self, linger: bool) -> None:
+        """Close once the response is written.
 
-    def resume_writing(self) -> None:
-        self.stuck = False
-        if self.source is not None:
-            self.source.resume()
-        self.settle()
-        self.take_next_soon()
+        With `linger`, the client may still be sending, and a reset could overtake the response: it has
+        `LINGER_S` to read. What it sends meanwhile stays with the kernel, which holds little of it.
+        """
+        if not linger:
+            self.close()
+            return
+        self.is_closing = True
+        assert self.transport is not None
+        if self.transport.can_write_eof():
+            self.transport.write_eof()
+        self.enter_phase(self.context.phases.closing, asyncio.get_running_loop().time() + LINGER_S)
 
     # Reading
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.server.buffer
+        """Return the shared buffer, whatever size is suggested; called by the loop."""
+        return self.context.buffer
 
     def buffer_updated(self, size: int) -> None:
-        self.data_received(bytes(self.server.buffer[:size]))
+        """Take what was read into the buffer; called by the loop."""
+        self.data_received(bytes(self.context.buffer[:size]))
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
+        """Read requests from these bytes, and handle the next one."""
+        if self.is_closing:
             return  # what follows a request that can't be read, until the connection ends
-        self.read(data)
+        self.parse(data)
         self.take_next()
-        self.settle()
+        self.update_phase()
 
-    def read(self, data: bytes) -> None:
+    def parse(self, data: bytes) -> None:
+        """Parse these bytes after those that were left; reading pauses while some are left again."""
         assert self.transport is not None
-        self.reader.feed(data, PIPELINED)
-        self.heed_fault()
-        if self.deaf:
+        self.reader.feed(data, MAX_PIPELINED)
+        self.handle_fault()
+        if self.is_closing:
             return
         if self.reader.is_broken or self.reader.rest:
-            if self.paused_s is None:
-                self.paused_s = asyncio.get_running_loop().time()
-                self.transport.pause_reading()
-                self.server.paused.add(self)
-                self.server.hangups.watch(self.descriptor, self.on_hangup)
+            self._pause_reading(self.transport)
         elif self.paused_s is not None:
-            if self in self.server.bodies:  # the pause was not the client's
-                self.server.bodies[self] += asyncio.get_running_loop().time() - self.paused_s
-            self.paused_s = None
-            self.unwatch()
-            self.transport.resume_reading()
-        self.invite()
-
-    def read_on(self) -> None:
-        """There is room again for what was left unparsed."""
-        if self.transport is None or self.deaf or self.transport.is_closing():
+            self._resume_reading(self.transport, self.paused_s)
+        self.send_continue()
+
+    def _pause_reading(self, transport: asyncio.Transport) -> None:
+        if self.paused_s is None:
+            self.paused_s = asyncio.get_running_loop().time()
+            transport.pause_reading()
+            self.context.watch_paused(self)
+
+    def _resume_reading(self, transport: asyncio.Transport, since_s: float) -> None:
+        bodies = self.context.phases.receiving_body
+        if self in bodies:  # the pause was not the client's
+            bodies[self] += asyncio.get_running_loop().time() - since_s
+        self.paused_s = None
+        self.context.unwatch(self)
+        transport.resume_reading()
+
+    def resume_parsing(self) -> None:
+        """Parse what was left, as there is capacity again."""
+        if self.transport is None or self.is_closing or self.transport.is_closing():
             return
         if self.reader.rest:
-            self.read(b"")
+            self.parse(b"")
             self.take_next()
-        self.settle()
+        self.update_phase()
 
-    def read_on_soon(self) -> None:
-        asyncio.get_running_loop().call_soon(self.read_on)
+    def resume_parsing_soon(self) -> None:
+        """Parse what was left, in the next turn of the loop."""
+        asyncio.get_running_loop().call_soon(self.resume_parsing)
 
-    def invite(self) -> None:
-        """Say `100 Continue` to a client that waits for it, once its request is the next to be answered."""
-        reader = self.reader
-        ahead = self.current is not None and self.current is not reader.reading
+    def send_continue(self) -> None:
+        """Write `100 Continue` to a client that waits for it, once its request is the next to be answered."""
+        reader, current = self.reader, self.exchange.request
+        ahead = current is not None and current is not reader.reading
         ahead = ahead or any(request is not reader.reading for request in reader.done)
-        if not reader.expects or ahead or self.deaf or self.swallowing is not None or self.transport is None:
+        if not reader.expects or ahead or self.is_closing or self.discarded is not None:
             return
-        reader.expects = False
-        self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+        if self.transport is not None:
+            reader.expects = False
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def heed_fault(self) -> None:
-        """A long body that was being passed on can't be read to its end."""
-        request = self.current
-        if self.swallowing is not None and self.reader.is_broken:
+    def handle_fault(self) -> None:
+        """Respond where the body of the request in progress cannot be read to its end."""
+        if self.discarded is not None and self.reader.is_broken:
             self.close()
-        if request is None or request.upload is None or request.fault is None:
-            return
-        call, self.call = self.call, None
-        if call is not None:
-            self.server.gateway.leave(call.id)
-        if self.source is not None:
-            self.abort("broken_body")  # its answer has begun: the client can tell that it is not whole
-        else:
-            self.answer(request.fault.status, request.fault.headers, f"{request.fault}\n".encode())
-
-    def check_pace(self, now_s: float, since_s: float) -> None:
-        """Give up a body that comes too slowly, unless it is we who do not read."""
-        if self.paused_s is None and now_s - since_s > BODY_GRACE_S + self.reader.received / BODY_RATE:
-            self.give_up_reading()
-
-    def give_up_reading(self, fault: RequestError | None = None) -> None:
-        """The rest of a request has not come in time."""
-        self.reader.break_off(fault or RequestError(408, "the request did not come in time"))
-        self.heed_fault()
-        self.take_next()
+        self.exchange.fail_body()
 
-    # Answering
+    # Requests and responses
 
     def take_next(self) -> None:
-        """Take the next request that was read, once the one before is answered."""
-        if self.current is not None or self.stuck or self.transport is None or self.deaf:
+        """Handle the next request that was read, once the one before is answered."""
+        if self.exchange.request is not None or self.write_blocked or self.transport is None:
             return
-        if self.paused_s is not None:
-            self.heed_end()
-        if not self.reader.done and self.reader.rest:
-            self.read(b"")
-        if not self.reader.done or self.deaf or self.swallowing is not None:
+        if self.is_closing:
             return
-        request = self.current = self.reader.done.popleft()
-        try:
-            self.take(request)
-        except RequestError as error:
-            self.answer(error.status, error.headers, f"{error}\n".encode())
-        self.invite()
-
-    def take(self, request: Request) -> None:
-        if request.fault is not None:
-            raise request.fault
-        if request.upload is not None:
-            request.upload.on_room = self.read_on_soon
-        path = request.target.partition(b"?")[0]
-        if path == READY_PATH:
-            if request.method not in (b"GET", b"HEAD"):
-                raise RequestError(405, "GET it", (b"Allow", b"GET, HEAD"))
-            self.answer(200 if self.server.is_ready else 503, [], b"")
+        if self.paused_s is not None and hung_up(self.poll):
+            self.on_hangup()
+        if not self.reader.done and self.reader.rest:
+            self.parse(b"")
+        if not self.reader.done or self.is_closing or self.discarded is not None:
             return
-        call = read_call(request, path, self.server.config, self)
-        objection = self.server.objection
-        if objection is not None and (why := objection(call.message.head)) is not None:
-            raise RequestError(400, why)
-        self.call = call
-        call.has_gone = self.has_gone
-        if not call.who and self.server.config.settings.admission is not None:
-            call.who = self.address_id()
-        if not self.server.gateway.arrive(call):
-            self.call = None
-            raise RequestError(400, "this X-Call-Id is in use")
-
-    def address_id(self) -> int:
-        """A client that has no name is known by its address, which it may share: hence the sign."""
-        assert self.transport is not None
-        peer = self.transport.get_extra_info("peername")
-        return -stable_id(peer[0], 8) if peer else 0
-
-    def on_served(self, call: Call, reply: Reply) -> None:
-        if self.call is call:
-            self.answer(200, end_to_end(reply.headers, NOT_PASSED_BACK), reply.body)
-
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
-        if self.call is call:
-            told = b"%.3f" % (retry_after_us / 1e6)
-            if self.server.config.whole_seconds:  # not before it is due
-                told = b"%d" % -(-retry_after_us // 1_000_000)
-            after = [(b"Retry-After", told)] if retry_after_us > 0 else []
-            self.answer(503, after, b"")
-
-    def on_failed(self, call: Call, timed_out: bool) -> None:
-        if self.call is call:
-            self.answer(504 if timed_out else 502, [], b"")
-
-    def answer(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write the whole answer at once, and go on with the next request."""
-        request, transport = self.current, self.transport
-        assert request is not None and transport is not None
-        lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
-        lines += [b"%s: %s" % pair for pair in headers]
-        lines += [b"Content-Length: %d" % len(body)]
-        last = self.is_last(request)
-        if last:
-            lines.append(b"Connection: close")
-        if request.method == b"HEAD":
-            body = b""
-        transport.write(b"%s\r\n\r\n%s" % (b"\r\n".join(lines), body))
-        self.go_on(request, last)
+        self.exchange.start(self.reader.done.popleft())
+        self.send_continue()
+
+    def take_next_soon(self) -> None:
+        """Handle the next request in the next turn of the loop, if one may have come."""
+        if self.reader.done or self.reader.rest:
+            asyncio.get_running_loop().call_soon(self.take_next)
 
     def is_last(self, request: Request) -> bool:
-        """Whether the connection ends with the answer to this request."""
+        """Whether the connection ends with the response to this request."""
         if request.upload is not None and not request.upload.ended:
-            return True  # its body is not whole yet, and nobody waits for the rest
-        # What was read is answered, on the way out too, but not without end.
+            return True  # its body is incomplete, and the rest is not waited for
+        # Requests that were read are answered, also in a shutdown, but not without end.
         more = bool(self.reader.done) or self.reader.has_begun
-        drain = self.server.drain
+        drain = self.context.drain
         if drain.is_on and more and drain.is_past_words(asyncio.get_running_loop().time()):
             more = False
         return not request.keep_alive or (drain.is_on and not more)
 
-    def go_on(self, request: Request, last: bool) -> None:
-        """After an answer: the next request, or the end."""
-        self.current = self.call = None
-        self.served = True
-        if not last:
+    def on_response_written(self, request: Request, is_last: bool) -> None:
+        """Go on with the next request, or close."""
+        if not is_last:
             self.take_next_soon()
-            self.settle()
+            self.update_phase()
             return
         self.reader.done.clear()
         if request.upload is not None and not request.upload.is_over:
-            self.swallow(request.upload)
+            self._discard(request.upload)
         else:
-            self.end(linger=request.fault is not None)
+            self._close_after_response(linger=request.fault is not None)
 
-    def swallow(self, upload: Upload) -> None:
-        """Read the rest of a body that nobody wants, and close then.
+    def _discard(self, upload: Upload) -> None:
+        """Read the rest of a body that is not needed, and close then.
 
-        Guards against a reset that overtakes the answer: the client reads it when it has sent everything.
+        A close before could reset the connection, which would overtake the response: the client reads it when
+        it has sent everything.
         """
-        self.swallowing = upload
+        self.discarded = upload
         upload.discard()
         upload.on_end = self.close
-        self.enter(self.server.bodies)
+        self.enter_phase(self.context.phases.receiving_body)
 
-    def on_begun(self, call: Call, head: Reply, source: Source) -> None:
-        request, transport = self.current, self.transport
-        if self.call is not call or request is None or transport is None:
-            return
-        self.source = source
-        self.chunked = head.length is None and request.version == "1.1"
-        self.last = self.is_last(request) or (head.length is None and not self.chunked)
-        lines = [b"HTTP/1.1 200 OK"]
-        lines += [b"%s: %s" % pair for pair in end_to_end(head.headers, NOT_PASSED_BACK)]
-        if head.length is not None:
-            lines.append(b"Content-Length: %d" % head.length)
-        elif self.chunked:
-            lines.append(b"Transfer-Encoding: chunked")
-        if self.last:
-            lines.append(b"Connection: close")
-        transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
-
-    def on_piece(self, call: Call, data: bytes) -> None:
-        if self.call is call and self.transport is not None and data:
-            self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
-
-    def on_ended(self, call: Call, reply: Reply) -> None:
-        request = self.current
-        if self.call is not call or request is None or self.transport is None:
-            return
-        self.on_piece(call, reply.body)
-        if self.chunked:
-            self.transport.write(b"0\r\n\r\n")
-        self.source = None
-        self.go_on(request, self.last)
-
-    def on_broken(self, call: Call) -> None:
-        if self.call is call:
-            self.call = self.source = None
-            self.abort("broken_answer")  # the client can tell that what it has is not whole
-
-    def take_next_soon(self) -> None:
-        if self.reader.done or self.reader.rest:
-            asyncio.get_running_loop().call_soon(self.take_next)
-
-    def end(self, linger: bool) -> None:
-        """Close once the answer is written.
+    def pause_writing(self) -> None:
+        """The client takes no more for now; called by the loop."""
+        self.write_blocked = True
+        self.exchange.pause()
+        self.update_phase()
 
-        Guards against a reset that overtakes the answer where the client has still more to say: then it is
-        left to read first. What it says meanwhile is left with the kernel, which holds little of it.
-        """
-        if not linger:
-            self.close()
-            return
-        self.deaf = True
-        assert self.transport is not None
-        if self.transport.can_write_eof():
-            self.transport.write_eof()
-        self.enter(self.server.ending, asyncio.get_running_loop().time() + LINGER_S)
+    def resume_writing(self) -> None:
+        """The client takes more again; called by the loop."""
+        self.write_blocked = False
+        self.exchange.resume()
+        self.update_phase()
+        self.take_next_soon()
--- /dev/null
+++ b/sagetrack/http1/exchange.py
@@ -0,0 +1,247 @@
+"""One request of a client's connection at a time: it goes to the gateway, and its response to the client."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from sagetrack.config.platform import Config, stable_id
+from sagetrack.core.endpoints import Header, Reply
+from sagetrack.core.gateway import Gateway
+from sagetrack.core.interfaces import Call, Source
+from sagetrack.http1.codec import end_to_end
+from sagetrack.http1.requests import Request, RequestError, read_call
+
+READY_PATH = b"/health/ready"
+NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    417: b"Expectation Failed",
+    431: b"Request Header Fields Too Large",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+    505: b"HTTP Version Not Supported",
+}
+
+
+@dataclass(slots=True)
+class RequestHandling:
+    """What all exchanges share: the configuration, the gateway, and what is asked of them about a request."""
+
+    config: Config
+    gateway: Gateway
+    is_ready: Callable[[], bool]  # what `READY_PATH` reports
+    check_head: Callable[[bytes], str | None] | None = None  # why a request cannot be served here
+
+
+class ExchangeOwner(Protocol):
+    """What an exchange needs of its connection."""
+
+    def has_gone(self) -> bool:
+        """Whether the client has closed the connection."""
+
+    def is_last(self, request: Request) -> bool:
+        """Whether the connection ends with the response to this request."""
+
+    def on_response_written(self, request: Request, is_last: bool) -> None:
+        """The whole response is written."""
+
+    def resume_parsing_soon(self) -> None:
+        """There is capacity again for the body of the request."""
+
+    def abort(self, reason: str = ...) -> None:
+        """Close at once."""
+
+
+class Exchange:
+    """The request in progress on a client's connection, and its response; the gateway's `Client`."""
+
+    __slots__ = (
+        "call",
+        "chunked",
+        "ends_connection",
+        "handling",
+        "has_responded",
+        "owner",
+        "request",
+        "source",
+        "transport",
+    )
+
+    def __init__(self, owner: ExchangeOwner, handling: RequestHandling) -> None:
+        self.owner, self.handling = owner, handling
+        self.transport: asyncio.Transport | None = None
+        self.request: Request | None = None  # in progress
+        self.call: Call | None = None  # the same as the gateway has it
+        self.source: Source | None = None  # of a response that is streamed
+        self.chunked = False  # how that one is framed
+        self.ends_connection = False  # and whether the connection ends with it
+        self.has_responded = False  # to any request
+
+    # Requests
+
+    def start(self, request: Request) -> None:
+        """Handle the next request: by a response of this process, or by the gateway."""
+        self.request = request
+        try:
+            self._handle(request)
+        except RequestError as error:
+            self.respond(error.status, error.headers, f"{error}\n".encode())
+
+    def _handle(self, request: Request) -> None:
+        if request.fault is not None:
+            raise request.fault
+        if request.upload is not None:
+            request.upload.on_room = self.owner.resume_parsing_soon
+        handling = self.handling
+        path = request.target.partition(b"?")[0]
+        if path == READY_PATH:
+            if request.method not in (b"GET", b"HEAD"):
+                raise RequestError(405, "GET it", (b"Allow", b"GET, HEAD"))
+            self.respond(200 if handling.is_ready() else 503, [], b"")
+            return
+        call = read_call(request, path, handling.config, self)
+        if handling.check_head is not None and (why := handling.check_head(call.message.head)) is not None:
+            raise RequestError(400, why)
+        self.call = call
+        call.has_gone = self.owner.has_gone
+        if not call.who and handling.config.settings.admission is not None:
+            call.who = self._address_id()
+        if not handling.gateway.arrive(call):
+            self.call = None
+            raise RequestError(400, "this X-Call-Id is in use")
+
+    def _address_id(self) -> int:
+        """Identify a client without a name by its address, which others may share: hence the sign."""
+        assert self.transport is not None
+        peer = self.transport.get_extra_info("peername")
+        return -stable_id(peer[0], 8) if peer else 0
+
+    def cancel_call(self) -> None:
+        """Have the gateway cancel the request, if it has it."""
+        call, self.call = self.call, None
+        if call is not None:
+            self.handling.gateway.leave(call.id)
+
+    def cancel(self) -> None:
+        """The client has gone: nothing more of a response is written for it, and its request is cancelled."""
+        self.source = None
+        self.cancel_call()
+
+    def fail_body(self) -> None:
+        """Respond to a long body that was being passed on and cannot be read to its end."""
+        request = self.request
+        if request is None or request.upload is None or request.fault is None:
+            return
+        self.cancel_call()
+        if self.source is not None:
+            self.owner.abort("broken_body")  # its response has begun: the client sees that it is incomplete
+        else:
+            self.respond(request.fault.status, request.fault.headers, f"{request.fault}\n".encode())
+
+    @property
+    def awaits_response(self) -> bool:
+        """Whether a request is with the gateway, and nothing of its response is written."""
+        return self.call is not None and self.source is None
+
+    # Responses
+
+    def respond(self, status: int, headers: list[Header], body: bytes) -> None:
+        """Write the whole response at once, and go on with the next request."""
+        request, transport = self.request, self.transport
+        assert request is not None and transport is not None
+        lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
+        lines += [b"%s: %s" % pair for pair in headers]
+        lines += [b"Content-Length: %d" % len(body)]
+        is_last = self.owner.is_last(request)
+        if is_last:
+            lines.append(b"Connection: close")
+        if request.method == b"HEAD":
+            body = b""
+        transport.write(b"%s\r\n\r\n%s" % (b"\r\n".join(lines), body))
+        self._finish(request, is_last)
+
+    def _finish(self, request: Request, is_last: bool) -> None:
+        self.request = self.call = None
+        self.has_responded = True
+        self.owner.on_response_written(request, is_last)
+
+    def on_served(self, call: Call, answer: Reply) -> None:
+        """Respond with what an upstream server has responded."""
+        if self.call is call:
+            self.respond(200, end_to_end(answer.headers, NOT_PASSED_BACK), answer.body)
+
+    def on_refused(self, call: Call, retry_after_us: int) -> None:
+        """Respond that the request was rejected, and when to retry if that is known."""
+        if self.call is call:
+            value = b"%.3f" % (retry_after_us / 1e6)
+            if self.handling.config.whole_seconds:  # rounded up: not before it is due
+                value = b"%d" % -(-retry_after_us // 1_000_000)
+            headers = [(b"Retry-After", value)] if retry_after_us > 0 else []
+            self.respond(503, headers, b"")
+
+    def on_failed(self, call: Call, timed_out: bool) -> None:
+        """Respond that every attempt has failed, or that the time is over."""
+        if self.call is call:
+            self.respond(504 if timed_out else 502, [], b"")
+
+    # Responses that are streamed
+
+    def on_begun(self, call: Call, head: Reply, source: Source) -> None:
+        """Write the head of a response that is too long to be held."""
+        request, transport = self.request, self.transport
+        if self.call is not call or request is None or transport is None:
+            return
+        self.source = source
+        self.chunked = head.length is None and request.version == "1.1"
+        self.ends_connection = self.owner.is_last(request) or (head.length is None and not self.chunked)
+        lines = [b"HTTP/1.1 200 OK"]
+        lines += [b"%s: %s" % pair for pair in end_to_end(head.headers, NOT_PASSED_BACK)]
+        if head.length is not None:
+            lines.append(b"Content-Length: %d" % head.length)
+        elif self.chunked:
+            lines.append(b"Transfer-Encoding: chunked")
+        if self.ends_connection:
+            lines.append(b"Connection: close")
+        transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
+
+    def on_piece(self, call: Call, data: bytes) -> None:
+        """Write a part of its body."""
+        if self.call is call and self.transport is not None and data:
+            self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
+
+    def on_ended(self, call: Call, answer: Reply) -> None:
+        """Write the end of its body, and go on with the next request."""
+        request = self.request
+        if self.call is not call or request is None or self.transport is None:
+            return
+        self.on_piece(call, answer.body)
+        if self.chunked:
+            self.transport.write(b"0\r\n\r\n")
+        self.source = None
+        self._finish(request, self.ends_connection)
+
+    def on_broken(self, call: Call) -> None:
+        """The rest of its body will not come: the client sees that what it has is incomplete."""
+        if self.call is call:
+            self.call = self.source = None
+            self.owner.abort("broken_answer")
+
+    def pause(self) -> None:
+        """The client takes no more for now: have no more of a streamed response sent."""
+        if self.source is not None:
+            self.source.pause()
+
+    def resume(self) -> None:
+        """The client takes more again."""
+        if self.source is not None:
+            self.source.resume()
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -17,7 +17,7 @@
 from sagetrack.discovery.split import HTTP, Split
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.discovery_connection import DiscoveryConnection, connect
-from sagetrack.http1.listener import Server
+from sagetrack.http1.listener import HttpListener
 from sagetrack.policy.interface import ListKind, TenantSharesChanged
 from sagetrack.server.admission_settings import shares_in, with_door
 from sagetrack.server.fleet import Handover, node_for
@@ -67,9 +67,9 @@
         if admission is not None:
             members = [name.decode() for name in config.names.tenants]
             self.gateway.metrics.more.append(lambda: admission.figures(members))
-        self.server = Server(config, self.gateway, self.pools)
+        self.server = HttpListener(config, self.gateway, self.pools)
         self.overlap = Overlap(config.folder if config.accept_fd is not None else None)
-        self.server.overlap = self.overlap
+        self.server.siblings = self.overlap
         pushed = config.settings.endpoints_are_pushed
         asked = operator.dns if operator is not None else None
         self.split: Split | None = None
@@ -83,7 +83,7 @@
             if operator is not None and operator.newer.compare_per_s:
                 self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_on)
             self.on_http = self.newer.on_list
-            self.server.objection = untranslatable
+            self.server.check_heads(untranslatable)
             self.gateway.metrics.more.append(self.newer.figures)
         if self.keys is not None:
             self.gateway.metrics.more.append(self.keys.figures)
--- a/sagetrack/server/listen.py
+++ b/sagetrack/server/listen.py
@@ -6,7 +6,7 @@
 import socket
 
 from sagetrack.config.platform import Address, ConfigError
-from sagetrack.http1.listener import BACKLOG
+from sagetrack.http1.acceptor import BACKLOG
 
 
 def bind(address: Address, backlog: int = BACKLOG) -> socket.socket:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,7 +16,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REST_S
 from sagetrack.core.gateway import Gateway
-from sagetrack.http1.listener import Server
+from sagetrack.http1.listener import HttpListener
 from sagetrack.lab.scripted import (
     Exchange,
     Message,
@@ -133,7 +133,7 @@
 
     instance: Instance
     gateway: Gateway
-    server: Server
+    server: HttpListener
     port: int
 
     async def connect(self) -> Client:
@@ -172,9 +172,10 @@
     instance = Instance(parsed, operator)
     await instance.start()
     server = instance.server
-    assert server.listener is not None
+    listener = server.acceptor.listener
+    assert listener is not None
     try:
-        yield Running(instance, instance.gateway, server, server.listener.getsockname()[1])
+        yield Running(instance, instance.gateway, server, listener.getsockname()[1])
     finally:
         instance.close()
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,8 +14,8 @@
 
 from sagetrack.core.bodies import HIGH, LEAST, Allowance, Upload
 from sagetrack.http1 import downstream as client_module
-from sagetrack.http1 import listener as server_module
 from sagetrack.http1 import requests as requests_module
+from sagetrack.http1.codec import READ_SIZE
 from sagetrack.policy.interface import AttemptEnded, AttemptSent, Outcome, RequestArrived, StreamStarted
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
 from tests.sockets import (
@@ -321,7 +321,7 @@
 @on_loop
 async def test_a_body_that_comes_too_slowly_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_module, "BODY_GRACE_S", 0.05)
-    monkeypatch.setattr(client_module, "BODY_RATE", 10_000_000)
+    monkeypatch.setattr(client_module, "MIN_BODY_RATE", 10_000_000)
     async with sink() as host, running(configuration(host.address)) as run:
         for body in (LONG, LONG[:5_000]):
             client = await run.connect()
@@ -360,7 +360,7 @@
         (connection,) = run.server.connections
         upload = connection.reader.upload
         assert upload is not None and upload.buffered <= HIGH + 2 * requests_module.BODY_SLICE
-        assert len(connection.reader.rest) <= server_module.READ_SIZE
+        assert len(connection.reader.rest) <= READ_SIZE
         opened.set()
         assert (await client.answer()).body == b"%d" % len(body)
         client.close()
@@ -372,18 +372,19 @@
 ) -> None:
     body = bytes(24 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-    monkeypatch.setattr(client_module, "STUCK_S", 0.0)  # what limits short answers does not limit long ones
+    # What limits short answers does not limit long ones.
+    monkeypatch.setattr(client_module, "WRITE_TIMEOUT_S", 0.0)
     async with peer(answers(head + body)) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        await until(lambda: any(c.stuck for c in run.server.connections))
+        await until(lambda: any(c.write_blocked for c in run.server.connections))
         (connection,) = run.server.connections
         assert connection.transport is not None
-        assert connection.transport.get_write_buffer_size() <= 3 * server_module.READ_SIZE
+        assert connection.transport.get_write_buffer_size() <= 3 * READ_SIZE
         run.server.sweep()
-        assert not connection.deaf
+        assert not connection.is_closing
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len(await client.reader.readexactly(len(body))) == len(body)
         client.close()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -199,11 +199,12 @@
             had = pools.open
             assert had >= 1
             object.__setattr__(run.server.config, "sockets", 1)
-            run.server.make_room()  # a client that asks nothing yields before what hosts had a handshake for
+            # A client that asks nothing yields before what hosts had a handshake for.
+            run.server.descriptors.reclaim_for_upstream()
             await until(lambda: not run.server.connections)
             assert pools.open == had
             for _ in range(had):
-                run.server.make_room()
+                run.server.descriptors.reclaim_for_upstream()
             await until(lambda: pools.open == 0)
             client.close()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.drain import LEAVE_ACCEPT_S
 from sagetrack.discovery.client import parse_list
-from sagetrack.http1.downstream import PIPELINED
+from sagetrack.http1.downstream import MAX_PIPELINED
 from sagetrack.http1.upstream_connection import UpstreamConnection
 from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
 from tests.sockets import (
@@ -168,18 +168,18 @@
     """It has sent more than is read ahead: neither the call in work nor one behind it goes on without it."""
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
-        client.send(behind(5 * PIPELINED))
-        await until(lambda: run.server.paused and host.seen)
+        client.send(behind(5 * MAX_PIPELINED))
+        await until(lambda: run.server.context.paused and host.seen)
         (connection,) = run.server.connections
         if not told:  # it leaves just before its first answer comes
-            run.server.hangups.forget(connection.descriptor)
+            run.server.context.hangups.forget(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
             if not told:
                 host.seen[0].answer(reply())
             await until(lambda: not run.server.connections and not run.gateway.held)
-        assert len(host.seen) == 1 and not run.server.paused
+        assert len(host.seen) == 1 and not run.server.context.paused
 
 
 # A server leaves, moves or starts anew
@@ -343,14 +343,14 @@
     """It waits with the kernel until others have had their answers, and is not reset with the listener."""
     async with peer() as host, running(configuration(host)) as run:
         server = run.server
-        server.prepare_room = lambda: False  # type: ignore[method-assign]
+        reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
         client.send(request("transfer"))
         leaving = asyncio.create_task(server.leave())
         loop = asyncio.get_running_loop()
         await until(lambda: server.drain.is_on and loop.time() > server.drain.since_s + LEAVE_ACCEPT_S + 0.05)
-        assert server.listener is not None and not host.seen
-        del server.prepare_room
+        assert server.is_listening and not host.seen
+        server.acceptor.reclaim = reclaim
         assert (await client.answer()).status == 200
         await leaving
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sagetrack.http1.listener import RESERVE
+from sagetrack.http1.descriptors import RESERVE
 from tests.sockets import (
     Client,
     Exchange,
@@ -33,7 +33,7 @@
 def within(run: Running) -> bool:
     """Whether clients and servers leave the reserve untouched."""
     server = run.server
-    return server.clients + run.instance.pools.open + RESERVE <= server.sockets
+    return server.count_clients() + run.instance.pools.open + RESERVE <= server.descriptors.limit
 
 
 async def fill(run: Running, count: int) -> list[Client]:
@@ -80,12 +80,12 @@
     async with peer(silent) as old, peer() as new, down_then_up(new) as (discovery, up):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
-            run.server.overlap.others = others
+            run.server.siblings.others = others
             owed = await run.connect()
             owed.send(request("transfer"))
             await until(lambda: old.seen)
-            crowd = await fill(run, run.server.most + KINDS * 4)
-            assert run.server.clients >= run.server.most - 1 and within(run)
+            crowd = await fill(run, run.server.descriptors.max_clients + KINDS * 4)
+            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and within(run)
             up.append(True)
             await until(lambda: run.instance.pools.servers[host_id(0)].address == parsed(new))
             fresh = [await run.connect() for _ in range(20)]
@@ -115,11 +115,11 @@
             owed = await run.connect()
             owed.send(request("transfer"))
             await until(lambda: host.seen)
-            crowd = await fill(run, run.server.most)
-            assert run.server.clients >= run.server.most - 1
-            run.server.overlap.others = 1
+            crowd = await fill(run, run.server.descriptors.max_clients)
+            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
+            run.server.siblings.others = 1
             run.server.sweep()
-            await until(lambda: not any(c.deaf for c in run.server.connections))
+            await until(lambda: not any(c.is_closing for c in run.server.connections))
             assert within(run)
             host.seen[0].answer(reply())
             assert (await owed.answer()).status == 200
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -109,7 +109,7 @@
         overlap.serve()  # as the process does once it takes clients
         overlap.look()
         overlap.leave()
-        run.server.overlap = overlap
+        run.server.siblings = overlap
         assert (await run.ask(request())).status == 200
 
 
@@ -134,8 +134,8 @@
 async def test_an_accept_that_fails_costs_no_client_its_answer() -> None:
     """Neither who waits to be accepted nor who was accepted a moment ago and has not spoken yet."""
     async with peer() as host, running(configuration(host)) as run:
-        assert run.server.listener is not None
-        run.server.listener = FailingListener(run.server.listener)  # type: ignore[assignment]
+        assert run.server.acceptor.listener is not None
+        run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
         assert (await kept.ask(request())).status == 200
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -197,7 +197,7 @@
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         run.server.close_idle()
-        assert not connection.deaf
+        assert not connection.is_closing
         answer = await client.ask(request("transfer"))
         assert answer.status == 200 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
@@ -220,11 +220,11 @@
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
-            connection.served = True
+            connection.exchange.has_responded = True
             run.server.drain.leave(asyncio.get_running_loop().time() - 60)
             client.sendall(request("transfer"))  # and the loop has had no turn since
             run.server.close_idle()
-            assert not connection.deaf
+            assert not connection.is_closing
             loop = asyncio.get_running_loop()
             answer = await loop.run_in_executor(None, client.recv, 65536)
             assert answer.startswith(b"HTTP/1.1 200 ")
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -9,8 +9,8 @@
 
 from sagetrack.core.deadlines import REST_S
 from sagetrack.core.send_rules import Closing
+from sagetrack.http1 import connection_phases as phases_module
 from sagetrack.http1 import downstream as client_module
-from sagetrack.http1 import listener as server_module
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 from tests.test_gateway_process import connect, program
 
@@ -21,7 +21,7 @@
 def hurry(monkeypatch: pytest.MonkeyPatch, *names: str) -> None:
     """The same limits, sooner."""
     for name in names:
-        module = server_module if hasattr(server_module, name) else client_module
+        module = phases_module if hasattr(phases_module, name) else client_module
         monkeypatch.setattr(module, name, 0.05)
 
 
@@ -35,12 +35,13 @@
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         assert (await kept.ask(ready)).status == 200
         await until(lambda: host.seen)
-        hurry(monkeypatch, "SILENT_S", "KEPT_S", "KEPT_CROWDED_S")
+        hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_CROWDED_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
         host.seen[0].answer(reply(200, b"late"))
         assert (await busy.answer()).body == b"late"
-        for phase in (run.server.silent, run.server.reading, run.server.kept, run.server.ending):
+        phases = run.server.context.phases
+        for phase in (phases.awaiting_first_byte, phases.receiving_request, phases.idle, phases.closing):
             await until(lambda phase=phase: not phase)  # type: ignore[misc]
         for client in (busy, quiet, kept):
             client.close()
@@ -60,7 +61,7 @@
 async def test_a_request_that_does_not_come_in_time_is_answered_408(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hurry(monkeypatch, "READING_S", "LINGER_S")
+    hurry(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(begun)
@@ -193,21 +194,21 @@
 async def test_who_has_had_the_time_for_a_head_yields_first() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
     async with peer() as host, running(configuration(host)) as run:
-        server = run.server
+        phases = run.server.context.phases
         overdue, kept, writing = [await run.connect() for _ in range(3)]
         overdue.send(TRANSFER)
         assert (await kept.ask(ready)).status == 200
         writing.send(TRANSFER)
-        await until(lambda: len(server.reading) == 2 and len(server.kept) == 1)
-        first = next(iter(server.reading))
-        server.reading[first] -= server_module.SILENT_S
+        await until(lambda: len(phases.receiving_request) == 2 and len(phases.idle) == 1)
+        first = next(iter(phases.receiving_request))
+        phases.receiving_request[first] -= phases_module.FIRST_BYTE_TIMEOUT_S
         for client in (overdue, kept, writing):
             if client is writing:  # in time for its request: only where nobody else has a descriptor
-                assert not server.give_up_client(Closing.ROOM)
-            assert server.give_up_client(Closing.EXHAUSTED)
+                assert not phases.reclaim(Closing.ROOM)
+            assert phases.reclaim(Closing.EXHAUSTED)
             assert await client.reader.read() == b""
             client.close()
-        assert not server.give_up_client(Closing.EXHAUSTED)
+        assert not phases.reclaim(Closing.EXHAUSTED)
 
 
 @on_loop
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -134,9 +134,9 @@
 @on_loop
 async def test_descriptors_are_shared_by_the_processes() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
-        assert run.server.sockets == 1024
-        run.server.overlap.others = 1
-        assert run.server.sockets == 512
+        assert run.server.descriptors.limit == 1024
+        run.server.siblings.others = 1
+        assert run.server.descriptors.limit == 512
         await asyncio.sleep(0)  # the watch that the start has begun runs once
 
 
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -12,7 +12,6 @@
     frozenset(
         f"sagetrack.cli.{name}" for name in ("fleets", "lab", "overload", "scale", "slow_start", "soak")
     ),
-    frozenset({"sagetrack.http1.downstream", "sagetrack.http1.listener"}),
     frozenset({"sagetrack.lab.faults", "sagetrack.lab.virtual"}),
     frozenset({"sagetrack.lab.grpc_server", "sagetrack.lab.sockets"}),
 }
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -22,7 +22,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.peer_close import hung_up
-from sagetrack.http1.downstream import PIPELINED, ClientConnection
+from sagetrack.http1.downstream import MAX_PIPELINED, ClientConnection
 from sagetrack.policy.interface import (
     Action,
     ListedServer,
@@ -48,12 +48,12 @@
 from tests.test_crossings import Late, outcomes
 from tests.test_h2 import Rig, asked_for, head_of, rigged
 
-BEHIND = 3 * PIPELINED  # more than is read ahead: after so many, nothing is read from a client
+BEHIND = 3 * MAX_PIPELINED  # more than is read ahead: after so many, nothing is read from a client
 
 
 def unheard(run: Running) -> None:
     """Let the loop not be told of the end of clients on which nothing is read."""
-    run.server.hangups.watch = lambda descriptor, on_hangup: None  # type: ignore[method-assign]
+    run.server.context.hangups.watch = lambda descriptor, on_hangup: None  # type: ignore[method-assign]
 
 
 async def crowding(run: Running, klass: str = "transfer") -> tuple[Client, ClientConnection]:
@@ -61,9 +61,9 @@
     before = set(run.server.connections)
     client = await run.connect()
     client.send(b"".join(request(klass) for _ in range(BEHIND)))
-    await until(lambda: run.server.paused - before)
-    (connection,) = run.server.paused - before
-    await until(lambda: connection.call is not None)
+    await until(lambda: run.server.context.paused - before)
+    (connection,) = run.server.context.paused - before
+    await until(lambda: connection.exchange.call is not None)
     return client, connection
 
 
@@ -244,7 +244,8 @@
             await until(lambda: len(run.gateway.held) == len(clients))
             assert len(host.seen) == len(clients)
             client, connection = await crowding(run)
-            assert connection.call is not None and run.gateway.held[connection.call.id].out == 0
+            call = connection.exchange.call
+            assert call is not None and run.gateway.held[call.id].out == 0
             await leaves(client, connection)
             for exchange in list(host.seen):
                 exchange.answer(reply())
@@ -264,7 +265,7 @@
         late = Late(run)
         client = await run.connect()
         client.send(request("transfer", content_length="1000000") + bytes(140_000))
-        await until(lambda: run.server.paused and late.held)
+        await until(lambda: run.server.context.paused and late.held)
         await until(lambda: not client.writer.transport.get_write_buffer_size())
         (connection,) = run.server.connections
         await leaves(client, connection)
@@ -291,7 +292,8 @@
         client.close()
         await until(lambda: not run.server.connections)
         await nothing_is_owed(run)
-        assert told == [Outcome.NOT_SENT] and not run.server.paused and not run.server.hangups.watched
+        context = run.server.context
+        assert told == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
         late.release()
         await until(lambda: run.instance.pools.open == 0)
         assert not host.seen
@@ -311,24 +313,25 @@
 
     async with peer(silent) as host, running(configuration(host)) as run:
         made = [await crowding(run) for _ in range(40)]
-        await until(lambda: len(run.server.paused) == 40)
-        monkeypatch.setattr(client_module, "hung_up", counting, raising=False)
+        await until(lambda: len(run.server.context.paused) == 40)
+        monkeypatch.setattr(client_module, "hung_up", counting)
         asked = 0
-        look = run.server.hangups.look
+        hangups = run.server.context.hangups
+        look = hangups.look
 
         def counted() -> None:
             nonlocal asked
             asked += 1
             look()
 
-        run.server.hangups.loop.remove_reader(run.server.hangups.epoll.fileno())  # type: ignore[union-attr]
-        asyncio.get_running_loop().add_reader(run.server.hangups.epoll.fileno(), counted)
+        hangups.loop.remove_reader(hangups.epoll.fileno())  # type: ignore[union-attr]
+        asyncio.get_running_loop().add_reader(hangups.epoll.fileno(), counted)
         for _ in range(10):
             run.server.sweep()
         assert (looks, asked) == (0, 0)
         made[0][0].close()
         await until(lambda: len(run.server.connections) == 39)
-        assert asked == 1 and len(run.server.hangups.watched) == 39
+        assert asked == 1 and len(hangups.watched) == 39
         for client, _ in made:
             client.close()
         await until(lambda: not run.server.connections)
