--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as both sides need it: limits, headers that end at a hop, and whole answers from bytes."""
+"""HTTP/1.1 as both sides need it: limits, headers that end at a hop, and whole responses from bytes."""
 
 from __future__ import annotations
 
@@ -9,18 +9,30 @@
 from sagetrack.core.bodies import LARGE_LIMIT
 from sagetrack.core.endpoints import Header, Reply
 
-BODY_LIMIT = 64 * 1024
-HEAD_LIMIT = 16 * 1024
+BODY_LIMIT = 64 * 1024  # bytes of a body that is held whole; a longer one is streamed
+HEAD_LIMIT = 16 * 1024  # bytes of a request line or status line and headers
 READ_SIZE = 64 * 1024  # bytes read from a connection at once
-INTERIM_LIMIT = 8  # answers that may come ahead of the answer proper
+INTERIM_LIMIT = 8  # responses of status 1xx ahead of the final one
+VERSIONS = ("1.1", "1.0")  # that are understood
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer"
     b" transfer-encoding upgrade expect content-length".split()
 )
 
 
+class ProtocolError(ValueError):
+    """What a peer sent cannot be used as HTTP/1.1; the base of this package's errors."""
+
+
+class ResponseError(ProtocolError):
+    """What a server sent is no response that can be used."""
+
+
 def end_to_end(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
-    """Headers that may pass on: none that is meant for this connection only, here or by `Connection`."""
+    """Return the headers that are forwarded.
+
+    Hop-by-hop headers, those that `Connection` names, and those of `without` (lower case) are left out.
+    """
     kept = [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP]
     named = {
         part.strip().lower()
@@ -32,24 +44,21 @@
 
 
 def trimmed(value: bytes) -> bytes:
-    """A header's value without the white space round it, which belongs to no value; the parser leaves it."""
+    """Return a header's value without the white space around it, which the parser leaves."""
     return value.strip(b" \t")
 
 
 def header(headers: Iterable[Header], wanted: bytes) -> bytes | None:
-    """The first header of that name (lower case)."""
+    """Return the value of the first header of that name (lower case)."""
     return next((value for name, value in headers if name.lower() == wanted), None)
 
 
-class ReplyError(ValueError):
-    """What came back is no answer that can be used."""
+class ResponseReader:
+    """Turns the bytes of one connection into complete responses, one at a time.
 
-
-class ReplyReader:
-    """Turns the bytes of one connection into whole answers, one at a time.
-
-    With `passes`, a good answer may be longer than `limit`: it is for the owner to `begin` it when it
-    `is_long`, and to `take` from its body then. The end of it comes as any answer does, with the rest.
+    With `streams`, the body of a response of status 200 may be longer than `limit`: the owner takes its
+    `head` when it `is_long`, and its body by `take` from then on. `feed` returns it at its end, with the rest
+    of the body.
     """
 
     __slots__ = (
@@ -59,120 +68,132 @@
         "_length",
         "_limit",
         "_parser",
-        "_passes",
-        "_replies",
+        "_responses",
         "_size",
+        "_streams",
         "_unparsed",
         "has_begun",
         "in_body",
     )
 
-    def __init__(self, limit: int = BODY_LIMIT, passes: bool = False) -> None:
+    def __init__(self, limit: int = BODY_LIMIT, streams: bool = False) -> None:
         self._limit = limit
-        self._passes = passes
+        self._streams = streams
         self._length: int | None = None
-        self.in_body = False  # the head of a good answer has come, its end has not
+        self.in_body = False  # the head of a good response has come, its end has not
         self._parser = httptools.HttpResponseParser(self)
-        self._replies: list[Reply] = []
+        self._responses: list[Reply] = []
         self._headers: list[Header] = []
         self._body: list[bytes] = []
         self._size = 0
         self._interim = 0
-        self._unparsed = 0  # bytes since the parser last gave something away
-        self.has_begun = False  # an answer has begun and is not yet whole
+        self._unparsed = 0  # bytes since the parser last reported anything
+        self.has_begun = False  # a response has begun and is not yet complete
 
     def feed(self, data: bytes) -> Reply | None:
-        """The answer that these bytes complete, if they do; bytes beyond it are an error."""
+        """Return the response that these bytes complete, if they do.
+
+        Bytes beyond it belong to no request: the response then says that the connection cannot be kept.
+
+        Raises:
+            ResponseError: What has come is no valid response, or exceeds a limit.
+        """
         self._unparsed += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self._replies:
-                raise ReplyError(str(error.__context__ or error)) from None
-            self._replies[0].keep_alive = False  # a whole answer and something after it
-        if not self._replies:
-            # Guards against a status line or a header without end: the parser keeps it and says nothing.
+            if not self._responses:
+                raise ResponseError(str(error.__context__ or error)) from None
+            self._responses[0].keep_alive = False  # a whole response and something after it
+        if not self._responses:
+            # The parser keeps a status line or a header without end, and reports nothing of it.
             if self._unparsed > HEAD_LIMIT:
-                raise ReplyError("the head is too long")
+                raise ResponseError(f"the head of the response is longer than {HEAD_LIMIT} bytes")
             return None
-        reply = self._replies[0]
-        if len(self._replies) > 1 or self.has_begun:
-            reply.keep_alive = False
-        self._replies = []
+        response = self._responses[0]
+        if len(self._responses) > 1 or self.has_begun:
+            response.keep_alive = False
+        self._responses = []
         self._interim = 0
-        return reply
+        return response
 
     @property
     def is_long(self) -> bool:
-        """Whether what comes is too long to be held, and some of its body is here."""
+        """Whether the response is too long to be held, and some of its body is here."""
         return self.in_body and self._size > 0 and max(self._size, self._length or 0) > self._limit
 
     @property
     def may_be_long(self) -> bool:
-        """Whether nobody can tell yet how long it will be."""
+        """Whether the length of the response is not known yet."""
         return self.in_body and self._length is None
 
-    def begin(self) -> Reply:
-        """The head of the answer that is coming."""
+    def head(self) -> Reply:
+        """Return the head of the response that is coming."""
         return Reply(200, self._headers, b"", False, self._length)
 
     def take(self) -> bytes:
-        """What has come of its body since the last time."""
+        """Return what has come of its body since the last call."""
         body = b"".join(self._body)
         self._body.clear()
         return body
 
-    # httptools' callbacks
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
+        """A response begins; called by the parser."""
         self.has_begun = True
         self._headers, self._body, self._size = [], [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header is complete; called by the parser, also for trailers, which are left out."""
         if self.in_body:
-            return  # a trailer: it may be left out
+            return
         self._size += len(name) + len(value)
         if self._size > HEAD_LIMIT:
-            raise ReplyError("the head is too long")
+            raise ResponseError(f"the head of the response is longer than {HEAD_LIMIT} bytes")
         self._headers.append((name, trimmed(value)))
 
     def on_headers_complete(self) -> None:
+        """All headers are here; called by the parser."""
         self._size = 0
         self._unparsed = 0
-        if self._parser.get_http_version() not in ("1.1", "1.0"):
-            raise ReplyError("another version of the protocol")
+        version = self._parser.get_http_version()
+        if version not in VERSIONS:
+            raise ResponseError(f"the response is HTTP/{version}, and {' or '.join(VERSIONS)} is understood")
         length = header(self._headers, b"content-length")
         status = self._parser.get_status_code()
-        self.in_body = status == 200 and self._passes
+        self.in_body = status == 200 and self._streams
         self._length = int(length) if length is not None else None
-        if self._length is not None and self._length > self._most:
-            raise ReplyError("the body is too long")
+        if self._length is not None and self._length > self._size_limit:
+            raise ResponseError(f"the body of the response is longer than {self._size_limit} bytes")
         if status < 200 or status in (204, 304):
             return
         if length is None and header(self._headers, b"transfer-encoding") is None:
-            raise ReplyError("nobody can tell where it ends")
+            raise ResponseError("the response has neither a Content-Length nor a Transfer-Encoding")
 
     @property
-    def _most(self) -> int:
+    def _size_limit(self) -> int:
         return LARGE_LIMIT if self.in_body else self._limit
 
     def on_body(self, data: bytes) -> None:
+        """A part of the body is here; called by the parser."""
         self._size += len(data)
         self._unparsed = 0
-        if self._size > self._most:
-            raise ReplyError("the body is too long")
+        if self._size > self._size_limit:
+            raise ResponseError(f"the body of the response is longer than {self._size_limit} bytes")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
+        """A response is complete; called by the parser. Interim responses (1xx) are left out."""
         status = self._parser.get_status_code()
-        if status >= 200:  # what comes before the answer proper is not passed on
+        if status >= 200:
             keep_alive = self._parser.should_keep_alive()
             body = b"".join(self._body)
-            self._replies.append(Reply(status, self._headers, body, keep_alive, self._length))
+            self._responses.append(Reply(status, self._headers, body, keep_alive, self._length))
         else:
             self._interim += 1
             if self._interim > INTERIM_LIMIT:
-                raise ReplyError("too many interim answers")
+                raise ResponseError(f"more than {INTERIM_LIMIT} interim responses ahead of the final one")
         self._headers, self._body = [], []
         self._unparsed = 0
         self.has_begun = self.in_body = False
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -93,3 +93,48 @@
     def count_closing(self) -> int:
         """Return how many connections end soon, whose descriptors are then free."""
         return sum(connection.is_closing for connection in self.closing)
+
+
+class PhaseTracker:
+    """The phase of one connection, and since when it is in it."""
+
+    __slots__ = ("connection", "phase", "phases")
+
+    def __init__(self, connection: TimedConnection, phases: ConnectionPhases) -> None:
+        self.connection, self.phases = connection, phases
+        self.phase: Phase | None = None
+
+    def enter(self, phase: Phase | None, since_s: float | None = None) -> None:
+        """Enter a phase, now or since then; None if the connection does not wait for its client.
+
+        A connection that is in the phase stays there since when it was.
+        """
+        if phase is self.phase:
+            return
+        if self.phase is not None:
+            self.phase.pop(self.connection, None)
+        self.phase = phase
+        if phase is not None:
+            phase[self.connection] = asyncio.get_running_loop().time() if since_s is None else since_s
+
+    def enter_closing(self, timeout_s: float) -> None:
+        """Have the connection aborted if it has not ended after so long."""
+        self.enter(self.phases.closing, asyncio.get_running_loop().time() + timeout_s)
+
+    def await_request(self, in_body: bool, has_begun: bool, has_responded: bool, opened_s: float) -> None:
+        """Enter the phase of a connection with no complete request, by what has come of the next one."""
+        if in_body:
+            self.enter(self.phases.receiving_body)
+        elif has_begun:
+            self.enter(self.phases.receiving_request, None if has_responded else opened_s)
+        elif has_responded or self.phase is not self.phases.awaiting_first_byte:
+            self.enter(self.phases.idle)
+
+    def exclude(self, pause_s: float) -> None:
+        """Do not count so long a pause, which was not the client's, as time for the body."""
+        if self.phase is self.phases.receiving_body:
+            self.phases.receiving_body[self.connection] += pause_s
+
+    def since_s(self, opened_s: float) -> float:
+        """Return since when it is in its phase; `opened_s` if it is in none."""
+        return (self.phase or {}).get(self.connection, opened_s)
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A connection on which the gateway itself asks, as discovery is asked: one call at a time, whole answers."""
+"""A connection for the gateway's own requests, as to service discovery: one at a time, whole responses."""
 
 from __future__ import annotations
 
@@ -8,60 +8,75 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.endpoints import Reply
-from sagetrack.http1.codec import ReplyError, ReplyReader
+from sagetrack.http1.codec import ResponseError, ResponseReader
 
-LIST_LIMIT = 16 * 1024 * 1024
+LIST_LIMIT = 16 * 1024 * 1024  # bytes of a response, as of the list of all servers
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection that asks: one call at a time."""
+    """One connection that carries one request at a time; what fails on it is raised as `error`."""
 
     def __init__(self, error: Callable[[str], Exception]) -> None:
         self.error = error
         self.transport: asyncio.Transport | None = None
-        self.replies = ReplyReader(LIST_LIMIT)
-        self.answer: asyncio.Future[Reply] | None = None
+        self.responses = ResponseReader(LIST_LIMIT)
+        self.awaited: asyncio.Future[Reply] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by the loop."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of the response; called by the loop."""
         try:
-            reply = self.replies.feed(data)
-        except ReplyError as error:
+            response = self.responses.feed(data)
+        except ResponseError as error:
             self.fail(str(error))
             return
-        if reply is not None and self.answer is not None and not self.answer.done():
-            self.answer.set_result(reply)
+        if response is not None and self.awaited is not None and not self.awaited.done():
+            self.awaited.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the request in progress; called by the loop."""
         self.transport = None
         self.fail("the connection ended")
 
-    def fail(self, why: str) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(self.error(why))
+    def fail(self, reason: str) -> None:
+        """Fail the request in progress, and close."""
+        if self.awaited is not None and not self.awaited.done():
+            self.awaited.set_exception(self.error(reason))
         self.close()
 
     def close(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
 
     @property
     def is_open(self) -> bool:
+        """Whether a request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     async def ask(self, head: bytes) -> Reply:
+        """Send a request without a body, and return the response.
+
+        It waits without a limit; any failure is raised as an instance of `error`.
+        """
         if self.transport is None or self.transport.is_closing():
             raise self.error("the connection has ended")
-        self.answer = asyncio.get_running_loop().create_future()
+        self.awaited = asyncio.get_running_loop().create_future()
         self.transport.write(head)
-        return await self.answer
+        return await self.awaited
 
 
 async def connect(
     address: Address, error: Callable[[str], Exception] = ConnectionError
 ) -> DiscoveryConnection:
-    """A connection that is up; what goes wrong on it is raised as `error`."""
-    _, line = await asyncio.get_running_loop().create_connection(lambda: DiscoveryConnection(error), *address)
-    return line
+    """Return a connection that is up; what fails on it later is raised as `error`.
+
+    Raises:
+        OSError: It could not be opened.
+    """
+    loop = asyncio.get_running_loop()
+    _, connection = await loop.create_connection(lambda: DiscoveryConnection(error), *address)
+    return connection
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -14,9 +14,10 @@
 from sagetrack.core.peer_close import Hangups, hung_up
 from sagetrack.core.send_rules import ClientState, Closing, DenialReason, may_close
 from sagetrack.http1.codec import READ_SIZE
-from sagetrack.http1.connection_phases import ConnectionPhases, Phase
+from sagetrack.http1.connection_phases import ConnectionPhases, PhaseTracker
 from sagetrack.http1.exchange import Exchange, RequestHandling
-from sagetrack.http1.requests import Request, RequestError, RequestReader
+from sagetrack.http1.request_reader import RequestReader
+from sagetrack.http1.requests import Request, RequestError
 
 MAX_PIPELINED = 16  # requests read ahead on one connection
 MIN_BODY_RATE = 64_000  # bytes a second at which a body has to come
@@ -55,6 +56,36 @@
             self.hangups.forget(connection.descriptor)
 
 
+class ReadPause:
+    """Back-pressure on a client: nothing is read from it while what it has sent waits to be parsed."""
+
+    __slots__ = ("connection", "since_s")
+
+    def __init__(self, connection: ClientConnection) -> None:
+        self.connection = connection
+        self.since_s: float | None = None  # None: the connection is read
+
+    @property
+    def is_active(self) -> bool:
+        """Whether nothing is read for now."""
+        return self.since_s is not None
+
+    def begin(self, transport: asyncio.Transport) -> None:
+        """Read nothing more; the kernel reports the end of the connection meanwhile."""
+        if self.since_s is None:
+            self.since_s = asyncio.get_running_loop().time()
+            transport.pause_reading()
+            self.connection.context.watch_paused(self.connection)
+
+    def end(self, transport: asyncio.Transport) -> None:
+        """Read again."""
+        if self.since_s is not None:
+            self.connection.phase.exclude(asyncio.get_running_loop().time() - self.since_s)
+            self.since_s = None
+            self.connection.context.unwatch(self.connection)
+            transport.resume_reading()
+
+
 class ClientConnection(asyncio.BufferedProtocol):
     """One connection of a client; its requests are handled one after the other."""
 
@@ -65,9 +96,9 @@
         "exchange",
         "is_closing",
         "opened_s",
-        "paused_s",
         "phase",
         "poll",
+        "read_pause",
         "reader",
         "transport",
         "write_blocked",
@@ -79,8 +110,8 @@
         self.reader = RequestReader(context.allowance)
         self.exchange = Exchange(self, context.handling)
         self.discarded: Upload | None = None  # the rest of a body whose request has had its response
-        self.paused_s: float | None = None  # since when nothing is read
-        self.phase: Phase | None = None
+        self.read_pause = ReadPause(self)
+        self.phase = PhaseTracker(self, context.phases)
         self.opened_s = 0.0
         self.is_closing = False  # nothing more is read as a request
         self.write_blocked = False  # the client does not read its responses
@@ -96,13 +127,13 @@
         self.poll.register(self.descriptor, select.POLLIN | select.POLLRDHUP)
         self.opened_s = asyncio.get_running_loop().time()
         self.context.connections.add(self)
-        self.enter_phase(self.context.phases.awaiting_first_byte, self.opened_s)
+        self.phase.enter(self.context.phases.awaiting_first_byte, self.opened_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after the end; called by the loop."""
         self.context.connections.discard(self)
         self.context.unwatch(self)
-        self.enter_phase(None)
+        self.phase.enter(None)
         self.is_closing = True
         self.cancel_requests()
 
@@ -113,7 +144,7 @@
 
     def cancel_requests(self) -> None:
         """Cancel the request of a client that has gone, and handle none of those read ahead."""
-        self.reader.done.clear()
+        self.reader.requests.clear()
         self.exchange.cancel()
         if self.reader.upload is not None:
             self.reader.upload.fail()
@@ -129,44 +160,26 @@
 
     # Phases
 
-    def enter_phase(self, phase: Phase | None, since_s: float | None = None) -> None:
-        """Note what this connection waits for, and since when; None if not for its client."""
-        if phase is self.phase:
-            return
-        if self.phase is not None:
-            self.phase.pop(self, None)
-        self.phase = phase
-        if phase is not None:
-            phase[self] = asyncio.get_running_loop().time() if since_s is None else since_s
-
     def update_phase(self) -> None:
         """Enter the phase that follows from what has come and which response is due."""
-        phases = self.context.phases
         if self.is_closing:
             return
-        upload, request = self.reader.upload, self.exchange.request
+        reader, request = self.reader, self.exchange.request
         if self.write_blocked:
             timeout_s = WRITE_TIMEOUT_S if self.exchange.source is None else STREAM_WRITE_TIMEOUT_S
-            self.enter_phase(phases.closing, asyncio.get_running_loop().time() + timeout_s)
-        elif upload is not None and request is not None and request.upload is upload:
-            self.enter_phase(phases.receiving_body)
-        elif request is not None or self.reader.done:
-            self.enter_phase(None)
+            self.phase.enter_closing(timeout_s)
+        elif reader.upload is not None and request is not None and request.upload is reader.upload:
+            self.phase.enter(self.context.phases.receiving_body)
+        elif request is not None or reader.requests:
+            self.phase.enter(None)
         else:
-            self._await_request()
-
-    def _await_request(self) -> None:
-        phases, has_responded = self.context.phases, self.exchange.has_responded
-        if self.reader.in_body:
-            self.enter_phase(phases.receiving_body)
-        elif self.reader.has_begun:
-            self.enter_phase(phases.receiving_request, None if has_responded else self.opened_s)
-        elif has_responded or self.phase is not phases.awaiting_first_byte:
-            self.enter_phase(phases.idle)
+            has_responded = self.exchange.has_responded
+            self.phase.await_request(reader.in_body, reader.has_begun, has_responded, self.opened_s)
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
         """Abandon a request whose body comes too slowly, unless it is this process that does not read."""
-        if self.paused_s is None and now_s - since_s > BODY_GRACE_S + self.reader.received / MIN_BODY_RATE:
+        allowed_s = BODY_GRACE_S + self.reader.received / MIN_BODY_RATE
+        if not self.read_pause.is_active and now_s - since_s > allowed_s:
             self.abandon_request()
 
     def abandon_request(self, fault: RequestError | None = None) -> None:
@@ -179,13 +192,11 @@
 
     def may_close(self, purpose: Closing) -> DenialReason | None:
         """Why it may not be closed now without a response; None if it may."""
-        now_s = asyncio.get_running_loop().time()
-        reader, exchange = self.reader, self.exchange
         state = ClientState(
-            owed=self.is_closing or exchange.request is not None or bool(reader.done),
-            begun=reader.has_begun,
-            heard=exchange.has_responded or reader.has_begun,
-            age_s=now_s - (self.phase or {}).get(self, self.opened_s),
+            owed=self.is_closing or self.exchange.is_busy or bool(self.reader.requests),
+            begun=self.reader.has_begun,
+            heard=self.exchange.has_responded or self.reader.has_begun,
+            age_s=asyncio.get_running_loop().time() - self.phase.since_s(self.opened_s),
             unread=lambda: bool(self.poll.poll(0)),
         )
         return may_close(state, purpose)
@@ -206,15 +217,14 @@
         self._note_close(reason)
         self.is_closing = True
         if self.transport is not None:
-            end_s = asyncio.get_running_loop().time() + WRITE_TIMEOUT_S
-            self.enter_phase(self.context.phases.closing, end_s)
+            self.phase.enter_closing(WRITE_TIMEOUT_S)
             self.transport.close()
 
     def abort(self, reason: str = "aborted") -> None:
         """Close at once; what the client has not taken yet is lost."""
         self._note_close(reason)
         self.is_closing = True
-        self.enter_phase(None)
+        self.phase.enter(None)
         if self.transport is not None:
             self.transport.abort()
 
@@ -243,7 +253,7 @@
         assert self.transport is not None
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        self.enter_phase(self.context.phases.closing, asyncio.get_running_loop().time() + LINGER_S)
+        self.phase.enter_closing(LINGER_S)
 
     # Reading
 
@@ -270,31 +280,17 @@
         self.handle_fault()
         if self.is_closing:
             return
-        if self.reader.is_broken or self.reader.rest:
-            self._pause_reading(self.transport)
-        elif self.paused_s is not None:
-            self._resume_reading(self.transport, self.paused_s)
+        if self.reader.is_broken or self.reader.unparsed:
+            self.read_pause.begin(self.transport)
+        else:
+            self.read_pause.end(self.transport)
         self.send_continue()
 
-    def _pause_reading(self, transport: asyncio.Transport) -> None:
-        if self.paused_s is None:
-            self.paused_s = asyncio.get_running_loop().time()
-            transport.pause_reading()
-            self.context.watch_paused(self)
-
-    def _resume_reading(self, transport: asyncio.Transport, since_s: float) -> None:
-        bodies = self.context.phases.receiving_body
-        if self in bodies:  # the pause was not the client's
-            bodies[self] += asyncio.get_running_loop().time() - since_s
-        self.paused_s = None
-        self.context.unwatch(self)
-        transport.resume_reading()
-
     def resume_parsing(self) -> None:
         """Parse what was left, as there is capacity again."""
         if self.transport is None or self.is_closing or self.transport.is_closing():
             return
-        if self.reader.rest:
+        if self.reader.unparsed:
             self.parse(b"")
             self.take_next()
         self.update_phase()
@@ -307,11 +303,11 @@
         """Write `100 Continue` to a client that waits for it, once its request is the next to be answered."""
         reader, current = self.reader, self.exchange.request
         ahead = current is not None and current is not reader.reading
-        ahead = ahead or any(request is not reader.reading for request in reader.done)
-        if not reader.expects or ahead or self.is_closing or self.discarded is not None:
+        ahead = ahead or any(request is not reader.reading for request in reader.requests)
+        if not reader.expects_continue or ahead or self.is_closing or self.discarded is not None:
             return
         if self.transport is not None:
-            reader.expects = False
+            reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def handle_fault(self) -> None:
@@ -324,22 +320,20 @@
 
     def take_next(self) -> None:
         """Handle the next request that was read, once the one before is answered."""
-        if self.exchange.request is not None or self.write_blocked or self.transport is None:
-            return
-        if self.is_closing:
+        if self.transport is None or self.is_closing or self.write_blocked or self.exchange.is_busy:
             return
-        if self.paused_s is not None and hung_up(self.poll):
+        if self.read_pause.is_active and hung_up(self.poll):
             self.on_hangup()
-        if not self.reader.done and self.reader.rest:
+        if not self.reader.requests and self.reader.unparsed:
             self.parse(b"")
-        if not self.reader.done or self.is_closing or self.discarded is not None:
+        if not self.reader.requests or self.is_closing or self.discarded is not None:
             return
-        self.exchange.start(self.reader.done.popleft())
+        self.exchange.start(self.reader.requests.popleft())
         self.send_continue()
 
     def take_next_soon(self) -> None:
         """Handle the next request in the next turn of the loop, if one may have come."""
-        if self.reader.done or self.reader.rest:
+        if self.reader.requests or self.reader.unparsed:
             asyncio.get_running_loop().call_soon(self.take_next)
 
     def is_last(self, request: Request) -> bool:
@@ -347,7 +341,7 @@
         if request.upload is not None and not request.upload.ended:
             return True  # its body is incomplete, and the rest is not waited for
         # Requests that were read are answered, also in a shutdown, but not without end.
-        more = bool(self.reader.done) or self.reader.has_begun
+        more = bool(self.reader.requests) or self.reader.has_begun
         drain = self.context.drain
         if drain.is_on and more and drain.is_past_words(asyncio.get_running_loop().time()):
             more = False
@@ -359,7 +353,7 @@
             self.take_next_soon()
             self.update_phase()
             return
-        self.reader.done.clear()
+        self.reader.requests.clear()
         if request.upload is not None and not request.upload.is_over:
             self._discard(request.upload)
         else:
@@ -374,7 +368,7 @@
         self.discarded = upload
         upload.discard()
         upload.on_end = self.close
-        self.enter_phase(self.context.phases.receiving_body)
+        self.phase.enter(self.context.phases.receiving_body)
 
     def pause_writing(self) -> None:
         """The client takes no more for now; called by the loop."""
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -148,6 +148,11 @@
         else:
             self.respond(request.fault.status, request.fault.headers, f"{request.fault}\n".encode())
 
+    @property
+    def is_busy(self) -> bool:
+        """Whether a request is in progress."""
+        return self.request is not None
+
     @property
     def awaits_response(self) -> bool:
         """Whether a request is with the gateway, and nothing of its response is written."""
--- /dev/null
+++ b/sagetrack/http1/request_reader.py
@@ -0,0 +1,198 @@
+"""Requests of one client's connection, from bytes, within every limit on their size."""
+
+from __future__ import annotations
+
+from collections import deque
+
+import httptools
+
+from sagetrack.core.bodies import LARGE_LIMIT, Allowance, Upload
+from sagetrack.core.clock import now_us
+from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, header, trimmed
+from sagetrack.http1.requests import Request, RequestError
+
+SLICE = 4096  # bytes parsed between looks at how many requests they contained
+BODY_SLICE = 32 * 1024  # the same in a long body
+
+
+class RequestReader:
+    """Turns the bytes of one client's connection into requests.
+
+    A body that is longer than `BODY_LIMIT` is streamed: its request is handed over before it is complete.
+    """
+
+    __slots__ = (
+        "_allowance",
+        "_body_size",
+        "_fed_us",
+        "_parser",
+        "_unreported",
+        "expects_continue",
+        "in_body",
+        "is_broken",
+        "reading",
+        "requests",
+        "unparsed",
+    )
+
+    def __init__(self, allowance: Allowance) -> None:
+        self._parser = httptools.HttpRequestParser(self)
+        self._allowance = allowance
+        self.reading: Request | None = None
+        self._body_size = 0
+        self.in_body = False
+        self.expects_continue = False  # the request that is being read waits for `100 Continue`
+        self._unreported = 0  # bytes since the parser last reported anything
+        self._fed_us = 0  # when the newest bytes were read: what waits unparsed came with them
+        self.requests: deque[Request] = deque()  # read and not yet taken
+        self.unparsed = b""  # as enough requests wait
+        self.is_broken = False  # nothing more is read
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether part of a request has come, and not all of it."""
+        return self.reading is not None or self._unreported > 0 or bool(self.unparsed)
+
+    @property
+    def upload(self) -> Upload | None:
+        """The long body that is being read."""
+        return self.reading.upload if self.reading is not None else None
+
+    @property
+    def received(self) -> int:
+        """Bytes of the body that is being read."""
+        return self._body_size
+
+    def feed(self, data: bytes, limit: int) -> None:
+        """Parse until `limit` requests wait: hundreds at once must not delay everyone else.
+
+        What cannot be read ends as a request with a `fault`, after which nothing more is read.
+        """
+        if data:
+            self._fed_us = now_us()
+        self.unparsed = self.unparsed + data if self.unparsed else data
+        if not self.unparsed or len(self.requests) >= limit:
+            return
+        at, view = 0, memoryview(self.unparsed)
+        while at < len(view) and not self.is_broken and len(self.requests) < limit:
+            upload = self.upload
+            if upload is not None and upload.is_full:
+                break  # back-pressure: the rest waits, and the client with it
+            size = SLICE
+            if upload is not None and upload.length is not None:
+                size = max(SLICE, min(BODY_SLICE, upload.length - upload.received))
+            piece = view[at : at + size]
+            at += len(piece)
+            fault = self._parse(piece)
+            if fault is not None:
+                self.break_off(fault)
+        self.unparsed = b"" if self.is_broken else bytes(view[at:])
+
+    def break_off(self, fault: RequestError) -> None:
+        """Have this answered after the requests that were read before, and read nothing more."""
+        self.is_broken = True
+        reading, self.reading, self.unparsed = self.reading, None, b""
+        self.in_body = False
+        if reading is not None and reading.upload is not None:
+            reading.fault = fault  # it was handed over at its head, and is known to its owner
+            reading.upload.fail()
+        else:
+            self.requests.append(Request(fault))
+
+    def _parse(self, piece: memoryview) -> RequestError | None:
+        self._unreported += len(piece)
+        try:
+            self._parser.feed_data(piece)
+        except httptools.HttpParserUpgrade:
+            return RequestError(400, "no other protocol is spoken here")
+        except httptools.HttpParserError as error:
+            cause = error.__context__
+            return cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
+        # The parser reports a header only once it is complete, and nothing of a chunk's extension or of blank
+        # lines: without this limit each could go on without end.
+        return RequestError(431, "the head is too long") if self._unreported > HEAD_LIMIT else None
+
+    # Callbacks of httptools
+
+    def on_message_begin(self) -> None:
+        """A request begins; called by the parser."""
+        self.reading = Request()
+        self._body_size = 0
+        self.expects_continue = False
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the target is here; called by the parser."""
+        assert self.reading is not None
+        self.reading.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header is complete; called by the parser."""
+        assert self.reading is not None
+        if self.in_body:
+            return  # a trailer: it may be left out, and must not stand for a header that was checked
+        self.reading.headers.append((name, trimmed(value)))
+
+    def on_headers_complete(self) -> None:
+        """All headers are here; called by the parser."""
+        request = self.reading
+        assert request is not None
+        self._unreported = 0
+        request.method = self._parser.get_method()
+        headers = request.headers
+        if sum(len(name) + len(value) for name, value in headers) + len(request.target) > HEAD_LIMIT:
+            raise RequestError(431, "the head is too long")
+        request.version = self._parser.get_http_version()
+        if request.version not in VERSIONS:
+            raise RequestError(505, "HTTP/1.1 is spoken here")
+        coding = header(headers, b"transfer-encoding")
+        if coding is not None and coding.lower() != b"chunked":
+            raise RequestError(501, "no transfer encoding but chunked is read")
+        length = header(headers, b"content-length")
+        if length is not None and int(length) > LARGE_LIMIT:
+            raise RequestError(413, "the body is too long")
+        self.in_body = True
+        if length is not None and int(length) > BODY_LIMIT:
+            self._stream_body(request, int(length))
+        expected = header(headers, b"expect")
+        if expected is not None:
+            if expected.lower() != b"100-continue":
+                raise RequestError(417, "only 100-continue can be expected")
+            self.expects_continue = True
+
+    def on_body(self, data: bytes) -> None:
+        """A part of the body is here; called by the parser."""
+        assert self.reading is not None
+        request = self.reading
+        self._unreported = 0
+        self._body_size += len(data)
+        if self._body_size > LARGE_LIMIT:
+            raise RequestError(413, "the body is too long")
+        if request.upload is not None:
+            request.upload.feed(data)
+            return
+        request.body.append(data)
+        if self._body_size > BODY_LIMIT:
+            self._stream_body(request, None)
+
+    def _stream_body(self, request: Request, length: int | None) -> None:
+        """Stream the body from here on, and hand the request over before it is complete."""
+        request.keep_alive = self._parser.should_keep_alive()
+        request.upload = Upload(length, self._allowance)
+        for piece in request.body:
+            request.upload.feed(piece)
+        request.body.clear()
+        self.requests.append(request)
+
+    def on_message_complete(self) -> None:
+        """A request is complete; called by the parser."""
+        request = self.reading
+        assert request is not None
+        self.reading = None
+        self._unreported = 0
+        self.in_body = self.expects_continue = False
+        if request.upload is not None:
+            request.upload.end()
+            return
+        request.received_us = self._fed_us
+        request.keep_alive = self._parser.should_keep_alive()
+        self.requests.append(request)
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -13,7 +13,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Reply
 from sagetrack.core.send_rules import ServerState
-from sagetrack.http1.codec import ReplyError, ReplyReader
+from sagetrack.http1.codec import ResponseError, ResponseReader
 from sagetrack.policy.interface import Outcome
 
 STREAM_AFTER_S = 0.05  # a response of unknown length that is incomplete by then is streamed
@@ -150,7 +150,7 @@
         self.has_sent = False  # something of the attempt may have gone out
         self.waiting_attempt: Attempt | None = None  # the next one, until the connection may be reused
         self.transport: asyncio.Transport | None = None
-        self.responses = ReplyReader(passes=True)
+        self.responses = ResponseReader(streams=True)
         self.stream_timer: asyncio.TimerHandle | None = None  # until a response of unknown length is streamed
         self.paused = False  # the client takes no more for now
         self.body_written = True  # no more of the request is to be written
@@ -242,7 +242,7 @@
         """Parse bytes from the server, and pass on what they complete."""
         try:
             response = self.responses.feed(data)
-        except ReplyError:
+        except ResponseError:
             self.owner.on_protocol_error(self)
             return
         attempt = self.attempt
@@ -275,7 +275,7 @@
             self.owner.on_protocol_error(self)  # no response can precede the end of its request
             return
         self.owner.on_stream_started(attempt)
-        attempt.on_begun(attempt, self.responses.begin(), self)
+        attempt.on_begun(attempt, self.responses.head(), self)
         body = self.responses.take()
         if self.attempt is attempt and body:
             attempt.on_piece(body)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,7 +14,7 @@
 
 from sagetrack.core.bodies import HIGH, LEAST, Allowance, Upload
 from sagetrack.http1 import downstream as client_module
-from sagetrack.http1 import requests as requests_module
+from sagetrack.http1 import request_reader as reader_module
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.policy.interface import AttemptEnded, AttemptSent, Outcome, RequestArrived, StreamStarted
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
@@ -292,7 +292,7 @@
 
 @on_loop
 async def test_a_body_without_end_is_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(requests_module, "LARGE_LIMIT", 200_000)
+    monkeypatch.setattr(reader_module, "LARGE_LIMIT", 200_000)
     async with sink() as host, running(configuration(host.address)) as run:
         head = request("transfer", content_length="", transfer_encoding="chunked")
         assert (await run.ask(head + chunk(LONG))).status == 413
@@ -356,11 +356,11 @@
         client = await run.connect()
         body = bytes(24 * MEGABYTE)
         client.send(request("transfer", body))
-        await until(lambda: any(c.paused_s is not None for c in run.server.connections))
+        await until(lambda: any(c.read_pause.is_active for c in run.server.connections))
         (connection,) = run.server.connections
         upload = connection.reader.upload
-        assert upload is not None and upload.buffered <= HIGH + 2 * requests_module.BODY_SLICE
-        assert len(connection.reader.rest) <= READ_SIZE
+        assert upload is not None and upload.buffered <= HIGH + 2 * reader_module.BODY_SLICE
+        assert len(connection.reader.unparsed) <= READ_SIZE
         opened.set()
         assert (await client.answer()).body == b"%d" % len(body)
         client.close()
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -154,7 +154,7 @@
         most = 0
         for _ in range(1000):
             assert (await client.answer()).status == 200
-            most = max(most, *(len(c.reader.done) for c in run.server.connections))
+            most = max(most, *(len(c.reader.requests) for c in run.server.connections))
         assert 0 < most < 200
         client.close()
 
--- /dev/null
+++ b/tests/test_request_reader.py
@@ -0,0 +1,69 @@
+"""Requests from bytes, without a socket: in pieces, ahead, in parts, and beyond limits."""
+
+from __future__ import annotations
+
+import pytest
+
+from sagetrack.core.bodies import Allowance
+from sagetrack.http1.codec import BODY_LIMIT
+from sagetrack.http1.request_reader import RequestReader
+from tests.sockets import request
+
+
+def reader() -> RequestReader:
+    return RequestReader(Allowance(64))
+
+
+@pytest.mark.parametrize("size", [1, 7, 10_000])
+def test_requests_are_read_in_any_pieces(size: int) -> None:
+    made = reader()
+    data = request("transfer", b"first") + request("transfer", b"second")
+    for at in range(0, len(data), size):
+        made.feed(data[at : at + size], 16)
+        assert made.has_begun or at + size >= len(data) or made.requests
+    assert [b"".join(one.body) for one in made.requests] == [b"first", b"second"]
+    assert not made.has_begun and not made.is_broken
+
+
+def test_no_more_is_parsed_while_enough_requests_wait() -> None:
+    made = reader()
+    one = request("transfer", b"x" * 4000)
+    made.feed(one * 10, 2)
+    assert 2 <= len(made.requests) < 10 and made.unparsed and made.has_begun
+    waiting = len(made.unparsed)
+    made.feed(b"", 2)
+    assert len(made.unparsed) == waiting
+    made.requests.clear()
+    while made.unparsed:
+        made.feed(b"", 2)
+        made.requests.clear()
+    assert not made.has_begun
+
+
+def test_a_long_body_is_handed_over_before_it_is_complete() -> None:
+    made = reader()
+    length = 3 * BODY_LIMIT
+    made.feed(request("transfer", content_length=str(length)) + bytes(1000), 16)
+    (taken,) = made.requests
+    assert taken.upload is not None and taken.upload.length == length and made.upload is taken.upload
+    assert not taken.upload.ended and made.in_body and made.received == 1000
+
+
+def test_what_cannot_be_read_comes_after_what_could_and_ends_the_reading() -> None:
+    made = reader()
+    made.feed(request("transfer", b"good") + b"rubbish\r\n\r\n" + request("transfer"), 16)
+    good, bad = made.requests
+    assert good.fault is None and bad.fault is not None and bad.fault.status == 400
+    assert made.is_broken and not made.unparsed
+
+
+def test_a_break_within_a_long_body_is_told_where_the_body_is() -> None:
+    made = reader()
+    made.feed(request("transfer", content_length="", transfer_encoding="chunked"), 16)
+    made.feed(b"%x\r\n%s\r\n" % (2 * BODY_LIMIT, bytes(2 * BODY_LIMIT)), 16)
+    (taken,) = made.requests
+    assert taken.upload is not None
+    taken.upload.discard()
+    made.feed(b"", 16)
+    made.feed(b"no size\r\n", 16)
+    assert taken.fault is not None and taken.upload.broken and list(made.requests) == [taken]
--- /dev/null
+++ b/tests/test_response_outcome.py
@@ -0,0 +1,43 @@
+"""Responses of servers as the load balancer has them: outcomes and load reports."""
+
+from __future__ import annotations
+
+import pytest
+
+from sagetrack.core.endpoints import Header, Reply
+from sagetrack.http1.response_outcome import load_of, outcome_of
+from sagetrack.policy.interface import Outcome
+
+REJECTED: Header = (b"X-Rejected", b"1")
+
+
+def response(status: int, *headers: Header) -> Reply:
+    return Reply(status, list(headers), b"", True)
+
+
+@pytest.mark.parametrize(
+    ("status", "headers", "outcome"),
+    [
+        (200, [], Outcome.OK),
+        (200, [REJECTED], Outcome.OK),
+        (503, [REJECTED], Outcome.REJECTED),
+        (504, [REJECTED], Outcome.REJECTED),
+        (503, [], Outcome.ERROR),
+        (503, [(b"X-Rejected", b"0")], Outcome.ERROR),
+        (500, [REJECTED], Outcome.ERROR),
+        (204, [], Outcome.ERROR),
+        (302, [], Outcome.ERROR),
+    ],
+)
+def test_the_status_and_the_mark_of_a_rejection_make_the_outcome(
+    status: int, headers: list[Header], outcome: Outcome
+) -> None:
+    assert outcome_of(response(status, *headers)) is outcome
+
+
+def test_a_load_report_is_read_and_one_that_cannot_be_is_none() -> None:
+    good = load_of(response(200, (b"X-Load-Report", b"TEXT queue=3")))
+    assert good is not None and good == load_of(response(503, (b"x-load-report", b"TEXT queue:3")))
+    assert load_of(None) is None and load_of(response(200)) is None
+    assert load_of(response(200, (b"X-Load-Report", b"JSON queue=3"))) is None
+    assert load_of(response(200, (b"X-Load-Report", b"TEXT queue=many"))) is None
