--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -16,7 +16,7 @@
 ACCEPT_RETRY_S = 0.01  # where there is no descriptor, and none can be reclaimed
 # Errors of accept that may be over in a moment; after any other the next connection may be accepted at once
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-EXHAUSTED_LIMIT = 10  # of them in a row: this process may have fewer descriptors than it was told
+EXHAUSTED_LIMIT = 10  # of them in a row: this process may have fewer descriptors than configured
 
 
 class Acceptor:
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as both sides need it: limits, headers that end at a hop, and whole responses from bytes."""
+"""HTTP/1.1 as both sides need it: limits, headers that end at a hop, and complete responses from bytes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import LARGE_LIMIT
 from sagetrack.core.endpoints import Header, Reply
 
-BODY_LIMIT = 64 * 1024  # bytes of a body that is held whole; a longer one is streamed
+BODY_LIMIT = 64 * 1024  # bytes of a body that is buffered; a longer one is streamed
 HEAD_LIMIT = 16 * 1024  # bytes of a request line or status line and headers
 READ_SIZE = 64 * 1024  # bytes read from a connection at once
 INTERIM_LIMIT = 8  # responses of status 1xx ahead of the final one
@@ -72,7 +72,7 @@
         "_size",
         "_streams",
         "_unparsed",
-        "has_begun",
+        "has_partial_response",
         "in_body",
     )
 
@@ -88,7 +88,7 @@
         self._size = 0
         self._interim = 0
         self._unparsed = 0  # bytes since the parser last reported anything
-        self.has_begun = False  # a response has begun and is not yet complete
+        self.has_partial_response = False  # a response has begun and is not yet complete
 
     def feed(self, data: bytes) -> Reply | None:
         """Return the response that these bytes complete, if they do.
@@ -104,14 +104,14 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._responses:
                 raise ResponseError(str(error.__context__ or error)) from None
-            self._responses[0].keep_alive = False  # a whole response and something after it
+            self._responses[0].keep_alive = False  # something follows the complete response
         if not self._responses:
             # The parser keeps a status line or a header without end, and reports nothing of it.
             if self._unparsed > HEAD_LIMIT:
                 raise ResponseError(f"the head of the response is longer than {HEAD_LIMIT} bytes")
             return None
         response = self._responses[0]
-        if len(self._responses) > 1 or self.has_begun:
+        if len(self._responses) > 1 or self.has_partial_response:
             response.keep_alive = False
         self._responses = []
         self._interim = 0
@@ -119,7 +119,7 @@
 
     @property
     def is_long(self) -> bool:
-        """Whether the response is too long to be held, and some of its body is here."""
+        """Whether the response is too long to be buffered, and some of its body is here."""
         return self.in_body and self._size > 0 and max(self._size, self._length or 0) > self._limit
 
     @property
@@ -141,7 +141,7 @@
 
     def on_message_begin(self) -> None:
         """A response begins; called by the parser."""
-        self.has_begun = True
+        self.has_partial_response = True
         self._headers, self._body, self._size = [], [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -196,4 +196,4 @@
                 raise ResponseError(f"more than {INTERIM_LIMIT} interim responses ahead of the final one")
         self._headers, self._body = [], []
         self._unparsed = 0
-        self.has_begun = self.in_body = False
+        self.has_partial_response = self.in_body = False
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -121,11 +121,13 @@
         """Have the connection aborted if it has not ended after so long."""
         self.enter(self.phases.closing, asyncio.get_running_loop().time() + timeout_s)
 
-    def await_request(self, in_body: bool, has_begun: bool, has_responded: bool, opened_s: float) -> None:
+    def await_request(
+        self, in_body: bool, has_partial_request: bool, has_responded: bool, opened_s: float
+    ) -> None:
         """Enter the phase of a connection with no complete request, by what has come of the next one."""
         if in_body:
             self.enter(self.phases.receiving_body)
-        elif has_begun:
+        elif has_partial_request:
             self.enter(self.phases.receiving_request, None if has_responded else opened_s)
         elif has_responded or self.phase is not self.phases.awaiting_first_byte:
             self.enter(self.phases.idle)
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -111,14 +111,14 @@
         self.attempts.send(attempt)
         return attempt
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Request a server's load report; `told` gets the outcome, the latency and the report."""
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+        """Request a server's load report; `on_result` gets the outcome, the latency and the report."""
         upstream = self.servers.get(server)
         if upstream is None:
             return
 
         def on_end(attempt: Attempt, outcome: Outcome, response: Reply | None) -> None:
-            told(outcome, attempt.latency_us, load_of(response))
+            on_result(outcome, attempt.latency_us, load_of(response))
 
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
         address = f"{upstream.address[0]}:{upstream.address[1]}".encode()
--- a/sagetrack/http1/descriptors.py
+++ b/sagetrack/http1/descriptors.py
@@ -83,7 +83,8 @@
     def reclaim_for_upstream(self) -> None:
         """Have a descriptor for a connection to an upstream server: idle clients are closed first.
 
-        Otherwise silent clients would crowd out kept connections to servers, at a handshake for each request.
+        Otherwise idle clients would crowd out idle connections to servers, and each request would cost a
+        handshake.
         """
         if self.is_full and not (self.phases.reclaim(Closing.ROOM) or self.pools.reclaim_idle()):
             self.phases.reclaim(Closing.EXHAUSTED)
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A connection for the gateway's own requests, as to service discovery: one at a time, whole responses."""
+"""A connection for the gateway's own requests, as to service discovery: one at a time, without streaming."""
 
 from __future__ import annotations
 
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -174,7 +174,7 @@
             self.phase.enter(None)
         else:
             has_responded = self.exchange.has_responded
-            self.phase.await_request(reader.in_body, reader.has_begun, has_responded, self.opened_s)
+            self.phase.await_request(reader.in_body, reader.has_partial_request, has_responded, self.opened_s)
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
         """Abandon a request whose body comes too slowly, unless it is this process that does not read."""
@@ -184,7 +184,7 @@
 
     def abandon_request(self, fault: RequestError | None = None) -> None:
         """Answer a request of which the rest has not come in time, and read nothing more."""
-        self.reader.break_off(fault or RequestError(408, "the request did not come in time"))
+        self.reader.fail(fault or RequestError(408, "the request did not come in time"))
         self.handle_fault()
         self.take_next()
 
@@ -194,19 +194,19 @@
         """Why it may not be closed now without a response; None if it may."""
         state = ClientState(
             owed=self.is_closing or self.exchange.is_busy or bool(self.reader.requests),
-            begun=self.reader.has_begun,
-            heard=self.exchange.has_responded or self.reader.has_begun,
+            begun=self.reader.has_partial_request,
+            heard=self.exchange.has_responded or self.reader.has_partial_request,
             age_s=asyncio.get_running_loop().time() - self.phase.since_s(self.opened_s),
             unread=lambda: bool(self.poll.poll(0)),
         )
         return may_close(state, purpose)
 
     def reject_incomplete(self) -> None:
-        """During a shutdown: respond to a request that has begun and is incomplete by now.
+        """During a shutdown: respond to a request of which only a part has come by now.
 
         A close without a response could cross its last byte, with which a response is due.
         """
-        if self.reader.has_begun:
+        if self.reader.has_partial_request:
             if self.may_close(Closing.EXHAUSTED) is None:
                 self.abandon_request(RequestError(503, "this gateway is leaving: ask again"))
         elif self.may_close(Closing.IDLE) is None:
@@ -280,7 +280,7 @@
         self.handle_fault()
         if self.is_closing:
             return
-        if self.reader.is_broken or self.reader.unparsed:
+        if self.reader.has_failed or self.reader.unparsed:
             self.read_pause.begin(self.transport)
         else:
             self.read_pause.end(self.transport)
@@ -312,7 +312,7 @@
 
     def handle_fault(self) -> None:
         """Respond where the body of the request in progress cannot be read to its end."""
-        if self.discarded is not None and self.reader.is_broken:
+        if self.discarded is not None and self.reader.has_failed:
             self.close()
         self.exchange.fail_body()
 
@@ -341,7 +341,7 @@
         if request.upload is not None and not request.upload.ended:
             return True  # its body is incomplete, and the rest is not waited for
         # Requests that were read are answered, also in a shutdown, but not without end.
-        more = bool(self.reader.requests) or self.reader.has_begun
+        more = bool(self.reader.requests) or self.reader.has_partial_request
         drain = self.context.drain
         if drain.is_on and more and drain.is_past_words(asyncio.get_running_loop().time()):
             more = False
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -53,7 +53,7 @@
         """Whether the connection ends with the response to this request."""
 
     def on_response_written(self, request: Request, is_last: bool) -> None:
-        """The whole response is written."""
+        """The response is written to its end."""
 
     def resume_parsing_soon(self) -> None:
         """There is capacity again for the body of the request."""
@@ -161,7 +161,7 @@
     # Responses
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write the whole response at once, and go on with the next request."""
+        """Write a complete response at once, and go on with the next request."""
         request, transport = self.request, self.transport
         assert request is not None and transport is not None
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
@@ -202,7 +202,7 @@
     # Responses that are streamed
 
     def on_begun(self, call: Call, head: Reply, source: Source) -> None:
-        """Write the head of a response that is too long to be held."""
+        """Write the head of a response that is too long to be buffered."""
         request, transport = self.request, self.transport
         if self.call is not call or request is None or transport is None:
             return
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -28,8 +28,8 @@
         "_parser",
         "_unreported",
         "expects_continue",
+        "has_failed",
         "in_body",
-        "is_broken",
         "reading",
         "requests",
         "unparsed",
@@ -46,10 +46,10 @@
         self._fed_us = 0  # when the newest bytes were read: what waits unparsed came with them
         self.requests: deque[Request] = deque()  # read and not yet taken
         self.unparsed = b""  # as enough requests wait
-        self.is_broken = False  # nothing more is read
+        self.has_failed = False  # nothing more is read
 
     @property
-    def has_begun(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether part of a request has come, and not all of it."""
         return self.reading is not None or self._unreported > 0 or bool(self.unparsed)
 
@@ -74,7 +74,7 @@
         if not self.unparsed or len(self.requests) >= limit:
             return
         at, view = 0, memoryview(self.unparsed)
-        while at < len(view) and not self.is_broken and len(self.requests) < limit:
+        while at < len(view) and not self.has_failed and len(self.requests) < limit:
             upload = self.upload
             if upload is not None and upload.is_full:
                 break  # back-pressure: the rest waits, and the client with it
@@ -85,12 +85,12 @@
             at += len(piece)
             fault = self._parse(piece)
             if fault is not None:
-                self.break_off(fault)
-        self.unparsed = b"" if self.is_broken else bytes(view[at:])
+                self.fail(fault)
+        self.unparsed = b"" if self.has_failed else bytes(view[at:])
 
-    def break_off(self, fault: RequestError) -> None:
+    def fail(self, fault: RequestError) -> None:
         """Have this answered after the requests that were read before, and read nothing more."""
-        self.is_broken = True
+        self.has_failed = True
         reading, self.reading, self.unparsed = self.reading, None, b""
         self.in_body = False
         if reading is not None and reading.upload is not None:
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -52,7 +52,7 @@
         self.body: list[bytes] = []
         self.keep_alive = False
         self.fault = fault
-        self.upload: Upload | None = None  # its body, if that is too long to be held
+        self.upload: Upload | None = None  # its body, if that is too long to be buffered
         self.version = "1.1"
         self.received_us = 0  # when its last byte was read
 
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -40,7 +40,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The address and start time by which a restarted or moved server is told from the one before."""
+        """The address and start time that tell a restarted or moved server from the one before."""
         return self.address, self.started_us
 
     def state(self, incarnation: Incarnation) -> ServerState:
@@ -147,7 +147,7 @@
     def __init__(self, owner: ConnectionOwner, upstream: UpstreamServer, attempt: Attempt | None) -> None:
         self.owner, self.upstream, self.attempt = owner, upstream, attempt
         self.incarnation = upstream.incarnation  # the one that it leads to
-        self.has_sent = False  # something of the attempt may have gone out
+        self.has_sent = False  # some of the attempt may have been sent
         self.waiting_attempt: Attempt | None = None  # the next one, until the connection may be reused
         self.transport: asyncio.Transport | None = None
         self.responses = ResponseReader(streams=True)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -20,16 +20,16 @@
     data = request("transfer", b"first") + request("transfer", b"second")
     for at in range(0, len(data), size):
         made.feed(data[at : at + size], 16)
-        assert made.has_begun or at + size >= len(data) or made.requests
+        assert made.has_partial_request or at + size >= len(data) or made.requests
     assert [b"".join(one.body) for one in made.requests] == [b"first", b"second"]
-    assert not made.has_begun and not made.is_broken
+    assert not made.has_partial_request and not made.has_failed
 
 
 def test_no_more_is_parsed_while_enough_requests_wait() -> None:
     made = reader()
     one = request("transfer", b"x" * 4000)
     made.feed(one * 10, 2)
-    assert 2 <= len(made.requests) < 10 and made.unparsed and made.has_begun
+    assert 2 <= len(made.requests) < 10 and made.unparsed and made.has_partial_request
     waiting = len(made.unparsed)
     made.feed(b"", 2)
     assert len(made.unparsed) == waiting
@@ -37,7 +37,7 @@
     while made.unparsed:
         made.feed(b"", 2)
         made.requests.clear()
-    assert not made.has_begun
+    assert not made.has_partial_request
 
 
 def test_a_long_body_is_handed_over_before_it_is_complete() -> None:
@@ -54,7 +54,7 @@
     made.feed(request("transfer", b"good") + b"rubbish\r\n\r\n" + request("transfer"), 16)
     good, bad = made.requests
     assert good.fault is None and bad.fault is not None and bad.fault.status == 400
-    assert made.is_broken and not made.unparsed
+    assert made.has_failed and not made.unparsed
 
 
 def test_a_break_within_a_long_body_is_told_where_the_body_is() -> None:
