--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -17,9 +17,9 @@
 from sagetrack.discovery.endpoint_parsing import index_of_name, parse_endpoint_list
 from sagetrack.discovery.endpoints_by_protocol import HTTP, EndpointsByProtocol
 from sagetrack.discovery.errors import DiscoveryCallError
-from sagetrack.http1.connection_pool import Pools
-from sagetrack.http1.discovery_connection import HttpLine, connect
-from sagetrack.http1.listener import Server
+from sagetrack.http1.connection_pool import ConnectionPools
+from sagetrack.http1.discovery_connection import DiscoveryConnection, connect
+from sagetrack.http1.listener import HttpListener
 from sagetrack.policy.interface import ListKind, TenantSharesChanged
 from sagetrack.server.admission_settings import shares_in, with_door
 from sagetrack.server.fleet import Handover, node_for
@@ -39,7 +39,7 @@
 ZONE_S = 1.0  # between looks at what our own zone follows
 
 
-async def _ask_discovery(address: tuple[str, int]) -> HttpLine:
+async def _ask_discovery(address: tuple[str, int]) -> DiscoveryConnection:
     return await connect(address, DiscoveryCallError)
 
 
@@ -57,7 +57,7 @@
         self.handover: Handover | None = None
         self.dns: Service | None = None
         self.zone_timer: asyncio.TimerHandle | None = None
-        self.pools = Pools(config.settings)
+        self.pools = ConnectionPools(config.settings)
         names = [name.decode() for name in config.names.classes]
         self.newer: Newer | None = None
         self.new_front: NewFront | None = None
@@ -69,9 +69,9 @@
         if admission is not None:
             members = [name.decode() for name in config.names.tenants]
             self.gateway.metrics.extra_figures.append(lambda: admission.figures(members))
-        self.server = Server(config, self.gateway, self.pools)
+        self.server = HttpListener(config, self.gateway, self.pools)
         self.overlap = Overlap(config.folder if config.accept_fd is not None else None)
-        self.server.overlap = self.overlap
+        self.server.siblings = self.overlap
         pushed = config.settings.endpoints_are_pushed
         asked = operator.dns if operator is not None else None
         self.split: EndpointsByProtocol | None = None
@@ -85,7 +85,7 @@
             if operator is not None and operator.newer.compare_per_s:
                 self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_draining)
             self.on_http = self.newer.on_list
-            self.server.objection = untranslatable
+            self.server.check_heads(untranslatable)
             self.gateway.metrics.extra_figures.append(self.newer.figures)
         if self.keys is not None:
             self.gateway.metrics.extra_figures.append(self.keys.figures)
@@ -236,14 +236,14 @@
         """What the module makes of each server now."""
         known = self.gateway.balancer.servers
         return {
-            host.name: known[number].weight for number, host in self.pools.hosts.items() if number in known
+            host.name: known[number].weight for number, host in self.pools.servers.items() if number in known
         }
 
     def follow_zone(self) -> None:
         """Let our own zone follow the list of servers, and its order their weights."""
         assert self.dns is not None
         self.zone_timer = asyncio.get_running_loop().call_later(ZONE_S, self.follow_zone)
-        ready = [host for host in self.pools.hosts.values() if host.drained_us is None]
+        ready = [host for host in self.pools.servers.values() if host.drained_us is None]
         known = self.gateway.balancer.servers
         self.dns.list_servers(
             (host.name, host.address, known[host.id].entry.weight) for host in ready if host.id in known
