--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,14 @@
 from sagetrack.http1 import downstream as client_module
 from sagetrack.http1 import request_reader as reader_module
 from sagetrack.http1.codec import READ_SIZE
-from sagetrack.policy.interface import AttemptEnded, AttemptSent, Outcome, RequestArrived, StreamStarted
+from sagetrack.policy.interface import (
+    AttemptEnded,
+    AttemptSent,
+    Outcome,
+    RequestArrived,
+    StreamStarted,
+    TimerFired,
+)
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
 from tests.sockets import (
     Client,
