--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -12,7 +12,7 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.upstream import NewAttempt, NewPools
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
-from sagetrack.policy.migration import Move
+from sagetrack.policy.migration import Migration
 
 Turned = dict[int, tuple[float, float]]
 FAILED = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
@@ -62,7 +62,7 @@
         old: UpstreamPool,
         new: NewPools,
         kinds: Collection[int],
-        move: Move,
+        move: Migration,
         on_move: Callable[[], None],
     ) -> None:
         self.old, self.new, self.kinds = old, new, frozenset(kinds)
@@ -95,12 +95,12 @@
             if entry.listed.status is ServerStatus.READY:
                 sums[entry.listed.kind in self.kinds] += entry.listed.weight
         now = now_us()
-        turns = self.move.turns(now, *sums)
+        turns = self.move.override_factors(now, *sums)
         if turns != self.turns:
             self.turns = turns
             if self.on_turns is not None:
                 self.on_turns(*turns)
-        factors = self.move.factors(now, *sums)
+        factors = self.move.weight_factors(now, *sums)
         if factors == self.factors:
             return []
         self.factors = factors
--- a/sagetrack/lab/fair_queue_benchmark.py
+++ b/sagetrack/lab/fair_queue_benchmark.py
@@ -134,9 +134,9 @@
         door,
         spent / 1000 / calls,
         len(made.queues) if made else len(balancer.waiting),
-        made.promises.count if made else 0,
+        made.reservations.count if made else 0,
         held,
-        made.bytes() / 1024 if made else 0.0,
+        made.memory_used() / 1024 if made else 0.0,
         memory_kb if made else 0.0,
     )
 
--- a/sagetrack/lab/figures.py
+++ b/sagetrack/lab/figures.py
@@ -11,7 +11,7 @@
 from sagetrack.lab.judges import RULES, Violation
 from sagetrack.lab.records import Records
 from sagetrack.lab.scenario import Expect, Scenario
-from sagetrack.policy.fair_queue import fair_parts
+from sagetrack.policy.fair_queue import max_min_fair_shares
 
 WINDOW_S = 5
 LONGEST_US = 3_600_000_000
@@ -210,7 +210,7 @@
 
 def normalised(asked: list[float], got: list[float], shares: list[float]) -> float:
     """Jain's index of each one's part over its fair part."""
-    fair = fair_parts(asked, shares, sum(got))
+    fair = max_min_fair_shares(asked, shares, sum(got))
     return jain([mine / part for mine, part in zip(got, fair, strict=True) if part > 0])
 
 
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -68,11 +68,11 @@
     if not door.use:
         return None
     return AdmissionSettings(
-        patience=door.patience,
+        max_wait_fraction=door.patience,
         memory_bytes=int(door.memory_mb * 1024 * 1024),
         adaptive=door.adaptive,
         client_rate=Rate(door.client_per_s, 5.0) if door.client_per_s else None,
-        member_rate=Rate(door.member_per_s, 10.0) if door.member_per_s else None,
+        tenant_rate=Rate(door.member_per_s, 10.0) if door.member_per_s else None,
     )
 
 
@@ -379,7 +379,7 @@
         door = self.gateway.balancer.admission
         if self.herald is not None and door is not None:
             for target in self.herald.whom(now):
-                if (message := wanted(door.levels.tell(now + BASE_US))) is not None:
+                if (message := wanted(door.demand.local_demands(now + BASE_US))) is not None:
                     self.send(target, Datagram(self.gateway.number, self.machine.incarnation, [message]))
             due = min(due, self.herald.due_us)
         if due != self.planned_us:
--- a/sagetrack/policy/concurrency_limit.py
+++ b/sagetrack/policy/concurrency_limit.py
@@ -11,7 +11,7 @@
 from collections.abc import Hashable, Sequence
 from dataclasses import dataclass, field
 
-from sagetrack.policy.fair_queue import fair_parts
+from sagetrack.policy.fair_queue import max_min_fair_shares
 
 # The limit on calls in work
 TOLERANCE = 2.0  # times the unhindered latency that is no sign of a crowd
@@ -38,19 +38,19 @@
 
     The gradient method of Netflix's concurrency limits (2018, public description), near to TCP Vegas (Brakmo,
     Peterson, 1995): the limit is multiplied by how much faster an unhindered call is, and gains the square
-    root of itself as headroom. It grows only while it is used. It never falls below `least`, which its owner
-    sets to what the servers hold without waiting: calls that hang at a few servers would else keep all other
-    servers idle.
+    root of itself as headroom. It grows only while it is used. It never falls below `minimum`, which its
+    owner sets to what the servers hold without waiting: calls that hang at a few servers would else keep all
+    other servers idle.
     """
 
-    __slots__ = ("least", "limit", "most", "ratio")
+    __slots__ = ("limit", "minimum", "most", "ratio")
 
     def __init__(self, first: float = 20.0, most: float = 10_000.0) -> None:
         self.limit, self.most = first, most
-        self.least = LEAST_LIMIT
+        self.minimum = LEAST_LIMIT
         self.ratio = 1.0  # smoothed latency over the unhindered one
 
-    def learn(self, latency_us: float, unhindered_us: float, in_work: int, dropped: bool = False) -> None:
+    def update(self, latency_us: float, unhindered_us: float, in_work: int, dropped: bool = False) -> None:
         """Take the latency of one call that has ended, or that it was dropped by an overloaded server."""
         ratio = latency_us / max(1.0, unhindered_us)
         self.ratio += LATENCY_SMOOTHING * (min(ratio, MOST_RATIO) - self.ratio)
@@ -64,10 +64,10 @@
         # Many calls end within one latency: each moves the limit by its part.
         weight = LIMIT_SMOOTHING / max(1.0, min(self.limit, in_work))
         self.limit += weight * (wanted - self.limit)
-        self.limit = min(self.most, max(self.least, self.limit))
+        self.limit = min(self.most, max(self.minimum, self.limit))
 
-    def has_room(self, in_work: int) -> bool:
-        return in_work < max(self.least, self.limit)
+    def has_capacity(self, in_work: int) -> bool:
+        return in_work < max(self.minimum, self.limit)
 
 
 class Table:
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Purse:
+class TokenBucket:
     """Tokens for repeats: each first try pays a part of one in."""
 
     tokens: float
@@ -142,7 +142,7 @@
         return True
 
 
-class RepeatBudget:
+class RetryBudget:
     """Clients' repeats, by member and for all, who both must pay (Finagle's retry budget, in tiers).
 
     Guards against repeats that feed an overload: one member's cannot use up what others' first tries paid.
@@ -150,8 +150,8 @@
 
     def __init__(self, members: int, part: float = 0.2, burst: float = 10.0) -> None:
         self.part = part
-        self.members = [Purse(burst, burst) for _ in range(members)]
-        self.whole = Purse(2 * burst, 2 * burst)
+        self.members = [TokenBucket(burst, burst) for _ in range(members)]
+        self.whole = TokenBucket(2 * burst, 2 * burst)
 
     def first(self, member: int) -> None:
         self.members[member].pay(self.part)
@@ -164,7 +164,7 @@
         return self.whole.take()
 
 
-class Demand:
+class DecayedDemand:
     """Work asked for of late, by key of a fixed range: a sum that decays by time."""
 
     __slots__ = ("at_us", "sums")
@@ -173,7 +173,7 @@
         self.sums = [0.0] * count
         self.at_us = [0] * count
 
-    def add(self, key: int, work_us: float, now_us: int) -> None:
+    def record(self, key: int, work_us: float, now_us: int) -> None:
         self.sums[key] = self.of(key, now_us) + work_us
         self.at_us[key] = now_us
 
@@ -185,13 +185,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Look:
+class FairLimits:
     """Who was over its part at one moment."""
 
-    over: list[float]  # by member: part of its demand that is beyond its part
-    level: list[float]  # by member: work that one flow may ask for
+    excess_fraction: list[float]  # by member: part of its demand that is beyond its part
+    flow_limit_us: list[float]  # by member: work that one flow may ask for
     at_us: int = -LEVEL_US
-    refused: float = -1.0  # part of all that had to be refused
+    reject_fraction: float = -1.0  # part of all that had to be refused
 
 
 @dataclass(slots=True, eq=False)
@@ -205,44 +205,46 @@
     """
 
     shares: Sequence[float]
-    members: Demand = field(init=False)
-    inside: list[dict[int, list[float]]] = field(init=False)  # by member: flow to (sum, at)
-    elsewhere: dict[int, tuple[list[float], int]] = field(default_factory=dict)  # by gateway: demands, when
+    members: DecayedDemand = field(init=False)
+    by_flow: list[dict[int, list[float]]] = field(init=False)  # by member: flow to (sum, at)
+    peer_demands: dict[int, tuple[list[float], int]] = field(
+        default_factory=dict
+    )  # by gateway: demands, when
     count: int = 0  # of flows that are known
-    looks: tuple[Look, Look] = field(init=False)  # for cheap calls, for all others
-    looked: int = 0  # looks that were taken
+    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # for cheap calls, for all others
+    evaluations: int = 0  # looks that were taken
 
     def __post_init__(self) -> None:
         count = len(self.shares)
-        self.members = Demand(count)
-        self.inside = [{} for _ in range(count)]
-        first, second = (Look([0.0] * count, [math.inf] * count) for _ in range(2))
-        self.looks = first, second
+        self.members = DecayedDemand(count)
+        self.by_flow = [{} for _ in range(count)]
+        first, second = (FairLimits([0.0] * count, [math.inf] * count) for _ in range(2))
+        self.fair_limits = first, second
 
-    def add(self, member: int, flow: int, work_us: float, now_us: int, room: bool = True) -> None:
+    def record(self, member: int, flow: int, work_us: float, now_us: int, room: bool = True) -> None:
         """Enter what is asked for, served or not; without room, only for a flow that is known."""
-        self.members.add(member, work_us, now_us)
-        row = self.inside[member].get(flow)
+        self.members.record(member, work_us, now_us)
+        row = self.by_flow[member].get(flow)
         if row is None:
             if room:
-                self.inside[member][flow] = [work_us, float(now_us)]
+                self.by_flow[member][flow] = [work_us, float(now_us)]
                 self.count += 1
         else:
             row[0] = row[0] * math.exp((row[1] - now_us) / DEMAND_US) + work_us
             row[1] = float(now_us)
 
-    def hear(self, gateway: int, demands: list[float], now_us: int) -> None:
+    def record_peer_demands(self, gateway: int, demands: list[float], now_us: int) -> None:
         """What another gateway sees asked for, in the same terms."""
         if len(demands) == len(self.shares):
-            self.elsewhere[gateway] = (demands, now_us)
+            self.peer_demands[gateway] = (demands, now_us)
 
-    def of_all(self, now_us: int, gateways: int) -> list[float]:
+    def fleet_demands(self, now_us: int, gateways: int) -> list[float]:
         """What all gateways are asked for, as far as is known: those that told stand for those that did not.
 
         Where nobody has told, own figures are all there is, and shares hold at each gateway by itself.
         """
-        own = self.tell(now_us)
-        heard = [told for told, at_us in self.elsewhere.values() if now_us - at_us < HEARD_US]
+        own = self.local_demands(now_us)
+        heard = [told for told, at_us in self.peer_demands.values() if now_us - at_us < HEARD_US]
         if not heard:
             return own
         scale = max(0, gateways - 1) / len(heard)
@@ -254,52 +256,56 @@
         Of a member's share, each gateway has the part that it sees of the member's demand. A part is never
         below a hundredth: who has not asked here of late must be let in when it does.
         """
-        own, whole = self.tell(now_us), self.of_all(now_us, gateways)
+        own, whole = self.local_demands(now_us), self.fleet_demands(now_us, gateways)
         return [
             share * (max(0.01, mine / total) if total > mine else 1.0)
             for share, mine, total in zip(self.shares, own, whole, strict=True)
         ]
 
-    def tell(self, now_us: int) -> list[float]:
+    def local_demands(self, now_us: int) -> list[float]:
         return [self.members.of(member, now_us) for member in range(len(self.shares))]
 
-    def look(self, refused: float, now_us: int, dear: bool = False) -> Look:
+    def look(self, reject_fraction: float, now_us: int, dear: bool = False) -> FairLimits:
         """Work out who is over when this part of all that is asked for has to be refused."""
-        look = self.looks[dear]
-        if now_us - look.at_us < LEVEL_US and abs(refused - look.refused) < LEVEL_MOVE:
+        look = self.fair_limits[dear]
+        if now_us - look.at_us < LEVEL_US and abs(reject_fraction - look.reject_fraction) < LEVEL_MOVE:
             return look
-        look.at_us, look.refused = now_us, refused
-        self.looked += 1
-        demands = self.of_all(now_us, 1 + len(self.elsewhere))
-        parts = fair_parts(demands, self.shares, (1.0 - refused) * sum(demands))
+        look.at_us, look.reject_fraction = now_us, reject_fraction
+        self.evaluations += 1
+        demands = self.fleet_demands(now_us, 1 + len(self.peer_demands))
+        parts = max_min_fair_shares(demands, self.shares, (1.0 - reject_fraction) * sum(demands))
         for member, demand in enumerate(demands):
-            look.over[member] = 1.0 - parts[member] / demand if demand > 0 else 0.0
-            if look.over[member] > 0.001:
+            look.excess_fraction[member] = 1.0 - parts[member] / demand if demand > 0 else 0.0
+            if look.excess_fraction[member] > 0.001:
                 self._look_inside(look, member, now_us)
         return look
 
-    def _look_inside(self, look: Look, member: int, now_us: int) -> None:
-        rows = self.inside[member]
+    def _look_inside(self, look: FairLimits, member: int, now_us: int) -> None:
+        rows = self.by_flow[member]
         asked = {flow: row[0] * math.exp((row[1] - now_us) / DEMAND_US) for flow, row in rows.items()}
         for flow in [flow for flow, work in asked.items() if work < 1.0]:
             del rows[flow], asked[flow]
             self.count -= 1
         demands = list(asked.values())
         total = sum(demands)
-        parts = fair_parts(demands, [1.0] * len(demands), (1.0 - look.over[member]) * total)
+        parts = max_min_fair_shares(
+            demands, [1.0] * len(demands), (1.0 - look.excess_fraction[member]) * total
+        )
         cut = [part for part, demand in zip(parts, demands, strict=True) if part < demand]
-        look.level[member] = max(cut, default=math.inf)
+        look.flow_limit_us[member] = max(cut, default=math.inf)
 
-    def beyond(self, member: int, flow: int, refused: float, now_us: int, dear: bool = False) -> float:
+    def rejection_fraction(
+        self, member: int, flow: int, reject_fraction: float, now_us: int, dear: bool = False
+    ) -> float:
         """Part of a flow's demand to refuse so that this part of all is refused; 0 within its part."""
-        if refused <= 0.0:
+        if reject_fraction <= 0.0:
             return 0.0
-        look = self.look(refused, now_us, dear)
-        if look.over[member] <= 0.001:
+        look = self.look(reject_fraction, now_us, dear)
+        if look.excess_fraction[member] <= 0.001:
             return 0.0
-        row = self.inside[member].get(flow)
+        row = self.by_flow[member].get(flow)
         asked = row[0] * math.exp((row[1] - now_us) / DEMAND_US) if row is not None else 0.0
-        return 1.0 - look.level[member] / asked if asked > look.level[member] else 0.0
+        return 1.0 - look.flow_limit_us[member] / asked if asked > look.flow_limit_us[member] else 0.0
 
 
 class Reservations:
@@ -315,14 +321,14 @@
         # by member, client and key: when each call is due, and from when on it may come
         self.most, self.count = most, 0
         self.each: dict[tuple[int, int], int] = {}  # by member and client, where it is known
-        self.line_us = [0.0] * members  # by member: up to when its part of the service is promised
-        self.advised, self.kept, self.ignored = [0] * members, [0] * members, [0] * members
+        self.booked_until_us = [0.0] * members  # by member: up to when its part of the service is promised
+        self.issued, self.honored, self.ignored = [0] * members, [0] * members, [0] * members
 
     def wait_us(self, member: int, now_us: int) -> float:
         """How long the member's part of the service is promised already."""
-        return max(0.0, self.line_us[member] - now_us)
+        return max(0.0, self.booked_until_us[member] - now_us)
 
-    def promise(
+    def reserve(
         self,
         member: int,
         client: int,
@@ -340,13 +346,13 @@
         after `most_us`, or when its client has given up in `left_us`, is told so and nothing is promised:
         then the line is not lengthened by who will not come.
         """
-        due = max(self.line_us[member], now_us + first_us)
+        due = max(self.booked_until_us[member], now_us + first_us)
         wait_us = max(float(SOON_US), due - now_us) * (1.0 + SPREAD * draw)
-        self.advised[member] += 1
+        self.issued[member] += 1
         full = self.count >= self.most or self.each.get((member, client), 0) >= PROMISES_EACH
         if wait_us > min(most_us, left_us) or full:
             return min(int(wait_us), most_us)
-        self.line_us[member] = due + work_us
+        self.booked_until_us[member] = due + work_us
         dues = self.table.setdefault((member, client, key), [])
         dues.append((now_us + int(wait_us), now_us + int((1.0 - EARLY) * wait_us)))
         self.table.move_to_end((member, client, key))
@@ -355,7 +361,7 @@
             self.each[member, client] = self.each.get((member, client), 0) + 1
         return int(wait_us)
 
-    def comes(self, member: int, client: int, key: int, now_us: int) -> int | None:
+    def claim(self, member: int, client: int, key: int, now_us: int) -> int | None:
         """A client asks again: 0 if it was told to come about now, how long it has to wait if it is early.
 
         None if nothing was promised to it.
@@ -369,7 +375,7 @@
             return due - now_us
         dues.remove((due, from_us))
         self._drop(member, client, 1)
-        self.kept[member] += 1
+        self.honored[member] += 1
         if not dues:
             del self.table[member, client, key]
         return 0
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -83,17 +83,17 @@
             queue.share = max(share, 1e-9)
         self.waiting_share = sum(queue.share for queue in self.members if queue.count)
 
-    def flow_of(self, member: int, client: int) -> int:
+    def flow_index(self, member: int, client: int) -> int:
         """Which flow a client is hashed to."""
         mixed = (client ^ self.members[member].salt * MIXER) * MIXER & MASK
         return (mixed >> 32) % self.most_flows
 
-    def push(
+    def enqueue(
         self, item: Item, member: int, client: int, work_us: float, priority_weight: float, due_us: int
     ) -> None:
         """Let something wait. Of one flow the highest worth is served first, then the earliest due."""
         queue = self.members[member]
-        number = self.flow_of(member, client)
+        number = self.flow_index(member, client)
         flow = queue.flows.get(number)
         if flow is None:
             flow = queue.flows[number] = Flow(tag=queue.now)
@@ -140,8 +140,8 @@
             flow.heap = [place for place in flow.heap if not place[3].gone]
             heapq.heapify(flow.heap)
 
-    def first(self) -> Item | None:
-        """Whose turn it is, or None. It goes on waiting until `serve` or `remove`."""
+    def peek(self) -> Item | None:
+        """Whose turn it is, or None. It goes on waiting until `dequeue` or `remove`."""
         while self.heap:
             _, _, member = self.heap[0]
             queue = self.members[member]
@@ -179,8 +179,8 @@
         if not queue.flows:
             queue.salt = (queue.salt * MIXER + 1) & MASK
 
-    def serve(self, item: Item) -> None:
-        """What `first` gave is being served: its work is charged to its member and its flow."""
+    def dequeue(self, item: Item) -> None:
+        """What `peek` gave is being served: its work is charged to its member and its flow."""
         entry = self.entries.pop(item)
         queue = self.members[entry.member]
         flow = queue.flows[entry.flow]
@@ -199,33 +199,33 @@
     def charge(self, member: int, client: int, work_us: float) -> None:
         """Charge a client for work that did not wait here, as for asking again too early."""
         queue = self.members[member]
-        flow = queue.flows.get(self.flow_of(member, client))
+        flow = queue.flows.get(self.flow_index(member, client))
         if flow is not None:
             flow.tag = max(flow.tag, queue.now) + work_us
 
-    def active_share(self, member: int) -> float:
+    def service_fraction(self, member: int) -> float:
         """Part of the service that a member gets now: its share among those that wait, itself included."""
         queue = self.members[member]
         others = self.waiting_share - (queue.share if queue.count else 0.0)
         return queue.share / (queue.share + max(0.0, others))
 
-    def ahead_us(self, member: int, client: int) -> float:
+    def work_ahead_us(self, member: int, client: int) -> float:
         """Work that is served before a newcomer's, all flows of the member taken by turns.
 
         Its own flow's, as much of each other flow of its member, and the other members' parts meanwhile:
         until virtual time is where the newcomer's work begins.
         """
         queue = self.members[member]
-        flow = queue.flows.get(self.flow_of(member, client))
+        flow = queue.flows.get(self.flow_index(member, client))
         mine = flow.work_us if flow is not None else 0.0
         turn = queue.work_us / max(1, queue.count)
         inside = min(queue.work_us, mine + (mine + turn) * max(0, queue.waiting - (mine > 0)))
         tag = queue.tag if queue.queued else max(queue.tag, self.now - self.credit)
         begins = tag + inside / queue.share
-        return min(self.work_us, max(0.0, begins - self.now) * queue.share / self.active_share(member))
+        return min(self.work_us, max(0.0, begins - self.now) * queue.share / self.service_fraction(member))
 
 
-def fair_parts(demands: Sequence[float], shares: Sequence[float], capacity: float) -> list[float]:
+def max_min_fair_shares(demands: Sequence[float], shares: Sequence[float], capacity: float) -> list[float]:
     """Weighted max-min fair parts of a capacity (Bertsekas, Gallager: Data Networks, 6.5.2).
 
     Who asks for less than its share gets what it asks for; what it leaves is lent to the others by share, and
--- a/sagetrack/policy/interface.py
+++ b/sagetrack/policy/interface.py
@@ -341,7 +341,7 @@
 class ObservationsReceived:
     """What other proxies, or this one before it was restarted, have seen."""
 
-    sights: tuple[Observation, ...]
+    observations: tuple[Observation, ...]
     latencies: tuple[ClassLatency, ...] = ()
 
 
@@ -413,9 +413,9 @@
     """Why a request is refused."""
 
     SHED = "shed"  # servers wait too long, and it gains the least
-    NO_ROOM = "no_room"  # no server could take it, or none in time
-    TURN = "turn"  # what is to run before it takes too long, or the queues turn it away
-    UNSERVED = "unserved"  # its attempts have failed, and no other may be made
+    NO_CAPACITY = "no_room"  # no server could take it, or none in time
+    QUEUE = "turn"  # what is to run before it takes too long, or the queues turn it away
+    ATTEMPTS_FAILED = "unserved"  # its attempts have failed, and no other may be made
     OTHER = "other"
 
 
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from sagetrack.policy.admission import PROMISED_WORTH, AdmissionController, AdmissionDenial
+from sagetrack.policy.admission import RESERVATION_PRIORITY, AdmissionController, AdmissionDenial
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
 from sagetrack.policy.concurrency_share import ConcurrencyShare
 from sagetrack.policy.decayed_sums import DecayingSums
@@ -57,13 +57,13 @@
 from sagetrack.policy.peer_observations import (
     CLOSED,
     HALF_OPEN,
-    MOST_OPEN,
-    OLDEST_US,
+    MAX_EJECTED_FRACTION,
+    MAX_OBSERVATION_AGE_US,
     OPEN,
     ClassLatency,
     Observation,
-    advise,
-    join,
+    merge_observations,
+    weigh_observations,
 )
 from sagetrack.policy.state import (
     CEILING,
@@ -220,7 +220,7 @@
         elif isinstance(event, TenantSharesChanged) and self.admission is not None:
             self.admission.set_shares(event.shares)
         elif isinstance(event, PeerDemands) and self.admission is not None:
-            self.admission.hear(event.proxy, list(event.demands), self.now_us, self.sharers)
+            self.admission.record_peer_demands(event.proxy, list(event.demands), self.now_us, self.sharers)
         elif isinstance(event, TrafficShift):
             self.turns = event
         elif isinstance(event, FleetSizeChanged):
@@ -249,7 +249,7 @@
         elif self.is_shed(request):
             self.answer_unserved(request, RejectReason.SHED)
         elif not (self.waits_its_turn(request) or self.try_send(request) or self.waits_for_room(request)):
-            self.answer_unserved(request, RejectReason.NO_ROOM)
+            self.answer_unserved(request, RejectReason.NO_CAPACITY)
 
     def admit(self, event: RequestArrived) -> Request:
         klass = self.settings.classes[event.klass]
@@ -278,7 +278,7 @@
             uploading=event.uploading,
             once=event.uploading or event.mirror_target >= 0,
             client=event.client,
-            member=self.admission.member(event.tenant) if self.admission is not None else 0,
+            member=self.admission.tenant_index(event.tenant) if self.admission is not None else 0,
             tenant=event.tenant,
             mirror_target=event.mirror_target,
             told_us=-1 if event.mirror_target < 0 else 0,
@@ -298,45 +298,48 @@
         One that could not be served in time is refused here, and not when its time is over.
         """
         now, index, member = self.now_us, request.klass, request.member
-        work_us = admission.work_of(index, request.size)
-        verdict = admission.arrive(now, member, request.client, request.key or 0, index, work_us, repeat)
+        work_us = admission.estimated_work_us(index, request.size)
+        verdict = admission.check_arrival(
+            now, member, request.client, request.key or 0, index, work_us, repeat
+        )
         if not isinstance(verdict, bool):
             why, request.told_us = verdict[0], verdict[1] or -1
             self.turn_away(admission, request, why)
             return
         request.promised = verdict
         if self.is_shed(request):
-            self.turn_away(admission, request, AdmissionDenial.SHARE)
+            self.turn_away(admission, request, AdmissionDenial.OVER_QUOTA)
             return
-        if not admission.queues.entries and admission.has_room(self.out) and self.try_send(request):
+        if not admission.queues.entries and admission.has_capacity(self.out) and self.try_send(request):
             return  # nobody is passed over: the queues cost something only while there is one
         unhindered_us = self.unhindered[index] * request.size
         left_us = request.deadline_us - now - unhindered_us
         late_priority_weight = self.settings.classes[index].late_priority_weight
         late = late_priority_weight > 0.0 and (request.promised or now >= request.latency_objective_us)
         slack_us = left_us if late else min(request.latency_objective_us - now - unhindered_us, left_us)
-        client_timeout_us = admission.settings.patience * slack_us
+        client_timeout_us = admission.settings.max_wait_fraction * slack_us
         if not any(self.is_eligible(server, index) for server in self.ranked):
-            self.turn_away(admission, request, AdmissionDenial.SERVERS)
+            self.turn_away(admission, request, AdmissionDenial.NO_SERVER)
             return
         # Calls that servers hold at once: by Little's law the latencies that are served in a unit of time.
         each = max(1, math.ceil((self.settings.max_concurrency or CROWD) / self.sharers))
-        admission.prior = float(len(self.ranked) * each)
-        admission.limit.least = max(1.0, len(self.ranked) / self.sharers)
+        admission.assumed_service_rate = float(len(self.ranked) * each)
+        admission.concurrency_limit.minimum = max(1.0, len(self.ranked) / self.sharers)
         waits_us = admission.wait_us(now, member, request.client) if len(admission.queues) else 0.0
         if waits_us > client_timeout_us and not request.promised:
-            self.turn_away(admission, request, AdmissionDenial.LATE)
+            self.turn_away(admission, request, AdmissionDenial.WAIT_TOO_LONG)
             return
         priority_weight = (
-            self.worths()[index] * (late_priority_weight if late else 1.0) + PROMISED_WORTH * request.promised
+            self.worths()[index] * (late_priority_weight if late else 1.0)
+            + RESERVATION_PRIORITY * request.promised
         )
-        admission.push(
+        admission.enqueue(
             request, now, member, request.client, work_us, priority_weight, request.latency_objective_us
         )
         self.serve_waiting()
         if not request.attempts and not request.done:
             if client_timeout_us <= 0:
-                self.turn_away(admission, request, AdmissionDenial.LATE)
+                self.turn_away(admission, request, AdmissionDenial.WAIT_TOO_LONG)
                 return
             request.wait_token = self.next_token
             self.set_timer(now + int(client_timeout_us), request)
@@ -344,15 +347,15 @@
     def turn_away(
         self, admission: AdmissionController[Request], request: Request, why: AdmissionDenial
     ) -> None:
-        admission.reasons[why] += 1
-        self.answer_unserved(request, RejectReason.TURN)
+        admission.rejections[why] += 1
+        self.answer_unserved(request, RejectReason.QUEUE)
 
     def serve_fairly(self, admission: AdmissionController[Request]) -> None:
         """Send whose turn it is, while there is room."""
-        while (request := admission.first(self.out)) is not None:
+        while (request := admission.peek(self.out)) is not None:
             if not self.try_send(request):
                 return
-            admission.serve(request, self.now_us)
+            admission.dequeue(request, self.now_us)
 
     def excess(self, tenant: int) -> float:
         """Part of a tenant's tries of late beyond its share; 0 where none is stated.
@@ -502,7 +505,7 @@
         dear = mine >= CHEAP * mean
         shed = self.shed_dear if dear else self.shed
         if self.admission is not None:  # who asks for no more than its part yields nothing
-            shed = self.admission.beyond(self.now_us, request.member, request.client, shed, dear)
+            shed = self.admission.rejection_fraction(self.now_us, request.member, request.client, shed, dear)
         return point < shed
 
     def worths(self) -> list[float]:
@@ -564,7 +567,7 @@
         if not ran or klass.effect is Effect.SAFE or dropped_anywhere:
             self.actions.append(Reject(request.id, self.retry_after_us(request), reason))
             if self.admission is not None and request.mirror_target < 0:
-                self.admission.rows[request.member].refused += 1
+                self.admission.counters[request.member].rejected += 1
         else:
             self.actions.append(Fail(request.id))
         self.finish(request)
@@ -579,12 +582,17 @@
         if self.admission is not None and request.told_us >= 0:
             return min(request.told_us, most_us)
         if self.admission is not None and usable:
-            work_us, draw = self.admission.work_of(request.klass, request.size), self.random.random()
+            work_us, draw = (
+                self.admission.estimated_work_us(request.klass, request.size),
+                self.random.random(),
+            )
             member, client = request.member, request.client
             worthless = self.settings.classes[request.klass].late_priority_weight <= 0.0
             left_us = (request.latency_objective_us if worthless else request.deadline_us) - self.now_us
             key = request.key or 0
-            return self.admission.advise(self.now_us, member, client, key, work_us, draw, most_us, left_us)
+            return self.admission.retry_after_us(
+                self.now_us, member, client, key, work_us, draw, most_us, left_us
+            )
         wait_us = int(COME_BACK * self.settings.classes[request.klass].latency_objective_us)
         if self.servers and not usable:
             wait_us = min(s.breaker.open_until_us for s in self.servers.values()) - self.now_us
@@ -663,13 +671,13 @@
             self.actions.append(WatchEndpoints())
         elif request is not None and token == request.wait_token:
             if self.admission is not None and request in self.admission.queues.entries:
-                self.turn_away(self.admission, request, AdmissionDenial.LATE)
+                self.turn_away(self.admission, request, AdmissionDenial.WAIT_TOO_LONG)
             elif request in self.waiting:
-                self.answer_unserved(request, RejectReason.NO_ROOM)
+                self.answer_unserved(request, RejectReason.NO_CAPACITY)
         elif request is not None and request.done and request.out == 0:
             self.free(request)
         elif request is not None and request.out == 0:
-            self.answer_unserved(request, RejectReason.TURN)  # it has not come
+            self.answer_unserved(request, RejectReason.QUEUE)  # it has not come
         elif request is not None and not request.done:
             self.on_overdue(request)
 
@@ -759,7 +767,9 @@
         request.out -= 1
         if self.admission is not None and event.outcome in (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT):
             good, turned_back = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
-            self.admission.ended(request.klass, event.latency_us, request.size, self.out, good, turned_back)
+            self.admission.record_completion(
+                request.klass, event.latency_us, request.size, self.out, good, turned_back
+            )
         self.let_go(attempt)
         self.judge(request, attempt, event)
         if request.done:
@@ -774,7 +784,7 @@
             ):
                 self.served[request.klass] += 1
             if self.admission is not None and event.outcome is Outcome.OK and request.mirror_target < 0:
-                self.admission.rows[request.member].served += 1
+                self.admission.counters[request.member].served += 1
             self.finish(request)
         elif request.out == 0:
             self.try_again(request, event.outcome)
@@ -799,7 +809,7 @@
         if allowed and time_left and room and whole and self.try_send(request):
             self.retry_tokens -= cost * ran
         else:
-            self.answer_unserved(request, RejectReason.UNSERVED)
+            self.answer_unserved(request, RejectReason.ATTEMPTS_FAILED)
 
     def subset(self, klass: int) -> list[Server]:
         """The servers that this proxy spreads over: the first in rank that may be used.
@@ -1048,21 +1058,23 @@
         Guards against a start that knows nothing: it would feed a slow server until its ring is full.
         """
         ready = {s.entry.server: s.entry.started_us for s in self.ranked}
-        joined = join(self.heard.values(), event.sights)
+        joined = merge_observations(self.heard.values(), event.observations)
         news = {key[0] for key, sight in joined.items() if self.heard.get(key) != sight}
-        oldest_us = self.now_us - OLDEST_US
+        oldest_us = self.now_us - MAX_OBSERVATION_AGE_US
         self.heard = {k: s for k, s in joined.items() if k[0] in self.servers and s.seen_us > oldest_us}
         words = [sight for sight in self.heard.values() if sight.server in news]  # of all who spoke of it
-        room = int(MOST_OPEN * len(ready)) - sum(s.breaker.state is not State.CLOSED for s in self.ranked)
-        for sight in event.sights:
+        room = int(MAX_EJECTED_FRACTION * len(ready)) - sum(
+            s.breaker.state is not State.CLOSED for s in self.ranked
+        )
+        for sight in event.observations:
             own = self.servers.get(sight.server)
             if sight.by == self.settings.proxy and own and own.entry.started_us == sight.started_us:
                 own.spent_us = max(own.spent_us, sight.spent_us)  # it was this proxy that spent it
-        for advice in advise(words, ready, self.now_us, max(0, room)):
+        for advice in weigh_observations(words, ready, self.now_us, max(0, room)):
             server = self.servers[advice.server]
             if server.judged_us and self.now_us - server.judged_us < OWN_US:
                 continue
-            server.weight += advice.trust * (min(CEILING, max(FLOOR, advice.weight)) - server.weight)
+            server.weight += advice.confidence * (min(CEILING, max(FLOOR, advice.weight)) - server.weight)
             if advice.open_us > 0 and server.breaker.state is State.CLOSED:
                 server.breaker.open(self.now_us)
                 server.breaker.open_until_us = self.now_us + min(advice.open_us, LONGEST_COOLDOWN_US)
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 HALF_LIFE_US = 6_000_000  # word that is so old weighs half
-OLDEST_US = 60_000_000  # word that is older says nothing
-MOST_OPEN = 1 / 3  # of the ready servers that hearsay may take out of use
+MAX_OBSERVATION_AGE_US = 60_000_000  # word that is older says nothing
+MAX_EJECTED_FRACTION = 1 / 3  # of the ready servers that hearsay may take out of use
 BELIEVED = 0.3  # trust below which word opens no breaker
 
 JAM_US = 250_000  # a server that was jammed is left alone for
@@ -58,7 +58,7 @@
     unhindered_us: float
 
 
-def join(*all_: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
+def merge_observations(*all_: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
     """Everything that is known from several sources, whatever their order and however often they come."""
     joined: dict[tuple[int, int], Observation] = {}
     for sights in all_:
@@ -71,23 +71,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Advice:
+class ServerAdvice:
     """What hearsay comes to for one server."""
 
     server: int
-    trust: float  # 0 to 1: the newest word's
+    confidence: float  # 0 to 1: the newest word's
     weight: float
     open_us: int  # how long to leave it alone; -1: not at all
 
 
-def trust(age_us: int) -> float:
+def confidence(age_us: int) -> float:
     """How much word of that age weighs: 1 at once, half after the half-life, nothing in the end."""
-    if age_us >= OLDEST_US:
+    if age_us >= MAX_OBSERVATION_AGE_US:
         return 0.0
     return float(0.5 ** (max(0, age_us) / HALF_LIFE_US))
 
 
-def advise(sights: Iterable[Observation], lives: Mapping[int, int], now_us: int, most: int) -> list[Advice]:
+def weigh_observations(
+    sights: Iterable[Observation], lives: Mapping[int, int], now_us: int, most: int
+) -> list[ServerAdvice]:
     """Weigh what was heard of the ready servers, whose lives are given as when each started; the worst first.
 
     No more than `most` of them are to be opened.
@@ -97,10 +99,10 @@
     of what is believed; a low weight of all of them alike changes nothing in a draw.
     """
     heard: dict[int, list[tuple[float, Observation]]] = {}
-    for sight in join(sights).values():
+    for sight in merge_observations(sights).values():
         if lives.get(sight.server) != sight.started_us:
             continue
-        weight = trust(now_us - sight.seen_us)
+        weight = confidence(now_us - sight.seen_us)
         if weight > 0.0:
             heard.setdefault(sight.server, []).append((weight, sight))
     advice = []
@@ -114,9 +116,9 @@
             left_us = max(s.open_until_us - now_us if s.state == OPEN else 0 for _, s in bad)
             # One that was jammed is left alone for a moment; a cooldown that is over says nothing any more.
             open_us = left_us if left_us > 0 else JAM_US if any(s.jammed for _, s in bad) else -1
-        advice.append(Advice(server, min(1.0, max(w for w, _ in words)), mean, open_us))
+        advice.append(ServerAdvice(server, min(1.0, max(w for w, _ in words)), mean, open_us))
     advice.sort(key=lambda a: (-a.open_us, a.weight, a.server))
     return [
-        a if place < most or a.open_us < 0 else Advice(a.server, a.trust, a.weight, -1)
+        a if place < most or a.open_us < 0 else ServerAdvice(a.server, a.confidence, a.weight, -1)
         for place, a in enumerate(advice)
     ]
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -30,11 +30,11 @@
     admission = AdmissionSettings(
         shares=shares_in(config, operator),
         flows=queues.flows,
-        patience=queues.patience,
+        max_wait_fraction=queues.patience,
         memory_bytes=int(queues.memory_mb * 1024 * 1024),
         adaptive=limits.adaptive,
-        repeats=limits.repeats,
-        member_rate=rate(limits.member_per_s, limits.member_burst),
+        retry_ratio=limits.repeats,
+        tenant_rate=rate(limits.member_per_s, limits.member_burst),
         client_rate=rate(limits.client_per_s, limits.client_burst),
         class_rates=tuple(
             rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -17,7 +17,7 @@
 from sagetrack.discovery.client import number_of
 from sagetrack.http1.requests import Request, RequestError, read_call
 from sagetrack.policy.interface import ListKind, TrafficShift
-from sagetrack.policy.migration import Move
+from sagetrack.policy.migration import Migration
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import NewerSettings, Operator
@@ -97,9 +97,9 @@
         """Other shares, while calls go on; ConfigError if they name what is not there."""
         classes, members = parts(config, asked)
         move = self.mixed.move
-        if (move.share, move.classes, move.members) != (asked.share, classes, members):
+        if (move.target_share, move.class_shares, move.tenant_shares) != (asked.share, classes, members):
             log(f"the newer format's share is now {'as listed' if asked.share is None else asked.share}")
-            move.share, move.classes, move.members = asked.share, classes, members
+            move.target_share, move.class_shares, move.tenant_shares = asked.share, classes, members
             self.turn()
 
     def look(self) -> None:
@@ -108,7 +108,7 @@
 
     def left(self) -> None:
         """The newer format fails more than the older one: at once, nothing goes there that need not."""
-        hold_s = (self.mixed.move.held_until_us - now_us()) / 1e6
+        hold_s = (self.mixed.move.fallback_until_us - now_us()) / 1e6
         log(f"servers of the newer format fail more than the others: none of the share for {hold_s:.0f} s")
         self.loop.call_soon(self.turn)
 
@@ -120,9 +120,9 @@
             found
             | self.mixed.new.figures()
             | {
-                "new_failing": round(move.new.failing, 4),
-                "old_failing": round(move.old.failing, 4),
-                "new_returns_total": move.returns,
+                "new_failing": round(move.new.failure_rate, 4),
+                "old_failing": round(move.old.failure_rate, 4),
+                "new_returns_total": move.fallbacks,
             }
         )
 
@@ -165,7 +165,7 @@
 
     new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
     kinds = [number_of(name, config.names.kinds) for name in asked.types]
-    return Mixed(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
+    return Mixed(old, new, kinds, Migration(asked.share, *parts(config, asked)), lambda: None)
 
 
 def with_newer(config: Config, operator: Operator | None) -> Config:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -117,7 +117,7 @@
         new = Handover(overlap, run.instance.config, run.gateway)
         new.take()
         (event,) = learned
-        age_us = later() + step_s * 1_000_000 - event.sights[0].seen_us
+        age_us = later() + step_s * 1_000_000 - event.observations[0].seen_us
         assert 0 <= age_us < 5_000_000
         for handover in (old, new):
             handover.close()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -25,11 +25,11 @@
     ConcurrencyLimit,
     Rate,
     RateLimiter,
-    RepeatBudget,
     Reservations,
+    RetryBudget,
     TenantDemand,
 )
-from sagetrack.policy.fair_queue import FairQueues, fair_parts
+from sagetrack.policy.fair_queue import FairQueues, max_min_fair_shares
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -62,9 +62,9 @@
 def served(queues: FairQueues[str], count: int) -> list[str]:
     found = []
     for _ in range(count):
-        item = queues.first()
+        item = queues.peek()
         assert item is not None
-        queues.serve(item)
+        queues.dequeue(item)
         found.append(item)
     return found
 
@@ -72,8 +72,8 @@
 def test_work_and_not_requests_is_shared_by_weight_and_evenly_within() -> None:
     queues: FairQueues[str] = FairQueues([3.0, 1.0])
     for n in range(300):
-        queues.push(f"a{n}", 0, n % 2, 30.0, 1.0, n)  # its calls cost three times as much
-        queues.push(f"b{n}", 1, 7, 10.0, 1.0, n)
+        queues.enqueue(f"a{n}", 0, n % 2, 30.0, 1.0, n)  # its calls cost three times as much
+        queues.enqueue(f"b{n}", 1, 7, 10.0, 1.0, n)
     first = served(queues, 200)
     work = {who: sum(30 if i[0] == "a" else 10 for i in first if i[0] == who) for who in "ab"}
     assert work["a"] / work["b"] == pytest.approx(3.0, rel=0.1)
@@ -84,19 +84,19 @@
 def test_an_idle_share_is_lent_and_is_back_at_the_next_turn() -> None:
     queues: FairQueues[str] = FairQueues([1.0, 1.0])
     for n in range(50):
-        queues.push(f"a{n}", 0, 1, 10.0, 1.0, n)
+        queues.enqueue(f"a{n}", 0, 1, 10.0, 1.0, n)
     assert all(i[0] == "a" for i in served(queues, 20))
     for n in range(10):
-        queues.push(f"b{n}", 1, 1, 10.0, 1.0, n)
+        queues.enqueue(f"b{n}", 1, 1, 10.0, 1.0, n)
     assert sum(i[0] == "b" for i in served(queues, 10)) in (5, 6)  # its share, and no more for having waited
 
 
 def test_worth_comes_first_within_a_flow_then_what_is_due_and_what_left_is_passed_over() -> None:
     queues: FairQueues[str] = FairQueues([1.0])
     for name, worth, due in (("low", 1.0, 1), ("late", 2.0, 9), ("soon", 2.0, 3), ("gone", 9.0, 1)):
-        queues.push(name, 0, 1, 1.0, worth, due)
+        queues.enqueue(name, 0, 1, 1.0, worth, due)
     assert queues.remove("gone") and not queues.remove("gone")
-    assert served(queues, 3) == ["soon", "late", "low"] and queues.first() is None and queues.work_us == 0
+    assert served(queues, 3) == ["soon", "late", "low"] and queues.peek() is None and queues.work_us == 0
 
 
 STEP = st.tuples(st.integers(0, 2), st.integers(0, 9), st.floats(1, 100), st.booleans())
@@ -109,11 +109,11 @@
     queues: FairQueues[str] = FairQueues([1.0, 2.0, 5.0], flows=4)
     waiting: set[str] = set()
     for number, (member, client, work, take) in enumerate(steps):
-        queues.push(str(number), member, client, work, 1.0, number)
+        queues.enqueue(str(number), member, client, work, 1.0, number)
         waiting.add(str(number))
         if take:
             waiting.remove(served(queues, 1)[0])
-        assert queues.ahead_us(member, client) <= queues.work_us + 1e-6
+        assert queues.work_ahead_us(member, client) <= queues.work_us + 1e-6
     assert set(served(queues, len(waiting))) == waiting and not len(queues)
     assert queues.waiting_share == pytest.approx(0.0) and all(m.waiting == 0 for m in queues.members)
 
@@ -123,7 +123,7 @@
 )
 def test_fair_parts_are_max_min_fair(rows: list[tuple[float, float]], capacity: float) -> None:
     demands, shares = [r[0] for r in rows], [r[1] for r in rows]
-    parts = fair_parts(demands, shares, capacity)
+    parts = max_min_fair_shares(demands, shares, capacity)
     assert sum(parts) <= min(capacity, sum(demands)) * (1 + 1e-9) + 1e-6
     assert all(p <= d + 1e-6 for p, d in zip(parts, demands, strict=True))
     cut = [p / s for p, d, s in zip(parts, demands, shares, strict=True) if p < d - 1e-3]
@@ -151,7 +151,7 @@
 
 
 def test_one_members_repeats_do_not_use_up_anothers() -> None:
-    budget = RepeatBudget(2, part=0.5, burst=4)
+    budget = RetryBudget(2, part=0.5, burst=4)
     assert [budget.repeat(0) for _ in range(6)] == [True] * 4 + [False] * 2
     assert budget.repeat(1)
     for _ in range(2):
@@ -162,72 +162,72 @@
 def test_the_limit_falls_with_latency_and_rises_when_it_is_used_in_calm() -> None:
     limit = ConcurrencyLimit(first=50)
     for _ in range(2000):
-        limit.learn(500_000, 50_000, int(limit.limit))
+        limit.update(500_000, 50_000, int(limit.limit))
     low = limit.limit
     for _ in range(2000):
-        limit.learn(50_000, 50_000, 1)
+        limit.update(50_000, 50_000, 1)
     idle = limit.limit
     for _ in range(5000):
-        limit.learn(50_000, 50_000, int(limit.limit))
+        limit.update(50_000, 50_000, int(limit.limit))
     assert low < 10 and idle < 10 and limit.limit > 30
 
 
 def test_calls_that_hang_at_a_few_servers_leave_the_others_their_places() -> None:
     limit = ConcurrencyLimit(first=50)
-    limit.least = 9.0
+    limit.minimum = 9.0
     for _ in range(5000):
-        limit.learn(9_000_000, 50_000, 9)
-    assert limit.has_room(8) and not limit.has_room(9)
+        limit.update(9_000_000, 50_000, 9)
+    assert limit.has_capacity(8) and not limit.has_capacity(9)
     for n in range(5000):  # one answer in five is from a server that hangs
-        limit.learn(9_000_000 if n % 5 == 0 else 50_000, 50_000, int(limit.limit))
+        limit.update(9_000_000 if n % 5 == 0 else 50_000, 50_000, int(limit.limit))
     assert limit.limit > 40
 
 
 def test_who_is_over_its_part_is_looked_at_now_and_then_and_not_with_each_call() -> None:
     levels = TenantDemand([1.0, 1.0])
     for n in range(1000):  # cheap calls and dear ones are refused at rates of their own, by turns
-        levels.add(n % 2, n % 50, 100.0 + n % 2 * 900.0, n * 500)
-        levels.beyond(n % 2, n % 50, 0.95 if n % 3 else 0.1, n * 500, bool(n % 3))
-    assert levels.looked <= 2 * (500_000 // 50_000 + 1)
-    assert levels.looks[True].over[1] > levels.looks[True].over[0]
+        levels.record(n % 2, n % 50, 100.0 + n % 2 * 900.0, n * 500)
+        levels.rejection_fraction(n % 2, n % 50, 0.95 if n % 3 else 0.1, n * 500, bool(n % 3))
+    assert levels.evaluations <= 2 * (500_000 // 50_000 + 1)
+    assert levels.fair_limits[True].excess_fraction[1] > levels.fair_limits[True].excess_fraction[0]
 
 
 def test_an_address_is_not_taken_for_one_client_that_comes_too_early() -> None:
     door: AdmissionController[str] = AdmissionController(AdmissionSettings(), [1.0])
     for client, key, repeat, early in ((-5, 0, False, False), (5, 0, False, True), (-5, 7, False, True)):
-        told = door.advise(0, 0, client, key, 400_000.0, 0.0, 8 * SECOND, 8 * SECOND)
-        verdict = door.arrive(told // 10, 0, client, key, 0, 1000.0, repeat)
+        told = door.retry_after_us(0, 0, client, key, 400_000.0, 0.0, 8 * SECOND, 8 * SECOND)
+        verdict = door.check_arrival(told // 10, 0, client, key, 0, 1000.0, repeat)
         assert (verdict is not False) == early, (client, verdict)
 
 
 def test_promises_stand_in_line_and_who_comes_early_still_has_to_wait() -> None:
-    promises = Reservations(1, 100)
-    waits = [promises.promise(0, n, n, 0, 0.0, 200_000, 0.0, 8 * SECOND, 8 * SECOND) for n in range(1, 4)]
+    reservations = Reservations(1, 100)
+    waits = [reservations.reserve(0, n, n, 0, 0.0, 200_000, 0.0, 8 * SECOND, 8 * SECOND) for n in range(1, 4)]
     assert [round(w, -5) for w in waits] == [0, 200_000, 400_000]
-    assert promises.comes(0, 3, 3, 100_000) == pytest.approx(300_000, abs=1000)
-    assert promises.comes(0, 3, 3, 390_000) == 0 and promises.comes(0, 3, 3, 390_000) is None
-    assert promises.comes(0, 9, 9, 390_000) is None
-    line = promises.line_us[0]
-    assert promises.promise(0, 5, 5, 0, 9 * SECOND, 1, 0.0, 8 * SECOND, 8 * SECOND) == 8 * SECOND
-    assert promises.promise(0, 5, 5, 0, SECOND, 1, 0.0, 8 * SECOND, 10) >= SECOND  # it will have given up
-    assert promises.line_us[0] == line and promises.count == 2  # neither lengthens the line
+    assert reservations.claim(0, 3, 3, 100_000) == pytest.approx(300_000, abs=1000)
+    assert reservations.claim(0, 3, 3, 390_000) == 0 and reservations.claim(0, 3, 3, 390_000) is None
+    assert reservations.claim(0, 9, 9, 390_000) is None
+    line = reservations.booked_until_us[0]
+    assert reservations.reserve(0, 5, 5, 0, 9 * SECOND, 1, 0.0, 8 * SECOND, 8 * SECOND) == 8 * SECOND
+    assert reservations.reserve(0, 5, 5, 0, SECOND, 1, 0.0, 8 * SECOND, 10) >= SECOND  # it will have given up
+    assert reservations.booked_until_us[0] == line and reservations.count == 2  # neither lengthens the line
     for n in range(200):
-        promises.promise(0, 5, n, 0, 0.0, 1, 0.0, 8 * SECOND, 8 * SECOND)
-    assert promises.each[0, 5] == 64  # one client's haste does not lengthen the line without end
-    promises.comes(0, 77, 0, 60 * SECOND)
-    assert promises.count < 66  # what nobody came for is void
+        reservations.reserve(0, 5, n, 0, 0.0, 1, 0.0, 8 * SECOND, 8 * SECOND)
+    assert reservations.each[0, 5] == 64  # one client's haste does not lengthen the line without end
+    reservations.claim(0, 77, 0, 60 * SECOND)
+    assert reservations.count < 66  # what nobody came for is void
 
 
 def test_a_members_share_is_split_over_gateways_by_demand_and_is_whole_without_word() -> None:
     levels = TenantDemand([1.0, 1.0])
-    levels.add(0, 1, 100_000, SECOND)
-    levels.add(1, 1, 100_000, SECOND)
+    levels.record(0, 1, 100_000, SECOND)
+    levels.record(1, 1, 100_000, SECOND)
     assert levels.local_shares(SECOND, 8) == [1.0, 1.0]
-    levels.hear(3, [900_000.0, 0.0], SECOND)
+    levels.record_peer_demands(3, [900_000.0, 0.0], SECOND)
     assert levels.local_shares(SECOND, 2) == pytest.approx([0.1, 1.0])
     assert levels.local_shares(9 * SECOND, 2) == [1.0, 1.0]  # the other has fallen silent
-    levels.hear(4, [1.0], SECOND)  # of other settings
-    assert 4 not in levels.elsewhere
+    levels.record_peer_demands(4, [1.0], SECOND)  # of other settings
+    assert 4 not in levels.peer_demands
 
 
 def test_demands_fit_into_a_datagram_and_few_are_told_at_a_time() -> None:
@@ -308,9 +308,9 @@
     fleet.run_until(fleet.now + 5 * SECOND)
     assert sum(name.startswith("small") for name in fleet.sent) == 20
     assert len(fleet.refused) > 100 and not len(fleet.balancer.admission.queues)  # type: ignore[union-attr]
-    rows = fleet.balancer.admission.rows  # type: ignore[union-attr]
-    assert rows[1].served == rows[1].asked == 20 and rows[0].waiting == 0
-    assert rows[0].served + rows[0].refused == rows[0].asked
+    rows = fleet.balancer.admission.counters  # type: ignore[union-attr]
+    assert rows[1].served == rows[1].requested == 20 and rows[0].waiting == 0
+    assert rows[0].served + rows[0].rejected == rows[0].requested
 
 
 def test_who_comes_when_told_is_let_in_and_who_comes_at_once_is_not() -> None:
@@ -322,7 +322,7 @@
     key = abs(hash(name)) % 2**40
     fleet.ask("early", 0, client, key)
     assert fleet.refused["early"] == pytest.approx(wait, rel=0.35)
-    assert fleet.balancer.admission.promises.ignored[0] == 1  # type: ignore[union-attr]
+    assert fleet.balancer.admission.reservations.ignored[0] == 1  # type: ignore[union-attr]
     began = fleet.now
     while fleet.now < began + wait:
         fleet.flood(0.1, 60)
@@ -352,7 +352,7 @@
         if n % 20 == 0:
             fleet.run_until(fleet.now + 20_000)
         fleet.ask(f"c{n}", 0, draw.getrandbits(60))
-        assert door.bytes() <= bound
+        assert door.memory_used() <= bound
     fleet.run_until(fleet.now + 10 * SECOND)
     assert len(fleet.sent) + len(fleet.refused) == 10_000 and not fleet.balancer.requests
 
@@ -393,11 +393,11 @@
 
 
 def test_marked_repeats_are_bounded_only_while_something_waits() -> None:
-    door: AdmissionController[str] = AdmissionController(AdmissionSettings(repeats=0.0), [1.0])
-    assert all(door.arrive(0, 0, n, n, 0, 1.0, True) is False for n in range(50))
-    door.push("waits", 0, 0, 1, 1.0, 1.0, 9)
-    verdicts = [door.arrive(0, 0, n, n, 0, 1.0, True) for n in range(100, 150)]
-    assert verdicts[-1] == (AdmissionDenial.REPEAT, 0) and sum(v is False for v in verdicts) <= 20
+    door: AdmissionController[str] = AdmissionController(AdmissionSettings(retry_ratio=0.0), [1.0])
+    assert all(door.check_arrival(0, 0, n, n, 0, 1.0, True) is False for n in range(50))
+    door.enqueue("waits", 0, 0, 1, 1.0, 1.0, 9)
+    verdicts = [door.check_arrival(0, 0, n, n, 0, 1.0, True) for n in range(100, 150)]
+    assert verdicts[-1] == (AdmissionDenial.RETRY_BUDGET, 0) and sum(v is False for v in verdicts) <= 20
 
 
 # The whole
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -51,7 +51,7 @@
     TrafficShift,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
-from sagetrack.policy.migration import LEAST, STEP_US, Move
+from sagetrack.policy.migration import MIN_OUTCOMES, RAMP_STEP_US, Migration
 from tests.sockets import configuration, on_loop, request, running, until
 
 SETTINGS = parse(configuration("127.0.0.1:9")).settings
@@ -165,18 +165,22 @@
 
 
 def test_a_share_moves_by_weight_and_goes_back_when_the_newer_format_fails() -> None:
-    move, now = Move(0.25), 1_000_000
-    old, new = move.factors(now, 6.0, 2.0)
+    move, now = Migration(0.25), 1_000_000
+    old, new = move.weight_factors(now, 6.0, 2.0)
     assert 2.0 * new / (6.0 * old + 2.0 * new) == pytest.approx(0.25)
-    assert move.factors(now, 0.0, 2.0) == (1.0, 1.0)  # nothing else is there
+    assert move.weight_factors(now, 0.0, 2.0) == (1.0, 1.0)  # nothing else is there
     for _ in range(200):
         assert not move.record(False, False, now)
-    left = [move.record(True, n % 3 == 0, now) for n in range(3 * LEAST)]
-    assert left.count(True) == 1 and move.part(now) == 0.0 and move.factors(now, 6.0, 2.0)[1] < 1e-5
-    back = move.held_until_us
-    parts = [move.part(back + n * STEP_US) for n in range(5)]
+    left = [move.record(True, n % 3 == 0, now) for n in range(3 * MIN_OUTCOMES)]
+    assert (
+        left.count(True) == 1
+        and move.ramp_fraction(now) == 0.0
+        and move.weight_factors(now, 6.0, 2.0)[1] < 1e-5
+    )
+    back = move.fallback_until_us
+    parts = [move.ramp_fraction(back + n * RAMP_STEP_US) for n in range(5)]
     assert parts == sorted(parts) and parts[0] == 0.1 and parts[-1] == 1.0
-    equal = Move(0.25)
+    equal = Migration(0.25)
     draw = random.Random(1)
     assert not any(equal.record(bool(n % 2), draw.random() < 0.2, now) for n in range(4000))  # in common
 
@@ -518,13 +522,13 @@
 
 def test_a_member_and_a_class_have_shares_of_their_own_and_a_copy_one_format_alone() -> None:
     kinds = tuple(RequestClass(1_000_000, 3_000_000, effect=Effect.SAFE) for _ in range(2))
-    move = Move(0.5, {1: 0.1}, {1: 1.0})
+    move = Migration(0.5, {1: 0.1}, {1: 1.0})
     settings = replace(SETTINGS, classes=kinds, grpc_kinds=frozenset({7}), max_concurrency=1000.0)
     balancer = LoadBalancer(settings, 1)
-    old, new = move.factors(0, 4.0, 4.0)
+    old, new = move.weight_factors(0, 4.0, 4.0)
     servers = tuple(ListedServer(n, weight=new if n % 2 else old, kind=7 if n % 2 else 0) for n in range(8))
     balancer.handle(0, EndpointList(ListKind.FULL, servers))
-    balancer.handle(0, TrafficShift(*move.turns(0, 4.0, 4.0)))
+    balancer.handle(0, TrafficShift(*move.override_factors(0, 4.0, 4.0)))
 
     def newer(klass: int, tenant: int, mirror_target: int = -1) -> float:
         hits = 0
@@ -598,7 +602,7 @@
 def test_a_server_that_changes_its_format_leaves_the_side_that_it_was_on() -> None:
     async def play() -> None:
         old, new = Pools(SETTINGS), NewPools(SETTINGS)
-        mixed = Mixed(old, new, [7], Move(None), lambda: None)
+        mixed = Mixed(old, new, [7], Migration(None), lambda: None)
         for kind, at in ((0, old), (7, new), (0, old)):
             mixed.put(Endpoint("n", ("127.0.0.1", 9), ListedServer(1, kind=kind)))
             assert (1 in at.listed) and (1 in old.listed) + (1 in new.listed) == 1 == len(mixed.listed)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -32,7 +32,15 @@
     ServerStatus,
 )
 from sagetrack.policy.load_balancer import FALL_MARGIN
-from sagetrack.policy.peer_observations import CLOSED, OPEN, ClassLatency, Observation, advise, join, trust
+from sagetrack.policy.peer_observations import (
+    CLOSED,
+    OPEN,
+    ClassLatency,
+    Observation,
+    confidence,
+    merge_observations,
+    weigh_observations,
+)
 from tests.helpers import START_US, Driver, sends
 from tests.sockets import on_loop, until
 
@@ -77,27 +85,31 @@
 def test_knowledge_merges_in_any_order_and_however_often(
     a: list[Observation], b: list[Observation], c: list[Observation]
 ) -> None:
-    assert join(a, b) == join(b, a)
-    assert join(join(a, b).values(), c) == join(a, join(b, c).values())
-    assert join(a, a, b, a) == join(a, b)
+    assert merge_observations(a, b) == merge_observations(b, a)
+    assert merge_observations(merge_observations(a, b).values(), c) == merge_observations(
+        a, merge_observations(b, c).values()
+    )
+    assert merge_observations(a, a, b, a) == merge_observations(a, b)
 
 
 @given(st.lists(SIGHTS, max_size=40))
 def test_hearsay_takes_a_bounded_part_out_of_use(sights: list[Observation]) -> None:
     lives = {1: 0, 2: 0, 3: 5_000_000, 9: 0}
     for most in range(4):
-        advice = advise(sights, lives, NOW, most)
+        advice = weigh_observations(sights, lives, NOW, most)
         assert sum(a.open_us >= 0 for a in advice) <= most
     assert {a.server for a in advice} <= {1, 2, 3}
 
 
 def test_older_word_weighs_less_and_one_voice_of_three_opens_nothing() -> None:
-    assert trust(0) == 1.0 > trust(5_000_000) > trust(20_000_000) > trust(60_000_000) == 0.0
+    assert (
+        confidence(0) == 1.0 > confidence(5_000_000) > confidence(20_000_000) > confidence(60_000_000) == 0.0
+    )
     lives = dict.fromkeys(range(1, 7), 0)
     bad = Observation(1, 0, 0, NOW, OPEN, NOW + 500_000, 0.05)
     good = [Observation(1, 0, by, NOW, CLOSED, 0, 1.0) for by in (1, 2)]
-    (alone,) = advise([bad], lives, NOW, 2)
-    (outvoted,) = advise([bad, *good], lives, NOW, 2)
+    (alone,) = weigh_observations([bad], lives, NOW, 2)
+    (outvoted,) = weigh_observations([bad, *good], lives, NOW, 2)
     assert alone.open_us == 500_000 and outvoted.open_us == -1 and outvoted.weight > 0.6
 
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -101,9 +101,9 @@
 SEEDS = (1, 2, 3)
 REASONS = (
     RejectReason.SHED,
-    RejectReason.NO_ROOM,
-    RejectReason.TURN,
-    RejectReason.UNSERVED,
+    RejectReason.NO_CAPACITY,
+    RejectReason.QUEUE,
+    RejectReason.ATTEMPTS_FAILED,
     RejectReason.OTHER,
 )  # a place never changes
 LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # what a log line says, whatever its other words
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -322,7 +322,7 @@
 
     def watched(gateway: VirtualGateway, event: Event) -> None:
         if isinstance(event, ObservationsReceived):
-            heard[use] += len(event.sights)
+            heard[use] += len(event.observations)
         handle(gateway, event)
 
     monkeypatch.setattr(VirtualGateway, "handle", watched)
