--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -22,7 +22,6 @@
 from sagetrack.peers.membership import Membership, Settings
 from sagetrack.peers.warm_start import Asker, Teller, latencies_from
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.concurrency_limit import Rate
 from sagetrack.policy.interface import (
     AttemptEnded,
     Cancel,
@@ -47,6 +46,7 @@
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.parsing import parse_settings
+from sagetrack.policy.rate_limit import Rate
 
 KEPT_US = 1_000_000  # between two writes of what a gateway knows
 BASE_US = 1_000_000_000  # the gateways' clock at the run's begin: 0 would mean long ago
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -1,87 +1,110 @@
-"""What the module asks at the door: whether a call may come in, whose turn it is, and when to come back.
+"""Admission control: which requests are admitted, in which order, and when rejected ones may come back.
 
-Puts fair queues, limits and promises together. It decides nothing about servers: the module does, and asks
-here before. Pure; the module gives it the time and the draws.
+Combines fair queues, rate and concurrency limits, a retry budget and reservations. It knows nothing of
+servers: the load balancer asks here before it selects one. The caller supplies the time and all random draws.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Hashable, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Generic, TypeVar
-
-from sagetrack.policy.concurrency_limit import (
-    ConcurrencyLimit,
-    Rate,
-    RateLimiter,
-    Reservations,
-    RetryBudget,
-    TenantDemand,
-)
+from typing import Generic, NamedTuple, TypeVar
+
+from sagetrack.policy.concurrency_limit import ConcurrencyLimit
 from sagetrack.policy.fair_queue import FairQueues
+from sagetrack.policy.rate_limit import Rate, RateLimiter
+from sagetrack.policy.reservations import Requester, Reservations, RetryTerms
+from sagetrack.policy.retry_budget import RetryBudget
+from sagetrack.policy.service_rate import ServiceRate
+from sagetrack.policy.tenant_demand import TenantDemand
+from sagetrack.policy.work_estimate import WorkEstimator
 
 Item = TypeVar("Item", bound=Hashable)
-# What one of each holds, in bytes, as measured (docs/operators/fairness.md)
+# Memory of one entry of each kind of table, in bytes, as measured (docs/operators/fairness.md)
 QUEUE_ENTRY_BYTES, FLOW_BYTES, RESERVATION_BYTES, RATE_ENTRY_BYTES = 3500, 700, 420, 240
-MIN_COST_SAMPLES = 50  # with fewer, a class's cost is learnt in a jam too, and drawn towards what all cost
-PRIOR_SAMPLES = 20.0  # answers that what all cost counts for then
-COST_SMOOTHING = 0.01  # share of the newest answer
-DEFAULT_WORK_US = 50_000.0  # work of any call before the first answers
-SERVICE_RATE_DECAY_US = 1_000_000  # what was served counts by 1/e after this
-MAX_CATCH_UP_US = 1_000_000  # a member may catch up on what it could have had within this
-MAX_SERVICE_GAP_US = (
-    250_000  # one gap counts for no longer: a clock that goes on at once tells nothing of the rate
-)
-RESERVATION_PRIORITY = 1e9  # beyond any class's: who comes back as told goes ahead of newcomers of its client
+MIN_MEMORY_BYTES = 64 * 1024
+MAX_WAIT_FRACTION = 0.5  # upper bound of the setting max_wait_fraction
+MAX_CATCH_UP_US = 1_000_000  # a tenant may catch up on the service that it could have had within this
+RESERVATION_PRIORITY = 1e9  # above any class's: a client that honors its Retry-After goes first in its flow
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionSettings:
-    """Fair queues and limits, as the operator has them."""
-
-    shares: tuple[float, ...] = ()  # by member; where there are none, the members' shares of the platform
-    flows: int = 256  # that the clients of a member are hashed to
-    max_wait_fraction: float = 0.5  # part of the slack under its aim that a call may wait here
-    memory_bytes: int = 16 * 1024 * 1024
-    adaptive: bool = True  # limit calls in work by latency
-    retry_ratio: float = 0.2  # clients' repeats that a first try pays for, while there is not enough for all
+    """Fair queues and limits, as the operator configures them.
+
+    Raises:
+        ValueError: A value is out of its range.
+    """
+
+    shares: tuple[float, ...] = ()  # by tenant; empty: the tenants' shares of the platform's settings
+    flows: int = 256  # that the clients of a tenant are hashed to
+    max_wait_fraction: float = 0.5  # of the slack until its latency objective that a request may be queued
+    memory_bytes: int = 16 * 1024 * 1024  # bound of all tables and queues together
+    adaptive: bool = True  # whether latency limits the requests in flight
+    retry_ratio: float = 0.2  # clients' retries that a first attempt pays for, while capacity is short
     tenant_rate: Rate | None = None
     client_rate: Rate | None = None
     class_rates: tuple[Rate | None, ...] = ()
 
     def __post_init__(self) -> None:
-        if not 0.0 <= self.max_wait_fraction <= 0.5 or self.flows < 1 or self.memory_bytes < 64 * 1024:
-            raise ValueError("patience is not within 0 to 0.5, there are no flows, or memory is below 64 KiB")
+        if not 0.0 <= self.max_wait_fraction <= MAX_WAIT_FRACTION:
+            raise ValueError(
+                f"max_wait_fraction is {self.max_wait_fraction:g}, allowed are 0 to {MAX_WAIT_FRACTION:g}"
+            )
+        if self.flows < 1:
+            raise ValueError(f"flows is {self.flows}, allowed are 1 and more")
+        if self.memory_bytes < MIN_MEMORY_BYTES:
+            raise ValueError(f"memory_bytes is {self.memory_bytes}, allowed are {MIN_MEMORY_BYTES} and more")
 
 
 class AdmissionDenial(Enum):
-    """Why a call is turned away, for the stats."""
-
-    BEFORE_RETRY_AFTER = "early"  # it was told to come later
-    RATE_LIMIT = "rate"
-    MEMORY_LIMIT = "memory"
-    RETRY_BUDGET = "repeat"
-    OVER_QUOTA = "share"  # its member or client asks for more than its part
-    NO_SERVER = "servers"  # no server may be used now
+    """Why admission control rejects a request. The values are exported in names of figures."""
+
+    BEFORE_RETRY_AFTER = "early"  # its client came back before its Retry-After was over
+    RATE_LIMIT = "rate"  # of its tenant, client or class
+    MEMORY_LIMIT = "memory"  # the tables are at their bound in bytes
+    RETRY_BUDGET = "repeat"  # a client's retry beyond the retry budget
+    OVER_QUOTA = "share"  # load is shed, and its tenant or client exceeds its share
+    NO_SERVER = "servers"  # no server is usable now
     WAIT_TOO_LONG = "late"  # it could not be served in time
 
 
+class Verdict(NamedTuple):
+    """What is decided of a request on its arrival."""
+
+    denial: AdmissionDenial | None = None  # None: it may be queued
+    retry_after_us: int = 0  # for a denial; 0: to be chosen by `AdmissionController.retry_after_us`
+    reserved: bool = False  # whether it has used up a reservation, and so has priority
+
+
+ADMITTED = Verdict()
+RESERVED = Verdict(reserved=True)
+
+
 @dataclass(slots=True)
 class TenantCounters:
-    """What became of one member's calls."""
+    """What became of one tenant's requests."""
 
     requested: int = 0
     served: int = 0
     rejected: int = 0
-    waiting: int = 0
+    waiting: int = 0  # now
 
 
 class AdmissionController(Generic[Item]):
-    """One gateway's door. Costs of all operations follow members, classes and flows, not clients."""
+    """Admission control of one gateway.
+
+    The cost of each operation depends on the numbers of tenants, classes and flows, not of clients.
+    """
 
     def __init__(self, settings: AdmissionSettings, shares: Sequence[float]) -> None:
+        """Start with empty queues.
+
+        Args:
+            settings: The operator's settings; their shares apply if there are as many as tenants.
+            shares: The platform's shares by tenant; if all are 0, tenants are equal.
+        """
         self.settings = settings
         given = settings.shares if len(settings.shares) == len(shares) else shares
         self.shares = list(given) if any(share > 0 for share in given) else [1.0] * len(given)
@@ -89,241 +112,249 @@
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
         self.demand = TenantDemand(self.shares)
-        room = settings.memory_bytes // 4  # a quarter for each kind of table; a quarter for what waits
-        self.reservations = Reservations(count, room // RESERVATION_BYTES)
+        table_bytes = settings.memory_bytes // 4  # a quarter for each kind of table; a quarter for the queues
+        self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
         self.retry_budget = RetryBudget(count, settings.retry_ratio)
-        counters = room // (2 * RATE_ENTRY_BYTES)
-        self.tenant_rate = RateLimiter(settings.tenant_rate, counters) if settings.tenant_rate else None
-        self.client_rate = RateLimiter(settings.client_rate, counters) if settings.client_rate else None
-        self.class_rates = [RateLimiter(r, count) if r else None for r in settings.class_rates]
-        rated = (self.tenant_rate, self.client_rate, *self.class_rates)
-        self.limits_rates = any(buckets is not None for buckets in rated)
+        entries = table_bytes // (2 * RATE_ENTRY_BYTES)
+        self.tenant_rate = RateLimiter(settings.tenant_rate, entries) if settings.tenant_rate else None
+        self.client_rate = RateLimiter(settings.client_rate, entries) if settings.client_rate else None
+        self.class_rates = [RateLimiter(rate, count) if rate else None for rate in settings.class_rates]
+        limiters = (self.tenant_rate, self.client_rate, *self.class_rates)
+        self.has_rate_limits = any(limiter is not None for limiter in limiters)
         self.counters = [TenantCounters() for _ in range(count)]
-        self.reserve = min(settings.memory_bytes // 4, count * (QUEUE_ENTRY_BYTES + FLOW_BYTES))
-        self.rejections = dict.fromkeys(AdmissionDenial, 0)
-        self.costs: list[tuple[float, int]] = []  # by class: mean work, and the answers that it is from
-        self.work_us, self.time_us = 0.0, 0.0  # served from the queues, and in what time
-        self.busy_us: int | None = None  # the last service, if something has waited ever since
-        self.assumed_service_rate = 1.0  # work a microsecond, until it is known
+        self.reserve_bytes = min(settings.memory_bytes // 4, count * (QUEUE_ENTRY_BYTES + FLOW_BYTES))
+        self.denials = dict.fromkeys(AdmissionDenial, 0)
+        self.work = WorkEstimator()
+        self.service_rate = ServiceRate()
 
-    # Who may come in
+    # Arrival
 
     def tenant_index(self, tenant: int) -> int:
+        """The tenant itself, or 0 for one that the settings do not have."""
         return tenant if 0 <= tenant < len(self.counters) else 0
 
     def check_arrival(
-        self, now_us: int, member: int, client: int, key: int, klass: int, work_us: float, repeat: bool
-    ) -> tuple[AdmissionDenial, int] | bool:
-        """What is known at once of a call: why it is turned away and for how long, else if it was promised.
+        self, now_us: int, requester: Requester, klass: int, work_us: float, is_retry: bool
+    ) -> Verdict:
+        """Record the demand and decide what can be decided at once.
+
+        In this order: reservations, rate limits, the memory bound, the retry budget.
 
-        A wait of 0 means that `retry_after_us` tells it. What was promised has paid for its place already.
+        A request with a reservation has passed the limits before and is not subject to them again.
         """
-        row = self.counters[member]
-        row.requested += 1
-        left = self.settings.memory_bytes - self.memory_used() - FLOW_BYTES
-        self.demand.record(member, self.queues.flow_index(member, client), work_us, now_us, left >= 0)
-        told = self.reservations.claim(member, client, key, now_us) if self.reservations.count else None
-        if told == 0:
-            return True
-        if not (repeat or key or client > 0):
-            told = None  # an address may be that of many clients: this is another call, for all that is known
-        pressed = bool(len(self.queues)) or self.reservations.wait_us(member, now_us) > 0
-        if told is not None and pressed:
-            # It pays for its haste out of its own part, and what was promised to it stands.
-            self.reservations.ignored[member] += 1
-            self.queues.charge(member, client, work_us)
-            return AdmissionDenial.BEFORE_RETRY_AFTER, told
-        pays = self.buckets(member, client, klass) if self.limits_rates else []
-        wait_us = max((buckets.wait_us(whose, now_us) for buckets, whose in pays), default=0)
+        tenant, client, _ = requester
+        self.counters[tenant].requested += 1
+        free_bytes = self.settings.memory_bytes - self.memory_used() - FLOW_BYTES
+        flow = self.queues.flow_index(tenant, client)
+        self.demand.record(tenant, flow, work_us, now_us, free_bytes >= 0)
+        remaining_us = self.reservations.claim(requester, now_us) if self.reservations.count else None
+        if remaining_us == 0:
+            return RESERVED
+        is_loaded = bool(len(self.queues)) or self.reservations.wait_us(tenant, now_us) > 0
+        if remaining_us is not None and is_loaded and _is_same_client(requester, is_retry):
+            # Its client's flow is charged for it, and the reservation stands.
+            self.reservations.record_ignored(tenant)
+            self.queues.charge(tenant, client, work_us)
+            return Verdict(AdmissionDenial.BEFORE_RETRY_AFTER, remaining_us)
+        limiters = self._rate_limiters(tenant, client, klass) if self.has_rate_limits else []
+        wait_us = max((limiter.wait_us(key, now_us) for limiter, key in limiters), default=0)
         if wait_us > 0:
-            return AdmissionDenial.RATE_LIMIT, wait_us
-        left -= QUEUE_ENTRY_BYTES + len(pays) * RATE_ENTRY_BYTES
-        if left < 0 or (left < self.reserve and self.is_costly(member, work_us)):
-            return AdmissionDenial.MEMORY_LIMIT, 0
-        if repeat:
-            if pressed and not self.retry_budget.repeat(member):
-                return AdmissionDenial.RETRY_BUDGET, 0
-        else:
-            self.retry_budget.first(member)
-        for buckets, whose in pays:
-            buckets.take(whose, now_us)
-        return False
-
-    def buckets(self, member: int, client: int, klass: int) -> list[tuple[RateLimiter, Hashable]]:
+            return Verdict(AdmissionDenial.RATE_LIMIT, wait_us)
+        free_bytes -= QUEUE_ENTRY_BYTES + len(limiters) * RATE_ENTRY_BYTES
+        if free_bytes < 0 or (free_bytes < self.reserve_bytes and self._is_costly(tenant, work_us)):
+            return Verdict(AdmissionDenial.MEMORY_LIMIT)
+        if not self._spend_retry_budget(tenant, is_retry, is_loaded):
+            return Verdict(AdmissionDenial.RETRY_BUDGET)
+        for limiter, key in limiters:
+            limiter.take(key, now_us)
+        return ADMITTED
+
+    def _rate_limiters(self, tenant: int, client: int, klass: int) -> list[tuple[RateLimiter, Hashable]]:
+        """The rate limiters that a request is subject to, each with the key that it counts by."""
         found: list[tuple[RateLimiter, Hashable]] = []
         if self.tenant_rate is not None:
-            found.append((self.tenant_rate, member))
+            found.append((self.tenant_rate, tenant))
         if self.client_rate is not None:
-            found.append((self.client_rate, (member, client)))
+            found.append((self.client_rate, (tenant, client)))
         of_class = self.class_rates[klass] if klass < len(self.class_rates) else None
         if of_class is not None:
-            found.append((of_class, member))
+            found.append((of_class, tenant))
         return found
 
-    def is_costly(self, member: int, work_us: float) -> bool:
-        """Near the bound in bytes: whether something of its member waits already, or it costs more.
+    def _is_costly(self, tenant: int, work_us: float) -> bool:
+        """Near the memory bound: whether its tenant has requests queued, or it costs more than their mean.
 
-        Nothing that was taken is dropped. What is left then is kept for members of whom nothing waits.
+        What is queued is never dropped; the remaining memory is for tenants that have nothing queued.
         """
-        return self.queues.members[member].count > 0 or work_us > self.mean_work_us()
+        return self.queues.tenants[tenant].count > 0 or work_us > self._mean_queued_work_us()
 
-    def mean_work_us(self) -> float:
+    def _mean_queued_work_us(self) -> float:
         return self.queues.work_us / max(1, len(self.queues))
 
-    def rejection_fraction(self, now_us: int, member: int, client: int, rejected: float, dear: bool) -> float:
-        """Part of a client's calls to refuse so that this part of all work is refused, fairly."""
-        return self.demand.rejection_fraction(
-            member, self.queues.flow_index(member, client), rejected, now_us, dear
-        )
+    def _spend_retry_budget(self, tenant: int, is_retry: bool, is_loaded: bool) -> bool:
+        """Whether the retry budget admits the request; retries are bounded only while capacity is short."""
+        if not is_retry:
+            self.retry_budget.record_first_attempt(tenant)
+            return True
+        return not is_loaded or self.retry_budget.try_retry(tenant)
+
+    def rejection_fraction(
+        self, now_us: int, tenant: int, client: int, reject_fraction: float, high_priority: bool
+    ) -> float:
+        """Which fraction of a client's requests to reject, so that `reject_fraction` of all work is."""
+        flow = self.queues.flow_index(tenant, client)
+        return self.demand.rejection_fraction(tenant, flow, reject_fraction, now_us, high_priority)
+
+    # The queue
 
-    # Waiting and its end
+    @property
+    def queued(self) -> int:
+        """How many requests are queued."""
+        return len(self.queues)
 
-    def rate(self) -> float:
-        """Work served in a microsecond, by all servers that this gateway has, while something waits."""
-        if self.time_us < MAX_SERVICE_GAP_US / 5:
-            return self.assumed_service_rate
-        return max(1e-6, self.work_us / self.time_us)
+    def is_queued(self, item: Item) -> bool:
+        """Whether a request is in the queue."""
+        return item in self.queues.entries
 
-    def wait_us(self, now_us: int, member: int, client: int) -> float:
-        """How long a newcomer would wait here."""
-        return self.queues.work_ahead_us(member, client) / self.rate()
+    def wait_us(self, tenant: int, client: int) -> float:
+        """How long a new request of a client would be queued."""
+        return self.queues.work_ahead_us(tenant, client) / self.service_rate.per_us
 
     def enqueue(
-        self,
-        item: Item,
-        now_us: int,
-        member: int,
-        client: int,
-        work_us: float,
-        priority_weight: float,
-        due_us: int,
+        self, item: Item, requester: Requester, work_us: float, priority_weight: float, due_us: int
     ) -> None:
-        self.queues.credit = self.rate() * MAX_CATCH_UP_US / sum(self.shares)
-        self.queues.enqueue(item, member, client, work_us, priority_weight, due_us)
-        self.counters[member].waiting += 1
+        """Queue a request; within its flow, by priority weight and then by due time."""
+        self.queues.max_catch_up = self.service_rate.per_us * MAX_CATCH_UP_US / sum(self.shares)
+        self.queues.enqueue(item, requester.tenant, requester.client, work_us, priority_weight, due_us)
+        self.counters[requester.tenant].waiting += 1
 
-    def has_capacity(self, in_work: int) -> bool:
-        """Whether there may be one more in work."""
-        return not self.settings.adaptive or self.concurrency_limit.has_capacity(in_work)
+    def has_capacity(self, in_flight: int) -> bool:
+        """Whether the concurrency limit allows one more request in flight."""
+        return not self.settings.adaptive or self.concurrency_limit.has_capacity(in_flight)
 
-    def peek(self, in_work: int) -> Item | None:
-        """Whose turn it is, if there may be one more in work."""
-        return self.queues.peek() if self.has_capacity(in_work) else None
+    def peek(self, in_flight: int) -> Item | None:
+        """The request whose turn it is, if the concurrency limit allows one more; it stays in the queue."""
+        return self.queues.peek() if self.has_capacity(in_flight) else None
 
     def dequeue(self, item: Item, now_us: int) -> None:
-        """It is being served."""
+        """Take the request that `peek` gave out of the queue: it is being served."""
         entry = self.queues.entries[item]
-        self.counters[entry.member].waiting -= 1
+        self.counters[entry.tenant].waiting -= 1
         self.queues.dequeue(item)
-        if self.busy_us is not None:
-            gap_us = min(max(0, now_us - self.busy_us), MAX_SERVICE_GAP_US)
-            faded = math.exp(-gap_us / SERVICE_RATE_DECAY_US)
-            self.work_us = self.work_us * faded + entry.work_us
-            self.time_us = self.time_us * faded + gap_us
-        self.busy_us = now_us if len(self.queues) else None
+        self.service_rate.record(entry.work_us, now_us, len(self.queues) > 0)
 
     def remove(self, item: Item) -> None:
-        """It waits no longer, and is not served."""
+        """Take a request out of the queue that will not be served; nothing happens if it is not in there."""
         entry = self.queues.entries.get(item)
         if entry is not None and self.queues.remove(item):
-            self.counters[entry.member].waiting -= 1
+            self.counters[entry.tenant].waiting -= 1
             if not len(self.queues):
-                self.busy_us = None
+                self.service_rate.pause()
 
-    # What is learnt and told
+    # Feedback
+
+    def set_assumed_service_rate(self, rate: float) -> None:
+        """Set the work a microsecond that is taken for the service rate until one has been measured."""
+        self.service_rate.assumed = rate
+
+    def set_minimum_concurrency(self, requests: float) -> None:
+        """Set what the concurrency limit never falls below."""
+        self.concurrency_limit.minimum = requests
 
     def record_completion(
-        self, klass: int, latency_us: float, size: float, in_work: int, good: bool, turned_back: bool
+        self, klass: int, latency_us: float, size: float, in_flight: int, succeeded: bool, rejected: bool
     ) -> None:
-        """An attempt is over: what its class costs is learnt where nothing waits, or nothing is known."""
-        if self.settings.adaptive and klass < len(self.costs) and self.costs[klass][1] >= MIN_COST_SAMPLES:
-            self.concurrency_limit.update(
-                latency_us, self.estimated_work_us(klass, size), in_work, turned_back
-            )
-        if not good:
-            return
-        while klass >= len(self.costs):
-            self.costs.append((0.0, 0))
-        mean, answers = self.costs[klass]
-        if answers >= MIN_COST_SAMPLES and len(self.queues):
-            return
-        answers += 1
-        mean += (latency_us / size - mean) * max(COST_SMOOTHING, 1.0 / answers)
-        self.costs[klass] = mean, answers
+        """Learn from an attempt that ended.
+
+        Args:
+            klass: Its class.
+            latency_us: How long it took.
+            size: Its work relative to the mean of its class.
+            in_flight: How many attempts are in flight, itself excluded.
+            succeeded: Whether it had a good answer.
+            rejected: Whether its server rejected it.
+        """
+        if self.settings.adaptive and self.work.is_reliable(klass):
+            baseline_us = self.work.estimate_us(klass, size)
+            self.concurrency_limit.update(latency_us, baseline_us, in_flight, rejected)
+        if succeeded:
+            self.work.learn(klass, latency_us, size, len(self.queues) > 0)
 
     def estimated_work_us(self, klass: int, size: float) -> float:
-        """Work that a call of a class costs, in microseconds; that of the others while it is not known."""
-        mean, answers = self.costs[klass] if klass < len(self.costs) else (0.0, 0)
-        if answers < MIN_COST_SAMPLES:
-            # A few answers tell more of chance than of the class: it is taken for any other till then.
-            whole = sum(n for _, n in self.costs)
-            usual = sum(mean * n for mean, n in self.costs) / whole if whole else DEFAULT_WORK_US
-            mean = (answers * mean + PRIOR_SAMPLES * usual) / (answers + PRIOR_SAMPLES)
-        return mean * size
-
-    def retry_after_us(
-        self,
-        now_us: int,
-        member: int,
-        client: int,
-        key: int,
-        work_us: float,
-        draw: float,
-        most_us: int,
-        left_us: int,
-    ) -> int:
-        """When a call that is sent away is to come back, and the promise that it is let in then.
-
-        `left_us`: until its client gives up.
-        """
-        part = self.rate() * self.queues.service_fraction(member)
-        first_us = self.queues.members[member].work_us / part
-        own_us = work_us / part
+        """Work of a request in microseconds, where `size` is its work relative to the mean of its class."""
+        return self.work.estimate_us(klass, size)
+
+    def record_denial(self, denial: AdmissionDenial) -> None:
+        """Count a request that admission control rejects, by reason."""
+        self.denials[denial] += 1
+
+    def record_rejected(self, tenant: int) -> None:
+        """Count a tenant's request that was rejected, for whatever reason."""
+        self.counters[tenant].rejected += 1
+
+    def record_served(self, tenant: int) -> None:
+        """Count a tenant's request that was answered."""
+        self.counters[tenant].served += 1
+
+    def retry_after_us(self, now_us: int, requester: Requester, work_us: float, terms: RetryTerms) -> int:
+        """Choose when a rejected request may come back, in microseconds, and reserve service for it then."""
+        tenant = requester.tenant
+        rate = self.service_rate.per_us * self.queues.service_fraction(tenant)
+        backlog_us = self.queues.tenants[tenant].work_us / rate
+        service_us = work_us / rate
         if self.memory_used() + RESERVATION_BYTES > self.settings.memory_bytes:
-            left_us = 0  # nothing more is promised
-        return self.reservations.reserve(
-            member, client, key, now_us, first_us, own_us, draw, most_us, left_us
-        )
+            terms = terms._replace(client_timeout_us=0)  # no further reservation
+        return self.reservations.reserve(now_us, requester, backlog_us, service_us, terms)
+
+    # Shares and figures
 
     def record_peer_demands(self, gateway: int, demands: list[float], now_us: int, gateways: int) -> None:
-        """What another gateway is asked for: shares are to hold for all together."""
+        """Take the demand that another gateway reports: shares are to hold for all gateways together."""
         self.demand.record_peer_demands(gateway, demands, now_us)
         self.queues.set_shares(self.demand.local_shares(now_us, gateways))
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """New shares, from now on."""
+        """Apply new shares from now on; ignored if there are not as many as tenants."""
         if len(shares) == len(self.shares):
             self.shares[:] = shares
             self.queues.set_shares(shares)
 
     def memory_used(self) -> int:
-        """What all tables hold, by their sizes and the measured cost of a row."""
-        counters = sum(len(b.table) for b in (self.tenant_rate, self.client_rate) if b is not None)
-        held = (
-            len(self.queues) * QUEUE_ENTRY_BYTES + (self.queues.flow_count + self.demand.count) * FLOW_BYTES
-        )
-        return held + self.reservations.count * RESERVATION_BYTES + counters * RATE_ENTRY_BYTES
+        """Bytes of all tables and queues, from their sizes and the measured memory of an entry."""
+        limiters = (self.tenant_rate, self.client_rate)
+        rate_entries = sum(len(limiter.table) for limiter in limiters if limiter is not None)
+        queued = len(self.queues) * QUEUE_ENTRY_BYTES
+        flows = (self.queues.flow_count + self.demand.flow_count) * FLOW_BYTES
+        return queued + flows + self.reservations.count * RESERVATION_BYTES + rate_entries * RATE_ENTRY_BYTES
 
     def figures(self, names: Sequence[str]) -> dict[str, float]:
-        """For the stats."""
+        """Exported figures by name; `names` are the tenants', in order."""
         found: dict[str, float] = {
             "door_limit": round(self.concurrency_limit.limit, 1),
             "door_waiting": len(self.queues),
             "door_bytes": self.memory_used(),
             "door_promised": self.reservations.count,
         }
-        for why, count in self.rejections.items():
-            found[f"door_refused_{why.value}_total"] = count
-        for number, row in enumerate(self.counters):
+        for denial, count in self.denials.items():
+            found[f"door_refused_{denial.value}_total"] = count
+        for number, counters in enumerate(self.counters):
             name = names[number] if number < len(names) else str(number)
             found |= {
                 f"member_{name}_share": round(self.shares[number] / sum(self.shares), 4),
-                f"member_{name}_asked_total": row.requested,
-                f"member_{name}_served_total": row.served,
-                f"member_{name}_refused_total": row.rejected,
-                f"member_{name}_waiting": row.waiting,
+                f"member_{name}_asked_total": counters.requested,
+                f"member_{name}_served_total": counters.served,
+                f"member_{name}_refused_total": counters.rejected,
+                f"member_{name}_waiting": counters.waiting,
                 f"member_{name}_advised_total": self.reservations.issued[number],
                 f"member_{name}_kept_total": self.reservations.honored[number],
                 f"member_{name}_ignored_total": self.reservations.ignored[number],
             }
         return found
+
+
+def _is_same_client(requester: Requester, is_retry: bool) -> bool:
+    """Whether a request surely comes from the client that a reservation was made for.
+
+    An address alone may be that of many clients; a key, a marked retry or a client's own id is not.
+    """
+    return is_retry or requester.key != 0 or requester.client > 0
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -65,6 +65,7 @@
     merge_observations,
     weigh_observations,
 )
+from sagetrack.policy.reservations import Requester, RetryTerms
 from sagetrack.policy.state import (
     CEILING,
     FLOOR,
@@ -287,7 +288,7 @@
     # At the door, where it is switched on: fair queues, limits and promises
 
     def something_waits(self) -> bool:
-        return self.admission is not None and len(self.admission.queues) > 0
+        return self.admission is not None and self.admission.queued > 0
 
     def shares_of(self) -> list[float]:
         return [tenant.share for tenant in self.settings.tenants] or [1.0]
@@ -299,18 +300,17 @@
         """
         now, index, member = self.now_us, request.klass, request.member
         work_us = admission.estimated_work_us(index, request.size)
-        verdict = admission.check_arrival(
-            now, member, request.client, request.key or 0, index, work_us, repeat
-        )
-        if not isinstance(verdict, bool):
-            why, request.told_us = verdict[0], verdict[1] or -1
-            self.turn_away(admission, request, why)
+        requester = Requester(member, request.client, request.key or 0)
+        verdict = admission.check_arrival(now, requester, index, work_us, repeat)
+        if verdict.denial is not None:
+            request.told_us = verdict.retry_after_us or -1
+            self.turn_away(admission, request, verdict.denial)
             return
-        request.promised = verdict
+        request.promised = verdict.reserved
         if self.is_shed(request):
             self.turn_away(admission, request, AdmissionDenial.OVER_QUOTA)
             return
-        if not admission.queues.entries and admission.has_capacity(self.out) and self.try_send(request):
+        if not admission.queued and admission.has_capacity(self.out) and self.try_send(request):
             return  # nobody is passed over: the queues cost something only while there is one
         unhindered_us = self.unhindered[index] * request.size
         left_us = request.deadline_us - now - unhindered_us
@@ -323,9 +323,9 @@
             return
         # Calls that servers hold at once: by Little's law the latencies that are served in a unit of time.
         each = max(1, math.ceil((self.settings.max_concurrency or CROWD) / self.sharers))
-        admission.assumed_service_rate = float(len(self.ranked) * each)
-        admission.concurrency_limit.minimum = max(1.0, len(self.ranked) / self.sharers)
-        waits_us = admission.wait_us(now, member, request.client) if len(admission.queues) else 0.0
+        admission.set_assumed_service_rate(float(len(self.ranked) * each))
+        admission.set_minimum_concurrency(max(1.0, len(self.ranked) / self.sharers))
+        waits_us = admission.wait_us(member, request.client) if admission.queued else 0.0
         if waits_us > client_timeout_us and not request.promised:
             self.turn_away(admission, request, AdmissionDenial.WAIT_TOO_LONG)
             return
@@ -333,9 +333,7 @@
             self.worths()[index] * (late_priority_weight if late else 1.0)
             + RESERVATION_PRIORITY * request.promised
         )
-        admission.enqueue(
-            request, now, member, request.client, work_us, priority_weight, request.latency_objective_us
-        )
+        admission.enqueue(request, requester, work_us, priority_weight, request.latency_objective_us)
         self.serve_waiting()
         if not request.attempts and not request.done:
             if client_timeout_us <= 0:
@@ -347,7 +345,7 @@
     def turn_away(
         self, admission: AdmissionController[Request], request: Request, why: AdmissionDenial
     ) -> None:
-        admission.rejections[why] += 1
+        admission.record_denial(why)
         self.answer_unserved(request, RejectReason.QUEUE)
 
     def serve_fairly(self, admission: AdmissionController[Request]) -> None:
@@ -567,7 +565,7 @@
         if not ran or klass.effect is Effect.SAFE or dropped_anywhere:
             self.actions.append(Reject(request.id, self.retry_after_us(request), reason))
             if self.admission is not None and request.mirror_target < 0:
-                self.admission.counters[request.member].rejected += 1
+                self.admission.record_rejected(request.member)
         else:
             self.actions.append(Fail(request.id))
         self.finish(request)
@@ -586,13 +584,11 @@
                 self.admission.estimated_work_us(request.klass, request.size),
                 self.random.random(),
             )
-            member, client = request.member, request.client
+            requester = Requester(request.member, request.client, request.key or 0)
             worthless = self.settings.classes[request.klass].late_priority_weight <= 0.0
             left_us = (request.latency_objective_us if worthless else request.deadline_us) - self.now_us
-            key = request.key or 0
-            return self.admission.retry_after_us(
-                self.now_us, member, client, key, work_us, draw, most_us, left_us
-            )
+            terms = RetryTerms(draw, most_us, left_us)
+            return self.admission.retry_after_us(self.now_us, requester, work_us, terms)
         wait_us = int(COME_BACK * self.settings.classes[request.klass].latency_objective_us)
         if self.servers and not usable:
             wait_us = min(s.breaker.open_until_us for s in self.servers.values()) - self.now_us
@@ -670,7 +666,7 @@
         elif token == LIST_TOKEN and not self.settings.endpoints_are_pushed:
             self.actions.append(WatchEndpoints())
         elif request is not None and token == request.wait_token:
-            if self.admission is not None and request in self.admission.queues.entries:
+            if self.admission is not None and self.admission.is_queued(request):
                 self.turn_away(self.admission, request, AdmissionDenial.WAIT_TOO_LONG)
             elif request in self.waiting:
                 self.answer_unserved(request, RejectReason.NO_CAPACITY)
@@ -784,7 +780,7 @@
             ):
                 self.served[request.klass] += 1
             if self.admission is not None and event.outcome is Outcome.OK and request.mirror_target < 0:
-                self.admission.counters[request.member].served += 1
+                self.admission.record_served(request.member)
             self.finish(request)
         elif request.out == 0:
             self.try_again(request, event.outcome)
--- /dev/null
+++ b/sagetrack/policy/rate_limit.py
@@ -0,0 +1,73 @@
+"""Request rate limits with bursts, by key, in bounded memory."""
+
+from __future__ import annotations
+
+import math
+from collections import OrderedDict
+from collections.abc import Hashable
+from dataclasses import dataclass
+
+
+class BoundedTable:
+    """Numbers by key. When it is full, the least recently updated key is evicted."""
+
+    __slots__ = ("capacity", "rows")
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.rows: OrderedDict[Hashable, float] = OrderedDict()
+
+    def get(self, key: Hashable, default: float) -> float:
+        """The number of a key, or `default` for a key that is not in the table."""
+        return self.rows.get(key, default)
+
+    def put(self, key: Hashable, value: float, evictable_below: float = math.inf) -> bool:
+        """Enter or update a number.
+
+        Returns:
+            False if the table is full and its least recently updated number is not below
+            `evictable_below`; then nothing is changed.
+        """
+        if key not in self.rows and len(self.rows) >= self.capacity:
+            oldest = next(iter(self.rows), None)
+            if oldest is None or self.rows[oldest] >= evictable_below:
+                return False
+            del self.rows[oldest]
+        self.rows[key] = value
+        self.rows.move_to_end(key)
+        return True
+
+    def __len__(self) -> int:
+        return len(self.rows)
+
+
+@dataclass(slots=True, frozen=True)
+class Rate:
+    """A rate limit: requests per second, and how many may come at once after a pause."""
+
+    per_s: float
+    burst: float = 1.0
+
+
+class RateLimiter:
+    """Rate limits by key, as the generic cell rate algorithm (ITU-T I.371) has them: one number a key.
+
+    The number is the theoretical arrival time of the key's next request, in microseconds.
+    """
+
+    def __init__(self, rate: Rate, capacity: int) -> None:
+        """Start without history; `capacity` bounds the keys that are tracked at once."""
+        self.rate = rate
+        self.table = BoundedTable(capacity)
+
+    def wait_us(self, key: Hashable, now_us: int) -> int:
+        """How long until the key's next request conforms; 0: now. Changes nothing."""
+        gap_us = 1e6 / self.rate.per_s
+        due = self.table.get(key, float(now_us))
+        return max(0, math.ceil(due - now_us - gap_us * (self.rate.burst - 1.0)))
+
+    def take(self, key: Hashable, now_us: int) -> None:
+        """Count a request. A key that the table has no space for goes uncounted; other limits still apply."""
+        gap_us = 1e6 / self.rate.per_s
+        due = max(self.table.get(key, 0.0), float(now_us)) + gap_us
+        self.table.put(key, due, float(now_us))
--- /dev/null
+++ b/sagetrack/policy/tenant_demand.py
@@ -0,0 +1,184 @@
+"""Demand by tenant and by client flow, here and at peers, and whose excess to reject in an overload.
+
+Times are readings of the caller's clock in whole microseconds; work is in microseconds of an idle server.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from sagetrack.policy.fair_queue import max_min_fair_shares
+
+DECAY_TIME_US = 1_000_000  # demand counts by 1/e after this: the share of an idle tenant is back within it
+PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # demand that another gateway reported counts for so long
+EVALUATION_INTERVAL_US = 50_000  # between two evaluations of the fair limits
+EVALUATION_STEP = 0.2  # unless the fraction to reject has changed by this since
+MIN_EXCESS_FRACTION = 0.001  # a tenant that exceeds its share by less is taken to be within it
+MIN_LOCAL_FRACTION = 0.01  # of a tenant's share, at a gateway that sees next to nothing of the tenant
+MIN_FLOW_WORK_US = 1.0  # a flow with less is forgotten
+
+
+class DecayedDemand:
+    """Work requested of late, by key of a fixed range: a sum that decays with time."""
+
+    __slots__ = ("at_us", "sums")
+
+    def __init__(self, count: int) -> None:
+        self.sums = [0.0] * count
+        self.at_us = [0] * count
+
+    def add(self, key: int, work_us: float, now_us: int) -> None:
+        """Add work to the sum of a key."""
+        self.sums[key] = self.at(key, now_us) + work_us
+        self.at_us[key] = now_us
+
+    def at(self, key: int, now_us: int) -> float:
+        """Work requested over the last second or so, in microseconds for each DECAY_TIME_US."""
+        if not self.sums[key]:
+            return 0.0
+        return self.sums[key] * math.exp((self.at_us[key] - now_us) / DECAY_TIME_US)
+
+
+@dataclass(slots=True, eq=False)
+class FlowDemand:
+    """Work requested of late by the clients of one flow."""
+
+    work_us: float
+    at_us: float
+
+    def at(self, now_us: int) -> float:
+        """The sum as it has decayed by now."""
+        return self.work_us * math.exp((self.at_us - now_us) / DECAY_TIME_US)
+
+
+@dataclass(slots=True, eq=False)
+class FairLimits:
+    """Who exceeded its fair share at one moment."""
+
+    excess_fraction: list[float]  # by tenant: fraction of its demand that is beyond its share
+    flow_limit_us: list[float]  # by tenant: work that one flow may request
+    at_us: int = -EVALUATION_INTERVAL_US
+    reject_fraction: float = -1.0  # of all work, that had to be rejected
+
+
+@dataclass(slots=True, eq=False)
+class TenantDemand:
+    """Tracks demand and finds who exceeds its share while a part of all work has to be rejected.
+
+    Weighted max-min fairness by tenant, then evenly by flow within a tenant: requests within their share are
+    not rejected. Fair limits are evaluated every EVALUATION_INTERVAL_US, at a cost by tenants and by flows of
+    those in excess. Low-priority requests and all others are rejected at rates of their own, and each kind
+    has limits of its own: with one set for both, it would be evaluated with each request, which has cost a
+    busy gateway a millisecond a request and so fed the overload.
+    """
+
+    shares: Sequence[float]
+    by_tenant: DecayedDemand = field(init=False)
+    by_flow: list[dict[int, FlowDemand]] = field(init=False)  # by tenant, then by flow
+    peer_demands: dict[int, tuple[list[float], int]] = field(default_factory=dict)  # by gateway, and when
+    flow_count: int = 0
+    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # for low priority, for all others
+    evaluations: int = 0
+
+    def __post_init__(self) -> None:
+        count = len(self.shares)
+        self.by_tenant = DecayedDemand(count)
+        self.by_flow = [{} for _ in range(count)]
+        first, second = (FairLimits([0.0] * count, [math.inf] * count) for _ in range(2))
+        self.fair_limits = first, second
+
+    def record(self, tenant: int, flow: int, work_us: float, now_us: int, has_space: bool = True) -> None:
+        """Record requested work, whether it is served or not; without space, only of flows already known."""
+        self.by_tenant.add(tenant, work_us, now_us)
+        known = self.by_flow[tenant].get(flow)
+        if known is None:
+            if has_space:
+                self.by_flow[tenant][flow] = FlowDemand(work_us, float(now_us))
+                self.flow_count += 1
+        else:
+            known.work_us = known.at(now_us) + work_us
+            known.at_us = float(now_us)
+
+    def record_peer_demands(self, gateway: int, demands: list[float], now_us: int) -> None:
+        """Take the demand by tenant that another gateway reports; ignored if it has other tenants."""
+        if len(demands) == len(self.shares):
+            self.peer_demands[gateway] = (demands, now_us)
+
+    def local_demands(self, now_us: int) -> list[float]:
+        """This gateway's demand by tenant, in microseconds of work for each DECAY_TIME_US."""
+        return [self.by_tenant.at(tenant, now_us) for tenant in range(len(self.shares))]
+
+    def fleet_demands(self, now_us: int, gateways: int) -> list[float]:
+        """The demand by tenant at all gateways; those that reported stand for those that did not.
+
+        Without any report it is the local demand, and shares hold at each gateway by itself.
+        """
+        own = self.local_demands(now_us)
+        reported = [
+            demands for demands, at_us in self.peer_demands.values() if now_us - at_us < PEER_DEMAND_TTL_US
+        ]
+        if not reported:
+            return own
+        scale = max(0, gateways - 1) / len(reported)
+        return [mine + scale * sum(demands[n] for demands in reported) for n, mine in enumerate(own)]
+
+    def local_shares(self, now_us: int, gateways: int) -> list[float]:
+        """The tenants' shares at this gateway, such that they hold for all gateways together.
+
+        Of a tenant's share, each gateway has the fraction that it sees of the tenant's demand, but no less
+        than MIN_LOCAL_FRACTION: a tenant that sent nothing here of late must be admitted when it does.
+        """
+        own, fleet = self.local_demands(now_us), self.fleet_demands(now_us, gateways)
+        return [
+            share * (max(MIN_LOCAL_FRACTION, mine / total) if total > mine else 1.0)
+            for share, mine, total in zip(self.shares, own, fleet, strict=True)
+        ]
+
+    def rejection_fraction(
+        self, tenant: int, flow: int, reject_fraction: float, now_us: int, high_priority: bool = False
+    ) -> float:
+        """Which fraction of a flow's requests to reject, so that `reject_fraction` of all work is rejected.
+
+        0 for a flow within its share.
+        """
+        if reject_fraction <= 0.0:
+            return 0.0
+        limits = self._evaluate(reject_fraction, now_us, high_priority)
+        if limits.excess_fraction[tenant] <= MIN_EXCESS_FRACTION:
+            return 0.0
+        known = self.by_flow[tenant].get(flow)
+        demand = known.at(now_us) if known is not None else 0.0
+        return 1.0 - limits.flow_limit_us[tenant] / demand if demand > limits.flow_limit_us[tenant] else 0.0
+
+    def _evaluate(self, reject_fraction: float, now_us: int, high_priority: bool) -> FairLimits:
+        """The fair limits when this fraction of work is to be rejected; a recent evaluation still holds."""
+        limits = self.fair_limits[high_priority]
+        if (
+            now_us - limits.at_us < EVALUATION_INTERVAL_US
+            and abs(reject_fraction - limits.reject_fraction) < EVALUATION_STEP
+        ):
+            return limits
+        limits.at_us, limits.reject_fraction = now_us, reject_fraction
+        self.evaluations += 1
+        demands = self.fleet_demands(now_us, 1 + len(self.peer_demands))
+        granted = max_min_fair_shares(demands, self.shares, (1.0 - reject_fraction) * sum(demands))
+        for tenant, demand in enumerate(demands):
+            limits.excess_fraction[tenant] = 1.0 - granted[tenant] / demand if demand > 0 else 0.0
+            if limits.excess_fraction[tenant] > MIN_EXCESS_FRACTION:
+                self._evaluate_flows(limits, tenant, now_us)
+        return limits
+
+    def _evaluate_flows(self, limits: FairLimits, tenant: int, now_us: int) -> None:
+        flows = self.by_flow[tenant]
+        requested = {flow: known.at(now_us) for flow, known in flows.items()}
+        for flow in [flow for flow, work in requested.items() if work < MIN_FLOW_WORK_US]:
+            del flows[flow], requested[flow]
+            self.flow_count -= 1
+        demands = list(requested.values())
+        total = sum(demands)
+        capacity = (1.0 - limits.excess_fraction[tenant]) * total
+        granted = max_min_fair_shares(demands, [1.0] * len(demands), capacity)
+        cut = [part for part, demand in zip(granted, demands, strict=True) if part < demand]
+        limits.flow_limit_us[tenant] = max(cut, default=math.inf)
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -7,7 +7,7 @@
 
 from sagetrack.config.platform import Config, ConfigError
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.concurrency_limit import Rate
+from sagetrack.policy.rate_limit import Rate
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -20,15 +20,14 @@
 from sagetrack.lab.virtual import play
 from sagetrack.peers.codec import Datagram, decode, encode
 from sagetrack.peers.demand_gossip import PLACES, Herald, demands_in, wanted
-from sagetrack.policy.admission import AdmissionController, AdmissionDenial, AdmissionSettings
-from sagetrack.policy.concurrency_limit import (
-    ConcurrencyLimit,
-    Rate,
-    RateLimiter,
-    Reservations,
-    RetryBudget,
-    TenantDemand,
+from sagetrack.policy.admission import (
+    ADMITTED,
+    AdmissionController,
+    AdmissionDenial,
+    AdmissionSettings,
+    Verdict,
 )
+from sagetrack.policy.concurrency_limit import ConcurrencyLimit
 from sagetrack.policy.fair_queue import FairQueues, max_min_fair_shares
 from sagetrack.policy.interface import (
     Action,
@@ -51,6 +50,10 @@
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.rate_limit import Rate, RateLimiter
+from sagetrack.policy.reservations import Requester, Reservations, RetryTerms
+from sagetrack.policy.retry_budget import RetryBudget
+from sagetrack.policy.tenant_demand import TenantDemand
 from sagetrack.server.admission_settings import shares_in, with_door
 from sagetrack.server.reload import read_again
 from tests.sockets import configuration, on_loop, request, running
@@ -115,7 +118,7 @@
             waiting.remove(served(queues, 1)[0])
         assert queues.work_ahead_us(member, client) <= queues.work_us + 1e-6
     assert set(served(queues, len(waiting))) == waiting and not len(queues)
-    assert queues.waiting_share == pytest.approx(0.0) and all(m.waiting == 0 for m in queues.members)
+    assert queues.backlogged_share == pytest.approx(0.0) and all(t.backlogged == 0 for t in queues.tenants)
 
 
 @given(
@@ -151,16 +154,16 @@
 
 
 def test_one_members_repeats_do_not_use_up_anothers() -> None:
-    budget = RetryBudget(2, part=0.5, burst=4)
-    assert [budget.repeat(0) for _ in range(6)] == [True] * 4 + [False] * 2
-    assert budget.repeat(1)
+    budget = RetryBudget(2, ratio=0.5, burst=4)
+    assert [budget.try_retry(0) for _ in range(6)] == [True] * 4 + [False] * 2
+    assert budget.try_retry(1)
     for _ in range(2):
-        budget.first(0)
-    assert budget.repeat(0) and not budget.repeat(0)
+        budget.record_first_attempt(0)
+    assert budget.try_retry(0) and not budget.try_retry(0)
 
 
 def test_the_limit_falls_with_latency_and_rises_when_it_is_used_in_calm() -> None:
-    limit = ConcurrencyLimit(first=50)
+    limit = ConcurrencyLimit(initial=50)
     for _ in range(2000):
         limit.update(500_000, 50_000, int(limit.limit))
     low = limit.limit
@@ -173,7 +176,7 @@
 
 
 def test_calls_that_hang_at_a_few_servers_leave_the_others_their_places() -> None:
-    limit = ConcurrencyLimit(first=50)
+    limit = ConcurrencyLimit(initial=50)
     limit.minimum = 9.0
     for _ in range(5000):
         limit.update(9_000_000, 50_000, 9)
@@ -195,26 +198,34 @@
 def test_an_address_is_not_taken_for_one_client_that_comes_too_early() -> None:
     door: AdmissionController[str] = AdmissionController(AdmissionSettings(), [1.0])
     for client, key, repeat, early in ((-5, 0, False, False), (5, 0, False, True), (-5, 7, False, True)):
-        told = door.retry_after_us(0, 0, client, key, 400_000.0, 0.0, 8 * SECOND, 8 * SECOND)
-        verdict = door.check_arrival(told // 10, 0, client, key, 0, 1000.0, repeat)
-        assert (verdict is not False) == early, (client, verdict)
+        requester = Requester(0, client, key)
+        told = door.retry_after_us(0, requester, 400_000.0, RetryTerms(0.0, 8 * SECOND, 8 * SECOND))
+        verdict = door.check_arrival(told // 10, requester, 0, 1000.0, repeat)
+        assert (verdict != ADMITTED) == early, (client, verdict)
 
 
 def test_promises_stand_in_line_and_who_comes_early_still_has_to_wait() -> None:
     reservations = Reservations(1, 100)
-    waits = [reservations.reserve(0, n, n, 0, 0.0, 200_000, 0.0, 8 * SECOND, 8 * SECOND) for n in range(1, 4)]
+    terms = RetryTerms(0.0, 8 * SECOND, 8 * SECOND)
+    waits = [reservations.reserve(0, Requester(0, n, n), 0.0, 200_000, terms) for n in range(1, 4)]
     assert [round(w, -5) for w in waits] == [0, 200_000, 400_000]
-    assert reservations.claim(0, 3, 3, 100_000) == pytest.approx(300_000, abs=1000)
-    assert reservations.claim(0, 3, 3, 390_000) == 0 and reservations.claim(0, 3, 3, 390_000) is None
-    assert reservations.claim(0, 9, 9, 390_000) is None
+    assert reservations.claim(Requester(0, 3, 3), 100_000) == pytest.approx(300_000, abs=1000)
+    assert (
+        reservations.claim(Requester(0, 3, 3), 390_000) == 0
+        and reservations.claim(Requester(0, 3, 3), 390_000) is None
+    )
+    assert reservations.claim(Requester(0, 9, 9), 390_000) is None
+    hasty = RetryTerms(0.0, 8 * SECOND, 10)
     line = reservations.booked_until_us[0]
-    assert reservations.reserve(0, 5, 5, 0, 9 * SECOND, 1, 0.0, 8 * SECOND, 8 * SECOND) == 8 * SECOND
-    assert reservations.reserve(0, 5, 5, 0, SECOND, 1, 0.0, 8 * SECOND, 10) >= SECOND  # it will have given up
+    assert reservations.reserve(0, Requester(0, 5, 5), 9 * SECOND, 1, terms) == 8 * SECOND
+    assert reservations.reserve(0, Requester(0, 5, 5), SECOND, 1, hasty) >= SECOND  # it will have given up
     assert reservations.booked_until_us[0] == line and reservations.count == 2  # neither lengthens the line
     for n in range(200):
-        reservations.reserve(0, 5, n, 0, 0.0, 1, 0.0, 8 * SECOND, 8 * SECOND)
-    assert reservations.each[0, 5] == 64  # one client's haste does not lengthen the line without end
-    reservations.claim(0, 77, 0, 60 * SECOND)
+        reservations.reserve(0, Requester(0, 5, n), 0.0, 1, terms)
+    assert (
+        reservations.count_by_client[0, 5] == 64
+    )  # one client's haste does not lengthen the line without end
+    reservations.claim(Requester(0, 77, 0), 60 * SECOND)
     assert reservations.count < 66  # what nobody came for is void
 
 
@@ -394,10 +405,12 @@
 
 def test_marked_repeats_are_bounded_only_while_something_waits() -> None:
     door: AdmissionController[str] = AdmissionController(AdmissionSettings(retry_ratio=0.0), [1.0])
-    assert all(door.check_arrival(0, 0, n, n, 0, 1.0, True) is False for n in range(50))
-    door.enqueue("waits", 0, 0, 1, 1.0, 1.0, 9)
-    verdicts = [door.check_arrival(0, 0, n, n, 0, 1.0, True) for n in range(100, 150)]
-    assert verdicts[-1] == (AdmissionDenial.RETRY_BUDGET, 0) and sum(v is False for v in verdicts) <= 20
+    assert all(door.check_arrival(0, Requester(0, n, n), 0, 1.0, True) == ADMITTED for n in range(50))
+    door.enqueue("waits", Requester(0, 1, 0), 1.0, 1.0, 9)
+    verdicts = [door.check_arrival(0, Requester(0, n, n), 0, 1.0, True) for n in range(100, 150)]
+    assert (
+        verdicts[-1] == Verdict(AdmissionDenial.RETRY_BUDGET) and sum(v == ADMITTED for v in verdicts) <= 20
+    )
 
 
 # The whole
