--- a/sagetrack/policy/migration.py
+++ b/sagetrack/policy/migration.py
@@ -1,37 +1,53 @@
-"""Moving a share of the work from servers of an older format to newer ones, and back by itself. Pure.
+"""Migration of a share of the traffic from one protocol's servers to another's, with automatic fallback.
 
-The operator states a share; listed weights are multiplied so that the draw gives that share to the newer
-servers. Where these fail more than the older ones do, beyond chance, all goes back to the older format, and
-comes again by steps once they have been left alone for a while.
+The operator sets a target share; the servers' listed weights are multiplied so that weighted selection gives
+the new protocol's servers that share. Where these fail more often than the old ones, beyond chance, all
+traffic falls back to the old protocol, and ramps up again in steps after a while.
 """
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
-
-BEYOND = 0.05  # failure share above the older servers' that is too much
-SURE = 2.6  # standard errors of the difference: chance alone passes it once in two hundred looks
-MIN_OUTCOMES = 30  # answers of the newer servers before a verdict
-MEMORY_US = 10_000_000  # outcomes count by 1/e after this
-HOLD_US = 15_000_000  # all stays with the older format for so long; doubles with each return
-LONGEST_US = 300_000_000
-STEPS = (0.1, 0.3, 0.6, 1.0)  # of the stated share, when it comes again
+from typing import NamedTuple
+
+MAX_EXCESS_FAILURE_RATE = 0.05  # above the old servers' failure rate; more causes a fallback
+SIGNIFICANCE = 2.6  # standard errors of the difference: chance alone exceeds it in one check of two hundred
+MIN_OUTCOMES = 30  # of the new servers before they are judged
+DECAY_TIME_US = 10_000_000  # outcomes count by 1/e after this
+FALLBACK_US = 15_000_000  # the first fallback lasts so long, each further one twice as long as the last
+MAX_FALLBACK_US = 300_000_000
+RAMP_STEPS = (0.1, 0.3, 0.6, 1.0)  # of the target share, after a fallback
 RAMP_STEP_US = 5_000_000
-TRICKLE = 1e-6  # a weight that is never drawn while another server may be
+NEGLIGIBLE_WEIGHT = 1e-6  # factor for servers that are selected only when there are no others
+
+
+class WeightFactors(NamedTuple):
+    """What the listed weights of the old and of the new servers are multiplied by."""
+
+    old: float
+    new: float
+
+
+class OverrideFactors(NamedTuple):
+    """By number: factors, old and new, of classes and tenants whose share differs from the target share."""
+
+    classes: dict[int, tuple[float, float]]
+    tenants: dict[int, tuple[float, float]]
 
 
 @dataclass(slots=True)
 class DecayedOutcomes:
-    """Outcomes of one format, fading."""
+    """Outcomes of one protocol's servers, decaying with time."""
 
     good: float = 0.0
     bad: float = 0.0
     at_us: int = 0
 
     def add(self, failed: bool, now_us: int) -> None:
-        faded = math.exp((self.at_us - now_us) / MEMORY_US)
-        self.good, self.bad, self.at_us = self.good * faded, self.bad * faded, now_us
+        """Count an outcome."""
+        decay = math.exp((self.at_us - now_us) / DECAY_TIME_US)
+        self.good, self.bad, self.at_us = self.good * decay, self.bad * decay, now_us
         if failed:
             self.bad += 1.0
         else:
@@ -39,90 +55,92 @@
 
     @property
     def count(self) -> float:
+        """How many outcomes, as they have decayed by the last one."""
         return self.good + self.bad
 
     @property
     def failure_rate(self) -> float:
+        """Fraction of the outcomes that are failures; 0 without any."""
         return self.bad / self.count if self.count else 0.0
 
+    @property
+    def variance(self) -> float:
+        """Squared standard error of the failure rate; 0 without any outcome."""
+        return self.failure_rate * (1 - self.failure_rate) / self.count if self.count else 0.0
+
 
 @dataclass(slots=True)
 class Migration:
-    """The state of one move."""
+    """The state of one migration."""
 
-    target_share: float | None = (
-        None  # of the work that the newer servers shall have; None: as weights are listed
-    )
+    target_share: float | None = None  # of the traffic for the new servers; None: as weights are listed
     class_shares: dict[int, float] = field(default_factory=dict)  # by class: shares that differ from it
-    tenant_shares: dict[int, float] = field(default_factory=dict)  # by member, and these go before
+    tenant_shares: dict[int, float] = field(default_factory=dict)  # by tenant; these override a class's
     old: DecayedOutcomes = field(default_factory=DecayedOutcomes)
     new: DecayedOutcomes = field(default_factory=DecayedOutcomes)
     fallback_until_us: int = 0
-    fallback_us: int = HOLD_US
+    fallback_us: int = FALLBACK_US  # how long the next fallback lasts
     fallbacks: int = 0
 
-    def record(self, newer: bool, failed: bool, now_us: int) -> bool:
-        """Enter an outcome; True if the newer format has to be left for now."""
-        (self.new if newer else self.old).add(failed, now_us)
-        if not newer or not failed or now_us < self.fallback_until_us or self.new.count < MIN_OUTCOMES:
+    def record(self, is_new: bool, failed: bool, now_us: int) -> bool:
+        """Count an outcome of an old or a new server.
+
+        Returns:
+            True if it starts a fallback: the caller applies the weight factors anew.
+        """
+        (self.new if is_new else self.old).add(failed, now_us)
+        if not is_new or not failed or now_us < self.fallback_until_us or self.new.count < MIN_OUTCOMES:
             return False
-        gap = self.new.failure_rate - self.old.failure_rate
-        error = math.sqrt(
-            self.new.failure_rate * (1 - self.new.failure_rate) / self.new.count
-            + (
-                self.old.failure_rate * (1 - self.old.failure_rate) / self.old.count
-                if self.old.count
-                else 0.0
-            )
-        )
-        if gap <= max(BEYOND, SURE * error):
+        excess = self.new.failure_rate - self.old.failure_rate
+        standard_error = math.sqrt(self.new.variance + self.old.variance)
+        if excess <= max(MAX_EXCESS_FAILURE_RATE, SIGNIFICANCE * standard_error):
             return False
         self.fallback_until_us = now_us + self.fallback_us
-        self.fallback_us = min(2 * self.fallback_us, LONGEST_US)
+        self.fallback_us = min(2 * self.fallback_us, MAX_FALLBACK_US)
         self.new = DecayedOutcomes(at_us=now_us)
         self.fallbacks += 1
         return True
 
     def ramp_fraction(self, now_us: int) -> float:
-        """Part of the stated share that holds now: 0 while all is with the older format."""
+        """Fraction of the target share that applies now: 0 during a fallback."""
         if now_us < self.fallback_until_us:
             return 0.0
         if not self.fallbacks:
             return 1.0
-        return STEPS[min(len(STEPS) - 1, (now_us - self.fallback_until_us) // RAMP_STEP_US)]
+        return RAMP_STEPS[min(len(RAMP_STEPS) - 1, (now_us - self.fallback_until_us) // RAMP_STEP_US)]
+
+    def weight_factors(self, now_us: int, old_weight: float, new_weight: float) -> WeightFactors:
+        """The factors on listed weights, given the sums of these over old and over new servers.
+
+        With servers of one protocol alone they are 1: a server that may fail is better than none.
+        """
+        return _weight_factors(self.target_share, self.ramp_fraction(now_us), old_weight, new_weight)
 
-    def weight_factors(self, now_us: int, old_weight: float, new_weight: float) -> tuple[float, float]:
-        """What listed weights of older and newer servers are multiplied by; their sums are given.
+    def override_factors(self, now_us: int, old_weight: float, new_weight: float) -> OverrideFactors:
+        """The further factors of classes and tenants with a share of their own.
 
-        With servers of one format alone nothing is changed: a call is better served by a doubtful format
-        than not at all.
+        They apply to weights that have been multiplied by `weight_factors` already.
         """
-        return self.factors_for(self.target_share, self.ramp_fraction(now_us), old_weight, new_weight)
-
-    def factors_for(
-        self, target_share: float | None, ramp_fraction: float, old_weight: float, new_weight: float
-    ) -> tuple[float, float]:
-        if old_weight <= 0 or new_weight <= 0:
-            return 1.0, 1.0
-        if target_share is None:
-            return 1.0, max(TRICKLE, ramp_fraction)
-        target_share *= ramp_fraction
-        if target_share >= 1.0:
-            return TRICKLE, 1.0
-        return 1.0, max(TRICKLE, target_share / (1.0 - target_share) * old_weight / new_weight)
-
-    def override_factors(
-        self, now_us: int, old_weight: float, new_weight: float
-    ) -> tuple[dict[int, tuple[float, float]], dict[int, tuple[float, float]]]:
-        """By class and by member: factors on weights that `weight_factors` has turned already."""
-        ramp_fraction = self.ramp_fraction(now_us)
-        old, new = self.factors_for(self.target_share, ramp_fraction, old_weight, new_weight)
-
-        def turned(shares: dict[int, float]) -> dict[int, tuple[float, float]]:
+        ramp = self.ramp_fraction(now_us)
+        default = _weight_factors(self.target_share, ramp, old_weight, new_weight)
+
+        def relative(shares: dict[int, float]) -> dict[int, tuple[float, float]]:
             found = {}
-            for number, target_share in shares.items():
-                its_old, its_new = self.factors_for(target_share, ramp_fraction, old_weight, new_weight)
-                found[number] = its_old / old, its_new / new
+            for number, share in shares.items():
+                own = _weight_factors(share, ramp, old_weight, new_weight)
+                found[number] = own.old / default.old, own.new / default.new
             return found
 
-        return turned(self.class_shares), turned(self.tenant_shares)
+        return OverrideFactors(relative(self.class_shares), relative(self.tenant_shares))
+
+
+def _weight_factors(share: float | None, ramp: float, old_weight: float, new_weight: float) -> WeightFactors:
+    """The factors by which the new servers get the ramped fraction of a share."""
+    if old_weight <= 0 or new_weight <= 0:
+        return WeightFactors(1.0, 1.0)
+    if share is None:
+        return WeightFactors(1.0, max(NEGLIGIBLE_WEIGHT, ramp))
+    share *= ramp
+    if share >= 1.0:
+        return WeightFactors(NEGLIGIBLE_WEIGHT, 1.0)
+    return WeightFactors(1.0, max(NEGLIGIBLE_WEIGHT, share / (1.0 - share) * old_weight / new_weight))
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -1,43 +1,44 @@
-"""What gateways have seen of servers, in a form that merges in any order, and how much of it to believe.
-Pure.
+"""Health observations of servers that gateways share: how they merge, and how far to trust them.
 
-A sight is what one gateway itself saw of one life of one server. Of two sights by the same gateway the newer
-one stands; sights by different gateways stand side by side. So merging is a join: commutative, associative,
-idempotent.
+An observation is what one gateway itself measured of one incarnation of one server. Of two by the same
+gateway the newer one stands; those by different gateways stand side by side. So merging is a join of a
+semilattice: commutative, associative and idempotent, as gossip needs it.
+
+The fields of `Observation` and `ClassLatency` are stored by name, in the hand-over file and in the store.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
-
-HALF_LIFE_US = 6_000_000  # word that is so old weighs half
-MAX_OBSERVATION_AGE_US = 60_000_000  # word that is older says nothing
-MAX_EJECTED_FRACTION = 1 / 3  # of the ready servers that hearsay may take out of use
-BELIEVED = 0.3  # trust below which word opens no breaker
+from dataclasses import dataclass, replace
 
-JAM_US = 250_000  # a server that was jammed is left alone for
+HALF_LIFE_US = 6_000_000  # an observation of this age counts half
+MAX_OBSERVATION_AGE_US = 60_000_000  # an older one counts nothing
+MAX_EJECTED_FRACTION = 1 / 3  # of the ready servers that peers' observations may eject
+MIN_CONFIDENCE_TO_EJECT = 0.3  # a peer's observation with less ejects no server
+OVERLOAD_EJECTION_US = 250_000  # how long an overloaded server is ejected
 
-CLOSED, OPEN, HALF_OPEN = 0, 1, 2
+CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # states of a circuit breaker, as they are sent to peers
+NOT_EJECTED = -1
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """Times are readings of the holder's clock, in microseconds."""
+    """What one gateway measured of one server. Times are readings of the holder's clock, in microseconds."""
 
     server: int
-    started_us: int  # of the life that was seen
-    by: int  # whose sight it is, by its number among the gateways
+    started_us: int  # of the server's incarnation
+    by: int  # the gateway, by its number
     seen_us: int
     state: int = CLOSED
     open_until_us: int = 0
     weight: float = 1.0
-    jammed: bool = False
-    spent_us: int = 0  # work sent while cold and not yet paid off
+    jammed: bool = False  # overloaded: an attempt has been in flight for longer than the stall timeout
+    spent_us: int = 0  # used of the slow-start budget
 
     @property
     def rank(self) -> tuple[int, int, int, int, float, bool, int]:
-        """What overrules what of the same server by the same gateway: a total order."""
+        """A total order: the higher one replaces the lower one of the same server by the same gateway."""
         return (
             self.started_us,
             self.seen_us,
@@ -48,6 +49,11 @@
             self.spent_us,
         )
 
+    @property
+    def is_unhealthy(self) -> bool:
+        """Whether the gateway has ejected the server or found it overloaded."""
+        return self.state != CLOSED or self.jammed
+
 
 @dataclass(slots=True, frozen=True)
 class ClassLatency:
@@ -55,70 +61,86 @@
 
     klass: int
     smoothed_us: float
-    unhindered_us: float
+    unhindered_us: float  # the baseline latency, without queueing
 
 
-def merge_observations(*all_: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
-    """Everything that is known from several sources, whatever their order and however often they come."""
-    joined: dict[tuple[int, int], Observation] = {}
-    for sights in all_:
-        for sight in sights:
-            key = sight.server, sight.by
-            known = joined.get(key)
-            if known is None or sight.rank > known.rank:
-                joined[key] = sight
-    return joined
+def merge_observations(*sources: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
+    """Merge observations of several sources, by server and gateway.
+
+    The result does not depend on their order or on how often one occurs.
+    """
+    merged: dict[tuple[int, int], Observation] = {}
+    for observations in sources:
+        for observation in observations:
+            key = observation.server, observation.by
+            known = merged.get(key)
+            if known is None or observation.rank > known.rank:
+                merged[key] = observation
+    return merged
 
 
 @dataclass(slots=True, frozen=True)
 class ServerAdvice:
-    """What hearsay comes to for one server."""
+    """What peers' observations of one server come to."""
 
     server: int
-    confidence: float  # 0 to 1: the newest word's
+    confidence: float  # 0 to 1: that of the newest observation
     weight: float
-    open_us: int  # how long to leave it alone; -1: not at all
+    open_us: int  # how long to eject it; NOT_EJECTED: not at all
 
 
 def confidence(age_us: int) -> float:
-    """How much word of that age weighs: 1 at once, half after the half-life, nothing in the end."""
+    """How much an observation of that age counts: 1 at first, half after the half-life, 0 in the end."""
     if age_us >= MAX_OBSERVATION_AGE_US:
         return 0.0
     return float(0.5 ** (max(0, age_us) / HALF_LIFE_US))
 
 
 def weigh_observations(
-    sights: Iterable[Observation], lives: Mapping[int, int], now_us: int, most: int
+    observations: Iterable[Observation],
+    incarnations: Mapping[int, int],
+    now_us: int,
+    max_ejected: int,
 ) -> list[ServerAdvice]:
-    """Weigh what was heard of the ready servers, whose lives are given as when each started; the worst first.
+    """Combine peers' observations into advice by server, the unhealthiest first.
 
-    No more than `most` of them are to be opened.
+    Ignored are observations of servers that are not ready and of earlier incarnations. A gateway that finds
+    every server unhealthy does little harm: ejections are bounded in number and need a majority of the
+    confidence, and a low weight of all servers alike changes nothing in weighted selection.
 
-    Guards against word of a server that is not ready or not listed, of an earlier life at the same id, and
-    against a peer that calls every server bad: what hearsay takes out of use is bounded, and by the majority
-    of what is believed; a low weight of all of them alike changes nothing in a draw.
+    Args:
+        observations: From any number of gateways, in any order.
+        incarnations: The ready servers: when each was started.
+        now_us: The time.
+        max_ejected: How many servers may be ejected at the most.
     """
-    heard: dict[int, list[tuple[float, Observation]]] = {}
-    for sight in merge_observations(sights).values():
-        if lives.get(sight.server) != sight.started_us:
+    by_server: dict[int, list[tuple[float, Observation]]] = {}
+    for observation in merge_observations(observations).values():
+        if incarnations.get(observation.server) != observation.started_us:
             continue
-        weight = confidence(now_us - sight.seen_us)
+        weight = confidence(now_us - observation.seen_us)
         if weight > 0.0:
-            heard.setdefault(sight.server, []).append((weight, sight))
-    advice = []
-    for server, words in heard.items():
-        total = sum(weight for weight, _ in words)
-        mean = sum(weight * sight.weight for weight, sight in words) / total
-        bad = [(w, s) for w, s in words if s.state != CLOSED or s.jammed]
-        believed = sum(w for w, _ in bad)
-        open_us = -1
-        if believed > total / 2 and believed >= BELIEVED:
-            left_us = max(s.open_until_us - now_us if s.state == OPEN else 0 for _, s in bad)
-            # One that was jammed is left alone for a moment; a cooldown that is over says nothing any more.
-            open_us = left_us if left_us > 0 else JAM_US if any(s.jammed for _, s in bad) else -1
-        advice.append(ServerAdvice(server, min(1.0, max(w for w, _ in words)), mean, open_us))
+            by_server.setdefault(observation.server, []).append((weight, observation))
+    advice = [_advice_for(server, weighted, now_us) for server, weighted in by_server.items()]
     advice.sort(key=lambda a: (-a.open_us, a.weight, a.server))
     return [
-        a if place < most or a.open_us < 0 else ServerAdvice(a.server, a.confidence, a.weight, -1)
+        a if place < max_ejected or a.open_us < 0 else replace(a, open_us=NOT_EJECTED)
         for place, a in enumerate(advice)
     ]
+
+
+def _advice_for(server: int, weighted: list[tuple[float, Observation]], now_us: int) -> ServerAdvice:
+    """Combine the observations of one server, each with its confidence."""
+    total = sum(weight for weight, _ in weighted)
+    mean = sum(weight * observation.weight for weight, observation in weighted) / total
+    unhealthy = [(weight, observation) for weight, observation in weighted if observation.is_unhealthy]
+    believed = sum(weight for weight, _ in unhealthy)
+    open_us = NOT_EJECTED
+    if believed > total / 2 and believed >= MIN_CONFIDENCE_TO_EJECT:
+        # A breaker that was open until before now says nothing any more, an overload does for a moment.
+        left_us = max(o.open_until_us - now_us if o.state == OPEN else 0 for _, o in unhealthy)
+        if left_us > 0:
+            open_us = left_us
+        elif any(o.jammed for _, o in unhealthy):
+            open_us = OVERLOAD_EJECTION_US
+    return ServerAdvice(server, min(1.0, max(weight for weight, _ in weighted)), mean, open_us)
