--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -39,9 +39,9 @@
     RequestArrived,
     RequestCancelled,
     SendAttempt,
+    SendToPeers,
     ServerStatus,
     SetTimer,
-    TellPeers,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
@@ -175,7 +175,7 @@
                     self.answer(action.request, "failed", 0)
                 case Cancel():
                     self.cancel(action.request, action.attempt)
-                case TellPeers():
+                case SendToPeers():
                     self.fleet.pass_on(self.number, action)
                 case _:
                     pass
@@ -524,7 +524,7 @@
             for gateway in self.up:
                 self.tell(gateway, self.world.known(), True)
 
-    def pass_on(self, sender: int, action: TellPeers) -> None:
+    def pass_on(self, sender: int, action: SendToPeers) -> None:
         """A datagram from one gateway to another, or to all of them; it may be late or lost."""
         network = self.world.scenario.network
         for number in self.up if action.peer < 0 else [action.peer]:
--- a/sagetrack/policy/interface.py
+++ b/sagetrack/policy/interface.py
@@ -1,8 +1,8 @@
-"""Settings, events and actions of the balancer: pure data, no decisions.
+"""Settings, events and actions of the load balancer: data without decisions.
 
 Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration. Servers, requests, classes and zones are plain identifiers that are
-compared and never interpreted.
+everything else is a duration. Servers, requests, classes and zones are plain identifiers that are compared
+and never interpreted.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 class Effect(Enum):
     """What running a request a second time would do."""
 
-    SAFE = "safe"  # nothing: repeat at will
-    KEYED = "keyed"  # repeats are dropped by the servers of one scope, for a while
+    SAFE = "safe"  # nothing, it is idempotent: retry at will
+    KEYED = "keyed"  # nothing within one scope and for a while: servers deduplicate by idempotency key
     UNSAFE = "unsafe"  # the effect would happen twice
 
 
 class Scope(Enum):
-    """Which servers drop each other's repeats of a keyed request."""
+    """Which servers deduplicate each other's requests by idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,26 +33,28 @@
 
 
 class ServerStatus(Enum):
+    """The state of an endpoint in service discovery."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """How a ServerList event is to be read."""
+    """How an EndpointList event is to be read."""
 
     DELTA = "delta"  # changed servers only
-    FULL = "full"  # every server; one that is missing has left
-    DISK = "disk"  # every server as last stored by this proxy, possibly stale
-    ERROR = "error"  # a call failed or the subscription dropped; the old list stands
+    FULL = "full"  # every server; one that is missing is gone
+    DISK = "disk"  # every server as last stored by this gateway, possibly stale
+    ERROR = "error"  # a fetch failed or the watch was lost; the old list stands
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "full"  # turned away; never ran, unless the settings say that this is no proof
+    ERROR = "error"  # an error response; may have run
+    REJECTED = "full"  # by the server; never ran, unless `Settings.rejection_may_have_run`
     TIMEOUT = "timeout"  # may have run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # connection lost with the attempt in flight; may have run
@@ -63,135 +65,166 @@
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
-def _check(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
-    """Raise for a field that no decision can be made from: not finite, below its least, or no share."""
-    for name in (*least, *shares):
+def _check(settings: object, minimums: Mapping[str, float], fractions: tuple[str, ...] = ()) -> None:
+    """Check that fields are finite, that none is below its minimum, and that fractions are within 0 to 1.
+
+    Raises:
+        ValueError: A field is not; the message names it.
+    """
+    for name in (*minimums, *fractions):
         value = getattr(settings, name)
         if not math.isfinite(value):
             raise ValueError(f"{name} is not a finite number")
-        if value < least.get(name, 0):
-            raise ValueError(f"{name} is below {least.get(name, 0)}")
-        if name in shares and value > 1:
+        if value < minimums.get(name, 0):
+            raise ValueError(f"{name} is below {minimums.get(name, 0)}")
+        if name in fractions and value > 1:
             raise ValueError(f"{name} is above 1")
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    latency_objective_us: int  # answered within this: full worth
-    request_timeout_us: int  # the client's patience over all its tries
+    """What the requests of one class are worth, how long they may take and whether they may be retried.
+
+    Raises:
+        ValueError: A value is out of its range.
+    """
+
+    latency_objective_us: int  # a response within this has the full priority weight
+    request_timeout_us: int  # the client's timeout over all its attempts
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # fraction of the worth left after the aim
+    late_priority_weight: float = 0.0  # fraction of the priority weight left after the latency objective
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL  # for KEYED
-    window_us: int = 0  # for KEYED: how long repeats are dropped, from the first attempt's sending
-    in_order: bool = False  # requests with one key run one at a time, in the order taken
-    latency_objective_stretch: float = (
-        0.0  # the aim grows by this many times the request's own work, up to the deadline
-    )
+    window_us: int = 0  # for KEYED: how long servers deduplicate, from when the first attempt is sent
+    in_order: bool = False  # requests with one key run one at a time, in the order of their arrival
+    # The latency objective grows by this many times the request's own work, up to the timeout.
+    latency_objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        least = {
+        minimums = {
             "latency_objective_us": 1,
             "request_timeout_us": 1,
             "priority_weight": 0,
             "window_us": 0,
             "latency_objective_stretch": 0,
         }
-        _check(self, least, shares=("late_priority_weight",))
+        _check(self, minimums, fractions=("late_priority_weight",))
 
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """How the operator weighs the parts of good service."""
+    """How the operator weighs the measures of good service against each other.
+
+    Each is the fraction of the priority weight that is served in time.
 
-    whole: float = 1.0
-    worst_window: float = 0.0
+    Raises:
+        ValueError: A weight is below 0 or not finite.
+    """
+
+    overall: float = 1.0
+    worst_window: float = 0.0  # the worst period of the day
     worst_class: float = 0.0
-    worst_tenant: float = 0.0  # inside its share
+    worst_tenant: float = 0.0  # of its requests within its quota
 
     def __post_init__(self) -> None:
-        _check(self, least=dict.fromkeys(("whole", "worst_window", "worst_class", "worst_tenant"), 0))
+        _check(self, minimums=dict.fromkeys(("overall", "worst_window", "worst_class", "worst_tenant"), 0))
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    share: float = 0.0  # of the service
-    allowance_per_s: float = math.inf  # requests within its share, over all proxies
+    """The quota of one tenant.
+
+    Raises:
+        ValueError: The share is not within 0 to 1, or the allowance is below 0.
+    """
+
+    share: float = 0.0  # of the service; 0: none is guaranteed
+    allowance_per_s: float = math.inf  # requests a second that are within its quota, over all gateways
 
     def __post_init__(self) -> None:
-        _check(self, least={}, shares=("share",))
+        _check(self, minimums={}, fractions=("share",))
         if not self.allowance_per_s >= 0:
             raise ValueError("allowance_per_s is below 0")
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Points of the result that each costs."""
+    """What each of these costs, in points of the operator's score; all 0 or more.
+
+    Raises:
+        ValueError: A price is below 0 or not finite.
+    """
 
     cross_zone: float = 0.0  # an attempt to another zone
     handshake: float = 0.0  # a new connection
-    waste: float = 0.0  # server work that served no answer
-    late_fail: float = 0.0  # worth left unserved after its aim
-    connection: float = 0.0  # a hundred open connections a server
+    waste: float = 0.0  # server work without a response that was used
+    late_fail: float = 0.0  # priority weight left unserved after its latency objective
+    connection: float = 0.0  # a hundred open connections to one server
     probe: float = 0.0
     peer: float = 0.0  # a message of 256 bytes to one peer
-    list_lines: float = 0.0  # a hundred lines of the server list
+    endpoint_list: float = 0.0  # a hundred entries of endpoint lists
 
     def __post_init__(self) -> None:
-        _check(self, least=dict.fromkeys(self.__dataclass_fields__, 0))
+        _check(self, minimums=dict.fromkeys(self.__dataclass_fields__, 0))
 
 
 class Reports(Enum):
-    """How servers tell their load."""
+    """How servers report their load."""
 
-    ANSWERS = "answers"  # in each answer
-    PROBES = "probes"  # in the answers to probes alone
+    ANSWERS = "answers"  # with each response
+    PROBES = "probes"  # in responses to probes only
     NONE = "none"
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """All settings of one gateway's load balancer.
+
+    Raises:
+        ValueError: There are no classes, or a value is out of its range.
+    """
+
     classes: tuple[RequestClass, ...]
     goal: Goal = field(default_factory=Goal)
-    priority_per_work: bool = False  # worth counts for each unit of work, not for each request
-    proxies: int = 1  # how many share the servers
-    proxy: int = 0  # this proxy's own number among them
-    zone: int = 0  # where this proxy sits
+    priority_per_work: bool = False  # priority weight counts for each unit of work, not for each request
+    proxies: int = 1  # how many gateways share the servers
+    proxy: int = 0  # this gateway's own number among them
+    zone: int = 0  # of this gateway
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority: float = 1.0  # worth of a request beyond its tenant's share, as a fraction
-    clients_mark_retries: bool = False  # clients say of a repeat that it is one
-    grpc_kinds: frozenset[int] = frozenset()  # of servers: those that speak the newer format
-    max_attempts: int = 3
-    may_cancel: bool = True
-    hedging: bool = False  # two attempts of one request may be out together
+    over_quota_priority: float = 1.0  # fraction of the priority weight of a request beyond its tenant's quota
+    clients_mark_retries: bool = False
+    grpc_kinds: frozenset[int] = frozenset()  # kinds of servers that speak gRPC
+    max_attempts: int = 3  # of one request
+    may_cancel: bool = True  # whether attempts can be cancelled
+    hedging: bool = False  # whether two attempts of one request may be in flight together
     may_probe: bool = False
-    may_tell_peers: bool = False
+    may_message_peers: bool = False
     reports: Reports = Reports.NONE
-    attempts_per_connection: int = 1
+    attempts_per_connection: int = 1  # at the same time
     keepalive_us: int = 60_000_000  # idle connections are closed after this
     connect_timeout_us: int = 1_000_000
-    answer_slack_us: int = 0  # a final answer may be this late
-    stop_sending_within_us: int = 0  # after word that a server drains or is gone
-    cpu_us_per_s: int = 0  # for this proxy's decisions; 0: no limit known
-    warm_keys: bool = False  # a server that met a key lately serves it for less work
-    endpoints_are_pushed: bool = True  # False: changes come only after WatchList
-    max_poll_interval_us: int = 10_000_000  # longest silence towards the list service without a subscription
+    answer_slack_us: int = 0  # a final response may be this late
+    stop_sending_within_us: int = 0  # after an endpoint list says that a server is draining or gone
+    cpu_us_per_s: int = 0  # for this gateway's decisions; 0: no limit known
+    warm_keys: bool = False  # a server that has served a key lately serves it for less work
+    endpoints_are_pushed: bool = True  # False: changes come only after WatchEndpoints
+    max_poll_interval_us: int = 10_000_000  # between two requests to service discovery without a watch
     max_retry_after_us: int = 1_000_000
-    start_capacity: float = 1.0  # a server that starts can do at least this share of its work
-    warm_after_us: int = 0  # and all of it after this
-    overload_multiple: float = 1.0  # sent more than this times its present capacity
-    overload_window_us: int = 1_000_000  # for this long, a cold server falls over
-    rejection_may_have_run: bool = False  # FULL may also be said of work that had begun
-    lossy: bool = False  # an attempt may be lost on its way by itself, as a datagram is
-    max_concurrency: float = (
-        0.0  # attempts that one server holds at the most, by all; 0: the module's own bound
-    )
+    start_capacity: float = 1.0  # fraction of its full capacity that a starting server has at the least
+    warm_after_us: int = 0  # a starting server has its full capacity after this
+    # A warming server that is sent more than this times its present capacity, for this long, is overloaded.
+    overload_multiple: float = 1.0
+    overload_window_us: int = 1_000_000
+    rejection_may_have_run: bool = False  # Outcome.REJECTED does not prove that the attempt never ran
+    lossy: bool = False  # an attempt may be lost in transit without any sign, as a datagram is
+    # Attempts in flight at one server, of all gateways together; 0: the load balancer's own bound.
+    max_concurrency: float = 0.0
     admission: AdmissionSettings | None = None  # fair queues and limits; None: off
     key_cooldown_us: int = 0  # in order: how long a key rests after an attempt that may still be running
 
     def __post_init__(self) -> None:
-        """Reject settings that no decision can be made from."""
+        """Check what no decision could be made from."""
         if not self.classes:
             raise ValueError("classes is empty")
         durations = (
@@ -204,7 +237,7 @@
             "answer_slack_us",
             "stop_sending_within_us",
         )
-        least: dict[str, float] = dict.fromkeys((*durations, "proxy", "cpu_us_per_s"), 0)
+        minimums: dict[str, float] = dict.fromkeys((*durations, "proxy", "cpu_us_per_s"), 0)
         counts = (
             "proxies",
             "max_attempts",
@@ -212,7 +245,7 @@
             "attempts_per_connection",
             "overload_multiple",
         )
-        _check(self, least | dict.fromkeys(counts, 1), shares=("start_capacity", "over_quota_priority"))
+        _check(self, minimums | dict.fromkeys(counts, 1), fractions=("start_capacity", "over_quota_priority"))
         if self.proxy >= self.proxies:
             raise ValueError("proxy is not below proxies")
 
@@ -222,73 +255,89 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
+    """One server, as service discovery lists it."""
+
     server: int
     status: ServerStatus = ServerStatus.READY
-    weight: float = 1.0
+    weight: float = 1.0  # a factor in weighted selection
     zone: int = 0
     group: int = 0
     kind: int = 0
-    started_us: int = 0  # clock reading; 0: long ago
+    started_us: int = 0  # when this incarnation started, by the caller's clock; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
+    """Service discovery has sent a list or a change of it, or could not be reached.
+
+    Sent by the discovery client; also once at the start, with the list as it was stored.
+    """
+
     kind: ListKind
     servers: tuple[ListedServer, ...] = ()
-    wall_us: int = 0  # the clock that stamps are read by, as it is now; 0: the proxy's own
-    unheard_us: int | None = None  # how long before it there was no word of the list; None: not known
+    wall_us: int = 0  # the present time on the clock of `ListedServer.started_us`; 0: as the event's time
+    unheard_us: int | None = None  # how long before it the list was not known to be current; None: not known
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
+    """A client has sent a request. Sent by the listener of its protocol.
+
+    Unless the client cancels it, it ends with one final action, Reject or Fail, or with an AttemptEnded
+    that is OK or `finished`.
+    """
+
     request: str
-    klass: int
-    client_timeout_us: int  # until the client abandons this try
-    key: int | None = None
+    klass: int  # its place in the settings
+    client_timeout_us: int  # until the client abandons this attempt of its own
+    key: int | None = None  # affinity key; for classes in order, the key of that order
     work_us: int | None = None  # expected work on a standard core
-    is_retry: bool = False
+    is_retry: bool = False  # the client marks it as a retry
     tenant: int = 0  # its place in the settings
-    uploading: bool = False  # its body still comes, and can go to one server only: see AttemptWritten
-    client: int = 0  # who asks within the tenant; 0 where nobody knows, below it what several may share
-    mirror_target: int = (
-        -1
-    )  # a copy, to compare answers: 1 for servers of the newer format alone, 0 for the others
-    waited_us: int = 0  # of its time that was over when it was taken, as it came behind others
+    uploading: bool = False  # its body is still being received, for one server only: see AttemptSent
+    client: int = 0  # within the tenant; 0: not known; below 0: an address that several clients may share
+    mirror_target: int = -1  # a mirrored request: 1 for gRPC servers only, 0 for all others; -1: not mirrored
+    waited_us: int = 0  # how much of its timeout was over already, as it waited behind others
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a server says of its load, late and noisy; None where it does not say."""
+    """What a server reports of its load, late and noisy; None where it does not report it.
 
-    inflight: float | None = None  # requests it holds
-    queue: float | None = None  # requests waiting
-    util: float | None = None  # how busy its cores are
+    The field names are keys of the report on the wire.
+    """
+
+    inflight: float | None = None  # requests in flight
+    queue: float | None = None  # requests queued
+    util: float | None = None  # utilization of its cores
     latency_ms: float | None = None
-    qps: float | None = None
-    eps: float | None = None
+    qps: float | None = None  # requests a second
+    eps: float | None = None  # errors a second
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
+    """An attempt has ended, in whatever way. Sent by the upstream, exactly once for each SendAttempt."""
+
     request: str
-    attempt: int
+    attempt: int  # its number within the request, from 0
     server: int
     outcome: Outcome
-    latency_us: int
-    finished: bool = False  # the request has had its final answer
+    latency_us: int  # since SendAttempt
+    finished: bool = False  # the request has had its final response
     load: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RequestCancelled:
-    """The client left; nothing is owed any more."""
+    """The client has cancelled its request or disconnected: no response is due. Sent by the listener."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The answer has begun: the client owns the attempt and no deadline holds."""
+    """A streamed response has begun: from now on no deadline applies to the attempt. Sent by the upstream."""
 
     request: str
     attempt: int
@@ -296,7 +345,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptSent:
-    """The last byte of a request that was `uploading` is with its server: its time runs from now on."""
+    """A request that was `uploading` has been sent completely: its latency counts from now on."""
 
     request: str
     attempt: int
@@ -304,12 +353,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
+    """The timer of a SetTimer is due."""
+
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """The result of a Probe."""
+    """The result of a Probe, sent by the upstream."""
 
     server: int
     outcome: Outcome
@@ -319,27 +370,29 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    sender: int  # its number among the proxies
+    """A message that another gateway sent by SendToPeers."""
+
+    sender: int  # its number among the gateways
     payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessCountChanged:
-    """So many processes are this proxy for a while, as at an upgrade: what it may do, they may together."""
+    """How many processes are this gateway now: two during a hot restart. They share its quotas."""
 
     processes: int
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This proxy ends soon: whoever waits, or comes until then, has an answer by that time."""
+    """Graceful shutdown has started: requests, also those yet to come, are answered by its end."""
 
-    at_us: int
+    at_us: int  # when the shutdown ends, by the caller's clock
 
 
 @dataclass(slots=True, frozen=True)
 class ObservationsReceived:
-    """What other proxies, or this one before it was restarted, have seen."""
+    """Health observations of other gateways, or of this one before it was restarted."""
 
     observations: tuple[Observation, ...]
     latencies: tuple[ClassLatency, ...] = ()
@@ -347,16 +400,16 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSizeChanged:
-    """So many proxies, this one among them, are not known to be dead."""
+    """How many gateways, this one included, are not known to be dead. Sent by the membership protocol."""
 
     alive: int
 
 
 @dataclass(slots=True, frozen=True)
 class TrafficShift:
-    """Members and classes whose share of the newer format is their own; a member's goes before a class's.
+    """Classes and tenants with a share of gRPC traffic of their own; a tenant's overrides a class's.
 
-    By number: what the weights of older servers and of newer ones are multiplied by in their draws.
+    By number: factors on the weights of servers of the old protocol and of gRPC servers, for their requests.
     """
 
     classes: Mapping[int, tuple[float, float]]
@@ -365,14 +418,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSharesChanged:
-    """The tenants' shares are these from now on, in the order of the settings."""
+    """The operator has changed the tenants' shares; in the order of the settings."""
 
     shares: tuple[float, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class PeerDemands:
-    """Work that another proxy was asked for of late, by tenant, in microseconds for a second."""
+    """Demand at another gateway by tenant, in microseconds of work a second. Sent by demand gossip."""
 
     proxy: int
     demands: tuple[float, ...]
@@ -403,84 +456,96 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
+    """Send an attempt of a request; the attempts of one request are numbered from 0 in the order sent."""
+
     request: str
     server: int
-    timeout_us: int
-    begin_by_us: int = field(default=0, repr=False)  # from then on nothing of it may be sent; 0: whenever
+    timeout_us: int  # after which it ends with Outcome.TIMEOUT
+    begin_by_us: int = field(default=0, repr=False)  # from this time on it may not be sent; 0: no limit
 
 
 class RejectReason(Enum):
-    """Why a request is refused."""
+    """Why a request is rejected. The values are exported."""
 
-    SHED = "shed"  # servers wait too long, and it gains the least
-    NO_CAPACITY = "no_room"  # no server could take it, or none in time
-    QUEUE = "turn"  # what is to run before it takes too long, or the queues turn it away
+    SHED = "shed"  # load is shed, and its priority is the lowest
+    NO_CAPACITY = "no_room"  # no server has capacity for it, or none in time
+    QUEUE = "turn"  # admission control rejects it, or the requests before it in its order take too long
     ATTEMPTS_FAILED = "unserved"  # its attempts have failed, and no other may be made
     OTHER = "other"
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless."""
+    """Final response: the request had no effect, and a retry is harmless."""
 
     request: str
-    retry_after_us: int = 0
+    retry_after_us: int = 0  # Retry-After; 0: none is given
     reason: RejectReason = field(default=RejectReason.OTHER, compare=False, repr=False)
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: no success and no promise about the effect."""
+    """Final response: the request failed, and may have had its effect or not."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
+    """Cancel an attempt in flight; its AttemptEnded still comes."""
+
     request: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    due_us: int
+    """Send a TimerFired with this token when the time has come."""
+
+    due_us: int  # by the caller's clock
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Subscribe to changes of the server list, or no longer."""
+    """Watch the endpoint list for changes, or stop watching it."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Ask for the whole server list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
+    """Ask a server for its load report; the result comes as Probed."""
+
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close the idle connections that this proxy holds to a server."""
+    """Close the idle connections of this gateway to a server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeers:
+class SendToPeers:
+    """Send a message to other gateways, unreliably."""
+
     payload: bytes  # 256 bytes at most
     peer: int = -1  # -1: all
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a line to the log."""
+
     line: str
-    server: int | None = None  # what it is about
+    server: int | None = None  # the server that it is about
 
 
 Action = (
@@ -493,6 +558,6 @@
     | FetchEndpoints
     | Probe
     | CloseIdle
-    | TellPeers
+    | SendToPeers
     | Log
 )
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -515,7 +515,7 @@
         worst = min(fractions)
         worths = []
         for index, klass in enumerate(classes):
-            gain = (goal.whole + goal.worst_window) * klass.priority_weight / mean
+            gain = (goal.overall + goal.worst_window) * klass.priority_weight / mean
             if fractions[index] == worst and self.asked[index]:
                 gain += goal.worst_class * total / self.asked[index]
             worths.append(gain / (1.0 if self.settings.priority_per_work else self.unhindered[index]))
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -28,7 +28,7 @@
     "connection": "connection",
     "probe": "probe",
     "peer": "peer",
-    "list_lines": "membershipMode",
+    "endpoint_list": "membershipMode",
 }
 REPORT_FIELDS = frozenset(LoadReport.__dataclass_fields__)
 
@@ -57,7 +57,7 @@
     return Settings(
         classes=tuple(_request_class(lane) for lane in raw.get("lanes", [])),
         goal=Goal(
-            whole=float(goal.get("whole", 1.0)),
+            overall=float(goal.get("whole", 1.0)),
             worst_window=float(goal.get("worstWindow", 0.0)),
             worst_class=float(goal.get("worstClass", 0.0)),
             worst_tenant=float(goal.get("worstTenant", 0.0)),
@@ -77,7 +77,7 @@
         may_cancel=bool(caps.get("mayCancel", False)),
         hedging=bool(caps.get("secondCopies", False)),
         may_probe=bool(caps.get("probes", False)),
-        may_tell_peers=bool(caps.get("peers", False)),
+        may_message_peers=bool(caps.get("peers", False)),
         reports=REPORTS.get(str(raw.get("report", {}).get("how")), Reports.NONE),
         attempts_per_connection=int(caps.get("multiplex", 1)),
         keepalive_us=int(caps.get("keepaliveUs", 60_000_000)),
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -40,7 +40,7 @@
             raise ConfigError("peers.use = on needs peers.listen and peers.addresses")
         if me >= len(peers):
             raise ConfigError(f"peers.me = {me} is not below the number of peers.addresses, {len(peers)}")
-    elif not config.settings.may_tell_peers or len(peers) != config.settings.proxies:
+    elif not config.settings.may_message_peers or len(peers) != config.settings.proxies:
         return None
     if listen is None or len(peers) < 2:
         return None
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -32,10 +32,10 @@
     RequestArrived,
     RequestCancelled,
     SendAttempt,
+    SendToPeers,
     ServerStatus,
     SetTimer,
     StreamStarted,
-    TellPeers,
     TimerFired,
     WatchEndpoints,
 )
@@ -171,7 +171,7 @@
             return f"ask_load host={action.server}"
         case CloseIdle():
             return f"hang_up host={action.server}"
-        case TellPeers():
+        case SendToPeers():
             payload = base64.b64encode(action.payload).decode() or "-"
             return f"broadcast_to dest={action.peer} bytes={payload}"
         case Log():
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -32,10 +32,10 @@
     RequestCancelled,
     Scope,
     SendAttempt,
+    SendToPeers,
     ServerStatus,
     SetTimer,
     StreamStarted,
-    TellPeers,
     Tenant,
     TimerFired,
     WatchEndpoints,
@@ -126,7 +126,7 @@
     assert format_action(FetchEndpoints()) == "snapshot"
     assert format_action(Probe(7)) == "ask_load host=7"
     assert format_action(CloseIdle(7)) == "hang_up host=7"
-    assert format_action(TellPeers(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
+    assert format_action(SendToPeers(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
     assert format_action(Log("two words")) == "journal_line line=two words"
 
 
@@ -211,8 +211,8 @@
     assert (settings.answer_slack_us, settings.stop_sending_within_us) == (5, 6)
     assert settings.tenants == (Tenant(0.4, 12.5), Tenant())
     assert (settings.over_quota_priority, settings.goal.worst_tenant) == (0.2, 0.3)
-    assert settings.prices == Prices(cross_zone=1, handshake=2, waste=3, late_fail=4, list_lines=5)
-    assert settings.may_probe and settings.may_tell_peers and settings.reports is Reports.PROBES
+    assert settings.prices == Prices(cross_zone=1, handshake=2, waste=3, late_fail=4, endpoint_list=5)
+    assert settings.may_probe and settings.may_message_peers and settings.reports is Reports.PROBES
     limits = (settings.attempts_per_connection, settings.keepalive_us, settings.connect_timeout_us)
     assert limits == (3, 8, 7)
 
