--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -1,4 +1,7 @@
-"""Settings and load reports from the texts that the platform uses for them. Parsing only; pure."""
+"""Settings and load reports from the platform's texts.
+
+The platform's key names are translated to the names of `Settings` here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.GROUP}
 REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
-PRICES = {
+PRICE_KEYS = {
     "cross_zone": "crossZone",
     "handshake": "handshake",
     "waste": "waste",
@@ -31,14 +34,19 @@
     "endpoint_list": "membershipMode",
 }
 REPORT_FIELDS = frozenset(LoadReport.__dataclass_fields__)
+NO_REPORT = "-"
 
 
 class WireError(ValueError):
-    """A line that cannot be read; the message says why."""
+    """A text that cannot be parsed; the message says why."""
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults."""
+    """Parse the platform's settings object; unknown keys are ignored, missing optional ones have defaults.
+
+    Raises:
+        WireError: The text is not a JSON object, or a value in it cannot be used.
+    """
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
@@ -52,52 +60,73 @@
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    caps, contract, goal = raw.get("caps", {}), raw.get("contract", {}), raw.get("objectiveMix", {})
-    prices = raw.get("prices", {})
     return Settings(
         classes=tuple(_request_class(lane) for lane in raw.get("lanes", [])),
-        goal=Goal(
-            overall=float(goal.get("whole", 1.0)),
-            worst_window=float(goal.get("worstWindow", 0.0)),
-            worst_class=float(goal.get("worstClass", 0.0)),
-            worst_tenant=float(goal.get("worstTenant", 0.0)),
-        ),
+        goal=_goal(raw.get("objectiveMix", {})),
         priority_per_work=raw.get("worthBy") == "work",
         proxies=int(raw.get("balancers", 1)),
         proxy=int(raw.get("index", 0)),
         zone=int(raw.get("zone", 0)),
-        prices=Prices(**{name: float(prices.get(key, 0.0)) for name, key in PRICES.items()}),
-        tenants=tuple(
-            Tenant(float(t.get("fraction", 0.0)), float(t.get("allowancePerS", "inf")))
-            for t in raw.get("tenants", [])
-        ),
+        prices=_prices(raw.get("prices", {})),
+        tenants=tuple(_tenant(tenant) for tenant in raw.get("tenants", [])),
         over_quota_priority=float(raw.get("overShareWorth", 1.0)),
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
-        max_attempts=int(caps.get("maxAttempts", 3)),
-        may_cancel=bool(caps.get("mayCancel", False)),
-        hedging=bool(caps.get("secondCopies", False)),
-        may_probe=bool(caps.get("probes", False)),
-        may_message_peers=bool(caps.get("peers", False)),
         reports=REPORTS.get(str(raw.get("report", {}).get("how")), Reports.NONE),
-        attempts_per_connection=int(caps.get("multiplex", 1)),
-        keepalive_us=int(caps.get("keepaliveUs", 60_000_000)),
-        connect_timeout_us=int(caps.get("connectTimeoutUs", 1_000_000)),
-        answer_slack_us=int(contract.get("answerSlackUs", 0)),
-        stop_sending_within_us=int(contract.get("stopSendingWithinUs", 0)),
-        cpu_us_per_s=int(caps.get("cpuUsPerS", 0)),
         warm_keys=bool(raw.get("familyInfo", {}).get("warmKeys", False)),
         endpoints_are_pushed=raw.get("membershipMode", "pushed") == "pushed",
-        max_poll_interval_us=int(contract.get("mustAskInUs", 10_000_000)),
-        max_retry_after_us=int(caps.get("maxRetryAfterUs", 1_000_000)) if caps.get("retryAfter") else 0,
-        start_capacity=float(contract.get("startCapacity", 1.0)),
-        warm_after_us=int(contract.get("warmAfterUs", 0)),
-        overload_multiple=float(contract.get("tipMultiple", 1.0)),
-        overload_window_us=int(contract.get("fallUs", 1_000_000)),
-        rejection_may_have_run=bool(contract.get("fullUnproven", False)),
-        key_cooldown_us=int(contract.get("keyQuietUs", 0)),
+        **_capabilities(raw.get("caps", {})),
+        **_contract(raw.get("contract", {})),
     )
 
 
+def _capabilities(caps: dict[str, Any]) -> dict[str, Any]:
+    """What the platform lets a gateway do."""
+    return {
+        "max_attempts": int(caps.get("maxAttempts", 3)),
+        "may_cancel": bool(caps.get("mayCancel", False)),
+        "hedging": bool(caps.get("secondCopies", False)),
+        "may_probe": bool(caps.get("probes", False)),
+        "may_message_peers": bool(caps.get("peers", False)),
+        "attempts_per_connection": int(caps.get("multiplex", 1)),
+        "keepalive_us": int(caps.get("keepaliveUs", 60_000_000)),
+        "connect_timeout_us": int(caps.get("connectTimeoutUs", 1_000_000)),
+        "cpu_us_per_s": int(caps.get("cpuUsPerS", 0)),
+        "max_retry_after_us": int(caps.get("maxRetryAfterUs", 1_000_000)) if caps.get("retryAfter") else 0,
+    }
+
+
+def _contract(contract: dict[str, Any]) -> dict[str, Any]:
+    """What the platform expects of a gateway and promises of the servers."""
+    return {
+        "answer_slack_us": int(contract.get("answerSlackUs", 0)),
+        "stop_sending_within_us": int(contract.get("stopSendingWithinUs", 0)),
+        "max_poll_interval_us": int(contract.get("mustAskInUs", 10_000_000)),
+        "start_capacity": float(contract.get("startCapacity", 1.0)),
+        "warm_after_us": int(contract.get("warmAfterUs", 0)),
+        "overload_multiple": float(contract.get("tipMultiple", 1.0)),
+        "overload_window_us": int(contract.get("fallUs", 1_000_000)),
+        "rejection_may_have_run": bool(contract.get("fullUnproven", False)),
+        "key_cooldown_us": int(contract.get("keyQuietUs", 0)),
+    }
+
+
+def _goal(mix: dict[str, Any]) -> Goal:
+    return Goal(
+        overall=float(mix.get("whole", 1.0)),
+        worst_window=float(mix.get("worstWindow", 0.0)),
+        worst_class=float(mix.get("worstClass", 0.0)),
+        worst_tenant=float(mix.get("worstTenant", 0.0)),
+    )
+
+
+def _prices(prices: dict[str, Any]) -> Prices:
+    return Prices(**{name: float(prices.get(key, 0.0)) for name, key in PRICE_KEYS.items()})
+
+
+def _tenant(tenant: dict[str, Any]) -> Tenant:
+    return Tenant(float(tenant.get("fraction", 0.0)), float(tenant.get("allowancePerS", "inf")))
+
+
 def _request_class(lane: dict[str, Any]) -> RequestClass:
     if "giveUpUs" not in lane:
         raise ValueError("a class has no giveUpUs")
@@ -121,8 +150,15 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """The values of a load report that have a meaning here; others are ignored."""
-    if not text or text == "-":
+    """Parse a load report, such as `inflight:3,util:0.5`; keys that are not known here are ignored.
+
+    Returns:
+        None if there is no report.
+
+    Raises:
+        ValueError: The value of a known key is not a number.
+    """
+    if not text or text == NO_REPORT:
         return None
     pairs = (part.partition(":") for part in text.split(","))
     return LoadReport(**{name: float(value) for name, _, value in pairs if name in REPORT_FIELDS})
--- a/sagetrack/simulator/__init__.py
+++ b/sagetrack/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The load balancer on the simulator's text protocol."""
--- a/sagetrack/simulator/host.py
+++ b/sagetrack/simulator/host.py
@@ -1,13 +1,14 @@
-"""Runs balancers on the bench's wire: batches from standard input, one reply each to standard output.
+"""Runs load balancers under the simulator: batches of lines on standard input, a reply each on the output.
 
-Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
-read is named on standard error and skipped.
+Every instance has a load balancer of its own; nothing is shared between them and nothing is decided here. A
+line that cannot be parsed is reported on standard error and skipped.
 """
 
 from __future__ import annotations
 
 import gc
 import sys
+from collections.abc import Callable
 from typing import TextIO
 
 from sagetrack.policy.interface import EndpointList, Event, ListedServer, ListKind
@@ -22,65 +23,87 @@
     split_line,
 )
 
+BATCH_END, REPLY_END = "go", "next\n"
+MAX_REPORTED_LINE = 200  # characters of a bad line that are reported
+
+
+class SimulatorHost:
+    """Dispatches the simulator's lines to the load balancers of its instances."""
 
-class Host:
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
-        self.balancers: dict[str, LoadBalancer] = {}
+        self.balancers: dict[str, LoadBalancer] = {}  # by instance
         self.tables: dict[str, tuple[ListedServer, ...]] = {}
-        self.instance = ""
-        self.spoken_for = ""
+        self.instance = ""  # that the next lines are for
+        self.replying_instance = ""  # that the last lines of the reply are of
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
+        self.commands: dict[str, Callable[[Fields], None]] = {
+            "begin_batch": self._begin_batch,
+            "instance": self._select_instance,
+            "inventory": self._read_inventory,
+            "registry": self._deliver_list,
+            "launch": self._launch,
+            "destroy": self._destroy,
+        }
 
     def run(self) -> None:
+        """Process lines until the source ends."""
         for line in self.source:
             self.line_number += 1
             line = line.rstrip("\r\n")
             try:
-                self.read_line(line)
+                self._process(line)
             except KeyError as error:
-                self.complain(line, f"field or value {error} is missing or unknown")
+                self._report(line, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(line, str(error))
+                self._report(line, str(error))
 
-    def complain(self, line: str, why: str) -> None:
-        print(f"sagetrack: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
+    def _report(self, line: str, reason: str) -> None:
+        text = f"sagetrack: line {self.line_number}: {reason}: {line[:MAX_REPORTED_LINE]}"
+        print(text, file=self.errors, flush=True)
 
-    def read_line(self, line: str) -> None:
-        if line == "go":
-            self.finish_batch()
+    def _process(self, line: str) -> None:
+        if line == BATCH_END:
+            self._finish_batch()
             return
         if not line:
             return
         name, fields = split_line(line)
         parser = PARSERS.get(name)
         if parser is not None:
-            self.deliver(parser(fields))
-        elif name == "begin_batch":
-            self.reply, self.instance, self.spoken_for = [], "", ""
-            self.now_us = int(fields["simTimeUs"])
-        elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
-            self.instance = fields["i"]
-        elif name == "inventory":
-            self.read_inventory(fields)
-        elif name == "registry":
-            kind = LIST_KINDS[fields["how"]]
-            servers = () if kind is ListKind.ERROR else self.tables[fields["table"]]
-            self.deliver(EndpointList(kind, servers))
-        elif name == "launch":
-            self.balancers.pop(self.instance, None)
-            if not self.instance:
-                raise WireError("launch outside any instance")
-            settings = parse_settings(fields["bootInfo"])
-            self.balancers[self.instance] = LoadBalancer(settings, int(fields["prng"]))
-        elif name == "destroy" and self.balancers.pop(self.instance, None) is None:
+            self._deliver(parser(fields))
+            return
+        command = self.commands.get(name)
+        if command is not None:  # messages of later versions of the protocol are ignored
+            command(fields)
+
+    def _begin_batch(self, fields: Fields) -> None:
+        self.reply, self.instance, self.replying_instance = [], "", ""
+        self.now_us = int(fields["simTimeUs"])
+
+    def _select_instance(self, fields: Fields) -> None:
+        self.instance = ""  # a malformed line must not leave events to the previous instance
+        self.instance = fields["i"]
+
+    def _deliver_list(self, fields: Fields) -> None:
+        kind = LIST_KINDS[fields["how"]]
+        servers = () if kind is ListKind.ERROR else self.tables[fields["table"]]
+        self._deliver(EndpointList(kind, servers))
+
+    def _launch(self, fields: Fields) -> None:
+        self.balancers.pop(self.instance, None)
+        if not self.instance:
+            raise WireError("launch outside any instance")
+        settings = parse_settings(fields["bootInfo"])
+        self.balancers[self.instance] = LoadBalancer(settings, int(fields["prng"]))
+
+    def _destroy(self, fields: Fields) -> None:
+        if self.balancers.pop(self.instance, None) is None:
             raise WireError(f"unknown instance '{self.instance}'")
-        # Events that a later wire adds are ignored, as unknown keys are.
 
-    def read_inventory(self, fields: Fields) -> None:
+    def _read_inventory(self, fields: Fields) -> None:
         members: list[ListedServer] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
@@ -92,34 +115,35 @@
                     raise WireError("not a list entry")
                 members.append(parse_server(entry_fields))
             except KeyError as error:
-                self.complain(entry, f"field or value {error} is missing or unknown")
+                self._report(entry, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(entry, str(error))
+                self._report(entry, str(error))
         self.tables[fields["table"]] = tuple(members)
 
-    def deliver(self, event: Event) -> None:
+    def _deliver(self, event: Event) -> None:
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"unknown instance '{self.instance}'")
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
-        if self.spoken_for != self.instance:
-            self.spoken_for = self.instance
+        if self.replying_instance != self.instance:
+            self.replying_instance = self.instance
             self.reply.append(f"by i={self.instance}")
         self.reply.extend(map(format_action, actions))
 
-    def finish_batch(self) -> None:
-        self.reply.append("next\n")
+    def _finish_batch(self) -> None:
+        self.reply.append(REPLY_END)
         self.sink.write("\n".join(self.reply))
         self.sink.flush()
         self.reply = []
 
 
 def main() -> int:
-    gc.freeze()  # what the imports made is never garbage
+    """Run on the standard streams until the input ends; returns the exit status."""
+    gc.freeze()  # objects of the imports are never garbage: the collector need not visit them
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
-    Host(sys.stdin, sys.stdout, sys.stderr).run()
+    SimulatorHost(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
 
 
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -1,17 +1,21 @@
-"""The bench's text wire: lines to events and settings, actions to lines. Parsing and formatting only.
+"""The simulator's text protocol: lines to events and settings, actions to lines.
 
-Read and dropped, because nothing can be decided from them: names of classes, tenants, kinds, zones and tiers,
+Parsed and ignored, because no decision rests on them: names of classes, tenants, kinds, zones and tiers,
 and `family` (decisions never rest on a name); `stage`, `familyInfo.passesDeadline` (one tier is served);
-`lanes[].streamed` (told by `streaming` itself); `isWrite` (the class's effect says more); `prices.fleet`,
-`moves`, `origin` (not this proxy's actions); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (nothing to
-choose by); `weights` (a listed weight is a factor in the draw, whatever it means); `registry.index` (lists
-come complete and in order).
+`lanes[].streamed` (`streaming` itself says so); `isWrite` (the class's effect says more); `prices.fleet`,
+`moves`, `origin` (not this gateway's actions); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (nothing
+to choose by); `weights` (a listed weight is a factor in weighted selection, whatever it means);
+`registry.index` (lists come complete and in order).
+
+All parsers of a line raise KeyError for a missing field or an unknown word, and ValueError (WireError among
+them) for a value that cannot be read.
 """
 
 from __future__ import annotations
 
 import base64
 from collections.abc import Callable, Mapping
+from typing import Any
 
 from sagetrack.policy.interface import (
     Action,
@@ -60,11 +64,16 @@
     "444": Outcome.CANCELLED,
     "409": Outcome.NOT_SENT,
 }
-TEXT_FIELDS = {"launch": " bootInfo="}
+TEXT_FIELDS = {"launch": " bootInfo="}  # by message: the last field, whose value may hold spaces
+NO_PAYLOAD = "-"
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
-    """Take a line apart into its message name and its fields."""
+    """Split a line into its message name and its fields.
+
+    Raises:
+        WireError: A part of the line is not name=value.
+    """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
     text_mark = TEXT_FIELDS.get(name)
@@ -82,6 +91,7 @@
 
 
 def parse_server(fields: Fields) -> ListedServer:
+    """Parse an entry of an endpoint list."""
     return ListedServer(
         server=int(fields["host"]),
         status=STATUSES[fields.get("status", "Ready")],
@@ -94,6 +104,7 @@
 
 
 def parse_incoming(fields: Fields) -> RequestArrived:
+    """Parse `incoming`: a request has arrived."""
     key, work = fields.get("affinity"), fields.get("costUs")
     return RequestArrived(
         fields["requestId"],
@@ -107,6 +118,7 @@
 
 
 def parse_outcome(fields: Fields) -> AttemptEnded:
+    """Parse `outcome`: an attempt has ended."""
     return AttemptEnded(
         fields["requestId"],
         int(fields["shot"]),
@@ -119,25 +131,32 @@
 
 
 def parse_dropped(fields: Fields) -> RequestCancelled:
+    """Parse `dropped`: the client has cancelled its request."""
     return RequestCancelled(fields["requestId"])
 
 
 def parse_streaming(fields: Fields) -> StreamStarted:
+    """Parse `streaming`: a streamed response has begun."""
     return StreamStarted(fields["requestId"], int(fields["shot"]))
 
 
 def parse_reminder(fields: Fields) -> TimerFired:
+    """Parse `reminder`: a timer is due."""
     return TimerFired(int(fields["keyBack"]))
 
 
 def parse_pong(fields: Fields) -> Probed:
+    """Parse `pong`: the result of a probe."""
     outcome, load = OUTCOMES[fields["verdict"]], parse_load(fields.get("pressure"))
     return Probed(int(fields["host"]), outcome, int(fields.get("durationUs", "0")), load)
 
 
 def parse_inbox(fields: Fields) -> PeerMessage:
+    """Parse `inbox`: a message of another gateway."""
     text = fields["bytes"]
-    return PeerMessage(int(fields["src"]), b"" if text == "-" else base64.b64decode(text, validate=True))
+    return PeerMessage(
+        int(fields["src"]), b"" if text == NO_PAYLOAD else base64.b64decode(text, validate=True)
+    )
 
 
 PARSERS: dict[str, Callable[[Fields], Event]] = {
@@ -151,28 +170,30 @@
 }
 
 
+def _format_send(action: SendAttempt) -> str:
+    return f"pass_on requestId={action.request} maxWaitUs={action.timeout_us} host={action.server}"
+
+
+def _format_peer_message(action: SendToPeers) -> str:
+    payload = base64.b64encode(action.payload).decode() or NO_PAYLOAD
+    return f"broadcast_to dest={action.peer} bytes={payload}"
+
+
+FORMATTERS: dict[type, Callable[[Any], str]] = {
+    SendAttempt: _format_send,
+    SetTimer: lambda action: f"notify_me dueAtUs={action.due_us} keyBack={action.token}",
+    Reject: lambda action: f"bounce requestId={action.request} comeBackUs={action.retry_after_us}",
+    Fail: lambda action: f"surrender requestId={action.request}",
+    Cancel: lambda action: f"retract requestId={action.request} shot={action.attempt}",
+    WatchEndpoints: lambda action: f"track on={action.on:d}",
+    FetchEndpoints: lambda action: "snapshot",
+    Probe: lambda action: f"ask_load host={action.server}",
+    CloseIdle: lambda action: f"hang_up host={action.server}",
+    SendToPeers: _format_peer_message,
+    Log: lambda action: f"journal_line line={action.line}",
+}
+
+
 def format_action(action: Action) -> str:
-    match action:
-        case SendAttempt():
-            return f"pass_on requestId={action.request} maxWaitUs={action.timeout_us} host={action.server}"
-        case SetTimer():
-            return f"notify_me dueAtUs={action.due_us} keyBack={action.token}"
-        case Reject():
-            return f"bounce requestId={action.request} comeBackUs={action.retry_after_us}"
-        case Fail():
-            return f"surrender requestId={action.request}"
-        case Cancel():
-            return f"retract requestId={action.request} shot={action.attempt}"
-        case WatchEndpoints():
-            return f"track on={action.on:d}"
-        case FetchEndpoints():
-            return "snapshot"
-        case Probe():
-            return f"ask_load host={action.server}"
-        case CloseIdle():
-            return f"hang_up host={action.server}"
-        case SendToPeers():
-            payload = base64.b64encode(action.payload).decode() or "-"
-            return f"broadcast_to dest={action.peer} bytes={payload}"
-        case Log():
-            return f"journal_line line={action.line}"
+    """Format an action as a line, without its line end."""
+    return FORMATTERS[type(action)](action)
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -41,7 +41,7 @@
     WatchEndpoints,
 )
 from sagetrack.policy.parsing import WireError, parse_settings
-from sagetrack.simulator.host import Host
+from sagetrack.simulator.host import SimulatorHost
 from sagetrack.simulator.wire import (
     OUTCOMES,
     PARSERS,
@@ -77,7 +77,7 @@
 
 def run(*lines: str) -> tuple[list[str], str]:
     sink, errors = io.StringIO(), io.StringIO()
-    Host(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
+    SimulatorHost(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
