--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sagetrack.policy.interface import Settings
 from sagetrack.policy.parsing import WireError, parse_settings
+from sagetrack.policy.settings import Settings
 
 Address = tuple[str, int]
 
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
-from sagetrack.policy.interface import Settings
+from sagetrack.policy.settings import Settings
 
 SILENCE_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
 AFTER_WAIT_S = 2.0  # or this long after the wait that was asked for is over, if that is later
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from sagetrack.config.platform import Address
-from sagetrack.policy.interface import ListedServer, ListKind
+from sagetrack.policy.events import ListedServer, ListKind
 
 Header = tuple[bytes, bytes]
 
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -21,37 +21,39 @@
 from sagetrack.core.log import log
 from sagetrack.core.metrics import Counter, Metrics, Reasons
 from sagetrack.core.send_rules import DenialReason, Sending, ServerState, may_retry, may_send
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import (
     Action,
-    AttemptEnded,
-    AttemptSent,
     Cancel,
     CloseIdle,
-    EndpointList,
-    Event,
     Fail,
     FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from sagetrack.policy.events import (
+    AttemptEnded,
+    AttemptSent,
+    EndpointList,
+    Event,
     ListedServer,
     ListKind,
     LoadReport,
-    Log,
     Outcome,
-    Probe,
     Probed,
     ProcessCountChanged,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    Settings,
     ShutdownStarted,
     StreamStarted,
     TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Settings
 
 WATCH_S = 0.15  # between looks for calls whose time is over
 LATE_US = 50_000  # past its time, a call is looked at once more before it is answered here
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import Upload
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.send_rules import ServerState
-from sagetrack.policy.interface import LoadReport, Outcome
+from sagetrack.policy.events import LoadReport, Outcome
 
 Answer = Any  # of a protocol: from its back to its front
 
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sagetrack.policy.interface import NEVER_RAN, Effect, Outcome, RequestClass, Scope, Settings
+from sagetrack.policy.events import NEVER_RAN, Outcome
+from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings
 
 FIRST_REQUEST_S = 0.5  # for the first request on a new connection to come: until then none is closed
 OVERDUE_S = 2.0  # in which a client has to send a head, or anything at all
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -15,7 +15,7 @@
 from sagetrack.core.endpoints import Endpoint, OnEndpointList, Reply
 from sagetrack.core.log import log
 from sagetrack.core.metrics import Reasons
-from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 
 LIST = b"/registry/instances"
 REFUSED_TWICE = 2  # in a row, whatever else failed between: it has too many calls, and cannot be reached yet
--- a/sagetrack/discovery/split.py
+++ b/sagetrack/discovery/split.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 
 HTTP = "http"  # what a server speaks whose type is not mapped
 
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -15,7 +15,8 @@
 from sagetrack.dns.downstream import Front, Limits
 from sagetrack.dns.limits import Access, ResponseRate
 from sagetrack.dns.upstream import Upstreams
-from sagetrack.policy.interface import Effect, ListedServer, ListKind, RequestClass, Settings
+from sagetrack.policy.events import ListedServer, ListKind
+from sagetrack.policy.settings import Effect, RequestClass, Settings
 
 if TYPE_CHECKING:
     from sagetrack.dns.zone import Zones
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -21,7 +21,8 @@
 from sagetrack.core.interfaces import AttemptObserver, Call
 from sagetrack.core.send_rules import ServerState
 from sagetrack.dns.message import Answer, MessageError, Query, Rcode, parse_answer, upstream_query
-from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
+from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.settings import Settings
 
 SOCKETS = 4  # to one server at once
 SOCKET_QUERIES = 256  # then it gives way to one with another port
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -26,7 +26,8 @@
 from sagetrack.grpc.outcomes import Status
 from sagetrack.grpc.translate import more, to_new
 from sagetrack.grpc.upstream import Line, NewHost, NewPools
-from sagetrack.policy.interface import Outcome, RequestClass, Settings
+from sagetrack.policy.events import Outcome
+from sagetrack.policy.settings import RequestClass, Settings
 
 STREAMS = 4
 SLOW_S = 0.25  # for one piece of bytes: a hang
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -16,8 +16,8 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Call, Source
 from sagetrack.core.log import log
-from sagetrack.policy.interface import Effect
 from sagetrack.policy.rate_limit import Rate, RateLimiter
+from sagetrack.policy.settings import Effect
 
 # Fields that say of an answer's way and not of what it is (RFC 9110, 6.6.1 and 7.6.1)
 PASSING = frozenset(
--- a/sagetrack/grpc/outcomes.py
+++ b/sagetrack/grpc/outcomes.py
@@ -8,7 +8,7 @@
 
 from enum import IntEnum
 
-from sagetrack.policy.interface import Outcome
+from sagetrack.policy.events import Outcome
 
 
 class Status(IntEnum):
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -11,7 +11,7 @@
 from sagetrack.core.interfaces import Answer, Attempt, AttemptObserver, Call, Source, UpstreamPool
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.upstream import NewAttempt, NewPools
-from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.migration import Migration
 
 Turned = dict[int, tuple[float, float]]
--- a/sagetrack/grpc/upstream.py
+++ b/sagetrack/grpc/upstream.py
@@ -31,7 +31,8 @@
 from sagetrack.grpc.messages import MessageError, Unpacker, pack
 from sagetrack.grpc.metadata import TranslationError
 from sagetrack.grpc.translate import more, piece, to_new, to_old, with_timeout
-from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus, Settings
+from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.settings import Settings
 
 STREAMS = 100  # of one connection, until its server's SETTINGS say otherwise; and at the most
 LINES = 4  # connections to one server
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -13,8 +13,9 @@
 from sagetrack.core.interfaces import AttemptObserver, Call
 from sagetrack.http1.codec import header
 from sagetrack.http1.upstream_connection import Attempt, Host, HostConnection, Life, Message
-from sagetrack.policy.interface import LoadReport, Outcome, Reports, ServerStatus, Settings
+from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.parsing import parse_load
+from sagetrack.policy.settings import Reports, Settings
 
 IDLE_SHARE = 0.8  # of the host's idle time: no connection is kept unused for longer
 SPARE_IDLE_US = 5_000_000  # the same for what only a burst has needed
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -13,7 +13,7 @@
 from sagetrack.core.interfaces import Call, Client
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, end_to_end, header, trimmed
 from sagetrack.http1.upstream_connection import Message
-from sagetrack.policy.interface import Effect
+from sagetrack.policy.settings import Effect
 
 ID_LIMIT = 128
 SLICE = 4096  # bytes parsed before it is looked at how many requests they held
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -14,7 +14,7 @@
 from sagetrack.core.endpoints import Reply
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.codec import ReplyError, ReplyReader
-from sagetrack.policy.interface import Outcome
+from sagetrack.policy.events import Outcome
 
 if TYPE_CHECKING:
     from sagetrack.http1.connection_pool import Pools
--- a/sagetrack/lab/fair_queue_benchmark.py
+++ b/sagetrack/lab/fair_queue_benchmark.py
@@ -16,24 +16,20 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
+from sagetrack.policy.actions import SendAttempt, SetTimer
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     AttemptEnded,
-    Effect,
     EndpointList,
     Event,
     ListedServer,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestClass,
-    SendAttempt,
-    SetTimer,
-    Settings,
-    Tenant,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
 SERVERS, WORK_US, MEMBERS = 20, 50_000, 10
 WARM = 2_000  # calls before it is measured
--- a/sagetrack/lab/faults.py
+++ b/sagetrack/lab/faults.py
@@ -9,19 +9,16 @@
 from dataclasses import replace
 
 from sagetrack.lab.virtual import Held, VirtualGateway
-from sagetrack.policy.interface import (
-    Action,
+from sagetrack.policy.actions import Action, Fail, Reject, SendAttempt
+from sagetrack.policy.events import (
     AttemptEnded,
     EndpointList,
     Event,
-    Fail,
     FleetSizeChanged,
     ListedServer,
     ObservationsReceived,
     Outcome,
-    Reject,
     RequestArrived,
-    SendAttempt,
     ServerStatus,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -9,7 +9,8 @@
 from sagetrack.config.platform import parse
 from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
 from sagetrack.lab.scale.world import KEYED, SAFE, FleetAhead
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import SendAttempt, SetTimer
+from sagetrack.policy.events import (
     AttemptEnded,
     EndpointList,
     Event,
@@ -17,13 +18,11 @@
     ListKind,
     Outcome,
     RequestArrived,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    Settings,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Settings
 
 FEW_TENANTS, FEW_SERVERS = 10, 25  # what is held while another size grows
 PATIENCE_US = 3_000_000
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -14,7 +14,7 @@
 from sagetrack.peers.demand_gossip import FELLOWS, demands_in, wanted
 from sagetrack.peers.membership import Settings
 from sagetrack.peers.warm_start import ASKED, split
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
 WATCHED_S = 100.0  # after the death
--- a/sagetrack/lab/scale/world.py
+++ b/sagetrack/lab/scale/world.py
@@ -19,7 +19,8 @@
     ZONE_LOSSES_PER_YEAR,
     Sizes,
 )
-from sagetrack.policy.interface import Effect, ListedServer, RequestClass, Scope, Settings, Tenant
+from sagetrack.policy.events import ListedServer
+from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings, Tenant
 
 TAIL = 1.1  # exponent of Zipf's law: the share of the tenant at rank r is as r to the minus so much
 SPREAD = 1.2  # standard deviation of the logarithm of a service's size
--- a/sagetrack/lab/slow_start.py
+++ b/sagetrack/lab/slow_start.py
@@ -21,7 +21,7 @@
 from sagetrack.lab.scenario import Scenario, Trouble, altered, load
 from sagetrack.lab.virtual import SimClock, VirtualGateway, VirtualGateways, play
 from sagetrack.lab.world import Listed, Try, World
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     EndpointList,
     Event,
     FleetSizeChanged,
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -21,13 +21,12 @@
 from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
 from sagetrack.peers.membership import Membership, Settings
 from sagetrack.peers.warm_start import Asker, Teller, latencies_from
+from sagetrack.policy.actions import Cancel, Fail, Reject, SendAttempt, SendToPeers, SetTimer
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     AttemptEnded,
-    Cancel,
     EndpointList,
     Event,
-    Fail,
     FleetSizeChanged,
     ListedServer,
     ListKind,
@@ -35,13 +34,9 @@
     Outcome,
     PeerDemands,
     PeerMessage,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    SendAttempt,
-    SendToPeers,
     ServerStatus,
-    SetTimer,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -14,7 +14,7 @@
 from sagetrack.peers.demand_gossip import Herald, demands_in, wanted
 from sagetrack.peers.membership import Counts, Membership, Settings, State
 from sagetrack.peers.warm_start import Asker, Teller, latencies_from
-from sagetrack.policy.interface import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
+from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 BIND_AGAIN_S = 0.5  # while an older process of this gateway holds the address
--- a/sagetrack/policy/__init__.py
+++ b/sagetrack/policy/__init__.py
@@ -1,47 +1,42 @@
 """The decisions of a load-balancing gateway: pure, no clock, no I/O."""
 
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import (
     Action,
-    AttemptEnded,
-    AttemptSent,
     Cancel,
     CloseIdle,
-    Effect,
-    EndpointList,
-    Event,
     Fail,
     FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendAttempt,
+    SendToPeers,
+    SetTimer,
+    WatchEndpoints,
+)
+from sagetrack.policy.events import (
+    AttemptEnded,
+    AttemptSent,
+    EndpointList,
+    Event,
     FleetSizeChanged,
-    Goal,
     ListedServer,
     ListKind,
     LoadReport,
-    Log,
     ObservationsReceived,
     Outcome,
     PeerMessage,
-    Prices,
-    Probe,
     Probed,
     ProcessCountChanged,
-    Reject,
-    Reports,
     RequestArrived,
     RequestCancelled,
-    RequestClass,
-    Scope,
-    SendAttempt,
-    SendToPeers,
     ServerStatus,
-    SetTimer,
-    Settings,
     ShutdownStarted,
     StreamStarted,
-    Tenant,
     TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
 
 __all__ = [
     "Action",
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of the balancer. Its settings, events and actions are in sagetrack/policy/interface.py.
+"""All decisions of the balancer. See settings.py, events.py and actions.py.
 
 The ordinary path: a request arrives and a weighted random draw picks among the servers whose breaker lets it
 through. A server's weight in the draw is its listed weight times the weight of the feedback controller, less
@@ -12,48 +12,47 @@
 from collections import deque
 from collections.abc import Iterable
 
+from sagetrack.policy.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Log,
+    Reject,
+    RejectReason,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from sagetrack.policy.admission import RESERVATION_PRIORITY, AdmissionController, AdmissionDenial
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, LONGEST_COOLDOWN_US, Breaker, State
 from sagetrack.policy.concurrency_share import ConcurrencyShare
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.discovery_backoff import first_call_us, longest_pause_us
 from sagetrack.policy.endpoint_ring import ExactSum, Ring, RingPosition
-from sagetrack.policy.fleet_size import sharers
-from sagetrack.policy.incarnations import Incarnations
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     NEVER_RAN,
-    Action,
     AttemptEnded,
     AttemptSent,
-    Cancel,
-    Effect,
     EndpointList,
     Event,
-    Fail,
     FleetSizeChanged,
     ListedServer,
     ListKind,
-    Log,
     ObservationsReceived,
     Outcome,
     PeerDemands,
     ProcessCountChanged,
-    Reject,
-    RejectReason,
     RequestArrived,
     RequestCancelled,
-    Scope,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    Settings,
     ShutdownStarted,
     StreamStarted,
     TenantSharesChanged,
     TimerFired,
     TrafficShift,
-    WatchEndpoints,
 )
+from sagetrack.policy.fleet_size import sharers
+from sagetrack.policy.incarnations import Incarnations
 from sagetrack.policy.peer_observations import (
     CLOSED,
     HALF_OPEN,
@@ -66,6 +65,7 @@
     weigh_observations,
 )
 from sagetrack.policy.reservations import Requester, RetryTerms
+from sagetrack.policy.settings import Effect, Scope, Settings
 from sagetrack.policy.state import (
     CEILING,
     FLOOR,
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -8,17 +8,8 @@
 import json
 from typing import Any
 
-from sagetrack.policy.interface import (
-    Effect,
-    Goal,
-    LoadReport,
-    Prices,
-    Reports,
-    RequestClass,
-    Scope,
-    Settings,
-    Tenant,
-)
+from sagetrack.policy.events import LoadReport
+from sagetrack.policy.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.GROUP}
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -7,7 +7,7 @@
 
 from sagetrack.policy.circuit_breaker import Breaker
 from sagetrack.policy.endpoint_ring import ExactSum
-from sagetrack.policy.interface import ListedServer
+from sagetrack.policy.events import ListedServer
 
 PART_MINIMUM = 2  # the same for one class at one server: a proxy sees a few of these a minute
 FLOOR, CEILING = 0.05, 1.0  # of the controller's weight
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -11,7 +11,7 @@
 from sagetrack.core.clock import machine_us, now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 from sagetrack.server.hot_restart import Overlap
 
 if TYPE_CHECKING:
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -18,7 +18,7 @@
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.discovery_connection import HttpLine, connect
 from sagetrack.http1.listener import Server
-from sagetrack.policy.interface import ListKind, TenantSharesChanged
+from sagetrack.policy.events import ListKind, TenantSharesChanged
 from sagetrack.server.admission_settings import shares_in, with_door
 from sagetrack.server.fleet import Handover, node_for
 from sagetrack.server.grpc_upstreams import Newer, keys_for, mixed_back, reader, renew, with_newer
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -16,7 +16,7 @@
 from sagetrack.core.log import log
 from sagetrack.discovery.client import number_of
 from sagetrack.http1.requests import Request, RequestError, read_call
-from sagetrack.policy.interface import ListKind, TrafficShift
+from sagetrack.policy.events import ListKind, TrafficShift
 from sagetrack.policy.migration import Migration
 
 if TYPE_CHECKING:
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -16,7 +16,7 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
 from sagetrack.peers.handover import Note
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 from sagetrack.store.engine import Options, Space, StoreError
 from sagetrack.store.files import Disk
 from sagetrack.store.format import FormatError, Op
--- a/sagetrack/simulator/host.py
+++ b/sagetrack/simulator/host.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from sagetrack.policy.interface import EndpointList, Event, ListedServer, ListKind
+from sagetrack.policy.events import EndpointList, Event, ListedServer, ListKind
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.parsing import WireError, parse_settings
 from sagetrack.simulator.wire import (
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -17,31 +17,33 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendAttempt,
+    SendToPeers,
+    SetTimer,
+    WatchEndpoints,
+)
+from sagetrack.policy.events import (
+    AttemptEnded,
+    Event,
     ListedServer,
     ListKind,
-    Log,
     Outcome,
     PeerMessage,
-    Probe,
     Probed,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    SendAttempt,
-    SendToPeers,
     ServerStatus,
-    SetTimer,
     StreamStarted,
     TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.parsing import WireError, parse_load
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,26 +4,19 @@
 
 from dataclasses import replace
 
+from sagetrack.policy.actions import Action, Fail, Reject, SendAttempt, SetTimer
 from sagetrack.policy.circuit_breaker import MINIMUM, Breaker, State
-from sagetrack.policy.interface import (
-    Action,
+from sagetrack.policy.events import (
     AttemptEnded,
-    Effect,
     EndpointList,
     Event,
-    Fail,
     ListedServer,
     ListKind,
     Outcome,
-    Reject,
     RequestArrived,
-    RequestClass,
-    Scope,
-    SendAttempt,
-    SetTimer,
-    Settings,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings
 
 SAFE = RequestClass(
     latency_objective_us=200_000,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sagetrack.core.metrics import Metrics
-from sagetrack.policy.interface import Outcome
+from sagetrack.policy.events import Outcome
 from sagetrack.server import admin as admin_module
 from sagetrack.server.admin import CALLERS, LINE_LIMIT, Admin
 from tests.helpers import Driver, sends, trip
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from sagetrack.policy.actions import Action, Reject, SendAttempt, SetTimer
 from sagetrack.policy.admission import (
     ADMITTED,
     AdmissionController,
@@ -15,29 +16,22 @@
     AdmissionSettings,
     Verdict,
 )
-from sagetrack.policy.interface import (
-    Action,
+from sagetrack.policy.events import (
     AttemptEnded,
-    Effect,
     EndpointList,
     Event,
     ListedServer,
     ListKind,
     Outcome,
     PeerDemands,
-    Reject,
     RequestArrived,
-    RequestClass,
-    SendAttempt,
-    SetTimer,
-    Settings,
-    Tenant,
     TenantSharesChanged,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.rate_limit import Rate
 from sagetrack.policy.reservations import Requester, RetryTerms
+from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
 SECOND = 1_000_000
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,7 @@
 from sagetrack.http1 import downstream as client_module
 from sagetrack.http1 import listener as server_module
 from sagetrack.http1 import requests as requests_module
-from sagetrack.policy.interface import AttemptEnded, AttemptSent, Outcome, RequestArrived, StreamStarted
+from sagetrack.policy.events import AttemptEnded, AttemptSent, Outcome, RequestArrived, StreamStarted
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
 from tests.sockets import (
     Client,
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -3,7 +3,7 @@
 import random
 
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
-from sagetrack.policy.interface import ListedServer, ListKind, Outcome, RequestCancelled
+from sagetrack.policy.events import ListedServer, ListKind, Outcome, RequestCancelled
 from sagetrack.policy.load_balancer import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
 from sagetrack.policy.state import CEILING, FLOOR
 from tests.helpers import Driver, sends, trip
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,8 @@
 
 import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
-from sagetrack.policy.interface import EndpointList, ListedServer, ListKind, ObservationsReceived, SendAttempt
+from sagetrack.policy.actions import SendAttempt
+from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ObservationsReceived
 from sagetrack.server.fleet import Handover
 from sagetrack.server.hot_restart import Overlap
 from tests.helpers import SETTINGS, Driver
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -16,7 +16,7 @@
 from sagetrack.lab.scenario import Fleet, RequestKind, Scenario
 from sagetrack.lab.slow_start import CASES, Case, ColdGateways, figures, measure
 from sagetrack.lab.virtual import play
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 
 # The judge and the figures, on records made by hand: a server that starts at 1 s with a fifth of its
 # capacity is warm at 11 s and bears 4 times what it has. A call is 100 ms of work, a window 3 s.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.downstream import PIPELINED
 from sagetrack.http1.upstream_connection import HostConnection
-from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
+from sagetrack.policy.events import AttemptEnded, ListKind, Outcome, RequestArrived
 from tests.sockets import (
     Exchange,
     Running,
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -4,8 +4,10 @@
 
 from dataclasses import replace
 
-from sagetrack.policy.interface import ListedServer, Outcome, Reject, RequestClass, ServerStatus
+from sagetrack.policy.actions import Reject
+from sagetrack.policy.events import ListedServer, Outcome, ServerStatus
 from sagetrack.policy.load_balancer import COLD_COST, COME_BACK, CROWD, SUBSET, WAIT
+from sagetrack.policy.settings import RequestClass
 from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
 
 BOUND = int(CROWD)  # with one proxy
@@ -44,7 +46,7 @@
     actions = driver.end(*held[0])
     assert [(send.request, send.server) for send in sends(actions)] == [(name, held[0][1])]
     (timer,) = [timer for timer in driver.timers if timer.due_us == min(t.due_us for t in driver.timers)]
-    from sagetrack.policy.interface import TimerFired
+    from sagetrack.policy.events import TimerFired
 
     driver.now_us = timer.due_us
     assert not driver.handle(TimerFired(timer.token))  # its wait was over long ago
@@ -64,7 +66,7 @@
 
 
 def test_a_wait_is_a_small_part_of_the_time_and_ends_with_word_of_when_to_come_back() -> None:
-    from sagetrack.policy.interface import TimerFired
+    from sagetrack.policy.events import TimerFired
 
     driver = Driver(LASTING, servers=1)
     full(driver, 1)
@@ -88,7 +90,7 @@
 
 
 def test_a_client_that_goes_waits_no_longer() -> None:
-    from sagetrack.policy.interface import RequestCancelled
+    from sagetrack.policy.events import RequestCancelled
 
     driver = Driver(servers=1)
     held = full(driver, 1)
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -22,17 +22,10 @@
 from sagetrack.core.deadlines import LEAST_GRACE_S, SILENCE_S, watching
 from sagetrack.core.endpoints import Endpoint, Reply
 from sagetrack.discovery.client import CallError, Discovery, Line
-from sagetrack.policy.interface import (
-    Action,
-    EndpointList,
-    ListKind,
-    ServerStatus,
-    SetTimer,
-    Settings,
-    TimerFired,
-    WatchEndpoints,
-)
+from sagetrack.policy.actions import Action, SetTimer, WatchEndpoints
+from sagetrack.policy.events import EndpointList, ListKind, ServerStatus, TimerFired
 from sagetrack.policy.load_balancer import LIST_TOKEN, LoadBalancer
+from sagetrack.policy.settings import Settings
 from tests.helpers import SETTINGS, START_US, Driver, timers
 from tests.sockets import (
     Exchange,
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -41,7 +41,7 @@
 from sagetrack.dns.zone import Member, ZoneError, Zones
 from sagetrack.lab.dns import Manner, Nameserver, nameserver
 from sagetrack.lab.dnsfuzz import Found, examine, fuzz, seeds
-from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 from tests.sockets import configuration, on_loop, running, until
 
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -22,7 +22,7 @@
 
 @on_loop
 async def test_the_module_is_told_what_the_headers_say() -> None:
-    from sagetrack.policy.interface import RequestArrived
+    from sagetrack.policy.events import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
         told: list[RequestArrived] = []
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -9,14 +9,8 @@
 import pytest
 
 from sagetrack.discovery.client import parse_list
-from sagetrack.policy.interface import (
-    EndpointList,
-    FetchEndpoints,
-    ListKind,
-    ServerStatus,
-    TimerFired,
-    WatchEndpoints,
-)
+from sagetrack.policy.actions import FetchEndpoints, WatchEndpoints
+from sagetrack.policy.events import EndpointList, ListKind, ServerStatus, TimerFired
 from sagetrack.policy.load_balancer import LIST_TOKEN
 from tests.sockets import (
     Exchange,
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sagetrack.policy.interface import AttemptEnded, Outcome
+from sagetrack.policy.events import AttemptEnded, Outcome
 from tests.sockets import (
     Exchange,
     Running,
@@ -269,7 +269,7 @@
 
 @on_loop
 async def test_a_send_that_comes_too_late_is_moot() -> None:
-    from sagetrack.policy.interface import SendAttempt
+    from sagetrack.policy.actions import SendAttempt
 
     async with peer() as host, running(configuration(host)) as run:
         told = outcomes(run)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -8,7 +8,7 @@
 from sagetrack.core.endpoints import Reply
 from sagetrack.discovery.client import parse_list
 from sagetrack.http1.upstream_connection import Attempt, HostConnection
-from sagetrack.policy.interface import ListKind, Outcome
+from sagetrack.policy.events import ListKind, Outcome
 from tests.sockets import (
     Exchange,
     Running,
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -214,7 +214,7 @@
 
 
 def test_cold_servers_get_from_two_processes_what_one_may_send() -> None:
-    from sagetrack.policy.interface import ProcessCountChanged
+    from sagetrack.policy.events import ProcessCountChanged
     from tests.helpers import Driver
 
     driver = Driver()
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -37,21 +37,20 @@
 from sagetrack.http1.upstream_connection import Message
 from sagetrack.lab.grpc_server import Asked, NewConnection
 from sagetrack.lab.scripted import peer
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import SendAttempt
+from sagetrack.policy.events import (
     AttemptEnded,
-    Effect,
     EndpointList,
     ListedServer,
     ListKind,
     Outcome,
     RequestArrived,
-    RequestClass,
-    SendAttempt,
     ServerStatus,
     TrafficShift,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.migration import MIN_OUTCOMES, RAMP_STEP_US, Migration
+from sagetrack.policy.settings import Effect, RequestClass
 from tests.sockets import configuration, on_loop, request, running, until
 
 SETTINGS = parse(configuration("127.0.0.1:9")).settings
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -26,7 +26,8 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.connection_pool import Pools
 from sagetrack.http1.upstream_connection import HostConnection, Message
-from sagetrack.policy.interface import Effect, ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.settings import Effect
 from tests.helpers import SETTINGS
 
 SERVERS, STEPS = 3, 120
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,14 +23,8 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.peer_close import hung_up
 from sagetrack.http1.downstream import PIPELINED, ClientConnection
-from sagetrack.policy.interface import (
-    Action,
-    ListedServer,
-    Outcome,
-    RequestArrived,
-    SetTimer,
-    TimerFired,
-)
+from sagetrack.policy.actions import Action, SetTimer
+from sagetrack.policy.events import ListedServer, Outcome, RequestArrived, TimerFired
 from tests.sockets import (
     Client,
     Running,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from sagetrack.policy.concurrency_share import CUT, MOST_EASE, OWED_US, SAVED_US, STEP, ConcurrencyShare
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     FleetSizeChanged,
     ListedServer,
     Outcome,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,8 +22,7 @@
 from sagetrack.peers.node import Node
 from sagetrack.peers.warm_start import MOST_PARTS, TRIES, Asker, Teller, sights_from, split
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, State
-from sagetrack.policy.fleet_size import sharers
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     FleetSizeChanged,
     ListedServer,
     ListKind,
@@ -31,6 +30,7 @@
     Outcome,
     ServerStatus,
 )
+from sagetrack.policy.fleet_size import sharers
 from sagetrack.policy.load_balancer import FALL_MARGIN
 from sagetrack.policy.peer_observations import (
     CLOSED,
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -21,7 +21,9 @@
     may_send,
     may_take_clients,
 )
-from sagetrack.policy.interface import Outcome, RequestArrived, RequestClass, SendAttempt
+from sagetrack.policy.actions import SendAttempt
+from sagetrack.policy.events import Outcome, RequestArrived
+from sagetrack.policy.settings import RequestClass
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, peer, request, running, silent, until
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from sagetrack.policy.interface import SendAttempt
+from sagetrack.policy.actions import SendAttempt
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -21,46 +21,42 @@
 
 import pytest
 
-from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import (
     Action,
+    Cancel,
+    Fail,
+    Log,
+    Reject,
+    RejectReason,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from sagetrack.policy.admission import AdmissionSettings
+from sagetrack.policy.events import (
     AttemptEnded,
     AttemptSent,
-    Cancel,
-    Effect,
     EndpointList,
     Event,
-    Fail,
     FleetSizeChanged,
-    Goal,
     ListedServer,
     ListKind,
-    Log,
     ObservationsReceived,
     Outcome,
     PeerDemands,
-    Prices,
     ProcessCountChanged,
-    Reject,
-    RejectReason,
     RequestArrived,
     RequestCancelled,
-    RequestClass,
-    Scope,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    Settings,
     ShutdownStarted,
     StreamStarted,
-    Tenant,
     TenantSharesChanged,
     TimerFired,
     TrafficShift,
-    WatchEndpoints,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.peer_observations import CLOSED, OPEN, ClassLatency, Observation
+from sagetrack.policy.settings import Effect, Goal, Prices, RequestClass, Scope, Settings, Tenant
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
 EVENTS = 6000  # of a day
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -8,30 +8,21 @@
 
 import pytest
 
+from sagetrack.policy.actions import Action, Cancel, Fail, Log, Reject, WatchEndpoints
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, State
-from sagetrack.policy.interface import (
-    Action,
-    Cancel,
+from sagetrack.policy.events import (
     EndpointList,
-    Fail,
     ListedServer,
     ListKind,
-    Log,
     Outcome,
-    Prices,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    RequestClass,
-    Scope,
     ServerStatus,
-    Settings,
     StreamStarted,
-    Tenant,
     TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.load_balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
+from sagetrack.policy.settings import Prices, RequestClass, Scope, Settings, Tenant
 from sagetrack.policy.state import rendezvous
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, timers, trip
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,29 +8,22 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import Action, Cancel, Fail, Reject, SendAttempt, SetTimer
+from sagetrack.policy.events import (
     NEVER_RAN,
-    Action,
     AttemptEnded,
-    Cancel,
-    Effect,
     EndpointList,
     Event,
-    Fail,
     ListedServer,
     ListKind,
     Outcome,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    Scope,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    Settings,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Effect, Scope, Settings
 from tests.helpers import SAFE, START_US, UNSAFE
 from tests.helpers import SETTINGS as PLAIN
 
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -11,36 +11,34 @@
 
 import pytest
 
-from sagetrack.policy.interface import (
-    AttemptEnded,
+from sagetrack.policy.actions import (
     Cancel,
     CloseIdle,
-    Effect,
     Fail,
     FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendAttempt,
+    SendToPeers,
+    SetTimer,
+    WatchEndpoints,
+)
+from sagetrack.policy.events import (
+    AttemptEnded,
     ListedServer,
     LoadReport,
-    Log,
     Outcome,
     PeerMessage,
-    Prices,
-    Probe,
     Probed,
-    Reject,
-    Reports,
     RequestArrived,
     RequestCancelled,
-    Scope,
-    SendAttempt,
-    SendToPeers,
     ServerStatus,
-    SetTimer,
     StreamStarted,
-    Tenant,
     TimerFired,
-    WatchEndpoints,
 )
 from sagetrack.policy.parsing import WireError, parse_settings
+from sagetrack.policy.settings import Effect, Prices, Reports, Scope, Tenant
 from sagetrack.simulator.host import SimulatorHost
 from sagetrack.simulator.wire import (
     OUTCOMES,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,7 +26,7 @@
 from sagetrack.lab.scenario import altered, load
 from sagetrack.lab.scripted import peer
 from sagetrack.lab.virtual import VirtualGateway, play
-from sagetrack.policy.interface import Event, ObservationsReceived
+from sagetrack.policy.events import Event, ObservationsReceived
 from sagetrack.store.engine import FullError, Options, Space, Store, StoreError
 from sagetrack.store.files import Disk
 from sagetrack.store.format import HEAD, LOG_MAGIC, NewerError, Op, frame, head
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -17,11 +17,13 @@
 from sagetrack.discovery import client as discovery_client
 from sagetrack.discovery.client import Discovery
 from sagetrack.policy import load_balancer
+from sagetrack.policy.actions import Reject
 from sagetrack.policy.admission import AdmissionSettings
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.endpoint_ring import ExactSum, Ring, RingPosition
-from sagetrack.policy.interface import ListedServer, ListKind, Outcome, Reject, Scope, ServerStatus, Tenant
+from sagetrack.policy.events import ListedServer, ListKind, Outcome, ServerStatus
 from sagetrack.policy.load_balancer import OVER_SHARE, SUBSET, TENANT_MEMORY
+from sagetrack.policy.settings import Scope, Tenant
 from sagetrack.policy.state import Server
 from sagetrack.server import hot_restart
 from sagetrack.server.hot_restart import LIST, Overlap
