--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -11,11 +11,11 @@
 from enum import Enum
 from typing import Generic, NamedTuple, TypeVar
 
+from sagetrack.policy.client_retry_budget import ClientRetryBudget
 from sagetrack.policy.concurrency_limit import ConcurrencyLimit
 from sagetrack.policy.fair_queue import FairQueues
 from sagetrack.policy.rate_limit import Rate, RateLimiter
 from sagetrack.policy.reservations import Requester, Reservations, RetryTerms
-from sagetrack.policy.retry_budget import RetryBudget
 from sagetrack.policy.service_rate import ServiceRate
 from sagetrack.policy.tenant_demand import TenantDemand
 from sagetrack.policy.work_estimate import WorkEstimator
@@ -114,7 +114,7 @@
         self.demand = TenantDemand(self.shares)
         table_bytes = settings.memory_bytes // 4  # a quarter for each kind of table; a quarter for the queues
         self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
-        self.retry_budget = RetryBudget(count, settings.retry_ratio)
+        self.retry_budget = ClientRetryBudget(count, settings.retry_ratio)
         entries = table_bytes // (2 * RATE_ENTRY_BYTES)
         self.tenant_rate = RateLimiter(settings.tenant_rate, entries) if settings.tenant_rate else None
         self.client_rate = RateLimiter(settings.client_rate, entries) if settings.client_rate else None
--- a/sagetrack/policy/retry_budget.py
+++ b/sagetrack/policy/client_retry_budget.py
@@ -1,5 +1,6 @@
 """A budget for clients' retries, in two tiers: by tenant, and for all tenants together.
 
+It bounds the retries that clients send; those that this gateway makes itself have a budget of their own.
 Each first attempt earns a fraction of a token and each retry costs one (Finagle's retry budget). Two tiers,
 since retries feed an overload: one tenant's retries cannot use up what the first attempts of others earned.
 """
@@ -28,7 +29,7 @@
         return True
 
 
-class RetryBudget:
+class ClientRetryBudget:
     """Decides whether a client's retry may be admitted while capacity is short."""
 
     def __init__(self, tenants: int, ratio: float = 0.2, burst: float = 10.0) -> None:
