--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -374,7 +374,7 @@
         door = self.gateway.balancer.admission
         if self.herald is not None and door is not None:
             for target in self.herald.whom(now):
-                if (message := wanted(door.demand.local_demands(now + BASE_US))) is not None:
+                if (message := wanted(door.local_demands(now + BASE_US))) is not None:
                     self.send(target, Datagram(self.gateway.number, self.machine.incarnation, [message]))
             due = min(due, self.herald.due_us)
         if due != self.planned_us:
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -186,7 +186,7 @@
 
         What is queued is never dropped; the remaining memory is for tenants that have nothing queued.
         """
-        return self.queues.tenants[tenant].count > 0 or work_us > self._mean_queued_work_us()
+        return self.queues.count_of(tenant) > 0 or work_us > self._mean_queued_work_us()
 
     def _mean_queued_work_us(self) -> float:
         return self.queues.work_us / max(1, len(self.queues))
@@ -214,7 +214,7 @@
 
     def is_queued(self, item: Item) -> bool:
         """Whether a request is in the queue."""
-        return item in self.queues.entries
+        return item in self.queues
 
     def wait_us(self, tenant: int, client: int) -> float:
         """How long a new request of a client would be queued."""
@@ -238,15 +238,14 @@
 
     def dequeue(self, item: Item, now_us: int) -> None:
         """Take the request that `peek` gave out of the queue: it is being served."""
-        entry = self.queues.entries[item]
+        entry = self.queues.dequeue(item)
         self.counters[entry.tenant].waiting -= 1
-        self.queues.dequeue(item)
         self.service_rate.record(entry.work_us, now_us, len(self.queues) > 0)
 
     def remove(self, item: Item) -> None:
         """Take a request out of the queue that will not be served; nothing happens if it is not in there."""
-        entry = self.queues.entries.get(item)
-        if entry is not None and self.queues.remove(item):
+        entry = self.queues.remove(item)
+        if entry is not None:
             self.counters[entry.tenant].waiting -= 1
             if not len(self.queues):
                 self.service_rate.pause()
@@ -271,7 +270,7 @@
             latency_us: How long it took.
             size: Its work relative to the mean of its class.
             in_flight: How many attempts are in flight, itself excluded.
-            succeeded: Whether it had a good answer.
+            succeeded: Whether it had a successful response.
             rejected: Whether its server rejected it.
         """
         if self.settings.adaptive and self.work.is_reliable(klass):
@@ -300,7 +299,7 @@
         """Choose when a rejected request may come back, in microseconds, and reserve service for it then."""
         tenant = requester.tenant
         rate = self.service_rate.per_us * self.queues.service_fraction(tenant)
-        backlog_us = self.queues.tenants[tenant].work_us / rate
+        backlog_us = self.queues.work_us_of(tenant) / rate
         service_us = work_us / rate
         if self.memory_used() + RESERVATION_BYTES > self.settings.memory_bytes:
             terms = terms._replace(client_timeout_us=0)  # no further reservation
@@ -308,6 +307,10 @@
 
     # Shares and figures
 
+    def local_demands(self, now_us: int) -> list[float]:
+        """This gateway's demand by tenant, in microseconds of work a second, for its peers."""
+        return self.demand.local_demands(now_us)
+
     def record_peer_demands(self, gateway: int, demands: list[float], now_us: int, gateways: int) -> None:
         """Take the demand that another gateway reports: shares are to hold for all gateways together."""
         self.demand.record_peer_demands(gateway, demands, now_us)
@@ -319,6 +322,11 @@
             self.shares[:] = shares
             self.queues.set_shares(shares)
 
+    @property
+    def open_reservations(self) -> int:
+        """How many reservations have not been claimed yet."""
+        return self.reservations.count
+
     def memory_used(self) -> int:
         """Bytes of all tables and queues, from their sizes and the measured memory of an entry."""
         limiters = (self.tenant_rate, self.client_rate)
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -85,6 +85,17 @@
     def __len__(self) -> int:
         return len(self.entries)
 
+    def __contains__(self, item: object) -> bool:
+        return item in self.entries
+
+    def count_of(self, tenant: int) -> int:
+        """How many items of a tenant are queued."""
+        return self.tenants[tenant].count
+
+    def work_us_of(self, tenant: int) -> float:
+        """Work of the queued items of a tenant."""
+        return self.tenants[tenant].work_us
+
     def set_shares(self, shares: Sequence[float]) -> None:
         """Apply new shares to what is served from now on; past service stays charged as it was."""
         for queue, share in zip(self.tenants, shares, strict=True):
@@ -126,13 +137,12 @@
             queue.start_tag = max(queue.start_tag, self.virtual_time - self.max_catch_up)
             heapq.heappush(self.heap, (queue.start_tag, self.order, tenant))
 
-    def remove(self, item: Item) -> bool:
-        """Take out an item that shall not be served; False if it is not queued."""
+    def remove(self, item: Item) -> Entry[Item] | None:
+        """Take out an item that shall not be served; returns its entry, None if it is not queued."""
         entry = self.entries.pop(item, None)
-        if entry is None:
-            return False
-        self._unlink(entry)
-        return True
+        if entry is not None:
+            self._unlink(entry)
+        return entry
 
     def _unlink(self, entry: Entry[Item]) -> None:
         entry.removed = True
@@ -187,7 +197,7 @@
         if not queue.flows:
             queue.salt = (queue.salt * HASH_MULTIPLIER + 1) & HASH_MASK
 
-    def dequeue(self, item: Item) -> None:
+    def dequeue(self, item: Item) -> Entry[Item]:
         """Take out the item that `peek` gave, and charge its work to its tenant and its flow."""
         entry = self.entries.pop(item)
         queue = self.tenants[entry.tenant]
@@ -203,6 +213,7 @@
         if self.heap and self.heap[0][2] == entry.tenant:
             self.order += 1
             heapq.heapreplace(self.heap, (queue.start_tag, self.order, entry.tenant))
+        return entry
 
     def charge(self, tenant: int, client: int, work_us: float) -> None:
         """Charge a client for work that was not queued, such as a retry that came too early."""
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -78,7 +78,7 @@
 def demands_of(gateway: Gateway) -> Callable[[], list[float]] | None:
     """What members ask for, for the others, where fair queues are on."""
     admission = gateway.balancer.admission
-    return None if admission is None else lambda: admission.demand.local_demands(now_us())
+    return None if admission is None else lambda: admission.local_demands(now_us())
 
 
 class Handover:
