--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -11,23 +11,20 @@
 from sagetrack.core.context import GatewayContext
 from sagetrack.core.event_trace import Step
 from sagetrack.core.log import log
-from sagetrack.policy.interface import (
+from sagetrack.policy.actions import (
     Action,
     Cancel,
     CloseIdle,
     Fail,
     FetchEndpoints,
-    LoadReport,
     Log,
-    Outcome,
     Probe,
-    Probed,
     Reject,
     SendAttempt,
     SetTimer,
-    TimerFired,
     WatchEndpoints,
 )
+from sagetrack.policy.events import LoadReport, Outcome, Probed, TimerFired
 
 TIMER_ROUNDING_S = 0.001  # the event loop rounds to milliseconds, and no timer may fire before it is due
 
--- a/sagetrack/core/answer_watchdog.py
+++ b/sagetrack/core/answer_watchdog.py
@@ -8,7 +8,8 @@
 from sagetrack.core.context import GatewayContext
 from sagetrack.core.event_dispatcher import Executor
 from sagetrack.core.invariants import Invariant
-from sagetrack.policy.interface import Fail, RequestCancelled
+from sagetrack.policy.actions import Fail
+from sagetrack.policy.events import RequestCancelled
 
 CHECK_INTERVAL_S = 0.15
 MAX_LATENESS_US = 50_000  # past its deadline, after which a request counts as overdue
--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -8,7 +8,7 @@
 from sagetrack.core.in_flight import InFlightRequest
 from sagetrack.core.interfaces import AnyResponse, Attempt, Source
 from sagetrack.core.send_rules import DenialReason, ServerState, may_retry, may_send
-from sagetrack.policy.interface import AttemptEnded, AttemptSent, Event, LoadReport, Outcome, StreamStarted
+from sagetrack.policy.events import AttemptEnded, AttemptSent, Event, LoadReport, Outcome, StreamStarted
 
 
 class GatewayAttemptObserver:
--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -9,7 +9,8 @@
 from sagetrack.core.invariants import Invariant
 from sagetrack.core.send_rules import DenialReason, ServerState, may_retry, may_send
 from sagetrack.core.server_list import ServerList
-from sagetrack.policy.interface import AttemptEnded, Cancel, Event, Outcome, SendAttempt
+from sagetrack.policy.actions import Cancel, SendAttempt
+from sagetrack.policy.events import AttemptEnded, Event, Outcome
 
 
 class AttemptStarter:
--- a/sagetrack/core/context.py
+++ b/sagetrack/core/context.py
@@ -12,7 +12,7 @@
 from sagetrack.core.invariants import InvariantViolations
 from sagetrack.core.metrics import Metrics, ReasonCounter
 from sagetrack.core.send_rules import DenialReason
-from sagetrack.policy.interface import Settings
+from sagetrack.policy.settings import Settings
 
 
 @dataclass(slots=True, eq=False)
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
-from sagetrack.policy.interface import Settings
+from sagetrack.policy.settings import Settings
 
 SILENT_WATCH_LIMIT_S = 6.0  # after a watch fell silent, when the changes it has missed count as delivered
 AFTER_POLL_WAIT_S = 2.0  # or this long after the end of the wait that was asked for, if that is later
--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -9,7 +9,8 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.invariants import Invariant, InvariantViolations
-from sagetrack.policy.interface import Action, AttemptEnded, Event, Fail, RequestArrived
+from sagetrack.policy.actions import Action, Fail
+from sagetrack.policy.events import AttemptEnded, Event, RequestArrived
 from sagetrack.policy.load_balancer import LoadBalancer
 
 LazyEvent = Callable[[], Event | None]  # makes the event when its turn comes; None: it is void by then
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -24,15 +24,9 @@
 from sagetrack.core.metrics import Metrics, ReasonCounter
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.core.server_list import ServerList
-from sagetrack.policy.interface import (
-    ListKind,
-    Outcome,
-    ProcessCountChanged,
-    RequestArrived,
-    Settings,
-    ShutdownStarted,
-)
+from sagetrack.policy.events import ListKind, Outcome, ProcessCountChanged, RequestArrived, ShutdownStarted
 from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.settings import Settings
 
 
 class Gateway:
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -10,7 +10,7 @@
 from sagetrack.core.interfaces import Attempt, Call, UpstreamPool
 from sagetrack.core.metrics import Counter
 from sagetrack.core.send_rules import AttemptRecord
-from sagetrack.policy.interface import RequestCancelled
+from sagetrack.policy.events import RequestCancelled
 
 
 @dataclass(slots=True, eq=False)
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.send_rules import ServerState
-from sagetrack.policy.interface import LoadReport, Outcome
+from sagetrack.policy.events import LoadReport, Outcome
 
 AnyResponse = Any  # a response of the protocol: its upstream side makes it, its downstream side reads it
 
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sagetrack.policy.interface import NEVER_RAN, Effect, Outcome, RequestClass, Scope, Settings
+from sagetrack.policy.events import NEVER_RAN, Outcome
+from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings
 
 FIRST_REQUEST_TIMEOUT_S = 0.5  # for the first request on a new connection, which is not closed before
 REQUEST_HEAD_TIMEOUT_S = 2.0  # for a client to send a complete head, or its first byte
--- a/sagetrack/core/server_list.py
+++ b/sagetrack/core/server_list.py
@@ -9,7 +9,7 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.event_trace import Step
 from sagetrack.core.send_rules import AttemptRecord
-from sagetrack.policy.interface import EndpointList, Event, ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import EndpointList, Event, ListedServer, ListKind, ServerStatus
 
 MAX_NAMES_IN_SUMMARY = 20
 
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -26,7 +26,7 @@
 from sagetrack.discovery.endpoint_parsing import EndpointListUpdate, parse_endpoint_list
 from sagetrack.discovery.errors import DiscoveryCallError
 from sagetrack.discovery.version_check import VersionCheck
-from sagetrack.policy.interface import ListKind
+from sagetrack.policy.events import ListKind
 
 LIST_PATH = b"/registry/instances"
 STATUS_OK = 200
--- a/sagetrack/discovery/endpoint_parsing.py
+++ b/sagetrack/discovery/endpoint_parsing.py
@@ -12,7 +12,7 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.log import log
 from sagetrack.discovery.errors import EndpointListError
-from sagetrack.policy.interface import ListedServer, ServerStatus
+from sagetrack.policy.events import ListedServer, ServerStatus
 
 STATUS_SERVING = "SERVING"
 STATUSES = {
--- a/sagetrack/discovery/endpoints_by_protocol.py
+++ b/sagetrack/discovery/endpoints_by_protocol.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.policy.interface import ListKind, ServerStatus
+from sagetrack.policy.events import ListKind, ServerStatus
 
 HTTP = "http"  # the protocol of a server whose type is not mapped to another one
 
--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -12,7 +12,8 @@
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
 from sagetrack.http1.response_outcome import outcome_of
 from sagetrack.http1.upstream_connection import Attempt, Incarnation, UpstreamConnection
-from sagetrack.policy.interface import Outcome, Settings
+from sagetrack.policy.events import Outcome
+from sagetrack.policy.settings import Settings
 
 
 class AttemptRunner:
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -13,7 +13,8 @@
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
 from sagetrack.http1.response_outcome import load_of
 from sagetrack.http1.upstream_connection import Attempt, Message, UpstreamServer
-from sagetrack.policy.interface import LoadReport, Outcome, Reports, ServerStatus, Settings
+from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.settings import Reports, Settings
 
 SWEEP_S = 1.0  # between looks for idle connections and stalled bodies that have had their time
 PROBE_TIMEOUT_US = 250_000
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -8,7 +8,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.http1.upstream_connection import UpstreamConnection, UpstreamServer
-from sagetrack.policy.interface import Settings
+from sagetrack.policy.settings import Settings
 
 KEEPALIVE_FRACTION = 0.8  # of the server's idle timeout: no connection is kept unused for longer
 SPARE_IDLE_US = 5_000_000  # the same for connections that only a burst has needed
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -11,7 +11,7 @@
 from sagetrack.core.responses import Header
 from sagetrack.http1.codec import ProtocolError, end_to_end
 from sagetrack.http1.upstream_connection import Message
-from sagetrack.policy.interface import Effect, RequestClass
+from sagetrack.policy.settings import Effect, RequestClass
 
 ID_LIMIT = 128  # bytes of X-Call-Id
 DIGITS_LIMIT = 15  # of a number in a header
--- a/sagetrack/http1/response_outcome.py
+++ b/sagetrack/http1/response_outcome.py
@@ -4,7 +4,7 @@
 
 from sagetrack.core.responses import Response
 from sagetrack.http1.codec import header
-from sagetrack.policy.interface import LoadReport, Outcome
+from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.parsing import parse_load
 
 LOAD_REPORT_FORMAT = "TEXT"  # the only one of `X-Load-Report` that is read
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -14,7 +14,7 @@
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.codec import ResponseError, ResponseReader
-from sagetrack.policy.interface import Outcome
+from sagetrack.policy.events import Outcome
 
 STREAM_AFTER_S = 0.05  # a response of unknown length that is incomplete by then is streamed
 
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -14,7 +14,7 @@
 from sagetrack.peers.demand_gossip import FANOUT, demand_message, demands_from
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.warm_start import PEERS_ASKED, divide_response
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
 WATCHED_S = 100.0  # after the death
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -23,14 +23,12 @@
 from sagetrack.peers.observation_codec import latencies_from
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
+from sagetrack.policy.actions import Cancel, Fail, Reject, SendAttempt, SendToPeers, SetTimer
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.concurrency_limit import Rate
-from sagetrack.policy.interface import (
+from sagetrack.policy.events import (
     AttemptEnded,
-    Cancel,
     EndpointList,
     Event,
-    Fail,
     FleetSizeChanged,
     ListedServer,
     ListKind,
@@ -38,17 +36,14 @@
     Outcome,
     PeerDemands,
     PeerMessage,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    SendAttempt,
     ServerStatus,
-    SetTimer,
-    TellPeers,
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.parsing import parse_settings
+from sagetrack.policy.rate_limit import Rate
 
 KEPT_US = 1_000_000  # between two writes of what a gateway knows
 BASE_US = 1_000_000_000  # the gateways' clock at the run's begin: 0 would mean long ago
@@ -70,11 +65,11 @@
     if not door.use:
         return None
     return AdmissionSettings(
-        patience=door.patience,
+        max_wait_fraction=door.patience,
         memory_bytes=int(door.memory_mb * 1024 * 1024),
         adaptive=door.adaptive,
         client_rate=Rate(door.client_per_s, 5.0) if door.client_per_s else None,
-        member_rate=Rate(door.member_per_s, 10.0) if door.member_per_s else None,
+        tenant_rate=Rate(door.member_per_s, 10.0) if door.member_per_s else None,
     )
 
 
@@ -177,7 +172,7 @@
                     self.answer(action.request, "failed", 0)
                 case Cancel():
                     self.cancel(action.request, action.attempt)
-                case TellPeers():
+                case SendToPeers():
                     self.fleet.pass_on(self.number, action)
                 case _:
                     pass
@@ -387,7 +382,7 @@
         door = self.gateway.balancer.admission
         if self.demand_schedule is not None and door is not None:
             for target in self.demand_schedule.targets(now):
-                if (message := demand_message(door.levels.tell(now + BASE_US))) is not None:
+                if (message := demand_message(door.local_demands(now + BASE_US))) is not None:
                     self.send(target, Datagram(self.gateway.number, self.membership.incarnation, [message]))
             due = min(due, self.demand_schedule.due_us)
         if due != self.planned_us:
@@ -532,7 +527,7 @@
             for gateway in self.up:
                 self.tell(gateway, self.world.known(), True)
 
-    def pass_on(self, sender: int, action: TellPeers) -> None:
+    def pass_on(self, sender: int, action: SendToPeers) -> None:
         """A datagram from one gateway to another, or to all of them; it may be late or lost."""
         network = self.world.scenario.network
         for number in self.up if action.peer < 0 else [action.peer]:
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -29,7 +29,7 @@
 from sagetrack.peers.observation_codec import latencies_from
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
-from sagetrack.policy.interface import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
+from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 BIND_RETRY_S = 0.5  # while an older process of this gateway has the address
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -7,7 +7,7 @@
 
 from sagetrack.config.platform import Config, ConfigError
 from sagetrack.policy.admission import AdmissionSettings
-from sagetrack.policy.concurrency_limit import Rate
+from sagetrack.policy.rate_limit import Rate
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -30,11 +30,11 @@
     admission = AdmissionSettings(
         shares=shares_in(config, operator),
         flows=queues.flows,
-        patience=queues.patience,
+        max_wait_fraction=queues.patience,
         memory_bytes=int(queues.memory_mb * 1024 * 1024),
         adaptive=limits.adaptive,
-        repeats=limits.repeats,
-        member_rate=rate(limits.member_per_s, limits.member_burst),
+        retry_ratio=limits.repeats,
+        tenant_rate=rate(limits.member_per_s, limits.member_burst),
         client_rate=rate(limits.client_per_s, limits.client_burst),
         class_rates=tuple(
             rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -11,7 +11,7 @@
 from sagetrack.core.clock import machine_us, now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.events import ObservationsReceived
 from sagetrack.server.hot_restart import Overlap
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
             raise ConfigError("peers.use = on needs peers.listen and peers.addresses")
         if me >= len(peers):
             raise ConfigError(f"peers.me = {me} is not below the number of peers.addresses, {len(peers)}")
-    elif not config.settings.may_tell_peers or len(peers) != config.settings.proxies:
+    elif not config.settings.may_message_peers or len(peers) != config.settings.proxies:
         return None
     if listen is None or len(peers) < 2:
         return None
@@ -78,7 +78,7 @@
 def demands_of(gateway: Gateway) -> Callable[[], list[float]] | None:
     """What members ask for, for the others, where fair queues are on."""
     admission = gateway.balancer.admission
-    return None if admission is None else lambda: admission.levels.tell(now_us())
+    return None if admission is None else lambda: admission.local_demands(now_us())
 
 
 class Handover:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,8 @@
 
 import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
-from sagetrack.policy.interface import EndpointList, ListedServer, ListKind, ObservationsReceived, SendAttempt
+from sagetrack.policy.actions import SendAttempt
+from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ObservationsReceived
 from sagetrack.server.fleet import Handover
 from sagetrack.server.hot_restart import Overlap
 from tests.helpers import SETTINGS, Driver
@@ -117,7 +118,7 @@
         new = Handover(overlap, run.instance.config, run.gateway)
         new.take()
         (event,) = learned
-        age_us = later() + step_s * 1_000_000 - event.sights[0].seen_us
+        age_us = later() + step_s * 1_000_000 - event.observations[0].seen_us
         assert 0 <= age_us < 5_000_000
         for handover in (old, new):
             handover.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from sagetrack.discovery.endpoint_parsing import parse_endpoint_list
 from sagetrack.http1.downstream import MAX_PIPELINED
 from sagetrack.http1.upstream_connection import UpstreamConnection
-from sagetrack.policy.interface import AttemptEnded, ListKind, Outcome, RequestArrived
+from sagetrack.policy.events import AttemptEnded, ListKind, Outcome, RequestArrived
 from tests.helpers import GATEWAY_CLOCK_USERS
 from tests.sockets import (
     Exchange,
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -25,17 +25,10 @@
 from sagetrack.discovery.client import DiscoveryClient
 from sagetrack.discovery.connection import DiscoveryConnection
 from sagetrack.discovery.errors import DiscoveryCallError
-from sagetrack.policy.interface import (
-    Action,
-    EndpointList,
-    ListKind,
-    ServerStatus,
-    SetTimer,
-    Settings,
-    TimerFired,
-    WatchEndpoints,
-)
+from sagetrack.policy.actions import Action, SetTimer, WatchEndpoints
+from sagetrack.policy.events import EndpointList, ListKind, ServerStatus, TimerFired
 from sagetrack.policy.load_balancer import LIST_TOKEN, LoadBalancer
+from sagetrack.policy.settings import Settings
 from tests.helpers import SETTINGS, START_US, Driver, timers
 from tests.sockets import (
     Exchange,
--- a/tests/test_endpoint_parsing.py
+++ b/tests/test_endpoint_parsing.py
@@ -17,7 +17,7 @@
 )
 from sagetrack.discovery.errors import DiscoveryError, EndpointListError
 from sagetrack.discovery.version_check import VersionCheck
-from sagetrack.policy.interface import ListedServer, ServerStatus
+from sagetrack.policy.events import ListedServer, ServerStatus
 
 NAMES = Names(classes={}, tenants={}, zones={"a": 0, "b": 1}, kinds={"m": 0})
 ENTRY = {
--- a/tests/test_endpoints_by_protocol.py
+++ b/tests/test_endpoints_by_protocol.py
@@ -5,7 +5,7 @@
 from sagetrack.config.platform import stable_id
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.discovery.endpoints_by_protocol import EndpointsByProtocol
-from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 
 
 def listed(name: str, place: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
--- a/tests/test_event_dispatcher.py
+++ b/tests/test_event_dispatcher.py
@@ -7,7 +7,8 @@
 from sagetrack.core.event_dispatcher import EventDispatcher
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.invariants import Invariant, InvariantViolations
-from sagetrack.policy.interface import Action, Event, Fail, RequestArrived, RequestCancelled, TimerFired
+from sagetrack.policy.actions import Action, Fail
+from sagetrack.policy.events import Event, RequestArrived, RequestCancelled, TimerFired
 from sagetrack.policy.load_balancer import LoadBalancer
 from tests.helpers import SETTINGS
 
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -9,7 +9,7 @@
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
 from sagetrack.core.interfaces import Call
 from sagetrack.core.send_rules import AttemptRecord
-from sagetrack.policy.interface import Event, RequestCancelled
+from sagetrack.policy.events import Event, RequestCancelled
 
 
 class Started:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -28,7 +28,8 @@
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.idle_connections import IdleConnections
 from sagetrack.http1.upstream_connection import Message, UpstreamConnection
-from sagetrack.policy.interface import Effect, ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
+from sagetrack.policy.settings import Effect
 from tests.helpers import GATEWAY_CLOCK_USERS, SETTINGS
 
 SERVERS, STEPS = 3, 120
--- a/tests/test_response_outcome.py
+++ b/tests/test_response_outcome.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.responses import Header, Response
 from sagetrack.http1.response_outcome import load_of, outcome_of
-from sagetrack.policy.interface import Outcome
+from sagetrack.policy.events import Outcome
 
 REJECTED: Header = (b"X-Rejected", b"1")
 
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -8,7 +8,7 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.server_list import ServerList, summary
-from sagetrack.policy.interface import EndpointList, ListedServer, ListKind, ServerStatus
+from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 
 
 class Upstream:
