--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -132,7 +132,7 @@
         gauges = {
             "current": lambda: sum(held.is_current for held in self.held.values()),
             "cluster_size": lambda: len(self.back.listed),
-            "cluster_unhealthy": lambda: self.balancer.avoided(),
+            "cluster_unhealthy": lambda: self.balancer.unhealthy_count(),
         }
         self.metrics = Metrics(classes, gauges)
         for counts in (self.violations, self.withheld, self.ended, self.unserved):
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -195,7 +195,7 @@
             "dns_upstream_attempts_total": back.udp,
             "dns_upstream_tcp_total": back.tcp,
             "dns_upstream_unmatched_total": back.unmatched,
-            "dns_upstream_unhealthy": self.gateway.balancer.avoided(),
+            "dns_upstream_unhealthy": self.gateway.balancer.unhealthy_count(),
             "dns_current": len(self.front.waiting),
         }
 
--- a/sagetrack/lab/fair_queue_benchmark.py
+++ b/sagetrack/lab/fair_queue_benchmark.py
@@ -133,7 +133,7 @@
         clients,
         door,
         spent / 1000 / calls,
-        len(made.queues) if made else len(balancer.waiting),
+        len(made.queues) if made else len(balancer.capacity_wait),
         made.promises.count if made else 0,
         held,
         made.bytes() / 1024 if made else 0.0,
--- a/sagetrack/lab/faults.py
+++ b/sagetrack/lab/faults.py
@@ -9,6 +9,7 @@
 from dataclasses import replace
 
 from sagetrack.lab.virtual import Held, VirtualGateway
+from sagetrack.policy.fleet_size import FleetSize
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -53,9 +54,9 @@
     def handle(self, now_us: int, event: Event) -> list[Action]:
         return self.balancer.handle(now_us, event)
 
-    def sights(self) -> tuple[list[Observation], list[ClassLatency]]:
+    def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
         """For the gateway's store."""
-        return self.balancer.sights()
+        return self.balancer.own_observations()
 
 
 class IgnoresDrains(Wrapped):
@@ -140,11 +141,11 @@
         return actions
 
 
-class WholePlaces(LoadBalancer):
-    """Keeps no part over time: each proxy has a whole place at every server, however many they are."""
+class WholePlaces(FleetSize):
+    """Keeps no share over time: each gateway has a whole place at every server, however many they are."""
 
-    @property
-    def has_many_sharers(self) -> bool:
+    def is_concurrency_scarce(self) -> bool:
+        """Never: gateways take whole places."""
         return False
 
 
@@ -152,7 +153,8 @@
     """Holds one attempt at each server, as all others do; nothing keeps the sum."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
-        super().__init__(WholePlaces(balancer.settings, balancer.random.getrandbits(64)), gateway)
+        settings, seed = balancer.settings, balancer.context.random.getrandbits(64)
+        super().__init__(LoadBalancer(settings, seed, WholePlaces(settings)), gateway)
 
 
 # The parts of all places alone keep cold servers within their budgets, whatever is not counted of these (0.6
@@ -175,7 +177,7 @@
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         settings = balancer.settings
         three = replace(settings, proxies=3, proxy=settings.proxy % 3)
-        super().__init__(LoadBalancer(three, balancer.random.getrandbits(64)), gateway)
+        super().__init__(LoadBalancer(three, balancer.context.random.getrandbits(64)), gateway)
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         return [] if isinstance(event, FleetSizeChanged) else self.balancer.handle(now_us, event)
@@ -198,7 +200,7 @@
 
 def forget_spent(balancer: LoadBalancer) -> None:
     for server in balancer.servers.values():
-        server.spent_us = 0.0
+        server.slow_start_used_us = 0.0
 
 
 WRAPS: dict[str, type[Wrapped]] = {
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -190,8 +190,8 @@
     hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
     for _ in range(122):
         hollow.call()
-    told = float(len(hollow.balancer.sights()[0]))
-    return meter.event(hollow.balancer.sights) | {"entries": told}
+    told = float(len(hollow.balancer.own_observations()[0]))
+    return meter.event(hollow.balancer.own_observations) | {"entries": told}
 
 
 def configuration_by_tenants(fleet: FleetAhead, size: int, meter: Meter) -> Values:
--- a/sagetrack/lab/slow_start.py
+++ b/sagetrack/lab/slow_start.py
@@ -125,7 +125,7 @@
 
     def kill(self, gateway: int) -> None:
         if self.case.orderly:
-            sights, latencies = self.up[gateway].balancer.sights()
+            sights, latencies = self.up[gateway].balancer.own_observations()
             self.kept[gateway] = ObservationsReceived(tuple(sights), tuple(latencies))
         super().kill(gateway)
         self.number_changed()
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual.py
@@ -397,7 +397,7 @@
         self.machine.handle(now, datagram)
         for message in datagram.messages:
             if isinstance(message, Ask):
-                sights, latencies = gateway.balancer.sights()
+                sights, latencies = gateway.balancer.own_observations()
                 for part in self.teller.answer(now + BASE_US, message, sights, latencies):
                     self.send(datagram.sender, Datagram(gateway.number, self.machine.incarnation, [part]))
             elif isinstance(message, Tell) and self.asker is not None:
@@ -446,7 +446,7 @@
         """Once a second what a gateway knows goes into its store, as long as it lives."""
         if gateway.dead:
             return
-        sights, latencies = gateway.balancer.sights()
+        sights, latencies = gateway.balancer.own_observations()
         if sights:
             self.kept[gateway.number] = ObservationsReceived(tuple(sights), tuple(latencies))
         self.clock.at(self.clock.now_us() + KEPT_US, lambda: self.keep(gateway))
--- /dev/null
+++ b/sagetrack/policy/admission_gate.py
@@ -0,0 +1,159 @@
+"""Admission of a request where admission control is on: fair queues, limits, and when to come back."""
+
+from __future__ import annotations
+
+from sagetrack.policy.admission import PROMISED_WORTH, AdmissionController, AdmissionDenial
+from sagetrack.policy.attempts import AttemptSender
+from sagetrack.policy.class_priorities import ClassPriorities
+from sagetrack.policy.endpoint_ring import Ring
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.fleet_size import FleetSize
+from sagetrack.policy.in_flight import InFlightAttempts
+from sagetrack.policy.interface import AttemptEnded, Outcome, Settings
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.load_shedding import LoadShedder
+from sagetrack.policy.selection import ServerSelector
+from sagetrack.policy.state import Request, Server
+from sagetrack.policy.timers import TimerPurpose, Timers
+
+TELL_COST = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT})  # outcomes that admission learns from
+
+
+class AdmissionGate:
+    """Puts the admission controller in front of the load balancer's own decisions."""
+
+    def __init__(
+        self,
+        admission: AdmissionController[Request],
+        context: EventContext,
+        settings: Settings,
+        fleet: FleetSize,
+        ring: Ring[Server],
+        latency: LatencyEstimator,
+        priorities: ClassPriorities,
+        shedder: LoadShedder,
+        selector: ServerSelector,
+        sender: AttemptSender,
+        in_flight: InFlightAttempts,
+        timers: Timers,
+    ) -> None:
+        self._admission = admission
+        self._context = context
+        self._settings = settings
+        self._fleet = fleet
+        self._ring = ring
+        self._latency = latency
+        self._priorities = priorities
+        self._shedder = shedder
+        self._selector = selector
+        self._sender = sender
+        self._in_flight = in_flight
+        self._timers = timers
+
+    @property
+    def has_queue(self) -> bool:
+        """Whether any request waits for its turn."""
+        return len(self._admission.queues) > 0
+
+    def is_queued(self, request: Request) -> bool:
+        """Whether a request waits for its turn."""
+        return request in self._admission.queues.entries
+
+    def count_denial(self, reason: AdmissionDenial) -> None:
+        """Count a denial for the stats."""
+        self._admission.reasons[reason] += 1
+
+    def admit(self, request: Request, is_retry: bool) -> AdmissionDenial | None:
+        """Send a request or queue it; or say why it is denied.
+
+        One that could not be served in time is denied here, and not when its time is over.
+        """
+        admission = self._admission
+        work_us = admission.work_of(request.klass, request.relative_work)
+        denial = self._check_limits(request, work_us, is_retry)
+        if denial is not None:
+            return denial
+        if self._shedder.should_reject(self._context, request):
+            return AdmissionDenial.SHARE
+        idle = not admission.queues.entries and admission.has_room(self._in_flight.count)
+        if idle and self._sender.try_send(request):
+            return None  # nobody is passed over: the queues cost something only while there is one
+        return self._queue(request, work_us)
+
+    def _check_limits(self, request: Request, work_us: float, is_retry: bool) -> AdmissionDenial | None:
+        """Rate limits, memory and reservations."""
+        verdict = self._admission.arrive(
+            self._context.now_us,
+            request.admission_tenant,
+            request.client,
+            request.key or 0,
+            request.klass,
+            work_us,
+            is_retry,
+        )
+        if not isinstance(verdict, bool):
+            request.retry_after_us = verdict[1] or -1
+            return verdict[0]
+        request.has_reservation = verdict
+        return None
+
+    def _queue(self, request: Request, work_us: float) -> AdmissionDenial | None:
+        """Let a request wait for its turn, which may be now."""
+        admission, now_us = self._admission, self._context.now_us
+        late, max_wait_us = self._max_wait_us(request)
+        if not self._selector.any_eligible(request.klass):
+            return AdmissionDenial.SERVERS
+        self._set_bounds()
+        tenant, client = request.admission_tenant, request.client
+        wait_us = admission.wait_us(now_us, tenant, client) if len(admission.queues) else 0.0
+        if wait_us > max_wait_us and not request.has_reservation:
+            return AdmissionDenial.LATE
+        late_weight = self._settings.classes[request.klass].late_priority_weight
+        gain = self._priorities.gains()[request.klass] * (late_weight if late else 1.0)
+        priority = gain + PROMISED_WORTH * request.has_reservation
+        admission.push(request, now_us, tenant, client, work_us, priority, request.objective_at_us)
+        self.serve()
+        if not request.attempts and not request.answered:
+            if max_wait_us <= 0:
+                return AdmissionDenial.LATE
+            self._timers.set(now_us + int(max_wait_us), TimerPurpose.QUEUE_WAIT, request)
+        return None
+
+    def _max_wait_us(self, request: Request) -> tuple[bool, float]:
+        """Whether only a late answer is to be had, and how long the request may wait for its turn."""
+        now_us = self._context.now_us
+        needed_us = self._latency.unqueued_us(request.klass, request.relative_work)
+        left_us = request.deadline_us - now_us - needed_us
+        late_weight = self._settings.classes[request.klass].late_priority_weight
+        late = late_weight > 0.0 and (request.has_reservation or now_us >= request.objective_at_us)
+        slack_us = left_us if late else min(request.objective_at_us - now_us - needed_us, left_us)
+        return late, self._admission.settings.patience * slack_us
+
+    def _set_bounds(self) -> None:
+        """Tell admission control what the servers can do at the least.
+
+        Requests that servers hold at once are, by Little's law, the latencies served in a unit of time.
+        """
+        servers = len(self._ring.ranked)
+        self._admission.prior = float(servers * self._fleet.places_per_server())
+        self._admission.limit.least = max(1.0, servers / self._fleet.gateways)
+
+    def serve(self) -> None:
+        """Send the requests whose turn it is, while there is capacity."""
+        admission = self._admission
+        while (request := admission.first(self._in_flight.count)) is not None:
+            if not self._sender.try_send(request):
+                return
+            admission.serve(request, self._context.now_us)
+
+    def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
+        """Learn what a request costs from the end of an attempt. To be called while it counts in flight."""
+        if event.outcome in TELL_COST:
+            good, rejected = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
+            in_flight, size = self._in_flight.count, request.relative_work
+            self._admission.ended(request.klass, event.latency_us, size, in_flight, good, rejected)
+
+    def count_served(self, request: Request) -> None:
+        """Count a request that was served for the stats."""
+        if request.mirror_target < 0:
+            self._admission.rows[request.admission_tenant].served += 1
--- /dev/null
+++ b/sagetrack/policy/capacity_wait.py
@@ -0,0 +1,76 @@
+"""Requests that wait for a moment, as all servers that could take them hold as much as they may."""
+
+from __future__ import annotations
+
+from sagetrack.policy.attempts import AttemptSender
+from sagetrack.policy.class_priorities import ClassPriorities
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import Settings
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.selection import ServerSelector
+from sagetrack.policy.state import Request
+from sagetrack.policy.timers import TimerPurpose, Timers
+
+MAX_WAIT_SHARE = 0.25  # of the slack under the objective that a request may wait here for capacity
+
+
+class CapacityWait:
+    """The requests that wait, the first come first."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        settings: Settings,
+        latency: LatencyEstimator,
+        priorities: ClassPriorities,
+        selector: ServerSelector,
+        sender: AttemptSender,
+        timers: Timers,
+    ) -> None:
+        self._context = context
+        self._settings = settings
+        self._latency = latency
+        self._priorities = priorities
+        self._selector = selector
+        self._sender = sender
+        self._timers = timers
+        self._waiting: dict[Request, None] = {}
+
+    def __len__(self) -> int:
+        return len(self._waiting)
+
+    def __contains__(self, request: Request) -> bool:
+        return request in self._waiting
+
+    def join(self, request: Request) -> bool:
+        """Let a request wait; False where no server could take it, or it has no time for that.
+
+        This bridges a short burst. It is no way to hold back a rejection: the wait is a small part of the
+        request's time. A request of an in-order class does not wait here, as its key's order would be lost.
+        """
+        if self._settings.classes[request.klass].in_order:
+            return False
+        if not self._selector.any_eligible(request.klass):
+            return False
+        now_us = self._context.now_us
+        needed_us = self._latency.unqueued_us(request.klass, request.relative_work)
+        slack_us = request.objective_at_us - now_us - needed_us
+        wait_us = int(MAX_WAIT_SHARE * min(slack_us, request.deadline_us - now_us))
+        if wait_us <= 0:
+            return False
+        self._waiting[request] = None
+        self._timers.set(now_us + wait_us, TimerPurpose.QUEUE_WAIT, request)
+        return True
+
+    def leave(self, request: Request) -> None:
+        """A request waits no longer, if it did."""
+        self._waiting.pop(request, None)
+
+    def serve(self) -> None:
+        """Send what waits while there is capacity, what gains the most for its work first."""
+        while self._waiting:
+            gains = self._priorities.gains()
+            request = max(self._waiting, key=lambda r: gains[r.klass] * (1.0 - max(0.0, r.quota_excess)))
+            if not self._sender.try_send(request):
+                return
+            del self._waiting[request]
--- /dev/null
+++ b/sagetrack/policy/client_timeouts.py
@@ -0,0 +1,63 @@
+"""Which arrivals are clients' retries, and how much of their time is used, by the timeout they come with."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from sagetrack.policy.interface import RequestArrived, RequestClass
+
+SAME_TIMEOUT_TOLERANCE = 0.02  # relative: timeouts that differ by less are the same
+REGULAR_SHARE = 0.5  # share of the tries with the usual timeout: with fewer, another one marks no retry
+SMOOTHING = 0.05  # share of the newest try in `regular`
+
+
+@dataclass(slots=True, eq=False)
+class ClientTimeoutEstimate:
+    """The timeout that one tenant's clients give their first tries of one class."""
+
+    usual_us: int
+    votes: int = 0  # for `usual_us`: majority vote of Boyer and Moore
+    regular: float = 1.0  # share of the tries of late that came with it
+
+
+class ClientTimeouts:
+    """The usual client timeout by class and tenant: one tenant's clients tell nothing of another's."""
+
+    def __init__(self, classes: Sequence[RequestClass], clients_mark_retries: bool) -> None:
+        self._classes = classes
+        self._clients_mark_retries = clients_mark_retries
+        self._estimates: dict[tuple[int, int], ClientTimeoutEstimate] = {}
+
+    def estimate(self, klass: int, tenant: int) -> ClientTimeoutEstimate:
+        """The estimate for one tenant's requests of a class; the class's own timeout to begin with."""
+        estimate = self._estimates.get((klass, tenant))
+        if estimate is None:
+            estimate = ClientTimeoutEstimate(self._classes[klass].request_timeout_us)
+            self._estimates[klass, tenant] = estimate
+        return estimate
+
+    def is_irregular(self, klass: int, tenant: int) -> bool:
+        """Whether these clients give each try a timeout of its own."""
+        return self.estimate(klass, tenant).regular < REGULAR_SHARE
+
+    def used_us(self, event: RequestArrived) -> int:
+        """How much of its time a request's earlier tries have used; 0 for a first try.
+
+        First tries of a class by one tenant all come with the same timeout, found by majority vote; another
+        one marks a retry. First tries that are given less than the last are not taken for late retries, and
+        where clients give each try a timeout of its own, nothing is taken for one.
+        """
+        estimate = self.estimate(event.klass, event.tenant)
+        tolerance_us = SAME_TIMEOUT_TOLERANCE * estimate.usual_us
+        same = abs(event.client_timeout_us - estimate.usual_us) <= tolerance_us
+        if not event.is_retry:
+            was_regular = estimate.regular >= REGULAR_SHARE
+            estimate.regular += SMOOTHING * (same - estimate.regular)
+            estimate.votes += 1 if same else -1
+            same = same or estimate.votes < 0 or self._clients_mark_retries or not was_regular
+            if estimate.votes < 0:
+                estimate.usual_us, estimate.votes = event.client_timeout_us, 1
+        if same:
+            return 0
+        return max(0, self._classes[event.klass].request_timeout_us - event.client_timeout_us)
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -16,6 +16,7 @@
 
 SAVED_US = 500_000.0  # of its part that is saved at the most
 OWED_US = 4_000_000.0  # of its part that is owed at the most: servers that hang silence it for no longer
+LEAST_CREDIT_US = -OWED_US
 AHEAD_US = 100_000.0  # for so long what is beyond its part has to be saved: no burst is begun on credit
 PROMPT, LATE = 1.0, 2.0  # times the unhindered latency that an answer has waited: below, above
 STEP, CUT = 0.15, 0.7  # of the part: added after a prompt answer, left after a late one
@@ -51,8 +52,11 @@
 
     def pass_time(self, now_us: int, out: int) -> None:
         """So many attempts have been out since the last call."""
-        credit_us = self._credit_us + (self._part - out) * (now_us - self._at_us)
-        self._credit_us = max(-OWED_US * self._part, min(SAVED_US * self._part, credit_us))
+        part = self._part
+        self._credit_us = max(
+            LEAST_CREDIT_US * part,
+            min(SAVED_US * part, self._credit_us + (part - out) * (now_us - self._at_us)),
+        )
         self._at_us = now_us
 
     def learn(self, waited: float) -> None:
--- a/sagetrack/policy/fleet_size.py
+++ b/sagetrack/policy/fleet_size.py
@@ -1,20 +1,54 @@
-"""By how many gateways a bound or a cold server's budget is to be shared, as far as is known who lives. Pure.
+"""How many gateways share the servers, and so each one's part of what a server may hold.
 
-Who is cut off cannot be told from who is dead, and both sides of a cut go on sending. So a share grows only
-on the side of the majority, and by no more than the margin that is planned with: with at most `GROWTH` of the
-shares taken over, a majority that uses all of it and a minority that still sends as before stay within the
-whole together.
+A gateway behind a network partition cannot be told from a dead one, and both sides of a partition go on
+sending. So the parts grow only on the side of the majority, and by no more than the margin that is planned
+with: with at most `MAX_TAKEOVER` of the parts taken over, a majority that uses all of it and a minority that
+still sends as before stay within the whole together.
 """
 
 from __future__ import annotations
 
 import math
 
-GROWTH = 0.25  # of all shares that may be taken over
+from sagetrack.policy.interface import Settings
 
+MAX_TAKEOVER = 0.25  # of all parts: so much of the dead gateways' parts may be taken over
+DEFAULT_MAX_CONCURRENCY = 3.0  # requests in flight at one server, by all gateways: more slow it down for long
 
-def sharers(alive: int, all_: int) -> int:
-    """So many share. `alive` counts this gateway and all who are not known to be dead; doubt is alive."""
-    if all_ < 1 or not 0 < alive <= all_ or 2 * alive <= all_:
-        return max(1, all_)
-    return max(alive, math.ceil((1.0 - GROWTH) * all_))
+
+def sharing_gateways(alive: int, configured: int) -> int:
+    """The number of gateways to divide by.
+
+    Args:
+        alive: This gateway and all that are not known to be dead.
+        configured: All gateways of the settings.
+    """
+    if configured < 1 or not 0 < alive <= configured or 2 * alive <= configured:
+        return max(1, configured)
+    return max(alive, math.ceil((1.0 - MAX_TAKEOVER) * configured))
+
+
+class FleetSize:
+    """The number of gateways that share the servers, and of processes that are this gateway together."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._configured = settings.proxies
+        self.max_concurrency = settings.max_concurrency or DEFAULT_MAX_CONCURRENCY
+        self.gateways = settings.proxies
+        self.processes = 1
+
+    def set_alive(self, alive: int) -> None:
+        """Take the number of gateways that are not known to be dead, this one included."""
+        self.gateways = sharing_gateways(alive, self._configured)
+
+    def set_processes(self, processes: int) -> None:
+        """Take the number of processes, as at a hot restart."""
+        self.processes = max(1, processes)
+
+    def is_concurrency_scarce(self) -> bool:
+        """Whether a server may hold fewer requests than there are gateways: none has a whole place there."""
+        return self.gateways > self.max_concurrency
+
+    def places_per_server(self) -> int:
+        """The most requests that this gateway has in flight at one server."""
+        return max(1, math.ceil(self.max_concurrency / self.gateways))
--- /dev/null
+++ b/sagetrack/policy/gossip.py
@@ -0,0 +1,111 @@
+"""Observations of servers that gateways tell each other: what this one tells, and what it believes."""
+
+from __future__ import annotations
+
+from sagetrack.policy.circuit_breaker import LONGEST_COOLDOWN_US, State
+from sagetrack.policy.endpoint_ring import Ring
+from sagetrack.policy.endpoints import Endpoints
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import ObservationsReceived
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.peer_observations import (
+    CLOSED,
+    HALF_OPEN,
+    MOST_OPEN,
+    OLDEST_US,
+    OPEN,
+    Advice,
+    Observation,
+    advise,
+    join,
+)
+from sagetrack.policy.slow_start import SlowStart
+from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
+
+OWN_OUTWEIGHS_US = 2_000_000  # what this gateway saw itself within this outweighs all that peers tell
+TOLD_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
+
+
+class HealthGossip:
+    """Peers' observations, joined, and what follows from them for servers that this gateway knows less of."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        gateway: int,
+        endpoints: Endpoints,
+        ring: Ring[Server],
+        latency: LatencyEstimator,
+        slow_start: SlowStart,
+    ) -> None:
+        self._context = context
+        self._gateway = gateway
+        self._endpoints = endpoints
+        self._ranked = ring.ranked
+        self._latency = latency
+        self._slow_start = slow_start
+        self.received: dict[tuple[int, int], Observation] = {}  # by server and gateway
+
+    def own_observations(self) -> list[Observation]:
+        """What this gateway itself has seen of servers."""
+        observed = []
+        now_us, stall_us = self._context.now_us, self._latency.stall_timeout_us
+        for number, server in self._endpoints.servers.items():
+            used_us = int(server.slow_start_used_us) if now_us < server.warm_at_us else 0
+            if not server.last_outcome_us and not used_us:
+                continue
+            oldest_us = next(iter(server.in_flight.values())) if server.in_flight else now_us
+            stalled = now_us - oldest_us > stall_us
+            seen_us = server.last_outcome_us
+            observed.append(
+                Observation(
+                    number,
+                    server.entry.started_us,
+                    self._gateway,
+                    max(seen_us, oldest_us + int(stall_us)) if stalled else seen_us,
+                    TOLD_STATES[server.breaker.state],
+                    server.breaker.open_until_us,
+                    server.weight,
+                    stalled,
+                    used_us,
+                )
+            )
+        return observed
+
+    def receive(self, event: ObservationsReceived) -> None:
+        """Believe what peers saw where this gateway has seen nothing itself of late.
+
+        The older, the less. A gateway that starts would otherwise feed a slow server until its own breaker
+        has seen enough.
+        """
+        now_us = self._context.now_us
+        ready = {s.entry.server: s.entry.started_us for s in self._ranked}
+        joined = join(self.received.values(), event.sights)
+        news = {key[0] for key, seen in joined.items() if self.received.get(key) != seen}
+        oldest_us = now_us - OLDEST_US
+        listed = self._endpoints.servers
+        self.received = {k: s for k, s in joined.items() if k[0] in listed and s.seen_us > oldest_us}
+        told = [seen for seen in self.received.values() if seen.server in news]  # by all that saw these
+        ejected = sum(s.breaker.state is not State.CLOSED for s in self._ranked)
+        self._restore_own(event)
+        for advice in advise(told, ready, now_us, max(0, int(MOST_OPEN * len(ready)) - ejected)):
+            self._follow(advice)
+        self._latency.adopt(event.latencies)
+
+    def _restore_own(self, event: ObservationsReceived) -> None:
+        """Take the slow-start budget that this gateway itself had used before it was restarted."""
+        for seen in event.sights:
+            own = self._endpoints.servers.get(seen.server)
+            if seen.by == self._gateway and own and own.entry.started_us == seen.started_us:
+                self._slow_start.restore_used(own, seen.spent_us)
+
+    def _follow(self, advice: Advice) -> None:
+        server, now_us = self._endpoints.servers[advice.server], self._context.now_us
+        if server.last_outcome_us and now_us - server.last_outcome_us < OWN_OUTWEIGHS_US:
+            return
+        believed = min(MAX_WEIGHT, max(MIN_WEIGHT, advice.weight))
+        server.weight += advice.trust * (believed - server.weight)
+        if advice.open_us > 0 and server.breaker.state is State.CLOSED:
+            server.breaker.open(now_us)
+            server.breaker.open_until_us = now_us + min(advice.open_us, LONGEST_COOLDOWN_US)
+            self._endpoints.breaker_changed(server)
--- /dev/null
+++ b/sagetrack/policy/latency.py
@@ -0,0 +1,67 @@
+"""Latency of good answers by class: smoothed, at its baseline without queueing, and the timeout for a stall.
+
+Latencies are those of a request of mean work: what a request took is divided by its relative work.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+
+from sagetrack.policy.interface import RequestClass
+from sagetrack.policy.peer_observations import ClassLatency
+
+SMOOTHING = 0.05  # share of the newest answer in the smoothed latency
+BASELINE_DRIFT = 0.0005  # relative rise with each longer answer: an overload must not become the baseline
+STALL_FACTOR = 4.0  # times the smoothed latency: an attempt that should have been answered
+FEW_ANSWERS = 20  # own good answers of a class: with fewer, peers' latencies are taken
+MAX_PEER_FACTOR = 2.0  # times the first guess: latencies of peers are believed up to this
+
+
+class LatencyEstimator:
+    """Estimates by class, in microseconds. Until there are answers each is a quarter of the objective."""
+
+    def __init__(self, classes: Sequence[RequestClass]) -> None:
+        self.initial_us = [c.latency_objective_us / 4 for c in classes]
+        self.smoothed_us = list(self.initial_us)
+        self.baseline_us = list(self.initial_us)
+        self.answers = [0] * len(classes)
+        self.answers_us = [0.0] * len(classes)  # the sum of their latencies
+        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # longer in flight: the server stalls
+
+    def learn(self, klass: int, relative_work: float, latency_us: int) -> None:
+        """Take the latency of a good answer."""
+        latency = latency_us / relative_work
+        self.answers[klass] += 1
+        self.answers_us[klass] += latency
+        self.smoothed_us[klass] += SMOOTHING * (latency - self.smoothed_us[klass])
+        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
+        floor_us = self.baseline_us[klass]
+        self.baseline_us[klass] += min(0.0, self.smoothed_us[klass] - floor_us) + BASELINE_DRIFT * floor_us
+
+    def expected_us(self, klass: int, relative_work: float) -> float:
+        """What an answer usually takes, queueing included."""
+        return self.smoothed_us[klass] * relative_work
+
+    def unqueued_us(self, klass: int, relative_work: float) -> float:
+        """What an answer takes where it does not queue."""
+        return self.baseline_us[klass] * relative_work
+
+    def mean_us(self, klass: int, prior_answers: float) -> float:
+        """The mean of all good answers; the first guess counts for `prior_answers` of them."""
+        total_us = prior_answers * self.initial_us[klass] + self.answers_us[klass]
+        return total_us / (prior_answers + self.answers[klass])
+
+    def observed(self) -> list[ClassLatency]:
+        """What to tell peers: the classes of which this gateway had enough answers itself."""
+        known = [klass for klass, count in enumerate(self.answers) if count >= FEW_ANSWERS]
+        return [ClassLatency(klass, self.smoothed_us[klass], self.baseline_us[klass]) for klass in known]
+
+    def adopt(self, latencies: Iterable[ClassLatency]) -> None:
+        """Take peers' latencies of classes of which this gateway had few answers itself."""
+        for told in latencies:
+            klass = told.klass
+            if 0 <= klass < len(self.answers) and self.answers[klass] < FEW_ANSWERS:
+                most_us = MAX_PEER_FACTOR * self.initial_us[klass]
+                self.smoothed_us[klass] = min(most_us, max(1.0, told.smoothed_us))
+                self.baseline_us[klass] = min(self.smoothed_us[klass], max(1.0, told.unhindered_us))
+        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
--- /dev/null
+++ b/sagetrack/policy/request_lifecycle.py
@@ -0,0 +1,116 @@
+"""Requests from their arrival to their final answer, and until nothing is kept of them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from sagetrack.policy.admission import AdmissionController
+from sagetrack.policy.attempts import AttemptSender
+from sagetrack.policy.capacity_wait import CapacityWait
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import Cancel, Effect, Fail, Reject, RejectReason, Scope, Settings
+from sagetrack.policy.ordered_keys import OrderedKeys
+from sagetrack.policy.retry_after import RetryAfter
+from sagetrack.policy.state import Request
+from sagetrack.policy.timers import TimerPurpose, Timers
+
+
+class RequestLifecycle:
+    """All requests that are not over, by id."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        settings: Settings,
+        admission: AdmissionController[Request] | None,
+        ordered_keys: OrderedKeys,
+        capacity_wait: CapacityWait,
+        retry_after: RetryAfter,
+        sender: AttemptSender,
+        timers: Timers,
+    ) -> None:
+        self._context = context
+        self._settings = settings
+        self._admission = admission
+        self._ordered_keys = ordered_keys
+        self._capacity_wait = capacity_wait
+        self._retry_after = retry_after
+        self._sender = sender
+        self._timers = timers
+        self._requests: dict[str, Request] = {}
+
+    def __contains__(self, request_id: str) -> bool:
+        return request_id in self._requests
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def __iter__(self) -> Iterator[Request]:
+        return iter(self._requests.values())
+
+    def get(self, request_id: str) -> Request | None:
+        """A request that is not over."""
+        return self._requests.get(request_id)
+
+    def add(self, request: Request) -> None:
+        """Keep a new request until it is over."""
+        self._requests[request.id] = request
+
+    def answer_unserved(self, request: Request, reason: RejectReason = RejectReason.OTHER) -> None:
+        """The final answer when no attempt is in flight and none is to come, if there was no answer yet.
+
+        A rejection says that to try again is harmless; where that is not known the request fails.
+        """
+        if request.answered:
+            return
+        klass = self._settings.classes[request.klass]
+        ran = any(attempt.may_have_run for attempt in request.attempts)
+        dropped_anywhere = klass.effect is Effect.KEYED and klass.scope is Scope.ALL
+        if not ran or klass.effect is Effect.SAFE or dropped_anywhere:
+            self._context.actions.append(Reject(request.id, self._retry_after.wait_us(request), reason))
+            if self._admission is not None and request.mirror_target < 0:
+                self._admission.rows[request.admission_tenant].refused += 1
+        else:
+            self._context.actions.append(Fail(request.id))
+        self.finish(request)
+
+    def finish(self, request: Request) -> None:
+        """A request has its final answer, or needs none: cancel what is in flight."""
+        request.answered = True
+        self._capacity_wait.leave(request)
+        if self._admission is not None:
+            self._admission.remove(request)
+        if request.in_flight == 0:
+            self.release(request)
+        elif not request.streaming:
+            self.cancel_attempts(request)
+
+    def cancel_attempts(self, request: Request, spared: int | None = None) -> None:
+        """Cancel what is still in flight, but for one attempt that is wanted."""
+        for number, attempt in enumerate(request.attempts if self._settings.may_cancel else ()):
+            if not attempt.ended and number != spared:
+                self._context.actions.append(Cancel(request.id, number))
+
+    def release(self, request: Request) -> None:
+        """Forget a request that is over; in order, the next of its key is sent after the key's cooldown.
+
+        Its id may be another's by now: timers outlast the request that they were set for.
+        """
+        if self._requests.get(request.id) is request:
+            del self._requests[request.id]
+        if not self._ordered_keys.is_queued(request):
+            return
+        if self._context.now_us < request.key_cooldown_until_us:
+            self._timers.set(request.key_cooldown_until_us, TimerPurpose.REQUEST, request)
+            return
+        following = self._ordered_keys.leave(request)
+        if following is not None and not following.answered and not self._sender.try_send(following):
+            self.answer_unserved(following)
+
+    def shut_down(self, at_us: int) -> None:
+        """No request waits past the end; the process itself ends the attempts that are in flight then."""
+        self._sender.stop_at(at_us)
+        for request in self._requests.values():
+            request.deadline_us = min(request.deadline_us, at_us)
+            if request.in_flight == 0 and not request.answered:
+                self._timers.set(at_us, TimerPurpose.REQUEST, request)
--- /dev/null
+++ b/sagetrack/policy/retry_after.py
@@ -0,0 +1,53 @@
+"""When a client whose request is rejected may come back: Retry-After."""
+
+from __future__ import annotations
+
+from sagetrack.policy.admission import AdmissionController
+from sagetrack.policy.endpoints import Endpoints
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import Settings
+from sagetrack.policy.state import Request
+
+COME_BACK_SHARE = 0.25  # of the class's latency objective: by then an overload has thinned out
+
+
+class RetryAfter:
+    """Works out the Retry-After of a rejection."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        settings: Settings,
+        endpoints: Endpoints,
+        admission: AdmissionController[Request] | None,
+    ) -> None:
+        self._context = context
+        self._settings = settings
+        self._endpoints = endpoints
+        self._admission = admission
+
+    def wait_us(self, request: Request) -> int:
+        """The shortest cooldown left where every server is open, else the time in which load thins out.
+
+        With admission control it is what that advises. A client that comes back at once would meet what it
+        was rejected for.
+        """
+        most_us, now_us = self._settings.max_retry_after_us, self._context.now_us
+        closes_at_us = self._endpoints.earliest_close_us()
+        if self._admission is not None and request.retry_after_us >= 0:
+            return min(request.retry_after_us, most_us)
+        if self._admission is not None and closes_at_us is None and self._endpoints.servers:
+            return self._advised_us(self._admission, request, most_us)
+        if closes_at_us is not None:
+            wait_us = closes_at_us - now_us
+        else:
+            wait_us = int(COME_BACK_SHARE * self._settings.classes[request.klass].latency_objective_us)
+        return max(0, min(wait_us, most_us))
+
+    def _advised_us(self, admission: AdmissionController[Request], request: Request, most_us: int) -> int:
+        now_us, draw = self._context.now_us, self._context.random.random()
+        work_us = admission.work_of(request.klass, request.relative_work)
+        worthless_late = self._settings.classes[request.klass].late_priority_weight <= 0.0
+        left_us = (request.objective_at_us if worthless_late else request.deadline_us) - now_us
+        tenant, client, key = request.admission_tenant, request.client, request.key or 0
+        return admission.advise(now_us, tenant, client, key, work_us, draw, most_us, left_us)
--- /dev/null
+++ b/sagetrack/policy/selection.py
@@ -0,0 +1,186 @@
+"""Which server an attempt goes to: eligible servers, the subset of them, and a weighted random draw."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from sagetrack.policy.circuit_breaker import State
+from sagetrack.policy.endpoint_ring import Ring
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.fleet_size import FleetSize
+from sagetrack.policy.interface import Effect, ListedServer, Scope, ServerStatus, Settings, TrafficShift
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.slow_start import SlowStart
+from sagetrack.policy.state import Request, Server, rendezvous
+from sagetrack.policy.subset_size import SubsetSize
+
+KEY_HOME_FACTOR = 20.0  # on the weight of a key's home server: most of its requests, not all
+
+Weights = list[tuple[float, Server]]  # in the draw, all above 0
+
+
+class ServerSelector:
+    """Selects a server for an attempt; knows the traffic shift between protocols that holds now."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        settings: Settings,
+        fleet: FleetSize,
+        ring: Ring[Server],
+        latency: LatencyEstimator,
+        slow_start: SlowStart,
+        subset_size: SubsetSize,
+    ) -> None:
+        self._context = context
+        self._settings = settings
+        self._fleet = fleet
+        self._ring = ring
+        self._latency = latency
+        self._slow_start = slow_start
+        self._subset_size = subset_size
+        self._traffic_shift = TrafficShift({}, {})
+
+    def shift_traffic(self, shift: TrafficShift) -> None:
+        """Take the tenants' and classes' shares of the servers that speak gRPC, from now on."""
+        self._traffic_shift = shift
+
+    def select(self, request: Request) -> Server | None:
+        """Weighted random choice among the servers that may take this request now; None if none may."""
+        weights, total = self._draw_weights(self._candidates(request), request)
+        if self._settings.grpc_kinds:
+            weights = self._by_protocol(request, weights)
+            total = sum(weight for weight, _ in weights)
+        if not weights:
+            return None
+        if self._settings.warm_keys and request.key is not None:
+            total += _favour_home(request.key, weights)
+        point = self._context.random.random() * total
+        for weight, server in weights:
+            point -= weight
+            if point <= 0.0:
+                return server
+        return weights[-1][1]
+
+    def any_eligible(self, klass: int) -> bool:
+        """Whether any server could take a request of a class, but for what it holds."""
+        return any(self.is_eligible(server, klass) for server in self._ring.ranked)
+
+    def is_eligible(self, server: Server, klass: int) -> bool:
+        """Whether a server is ready, its breakers let a request of a class through, and it does not stall."""
+        if server.entry.status is not ServerStatus.READY:
+            return False
+        now_us = self._context.now_us
+        if server.breaker.state is not State.CLOSED:
+            # Trials risk their request: one that could not be retried takes no such place.
+            if self._settings.classes[klass].effect is Effect.UNSAFE:
+                return False
+            if not server.breaker.lets_through(now_us):
+                return False
+        health = server.classes.get(klass)
+        if health is not None and not health.breaker.lets_through(now_us):
+            return False
+        if not server.in_flight:
+            return True
+        oldest_us = next(iter(server.in_flight.values()))
+        # Where one attempt may be lost by itself, an answer since then proves that the server is there.
+        if self._settings.lossy and server.last_success_us > oldest_us:
+            return True
+        return now_us - oldest_us <= self._latency.stall_timeout_us
+
+    def subset(self, klass: int) -> list[Server]:
+        """The servers that this gateway spreads over: the first in rank that are eligible.
+
+        All servers would mean full connection tables, a handshake for each request and thin evidence. An
+        open or stalled server gives its place to the next. One that is warming up is used only by gateways
+        that rank it high without that, so that many who step aside never meet on it.
+        """
+        size, now_us = self._subset_size.size, self._context.now_us
+        is_eligible = self.is_eligible
+        subset: list[Server] = []
+        for place, server in enumerate(self._ring.ranked):
+            if len(subset) >= size:
+                break
+            if (place < size or now_us >= server.warm_at_us) and is_eligible(server, klass):
+                subset.append(server)
+        return subset
+
+    def _candidates(self, request: Request) -> list[Server]:
+        if request.mirror_target >= 0:
+            return [s for s in self._ring.ranked if self.is_eligible(s, request.klass)]
+        if request.attempts:
+            return self._retry_candidates(request)
+        return self.subset(request.klass)
+
+    def _retry_candidates(self, request: Request) -> list[Server]:
+        """Servers that another attempt may go to without a second effect."""
+        tried = [attempt.server for attempt in request.attempts]
+        klass = self._settings.classes[request.klass]
+        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
+        servers = [s for s in self.subset(request.klass) if s not in tried]
+        if ran and klass.effect is Effect.UNSAFE:
+            return []
+        if ran and klass.effect is Effect.KEYED:
+            now_us = self._context.now_us
+            if now_us - ran[0].sent_at_us >= klass.window_us:
+                return []
+            in_scope = self._in_scope(klass.scope, [attempt.server.entry for attempt in ran])
+            servers = [s for s in in_scope if s not in tried and self.is_eligible(s, request.klass)]
+            subset = self._ring.ranked[: math.ceil(self._subset_size.size)]
+            share = self._slow_start.capacity_share
+            servers = [s for s in servers if share(now_us, s) >= 1.0 or s in subset]
+        return servers
+
+    def _in_scope(self, scope: Scope, entries: list[ListedServer]) -> Iterable[Server]:
+        """By rank, the servers that drop retries of what may have run at all of these."""
+        if scope is Scope.ALL:
+            return self._ring.ranked
+        places = {entry.zone if scope is Scope.ZONE else entry.group for entry in entries}
+        return self._ring.within((scope, places.pop())) if len(places) == 1 else ()
+
+    def _draw_weights(self, candidates: Iterable[Server], request: Request) -> tuple[Weights, float]:
+        """The candidates with a weight in the draw, and its sum.
+
+        A weight is the listed one times the controller's for the server and the class, less for another
+        zone, for what is in flight there and while the server warms up.
+        """
+        places, klass, now_us = self._fleet.places_per_server(), request.klass, self._context.now_us
+        weights: Weights = []
+        total = 0.0
+        for server in candidates:
+            in_flight = len(server.in_flight)
+            if in_flight >= places:
+                continue
+            share = 1.0
+            if now_us < server.warm_at_us:
+                if not self._slow_start.has_budget(now_us, server, request):
+                    continue
+                share = self._slow_start.capacity_share(now_us, server)
+            weight = server.entry.weight * server.controlled * server.class_health(klass).weight
+            weight = weight * server.zone_factor * share / (1 + in_flight) ** 2
+            if weight > 0.0:
+                weights.append((weight, server))
+                total += weight
+        return weights, total
+
+    def _by_protocol(self, request: Request, weights: Weights) -> Weights:
+        """Weights multiplied for the share of gRPC servers that the request's tenant or class has."""
+        grpc = self._settings.grpc_kinds
+        if request.mirror_target >= 0:
+            wanted = bool(request.mirror_target)
+            return [(weight, s) for weight, s in weights if (s.entry.kind in grpc) == wanted]
+        shift = self._traffic_shift
+        factors = shift.tenants.get(request.tenant) or shift.classes.get(request.klass)
+        if factors is None:
+            return weights
+        return [(weight * factors[s.entry.kind in grpc], s) for weight, s in weights]
+
+
+def _favour_home(key: int, weights: Weights) -> float:
+    """Raise the weight of the key's home among the candidates, in place; returns by how much."""
+    ranks = [rendezvous(key, s.entry.server, s.zone_factor) for _, s in weights]
+    home = ranks.index(min(ranks))
+    raised = weights[home][0] * (KEY_HOME_FACTOR - 1.0)
+    weights[home] = (weights[home][0] + raised, weights[home][1])
+    return raised
--- /dev/null
+++ b/sagetrack/policy/server_health.py
@@ -0,0 +1,123 @@
+"""Outlier detection: what the outcome of an attempt says of its server, and of its class there."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from sagetrack.policy.circuit_breaker import COOLDOWN_US, Breaker, State
+from sagetrack.policy.client_timeouts import ClientTimeouts
+from sagetrack.policy.endpoints import Endpoints
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import AttemptEnded, Outcome
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Attempt, ClassHealth, Request, Server
+
+RECENT_OUTCOMES = 100  # of all servers, which tell what fails in common
+WEIGHT_STEP = 0.02  # added by a good answer
+WEIGHT_CUT = 0.7  # factor of a failure or a slow answer
+SLOW_FACTOR = 2.0  # times the smoothed latency: a slow answer
+TELLS_OF_CLASS = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
+
+
+class OutlierDetector:
+    """Judges outcomes: circuit breakers, and a weight controller of small steps up and cuts."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        endpoints: Endpoints,
+        latency: LatencyEstimator,
+        client_timeouts: ClientTimeouts,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._latency = latency
+        self._client_timeouts = client_timeouts
+        self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # server, class, failed
+
+    def judge(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
+        """Enter an outcome; False if it proves nothing of the whole server, and so nothing of its load."""
+        server, outcome = attempt.server, event.outcome
+        health = server.class_health(request.klass)
+        if outcome not in TELLS_OF_CLASS:
+            health.breaker.forgo_trial(attempt.class_trial_of)
+        expected_us = self._latency.expected_us(request.klass, request.relative_work)
+        if self._proves_nothing(request, attempt, event, expected_us):
+            server.breaker.forgo_trial(attempt.trial_of)
+            return False
+        failed = outcome is not Outcome.OK
+        server.last_outcome_us = self._context.now_us
+        self._recent.append((server.entry.server, request.klass, failed))
+        slow = not failed and event.latency_us / max(1.0, expected_us) > SLOW_FACTOR
+        if not failed:
+            self._latency.learn(request.klass, request.relative_work, event.latency_us)
+        if outcome in TELLS_OF_CLASS:
+            self._judge_class(request.klass, attempt, failed)
+            others = [h.last_succeeded for h in server.classes.values() if h is not health]
+            if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
+                server.breaker.forgo_trial(attempt.trial_of)
+                return False  # it serves the other classes
+        self._judge_server(attempt, outcome, slow)
+        return True
+
+    def _proves_nothing(
+        self, request: Request, attempt: Attempt, event: AttemptEnded, expected_us: float
+    ) -> bool:
+        """Whether an attempt was not sent, was cancelled early, or had less time than an answer takes."""
+        outcome = event.outcome
+        if outcome is Outcome.NOT_SENT or (outcome is Outcome.CANCELLED and not attempt.stalled):
+            return True
+        if outcome is not Outcome.TIMEOUT or event.latency_us >= SLOW_FACTOR * expected_us:
+            return False
+        return self._client_timeouts.is_irregular(request.klass, request.tenant)
+
+    def _judge_class(self, klass: int, attempt: Attempt, failed: bool) -> None:
+        server = attempt.server
+        health = server.class_health(klass)
+        health.last_succeeded = not failed
+        adjust_weight(health, failed)
+        common = self._common_failure_share(server, klass) if failed else 0.0
+        changed = health.breaker.record(self._context.now_us, failed, attempt.class_trial_of, common)
+        self._log_change(server, health.breaker, changed, f" for class {klass}")
+
+    def _judge_server(self, attempt: Attempt, outcome: Outcome, slow: bool) -> None:
+        server, now_us = attempt.server, self._context.now_us
+        failed = outcome is not Outcome.OK
+        adjust_weight(server, failed or slow)
+        common = self._common_failure_share(server, None) if failed else 0.0
+        changed = server.breaker.record(now_us, failed, attempt.trial_of, common)
+        recently_good = now_us - server.last_success_us <= COOLDOWN_US
+        refused = outcome is Outcome.CONNECT_FAILED
+        if refused and server.breaker.state is not State.OPEN and not recently_good:
+            # A dead process or a full connection table: one such outcome is verdict enough, of a trial too,
+            # but where good answers came until a moment ago.
+            changed = server.breaker.reopen(now_us)
+        server.last_success_us = 0 if failed else now_us
+        self._endpoints.breaker_changed(server)
+        self._log_change(server, server.breaker, changed)
+
+    def _common_failure_share(self, server: Server, klass: int | None) -> float:
+        """Failure share of the other servers of late: what no single server is to blame for.
+
+        Of all outcomes, not of the breakers' rings: tripped breakers would be missing from it.
+        """
+        number = server.entry.server
+        others = [failed for of, k, failed in self._recent if of != number and klass in (None, k)]
+        return sum(others) / len(others) if others else 0.0
+
+    def _log_change(self, server: Server, breaker: Breaker, changed: State | None, scope: str = "") -> None:
+        if changed is State.OPEN:
+            time_s = breaker.cooldown_us / 1e6
+            self._context.log(f"breaker{scope} open for {time_s:g} s", server.entry.server)
+        elif changed is State.CLOSED:
+            self._context.log(f"breaker{scope} closed", server.entry.server)
+
+
+def adjust_weight(judged: Server | ClassHealth, bad: bool) -> None:
+    """The feedback controller. While the breaker is not closed the weight stays as it was when it tripped."""
+    if judged.breaker.state is not State.CLOSED:
+        return
+    if bad:
+        judged.weight = max(MIN_WEIGHT, judged.weight * WEIGHT_CUT)
+    else:
+        judged.weight = min(MAX_WEIGHT, judged.weight + WEIGHT_STEP)
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps of each server, attempt and request, and of the time that clients give. Pure."""
+"""What the load balancer knows of each server, attempt and request."""
 
 from __future__ import annotations
 
@@ -9,45 +9,44 @@
 from sagetrack.policy.endpoint_ring import ExactSum
 from sagetrack.policy.interface import ListedServer
 
-PART_MINIMUM = 2  # the same for one class at one server: a proxy sees a few of these a minute
-FLOOR, CEILING = 0.05, 1.0  # of the controller's weight
-# Keys that warm a server
+CLASS_MINIMUM = 2  # outcomes before a verdict on one class at one server: a gateway sees a few a minute
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # of the feedback controller
 HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # golden ratio in 64 bits: spreads close numbers apart
 
 
 @dataclass(slots=True, eq=False)
 class ClassHealth:
-    """One class's requests at one server: the same ring, states and weight, for failures of that class alone.
+    """Circuit breaker and weight of one class at one server, for failures of that class alone.
 
-    Guards against a server bad for one class only: a verdict on all of it would waste what it does well.
+    A verdict on the whole server would waste what it does well for other classes.
     """
 
     breaker: Breaker
-    weight: float = CEILING
-    fine: bool = False  # the last answer was good
+    weight: float = MAX_WEIGHT
+    last_succeeded: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this proxy knows of one server since it last started."""
+    """What this gateway knows of one incarnation of a server."""
 
     entry: ListedServer
-    controlled: float  # the controller's weight: see `weight`
-    rank: float  # a hash of it: its place in the ring, the same at every proxy
-    near: float  # 1 in this proxy's zone, less in others the more a crossing costs
-    warm_at_us: int  # at the latest, on this proxy's clock
+    controlled: float  # the feedback controller's weight: see `weight`
+    rank: float  # a hash: the position in the ring, the same at every gateway
+    zone_factor: float  # 1 in this gateway's zone, less in others the more a crossing costs
+    warm_at_us: int  # at the latest, on this gateway's clock
     breaker: Breaker = field(default_factory=Breaker)
-    parts: dict[int, ClassHealth] = field(default_factory=dict)  # by class
-    out: dict[Attempt, int] = field(default_factory=dict)  # attempts and when they were sent, oldest first
-    good_at_us: int = 0  # the last answer, if it was good
-    judged_us: int = 0  # the last outcome that told something
-    spent_us: float = 0.0  # cold only: work sent and not yet paid off
-    spent_at_us: int = 0
+    classes: dict[int, ClassHealth] = field(default_factory=dict)
+    in_flight: dict[Attempt, int] = field(default_factory=dict)  # and when each was sent, oldest first
+    last_success_us: int = 0  # the last answer, if it was good; else 0
+    last_outcome_us: int = 0  # the last outcome that told something
+    slow_start_used_us: float = 0.0  # work sent while warming up that has not drained: see SlowStart
+    slow_start_used_at_us: int = 0
     weights: ExactSum | None = None  # of all that are listed
 
     @property
     def weight(self) -> float:
-        """The controller's; to set it keeps the sum of all."""
+        """The feedback controller's weight; to set it keeps the sum of all."""
         return self.controlled
 
     @weight.setter
@@ -56,63 +55,59 @@
             self.weights.change(self.controlled, weight)
         self.controlled = weight
 
-    def part(self, klass: int) -> ClassHealth:
-        if klass not in self.parts:
-            self.parts[klass] = ClassHealth(Breaker(PART_MINIMUM))
-        return self.parts[klass]
+    def class_health(self, klass: int) -> ClassHealth:
+        """The health of one class here; made when it is first asked for."""
+        if klass not in self.classes:
+            self.classes[klass] = ClassHealth(Breaker(CLASS_MINIMUM))
+        return self.classes[klass]
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One sending of a request to a server."""
+
     server: Server
-    sent_us: int
-    trial_of: int
-    part_trial_of: int
+    sent_at_us: int
+    trial_of: int  # of the server's breaker: see Breaker.take_trial
+    class_trial_of: int  # the same of the class's breaker there
     ended: bool = False
     may_have_run: bool = True
-    overdue: bool = False
+    stalled: bool = False  # in flight for longer than an answer usually takes
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """One request from its arrival until its last attempt has ended."""
+
     id: str
     klass: int
     key: int | None
     deadline_us: int
-    latency_objective_us: int  # absolute
-    size: float  # expected work over the class's mean
-    first_try: bool
-    excess: float  # part of its tenant's tries that is beyond the tenant's share
+    objective_at_us: int  # the time of its latency objective
+    relative_work: float  # expected work over the class's mean
+    is_first_try: bool
+    quota_excess: float  # part of its tenant's tries that is beyond the tenant's share
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0
-    done: bool = False
+    in_flight: int = 0
+    answered: bool = False  # finally, or its client has cancelled it
     streaming: bool = False
-    answered_us: int = 0  # when its answer began, if it streams
-    uploading: bool = False  # its body still comes
-    once: bool = False  # its body can't be sent again
-    wait_token: int = -1  # the timer that ends its wait
-    member: int = 0  # for the door
+    response_began_us: int = 0  # if it streams
+    uploading: bool = False  # its body has not come completely
+    single_use_body: bool = False  # its body can't be sent again
+    admission_tenant: int = 0  # the number that admission control has for its tenant
     client: int = 0
-    promised: bool = False  # it was told to come about now
-    told_us: int = -1  # the door's own word on when to come back
+    has_reservation: bool = False  # it comes back at the time that its client was told
+    retry_after_us: int = -1  # what admission control said of when to come back; -1: nothing
     tenant: int = 0
-    mirror_target: int = -1  # a copy, for servers of the newer format (1) or of the older one (0) alone
-    rests_until_us: int = 0  # in order: its key rests, as an attempt may still be running
-
-
-@dataclass(slots=True, eq=False)
-class ClientTimeoutEstimate:
-    """The time that one member's clients give their tries of one class; of another's it says nothing."""
-
-    usual_us: int  # of first tries
-    votes: int = 0  # for that
-    regular: float = 1.0  # share of the tries of late that are given it
+    mirror_target: int = -1  # mirrored, for gRPC servers (1) or for the others (0) alone; -1: not mirrored
+    key_cooldown_until_us: int = 0  # in order: an attempt may still be running until then
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
     """Lowest at the server that a key belongs to: weighted rendezvous hashing.
 
-    Everyone ranks alike without a word, and a server that comes or goes moves only what ranks it first.
+    Every gateway ranks alike without a message, and a server that comes or goes moves only the keys that
+    rank it first (Thaler, Ravishankar, 1998).
     """
     mixed = (key ^ (server * HASH_FACTOR)) * HASH_FACTOR & HASH_MASK
     mixed = (mixed ^ (mixed >> 29)) * HASH_FACTOR & HASH_MASK
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -68,7 +68,7 @@
         settings,
         config.seed,
         lambda event: gateway.post(lambda: event),
-        gateway.balancer.sights,
+        gateway.balancer.own_observations,
         gateway.lives,
         warm,
         demands_of(gateway),
@@ -122,7 +122,7 @@
     def leave_note(self) -> None:
         from sagetrack.peers.handover import moved, write
 
-        sights, latencies = self.gateway.balancer.sights()
+        sights, latencies = self.gateway.balancer.own_observations()
         on_machine = moved(sights, machine_us() - now_us())
         write(self.folder, self.config.name, machine_us(), on_machine, latencies)
 
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -119,7 +119,7 @@
         at_ms = int(time.time() * 1000)
         ops = []
         if self.asked.knowledge and self.was_read.is_set():  # or what was known before would be lost
-            sights, latencies = self.gateway.balancer.sights()
+            sights, latencies = self.gateway.balancer.own_observations()
             note = Note(self.config.name, now_us(), sights, latencies)
             ops.append(Op(KNOWN, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms))
         if self.recorder is not None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -191,24 +191,24 @@
         assert (await run.ask(request())).status == 503
         assert run.gateway.metrics.sends.by_class == [0, 0, 0]
         assert run.gateway.metrics.deferred.by_class == [1, 0, 0]
-        assert run.gateway.balancer.avoided() == 1
+        assert run.gateway.balancer.unhealthy_count() == 1
 
 
 def test_what_is_avoided_is_the_breakers_word_and_asking_changes_nothing() -> None:
     driver = Driver()
     balancer = driver.balancer
-    assert balancer.avoided() == 0
+    assert balancer.unhealthy_count() == 0
     breaker = balancer.servers[1].breaker
     trip(breaker, driver.now_us)
     until_us, state = breaker.open_until_us, breaker.state
     driver.now_us = until_us + 1
-    assert balancer.avoided() == 1  # until a trial has closed it
+    assert balancer.unhealthy_count() == 1  # until a trial has closed it
     assert breaker.state is state and breaker.episode == 0
     for _ in range(100):
         name, actions = driver.arrive()
         for send in sends(actions):
             driver.end(name, send.server, Outcome.OK)
-    assert balancer.avoided() == 0
+    assert balancer.unhealthy_count() == 0
 
 
 def test_a_label_cannot_break_its_line() -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -443,15 +443,16 @@
     driver = Driver(servers=1)
     name, server = uploading(driver)
     driver.now_us += 10_000_000
-    assert not driver.balancer.servers[server].out  # it has nothing to do yet, and is not silent
+    assert not driver.balancer.servers[server].in_flight  # it has nothing to do yet, and is not silent
     assert sends(driver.arrive()[1])
     driver.handle(AttemptSent(name, 0))
-    assert len(driver.balancer.servers[server].out) == 2
-    held = driver.balancer.requests[name]
-    assert held.latency_objective_us == driver.now_us + KEYED.latency_objective_us
+    assert len(driver.balancer.servers[server].in_flight) == 2
+    held = driver.balancer.requests.get(name)
+    assert held is not None
+    assert held.objective_at_us == driver.now_us + KEYED.latency_objective_us
     driver.now_us += 20_000
     driver.end(name, server)
-    assert name not in driver.balancer.requests and len(driver.balancer.servers[server].out) == 1
+    assert name not in driver.balancer.requests and len(driver.balancer.servers[server].in_flight) == 1
 
 
 def test_a_body_that_has_gone_on_goes_nowhere_else() -> None:
@@ -471,8 +472,8 @@
     server = driver.balancer.servers[send.server]
     driver.now_us += 20_000
     driver.handle(StreamStarted(name, 0))
-    assert not server.out and driver.balancer.out == 0
+    assert not server.in_flight and driver.balancer.in_flight.count == 0
     driver.now_us += 60_000_000
     driver.end(name, send.server, latency_us=20_000)
-    assert driver.balancer.served[0] == 1 and driver.balancer.out == 0
+    assert driver.balancer.priorities.served[0] == 1 and driver.balancer.in_flight.count == 0
     assert name not in driver.balancer.requests
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,8 +4,11 @@
 
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
 from sagetrack.policy.interface import ListedServer, ListKind, Outcome, RequestCancelled
-from sagetrack.policy.load_balancer import CHEAP_RETRY, CUT, RETRY_SHARE, SHED_STEP, STEP, SUBSET
-from sagetrack.policy.state import CEILING, FLOOR
+from sagetrack.policy.load_shedding import SHED_STEP
+from sagetrack.policy.retry import CHEAP_RETRY, RETRIES_PER_FIRST_TRY
+from sagetrack.policy.server_health import WEIGHT_CUT, WEIGHT_STEP, adjust_weight
+from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT
+from sagetrack.policy.subset_size import MIN_SUBSET
 from tests.helpers import Driver, sends, trip
 
 
@@ -112,32 +115,35 @@
     server.weight = 0.5
     name, _ = driver.arrive()
     driver.end(name, 0)
-    assert server.weight == 0.5 + STEP
+    assert server.weight == 0.5 + WEIGHT_STEP
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.RESET)
-    assert server.weight == (0.5 + STEP) * CUT
+    assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.ERROR)  # the other class's last answer was good: this class's own
-    assert server.weight == (0.5 + STEP) * CUT and server.part(2).weight == CEILING * CUT
+    assert (
+        server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
+        and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
+    )
 
 
 def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     name, _ = driver.arrive()
-    driver.end(name, 0, latency_us=int(driver.balancer.smoothed[0] * 2.2))
-    assert server.weight == CEILING * CUT
+    driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
+    assert server.weight == MAX_WEIGHT * WEIGHT_CUT
 
 
 def test_weight_stays_between_floor_and_ceiling() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     for _ in range(40):
-        driver.balancer.adjust_weight(server, True)
-    assert server.weight == FLOOR
+        adjust_weight(server, True)
+    assert server.weight == MIN_WEIGHT
     for _ in range(400):
-        driver.balancer.adjust_weight(server, False)
-    assert server.weight == CEILING
+        adjust_weight(server, False)
+    assert server.weight == MAX_WEIGHT
 
 
 def test_a_newcomer_starts_at_the_mean_weight() -> None:
@@ -163,7 +169,7 @@
         assert sends(actions)
         driver.end(name, 0)
     assert server.breaker.state.value == "closed"
-    assert server.weight == max(FLOOR, weight)
+    assert server.weight == max(MIN_WEIGHT, weight)
 
 
 def test_a_failed_connect_of_a_trial_reopens_at_once_for_longer() -> None:
@@ -209,7 +215,7 @@
 def test_an_unsafe_request_is_not_refused_while_closed_servers_lie_beyond_the_subset() -> None:
     """Half-open servers, which it must not be a trial of, took up the places of those that may serve it."""
     driver = Driver(servers=10)
-    for server in driver.balancer.ranked[:SUBSET]:
+    for server in driver.balancer.ring.ranked[:MIN_SUBSET]:
         server.breaker.open(driver.now_us)
     driver.now_us += COOLDOWN_US
     _, actions = driver.arrive(klass=2, client_timeout_us=1_000_000)
@@ -218,11 +224,14 @@
 
 def test_after_a_reset_a_repeat_costs_less_and_goes_on_while_little_is_shed() -> None:
     driver = Driver(servers=10)
-    driver.balancer.retry_tokens, driver.balancer.shed = CHEAP_RETRY - RETRY_SHARE, SHED_STEP
-    driver.balancer.random.seed(1)
+    driver.balancer.retry_budget.tokens, driver.balancer.shedder.shed_fraction = (
+        CHEAP_RETRY - RETRIES_PER_FIRST_TRY,
+        SHED_STEP,
+    )
+    driver.balancer.context.random.seed(1)
     name, actions = driver.arrive(klass=1, client_timeout_us=800_000)
     again = sends(driver.end(name, sends(actions)[0].server, Outcome.RESET))
-    assert again and driver.balancer.retry_tokens == 0
+    assert again and driver.balancer.retry_budget.tokens == 0
     assert not sends(driver.end(name, again[0].server, Outcome.RESET, attempt=1))
 
 
@@ -233,7 +242,7 @@
     for number in range(2000):
         driver.now_us += 3_000
         klass = int(number % 4 == 1)
-        driver.balancer.shed = driver.balancer.shed_dear = 0.0
+        driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 0.0
         name, actions = driver.arrive(klass=klass, client_timeout_us=400_000)
         (sent,) = sends(actions)
         if sent.server == 2 and klass == 1:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -117,7 +117,7 @@
         async with running(config) as run:
             for server in run.gateway.balancer.servers.values():
                 server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
-            run.gateway.balancer.smoothed = [1_000.0] * 3  # a copy after 4 ms
+            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a copy after 4 ms
             late = Late(run, host_id(1))
             client = await run.connect()
             client.send(request())
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -4,11 +4,15 @@
 
 from dataclasses import replace
 
+from sagetrack.policy.capacity_wait import MAX_WAIT_SHARE
+from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
 from sagetrack.policy.interface import ListedServer, Outcome, Reject, RequestClass, ServerStatus
-from sagetrack.policy.load_balancer import COLD_COST, COME_BACK, CROWD, SUBSET, WAIT
+from sagetrack.policy.retry_after import COME_BACK_SHARE
+from sagetrack.policy.slow_start import MAX_COST
+from sagetrack.policy.subset_size import MIN_SUBSET
 from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
 
-BOUND = int(CROWD)  # with one proxy
+BOUND = int(DEFAULT_MAX_CONCURRENCY)  # with one proxy
 LASTING = replace(SETTINGS, max_retry_after_us=2_000_000)
 
 
@@ -27,7 +31,7 @@
         driver = Driver(replace(SETTINGS, proxies=proxies), servers=2)
         for _ in range(40):
             driver.arrive()
-        held = [len(s.out) for s in driver.balancer.servers.values()]
+        held = [len(s.in_flight) for s in driver.balancer.servers.values()]
         if proxies <= BOUND:
             bound = max(1, -(-BOUND // proxies))
             assert held == [bound, bound]
@@ -70,11 +74,11 @@
     full(driver, 1)
     name, actions = driver.arrive()
     (timer,) = timers(actions)
-    assert 0 < timer.due_us - driver.now_us <= WAIT * 400_000
+    assert 0 < timer.due_us - driver.now_us <= MAX_WAIT_SHARE * 400_000
     driver.now_us = timer.due_us
     (refused,) = driver.handle(TimerFired(timer.token))
-    assert refused == Reject(name, int(COME_BACK * SAFE.latency_objective_us))
-    assert name not in driver.balancer.requests and not driver.balancer.waiting
+    assert refused == Reject(name, int(COME_BACK_SHARE * SAFE.latency_objective_us))
+    assert name not in driver.balancer.requests and not driver.balancer.capacity_wait
 
 
 def test_what_no_server_could_take_is_answered_at_once() -> None:
@@ -94,7 +98,7 @@
     held = full(driver, 1)
     name, _ = driver.arrive()
     driver.handle(RequestCancelled(name))
-    assert not driver.balancer.waiting and name not in driver.balancer.requests
+    assert not driver.balancer.capacity_wait and name not in driver.balancer.requests
     assert not sends(driver.end(*held[0], outcome=Outcome.OK))
 
 
@@ -122,15 +126,15 @@
         for send in sends(actions):
             assert send.server >= 20
             driver.end(name, send.server)
-    used = [s for s in driver.balancer.ranked if s.good_at_us]
-    assert len(used) >= SUBSET
+    used = [s for s in driver.balancer.ring.ranked if s.last_success_us]
+    assert len(used) >= MIN_SUBSET
 
 
 def test_proxies_spread_evenly_over_the_servers() -> None:
     met: dict[int, int] = {}
     for proxy in range(14):
         driver = Driver(replace(SETTINGS, proxies=14, proxy=proxy), servers=24, seed=proxy)
-        for server in driver.balancer.ranked[:6]:
+        for server in driver.balancer.ring.ranked[:6]:
             met[server.entry.server] = met.get(server.entry.server, 0) + 1
     assert len(met) == 24 and set(met.values()) <= {3, 4}
 
@@ -139,6 +143,7 @@
     """What a request costs a cold server is no more than somewhat above its unhindered time."""
     driver = Driver()
     name, _ = driver.arrive()
-    request = driver.balancer.requests[name]
-    driver.balancer.smoothed[0] = 10 * driver.balancer.unhindered[0]
-    assert driver.balancer.cold_cost_us(request) == COLD_COST * driver.balancer.unhindered[0]
+    request = driver.balancer.requests.get(name)
+    assert request is not None
+    driver.balancer.latency.smoothed_us[0] = 10 * driver.balancer.latency.baseline_us[0]
+    assert driver.balancer.slow_start.cost_us(request) == MAX_COST * driver.balancer.latency.baseline_us[0]
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -32,7 +32,8 @@
     TimerFired,
     WatchEndpoints,
 )
-from sagetrack.policy.load_balancer import LIST_TOKEN, LoadBalancer
+from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
 from tests.helpers import SETTINGS, START_US, Driver, timers
 from tests.sockets import (
     Exchange,
@@ -91,22 +92,22 @@
         run.gateway.balancer.handle = self.listen  # type: ignore[method-assign]
 
     def listen(self, now_us: int, event: Any) -> list[Action]:
-        if event == TimerFired(LIST_TOKEN):
+        if event == TimerFired(ENDPOINT_LIST_TOKEN):
             return []
         if event == TimerFired(self.TOKEN):
-            event = TimerFired(LIST_TOKEN)
+            event = TimerFired(ENDPOINT_LIST_TOKEN)
         if isinstance(event, EndpointList) and event.kind is ListKind.ERROR:
             self.told += 1
         return self.handle(now_us, event)
 
     def hurry(self, action: Action) -> None:
-        if isinstance(action, SetTimer) and action.token == LIST_TOKEN:
+        if isinstance(action, SetTimer) and action.token == ENDPOINT_LIST_TOKEN:
             action = SetTimer(0 if self.told < self.left else action.due_us, self.TOKEN)
         self.carry_out(action)
 
 
 def draw_longest(module: LoadBalancer) -> None:
-    module.random.uniform = lambda a, b: b  # type: ignore[method-assign]
+    module.context.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
 
 def begin(run: Running, failures: int) -> Failures:
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -17,7 +17,7 @@
     TimerFired,
     WatchEndpoints,
 )
-from sagetrack.policy.load_balancer import LIST_TOKEN
+from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
 from tests.sockets import (
     Exchange,
     Peer,
@@ -57,7 +57,7 @@
     """Let the module's own times to ask pass by: no call is made but the test's."""
     handle = run.gateway.balancer.handle
     run.gateway.balancer.handle = lambda now_us, event: (  # type: ignore[method-assign]
-        [] if event == TimerFired(LIST_TOKEN) else handle(now_us, event)
+        [] if event == TimerFired(ENDPOINT_LIST_TOKEN) else handle(now_us, event)
     )
 
 
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -218,11 +218,11 @@
     from tests.helpers import Driver
 
     driver = Driver()
-    whole = driver.balancer.fall_budget_us()
+    whole = driver.balancer.slow_start.window_budget_us()
     driver.handle(ProcessCountChanged(2))
-    assert driver.balancer.fall_budget_us() == whole / 2
+    assert driver.balancer.slow_start.window_budget_us() == whole / 2
     driver.handle(ProcessCountChanged(1))
-    assert driver.balancer.fall_budget_us() == whole
+    assert driver.balancer.slow_start.window_budget_us() == whole
 
 
 def test_a_folder_that_cannot_be_used_is_said_and_does_no_harm(
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -545,7 +545,7 @@
 
     assert newer(0, 0) == pytest.approx(0.5, abs=0.2) and newer(1, 0) < 0.25 and newer(1, 1) == 1.0
     assert newer(0, 1, mirror_target=0) == 0.0 and newer(1, 0, mirror_target=1) == 1.0
-    balancer.shed = 0.5  # something is refused: a copy is the first
+    balancer.shedder.shed_fraction = 0.5  # something is refused: a copy is the first
     assert not any(
         isinstance(a, SendAttempt)
         for a in balancer.handle(9, RequestArrived("z", 0, 9_000_000, mirror_target=1))
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -345,7 +345,7 @@
         pools.close()
         world.settle()
         assert not world.broken, world.broken
-        left = gateway.held or gateway.balancer.requests or gateway.balancer.out
+        left = gateway.held or gateway.balancer.requests or gateway.balancer.in_flight.count
         assert not left, "calls left over"
         assert pools.open == 0 and not world.wires and not world.openings, "connections left over"
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -206,7 +206,7 @@
         config = configuration(one, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
             unheard(run)
-            run.gateway.balancer.smoothed = [1_000.0] * 3  # a copy after 4 ms
+            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a copy after 4 ms
             timers = Timers(run)
             client, connection = await crowding(run, "search")
             await until(lambda: one.seen or other.seen)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,6 +12,8 @@
 from hypothesis import strategies as st
 
 from sagetrack.policy.concurrency_share import CUT, MOST_EASE, OWED_US, SAVED_US, STEP, ConcurrencyShare
+from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
+from sagetrack.policy.in_flight import PLANNED_CONCURRENCY
 from sagetrack.policy.interface import (
     FleetSizeChanged,
     ListedServer,
@@ -21,7 +23,8 @@
     ServerStatus,
     TimerFired,
 )
-from sagetrack.policy.load_balancer import COLD_COST, CROWD, HELD, SUBSET
+from sagetrack.policy.slow_start import MAX_COST
+from sagetrack.policy.subset_size import MIN_SUBSET
 from tests.helpers import SAFE, SETTINGS, Driver, sends, timers, trip
 
 SECOND_US = 1_000_000
@@ -52,7 +55,7 @@
 
 @pytest.mark.parametrize("gateways", [10, 50, 200, 730])
 def test_all_together_hold_what_there_are_places_for_whoever_has_work(gateways: int) -> None:
-    places = HELD * CROWD * 50
+    places = PLANNED_CONCURRENCY * DEFAULT_MAX_CONCURRENCY * 50
     held = held_in_the_mean(gateways, places, 300_000, seed=gateways)
     assert 0.9 * min(places, 3 * gateways) <= held <= 1.05 * places
 
@@ -128,8 +131,8 @@
     driver.end(first, send.server)
     name, actions = driver.arrive()
     assert not sends(actions)
-    by_part = next(timer for timer in timers(actions) if timer.token == driver.balancer.held_token)
-    part = HELD * CROWD * 4 / 20
+    by_part = next(timer for timer in timers(actions) if timer.token == driver.balancer.in_flight.timer_token)
+    part = PLANNED_CONCURRENCY * DEFAULT_MAX_CONCURRENCY * 4 / 20
     assert by_part.due_us - driver.now_us == pytest.approx(200_000 * (1 - part) / part, abs=1_000)
     driver.now_us = by_part.due_us
     actions = driver.handle(TimerFired(by_part.token))
@@ -140,8 +143,8 @@
 def test_with_as_many_places_as_proxies_nothing_is_kept_over_time() -> None:
     for proxies in (1, 2, 3):
         driver = Driver(replace(MANY, proxies=proxies), servers=4)
-        assert len(busy(driver, 40)) == 4 * -(-int(CROWD) // proxies)
-        assert driver.balancer.held_token == -1
+        assert len(busy(driver, 40)) == 4 * -(-int(DEFAULT_MAX_CONCURRENCY) // proxies)
+        assert driver.balancer.in_flight.timer_token == -1
 
 
 def test_the_part_follows_the_number_of_gateways_known_to_live_and_of_processes() -> None:
@@ -155,7 +158,7 @@
         driver.now_us += 300_000
         driver.end(name, sends(actions)[0].server)
         _, actions = driver.arrive()
-        (timer,) = [t for t in timers(actions) if t.token == driver.balancer.held_token]
+        (timer,) = [t for t in timers(actions) if t.token == driver.balancer.in_flight.timer_token]
         return timer.due_us - driver.now_us
 
     alone = wait_us()
@@ -171,17 +174,17 @@
         driver.now_us += SECOND_US
         name, actions = driver.arrive()
         for send in sends(actions):
-            bad = send.server == driver.balancer.ranked[0].entry.server
+            bad = send.server == driver.balancer.ring.ranked[0].entry.server
             driver.end(name, send.server, outcome=Outcome.CONNECT_FAILED if bad else Outcome.OK)
         driver.handle(RequestCancelled(name))
-        if driver.balancer.tripped:
+        if driver.balancer.endpoints.tripped:
             break
-    assert [server.entry.server for server in driver.balancer.tripped] == [
-        driver.balancer.ranked[0].entry.server
+    assert [server.entry.server for server in driver.balancer.endpoints.tripped] == [
+        driver.balancer.ring.ranked[0].entry.server
     ]
-    gone = driver.balancer.ranked[0].entry
-    driver.list_servers(*(s.entry for s in driver.balancer.ranked[1:]), replace(gone, started_us=1))
-    assert not driver.balancer.tripped  # another life of it
+    gone = driver.balancer.ring.ranked[0].entry
+    driver.list_servers(*(s.entry for s in driver.balancer.ring.ranked[1:]), replace(gone, started_us=1))
+    assert not driver.balancer.endpoints.tripped  # another life of it
 
 
 def test_servers_that_drain_with_an_open_breaker_take_nothing_off_the_part() -> None:
@@ -189,10 +192,10 @@
     driver = Driver(MANY, servers=4)
     for server in driver.balancer.servers.values():
         trip(server.breaker, driver.now_us)
-        driver.balancer.note_trip(server)
+        driver.balancer.endpoints.breaker_changed(server)
     old = [ListedServer(n, ServerStatus.DRAINING) for n in range(4)]
     driver.list_servers(*old, *(ListedServer(n) for n in range(10, 14)))
-    assert not driver.balancer.tripped
+    assert not driver.balancer.endpoints.tripped
     sent = 0
     for _ in range(40):
         driver.now_us += 500_000
@@ -209,14 +212,16 @@
     wide, narrow = Driver(replace(MANY, proxies=2), servers=40), Driver(MANY, servers=40)
     for driver in (wide, narrow):
         held = busy(driver, 5)
-        assert driver.balancer.reach == (SUBSET + len(held) if driver is wide else max(SUBSET, 1 + len(held)))
+        assert driver.balancer.subset_size.size == (
+            MIN_SUBSET + len(held) if driver is wide else max(MIN_SUBSET, 1 + len(held))
+        )
         for name, server in held:
             driver.end(name, server)
         for _ in range(20):
             driver.now_us += SECOND_US
             name, actions = driver.arrive()
             driver.end(name, sends(actions)[0].server)
-    assert narrow.balancer.reach < SUBSET + 0.1 < wide.balancer.reach
+    assert narrow.balancer.subset_size.size < MIN_SUBSET + 0.1 < wide.balancer.subset_size.size
 
 
 def cold_driver(proxies: int) -> Driver:
@@ -237,14 +242,14 @@
 def test_what_answers_teach_quickens_a_small_part_of_a_cold_servers_budget() -> None:
     """A quarter of a long aim is no call's work: a proxy that knows better after few answers sends sooner."""
     driver = cold_driver(200)
-    server = driver.balancer.ranked[0]
+    server = driver.balancer.ring.ranked[0]
     name, _ = driver.arrive(client_timeout_us=8 * SECOND_US)
-    request = next(iter(driver.balancer.requests.values()), None)
+    request = next(iter(driver.balancer.requests), None)
     assert request is not None
-    paid_us, cost_us = driver.balancer.cold_terms(server, request)
-    assert cost_us == COLD_COST * SECOND_US  # a quarter of the aim
-    driver.balancer.answers[0], driver.balancer.latencies[0] = 5, 500_000.0  # of 100 ms each
-    sooner_us, same_us = driver.balancer.cold_terms(server, request)
+    paid_us, cost_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
+    assert cost_us == MAX_COST * SECOND_US  # a quarter of the aim
+    driver.balancer.latency.answers[0], driver.balancer.latency.answers_us[0] = 5, 500_000.0  # of 100 ms each
+    sooner_us, same_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
     assert same_us == cost_us and sooner_us > 4 * paid_us
     assert sooner_us <= cost_us  # one call in a window at the most
 
@@ -252,7 +257,14 @@
 def test_a_part_that_holds_a_call_is_as_before() -> None:
     driver = cold_driver(2)
     driver.arrive(client_timeout_us=8 * SECOND_US)
-    request = next(iter(driver.balancer.requests.values()))
-    server = driver.balancer.ranked[0]
-    half_us = driver.balancer.fall_budget_us() * driver.balancer.cold_share(server) / 2
-    assert driver.balancer.cold_terms(server, request) == (half_us, driver.balancer.cold_cost_us(request))
+    request = next(iter(driver.balancer.requests))
+    server = driver.balancer.ring.ranked[0]
+    half_us = (
+        driver.balancer.slow_start.window_budget_us()
+        * driver.balancer.slow_start.capacity_share(driver.now_us, server)
+        / 2
+    )
+    assert driver.balancer.slow_start.terms(driver.now_us, server, request) == (
+        half_us,
+        driver.balancer.slow_start.cost_us(request),
+    )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,7 +22,7 @@
 from sagetrack.peers.node import Node
 from sagetrack.peers.warm_start import MOST_PARTS, TRIES, Asker, Teller, sights_from, split
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, State
-from sagetrack.policy.fleet_size import sharers
+from sagetrack.policy.fleet_size import sharing_gateways
 from sagetrack.policy.interface import (
     FleetSizeChanged,
     ListedServer,
@@ -31,8 +31,8 @@
     Outcome,
     ServerStatus,
 )
-from sagetrack.policy.load_balancer import FALL_MARGIN
 from sagetrack.policy.peer_observations import CLOSED, OPEN, ClassLatency, Observation, advise, join, trust
+from sagetrack.policy.slow_start import BUDGET_MARGIN
 from tests.helpers import START_US, Driver, sends
 from tests.sockets import on_loop, until
 
@@ -110,7 +110,7 @@
     servers = driver.balancer.servers
     assert servers[3].breaker.state is State.OPEN and servers[3].breaker.open_until_us == START_US + 700_000
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
-    assert driver.balancer.smoothed[0] == 9_000.0
+    assert driver.balancer.latency.smoothed_us[0] == 9_000.0
     driver.now_us += COOLDOWN_US
     assert servers[3].breaker.lets_through(driver.now_us)  # trials decide, as ever
 
@@ -126,7 +126,7 @@
     assert driver.balancer.servers[server].weight > 0.9
     assert 77 not in driver.balancer.servers
     assert driver.balancer.servers[1].entry.status is ServerStatus.DRAINING
-    assert all(s.entry.server != 1 for s in driver.balancer.ranked)
+    assert all(s.entry.server != 1 for s in driver.balancer.ring.ranked)
 
 
 def test_a_peer_that_calls_all_servers_bad_leaves_most_of_them_in_use() -> None:
@@ -189,7 +189,7 @@
     for _ in range(6):
         name, actions = one.arrive()
         one.end(name, sends(actions)[0].server, Outcome.ERROR)
-    sights, _ = one.balancer.sights()
+    sights, _ = one.balancer.own_observations()
     assert sights and all(sight.by == 0 for sight in sights)
     other.handle(
         ObservationsReceived(
@@ -210,16 +210,18 @@
 def test_shares_never_add_up_to_more_than_is_planned_for(all_: int, cut: int) -> None:
     """Whoever is cut off or dead: both sides of the worst cut together stay within the whole."""
     small = min(cut, all_ // 2)
-    total = (all_ - small) / sharers(all_ - small, all_) + (small / sharers(small, all_) if small else 0.0)
-    assert total * FALL_MARGIN <= 1.0
+    total = (all_ - small) / sharing_gateways(all_ - small, all_) + (
+        small / sharing_gateways(small, all_) if small else 0.0
+    )
+    assert total * BUDGET_MARGIN <= 1.0
 
 
 def test_doubt_leaves_the_share_as_it_is() -> None:
-    assert sharers(3, 3) == sharers(2, 3) == sharers(1, 3) == 3
-    assert sharers(7, 8) == 7 and sharers(5, 8) == 6 and sharers(4, 8) == 8
+    assert sharing_gateways(3, 3) == sharing_gateways(2, 3) == sharing_gateways(1, 3) == 3
+    assert sharing_gateways(7, 8) == 7 and sharing_gateways(5, 8) == 6 and sharing_gateways(4, 8) == 8
     driver = Driver(servers=3)
     driver.handle(FleetSizeChanged(1))
-    assert driver.balancer.sharers == driver.balancer.settings.proxies
+    assert driver.balancer.fleet.gateways == driver.balancer.settings.proxies
 
 
 # Who lives
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -50,7 +50,7 @@
         async with running(config, operator) as gateway:
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
-            before = {sight.server for sight in gateway.gateway.balancer.sights()[0]}
+            before = {sight.server for sight in gateway.gateway.balancer.own_observations()[0]}
         assert before
         StandingDisk.go, StandingDisk.asked = threading.Event(), threading.Event()
         monkeypatch.setattr("sagetrack.server.persistence.Disk", StandingDisk)
@@ -60,11 +60,11 @@
                 assert keeping is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
                 assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
                 assert (await gateway.ask(request())).status == 200
-                assert not gateway.gateway.balancer.heard and not keeping.was_read.is_set()
+                assert not gateway.gateway.balancer.gossip.received and not keeping.was_read.is_set()
                 keeping.keep()
                 StandingDisk.go.set()
                 await keeping.was_read.wait()
-                assert {server for server, _ in gateway.gateway.balancer.heard} == before
+                assert {server for server, _ in gateway.gateway.balancer.gossip.received} == before
         finally:
             StandingDisk.go.set()
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,6 +9,7 @@
 import pytest
 
 from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, State
+from sagetrack.policy.event_context import LOG_GAP_US
 from sagetrack.policy.interface import (
     Action,
     Cancel,
@@ -31,8 +32,10 @@
     TimerFired,
     WatchEndpoints,
 )
-from sagetrack.policy.load_balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET
+from sagetrack.policy.latency import STALL_FACTOR
+from sagetrack.policy.load_shedding import SHED_STEP
 from sagetrack.policy.state import rendezvous
+from sagetrack.policy.subset_size import MIN_SUBSET
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, timers, trip
 
 
@@ -78,11 +81,11 @@
 
 def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
     driver = Driver()
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     (timer,) = timers(actions)
-    assert timer.due_us == driver.now_us + int(OVERDUE * 20_000)
+    assert timer.due_us == driver.now_us + int(STALL_FACTOR * 20_000)
     driver.now_us = timer.due_us
     copy = sends(driver.handle(TimerFired(timer.token)))[0]
     assert copy.server != first
@@ -94,7 +97,7 @@
 
 def test_no_second_copy_where_none_is_allowed() -> None:
     driver = Driver(replace(SETTINGS, hedging=False))
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
     (timer,) = timers(actions)
     driver.now_us = timer.due_us
@@ -113,7 +116,7 @@
 def test_a_silent_server_gets_nothing_more() -> None:
     driver = Driver(servers=1)
     driver.arrive(klass=2)
-    driver.now_us += int(OVERDUE * max(driver.balancer.smoothed)) + 1
+    driver.now_us += int(STALL_FACTOR * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
@@ -147,7 +150,7 @@
     (send,) = sends(driver.handle(TimerFired(rest.token)))
     assert send.request == third
     driver.end(third, send.server)
-    assert not driver.balancer.lines.get(7)
+    assert 7 not in driver.balancer.ordered_keys
 
 
 def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
@@ -177,15 +180,15 @@
     bad = sends(actions)[0].server
     driver.end(name, bad)
     server = driver.balancer.servers[bad]
-    while server.breaker.state is State.CLOSED and server.part(0).breaker.state is State.CLOSED:
+    while server.breaker.state is State.CLOSED and server.class_health(0).breaker.state is State.CLOSED:
         name, actions = driver.arrive(klass=0)
         first = sends(actions)[0].server
         outcome = Outcome.REJECTED if first == bad else Outcome.OK
         for again in sends(driver.end(name, first, outcome)):
             driver.end(name, again.server, attempt=1)
     assert server.breaker.state is State.CLOSED and server.breaker.failures == 0
-    assert server not in driver.balancer.subset(0) and server in driver.balancer.subset(2)
-    assert driver.balancer.shed_dear == 0.0
+    assert server not in driver.balancer.selector.subset(0) and server in driver.balancer.selector.subset(2)
+    assert driver.balancer.shedder.shed_fraction_high_priority == 0.0
 
 
 def test_failures_of_every_class_are_the_servers_own() -> None:
@@ -209,10 +212,10 @@
     ):
         driver = Driver(replace(SETTINGS, classes=(klass,)))
         name, actions = driver.arrive()
-        driver.balancer.smoothed[0] = driver.balancer.unhindered[0] = 50_000.0
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.baseline_us[0] = 50_000.0
+        driver.balancer.shedder.adjusted_at_us = driver.now_us
         driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
-        moved.append(driver.balancer.shed_dear)
+        moved.append(driver.balancer.shedder.shed_fraction_high_priority)
     assert moved[0] == moved[1] > moved[2] > moved[3] == 0.0
 
 
@@ -253,15 +256,17 @@
     driver = Driver(replace(SETTINGS, tenants=tenants, over_quota_priority=0.1), servers=9)
     refused = [0, 0]
     for n in range(600):
-        driver.balancer.shed = driver.balancer.shed_dear = 0.1 * (n > 200)
+        driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 0.1 * (
+            n > 200
+        )
         tenant = int(n % 10 == 0)
         name, actions = driver.arrive(klass=0, tenant=tenant)
         refused[tenant] += bool(finals(actions))
         for send in sends(actions):
             driver.end(name, send.server)
     assert refused[0] > 60 and refused[1] <= 20
-    assert driver.balancer.excess(1) <= 0.0 < driver.balancer.excess(0)
-    assert driver.balancer.excess(7) == 0.0
+    assert driver.balancer.tenant_quota.excess(1) <= 0.0 < driver.balancer.tenant_quota.excess(0)
+    assert driver.balancer.tenant_quota.excess(7) == 0.0
 
 
 def test_without_servers_requests_are_refused() -> None:
@@ -372,7 +377,7 @@
             driver.end(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
             driver.list_servers(*(ListedServer(n + i) for i in range(4)))
-        for request in list(driver.balancer.requests):
+        for request in [r.id for r in driver.balancer.requests]:
             driver.handle(RequestCancelled(request))
             for i in range(3):
                 driver.end(request, 0, Outcome.CANCELLED, attempt=i)
@@ -381,15 +386,15 @@
         driver.handle(TimerFired(timer.token))
     balancer = driver.balancer
     assert not balancer.requests and len(balancer.servers) == 4
-    assert not balancer.timers
-    assert len(balancer.ranked) == 4 and balancer.out == 0
+    assert not balancer.timers.pending
+    assert len(balancer.ring.ranked) == 4 and balancer.in_flight.count == 0
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
     driver = Driver()
     driver.balancer.handle(driver.now_us, RequestCancelled("none"))
     driver.balancer.handle(driver.now_us - 5_000_000, RequestCancelled("none"))
-    assert driver.balancer.now_us == driver.now_us
+    assert driver.balancer.context.now_us == driver.now_us
 
 
 NAN = float("nan")
@@ -435,10 +440,10 @@
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
         name, actions = driver.arrive(klass=2)
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.shedder.adjusted_at_us = driver.now_us
         driver.now_us += gap_us
         driver.end(name, sends(actions)[0].server, latency_us=290_000)
-        shed.append(driver.balancer.shed)
+        shed.append(driver.balancer.shedder.shed_fraction)
     assert shed[1] >= 2 * shed[0] > 0
 
 
@@ -454,7 +459,7 @@
         name, actions = driver.arrive()
         met.add(sends(actions)[0].server)
         driver.end(name, sends(actions)[0].server)
-    assert len(met) <= SUBSET + 1
+    assert len(met) <= MIN_SUBSET + 1
 
 
 def test_subsets_are_even_and_move_little() -> None:
@@ -472,7 +477,7 @@
     """One proxy with a fifth of all traffic would crush the few servers of a fixed subset."""
     driver = Driver(replace(SETTINGS, proxies=3), servers=60)
     met = {sends(driver.arrive(klass=2)[1])[0].server for _ in range(40)}
-    assert len(met) > 3 * SUBSET
+    assert len(met) > 3 * MIN_SUBSET
 
 
 def test_one_of_many_proxies_with_more_than_its_part_to_do_reaches_further_by_and_by() -> None:
@@ -502,14 +507,14 @@
         note(driver.arrive(klass=2)[1])
         by_server = Counter(server for _, _, server in held)
         most = max([most, *by_server.values()])
-    assert sent > 0.98 * 2_000 and len(met) > SUBSET and most == 1
+    assert sent > 0.98 * 2_000 and len(met) > MIN_SUBSET and most == 1
 
 
 def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
-    subset = driver.balancer.subset(0)
+    subset = driver.balancer.selector.subset(0)
     trip(subset[0].breaker, driver.now_us)
-    after = driver.balancer.subset(0)
+    after = driver.balancer.selector.subset(0)
     assert subset[0] not in after and after[: len(subset) - 1] == subset[1:] and len(after) == len(subset)
 
 
@@ -541,7 +546,7 @@
         for step in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
-                work_us[step // 50] += driver.balancer.unhindered[0]
+                work_us[step // 50] += driver.balancer.latency.baseline_us[0]
                 driver.end(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     for first, second in pairwise(work_us):
@@ -552,11 +557,11 @@
 def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
     """When many step aside from failing servers, all would meet on the same cold one."""
     driver = Driver(replace(COLD, proxies=300), servers=60)
-    last = driver.balancer.ranked[-1].entry.server
-    for server in driver.balancer.ranked[:-1]:
+    last = driver.balancer.ring.ranked[-1].entry.server
+    for server in driver.balancer.ring.ranked[:-1]:
         trip(server.breaker, driver.now_us)
     driver.list_servers(ListedServer(last, started_us=driver.now_us - 1), kind=ListKind.DELTA)
-    assert driver.balancer.subset(0) == []
+    assert driver.balancer.selector.subset(0) == []
 
 
 def test_what_is_worth_nothing_late_is_timed_out_at_the_aim() -> None:
@@ -571,12 +576,12 @@
     dear = replace(SAFE, priority_weight=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
     for number in range(100):
-        driver.balancer.asked[number % 2] += 1
-        driver.balancer.served[number % 2] += 1
+        driver.balancer.priorities.asked[number % 2] += 1
+        driver.balancer.priorities.served[number % 2] += 1
     for latency_us, shed in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(round(0.3 / SHED_STEP)):
             name, actions = driver.arrive(klass=1)
-            driver.balancer.shed_at_us = driver.now_us - 200_000
+            driver.balancer.shedder.adjusted_at_us = driver.now_us - 200_000
             driver.end(name, sends(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         refused = []
@@ -592,12 +597,12 @@
 def test_no_copy_and_no_repeat_of_what_may_have_run_while_anything_is_shed() -> None:
     """Three hundred proxies doubled their work at the first jam, and the fleet never left it."""
     driver = Driver()
-    driver.balancer.shed = SHED_STEP
-    driver.balancer.random.seed(1)
+    driver.balancer.shedder.shed_fraction = SHED_STEP
+    driver.balancer.context.random.seed(1)
     name, actions = driver.arrive(klass=0)
     while not sends(actions):
         name, actions = driver.arrive(klass=0)
-    driver.balancer.shed = SHED_STEP * 3
+    driver.balancer.shedder.shed_fraction = SHED_STEP * 3
     assert not sends(driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT))
 
 
@@ -637,12 +642,14 @@
     sheds = []
     for _ in range(300):
         driver.now_us += 3_300
-        driver.balancer.shed_dear = 0.0  # each is let through, whatever is shed by now
-        shed, driver.balancer.shed = driver.balancer.shed, 0.0
+        driver.balancer.shedder.shed_fraction_high_priority = (
+            0.0  # each is let through, whatever is shed by now
+        )
+        shed, driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction, 0.0
         name, actions = driver.arrive()
-        driver.balancer.shed = shed
+        driver.balancer.shedder.shed_fraction = shed
         driver.end(name, sends(actions)[0].server, latency_us=390_000)
-        sheds.append(driver.balancer.shed)
+        sheds.append(driver.balancer.shedder.shed_fraction)
     assert sheds[9] <= 0.3 and sheds[-1] >= 0.9
 
 
@@ -651,7 +658,7 @@
     prices = Prices(cross_zone=0.08)
     driver = Driver(replace(SETTINGS, warm_keys=True, prices=prices), servers=0)
     driver.list_servers(*(ListedServer(n, zone=n % 2) for n in range(10)))
-    driver.balancer.reach = 10.0
+    driver.balancer.subset_size.size = 10.0
     crossed = 0
     for key in range(400):
         name, actions = driver.arrive(key=key * 7919)
@@ -659,14 +666,14 @@
         crossed += sent.server % 2
         driver.end(name, sent.server)
         driver.now_us += 10_000
-        driver.balancer.reach = 10.0
+        driver.balancer.subset_size.size = 10.0
     assert crossed < 50
 
 
 def test_where_every_try_has_a_time_of_its_own_a_short_one_marks_no_repeat() -> None:
     """First tries with odd short times were refused unsent: they passed for repeats whose aim was over."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_priority_weight=0.0),)), servers=5)
-    driver.balancer.unhindered[0] = driver.balancer.smoothed[0] = 10_000.0
+    driver.balancer.latency.baseline_us[0] = driver.balancer.latency.smoothed_us[0] = 10_000.0
     sent = 0
     for number in range(200):
         name, actions = driver.arrive(client_timeout_us=20_000 + number * 7919 % 60_000)
@@ -682,10 +689,15 @@
 def test_a_time_out_sooner_than_an_answer_takes_is_no_verdict() -> None:
     driver = Driver(servers=1)
     for _ in range(MINIMUM * 3):
-        driver.balancer.habit(0, 0).regular = 0.0  # clients give each try a time of its own
+        driver.balancer.client_timeouts.estimate(
+            0, 0
+        ).regular = 0.0  # clients give each try a time of its own
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
-    assert driver.balancer.servers[0].breaker.state is State.CLOSED and driver.balancer.shed == 0
+    assert (
+        driver.balancer.servers[0].breaker.state is State.CLOSED
+        and driver.balancer.shedder.shed_fraction == 0
+    )
 
 
 def test_one_failed_connection_opens_no_server_that_answered_well_a_moment_ago() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -226,8 +226,8 @@
     for case in world.cases.values():
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
-    assert not balancer.requests and not balancer.timers and not balancer.lines
-    assert all(not s.out for s in balancer.servers.values())
+    assert not balancer.requests and not balancer.timers.pending and not balancer.ordered_keys
+    assert all(not s.in_flight for s in balancer.servers.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,6 +24,7 @@
 from sagetrack.lab.scale.run import check as check_sizes
 from sagetrack.lab.scale.target import CHANGES_PER_DAY, FAILED_PER_DAY, RESTARTED_PER_DAY, Sizes
 from sagetrack.lab.scale.world import FleetAhead, long_tail, unequal
+from sagetrack.policy.interface import RequestArrived
 from sagetrack.policy.load_balancer import LoadBalancer
 from tests.test_cli import ROOT, command
 
@@ -151,13 +152,14 @@
 
 
 def test_work_that_walks_the_servers_for_each_call_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    admit = LoadBalancer.admit
+    handle = LoadBalancer.handle
 
-    def walks(self: LoadBalancer, event: Any) -> Any:
-        assert all(server.weight >= 0 for server in self.servers.values())
-        return admit(self, event)
+    def walks(self: LoadBalancer, now_us: int, event: Any) -> Any:
+        if isinstance(event, RequestArrived):
+            assert all(server.weight >= 0 for server in self.servers.values())
+        return handle(self, now_us, event)
 
-    monkeypatch.setattr(LoadBalancer, "admit", walks)
+    monkeypatch.setattr(LoadBalancer, "handle", walks)
     found = measure(SMALL, 1, ["decision-by-servers"], False, False, lambda share: None)
     assert row(found, "decision-by-servers")["fits"]["steps"]["slope"] > CEILINGS["decision-by-servers"]
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -294,13 +294,13 @@
         async with running(config, load_operator(str(file))) as gateway:
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
-            before = {s.server: s.weight for s in gateway.gateway.balancer.sights()[0]}
+            before = {s.server: s.weight for s in gateway.gateway.balancer.own_observations()[0]}
             assert gateway.instance.keeping is not None and before
             async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
                 assert (await successor.ask(request())).status == 200
                 assert "svc_store_failing 1" in successor.server.stats()
         async with running(config, load_operator(str(file))) as gateway:
-            heard = gateway.gateway.balancer.heard
+            heard = gateway.gateway.balancer.gossip.received
             assert {server for server, _ in heard} == set(before)
             assert "svc_store_failing 0" in gateway.server.stats()
             store = gateway.instance.keeping.keeper.store  # type: ignore[union-attr]
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -16,13 +16,14 @@
 from sagetrack.core.deadlines import watching
 from sagetrack.discovery import client as discovery_client
 from sagetrack.discovery.client import Discovery
-from sagetrack.policy import load_balancer
+from sagetrack.policy import endpoints
 from sagetrack.policy.admission import AdmissionSettings
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.endpoint_ring import ExactSum, Ring, RingPosition
 from sagetrack.policy.interface import ListedServer, ListKind, Outcome, Reject, Scope, ServerStatus, Tenant
-from sagetrack.policy.load_balancer import OVER_SHARE, SUBSET, TENANT_MEMORY
 from sagetrack.policy.state import Server
+from sagetrack.policy.subset_size import MIN_SUBSET
+from sagetrack.policy.tenant_quota import OVER_SHARE, TENANT_MEMORY
 from sagetrack.server import hot_restart
 from sagetrack.server.hot_restart import LIST, Overlap
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
@@ -117,7 +118,7 @@
 @pytest.mark.parametrize("servers", [40, 2000])
 def test_a_changed_entry_touches_no_other_server(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen: 7 ms for one changed entry of 9,600, as the ring was put in order anew and all weights added."""
-    monkeypatch.setattr(load_balancer, "Server", Looked)
+    monkeypatch.setattr(endpoints, "Server", Looked)
     driver = Driver(replace(SETTINGS, proxies=3, proxy=1), servers=servers)
     for entry in CHANGES:
         Looked.at.clear()
@@ -130,13 +131,13 @@
     driver = Driver(servers=300)
     entries = [server.entry for server in driver.balancer.servers.values()]
     looked: list[int] = []
-    place_of = driver.balancer.place_of
+    place_of = driver.balancer.endpoints.ring_position
 
     def look(number: int) -> RingPosition[Server] | None:
         looked.append(number)
         return place_of(number)
 
-    monkeypatch.setattr(driver.balancer, "place_of", look)
+    monkeypatch.setattr(driver.balancer.endpoints, "ring_position", look)
     driver.list_servers(*entries)
     assert looked == []
     driver.list_servers(*entries[2:], replace(entries[0], status=ServerStatus.DRAINING))
@@ -258,21 +259,21 @@
     scope: Scope, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen: 18.5 ms for a keyed call with one repeat at 9,600 servers, as it walked all of them."""
-    monkeypatch.setattr(load_balancer, "Server", Looked)
+    monkeypatch.setattr(endpoints, "Server", Looked)
     for servers in (40, 2000):
-        assert servers_looked_at_by_a_repeat(servers, scope) <= 10 + SUBSET + 2  # and its proxy's own
+        assert servers_looked_at_by_a_repeat(servers, scope) <= 10 + MIN_SUBSET + 2  # and its proxy's own
 
 
 @pytest.mark.parametrize("door", [None, AdmissionSettings()])
 def test_a_refusal_looks_at_few_servers(
     door: AdmissionSettings | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(load_balancer, "Server", Looked)
+    monkeypatch.setattr(endpoints, "Server", Looked)
     driver = Driver(replace(SETTINGS, admission=door), servers=2000)
-    driver.balancer.shed = driver.balancer.shed_dear = 1.0
+    driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 1.0
     Looked.at.clear()
     _, actions = driver.arrive()
-    assert len(finals(actions)) == 1 and len(Looked.at) <= SUBSET
+    assert len(finals(actions)) == 1 and len(Looked.at) <= MIN_SUBSET
 
 
 def test_where_every_server_is_open_a_client_comes_back_with_the_first() -> None:
