--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -1,70 +1,115 @@
-"""What an arrival makes of the counts by class, tenant and client, and the request that follows from it."""
+"""Arrivals: each request is sent, queued or rejected."""
 
 from __future__ import annotations
 
-from sagetrack.policy.admission import AdmissionController
-from sagetrack.policy.class_priorities import ClassPriorities
-from sagetrack.policy.client_timeouts import ClientTimeouts
-from sagetrack.policy.interface import RequestArrived, Settings
-from sagetrack.policy.retry import RetryBudget
+from sagetrack.policy.admission import AdmissionDenial
+from sagetrack.policy.admission_gate import AdmissionGate
+from sagetrack.policy.attempt_deadline import attempt_deadline_us
+from sagetrack.policy.attempts import AttemptSender
+from sagetrack.policy.capacity_wait import CapacityWait
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.interface import Fail, RejectReason, RequestArrived, Settings
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.load_shedding import LoadShedder
+from sagetrack.policy.ordered_keys import OrderedKeys, Turn
+from sagetrack.policy.request_factory import RequestFactory
+from sagetrack.policy.request_lifecycle import RequestLifecycle
 from sagetrack.policy.state import Request
-from sagetrack.policy.tenant_quota import TenantQuota
+from sagetrack.policy.timers import TimerPurpose, Timers
 
-WORK_SMOOTHING = 0.05  # share of the newest request in the mean expected work of a class
 
-
-class RequestFactory:
-    """Counts arrivals and makes requests of them; keeps the mean of the expected work by class."""
+class Arrivals:
+    """Takes requests in, and sends those that wait when there is capacity."""
 
     def __init__(
         self,
+        context: EventContext,
         settings: Settings,
-        client_timeouts: ClientTimeouts,
-        priorities: ClassPriorities,
-        retry_budget: RetryBudget,
-        tenant_quota: TenantQuota,
-        admission: AdmissionController[Request] | None,
+        factory: RequestFactory,
+        requests: RequestLifecycle,
+        gate: AdmissionGate | None,
+        shedder: LoadShedder,
+        sender: AttemptSender,
+        latency: LatencyEstimator,
+        ordered_keys: OrderedKeys,
+        capacity_wait: CapacityWait,
+        timers: Timers,
     ) -> None:
-        self._classes = settings.classes
-        self._client_timeouts = client_timeouts
-        self._priorities = priorities
-        self._retry_budget = retry_budget
-        self._admission = admission
-        self._tenant_quota = tenant_quota
-        self._mean_work_us = [0.0] * len(settings.classes)
+        self._context = context
+        self._settings = settings
+        self._factory = factory
+        self._requests = requests
+        self._gate = gate
+        self._shedder = shedder
+        self._sender = sender
+        self._latency = latency
+        self._ordered_keys = ordered_keys
+        self._capacity_wait = capacity_wait
+        self._timers = timers
+
+    def arrive(self, event: RequestArrived) -> None:
+        """Take a new request."""
+        context, requests = self._context, self._requests
+        if event.request in requests:
+            context.log(f"request {event.request} came twice; the second is ignored")
+            return
+        if not 0 <= event.klass < len(self._settings.classes):
+            context.log(f"request {event.request} is of unknown class {event.klass}")
+            context.actions.append(Fail(event.request))
+            return
+        request = self._factory.make(event, context.now_us, self._sender.stops_at_us)
+        requests.add(request)
+        if request.mirror_target >= 0:
+            self._admit_mirrored(request)
+        elif self._gate is not None and not self._settings.classes[request.klass].in_order:
+            denial = self._gate.admit(request, event.is_retry)
+            if denial is not None:
+                self._deny(self._gate, request, denial)
+        elif self._shedder.should_reject(context, request):
+            requests.answer_unserved(request, RejectReason.SHED)
+        elif not (
+            self._waits_its_turn(request)
+            or self._sender.try_send(request)
+            or self._capacity_wait.join(request)
+        ):
+            requests.answer_unserved(request, RejectReason.NO_ROOM)
+
+    def _admit_mirrored(self, request: Request) -> None:
+        """A mirrored request yields to all others: nobody waits for it, and it waits for nothing."""
+        queued = len(self._capacity_wait) > 0 or (self._gate is not None and self._gate.has_queue)
+        if self._shedder.is_active or queued or not self._sender.try_send(request):
+            self._requests.answer_unserved(request)
+
+    def _deny(self, gate: AdmissionGate, request: Request, reason: AdmissionDenial) -> None:
+        gate.count_denial(reason)
+        self._requests.answer_unserved(request, RejectReason.TURN)
+
+    def _waits_its_turn(self, request: Request) -> bool:
+        """Queue a request of an in-order class behind others of its key, or reject it as too late.
+
+        False where it may be sent now.
+        """
+        klass, now_us = self._settings.classes[request.klass], self._context.now_us
+        if request.key is None or not klass.in_order:
+            return False
+        expected_us = self._latency.expected_us(request.klass, request.relative_work)
+        last_us = attempt_deadline_us(request, klass, now_us) - int(expected_us)
+        turn = self._ordered_keys.join(request, request.key, now_us, expected_us, last_us)
+        if turn is Turn.TOO_LATE:
+            self._requests.answer_unserved(request)
+        elif turn is Turn.WAITS:
+            self._timers.set(last_us, TimerPurpose.REQUEST, request)
+        return turn is not Turn.NOW
 
-    def make(self, event: RequestArrived, now_us: int, latest_us: int) -> Request:
-        """The request of an arrival, whose answer is due by `latest_us` in any case."""
-        klass = self._classes[event.klass]
-        mirrored = event.mirror_target >= 0
-        used_us = self._client_timeouts.used_us(event)
-        is_first_try = not event.is_retry and used_us == 0
-        relative_work = self._relative_work(event)
-        if is_first_try:
-            self._retry_budget.add_first_try()
-            self._priorities.count_asked(event.klass)
-        return Request(
-            event.request,
-            event.klass,
-            event.key,
-            min(now_us + event.client_timeout_us - event.waited_us, latest_us),
-            now_us + max(0, klass.latency_objective_us - used_us - event.waited_us),
-            relative_work,
-            is_first_try,
-            self._tenant_quota.excess(event.tenant),
-            uploading=event.uploading,
-            single_use_body=event.uploading or mirrored,
-            client=event.client,
-            admission_tenant=self._admission.member(event.tenant) if self._admission is not None else 0,
-            tenant=event.tenant,
-            mirror_target=event.mirror_target,
-            retry_after_us=0 if mirrored else -1,
-        )
+    def serve_waiting(self) -> None:
+        """Send what waits for capacity, as far as there is any."""
+        if self._gate is not None:
+            self._gate.serve()
+        self._capacity_wait.serve()
 
-    def _relative_work(self, event: RequestArrived) -> float:
-        """Expected work over the mean of the class, the newest request included; 1 where none is given."""
-        if not event.work_us:
-            return 1.0
-        mean_us = self._mean_work_us[event.klass] or float(event.work_us)
-        self._mean_work_us[event.klass] = mean_us + WORK_SMOOTHING * (event.work_us - mean_us)
-        return event.work_us / mean_us
+    def wait_over(self, request: Request) -> None:
+        """A request has waited for as long as it may: deny or reject it, if it still waits."""
+        if self._gate is not None and self._gate.is_queued(request):
+            self._deny(self._gate, request, AdmissionDenial.LATE)
+        elif request in self._capacity_wait:
+            self._requests.answer_unserved(request, RejectReason.NO_ROOM)
--- /dev/null
+++ b/sagetrack/policy/outcomes.py
@@ -0,0 +1,149 @@
+"""What becomes of attempts: their outcomes, streams, uploads and stalls, and the retries that follow."""
+
+from __future__ import annotations
+
+import math
+
+from sagetrack.policy.admission_gate import AdmissionGate
+from sagetrack.policy.attempts import AttemptSender
+from sagetrack.policy.class_priorities import ClassPriorities
+from sagetrack.policy.event_context import EventContext
+from sagetrack.policy.in_flight import InFlightAttempts
+from sagetrack.policy.interface import (
+    NEVER_RAN,
+    AttemptEnded,
+    AttemptSent,
+    Outcome,
+    RejectReason,
+    Settings,
+    StreamStarted,
+)
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.load_shedding import TELL_LOAD, LoadShedder
+from sagetrack.policy.request_lifecycle import RequestLifecycle
+from sagetrack.policy.retry import RetryPolicy
+from sagetrack.policy.server_health import OutlierDetector
+from sagetrack.policy.state import Attempt, Request
+
+MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
+
+
+class AttemptOutcomes:
+    """Takes what is reported of attempts, and tells the components that learn from it."""
+
+    def __init__(
+        self,
+        context: EventContext,
+        settings: Settings,
+        requests: RequestLifecycle,
+        gate: AdmissionGate | None,
+        sender: AttemptSender,
+        in_flight: InFlightAttempts,
+        latency: LatencyEstimator,
+        shedder: LoadShedder,
+        priorities: ClassPriorities,
+        outliers: OutlierDetector,
+        retry_policy: RetryPolicy,
+    ) -> None:
+        self._context = context
+        self._settings = settings
+        self._requests = requests
+        self._gate = gate
+        self._sender = sender
+        self._in_flight = in_flight
+        self._latency = latency
+        self._shedder = shedder
+        self._priorities = priorities
+        self._outliers = outliers
+        self._retry_policy = retry_policy
+
+    def _attempt(self, request: Request | None, number: int) -> Attempt | None:
+        if request is None or not 0 <= number < len(request.attempts):
+            return None
+        return request.attempts[number]
+
+    def stream_started(self, event: StreamStarted) -> bool:
+        """The response has begun; False if that changes nothing."""
+        request = self._requests.get(event.request)
+        attempt = self._attempt(request, event.attempt)
+        if request is None or attempt is None or request.answered:
+            return False
+        request.streaming = True
+        request.response_began_us = self._context.now_us
+        self._in_flight.remove(attempt)  # its server has done the work
+        self._requests.cancel_attempts(request, spared=event.attempt)
+        return True
+
+    def body_sent(self, event: AttemptSent) -> None:
+        """A body that was uploading is complete at its server."""
+        request = self._requests.get(event.request)
+        attempt = self._attempt(request, event.attempt)
+        if request is not None and request.uploading and attempt is not None and not attempt.ended:
+            self._sender.body_sent(request, attempt)
+
+    def attempt_ended(self, event: AttemptEnded) -> bool:
+        """Judge an attempt's outcome and answer or retry its request; False for an attempt not in flight."""
+        request = self._requests.get(event.request)
+        attempt = self._attempt(request, event.attempt)
+        if request is None or attempt is None or attempt.ended:
+            return False
+        self._end_attempt(request, attempt, event)
+        if self._outliers.judge(request, attempt, event) and event.outcome in TELL_LOAD:
+            self._learn_load(request, event)
+        if request.answered:
+            if request.in_flight == 0:
+                self._requests.release(request)
+        elif event.finished or event.outcome is Outcome.OK:
+            self._on_answered(request, event.outcome)
+        elif request.in_flight == 0:
+            self._retry(request, event.outcome)
+        return True
+
+    def _end_attempt(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Note the end of an attempt, whatever it says of its server."""
+        outcome = event.outcome
+        attempt.ended = True
+        rejection_may_have_run = outcome is Outcome.REJECTED and self._settings.rejection_may_have_run
+        attempt.may_have_run = outcome not in NEVER_RAN or rejection_may_have_run
+        if outcome in MAY_STILL_RUN:
+            request.key_cooldown_until_us = self._context.now_us + self._settings.key_cooldown_us
+        request.in_flight -= 1
+        if self._gate is not None:
+            self._gate.attempt_ended(request, event)
+        self._in_flight.remove(attempt)
+
+    def _learn_load(self, request: Request, event: AttemptEnded) -> None:
+        """Move what is shed and this gateway's share of concurrency by how long an answer has queued."""
+        unqueued_us = self._latency.unqueued_us(request.klass, request.relative_work)
+        if event.outcome is Outcome.OK:
+            self._in_flight.learn((event.latency_us - unqueued_us) / max(1.0, unqueued_us))
+        else:
+            self._in_flight.learn(math.inf)
+        self._shedder.adjust(self._context.now_us, request, event.outcome, event.latency_us)
+
+    def _on_answered(self, request: Request, outcome: Outcome) -> None:
+        if outcome is Outcome.OK:
+            answered_at_us = request.response_began_us or self._context.now_us
+            if request.is_first_try and answered_at_us <= request.objective_at_us:
+                self._priorities.count_served(request.klass)
+            if self._gate is not None:
+                self._gate.count_served(request)
+        self._requests.finish(request)
+
+    def _retry(self, request: Request, outcome: Outcome) -> None:
+        """After the last attempt in flight has failed: another one, or the final answer."""
+        may_retry = self._retry_policy.may_retry(self._context, request, outcome)
+        if may_retry and self._sender.try_send(request):
+            self._retry_policy.pay_retry(request, outcome)
+        else:
+            self._requests.answer_unserved(request, RejectReason.UNSERVED)
+
+    def stalled(self, request: Request) -> None:
+        """An attempt should have been answered by now: where the class allows, hedge the request."""
+        stalled = [attempt for attempt in request.attempts if not attempt.ended]
+        for attempt in stalled:
+            attempt.stalled = True
+        if not stalled or request.streaming or not self._retry_policy.may_hedge(request):
+            return
+        if self._sender.try_send(request):
+            self._retry_policy.pay_hedge()
--- /dev/null
+++ b/sagetrack/policy/request_factory.py
@@ -0,0 +1,70 @@
+"""What an arrival makes of the counts by class, tenant and client, and the request that follows from it."""
+
+from __future__ import annotations
+
+from sagetrack.policy.admission import AdmissionController
+from sagetrack.policy.class_priorities import ClassPriorities
+from sagetrack.policy.client_timeouts import ClientTimeouts
+from sagetrack.policy.interface import RequestArrived, Settings
+from sagetrack.policy.retry import RetryBudget
+from sagetrack.policy.state import Request
+from sagetrack.policy.tenant_quota import TenantQuota
+
+WORK_SMOOTHING = 0.05  # share of the newest request in the mean expected work of a class
+
+
+class RequestFactory:
+    """Counts arrivals and makes requests of them; keeps the mean of the expected work by class."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        client_timeouts: ClientTimeouts,
+        priorities: ClassPriorities,
+        retry_budget: RetryBudget,
+        tenant_quota: TenantQuota,
+        admission: AdmissionController[Request] | None,
+    ) -> None:
+        self._classes = settings.classes
+        self._client_timeouts = client_timeouts
+        self._priorities = priorities
+        self._retry_budget = retry_budget
+        self._admission = admission
+        self._tenant_quota = tenant_quota
+        self._mean_work_us = [0.0] * len(settings.classes)
+
+    def make(self, event: RequestArrived, now_us: int, latest_us: int) -> Request:
+        """The request of an arrival, whose answer is due by `latest_us` in any case."""
+        klass = self._classes[event.klass]
+        mirrored = event.mirror_target >= 0
+        used_us = self._client_timeouts.used_us(event)
+        is_first_try = not event.is_retry and used_us == 0
+        relative_work = self._relative_work(event)
+        if is_first_try:
+            self._retry_budget.add_first_try()
+            self._priorities.count_asked(event.klass)
+        return Request(
+            event.request,
+            event.klass,
+            event.key,
+            min(now_us + event.client_timeout_us - event.waited_us, latest_us),
+            now_us + max(0, klass.latency_objective_us - used_us - event.waited_us),
+            relative_work,
+            is_first_try,
+            self._tenant_quota.excess(event.tenant),
+            uploading=event.uploading,
+            single_use_body=event.uploading or mirrored,
+            client=event.client,
+            admission_tenant=self._admission.member(event.tenant) if self._admission is not None else 0,
+            tenant=event.tenant,
+            mirror_target=event.mirror_target,
+            retry_after_us=0 if mirrored else -1,
+        )
+
+    def _relative_work(self, event: RequestArrived) -> float:
+        """Expected work over the mean of the class, the newest request included; 1 where none is given."""
+        if not event.work_us:
+            return 1.0
+        mean_us = self._mean_work_us[event.klass] or float(event.work_us)
+        self._mean_work_us[event.klass] = mean_us + WORK_SMOOTHING * (event.work_us - mean_us)
+        return event.work_us / mean_us
