--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -15,6 +15,8 @@
 
 
 class State(Enum):
+    """What a breaker lets through: all, nothing, or a few trials."""
+
     CLOSED = "closed"
     OPEN = "open"
     HALF_OPEN = "half-open"
@@ -85,11 +87,13 @@
         return self.open(now_us)
 
     def open(self, now_us: int) -> State:
+        """Let nothing through until the cooldown is over."""
         self.state = State.OPEN
         self.open_until_us = now_us + self.cooldown_us
         return self.state
 
     def close(self) -> State:
+        """Let everything through, with an empty record."""
         self.state = State.CLOSED
         self.ring.clear()
         self.failures = 0
--- /dev/null
+++ b/tests/test_endpoints.py
@@ -0,0 +1,54 @@
+"""Endpoint lists: who is ready, restarts, and polling again after an error."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from sagetrack.policy.interface import (
+    EndpointList,
+    ListedServer,
+    ListKind,
+    ServerStatus,
+    TimerFired,
+    WatchEndpoints,
+)
+from tests.helpers import SETTINGS, Driver, sends, timers
+
+
+def test_a_draining_or_gone_server_gets_nothing_new() -> None:
+    driver = Driver(servers=3)
+    driver.list_servers(
+        ListedServer(0, ServerStatus.DRAINING), ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA
+    )
+    for _ in range(3):
+        assert sends(driver.arrive()[1])[0].server == 2
+
+
+def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
+    driver = Driver(servers=3)
+    driver.balancer.servers[1].breaker.record(0, True, 0, 0.0)
+    driver.list_servers(ListedServer(1, started_us=driver.now_us))
+    assert list(driver.balancer.servers) == [1]
+    assert driver.balancer.servers[1].breaker.failures == 0
+
+
+def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
+    driver = Driver(replace(SETTINGS, endpoints_are_pushed=False), servers=0)
+    (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
+    assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all proxies at once
+    driver.now_us = timer.due_us
+    assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
+    for _ in range(8):
+        (timer,) = timers(driver.handle(EndpointList(ListKind.ERROR)))
+        assert 0 < timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us
+        driver.now_us = timer.due_us
+        assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
+    assert list(driver.balancer.servers) == [1]
+
+
+def test_a_newcomer_starts_at_the_mean_weight() -> None:
+    driver = Driver(servers=2)
+    driver.balancer.servers[0].weight = 0.2
+    driver.balancer.servers[1].weight = 0.6
+    driver.list_servers(ListedServer(9), kind=ListKind.DELTA)
+    assert driver.balancer.servers[9].weight == 0.4
--- /dev/null
+++ b/tests/test_event_context.py
@@ -0,0 +1,25 @@
+"""The clock and the log lines of events."""
+
+from __future__ import annotations
+
+from sagetrack.policy.event_context import LOG_GAP_US
+from sagetrack.policy.interface import (
+    Log,
+    RequestCancelled,
+)
+from tests.helpers import Driver
+
+
+def test_log_lines_are_rate_limited() -> None:
+    driver = Driver()
+    first, second = driver.arrive(klass=7)[1], driver.arrive(klass=7)[1]
+    driver.now_us += LOG_GAP_US
+    third = driver.arrive(klass=7)[1]
+    assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
+
+
+def test_a_clock_that_steps_back_stands_still() -> None:
+    driver = Driver()
+    driver.balancer.handle(driver.now_us, RequestCancelled("none"))
+    driver.balancer.handle(driver.now_us - 5_000_000, RequestCancelled("none"))
+    assert driver.balancer.context.now_us == driver.now_us
--- /dev/null
+++ b/tests/test_hedging.py
@@ -0,0 +1,38 @@
+"""Hedged requests beside an attempt that stalls."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from sagetrack.policy.interface import (
+    Cancel,
+    Outcome,
+    TimerFired,
+)
+from sagetrack.policy.latency import STALL_FACTOR
+from tests.helpers import SETTINGS, Driver, sends, timers
+
+
+def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
+    driver = Driver()
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
+    name, actions = driver.arrive()
+    first = sends(actions)[0].server
+    (timer,) = timers(actions)
+    assert timer.due_us == driver.now_us + int(STALL_FACTOR * 20_000)
+    driver.now_us = timer.due_us
+    copy = sends(driver.handle(TimerFired(timer.token)))[0]
+    assert copy.server != first
+    assert driver.end(name, copy.server, attempt=1) == [Cancel(name, 0)]
+    driver.end(name, first, Outcome.CANCELLED)
+    assert driver.balancer.servers[first].breaker.failures == 1  # overdue, so the silence counts
+    assert not driver.balancer.requests
+
+
+def test_no_second_copy_where_none_is_allowed() -> None:
+    driver = Driver(replace(SETTINGS, hedging=False))
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
+    _, actions = driver.arrive()
+    (timer,) = timers(actions)
+    driver.now_us = timer.due_us
+    assert not sends(driver.handle(TimerFired(timer.token)))
--- /dev/null
+++ b/tests/test_retry_after.py
@@ -0,0 +1,17 @@
+"""When a client that is rejected may come back."""
+
+from __future__ import annotations
+
+from sagetrack.policy.interface import (
+    Reject,
+)
+from tests.helpers import Driver, finals, trip
+
+
+def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
+    driver = Driver(servers=2)
+    for number, server in driver.balancer.servers.items():
+        trip(server.breaker, driver.now_us + number * 100_000)
+    driver.now_us += 400_000
+    name, actions = driver.arrive()
+    assert finals(actions) == [Reject(name, 600_000)]
--- /dev/null
+++ b/tests/test_slow_start.py
@@ -0,0 +1,196 @@
+"""Slow start: the budget of servers that warm up."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from itertools import pairwise
+
+import pytest
+
+from sagetrack.policy.endpoint_ring import Ring, RingPosition
+from sagetrack.policy.fleet_size import FleetSize
+from sagetrack.policy.interface import (
+    ListedServer,
+    ListKind,
+    ServerStatus,
+)
+from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.slow_start import BUDGET_MARGIN, MAX_COST, SlowStart
+from sagetrack.policy.state import Request, Server
+from sagetrack.policy.subset_size import MIN_SUBSET, SubsetSize
+from tests.helpers import SAFE, SETTINGS, Driver, sends, trip
+
+COLD = replace(
+    SETTINGS,
+    start_capacity=0.2,
+    warm_after_us=20_000_000,
+    overload_multiple=3.0,
+    overload_window_us=1_000_000,
+    proxies=40,
+)
+
+
+SECOND_US = 1_000_000
+
+
+def cold_driver(proxies: int) -> Driver:
+    settings = replace(
+        SETTINGS,
+        proxies=proxies,
+        warm_after_us=20 * SECOND_US,
+        start_capacity=0.2,
+        overload_window_us=3 * SECOND_US,
+        overload_multiple=4.0,
+        classes=(replace(SAFE, latency_objective_us=4 * SECOND_US, request_timeout_us=8 * SECOND_US),),
+    )
+    driver = Driver(settings, servers=0)
+    driver.list_servers(*(ListedServer(n, ServerStatus.READY, started_us=driver.now_us) for n in range(25)))
+    return driver
+
+
+def test_cold_servers_are_kept_within_the_budget_by_all_proxies_together() -> None:
+    """Each proxy sent its one allowed request at the moment a server was listed, forty at once."""
+    work_us = [0.0] * 20  # by windows of half a second
+    for proxy in range(40):
+        driver = Driver(replace(COLD, proxy=proxy), servers=0, seed=proxy)
+        driver.list_servers(ListedServer(1, started_us=driver.now_us))
+        for step in range(1_000):
+            name, actions = driver.arrive()
+            if sends(actions):
+                work_us[step // 50] += driver.balancer.latency.baseline_us[0]
+                driver.end(name, 1, latency_us=30_000)
+            driver.now_us += 10_000
+    for first, second in pairwise(work_us):
+        assert first + second <= 3.0 * 0.6 * 1_000_000
+    assert sum(work_us) > 0
+
+
+def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
+    """When many step aside from failing servers, all would meet on the same cold one."""
+    driver = Driver(replace(COLD, proxies=300), servers=60)
+    last = driver.balancer.ring.ranked[-1].entry.server
+    for server in driver.balancer.ring.ranked[:-1]:
+        trip(server.breaker, driver.now_us)
+    driver.list_servers(ListedServer(last, started_us=driver.now_us - 1), kind=ListKind.DELTA)
+    assert driver.balancer.selector.subset(0) == []
+
+
+def test_what_answers_teach_quickens_a_small_part_of_a_cold_servers_budget() -> None:
+    """A quarter of a long aim is no call's work: a proxy that knows better after few answers sends sooner."""
+    driver = cold_driver(200)
+    server = driver.balancer.ring.ranked[0]
+    name, _ = driver.arrive(client_timeout_us=8 * SECOND_US)
+    request = next(iter(driver.balancer.requests), None)
+    assert request is not None
+    paid_us, cost_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
+    assert cost_us == MAX_COST * SECOND_US  # a quarter of the aim
+    driver.balancer.latency.answers[0], driver.balancer.latency.answers_us[0] = 5, 500_000.0  # of 100 ms each
+    sooner_us, same_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
+    assert same_us == cost_us and sooner_us > 4 * paid_us
+    assert sooner_us <= cost_us  # one call in a window at the most
+
+
+def test_a_part_that_holds_a_call_is_as_before() -> None:
+    driver = cold_driver(2)
+    driver.arrive(client_timeout_us=8 * SECOND_US)
+    request = next(iter(driver.balancer.requests))
+    server = driver.balancer.ring.ranked[0]
+    half_us = (
+        driver.balancer.slow_start.window_budget_us()
+        * driver.balancer.slow_start.capacity_share(driver.now_us, server)
+        / 2
+    )
+    assert driver.balancer.slow_start.terms(driver.now_us, server, request) == (
+        half_us,
+        driver.balancer.slow_start.cost_us(request),
+    )
+
+
+def test_a_jam_of_the_warm_does_not_shut_out_the_cold() -> None:
+    """What a request costs a cold server is no more than somewhat above its unhindered time."""
+    driver = Driver()
+    name, _ = driver.arrive()
+    request = driver.balancer.requests.get(name)
+    assert request is not None
+    driver.balancer.latency.smoothed_us[0] = 10 * driver.balancer.latency.baseline_us[0]
+    assert driver.balancer.slow_start.cost_us(request) == MAX_COST * driver.balancer.latency.baseline_us[0]
+
+
+def test_servers_that_drain_take_no_place_from_new_ones() -> None:
+    """After a release most are cold: if drained ones kept their places, few could be used."""
+    driver = Driver(replace(SETTINGS, proxies=14, warm_after_us=60_000_000, start_capacity=0.9), servers=0)
+    started = driver.now_us
+    old = [ListedServer(n, ServerStatus.DRAINING) for n in range(20)]
+    new = [ListedServer(n, started_us=started) for n in range(20, 40)]
+    driver.list_servers(*old, *new)
+    for _ in range(400):
+        driver.now_us += 20_000
+        name, actions = driver.arrive()
+        for send in sends(actions):
+            assert send.server >= 20
+            driver.end(name, send.server)
+    used = [s for s in driver.balancer.ring.ranked if s.last_success_us]
+    assert len(used) >= MIN_SUBSET
+
+
+# The budget, by call
+
+
+def a_budget(gateways: int = 1) -> tuple[SlowStart, FleetSize, SubsetSize, Server, Request]:
+    """The slow start of one gateway, with one server that has just started and a request for it."""
+    settings = replace(
+        SETTINGS,
+        proxies=gateways,
+        start_capacity=0.25,
+        warm_after_us=8 * SECOND_US,
+        overload_multiple=2.0,
+        overload_window_us=SECOND_US,
+    )
+    fleet, subset, ring = FleetSize(settings), SubsetSize(), Ring[Server](0, gateways)
+    server = Server(ListedServer(1, started_us=1), 1.0, 0.5, 1.0, 8 * SECOND_US)
+    ring.change({1: RingPosition(server.rank, server)})
+    slow_start = SlowStart(settings, fleet, LatencyEstimator(settings.classes), subset, ring)
+    request = Request("r", 0, None, SECOND_US, SECOND_US, 1.0, True, 0.0)
+    return slow_start, fleet, subset, server, request
+
+
+def test_capacity_ramps_up_from_the_start_share_to_all() -> None:
+    slow_start, _, _, server, _ = a_budget()
+    shares = [slow_start.capacity_share(now_us, server) for now_us in (0, 4 * SECOND_US, 8 * SECOND_US)]
+    assert shares == [0.25, 0.625, 1.0]
+
+
+def test_the_budget_is_used_up_by_what_is_sent_and_drains_by_half_a_share_in_a_window() -> None:
+    slow_start, _, _, server, request = a_budget()
+    drained_us, cost_us = slow_start.terms(0, server, request)
+    assert drained_us == BUDGET_MARGIN * 2.0 * SECOND_US * 0.25 / 2 and cost_us < drained_us
+    sent = 0
+    while slow_start.has_budget(0, server, request):
+        slow_start.charge(0, server, request)
+        sent += 1
+    assert sent == int(drained_us / cost_us)
+    assert slow_start.has_budget(SECOND_US, server, request)  # all of it has drained
+    assert server.slow_start_used_us == 0.0
+
+
+def test_a_warm_server_uses_no_budget() -> None:
+    slow_start, _, _, server, request = a_budget()
+    slow_start.charge(8 * SECOND_US, server, request)
+    assert server.slow_start_used_us == 0.0
+
+
+def test_gateways_and_processes_share_the_budget() -> None:
+    slow_start, fleet, _, _, _ = a_budget(gateways=3)
+    alone_us = a_budget()[0].window_budget_us()
+    assert slow_start.window_budget_us() == pytest.approx(alone_us / 3)
+    fleet.set_processes(2)
+    assert slow_start.window_budget_us() == pytest.approx(alone_us / 6)
+
+
+def test_what_was_used_before_a_restart_is_never_lowered() -> None:
+    slow_start, _, _, server, _ = a_budget()
+    slow_start.start(server, 0, 500.0)
+    slow_start.restore_used(server, 400.0)
+    assert server.slow_start_used_us == 500.0
+    slow_start.restore_used(server, 600.0)
+    assert server.slow_start_used_us == 600.0
