--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, LONGEST_PAUSE_US
+from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, MAX_PAUSE_US
 from sagetrack.policy.interface import Settings
 
 SILENCE_S = 6.0  # what a silent watch misses counts as told this long after it fell silent
@@ -126,7 +126,7 @@
         answer_s=planned_s / 2,
         connect_s=planned_s * 3 / 8,
         pause_s=FIRST_PAUSE_US / 1e6,
-        longest_pause_s=LONGEST_PAUSE_US / 1e6,
+        longest_pause_s=MAX_PAUSE_US / 1e6,
         busy_s=BUSY_S,
         first_s=0.0,
     )
--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The count-based circuit breaker: a ring of the last outcomes with a minimum, and three states. Pure."""
+"""A count-based circuit breaker: a window of the last outcomes with a minimum, and three states."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-RING = 10  # outcomes: a second or less of one proxy's traffic to one server
-MINIMUM = 5  # outcomes before a verdict: fewer convict on chance
-THRESHOLD = 0.5  # failure share that opens, beyond what all servers fail in common
-TRIALS = 3  # outcomes that decide in half-open
-COOLDOWN_US = 1_000_000  # first cooldown; doubles with each reopening from half-open
-LONGEST_COOLDOWN_US = 8_000_000
+WINDOW = 10  # outcomes: a second or less of one gateway's traffic to one server
+MIN_OUTCOMES_TO_OPEN = 5  # outcomes before a verdict: fewer would open by chance
+FAILURE_THRESHOLD = 0.5  # failure share that opens, on top of what all servers fail in common
+HALF_OPEN_TRIALS = 3  # outcomes that decide in half-open
+FIRST_COOLDOWN_US = 1_000_000  # first cooldown; doubles with each reopening from half-open
+MAX_COOLDOWN_US = 8_000_000
 
 
 class State(Enum):
@@ -24,20 +24,20 @@
 
 @dataclass(slots=True, eq=False)
 class Breaker:
-    """Ring of the last outcomes of one server, or of one class at it, and what follows from it."""
+    """The last outcomes of one server, or of one class at it, and the state that follows."""
 
-    minimum: int = MINIMUM
-    ring: deque[bool] = field(default_factory=lambda: deque(maxlen=RING))
+    minimum: int = MIN_OUTCOMES_TO_OPEN
+    ring: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))
     failures: int = 0
     state: State = State.CLOSED
     open_until_us: int = 0
-    cooldown_us: int = COOLDOWN_US
-    episode: int = 0  # half-open spells so far: an outcome is a trial's if it was sent in the present one
-    trials_out: int = 0
+    cooldown_us: int = FIRST_COOLDOWN_US
+    episode: int = 0  # half-open periods so far: trials are attempts sent in the present one
+    trials_in_flight: int = 0
     trial_results: list[bool] = field(default_factory=list)
 
-    def lets_through(self, now_us: int) -> bool:
-        """True if closed, or half-open with trials left to give; ends a cooldown that is over."""
+    def allows_request(self, now_us: int) -> bool:
+        """Whether a request may be sent: closed, or half-open with trials left. Ends a past cooldown."""
         if self.state is State.CLOSED:
             return True
         if self.state is State.OPEN:
@@ -45,29 +45,41 @@
                 return False
             self.state = State.HALF_OPEN
             self.episode += 1
-            self.trials_out = 0
+            self.trials_in_flight = 0
             self.trial_results = []
-        return self.trials_out + len(self.trial_results) < TRIALS
+        return self.trials_in_flight + len(self.trial_results) < HALF_OPEN_TRIALS
 
     def take_trial(self) -> int:
-        """The episode an attempt is a trial of, or 0 for an ordinary attempt."""
+        """Count an attempt as a trial while half-open; returns the half-open period, or 0 for no trial."""
         if self.state is not State.HALF_OPEN:
             return 0
-        self.trials_out += 1
+        self.trials_in_flight += 1
         return self.episode
 
     def record(self, now_us: int, failed: bool, trial_of: int, common: float) -> State | None:
-        """Enter an outcome; returns the new state if it opened or closed the breaker."""
-        limit = 1.0 - (1.0 - THRESHOLD) * (1.0 - common) ** 2  # squared: a few outcomes vary by chance
+        """Enter an outcome.
+
+        Args:
+            now_us: The present time.
+            failed: Whether the attempt failed.
+            trial_of: What `take_trial` returned for the attempt.
+            common: The failure share of the other servers of late.
+
+        Returns:
+            The new state if it opened or closed the breaker, else None.
+        """
+        limit = (
+            1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common) ** 2
+        )  # squared, as a few outcomes vary by chance
         if self.state is State.HALF_OPEN:
             if trial_of != self.episode:
                 return None  # in half-open only the trials' outcomes count
-            self.trials_out -= 1
+            self.trials_in_flight -= 1
             self.trial_results.append(failed)
-            if sum(self.trial_results) >= TRIALS * limit:  # the rest cannot save it
+            if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:  # the other trials cannot change it
                 return self.reopen(now_us)
-            return self.close() if len(self.trial_results) == TRIALS else None
-        if len(self.ring) == RING:
+            return self.close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
+        if len(self.ring) == WINDOW:
             self.failures -= self.ring[0]
         self.ring.append(failed)
         self.failures += failed
@@ -75,15 +87,15 @@
             return self.open(now_us)
         return None
 
-    def forgo_trial(self, trial_of: int) -> None:
-        """A trial that proved nothing gives its place back."""
+    def return_trial(self, trial_of: int) -> None:
+        """Give back the place of a trial that proved nothing."""
         if self.state is State.HALF_OPEN and trial_of == self.episode:
-            self.trials_out -= 1
+            self.trials_in_flight -= 1
 
     def reopen(self, now_us: int) -> State:
         """Open at once; from half-open for twice as long."""
         if self.state is State.HALF_OPEN:
-            self.cooldown_us = min(2 * self.cooldown_us, LONGEST_COOLDOWN_US)
+            self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
         return self.open(now_us)
 
     def open(self, now_us: int) -> State:
@@ -97,5 +109,5 @@
         self.state = State.CLOSED
         self.ring.clear()
         self.failures = 0
-        self.cooldown_us = COOLDOWN_US
+        self.cooldown_us = FIRST_COOLDOWN_US
         return self.state
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -1,68 +1,78 @@
-"""A gateway's part of what servers hold, kept over time where it is less than one place at each. Pure.
+"""A gateway's share of the concurrency of all servers, where it is less than one request at each.
 
-A bound of three at a server that eighteen gateways use cannot be dealt out in whole places: each would hold
-one, and the server eighteen. So a gateway keeps a part of all places at all servers, as a mean over time:
-while it holds more than its part it uses up credit, while it holds less it saves some. The sum over all
-gateways then keeps the whole without a message, whoever of them has work just then, and a gateway with
-nothing to send for a while may hold several in a burst. What is saved is little, so that all gateways
-together fill no server's queue for as long as it takes to jam one.
+A limit of three requests at a server that eighteen gateways use cannot be dealt out in whole places: each
+gateway would hold one, and the server eighteen. So a gateway keeps to a share of all places at all servers,
+as a mean over time: while it holds more than its share it uses up credit, while it holds less it saves some.
+The sum over all gateways then keeps the limit without a message, whichever of them has work just then, and a
+gateway with nothing to send for a while may hold several requests in a burst. The savings are small, so that
+all gateways together fill no server's queue for as long as it takes to overload one.
 
-The places are a guess: servers may have more cores, and other gateways less to do. A gateway that finds its
-part used up while its answers come unhindered takes more, by small steps, and gives it back by large ones
-when answers have waited: additive increase, multiplicative decrease (Chiu, Jain, 1989), never below its part.
+The limit is a guess: servers may have more cores, and other gateways less to do. A gateway that finds its
+share used up while its answers come without queueing boosts it by small steps, and takes the boost back by
+large ones when answers have queued: additive increase, multiplicative decrease (Chiu, Jain, 1989), never
+below its share.
 """
 
 from __future__ import annotations
 
-SAVED_US = 500_000.0  # of its part that is saved at the most
-OWED_US = 4_000_000.0  # of its part that is owed at the most: servers that hang silence it for no longer
-LEAST_CREDIT_US = -OWED_US
-AHEAD_US = 100_000.0  # for so long what is beyond its part has to be saved: no burst is begun on credit
-PROMPT, LATE = 1.0, 2.0  # times the unhindered latency that an answer has waited: below, above
-STEP, CUT = 0.15, 0.7  # of the part: added after a prompt answer, left after a late one
-MOST_EASE = 16.0  # times its part: servers of many cores
-LEAST_PART = 1e-3  # attempts in the mean; with no server at all nothing is sent anyway
+MAX_SAVED_US = 500_000.0  # of its share that may be saved up
+MAX_DEBT_US = 4_000_000.0  # of its share that may be owed: servers that hang silence it for no longer
+MIN_CREDIT_US = -MAX_DEBT_US
+BOOST_SAVED_US = 100_000.0  # what is beyond its share must be saved for so long: no burst on credit
+PROMPT, LATE = 1.0, 2.0  # times the baseline latency that an answer has queued: below, above
+BOOST_STEP, BOOST_CUT = 0.15, 0.7  # of the share: added after a prompt answer, left after a late one
+MAX_BOOST = 16.0  # times its share: servers of many cores
+MIN_SHARE = 1e-3  # attempts in the mean; with no server at all nothing is sent anyway
 
 
 class ConcurrencyShare:
-    """Credit for holding attempts: a token bucket filled at `part` and drained by what is out."""
+    """A token bucket of credit that fills with the share and drains with attempts in flight."""
 
-    __slots__ = ("_at_us", "_credit_us", "_part", "_short", "ease")
+    __slots__ = ("_at_us", "_credit_us", "_share", "_short", "boost")
 
     def __init__(self) -> None:
-        self._part = LEAST_PART  # attempts out, in the mean
+        self._share = MIN_SHARE  # attempts in flight, in the mean
         self._credit_us = 0.0  # attempts times microseconds
         self._at_us = 0
-        self._short = False  # the part was used up since the last answer
-        self.ease = 1.0  # times the part
+        self._short = False  # the share was used up since the last answer
+        self.boost = 1.0  # times the share
 
-    def wait_us(self, now_us: int, out: int, part: float) -> int | None:
-        """How long until one more attempt may begin, in microseconds: 0 now, None not before one ends.
+    def wait_us(self, now_us: int, in_flight: int, share: float) -> int | None:
+        """How long until one more attempt may begin.
 
-        `part` holds from now on; whenever `out` changes, `pass_time` is told first what was out until then.
+        Args:
+            now_us: The present time.
+            in_flight: Attempts in flight; whenever that changes, `pass_time` has to be called before.
+            share: Attempts in flight in the mean that are this gateway's, from now on.
+
+        Returns:
+            Microseconds, 0 for at once; None if no attempt may begin before another ends.
         """
-        self.pass_time(now_us, out)
-        self._part = max(LEAST_PART, part * self.ease)
-        if self._credit_us >= max(0.0, out - self._part) * AHEAD_US:
+        self.pass_time(now_us, in_flight)
+        self._share = max(MIN_SHARE, share * self.boost)
+        if self._credit_us >= max(0.0, in_flight - self._share) * BOOST_SAVED_US:
             return 0
         self._short = True
-        if out >= self._part:
+        if in_flight >= self._share:
             return None
-        return int(-self._credit_us / (self._part - out)) + 1
+        return int(-self._credit_us / (self._share - in_flight)) + 1
 
-    def pass_time(self, now_us: int, out: int) -> None:
-        """So many attempts have been out since the last call."""
-        part = self._part
+    def pass_time(self, now_us: int, in_flight: int) -> None:
+        """Account for the attempts that have been in flight since the last call."""
+        share = self._share
         self._credit_us = max(
-            LEAST_CREDIT_US * part,
-            min(SAVED_US * part, self._credit_us + (part - out) * (now_us - self._at_us)),
+            MIN_CREDIT_US * share,
+            min(MAX_SAVED_US * share, self._credit_us + (share - in_flight) * (now_us - self._at_us)),
         )
         self._at_us = now_us
 
-    def learn(self, waited: float) -> None:
-        """An answer has waited for so many times its unhindered latency; a lost or refused one for ever."""
-        if waited > LATE:
-            self.ease = max(1.0, self.ease * CUT)
-        elif waited < PROMPT and self._short:
-            self.ease = min(MOST_EASE, self.ease + STEP)
+    def learn(self, queued: float) -> None:
+        """Move the boost by how long an answer has queued, as a multiple of its baseline latency.
+
+        A lost or rejected answer has queued infinitely long.
+        """
+        if queued > LATE:
+            self.boost = max(1.0, self.boost * BOOST_CUT)
+        elif queued < PROMPT and self._short:
+            self.boost = min(MAX_BOOST, self.boost + BOOST_STEP)
         self._short = False
--- a/sagetrack/policy/decayed_sums.py
+++ b/sagetrack/policy/decayed_sums.py
@@ -1,4 +1,4 @@
-"""Sums by key that all decay with each addition to any of them, at a cost that no other key adds to. Pure."""
+"""Sums by key that all decay with each addition to any of them, at a cost independent of their number."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class DecayingSums:
-    """Each addition leaves `kept` of every sum first. A sum is worked out when it is asked for.
+    """Each addition first multiplies every sum by `kept`; this is evaluated lazily.
 
-    It stands as it was at its own last addition, with the number of that; what it has lost since is a power
-    of `kept`, so that nothing grows without end and nothing need be scaled anew. The total is kept beside.
-    As if all were multiplied each time, to a relative 1e-9: a product of many rounds otherwise than a power.
+    A sum is stored as of its own last addition, with the number of that; its decay since is a power of
+    `kept`, so that no number grows without bound and nothing needs rescaling. The total is stored beside.
+    Equal to multiplying all sums each time to a relative 1e-9, as a product rounds otherwise than a power.
     """
 
     def __init__(self, kept: float, first: Sequence[float]) -> None:
-        """`first` are the sums by key to begin with; `kept` is above 0 and below 1."""
+        """Take the factor, above 0 and below 1, and the sums by key to begin with."""
         self._kept = kept
         self._sums = list(first)
-        self._added = [0] * len(self._sums)  # the addition that each stands as of
+        self._added = [0] * len(self._sums)  # the number of the addition that each was stored at
         self._additions = 0
         self.total = sum(self._sums)  # of all sums now
 
@@ -29,7 +29,7 @@
         return self._sums[key] * self._kept ** (self._additions - self._added[key])
 
     def add(self, key: int) -> float:
-        """One more for a key, after all have decayed; returns its sum."""
+        """Add one to a key's sum after all have decayed; returns it."""
         self._additions += 1
         now = self[key] + 1
         self._sums[key], self._added[key] = now, self._additions
--- a/sagetrack/policy/endpoint_ring.py
+++ b/sagetrack/policy/endpoint_ring.py
@@ -1,7 +1,7 @@
-"""Servers in the order of their ranks, seen from one proxy's own place on, and changed in place. Pure.
+"""Servers in the order of their ranks, from one gateway's own position on, and changed in place.
 
-What a changed server costs does not grow with the others: its place is found by halving. Only where a good
-part of all change together is everything put in order anew, which then costs each of the changed ones a bit.
+The cost of a changed server is that of a binary search and of moving references. Only where a good part of
+all change together is everything sorted anew.
 """
 
 from __future__ import annotations
@@ -12,65 +12,65 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item")
-SOME = 16  # of so many one has changed: from there on putting all in order is the lesser work
-UNIT = 2.0**64  # of weights, which are above 2**-11: every bit of one is in a whole number of these
+SORT_FRACTION = 16  # of so many one has changed: from there on sorting all is less work
+UNIT = 2.0**64  # of weights, which are above 2**-11: each is a whole number of these
 
 
 @dataclass(slots=True, frozen=True)
 class RingPosition(Generic[Item]):
-    """Where an item belongs in the ring."""
+    """An item's position in the ring."""
 
-    rank: float  # for as long as it is there
+    rank: float  # does not change while the item is there
     item: Item
     scopes: tuple[Hashable, ...] = ()  # which it shares with others
 
 
 class Ring(Generic[Item]):
-    """Items by rank, and among equal ranks by number. `ranked` begins at the proxy's own place.
+    """Items by rank, and among equal ranks by number. `ranked` begins at the gateway's own position.
 
-    The proxies' places are at an even distance from each other, so that none is nearer to some servers than
-    its number makes it: `ranked` is always `order[first:] + order[:first]` with `first` the proxy's part.
+    The gateways' positions are at an even distance from each other, so that the servers get even numbers of
+    gateways: `ranked` is always `order[first:] + order[:first]` with `first` the gateway's position.
     """
 
-    def __init__(self, proxy: int, proxies: int) -> None:
-        self._proxy, self._proxies = proxy, proxies
-        self.ranked: list[Item] = []  # the same list for good
+    def __init__(self, gateway: int, gateways: int) -> None:
+        self._gateway, self._gateways = gateway, gateways
+        self.ranked: list[Item] = []  # always the same list object
         self._places: dict[int, RingPosition[Item]] = {}  # by the item's number
         self._order: list[tuple[float, int]] = []  # rank and number of all
         self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # the same of those in each
         self._first = 0
 
     def within(self, scope: Hashable) -> Iterator[Item]:
-        """Those in a scope, in the order of `ranked`; the others are not looked at."""
+        """The items of a scope, in the order of `ranked`; the others are not visited."""
         order = self._scopes.get(scope, [])
         first = bisect_left(order, self._order[self._first]) if order else 0
         for at in range(first, first + len(order)):
             yield self._places[order[at % len(order)][1]].item
 
     def change(self, places: Mapping[int, RingPosition[Item] | None]) -> None:
-        """Put items by their number where they belong now; None takes one out."""
+        """Set the positions of items by their number; None removes one."""
         changed = {n: place for n, place in places.items() if place != self._places.get(n)}
-        if len(changed) * SOME > len(self._order):
+        if len(changed) * SORT_FRACTION > len(self._order):
             self._sort(changed)
             return
         for number, place in changed.items():
             known = self._places.get(number)
             if place is not None and known is not None and place.rank == known.rank:
-                self.ranked[self._seen_at(bisect_left(self._order, (place.rank, number)))] = place.item
-                self._leave(number, known)
-                self._enter(number, place)
+                self.ranked[self._ranked_index(bisect_left(self._order, (place.rank, number)))] = place.item
+                self._remove_from_scopes(number, known)
+                self._add_to_scopes(number, place)
                 continue
             if known is not None:
-                self._take_out(number, known)
+                self._remove(number, known)
             if place is not None:
-                self._put_in(number, place)
+                self._insert(number, place)
 
-    def _enter(self, number: int, place: RingPosition[Item]) -> None:
+    def _add_to_scopes(self, number: int, place: RingPosition[Item]) -> None:
         self._places[number] = place
         for scope in place.scopes:
             insort(self._scopes.setdefault(scope, []), (place.rank, number))
 
-    def _leave(self, number: int, place: RingPosition[Item]) -> None:
+    def _remove_from_scopes(self, number: int, place: RingPosition[Item]) -> None:
         del self._places[number]
         for scope in place.scopes:
             order = self._scopes[scope]
@@ -85,7 +85,7 @@
             else:
                 self._places[number] = place
         self._order = sorted((place.rank, number) for number, place in self._places.items())
-        self._first = first = self._proxy * len(self._order) // self._proxies
+        self._first = first = self._gateway * len(self._order) // self._gateways
         seen = self._order[first:] + self._order[:first]
         self.ranked[:] = [self._places[number].item for _, number in seen]
         self._scopes = {}
@@ -93,29 +93,29 @@
             for scope in self._places[number].scopes:
                 self._scopes.setdefault(scope, []).append((rank, number))
 
-    def _seen_at(self, at: int) -> int:
-        """Where in `ranked` something is that is at `at` in the order."""
+    def _ranked_index(self, at: int) -> int:
+        """The index in `ranked` of what has the index `at` in the order."""
         return at - self._first if at >= self._first else at - self._first + len(self._order)
 
-    def _put_in(self, number: int, place: RingPosition[Item]) -> None:
+    def _insert(self, number: int, place: RingPosition[Item]) -> None:
         at = bisect_left(self._order, (place.rank, number))
-        self.ranked.insert(self._seen_at(at), place.item)
+        self.ranked.insert(self._ranked_index(at), place.item)
         self._order.insert(at, (place.rank, number))
-        self._enter(number, place)
+        self._add_to_scopes(number, place)
         self._first += at < self._first
-        self._turn()
+        self._rotate()
 
-    def _take_out(self, number: int, place: RingPosition[Item]) -> None:
+    def _remove(self, number: int, place: RingPosition[Item]) -> None:
         at = bisect_left(self._order, (place.rank, number))
-        del self.ranked[self._seen_at(at)]
+        del self.ranked[self._ranked_index(at)]
         del self._order[at]
-        self._leave(number, place)
+        self._remove_from_scopes(number, place)
         self._first -= at < self._first
-        self._turn()
+        self._rotate()
 
-    def _turn(self) -> None:
-        """One item more or less moves the proxy's own place by one at the most."""
-        first = self._proxy * len(self._order) // self._proxies
+    def _rotate(self) -> None:
+        """Rotate `ranked`: one item more or less moves the gateway's position by one at the most."""
+        first = self._gateway * len(self._order) // self._gateways
         if self._first < first:
             self.ranked.append(self.ranked.pop(0))
         elif self._first > first:
@@ -124,13 +124,13 @@
 
 
 class ExactSum:
-    """The sum of weights that change one by one: without rounding, so that nothing adds up over time."""
+    """The sum of weights that change one by one, without rounding, so that no error accumulates."""
 
     def __init__(self) -> None:
         self._units = 0
 
     def change(self, old: float, new: float) -> None:
-        """A weight is `new` that was `old`; 0 for one that is not there."""
+        """Change one weight from `old` to `new`; 0 is one that is not there."""
         self._units += int(new * UNIT) - int(old * UNIT)
 
     @property
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sagetrack.policy.circuit_breaker import LONGEST_COOLDOWN_US, State
+from sagetrack.policy.circuit_breaker import MAX_COOLDOWN_US, State
 from sagetrack.policy.endpoint_ring import Ring
 from sagetrack.policy.endpoints import Endpoints
 from sagetrack.policy.event_context import EventContext
@@ -107,5 +107,5 @@
         server.weight += advice.trust * (believed - server.weight)
         if advice.open_us > 0 and server.breaker.state is State.CLOSED:
             server.breaker.open(now_us)
-            server.breaker.open_until_us = now_us + min(advice.open_us, LONGEST_COOLDOWN_US)
+            server.breaker.open_until_us = now_us + min(advice.open_us, MAX_COOLDOWN_US)
             self._endpoints.breaker_changed(server)
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -76,10 +76,10 @@
             # Trials risk their request: one that could not be retried takes no such place.
             if self._settings.classes[klass].effect is Effect.UNSAFE:
                 return False
-            if not server.breaker.lets_through(now_us):
+            if not server.breaker.allows_request(now_us):
                 return False
         health = server.classes.get(klass)
-        if health is not None and not health.breaker.lets_through(now_us):
+        if health is not None and not health.breaker.allows_request(now_us):
             return False
         if not server.in_flight:
             return True
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from sagetrack.policy.circuit_breaker import COOLDOWN_US, Breaker, State
+from sagetrack.policy.circuit_breaker import FIRST_COOLDOWN_US, Breaker, State
 from sagetrack.policy.client_timeouts import ClientTimeouts
 from sagetrack.policy.endpoints import Endpoints
 from sagetrack.policy.event_context import EventContext
@@ -40,10 +40,10 @@
         server, outcome = attempt.server, event.outcome
         health = server.class_health(request.klass)
         if outcome not in TELLS_OF_CLASS:
-            health.breaker.forgo_trial(attempt.class_trial_of)
+            health.breaker.return_trial(attempt.class_trial_of)
         expected_us = self._latency.expected_us(request.klass, request.relative_work)
         if self._proves_nothing(request, attempt, event, expected_us):
-            server.breaker.forgo_trial(attempt.trial_of)
+            server.breaker.return_trial(attempt.trial_of)
             return False
         failed = outcome is not Outcome.OK
         server.last_outcome_us = self._context.now_us
@@ -55,7 +55,7 @@
             self._judge_class(request.klass, attempt, failed)
             others = [h.last_succeeded for h in server.classes.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
-                server.breaker.forgo_trial(attempt.trial_of)
+                server.breaker.return_trial(attempt.trial_of)
                 return False  # it serves the other classes
         self._judge_server(attempt, outcome, slow)
         return True
@@ -86,7 +86,7 @@
         adjust_weight(server, failed or slow)
         common = self._common_failure_share(server, None) if failed else 0.0
         changed = server.breaker.record(now_us, failed, attempt.trial_of, common)
-        recently_good = now_us - server.last_success_us <= COOLDOWN_US
+        recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
         refused = outcome is Outcome.CONNECT_FAILED
         if refused and server.breaker.state is not State.OPEN and not recently_good:
             # A dead process or a full connection table: one such outcome is verdict enough, of a trial too,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sagetrack.policy.circuit_breaker import MINIMUM, Breaker, State
+from sagetrack.policy.circuit_breaker import MIN_OUTCOMES_TO_OPEN, Breaker, State
 from sagetrack.policy.interface import (
     Action,
     AttemptEnded,
@@ -105,6 +105,6 @@
 
 def trip(breaker: Breaker, now_us: int) -> None:
     """Open a fresh breaker with the fewest failures that can."""
-    for _ in range(MINIMUM):
+    for _ in range(MIN_OUTCOMES_TO_OPEN):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is State.OPEN
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
+from sagetrack.policy.circuit_breaker import (
+    FIRST_COOLDOWN_US,
+    HALF_OPEN_TRIALS,
+    MIN_OUTCOMES_TO_OPEN,
+    WINDOW,
+    Breaker,
+    State,
+)
 from tests.helpers import trip
 
 
@@ -14,13 +21,13 @@
 
 def half_open() -> Breaker:
     breaker = tripped()
-    assert breaker.lets_through(COOLDOWN_US)
+    assert breaker.allows_request(FIRST_COOLDOWN_US)
     return breaker
 
 
 def test_no_verdict_below_the_minimum() -> None:
     breaker = Breaker()
-    for _ in range(MINIMUM - 1):
+    for _ in range(MIN_OUTCOMES_TO_OPEN - 1):
         assert breaker.record(0, True, 0, 0.0) is None
     assert breaker.state is State.CLOSED
     assert breaker.record(0, True, 0, 0.0) is State.OPEN
@@ -29,60 +36,60 @@
 def test_the_ring_forgets_its_oldest_outcome() -> None:
     breaker = Breaker()
     breaker.record(0, True, 0, 0.0)
-    for _ in range(RING):
+    for _ in range(WINDOW):
         breaker.record(0, False, 0, 0.0)
-    assert breaker.failures == 0 and len(breaker.ring) == RING
+    assert breaker.failures == 0 and len(breaker.ring) == WINDOW
 
 
 def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
     breaker = tripped()
-    assert not breaker.lets_through(COOLDOWN_US - 1)
-    assert breaker.lets_through(COOLDOWN_US)
+    assert not breaker.allows_request(FIRST_COOLDOWN_US - 1)
+    assert breaker.allows_request(FIRST_COOLDOWN_US)
     assert breaker.state is State.HALF_OPEN
 
 
 def test_half_open_gives_out_no_more_than_its_trials() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
-        assert breaker.lets_through(COOLDOWN_US)
+    for _ in range(HALF_OPEN_TRIALS):
+        assert breaker.allows_request(FIRST_COOLDOWN_US)
         assert breaker.take_trial() == 1
-    assert not breaker.lets_through(COOLDOWN_US)
+    assert not breaker.allows_request(FIRST_COOLDOWN_US)
 
 
 def test_good_trials_close_and_empty_the_ring() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
+    for _ in range(HALF_OPEN_TRIALS):
         breaker.take_trial()
-    results = [breaker.record(COOLDOWN_US, False, 1, 0.0) for _ in range(TRIALS)]
+    results = [breaker.record(FIRST_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_TRIALS)]
     assert results[-1] is State.CLOSED
     assert not breaker.ring and breaker.failures == 0
 
 
 def test_bad_trials_reopen_for_longer() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
+    for _ in range(HALF_OPEN_TRIALS):
         breaker.take_trial()
-    breaker.record(COOLDOWN_US, True, 1, 0.0)
-    assert breaker.record(COOLDOWN_US, True, 1, 0.0) is State.OPEN
-    assert breaker.open_until_us == 3 * COOLDOWN_US
+    breaker.record(FIRST_COOLDOWN_US, True, 1, 0.0)
+    assert breaker.record(FIRST_COOLDOWN_US, True, 1, 0.0) is State.OPEN
+    assert breaker.open_until_us == 3 * FIRST_COOLDOWN_US
 
 
 def test_in_half_open_only_trials_count() -> None:
     breaker = half_open()
     breaker.take_trial()
-    for _ in range(RING):
-        assert breaker.record(COOLDOWN_US, True, 0, 0.0) is None
-    assert breaker.state is State.HALF_OPEN and breaker.trials_out == 1
+    for _ in range(WINDOW):
+        assert breaker.record(FIRST_COOLDOWN_US, True, 0, 0.0) is None
+    assert breaker.state is State.HALF_OPEN and breaker.trials_in_flight == 1
 
 
 def test_late_outcomes_enter_the_ring_and_restart_the_cooldown() -> None:
     breaker = tripped()
-    assert breaker.record(COOLDOWN_US // 2, True, 0, 0.0) is State.OPEN
-    assert breaker.open_until_us == COOLDOWN_US // 2 + COOLDOWN_US
+    assert breaker.record(FIRST_COOLDOWN_US // 2, True, 0, 0.0) is State.OPEN
+    assert breaker.open_until_us == FIRST_COOLDOWN_US // 2 + FIRST_COOLDOWN_US
 
 
 def test_failures_that_all_servers_share_convict_none() -> None:
     breaker = Breaker()
-    for n in range(RING):
+    for n in range(WINDOW):
         breaker.record(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is State.CLOSED
--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -11,7 +11,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.policy.concurrency_share import CUT, MOST_EASE, OWED_US, SAVED_US, STEP, ConcurrencyShare
+from sagetrack.policy.concurrency_share import (
+    BOOST_CUT,
+    BOOST_STEP,
+    MAX_BOOST,
+    MAX_DEBT_US,
+    MAX_SAVED_US,
+    ConcurrencyShare,
+)
 from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
 from sagetrack.policy.in_flight import PLANNED_CONCURRENCY
 from sagetrack.policy.interface import (
@@ -85,7 +92,7 @@
         mine.pass_time(now, out)
         out = then
     wait = mine.wait_us(now, 0, part)
-    assert wait is not None and 0 <= wait <= OWED_US + 1
+    assert wait is not None and 0 <= wait <= MAX_DEBT_US + 1
     assert mine.wait_us(now + wait, 0, part) == 0
 
 
@@ -95,7 +102,7 @@
     mine.wait_us(0, 0, 0.5)
     now = 3600 * SECOND_US
     assert mine.wait_us(now, 0, 0.5) == 0
-    used_us = int(SAVED_US) + 2  # with one out, half of its credit is earned meanwhile: 0.5 of 1 in each
+    used_us = int(MAX_SAVED_US) + 2  # with one out, half of its credit is earned meanwhile: 0.5 of 1 in each
     assert mine.wait_us(now + used_us, 1, 0.5) is None  # and one out is more than its part
     assert mine.wait_us(now + used_us, 0, 0.5) in range(1, 4)
 
@@ -104,23 +111,23 @@
     mine = ConcurrencyShare()
     mine.wait_us(0, 0, 1.0)
     mine.learn(0.0)
-    assert mine.ease == 1.0  # it was not short
+    assert mine.boost == 1.0  # it was not short
     for _ in range(20):
         assert mine.wait_us(0, 99, 1.0) is None
         mine.learn(0.5)
-    eased = mine.ease
-    assert eased == pytest.approx(1.0 + 20 * STEP)
+    eased = mine.boost
+    assert eased == pytest.approx(1.0 + 20 * BOOST_STEP)
     mine.learn(1.5)  # neither prompt nor late
-    assert mine.ease == eased
+    assert mine.boost == eased
     mine.learn(2.5)
-    assert mine.ease == pytest.approx(eased * CUT)
+    assert mine.boost == pytest.approx(eased * BOOST_CUT)
     for _ in range(20):
         mine.learn(math.inf)
-    assert mine.ease == 1.0
+    assert mine.boost == 1.0
     for _ in range(1000):
         mine.wait_us(0, 99, 1.0)
         mine.learn(0.0)
-    assert mine.ease == MOST_EASE
+    assert mine.boost == MAX_BOOST
 
 
 def test_who_has_used_up_its_part_waits_for_it_and_is_sent_by_the_clock() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,7 +21,7 @@
 from sagetrack.peers.membership import State as Life
 from sagetrack.peers.node import Node
 from sagetrack.peers.warm_start import MOST_PARTS, TRIES, Asker, Teller, sights_from, split
-from sagetrack.policy.circuit_breaker import COOLDOWN_US, State
+from sagetrack.policy.circuit_breaker import FIRST_COOLDOWN_US, State
 from sagetrack.policy.fleet_size import sharing_gateways
 from sagetrack.policy.interface import (
     FleetSizeChanged,
@@ -111,8 +111,8 @@
     assert servers[3].breaker.state is State.OPEN and servers[3].breaker.open_until_us == START_US + 700_000
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
     assert driver.balancer.latency.smoothed_us[0] == 9_000.0
-    driver.now_us += COOLDOWN_US
-    assert servers[3].breaker.lets_through(driver.now_us)  # trials decide, as ever
+    driver.now_us += FIRST_COOLDOWN_US
+    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide, as ever
 
 
 def test_own_sight_outweighs_word_and_no_word_revives_who_drains_or_names_who_is_not_listed() -> None:
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from sagetrack.policy.circuit_breaker import COOLDOWN_US
+from sagetrack.policy.circuit_breaker import FIRST_COOLDOWN_US
 from sagetrack.policy.interface import (
     Action,
     ListedServer,
@@ -161,7 +161,7 @@
     driver = Driver(servers=10)
     for server in driver.balancer.ring.ranked[:MIN_SUBSET]:
         server.breaker.open(driver.now_us)
-    driver.now_us += COOLDOWN_US
+    driver.now_us += FIRST_COOLDOWN_US
     _, actions = driver.arrive(klass=2, client_timeout_us=1_000_000)
     assert sends(actions)
 
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -4,7 +4,7 @@
 
 import random
 
-from sagetrack.policy.circuit_breaker import COOLDOWN_US, MINIMUM, TRIALS, State
+from sagetrack.policy.circuit_breaker import FIRST_COOLDOWN_US, HALF_OPEN_TRIALS, MIN_OUTCOMES_TO_OPEN, State
 from sagetrack.policy.interface import (
     Outcome,
     RequestCancelled,
@@ -64,12 +64,12 @@
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     driver.end(name, first, Outcome.CONNECT_FAILED)
-    assert not driver.balancer.servers[first].breaker.lets_through(driver.now_us)
+    assert not driver.balancer.servers[first].breaker.allows_request(driver.now_us)
 
 
 def test_one_failed_connection_opens_no_server_that_answered_well_a_moment_ago() -> None:
     """Connections that break now and then opened most of the fleet, each for a second or more."""
-    for quiet_us, state in ((COOLDOWN_US // 2, State.CLOSED), (COOLDOWN_US * 2, State.OPEN)):
+    for quiet_us, state in ((FIRST_COOLDOWN_US // 2, State.CLOSED), (FIRST_COOLDOWN_US * 2, State.OPEN)):
         driver = Driver(servers=1)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server)
@@ -86,7 +86,7 @@
 
 def test_a_time_out_sooner_than_an_answer_takes_is_no_verdict() -> None:
     driver = Driver(servers=1)
-    for _ in range(MINIMUM * 3):
+    for _ in range(MIN_OUTCOMES_TO_OPEN * 3):
         driver.balancer.client_timeouts.estimate(
             0, 0
         ).regular = 0.0  # clients give each try a time of its own
@@ -167,14 +167,14 @@
 def test_a_closed_again_server_regains_its_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
-    for _ in range(MINIMUM):
+    for _ in range(MIN_OUTCOMES_TO_OPEN):
         name, actions = driver.arrive(klass=2)
         assert sends(actions)
         driver.end(name, 0, Outcome.RESET)
     assert server.breaker.state is State.OPEN
     weight = server.weight
-    driver.now_us += COOLDOWN_US
-    for _ in range(TRIALS):
+    driver.now_us += FIRST_COOLDOWN_US
+    for _ in range(HALF_OPEN_TRIALS):
         name, actions = driver.arrive()
         assert sends(actions)
         driver.end(name, 0)
@@ -193,7 +193,7 @@
     assert sends(actions) and breaker.state is State.HALF_OPEN
     driver.end(name, 0, Outcome.CONNECT_FAILED)
     assert breaker.state.value == "open"
-    assert breaker.open_until_us == driver.now_us + 2 * COOLDOWN_US
+    assert breaker.open_until_us == driver.now_us + 2 * FIRST_COOLDOWN_US
 
 
 def test_failures_in_common_open_next_to_nothing_and_a_dead_server_is_found_among_them() -> None:
