--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -202,7 +202,7 @@
     return values | {"bytes": float(len(text)), "held_bytes": held, "each_bytes": held / size}
 
 
-BALANCE = "sagetrack/policy/load_balancer.py"
+POLICY = "sagetrack/policy"
 HOLDS_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
 PROBES = (
     Probe(
@@ -211,7 +211,7 @@
         "one call, decided and answered",
         "tenants",
         f"{FEW_SERVERS} servers, 1 gateway",
-        f"{BALANCE}: excess",
+        f"{POLICY}/tenant_quota.py: excess",
         decision_by_tenants,
     ),
     Probe(
@@ -220,7 +220,7 @@
         "one call, decided and answered",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: subset, pick",
+        f"{POLICY}/selection.py: subset, select",
         decision_by_servers,
         least=25,
     ),
@@ -230,7 +230,7 @@
         "one call, decided and answered",
         "gateways",
         f"{FEW_TENANTS} tenants, {FEW_SERVERS} servers",
-        f"{BALANCE}: pick",
+        f"{POLICY}/selection.py: select",
         decision_by_gateways,
         least=3,
     ),
@@ -250,7 +250,7 @@
         "a keyed call with one repeat",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: allowed_servers",
+        f"{POLICY}/selection.py: _retry_candidates",
         repeat_by_servers,
         least=25,
     ),
@@ -260,7 +260,7 @@
         "a refusal with word of when to come back",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: retry_after_us",
+        f"{POLICY}/retry_after.py: wait_us",
         refusal_by_servers,
         least=25,
     ),
@@ -270,7 +270,7 @@
         "the module takes a whole list",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: on_list",
+        f"{POLICY}/endpoints.py: update",
         list_by_servers,
         least=25,
     ),
@@ -280,7 +280,7 @@
         "the module takes one changed entry",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: on_list",
+        f"{POLICY}/endpoints.py: update",
         change_by_servers,
         least=25,
     ),
@@ -290,7 +290,7 @@
         "the module hears that a zone's servers are gone",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: on_list",
+        f"{POLICY}/endpoints.py: update",
         zone_by_servers,
         least=25,
     ),
@@ -300,7 +300,7 @@
         "what it has seen is gathered, each second",
         "servers",
         HOLDS_TENANTS,
-        f"{BALANCE}: sights",
+        f"{POLICY}/gossip.py: own_observations",
         sights_by_servers,
         least=25,
     ),
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -136,7 +136,7 @@
         "one datagram of sights is taken up",
         "servers",
         "10 sights in it",
-        "sagetrack/policy/load_balancer.py: on_learned",
+        "sagetrack/policy/gossip.py: receive",
         learned_by_servers,
         least=25,
     ),
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -59,7 +59,7 @@
         "connections held to one server of the mean service",
         "gateways",
         "one service of the mean size at its part of the load, 10 s idle",
-        "sagetrack/http1/connection_pool.py: Pools; sagetrack/policy/load_balancer.py: subset",
+        "sagetrack/http1/connection_pool.py: Pools; sagetrack/policy/selection.py: subset",
         connections_by_gateways,
         least=3,
         virtual=("open_each", "open_most", "handshakes_per_call", "messages_per_s"),
