--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -13,7 +13,7 @@
     from sagetrack.config.operator import Operator
 
 
-def with_door(config: Config, operator: Operator | None) -> Config:
+def with_admission(config: Config, operator: Operator | None) -> Config:
     """The configuration with a door, if the operator asks for one; ConfigError for unknown names."""
     if operator is None or not operator.queues.use:
         return config
@@ -28,7 +28,7 @@
         return Rate(per_s, max(1.0, burst)) if per_s > 0 else None
 
     admission = AdmissionSettings(
-        shares=shares_in(config, operator),
+        shares=tenant_shares(config, operator),
         flows=queues.flows,
         patience=queues.patience,
         memory_bytes=int(queues.memory_mb * 1024 * 1024),
@@ -46,7 +46,7 @@
     return replace(config, settings=settings, client_header=header, whole_seconds=queues.whole_seconds)
 
 
-def shares_in(config: Config, operator: Operator) -> tuple[float, ...]:
+def tenant_shares(config: Config, operator: Operator) -> tuple[float, ...]:
     """Shares in the order of the members; who is not named keeps what the platform says.
 
     ConfigError for a member that is not known.
--- a/sagetrack/server/fleet.py
+++ b/sagetrack/server/fleet.py
@@ -12,7 +12,7 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
 from sagetrack.policy.interface import ObservationsReceived
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.hot_restart import HotRestart
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -47,7 +47,7 @@
     return me, listen, peers
 
 
-def node_for(config: Config, operator: Operator | None, gateway: Gateway) -> Node | None:
+def build_peer_node(config: Config, operator: Operator | None, gateway: Gateway) -> Node | None:
     """The node, not yet started; None where messages between gateways are off."""
     found = addresses(config, operator)
     if found is None:
@@ -71,20 +71,20 @@
         gateway.balancer.sights,
         gateway.lives,
         warm,
-        demands_of(gateway),
+        demand_source(gateway),
     )
 
 
-def demands_of(gateway: Gateway) -> Callable[[], list[float]] | None:
+def demand_source(gateway: Gateway) -> Callable[[], list[float]] | None:
     """What members ask for, for the others, where fair queues are on."""
     admission = gateway.balancer.admission
     return None if admission is None else lambda: admission.levels.tell(now_us())
 
 
-class Handover:
+class HealthHandover:
     """Knowledge between two processes of one gateway: the older writes it down, the younger takes it up."""
 
-    def __init__(self, overlap: Overlap, config: Config, gateway: Gateway) -> None:
+    def __init__(self, overlap: HotRestart, config: Config, gateway: Gateway) -> None:
         assert overlap.folder is not None
         self.folder: Path = overlap.folder
         self.overlap, self.config, self.gateway = overlap, config, gateway
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -19,19 +19,26 @@
 from sagetrack.http1.discovery_connection import HttpLine, connect
 from sagetrack.http1.listener import Server
 from sagetrack.policy.interface import ListKind, TenantSharesChanged
-from sagetrack.server.admission_settings import shares_in, with_door
-from sagetrack.server.fleet import Handover, node_for
-from sagetrack.server.grpc_upstreams import Newer, keys_for, mixed_back, reader, renew, with_newer
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.admission_settings import tenant_shares, with_admission
+from sagetrack.server.fleet import HealthHandover, build_peer_node
+from sagetrack.server.grpc_upstreams import (
+    GrpcUpstreams,
+    build_protocol_router,
+    load_tls_keys,
+    reader,
+    renew,
+    with_grpc,
+)
+from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.listen import bind, inherit
-from sagetrack.server.startup_timing import Startup
+from sagetrack.server.startup_timing import StartupTiming
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
     from sagetrack.dns.service import Service
     from sagetrack.grpc.downstream import NewFront
     from sagetrack.peers.node import Node
-    from sagetrack.server.persistence import Keeping
+    from sagetrack.server.persistence import Persistence
 
 DNS = "dns"
 ZONE_S = 1.0  # between looks at what our own zone follows
@@ -41,26 +48,26 @@
     return await connect(address, CallError)
 
 
-class Instance:
+class GatewayAssembly:
     """The gateway, its clients' side and where its list of servers comes from. Made on a running loop."""
 
     def __init__(
-        self, config: Config, operator: Operator | None = None, startup: Startup | None = None
+        self, config: Config, operator: Operator | None = None, startup: StartupTiming | None = None
     ) -> None:
         asyncio.get_running_loop()  # RuntimeError without one
-        self.startup = startup if startup is not None else Startup()
-        config = with_newer(with_door(config, operator), operator)
+        self.startup = startup if startup is not None else StartupTiming()
+        config = with_grpc(with_admission(config, operator), operator)
         self.config, self.operator = config, operator
         self.node: Node | None = None
-        self.handover: Handover | None = None
+        self.handover: HealthHandover | None = None
         self.dns: Service | None = None
         self.zone_timer: asyncio.TimerHandle | None = None
         self.pools = Pools(config.settings)
         names = [name.decode() for name in config.names.classes]
-        self.newer: Newer | None = None
-        self.new_front: NewFront | None = None
-        self.keys = keys_for(operator)
-        mixed = mixed_back(config, operator, self.pools, self.keys)
+        self.newer: GrpcUpstreams | None = None
+        self.grpc_listener: NewFront | None = None
+        self.keys = load_tls_keys(operator)
+        mixed = build_protocol_router(config, operator, self.pools, self.keys)
         back: UpstreamPool = self.pools if mixed is None else mixed
         self.gateway = Gateway(config.settings, config.seed, names, back, config.known)
         admission = self.gateway.balancer.admission
@@ -68,7 +75,7 @@
             members = [name.decode() for name in config.names.tenants]
             self.gateway.metrics.more.append(lambda: admission.figures(members))
         self.server = Server(config, self.gateway, self.pools)
-        self.overlap = Overlap(config.folder if config.accept_fd is not None else None)
+        self.overlap = HotRestart(config.folder if config.accept_fd is not None else None)
         self.server.overlap = self.overlap
         pushed = config.settings.endpoints_are_pushed
         asked = operator.dns if operator is not None else None
@@ -79,7 +86,7 @@
         if mixed is not None:
             from sagetrack.grpc.translate import untranslatable
 
-            self.newer = Newer(mixed, self.gateway)
+            self.newer = GrpcUpstreams(mixed, self.gateway)
             if operator is not None and operator.newer.compare_per_s:
                 self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_on)
             self.on_http = self.newer.on_list
@@ -87,7 +94,7 @@
             self.gateway.metrics.more.append(self.newer.figures)
         if self.keys is not None:
             self.gateway.metrics.more.append(self.keys.figures)
-        self.keeping: Keeping | None = None
+        self.keeping: Persistence | None = None
         on_list = self.on_http if self.split is None else self.on_list
         limits = watching(config.settings)
         self.discovery = Discovery(config.discovery, config.names, on_list, pushed, _ask_discovery, limits)
@@ -101,7 +108,7 @@
         """
         config, overlap, part = self.config, self.overlap, self.startup.done
         part("decisions")
-        self.start_store()
+        self.start_persistence()
         part("store")
         overlap.join()
         self.gateway.known = overlap.newer_list(
@@ -125,12 +132,12 @@
         self.join_peers()
         part("peers")
         await self.start_dns()
-        await self.start_new_front()
+        await self.start_grpc_listener()
         part("other fronts")
 
     def on_operator(self, config: Config, operator: Operator) -> None:
         """The operator's file has been read again: shares count at once; ConfigError for unknown names."""
-        shares = shares_in(config, operator)
+        shares = tenant_shares(config, operator)
         if self.newer is not None:
             self.newer.renew(config, operator.newer)
         if operator.queues.use:
@@ -144,7 +151,7 @@
         if self.dns is not None:
             self.dns.on_list(kind, parts[DNS])
 
-    async def start_new_front(self) -> None:
+    async def start_grpc_listener(self) -> None:
         """Take clients of the newer format, where the operator asks for it; ConfigError if that cannot be."""
         asked = self.operator.newer if self.operator is not None else None
         if asked is None or not asked.listen:
@@ -159,15 +166,15 @@
             await front.start(places, secured, shared=self.config.accept_fd is not None)
         except OSError as error:
             raise ConfigError(f"newer.listen {', '.join(asked.listen)}: {error.strerror or error}") from None
-        self.new_front = front
+        self.grpc_listener = front
         self.gateway.metrics.more.append(front.figures)
 
-    def start_store(self) -> None:
+    def start_persistence(self) -> None:
         """Open the store, where the operator has one."""
         if self.operator is not None and self.operator.store.folder:
-            from sagetrack.server.persistence import Keeping
+            from sagetrack.server.persistence import Persistence
 
-            self.keeping = Keeping(self.config, self.operator, self.gateway)
+            self.keeping = Persistence(self.config, self.operator, self.gateway)
 
     def renew_keys(self) -> None:
         if self.keys is not None:
@@ -246,13 +253,13 @@
     def join_peers(self) -> None:
         """Take part in what gateways tell each other, where that is allowed or asked for."""
         config, gateway = self.config, self.gateway
-        self.node = node_for(config, self.operator, gateway)
+        self.node = build_peer_node(config, self.operator, gateway)
         if self.node is not None:
             gateway.metrics.more.append(self.node.figures)
             self.server.describe_peers = self.node.describe
             self.node.start()
         if self.overlap.folder is not None:
-            self.handover = Handover(self.overlap, config, gateway)
+            self.handover = HealthHandover(self.overlap, config, gateway)
 
     def leave_peers(self) -> None:
         """Say no more to the others, and free the address for a successor."""
@@ -271,8 +278,8 @@
             self.zone_timer.cancel()
         if self.newer is not None:
             self.newer.close()
-        if self.new_front is not None:
-            self.new_front.close()
+        if self.grpc_listener is not None:
+            self.grpc_listener.close()
         if self.dns is not None:
             self.dns.close()
         self.gateway.close()
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -59,7 +59,7 @@
     return read
 
 
-class Newer:
+class GrpcUpstreams:
     """Both formats behind one back, the share between them, and the keys."""
 
     def __init__(self, mixed: Mixed, gateway: Gateway) -> None:
@@ -130,7 +130,7 @@
         self.timer.cancel()
 
 
-def keys_for(operator: Operator | None) -> Keys | None:
+def load_tls_keys(operator: Operator | None) -> Keys | None:
     """The keys of the newer side, where it has TLS; ConfigError for bad ones."""
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.tls:
@@ -153,7 +153,7 @@
         log(f"the keys stay as they are: {error}")
 
 
-def mixed_back(
+def build_protocol_router(
     config: Config, operator: Operator | None, old: UpstreamPool, keys: Keys | None
 ) -> Mixed | None:
     """The back of both formats; None where the operator has no newer servers."""
@@ -168,7 +168,7 @@
     return Mixed(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
 
 
-def with_newer(config: Config, operator: Operator | None) -> Config:
+def with_grpc(config: Config, operator: Operator | None) -> Config:
     """The configuration in which the module knows which servers speak the newer format."""
     if operator is None or not operator.newer.types:
         return config
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -26,7 +26,7 @@
 LIST_EVERY_S = 1.0  # the list is written at most once in this: 200 entries may change within a second
 
 
-class Overlap:
+class HotRestart:
     """This process's mark in the folder, and those of the others."""
 
     def __init__(self, folder: str | None) -> None:
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -31,7 +31,7 @@
 FUTURE_US = 1_000_000  # a sight that is further ahead is of a clock that was set back
 
 
-class Keeping:
+class Persistence:
     """The store of one gateway and what goes into it. Made on a running loop."""
 
     def __init__(self, config: Config, operator: Operator, gateway: Gateway) -> None:
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -64,11 +64,11 @@
         signal.signal(signum, _end_early)
     # Imported late: a signal during the start must find its handler.
     from sagetrack.core.log import unbuffered
-    from sagetrack.server.startup_timing import Startup
+    from sagetrack.server.startup_timing import StartupTiming
 
     sys.stderr = unbuffered()
 
-    startup = Startup()
+    startup = StartupTiming()
     from sagetrack.config.platform import ConfigError, load, read_file
     from sagetrack.core.transient_errors import persist_before_loop
 
@@ -94,8 +94,8 @@
     from sagetrack.core.drain import MARGIN_S
     from sagetrack.core.log import log
     from sagetrack.server.admin import Admin
-    from sagetrack.server.gateway_assembly import Instance
-    from sagetrack.server.reload import Reloader
+    from sagetrack.server.gateway_assembly import GatewayAssembly
+    from sagetrack.server.reload import ConfigReloader
 
     startup.done("imports")
 
@@ -105,13 +105,13 @@
         for signum in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signum, stop.set)  # a second one changes nothing
         try:
-            instance = Instance(config, operator, startup)
+            instance = GatewayAssembly(config, operator, startup)
         except ConfigError as error:
             log(str(error), "error")
             return 2
         gateway, server = instance.gateway, instance.server
         on_keys = instance.renew_keys if instance.keys is not None else None
-        reloader = Reloader(instance.discovery, operators or None, instance.on_operator, on_keys)
+        reloader = ConfigReloader(instance.discovery, operators or None, instance.on_operator, on_keys)
         loop.add_signal_handler(signal.SIGHUP, reloader.ask)
         admin = Admin(server)
         address: Address | None = config.admin
@@ -140,7 +140,7 @@
         await asyncio.sleep(0)  # the way out has begun, and it knows when the last answers are due
         until_s = server.drain.words_s + MARGIN_S / 2
         dns_leaving = loop.create_task(instance.dns.front.leave(until_s)) if instance.dns else None
-        front = instance.new_front
+        front = instance.grpc_listener
         new_leaving = loop.create_task(front.leave(until_s)) if front is not None else None
         # However long it takes: what is unanswered at an end by the clock would be lost.
         await leaving
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -19,7 +19,7 @@
 OnOperator = Callable[[Config, "Operator"], None]
 
 
-def read_again(path: str) -> Operator:
+def read_operator(path: str) -> Operator:
     """The operator's file as it is now; ConfigError if it cannot be read."""
     from sagetrack.config.operator import load as load_operator
     from sagetrack.config.validation import FileError
@@ -30,7 +30,7 @@
         raise ConfigError(str(error.faults[0])) from None
 
 
-class Reloader:
+class ConfigReloader:
     """Reads LB_CONFIG once for each time that is asked, or once for several that come together."""
 
     def __init__(
@@ -70,7 +70,7 @@
                 if self.on_keys is not None:
                     self.on_keys()
                 if self.operator is not None and self.on_operator is not None:
-                    self.on_operator(config, await asyncio.to_thread(read_again, self.operator))
+                    self.on_operator(config, await asyncio.to_thread(read_operator, self.operator))
                 self.failed = 0
         except (ConfigError, OSError, RuntimeError) as error:  # RuntimeError: there is no thread to be had
             self.fail(error)
--- a/sagetrack/server/startup_timing.py
+++ b/sagetrack/server/startup_timing.py
@@ -8,7 +8,7 @@
 from sagetrack.core.log import log
 
 
-class Startup:
+class StartupTiming:
     """The parts of one start, in order; a part that comes again is summed up."""
 
     def __init__(self) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -31,7 +31,7 @@
     reply,
     silent,
 )
-from sagetrack.server.gateway_assembly import Instance
+from sagetrack.server.gateway_assembly import GatewayAssembly
 
 __all__ = [
     "Client",
@@ -131,7 +131,7 @@
 class Running:
     """The gateway in this process, listening on a port of its own."""
 
-    instance: Instance
+    instance: GatewayAssembly
     gateway: Gateway
     server: Server
     port: int
@@ -169,7 +169,7 @@
 @asynccontextmanager
 async def running(config: dict[str, Any], operator: Operator | None = None) -> AsyncIterator[Running]:
     parsed = parse(config)
-    instance = Instance(parsed, operator)
+    instance = GatewayAssembly(parsed, operator)
     await instance.start()
     server = instance.server
     assert server.listener is not None
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -10,8 +10,8 @@
 import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
 from sagetrack.policy.interface import EndpointList, ListedServer, ListKind, ObservationsReceived, SendAttempt
-from sagetrack.server.fleet import Handover
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.fleet import HealthHandover
+from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import SETTINGS, Driver
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 
@@ -94,9 +94,9 @@
 ) -> None:
     """Each process begins its own line at its start, with the wall clock as it is then."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        overlap = Overlap(str(tmp_path))
+        overlap = HotRestart(str(tmp_path))
         overlap.join()
-        old = Handover(overlap, run.instance.config, run.gateway)
+        old = HealthHandover(overlap, run.instance.config, run.gateway)
         client = await run.connect()
         client.send(request())
         await until(lambda: host.seen)
@@ -114,7 +114,7 @@
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         later = clock.now_us
         monkeypatch.setattr(fellowship, "now_us", lambda: later() + step_s * 1_000_000)
-        new = Handover(overlap, run.instance.config, run.gateway)
+        new = HealthHandover(overlap, run.instance.config, run.gateway)
         new.take()
         (event,) = learned
         age_us = later() + step_s * 1_000_000 - event.sights[0].seen_us
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -51,8 +51,8 @@
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
-from sagetrack.server.admission_settings import shares_in, with_door
-from sagetrack.server.reload import read_again
+from sagetrack.server.admission_settings import tenant_shares, with_admission
+from sagetrack.server.reload import read_operator
 from tests.sockets import configuration, on_loop, request, running
 
 SCENARIOS = Path(__file__).resolve().parent.parent / "scenarios"
@@ -419,15 +419,15 @@
     config = parse(configuration("127.0.0.1:9"))
     file = tmp_path / "operator.toml"
     file.write_text("[queues]\nuse = true\nshares = { zeta = 3.0 }\n[limits]\nclass_per_s = { hold = 5 }\n")
-    made = with_door(config, load_operator(str(file))).settings.admission
+    made = with_admission(config, load_operator(str(file))).settings.admission
     assert made is not None and made.shares == (0.0, 3.0) and made.class_rates[1] == Rate(5.0, 10.0)
-    assert shares_in(config, read_again(str(file))) == (0.0, 3.0)
+    assert tenant_shares(config, read_operator(str(file))) == (0.0, 3.0)
     file.write_text("[queues]\nuse = true\nshares = { nobody = 1.0 }\n")
     with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
-        shares_in(config, load_operator(str(file)))
+        tenant_shares(config, load_operator(str(file)))
     file.write_text("[queues]\nuse = true\n[limits]\nclass_per_s = { none = 1.0 }\n")
     with pytest.raises(ConfigError, match="no class 'none'"):
-        with_door(config, load_operator(str(file)))
+        with_admission(config, load_operator(str(file)))
     file.write_text("[limits]\nrepeats = 0.5\n")
     with pytest.raises(FileError, match=r"limits needs queues.use = true"):
         load_operator(str(file))
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from sagetrack.lab.soak.shim import ACCEPT_ERRORS
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.hot_restart import HotRestart
 from tests.sockets import (
     Exchange,
     Peer,
@@ -102,7 +102,7 @@
 @on_loop
 async def test_a_mark_that_is_lost_in_the_folder_does_not_keep_a_process_from_serving(tmp_path: Path) -> None:
     async with peer() as host, running(configuration(host)) as run:
-        overlap = Overlap(str(tmp_path))
+        overlap = HotRestart(str(tmp_path))
         overlap.join()
         for mark in tmp_path.iterdir():
             mark.unlink()
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sagetrack.discovery.client import list_as_json
-from sagetrack.server.hot_restart import LIST, Overlap
+from sagetrack.server.hot_restart import LIST, HotRestart
 from tests.sockets import (
     configuration,
     endpoint,
@@ -121,7 +121,7 @@
     """Marks that nobody holds are cleared away, and other files are nobody's mark."""
     (tmp_path / "sagetrack-1.serving").write_text("")
     (tmp_path / "sagetrack-x.serving").write_text("")
-    overlap = Overlap(str(tmp_path))
+    overlap = HotRestart(str(tmp_path))
     overlap.join()
     assert (overlap.others, overlap.serving) == (0, 0)
     assert sorted(os.listdir(tmp_path)) == [f"sagetrack-{os.getpid()}.starting", "sagetrack-x.serving"]
@@ -163,18 +163,18 @@
 def test_a_list_that_is_stale_foreign_or_half_written_is_not_used(tmp_path: Path, left: bytes) -> None:
     (tmp_path / LIST).write_bytes(left)
     known = {"index": 7}
-    assert Overlap(str(tmp_path)).newer_list(DISCOVERY, known) is known
+    assert HotRestart(str(tmp_path)).newer_list(DISCOVERY, known) is known
 
 
 def test_a_list_is_handed_on_whole(tmp_path: Path) -> None:
-    overlap = Overlap(str(tmp_path))
+    overlap = HotRestart(str(tmp_path))
     assert overlap.newer_list(DISCOVERY, {}) == {}
     overlap.keep_list(DISCOVERY, {"index": 9, "snapshot": True, "endpoints": [{"name": "s"}]})
     assert os.listdir(tmp_path) == [LIST]
     assert overlap.newer_list(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
     known = {"index": 8}
     assert overlap.newer_list(DISCOVERY, known, lambda newer: False) is known  # no entry can be read
-    assert Overlap(None).newer_list(DISCOVERY, {"index": 8}) == {"index": 8}
+    assert HotRestart(None).newer_list(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
 @on_loop
@@ -202,7 +202,7 @@
     """The platform's list still names a host that has gone; the processes' own one has its successor."""
     async with peer() as gone, peer() as successor:
         config = configuration(gone)
-        overlap = Overlap(str(tmp_path))
+        overlap = HotRestart(str(tmp_path))
         overlap.keep_list(("127.0.0.1", 9), hosts_list(8, endpoint("s-5", successor.address)))
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
@@ -228,7 +228,7 @@
 def test_a_folder_that_cannot_be_used_is_said_and_does_no_harm(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    overlap = Overlap(str(tmp_path / "missing"))
+    overlap = HotRestart(str(tmp_path / "missing"))
     overlap.join()
     overlap.serve()
     overlap.look()
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -622,7 +622,7 @@
         file = tmp_path / "operator.toml"
         file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
         async with running(config, load_operator(str(file))) as gateway:
-            front = gateway.instance.new_front
+            front = gateway.instance.grpc_listener
             assert front is not None
             place = front.servers[0].sockets[0].getsockname()
             async with rigged() as client:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -343,7 +343,7 @@
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with running(configuration(run_on), load_operator(str(file))) as run, rigged() as client:
-        front = run.instance.new_front
+        front = run.instance.grpc_listener
         assert front is not None
         place = front.servers[0].sockets[0].getsockname()
         client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -105,12 +105,12 @@
     script.write_text(
         "import os, signal, sys\n"
         "import sagetrack.server.startup_timing as startup\n"
-        "told = startup.Startup.tell\n"
+        "told = startup.StartupTiming.tell\n"
         "def tell(self):\n"
         "    told(self)\n"
         "    print(*sorted(sys.modules))\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n"
-        "startup.Startup.tell = tell\n"
+        "startup.StartupTiming.tell = tell\n"
         "from sagetrack.__main__ import main\n"
         "sys.exit(main())\n"
     )
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -26,8 +26,8 @@
 from sagetrack.peers.handover import STALE_US, Note
 from sagetrack.peers.warm_start import latencies_from, sights_from
 from sagetrack.policy.peer_observations import CLOSED, HALF_OPEN, OPEN, ClassLatency, Observation
-from sagetrack.server.gateway_assembly import Instance
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server.gateway_assembly import GatewayAssembly
+from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.persistence import KNOWN, SECONDS
 from sagetrack.store.engine import Store
 from sagetrack.store.files import Disk, Looking
@@ -268,7 +268,7 @@
 
 
 def test_a_list_that_was_handed_on_is_read_as_it_was_meant() -> None:
-    overlap = Overlap(str(TMPDIR))
+    overlap = HotRestart(str(TMPDIR))
     assert overlap.newer_list(discovery=DISCOVERY, known={"index": 41}) == KNOWN_LIST
     assert overlap.newer_list(discovery=DISCOVERY, known={"index": 42}) == {"index": 42}
     assert overlap.newer_list(discovery=("10.0.0.9", 1), known={"index": 41}) == {"index": 41}
@@ -276,7 +276,7 @@
 
 def test_marks_of_processes_have_the_same_names(tmp_path: Path) -> None:
     """Processes of two versions count each other by these."""
-    overlap = Overlap(str(tmp_path))
+    overlap = HotRestart(str(tmp_path))
     overlap.join()
     try:
         assert files_in(tmp_path) == [f"sagetrack-{os.getpid()}.starting"]
@@ -383,8 +383,8 @@
 async def test_a_gateway_takes_up_the_knowledge_in_a_store(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(STORE, tmp_path / "n0"))
     settings = StoreSettings(folder=str(folder.parent / "{gateway}"), recorder=False)
-    instance = Instance(parse(configuration()), Operator(store=settings))
-    instance.start_store()
+    instance = GatewayAssembly(parse(configuration()), Operator(store=settings))
+    instance.start_persistence()
     keeping = instance.keeping
     assert keeping is not None
     try:
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -24,7 +24,7 @@
 from sagetrack.policy.load_balancer import OVER_SHARE, SUBSET, TENANT_MEMORY
 from sagetrack.policy.state import Server
 from sagetrack.server import hot_restart
-from sagetrack.server.hot_restart import LIST, Overlap
+from sagetrack.server.hot_restart import LIST, HotRestart
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
 from tests.sockets import endpoint, hosts_list, on_loop, until
 
@@ -289,7 +289,7 @@
 REGISTRY = ("127.0.0.1", 9)
 
 
-def a_discovery(overlap: Overlap) -> Discovery:
+def a_discovery(overlap: HotRestart) -> Discovery:
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
@@ -328,7 +328,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen: each changed entry put the whole list as JSON anew and wrote it."""
-    writes, overlap = Writes(monkeypatch), Overlap(str(tmp_path))
+    writes, overlap = Writes(monkeypatch), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     first = [endpoint(f"s-{n}", f"127.0.0.1:{n + 1}") for n in range(500)]
     take(discovery, 1, *first, whole=True)
@@ -349,7 +349,7 @@
 @on_loop
 async def test_news_held_back_is_written_before_long(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(hot_restart, "LIST_EVERY_S", 0.01)
-    writes, overlap = Writes(monkeypatch), Overlap(str(tmp_path))
+    writes, overlap = Writes(monkeypatch), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     for index in range(1, 20):
         take(discovery, index, endpoint(f"s-{index}", "127.0.0.1:1"))
@@ -362,7 +362,7 @@
 
 @on_loop
 async def test_where_another_process_serves_its_list_is_not_written_over(tmp_path: Path) -> None:
-    overlap, successor = Overlap(str(tmp_path)), Overlap(str(tmp_path))
+    overlap, successor = HotRestart(str(tmp_path)), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     take(discovery, 1, endpoint("s-1", "127.0.0.1:1"), whole=True)
     take(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # held back
@@ -374,7 +374,7 @@
 
 @on_loop
 async def test_an_entry_that_no_strict_writer_takes_is_handed_on_too(tmp_path: Path) -> None:
-    overlap = Overlap(str(tmp_path))
+    overlap = HotRestart(str(tmp_path))
     odd = json.loads('{"name": "s-\\ud800", "much": 123456789012345678901234567890, "weight": NaN}')
     take(a_discovery(overlap), 1, odd, endpoint("s-1", "127.0.0.1:1"), whole=True)
     kept = overlap.newer_list(REGISTRY, {})["endpoints"]
