--- a/sagetrack/lab/scale/agent.py
+++ b/sagetrack/lab/scale/agent.py
@@ -49,7 +49,7 @@
         "the list is written for the next process, at each change",
         "servers",
         "names of 16 bytes",
-        "sagetrack/server/hot_restart.py: keep_list",
+        "sagetrack/server/endpoint_list_file.py: write",
         handing_on_by_servers,
         least=25,
     ),
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -111,10 +111,10 @@
         self.start_persistence()
         part("store")
         overlap.join()
-        self.gateway.known = overlap.newer_list(
+        self.gateway.known = overlap.endpoint_list.newest(
             config.discovery, self.gateway.known, lambda raw: bool(parse_list(raw, config.names)[2])
         )
-        self.discovery.on_news = overlap.hand_on
+        self.discovery.on_news = overlap.endpoint_list.schedule_write
         descriptor = config.accept_fd
         listener: socket.socket = (
             await persist(lambda: bind(config.listen)) if descriptor is None else inherit(descriptor)
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -1,92 +1,88 @@
-"""Processes of one gateway that run side by side for a while, as they meet in $TMPDIR.
+"""Hot restart: the processes of one gateway that run side by side find each other in $TMPDIR.
 
-Each holds a lock on a file of its own; the kernel lets go of it however the process ends, so that a file left
-behind says nothing. The file has no content that could be half-written: its name tells whether it serves.
+Each process holds an exclusive lock on a marker file of its own. The kernel releases the lock however the
+process ends, so a marker without a lock is stale. A marker is empty, so that it cannot be half written: its
+name tells the state.
 """
 
 from __future__ import annotations
 
-import asyncio
 import fcntl
-import json
 import os
 import re
-from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
-from sagetrack.config.platform import Address
 from sagetrack.core.log import log
-from sagetrack.discovery.client import list_as_json
+from sagetrack.server.endpoint_list_file import EndpointListFile
 
-NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
-LIST = "sagetrack-list.json"  # the address servers as a process last heard of them
-LIST_LIMIT = 1024 * 1024  # bytes: files count as memory
-LIST_EVERY_S = 1.0  # the list is written at most once in this: 200 entries may change within a second
+MARKER_NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
+SERVING = "serving"  # accepts connections
+NOT_SERVING = "starting"  # starts or drains; the file name is fixed by releases that are in service
 
 
 class HotRestart:
-    """This process's mark in the folder, and those of the others."""
+    """This process's marker, the markers of its siblings, and the endpoint list that passes between them."""
 
     def __init__(self, folder: str | None) -> None:
         self.folder = Path(folder) if folder else None
-        self.descriptor: int | None = None
-        self.path: Path | None = None
-        self.others = 0  # other processes of this gateway that run
-        self.serving = 0  # those of them that serve
-        self.news: tuple[Address, Callable[[], dict[str, Any]]] | None = None  # not written yet
-        self.writing: asyncio.TimerHandle | None = None  # while it is on, nothing is written
+        self.endpoint_list = EndpointListFile(self.folder)
+        self.others = 0  # sibling processes that run
+        self.serving = 0  # those of them that accept connections
+        self._descriptor: int | None = None
+        self._marker: Path | None = None
 
     def join(self) -> None:
-        """Be seen by the others: locked first, named after, so that no unlocked mark is ever ours.
+        """Create this process's marker and count the siblings.
 
-        Where the folder can't be used the process runs all the same, as if it were the only one.
+        The marker is locked before it gets its name, so that no sibling sees it unlocked and removes it.
+        Where the folder cannot be used, that is logged and the process runs as if it were the only one.
         """
         if self.folder is None:
             return
-        fresh = self.folder / f"sagetrack-{os.getpid()}.new"
+        unnamed = self.folder / f"sagetrack-{os.getpid()}.new"
         try:
-            self.descriptor = os.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self._rename(fresh, "starting")
+            self._descriptor = os.open(unnamed, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._rename(unnamed, NOT_SERVING)
         except OSError as error:
-            log(f"TMPDIR {self.folder} cannot be used, other processes are not seen: {error.strerror}")
+            log(f"hot restart disabled, TMPDIR {self.folder} cannot be used: {error.strerror}")
             self.folder = None
+            self.endpoint_list.disable()
             return
         self.look()
 
     def serve(self) -> None:
-        """Say that this process takes clients."""
-        self._mark("serving")
+        """Mark this process as accepting connections."""
+        self._mark(SERVING)
 
     def begin_leaving(self) -> None:
-        """Say that this process takes clients no longer: another that leaves must not count on it.
+        """Mark this process as draining: a sibling that drains too must not rely on it.
 
-        It goes on sharing the limits until its end, as one that starts does.
+        It still counts as a running process, and shares the limits, until `leave`.
         """
-        self._mark("starting")
+        self._mark(NOT_SERVING)
 
     def _mark(self, state: str) -> None:
-        """Change what the others see; they see the state before for longer where the folder fails."""
-        if self.path is None:
+        """Change the state that siblings see; where the folder fails they see the previous one for longer."""
+        if self._marker is None:
             return
         try:
-            self._rename(self.path, state)
+            self._rename(self._marker, state)
         except OSError as error:
-            log(f"the mark in {self.folder} cannot be changed: {error.strerror}", "warning")
+            log(f"hot restart marker in {self.folder} not updated: {error.strerror}", "warning")
 
     def _rename(self, old: Path, state: str) -> None:
         new = old.with_name(f"sagetrack-{os.getpid()}.{state}")
         os.replace(old, new)
-        self.path = new
+        self._marker = new
 
     def look(self) -> None:
-        """Count the others again; marks of processes that have ended are cleared away.
+        """Count the siblings again, and remove stale markers.
 
-        Where the folder cannot be read, as there is no descriptor for it, the counts stay as they were.
+        The counts stay as they were where the folder cannot be read, as when no descriptor is left.
         """
-        if self.folder is None or self.path is None:
+        if self.folder is None or self._marker is None:
             return
         others = serving = 0
         try:
@@ -94,21 +90,21 @@
         except OSError:
             return
         for name in names:
-            mark = NAME.fullmatch(name)
-            if mark is None or name == self.path.name:
+            marker = MARKER_NAME.fullmatch(name)
+            if marker is None or name == self._marker.name:
                 continue
-            if self._is_held(self.folder / name):
+            if self._is_locked(self.folder / name):
                 others += 1
-                serving += mark[2] == "serving"
+                serving += marker[2] == SERVING
         self.others, self.serving = others, serving
 
     @staticmethod
-    def _is_held(path: Path) -> bool:
-        """Whether a process holds this mark; where that cannot be found out, the mark stands for one."""
+    def _is_locked(path: Path) -> bool:
+        """Whether a process holds this marker, which is assumed where it cannot be tested; else remove it."""
         try:
             descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
-            return False  # renamed or gone meanwhile
+            return False  # renamed or removed since the folder was listed
         except OSError:
             return True
         try:
@@ -121,71 +117,13 @@
             path.unlink(missing_ok=True)
         return False
 
-    # What a process has heard of the address servers, for the next one
-
-    def hand_on(self, discovery: Address, known: Callable[[], dict[str, Any]]) -> None:
-        """There is news of the list: it is written at once, or soon after it was last, as it stands then."""
-        if self.folder is None:
-            return
-        self.news = discovery, known
-        if self.writing is None:
-            self._write_news()
-
-    def _write_news(self) -> None:
-        self.writing = None
-        if self.news is not None:
-            self.writing = asyncio.get_running_loop().call_later(LIST_EVERY_S, self._write_news)
-            discovery, known = self.news
-            self.news = None
-            self.keep_list(discovery, known())
-
-    def keep_list(self, discovery: Address, known: dict[str, Any]) -> None:
-        """Write it whole under another name first: nobody finds half of it."""
-        if self.folder is None:
-            return
-        data = b'{"discovery":%s,"known":%s}' % (json.dumps(list(discovery)).encode(), list_as_json(known))
-        if len(data) > LIST_LIMIT:
-            return
-        fresh = self.folder / f"{LIST}.{os.getpid()}"
-        try:
-            fresh.write_bytes(data)
-            os.replace(fresh, self.folder / LIST)
-        except OSError as error:
-            log(f"the list of address servers is not handed on: {error.strerror}")
-
-    def newer_list(
-        self,
-        discovery: Address,
-        known: dict[str, Any],
-        usable: Callable[[dict[str, Any]], bool] = lambda newer: True,
-    ) -> dict[str, Any]:
-        """That list, if it can be used, is from the same service and newer than what the platform knew."""
-        if self.folder is None:
-            return known
-        try:
-            with open(self.folder / LIST, "rb") as file:
-                kept = json.loads(file.read(LIST_LIMIT + 1))
-            newer: dict[str, Any] = kept["known"]
-            same = kept["discovery"] == list(discovery)
-            if not usable(newer):
-                raise ValueError("no entry of it can be read")
-            return newer if same and int(newer["index"]) > int(known.get("index", -1)) else known
-        except FileNotFoundError:
-            return known
-        except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
-            log(f"a list of address servers that was left behind cannot be used: {error!r}")
-            return known
-
     def leave(self) -> None:
-        """Be seen no longer. News that is held back is written first, but where another process serves."""
-        if self.writing is not None:
-            self.writing.cancel()
-            self.writing = None
-        if self.news is not None and not self.serving:  # one that serves writes its own, which is newer
-            self.keep_list(self.news[0], self.news[1]())
-        self.news = None
-        if self.descriptor is not None and self.path is not None:
-            with suppress(OSError):  # what is left there has no lock, and the next process clears it away
-                self.path.unlink(missing_ok=True)
-            os.close(self.descriptor)
-            self.descriptor = self.path = None
+        """Write a held-back endpoint list, unless a sibling serves, and remove this process's marker."""
+        self.endpoint_list.close(
+            write_pending=not self.serving
+        )  # a serving sibling writes its own, newer one
+        if self._descriptor is not None and self._marker is not None:
+            with suppress(OSError):  # a marker that stays has no lock, and the next process removes it
+                self._marker.unlink(missing_ok=True)
+            os.close(self._descriptor)
+            self._descriptor = self._marker = None
--- a/tests/test_gateway_upgrade.py
+++ b/tests/test_gateway_upgrade.py
@@ -13,7 +13,8 @@
 import pytest
 
 from sagetrack.discovery.client import list_as_json
-from sagetrack.server.hot_restart import LIST, HotRestart
+from sagetrack.server.endpoint_list_file import FILE_NAME, EndpointListFile
+from sagetrack.server.hot_restart import HotRestart
 from tests.sockets import (
     configuration,
     endpoint,
@@ -161,20 +162,20 @@
     ],
 )
 def test_a_list_that_is_stale_foreign_or_half_written_is_not_used(tmp_path: Path, left: bytes) -> None:
-    (tmp_path / LIST).write_bytes(left)
+    (tmp_path / FILE_NAME).write_bytes(left)
     known = {"index": 7}
-    assert HotRestart(str(tmp_path)).newer_list(DISCOVERY, known) is known
+    assert EndpointListFile(tmp_path).newest(DISCOVERY, known) is known
 
 
 def test_a_list_is_handed_on_whole(tmp_path: Path) -> None:
-    overlap = HotRestart(str(tmp_path))
-    assert overlap.newer_list(DISCOVERY, {}) == {}
-    overlap.keep_list(DISCOVERY, {"index": 9, "snapshot": True, "endpoints": [{"name": "s"}]})
-    assert os.listdir(tmp_path) == [LIST]
-    assert overlap.newer_list(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
+    file = EndpointListFile(tmp_path)
+    assert file.newest(DISCOVERY, {}) == {}
+    file.write(DISCOVERY, {"index": 9, "snapshot": True, "endpoints": [{"name": "s"}]})
+    assert os.listdir(tmp_path) == [FILE_NAME]
+    assert file.newest(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
     known = {"index": 8}
-    assert overlap.newer_list(DISCOVERY, known, lambda newer: False) is known  # no entry can be read
-    assert HotRestart(None).newer_list(DISCOVERY, {"index": 8}) == {"index": 8}
+    assert file.newest(DISCOVERY, known, lambda endpoints: False) is known  # no entry can be read
+    assert EndpointListFile(None).newest(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
 @on_loop
@@ -202,8 +203,7 @@
     """The platform's list still names a host that has gone; the processes' own one has its successor."""
     async with peer() as gone, peer() as successor:
         config = configuration(gone)
-        overlap = HotRestart(str(tmp_path))
-        overlap.keep_list(("127.0.0.1", 9), hosts_list(8, endpoint("s-5", successor.address)))
+        EndpointListFile(tmp_path).write(("127.0.0.1", 9), hosts_list(8, endpoint("s-5", successor.address)))
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             process = await start(tmp_path, listener, config)
@@ -232,7 +232,7 @@
     overlap.join()
     overlap.serve()
     overlap.look()
-    overlap.keep_list(DISCOVERY, {"index": 1})
+    overlap.endpoint_list.write(DISCOVERY, {"index": 1})
     overlap.leave()
     assert (overlap.others, overlap.serving) == (0, 0)
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -26,6 +26,7 @@
 from sagetrack.peers.handover import STALE_US, Note
 from sagetrack.peers.warm_start import latencies_from, sights_from
 from sagetrack.policy.peer_observations import CLOSED, HALF_OPEN, OPEN, ClassLatency, Observation
+from sagetrack.server.endpoint_list_file import EndpointListFile
 from sagetrack.server.gateway_assembly import GatewayAssembly
 from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.persistence import KNOWN, SECONDS
@@ -268,10 +269,10 @@
 
 
 def test_a_list_that_was_handed_on_is_read_as_it_was_meant() -> None:
-    overlap = HotRestart(str(TMPDIR))
-    assert overlap.newer_list(discovery=DISCOVERY, known={"index": 41}) == KNOWN_LIST
-    assert overlap.newer_list(discovery=DISCOVERY, known={"index": 42}) == {"index": 42}
-    assert overlap.newer_list(discovery=("10.0.0.9", 1), known={"index": 41}) == {"index": 41}
+    file = EndpointListFile(TMPDIR)
+    assert file.newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
+    assert file.newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
+    assert file.newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
 
 
 def test_marks_of_processes_have_the_same_names(tmp_path: Path) -> None:
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -23,8 +23,9 @@
 from sagetrack.policy.interface import ListedServer, ListKind, Outcome, Reject, Scope, ServerStatus, Tenant
 from sagetrack.policy.load_balancer import OVER_SHARE, SUBSET, TENANT_MEMORY
 from sagetrack.policy.state import Server
-from sagetrack.server import hot_restart
-from sagetrack.server.hot_restart import LIST, HotRestart
+from sagetrack.server import endpoint_list_file
+from sagetrack.server.endpoint_list_file import FILE_NAME
+from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
 from tests.sockets import endpoint, hosts_list, on_loop, until
 
@@ -295,7 +296,7 @@
 
     names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), watching(SETTINGS)
     discovery = Discovery(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
-    discovery.on_news = overlap.hand_on
+    discovery.on_news = overlap.endpoint_list.schedule_write
     return discovery
 
 
@@ -307,7 +308,7 @@
         replaced, encoded = os.replace, discovery_client.as_json
 
         def replace_(old: Path, new: Path) -> None:
-            self.lists += new.name == LIST
+            self.lists += new.name == FILE_NAME
             replaced(old, new)
 
         def as_json(item: dict[str, Any]) -> Any:
@@ -343,19 +344,19 @@
     assert (writes.lists, writes.entries) == (2, 551)  # and the last one at the latest on the way out
     drained = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     stands = hosts_list(204, *drained, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
-    assert overlap.newer_list(REGISTRY, {}) == stands
+    assert overlap.endpoint_list.newest(REGISTRY, {}) == stands
 
 
 @on_loop
 async def test_news_held_back_is_written_before_long(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(hot_restart, "LIST_EVERY_S", 0.01)
+    monkeypatch.setattr(endpoint_list_file, "WRITE_INTERVAL_S", 0.01)
     writes, overlap = Writes(monkeypatch), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     for index in range(1, 20):
         take(discovery, index, endpoint(f"s-{index}", "127.0.0.1:1"))
     await until(lambda: writes.lists == 2)
-    assert len(overlap.newer_list(REGISTRY, {})["endpoints"]) == 19
-    await until(lambda: overlap.writing is None)  # nothing goes on while there is no news
+    assert len(overlap.endpoint_list.newest(REGISTRY, {})["endpoints"]) == 19
+    await until(lambda: not overlap.endpoint_list.is_rate_limited)  # nothing goes on while there is no news
     take(discovery, 20, endpoint("s-20", "127.0.0.1:1"))
     assert writes.lists == 3
 
@@ -366,10 +367,10 @@
     discovery = a_discovery(overlap)
     take(discovery, 1, endpoint("s-1", "127.0.0.1:1"), whole=True)
     take(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # held back
-    successor.keep_list(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
+    successor.endpoint_list.write(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
     overlap.serving = 1
     overlap.leave()
-    assert successor.newer_list(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
+    assert successor.endpoint_list.newest(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
 
 
 @on_loop
@@ -377,5 +378,5 @@
     overlap = HotRestart(str(tmp_path))
     odd = json.loads('{"name": "s-\\ud800", "much": 123456789012345678901234567890, "weight": NaN}')
     take(a_discovery(overlap), 1, odd, endpoint("s-1", "127.0.0.1:1"), whole=True)
-    kept = overlap.newer_list(REGISTRY, {})["endpoints"]
+    kept = overlap.endpoint_list.newest(REGISTRY, {})["endpoints"]
     assert repr(kept) == repr([odd, endpoint("s-1", "127.0.0.1:1")])
