--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -30,7 +30,7 @@
     until,
 )
 from tests.test_gateway_process import READY, ROOT, ask, connect, free_port
-from tests.test_gateway_upgrade import marks, start
+from tests.test_hot_restart import marks, start
 
 
 @asynccontextmanager
