--- a/sagetrack/server/__init__.py
+++ b/sagetrack/server/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway as a process: start, configuration reload, hot restart, admin address, shutdown."""
--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -1,7 +1,7 @@
-"""The operators' own address: one connection, one line, one answer.
+"""The admin address: one connection, one line, one answer.
 
-Only the line protocol lives here; what a call does is behind `Operations`. Callers can't hurt: a line, the
-number of connections and the time for a call are bounded, and who says nothing yields to the next.
+This module is the line protocol; what a call does is behind `Operations`. The length of a line, the number of
+connections and the time for a call are bounded. Where there are too many connections the oldest is closed.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from sagetrack.core.transient_errors import persist
 from sagetrack.server.listen import bind
 
-LINE_LIMIT = 256  # bytes
-CALLERS = 12  # connections at once; the oldest yields to the next
-CALL_S = 5.0  # for the line to come
-LINGER_S = 1.0  # for the caller to read its answer and close
+MAX_LINE_BYTES = 256
+MAX_CONNECTIONS = 12
+CALL_TIMEOUT_S = 5.0  # for the line to arrive
+LINGER_S = 1.0  # for the client to read its answer and close
 BACKLOG = 64
 
 
@@ -25,11 +25,11 @@
     """What operators can ask of a gateway."""
 
     def status(self) -> bool:
-        """Whether this process takes clients."""
+        """Whether this process accepts clients."""
         ...
 
     def stats(self) -> str:
-        """The figures, a line each."""
+        """The metrics, a line each."""
         ...
 
     def peers(self) -> str:
@@ -37,120 +37,134 @@
         ...
 
     def trace(self) -> str:
-        """The last things out of the ordinary, a line each, the oldest first."""
+        """The last events out of the ordinary, a line each, the oldest first."""
         ...
 
     def standby(self) -> bool:
-        """Drain; False if that can't be."""
+        """Drain; False while the process shuts down."""
         ...
 
     def active(self) -> bool:
-        """End the drain; False if that can't be."""
+        """End the drain; False while the process shuts down."""
         ...
 
 
-class Admin:
-    """Listens at the second address and answers calls."""
+class AdminServer:
+    """Listens at the admin address and answers calls."""
 
     def __init__(self, operations: Operations) -> None:
-        self.operations = operations
-        self.callers: dict[Caller, None] = {}  # the oldest first
         self.server: asyncio.Server | None = None
-        self.calls: dict[str, Callable[[], str]] = {
-            "status": lambda: _said(operations.status(), "takes clients", "takes no clients"),
+        self._connections: dict[AdminConnection, None] = {}  # the oldest first
+        self._calls: dict[str, Callable[[], str]] = {
+            "status": lambda: _outcome(operations.status(), "takes clients", "takes no clients"),
             "stats": lambda: f"SUCCESS\n{operations.stats()}EOT\n",
-            "standby": lambda: _said(operations.standby(), "drains", "is on its way out"),
+            "standby": lambda: _outcome(operations.standby(), "drains", "is on its way out"),
             "peers": lambda: f"SUCCESS\n{operations.peers()}EOT\n",
             "trace": lambda: f"SUCCESS\n{operations.trace()}EOT\n",
-            "active": lambda: _said(operations.active(), "takes clients", "is on its way out"),
+            "active": lambda: _outcome(operations.active(), "takes clients", "is on its way out"),
         }
 
     async def start(self, address: Address) -> None:
-        """Listen there; the error if that cannot be, also for a while.
+        """Listen there; the last OSError if that cannot be, and goes on to fail for a while.
 
-        Guards against a server without a socket: asyncio passes over one that cannot be made.
+        The socket is bound here, as asyncio returns a server without a socket where one cannot be made.
         """
         loop = asyncio.get_running_loop()
         listener = await persist(lambda: bind(address, BACKLOG))
-        self.server = await loop.create_server(lambda: Caller(self), sock=listener, backlog=BACKLOG)
+        self.server = await loop.create_server(lambda: AdminConnection(self), sock=listener, backlog=BACKLOG)
 
     def answer(self, line: bytes) -> bytes:
+        """Carry out the call that a line names; FAILURE if it names none."""
         try:
-            call = self.calls.get(line.decode("ascii").strip())
+            call = self._calls.get(line.decode("ascii").strip())
         except UnicodeDecodeError:
             return b"FAILURE unreadable\n"
         return call().encode() if call is not None else b"FAILURE unknown call\n"
 
-    def let_in(self, caller: Caller) -> None:
-        if len(self.callers) >= CALLERS:
-            next(iter(self.callers)).drop()
-        self.callers[caller] = None
+    def register(self, connection: AdminConnection) -> None:
+        """Count a new connection; the oldest is dropped where there are MAX_CONNECTIONS already."""
+        if len(self._connections) >= MAX_CONNECTIONS:
+            next(iter(self._connections)).drop()
+        self._connections[connection] = None
+
+    def unregister(self, connection: AdminConnection) -> None:
+        """Count a connection no longer."""
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
+        """Stop listening and drop all connections."""
         if self.server is not None:
             self.server.close()
-        for caller in list(self.callers):
-            caller.drop()
+        for connection in list(self._connections):
+            connection.drop()
 
 
-def _said(yes: bool, why: str, why_not: str) -> str:
-    return f"SUCCESS {why}\n" if yes else f"FAILURE {why_not}\n"
+def _outcome(succeeded: bool, state: str, reason: str) -> str:
+    return f"SUCCESS {state}\n" if succeeded else f"FAILURE {reason}\n"
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection of an operator."""
 
-    def __init__(self, admin: Admin) -> None:
-        self.admin = admin
-        self.transport: asyncio.Transport | None = None
-        self.line = b""
-        self.answered = False
-        self.timer: asyncio.TimerHandle | None = None
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
+        self._transport: asyncio.Transport | None = None
+        self._received = b""
+        self._answered = False
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.admin.let_in(self)
-        self.wait(CALL_S, self.time_out)
+        """Wait for a line."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self._server.register(self)
+        self._set_timer(CALL_TIMEOUT_S, self._on_call_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.admin.callers.pop(self, None)
-        self.wait(0.0, None)
-
-    def wait(self, time_s: float, then: Callable[[], None] | None) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = None if then is None else asyncio.get_running_loop().call_later(time_s, then)
+        """Forget the connection."""
+        self._server.unregister(self)
+        self._cancel_timer()
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        """Answer once the line is complete or too long."""
+        if self._answered:
             return  # a connection carries one line; the rest is read so that a reset overtakes no answer
-        self.line += data
-        line, end, _ = self.line.partition(b"\n")
-        if len(line) > LINE_LIMIT:
-            self.answer(b"FAILURE overlong\n")
+        self._received += data
+        line, end, _ = self._received.partition(b"\n")
+        if len(line) > MAX_LINE_BYTES:
+            self._answer(b"FAILURE overlong\n")
         elif end:
-            self.answer(self.admin.answer(line))
+            self._answer(self._server.answer(line))
 
     def eof_received(self) -> bool:
-        """The end of what a caller says is the end of its line too."""
-        if self.answered or not self.line:
+        """The end of the stream ends a line too; True while the answer is still to be read."""
+        if self._answered or not self._received:
             return False
-        self.answer(self.admin.answer(self.line))
-        return True  # the answer is still to be read
-
-    def time_out(self) -> None:
-        self.answer(b"FAILURE no call came\n")
-
-    def answer(self, answer: bytes) -> None:
-        assert self.transport is not None
-        self.answered = True
-        self.line = b""
-        self.transport.write(answer)
-        if self.transport.can_write_eof():
-            self.transport.write_eof()
-        self.wait(LINGER_S, self.drop)
+        self._answer(self._server.answer(self._received))
+        return True
 
     def drop(self) -> None:
-        self.admin.callers.pop(self, None)
-        if self.transport is not None:
-            self.transport.abort()
+        """Close the connection at once."""
+        self._server.unregister(self)
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _answer(self, answer: bytes) -> None:
+        assert self._transport is not None
+        self._answered = True
+        self._received = b""
+        self._transport.write(answer)
+        if self._transport.can_write_eof():
+            self._transport.write_eof()
+        self._set_timer(LINGER_S, self.drop)
+
+    def _on_call_timeout(self) -> None:
+        self._answer(b"FAILURE no call came\n")
+
+    def _set_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self._cancel_timer()
+        self._timer = asyncio.get_running_loop().call_later(delay_s, callback)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = None
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -1,4 +1,4 @@
-"""Fair queues and limits from the operator's file: the module's settings, and new shares on SIGHUP."""
+"""Admission control from the operator's file: fair queues, rate limits, and tenant shares."""
 
 from __future__ import annotations
 
@@ -14,49 +14,63 @@
 
 
 def with_admission(config: Config, operator: Operator | None) -> Config:
-    """The configuration with a door, if the operator asks for one; ConfigError for unknown names."""
+    """The configuration with admission control, where the operator switches it on.
+
+    Raises:
+        ConfigError: the file names a class or tenant that the configuration does not have.
+    """
     if operator is None or not operator.queues.use:
         return config
-    queues, limits = operator.queues, operator.limits
+    queues = operator.queues
+    _check_class_names(config, operator)
+    settings = replace(config.settings, admission=_admission_settings(config, operator))
+    header = queues.client_header.lower().encode()
+    return replace(config, settings=settings, client_header=header, whole_seconds=queues.whole_seconds)
+
+
+def _check_class_names(config: Config, operator: Operator) -> None:
     classes = {name.decode() for name in config.names.classes}
-    for name in limits.class_per_s:
+    for name in operator.limits.class_per_s:
         if name not in classes:
             known = ", ".join(sorted(classes))
             raise ConfigError(f"limits.class_per_s: no class {name!r}; there are {known}")
 
-    def rate(per_s: float, burst: float) -> Rate | None:
-        return Rate(per_s, max(1.0, burst)) if per_s > 0 else None
 
-    admission = AdmissionSettings(
+def _admission_settings(config: Config, operator: Operator) -> AdmissionSettings:
+    queues, limits = operator.queues, operator.limits
+    return AdmissionSettings(
         shares=tenant_shares(config, operator),
         flows=queues.flows,
         patience=queues.patience,
         memory_bytes=int(queues.memory_mb * 1024 * 1024),
         adaptive=limits.adaptive,
         repeats=limits.repeats,
-        member_rate=rate(limits.member_per_s, limits.member_burst),
-        client_rate=rate(limits.client_per_s, limits.client_burst),
+        member_rate=_rate(limits.member_per_s, limits.member_burst),
+        client_rate=_rate(limits.client_per_s, limits.client_burst),
         class_rates=tuple(
-            rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
+            _rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
             for name in config.names.classes
         ),
     )
-    header = queues.client_header.lower().encode()
-    settings = replace(config.settings, admission=admission)
-    return replace(config, settings=settings, client_header=header, whole_seconds=queues.whole_seconds)
+
+
+def _rate(per_s: float, burst: float) -> Rate | None:
+    """A rate limit; None for a rate of 0, which is no limit."""
+    return Rate(per_s, max(1.0, burst)) if per_s > 0 else None
 
 
 def tenant_shares(config: Config, operator: Operator) -> tuple[float, ...]:
-    """Shares in the order of the members; who is not named keeps what the platform says.
+    """The tenants' shares in the order of their numbers; one that the operator does not name keeps its own.
 
-    ConfigError for a member that is not known.
+    Raises:
+        ConfigError: the file names a tenant that the configuration does not have.
     """
-    named = operator.queues.shares
-    members = {name.decode(): number for name, number in config.names.tenants.items()}
-    for name in named:
-        if name not in members:
-            raise ConfigError(f"queues.shares: no member {name!r}; there are {', '.join(sorted(members))}")
+    shares_by_name = operator.queues.shares
+    tenants = {name.decode(): number for name, number in config.names.tenants.items()}
+    for name in shares_by_name:
+        if name not in tenants:
+            raise ConfigError(f"queues.shares: no member {name!r}; there are {', '.join(sorted(tenants))}")
     shares = [tenant.share for tenant in config.settings.tenants]
-    for name, share in named.items():
-        shares[members[name]] = share
+    for name, share in shares_by_name.items():
+        shares[tenants[name]] = share
     return tuple(shares)
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -1,4 +1,4 @@
-"""One gateway in this process, put together from its parts."""
+"""One gateway in this process, assembled from its components."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from sagetrack.config.platform import Config, ConfigError, parse_address
-from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import watching
+from sagetrack.core.drain import MARGIN_S
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import UpstreamPool
@@ -20,264 +20,292 @@
 from sagetrack.http1.listener import Server
 from sagetrack.policy.interface import ListKind, TenantSharesChanged
 from sagetrack.server.admission_settings import tenant_shares, with_admission
-from sagetrack.server.fleet import HealthHandover, build_peer_node
 from sagetrack.server.grpc_upstreams import (
     GrpcUpstreams,
     build_protocol_router,
     load_tls_keys,
-    reader,
-    renew,
+    reload_keys,
+    request_reader,
     with_grpc,
 )
+from sagetrack.server.health_handover import HealthHandover
 from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.listen import bind, inherit
+from sagetrack.server.peer_node import build_peer_node
 from sagetrack.server.startup_timing import StartupTiming
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.dns.service import Service
     from sagetrack.grpc.downstream import NewFront
+    from sagetrack.grpc.protocol_router import Mixed
     from sagetrack.peers.node import Node
+    from sagetrack.server.dns_assembly import DnsAssembly
     from sagetrack.server.persistence import Persistence
 
-DNS = "dns"
-ZONE_S = 1.0  # between looks at what our own zone follows
+DNS = "dns"  # the protocol of endpoints whose type is the operator's `dns.type`
 
 
-async def _ask_discovery(address: tuple[str, int]) -> HttpLine:
+async def _connect_to_discovery(address: tuple[str, int]) -> HttpLine:
     return await connect(address, CallError)
 
 
 class GatewayAssembly:
-    """The gateway, its clients' side and where its list of servers comes from. Made on a running loop."""
+    """The components of a gateway, wired to each other.
+
+    Life cycle: `start`, then `drain` and `close_drained`, or `close` at any time.
+    """
 
     def __init__(
-        self, config: Config, operator: Operator | None = None, startup: StartupTiming | None = None
+        self, config: Config, operator: Operator | None = None, timing: StartupTiming | None = None
     ) -> None:
-        asyncio.get_running_loop()  # RuntimeError without one
-        self.startup = startup if startup is not None else StartupTiming()
+        """Build the components; nothing is listened to before `start`.
+
+        Args:
+            config: the platform's configuration.
+            operator: the operator's file; without it all that it switches on is off.
+            timing: where the phases of the start are recorded.
+
+        Raises:
+            ConfigError: the operator's file names what the platform's configuration does not have.
+            RuntimeError: no event loop is running.
+        """
+        asyncio.get_running_loop()
+        self.timing = timing if timing is not None else StartupTiming()
         config = with_grpc(with_admission(config, operator), operator)
         self.config, self.operator = config, operator
-        self.node: Node | None = None
-        self.handover: HealthHandover | None = None
-        self.dns: Service | None = None
-        self.zone_timer: asyncio.TimerHandle | None = None
-        self.pools = Pools(config.settings)
-        names = [name.decode() for name in config.names.classes]
-        self.newer: GrpcUpstreams | None = None
+        self.peer_node: Node | None = None
+        self.health_handover: HealthHandover | None = None
+        self.dns: DnsAssembly | None = None
         self.grpc_listener: NewFront | None = None
-        self.keys = load_tls_keys(operator)
-        mixed = build_protocol_router(config, operator, self.pools, self.keys)
-        back: UpstreamPool = self.pools if mixed is None else mixed
-        self.gateway = Gateway(config.settings, config.seed, names, back, config.known)
-        admission = self.gateway.balancer.admission
-        if admission is not None:
-            members = [name.decode() for name in config.names.tenants]
-            self.gateway.metrics.more.append(lambda: admission.figures(members))
+        self.persistence: Persistence | None = None
+        self.pools = Pools(config.settings)
+        self.tls_keys = load_tls_keys(operator)
+        router = build_protocol_router(config, operator, self.pools, self.tls_keys)
+        self.gateway = self._build_gateway(self.pools if router is None else router)
         self.server = Server(config, self.gateway, self.pools)
-        self.overlap = HotRestart(config.folder if config.accept_fd is not None else None)
-        self.server.overlap = self.overlap
-        pushed = config.settings.endpoints_are_pushed
-        asked = operator.dns if operator is not None else None
-        self.split: Split | None = None
-        if asked is not None and asked.listen and asked.type:
-            self.split = Split({number_of(asked.type, config.names.kinds): DNS})
-        self.on_http = self.gateway.on_list
-        if mixed is not None:
-            from sagetrack.grpc.translate import untranslatable
-
-            self.newer = GrpcUpstreams(mixed, self.gateway)
-            if operator is not None and operator.newer.compare_per_s:
-                self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_on)
-            self.on_http = self.newer.on_list
-            self.server.objection = untranslatable
-            self.gateway.metrics.more.append(self.newer.figures)
-        if self.keys is not None:
-            self.gateway.metrics.more.append(self.keys.figures)
-        self.keeping: Persistence | None = None
-        on_list = self.on_http if self.split is None else self.on_list
-        limits = watching(config.settings)
-        self.discovery = Discovery(config.discovery, config.names, on_list, pushed, _ask_discovery, limits)
-        self.gateway.metrics.more.append(self.discovery.calls.figures)
+        self.hot_restart = HotRestart(config.folder if config.accept_fd is not None else None)
+        self.server.overlap = self.hot_restart
+        self.split = self._build_protocol_split()
+        self.grpc_upstreams = self._build_grpc_upstreams(router) if router is not None else None
+        self._on_http_list = (
+            self.gateway.on_list if self.grpc_upstreams is None else self.grpc_upstreams.on_list
+        )
+        if self.tls_keys is not None:
+            self.gateway.metrics.more.append(self.tls_keys.figures)
+        self.discovery = self._build_discovery()
+
+    def _build_gateway(self, upstreams: UpstreamPool) -> Gateway:
+        config = self.config
+        gateway = Gateway(config.settings, config.seed, self._class_names(), upstreams, config.known)
+        admission = gateway.balancer.admission
+        if admission is not None:
+            tenants = [name.decode() for name in config.names.tenants]
+            gateway.metrics.more.append(lambda: admission.figures(tenants))
+        return gateway
+
+    def _class_names(self) -> list[str]:
+        return [name.decode() for name in self.config.names.classes]
+
+    def _build_protocol_split(self) -> Split | None:
+        """What tells DNS servers in the endpoint list from HTTP ones; None if the list has no DNS servers."""
+        settings = self.operator.dns if self.operator is not None else None
+        if settings is None or not settings.listen or not settings.type:
+            return None
+        return Split({number_of(settings.type, self.config.names.kinds): DNS})
+
+    def _build_grpc_upstreams(self, router: Mixed) -> GrpcUpstreams:
+        from sagetrack.grpc.translate import untranslatable
+
+        upstreams = GrpcUpstreams(router, self.gateway)
+        if self.operator is not None and self.operator.newer.compare_per_s:
+            upstreams.start_mirroring(
+                self.operator.newer, self._class_names(), lambda: not self.server.drain.is_on
+            )
+        self.server.objection = untranslatable
+        self.gateway.metrics.more.append(upstreams.figures)
+        return upstreams
+
+    def _build_discovery(self) -> Discovery:
+        config = self.config
+        discovery = Discovery(
+            config.discovery,
+            config.names,
+            self._on_http_list if self.split is None else self._on_list,
+            config.settings.endpoints_are_pushed,
+            _connect_to_discovery,
+            watching(config.settings),
+        )
+        self.gateway.metrics.more.append(discovery.calls.figures)
+        return discovery
 
     async def start(self) -> None:
-        """Begin to take clients; OSError or ConfigError if the listening socket cannot be had.
+        """Accept clients.
 
-        Clients wait for the first list and for what the store knows, both at once and for a bounded time, and
-        for nothing else.
+        Clients wait for the first answer of discovery and for the store, both at once and for a bounded time,
+        and for nothing else.
+
+        Raises:
+            OSError: the platform's listening address cannot be had.
+            ConfigError: the inherited socket, or an address of the operator's file, cannot be used.
         """
-        config, overlap, part = self.config, self.overlap, self.startup.done
-        part("decisions")
+        phase_done = self.timing.done
+        phase_done("decisions")
         self.start_persistence()
-        part("store")
-        overlap.join()
-        self.gateway.known = overlap.endpoint_list.newest(
-            config.discovery, self.gateway.known, lambda raw: bool(parse_list(raw, config.names)[2])
-        )
-        self.discovery.on_news = overlap.endpoint_list.schedule_write
-        descriptor = config.accept_fd
-        listener: socket.socket = (
-            await persist(lambda: bind(config.listen)) if descriptor is None else inherit(descriptor)
-        )
+        phase_done("store")
+        self._join_siblings()
+        listener = await self._listening_socket()
         self.server.prepare(self.discovery)
-        part("list")
+        phase_done("list")
         await self.discovery.has_asked()
-        part("first call")
-        if self.keeping is not None:
-            await self.keeping.has_read()
-            part("store")
+        phase_done("first call")
+        if self.persistence is not None:
+            await self.persistence.wait_until_read()
+            phase_done("store")
         self.server.start(listener)
-        if self.keeping is not None:
-            self.keeping.take()
-        self.join_peers()
-        part("peers")
-        await self.start_dns()
-        await self.start_grpc_listener()
-        part("other fronts")
-
-    def on_operator(self, config: Config, operator: Operator) -> None:
-        """The operator's file has been read again: shares count at once; ConfigError for unknown names."""
-        shares = tenant_shares(config, operator)
-        if self.newer is not None:
-            self.newer.renew(config, operator.newer)
-        if operator.queues.use:
-            self.gateway.post(lambda: TenantSharesChanged(shares))
-
-    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Tell each protocol of its own servers."""
-        assert self.split is not None
-        parts = self.split.take(kind, entries)
-        self.on_http(kind, parts[HTTP])
-        if self.dns is not None:
-            self.dns.on_list(kind, parts[DNS])
-
-    async def start_grpc_listener(self) -> None:
-        """Take clients of the newer format, where the operator asks for it; ConfigError if that cannot be."""
-        asked = self.operator.newer if self.operator is not None else None
-        if asked is None or not asked.listen:
-            return
-        from sagetrack.grpc.downstream import NewFront
-
-        drain, allowance = self.server.drain, self.server.allowance
-        front = NewFront(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
-        secured = self.keys.serve() if self.keys is not None else None
-        places = [parse_address(place, "newer.listen") for place in asked.listen]
-        try:
-            await front.start(places, secured, shared=self.config.accept_fd is not None)
-        except OSError as error:
-            raise ConfigError(f"newer.listen {', '.join(asked.listen)}: {error.strerror or error}") from None
-        self.grpc_listener = front
-        self.gateway.metrics.more.append(front.figures)
+        if self.persistence is not None:
+            self.persistence.restore()
+        self._join_peers()
+        phase_done("peers")
+        await self._start_dns()
+        await self._start_grpc_listener()
+        phase_done("other fronts")
 
     def start_persistence(self) -> None:
         """Open the store, where the operator has one."""
         if self.operator is not None and self.operator.store.folder:
             from sagetrack.server.persistence import Persistence
 
-            self.keeping = Persistence(self.config, self.operator, self.gateway)
+            self.persistence = Persistence(self.config, self.operator.store, self.gateway)
+
+    def _join_siblings(self) -> None:
+        """Find other processes of this gateway, and begin with the newest endpoint list at hand."""
+        config, endpoint_list = self.config, self.hot_restart.endpoint_list
+        self.hot_restart.join()
+        self.gateway.known = endpoint_list.newest(
+            config.discovery, self.gateway.known, lambda raw: bool(parse_list(raw, config.names)[2])
+        )
+        self.discovery.on_news = endpoint_list.schedule_write
+
+    async def _listening_socket(self) -> socket.socket:
+        descriptor = self.config.accept_fd
+        if descriptor is not None:
+            return inherit(descriptor)
+        return await persist(lambda: bind(self.config.listen))
 
-    def renew_keys(self) -> None:
-        if self.keys is not None:
-            renew(self.keys)
+    def _join_peers(self) -> None:
+        """Exchange observations with other gateways where that is on, and with a sibling process."""
+        self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
+        if self.peer_node is not None:
+            self.gateway.metrics.more.append(self.peer_node.figures)
+            self.server.describe_peers = self.peer_node.describe
+            self.peer_node.start()
+        if self.hot_restart.folder is not None:
+            self.health_handover = HealthHandover(self.hot_restart, self.config, self.gateway)
 
-    async def start_dns(self) -> None:
-        """Answer DNS too, where the operator asks for it; ConfigError if that cannot be."""
-        asked = self.operator.dns if self.operator is not None else None
-        if asked is None or not asked.listen:
+    async def _start_dns(self) -> None:
+        """Answer DNS where the operator asks for it; ConfigError if that cannot be."""
+        settings = self.operator.dns if self.operator is not None else None
+        if settings is None or not settings.listen:
             return
-        from sagetrack.dns.downstream import Limits
-        from sagetrack.dns.service import Cold, Plan, Service, ZonePlan
-
-        own = asked.zone
-        zone = None
-        if own.origin or own.files:
-            places = own.gateways.items()
-            gateways = [(name, parse_address(place, "dns.zone.gateways")) for name, place in places]
-            zone = ZonePlan(own.origin, own.ttl_s, gateways, list(own.files.items()))
-        limits = Limits(asked.queries_each, asked.queries, asked.connections, asked.connections_each)
-        ours = self.config.settings
-        plan = Plan(
-            [parse_address(place, "dns.listen") for place in asked.listen],
-            [parse_address(place, "dns.upstreams") for place in asked.upstreams],
-            listed=bool(asked.type),
-            latency_objective_us=asked.aim_ms * 1000,
-            deadline_us=asked.deadline_ms * 1000,
-            cache_bytes=int(asked.cache_mb * 1024 * 1024),
-            stale_s=asked.stale_s,
-            allow=asked.allow,
-            deny=asked.deny,
-            answers_per_s=asked.answers_per_s,
-            limits=limits,
-            crowd=asked.crowd,
-            gateways=ours.proxies,
-            gateway=ours.proxy,
-            zone=zone,
-            cold=Cold(
-                ours.start_capacity, ours.warm_after_us, ours.overload_multiple, ours.overload_window_us
-            ),
-        )
-        try:
-            self.dns = Service(plan, self.config.seed ^ 0xD5, self.server_weights, now_us() // 1_000_000)
-        except ValueError as error:  # a zone that cannot be read
-            raise ConfigError(f"dns.zone: {error}") from None
-        self.dns.front.stands_by = lambda: self.server.drain.is_on
-        if self.split is not None:
-            self.dns.listed = list(self.split.current[DNS].values())
+        from sagetrack.server.dns_assembly import DnsAssembly
+
+        drain = self.server.drain
+        listed = self.split.current[DNS].values() if self.split is not None else ()
+        self.dns = DnsAssembly(self.config, settings, self.gateway, self.pools, lambda: drain.is_on, listed)
+        await self.dns.start()
+        self.gateway.metrics.more.append(self.dns.figures)
+
+    async def _start_grpc_listener(self) -> None:
+        """Accept gRPC clients where the operator asks for it; ConfigError if that cannot be."""
+        settings = self.operator.newer if self.operator is not None else None
+        if settings is None or not settings.listen:
+            return
+        from sagetrack.grpc.downstream import NewFront
+
+        drain, body_memory = self.server.drain, self.server.allowance
+        listener = NewFront(self.gateway, request_reader(self.config), lambda: drain.is_on, body_memory)
+        tls_context = self.tls_keys.serve() if self.tls_keys is not None else None
+        addresses = [parse_address(address, "newer.listen") for address in settings.listen]
         try:
-            await self.dns.start(shared=self.config.accept_fd is not None)
+            await listener.start(addresses, tls_context, shared=self.config.accept_fd is not None)
         except OSError as error:
-            raise ConfigError(f"dns.listen {', '.join(asked.listen)}: {error.strerror or error}") from None
-        if zone is not None:
-            self.follow_zone()
-        self.gateway.metrics.more.append(self.dns.figures)
+            where = ", ".join(settings.listen)
+            raise ConfigError(f"newer.listen {where}: {error.strerror or error}") from None
+        self.grpc_listener = listener
+        self.gateway.metrics.more.append(listener.figures)
 
-    def server_weights(self) -> dict[str, float]:
-        """What the module makes of each server now."""
-        known = self.gateway.balancer.servers
-        return {
-            host.name: known[number].weight for number, host in self.pools.hosts.items() if number in known
-        }
-
-    def follow_zone(self) -> None:
-        """Let our own zone follow the list of servers, and its order their weights."""
-        assert self.dns is not None
-        self.zone_timer = asyncio.get_running_loop().call_later(ZONE_S, self.follow_zone)
-        ready = [host for host in self.pools.hosts.values() if host.drained_us is None]
-        known = self.gateway.balancer.servers
-        self.dns.list_servers(
-            (host.name, host.address, known[host.id].entry.weight) for host in ready if host.id in known
-        )
-        if self.dns.zones is not None:
-            self.dns.zones.turn_orders()
-
-    def join_peers(self) -> None:
-        """Take part in what gateways tell each other, where that is allowed or asked for."""
-        config, gateway = self.config, self.gateway
-        self.node = build_peer_node(config, self.operator, gateway)
-        if self.node is not None:
-            gateway.metrics.more.append(self.node.figures)
-            self.server.describe_peers = self.node.describe
-            self.node.start()
-        if self.overlap.folder is not None:
-            self.handover = HealthHandover(self.overlap, config, gateway)
-
-    def leave_peers(self) -> None:
-        """Say no more to the others, and free the address for a successor."""
-        if self.node is not None:
-            self.node.close()
-        if self.handover is not None:
-            self.handover.close()
+    def _on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
+        """Pass each protocol its own endpoints."""
+        assert self.split is not None
+        by_protocol = self.split.take(kind, endpoints)
+        self._on_http_list(kind, by_protocol[HTTP])
+        if self.dns is not None:
+            self.dns.on_list(kind, by_protocol[DNS])
+
+    def apply_operator(self, config: Config, operator: Operator) -> None:
+        """Apply what may change in the operator's file while requests go on: traffic and tenant shares.
+
+        Args:
+            config: the platform's configuration as read again; its names are those that the file may use.
+            operator: the operator's file as read again.
+
+        Raises:
+            ConfigError: the file names a class or tenant that the platform's configuration does not have.
+        """
+        shares = tenant_shares(config, operator)
+        if self.grpc_upstreams is not None:
+            self.grpc_upstreams.set_shares(config, operator.newer)
+        if operator.queues.use:
+            self.gateway.post(lambda: TenantSharesChanged(shares))
+
+    def reload_tls_keys(self) -> None:
+        """Read the TLS keys again; the previous ones stay where these cannot be used."""
+        if self.tls_keys is not None:
+            reload_keys(self.tls_keys)
+
+    async def drain(self) -> None:
+        """Shut down gracefully: every request that was accepted is answered first, however long that takes.
+
+        Returns when no request is in flight. DNS and gRPC answer until shortly before the platform may kill
+        the process.
+        """
+        self._leave_peers()
+        loop = asyncio.get_running_loop()
+        http_drained = loop.create_task(self.server.leave())
+        await asyncio.sleep(0)  # `leave` has begun now, and it is known when the last answers are due
+        until_s = self.server.drain.words_s + MARGIN_S / 2
+        dns_drained = loop.create_task(self.dns.drain(until_s)) if self.dns is not None else None
+        grpc_listener = self.grpc_listener
+        grpc_drained = loop.create_task(grpc_listener.leave(until_s)) if grpc_listener is not None else None
+        # No time limit here: what is unanswered at an end by the clock would be lost.
+        await http_drained
+        if dns_drained is not None:
+            await dns_drained
+        if grpc_drained is not None:
+            await grpc_drained
+
+    def close_drained(self) -> None:
+        """Write what is to be kept, and close what `drain` left open."""
+        if self.persistence is not None:
+            self.persistence.close()
+        self.hot_restart.leave()
+        self.gateway.close()
+
+    def _leave_peers(self) -> None:
+        """Exchange no more observations, and free the address for a successor."""
+        if self.peer_node is not None:
+            self.peer_node.close()
+        if self.health_handover is not None:
+            self.health_handover.close()
 
     def close(self) -> None:
-        """Give up everything at once."""
+        """Close everything at once; requests in flight are lost."""
         self.server.close()
-        self.leave_peers()
-        if self.keeping is not None:
-            self.keeping.close()
-        if self.zone_timer is not None:
-            self.zone_timer.cancel()
-        if self.newer is not None:
-            self.newer.close()
+        self._leave_peers()
+        if self.persistence is not None:
+            self.persistence.close()
+        if self.grpc_upstreams is not None:
+            self.grpc_upstreams.close()
         if self.grpc_listener is not None:
             self.grpc_listener.close()
         if self.dns is not None:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -1,9 +1,12 @@
-"""Servers of the newer format beside those of the older one, where the operator's file has them."""
+"""gRPC upstream servers beside HTTP/1.1 ones: traffic shares, mirroring and TLS keys.
+
+The operator's file calls them the `newer` servers; docs/protocol-2.md has the protocol.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
@@ -26,11 +29,15 @@
     from sagetrack.grpc.protocol_router import Mixed, Turned
     from sagetrack.grpc.tls import Keys
 
-LOOK_S = 1.0  # between looks at the share of the newer format
+WEIGHT_REFRESH_S = 1.0  # between updates of the listed weights from the traffic share
+NOT_FOUND = 404  # HTTP status of a request for a path that no class has
+
 
+def request_reader(config: Config) -> Read:
+    """What reads a gRPC request as an HTTP/1.1 one is read, so that one set of rules holds for both.
 
-def reader(config: Config) -> Read:
-    """Reads calls of the newer format as those of the older one are read: one set of rules for both."""
+    The function that is returned raises `sagetrack.grpc.downstream.ReadError` for a request that is rejected.
+    """
     from sagetrack.grpc.downstream import ReadError
     from sagetrack.grpc.outcomes import Status
 
@@ -53,72 +60,70 @@
         try:
             return read_call(request, target.partition(b"?")[0], config, client)
         except RequestError as error:
-            status = Status.UNIMPLEMENTED if error.status == 404 else Status.INVALID_ARGUMENT
+            status = Status.UNIMPLEMENTED if error.status == NOT_FOUND else Status.INVALID_ARGUMENT
             raise ReadError(status, str(error)) from None
 
     return read
 
 
 class GrpcUpstreams:
-    """Both formats behind one back, the share between them, and the keys."""
-
-    def __init__(self, mixed: Mixed, gateway: Gateway) -> None:
-        self.mixed, self.gateway, self.tell = mixed, gateway, gateway.on_list
-        self.shadow: Shadow | None = None
-        self.loop = asyncio.get_running_loop()
-        mixed.on_move = self.left
-        mixed.on_turns = self.on_turns
-        self.timer = self.loop.call_later(LOOK_S, self.look)
-
-    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """A list from discovery, weights turned for the share."""
+    """The traffic shares of HTTP/1.1 and gRPC servers, and the mirroring between them."""
+
+    def __init__(self, router: Mixed, gateway: Gateway) -> None:
+        """Begin to refresh the weights; made on a running loop.
+
+        Args:
+            router: routes attempts to the pool of a server's protocol.
+            gateway: is given the endpoint list with weights that lead to the traffic shares.
+        """
+        self.router, self.gateway, self._publish = router, gateway, gateway.on_list
+        self.mirror: Shadow | None = None
+        self._loop = asyncio.get_running_loop()
+        router.on_move = self._on_rollback
+        router.on_turns = self._on_traffic_shift
+        self._timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
+
+    def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
+        """Pass a change of the endpoint list on, with weights adjusted to the traffic share."""
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            self.mixed.entries.clear()
-        self.tell(kind, self.mixed.weighed(entries))
-        self.turn()
-
-    def turn(self) -> None:
-        changed = self.mixed.look()
-        if changed:
-            self.tell(ListKind.DELTA, changed)
-
-    def on_turns(self, classes: Turned, members: Turned) -> None:
-        turns = TrafficShift(classes, members)
-        self.gateway.post(lambda: turns)
-
-    def compare(self, asked: NewerSettings, names: list[str], wanted: Callable[[], bool]) -> None:
-        """Hold answers of both formats against each other, at so many a second."""
+            self.router.entries.clear()
+        self._publish(kind, self.router.weighed(endpoints))
+        self._refresh_weights()
+
+    def start_mirroring(
+        self, settings: NewerSettings, class_names: list[str], is_active: Callable[[], bool]
+    ) -> None:
+        """Mirror some requests to a server of the other protocol, and compare the answers.
+
+        Args:
+            settings: how many a second, and which headers may differ.
+            class_names: the classes in the order of their numbers.
+            is_active: whether requests may be mirrored now.
+        """
         from sagetrack.grpc.mirroring import Shadow
 
-        self.shadow = Shadow(self.gateway, asked.compare_per_s, asked.compare_ignore, names, wanted)
-        self.mixed.on_answer = self.shadow.answered
-
-    def renew(self, config: Config, asked: NewerSettings) -> None:
-        """Other shares, while calls go on; ConfigError if they name what is not there."""
-        classes, members = parts(config, asked)
-        move = self.mixed.move
-        if (move.share, move.classes, move.members) != (asked.share, classes, members):
-            log(f"the newer format's share is now {'as listed' if asked.share is None else asked.share}")
-            move.share, move.classes, move.members = asked.share, classes, members
-            self.turn()
-
-    def look(self) -> None:
-        self.timer = self.loop.call_later(LOOK_S, self.look)
-        self.turn()
-
-    def left(self) -> None:
-        """The newer format fails more than the older one: at once, nothing goes there that need not."""
-        hold_s = (self.mixed.move.held_until_us - now_us()) / 1e6
-        log(f"servers of the newer format fail more than the others: none of the share for {hold_s:.0f} s")
-        self.loop.call_soon(self.turn)
+        self.mirror = Shadow(
+            self.gateway, settings.compare_per_s, settings.compare_ignore, class_names, is_active
+        )
+        self.router.on_answer = self.mirror.answered
+
+    def set_shares(self, config: Config, settings: NewerSettings) -> None:
+        """Change the traffic shares; ConfigError for a class or tenant that is not known."""
+        by_class, by_tenant = traffic_shares(config, settings)
+        move = self.router.move
+        if (move.share, move.classes, move.members) != (settings.share, by_class, by_tenant):
+            share = "by listed weights" if settings.share is None else settings.share
+            log(f"gRPC traffic share changed: {share}")
+            move.share, move.classes, move.members = settings.share, by_class, by_tenant
+            self._refresh_weights()
 
     def figures(self) -> dict[str, float]:
-        """For the stats."""
-        move = self.mixed.move
-        found = self.shadow.figures() if self.shadow is not None else {}
+        """Metrics of mirroring, of the gRPC pool and of the migration."""
+        move = self.router.move
+        mirroring = self.mirror.figures() if self.mirror is not None else {}
         return (
-            found
-            | self.mixed.new.figures()
+            mirroring
+            | self.router.new.figures()
             | {
                 "new_failing": round(move.new.failing, 4),
                 "old_failing": round(move.old.failing, 4),
@@ -127,66 +132,98 @@
         )
 
     def close(self) -> None:
-        self.timer.cancel()
+        """Refresh the weights no longer."""
+        self._timer.cancel()
+
+    def _refresh_periodically(self) -> None:
+        self._timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
+        self._refresh_weights()
+
+    def _refresh_weights(self) -> None:
+        changed = self.router.look()
+        if changed:
+            self._publish(ListKind.DELTA, changed)
+
+    def _on_traffic_shift(self, by_class: Turned, by_tenant: Turned) -> None:
+        shift = TrafficShift(by_class, by_tenant)
+        self.gateway.post(lambda: shift)
+
+    def _on_rollback(self) -> None:
+        """Refresh the weights soon: gRPC servers fail more than the others, and get no share for a while."""
+        hold_s = (self.router.move.held_until_us - now_us()) / 1e6
+        log(f"gRPC traffic share rolled back for {hold_s:.0f} s: gRPC servers fail more than the others")
+        self._loop.call_soon(self._refresh_weights)
 
 
 def load_tls_keys(operator: Operator | None) -> Keys | None:
-    """The keys of the newer side, where it has TLS; ConfigError for bad ones."""
-    asked = operator.newer if operator is not None else None
-    if asked is None or not asked.tls:
+    """The TLS keys of the gRPC side; None where it has no TLS, ConfigError for keys that cannot be used."""
+    settings = operator.newer if operator is not None else None
+    if settings is None or not settings.tls:
         return None
     from sagetrack.grpc.tls import Keys, KeysError
 
     try:
-        return Keys(asked.ca, asked.certificate, asked.key)
+        return Keys(settings.ca, settings.certificate, settings.key)
     except KeysError as error:
         raise ConfigError(f"newer: {error}") from None
 
 
-def renew(keys: Keys) -> None:
-    """SIGHUP: read the keys again; bad ones are one line, and the old ones stay."""
+def reload_keys(keys: Keys) -> None:
+    """Read the key files again; where they cannot be used that is logged, and the previous keys stay."""
     from sagetrack.grpc.tls import KeysError
 
     try:
         keys.renew()
     except KeysError as error:
-        log(f"the keys stay as they are: {error}")
+        log(f"TLS key reload failed, keeping the previous keys: {error}")
 
 
 def build_protocol_router(
-    config: Config, operator: Operator | None, old: UpstreamPool, keys: Keys | None
+    config: Config, operator: Operator | None, http_pools: UpstreamPool, keys: Keys | None
 ) -> Mixed | None:
-    """The back of both formats; None where the operator has no newer servers."""
-    asked = operator.newer if operator is not None else None
-    if asked is None or not asked.types:
+    """The pool of both protocols; None where the operator has no gRPC servers.
+
+    Args:
+        config: the platform's configuration.
+        operator: the operator's file; its `newer.types` are those of gRPC servers.
+        http_pools: the pools of HTTP/1.1 servers.
+        keys: the TLS keys; None for connections without TLS.
+
+    Raises:
+        ConfigError: a traffic share is given for a class or tenant that is not known.
+    """
+    settings = operator.newer if operator is not None else None
+    if settings is None or not settings.types:
         return None
     from sagetrack.grpc.protocol_router import Mixed
     from sagetrack.grpc.upstream import NewPools
 
-    new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
-    kinds = [number_of(name, config.names.kinds) for name in asked.types]
-    return Mixed(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
+    grpc_pools = NewPools(config.settings, lambda: keys.context if keys is not None else None)
+    kinds = [number_of(name, config.names.kinds) for name in settings.types]
+    migration = Move(settings.share, *traffic_shares(config, settings))
+    return Mixed(http_pools, grpc_pools, kinds, migration, lambda: None)
 
 
 def with_grpc(config: Config, operator: Operator | None) -> Config:
-    """The configuration in which the module knows which servers speak the newer format."""
+    """The configuration in which the load-balancing policy knows which server types speak gRPC."""
     if operator is None or not operator.newer.types:
         return config
     kinds = frozenset(number_of(name, config.names.kinds) for name in operator.newer.types)
     return replace(config, settings=replace(config.settings, grpc_kinds=kinds))
 
 
-def parts(config: Config, asked: NewerSettings) -> tuple[dict[int, float], dict[int, float]]:
-    """Shares by class and by member, by number; ConfigError for a name that is not known."""
-    found = []
-    for what, given, known in (
-        ("class", asked.share_by_class, config.names.classes),
-        ("member", asked.share_by_member, config.names.tenants),
-    ):
-        numbers = {name.decode(): number for name, number in known.items()}
-        for name in given:
-            if name not in numbers:
-                there = ", ".join(numbers)
-                raise ConfigError(f"newer.share_by_{what}: no {what} {name!r}; there are {there}")
-        found.append({numbers[name]: part for name, part in given.items()})
-    return found[0], found[1]
+def traffic_shares(config: Config, settings: NewerSettings) -> tuple[dict[int, float], dict[int, float]]:
+    """The gRPC share of the traffic by class number and by tenant number; ConfigError for unknown names."""
+    return (
+        _numbered("class", settings.share_by_class, config.names.classes),
+        _numbered("member", settings.share_by_member, config.names.tenants),
+    )
+
+
+def _numbered(what: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
+    numbers = {name.decode(): number for name, number in known.items()}
+    for name in shares:
+        if name not in numbers:
+            there = ", ".join(numbers)
+            raise ConfigError(f"newer.share_by_{what}: no {what} {name!r}; there are {there}")
+    return {numbers[name]: share for name, share in shares.items()}
--- a/sagetrack/server/listen.py
+++ b/sagetrack/server/listen.py
@@ -10,7 +10,7 @@
 
 
 def bind(address: Address, backlog: int = BACKLOG) -> socket.socket:
-    """A socket of our own that listens at this address and no other."""
+    """A non-blocking socket that listens at this address and no other; OSError if it cannot be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=backlog)
     listener.setblocking(False)
@@ -18,9 +18,12 @@
 
 
 def inherit(descriptor: int) -> socket.socket:
-    """The socket that the platform holds and every process of this gateway inherits.
+    """The listening socket that the platform holds and that every process of this gateway inherits.
 
-    It is never shut down, only closed: a shutdown would end it for the other processes too.
+    It must only be closed, never shut down: a shutdown would end it for the other processes too.
+
+    Raises:
+        ConfigError: the descriptor is no TCP socket that listens.
     """
     try:
         os.set_inheritable(descriptor, False)
@@ -32,7 +35,7 @@
     except OSError:
         listens = 0
     if listener.type != socket.SOCK_STREAM or not listens:
-        listener.detach()  # whatever it is, it is not ours to close
+        listener.detach()  # this process does not own the descriptor, and must not close it
         raise ConfigError(f"LB_ACCEPT_FD {descriptor} is no listening socket")
     listener.setblocking(False)
     return listener
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -1,4 +1,4 @@
-"""What the gateway keeps in its store, if the operator has one: knowledge of servers, a record a second."""
+"""What a gateway keeps in its store: observations of server health, and a record of each second."""
 
 from __future__ import annotations
 
@@ -24,116 +24,144 @@
 from sagetrack.store.writer import Keeper
 
 if TYPE_CHECKING:
-    from sagetrack.config.operator import Operator
+    from sagetrack.config.operator import StoreSettings
 
-KNOWN, SECONDS = "known", "seconds"
-READ_S = 0.25  # that clients wait for what was known before; from a longer store it comes when it is read
-FUTURE_US = 1_000_000  # a sight that is further ahead is of a clock that was set back
+OBSERVATIONS_SPACE = "known"  # names of the store's spaces, which are stored
+RECORDER_SPACE = "seconds"
+MAX_READ_WAIT_S = 0.25  # how long clients wait for the store; from a longer one observations come later
+MAX_CLOCK_AHEAD_US = 1_000_000  # an observation that is further ahead is of a clock that was set back
+SAVE_INTERVAL_S = 1.0
 
 
 class Persistence:
-    """The store of one gateway and what goes into it. Made on a running loop."""
-
-    def __init__(self, config: Config, operator: Operator, gateway: Gateway) -> None:
-        """A store that cannot be opened, as the process before has it or its disk fails, is tried again."""
-        asked = operator.store
-        self.config, self.asked, self.gateway = config, asked, gateway
-        spaces = {SECONDS: Space(int(asked.keep_hours * 3_600_000), droppable=True)}
-        options = Options(most_bytes=int(asked.most_mb * 1_000_000), spaces=spaces)
-        folder = Path(asked.folder.replace("{gateway}", config.name))
-        self.keeper = Keeper(
-            partial(Disk, folder), options, lambda line: log(line, "warning"), asked.sync, asked.every_s
+    """The store of one gateway: restored once at the start, written once a second."""
+
+    def __init__(self, config: Config, settings: StoreSettings, gateway: Gateway) -> None:
+        """Begin to read the store in its thread; made on a running loop.
+
+        A store that cannot be opened, as the previous process holds it or its disk fails, is tried again.
+
+        Args:
+            config: the platform's configuration.
+            settings: the operator's `store` table, with a folder.
+            gateway: where observations are from, and where restored ones go.
+        """
+        self.config, self.settings, self.gateway = config, settings, gateway
+        max_age_ms = int(settings.keep_hours * 3_600_000)
+        options = Options(
+            most_bytes=int(settings.most_mb * 1_000_000),
+            spaces={RECORDER_SPACE: Space(max_age_ms, droppable=True)},
+        )
+        self.folder = Path(settings.folder.replace("{gateway}", config.name))
+        self.writer = Keeper(
+            partial(Disk, self.folder),
+            options,
+            lambda line: log(line, "warning"),
+            settings.sync,
+            settings.every_s,
         )
-        self.folder = folder
-        loop = asyncio.get_running_loop()
-        self.loop = loop
-        self.note: Note | None = None
+        self._loop = asyncio.get_running_loop()
         self.was_read = asyncio.Event()
-        self.has_list = False
-        self.keeper.start(loop, self.open)
-        gateway.metrics.more.append(self.keeper.figures)
-        self.recorder: Recorder | None = None
-        if asked.recorder:
-            self.recorder = gateway.recorder = Recorder(len(config.settings.classes))
-        self.timer = loop.call_later(1.0, self.second)
-
-    def open(self) -> None:
-        """In the store's thread: open it, and read what was known before, ahead of what is kept now."""
-        note = None
+        self.stored: Note | None = None  # what the store had when it was opened
+        self._has_endpoint_list = False
+        self.writer.start(self._loop, self._open)
+        gateway.metrics.more.append(self.writer.figures)
+        self._recorder: Recorder | None = None
+        if settings.recorder:
+            self._recorder = gateway.recorder = Recorder(len(config.settings.classes))
+        self._timer = self._loop.call_later(SAVE_INTERVAL_S, self._save_periodically)
+
+    def _open(self) -> None:
+        """Open the store and read its observations, in its thread and before anything is written to it."""
+        stored = None
         try:
-            for line in self.keeper.open().aside:
-                log(f"the store: {line}", "warning")
-            note = self.read()
+            for line in self.writer.open().aside:
+                log(f"store: {line}", "warning")
+            stored = self._read_observations()
         except StoreError as error:
-            self.keeper.fail(f"store.folder {self.folder}: {error}")
+            self.writer.fail(f"store.folder {self.folder}: {error}")
         finally:
-            with suppress(RuntimeError):  # the loop has ended meanwhile
-                self.loop.call_soon_threadsafe(self.on_read, note)
-
-    def on_read(self, note: Note | None) -> None:
-        self.note = note
-        self.was_read.set()
-        if self.has_list:
-            self.take()
-
-    async def has_read(self) -> None:
-        """Wait until the store has been read, or for as long as that may keep clients waiting."""
-        with suppress(TimeoutError):
-            async with asyncio.timeout(READ_S):
-                await self.was_read.wait()
+            with suppress(RuntimeError):  # the loop may have been closed
+                self._loop.call_soon_threadsafe(self._on_read, stored)
 
-    def read(self) -> Note | None:
-        """What was known before."""
-        store = self.keeper.store
-        if not self.asked.knowledge or store is None:
+    def _read_observations(self) -> Note | None:
+        store = self.writer.store
+        if not self.settings.knowledge or store is None:
             return None
         try:
-            value = store.get(KNOWN, self.config.name.encode())
+            value = store.get(OBSERVATIONS_SPACE, self.config.name.encode())
             return None if value is None else msgspec.msgpack.decode(value, type=Note)
         except (OSError, FormatError, msgspec.DecodeError) as error:
-            log(f"what was known of servers cannot be read: {error}", "warning")
+            log(f"stored health of servers cannot be read: {error}", "warning")
             return None
 
-    def take(self) -> None:
-        """Once there is a list: begin with what was known before, or take it up when it has been read.
+    def _on_read(self, stored: Note | None) -> None:
+        self.stored = stored
+        self.was_read.set()
+        if self._has_endpoint_list:
+            self.restore()
+
+    async def wait_until_read(self) -> None:
+        """Wait until the store has been read, for MAX_READ_WAIT_S at the most."""
+        with suppress(TimeoutError):
+            async with asyncio.timeout(MAX_READ_WAIT_S):
+                await self.was_read.wait()
+
+    def restore(self) -> None:
+        """Give the gateway the stored observations, at once or when they have been read.
 
-        Its age tells how much is believed.
+        Called once there is an endpoint list. The policy trusts an observation by its age.
         """
-        self.has_list = True
-        note = self.note
-        if note is None:
+        self._has_endpoint_list = True
+        stored = self.stored
+        if stored is None:
             return
         now = now_us()
-        sights = tuple(sight for sight in note.sights if sight.seen_us <= now + FUTURE_US)
-        age_s = (now - note.written_us) / 1e6
-        log(f"took up what was known of {len(sights)} servers {age_s:.1f} s ago")
-        event = ObservationsReceived(sights, tuple(note.latencies))
+        observations = tuple(seen for seen in stored.sights if seen.seen_us <= now + MAX_CLOCK_AHEAD_US)
+        age_s = (now - stored.written_us) / 1e6
+        log(f"restored health of {len(observations)} servers, stored {age_s:.1f} s ago")
+        event = ObservationsReceived(observations, tuple(stored.latencies))
         self.gateway.post(lambda: event)
 
-    def second(self) -> None:
-        """Once a second: what happened in it, and what is known now."""
-        self.timer = self.loop.call_later(1.0, self.second)
-        self.keep()
+    def _save_periodically(self) -> None:
+        self._timer = self._loop.call_later(SAVE_INTERVAL_S, self._save_periodically)
+        self.save()
 
-    def keep(self) -> None:
+    def save(self) -> None:
+        """Hand the writer the current observations and the record of the last second."""
         at_ms = int(time.time() * 1000)
         ops = []
-        if self.asked.knowledge and self.was_read.is_set():  # or what was known before would be lost
-            sights, latencies = self.gateway.balancer.sights()
-            note = Note(self.config.name, now_us(), sights, latencies)
-            ops.append(Op(KNOWN, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms))
-        if self.recorder is not None:
-            m = self.gateway.metrics
-            counters = (m.answered.by_class, m.deferred.by_class, m.errored.by_class, m.sends.by_class)
-            made = self.recorder.second(at_ms // 1000, counters)
-            if made is not None:
-                key = f"{at_ms:015d} {self.config.name}".encode()
-                ops.append(Op(SECONDS, key, made, at_ms))
+        if self.settings.knowledge and self.was_read.is_set():  # stored observations are read before
+            ops.append(self._observations(at_ms))
+        second = self._record_of_second(at_ms)
+        if second is not None:
+            ops.append(second)
         if ops:
-            self.keeper.put(ops)
+            self.writer.put(ops)
+
+    def _observations(self, at_ms: int) -> Op:
+        observations, latencies = self.gateway.balancer.sights()
+        note = Note(self.config.name, now_us(), observations, latencies)
+        return Op(OBSERVATIONS_SPACE, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms)
+
+    def _record_of_second(self, at_ms: int) -> Op | None:
+        if self._recorder is None:
+            return None
+        metrics = self.gateway.metrics
+        counters = (
+            metrics.answered.by_class,
+            metrics.deferred.by_class,
+            metrics.errored.by_class,
+            metrics.sends.by_class,
+        )
+        record = self._recorder.second(at_ms // 1000, counters)
+        if record is None:
+            return None
+        key = f"{at_ms:015d} {self.config.name}".encode()
+        return Op(RECORDER_SPACE, key, record, at_ms)
 
     def close(self) -> None:
-        """Keep what there is. Waits for the disk."""
-        self.timer.cancel()
-        self.keep()
-        self.keeper.close()
+        """Write the current state and close the store; blocks until the disk has it."""
+        self._timer.cancel()
+        self.save()
+        self.writer.close()
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -1,4 +1,8 @@
-"""The gateway as a process: start, signals, exit."""
+"""Entry point of a gateway process: signal handlers of the start, configuration, exit status.
+
+Modules are imported in functions here, so that a signal during the imports of a start finds its handler, and
+so that a file that cannot be used is reported before the rest is loaded.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +13,98 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sagetrack.config.operator import Operator
+    from sagetrack.config.operator import LogSettings, Operator
+    from sagetrack.config.platform import Config
+    from sagetrack.server.startup_timing import StartupTiming
+
+
+class StartupError(Exception):
+    """The configuration cannot be used; `lines` has one plain line for each fault."""
+
+    def __init__(self, lines: list[str]) -> None:
+        super().__init__("; ".join(lines))
+        self.lines = lines
+
 
+def main() -> int:
+    """Run one gateway as the environment says.
+
+    Returns:
+        The exit status: 0 after a graceful shutdown, 1 if an address cannot be listened on, 2 if the
+        configuration cannot be used.
+    """
+    early_reloads = _install_startup_signal_handlers()
+    from sagetrack.core.log import unbuffered
+    from sagetrack.server.exit_status import CONFIGURATION_UNUSABLE
+    from sagetrack.server.startup_timing import StartupTiming
 
-def _end_early(signum: int, frame: object) -> None:
-    """A signal before anything is held: there is nothing to finish."""
+    sys.stderr = unbuffered()
+    timing = StartupTiming()
+    try:
+        config, operator_path, operator = _read_configuration(timing)
+    except StartupError as error:
+        for line in error.lines:
+            _print_fault(line)
+        return CONFIGURATION_UNUSABLE
+    from sagetrack.server.lifecycle import GatewayProcess, run_on_event_loop
+
+    timing.done("imports")
+    return run_on_event_loop(GatewayProcess(config, operator, operator_path, timing, early_reloads))
+
+
+def _install_startup_signal_handlers() -> list[int]:
+    """Exit at once on SIGTERM and SIGINT, as nothing is in flight yet.
+
+    Returns:
+        A list to which each SIGHUP is added until the event loop handles it: the configuration may have been
+        read before the signal came.
+    """
+    early_reloads: list[int] = []
+    signal.signal(signal.SIGHUP, lambda signum, frame: early_reloads.append(signum))
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signum, _exit_at_once)
+    return early_reloads
+
+
+def _exit_at_once(signum: int, frame: object) -> None:
     os._exit(0)
 
 
-def say(line: str) -> None:
-    """One plain line on standard error, if it can be written."""
+def _print_fault(line: str) -> None:
+    """Print one plain line on standard error, if it can be written."""
     with suppress(OSError):
         print(f"sagetrack: {line}", file=sys.stderr)
 
 
-def _take_operators(path: str, gateway: str) -> Operator | None:
-    """Read the operator's file and log as it says; None, and a line for each fault, if it cannot be used."""
+def _read_configuration(timing: StartupTiming) -> tuple[Config, str | None, Operator | None]:
+    """Read the platform's configuration and the operator's file, and log as the latter says.
+
+    Returns:
+        The platform's configuration, the path of the operator's file and its content; the last two are None
+        where LB_OPERATOR is not set.
+
+    Raises:
+        StartupError: one of the files cannot be used.
+    """
+    from sagetrack.config.platform import ConfigError, load, read_file
+    from sagetrack.core.transient_errors import persist_before_loop
+
+    timing.done("imports")
+    try:
+        config = load(read=lambda path: persist_before_loop(lambda: read_file(path)))
+    except ConfigError as error:
+        raise StartupError([str(error)]) from None
+    operator_path = os.environ.get("LB_OPERATOR") or None
+    operator = None
+    if operator_path is not None:
+        operator = _read_operator(operator_path)
+        _configure_logging(operator.log, config.name)
+    timing.done("configuration")
+    return config, operator_path, operator
+
+
+def _read_operator(path: str) -> Operator:
+    """Read the operator's file, again for a while where the disk fails; StartupError if it cannot be used."""
     from sagetrack.config.operator import load
     from sagetrack.config.validation import FileError, UnreadableError
     from sagetrack.core.transient_errors import persist_before_loop
@@ -33,129 +113,23 @@
         try:
             return load(path)
         except UnreadableError as error:
-            raise error.error from None
+            raise error.error from None  # `persist_before_loop` repeats on an OSError
 
     try:
-        operator = persist_before_loop(read)
+        return persist_before_loop(read)
     except OSError as error:
-        say(f"{path}: {error.strerror}")
-        return None
+        raise StartupError([f"{path}: {error.strerror}"]) from None
     except FileError as error:
-        for fault in error.faults:
-            say(str(fault))
-        return None
-    log = operator.log
+        raise StartupError([str(fault) for fault in error.faults]) from None
+
+
+def _configure_logging(settings: LogSettings, gateway: str) -> None:
+    """Log in the operator's format, from the operator's level, at the operator's rate."""
     from sagetrack.core.log import Bound, levels_from, plain, use
 
-    if log.format == "plain":
-        use(levels_from(log.level, plain), Bound(log.burst, log.rate))
+    if settings.format == "plain":
+        use(levels_from(settings.level, plain), Bound(settings.burst, settings.rate))
     else:
         from sagetrack.core.structured import sink
 
-        use(sink(log.format, log.level, gateway), Bound(log.burst, log.rate))
-    return operator
-
-
-def main() -> int:
-    """Run one gateway as the environment says; returns the exit status."""
-    early: list[int] = []  # SIGHUP before the loop runs: the file may have been read by then
-    signal.signal(signal.SIGHUP, lambda signum, frame: early.append(signum))
-    for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, _end_early)
-    # Imported late: a signal during the start must find its handler.
-    from sagetrack.core.log import unbuffered
-    from sagetrack.server.startup_timing import StartupTiming
-
-    sys.stderr = unbuffered()
-
-    startup = StartupTiming()
-    from sagetrack.config.platform import ConfigError, load, read_file
-    from sagetrack.core.transient_errors import persist_before_loop
-
-    startup.done("imports")
-    try:
-        config = load(read=lambda path: persist_before_loop(lambda: read_file(path)))
-    except ConfigError as error:
-        say(str(error))
-        return 2
-    operator = None
-    if operators := os.environ.get("LB_OPERATOR"):
-        operator = _take_operators(operators, config.name)
-        if operator is None:
-            return 2
-    startup.done("configuration")
-
-    import asyncio
-    import gc
-
-    import uvloop
-
-    from sagetrack.config.platform import Address
-    from sagetrack.core.drain import MARGIN_S
-    from sagetrack.core.log import log
-    from sagetrack.server.admin import Admin
-    from sagetrack.server.gateway_assembly import GatewayAssembly
-    from sagetrack.server.reload import ConfigReloader
-
-    startup.done("imports")
-
-    async def serve() -> int:
-        loop = asyncio.get_running_loop()
-        stop = asyncio.Event()
-        for signum in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(signum, stop.set)  # a second one changes nothing
-        try:
-            instance = GatewayAssembly(config, operator, startup)
-        except ConfigError as error:
-            log(str(error), "error")
-            return 2
-        gateway, server = instance.gateway, instance.server
-        on_keys = instance.renew_keys if instance.keys is not None else None
-        reloader = ConfigReloader(instance.discovery, operators or None, instance.on_operator, on_keys)
-        loop.add_signal_handler(signal.SIGHUP, reloader.ask)
-        admin = Admin(server)
-        address: Address | None = config.admin
-        try:
-            if address is not None:
-                await admin.start(address)  # until the server is up it says that no clients are taken
-            address = config.listen
-            await instance.start()
-        except ConfigError as error:
-            log(str(error), "error")
-            return 2
-        except OSError as error:
-            assert address is not None
-            why = os.strerror(error.errno) if error.errno else str(error)
-            log(f"cannot listen on {address[0]}:{address[1]}: {why}", "error")
-            instance.overlap.leave()
-            return 1
-        startup.tell()
-        if early:
-            reloader.ask()
-        gc.collect()
-        gc.freeze()  # what the start has made is never garbage
-        await stop.wait()
-        instance.leave_peers()
-        leaving = loop.create_task(server.leave())
-        await asyncio.sleep(0)  # the way out has begun, and it knows when the last answers are due
-        until_s = server.drain.words_s + MARGIN_S / 2
-        dns_leaving = loop.create_task(instance.dns.front.leave(until_s)) if instance.dns else None
-        front = instance.grpc_listener
-        new_leaving = loop.create_task(front.leave(until_s)) if front is not None else None
-        # However long it takes: what is unanswered at an end by the clock would be lost.
-        await leaving
-        if dns_leaving is not None:
-            await dns_leaving
-        if new_leaving is not None:
-            await new_leaving
-        counts = instance.pools.counts
-        log(f"ends; connections to hosts: {counts}")
-        admin.close()
-        if instance.keeping is not None:
-            instance.keeping.close()
-        instance.overlap.leave()
-        gateway.close()
-        return 0
-
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(serve())
+        use(sink(settings.format, settings.level, gateway), Bound(settings.burst, settings.rate))
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -1,4 +1,8 @@
-"""SIGHUP: the configuration is read again while requests go on, and discovery may move."""
+"""Configuration reload on SIGHUP, while requests go on.
+
+Of the platform's configuration the discovery address may change, of the operator's file traffic and tenant
+shares, and the TLS keys are read again. What else has changed waits for the next start.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +17,14 @@
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
 
-READINGS = 8  # of a file that cannot be used, for one signal
-AGAIN_S = 0.1  # after the first of them; the pause grows by this with each: 2.8 s in all
+MAX_ATTEMPTS = 8  # for one signal, of files that cannot be used
+BACKOFF_STEP_S = 0.1  # the backoff after the n-th failure is n times this: 2.8 s in all
 
 OnOperator = Callable[[Config, "Operator"], None]
 
 
 def read_operator(path: str) -> Operator:
-    """The operator's file as it is now; ConfigError if it cannot be read."""
+    """The operator's file as it is now; ConfigError with its first fault if it cannot be used."""
     from sagetrack.config.operator import load as load_operator
     from sagetrack.config.validation import FileError
 
@@ -31,69 +35,77 @@
 
 
 class ConfigReloader:
-    """Reads LB_CONFIG once for each time that is asked, or once for several that come together."""
+    """Reads the configuration once for each request, or once for several that come while it reads."""
 
     def __init__(
         self,
         discovery: Discovery,
-        operator: str | None = None,
-        on_operator: OnOperator | None = None,
-        on_keys: Callable[[], None] | None = None,
+        operator_path: str | None,
+        on_operator: OnOperator,
+        on_keys: Callable[[], None] | None,
     ) -> None:
-        self.discovery, self.operator, self.on_operator = discovery, operator, on_operator
-        self.on_keys = on_keys
-        self.asked = False
-        self.reading: asyncio.Task[None] | None = None
-        self.failed = 0  # readings in a row
-        self.again: asyncio.TimerHandle | None = None  # the next one, after a failure
-
-    def ask(self) -> None:
-        """Read it: there is word that it has changed."""
-        self.failed = 0
-        self._ask()
-
-    def _ask(self) -> None:
-        self.asked = True
-        if self.again is not None:
-            self.again.cancel()
-            self.again = None
-        if self.reading is None:
-            self.reading = asyncio.get_running_loop().create_task(self._read())
+        """Nothing is read before `request`.
+
+        Args:
+            discovery: is moved to the address in the platform's configuration.
+            operator_path: the operator's file; None if there is none.
+            on_operator: called with both files as read again; it may raise ConfigError.
+            on_keys: called to read the TLS keys again; None where there are none.
+        """
+        self.discovery, self.operator_path = discovery, operator_path
+        self.on_operator, self.on_keys = on_operator, on_keys
+        self._is_requested = False
+        self._reading: asyncio.Task[None] | None = None
+        self._failures = 0  # in a row
+        self._retry_timer: asyncio.TimerHandle | None = None
+
+    def request(self) -> None:
+        """Reload: the configuration may have changed. Call it on the event loop."""
+        self._failures = 0
+        self._begin()
+
+    def _begin(self) -> None:
+        self._is_requested = True
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        if self._reading is None:
+            self._reading = asyncio.get_running_loop().create_task(self._read())
 
     async def _read(self) -> None:
         try:
-            while self.asked:
-                self.asked = False
-                # Off the loop: the disk may be slow, and the file long.
+            while self._is_requested:
+                self._is_requested = False
+                # In a thread: the disk may be slow, and the file long.
                 config = await asyncio.to_thread(load)
-                self.take(config)
+                self._apply(config)
                 if self.on_keys is not None:
                     self.on_keys()
-                if self.operator is not None and self.on_operator is not None:
-                    self.on_operator(config, await asyncio.to_thread(read_operator, self.operator))
-                self.failed = 0
-        except (ConfigError, OSError, RuntimeError) as error:  # RuntimeError: there is no thread to be had
-            self.fail(error)
+                if self.operator_path is not None:
+                    self.on_operator(config, await asyncio.to_thread(read_operator, self.operator_path))
+                self._failures = 0
+        except (ConfigError, OSError, RuntimeError) as error:  # RuntimeError: no thread can be started
+            self._retry_later(error)
         finally:
-            self.reading = None
-            if self.asked:
-                self._ask()
+            self._reading = None
+            if self._is_requested:
+                self._begin()
 
-    def fail(self, error: Exception) -> None:
-        """Read it again soon, some times: the signal may have come before the file was whole.
+    def _retry_later(self, error: Exception) -> None:
+        """Read again after a backoff, MAX_ATTEMPTS times in all.
 
-        Guards against a change of discovery that is never heard of, as a disk, a descriptor or a thread was
-        wanting for a moment. What it has to tell counts seconds after the signal.
+        The signal may have come before the file was complete, and a disk, a descriptor or a thread may be
+        wanting for a moment: a change of the discovery address must not be missed for that. Only the first
+        failure is logged.
         """
-        if not self.failed:
-            log(f"all stays as it is: {error}")
-        self.failed += 1
-        if self.failed < READINGS and not self.asked:
+        if not self._failures:
+            log(f"configuration reload failed, keeping the previous one: {error}")
+        self._failures += 1
+        if self._failures < MAX_ATTEMPTS and not self._is_requested:
             loop = asyncio.get_running_loop()
-            self.again = loop.call_later(AGAIN_S * self.failed, self._ask)
+            self._retry_timer = loop.call_later(BACKOFF_STEP_S * self._failures, self._begin)
 
-    def take(self, config: Config) -> None:
-        """Apply what may change while the program runs: the address of discovery."""
+    def _apply(self, config: Config) -> None:
         if config.discovery != self.discovery.address:
-            log(f"discovery moves to {config.discovery[0]}:{config.discovery[1]}")
+            log(f"discovery address changed to {config.discovery[0]}:{config.discovery[1]}")
             self.discovery.move(config.discovery)
--- a/sagetrack/server/startup_timing.py
+++ b/sagetrack/server/startup_timing.py
@@ -1,4 +1,4 @@
-"""Where the time of a start goes, by part: milliseconds of CPU and elapsed, told once clients are taken."""
+"""Where the time of a start goes, by phase: milliseconds of CPU and elapsed."""
 
 from __future__ import annotations
 
@@ -7,25 +7,29 @@
 
 from sagetrack.core.log import log
 
+VARIABLE = "SAGETRACK_STARTUP"
+
 
 class StartupTiming:
-    """The parts of one start, in order; a part that comes again is summed up."""
+    """The phases of one start, in order; a phase that comes again is added up."""
 
     def __init__(self) -> None:
-        """What the interpreter spent before counts as its part; how long that took is not known here."""
+        """Begin with the phase `interpreter`: its CPU time is known here, its elapsed time is not."""
         self.cpu_s, self.now_s = process_time(), monotonic()
-        self.parts: dict[str, tuple[float, float]] = {"interpreter": (self.cpu_s, 0.0)}
+        self.phases: dict[str, tuple[float, float]] = {"interpreter": (self.cpu_s, 0.0)}
 
-    def done(self, part: str) -> None:
-        """All since the part before was this one."""
+    def done(self, phase: str) -> None:
+        """Count the time since the last call as this phase's."""
         cpu_s, now_s = process_time(), monotonic()
-        cpu, elapsed = self.parts.get(part, (0.0, 0.0))
-        self.parts[part] = cpu + cpu_s - self.cpu_s, elapsed + now_s - self.now_s
+        cpu, elapsed = self.phases.get(phase, (0.0, 0.0))
+        self.phases[phase] = cpu + cpu_s - self.cpu_s, elapsed + now_s - self.now_s
         self.cpu_s, self.now_s = cpu_s, now_s
 
-    def tell(self) -> None:
-        """Where SAGETRACK_STARTUP is set: nobody else reads this line."""
-        if not os.environ.get("SAGETRACK_STARTUP"):
+    def log(self) -> None:
+        """Log the phases where SAGETRACK_STARTUP is set; `sagetrack lab readiness` parses this line."""
+        if not os.environ.get(VARIABLE):
             return
-        told = ", ".join(f"{part} {cpu * 1000:.0f}/{s * 1000:.0f}" for part, (cpu, s) in self.parts.items())
-        log(f"started; ms of CPU/elapsed: {told}", "debug")
+        phases = ", ".join(
+            f"{phase} {cpu * 1000:.0f}/{elapsed * 1000:.0f}" for phase, (cpu, elapsed) in self.phases.items()
+        )
+        log(f"started; ms of CPU/elapsed: {phases}", "debug")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from sagetrack.core.metrics import Metrics
 from sagetrack.policy.interface import Outcome
 from sagetrack.server import admin as admin_module
-from sagetrack.server.admin import CALLERS, LINE_LIMIT, Admin
+from sagetrack.server.admin import MAX_CONNECTIONS, MAX_LINE_BYTES, AdminServer
 from tests.helpers import Driver, sends, trip
 from tests.sockets import (
     Running,
@@ -34,7 +34,7 @@
 
 @asynccontextmanager
 async def second_address(run: Running) -> AsyncIterator[int]:
-    admin = Admin(run.server)
+    admin = AdminServer(run.server)
     await admin.start(("127.0.0.1", 0))
     assert admin.server is not None
     try:
@@ -90,7 +90,7 @@
         b"STATUS\n",
         b"\xff\xfe\n",
         b"\0\n",
-        b"x" * (LINE_LIMIT + 1),
+        b"x" * (MAX_LINE_BYTES + 1),
         b"stats" + b" " * 100_000 + b"\n",
     ],
 )
@@ -118,16 +118,16 @@
 @on_loop
 async def test_silent_callers_keep_nobody_out_and_are_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     async with peer() as host, running(configuration(host)) as run, second_address(run) as port:
-        silent_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * CALLERS)]
+        silent_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
         assert (await call(port, b"status\n")).startswith(b"SUCCESS")
         ended = 0
-        for reader, _ in silent_ones[: 2 * CALLERS]:
+        for reader, _ in silent_ones[: 2 * MAX_CONNECTIONS]:
             try:
                 ended += await reader.read() == b""
             except ConnectionError:
                 ended += 1
-        assert ended == 2 * CALLERS  # the oldest have yielded
-        monkeypatch.setattr(admin_module, "CALL_S", 0.05)
+        assert ended == 2 * MAX_CONNECTIONS  # the oldest have yielded
+        monkeypatch.setattr(admin_module, "CALL_TIMEOUT_S", 0.05)
         assert (await call(port, b"stat")).startswith(b"FAILURE")
         for _, writer in silent_ones:
             writer.close()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
 from sagetrack.policy.interface import EndpointList, ListedServer, ListKind, ObservationsReceived, SendAttempt
-from sagetrack.server.fleet import HealthHandover
+from sagetrack.server import health_handover
+from sagetrack.server.health_handover import HealthHandover
 from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import SETTINGS, Driver
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
@@ -102,7 +102,7 @@
         await until(lambda: host.seen)
         host.seen[0].answer(reply())
         await client.answer()
-        old.leave_note()
+        old.save()
         learned: list[ObservationsReceived] = []
         handle = run.gateway.balancer.handle
 
@@ -113,9 +113,9 @@
 
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         later = clock.now_us
-        monkeypatch.setattr(fellowship, "now_us", lambda: later() + step_s * 1_000_000)
+        monkeypatch.setattr(health_handover, "now_us", lambda: later() + step_s * 1_000_000)
         new = HealthHandover(overlap, run.instance.config, run.gateway)
-        new.take()
+        new.restore()
         (event,) = learned
         age_us = later() + step_s * 1_000_000 - event.sights[0].seen_us
         assert 0 <= age_us < 5_000_000
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -115,7 +115,7 @@
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             line = await process.stderr.readline()
-            assert b"all stays as it is" in line
+            assert b"configuration reload failed, keeping the previous one: " in line
             assert await ask(port, request("transfer")) == 200
             assert registry.ended == 0
             process.send_signal(signal.SIGTERM)
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -577,22 +577,22 @@
         config = configuration(host, f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][1]["type"] = "v2"
         async with running(config, load_operator(str(file))) as gateway:
-            newer = gateway.instance.newer
-            assert newer is not None and newer.shadow is not None
+            upstreams = gateway.instance.grpc_upstreams
+            assert upstreams is not None and upstreams.mirror is not None
             assert (await gateway.ask(request("hold", b"keyed"))).status == 200
             assert (await gateway.ask(request("search"))).status == 200
-            report = newer.shadow.report
+            report = upstreams.mirror.report
             await until(lambda: report.different)
             assert seen == ["search"] and report.asked == 1  # what changes something is never copied
             assert "svc_new_differs_search_total 1\n" in gateway.server.stats()
             assert 'answered_total{group="search"} 1\n' in gateway.server.stats()
             file.write_text('[newer]\ntypes = ["v2"]\nshare = 1.0\nshare_by_class = { search = 0.0 }\n')
-            gateway.instance.on_operator(parse(config), load_operator(str(file)))
+            gateway.instance.apply_operator(parse(config), load_operator(str(file)))
             answers = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
             assert [a.body for a in answers] == [b"other", answers[1].body] and answers[1].body != b"other"
             file.write_text('[newer]\ntypes = ["v2"]\nshare_by_member = { nobody = 0.5 }\n')
             with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
-                gateway.instance.on_operator(parse(config), load_operator(str(file)))
+                gateway.instance.apply_operator(parse(config), load_operator(str(file)))
 
 
 def test_a_server_that_changes_its_format_leaves_the_side_that_it_was_on() -> None:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -56,14 +56,14 @@
         monkeypatch.setattr("sagetrack.server.persistence.Disk", StandingDisk)
         try:
             async with running(config, operator) as gateway:
-                keeping = gateway.instance.keeping
-                assert keeping is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
+                persistence = gateway.instance.persistence
+                assert persistence is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
                 assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
                 assert (await gateway.ask(request())).status == 200
-                assert not gateway.gateway.balancer.heard and not keeping.was_read.is_set()
-                keeping.keep()
+                assert not gateway.gateway.balancer.heard and not persistence.was_read.is_set()
+                persistence.save()
                 StandingDisk.go.set()
-                await keeping.was_read.wait()
+                await persistence.was_read.wait()
                 assert {server for server, _ in gateway.gateway.balancer.heard} == before
         finally:
             StandingDisk.go.set()
@@ -105,12 +105,12 @@
     script.write_text(
         "import os, signal, sys\n"
         "import sagetrack.server.startup_timing as startup\n"
-        "told = startup.StartupTiming.tell\n"
+        "told = startup.StartupTiming.log\n"
         "def tell(self):\n"
         "    told(self)\n"
         "    print(*sorted(sys.modules))\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n"
-        "startup.StartupTiming.tell = tell\n"
+        "startup.StartupTiming.log = tell\n"
         "from sagetrack.__main__ import main\n"
         "sys.exit(main())\n"
     )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -295,7 +295,7 @@
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
             before = {s.server: s.weight for s in gateway.gateway.balancer.sights()[0]}
-            assert gateway.instance.keeping is not None and before
+            assert gateway.instance.persistence is not None and before
             async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
                 assert (await successor.ask(request())).status == 200
                 assert "svc_store_failing 1" in successor.server.stats()
@@ -303,7 +303,7 @@
             heard = gateway.gateway.balancer.heard
             assert {server for server, _ in heard} == set(before)
             assert "svc_store_failing 0" in gateway.server.stats()
-            store = gateway.instance.keeping.keeper.store  # type: ignore[union-attr]
+            store = gateway.instance.persistence.writer.store  # type: ignore[union-attr]
             assert store is not None
             rows = [read_second(op.value or b"") for op in store.snapshot().items("seconds")]
         assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -29,7 +29,7 @@
 from sagetrack.server.endpoint_list_file import EndpointListFile
 from sagetrack.server.gateway_assembly import GatewayAssembly
 from sagetrack.server.hot_restart import HotRestart
-from sagetrack.server.persistence import KNOWN, SECONDS
+from sagetrack.server.persistence import OBSERVATIONS_SPACE, RECORDER_SPACE
 from sagetrack.store.engine import Store
 from sagetrack.store.files import Disk, Looking
 from sagetrack.store.format import BASE_MAGIC, LOG_MAGIC, Op, read_head, read_manifest
@@ -335,7 +335,7 @@
 
 
 def test_a_store_is_written_on(store_copy: Path) -> None:
-    added = Op(space=KNOWN, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
+    added = Op(space=OBSERVATIONS_SPACE, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
     with closing(Store(Disk(store_copy), OPTIONS)) as store:
         store.open()
         assert store.write([[added]]) == 7
@@ -349,13 +349,13 @@
 
 def test_knowledge_in_a_store_is_read_as_it_was_meant(looked_at: Store) -> None:
     for gateway, expected in (("n0", NOTE), ("n1", OTHER_NOTE)):
-        value = looked_at.get(KNOWN, gateway.encode())
+        value = looked_at.get(OBSERVATIONS_SPACE, gateway.encode())
         assert value is not None
         check_note(msgspec.msgpack.decode(value, type=Note), expected)
 
 
 def test_seconds_in_a_store_are_read_as_they_were_meant(looked_at: Store) -> None:
-    values = [looked_at.get(SECONDS, seconds_key(at_ms)) for at_ms in (NOW_MS, NOW_MS + 1000)]
+    values = [looked_at.get(RECORDER_SPACE, seconds_key(at_ms)) for at_ms in (NOW_MS, NOW_MS + 1000)]
     assert values[0] is not None and values[1] is not None
     first, second = read_second(values[0]), read_second(values[1])
     assert first.version == 1
@@ -386,11 +386,11 @@
     settings = StoreSettings(folder=str(folder.parent / "{gateway}"), recorder=False)
     instance = GatewayAssembly(parse(configuration()), Operator(store=settings))
     instance.start_persistence()
-    keeping = instance.keeping
-    assert keeping is not None
+    persistence = instance.persistence
+    assert persistence is not None
     try:
-        await asyncio.wait_for(keeping.was_read.wait(), 30)
-        check_note(keeping.note, NOTE)
-        assert keeping.note is not None and keeping.note.latencies == LATENCIES
+        await asyncio.wait_for(persistence.was_read.wait(), 30)
+        check_note(persistence.stored, NOTE)
+        assert persistence.stored is not None and persistence.stored.latencies == LATENCIES
     finally:
-        keeping.close()
+        persistence.close()
