--- a/sagetrack/cli/app.py
+++ b/sagetrack/cli/app.py
@@ -31,7 +31,7 @@
 
 def main() -> int:
     """Run the command that the arguments name; returns the exit status."""
-    from sagetrack.config.validation import FileError
+    from sagetrack.config.errors import FileError
 
     try:
         app(prog_name="sagetrack", standalone_mode=True)
--- a/sagetrack/cli/check.py
+++ b/sagetrack/cli/check.py
@@ -17,8 +17,8 @@
 ) -> None:
     """Say all that is wrong with files, a line each with file, line and key; exit 2 if anything is."""
     from sagetrack.config.check import check as check_platform
+    from sagetrack.config.errors import FileError
     from sagetrack.config.operator import load
-    from sagetrack.config.validation import FileError
     from sagetrack.lab.scenario import load as load_scenario
 
     config = config or os.environ.get("LB_CONFIG", "")
--- a/sagetrack/config/check.py
+++ b/sagetrack/config/check.py
@@ -1,12 +1,12 @@
-"""Everything that is wrong with the platform's configuration, for people; the gateway itself stops at the
-first.
+"""Names all faults of the platform's configuration; the gateway itself stops at the first.
 
-The structures here say what the keys that this program reads may be. Keys that it does not know are let pass:
+The structures here have the keys that this program reads, under the platform's names. Other keys are ignored:
 the platform adds some, and other programs read the same file.
 """
 
 from __future__ import annotations
 
+import json
 import os
 from collections.abc import Iterator, Mapping
 from typing import Annotated, Any, Literal
@@ -14,16 +14,19 @@
 import msgspec
 from msgspec import Meta
 
-from sagetrack.config.platform import ConfigError, parse
+from sagetrack.config.errors import ConfigError, FileError
+from sagetrack.config.platform import parse
 from sagetrack.config.validation import Fault, read
 
-Host = Annotated[str, Meta(pattern=r"^\S+:\d{1,5}$")]
+HostPort = Annotated[str, Meta(pattern=r"^\S+:\d{1,5}$")]
 Count = Annotated[int, Meta(ge=1)]
 Microseconds = Annotated[int, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
-class Lane(msgspec.Struct, frozen=True):
+class RequestClass(msgspec.Struct, frozen=True):
+    """An entry of `settings.lanes`: a class of requests."""
+
     name: Annotated[str, Meta(min_length=1)]
     giveUpUs: Annotated[int, Meta(ge=1)]  # noqa: N815 - the platform's name
     aimUs: Annotated[int, Meta(ge=1)] | None = None  # noqa: N815
@@ -31,29 +34,37 @@
     group: Literal["all", "zone", "cell"] = "all"
     windowUs: Microseconds = 0  # noqa: N815
     value: Annotated[float, Meta(ge=0)] = 1.0
-    lateValue: Share = 0.0  # noqa: N815
+    lateValue: Fraction = 0.0  # noqa: N815
 
 
 class Limits(msgspec.Struct, frozen=True):
+    """What the gateway may use of its machine."""
+
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=16)] = 192
     cores: Annotated[float, Meta(gt=0)] = 1.0
 
 
 class Endpoint(msgspec.Struct, frozen=True):
+    """A server in the endpoint list."""
+
     name: Annotated[str, Meta(min_length=1)]
-    address: Host
+    address: HostPort
     status: Literal["SERVING", "DRAINING", "DELETED"]
     weight: Annotated[float, Meta(gt=0)] = 1.0
 
 
-class Known(msgspec.Struct, frozen=True):
+class KnownEndpoints(msgspec.Struct, frozen=True):
+    """The endpoint list as the platform last knew it."""
+
     index: int | None = None
     endpoints: list[Endpoint] = msgspec.field(default_factory=list)
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    lanes: Annotated[list[Lane], Meta(min_length=1)]
+    """The table `settings`: what the load-balancing policy is told."""
+
+    lanes: Annotated[list[RequestClass], Meta(min_length=1)]
     balancers: Count = 1
     index: Annotated[int, Meta(ge=0)] = 0
     membershipMode: Literal["pushed", "on_request"] = "pushed"  # noqa: N815
@@ -62,35 +73,37 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    listen: Host
-    discovery: Host
+    """The content of the file."""
+
+    listen: HostPort
+    discovery: HostPort
     settings: PlatformSettings
     name: str = ""
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: Known = msgspec.field(default_factory=Known)
-    admin: Host | None = None
+    known: KnownEndpoints = msgspec.field(default_factory=KnownEndpoints)
+    admin: HostPort | None = None
 
 
-def _across(value: Platform) -> Iterator[Fault]:
-    """What no key tells alone."""
-    settings = value.settings
+def _cross_field_faults(platform: Platform) -> Iterator[Fault]:
+    """Faults that types cannot express."""
+    settings = platform.settings
     if settings.index >= settings.balancers:
-        why = f"settings.index = {settings.index} is not below settings.balancers = {settings.balancers}"
-        yield Fault(("settings", "index"), why)
-    names = [lane.name for lane in settings.lanes]
+        message = f"settings.index = {settings.index} is not below settings.balancers = {settings.balancers}"
+        yield Fault(("settings", "index"), message)
+    names = [request_class.name for request_class in settings.lanes]
     for number, name in enumerate(names):
         if name in names[:number]:
-            place = ("settings", "lanes", number, "name")
-            yield Fault(place, f"settings.lanes[{number + 1}].name = {name!r} is that of another class")
+            path = ("settings", "lanes", number, "name")
+            yield Fault(path, f"settings.lanes[{number + 1}].name = {name!r} is that of another class")
 
 
 def check(path: str, environment: Mapping[str, str] = os.environ) -> None:
-    """Read a gateway's configuration as the gateway would; `checked.FileError` names all faults."""
-    read(path, Platform, _across)
-    import json
-
-    from sagetrack.config.validation import FileError
+    """Check a gateway's configuration by its types, and then as the gateway itself would read it.
 
+    Raises:
+        FileError: it cannot be used; `faults` names all that is wrong, as far as types tell.
+    """
+    read(path, Platform, _cross_field_faults)
     with open(path, "rb") as file:
         raw = json.load(file)
     try:
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -1,4 +1,7 @@
-"""LB_CONFIG to settings, addresses, names, limits and the list of hosts as last known."""
+"""The platform's configuration: the JSON file that LB_CONFIG names, and the environment.
+
+The keys are the platform's words; the fields here are the field's, and this module is where they meet.
+"""
 
 from __future__ import annotations
 
@@ -9,59 +12,82 @@
 from dataclasses import dataclass
 from typing import Any
 
+from sagetrack.config.errors import ConfigError
 from sagetrack.policy.interface import Settings
 from sagetrack.policy.parsing import WireError, parse_settings
 
-Address = tuple[str, int]
-
+__all__ = [
+    "Address",
+    "Config",
+    "ConfigError",
+    "Names",
+    "load",
+    "parse",
+    "parse_address",
+    "read_file",
+    "stable_id",
+]
 
-class ConfigError(ValueError):
-    """The configuration cannot be used; the message says why, in one line."""
+Address = tuple[str, int]  # host and port
+MAX_PORT = 65_535
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
 
 
 @dataclass(slots=True, frozen=True)
 class Names:
-    """The names behind the module's numbers: each list is in the order of the settings."""
+    """The numbers that the policy knows names by: places in the lists of the settings, from 0."""
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
     zones: dict[str, int]
-    kinds: dict[str, int]
+    kinds: dict[str, int]  # types of servers
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of one gateway process."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    sockets: int  # descriptors that all processes of the gateway may hold together
     memory_mb: int
-    admin: Address | None  # the operators' own address
+    admin: Address | None  # the admin address
     accept_fd: int | None  # a listening socket that the platform holds
     folder: str | None  # shared with other processes of this gateway
-    known: dict[str, Any]  # in discovery's form
+    known: dict[str, Any]  # the endpoint list as the platform last knew it, in discovery's form
     settings: Settings
     names: Names
-    client_header: bytes = b""  # names a client within its member, where fair queues are on
-    whole_seconds: bool = False  # of Retry-After
+    client_header: bytes = b""  # the header that names a client of a tenant, where fair queues are on
+    whole_seconds: bool = False  # whether Retry-After is rounded up to whole seconds
     peer_listen: Address | None = None  # for datagrams of other gateways
     peers: tuple[Address, ...] = ()  # one for each gateway, in the order of their numbers
 
 
 def stable_id(text: str | bytes, size: int) -> int:
-    """A number of so many bytes that is the same for a text at every gateway and after every restart."""
+    """A hash of `size` bytes that is the same for a text at every gateway and after every restart."""
     data = text.encode() if isinstance(text, str) else text
     return int.from_bytes(hashlib.blake2b(data, digest_size=size).digest())
 
 
 def read_file(path: str) -> bytes:
+    """The content of a file; OSError if it cannot be read."""
     with open(path, "rb") as file:
         return file.read()
 
 
 def load(environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_file) -> Config:
-    """Read the file that LB_CONFIG names; `read` may have its own way with errors of the disk."""
+    """Read the file that LB_CONFIG names.
+
+    Args:
+        environment: the environment variables.
+        read: reads a file; it may repeat a read that fails.
+
+    Raises:
+        ConfigError: the variable is not set, or the file cannot be read or used.
+    """
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
@@ -75,6 +101,13 @@
 
 
 def parse(raw: object, environment: Mapping[str, str] | None = None) -> Config:
+    """The configuration in a JSON value and the environment.
+
+    Keys that this program does not know are ignored, as other programs read the same file.
+
+    Raises:
+        ConfigError: it cannot be used; the first fault alone is named.
+    """
     environment = environment or {}
     if not isinstance(raw, dict):
         raise ConfigError("the configuration is not an object")
@@ -85,17 +118,15 @@
     if not isinstance(limits, dict) or not isinstance(known, dict):
         raise ConfigError("limits or known is not an object")
     admin = raw.get("admin") or environment.get("LB_ADMIN") or None
-    descriptor = environment.get("LB_ACCEPT_FD") or None
-    if descriptor is not None and not (descriptor.isascii() and descriptor.isdigit()):
-        raise ConfigError(f"LB_ACCEPT_FD is no descriptor: {descriptor!r}")
+    descriptor = _accept_descriptor(environment)
     try:
         return Config(
             name=str(raw.get("name", "")),
             listen=parse_address(raw.get("listen"), "listen"),
             discovery=parse_address(raw.get("discovery"), "discovery"),
             seed=stable_id(str(raw.get("seed", "")), 8),
-            sockets=int(limits.get("sockets", 1024)),
-            memory_mb=int(limits.get("memory_mb", 192)),
+            sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+            memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
             admin=parse_address(admin, "admin") if admin is not None else None,
             accept_fd=int(descriptor) if descriptor is not None else None,
             folder=environment.get("TMPDIR") or None,
@@ -107,15 +138,32 @@
         )
     except WireError as error:
         raise ConfigError(str(error)) from None
+    except ConfigError:
+        raise
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        if isinstance(error, ConfigError):
-            raise
         raise ConfigError(f"the configuration cannot be used: {error}") from None
 
 
+def _accept_descriptor(environment: Mapping[str, str]) -> str | None:
+    """The digits that name the listening socket which the platform hands down; None if there is none."""
+    descriptor = environment.get("LB_ACCEPT_FD") or None
+    if descriptor is not None and not (descriptor.isascii() and descriptor.isdigit()):
+        raise ConfigError(f"LB_ACCEPT_FD is no descriptor: {descriptor!r}")
+    return descriptor
+
+
 def parse_address(text: object, what: str) -> Address:
+    """Host and port of `host:port` or `[host]:port`.
+
+    Args:
+        text: the address.
+        what: the key that it is from, for the message.
+
+    Raises:
+        ConfigError: it has another form.
+    """
     host, mark, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not mark or not host or not port.isascii() or not port.isdigit() or not int(port) < 65536:
+    if not mark or not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"{what} is no address of the form host:port")
     return host.strip("[]"), int(port)
 
--- a/sagetrack/lab/scenario.py
+++ b/sagetrack/lab/scenario.py
@@ -307,13 +307,14 @@
 
 
 def load(path: Path | str) -> Scenario:
-    """Read a scenario; `checked.FileError` names everything that is wrong with it."""
+    """Read a scenario; `FileError` names everything that is wrong with it."""
     return read(path, Scenario, _across)
 
 
 def altered(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
-    """The same with other values, named as in `fleet.servers`; `checked.FileError` for bad ones."""
-    from sagetrack.config.validation import FileError, faults_of
+    """The same with other values, named as in `fleet.servers`; `FileError` for bad ones."""
+    from sagetrack.config.errors import FileError
+    from sagetrack.config.validation import decode
 
     raw = msgspec.to_builtins(scenario)
     for name, value in settings.items():
@@ -330,12 +331,12 @@
             raise FileError([f"{name}: no such key in a scenario"]) from None
     if raw["expect"].get("p99_ms_max") is None:  # infinity has no plain form
         raw["expect"].pop("p99_ms_max", None)
-    made, faults = faults_of(raw, Scenario)
+    made, faults = decode(raw, Scenario)
     if made is None:
-        raise FileError([fault.why for fault in faults])
+        raise FileError([fault.message for fault in faults])
     across = list(_across(made))
     if across:
-        raise FileError([fault.why for fault in across])
+        raise FileError([fault.message for fault in across])
     return made
 
 
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -23,7 +23,7 @@
 from sagetrack.policy.migration import Move
 
 if TYPE_CHECKING:
-    from sagetrack.config.operator import NewerSettings, Operator
+    from sagetrack.config.operator import GrpcSettings, Operator
     from sagetrack.grpc.downstream import Read
     from sagetrack.grpc.mirroring import Shadow
     from sagetrack.grpc.protocol_router import Mixed, Turned
@@ -91,7 +91,7 @@
         self._refresh_weights()
 
     def start_mirroring(
-        self, settings: NewerSettings, class_names: list[str], is_active: Callable[[], bool]
+        self, settings: GrpcSettings, class_names: list[str], is_active: Callable[[], bool]
     ) -> None:
         """Mirror some requests to a server of the other protocol, and compare the answers.
 
@@ -107,7 +107,7 @@
         )
         self.router.on_answer = self.mirror.answered
 
-    def set_shares(self, config: Config, settings: NewerSettings) -> None:
+    def set_shares(self, config: Config, settings: GrpcSettings) -> None:
         """Change the traffic shares; ConfigError for a class or tenant that is not known."""
         by_class, by_tenant = traffic_shares(config, settings)
         move = self.router.move
@@ -212,7 +212,7 @@
     return replace(config, settings=replace(config.settings, grpc_kinds=kinds))
 
 
-def traffic_shares(config: Config, settings: NewerSettings) -> tuple[dict[int, float], dict[int, float]]:
+def traffic_shares(config: Config, settings: GrpcSettings) -> tuple[dict[int, float], dict[int, float]]:
     """The gRPC share of the traffic by class number and by tenant number; ConfigError for unknown names."""
     return (
         _numbered("class", settings.share_by_class, config.names.classes),
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -105,8 +105,8 @@
 
 def _read_operator(path: str) -> Operator:
     """Read the operator's file, again for a while where the disk fails; StartupError if it cannot be used."""
+    from sagetrack.config.errors import FileError, UnreadableError
     from sagetrack.config.operator import load
-    from sagetrack.config.validation import FileError, UnreadableError
     from sagetrack.core.transient_errors import persist_before_loop
 
     def read() -> Operator:
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -25,8 +25,8 @@
 
 def read_operator(path: str) -> Operator:
     """The operator's file as it is now; ConfigError with its first fault if it cannot be used."""
+    from sagetrack.config.errors import FileError
     from sagetrack.config.operator import load as load_operator
-    from sagetrack.config.validation import FileError
 
     try:
         return load_operator(path)
--- a/tests/test_config_validation.py
+++ b/tests/test_config_validation.py
@@ -11,9 +11,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sagetrack.config.allowed_values import describe
 from sagetrack.config.check import check
+from sagetrack.config.errors import FileError
+from sagetrack.config.key_lines import json_key_lines, key_text, nearest_line, toml_key_lines
 from sagetrack.config.operator import Operator, load
-from sagetrack.config.validation import FileError, json_lines, read, toml_lines
+from sagetrack.config.validation import decode, read
 from tests.sockets import configuration
 
 
@@ -61,14 +64,14 @@
 
 
 def test_lines_of_json() -> None:
-    lines = json_lines('{\n "a": [\n  {"b": 1},\n  {"b": 2}\n ],\n "c": {"d": [1,\n 2]}\n}')
+    lines = json_key_lines('{\n "a": [\n  {"b": 1},\n  {"b": 2}\n ],\n "c": {"d": [1,\n 2]}\n}')
     assert lines["a",] == 2 and lines["a", 1, "b"] == 4 and lines["c", "d", 1] == 7
 
 
 @given(st.text(alphabet='ab.[]{}="#,: \n01', max_size=80))
 def test_no_text_breaks_the_scans_for_lines(text: str) -> None:
-    toml_lines(text)
-    json_lines(text)
+    toml_key_lines(text)
+    json_key_lines(text)
 
 
 def test_the_example_for_operators_sets_nothing_and_can_be_switched_on(tmp_path: Path) -> None:
@@ -100,3 +103,54 @@
     for fault, key in zip(caught.value.faults, ("listen", "effect", "giveUpUs"), strict=True):
         line = int(fault.removeprefix(f"{path}:").split(":")[0])
         assert f'"{key}"' in text[line - 1] and key in fault
+
+
+class Numbers(msgspec.Struct):
+    closed: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
+    open: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.5
+    least: Annotated[int, msgspec.Meta(ge=1)] = 1
+    above: Annotated[int, msgspec.Meta(gt=1)] = 2
+    most: Annotated[int, msgspec.Meta(le=1)] = 1
+    below: Annotated[int, msgspec.Meta(lt=1)] = 0
+    any: int = 0
+
+
+@pytest.mark.parametrize(
+    ("key", "allowed"),
+    [
+        ("closed", "a number from 0 to 1"),
+        ("open", "a number above 0 to below 1"),
+        ("least", "a whole number of at least 1"),
+        ("above", "a whole number above 1"),
+        ("most", "a whole number of at most 1"),
+        ("below", "a whole number below 1"),
+        ("any", "a whole number"),
+    ],
+)
+def test_bounds_are_described_in_words(key: str, allowed: str) -> None:
+    value, found = decode({key: "x"}, Numbers)
+    assert value is None
+    assert [fault.message for fault in found] == [f'{key} = "x" is not allowed; it is {allowed}']
+
+
+def test_other_types_are_described_in_words() -> None:
+    def described(type_: object) -> str:
+        return describe(msgspec.inspect.type_info(type_))
+
+    assert described(bool) == "true or false"
+    assert described(Annotated[str, msgspec.Meta(min_length=1, pattern="^a$")]) == (
+        "a text that is not empty of the form ^a$"
+    )
+    assert described(list[int]) == "a list, each a whole number"
+    assert described(tuple[int, bool]) == "a list of a whole number and true or false"
+    assert described(dict[str, int]) == "a table" and described(Item) == "a table with name, size"
+    assert described(int | str | None) == "a whole number or a text"
+    assert described(bytes) == "another value"
+
+
+def test_a_key_is_written_as_operators_do_and_has_the_line_of_the_nearest_thing_round_it() -> None:
+    assert key_text(("class", 1, "aim_ms")) == "class[2].aim_ms" and key_text(()) == "the file"
+    lines = toml_key_lines("[[class]]\n[[class]]\nname = 1\n")
+    assert nearest_line(lines, ("class", 1, "name")) == 3
+    assert nearest_line(lines, ("class", 1, "aim_ms")) == 2
+    assert nearest_line(lines, ("other",)) == 1
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.config.validation import FileError
 from sagetrack.lab.figures import figures
 from sagetrack.lab.judges import judge
 from sagetrack.lab.scenario import altered, load
--- a/tests/test_h2.py
+++ b/tests/test_h2.py
@@ -16,9 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.config.validation import FileError
 from sagetrack.core.bodies import Allowance, Upload
 from sagetrack.core.endpoints import Endpoint, Reply
 from sagetrack.core.interfaces import Call
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.config.validation import FileError
+from sagetrack.config.errors import FileError
 from sagetrack.lab import sweep as sweeps
 from sagetrack.lab.faults import FAULTS, SHOWN_BY
 from sagetrack.lab.figures import figures
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
-from sagetrack.config.validation import FileError
 from sagetrack.lab.crash_test import SMALL, Life, Tried, crash_once, kill_once, look, sample, state_of
 from sagetrack.lab.faulty_filesystem import Crash, SimFiles
 from sagetrack.lab.judges import judge
