--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-import sagetrack.server.fleet as fellowship
 from sagetrack.core import clock
 from sagetrack.policy.actions import SendAttempt
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ObservationsReceived
-from sagetrack.server.fleet import Handover
-from sagetrack.server.hot_restart import Overlap
+from sagetrack.server import health_handover
+from sagetrack.server.health_handover import HealthHandover
+from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import SETTINGS, Driver
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 
@@ -95,15 +95,15 @@
 ) -> None:
     """Each process begins its own line at its start, with the wall clock as it is then."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        overlap = Overlap(str(tmp_path))
+        overlap = HotRestart(str(tmp_path))
         overlap.join()
-        old = Handover(overlap, run.instance.config, run.gateway)
+        old = HealthHandover(overlap, run.instance.config, run.gateway)
         client = await run.connect()
         client.send(request())
         await until(lambda: host.seen)
         host.seen[0].answer(reply())
         await client.answer()
-        old.leave_note()
+        old.save()
         learned: list[ObservationsReceived] = []
         handle = run.gateway.balancer.handle
 
@@ -114,9 +114,9 @@
 
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         later = clock.now_us
-        monkeypatch.setattr(fellowship, "now_us", lambda: later() + step_s * 1_000_000)
-        new = Handover(overlap, run.instance.config, run.gateway)
-        new.take()
+        monkeypatch.setattr(health_handover, "now_us", lambda: later() + step_s * 1_000_000)
+        new = HealthHandover(overlap, run.instance.config, run.gateway)
+        new.restore()
         (event,) = learned
         age_us = later() + step_s * 1_000_000 - event.observations[0].seen_us
         assert 0 <= age_us < 5_000_000
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -26,8 +26,9 @@
 from sagetrack.policy.state import Server
 from sagetrack.policy.subset_size import MIN_SUBSET
 from sagetrack.policy.tenant_quota import OVER_SHARE, TENANT_MEMORY
-from sagetrack.server import hot_restart
-from sagetrack.server.hot_restart import LIST, Overlap
+from sagetrack.server import endpoint_list_file
+from sagetrack.server.endpoint_list_file import FILE_NAME
+from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
 from tests.sockets import endpoint, hosts_list, on_loop, until
 
@@ -292,13 +293,13 @@
 REGISTRY = ("127.0.0.1", 9)
 
 
-def a_discovery(overlap: Overlap) -> DiscoveryClient:
+def a_discovery(overlap: HotRestart) -> DiscoveryClient:
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
     names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), discovery_timeouts(SETTINGS)
     discovery = DiscoveryClient(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
-    discovery.on_list_changed = overlap.hand_on
+    discovery.on_list_changed = overlap.endpoint_list.schedule_write
     return discovery
 
 
@@ -310,7 +311,7 @@
         replaced, encoded = os.replace, endpoint_list_json.encode_endpoint
 
         def replace_(old: Path, new: Path) -> None:
-            self.lists += new.name == LIST
+            self.lists += new.name == FILE_NAME
             replaced(old, new)
 
         def encode_endpoint(item: dict[str, Any]) -> Any:
@@ -331,7 +332,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen: each changed entry put the whole list as JSON anew and wrote it."""
-    writes, overlap = Writes(monkeypatch), Overlap(str(tmp_path))
+    writes, overlap = Writes(monkeypatch), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     first = [endpoint(f"s-{n}", f"127.0.0.1:{n + 1}") for n in range(500)]
     take(discovery, 1, *first, whole=True)
@@ -346,39 +347,39 @@
     assert (writes.lists, writes.entries) == (2, 551)  # and the last one at the latest on the way out
     drained = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     stands = hosts_list(204, *drained, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
-    assert overlap.newer_list(REGISTRY, {}) == stands
+    assert overlap.endpoint_list.newest(REGISTRY, {}) == stands
 
 
 @on_loop
 async def test_news_held_back_is_written_before_long(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(hot_restart, "LIST_EVERY_S", 0.01)
-    writes, overlap = Writes(monkeypatch), Overlap(str(tmp_path))
+    monkeypatch.setattr(endpoint_list_file, "WRITE_INTERVAL_S", 0.01)
+    writes, overlap = Writes(monkeypatch), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     for index in range(1, 20):
         take(discovery, index, endpoint(f"s-{index}", "127.0.0.1:1"))
     await until(lambda: writes.lists == 2)
-    assert len(overlap.newer_list(REGISTRY, {})["endpoints"]) == 19
-    await until(lambda: overlap.writing is None)  # nothing goes on while there is no news
+    assert len(overlap.endpoint_list.newest(REGISTRY, {})["endpoints"]) == 19
+    await until(lambda: not overlap.endpoint_list.is_rate_limited)  # nothing goes on while there is no news
     take(discovery, 20, endpoint("s-20", "127.0.0.1:1"))
     assert writes.lists == 3
 
 
 @on_loop
 async def test_where_another_process_serves_its_list_is_not_written_over(tmp_path: Path) -> None:
-    overlap, successor = Overlap(str(tmp_path)), Overlap(str(tmp_path))
+    overlap, successor = HotRestart(str(tmp_path)), HotRestart(str(tmp_path))
     discovery = a_discovery(overlap)
     take(discovery, 1, endpoint("s-1", "127.0.0.1:1"), whole=True)
     take(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # held back
-    successor.keep_list(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
+    successor.endpoint_list.write(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
     overlap.serving = 1
     overlap.release()
-    assert successor.newer_list(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
+    assert successor.endpoint_list.newest(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
 
 
 @on_loop
 async def test_an_entry_that_no_strict_writer_takes_is_handed_on_too(tmp_path: Path) -> None:
-    overlap = Overlap(str(tmp_path))
+    overlap = HotRestart(str(tmp_path))
     odd = json.loads('{"name": "s-\\ud800", "much": 123456789012345678901234567890, "weight": NaN}')
     take(a_discovery(overlap), 1, odd, endpoint("s-1", "127.0.0.1:1"), whole=True)
-    kept = overlap.newer_list(REGISTRY, {})["endpoints"]
+    kept = overlap.endpoint_list.newest(REGISTRY, {})["endpoints"]
     assert repr(kept) == repr([odd, endpoint("s-1", "127.0.0.1:1")])
