--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -523,11 +523,11 @@
     front: Annotated[bool, typer.Option("--front", help="the clients' side, not the back")] = False,
 ) -> None:
     """Feed mutated HTTP/2 frames to the back; exit 1 if any breaks it or an attempt does not end once."""
-    from sagetrack.grpc.fuzz import fuzz, fuzz_front
+    from sagetrack.grpc.fuzz import fuzz_downstream, fuzz_upstream
 
     try:
         with bar("fuzz", False) as tell:
-            found = (fuzz_front if front else fuzz)(frames, seed, tell)
+            found = (fuzz_downstream if front else fuzz_upstream)(frames, seed, tell)
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
--- /dev/null
+++ b/sagetrack/grpc/downstream_stream.py
@@ -0,0 +1,167 @@
+"""One request of a client on a stream: what has come of it, and its response on the way out."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any, Protocol
+
+from sagetrack.core.bodies import Upload
+from sagetrack.core.endpoints import Reply
+from sagetrack.core.gateway import Gateway
+from sagetrack.core.interfaces import Call, Source
+from sagetrack.grpc.calls_pb2 import Answer
+from sagetrack.grpc.messages import Unpacker, pack
+from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.translate import rejection_trailers, response_to_grpc
+
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be sent again
+MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # of a request: the body and its fields
+MAX_PENDING_RESPONSE_BYTES = 128 * 1024  # that wait for a client before its server is paused
+
+
+@dataclass(slots=True)
+class DownstreamCounts:
+    """Totals since the start."""
+
+    connections: int = 0
+    calls: int = 0
+    unreadable: int = 0
+    calmed: int = 0  # connections that were closed for what they sent
+
+
+class StreamConnection(Protocol):
+    """What a stream asks of the connection that carries it."""
+
+    def send_pending(self, stream: DownstreamStream) -> None:
+        """Send what flow control allows of the stream's response."""
+
+    def reopen_window(self, stream: DownstreamStream) -> None:
+        """Let the client send more of the stream's body."""
+
+    def has_gone(self) -> bool:
+        """Whether the client has closed the connection."""
+
+
+@dataclass(slots=True, eq=False)
+class DownstreamStream:
+    """One request and, as the `Client` of its call, its response."""
+
+    gateway: Gateway
+    counts: DownstreamCounts
+    connection: StreamConnection
+    id: int
+    headers: list[tuple[str, str]]
+    unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_MESSAGE_BYTES))
+    messages: list[bytes] = field(default_factory=list)  # until the request is handed to the gateway
+    buffered_bytes: int = 0  # of them
+    upload: Upload | None = None  # the body, once it is too long to be buffered
+    unacknowledged: int = 0  # bytes for which its window is not opened again, while the body is full
+    call: Call | None = None
+    pending: bytearray = field(default_factory=bytearray)  # framed messages that are still to be sent
+    trailers: list[tuple[str, str]] | None = None
+    source: Source | None = None
+    source_paused: bool = False
+    headers_sent: bool = False
+    closed: bool = False
+    last_progress_us: int = 0
+
+    # The response, as the gateway gives it
+
+    def on_served(self, call: Call, answer: Any) -> None:
+        """Complete response."""
+        reply: Reply = answer
+        self.pending += pack(response_to_grpc(reply.headers, reply.body))
+        self.finish([("grpc-status", "0")])
+
+    def on_begun(self, call: Call, head: Any, source: Source) -> None:
+        """Head of a streamed response."""
+        reply: Reply = head
+        first = Answer.FromString(response_to_grpc(reply.headers, b""))
+        if reply.length is not None:
+            first.length = reply.length
+        self.source = source
+        self.send(pack(first.SerializeToString()))
+
+    def on_piece(self, call: Call, data: bytes) -> None:
+        """Part of a streamed response's body."""
+        self.send(pack(Answer(body=data).SerializeToString()))
+
+    def on_ended(self, call: Call, answer: Any) -> None:
+        """End of a streamed response."""
+        self.source = None
+        if answer.body:
+            self.pending += pack(Answer(body=answer.body).SerializeToString())
+        self.finish([("grpc-status", "0")])
+
+    def on_broken(self, call: Call) -> None:
+        """A streamed response broke off."""
+        self.source = None
+        self.finish([("grpc-status", str(int(Status.DATA_LOSS))), ("grpc-message", "the answer broke off")])
+
+    def on_refused(self, call: Call, retry_after_us: int) -> None:
+        """The request is rejected and never ran."""
+        self.finish(rejection_trailers(retry_after_us))
+
+    def on_failed(self, call: Call, timed_out: bool) -> None:
+        """The request failed, or its deadline has passed."""
+        status = Status.DEADLINE_EXCEEDED if timed_out else Status.INTERNAL
+        self.finish([("grpc-status", str(int(status)))])
+
+    # Sending
+
+    def send(self, data: bytes) -> None:
+        """Send framed messages; the source is paused while too much waits for the client."""
+        self.pending += data
+        self.connection.send_pending(self)
+        if (
+            self.source is not None
+            and not self.source_paused
+            and len(self.pending) > MAX_PENDING_RESPONSE_BYTES
+        ):
+            self.source_paused = True
+            self.source.pause()
+
+    def resume_source(self) -> None:
+        """Let the source go on once half of what may wait has been sent."""
+        may_resume = len(self.pending) < MAX_PENDING_RESPONSE_BYTES // 2
+        if self.source_paused and self.source is not None and may_resume:
+            self.source_paused = False
+            self.source.resume()
+
+    def finish(self, trailers: list[tuple[str, str]]) -> None:
+        """End the response; only the first trailers count."""
+        self.call = None
+        if self.upload is not None:
+            self.upload.fail()  # nobody takes the rest of the body
+        if self.trailers is None:
+            self.trailers = trailers
+            self.connection.send_pending(self)
+
+    def refuse(self, status: int, reason: str) -> None:
+        """Answer a request that cannot be handed to the gateway; `reason` is percent-encoded."""
+        self.counts.unreadable += 1
+        encoded = "".join(c if 32 <= ord(c) < 127 and c != "%" else f"%{ord(c) & 255:02X}" for c in reason)
+        self.finish([("grpc-status", str(int(status))), ("grpc-message", encoded)])
+
+    def abort(self, status: int, reason: str) -> None:
+        """Answer a request whose body is not what it should be, and cancel its attempts."""
+        call = self.call
+        self.refuse(status, reason)
+        if call is not None:
+            self.gateway.leave(call.id)
+
+    def drop(self) -> None:
+        """Cancel the request: the client has gone or has reset the stream."""
+        self.closed = True
+        call, self.call = self.call, None
+        if self.upload is not None:
+            self.upload.fail()
+        if call is not None:
+            self.gateway.leave(call.id)
+
+    def is_stalled(self, now: int, timeout_us: float) -> bool:
+        """Whether the client neither reads its response nor sends the body it still owes."""
+        upload = self.upload
+        sends_body = upload is not None and not upload.is_over and not upload.is_full
+        awaits_client = self.pending or self.call is None or sends_body
+        return bool(awaits_client) and now - self.last_progress_us > timeout_us
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -1,7 +1,8 @@
-"""Mutated HTTP/2 frames against back and front: every attempt and every call ends once, and nothing hangs.
+"""Fuzzing of both sides of HTTP/2 with mutated frames. A test tool: nothing in the gateway imports it.
 
-True answers, or true calls, are made by the protocol's other side, then spoilt: bytes changed, cut, doubled,
-frames of every type with any flags between them.
+Checks that every attempt and every request ends exactly once and that nothing hangs. Valid responses, or
+valid requests, are made by the other side of the protocol and then mutated: bytes changed, cut or repeated,
+and frames of any type and flags inserted.
 """
 
 from __future__ import annotations
@@ -21,20 +22,28 @@
 from sagetrack.core.interfaces import Call, Client
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.calls_pb2 import Answer
-from sagetrack.grpc.downstream import ClientLine, NewFront, ReadError
+from sagetrack.grpc.connection_pool import GrpcConnectionPools
+from sagetrack.grpc.downstream_connection import GrpcDownstreamConnection
+from sagetrack.grpc.errors import RequestReadError
+from sagetrack.grpc.listener import GrpcListener
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.outcomes import Status
-from sagetrack.grpc.translate import more, to_new
-from sagetrack.grpc.upstream import Line, NewHost, NewPools
+from sagetrack.grpc.translate import request_body_message, request_to_grpc
+from sagetrack.grpc.upstream_attempt import GrpcUpstreamServer
+from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
 from sagetrack.policy.interface import Outcome, RequestClass, Settings
 
-STREAMS = 4
-SLOW_S = 0.25  # for one piece of bytes: a hang
+STREAMS_PER_CONNECTION = 4
+HANG_S = 0.25  # for one part of the bytes
+BYTES_PER_FRAME_UPSTREAM = 20  # about, to count frames
+BYTES_PER_FRAME_DOWNSTREAM = 250
+BUFFERED_BODY_BYTES = 500  # so short that bodies are streamed too
+BODY_MEMORY_MB = 64
 
 
 @dataclass(slots=True)
-class Found:
-    """What came of it."""
+class FuzzResult:
+    """What a run came to."""
 
     frames: int = 0
     answered: int = 0
@@ -46,54 +55,60 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """What a front of the older format gives its back."""
+    """A request, as HTTP/1.1 downstream hands it to upstream."""
 
     head: bytes
     body: bytes
 
 
-class _Heard:
-    """A watcher that keeps how its attempt ended."""
+class RecordingObserver:
+    """Observer that records how its attempt ended."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[Outcome, Any]] = []
 
     def may_begin(self, server: ServerState) -> bool:
+        """Send to servers that serve."""
         return server is ServerState.SERVING
 
     def on_first_byte(self) -> None:
-        """Of no concern here."""
+        """Not recorded."""
 
     def on_written(self) -> None:
-        """Of no concern here."""
+        """Not recorded."""
 
     def on_begun(self, attempt: Any, head: Any, source: Any) -> None:
-        """Of no concern here."""
+        """Not recorded."""
 
     def on_piece(self, attempt: Any, data: bytes) -> None:
-        """Of no concern here."""
+        """Not recorded."""
 
     def on_end(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
+        """Record the end."""
         self.ends.append((outcome, answer))
 
 
-class _Transport:
-    """Takes what is written, and remembers whether it was closed."""
+class RecordingTransport:
+    """Transport that records what is written and whether it was closed."""
 
     def __init__(self) -> None:
         self.out = bytearray()
         self.closed = False
 
     def write(self, data: bytes) -> None:
+        """Record the bytes."""
         self.out += data
 
     def close(self) -> None:
+        """Record the close."""
         self.closed = True
 
     def is_closing(self) -> bool:
+        """Whether it was closed."""
         return self.closed
 
     def get_extra_info(self, name: str) -> Any:
+        """Nothing is known of the socket."""
         return None
 
 
@@ -107,7 +122,8 @@
     )
 
 
-def spoilt(data: bytes, draw: random.Random) -> bytes:
+def mutated(data: bytes, draw: random.Random) -> bytes:
+    """The bytes with up to two random changes."""
     made = bytearray(data)
     for _ in range(draw.randint(0, 2)):
         at = draw.randrange(max(1, len(made)))
@@ -125,8 +141,8 @@
     return bytes(made)
 
 
-def true_answers(request: bytes, draw: random.Random) -> bytes:
-    """What a server says to these bytes of a client."""
+def valid_responses(request: bytes, draw: random.Random) -> bytes:
+    """Bytes of a server that answers the requests in these bytes of a client."""
     config = h2.config.H2Configuration(client_side=False, header_encoding="latin-1")
     server = h2.connection.H2Connection(config)
     server.initiate_connection()
@@ -142,80 +158,101 @@
     return server.data_to_send()
 
 
-def fed(line: Line | ClientLine, part: bytes, data: bytes, found: Found) -> bool:
-    """Whether a connection bears a part of these bytes, and in time."""
+def feed(
+    connection: GrpcUpstreamConnection | GrpcDownstreamConnection, part: bytes, data: bytes, found: FuzzResult
+) -> bool:
+    """Feed a part of `data` to a connection; False if that raises. A hang is recorded too."""
     began = time.perf_counter()
     try:
-        line.data_received(part)
+        connection.data_received(part)
     except Exception as fault:
         found.wrong.append(f"{fault!r}: {data.hex()}")
         return False
     took = time.perf_counter() - began
     found.slowest_ms = max(found.slowest_ms, took * 1000)
-    if took > SLOW_S:
+    if took > HANG_S:
         found.wrong.append(f"took {took:.2f} s: {data.hex()}")
     return True
 
 
-def fuzz(frames: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> Found:
-    """About so many frames, on connections of four streams each."""
-    return asyncio.run(_fuzz(frames, seed, progress))
-
-
-async def _fuzz(frames: int, seed: int, progress: Callable[[float], None]) -> Found:
-    found, draw = Found(), random.Random(seed)
+def feed_in_parts(
+    connection: GrpcUpstreamConnection | GrpcDownstreamConnection,
+    data: bytes,
+    draw: random.Random,
+    found: FuzzResult,
+    after_part: Callable[[], None] = lambda: None,
+) -> None:
+    """Feed `data` in parts of random size, until one raises."""
+    at = 0
+    while at < len(data):
+        size = draw.randint(1, len(data))
+        if not feed(connection, data[at : at + size], data, found):
+            break
+        at += size
+        after_part()
+
+
+def fuzz_upstream(
+    frames: int, seed: int, progress: Callable[[float], None] = lambda share: None
+) -> FuzzResult:
+    """Feed about so many mutated frames to upstream connections of four streams each."""
+    return asyncio.run(_fuzz_upstream(frames, seed, progress))
+
+
+async def _fuzz_upstream(frames: int, seed: int, progress: Callable[[float], None]) -> FuzzResult:
+    found, draw = FuzzResult(), random.Random(seed)
     while found.frames < frames:
         settings = Settings(classes=(RequestClass(1_000_000, 3_000_000),))
-        pools = NewPools(settings)
-        host = NewHost(1, "n", ("127.0.0.1", 1))
-        pools.hosts[1] = host
-        line = Line(pools, host)
-        host.lines.append(line)
-        heard = [_Heard() for _ in range(STREAMS)]
-        transport: Any = _Transport()
-        for number, one in enumerate(heard):
+        pools = GrpcConnectionPools(settings)
+        pool = pools.add_server(GrpcUpstreamServer(1, "n", ("127.0.0.1", 1)))
+        connection = GrpcUpstreamConnection(pools.counts, pool.discard)
+        pool.connections.append(connection)
+        observers = [RecordingObserver() for _ in range(STREAMS_PER_CONNECTION)]
+        transport: Any = RecordingTransport()
+        for number, observer in enumerate(observers):
             head = b"GET /lookup/%d HTTP/1.1\r\nX-Call-Class: lookup\r\n" % number
             message = Message(head, b"")
-            call = Call(str(number), 0, 3_000_000, None, None, False, 0, message, one)  # type: ignore[arg-type]
-            pools.begin(call, 1, 3_000_000, one)
-        line.connection_made(transport)
-        data = spoilt(true_answers(bytes(transport.out), draw), draw)
-        found.frames += max(1, len(data) // 20)
-        at = 0
-        while at < len(data):
-            size = draw.randint(1, len(data))
-            if not fed(line, data[at : at + size], data, found):
-                break
-            at += size
+            call = Call(str(number), 0, 3_000_000, None, None, False, 0, message, observer)  # type: ignore[arg-type]
+            pools.begin(call, 1, 3_000_000, observer)
+        connection.connection_made(transport)
+        data = mutated(valid_responses(bytes(transport.out), draw), draw)
+        found.frames += max(1, len(data) // BYTES_PER_FRAME_UPSTREAM)
+        feed_in_parts(connection, data, draw, found)
         found.closed += transport.closed
-        line.connection_lost(None)
+        connection.connection_lost(None)
         pools.close()
-        for ends in (one.ends for one in heard):
-            if len(ends) != 1:
-                found.wrong.append(f"ended {len(ends)} times: {data.hex()}")
-        outcomes = [one.ends[0][0] for one in heard if one.ends]
-        found.answered += outcomes.count(Outcome.OK)
-        found.failed += len(outcomes) - outcomes.count(Outcome.OK)
-        for outcome, body in (one.ends[0] for one in heard if one.ends):
-            if outcome is Outcome.OK and body is None:
-                found.wrong.append(f"an answer without one: {data.hex()}")
+        judge_attempts(observers, data, found)
         progress(found.frames / frames)
     return found
 
 
-class _Taker:
-    """A gateway that answers in any of its ways, at once or when asked to, and knows what it owes."""
+def judge_attempts(observers: list[RecordingObserver], data: bytes, found: FuzzResult) -> None:
+    """Check that each attempt has ended once, and with a response where it succeeded."""
+    for ends in (observer.ends for observer in observers):
+        if len(ends) != 1:
+            found.wrong.append(f"ended {len(ends)} times: {data.hex()}")
+    outcomes = [observer.ends[0][0] for observer in observers if observer.ends]
+    found.answered += outcomes.count(Outcome.OK)
+    found.failed += len(outcomes) - outcomes.count(Outcome.OK)
+    for outcome, body in (observer.ends[0] for observer in observers if observer.ends):
+        if outcome is Outcome.OK and body is None:
+            found.wrong.append(f"an answer without one: {data.hex()}")
+
+
+class RandomGateway:
+    """Stand-in for the gateway that answers at random, at once or later, and knows what is unanswered."""
 
     def __init__(self, draw: random.Random) -> None:
         self.draw = draw
-        self.owed: dict[str, Call] = {}
+        self.unanswered: dict[str, Call] = {}
         self.ended = 0
-        self.left = 0
+        self.cancelled = 0
 
     def arrive(self, call: Call) -> bool:
-        if call.id in self.owed:
+        """Take a request."""
+        if call.id in self.unanswered:
             return False
-        self.owed[call.id] = call
+        self.unanswered[call.id] = call
         if call.upload is not None:
             call.upload.on_data = lambda: self.drain(call)
             self.drain(call)
@@ -224,14 +261,17 @@
         return True
 
     def drain(self, call: Call) -> None:
+        """Take what has come of its body."""
         while call.upload is not None and call.upload.pieces:
             call.upload.take()
 
     def leave(self, id_: str) -> None:
-        self.left += self.owed.pop(id_, None) is not None
+        """Take note that the client has cancelled a request."""
+        self.cancelled += self.unanswered.pop(id_, None) is not None
 
     def end(self, call: Call) -> None:
-        if self.owed.pop(call.id, None) is None:
+        """Answer a request in a random way."""
+        if self.unanswered.pop(call.id, None) is None:
             return
         self.ended += 1
         match self.draw.randrange(4):
@@ -246,11 +286,17 @@
             case _:
                 call.client.on_served(call, Reply(200, [(b"X-A", b"b")], b"true", True))
 
+    def end_some(self) -> None:
+        """Answer each unanswered request with even odds."""
+        for call in list(self.unanswered.values()):
+            if self.draw.random() < 0.5:
+                self.end(call)
+
     def pause(self) -> None:
-        """As the source of an answer; it has no more."""
+        """As the source of a response, which has no more."""
 
     def resume(self) -> None:
-        """As above."""
+        """As the source of a response, which has no more."""
 
 
 def _read(
@@ -264,26 +310,26 @@
 ) -> Call:
     ids = [value for name, value in headers if name.lower() == b"x-call-id"]
     if not ids:
-        raise ReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
+        raise RequestReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
     message = Message(b"", body)
     return Call(ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, upload)
 
 
-def true_calls(draw: random.Random) -> bytes:
-    """What a client asks on one connection, short bodies and long ones, some given up."""
+def valid_requests(draw: random.Random) -> bytes:
+    """Bytes of a client on one connection: short bodies and long ones, some requests cancelled."""
     config = h2.config.H2Configuration(client_side=True, header_encoding="latin-1")
     client = h2.connection.H2Connection(config)
     client.initiate_connection()
-    for number in range(STREAMS):
+    for number in range(STREAMS_PER_CONNECTION):
         stream = client.get_next_available_stream_id()
         size = draw.choice((0, 5, 900, 4000))
         length = size if draw.random() < 0.7 else None
         head = b"POST /hold/%d HTTP/1.1\r\nX-Call-Id: c%d\r\nX-Call-Class: hold\r\n" % (number, number)
-        headers, first = to_new(head, b"", length, 3_000_000, "a")
+        headers, first = request_to_grpc(head, b"", length, 3_000_000, "a")
         client.send_headers(stream, headers)
         client.send_data(stream, pack(first))
         for at in range(0, size, 300):
-            client.send_data(stream, pack(more(bytes(min(300, size - at)))))
+            client.send_data(stream, pack(request_body_message(bytes(min(300, size - at)))))
         if draw.random() < 0.2:
             client.reset_stream(stream)
         else:
@@ -291,41 +337,37 @@
     return client.data_to_send()
 
 
-def fuzz_front(frames: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> Found:
-    """About so many frames of clients, on connections of four calls each."""
-    return asyncio.run(_fuzz_front(frames, seed, progress))
+def fuzz_downstream(
+    frames: int, seed: int, progress: Callable[[float], None] = lambda share: None
+) -> FuzzResult:
+    """Feed about so many mutated frames of clients to downstream connections of four requests each."""
+    return asyncio.run(_fuzz_downstream(frames, seed, progress))
 
 
-async def _fuzz_front(frames: int, seed: int, progress: Callable[[float], None]) -> Found:
-    found, draw = Found(), random.Random(seed)
+async def _fuzz_downstream(frames: int, seed: int, progress: Callable[[float], None]) -> FuzzResult:
+    found, draw = FuzzResult(), random.Random(seed)
     while found.frames < frames:
-        taker: Any = _Taker(draw)
-        front = NewFront(taker, _read, lambda: False, Allowance(64))
-        front.most_held = 500  # so that bodies pass through too
-        line = ClientLine(front)
-        transport: Any = _Transport()
+        gateway: Any = RandomGateway(draw)
+        allowance = Allowance(BODY_MEMORY_MB)
+        listener = GrpcListener(gateway, _read, lambda: False, allowance)
+        listener.intake.max_buffered_body = BUFFERED_BODY_BYTES
+        connection = GrpcDownstreamConnection(listener.intake, listener)
+        transport: Any = RecordingTransport()
         transport.abort = transport.close
-        line.connection_made(transport)
-        data = spoilt(true_calls(draw), draw)
-        found.frames += max(1, len(data) // 250)
-        at = 0
-        while at < len(data):
-            size = draw.randint(1, len(data))
-            if not fed(line, data[at : at + size], data, found):
-                break
-            at += size
-            for call in list(taker.owed.values()):
-                if draw.random() < 0.5:
-                    taker.end(call)
+        connection.connection_made(transport)
+        data = mutated(valid_requests(draw), draw)
+        found.frames += max(1, len(data) // BYTES_PER_FRAME_DOWNSTREAM)
+        feed_in_parts(connection, data, draw, found, gateway.end_some)
         found.closed += transport.closed
-        line.connection_lost(None)
-        found.answered += taker.ended
-        found.failed += taker.left
-        if taker.owed:
-            found.wrong.append(f"{len(taker.owed)} calls left in work: {data.hex()}")
-        if front.allowance.active:
-            found.wrong.append(f"{front.allowance.active} bodies never ended: {data.hex()}")
-        if front.lines:
+        connection.connection_lost(None)
+        found.answered += gateway.ended
+        found.failed += gateway.cancelled
+        bodies = allowance.active
+        if gateway.unanswered:
+            found.wrong.append(f"{len(gateway.unanswered)} calls left in work: {data.hex()}")
+        if bodies:
+            found.wrong.append(f"{bodies} bodies never ended: {data.hex()}")
+        if listener.connections:
             found.wrong.append(f"a connection that is over is kept: {data.hex()}")
         progress(found.frames / frames)
     return found
--- a/sagetrack/grpc/messages.py
+++ b/sagetrack/grpc/messages.py
@@ -1,42 +1,45 @@
-"""gRPC's messages in a stream of bytes: a byte for compression, four of length, the message. Pure."""
+"""gRPC's length-prefixed messages: a byte for compression, four of length, the message."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator
 
-PREFIX = struct.Struct("!BI")
-LIMIT = 1024 * 1024  # of one message; a long body comes in several
-
-
-GOAWAY = b"\0\0\x08\x07\0\0\0\0\0"  # its head: RFC 9113, 6.8
-
+from sagetrack.grpc.errors import MessageError
 
-class MessageError(ValueError):
-    """These bytes are no messages of this format; says why."""
+PREFIX = struct.Struct("!BI")
+MAX_MESSAGE_BYTES = 1024 * 1024  # a longer body comes in several messages
+GOAWAY_FRAME_HEADER = b"\0\0\x08\x07\0\0\0\0\0"  # RFC 9113, 4.1 and 6.8: length 8, type 7, stream 0
 
 
 def pack(data: bytes) -> bytes:
-    """One message, not compressed."""
+    """Frame one message, not compressed."""
     return PREFIX.pack(0, len(data)) + data
 
 
-def goaway(last: int) -> bytes:
-    """A GOAWAY frame without an error, by hand: `h2` would hold the connection for closed."""
-    return GOAWAY + last.to_bytes(4) + bytes(4)
+def goaway_frame(last_stream_id: int) -> bytes:
+    """Encode a GOAWAY frame with NO_ERROR.
+
+    By hand, as `h2` would take its connection for closed, while streams up to the last id go on.
+    """
+    return GOAWAY_FRAME_HEADER + last_stream_id.to_bytes(4) + bytes(4)
 
 
 class Unpacker:
-    """Takes bytes in pieces of any size, gives whole messages."""
+    """Splits a stream of bytes into messages; the bytes may arrive in parts of any size."""
 
     __slots__ = ("_buffer", "_limit")
 
-    def __init__(self, limit: int = LIMIT) -> None:
+    def __init__(self, limit: int = MAX_MESSAGE_BYTES) -> None:
         self._buffer = bytearray()
         self._limit = limit
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """MessageError for what is compressed or longer than the limit, before it is held."""
+        """Yield each message that is complete with `data`.
+
+        Raises:
+            MessageError: A message is compressed, or longer than the limit; raised before it is buffered.
+        """
         self._buffer += data
         while len(self._buffer) >= PREFIX.size:
             compressed, length = PREFIX.unpack_from(self._buffer)
@@ -51,6 +54,6 @@
             yield message
 
     @property
-    def rest(self) -> int:
-        """Bytes of a message that is not whole."""
+    def incomplete_bytes(self) -> int:
+        """Buffered bytes of a message that is not complete."""
         return len(self._buffer)
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -1,8 +1,9 @@
-"""The same call put to a server of the other format, and both answers held against each other.
+"""Mirroring: a request is repeated at a server of the other protocol, and both responses are compared.
 
-Only calls of safe classes, whole and answered, at a bounded rate; the copy is a call of its own to the
-module, which gives it a server of the other format or refuses it while anything else wants the room. Nobody
-waits for it. What differs is counted by class and kind, and told in the log at most once a minute for each.
+Only requests of safe classes are mirrored, after their complete response, at a limited rate. The mirrored
+request is a request of its own to the load balancer, which sends it to a server of the other protocol, or
+rejects it while other requests need the capacity. No client waits for it. Differences are counted by class
+and kind, and each kind is logged at most once a minute.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from sagetrack.policy.concurrency_limit import Rate, RateLimiter
 from sagetrack.policy.interface import Effect
 
-# Fields that say of an answer's way and not of what it is (RFC 9110, 6.6.1 and 7.6.1)
-PASSING = frozenset(
+# Fields about the transport of a response and not its content (RFC 9110, 6.6.1 and 7.6.1)
+IGNORED_FIELDS = frozenset(
     {
         b"date",
         b"server",
@@ -32,61 +33,70 @@
         b"age",
     }
 )
-TOLD_US = 60_000_000  # between two lines in the log on one difference
-PREFIX = "shadow\n"  # no header, and so no client's id, can be that
+LOG_INTERVAL_US = 60_000_000  # between two log lines on one difference
+ID_PREFIX = "shadow\n"  # a client's id comes from a header, which has no line break
 
 
-def difference(one: Reply, other: Reply, ignored: frozenset[bytes] = PASSING) -> str | None:
-    """How two answers differ, None if they do not: `status`, `body`, or `header` and the field's name.
+def difference(one: Reply, other: Reply, ignored: frozenset[bytes] = IGNORED_FIELDS) -> str | None:
+    """How two responses differ: `status` with both, `header` with the field's name, or `body`; None if equal.
 
-    Names count without case, values to the byte; of a field that comes several times the order counts.
+    Field names are compared without case, values byte by byte, repeated fields in order.
     """
     if one.status != other.status:
         return f"status {one.status} {other.status}"
-    mine, its = fields_of(one.headers, ignored), fields_of(other.headers, ignored)
-    for name in sorted(mine.keys() | its.keys()):
-        if mine.get(name) != its.get(name):
+    first, second = fields_by_name(one.headers, ignored), fields_by_name(other.headers, ignored)
+    for name in sorted(first.keys() | second.keys()):
+        if first.get(name) != second.get(name):
             return f"header {name.decode('latin-1')}"
     return "body" if one.body != other.body else None
 
 
-def fields_of(headers: list[Header], ignored: frozenset[bytes]) -> dict[bytes, list[bytes]]:
+def fields_by_name(headers: list[Header], ignored: frozenset[bytes]) -> dict[bytes, list[bytes]]:
+    """Values of each field by its name in lower case, without those that are ignored."""
     found: dict[bytes, list[bytes]] = {}
     for name, value in headers:
-        low = name.lower()
-        if low not in ignored:
-            found.setdefault(low, []).append(value)
+        lower_name = name.lower()
+        if lower_name not in ignored:
+            found.setdefault(lower_name, []).append(value)
     return found
 
 
 @dataclass(slots=True)
-class Report:
-    """What the comparisons came to."""
-
-    asked: int = 0
-    same: int = 0
-    refused: int = 0  # no room, or no server of the other format
-    failed: int = 0  # the copy had no answer
-    long: int = 0  # either answer was too long to be held
+class MirrorReport:
+    """Results of the comparisons since the start."""
+
+    mirrored: int = 0
+    equal: int = 0
+    rejected: int = 0  # no capacity, or no server of the other protocol
+    failed: int = 0  # the mirrored request had no response
+    too_long: int = 0  # a response was too long to be buffered
     different: dict[tuple[int, str], int] = field(default_factory=dict)  # by class and difference
-    told_us: dict[tuple[int, str], int] = field(default_factory=dict)
-    most: int = 200  # kinds of differences that are told apart
-
-    def enter(self, klass: int, found: str, now: int) -> bool:
-        """Count a difference; whether it is to be told."""
-        place = (klass, found)
-        if place not in self.different and len(self.different) >= self.most:
-            place = (klass, "other")
-        self.different[place] = self.different.get(place, 0) + 1
-        last = self.told_us.get(place)
-        if last is not None and now - last < TOLD_US:
+    logged_us: dict[tuple[int, str], int] = field(default_factory=dict)
+    max_differences: int = 200  # kinds that are counted each; the others are counted together
+
+    def record_difference(self, klass: int, found: str, now: int) -> bool:
+        """Count a difference; True if it should be logged."""
+        key = (klass, found)
+        if key not in self.different and len(self.different) >= self.max_differences:
+            key = (klass, "other")
+        self.different[key] = self.different.get(key, 0) + 1
+        last = self.logged_us.get(key)
+        if last is not None and now - last < LOG_INTERVAL_US:
             return False
-        self.told_us[place] = now
+        self.logged_us[key] = now
         return True
 
 
-class Shadow:
-    """Compares answers of both formats, at so many calls a second."""
+class ResponseMirror:
+    """Mirrors requests at a limited rate and compares the responses.
+
+    Args:
+        gateway: Takes the mirrored requests.
+        per_s: Mirrored requests a second.
+        ignored: Names of further fields that may differ.
+        names: Names of the classes, by number.
+        wanted: Whether requests should be mirrored now.
+    """
 
     def __init__(
         self,
@@ -97,81 +107,85 @@
         wanted: Callable[[], bool],
     ) -> None:
         self.gateway, self.names, self.wanted = gateway, names, wanted
-        kinds = enumerate(gateway.settings.classes)
-        self.safe = frozenset(number for number, kind in kinds if kind.effect is Effect.SAFE)
-        self.ignored = PASSING | {name.lower().encode() for name in ignored}
-        self.bucket = RateLimiter(Rate(per_s, 1.0), 1)
-        self.report = Report()
-        self.number = 0
-
-    def answered(self, call: Call, newer: bool, answer: Any) -> None:
-        """A call has had its answer, whole, from a server of this format."""
+        classes = enumerate(gateway.settings.classes)
+        self.safe_classes = frozenset(number for number, kind in classes if kind.effect is Effect.SAFE)
+        self.ignored = IGNORED_FIELDS | {name.lower().encode() for name in ignored}
+        self.rate_limiter = RateLimiter(Rate(per_s, 1.0), 1)
+        self.report = MirrorReport()
+        self.last_number = 0
+
+    def on_response(self, call: Call, from_grpc: bool, answer: Any) -> None:
+        """A request has had its complete response, from a server of the given protocol."""
         now = now_us()
-        if call.mirror_target >= 0 or call.upload is not None or call.klass not in self.safe:
+        if call.mirror_target >= 0 or call.upload is not None or call.klass not in self.safe_classes:
             return
-        if self.bucket.wait_us(0, now) > 0 or not isinstance(answer, Reply) or not self.wanted():
+        if self.rate_limiter.wait_us(0, now) > 0 or not isinstance(answer, Reply) or not self.wanted():
             return
-        self.bucket.take(0, now)
-        self.number += 1
-        self.report.asked += 1
-        copy = replace(
+        self.rate_limiter.take(0, now)
+        self.last_number += 1
+        self.report.mirrored += 1
+        mirrored = replace(
             call,
-            id=f"{PREFIX}{self.number:x}",
-            client=Comparer(self, answer, newer),
+            id=f"{ID_PREFIX}{self.last_number:x}",
+            client=MirrorClient(self, answer, from_grpc),
             is_retry=True,
-            mirror_target=int(not newer),
+            mirror_target=int(not from_grpc),
         )
-        self.gateway.arrive(copy)
+        self.gateway.arrive(mirrored)
 
-    def compared(self, call: Call, first: Reply, other: Reply, newer: bool) -> None:
-        old, new = (other, first) if newer else (first, other)
-        found = difference(old, new, self.ignored)
+    def compare(self, call: Call, original: Reply, mirrored: Reply, original_from_grpc: bool) -> None:
+        """Compare the responses, that of HTTP/1.1 first."""
+        http1, grpc = (mirrored, original) if original_from_grpc else (original, mirrored)
+        found = difference(http1, grpc, self.ignored)
         if found is None:
-            self.report.same += 1
-        elif self.report.enter(call.klass, found, now_us()):
-            log(f"answers of the two formats differ for class {self.names[call.klass]}: {found}", "warning")
+            self.report.equal += 1
+        elif self.report.record_difference(call.klass, found, now_us()):
+            log(f"mirrored response differs: class {self.names[call.klass]}, {found}", "warning")
 
     def figures(self) -> dict[str, float]:
-        """For the stats."""
-        r = self.report
-        found: dict[str, float] = {
-            "new_compared_total": r.same + sum(r.different.values()),
-            "new_compared_same_total": r.same,
-            "new_compared_refused_total": r.refused,
-            "new_compared_failed_total": r.failed,
-            "new_compared_long_total": r.long,
+        """Values for the exported metrics."""
+        report = self.report
+        values: dict[str, float] = {
+            "new_compared_total": report.equal + sum(report.different.values()),
+            "new_compared_same_total": report.equal,
+            "new_compared_refused_total": report.rejected,
+            "new_compared_failed_total": report.failed,
+            "new_compared_long_total": report.too_long,
         }
         by_class: dict[str, int] = {}
-        for (klass, _), count in r.different.items():
+        for (klass, _), count in report.different.items():
             by_class[self.names[klass]] = by_class.get(self.names[klass], 0) + count
-        return found | {f"new_differs_{name}_total": count for name, count in by_class.items()}
+        return values | {f"new_differs_{name}_total": count for name, count in by_class.items()}
 
 
-class Comparer:
-    """The client of a copy."""
+class MirrorClient:
+    """The client of one mirrored request."""
 
-    def __init__(self, shadow: Shadow, answer: Reply, newer: bool) -> None:
-        self.shadow, self.answer, self.newer = shadow, answer, newer
+    def __init__(self, mirror: ResponseMirror, original: Reply, original_from_grpc: bool) -> None:
+        self.mirror, self.original, self.original_from_grpc = mirror, original, original_from_grpc
 
     def on_served(self, call: Call, answer: Any) -> None:
-        self.shadow.compared(call, self.answer, answer, self.newer)
+        """Compare the response."""
+        self.mirror.compare(call, self.original, answer, self.original_from_grpc)
 
     def on_begun(self, call: Call, head: Any, source: Source) -> None:
-        """Too long to be held: given up, as nobody wants it."""
-        self.shadow.report.long += 1
-        self.shadow.gateway.leave(call.id)
+        """Cancel the request: its response is too long to be buffered."""
+        self.mirror.report.too_long += 1
+        self.mirror.gateway.leave(call.id)
 
     def on_piece(self, call: Call, data: bytes) -> None:
-        """It was given up."""
+        """Ignore it: the request is cancelled."""
 
     def on_ended(self, call: Call, answer: Any) -> None:
-        """It was given up."""
+        """Ignore it: the request is cancelled."""
 
     def on_broken(self, call: Call) -> None:
-        """It was given up."""
+        """Ignore it: the request is cancelled."""
 
     def on_refused(self, call: Call, retry_after_us: int) -> None:
-        self.shadow.report.refused += 1
+        """Count the rejection."""
+        self.mirror.report.rejected += 1
 
     def on_failed(self, call: Call, timed_out: bool) -> None:
-        self.shadow.report.failed += 1
+        """Count the failure."""
+        self.mirror.report.failed += 1
--- a/sagetrack/grpc/outcomes.py
+++ b/sagetrack/grpc/outcomes.py
@@ -1,7 +1,7 @@
-"""How a stream that ended counts for the module: the table of docs/protocol-2.md. Pure.
+"""Outcome of an attempt by how its stream ended: the table of docs/protocol-2.md.
 
-What surely never ran may be sent again whatever its class: a stream above GOAWAY's last id, one that was
-refused (RFC 9113, 8.7), a call that its server says it has turned away. All else may have run.
+A request that certainly never ran may be retried whatever its class: a stream above GOAWAY's last id, one
+that was refused (RFC 9113, 8.7), a request that its server says it has rejected. Any other may have run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Status(IntEnum):
-    """gRPC's status codes."""
+    """Status codes of gRPC."""
 
     OK = 0
     CANCELLED = 1
@@ -34,7 +34,7 @@
 
 
 class Reset(IntEnum):
-    """HTTP/2's error codes (RFC 9113, section 7)."""
+    """Error codes of HTTP/2 (RFC 9113, section 7)."""
 
     NO_ERROR = 0
     PROTOCOL_ERROR = 1
@@ -52,38 +52,41 @@
     HTTP_1_1_REQUIRED = 13
 
 
-REFUSALS = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
+REJECTION_STATUSES = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
 
 
-def of_status(status: int | None, whole: bool, rejected: bool) -> Outcome:
-    """Of trailers: the status, whether a whole message came before, and whether it says `x-rejected: 1`.
+def of_status(status: int | None, complete: bool, rejected: bool) -> Outcome:
+    """Outcome of a stream that ended with trailers.
 
-    No status, or one that is no number, is an answer that cannot be trusted: an error that may have run.
+    Args:
+        status: Value of `grpc-status`; None if it is missing or no number: an error that may have run.
+        complete: Whether a complete message came before.
+        rejected: Whether the trailers have `x-rejected: 1`.
     """
     if status == Status.OK:
-        return Outcome.OK if whole else Outcome.ERROR
-    if status in REFUSALS and rejected and not whole:
+        return Outcome.OK if complete else Outcome.ERROR
+    if status in REJECTION_STATUSES and rejected and not complete:
         return Outcome.REJECTED
     return Outcome.ERROR
 
 
-def of_reset(code: int, written: bool) -> Outcome:
-    """Of a stream that its server ended with RST_STREAM."""
+def of_reset(code: int, request_sent: bool) -> Outcome:
+    """Outcome of a stream that its server ended with RST_STREAM."""
     if code == Reset.REFUSED_STREAM:
         return Outcome.REJECTED
-    return Outcome.RESET if written else Outcome.ERROR
+    return Outcome.RESET if request_sent else Outcome.ERROR
 
 
-def of_goaway(stream: int, last: int) -> Outcome | None:
-    """Of a stream when GOAWAY says which was the last that is worked on; None: it goes on."""
-    return Outcome.NOT_SENT if stream > last else None
+def of_goaway(stream_id: int, last_stream_id: int) -> Outcome | None:
+    """Outcome of a stream when GOAWAY names the last one that is worked on; None if it goes on."""
+    return Outcome.NOT_SENT if stream_id > last_stream_id else None
 
 
-def of_loss(begun: bool) -> Outcome:
-    """Of a connection that broke: what had begun to be sent may have run."""
-    return Outcome.RESET if begun else Outcome.CONNECT_FAILED
+def of_loss(headers_sent: bool) -> Outcome:
+    """Outcome when the connection broke; once headers were sent, the request may have run."""
+    return Outcome.RESET if headers_sent else Outcome.CONNECT_FAILED
 
 
-def of_deadline(begun: bool) -> Outcome:
-    """Of a deadline that is over: what had begun to be sent may have run."""
-    return Outcome.TIMEOUT if begun else Outcome.CONNECT_FAILED
+def of_deadline(headers_sent: bool) -> Outcome:
+    """Outcome when the deadline has passed; once headers were sent, the request may have run."""
+    return Outcome.TIMEOUT if headers_sent else Outcome.CONNECT_FAILED
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -1,4 +1,4 @@
-"""One fleet of both formats: each call goes to its server in the format that the server speaks."""
+"""Routes each attempt to the pools of its server's protocol, and shifts traffic between the protocols."""
 
 from __future__ import annotations
 
@@ -10,147 +10,191 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import Answer, Attempt, AttemptObserver, Call, Source, UpstreamPool
 from sagetrack.core.send_rules import ServerState
-from sagetrack.grpc.upstream import NewAttempt, NewPools
+from sagetrack.grpc.connection_pool import GrpcConnectionPools
+from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.policy.interface import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.migration import Move
 
-Turned = dict[int, tuple[float, float]]
-FAILED = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
+WeightFactors = dict[int, tuple[float, float]]
+"""Factors of the weights of HTTP/1.1 and of gRPC servers, by number of a class or a tenant."""
 
+FAILURES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
 
-class Counting:
-    """Hears of an attempt before its watcher does, and counts how each format fares."""
 
-    __slots__ = ("call", "mixed", "newer", "streams", "watcher")
+class ProtocolAttemptObserver:
+    """Observes one attempt ahead of its own observer, and records how its protocol fares."""
 
-    def __init__(self, watcher: AttemptObserver, mixed: Mixed, newer: bool, call: Call) -> None:
-        self.watcher, self.mixed, self.newer, self.call = watcher, mixed, newer, call
-        self.streams = False
+    __slots__ = ("call", "is_grpc", "router", "streaming", "watcher")
+
+    def __init__(self, watcher: AttemptObserver, router: ProtocolRouter, is_grpc: bool, call: Call) -> None:
+        self.watcher, self.router, self.is_grpc, self.call = watcher, router, is_grpc, call
+        self.streaming = False
 
     def may_begin(self, server: ServerState) -> bool:
+        """Whether anything may be sent now to the server in this state."""
         return self.watcher.may_begin(server)
 
     def on_first_byte(self) -> None:
+        """The first byte of the request goes out."""
         self.watcher.on_first_byte()
 
     def on_written(self) -> None:
+        """The last byte of the request went out."""
         self.watcher.on_written()
 
     def on_begun(self, attempt: Attempt, head: Answer, source: Source) -> None:
-        self.streams = True
+        """The response is streamed."""
+        self.streaming = True
         self.watcher.on_begun(attempt, head, source)
 
     def on_piece(self, attempt: Attempt, data: bytes) -> None:
+        """Part of a streamed response."""
         self.watcher.on_piece(attempt, data)
 
     def on_end(
         self, attempt: Attempt, outcome: Outcome, answer: Answer | None, load: LoadReport | None
     ) -> None:
-        told = outcome is Outcome.OK or outcome in FAILED
-        if told and self.mixed.move.record(self.newer, outcome is not Outcome.OK, now_us()):
-            self.mixed.on_move()
+        """The attempt has ended; a complete response is offered to the mirror after the client has it."""
+        self.router.record_outcome(self.is_grpc, outcome)
         self.watcher.on_end(attempt, outcome, answer, load)
-        if outcome is Outcome.OK and not self.streams and self.mixed.on_answer is not None:
-            self.mixed.on_answer(self.call, self.newer, answer)  # the client has its own by now
+        if outcome is Outcome.OK and not self.streaming and self.router.on_response is not None:
+            self.router.on_response(self.call, self.is_grpc, answer)
+
 
+class ProtocolRouter:
+    """Upstream servers of both protocols, told apart by the kind that discovery lists.
 
-class Mixed:
-    """Servers of the older format behind `old`, of the newer one behind `new`, by their types."""
+    Args:
+        http1: Pools to HTTP/1.1 servers.
+        grpc: Pools to gRPC servers.
+        grpc_kinds: Kinds of the gRPC servers.
+        migration: Decides on the share of gRPC.
+        on_fallback: Called when gRPC fails so often that its share falls to nothing.
+    """
 
     def __init__(
         self,
-        old: UpstreamPool,
-        new: NewPools,
-        kinds: Collection[int],
-        move: Move,
-        on_move: Callable[[], None],
+        http1: UpstreamPool,
+        grpc: GrpcConnectionPools,
+        grpc_kinds: Collection[int],
+        migration: Move,
+        on_fallback: Callable[[], None],
     ) -> None:
-        self.old, self.new, self.kinds = old, new, frozenset(kinds)
-        self.move, self.on_move = move, on_move
-        self.entries: dict[int, Endpoint] = {}  # as they are listed
+        self.http1, self.grpc, self.grpc_kinds = http1, grpc, frozenset(grpc_kinds)
+        self.migration, self.on_fallback = migration, on_fallback
+        self.endpoints: dict[int, Endpoint] = {}  # with the weights that are listed
         self.factors = (1.0, 1.0)
-        self.turns: tuple[Turned, Turned] = {}, {}  # by class and by member
-        self.on_turns: Callable[[Turned, Turned], None] | None = None
-        self.on_answer: Callable[[Call, bool, Any], None] | None = None  # a whole one, of the newer format?
-        self.numbers: dict[int, None] = {}  # of all servers: asked for at each sending
+        self.exceptions: tuple[WeightFactors, WeightFactors] = {}, {}  # by class and by tenant
+        self.on_exceptions: Callable[[WeightFactors, WeightFactors], None] | None = None
+        self.on_response: Callable[[Call, bool, Any], None] | None = None  # complete; whether from gRPC
+        self.numbers: dict[int, None] = {}  # of all servers: read at each attempt
 
-    def weighed(self, entries: list[Endpoint]) -> list[Endpoint]:
-        """The list as the module is to see it: weights turned so that the newer format has its share."""
+    # Weights
+
+    def weighted(self, entries: list[Endpoint]) -> list[Endpoint]:
+        """Take over a list, and scale its weights so that gRPC has its share of the requests."""
         for entry in entries:
             if entry.listed.status is ServerStatus.GONE:
-                self.entries.pop(entry.listed.server, None)
+                self.endpoints.pop(entry.listed.server, None)
             else:
-                self.entries[entry.listed.server] = entry
-        return [self.turned(entry) for entry in entries]
+                self.endpoints[entry.listed.server] = entry
+        return [self.scaled(entry) for entry in entries]
 
-    def turned(self, entry: Endpoint) -> Endpoint:
-        factor = self.factors[entry.listed.kind in self.kinds]
+    def scaled(self, entry: Endpoint) -> Endpoint:
+        """An endpoint with its weight scaled for its protocol."""
+        factor = self.factors[entry.listed.kind in self.grpc_kinds]
         listed = replace(entry.listed, weight=entry.listed.weight * factor)
         return Endpoint(entry.name, entry.address, listed)
 
-    def look(self) -> list[Endpoint]:
-        """Entries whose weight has changed, since the share or a verdict on the newer format has."""
+    def update_weights(self) -> list[Endpoint]:
+        """Recompute the factors; all endpoints with their new weights if these have changed, else none."""
         sums = [0.0, 0.0]
-        for entry in self.entries.values():
+        for entry in self.endpoints.values():
             if entry.listed.status is ServerStatus.READY:
-                sums[entry.listed.kind in self.kinds] += entry.listed.weight
+                sums[entry.listed.kind in self.grpc_kinds] += entry.listed.weight
         now = now_us()
-        turns = self.move.turns(now, *sums)
-        if turns != self.turns:
-            self.turns = turns
-            if self.on_turns is not None:
-                self.on_turns(*turns)
-        factors = self.move.factors(now, *sums)
+        exceptions = self.migration.turns(now, *sums)
+        if exceptions != self.exceptions:
+            self.exceptions = exceptions
+            if self.on_exceptions is not None:
+                self.on_exceptions(*exceptions)
+        factors = self.migration.factors(now, *sums)
         if factors == self.factors:
             return []
         self.factors = factors
-        return [self.turned(entry) for entry in self.entries.values()]
+        return [self.scaled(entry) for entry in self.endpoints.values()]
+
+    def record_outcome(self, is_grpc: bool, outcome: Outcome) -> None:
+        """Count an outcome that says how a protocol fares; the others say nothing of it."""
+        significant = outcome is Outcome.OK or outcome in FAILURES
+        if significant and self.migration.record(is_grpc, outcome is not Outcome.OK, now_us()):
+            self.on_fallback()
+
+    # As the pool of all servers
+
+    def speaks_grpc(self, server: int) -> bool:
+        """Whether a server is listed as a gRPC server."""
+        return server in self.grpc.pools
+
+    def pool_of(self, server: int) -> Any:
+        """The pools of the protocol that a server speaks."""
+        return self.grpc if self.speaks_grpc(server) else self.http1
 
-    def speaks_new(self, server: int) -> bool:
-        return server in self.new.hosts
+    def pool_of_attempt(self, attempt: Any) -> Any:
+        """The pools that carry an attempt."""
+        return self.grpc if isinstance(attempt, GrpcAttempt) else self.http1
 
     def put(self, entry: Endpoint) -> None:
-        """A server that changes its format leaves the one side and comes to the other."""
+        """Add or update a server; one that changes its protocol moves to the other pools."""
         number = entry.listed.server
         self.numbers[number] = None
-        if entry.listed.kind in self.kinds:
-            if number in self.old.listed:
-                self.old.remove(number)
-            self.new.put(entry)
+        if entry.listed.kind in self.grpc_kinds:
+            if number in self.http1.listed:
+                self.http1.remove(number)
+            self.grpc.put(entry)
         else:
-            if number in self.new.listed:
-                self.new.remove(number)
-            self.old.put(entry)
+            if number in self.grpc.listed:
+                self.grpc.remove(number)
+            self.http1.put(entry)
 
     def remove(self, server: int) -> None:
+        """Drop a server."""
         self.numbers.pop(server, None)
-        (self.new if self.speaks_new(server) else self.old).remove(server)
+        self.pool_of(server).remove(server)
 
     @property
     def listed(self) -> Collection[int]:
+        """Numbers of the listed servers."""
         return self.numbers.keys()
 
     def lives(self) -> dict[int, int]:
-        return self.old.lives() | self.new.lives()
+        """When each listed server started."""
+        return self.http1.lives() | self.grpc.lives()
 
     def begin(self, call: Call, server: int, wait_us: int, watcher: AttemptObserver) -> Any:
-        newer = self.speaks_new(server)
-        back: Any = self.new if newer else self.old
-        return back.begin(call, server, wait_us, Counting(watcher, self, newer, call))
+        """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
+        is_grpc = self.speaks_grpc(server)
+        pool: Any = self.grpc if is_grpc else self.http1
+        return pool.begin(call, server, wait_us, ProtocolAttemptObserver(watcher, self, is_grpc, call))
 
     def cancel(self, attempt: Any) -> None:
-        (self.new if isinstance(attempt, NewAttempt) else self.old).cancel(attempt)
+        """Stop waiting for a response."""
+        self.pool_of_attempt(attempt).cancel(attempt)
 
     def withdraw(self, attempt: Any) -> None:
-        (self.new if isinstance(attempt, NewAttempt) else self.old).withdraw(attempt)
+        """End an attempt if nothing of it has been sent."""
+        self.pool_of_attempt(attempt).withdraw(attempt)
 
     def close_idle(self, server: int) -> None:
-        (self.new if self.speaks_new(server) else self.old).close_idle(server)
+        """Close connections to a server's earlier incarnation, as they become idle."""
+        self.pool_of(server).close_idle(server)
 
     def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        if not self.speaks_new(server):
-            self.old.probe(server, told)
+        """Ask an HTTP/1.1 server for its load; gRPC servers are not probed."""
+        if not self.speaks_grpc(server):
+            self.http1.probe(server, told)
 
     def close(self) -> None:
-        self.old.close()
-        self.new.close()
+        """Close all connections."""
+        self.http1.close()
+        self.grpc.close()
--- /dev/null
+++ b/sagetrack/grpc/request_intake.py
@@ -0,0 +1,123 @@
+"""From the messages of a stream to a request of the gateway: read, check, buffer or stream the body."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sagetrack.core.bodies import LARGE_LIMIT, Allowance, Upload
+from sagetrack.core.clock import now_us
+from sagetrack.core.endpoints import Header
+from sagetrack.core.gateway import Gateway
+from sagetrack.core.interfaces import Call, Client
+from sagetrack.grpc.downstream_stream import MAX_BUFFERED_BODY_BYTES, DownstreamCounts, DownstreamStream
+from sagetrack.grpc.errors import MessageError, RequestReadError, TranslationError
+from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.translate import request_body_chunk, request_to_http1, split_head
+
+RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, Upload | None], Call]
+"""Makes a call from method, target, headers, body, time budget (us; 0: the class's own), client, and the body
+if it is streamed. Raises RequestReadError."""
+
+
+class RequestIntake:
+    """Hands the requests of all streams to the gateway.
+
+    Args:
+        gateway: Where requests go.
+        read: Makes a call from a request.
+        allowance: Memory for streamed bodies.
+    """
+
+    def __init__(self, gateway: Gateway, read: RequestReader, allowance: Allowance) -> None:
+        self.gateway, self.read, self.allowance = gateway, read, allowance
+        self.max_buffered_body = MAX_BUFFERED_BODY_BYTES
+        self.counts = DownstreamCounts()
+
+    def on_data(self, stream: DownstreamStream, data: bytes) -> None:
+        """DATA of a request; a body that gets too long to be buffered is streamed from here on."""
+        stream.last_progress_us = now_us()
+        try:
+            for message in stream.unpacker.feed(data):
+                if stream.upload is not None:
+                    self.feed_body(stream, stream.upload, message)
+                else:
+                    stream.messages.append(message)
+                    stream.buffered_bytes += len(message)
+        except MessageError as error:
+            stream.abort(Status.RESOURCE_EXHAUSTED, str(error))
+            return
+        if stream.upload is None and stream.buffered_bytes > self.max_buffered_body:
+            self.submit(stream, streamed=True)
+
+    def on_end(self, stream: DownstreamStream) -> None:
+        """The client has ended its side of the stream."""
+        upload = stream.upload
+        if upload is None:
+            self.submit(stream, streamed=False)
+        elif stream.unpacker.incomplete_bytes or (
+            upload.length is not None and upload.length != upload.received
+        ):
+            # The server must not take it for complete.
+            stream.abort(Status.INVALID_ARGUMENT, f"a body that ends after {upload.received} bytes")
+        else:
+            upload.end()
+
+    def feed_body(self, stream: DownstreamStream, upload: Upload, message: bytes) -> None:
+        """A further message of a streamed body."""
+        if upload.discarding:
+            return
+        try:
+            upload.feed(request_body_chunk(message))
+        except TranslationError as error:
+            stream.abort(Status.INVALID_ARGUMENT, str(error))
+            return
+        limit = LARGE_LIMIT if upload.length is None else upload.length
+        if upload.received > limit:
+            stream.abort(Status.RESOURCE_EXHAUSTED, f"a body of over {limit} bytes")
+
+    def submit(self, stream: DownstreamStream, streamed: bool) -> None:
+        """Hand a request to the gateway: a complete one, or the beginning of one with a streamed body."""
+        self.counts.calls += 1
+        content_type = dict(stream.headers).get("content-type", "")
+        if not content_type.startswith("application/grpc"):
+            stream.refuse(Status.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
+            return
+        if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
+            stream.refuse(Status.INVALID_ARGUMENT, "no whole message")
+            return
+        try:
+            call = self.read_call(stream, streamed)
+        except TranslationError as error:
+            stream.refuse(Status.INVALID_ARGUMENT, str(error))
+            return
+        except RequestReadError as error:
+            stream.refuse(error.status, str(error))
+            return
+        stream.messages.clear()
+        stream.call = call
+        call.has_gone = stream.connection.has_gone
+        stream.last_progress_us = now_us()
+        if not self.gateway.arrive(call):
+            stream.call = None
+            stream.refuse(Status.ALREADY_EXISTS, "this x-call-id is in use")
+
+    def read_call(self, stream: DownstreamStream, streamed: bool) -> Call:
+        """Make a call from the buffered messages.
+
+        Raises:
+            TranslationError: The request has no counterpart in HTTP/1.1, or its body not the stated length.
+            RequestReadError: The request breaks a rule of the platform.
+        """
+        head, body, length, budget_us = request_to_http1(stream.headers, stream.messages[0])
+        body += b"".join(request_body_chunk(message) for message in stream.messages[1:])
+        if length is not None and (len(body) > length or (len(body) < length and not streamed)):
+            raise TranslationError(f"a body of {len(body)} bytes that was to have {length}")
+        if length is not None and length > LARGE_LIMIT:
+            raise TranslationError(f"a body of {length} bytes, over {LARGE_LIMIT}")
+        method, target, headers = split_head(head)
+        if streamed:
+            stream.upload = upload = Upload(length, self.allowance)
+            upload.on_room = lambda: stream.connection.reopen_window(stream)
+            upload.feed(body)
+            body = b""
+        return self.read(method, target, headers, body, budget_us, stream, stream.upload)
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -1,7 +1,7 @@
-"""Old calls as new ones, and new answers as old ones: exact, or an error that names what cannot pass.
+"""Translation between HTTP/1.1 and gRPC, both ways: exact, or an error that names what cannot be translated.
 
-Pure. A call's head is the text that goes on to an old server; nothing in it is read for its meaning but what
-the newer format has a place for.
+The head of a request is the text that would be sent to an HTTP/1.1 server. Only fields that gRPC metadata has
+a place for (`METADATA`, the idempotency key) are read; the others are carried as they are.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 
 from sagetrack.core.endpoints import Header, Reply
 from sagetrack.grpc.calls_pb2 import Answer, Call, Field
-from sagetrack.grpc.metadata import TranslationError, binary, from_binary, timeout_header, timeout_us
+from sagetrack.grpc.errors import TranslationError
+from sagetrack.grpc.metadata import decode_binary, encode_binary, format_timeout, parse_timeout_us
 from sagetrack.grpc.outcomes import Status
 
 SERVICE = "/sagetrack.v2.Calls/"
@@ -24,15 +25,20 @@
     b"x-call-cost": "x-call-cost",
     b"x-again": "x-again",
 }
-KEY, KEY_BIN = b"idempotency-key", "idempotency-key-bin"
-NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # of a field, RFC 9110, 5.5
-PLAIN = re.compile(rb"[\x20-\x7e]*")
-NO_FIELD = frozenset({b"content-length", b"transfer-encoding", b"connection"})
+KEY_FIELD, KEY_METADATA = b"idempotency-key", "idempotency-key-bin"
+FIELD_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
+FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
+PRINTABLE = re.compile(rb"[\x20-\x7e]*")
+# Of a connection or of the framing (RFC 9110, 7.6.1 and 8.6): not carried
+HOP_FIELDS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
 
 
 def split_head(head: bytes) -> tuple[str, bytes, list[Header]]:
-    """Method, target and headers of a call's head; TranslationError for a head that is none."""
+    """Split the head of an HTTP/1.1 request into method, target and fields.
+
+    Raises:
+        TranslationError: The request line or a field is malformed.
+    """
     lines = head.rstrip(b"\r\n").split(b"\r\n")
     parts = lines[0].split(b" ")
     if len(parts) != 3:
@@ -40,42 +46,54 @@
     headers = []
     for line in lines[1:]:
         name, colon, value = line.partition(b":")
-        if not colon or not NAME.fullmatch(name):
+        if not colon or not FIELD_NAME.fullmatch(name):
             raise TranslationError(f"a header {line[:40]!r} that is none")
         headers.append((name, value.removeprefix(b" ")))
     return parts[0].decode("latin-1"), parts[1], headers
 
 
 def read_head(head: bytes) -> tuple[str, bytes, list[Header], dict[str, str]]:
-    """Method, target, headers that pass on, and metadata; TranslationError names what cannot pass."""
+    """Split the head of an HTTP/1.1 request into method, target, fields to carry, and metadata.
+
+    Raises:
+        TranslationError: A field cannot be carried; named in the message.
+    """
     method, target, headers = split_head(head)
     metadata: dict[str, str] = {}
-    passed = [(name, value) for name, value in headers if name.lower() not in NO_FIELD]
+    passed = [(name, value) for name, value in headers if name.lower() not in HOP_FIELDS]
     for name, value in passed:
         low = name.lower()
-        if low == KEY:
-            metadata[KEY_BIN] = binary(value)
+        if low == KEY_FIELD:
+            metadata[KEY_METADATA] = encode_binary(value)
         elif low in METADATA:
-            if not PLAIN.fullmatch(value):
+            if not PRINTABLE.fullmatch(value):
                 raise TranslationError(f"{name.decode()} has bytes that metadata cannot carry")
             metadata[METADATA[low]] = value.decode()
-        elif not VALUE.fullmatch(value):
+        elif not FIELD_VALUE.fullmatch(value):
             raise TranslationError(f"{name.decode()} has control characters")
     return method, target, passed, metadata
 
 
-def to_new(
+def request_to_grpc(
     head: bytes, body: bytes, length: int | None, wait_us: int, authority: str
 ) -> tuple[list[tuple[str, str]], bytes]:
-    """HTTP/2 headers and the first message for an old call.
+    """Translate a request to HTTP/2 headers and the first message.
+
+    Args:
+        head: Request line and fields.
+        body: The body, or what there is of it so far.
+        length: Length of a streamed body, where it is known.
+        wait_us: For `grpc-timeout`.
+        authority: Address of the server.
 
-    `length`: of a body that follows in pieces, where it is known. TranslationError names what cannot pass.
+    Raises:
+        TranslationError: Something cannot be translated; named in the message.
     """
     method, target, passed, metadata = read_head(head)
     klass = metadata.get("x-call-class", "")
     if not klass:
         klass = target.lstrip(b"/").partition(b"/")[0].partition(b"?")[0].decode("latin-1")
-    # A name's own spelling is kept in the fields, so that an old server behind a new one sees it.
+    # The spelling of names is kept, so that an HTTP/1.1 server behind a gRPC one sees what its client sent.
     fields = [Field(name=name, value=value) for name, value in passed]
     first = Call(method=method, target=target, fields=fields, body=body)
     if length is not None:
@@ -87,117 +105,150 @@
         (":authority", authority),
         ("te", "trailers"),
         ("content-type", "application/grpc+proto"),
-        ("grpc-timeout", timeout_header(wait_us)),
+        ("grpc-timeout", format_timeout(wait_us)),
     ]
     return [*pseudo, *metadata.items()], first.SerializeToString()
 
 
 def with_timeout(headers: list[tuple[str, str]], left_us: int) -> list[tuple[str, str]]:
-    """The same headers with what is left of the time now: the connection may have come up late."""
-    told = timeout_header(max(1, left_us))
-    return [(name, told if name == "grpc-timeout" else value) for name, value in headers]
+    """Replace `grpc-timeout` by the time that is left now: connecting may have taken some of it."""
+    timeout = format_timeout(max(1, left_us))
+    return [(name, timeout if name == "grpc-timeout" else value) for name, value in headers]
 
 
-def more(data: bytes) -> bytes:
-    """A further message with a piece of a call's body."""
+def request_body_message(data: bytes) -> bytes:
+    """Encode a further message of a streamed request body."""
     return Call(body=data).SerializeToString()
 
 
-def to_old(message: bytes) -> tuple[Reply, int | None]:
-    """An old answer from the first message of a new one, and the length of its body where that is told.
+def response_to_http1(message: bytes) -> tuple[Reply, int | None]:
+    """Translate the first message of a response; also the length of its body, if it is announced.
 
-    TranslationError where it has no counterpart.
+    Raises:
+        TranslationError: The response has no counterpart in HTTP/1.1.
     """
     try:
         answer = Answer.FromString(message)
     except DecodeError:
         raise TranslationError("an answer that the schema does not know") from None
-    return Reply(200, old_fields(answer.fields), answer.body, True), (
+    return Reply(200, http1_fields(answer.fields), answer.body, True), (
         answer.length if answer.HasField("length") else None
     )
 
 
-def piece(message: bytes) -> bytes:
-    """The piece of a body that a further message of an answer has."""
+def response_body_chunk(message: bytes) -> bytes:
+    """Decode the part of the body in a further message of a response.
+
+    Raises:
+        TranslationError: The message does not follow the schema.
+    """
     try:
         return Answer.FromString(message).body
     except DecodeError:
         raise TranslationError("an answer that the schema does not know") from None
 
 
-def old_fields(fields: Iterable[Field]) -> list[Header]:
-    """Headers of an old answer; TranslationError for one that would not be one there."""
+def http1_fields(fields: Iterable[Field]) -> list[Header]:
+    """Translate fields to HTTP/1.1.
+
+    Raises:
+        TranslationError: A field would be malformed there.
+    """
     headers = []
     for field in fields:
-        if not NAME.fullmatch(field.name) or not VALUE.fullmatch(field.value):
+        if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(field.value):
             raise TranslationError(f"a field {field.name[:40]!r} that is no header")
-        if field.name.lower() not in NO_FIELD:
+        if field.name.lower() not in HOP_FIELDS:
             headers.append((field.name, field.value))
     return headers
 
 
-def from_new(headers: Iterable[tuple[str, str]], message: bytes) -> tuple[bytes, bytes, int | None, int]:
-    """The other way: an old call's head, body, length of a body in pieces, and budget in microseconds.
+def request_to_http1(
+    headers: Iterable[tuple[str, str]], message: bytes
+) -> tuple[bytes, bytes, int | None, int]:
+    """Translate a gRPC request to HTTP/1.1.
 
-    What the metadata says of id, class, member and key wins over the fields. TranslationError as above.
+    Metadata takes precedence over fields of the same name.
+
+    Returns:
+        Head, body, length of a streamed body if it is announced, and time budget in microseconds (0: none).
+
+    Raises:
+        TranslationError: Something cannot be translated; named in the message.
     """
-    said = dict(headers)
+    metadata = dict(headers)
     try:
         call = Call.FromString(message)
     except DecodeError:
         raise TranslationError("a call that the schema does not know") from None
-    if " " in call.method or not call.method or not PLAIN.fullmatch(call.target) or b" " in call.target:
+    if " " in call.method or not call.method or not PRINTABLE.fullmatch(call.target) or b" " in call.target:
         raise TranslationError("a method or target that no request line can carry")
-    kept = [(f.name, f.value) for f in call.fields]
-    carried = {name: said[key].encode("latin-1") for name, key in METADATA.items() if key in said}
-    if KEY_BIN in said:
-        carried[KEY] = from_binary(said[KEY_BIN])
-    lines = [b"%s %s HTTP/1.1" % (call.method.encode(), call.target)]
-    for name, value in kept:
-        low = name.lower()
-        if low in NO_FIELD:
+    lines = [b"%s %s HTTP/1.1" % (call.method.encode(), call.target), *request_field_lines(call, metadata)]
+    length = call.length if call.HasField("length") else None
+    if call.body or call.method == "POST":
+        lines.append(b"Content-Length: %d" % (len(call.body) if length is None else length))
+    budget_us = parse_timeout_us(metadata["grpc-timeout"]) if "grpc-timeout" in metadata else 0
+    return b"\r\n".join(lines) + b"\r\n", call.body, length, budget_us
+
+
+def request_field_lines(call: Call, metadata: dict[str, str]) -> list[bytes]:
+    """Lines of a request's fields: those of the message, overridden and completed by metadata.
+
+    Raises:
+        TranslationError: A field would be malformed in HTTP/1.1.
+    """
+    overrides = {name: metadata[key].encode("latin-1") for name, key in METADATA.items() if key in metadata}
+    if KEY_METADATA in metadata:
+        overrides[KEY_FIELD] = decode_binary(metadata[KEY_METADATA])
+    lines = []
+    for field in call.fields:
+        lower_name = field.name.lower()
+        if lower_name in HOP_FIELDS:
             continue
-        value = carried.pop(low, value)
-        if not NAME.fullmatch(name) or not VALUE.fullmatch(value):
-            raise TranslationError(f"a field {name[:40]!r} that is no header")
-        lines.append(b"%s: %s" % (name, value))
-    if "host" not in {f.name.lower().decode("latin-1") for f in call.fields} and ":authority" in said:
-        carried[b"Host"] = said[":authority"].encode("latin-1")
-    for name, value in carried.items():
-        if not VALUE.fullmatch(value):
+        value = overrides.pop(lower_name, field.value)
+        if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(value):
+            raise TranslationError(f"a field {field.name[:40]!r} that is no header")
+        lines.append(b"%s: %s" % (field.name, value))
+    if "host" not in {f.name.lower().decode("latin-1") for f in call.fields} and ":authority" in metadata:
+        overrides[b"Host"] = metadata[":authority"].encode("latin-1")
+    for name, value in overrides.items():
+        if not FIELD_VALUE.fullmatch(value):
             raise TranslationError(f"{name.decode()} has control characters")
         lines.append(b"%s: %s" % (name, value))
-    if call.body or call.method == "POST":
-        lines.append(b"Content-Length: %d" % (call.length if call.HasField("length") else len(call.body)))
-    budget = timeout_us(said["grpc-timeout"]) if "grpc-timeout" in said else 0
-    whole = call.length if call.HasField("length") else None
-    return b"\r\n".join(lines) + b"\r\n", call.body, whole, budget
+    return lines
+
 
+def request_body_chunk(message: bytes) -> bytes:
+    """Decode the part of the body in a further message of a request.
 
-def old_body(message: bytes) -> bytes:
-    """The piece of a body that a further message of a call has."""
+    Raises:
+        TranslationError: The message does not follow the schema.
+    """
     try:
         return Call.FromString(message).body
     except DecodeError:
         raise TranslationError("a call that the schema does not know") from None
 
 
-def to_new_answer(headers: Iterable[Header], body: bytes) -> bytes:
-    """The one message of a new answer for an old one."""
-    fields = [Field(name=name, value=value) for name, value in headers if name.lower() not in NO_FIELD]
+def response_to_grpc(headers: Iterable[Header], body: bytes) -> bytes:
+    """Encode a response as a message."""
+    fields = [Field(name=name, value=value) for name, value in headers if name.lower() not in HOP_FIELDS]
     return Answer(fields=fields, body=body).SerializeToString()
 
 
-def refusal(retry_after_us: int) -> list[tuple[str, str]]:
-    """Trailers that refuse: never ran, and when to come back (gRPC's retry push-back, proposal A6)."""
+def rejection_trailers(retry_after_us: int) -> list[tuple[str, str]]:
+    """Trailers of a rejection: the request never ran, and may be sent again after a time.
+
+    The time is gRPC's retry pushback (proposal A6).
+    """
     trailers = [("grpc-status", str(int(Status.RESOURCE_EXHAUSTED))), ("x-rejected", "1")]
     if retry_after_us > 0:
         trailers.append(("grpc-retry-pushback-ms", str(max(1, retry_after_us // 1000))))
     return trailers
 
 
-def untranslatable(head: bytes) -> str | None:
-    """Why a call can go to no server of the newer format; None if it can."""
+def untranslatable_reason(head: bytes) -> str | None:
+    """Why a request can be sent to no gRPC server; None if it can."""
     try:
         read_head(head)
     except TranslationError as error:
--- /dev/null
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -0,0 +1,154 @@
+"""One attempt of a request at a gRPC upstream server, from its sending to its one outcome."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from sagetrack.config.platform import Address
+from sagetrack.core.bodies import nothing
+from sagetrack.core.clock import now_us
+from sagetrack.core.endpoints import Reply
+from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.send_rules import ServerState
+from sagetrack.grpc.messages import pack
+from sagetrack.grpc.response_reader import ResponseReader
+from sagetrack.grpc.translate import request_body_message
+from sagetrack.policy.interface import Outcome
+
+
+@dataclass(slots=True, eq=False)
+class GrpcUpstreamServer:
+    """One server as discovery lists it."""
+
+    id: int
+    name: str
+    address: Address
+    started_us: int = 0
+    drained_us: int | None = None  # since when it is listed as draining or gone
+
+
+class AttemptConnection(Protocol):
+    """What an attempt asks of the connection that carries it."""
+
+    def forget(self, attempt: GrpcAttempt) -> None:
+        """Drop an attempt that has ended."""
+
+    def reset(self, attempt: GrpcAttempt) -> None:
+        """Cancel its stream, if it has one."""
+
+    def reopen_window(self, attempt: GrpcAttempt) -> None:
+        """Let the server send again."""
+
+
+@dataclass(slots=True, eq=False)
+class GrpcAttempt:
+    """One attempt. It ends exactly once, by `finish`, which tells its observer."""
+
+    upstream: GrpcUpstreamServer
+    call: Call
+    watcher: AttemptObserver
+    sent_us: int
+    timeout_us: int
+    headers: list[tuple[str, str]]
+    pending: deque[bytes]  # framed messages that are still to be sent
+    latency_us: int = 0
+    connection: AttemptConnection | None = None
+    stream_id: int = 0
+    headers_sent: bool = False  # the server may have begun to run it
+    request_sent: bool = False  # to its last byte
+    ended: bool = False
+    streaming: bool = False  # the response goes to the client as it arrives
+    paused: bool = False  # the client takes nothing at the moment
+    last_progress_us: int = 0
+    response: ResponseReader = field(default_factory=ResponseReader)
+    unacknowledged: int = 0  # bytes for which the stream's window is not opened again yet
+    timers: list[asyncio.TimerHandle] = field(default_factory=list)
+
+    @property
+    def server(self) -> int:
+        """Number of the server."""
+        return self.upstream.id
+
+    @property
+    def remaining_us(self) -> int:
+        """How long the response is still waited for; the timeout runs from the request's last byte."""
+        if self.call.upload is not None and not self.call.upload.ended:
+            return self.timeout_us
+        return self.timeout_us - (now_us() - self.sent_us)
+
+    def may_start(self) -> bool:
+        """Whether the request may be sent now; asked right before its first byte.
+
+        Once the server is listed as draining or gone, the observer decides by the send rules.
+        """
+        withdrawn = self.upstream.drained_us is not None
+        return self.watcher.may_begin(ServerState.WITHDRAWN if withdrawn else ServerState.SERVING)
+
+    def load_pending(self) -> bool:
+        """Take the next chunk of a streamed body once all before it is sent; False if there is none."""
+        upload = self.call.upload
+        if not self.pending and upload is not None and upload.pieces:
+            self.pending.append(pack(request_body_message(upload.take())))
+        return bool(self.pending)
+
+    def take_pending(self, limit: int) -> bytes:
+        """The next bytes to send, at most `limit` of them."""
+        data = self.pending.popleft()
+        if len(data) > limit:
+            self.pending.appendleft(data[limit:])
+            data = data[:limit]
+        return data
+
+    @property
+    def all_sent(self) -> bool:
+        """Whether nothing of the request is left to send, now or later."""
+        upload = self.call.upload
+        return not self.pending and (upload is None or (upload.ended and not upload.pieces))
+
+    def start_streaming(self) -> None:
+        """Pass the response on as it arrives, beginning with what was buffered."""
+        head = self.response.head
+        assert head is not None
+        self.streaming = True
+        self.latency_us = now_us() - self.sent_us
+        for timer in self.timers:
+            timer.cancel()
+        announced = Reply(200, head.headers, b"", True, self.response.announced_length)
+        self.watcher.on_begun(self, announced, self)
+        body = self.response.take_buffered()
+        if not self.ended:
+            self.watcher.on_piece(self, body)
+
+    def pause(self) -> None:
+        """Client side stopped reading: the stream's flow-control window is left to run out."""
+        self.paused = True
+
+    def resume(self) -> None:
+        """Client side reads again."""
+        self.paused = False
+        self.last_progress_us = now_us()
+        if self.connection is not None and self.unacknowledged:
+            self.connection.reopen_window(self)
+
+    def cancel_stream(self) -> None:
+        """Reset its stream, so that its server can stop working on it."""
+        if self.connection is not None:
+            self.connection.reset(self)
+
+    def finish(self, outcome: Outcome, reply: Reply | None = None) -> None:
+        """End the attempt and tell its observer; any call after the first has no effect."""
+        if self.ended:
+            return
+        self.ended = True
+        if not self.streaming:
+            self.latency_us = now_us() - self.sent_us
+        for timer in self.timers:
+            timer.cancel()
+        if self.call.upload is not None:
+            self.call.upload.on_data = self.call.upload.on_end = nothing
+        if self.connection is not None:
+            self.connection.forget(self)
+        self.watcher.on_end(self, outcome, reply, None)
--- /dev/null
+++ b/sagetrack/grpc/upstream_connection.py
@@ -0,0 +1,397 @@
+"""One HTTP/2 connection to a gRPC server: its streams, flow control, GOAWAY, pings and end.
+
+How a stream ended says whether its request may have run: see `outcomes` and docs/protocol-2.md.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from contextlib import suppress
+from dataclasses import dataclass
+from typing import cast
+
+import h2.errors
+import h2.events
+import h2.exceptions
+import h2.settings
+from h2.connection import ConnectionState
+
+from sagetrack.core.bodies import STALL_S
+from sagetrack.core.clock import now_us
+from sagetrack.grpc import outcomes
+from sagetrack.grpc.errors import MessageError, TranslationError
+from sagetrack.grpc.flood_guard import FloodGuard
+from sagetrack.grpc.http2_protocol import MAX_HEADER_LIST_BYTES, Http2Protocol
+from sagetrack.grpc.liveness import Liveness
+from sagetrack.grpc.translate import with_timeout
+from sagetrack.grpc.upstream_attempt import GrpcAttempt
+from sagetrack.policy.interface import Outcome
+
+MAX_STREAMS = 100  # of one connection, whatever its server's SETTINGS allow
+STREAM_WINDOW_BYTES = 64 * 1024  # that a server may send on a stream before its client has taken some
+CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024
+PING_PAYLOAD = b"sagetrk2"  # eight bytes, RFC 9113, 6.7
+LAST_STREAM_ID = 2**31 - 1  # RFC 9113, 5.1.1
+
+
+@dataclass(slots=True)
+class UpstreamCounts:
+    """Totals since the start, over all connections."""
+
+    opened: int = 0
+    streams: int = 0
+    refused_streams: int = 0
+    goaways: int = 0
+    resets: int = 0
+    broken: int = 0  # connections that ended while requests were in flight
+    untranslated: int = 0
+
+
+class GrpcUpstreamConnection(Http2Protocol):
+    """One connection; any number of attempts share it, each on a stream of its own.
+
+    Args:
+        counts: Where its events are counted.
+        on_closed: Called once, when it takes no more attempts because it has closed or failed.
+    """
+
+    def __init__(self, counts: UpstreamCounts, on_closed: Callable[[GrpcUpstreamConnection], None]) -> None:
+        codes = h2.settings.SettingCodes
+        settings: dict[h2.settings.SettingCodes, int] = {
+            codes.ENABLE_PUSH: 0,
+            codes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
+            codes.INITIAL_WINDOW_SIZE: STREAM_WINDOW_BYTES,
+        }
+        super().__init__(True, settings)
+        self.counts, self.on_closed = counts, on_closed
+        self.attempts: dict[int, GrpcAttempt] = {}
+        self.awaiting_connect: deque[GrpcAttempt] = deque()
+        self.draining = False  # takes no new streams
+        self.closed = False
+        created_us = now_us()
+        self.liveness = Liveness(created_us)
+        self.flood_guard = FloodGuard(created_us)
+
+    @property
+    def capacity(self) -> int:
+        """Streams that may be opened now."""
+        if self.draining or self.closed:
+            return 0
+        allowed = MAX_STREAMS
+        if self.transport is not None:
+            allowed = min(MAX_STREAMS, self.h2.remote_settings.max_concurrent_streams)
+        return allowed - len(self.attempts) - len(self.awaiting_connect)
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether it carries no attempt."""
+        return not self.attempts and not self.awaiting_connect
+
+    # Sending
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the preface and open the streams that waited for the connection."""
+        self.transport = cast(asyncio.Transport, transport)
+        tls = transport.get_extra_info("ssl_object")
+        if tls is not None and tls.selected_alpn_protocol() != "h2":
+            self.fail(None)
+            return
+        self.h2.initiate_connection()
+        self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
+        while self.awaiting_connect:
+            attempt = self.awaiting_connect.popleft()
+            if not attempt.ended:
+                self.open_stream(attempt)
+        self.flush()
+
+    def send(self, attempt: GrpcAttempt) -> None:
+        """Send an attempt, now or once the connection is up."""
+        attempt.connection = self
+        if self.transport is None:
+            self.awaiting_connect.append(attempt)
+        else:
+            self.open_stream(attempt)
+            self.flush()
+
+    def open_stream(self, attempt: GrpcAttempt) -> None:
+        """Send the headers; if its server drains by now, it ends as never sent."""
+        if self.draining or not attempt.may_start():
+            attempt.finish(Outcome.NOT_SENT)
+            return
+        try:
+            stream_id = self.h2.get_next_available_stream_id()
+            attempt.watcher.on_first_byte()
+            self.h2.send_headers(stream_id, with_timeout(attempt.headers, attempt.remaining_us))
+        except h2.exceptions.H2Error:  # too many streams after all, or no id left: nothing was sent
+            self.draining = True
+            attempt.finish(Outcome.NOT_SENT)
+            return
+        attempt.stream_id, attempt.headers_sent = stream_id, True
+        self.attempts[stream_id] = attempt
+        self.counts.streams += 1
+        upload = attempt.call.upload
+        if upload is not None:
+            upload.on_data = lambda: self.send_and_flush(attempt)
+        self.send_pending(attempt)
+
+    def send_and_flush(self, attempt: GrpcAttempt) -> None:
+        """Send what has arrived of an attempt's body."""
+        self.send_pending(attempt)
+        self.flush()
+
+    def send_pending(self, attempt: GrpcAttempt) -> None:
+        """Send what flow control allows of an attempt's messages, and END_STREAM with the last of them."""
+        if attempt.ended or attempt.request_sent or not attempt.headers_sent or self.closed:
+            return
+        try:
+            if not self.send_messages(attempt):
+                return
+            if attempt.all_sent:
+                self.h2.end_stream(attempt.stream_id)
+                attempt.request_sent = True
+        except h2.exceptions.H2Error:
+            return  # the stream is closed; the event that ends the attempt is still to be read
+        if attempt.request_sent:
+            self.flush()
+            attempt.watcher.on_written()
+
+    def send_messages(self, attempt: GrpcAttempt) -> bool:
+        """Send messages until there are no more or the transport is full; False if the window is used up."""
+        while not self.write_paused and attempt.load_pending():
+            window = min(
+                self.h2.local_flow_control_window(attempt.stream_id), self.h2.max_outbound_frame_size
+            )
+            if window <= 0:
+                return False
+            self.h2.send_data(attempt.stream_id, attempt.take_pending(window))
+            attempt.last_progress_us = now_us()
+        return True
+
+    def send_all_pending(self) -> None:
+        """Send what flow control allows on each stream."""
+        for attempt in list(self.attempts.values()):
+            self.send_pending(attempt)
+        self.flush()
+
+    # Receiving
+
+    def data_received(self, data: bytes) -> None:
+        """Feed the state machine and act on its events."""
+        self.liveness.on_received(now_us())
+        self.flush()
+        state = self.h2.state_machine.state
+        try:
+            events = self.h2.receive_data(data)
+        except h2.exceptions.ProtocolError:
+            self.flush()  # the library has written GOAWAY with the right error
+            self.fail(None)
+            return
+        for event in events:
+            if self.closed:
+                return
+            if isinstance(event, h2.events.ConnectionTerminated):
+                # `h2` takes the connection for closed at GOAWAY, while streams up to the last id go on.
+                if not event.error_code and state is not ConnectionState.CLOSED:
+                    self.h2.state_machine.state = state
+                self.on_goaway(event)
+            else:
+                self.on_event(event)
+        self.flush()
+        self.close_if_drained()
+
+    def on_event(self, event: h2.events.Event) -> None:
+        """Act on one event of the state machine, other than GOAWAY."""
+        match event:
+            case h2.events.DataReceived():
+                self.on_data(event)
+            case h2.events.ResponseReceived() | h2.events.TrailersReceived():
+                self.on_headers(event)
+            case h2.events.StreamEnded():
+                self.on_response_end(event)
+            case h2.events.StreamReset():
+                self.on_reset(event)
+            case h2.events.WindowUpdated():
+                self.send_all_pending()
+            case h2.events.RemoteSettingsChanged():
+                self.count_control_frame()
+                self.send_all_pending()
+            case h2.events.PingReceived():
+                self.count_control_frame()
+            case h2.events.PingAckReceived():
+                self.liveness.on_ping_ack()
+
+    def count_control_frame(self) -> None:
+        """Close the connection to a server that floods it with frames that carry no response."""
+        if self.flood_guard.record(now_us(), control_frames=1):
+            self.fail(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
+
+    def on_data(self, event: h2.events.DataReceived) -> None:
+        """DATA on a stream; that of a stream which is gone only counts for flow control."""
+        stream_id = event.stream_id or 0
+        attempt = self.attempts.get(stream_id)
+        size = event.flow_controlled_length or 0
+        if not event.data:
+            self.count_control_frame()
+        if attempt is None:
+            self.acknowledge_data(size, stream_id)
+        else:
+            self.on_response_data(attempt, event.data or b"", size)
+
+    def on_response_data(self, attempt: GrpcAttempt, data: bytes, size: int) -> None:
+        """Buffer or pass on a part of a response; `size` is what flow control counts for it."""
+        attempt.last_progress_us = now_us()
+        response = attempt.response
+        try:
+            for chunk in response.feed(data):
+                if attempt.streaming:
+                    attempt.watcher.on_piece(attempt, chunk)
+                else:
+                    response.buffer(chunk)
+        except (MessageError, TranslationError):
+            self.abort(attempt, Outcome.ERROR)
+            return
+        self.acknowledge(attempt, size)
+        if response.exceeds_limit:
+            self.abort(attempt, Outcome.ERROR)
+        elif not attempt.streaming and response.exceeds_buffer:
+            if attempt.request_sent:
+                attempt.start_streaming()
+            else:
+                self.abort(attempt, Outcome.ERROR)  # no answer to a request that has not come whole
+
+    def acknowledge(self, attempt: GrpcAttempt, size: int) -> None:
+        """Open the server's flow-control window again for what the client has taken.
+
+        While the client reads nothing, the stream's window stays closed but the connection's is opened, so
+        that the other streams go on.
+        """
+        if not attempt.paused:
+            self.acknowledge_data(size, attempt.stream_id)
+        elif size:
+            attempt.unacknowledged += size
+            self.h2.increment_flow_control_window(size)
+        self.flush()
+
+    def reopen_window(self, attempt: GrpcAttempt) -> None:
+        """Open a stream's window for what was withheld while its client read nothing."""
+        size, attempt.unacknowledged = attempt.unacknowledged, 0
+        try:
+            self.h2.increment_flow_control_window(size, attempt.stream_id)
+        except h2.exceptions.H2Error:
+            return  # the server has ended the stream
+        self.flush()
+
+    def on_headers(self, event: h2.events.ResponseReceived | h2.events.TrailersReceived) -> None:
+        """Headers or trailers of a response."""
+        attempt = self.attempts.get(event.stream_id or 0)
+        if attempt is not None:
+            attempt.response.add_headers((str(name), str(value)) for name, value in event.headers or ())
+
+    def on_response_end(self, event: h2.events.StreamEnded) -> None:
+        """The server has ended a stream."""
+        attempt = self.attempts.get(event.stream_id or 0)
+        if attempt is None:
+            return
+        outcome = attempt.response.outcome()
+        if outcome is Outcome.OK and not attempt.request_sent:
+            outcome = Outcome.ERROR  # no answer to a request that has not come whole
+        reply = attempt.response.reply() if outcome is Outcome.OK else None
+        if not attempt.request_sent:
+            self.reset(attempt)
+        attempt.finish(outcome, reply)
+
+    def on_reset(self, event: h2.events.StreamReset) -> None:
+        """RST_STREAM from the server."""
+        attempt = self.attempts.get(event.stream_id or 0)
+        self.counts.resets += 1
+        self.count_control_frame()
+        if attempt is not None:
+            code = int(event.error_code or 0)
+            self.counts.refused_streams += code == outcomes.Reset.REFUSED_STREAM
+            attempt.finish(outcomes.of_reset(code, attempt.request_sent))
+
+    def on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
+        """GOAWAY: streams above the last id never ran, the others go on unless there is an error."""
+        self.counts.goaways += 1
+        self.draining = True
+        last_stream_id = event.last_stream_id if event.last_stream_id is not None else LAST_STREAM_ID
+        for stream_id, attempt in list(self.attempts.items()):
+            outcome = outcomes.of_goaway(stream_id, last_stream_id)
+            if outcome is not None:
+                attempt.finish(outcome)
+        if event.error_code:
+            self.fail(None)
+
+    # Ends
+
+    def forget(self, attempt: GrpcAttempt) -> None:
+        """Drop an attempt that has ended."""
+        if self.attempts.get(attempt.stream_id) is attempt:
+            del self.attempts[attempt.stream_id]
+        if attempt in self.awaiting_connect:
+            self.awaiting_connect.remove(attempt)
+        if self.is_idle:
+            self.liveness.on_idle(now_us())
+
+    def abort(self, attempt: GrpcAttempt, outcome: Outcome) -> None:
+        """Reset one stream and end its attempt; the others go on."""
+        self.reset(attempt)
+        attempt.finish(outcome)
+
+    def reset(self, attempt: GrpcAttempt) -> None:
+        """Send RST_STREAM with CANCEL, if the stream was opened."""
+        if attempt.headers_sent and not self.closed:
+            try:
+                self.h2.reset_stream(attempt.stream_id, h2.errors.ErrorCodes.CANCEL)
+            except h2.exceptions.H2Error:
+                return
+            self.flush()
+
+    def drain(self) -> None:
+        """Take no new streams, and close once those that are open have ended."""
+        self.draining = True
+        self.close_if_drained()
+
+    def close_if_drained(self) -> None:
+        """Close a draining connection that carries nothing any more."""
+        if self.draining and self.is_idle and not self.closed:
+            self.fail(h2.errors.ErrorCodes.NO_ERROR)
+
+    def fail(self, error: h2.errors.ErrorCodes | None) -> None:
+        """Close it, with GOAWAY if an error code is given; each of its attempts ends as it stands."""
+        if self.closed:
+            return
+        if error is not None and self.transport is not None:
+            with suppress(h2.exceptions.H2Error):
+                self.h2.close_connection(error)
+                self.flush()
+        self.closed = self.draining = True
+        self.counts.broken += bool(self.attempts)
+        self.on_closed(self)
+        if self.transport is not None:
+            self.transport.close()
+        for attempt in [*self.attempts.values(), *self.awaiting_connect]:
+            attempt.finish(outcomes.of_loss(attempt.headers_sent))
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The socket is gone."""
+        self.fail(None)
+        self.transport = None
+
+    def sweep(self, now: int) -> None:
+        """Check age, idleness, pings and stalled streams."""
+        if self.liveness.should_drain(now, self.is_idle):
+            self.draining = True
+        if self.liveness.ping_timed_out(now):
+            self.fail(h2.errors.ErrorCodes.NO_ERROR)
+        elif self.attempts and self.liveness.ping_due(now):
+            self.liveness.on_ping_sent(now)
+            self.h2.ping(PING_PAYLOAD)
+            self.flush()
+        for attempt in list(self.attempts.values()):
+            streamed = attempt.streaming or attempt.call.upload is not None
+            if streamed and not attempt.paused and now - attempt.last_progress_us > STALL_S * 1e6:
+                self.abort(attempt, outcomes.of_deadline(attempt.headers_sent))
+        self.close_if_drained()
--- a/sagetrack/lab/grpc_server.py
+++ b/sagetrack/lab/grpc_server.py
@@ -16,8 +16,8 @@
 import h2.settings
 
 from sagetrack.grpc.calls_pb2 import Answer, Call
-from sagetrack.grpc.messages import Unpacker, goaway, pack
-from sagetrack.grpc.metadata import timeout_us
+from sagetrack.grpc.messages import Unpacker, goaway_frame, pack
+from sagetrack.grpc.metadata import parse_timeout_us
 from sagetrack.lab.server import Job, Result
 
 if TYPE_CHECKING:
@@ -176,7 +176,7 @@
         self.cut = last = self.last if last is None else last
         self.flush()
         if self.transport is not None:
-            self.transport.write(goaway(last))
+            self.transport.write(goaway_frame(last))
         for stream in [s for s in self.asked if s > last]:
             self.asked.pop(stream).over = True
 
@@ -224,7 +224,7 @@
         work = request.work_us + (world.scenario.fleet.handshake_ms * 1000 if self.fresh else 0.0)
         ways = 3 if self.fresh else 1
         self.fresh = False
-        patience = timeout_us(asked.headers.get("grpc-timeout", "1u"))
+        patience = parse_timeout_us(asked.headers.get("grpc-timeout", "1u"))
         job = self.jobs[asked] = Job(
             call,
             work,
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
     from sagetrack.dns.service import Service
-    from sagetrack.grpc.downstream import NewFront
+    from sagetrack.grpc.listener import GrpcListener
     from sagetrack.peers.node import Node
     from sagetrack.server.persistence import Keeping
 
@@ -58,7 +58,7 @@
         self.pools = Pools(config.settings)
         names = [name.decode() for name in config.names.classes]
         self.newer: Newer | None = None
-        self.new_front: NewFront | None = None
+        self.new_front: GrpcListener | None = None
         self.keys = keys_for(operator)
         mixed = mixed_back(config, operator, self.pools, self.keys)
         back: UpstreamPool = self.pools if mixed is None else mixed
@@ -77,13 +77,13 @@
             self.split = Split({number_of(asked.type, config.names.kinds): DNS})
         self.on_http = self.gateway.on_list
         if mixed is not None:
-            from sagetrack.grpc.translate import untranslatable
+            from sagetrack.grpc.translate import untranslatable_reason
 
             self.newer = Newer(mixed, self.gateway)
             if operator is not None and operator.newer.compare_per_s:
                 self.newer.compare(operator.newer, names, lambda: not self.server.drain.is_on)
             self.on_http = self.newer.on_list
-            self.server.objection = untranslatable
+            self.server.objection = untranslatable_reason
             self.gateway.metrics.more.append(self.newer.figures)
         if self.keys is not None:
             self.gateway.metrics.more.append(self.keys.figures)
@@ -149,11 +149,11 @@
         asked = self.operator.newer if self.operator is not None else None
         if asked is None or not asked.listen:
             return
-        from sagetrack.grpc.downstream import NewFront
+        from sagetrack.grpc.listener import GrpcListener
 
         drain, allowance = self.server.drain, self.server.allowance
-        front = NewFront(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
-        secured = self.keys.serve() if self.keys is not None else None
+        front = GrpcListener(self.gateway, reader(self.config), lambda: drain.is_on, allowance)
+        secured = self.keys.create_server_context() if self.keys is not None else None
         places = [parse_address(place, "newer.listen") for place in asked.listen]
         try:
             await front.start(places, secured, shared=self.config.accept_fd is not None)
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -21,17 +21,17 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import NewerSettings, Operator
-    from sagetrack.grpc.downstream import Read
-    from sagetrack.grpc.mirroring import Shadow
-    from sagetrack.grpc.protocol_router import Mixed, Turned
-    from sagetrack.grpc.tls import Keys
+    from sagetrack.grpc.mirroring import ResponseMirror
+    from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactors
+    from sagetrack.grpc.request_intake import RequestReader
+    from sagetrack.grpc.tls import TlsCredentials
 
 LOOK_S = 1.0  # between looks at the share of the newer format
 
 
-def reader(config: Config) -> Read:
+def reader(config: Config) -> RequestReader:
     """Reads calls of the newer format as those of the older one are read: one set of rules for both."""
-    from sagetrack.grpc.downstream import ReadError
+    from sagetrack.grpc.errors import RequestReadError
     from sagetrack.grpc.outcomes import Status
 
     def read(
@@ -54,7 +54,7 @@
             return read_call(request, target.partition(b"?")[0], config, client)
         except RequestError as error:
             status = Status.UNIMPLEMENTED if error.status == 404 else Status.INVALID_ARGUMENT
-            raise ReadError(status, str(error)) from None
+            raise RequestReadError(status, str(error)) from None
 
     return read
 
@@ -62,41 +62,41 @@
 class Newer:
     """Both formats behind one back, the share between them, and the keys."""
 
-    def __init__(self, mixed: Mixed, gateway: Gateway) -> None:
+    def __init__(self, mixed: ProtocolRouter, gateway: Gateway) -> None:
         self.mixed, self.gateway, self.tell = mixed, gateway, gateway.on_list
-        self.shadow: Shadow | None = None
+        self.shadow: ResponseMirror | None = None
         self.loop = asyncio.get_running_loop()
-        mixed.on_move = self.left
-        mixed.on_turns = self.on_turns
+        mixed.on_fallback = self.left
+        mixed.on_exceptions = self.on_turns
         self.timer = self.loop.call_later(LOOK_S, self.look)
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """A list from discovery, weights turned for the share."""
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            self.mixed.entries.clear()
-        self.tell(kind, self.mixed.weighed(entries))
+            self.mixed.endpoints.clear()
+        self.tell(kind, self.mixed.weighted(entries))
         self.turn()
 
     def turn(self) -> None:
-        changed = self.mixed.look()
+        changed = self.mixed.update_weights()
         if changed:
             self.tell(ListKind.DELTA, changed)
 
-    def on_turns(self, classes: Turned, members: Turned) -> None:
+    def on_turns(self, classes: WeightFactors, members: WeightFactors) -> None:
         turns = TrafficShift(classes, members)
         self.gateway.post(lambda: turns)
 
     def compare(self, asked: NewerSettings, names: list[str], wanted: Callable[[], bool]) -> None:
         """Hold answers of both formats against each other, at so many a second."""
-        from sagetrack.grpc.mirroring import Shadow
+        from sagetrack.grpc.mirroring import ResponseMirror
 
-        self.shadow = Shadow(self.gateway, asked.compare_per_s, asked.compare_ignore, names, wanted)
-        self.mixed.on_answer = self.shadow.answered
+        self.shadow = ResponseMirror(self.gateway, asked.compare_per_s, asked.compare_ignore, names, wanted)
+        self.mixed.on_response = self.shadow.on_response
 
     def renew(self, config: Config, asked: NewerSettings) -> None:
         """Other shares, while calls go on; ConfigError if they name what is not there."""
         classes, members = parts(config, asked)
-        move = self.mixed.move
+        move = self.mixed.migration
         if (move.share, move.classes, move.members) != (asked.share, classes, members):
             log(f"the newer format's share is now {'as listed' if asked.share is None else asked.share}")
             move.share, move.classes, move.members = asked.share, classes, members
@@ -108,17 +108,17 @@
 
     def left(self) -> None:
         """The newer format fails more than the older one: at once, nothing goes there that need not."""
-        hold_s = (self.mixed.move.held_until_us - now_us()) / 1e6
+        hold_s = (self.mixed.migration.held_until_us - now_us()) / 1e6
         log(f"servers of the newer format fail more than the others: none of the share for {hold_s:.0f} s")
         self.loop.call_soon(self.turn)
 
     def figures(self) -> dict[str, float]:
         """For the stats."""
-        move = self.mixed.move
+        move = self.mixed.migration
         found = self.shadow.figures() if self.shadow is not None else {}
         return (
             found
-            | self.mixed.new.figures()
+            | self.mixed.grpc.figures()
             | {
                 "new_failing": round(move.new.failing, 4),
                 "old_failing": round(move.old.failing, 4),
@@ -130,42 +130,42 @@
         self.timer.cancel()
 
 
-def keys_for(operator: Operator | None) -> Keys | None:
+def keys_for(operator: Operator | None) -> TlsCredentials | None:
     """The keys of the newer side, where it has TLS; ConfigError for bad ones."""
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.tls:
         return None
-    from sagetrack.grpc.tls import Keys, KeysError
+    from sagetrack.grpc.tls import TlsCredentials, TlsFilesError
 
     try:
-        return Keys(asked.ca, asked.certificate, asked.key)
-    except KeysError as error:
+        return TlsCredentials(asked.ca, asked.certificate, asked.key)
+    except TlsFilesError as error:
         raise ConfigError(f"newer: {error}") from None
 
 
-def renew(keys: Keys) -> None:
+def renew(keys: TlsCredentials) -> None:
     """SIGHUP: read the keys again; bad ones are one line, and the old ones stay."""
-    from sagetrack.grpc.tls import KeysError
+    from sagetrack.grpc.tls import TlsFilesError
 
     try:
-        keys.renew()
-    except KeysError as error:
+        keys.reload()
+    except TlsFilesError as error:
         log(f"the keys stay as they are: {error}")
 
 
 def mixed_back(
-    config: Config, operator: Operator | None, old: UpstreamPool, keys: Keys | None
-) -> Mixed | None:
+    config: Config, operator: Operator | None, old: UpstreamPool, keys: TlsCredentials | None
+) -> ProtocolRouter | None:
     """The back of both formats; None where the operator has no newer servers."""
     asked = operator.newer if operator is not None else None
     if asked is None or not asked.types:
         return None
-    from sagetrack.grpc.protocol_router import Mixed
-    from sagetrack.grpc.upstream import NewPools
+    from sagetrack.grpc.connection_pool import GrpcConnectionPools
+    from sagetrack.grpc.protocol_router import ProtocolRouter
 
-    new = NewPools(config.settings, lambda: keys.context if keys is not None else None)
+    new = GrpcConnectionPools(config.settings, lambda: keys.context if keys is not None else None)
     kinds = [number_of(name, config.names.kinds) for name in asked.types]
-    return Mixed(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
+    return ProtocolRouter(old, new, kinds, Move(asked.share, *parts(config, asked)), lambda: None)
 
 
 def with_newer(config: Config, operator: Operator | None) -> Config:
--- /dev/null
+++ b/tests/test_grpc_listener.py
@@ -0,0 +1,128 @@
+"""gRPC clients over sockets: long bodies, rejections, draining, abuse."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from sagetrack.core.bodies import Allowance, Upload
+from sagetrack.core.interfaces import Call
+from sagetrack.http1.upstream_connection import Message
+from sagetrack.lab.grpc_server import Asked, NewConnection
+from sagetrack.policy.interface import (
+    Outcome,
+)
+from tests.grpc_helpers import (
+    RecordingObserver,
+    gateway_with_grpc_listener,
+    request_head,
+    send_request,
+)
+from tests.sockets import on_loop, until
+
+
+@on_loop
+async def test_a_new_client_is_served_with_long_answers_and_what_is_wrong_is_named(tmp_path: Path) -> None:
+    def take(connection: NewConnection, asked: Asked) -> None:
+        connection.answer(asked, body=asked.body * 3000, parts=9)
+
+    async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, _, listener):
+        calls = [send_request(client, request_head(n), b"%04d" % n) for n in range(20)]
+        long = send_request(client, request_head(99), b"z" * 1000)  # 3,000,000 bytes pass through
+        await until(lambda: all(c.ends for c in [*calls, long]))
+        for n, heard in enumerate(calls):
+            assert heard.ends[0][1] is not None and heard.ends[0][1].body == b"%04d" % n * 3000
+        assert long.ends[0][0] is Outcome.OK and sum(map(len, long.pieces)) == 3_000_000
+        wrong = [
+            send_request(client, request_head(200, "nothing", "nothing")),
+            send_request(client, request_head(201, "hold", "search")),
+            send_request(
+                client, request_head(202), b"x" * 200_000
+            ),  # one message: a long body comes in several
+        ]
+        await until(lambda: all(c.ends for c in wrong))
+        assert [c.ends[0][0] for c in wrong] == [Outcome.ERROR] * 3 and listener.intake.counts.unreadable == 3
+
+
+@on_loop
+async def test_a_long_body_of_a_new_client_passes_through_and_one_that_is_cut_is_never_whole(
+    tmp_path: Path,
+) -> None:
+    whole: list[bytes] = []
+
+    def take(connection: NewConnection, asked: Asked) -> None:
+        whole.append(asked.body)
+        connection.answer(asked, body=b"%d" % len(asked.body))
+
+    async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, gateway, listener):
+
+        async def send(number: int, size: int, told: int | None) -> RecordingObserver:
+            upload, heard = Upload(told, Allowance(64)), RecordingObserver()
+            message = Message(request_head(number), b"")
+            call = Call("a", 0, 5_000_000, None, None, False, 0, message, None, upload)  # type: ignore[arg-type]
+            client.pools.begin(call, 1, 5_000_000, heard)
+            for _ in range(0, size, 50_000):
+                await until(lambda: not upload.is_full or heard.ends)
+                upload.feed(b"z" * 50_000)
+            upload.end()
+            await until(lambda: heard.ends)
+            return heard
+
+        for number, told in ((1, 1_000_000), (2, None)):
+            heard = await send(number, 1_000_000, told)
+            assert heard.ends[0][1] is not None and heard.ends[0][1].body == b"1000000"
+        assert [len(body) for body in whole] == [1_000_000] * 2
+        for number, told in ((3, 1_000_001), (4, 900_000)):  # shorter and longer than it was to be
+            assert (await send(number, 1_000_000, told)).ends[0][0] is not Outcome.OK
+        assert len(whole) == 2
+        await until(lambda: not gateway.gateway.held and not listener.intake.allowance.active)
+
+
+@on_loop
+async def test_a_refusal_says_when_to_come_back_and_a_drain_moves_clients_on(tmp_path: Path) -> None:
+    async with gateway_with_grpc_listener(
+        tmp_path, on_call=lambda c, a: c.trailers_only(a, 8, x_rejected="1")
+    ) as made:
+        client, gateway, listener = made
+        heard = send_request(client, request_head(1))
+        await until(lambda: heard.ends)
+        assert heard.ends[0][0] is Outcome.REJECTED
+        (connection,) = listener.connections
+        gateway.server.standby()
+        await until(lambda: not listener.connections)
+        await until(lambda: client.pools.counts.goaways == 1)
+        assert connection.draining
+
+
+@on_loop
+async def test_a_call_on_its_way_when_a_drain_began_is_not_run(tmp_path: Path) -> None:
+    ran: list[str] = []
+
+    def take(connection: NewConnection, asked: Asked) -> None:
+        ran.append(asked.headers["x-call-id"])
+        if len(ran) > 1:
+            connection.answer(asked)
+
+    async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, gateway, listener):
+        held = send_request(client, request_head(1))
+        await until(lambda: ran)
+        (connection,) = listener.connections
+        connection.drain()
+        connection.flush()
+        late = send_request(client, request_head(2))  # sent before the client has read GOAWAY
+        await until(lambda: late.ends)
+        assert late.ends[0][0] is Outcome.NOT_SENT and ran == ["id1"] and not held.ends
+
+
+@on_loop
+async def test_rapid_reset_ends_the_connection_and_nothing_is_left_in_work(tmp_path: Path) -> None:
+    async with gateway_with_grpc_listener(tmp_path) as (client, gateway, listener):
+        calls = [send_request(client, request_head(1))]
+        await until(lambda: listener.connections)
+        for n in range(2, 180):
+            heard = send_request(client, request_head(n))
+            connection = client.connection
+            connection.abort(next(reversed(connection.attempts.values())), Outcome.CANCELLED)
+            calls.append(heard)
+        await until(lambda: calls[0].ends)
+        assert listener.intake.counts.calmed == 1 and not listener.connections
+        await until(lambda: not gateway.gateway.held)
--- /dev/null
+++ b/tests/test_grpc_mirroring.py
@@ -0,0 +1,65 @@
+"""Mirrored requests and the comparison of responses."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from sagetrack.config.operator import load as load_operator
+from sagetrack.config.platform import ConfigError, parse
+from sagetrack.core.endpoints import Reply
+from sagetrack.grpc.mirroring import MirrorReport, difference
+from sagetrack.lab.grpc_server import Asked, NewConnection
+from sagetrack.lab.scripted import peer
+from tests.grpc_helpers import (
+    grpc_upstream_rig,
+)
+from tests.sockets import configuration, on_loop, request, running, until
+
+
+def test_answers_differ_by_status_header_or_body_and_not_by_what_is_of_the_way() -> None:
+    one = Reply(200, [(b"X-A", b"1"), (b"Date", b"now")], b"b", True)
+    assert difference(one, Reply(200, [(b"x-a", b"1"), (b"date", b"then")], b"b", False)) is None
+    assert difference(one, Reply(200, [(b"X-A", b"2")], b"b", True)) == "header x-a"
+    assert difference(one, Reply(404, [(b"X-A", b"1")], b"b", True)) == "status 200 404"
+    assert difference(one, Reply(200, [(b"X-A", b"1")], b"c", True)) == "body"
+    report = MirrorReport(max_differences=1)
+    assert (
+        report.record_difference(0, "body", 0)
+        and not report.record_difference(0, "body", 1)
+        and report.record_difference(0, "status 1 2", 2)
+    )
+    assert report.different == {(0, "body"): 2, (0, "other"): 1}
+
+
+@on_loop
+async def test_answers_of_both_formats_are_compared_and_shares_change_on_sighup(tmp_path: Path) -> None:
+    file = tmp_path / "operator.toml"
+    file.write_text('[newer]\ntypes = ["v2"]\nshare = 0.0\ncompare_per_s = 1000.0\n')
+    seen: list[str] = []
+
+    def take(connection: NewConnection, asked: Asked) -> None:
+        seen.append(asked.headers["x-call-class"])
+        connection.answer(asked, body=b"other")
+
+    async with grpc_upstream_rig(on_call=take) as rig, peer() as host:
+        config = configuration(host, f"127.0.0.1:{rig.entry.address[1]}")
+        config["known"]["endpoints"][1]["type"] = "v2"
+        async with running(config, load_operator(str(file))) as gateway:
+            newer = gateway.instance.newer
+            assert newer is not None and newer.shadow is not None
+            assert (await gateway.ask(request("hold", b"keyed"))).status == 200
+            assert (await gateway.ask(request("search"))).status == 200
+            report = newer.shadow.report
+            await until(lambda: report.different)
+            assert seen == ["search"] and report.mirrored == 1  # what changes something is never copied
+            assert "svc_new_differs_search_total 1\n" in gateway.server.stats()
+            assert 'answered_total{group="search"} 1\n' in gateway.server.stats()
+            file.write_text('[newer]\ntypes = ["v2"]\nshare = 1.0\nshare_by_class = { search = 0.0 }\n')
+            gateway.instance.on_operator(parse(config), load_operator(str(file)))
+            answers = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
+            assert [a.body for a in answers] == [b"other", answers[1].body] and answers[1].body != b"other"
+            file.write_text('[newer]\ntypes = ["v2"]\nshare_by_member = { nobody = 0.5 }\n')
+            with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
+                gateway.instance.on_operator(parse(config), load_operator(str(file)))
--- /dev/null
+++ b/tests/test_grpc_outcomes.py
@@ -0,0 +1,31 @@
+"""Outcome of an attempt by how its stream ended."""
+
+from __future__ import annotations
+
+from sagetrack.grpc import outcomes
+from sagetrack.grpc.outcomes import Reset, Status
+from sagetrack.policy.interface import (
+    Outcome,
+)
+
+
+def test_the_table_of_outcomes() -> None:
+    for status in [*Status, None, 99]:
+        for whole in (True, False):
+            for rejected in (True, False):
+                expected = Outcome.ERROR
+                if status == Status.OK and whole:
+                    expected = Outcome.OK
+                elif status in (8, 14) and rejected and not whole:
+                    expected = Outcome.REJECTED
+                assert outcomes.of_status(status, whole, rejected) is expected
+    for code in [*Reset, 99]:
+        refused = code == Reset.REFUSED_STREAM
+        assert outcomes.of_reset(code, True) is (Outcome.REJECTED if refused else Outcome.RESET)
+        assert outcomes.of_reset(code, False) is (Outcome.REJECTED if refused else Outcome.ERROR)
+    assert outcomes.of_goaway(5, 3) is Outcome.NOT_SENT and outcomes.of_goaway(3, 3) is None
+    assert (outcomes.of_loss(True), outcomes.of_loss(False)) == (Outcome.RESET, Outcome.CONNECT_FAILED)
+    assert (outcomes.of_deadline(True), outcomes.of_deadline(False)) == (
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+    )
--- /dev/null
+++ b/tests/test_grpc_traffic_shift.py
@@ -0,0 +1,79 @@
+"""Share of requests that goes to gRPC servers: by weight, class and tenant, and its fallback."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+
+import pytest
+
+from sagetrack.policy.interface import (
+    AttemptEnded,
+    Effect,
+    EndpointList,
+    ListedServer,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestClass,
+    SendAttempt,
+    TrafficShift,
+)
+from sagetrack.policy.load_balancer import LoadBalancer
+from sagetrack.policy.migration import LEAST, STEP_US, Move
+from tests.grpc_helpers import (
+    SETTINGS,
+)
+
+
+def test_a_share_moves_by_weight_and_goes_back_when_the_newer_format_fails() -> None:
+    move, now = Move(0.25), 1_000_000
+    old, new = move.factors(now, 6.0, 2.0)
+    assert 2.0 * new / (6.0 * old + 2.0 * new) == pytest.approx(0.25)
+    assert move.factors(now, 0.0, 2.0) == (1.0, 1.0)  # nothing else is there
+    for _ in range(200):
+        assert not move.record(False, False, now)
+    left = [move.record(True, n % 3 == 0, now) for n in range(3 * LEAST)]
+    assert left.count(True) == 1 and move.part(now) == 0.0 and move.factors(now, 6.0, 2.0)[1] < 1e-5
+    back = move.held_until_us
+    parts = [move.part(back + n * STEP_US) for n in range(5)]
+    assert parts == sorted(parts) and parts[0] == 0.1 and parts[-1] == 1.0
+    equal = Move(0.25)
+    draw = random.Random(1)
+    assert not any(equal.record(bool(n % 2), draw.random() < 0.2, now) for n in range(4000))  # in common
+
+
+def test_a_member_and_a_class_have_shares_of_their_own_and_a_copy_one_format_alone() -> None:
+    kinds = tuple(RequestClass(1_000_000, 3_000_000, effect=Effect.SAFE) for _ in range(2))
+    move = Move(0.5, {1: 0.1}, {1: 1.0})
+    settings = replace(SETTINGS, classes=kinds, grpc_kinds=frozenset({7}), max_concurrency=1000.0)
+    balancer = LoadBalancer(settings, 1)
+    old, new = move.factors(0, 4.0, 4.0)
+    servers = tuple(ListedServer(n, weight=new if n % 2 else old, kind=7 if n % 2 else 0) for n in range(8))
+    balancer.handle(0, EndpointList(ListKind.FULL, servers))
+    balancer.handle(0, TrafficShift(*move.turns(0, 4.0, 4.0)))
+
+    def newer(klass: int, tenant: int, mirror_target: int = -1) -> float:
+        hits = 0
+        for n in range(400):
+            now, name = n * 20_000, f"{klass}{tenant}{mirror_target}{n}"
+            event = RequestArrived(
+                name,
+                klass,
+                3_000_000,
+                tenant=tenant,
+                mirror_target=mirror_target,
+                is_retry=mirror_target >= 0,
+            )
+            (sent,) = [a for a in balancer.handle(now, event) if isinstance(a, SendAttempt)]
+            hits += sent.server % 2
+            balancer.handle(now + 5, AttemptEnded(name, 0, sent.server, Outcome.OK, 5, True))
+        return hits / 400
+
+    assert newer(0, 0) == pytest.approx(0.5, abs=0.2) and newer(1, 0) < 0.25 and newer(1, 1) == 1.0
+    assert newer(0, 1, mirror_target=0) == 0.0 and newer(1, 0, mirror_target=1) == 1.0
+    balancer.shed = 0.5  # something is refused: a copy is the first
+    assert not any(
+        isinstance(a, SendAttempt)
+        for a in balancer.handle(9, RequestArrived("z", 0, 9_000_000, mirror_target=1))
+    )
--- /dev/null
+++ b/tests/test_grpc_translate.py
@@ -0,0 +1,73 @@
+"""Translation between HTTP/1.1 and gRPC."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from sagetrack.grpc.errors import TranslationError
+from sagetrack.grpc.metadata import decode_binary
+from sagetrack.grpc.translate import (
+    request_to_grpc,
+    request_to_http1,
+    response_to_grpc,
+    response_to_http1,
+    untranslatable_reason,
+)
+from tests.grpc_helpers import (
+    HEAD,
+)
+
+NAMES = st.text("abcXYZ019-_.!#$%&'*+^`|~", min_size=1, max_size=20).map(lambda n: b"X-T-" + n.encode())
+
+VALUES = st.binary(max_size=60).map(
+    lambda v: bytes(b for b in v if b == 9 or 32 <= b < 127 or b >= 128).strip(b" \t")
+)
+
+
+@given(
+    st.lists(st.tuples(NAMES, VALUES), max_size=12),
+    st.binary(max_size=300),
+    st.binary(min_size=1, max_size=255).map(lambda v: bytes(33 + b % 94 for b in v)),
+    st.text("abc/%20?=&~", max_size=40),
+)
+def test_any_call_comes_through_both_ways_as_it_was(
+    fields: list[tuple[bytes, bytes]], body: bytes, key: bytes, tail: str
+) -> None:
+    lines = [*fields, (b"Idempotency-KEY", key)]
+    head = HEAD.replace(b"/hold/7", b"/hold/" + tail.encode())
+    head += b"".join(b"%s: %s\r\n" % line for line in lines)
+    headers, message = request_to_grpc(head, body, None, 1_500_000, "h:1")
+    said = dict(headers)
+    assert said["grpc-timeout"] == "1500000u" and said["x-caller"] == "acme" and said["x-call-id"] == "a1"
+    assert decode_binary(said["idempotency-key-bin"]) == key
+    again, same, length, budget = request_to_http1(headers, message)
+    assert again == head + b"Content-Length: %d\r\n" % len(body)
+    assert (same, length, budget) == (body, None, 1_500_000)
+    answer, _ = response_to_http1(response_to_grpc(fields, body))
+    assert (answer.headers, answer.body) == (fields, body)
+
+
+def test_a_key_of_255_bytes_with_every_printable_character_is_exact() -> None:
+    key = (bytes(range(33, 127)) * 3)[:255]
+    headers, message = request_to_grpc(HEAD + b"Idempotency-Key: %s\r\n" % key, b"", None, 1, "h")
+    assert b"Idempotency-Key: " + key in request_to_http1(headers, message)[0]
+
+
+@pytest.mark.parametrize(
+    ("line", "named"),
+    [(b"X-Caller: \xe9\r\n", "X-Caller"), (b"X-Odd: a\x01\r\n", "X-Odd"), (b"no colon\r\n", "no colon")],
+)
+def test_what_cannot_pass_is_named(line: bytes, named: str) -> None:
+    why = untranslatable_reason(HEAD + line)
+    assert why is not None and named in why and untranslatable_reason(HEAD) is None
+
+
+@pytest.mark.parametrize(
+    "message",
+    [b"\xff\xff", response_to_grpc([(b"bad name", b"x")], b""), response_to_grpc([(b"a", b"x\r\n")], b"")],
+)
+def test_an_answer_without_counterpart_is_refused(message: bytes) -> None:
+    with pytest.raises(TranslationError):
+        response_to_http1(message)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,6 +31,7 @@
     SetTimer,
     TimerFired,
 )
+from tests.grpc_helpers import GrpcUpstreamRig, grpc_upstream_rig, request_head, send_request
 from tests.sockets import (
     Client,
     Running,
@@ -46,7 +47,6 @@
     until,
 )
 from tests.test_crossings import Late, outcomes
-from tests.test_h2 import Rig, asked_for, head_of, rigged
 
 BEHIND = 3 * PIPELINED  # more than is read ahead: after so many, nothing is read from a client
 
@@ -338,11 +338,13 @@
 
 
 @asynccontextmanager
-async def with_newer_clients(tmp_path: Path, run_on: Any) -> AsyncIterator[tuple[Rig, Running, Any]]:
+async def with_newer_clients(
+    tmp_path: Path, run_on: Any
+) -> AsyncIterator[tuple[GrpcUpstreamRig, Running, Any]]:
     """A gateway with a front of the newer format and servers of the older one."""
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
-    async with running(configuration(run_on), load_operator(str(file))) as run, rigged() as client:
+    async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
         front = run.instance.new_front
         assert front is not None
         place = front.servers[0].sockets[0].getsockname()
@@ -354,9 +356,9 @@
 async def test_a_stream_is_reset_while_its_call_waits_for_a_connection(tmp_path: Path) -> None:
     async with peer() as host, with_newer_clients(tmp_path, host) as (client, run, front):
         late, told = Late(run), outcomes(run)
-        asked_for(client, head_of(1), b"x")
+        send_request(client, request_head(1), b"x")
         await until(lambda: late.held)
-        (attempt,) = client.line.attempts.values()
+        (attempt,) = client.connection.attempts.values()
         client.pools.cancel(attempt)
         await nothing_is_owed(run)
         assert told == [Outcome.NOT_SENT]
@@ -370,17 +372,17 @@
     """Between two turns: some wait for a connection to a server, the others for room."""
     async with peer() as host, with_newer_clients(tmp_path, host) as (client, run, front):
         late = Late(run)
-        asked_for(client, head_of(0), b"x")
-        await until(lambda: front.lines and client.line.transport is not None)
+        send_request(client, request_head(0), b"x")
+        await until(lambda: front.connections and client.connection.transport is not None)
         for n in range(1, 100):
-            asked_for(client, head_of(n), b"x")
+            send_request(client, request_head(n), b"x")
         await until(lambda: len(run.gateway.held) == 100 and late.held)
         out = sum(held.out for held in run.gateway.held.values())
         await until(lambda: len(late.held) == out)
-        (line,) = front.lines
+        (line,) = front.connections
         assert len(line.streams) == 100
-        ends_between_turns(client.line.transport, line.poll)
+        ends_between_turns(client.connection.transport, line.poll)
         late.release()
         await nothing_is_owed(run)
         assert not host.seen
-        await until(lambda: not front.lines)
+        await until(lambda: not front.connections)
