--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -1,8 +1,7 @@
-"""Answers kept for as long as they may be, and a little longer for when all upstream servers fail. No I/O, no
-clock.
+"""Answers cached for their TTL, and beyond it for when all upstream servers fail.
 
-TTLs after RFC 2181, negative answers after RFC 2308, stale ones after RFC 8767. The cache holds a stated
-number of bytes; at the bound the least recently used answer goes.
+TTLs as in RFC 2181, negative answers as in RFC 2308, stale ones as in RFC 8767. The cache is limited in
+bytes; at the limit the least recently used answer is evicted.
 """
 
 from __future__ import annotations
@@ -13,37 +12,38 @@
 
 from sagetrack.dns.message import Answer
 
-OVERHEAD = 700  # bytes that an entry costs beside its message: resident memory over 100,000 names
-STALE_TTL_S = 30  # told to clients of a stale answer (RFC 8767, section 4)
-PREFETCH_SHARE = 0.1  # of its time left: a popular answer is asked for again before it runs out
-POPULAR = 3  # hits that make it popular
-Subject = tuple[Any, ...]
+ENTRY_OVERHEAD_BYTES = 700  # beside the message: resident memory measured over 100,000 names
+TTL_OVERHEAD_BYTES = 36  # for each TTL offset
+STALE_TTL_S = 30  # of a stale answer, as clients see it (RFC 8767, section 4)
+PREFETCH_FRACTION = 0.1  # of its TTL remaining_us: a popular answer is refreshed before it expires
+PREFETCH_MIN_HITS = 3  # that make an answer popular
+CacheKey = tuple[Any, ...]
 
 
 @dataclass(slots=True)
-class Kept:
-    """One answer."""
+class CachedAnswer:
+    """One answer with its times."""
 
     answer: Answer
-    since_us: int
-    until_us: int
+    cached_us: int
+    expires_us: int
     hits: int = 0
     refreshing: bool = False
 
 
 @dataclass(slots=True)
-class Hit:
-    """What was found."""
+class CacheHit:
+    """A cached answer that was found."""
 
     answer: Answer
     age_s: int
     stale: bool = False
-    prefetch: bool = False  # the caller should ask for it again
+    should_prefetch: bool = False  # the caller should refresh it now
 
 
 @dataclass(slots=True)
 class CacheCounts:
-    """Since the start."""
+    """Totals since the start."""
 
     hits: int = 0
     misses: int = 0
@@ -52,69 +52,79 @@
     evicted: int = 0
 
 
-class Cache:
-    """Bounded by bytes. Times are microseconds of the caller's clock."""
+class AnswerCache:
+    """Cache of answers; times are microseconds of the caller's clock.
 
-    def __init__(self, limit: int, stale_s: float = 86_400.0, longest_s: int = 86_400) -> None:
-        self.limit, self.stale_us, self.longest_s = limit, int(stale_s * 1e6), longest_s
-        self.entries: OrderedDict[Subject, Kept] = OrderedDict()
+    Args:
+        limit: Bytes that it may hold.
+        stale_s: For how long an expired answer may still be served when no upstream server answers.
+        max_ttl_s: Longer TTLs count as this.
+    """
+
+    def __init__(self, limit: int, stale_s: float = 86_400.0, max_ttl_s: int = 86_400) -> None:
+        self.limit, self.stale_us, self.max_ttl_s = limit, int(stale_s * 1e6), max_ttl_s
+        self.entries: OrderedDict[CacheKey, CachedAnswer] = OrderedDict()
         self.bytes = 0
         self.counts = CacheCounts()
 
     @staticmethod
-    def cost(subject: Subject, answer: Answer) -> int:
-        return OVERHEAD + len(subject[0]) + answer.size + 36 * len(answer.ttls)
+    def cost(key: CacheKey, answer: Answer) -> int:
+        """Bytes that an entry counts."""
+        return ENTRY_OVERHEAD_BYTES + len(key[0]) + answer.size + TTL_OVERHEAD_BYTES * len(answer.ttl_offsets)
 
-    def get(self, subject: Subject, now_us: int) -> Hit | None:
+    def get(self, key: CacheKey, now_us: int) -> CacheHit | None:
         """A fresh answer; None if there is none."""
-        kept = self.entries.get(subject)
-        if kept is None or now_us >= kept.until_us:
+        entry = self.entries.get(key)
+        if entry is None or now_us >= entry.expires_us:
             self.counts.misses += 1
             return None
-        self.entries.move_to_end(subject)
+        self.entries.move_to_end(key)
         self.counts.hits += 1
-        kept.hits += 1
-        left = kept.until_us - now_us
-        prefetch = (
-            not kept.refreshing
-            and kept.hits >= POPULAR
-            and left <= PREFETCH_SHARE * (kept.until_us - kept.since_us)
+        entry.hits += 1
+        remaining_us = entry.expires_us - now_us
+        should_prefetch = (
+            not entry.refreshing
+            and entry.hits >= PREFETCH_MIN_HITS
+            and remaining_us <= PREFETCH_FRACTION * (entry.expires_us - entry.cached_us)
         )
-        if prefetch:
-            kept.refreshing = True
+        if should_prefetch:
+            entry.refreshing = True
             self.counts.prefetched += 1
-        return Hit(kept.answer, (now_us - kept.since_us) // 1_000_000, prefetch=prefetch)
+        return CacheHit(
+            entry.answer, (now_us - entry.cached_us) // 1_000_000, should_prefetch=should_prefetch
+        )
 
-    def get_stale(self, subject: Subject, now_us: int) -> Hit | None:
-        """An answer whose time is over, for when no upstream server answers."""
-        kept = self.entries.get(subject)
-        if kept is None or now_us >= kept.until_us + self.stale_us:
+    def get_stale(self, key: CacheKey, now_us: int) -> CacheHit | None:
+        """An answer that may have expired, for when no upstream server answers; None if there is none."""
+        entry = self.entries.get(key)
+        if entry is None or now_us >= entry.expires_us + self.stale_us:
             return None
         self.counts.stale += 1
-        return Hit(kept.answer, 0, stale=True)
+        return CacheHit(entry.answer, 0, stale=True)
 
-    def put(self, subject: Subject, answer: Answer, now_us: int) -> None:
-        """Keep an answer for its time; what may not be kept is not, and a failure overrules no answer."""
+    def put(self, key: CacheKey, answer: Answer, now_us: int) -> None:
+        """Cache an answer for its TTL; one that may not be cached replaces nothing."""
         if answer.ttl <= 0:
             return
-        cost = self.cost(subject, answer)
+        cost = self.cost(key, answer)
         if cost > self.limit:
             return
-        self.drop(subject)
-        ttl = min(answer.ttl, self.longest_s)
-        self.entries[subject] = Kept(answer, now_us, now_us + ttl * 1_000_000)
+        self.drop(key)
+        ttl = min(answer.ttl, self.max_ttl_s)
+        self.entries[key] = CachedAnswer(answer, now_us, now_us + ttl * 1_000_000)
         self.bytes += cost
         while self.bytes > self.limit:
             self.drop(next(iter(self.entries)))
             self.counts.evicted += 1
 
-    def not_refreshed(self, subject: Subject) -> None:
-        """A prefetch came to nothing: the next hit may try again."""
-        kept = self.entries.get(subject)
-        if kept is not None:
-            kept.refreshing = False
-
-    def drop(self, subject: Subject) -> None:
-        kept = self.entries.pop(subject, None)
-        if kept is not None:
-            self.bytes -= self.cost(subject, kept.answer)
+    def prefetch_failed(self, key: CacheKey) -> None:
+        """Let the next hit try again to refresh an answer."""
+        entry = self.entries.get(key)
+        if entry is not None:
+            entry.refreshing = False
+
+    def drop(self, key: CacheKey) -> None:
+        """Remove an answer."""
+        entry = self.entries.pop(key, None)
+        if entry is not None:
+            self.bytes -= self.cost(key, entry.answer)
--- a/sagetrack/dns/limits.py
+++ b/sagetrack/dns/limits.py
@@ -1,8 +1,7 @@
-"""Who may ask, and how much: access by prefix, answers and queries in work for each client. No I/O, no clock.
+"""Limits on clients: access by prefix, response rate, and queries in flight.
 
-Response rate limiting guards third parties: a forged source gets few answers, every other one cut short with
-TC, which a true client follows up over TCP (as in BIND's and NSD's published descriptions). The tables are
-bounded.
+Response rate limiting protects third parties: a spoofed source gets few responses, and every other one of the
+rest is truncated, which a real client repeats over TCP (as BIND and NSD describe it). All tables are bounded.
 """
 
 from __future__ import annotations
@@ -10,99 +9,129 @@
 import ipaddress
 from collections import OrderedDict
 from collections.abc import Iterable
+from dataclasses import dataclass
 from enum import Enum
 
-TABLE = 20_000  # prefixes whose answers are counted
-V4_PREFIX, V6_PREFIX = 24, 56
+MAX_TABLE_ENTRIES = 20_000  # hosts or prefixes that are remembered; the oldest is forgotten first
+IPV4_PREFIX_BITS, IPV6_PREFIX_BITS = 24, 56  # that share a rate
 
 
-class Verdict(Enum):
+class RateVerdict(Enum):
+    """What becomes of a response."""
+
     ANSWER = "answer"
-    CUT = "cut"  # answer with TC and nothing else
+    TRUNCATE = "cut"  # only the question, with TC
     DROP = "drop"
 
 
-class Access:
-    """Prefixes that may ask; the longest match decides, and where none matches nobody may."""
+class AccessRules:
+    """Prefixes that may ask; the longest match decides, and a host without match may not.
+
+    Args:
+        allowed: Prefixes in CIDR notation.
+        denied: Prefixes in CIDR notation.
+    """
 
     def __init__(self, allowed: Iterable[str], denied: Iterable[str] = ()) -> None:
         rules = [(ipaddress.ip_network(prefix, strict=False), True) for prefix in allowed]
         rules += [(ipaddress.ip_network(prefix, strict=False), False) for prefix in denied]
         self.rules = sorted(rules, key=lambda rule: -rule[0].prefixlen)
-        self.known: OrderedDict[str, bool] = OrderedDict()
+        self.by_host: OrderedDict[str, bool] = OrderedDict()
 
     def allows(self, host: str) -> bool:
-        found = self.known.get(host)
+        """Whether a host may ask."""
+        found = self.by_host.get(host)
         if found is None:
             address = ipaddress.ip_address(host.partition("%")[0])
             found = next(
                 (may for net, may in self.rules if net.version == address.version and address in net), False
             )
-            self.known[host] = found
-            if len(self.known) > TABLE:
-                self.known.popitem(last=False)
+            self.by_host[host] = found
+            if len(self.by_host) > MAX_TABLE_ENTRIES:
+                self.by_host.popitem(last=False)
         return found
 
 
-class ResponseRate:
-    """So many answers a second to one prefix over UDP."""
+@dataclass(slots=True)
+class RateBucket:
+    """Token bucket of one prefix."""
+
+    tokens: float
+    updated_us: int
+    limited: int = 0  # responses over the rate
+
+
+class ResponseRateLimiter:
+    """Limits responses to one prefix over UDP.
+
+    Args:
+        per_s: Responses a second; 0: no limit.
+        burst: Responses at once; twice those of a second if not given.
+    """
 
     def __init__(self, per_s: float, burst: float | None = None) -> None:
         self.per_s = per_s
         self.burst = burst if burst is not None else 2 * per_s
-        self.table: OrderedDict[bytes, list[float]] = OrderedDict()
-        self.cut = self.dropped = 0
+        self.buckets: OrderedDict[bytes, RateBucket] = OrderedDict()
+        self.truncated = self.dropped = 0
 
     @staticmethod
     def prefix(host: str) -> bytes:
+        """The prefix whose hosts share a rate."""
         address = ipaddress.ip_address(host.partition("%")[0])
-        return address.packed[: (V4_PREFIX if address.version == 4 else V6_PREFIX) // 8]
+        return address.packed[: (IPV4_PREFIX_BITS if address.version == 4 else IPV6_PREFIX_BITS) // 8]
 
-    def judge(self, host: str, now_us: int) -> Verdict:
-        """What to do with one answer to this host."""
+    def judge(self, host: str, now_us: int) -> RateVerdict:
+        """What to do with one response to this host."""
         if self.per_s <= 0:
-            return Verdict.ANSWER
+            return RateVerdict.ANSWER
         key = self.prefix(host)
-        bucket = self.table.get(key)
+        bucket = self.buckets.get(key)
         if bucket is None:
-            bucket = self.table[key] = [self.burst, now_us, 0.0]
-            if len(self.table) > TABLE:
-                self.table.popitem(last=False)
+            bucket = self.buckets[key] = RateBucket(self.burst, now_us)
+            if len(self.buckets) > MAX_TABLE_ENTRIES:
+                self.buckets.popitem(last=False)
         else:
-            self.table.move_to_end(key)
-        bucket[0] = min(self.burst, bucket[0] + (now_us - bucket[1]) / 1e6 * self.per_s)
-        bucket[1] = now_us
-        if bucket[0] >= 1.0:
-            bucket[0] -= 1.0
-            return Verdict.ANSWER
-        bucket[2] += 1.0
-        if int(bucket[2]) % 2:
-            self.cut += 1
-            return Verdict.CUT
+            self.buckets.move_to_end(key)
+        bucket.tokens = min(self.burst, bucket.tokens + (now_us - bucket.updated_us) / 1e6 * self.per_s)
+        bucket.updated_us = now_us
+        if bucket.tokens >= 1.0:
+            bucket.tokens -= 1.0
+            return RateVerdict.ANSWER
+        bucket.limited += 1
+        if bucket.limited % 2:
+            self.truncated += 1
+            return RateVerdict.TRUNCATE
         self.dropped += 1
-        return Verdict.DROP
+        return RateVerdict.DROP
+
 
+class QueriesInFlight:
+    """Queries in flight, limited for each client and in total.
 
-class InWork:
-    """Queries in work for each client, bounded for each and in all."""
+    Args:
+        per_client: Limit for each client.
+        total: Limit for all together.
+    """
 
-    def __init__(self, each: int, total: int) -> None:
-        self.each, self.total = each, total
-        self.counts: dict[str, int] = {}
-        self.sum = 0
+    def __init__(self, per_client: int, total: int) -> None:
+        self.per_client, self.total = per_client, total
+        self.by_host: dict[str, int] = {}
+        self.count = 0
 
-    def enter(self, host: str) -> bool:
-        """Count one more; False if that is too many."""
-        if self.sum >= self.total or self.counts.get(host, 0) >= self.each:
+    def try_add(self, host: str) -> bool:
+        """Count one more; False if that exceeds a limit."""
+        if self.count >= self.total or self.by_host.get(host, 0) >= self.per_client:
             return False
-        self.counts[host] = self.counts.get(host, 0) + 1
-        self.sum += 1
+        self.by_host[host] = self.by_host.get(host, 0) + 1
+        self.count += 1
         return True
 
-    def leave(self, host: str) -> None:
-        left = self.counts[host] - 1
-        self.sum -= 1
-        if left:
-            self.counts[host] = left
+    def remove(self, host: str) -> None:
+        """Count one less."""
+        remaining = self.by_host[host] - 1
+        self.count -= 1
+        if remaining:
+            self.by_host[host] = remaining
         else:
-            del self.counts[host]
+            del self.by_host[host]
--- /dev/null
+++ b/sagetrack/dns/listener.py
@@ -0,0 +1,117 @@
+"""Listens for DNS clients over UDP and TCP, limits their connections and drains them at shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from sagetrack.config.platform import Address
+from sagetrack.core.transient_errors import check_listens
+from sagetrack.dns.downstream_connection import DownstreamTcpConnection, UdpListener
+from sagetrack.dns.query_handler import QueryHandler
+
+LISTEN_BACKLOG = 256
+DRAIN_POLL_S = 0.02
+
+
+@dataclass(slots=True, frozen=True)
+class ClientLimits:
+    """What clients may use."""
+
+    queries_per_client: int = 256  # in flight
+    queries: int = 10_000
+    connections: int = 256
+    connections_per_client: int = 16
+
+
+class DnsListener:
+    """All sockets of DNS clients.
+
+    Args:
+        handler: Where queries go.
+        limits: What clients may use.
+    """
+
+    def __init__(self, handler: QueryHandler, limits: ClientLimits) -> None:
+        self.handler, self.limits = handler, limits
+        self.loop = asyncio.get_running_loop()
+        self.udp: list[asyncio.DatagramTransport] = []
+        self.tcp: list[asyncio.Server] = []
+        self.connections: dict[DownstreamTcpConnection, None] = {}  # the oldest first
+        self.shutting_down = False
+        self.stands_by: Callable[[], bool] = lambda: False
+
+    async def start(self, addresses: list[Address], shared: bool = False) -> list[Address]:
+        """Listen over UDP and TCP at each address, with `SO_REUSEPORT` if `shared`.
+
+        Returns:
+            The addresses with the ports that the system chose for port 0.
+
+        Raises:
+            OSError: An address cannot be listened on.
+        """
+        bound = []
+        for host, port in addresses:
+            tcp = await self.loop.create_server(
+                lambda: DownstreamTcpConnection(self.handler, self),
+                host,
+                port,
+                backlog=LISTEN_BACKLOG,
+                reuse_port=shared,
+            )
+            self.tcp.append(check_listens(tcp))
+            port = tcp.sockets[0].getsockname()[1]
+            udp, _ = await self.loop.create_datagram_endpoint(
+                lambda: UdpListener(self.handler), (host, port), reuse_port=shared
+            )
+            self.udp.append(udp)
+            bound.append((host, port))
+        return bound
+
+    # As the registry of its connections
+
+    def admit(self, connection: DownstreamTcpConnection) -> bool:
+        """Register a connection; where there are too many, the oldest without queries in flight is closed."""
+        from_host = sum(other.host == connection.host for other in self.connections)
+        if from_host >= self.limits.connections_per_client or not self.handler.access.allows(connection.host):
+            return False
+        if len(self.connections) >= self.limits.connections:
+            idle = next((other for other in self.connections if not other.queries_in_flight), None)
+            if idle is None:
+                return False
+            idle.abort()
+        self.connections[connection] = None
+        return True
+
+    def discard(self, connection: DownstreamTcpConnection) -> None:
+        """Forget a connection that has closed."""
+        self.connections.pop(connection, None)
+
+    def is_draining(self) -> bool:
+        """Whether connections should close once their queries are answered."""
+        return self.shutting_down or self.stands_by()
+
+    # Shutdown
+
+    async def leave(self, until_s: float) -> None:
+        """Shut down gracefully: accept no connections, then wait for the queries in flight.
+
+        Args:
+            until_s: When to close in any case, by the clock of the event loop.
+        """
+        self.shutting_down = True
+        for server in self.tcp:
+            server.close()
+        while self.handler.waiting and self.loop.time() < until_s:
+            await asyncio.sleep(DRAIN_POLL_S)
+        self.close()
+
+    def close(self) -> None:
+        """Close all sockets at once."""
+        for server in self.tcp:
+            server.close()
+        for transport in self.udp:
+            transport.close()
+        for connection in list(self.connections):
+            connection.abort()
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -1,8 +1,7 @@
-"""DNS messages on the hot path: header, question and EDNS(0) by hand, the rest passed on as it is. No I/O.
+"""DNS messages: header, question and EDNS(0) are parsed, the rest is forwarded as it is.
 
-After RFC 1035 (messages, names), RFC 2181 (TTLs), RFC 6891 (EDNS), RFC 8914 (extended errors). What does not
-need to be understood is not parsed: an answer goes on as bytes, under the client's id, question and letter
-case.
+RFC 1035 (messages, names), RFC 2181 (TTLs), RFC 6891 (EDNS), RFC 8914 (extended errors). A response is
+forwarded as bytes under the client's id, question and letter case, as parsing it would cost the hot path.
 """
 
 from __future__ import annotations
@@ -11,18 +10,26 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from sagetrack.dns.errors import DnsError
+
 HEADER = struct.Struct("!HHHHHH")
-MOST = 65_535
-NAME_LIMIT = 255
-PLAIN_SIZE = 512  # of a UDP answer without EDNS
-OUR_SIZE = 1232  # of a UDP answer that we say we take (DNS Flag Day 2020)
+HEADER_BYTES = HEADER.size
+MAX_MESSAGE_BYTES = 65_535
+MAX_LABEL_BYTES = 63
+MAX_NAME_BYTES = 255
+MAX_EXTRA_TEXT_BYTES = 64  # of an extended error that this gateway sends
+EDE_OPTION = 15  # RFC 8914, section 2
+MIN_UDP_PAYLOAD_BYTES = 512  # of a UDP response without EDNS (RFC 1035, 4.2.1)
+EDNS_UDP_PAYLOAD_BYTES = 1232  # of a UDP response that is offered to be taken (DNS Flag Day 2020)
 OPT, SOA, NS, ANY, AXFR, IXFR = 41, 6, 2, 255, 252, 251
 QR, AA, TC, RD, RA, AD, CD = 0x8000, 0x0400, 0x0200, 0x0100, 0x0080, 0x0020, 0x0010
-OPCODE = 0x7800
-POINTER = 0xC0
+OPCODE_MASK = 0x7800
+COMPRESSION_POINTER = 0xC0
 
 
 class Rcode(IntEnum):
+    """Response codes (RFC 1035, 4.1.1; RFC 6891, section 9)."""
+
     NOERROR = 0
     FORMERR = 1
     SERVFAIL = 2
@@ -32,7 +39,7 @@
     BADVERS = 16
 
 
-class Extended(IntEnum):
+class ExtendedError(IntEnum):
     """Info codes of extended errors (RFC 8914)."""
 
     OTHER = 0
@@ -45,17 +52,22 @@
     NETWORK_ERROR = 23
 
 
-class MessageError(ValueError):
-    """This message cannot be used; `rcode` is what its sender is told, or None where it gets nothing."""
+class MessageError(DnsError):
+    """A message that cannot be used.
 
-    def __init__(self, why: str, rcode: Rcode | None = None) -> None:
-        super().__init__(why)
+    Args:
+        reason: What is wrong with it.
+        rcode: For the response to its sender; None if there is to be none.
+    """
+
+    def __init__(self, reason: str, rcode: Rcode | None = None) -> None:
+        super().__init__(reason)
         self.rcode = rcode
 
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """One question. Two with the same `subject` have the same answer."""
+    """One question of a client."""
 
     id: int
     flags: int
@@ -64,25 +76,30 @@
     type: int
     klass: int
     edns: bool = False
-    size: int = PLAIN_SIZE  # of a UDP answer that the sender takes
+    size: int = MIN_UDP_PAYLOAD_BYTES  # of a UDP response that the sender takes
     dnssec: bool = False  # the DO bit
 
     @property
-    def subject(self) -> tuple[bytes, int, int, int]:
+    def cache_key(self) -> tuple[bytes, int, int, int]:
+        """Equal for queries that have the same answer."""
         return self.name, self.type, self.klass, (self.flags & (RD | CD)) | self.dnssec
 
 
 def skip_name(data: bytes, at: int) -> int:
-    """Where a name that may be compressed ends; MessageError if it runs out of the message."""
+    """Offset behind a name that may be compressed (RFC 1035, 4.1.4).
+
+    Raises:
+        MessageError: The name runs out of the message, or has a label of unknown kind.
+    """
     while True:
         if at >= len(data):
             raise MessageError("a name runs out of the message")
         length = data[at]
-        if length >= POINTER:
+        if length >= COMPRESSION_POINTER:
             if at + 2 > len(data):
                 raise MessageError("a pointer runs out of the message")
             return at + 2
-        if length > 63:
+        if length > MAX_LABEL_BYTES:
             raise MessageError("a label of unknown kind")
         at += 1 + length
         if length == 0:
@@ -90,33 +107,60 @@
 
 
 def parse_query(data: bytes) -> Query:
-    """Read a query; MessageError, whatever the bytes, if it is none that can be answered."""
-    if len(data) < 12:
+    """Read a query.
+
+    Raises:
+        MessageError: It is none that can be answered; nothing else is raised, whatever the bytes.
+    """
+    if len(data) < HEADER_BYTES:
         raise MessageError("shorter than a header")
     id_, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
     if flags & QR:
         raise MessageError("an answer, not a query")
-    if flags & OPCODE:
+    if flags & OPCODE_MASK:
         raise MessageError("another operation than QUERY", Rcode.NOTIMP)
     if questions != 1 or answers or authorities:
         raise MessageError(f"{questions} questions", Rcode.FORMERR)
     try:
-        # A question's name is not compressed: there is nothing before it to point to.
-        at = 12
-        while (length := data[at]) != 0:
-            if length > 63:
-                raise MessageError("a question's name is compressed", Rcode.FORMERR)
-            at += 1 + length
-            if at - 12 >= NAME_LIMIT:
-                raise MessageError("a name is too long", Rcode.FORMERR)
-        end = at + 5
-        type_, klass = struct.unpack_from("!HH", data, at + 1)
+        name_end = skip_question_name(data)
+        type_, klass = struct.unpack_from("!HH", data, name_end)
     except (IndexError, struct.error):
         raise MessageError("the question is not whole", Rcode.FORMERR) from None
-    question = data[12:end]
-    name = lowered(data[12 : at + 1])
-    edns, size, dnssec = False, PLAIN_SIZE, False
-    at = end
+    end = name_end + 4
+    question = data[HEADER_BYTES:end]
+    name = lower_case(data[HEADER_BYTES:name_end])
+    edns, size, dnssec = False, MIN_UDP_PAYLOAD_BYTES, False
+    if additional:
+        edns, size, dnssec = parse_edns(data, end, additional)
+    if type_ in (AXFR, IXFR):
+        raise MessageError("zone transfers are not made here", Rcode.NOTIMP)
+    return Query(id_, flags, question, name, type_, klass, edns, size, dnssec)
+
+
+def skip_question_name(data: bytes) -> int:
+    """Offset behind the question's name, which is not compressed: there is nothing before it to point to.
+
+    Raises:
+        MessageError: The name is compressed or too long.
+        IndexError: The name runs out of the message.
+    """
+    at = HEADER_BYTES
+    while (length := data[at]) != 0:
+        if length > MAX_LABEL_BYTES:
+            raise MessageError("a question's name is compressed", Rcode.FORMERR)
+        at += 1 + length
+        if at - HEADER_BYTES >= MAX_NAME_BYTES:
+            raise MessageError("a name is too long", Rcode.FORMERR)
+    return at + 1
+
+
+def parse_edns(data: bytes, at: int, additional: int) -> tuple[bool, int, bool]:
+    """Read a query's additional section (RFC 6891): whether it has EDNS, the UDP payload size, the DO bit.
+
+    Raises:
+        MessageError: The section is malformed, or the version of EDNS unknown.
+    """
+    edns, size, dnssec = False, MIN_UDP_PAYLOAD_BYTES, False
     for _ in range(additional):
         try:
             at = skip_name(data, at)
@@ -128,23 +172,22 @@
         if kind == OPT:
             if edns or data[at - 1] != 0:
                 raise MessageError("more than one OPT, or one with a name", Rcode.FORMERR)
-            edns, size, dnssec = True, max(PLAIN_SIZE, size_), bool(ttl & 0x8000)
+            edns, size, dnssec = True, max(MIN_UDP_PAYLOAD_BYTES, size_), bool(ttl & 0x8000)
             if ttl >> 16 & 0xFF:
                 raise MessageError("an unknown version of EDNS", Rcode.BADVERS)
-            if not options_are_whole(data[at + 10 : at + 10 + length]):
+            if not are_options_complete(data[at + 10 : at + 10 + length]):
                 raise MessageError("an EDNS option is not whole", Rcode.FORMERR)
         at += 10 + length
-    if type_ in (AXFR, IXFR):
-        raise MessageError("zone transfers are not made here", Rcode.NOTIMP)
-    return Query(id_, flags, question, name, type_, klass, edns, size, dnssec)
+    return edns, size, dnssec
 
 
-def lowered(name: bytes) -> bytes:
-    """A name for comparison. Lengths of labels are below 64, so that none is taken for a capital letter."""
+def lower_case(name: bytes) -> bytes:
+    """A name for comparison. Lengths of labels are below 64, and so none is taken for a capital letter."""
     return name.lower()
 
 
-def options_are_whole(data: bytes) -> bool:
+def are_options_complete(data: bytes) -> bool:
+    """Whether the EDNS options fill their record exactly."""
     at = 0
     while at < len(data):
         if at + 4 > len(data):
@@ -153,80 +196,117 @@
     return at == len(data)
 
 
-def opt(rcode: int, dnssec: bool, extended: Extended | None = None, text: str = "") -> bytes:
-    """An OPT record of ours, with an extended error if there is one to tell."""
+def encode_opt(rcode: int, dnssec: bool, extended: ExtendedError | None = None, text: str = "") -> bytes:
+    """Encode an OPT record (RFC 6891, 6.1), with an extended error (RFC 8914) if one is given."""
     options = b""
     if extended is not None:
-        said = text.encode()[:64]
-        options = struct.pack("!HHH", 15, 2 + len(said), extended) + said
+        extra_text = text.encode()[:MAX_EXTRA_TEXT_BYTES]
+        options = struct.pack("!HHH", EDE_OPTION, 2 + len(extra_text), extended) + extra_text
     ttl = (rcode >> 4) << 24 | (0x8000 if dnssec else 0)
-    return b"\0" + struct.pack("!HHIH", OPT, OUR_SIZE, ttl, len(options)) + options
+    return b"\0" + struct.pack("!HHIH", OPT, EDNS_UDP_PAYLOAD_BYTES, ttl, len(options)) + options
 
 
-def error(
-    query: Query, rcode: Rcode, extended: Extended | None = None, text: str = "", flags: int = 0
+def encode_error(
+    query: Query, rcode: Rcode, extended: ExtendedError | None = None, text: str = "", flags: int = 0
 ) -> bytes:
-    """An answer without records."""
-    flags |= QR | RA | (query.flags & (RD | CD | OPCODE)) | (rcode & 0xF)
-    tail = opt(rcode, query.dnssec, extended, text) if query.edns else b""
+    """Encode a response without records."""
+    flags |= QR | RA | (query.flags & (RD | CD | OPCODE_MASK)) | (rcode & 0xF)
+    tail = encode_opt(rcode, query.dnssec, extended, text) if query.edns else b""
     return HEADER.pack(query.id, flags, 1, 0, 0, int(query.edns)) + query.question + tail
 
 
-def refused_unread(data: bytes, rcode: Rcode) -> bytes | None:
-    """What is answered to a message that could not be read but for its header; None if not even that."""
-    if len(data) < 12 or data[2] & 0x80:
+def encode_error_for_unreadable(data: bytes, rcode: Rcode) -> bytes | None:
+    """Encode the response to a message of which only the header is readable; None if not even that is."""
+    if len(data) < HEADER_BYTES or data[2] & 0x80:
         return None
     id_, flags = struct.unpack_from("!HH", data)
-    head = HEADER.pack(id_, QR | (flags & (RD | OPCODE)) | (rcode & 0xF), 0, 0, 0, int(rcode > 15))
-    return head + (opt(rcode, False) if rcode > 15 else b"")
+    head = HEADER.pack(id_, QR | (flags & (RD | OPCODE_MASK)) | (rcode & 0xF), 0, 0, 0, int(rcode > 15))
+    return head + (encode_opt(rcode, False) if rcode > 15 else b"")
 
 
-def upstream_query(query: Query, id_: int) -> bytes:
-    """The question as it goes on: one OPT of ours, no options of the client's (they are for this hop)."""
+def encode_upstream_query(query: Query, id_: int) -> bytes:
+    """Encode the query for an upstream server.
+
+    The client's EDNS options are not forwarded: they are for one hop (RFC 6891, 6.2.6).
+    """
     flags = query.flags & (RD | CD | AD)
-    return HEADER.pack(id_, flags, 1, 0, 0, 1) + query.question + opt(0, query.dnssec)
+    return HEADER.pack(id_, flags, 1, 0, 0, 1) + query.question + encode_opt(0, query.dnssec)
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """An answer as it came from upstream, and where its TTLs stand."""
+    """A response as it came from upstream, and where its TTLs stand."""
 
     data: bytes
     rcode: int
     truncated: bool
-    ttls: tuple[int, ...]  # offsets
-    ttl: int  # for how long it may be kept, in seconds; 0: not at all
-    opt_at: int  # offset of its OPT record; -1: none
-    end: int  # of its records, less the OPT if that is the last
+    ttl_offsets: tuple[int, ...]
+    ttl: int  # for how long it may be cached, in seconds; 0: not at all
+    opt_offset: int  # -1: it has no OPT record
+    records_end: int  # of its records, without the OPT if that is the last
 
     @property
     def size(self) -> int:
+        """Bytes of the message."""
         return len(self.data)
 
 
+@dataclass(slots=True)
+class RecordSummary:
+    """What the records of a response amount to."""
+
+    ttl_offsets: list[int]
+    min_ttl: int = 86_400 * 7
+    soa_ttl: int = -1  # how long a negative answer may be cached (RFC 2308, section 5); -1: it has no SOA
+    rcode_high_bits: int = 0  # from the OPT record
+    opt_offset: int = -1
+    records_end: int = 0
+
+
 def parse_answer(data: bytes, query: Query, id_: int) -> Answer | None:
-    """Read an answer to what was asked; None if it is not that, MessageError if it is spoilt.
+    """Read a response to a query; None if it is not a response to it.
+
+    It needs the id that was sent and the same question, the name in any letter case: who forges one has to
+    guess both, and the port.
 
-    It has to have our id and our question, the name in whatever letter case; whoever forges one has to guess
-    both, and the port that it is sent to.
+    Raises:
+        MessageError: It is malformed.
     """
-    if len(data) < 12:
+    if len(data) < HEADER_BYTES:
         return None
-    got, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
-    if got != id_ or not flags & QR or flags & OPCODE:
+    id_received, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
+    if id_received != id_ or not flags & QR or flags & OPCODE_MASK:
         return None
-    end = 12 + len(query.question)
+    end = HEADER_BYTES + len(query.question)
     if (
         questions != 1
-        or lowered(data[12 : end - 4]) != query.name
+        or lower_case(data[HEADER_BYTES : end - 4]) != query.name
         or data[end - 4 : end] != query.question[-4:]
     ):
         return None
-    rcode, at = flags & 0xF, end
-    ttls: list[int] = []
-    least = 86_400 * 7
-    negative, soa_ttl = answers == 0, -1
-    opt_at, records_end = -1, end
+    records = scan_records(data, end, answers, authorities, additional)
+    rcode = flags & 0xF | records.rcode_high_bits
+    truncated = bool(flags & TC)
+    ttl = records.min_ttl if records.ttl_offsets and answers else records.soa_ttl
+    cacheable = rcode in (Rcode.NOERROR, Rcode.NXDOMAIN) and not truncated and ttl > 0
+    return Answer(
+        data,
+        rcode,
+        truncated,
+        tuple(records.ttl_offsets),
+        ttl if cacheable else 0,
+        records.opt_offset,
+        records.records_end,
+    )
+
+
+def scan_records(data: bytes, at: int, answers: int, authorities: int, additional: int) -> RecordSummary:
+    """Walk over the records of a response, from the end of its question.
+
+    Raises:
+        MessageError: A record is not complete.
+    """
+    found = RecordSummary([], records_end=at)
     for number in range(answers + authorities + additional):
         record = at
         at = skip_name(data, at)
@@ -236,54 +316,57 @@
         if at + 10 + length > len(data):
             raise MessageError("a record is not whole")
         if kind == OPT:
-            opt_at, rcode = record, rcode | (ttl >> 24) << 4
+            found.opt_offset = record
+            found.rcode_high_bits |= (ttl >> 24) << 4
         else:
             ttl = 0 if ttl >= 2**31 else ttl  # RFC 2181, section 8
-            ttls.append(at + 4)
-            least = min(least, ttl)
+            found.ttl_offsets.append(at + 4)
+            found.min_ttl = min(found.min_ttl, ttl)
             if kind == SOA and answers <= number < answers + authorities and length >= 20:
                 minimum = int.from_bytes(data[at + 10 + length - 4 : at + 10 + length])
-                soa_ttl = min(ttl, minimum)  # RFC 2308, section 5
+                found.soa_ttl = min(ttl, minimum)  # RFC 2308, section 5
         at += 10 + length
         if kind != OPT:
-            records_end = at
-    truncated = bool(flags & TC)
-    keep = least if ttls and not negative else soa_ttl
-    kept = rcode in (Rcode.NOERROR, Rcode.NXDOMAIN) and not truncated and keep > 0
-    if opt_at >= 0 and opt_at < records_end:
-        records_end = at  # the OPT stands between others: it stays
-    return Answer(data, rcode, truncated, tuple(ttls), keep if kept else 0, opt_at, records_end)
+            found.records_end = at
+    if 0 <= found.opt_offset < found.records_end:
+        found.records_end = at  # the OPT stands between others, and stays
+    return found
 
 
-def reply(
+def encode_reply(
     query: Query,
     answer: Answer,
     limit: int,
     age_s: int = 0,
     stale_ttl: int | None = None,
-    extended: Extended | None = None,
-    text: str = "",
+    extended: ExtendedError | None = None,
 ) -> bytes:
-    """An answer for this client: its id, its question in its letter case, TTLs less their age, our OPT.
-
-    Over `limit` bytes it is cut to its question with TC set, so that the client asks again over TCP.
+    """Encode a response for a client: its id, its question in its letter case, and an OPT of this gateway.
+
+    Args:
+        query: The client's query.
+        answer: The response from upstream or the cache.
+        limit: Bytes that the client takes; a longer response is cut to its question with TC set.
+        age_s: Subtracted from each TTL.
+        stale_ttl: In place of each TTL.
+        extended: Extended error for the OPT.
     """
     _, flags, questions, answers, authorities, additional = HEADER.unpack_from(answer.data)
     flags = (flags & ~RD) | QR | RA | (query.flags & RD)
-    own_opt = answer.opt_at >= 0 and answer.opt_at >= answer.end
-    if own_opt:
+    strips_opt = answer.opt_offset >= 0 and answer.opt_offset >= answer.records_end
+    if strips_opt:
         additional -= 1
-    body = bytearray(answer.data[: answer.end] if own_opt or answer.opt_at < 0 else answer.data)
-    body[12 : 12 + len(query.question)] = query.question
+    has_no_opt = strips_opt or answer.opt_offset < 0
+    body = bytearray(answer.data[: answer.records_end] if has_no_opt else answer.data)
+    body[HEADER_BYTES : HEADER_BYTES + len(query.question)] = query.question
     if age_s or stale_ttl is not None:
-        for at in answer.ttls:
+        for at in answer.ttl_offsets:
             left = stale_ttl if stale_ttl is not None else int.from_bytes(body[at : at + 4]) - age_s
             body[at : at + 4] = max(0, left).to_bytes(4)
-    add_opt = query.edns and (own_opt or answer.opt_at < 0)
-    if add_opt:
-        body += opt(answer.rcode, query.dnssec, extended, text)
+    if query.edns and has_no_opt:
+        body += encode_opt(answer.rcode, query.dnssec, extended)
         additional += 1
-    body[:12] = HEADER.pack(query.id, flags, 1, answers, authorities, additional)
+    body[:HEADER_BYTES] = HEADER.pack(query.id, flags, 1, answers, authorities, additional)
     if len(body) <= limit:
         return bytes(body)
-    return error(query, Rcode(0), flags=(flags & (AA | AD)) | TC)
+    return encode_error(query, Rcode.NOERROR, flags=(flags & (AA | AD)) | TC)
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -1,4 +1,4 @@
-"""DNS in this process: a module of its own with one class, upstream servers, a cache and a front."""
+"""DNS service of a gateway: a load balancer of its own, upstream servers, cache and listener."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 from sagetrack.config.platform import Address, stable_id
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.dns.cache import Cache
-from sagetrack.dns.downstream import Front, Limits
-from sagetrack.dns.limits import Access, ResponseRate
-from sagetrack.dns.upstream import Upstreams
+from sagetrack.dns.cache import AnswerCache
+from sagetrack.dns.limits import AccessRules, QueriesInFlight, ResponseRateLimiter
+from sagetrack.dns.listener import ClientLimits, DnsListener
+from sagetrack.dns.query_handler import QueryHandler
+from sagetrack.dns.upstream import DnsUpstreams
 from sagetrack.policy.interface import Effect, ListedServer, ListKind, RequestClass, Settings
 
 if TYPE_CHECKING:
-    from sagetrack.dns.zone import Zones
+    from sagetrack.dns.zone import LocalZones
 
-CLASS = "query"
-TEND_S, TEND_ENTRIES = 0.25, 1000
+CLASS_NAME = "query"
+GC_FREEZE_INTERVAL_S = 0.25
+GC_FREEZE_ENTRIES = 1000  # new cache entries that are worth a freeze
 
 
 @dataclass(slots=True, frozen=True)
-class ZonePlan:
-    """Zones that are answered here."""
+class ZoneConfig:
+    """Zones that the gateway answers itself."""
 
     origin: str = ""
     ttl_s: int = 5
@@ -35,8 +37,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Cold:
-    """How upstream servers start, in the settings' terms: known of those in the list of servers."""
+class SlowStartSettings:
+    """Slow start of upstream servers, with the fields of `Settings`."""
 
     start_capacity: float = 1.0
     warm_after_us: int = 0
@@ -45,162 +47,179 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """What an installation asks for."""
+class DnsConfig:
+    """Configuration of the DNS service."""
 
     listen: Sequence[Address]
     upstreams: Sequence[Address]
-    listed: bool = False  # the list of servers names more of them
+    listed: bool = False  # the endpoint list has further ones
     latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
     cache_bytes: int = 32 * 1024 * 1024
     stale_s: float = 86_400.0
-    allow: Sequence[str] = ("127.0.0.0/8", "::1/128")
-    deny: Sequence[str] = ()
-    answers_per_s: float = 0.0  # to one prefix over UDP; 0: no bound
-    limits: Limits = field(default_factory=Limits)
-    crowd: int = 1000  # attempts that one upstream server holds at the most
+    allowed_prefixes: Sequence[str] = ("127.0.0.0/8", "::1/128")
+    denied_prefixes: Sequence[str] = ()
+    responses_per_s: float = 0.0  # to one prefix over UDP; 0: no limit
+    limits: ClientLimits = field(default_factory=ClientLimits)
+    max_concurrency: int = 1000  # attempts in flight at one upstream server
     gateways: int = 1
-    gateway: int = 0  # its number among them: where its part of the upstream servers begins
-    cold: Cold = field(default_factory=Cold)
-    zone: ZonePlan | None = None
+    gateway: int = 0  # its number among them
+    slow_start: SlowStartSettings = field(default_factory=SlowStartSettings)
+    zone: ZoneConfig | None = None
 
 
-def settings(plan: Plan) -> Settings:
-    """The module's view: one class that is safe to repeat."""
+def load_balancer_settings(config: DnsConfig) -> Settings:
+    """Settings of the load balancer: one class of requests, which are safe to retry."""
     query = RequestClass(
-        plan.latency_objective_us, plan.deadline_us, late_priority_weight=0.5, effect=Effect.SAFE
+        config.latency_objective_us, config.deadline_us, late_priority_weight=0.5, effect=Effect.SAFE
     )
     return Settings(
         classes=(query,),
-        proxies=plan.gateways,
-        proxy=plan.gateway,
+        proxies=config.gateways,
+        proxy=config.gateway,
         max_attempts=4,
         hedging=True,
-        max_concurrency=plan.crowd,
+        max_concurrency=config.max_concurrency,
         lossy=True,
-        start_capacity=plan.cold.start_capacity,
-        warm_after_us=plan.cold.warm_after_us,
-        overload_multiple=plan.cold.overload_multiple,
-        overload_window_us=plan.cold.overload_window_us,
-        connect_timeout_us=min(1_000_000, plan.latency_objective_us),
+        start_capacity=config.slow_start.start_capacity,
+        warm_after_us=config.slow_start.warm_after_us,
+        overload_multiple=config.slow_start.overload_multiple,
+        overload_window_us=config.slow_start.overload_window_us,
+        connect_timeout_us=min(1_000_000, config.latency_objective_us),
         stop_sending_within_us=2_000_000,
         max_retry_after_us=2_000_000,
     )
 
 
-class Service:
-    """Made on a running loop."""
+class DnsService:
+    """The DNS service. Needs a running event loop.
+
+    Args:
+        config: Its configuration.
+        seed: Of the load balancer's and the zones' random draws.
+        weights: Current weights of the installation's servers, by name.
+        serial: First serial of the installation's zone.
+
+    Raises:
+        ZoneError: A zone cannot be used.
+    """
 
     def __init__(
-        self, plan: Plan, seed: int, weights: Callable[[], Mapping[str, float]] = dict, serial: int = 1
+        self, config: DnsConfig, seed: int, weights: Callable[[], Mapping[str, float]] = dict, serial: int = 1
     ) -> None:
-        self.plan = plan
-        self.zones: Zones | None = None
-        if plan.zone is not None:
-            from sagetrack.dns.zone import Member, Zones  # with dnspython, which only zones need
-
-            gateways = [Member(name, *place) for name, place in plan.zone.gateways]
-            self.zones = Zones(
-                plan.zone.origin,
+        self.config = config
+        self.zones: LocalZones | None = None
+        if config.zone is not None:
+            from sagetrack.dns.zone import LocalZones, ZoneMember  # loads dnspython, which only zones need
+
+            gateways = [ZoneMember(name, *place) for name, place in config.zone.gateways]
+            self.zones = LocalZones(
+                config.zone.origin,
                 seed,
-                plan.zone.ttl_s,
-                plan.zone.ttl_s,
+                config.zone.ttl_s,
+                config.zone.ttl_s,
                 gateways,
-                plan.zone.files,
+                config.zone.files,
                 serial,
                 weights,
             )
-        self.tender: asyncio.TimerHandle | None = None
-        self.named: list[Endpoint] = []  # in the operator's file
-        self.listed: list[Endpoint] = []  # in the first whole list
-        self.tended = 0  # entries that the collector no longer sees
-        made = settings(plan)
-        self.back = Upstreams(made)
-        self.gateway = Gateway(made, seed, [CLASS], self.back, {})
-        self.cache = Cache(plan.cache_bytes, plan.stale_s)
-        self.front = Front(
+        self.freeze_timer: asyncio.TimerHandle | None = None
+        self.configured: list[Endpoint] = []  # upstream servers of the operator's file
+        self.listed: list[Endpoint] = []  # upstream servers of the endpoint list, as it was last complete
+        self.frozen_entries = 0  # cache entries that the garbage collector no longer scans
+        settings = load_balancer_settings(config)
+        self.upstreams = DnsUpstreams(settings)
+        self.gateway = Gateway(settings, seed, [CLASS_NAME], self.upstreams, {})
+        self.cache = AnswerCache(config.cache_bytes, config.stale_s)
+        limits = config.limits
+        self.handler = QueryHandler(
             self.gateway,
             self.cache,
-            Access(plan.allow, plan.deny),
-            ResponseRate(plan.answers_per_s),
-            plan.limits,
-            plan.deadline_us,
+            AccessRules(config.allowed_prefixes, config.denied_prefixes),
+            ResponseRateLimiter(config.responses_per_s),
+            QueriesInFlight(limits.queries_per_client, limits.queries),
+            config.deadline_us,
             self.zones.answer if self.zones is not None else lambda query: None,
-            bool(plan.upstreams) or plan.listed,
+            bool(config.upstreams) or config.listed,
         )
+        self.listener = DnsListener(self.handler, limits)
 
     async def start(self, shared: bool = False) -> list[Address]:
-        """Listen; OSError if an address cannot be had. `shared` with another process, as at an upgrade."""
-        self.list_upstreams(self.plan.upstreams)
-        self.tend()
-        return await self.front.start(list(self.plan.listen), shared)
+        """Listen, with `SO_REUSEPORT` if `shared`, as during a hot restart.
+
+        Raises:
+            OSError: An address cannot be listened on.
+        """
+        self.list_upstreams(self.config.upstreams)
+        self.freeze_cache()
+        return await self.listener.start(list(self.config.listen), shared)
 
-    def tend(self) -> None:
-        """Take what the cache keeps out of the collector's sight.
+    def freeze_cache(self) -> None:
+        """Exclude cached answers from garbage collection, periodically.
 
-        Guards against pauses of tens of milliseconds, as the collector walks all that is kept: none of it is
-        in a cycle, so that it needs no collector to go.
+        Scanning them all would pause the process for tens of milliseconds. None of them is in a reference
+        cycle, so that they are freed without the collector.
         """
-        self.tender = asyncio.get_running_loop().call_later(TEND_S, self.tend)
-        kept = len(self.cache.entries)
-        if kept - self.tended >= TEND_ENTRIES:
-            self.tended = kept
-            gc.collect(1)  # young garbage first: what is frozen stays for good
+        self.freeze_timer = asyncio.get_running_loop().call_later(GC_FREEZE_INTERVAL_S, self.freeze_cache)
+        entries = len(self.cache.entries)
+        if entries - self.frozen_entries >= GC_FREEZE_ENTRIES:
+            self.frozen_entries = entries
+            gc.collect(1)  # what is garbage by now would stay for good
             gc.freeze()
-        self.tended = min(self.tended, kept)
+        self.frozen_entries = min(self.frozen_entries, entries)
 
     def list_upstreams(self, addresses: Sequence[Address]) -> None:
-        """The whole list of upstream servers, as it is now."""
-        self.named = []
+        """Replace the upstream servers of the operator's file."""
+        self.configured = []
         for host, port in addresses:
             name = f"{host}:{port}"
-            self.named.append(Endpoint(name, (host, port), ListedServer(stable_id(name, 4))))
+            self.configured.append(Endpoint(name, (host, port), ListedServer(stable_id(name, 4))))
         self.on_list(ListKind.FULL, self.listed)
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Word of the upstream servers in the list of servers; the operator's own stay beside them."""
+        """Take over upstream servers of the endpoint list; those of the operator's file stay beside them."""
         if kind is ListKind.ERROR:
             return
         if kind is not ListKind.DELTA:
             self.listed = entries
-            entries = [*self.named, *entries]
+            entries = [*self.configured, *entries]
         self.gateway.on_list(kind, entries)
 
     def list_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
-        """Name, address and listed weight of the servers that are ready now, for our own zone."""
+        """Take over the ready servers (name, address, listed weight) for the installation's zone."""
         if self.zones is not None:
-            from sagetrack.dns.zone import Member
+            from sagetrack.dns.zone import ZoneMember
 
-            self.zones.update(Member(name, *place, weight) for name, place, weight in servers)
+            self.zones.update(ZoneMember(name, *place, weight) for name, place, weight in servers)
 
     def figures(self) -> dict[str, int]:
-        """For the stats."""
-        front, cache, back = self.front.counts, self.cache, self.back.counts
+        """Values for the exported metrics."""
+        queries, cache, upstreams = self.handler.counts, self.cache, self.upstreams.counts
         return {
-            "dns_queries_total": front.queries,
-            "dns_answered_total": front.answered,
-            "dns_refused_total": front.refused,
-            "dns_failed_total": front.failed,
-            "dns_joined_total": front.joined,
-            "dns_shared_total": front.shared,
-            "dns_denied_total": front.denied,
-            "dns_unreadable_total": front.unreadable,
+            "dns_queries_total": queries.queries,
+            "dns_answered_total": queries.answered,
+            "dns_refused_total": queries.refused,
+            "dns_failed_total": queries.failed,
+            "dns_joined_total": queries.joined,
+            "dns_shared_total": queries.shared,
+            "dns_denied_total": queries.denied,
+            "dns_unreadable_total": queries.unreadable,
             "dns_cache_hits_total": cache.counts.hits,
             "dns_cache_misses_total": cache.counts.misses,
             "dns_cache_stale_total": cache.counts.stale,
             "dns_cache_evicted_total": cache.counts.evicted,
             "dns_cache_entries": len(cache.entries),
             "dns_cache_bytes": cache.bytes,
-            "dns_upstream_attempts_total": back.udp,
-            "dns_upstream_tcp_total": back.tcp,
-            "dns_upstream_unmatched_total": back.unmatched,
+            "dns_upstream_attempts_total": upstreams.udp,
+            "dns_upstream_tcp_total": upstreams.tcp,
+            "dns_upstream_unmatched_total": upstreams.unmatched,
             "dns_upstream_unhealthy": self.gateway.balancer.avoided(),
-            "dns_current": len(self.front.waiting),
+            "dns_current": len(self.handler.waiting),
         }
 
     def close(self) -> None:
-        if self.tender is not None:
-            self.tender.cancel()
-        self.front.close()
+        """Close all sockets at once."""
+        if self.freeze_timer is not None:
+            self.freeze_timer.cancel()
+        self.listener.close()
         self.gateway.close()
--- /dev/null
+++ b/sagetrack/dns/upstream_attempt.py
@@ -0,0 +1,97 @@
+"""One attempt of a query at an upstream DNS server, from its sending to its one outcome."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+from collections.abc import Container
+from dataclasses import dataclass
+from typing import Protocol
+
+from sagetrack.config.platform import Address
+from sagetrack.core.clock import now_us
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.send_rules import ServerState
+from sagetrack.dns.message import Answer, Query, Rcode
+from sagetrack.policy.interface import Outcome
+
+SUCCESSFUL = frozenset({Rcode.NOERROR, Rcode.NXDOMAIN})
+
+
+@dataclass(slots=True)
+class UpstreamCounts:
+    """Totals since the start."""
+
+    udp: int = 0
+    tcp: int = 0  # attempts that were repeated over TCP
+    unmatched: int = 0  # late, forged or duplicate responses
+    malformed: int = 0
+
+
+@dataclass(slots=True, eq=False)
+class DnsServer:
+    """One server as it is listed."""
+
+    id: int
+    name: str
+    address: Address
+    started_us: int = 0
+    drained_us: int | None = None  # since when it is listed as draining or gone
+
+    @property
+    def state(self) -> ServerState:
+        """What the send rules have to know of it."""
+        return ServerState.SERVING if self.drained_us is None else ServerState.WITHDRAWN
+
+
+class AttemptCarrier(Protocol):
+    """The socket or connection on which an attempt waits."""
+
+    def forget(self, attempt: DnsAttempt) -> None:
+        """Drop an attempt that has ended."""
+
+
+@dataclass(slots=True, eq=False)
+class DnsAttempt:
+    """One attempt. It ends exactly once, by `finish`, which tells its observer."""
+
+    upstream: DnsServer
+    query: Query
+    watcher: AttemptObserver
+    sent_us: int
+    latency_us: int = 0
+    ended: bool = False
+    timer: asyncio.TimerHandle | None = None
+    carrier: AttemptCarrier | None = None
+    id: int = 0  # message id
+    request_sent: bool = False
+
+    @property
+    def server(self) -> int:
+        """Number of the server."""
+        return self.upstream.id
+
+    def complete(self, answer: Answer) -> None:
+        """End with a response; any rcode but NOERROR and NXDOMAIN is an error of the server."""
+        successful = answer.rcode in SUCCESSFUL
+        self.finish(Outcome.OK if successful else Outcome.ERROR, answer if successful else None)
+
+    def finish(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        """End the attempt and tell its observer; any call after the first has no effect."""
+        if self.ended:
+            return
+        self.ended = True
+        self.latency_us = now_us() - self.sent_us
+        if self.timer is not None:
+            self.timer.cancel()
+        if self.carrier is not None:
+            self.carrier.forget(self)
+        self.watcher.on_end(self, outcome, answer, None)
+
+
+def unused_message_id(used: Container[int]) -> int:
+    """Draw a random message id that no waiting query has (RFC 5452, section 9.2)."""
+    id_ = secrets.randbits(16)
+    while id_ in used:
+        id_ = secrets.randbits(16)
+    return id_
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -1,10 +1,8 @@
-"""Zones that are answered here: one of the installation's own gateways and servers, and files for what is
-static.
+"""Zones that the gateway answers itself: its installation's gateways and servers, and static zone files.
 
-The zone follows the roster: only servers that are ready are in it, its serial rises with each change (RFC
-1982), and what is not there is denied with its SOA (RFC 2308). Records are rendered by `dnspython` once for
-each name, type and order, and go out as any other answer does. No I/O but for reading zone files at the
-start.
+The installation's zone follows discovery: it has the servers that are ready, its serial rises with each
+change (RFC 1982), and a name or type that does not exist is answered with the SOA (RFC 2308). Responses are
+rendered by `dnspython` once for each name, type and order, and are then sent like any other answer.
 """
 
 from __future__ import annotations
@@ -28,22 +26,24 @@
 import dns.rrset
 import dns.zone
 
-from sagetrack.dns.message import Answer, Query, parse_answer
+from sagetrack.dns.errors import DnsError
+from sagetrack.dns.message import MAX_LABEL_BYTES, MAX_MESSAGE_BYTES, Answer, Query, parse_answer
 
-ORDERS = 8  # of the servers' records, drawn by weight; each answer has the next
-RENDERED = 4096  # answers kept ready
-SERIAL = 2**32
+ORDERS = 8  # of the servers' records, drawn by weight; each response has the next
+MAX_RENDERED = 4096  # responses that are kept rendered
+SERIAL_MODULUS = 2**32  # RFC 1982
+MIN_WEIGHT = 1e-6
 IN = dns.rdataclass.IN
 Records = dict[dns.name.Name, dict[int, list[dns.rdata.Rdata]]]
 
 
-class ZoneError(ValueError):
-    """A zone that cannot be used; the message says which and why, in one line."""
+class ZoneError(DnsError):
+    """A zone that cannot be used; the message says in one line which and why."""
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
-    """A server or a gateway as the zone has it."""
+class ZoneMember:
+    """A server or a gateway of the installation's zone."""
 
     name: str
     host: str
@@ -58,37 +58,107 @@
     origin: dns.name.Name
     records: Records
     soa: dns.rrset.RRset
-    inner: set[dns.name.Name] = field(default_factory=set)  # names that only have names below them
+    empty_non_terminals: set[dns.name.Name] = field(default_factory=set)  # names with names below (RFC 8499)
 
     def __post_init__(self) -> None:
         for name in self.records:
             parent = name
             while parent != self.origin and parent.is_subdomain(self.origin):
                 parent = parent.parent()
-                self.inner.add(parent)
+                self.empty_non_terminals.add(parent)
 
 
 def label(name: str) -> str:
-    """A name of the roster as a label: letters, digits and hyphens (RFC 1123), 63 at the most."""
+    """A label of letters, digits and hyphens (RFC 1123, 2.1) for a server's name."""
     made = "".join(c if c.isascii() and (c.isalnum() or c == "-") else "-" for c in name.lower()).strip("-")
-    return made[:63] or "server"
+    return made[:MAX_LABEL_BYTES] or "server"
 
 
-def weighted_order(members: list[Member], weights: Mapping[str, float], draw: random.Random) -> list[Member]:
+def weighted_order(
+    members: list[ZoneMember], weights: Mapping[str, float], draw: random.Random
+) -> list[ZoneMember]:
     """The members in a random order in which the heavier ones tend to come first.
 
     Each gets the key u ** (1 / weight), the largest first (Efraimidis and Spirakis 2006).
     """
 
-    def key(member: Member) -> float:
-        weight = max(1e-6, member.weight * weights.get(member.name, 1.0))
+    def key(member: ZoneMember) -> float:
+        weight = max(MIN_WEIGHT, member.weight * weights.get(member.name, 1.0))
         return float(draw.random() ** (1.0 / weight))
 
     return sorted(members, key=key, reverse=True)
 
 
-class Zones:
-    """All zones that are answered here."""
+class InstallationZone:
+    """Builds the zone of the installation, and the reverse names of its servers.
+
+    Args:
+        origin: Of the zone.
+        ttl_s: Of its records.
+        negative_ttl_s: For how long a missing name may be cached.
+    """
+
+    def __init__(self, origin: dns.name.Name, ttl_s: int, negative_ttl_s: int) -> None:
+        self.origin, self.ttl_s, self.negative_ttl_s = origin, ttl_s, negative_ttl_s
+        self.records: Records = {}
+        self.reverse: dict[dns.name.Name, dns.name.Name] = {}  # by reverse name: the server's name
+
+    def build(self, gateways: list[ZoneMember], servers: list[ZoneMember], serial: int) -> Zone:
+        """Build the zone with these members."""
+        self.add(self.origin, "NS", f"ns.{self.origin}")
+        for member in gateways:
+            self.add_gateway(member)
+        for member in servers:
+            self.add_server(member)
+        text = f"ns.{self.origin} hostmaster.{self.origin} {serial} 60 30 600 {self.negative_ttl_s}"
+        soa = dns.rrset.from_text(self.origin, self.ttl_s, "IN", "SOA", text)
+        self.records.setdefault(self.origin, {})[dns.rdatatype.SOA] = list(soa)
+        return Zone(self.origin, self.records, soa)
+
+    def add_gateway(self, member: ZoneMember) -> None:
+        """Add a gateway, which is a name server too."""
+        self.add_address(f"{label(member.name)}.gateways", member.host)
+        self.add_address("gateways", member.host)
+        self.add_address("ns", member.host)
+
+    def add_server(self, member: ZoneMember) -> None:
+        """Add a server: addresses, a service record (RFC 2782) and its reverse name."""
+        name = self.add_address(f"{label(member.name)}.servers", member.host)
+        self.add_address("servers", member.host)
+        weight = max(1, min(65_535, round(100 * member.weight)))
+        service = name_below("_http._tcp.servers", self.origin)
+        self.add(service, "SRV", f"0 {weight} {member.port} {name}")
+        self.reverse.setdefault(dns.reversename.from_address(member.host), name)
+
+    def add_address(self, text: str, host: str) -> dns.name.Name:
+        """Add an address record for a name below the origin; the name."""
+        name = name_below(text, self.origin)
+        self.add(name, "AAAA" if ":" in host else "A", host)
+        return name
+
+    def add(self, name: dns.name.Name, kind: str, text: str) -> None:
+        """Add a record."""
+        type_ = dns.rdatatype.from_text(kind)
+        rdata = dns.rdata.from_text(IN, type_, text, self.origin, relativize=False)
+        self.records.setdefault(name, {}).setdefault(type_, []).append(rdata)
+
+
+class LocalZones:
+    """All zones that the gateway answers itself.
+
+    Args:
+        origin: Of the installation's zone; empty if it has none.
+        seed: Of the orders that are drawn.
+        ttl_s: Of the installation's records.
+        negative_ttl_s: For how long a missing name may be cached.
+        gateways: Of the installation.
+        files: Origin and path of each zone file.
+        serial: First serial of the installation's zone.
+        weights: Current weights of the servers, by name.
+
+    Raises:
+        ZoneError: An origin or a file cannot be used.
+    """
 
     def __init__(
         self,
@@ -96,7 +166,7 @@
         seed: int,
         ttl_s: int = 5,
         negative_ttl_s: int = 5,
-        gateways: Iterable[Member] = (),
+        gateways: Iterable[ZoneMember] = (),
         files: Iterable[tuple[str, str]] = (),
         serial: int = 1,
         weights: Callable[[], Mapping[str, float]] = dict,
@@ -104,10 +174,12 @@
         self.draw = random.Random(seed)
         self.ttl_s, self.negative_ttl_s, self.weights = ttl_s, negative_ttl_s, weights
         self.gateways = list(gateways)
-        self.serial = serial % SERIAL
-        self.members: list[Member] = []
+        self.serial = serial % SERIAL_MODULUS
+        self.members: list[ZoneMember] = []
         self.rendered: dict[tuple[bytes, int, int], Answer | None] = {}
-        self.turn = 0
+        self.order_index = 0
+        self.orders: list[list[ZoneMember]] = []
+        self.reverse: dict[dns.name.Name, dns.name.Name] = {}
         self.zones: dict[dns.name.Name, Zone] = {}
         self.origin: dns.name.Name | None = None
         if origin:
@@ -116,73 +188,46 @@
             except dns.exception.DNSException as error:
                 raise ZoneError(f"zone {origin}: {error}") from None
         for name, path in files:
-            zone = from_file(name, path)
+            zone = read_zone_file(name, path)
             self.zones[zone.origin] = zone
         self.rebuild()
 
-    # The roster
+    # The installation's zone
 
-    def update(self, members: Iterable[Member]) -> bool:
-        """The servers that are ready now; False if nothing has changed."""
+    def update(self, members: Iterable[ZoneMember]) -> bool:
+        """Take over the servers that are ready now; False if nothing has changed."""
         fresh = sorted(members, key=lambda member: member.name)
         if fresh == self.members:
             return False
         self.members = fresh
-        self.serial = (self.serial + 1) % SERIAL or 1
+        self.serial = (self.serial + 1) % SERIAL_MODULUS or 1
         self.rebuild()
         return True
 
     def turn_orders(self) -> None:
-        """Draw new orders, as the weights have moved."""
+        """Draw new orders by the current weights."""
         if self.rendered:
             self.rebuild()
 
     def rebuild(self) -> None:
+        """Build the installation's zone anew; rendered responses are dropped."""
         self.rendered = {}
         if self.origin is None:
             return
         weights = self.weights()
         self.orders = [weighted_order(self.members, weights, self.draw) for _ in range(ORDERS)]
-        records: Records = {}
-
-        def add(name: dns.name.Name, kind: str, text: str) -> None:
-            type_ = dns.rdatatype.from_text(kind)
-            rdata = dns.rdata.from_text(IN, type_, text, self.origin, relativize=False)
-            records.setdefault(name, {}).setdefault(type_, []).append(rdata)
-
-        def address(name: dns.name.Name, host: str) -> None:
-            add(name, "AAAA" if ":" in host else "A", host)
-
-        origin = self.origin
-        servers, gateways = origin_name("servers", origin), origin_name("gateways", origin)
-        service = origin_name("_http._tcp.servers", origin)
-        add(origin, "NS", f"ns.{origin}")
-        for member in self.gateways:
-            name = origin_name(f"{label(member.name)}.gateways", origin)
-            address(name, member.host)
-            address(gateways, member.host)
-            address(origin_name("ns", origin), member.host)
-        reverse: dict[dns.name.Name, dns.name.Name] = {}
-        for member in self.members:
-            name = origin_name(f"{label(member.name)}.servers", origin)
-            address(name, member.host)
-            address(servers, member.host)
-            add(service, "SRV", f"0 {max(1, min(65_535, round(100 * member.weight)))} {member.port} {name}")
-            reverse.setdefault(dns.reversename.from_address(member.host), name)
-        text = f"ns.{origin} hostmaster.{origin} {self.serial} 60 30 600 {self.negative_ttl_s}"
-        soa = dns.rrset.from_text(origin, self.ttl_s, "IN", "SOA", text)
-        records.setdefault(origin, {})[dns.rdatatype.SOA] = list(soa)
-        self.zones[origin] = Zone(origin, records, soa)
-        self.reverse = reverse
+        zone = InstallationZone(self.origin, self.ttl_s, self.negative_ttl_s)
+        self.zones[self.origin] = zone.build(self.gateways, self.members, self.serial)
+        self.reverse = zone.reverse
 
     # Answers
 
     def answer(self, query: Query) -> Answer | None:
-        """Our answer to a question; None if it is about no zone of ours."""
-        self.turn = (self.turn + 1) % ORDERS
-        key = (query.name, query.type, self.turn)
+        """The answer to a question; None if it is about none of these zones."""
+        self.order_index = (self.order_index + 1) % ORDERS
+        key = (query.name, query.type, self.order_index)
         if key not in self.rendered or query.klass != IN:
-            if len(self.rendered) >= RENDERED:
+            if len(self.rendered) >= MAX_RENDERED:
                 self.rendered.clear()
             made = self.render(query) if query.klass == IN else None
             if query.klass != IN:
@@ -191,11 +236,12 @@
         return self.rendered[key]
 
     def render(self, query: Query) -> Answer | None:
+        """Render the response to a question in class IN; None if it is about none of these zones."""
         name, _ = dns.name.from_wire(query.name, 0)
         reply = dns.message.QueryMessage(id=0)
         reply.flags = dns.flags.QR | dns.flags.AA
         reply.question.append(dns.rrset.RRset(name, IN, dns.rdatatype.RdataType.make(query.type)))
-        target = getattr(self, "reverse", {}).get(name)
+        target = self.reverse.get(name)
         if target is not None and query.type == dns.rdatatype.PTR:
             rdata = dns.rdata.from_text(IN, dns.rdatatype.PTR, target.to_text())
             reply.answer.append(dns.rrset.from_rdata_list(name, self.ttl_s, [rdata]))
@@ -204,11 +250,11 @@
             if zone is None:
                 return None
             self.fill(reply, zone, name, query.type)
-        wire = reply.to_wire(max_size=65_535, want_shuffle=False)  # type: ignore[arg-type]
+        wire = reply.to_wire(max_size=MAX_MESSAGE_BYTES, want_shuffle=False)  # type: ignore[arg-type]
         return parse_answer(wire, query, 0)
 
     def zone_of(self, name: dns.name.Name) -> Zone | None:
-        """The zone that a name is in: the one with the longest origin."""
+        """The zone of a name: the one with the longest origin."""
         while True:
             zone = self.zones.get(name)
             if zone is not None or name == dns.name.root:
@@ -216,6 +262,7 @@
             name = name.parent()
 
     def fill(self, reply: dns.message.Message, zone: Zone, name: dns.name.Name, type_: int) -> None:
+        """Add the records, or the denial, that answer a question (RFC 1034, 4.3.2)."""
         found = zone.records.get(name)
         ttl = zone.soa.ttl
         alias = found.get(dns.rdatatype.CNAME) if found is not None else None
@@ -228,26 +275,31 @@
             if type_ in inside:
                 reply.answer.append(dns.rrset.from_rdata_list(target, ttl, inside[type_]))
         else:
-            if found is None and name not in zone.inner:
+            if found is None and name not in zone.empty_non_terminals:
                 reply.set_rcode(dns.rcode.NXDOMAIN)
             reply.authority.append(zone.soa)
 
     def ordered(
         self, zone: Zone, name: dns.name.Name, rdatas: list[dns.rdata.Rdata]
     ) -> list[dns.rdata.Rdata]:
-        """All servers' addresses in the order of this turn."""
-        if zone.origin != self.origin or name != origin_name("servers", zone.origin) or len(rdatas) < 2:
+        """Records in the current order, where they are the addresses of all servers."""
+        if zone.origin != self.origin or name != name_below("servers", zone.origin) or len(rdatas) < 2:
             return rdatas
-        place = {member.host: number for number, member in enumerate(self.orders[self.turn])}
+        place = {member.host: number for number, member in enumerate(self.orders[self.order_index])}
         return sorted(rdatas, key=lambda rdata: place.get(rdata.to_text(), len(place)))
 
 
-def origin_name(text: str, origin: dns.name.Name) -> dns.name.Name:
+def name_below(text: str, origin: dns.name.Name) -> dns.name.Name:
+    """A relative name, below an origin."""
     return dns.name.from_text(text, origin)
 
 
-def from_file(name: str, path: str) -> Zone:
-    """Read a zone file (RFC 1035, section 5); ZoneError with file and line if it cannot be used."""
+def read_zone_file(name: str, path: str) -> Zone:
+    """Read a zone file (RFC 1035, section 5).
+
+    Raises:
+        ZoneError: It cannot be used; the message has file and line.
+    """
     try:
         read = dns.zone.from_text(Path(path).read_text(encoding="utf-8"), origin=name, relativize=False)
     except OSError as error:
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -165,7 +165,7 @@
     began = time.perf_counter()
     try:
         connection.data_received(part)
-    except Exception as fault:
+    except Exception as fault:  # noqa: BLE001, RUF100  any exception is what the fuzzer looks for
         found.wrong.append(f"{fault!r}: {data.hex()}")
         return False
     took = time.perf_counter() - began
--- a/sagetrack/lab/dnsfuzz.py
+++ b/sagetrack/lab/dnsfuzz.py
@@ -13,7 +13,15 @@
 
 import dns.message
 
-from sagetrack.dns.message import MessageError, Query, error, parse_answer, parse_query, reply, upstream_query
+from sagetrack.dns.message import (
+    MessageError,
+    Query,
+    encode_error,
+    encode_reply,
+    encode_upstream_query,
+    parse_answer,
+    parse_query,
+)
 from sagetrack.dns.message import Rcode as Code
 from sagetrack.lab.dns import Manner, Nameserver
 
@@ -48,7 +56,11 @@
         wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
         query = parse_query(wire)
         made.append(
-            (Nameserver(manner).answers(upstream_query(query, 1000 + number), True)[-1], query, 1000 + number)
+            (
+                Nameserver(manner).answers(encode_upstream_query(query, 1000 + number), True)[-1],
+                query,
+                1000 + number,
+            )
         )
     return made
 
@@ -84,7 +96,7 @@
     for _ in range(count):
         wire, query, id_ = draw.choice(known)
         if draw.random() < 0.4:
-            wire = upstream_query(query, id_)
+            wire = encode_upstream_query(query, id_)
         yield mutated(wire, draw), query, id_
 
 
@@ -95,7 +107,7 @@
     try:
         read = parse_query(data)
         found.queries_read += 1
-        if error(read, Code.SERVFAIL)[:2] != data[:2]:
+        if encode_error(read, Code.SERVFAIL)[:2] != data[:2]:
             found.wrong.append(f"answered under another id: {data.hex()}")
     except MessageError:
         pass
@@ -109,9 +121,9 @@
         same = data[12 : end - 4].lower() == query.name and data[end - 4 : end] == query.question[-4:]
         if int.from_bytes(data[:2]) != id_ or not same:
             found.wrong.append(f"took an answer to another question: {data.hex()}")
-        if len(reply(query, answer, 512)) > 512:
+        if len(encode_reply(query, answer, 512)) > 512:
             found.wrong.append(f"an answer over its limit: {data.hex()}")
-        reply(query, answer, 65_535, 10)
+        encode_reply(query, answer, 65_535, 10)
     took = time.perf_counter() - began
     found.slowest_ms = max(found.slowest_ms, took * 1000)
 
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.dns.service import Service
+    from sagetrack.dns.service import DnsService
     from sagetrack.grpc.listener import GrpcListener
     from sagetrack.peers.node import Node
     from sagetrack.server.persistence import Keeping
@@ -53,7 +53,7 @@
         self.config, self.operator = config, operator
         self.node: Node | None = None
         self.handover: Handover | None = None
-        self.dns: Service | None = None
+        self.dns: DnsService | None = None
         self.zone_timer: asyncio.TimerHandle | None = None
         self.pools = Pools(config.settings)
         names = [name.decode() for name in config.names.classes]
@@ -178,18 +178,18 @@
         asked = self.operator.dns if self.operator is not None else None
         if asked is None or not asked.listen:
             return
-        from sagetrack.dns.downstream import Limits
-        from sagetrack.dns.service import Cold, Plan, Service, ZonePlan
+        from sagetrack.dns.listener import ClientLimits
+        from sagetrack.dns.service import DnsConfig, DnsService, SlowStartSettings, ZoneConfig
 
         own = asked.zone
         zone = None
         if own.origin or own.files:
             places = own.gateways.items()
             gateways = [(name, parse_address(place, "dns.zone.gateways")) for name, place in places]
-            zone = ZonePlan(own.origin, own.ttl_s, gateways, list(own.files.items()))
-        limits = Limits(asked.queries_each, asked.queries, asked.connections, asked.connections_each)
+            zone = ZoneConfig(own.origin, own.ttl_s, gateways, list(own.files.items()))
+        limits = ClientLimits(asked.queries_each, asked.queries, asked.connections, asked.connections_each)
         ours = self.config.settings
-        plan = Plan(
+        plan = DnsConfig(
             [parse_address(place, "dns.listen") for place in asked.listen],
             [parse_address(place, "dns.upstreams") for place in asked.upstreams],
             listed=bool(asked.type),
@@ -197,23 +197,23 @@
             deadline_us=asked.deadline_ms * 1000,
             cache_bytes=int(asked.cache_mb * 1024 * 1024),
             stale_s=asked.stale_s,
-            allow=asked.allow,
-            deny=asked.deny,
-            answers_per_s=asked.answers_per_s,
+            allowed_prefixes=asked.allow,
+            denied_prefixes=asked.deny,
+            responses_per_s=asked.answers_per_s,
             limits=limits,
-            crowd=asked.crowd,
+            max_concurrency=asked.crowd,
             gateways=ours.proxies,
             gateway=ours.proxy,
             zone=zone,
-            cold=Cold(
+            slow_start=SlowStartSettings(
                 ours.start_capacity, ours.warm_after_us, ours.overload_multiple, ours.overload_window_us
             ),
         )
         try:
-            self.dns = Service(plan, self.config.seed ^ 0xD5, self.server_weights, now_us() // 1_000_000)
+            self.dns = DnsService(plan, self.config.seed ^ 0xD5, self.server_weights, now_us() // 1_000_000)
         except ValueError as error:  # a zone that cannot be read
             raise ConfigError(f"dns.zone: {error}") from None
-        self.dns.front.stands_by = lambda: self.server.drain.is_on
+        self.dns.listener.stands_by = lambda: self.server.drain.is_on
         if self.split is not None:
             self.dns.listed = list(self.split.current[DNS].values())
         try:
--- /dev/null
+++ b/tests/dns_helpers.py
@@ -0,0 +1,75 @@
+"""Queries, clients and a running service for tests of DNS."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
+
+import dns.edns
+import dns.flags
+import dns.message
+import dns.rcode
+import dns.rdatatype
+
+from sagetrack.dns.service import DnsConfig, DnsService
+from sagetrack.lab.dns import Manner, Nameserver
+from tests.sockets import until
+
+
+def query(name: str = "a.example.", kind: str = "A", **options: Any) -> bytes:
+    return dns.message.make_query(name, kind, **options).to_wire()
+
+
+def response_to(data: bytes, ttl: int = 60, **manner: Any) -> bytes:
+    return Nameserver(Manner(ttl=ttl, **manner)).answers(data, False)[0]
+
+
+@asynccontextmanager
+async def running_service(
+    *servers: Nameserver, **plan: Any
+) -> AsyncIterator[tuple[DnsService, tuple[str, int]]]:
+    service = DnsService(DnsConfig([("127.0.0.1", 0)], [server.place for server in servers], **plan), 1)
+    (place,) = await service.start()
+    try:
+        yield service, place
+    finally:
+        service.close()
+
+
+class UdpClient(asyncio.DatagramProtocol):
+    """Asks over UDP."""
+
+    def __init__(self) -> None:
+        self.got: list[dns.message.Message] = []
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        self.got.append(dns.message.from_wire(data))
+
+    @classmethod
+    async def to(cls, place: tuple[str, int]) -> UdpClient:
+        loop = asyncio.get_running_loop()
+        transport, client = await loop.create_datagram_endpoint(cls, remote_addr=place)
+        client.transport = transport
+        return client
+
+    transport: asyncio.DatagramTransport
+
+    async def ask(self, data: bytes) -> dns.message.Message:
+        had = len(self.got)
+        self.transport.sendto(data)
+        await until(lambda: len(self.got) > had)
+        return self.got[-1]
+
+
+def extended_errors(message: dns.message.Message) -> list[int]:
+    return [int(o.code) for o in message.options if isinstance(o, dns.edns.EDEOption)]
+
+
+async def read_tcp_responses(reader: asyncio.StreamReader, count: int) -> list[dns.message.Message]:
+    found = []
+    for _ in range(count):
+        length = int.from_bytes(await reader.readexactly(2))
+        found.append(dns.message.from_wire(await reader.readexactly(length)))
+    return found
--- /dev/null
+++ b/tests/test_dns_endpoint_list.py
@@ -0,0 +1,91 @@
+"""Upstream DNS servers in the endpoint list."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from pathlib import Path
+
+from sagetrack.config.operator import load as load_operator
+from sagetrack.config.platform import stable_id
+from sagetrack.core.endpoints import Endpoint
+from sagetrack.discovery.split import Split
+from sagetrack.lab.dns import nameserver
+from sagetrack.policy.interface import ListedServer, ListKind, ServerStatus
+from tests.dns_helpers import (
+    UdpClient,
+    query,
+    read_tcp_responses,
+    running_service,
+)
+from tests.sockets import configuration, on_loop, running
+
+
+def listed(name: str, place: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
+    host, port = place.rsplit(":", 1)
+    return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
+
+
+def test_a_list_is_parted_by_type_and_a_server_that_changes_leaves_its_old_side() -> None:
+    split = Split({9: "dns"})
+    parts = split.take(ListKind.FULL, [listed("a", "h:1"), listed("b", "h:2", 9)])
+    assert [e.name for e in parts["http"]] == ["a"] and [e.name for e in parts["dns"]] == ["b"]
+    parts = split.take(ListKind.DELTA, [listed("a", "h:1", 9)])
+    assert [e.listed.status for e in parts["http"]] == [ServerStatus.GONE]
+    assert [e.listed.status for e in parts["dns"]] == [ServerStatus.READY]
+    assert {e.name for e in split.current["dns"].values()} == {"a", "b"} and not split.current["http"]
+    assert not any(split.take(ListKind.ERROR, []).values()) and len(split.current["dns"]) == 2
+    assert [e.name for e in split.take(ListKind.FULL, [listed("c", "h:3")])["http"]] == ["c"]
+    assert not split.current["dns"]
+
+
+@on_loop
+async def test_the_list_of_servers_names_upstream_servers_and_drains_them() -> None:
+    async with nameserver() as one, nameserver() as two, running_service(listed=True) as (service, place):
+        client = await UdpClient.to(place)
+        first, second = (listed(n, f"{s.host}:{s.port}", 9) for n, s in (("one", one), ("two", two)))
+        service.on_list(ListKind.FULL, [first])
+        await client.ask(query("a.example."))
+        draining = ListedServer(first.listed.server, ServerStatus.DRAINING)
+        service.on_list(ListKind.DELTA, [Endpoint("one", one.place, draining), second])
+        for number in range(20):
+            await client.ask(query(f"n{number}.example."))
+        assert (one.udp_queries, two.udp_queries) == (1, 20)
+        client.transport.close()
+
+
+@on_loop
+async def test_a_gateway_keeps_servers_of_the_dns_type_from_http(tmp_path: Path) -> None:
+    async with nameserver() as upstream:
+        config = configuration("127.0.0.1:9")
+        config["known"]["endpoints"].append(
+            {"name": "d-1", "address": f"127.0.0.1:{upstream.port}", "status": "SERVING", "type": "dns"}
+        )
+        with socket.socket() as probe:
+            probe.bind(("127.0.0.1", 0))
+            port = probe.getsockname()[1]
+        file = tmp_path / "operator.toml"
+        file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
+        async with running(config, load_operator(str(file))) as gateway:
+            assert [host.name for host in gateway.instance.pools.hosts.values()] == ["s-0"]
+            client = await UdpClient.to(("127.0.0.1", port))
+            assert (await client.ask(query())).answer[0][0].to_text() == "192.0.2.1"
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            gateway.server.standby()
+            writer.write(len(query()).to_bytes(2) + query())
+            assert (await read_tcp_responses(reader, 1))[0].answer and await reader.read() == b""
+            gateway.server.active()
+            writer.close()
+            client.transport.close()
+
+
+@on_loop
+async def test_a_server_that_is_taken_off_the_list_gets_nothing_more() -> None:
+    async with nameserver() as one, nameserver() as two, running_service(one, two) as (service, place):
+        client = await UdpClient.to(place)
+        service.list_upstreams([two.place])
+        before = one.udp_queries
+        for number in range(20):
+            await client.ask(query(f"n{number}.example."))
+        assert one.udp_queries == before and two.udp_queries == 20
+        client.transport.close()
--- /dev/null
+++ b/tests/test_dns_tcp_clients.py
@@ -0,0 +1,101 @@
+"""TCP connections of DNS clients."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+
+import dns.edns
+import dns.flags
+import dns.message
+import dns.rcode
+import dns.rdatatype
+import pytest
+
+from sagetrack.dns.downstream_connection import MAX_PIPELINED_QUERIES
+from sagetrack.dns.listener import ClientLimits
+from sagetrack.lab.dns import Manner, nameserver
+from tests.dns_helpers import (
+    UdpClient,
+    query,
+    read_tcp_responses,
+    running_service,
+)
+from tests.sockets import on_loop, until
+
+
+@on_loop
+async def test_tcp_queries_come_in_pieces_and_are_answered_in_any_order() -> None:
+    unhurried = {
+        "latency_objective_us": 20_000_000,
+        "deadline_us": 20_000_000,
+    }  # on a busy machine none is shed
+    async with (
+        nameserver(Manner(records=100)) as upstream,
+        running_service(upstream, **unhurried) as (_, place),
+    ):
+        reader, writer = await asyncio.open_connection(*place)
+        queries = [query(f"n{n}.example.") for n in range(MAX_PIPELINED_QUERIES * 2)]
+        data = b"".join(len(q).to_bytes(2) + q for q in queries)
+        for at in range(0, len(data), 7):
+            writer.write(data[at : at + 7])
+            if at % 490 == 0:
+                await writer.drain()
+        said = await read_tcp_responses(reader, len(queries))
+        assert {m.id for m in said} == {int.from_bytes(q[:2]) for q in queries}
+        assert all(len(m.answer[0]) == 100 for m in said)
+        writer.close()
+
+
+@pytest.mark.parametrize("data", [b"\0\0", b"\0\x05hello", b"\0\x0b" + b"x" * 11])
+@on_loop
+async def test_a_frame_that_is_no_message_ends_the_connection(data: bytes) -> None:
+    async with nameserver() as upstream, running_service(upstream) as (service, place):
+        reader, writer = await asyncio.open_connection(*place)
+        writer.write(data)
+        with contextlib.suppress(ConnectionError):
+            assert await reader.read() == b""
+        await until(lambda: not service.listener.connections)
+        writer.close()
+
+
+@on_loop
+async def test_half_a_frame_and_a_close_and_the_largest_frame_do_no_harm() -> None:
+    async with nameserver() as upstream, running_service(upstream) as (service, place):
+        for data in (b"\0", b"\0\x20half", b"\xff\xff" + b"\x01" * 65_535):
+            reader, writer = await asyncio.open_connection(*place)
+            writer.write(data)
+            writer.write_eof()
+            with contextlib.suppress(ConnectionError):
+                await reader.read()
+            writer.close()
+        await until(lambda: not service.listener.connections)
+        client = await UdpClient.to(place)
+        assert (await client.ask(query())).rcode() == dns.rcode.NOERROR
+        client.transport.close()
+
+
+@on_loop
+async def test_a_client_that_reads_nothing_is_bounded() -> None:
+    plan = {"limits": ClientLimits(connections_per_client=1)}
+    async with (
+        nameserver(Manner(records=200)) as upstream,
+        running_service(upstream, **plan) as (service, place),
+    ):
+        reader, writer = await asyncio.open_connection(*place)
+        frame = query("big.example.")
+
+        async def flood() -> None:
+            with contextlib.suppress(ConnectionError):
+                for number in range(20_000):
+                    asked = number.to_bytes(2) + frame[2:]
+                    writer.write(len(asked).to_bytes(2) + asked)
+                    if number % 100 == 0:
+                        await writer.drain()
+
+        task = asyncio.create_task(flood())
+        await until(lambda: any(c.write_paused for c in service.listener.connections))
+        held = [c.transport.get_write_buffer_size() for c in service.listener.connections if c.transport]
+        assert all(size < 1_000_000 for size in held)
+        task.cancel()
+        writer.transport.abort()
