--- a/sagetrack/dns/__init__.py
+++ b/sagetrack/dns/__init__.py
@@ -1,1 +1,1 @@
-"""DNS over UDP and TCP: a front for clients, a back for upstream servers, a cache and zones of its own."""
+"""DNS over UDP and TCP: downstream and upstream, a cache, and zones that the gateway answers itself."""
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -125,7 +125,7 @@
         name_end = skip_question_name(data)
         type_, klass = struct.unpack_from("!HH", data, name_end)
     except (IndexError, struct.error):
-        raise MessageError("the question is not whole", Rcode.FORMERR) from None
+        raise MessageError("the question is incomplete", Rcode.FORMERR) from None
     end = name_end + 4
     question = data[HEADER_BYTES:end]
     name = lower_case(data[HEADER_BYTES:name_end])
@@ -166,9 +166,9 @@
             at = skip_name(data, at)
             kind, size_, ttl, length = struct.unpack_from("!HHIH", data, at)
         except (MessageError, struct.error):
-            raise MessageError("the additional section is not whole", Rcode.FORMERR) from None
+            raise MessageError("the additional section is incomplete", Rcode.FORMERR) from None
         if at + 10 + length > len(data):
-            raise MessageError("the additional section is not whole", Rcode.FORMERR)
+            raise MessageError("the additional section is incomplete", Rcode.FORMERR)
         if kind == OPT:
             if edns or data[at - 1] != 0:
                 raise MessageError("more than one OPT, or one with a name", Rcode.FORMERR)
@@ -176,7 +176,7 @@
             if ttl >> 16 & 0xFF:
                 raise MessageError("an unknown version of EDNS", Rcode.BADVERS)
             if not are_options_complete(data[at + 10 : at + 10 + length]):
-                raise MessageError("an EDNS option is not whole", Rcode.FORMERR)
+                raise MessageError("an EDNS option is incomplete", Rcode.FORMERR)
         at += 10 + length
     return edns, size, dnssec
 
@@ -311,10 +311,10 @@
         record = at
         at = skip_name(data, at)
         if at + 10 > len(data):
-            raise MessageError("a record is not whole")
+            raise MessageError("a record is incomplete")
         kind, _, ttl, length = struct.unpack_from("!HHIH", data, at)
         if at + 10 + length > len(data):
-            raise MessageError("a record is not whole")
+            raise MessageError("a record is incomplete")
         if kind == OPT:
             found.opt_offset = record
             found.rcode_high_bits |= (ttl >> 24) << 4
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -278,19 +278,19 @@
 
     def on_begun(self, call: Call, head: Any, source: Source) -> None:
         """Never called."""
-        raise AssertionError("DNS answers come whole")
+        raise AssertionError("DNS responses are not streamed")
 
     def on_piece(self, call: Call, data: bytes) -> None:
         """Never called."""
-        raise AssertionError("DNS answers come whole")
+        raise AssertionError("DNS responses are not streamed")
 
     def on_ended(self, call: Call, answer: Any) -> None:
         """Never called."""
-        raise AssertionError("DNS answers come whole")
+        raise AssertionError("DNS responses are not streamed")
 
     def on_broken(self, call: Call) -> None:
         """Never called."""
-        raise AssertionError("DNS answers come whole")
+        raise AssertionError("DNS responses are not streamed")
 
 
 def encode_stale_reply(waiting: WaitingQuery, answer: Answer) -> bytes:
--- a/sagetrack/grpc/__init__.py
+++ b/sagetrack/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""Calls over HTTP/2 in gRPC's manner: the newer format of docs/protocol-2.md."""
+"""gRPC over HTTP/2, downstream and upstream: the second protocol of docs/protocol-2.md."""
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -161,8 +161,7 @@
         """Open a stream's window for what was withheld while its body's buffer was full."""
         size, stream.unacknowledged = stream.unacknowledged, 0
         if size and not stream.closed and not self.closed:
-            with suppress(h2.exceptions.H2Error):
-                self.h2.increment_flow_control_window(size, stream.id)
+            self.open_stream_window(size, stream.id)
             self.flush()
 
     def count_frames(self, resets: int = 0, control_frames: int = 0) -> None:
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -236,7 +236,7 @@
     found.failed += len(outcomes) - outcomes.count(Outcome.OK)
     for outcome, body in (observer.ends[0] for observer in observers if observer.ends):
         if outcome is Outcome.OK and body is None:
-            found.wrong.append(f"an answer without one: {data.hex()}")
+            found.wrong.append(f"success without response: {data.hex()}")
 
 
 class RandomGateway:
@@ -364,10 +364,10 @@
         found.failed += gateway.cancelled
         bodies = allowance.active
         if gateway.unanswered:
-            found.wrong.append(f"{len(gateway.unanswered)} calls left in work: {data.hex()}")
+            found.wrong.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
         if bodies:
             found.wrong.append(f"{bodies} bodies never ended: {data.hex()}")
         if listener.connections:
-            found.wrong.append(f"a connection that is over is kept: {data.hex()}")
+            found.wrong.append(f"a closed connection is still registered: {data.hex()}")
         progress(found.frames / frames)
     return found
--- a/sagetrack/grpc/http2_protocol.py
+++ b/sagetrack/grpc/http2_protocol.py
@@ -52,6 +52,14 @@
             if size:
                 self.h2.acknowledge_received_data(size, stream_id)
 
+    def open_stream_window(self, size: int, stream_id: int) -> bool:
+        """Open the window of a stream alone; False if the stream is closed by now."""
+        try:
+            self.h2.increment_flow_control_window(size, stream_id)
+        except h2.exceptions.H2Error:
+            return False
+        return True
+
     @abstractmethod
     def send_all_pending(self) -> None:
         """Send what flow control lets out on each stream."""
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -8,11 +8,12 @@
 from typing import Protocol
 
 from sagetrack.config.platform import Address
-from sagetrack.core.bodies import nothing
+from sagetrack.core.bodies import STALL_S, nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Reply
 from sagetrack.core.interfaces import AttemptObserver, Call
 from sagetrack.core.send_rules import ServerState
+from sagetrack.grpc.errors import MessageError, TranslationError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.response_reader import ResponseReader
 from sagetrack.grpc.translate import request_body_message
@@ -122,6 +123,39 @@
         if not self.ended:
             self.watcher.on_piece(self, body)
 
+    def receive(self, data: bytes) -> bool:
+        """Buffer or pass on a part of the response; False if it is malformed."""
+        self.last_progress_us = now_us()
+        try:
+            for chunk in self.response.feed(data):
+                if self.streaming:
+                    self.watcher.on_piece(self, chunk)
+                else:
+                    self.response.buffer(chunk)
+        except (MessageError, TranslationError):
+            return False
+        return True
+
+    def finish_response(self) -> None:
+        """End with the response that is complete now, unless it came before the request was sent."""
+        outcome = self.response.outcome()
+        if outcome is Outcome.OK and not self.request_sent:
+            outcome = Outcome.ERROR
+        reply = self.response.reply() if outcome is Outcome.OK else None
+        if not self.request_sent:
+            self.cancel_stream()
+        self.finish(outcome, reply)
+
+    @property
+    def should_stream(self) -> bool:
+        """Whether the response has become too long to be buffered."""
+        return not self.streaming and self.response.exceeds_buffer
+
+    def is_stalled(self, now: int) -> bool:
+        """Whether a streamed body, of the request or the response, has made no progress for too long."""
+        is_streamed = self.streaming or self.call.upload is not None
+        return is_streamed and not self.paused and now - self.last_progress_us > STALL_S * 1e6
+
     def pause(self) -> None:
         """Client side stopped reading: the stream's flow-control window is left to run out."""
         self.paused = True
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -18,13 +18,12 @@
 import h2.settings
 from h2.connection import ConnectionState
 
-from sagetrack.core.bodies import STALL_S
 from sagetrack.core.clock import now_us
 from sagetrack.grpc import outcomes
-from sagetrack.grpc.errors import MessageError, TranslationError
 from sagetrack.grpc.flood_guard import FloodGuard
 from sagetrack.grpc.http2_protocol import MAX_HEADER_LIST_BYTES, Http2Protocol
 from sagetrack.grpc.liveness import Liveness
+from sagetrack.grpc.request_writer import write_request
 from sagetrack.grpc.translate import with_timeout
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.policy.interface import Outcome
@@ -68,8 +67,7 @@
         self.counts, self.on_closed = counts, on_closed
         self.attempts: dict[int, GrpcAttempt] = {}
         self.awaiting_connect: deque[GrpcAttempt] = deque()
-        self.draining = False  # takes no new streams
-        self.closed = False
+        self.draining = self.closed = False  # draining: takes no new streams
         created_us = now_us()
         self.liveness = Liveness(created_us)
         self.flood_guard = FloodGuard(created_us)
@@ -79,10 +77,8 @@
         """Streams that may be opened now."""
         if self.draining or self.closed:
             return 0
-        allowed = MAX_STREAMS
-        if self.transport is not None:
-            allowed = min(MAX_STREAMS, self.h2.remote_settings.max_concurrent_streams)
-        return allowed - len(self.attempts) - len(self.awaiting_connect)
+        announced = MAX_STREAMS if self.transport is None else self.h2.remote_settings.max_concurrent_streams
+        return min(MAX_STREAMS, announced) - len(self.attempts) - len(self.awaiting_connect)
 
     @property
     def is_idle(self) -> bool:
@@ -145,30 +141,10 @@
         """Send what flow control allows of an attempt's messages, and END_STREAM with the last of them."""
         if attempt.ended or attempt.request_sent or not attempt.headers_sent or self.closed:
             return
-        try:
-            if not self.send_messages(attempt):
-                return
-            if attempt.all_sent:
-                self.h2.end_stream(attempt.stream_id)
-                attempt.request_sent = True
-        except h2.exceptions.H2Error:
-            return  # the stream is closed; the event that ends the attempt is still to be read
-        if attempt.request_sent:
+        if write_request(self, attempt):
             self.flush()
             attempt.watcher.on_written()
 
-    def send_messages(self, attempt: GrpcAttempt) -> bool:
-        """Send messages until there are no more or the transport is full; False if the window is used up."""
-        while not self.write_paused and attempt.load_pending():
-            window = min(
-                self.h2.local_flow_control_window(attempt.stream_id), self.h2.max_outbound_frame_size
-            )
-            if window <= 0:
-                return False
-            self.h2.send_data(attempt.stream_id, attempt.take_pending(window))
-            attempt.last_progress_us = now_us()
-        return True
-
     def send_all_pending(self) -> None:
         """Send what flow control allows on each stream."""
         for attempt in list(self.attempts.values()):
@@ -209,7 +185,9 @@
             case h2.events.ResponseReceived() | h2.events.TrailersReceived():
                 self.on_headers(event)
             case h2.events.StreamEnded():
-                self.on_response_end(event)
+                attempt = self.attempts.get(event.stream_id or 0)
+                if attempt is not None:
+                    attempt.finish_response()
             case h2.events.StreamReset():
                 self.on_reset(event)
             case h2.events.WindowUpdated():
@@ -240,26 +218,18 @@
             self.on_response_data(attempt, event.data or b"", size)
 
     def on_response_data(self, attempt: GrpcAttempt, data: bytes, size: int) -> None:
-        """Buffer or pass on a part of a response; `size` is what flow control counts for it."""
-        attempt.last_progress_us = now_us()
-        response = attempt.response
-        try:
-            for chunk in response.feed(data):
-                if attempt.streaming:
-                    attempt.watcher.on_piece(attempt, chunk)
-                else:
-                    response.buffer(chunk)
-        except (MessageError, TranslationError):
+        """Take a part of a response; `size` is what flow control counts for it."""
+        if not attempt.receive(data):
             self.abort(attempt, Outcome.ERROR)
             return
         self.acknowledge(attempt, size)
-        if response.exceeds_limit:
+        if attempt.response.exceeds_limit:
             self.abort(attempt, Outcome.ERROR)
-        elif not attempt.streaming and response.exceeds_buffer:
+        elif attempt.should_stream:
             if attempt.request_sent:
                 attempt.start_streaming()
             else:
-                self.abort(attempt, Outcome.ERROR)  # no answer to a request that has not come whole
+                self.abort(attempt, Outcome.ERROR)  # no answer to an incomplete request
 
     def acknowledge(self, attempt: GrpcAttempt, size: int) -> None:
         """Open the server's flow-control window again for what the client has taken.
@@ -277,11 +247,8 @@
     def reopen_window(self, attempt: GrpcAttempt) -> None:
         """Open a stream's window for what was withheld while its client read nothing."""
         size, attempt.unacknowledged = attempt.unacknowledged, 0
-        try:
-            self.h2.increment_flow_control_window(size, attempt.stream_id)
-        except h2.exceptions.H2Error:
-            return  # the server has ended the stream
-        self.flush()
+        if self.open_stream_window(size, attempt.stream_id):
+            self.flush()
 
     def on_headers(self, event: h2.events.ResponseReceived | h2.events.TrailersReceived) -> None:
         """Headers or trailers of a response."""
@@ -289,26 +256,13 @@
         if attempt is not None:
             attempt.response.add_headers((str(name), str(value)) for name, value in event.headers or ())
 
-    def on_response_end(self, event: h2.events.StreamEnded) -> None:
-        """The server has ended a stream."""
-        attempt = self.attempts.get(event.stream_id or 0)
-        if attempt is None:
-            return
-        outcome = attempt.response.outcome()
-        if outcome is Outcome.OK and not attempt.request_sent:
-            outcome = Outcome.ERROR  # no answer to a request that has not come whole
-        reply = attempt.response.reply() if outcome is Outcome.OK else None
-        if not attempt.request_sent:
-            self.reset(attempt)
-        attempt.finish(outcome, reply)
-
     def on_reset(self, event: h2.events.StreamReset) -> None:
         """RST_STREAM from the server."""
         attempt = self.attempts.get(event.stream_id or 0)
+        code = int(event.error_code or 0)
         self.counts.resets += 1
         self.count_control_frame()
         if attempt is not None:
-            code = int(event.error_code or 0)
             self.counts.refused_streams += code == outcomes.Reset.REFUSED_STREAM
             attempt.finish(outcomes.of_reset(code, attempt.request_sent))
 
@@ -391,7 +345,6 @@
             self.h2.ping(PING_PAYLOAD)
             self.flush()
         for attempt in list(self.attempts.values()):
-            streamed = attempt.streaming or attempt.call.upload is not None
-            if streamed and not attempt.paused and now - attempt.last_progress_us > STALL_S * 1e6:
+            if attempt.is_stalled(now):
                 self.abort(attempt, outcomes.of_deadline(attempt.headers_sent))
         self.close_if_drained()
