--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -94,7 +94,7 @@
 
     # Shutdown
 
-    async def leave(self, until_s: float) -> None:
+    async def shut_down(self, until_s: float) -> None:
         """Shut down gracefully: accept no connections, then wait for the queries in flight.
 
         Args:
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -91,7 +91,7 @@
                 connection.drain()
             connection.sweep(now)
 
-    async def leave(self, until_s: float) -> None:
+    async def shut_down(self, until_s: float) -> None:
         """Shut down gracefully: GOAWAY to all, then wait for open streams.
 
         Args:
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -139,9 +139,9 @@
         leaving = loop.create_task(server.leave())
         await asyncio.sleep(0)  # the way out has begun, and it knows when the last answers are due
         until_s = server.drain.words_s + MARGIN_S / 2
-        dns_leaving = loop.create_task(instance.dns.listener.leave(until_s)) if instance.dns else None
+        dns_leaving = loop.create_task(instance.dns.listener.shut_down(until_s)) if instance.dns else None
         front = instance.new_front
-        new_leaving = loop.create_task(front.leave(until_s)) if front is not None else None
+        new_leaving = loop.create_task(front.shut_down(until_s)) if front is not None else None
         # However long it takes: what is unanswered at an end by the clock would be lost.
         await leaving
         if dns_leaving is not None:
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -149,7 +149,7 @@
         new = DnsService(replace(plan, listen=[place]), 2)
         await new.start(shared=True)
         try:
-            await old.listener.leave(asyncio.get_running_loop().time() + 1.0)
+            await old.listener.shut_down(asyncio.get_running_loop().time() + 1.0)
             client = await UdpClient.to(place)
             for number in range(10):
                 await client.ask(query(f"n{number}.example."))
