--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -16,6 +16,7 @@
 HEADER_BYTES = HEADER.size
 MAX_MESSAGE_BYTES = 65_535
 MAX_LABEL_BYTES = 63
+MAX_TTL_S = 86_400 * 7  # longer TTLs count as this
 MAX_NAME_BYTES = 255
 MAX_EXTRA_TEXT_BYTES = 64  # of an extended error that this gateway sends
 EDE_OPTION = 15  # RFC 8914, section 2
@@ -39,6 +40,9 @@
     BADVERS = 16
 
 
+CACHEABLE_RCODES = (Rcode.NOERROR, Rcode.NXDOMAIN)
+
+
 class ExtendedError(IntEnum):
     """Info codes of extended errors (RFC 8914)."""
 
@@ -251,18 +255,6 @@
         return len(self.data)
 
 
-@dataclass(slots=True)
-class RecordSummary:
-    """What the records of a response amount to."""
-
-    ttl_offsets: list[int]
-    min_ttl: int = 86_400 * 7
-    soa_ttl: int = -1  # how long a negative answer may be cached (RFC 2308, section 5); -1: it has no SOA
-    rcode_high_bits: int = 0  # from the OPT record
-    opt_offset: int = -1
-    records_end: int = 0
-
-
 def parse_answer(data: bytes, query: Query, id_: int) -> Answer | None:
     """Read a response to a query; None if it is not a response to it.
 
@@ -284,29 +276,19 @@
         or data[end - 4 : end] != query.question[-4:]
     ):
         return None
-    records = scan_records(data, end, answers, authorities, additional)
-    rcode = flags & 0xF | records.rcode_high_bits
-    truncated = bool(flags & TC)
-    ttl = records.min_ttl if records.ttl_offsets and answers else records.soa_ttl
-    cacheable = rcode in (Rcode.NOERROR, Rcode.NXDOMAIN) and not truncated and ttl > 0
-    return Answer(
-        data,
-        rcode,
-        truncated,
-        tuple(records.ttl_offsets),
-        ttl if cacheable else 0,
-        records.opt_offset,
-        records.records_end,
-    )
+    return read_records(data, flags, end, answers, authorities, additional)
 
 
-def scan_records(data: bytes, at: int, answers: int, authorities: int, additional: int) -> RecordSummary:
+def read_records(data: bytes, flags: int, at: int, answers: int, authorities: int, additional: int) -> Answer:
     """Walk over the records of a response, from the end of its question.
 
     Raises:
-        MessageError: A record is not complete.
+        MessageError: A record is incomplete.
     """
-    found = RecordSummary([], records_end=at)
+    rcode, truncated = flags & 0xF, bool(flags & TC)
+    ttl_offsets: list[int] = []
+    min_ttl, soa_ttl = MAX_TTL_S, -1
+    opt_offset, records_end = -1, at
     for number in range(answers + authorities + additional):
         record = at
         at = skip_name(data, at)
@@ -316,21 +298,25 @@
         if at + 10 + length > len(data):
             raise MessageError("a record is incomplete")
         if kind == OPT:
-            found.opt_offset = record
-            found.rcode_high_bits |= (ttl >> 24) << 4
+            opt_offset, rcode = record, rcode | (ttl >> 24) << 4
         else:
             ttl = 0 if ttl >= 2**31 else ttl  # RFC 2181, section 8
-            found.ttl_offsets.append(at + 4)
-            found.min_ttl = min(found.min_ttl, ttl)
+            ttl_offsets.append(at + 4)
+            min_ttl = min(min_ttl, ttl)
             if kind == SOA and answers <= number < answers + authorities and length >= 20:
                 minimum = int.from_bytes(data[at + 10 + length - 4 : at + 10 + length])
-                found.soa_ttl = min(ttl, minimum)  # RFC 2308, section 5
+                soa_ttl = min(ttl, minimum)
         at += 10 + length
         if kind != OPT:
-            found.records_end = at
-    if 0 <= found.opt_offset < found.records_end:
-        found.records_end = at  # the OPT stands between others, and stays
-    return found
+            records_end = at
+    if 0 <= opt_offset < records_end:
+        records_end = at  # the OPT stands between others, and stays
+    # A negative answer is cached by its SOA (RFC 2308, section 5).
+    ttl = min_ttl if ttl_offsets and answers else soa_ttl
+    cacheable = rcode in CACHEABLE_RCODES and not truncated and ttl > 0
+    return Answer(
+        data, rcode, truncated, tuple(ttl_offsets), ttl if cacheable else 0, opt_offset, records_end
+    )
 
 
 def encode_reply(
