--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -88,7 +88,7 @@
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
-            self.intake.counts.calmed += 1
+            self.intake.counts.closed_for_flooding += 1
             self.close()
             return
         for event in events:
@@ -167,7 +167,7 @@
     def count_frames(self, resets: int = 0, control_frames: int = 0) -> None:
         """Close the connection of a client that floods it with frames that ask for nothing."""
         if self.flood_guard.record(now_us(), control_frames=control_frames, resets=resets):
-            self.intake.counts.calmed += 1
+            self.intake.counts.closed_for_flooding += 1
             with suppress(h2.exceptions.H2Error):
                 self.h2.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.close()
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -26,7 +26,7 @@
     connections: int = 0
     calls: int = 0
     unreadable: int = 0
-    calmed: int = 0  # connections that were closed for what they sent
+    closed_for_flooding: int = 0  # connections that were closed for what they sent
 
 
 class StreamConnection(Protocol):
@@ -137,7 +137,7 @@
             self.trailers = trailers
             self.connection.send_pending(self)
 
-    def refuse(self, status: int, reason: str) -> None:
+    def answer_error(self, status: int, reason: str) -> None:
         """Answer a request that cannot be handed to the gateway; `reason` is percent-encoded."""
         self.counts.unreadable += 1
         encoded = "".join(c if 32 <= ord(c) < 127 and c != "%" else f"%{ord(c) & 255:02X}" for c in reason)
@@ -146,7 +146,7 @@
     def abort(self, status: int, reason: str) -> None:
         """Answer a request whose body is not what it should be, and cancel its attempts."""
         call = self.call
-        self.refuse(status, reason)
+        self.answer_error(status, reason)
         if call is not None:
             self.gateway.leave(call.id)
 
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -115,7 +115,7 @@
             "new_clients_total": counts.connections,
             "new_calls_total": counts.calls,
             "new_unreadable_total": counts.unreadable,
-            "new_clients_calmed_total": counts.calmed,
+            "new_clients_calmed_total": counts.closed_for_flooding,
         }
 
     def close(self) -> None:
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -80,18 +80,18 @@
         self.counts.calls += 1
         content_type = dict(stream.headers).get("content-type", "")
         if not content_type.startswith("application/grpc"):
-            stream.refuse(Status.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
+            stream.answer_error(Status.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
             return
         if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
-            stream.refuse(Status.INVALID_ARGUMENT, "no whole message")
+            stream.answer_error(Status.INVALID_ARGUMENT, "no whole message")
             return
         try:
             call = self.read_call(stream, streamed)
         except TranslationError as error:
-            stream.refuse(Status.INVALID_ARGUMENT, str(error))
+            stream.answer_error(Status.INVALID_ARGUMENT, str(error))
             return
         except RequestReadError as error:
-            stream.refuse(error.status, str(error))
+            stream.answer_error(error.status, str(error))
             return
         stream.messages.clear()
         stream.call = call
@@ -99,7 +99,7 @@
         stream.last_progress_us = now_us()
         if not self.gateway.arrive(call):
             stream.call = None
-            stream.refuse(Status.ALREADY_EXISTS, "this x-call-id is in use")
+            stream.answer_error(Status.ALREADY_EXISTS, "this x-call-id is in use")
 
     def read_call(self, stream: DownstreamStream, streamed: bool) -> Call:
         """Make a call from the buffered messages.
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -124,5 +124,5 @@
             connection.abort(next(reversed(connection.attempts.values())), Outcome.CANCELLED)
             calls.append(heard)
         await until(lambda: calls[0].ends)
-        assert listener.intake.counts.calmed == 1 and not listener.connections
+        assert listener.intake.counts.closed_for_flooding == 1 and not listener.connections
         await until(lambda: not gateway.gateway.held)
