--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -64,7 +64,7 @@
     def _make(self, event: LazyEvent) -> Event | None:
         try:
             return event()
-        except Exception:  # noqa: BLE001, RUF100 the events queued behind this one would wait until the next post
+        except Exception:  # noqa: BLE001 the events queued behind this one would wait until the next post
             self._violations.note(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
             return None
 
@@ -72,13 +72,13 @@
         assert self._executor is not None
         try:
             actions = self._balancer.handle(now_us(), event)
-        except Exception:  # noqa: BLE001, RUF100 one faulty decision must not end the process with all its requests
+        except Exception:  # noqa: BLE001 one faulty decision must not end the process with all its requests
             detail = f"{event!r}\n{traceback.format_exc()}"
             self._violations.note(Invariant.NO_HANDLER_ERROR, "module", detail)
             actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
         for action in actions:
             try:
                 self._executor.execute(action)
-            except Exception:  # noqa: BLE001, RUF100 it would end the connection of the client that is being handled
+            except Exception:  # noqa: BLE001 it would end the connection of the client that is being handled
                 detail = f"{action!r}\n{traceback.format_exc()}"
                 self._violations.note(Invariant.NO_HANDLER_ERROR, "action", detail)
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -185,7 +185,7 @@
     async def _reporting_failure(self, call: Callable[[], Coroutine[Any, Any, None]]) -> None:
         try:
             await call()
-        except Exception as error:  # noqa: BLE001, RUF100 - a call that ends unreported is never made again
+        except Exception as error:  # noqa: BLE001 - a call that ends unreported is never made again
             # Forgotten first: `on_list` may call again while the failure is reported to it.
             self._forget(asyncio.current_task())
             self._schedule_rewatch()
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -11,8 +11,8 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.dns.downstream import Limits
-from sagetrack.dns.service import Cold, Plan, Service, ZonePlan
+from sagetrack.dns.listener import ClientLimits
+from sagetrack.dns.service import DnsConfig, DnsService, SlowStartSettings, ZoneConfig
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.policy.events import ListKind
 
@@ -51,10 +51,10 @@
         self._has_zone = plan.zone is not None
         try:
             serial = now_us() // 1_000_000
-            self.service = Service(plan, config.seed ^ SEED_MASK, self._server_weights, serial)
+            self.service = DnsService(plan, config.seed ^ SEED_MASK, self._server_weights, serial)
         except ValueError as error:  # a zone that cannot be read
             raise ConfigError(f"dns.zone: {error}") from None
-        self.service.front.stands_by = is_draining
+        self.service.listener.stands_by = is_draining
         self.service.listed = list(listed)
 
     async def start(self) -> None:
@@ -77,7 +77,7 @@
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
-        return self.service.front.leave(until_s)
+        return self.service.listener.shut_down(until_s)
 
     def close(self) -> None:
         """Close everything at once."""
@@ -103,11 +103,11 @@
             self.service.zones.turn_orders()
 
 
-def _service_plan(config: Config, settings: DnsSettings) -> Plan:
+def _service_plan(config: Config, settings: DnsSettings) -> DnsConfig:
     """The operator's settings in the DNS service's terms; ConfigError for an address that cannot be used."""
     zone = _zone_plan(settings)
     balancing = config.settings
-    return Plan(
+    return DnsConfig(
         [parse_address(address, "dns.listen") for address in settings.listen],
         [parse_address(address, "dns.upstreams") for address in settings.upstreams],
         listed=bool(settings.type),
@@ -115,17 +115,17 @@
         deadline_us=settings.deadline_ms * 1000,
         cache_bytes=int(settings.cache_mb * 1024 * 1024),
         stale_s=settings.stale_s,
-        allow=settings.allow,
-        deny=settings.deny,
-        answers_per_s=settings.answers_per_s,
-        limits=Limits(
+        allowed_prefixes=settings.allow,
+        denied_prefixes=settings.deny,
+        responses_per_s=settings.answers_per_s,
+        limits=ClientLimits(
             settings.queries_each, settings.queries, settings.connections, settings.connections_each
         ),
-        crowd=settings.crowd,
+        max_concurrency=settings.crowd,
         gateways=balancing.proxies,
         gateway=balancing.proxy,
         zone=zone,
-        cold=Cold(
+        slow_start=SlowStartSettings(
             balancing.start_capacity,
             balancing.warm_after_us,
             balancing.overload_multiple,
@@ -134,9 +134,9 @@
     )
 
 
-def _zone_plan(settings: DnsSettings) -> ZonePlan | None:
+def _zone_plan(settings: DnsSettings) -> ZoneConfig | None:
     own = settings.zone
     if not own.origin and not own.files:
         return None
     gateways = [(name, parse_address(at, "dns.zone.gateways")) for name, at in own.gateways.items()]
-    return ZonePlan(own.origin, own.ttl_s, gateways, list(own.files.items()))
+    return ZoneConfig(own.origin, own.ttl_s, gateways, list(own.files.items()))
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -38,8 +38,8 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.grpc.downstream import NewFront
-    from sagetrack.grpc.protocol_router import Mixed
+    from sagetrack.grpc.listener import GrpcListener
+    from sagetrack.grpc.protocol_router import ProtocolRouter
     from sagetrack.peers.node import Node
     from sagetrack.server.dns_assembly import DnsAssembly
     from sagetrack.server.persistence import Persistence
@@ -78,7 +78,7 @@
         self.peer_node: Node | None = None
         self.health_handover: HealthHandover | None = None
         self.dns: DnsAssembly | None = None
-        self.grpc_listener: NewFront | None = None
+        self.grpc_listener: GrpcListener | None = None
         self.persistence: Persistence | None = None
         self.pools = ConnectionPools(config.settings)
         self.tls_keys = load_tls_keys(operator)
@@ -115,15 +115,15 @@
             return None
         return EndpointsByProtocol({index_of_name(settings.type, self.config.names.kinds): DNS})
 
-    def _build_grpc_upstreams(self, router: Mixed) -> GrpcUpstreams:
-        from sagetrack.grpc.translate import untranslatable
+    def _build_grpc_upstreams(self, router: ProtocolRouter) -> GrpcUpstreams:
+        from sagetrack.grpc.translate import untranslatable_reason
 
         upstreams = GrpcUpstreams(router, self.gateway)
         if self.operator is not None and self.operator.newer.compare_per_s:
             upstreams.start_mirroring(
                 self.operator.newer, self._class_names(), lambda: not self.server.drain.is_draining
             )
-        self.server.check_heads(untranslatable)
+        self.server.check_heads(untranslatable_reason)
         self.gateway.metrics.extra_figures.append(upstreams.figures)
         return upstreams
 
@@ -226,11 +226,13 @@
         settings = self.operator.newer if self.operator is not None else None
         if settings is None or not settings.listen:
             return
-        from sagetrack.grpc.downstream import NewFront
+        from sagetrack.grpc.listener import GrpcListener
 
         drain, body_memory = self.server.drain, self.server.body_budget
-        listener = NewFront(self.gateway, request_reader(self.config), lambda: drain.is_draining, body_memory)
-        tls_context = self.tls_keys.serve() if self.tls_keys is not None else None
+        listener = GrpcListener(
+            self.gateway, request_reader(self.config), lambda: drain.is_draining, body_memory
+        )
+        tls_context = self.tls_keys.create_server_context() if self.tls_keys is not None else None
         addresses = [parse_address(address, "newer.listen") for address in settings.listen]
         try:
             await listener.start(addresses, tls_context, shared=self.config.accept_fd is not None)
@@ -282,7 +284,9 @@
         until_s = self.server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
         dns_drained = loop.create_task(self.dns.drain(until_s)) if self.dns is not None else None
         grpc_listener = self.grpc_listener
-        grpc_drained = loop.create_task(grpc_listener.leave(until_s)) if grpc_listener is not None else None
+        grpc_drained = (
+            loop.create_task(grpc_listener.shut_down(until_s)) if grpc_listener is not None else None
+        )
         # No time limit here: what is unanswered at an end by the clock would be lost.
         await http_drained
         if dns_drained is not None:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -25,21 +25,22 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import GrpcSettings, Operator
-    from sagetrack.grpc.downstream import Read
-    from sagetrack.grpc.mirroring import Shadow
-    from sagetrack.grpc.protocol_router import Mixed, Turned
-    from sagetrack.grpc.tls import Keys
+    from sagetrack.grpc.mirroring import ResponseMirror
+    from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactors
+    from sagetrack.grpc.request_intake import RequestReader
+    from sagetrack.grpc.tls import TlsCredentials
 
 WEIGHT_REFRESH_S = 1.0  # between updates of the listed weights from the traffic share
 NOT_FOUND = 404  # HTTP status of a request for a path that no class has
 
 
-def request_reader(config: Config) -> Read:
+def request_reader(config: Config) -> RequestReader:
     """What reads a gRPC request as an HTTP/1.1 one is read, so that one set of rules holds for both.
 
-    The function that is returned raises `sagetrack.grpc.downstream.ReadError` for a request that is rejected.
+    The function that is returned raises `sagetrack.grpc.errors.RequestReadError` for a request that is
+    rejected.
     """
-    from sagetrack.grpc.downstream import ReadError
+    from sagetrack.grpc.errors import RequestReadError
     from sagetrack.grpc.outcomes import Status
 
     def read(
@@ -62,7 +63,7 @@
             return read_call(request, target.partition(b"?")[0], config, client)
         except RequestError as error:
             status = Status.UNIMPLEMENTED if error.status == NOT_FOUND else Status.INVALID_ARGUMENT
-            raise ReadError(status, str(error)) from None
+            raise RequestReadError(status, str(error)) from None
 
     return read
 
@@ -70,7 +71,7 @@
 class GrpcUpstreams:
     """The traffic shares of HTTP/1.1 and gRPC servers, and the mirroring between them."""
 
-    def __init__(self, router: Mixed, gateway: Gateway) -> None:
+    def __init__(self, router: ProtocolRouter, gateway: Gateway) -> None:
         """Begin to refresh the weights; made on a running loop.
 
         Args:
@@ -78,17 +79,17 @@
             gateway: is given the endpoint list with weights that lead to the traffic shares.
         """
         self.router, self.gateway, self._publish = router, gateway, gateway.on_endpoint_list
-        self.mirror: Shadow | None = None
+        self.mirror: ResponseMirror | None = None
         self._loop = asyncio.get_running_loop()
-        router.on_move = self._on_rollback
-        router.on_turns = self._on_traffic_shift
+        router.on_fallback = self._on_rollback
+        router.on_exceptions = self._on_traffic_shift
         self._timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         """Pass a change of the endpoint list on, with weights adjusted to the traffic share."""
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            self.router.entries.clear()
-        self._publish(kind, self.router.weighed(endpoints))
+            self.router.endpoints.clear()
+        self._publish(kind, self.router.weighted(endpoints))
         self._refresh_weights()
 
     def start_mirroring(
@@ -101,17 +102,17 @@
             class_names: the classes in the order of their numbers.
             is_active: whether requests may be mirrored now.
         """
-        from sagetrack.grpc.mirroring import Shadow
+        from sagetrack.grpc.mirroring import ResponseMirror
 
-        self.mirror = Shadow(
+        self.mirror = ResponseMirror(
             self.gateway, settings.compare_per_s, settings.compare_ignore, class_names, is_active
         )
-        self.router.on_answer = self.mirror.answered
+        self.router.on_response = self.mirror.on_response
 
     def set_shares(self, config: Config, settings: GrpcSettings) -> None:
         """Change the traffic shares; ConfigError for a class or tenant that is not known."""
         by_class, by_tenant = traffic_shares(config, settings)
-        move = self.router.move
+        move = self.router.migration
         if (move.target_share, move.class_shares, move.tenant_shares) != (
             settings.share,
             by_class,
@@ -124,11 +125,11 @@
 
     def figures(self) -> dict[str, float]:
         """Metrics of mirroring, of the gRPC pool and of the migration."""
-        move = self.router.move
+        move = self.router.migration
         mirroring = self.mirror.figures() if self.mirror is not None else {}
         return (
             mirroring
-            | self.router.new.figures()
+            | self.router.grpc.figures()
             | {
                 "new_failing": round(move.new.failure_rate, 4),
                 "old_failing": round(move.old.failure_rate, 4),
@@ -145,47 +146,47 @@
         self._refresh_weights()
 
     def _refresh_weights(self) -> None:
-        changed = self.router.look()
+        changed = self.router.update_weights()
         if changed:
             self._publish(ListKind.DELTA, changed)
 
-    def _on_traffic_shift(self, by_class: Turned, by_tenant: Turned) -> None:
+    def _on_traffic_shift(self, by_class: WeightFactors, by_tenant: WeightFactors) -> None:
         shift = TrafficShift(by_class, by_tenant)
         self.gateway.post(lambda: shift)
 
     def _on_rollback(self) -> None:
         """Refresh the weights soon: gRPC servers fail more than the others, and get no share for a while."""
-        hold_s = (self.router.move.fallback_until_us - now_us()) / 1e6
+        hold_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
         log(f"gRPC traffic share rolled back for {hold_s:.0f} s: gRPC servers fail more than the others")
         self._loop.call_soon(self._refresh_weights)
 
 
-def load_tls_keys(operator: Operator | None) -> Keys | None:
+def load_tls_keys(operator: Operator | None) -> TlsCredentials | None:
     """The TLS keys of the gRPC side; None where it has no TLS, ConfigError for keys that cannot be used."""
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.tls:
         return None
-    from sagetrack.grpc.tls import Keys, KeysError
+    from sagetrack.grpc.tls import TlsCredentials, TlsFilesError
 
     try:
-        return Keys(settings.ca, settings.certificate, settings.key)
-    except KeysError as error:
+        return TlsCredentials(settings.ca, settings.certificate, settings.key)
+    except TlsFilesError as error:
         raise ConfigError(f"newer: {error}") from None
 
 
-def reload_keys(keys: Keys) -> None:
+def reload_keys(keys: TlsCredentials) -> None:
     """Read the key files again; where they cannot be used that is logged, and the previous keys stay."""
-    from sagetrack.grpc.tls import KeysError
+    from sagetrack.grpc.tls import TlsFilesError
 
     try:
-        keys.renew()
-    except KeysError as error:
+        keys.reload()
+    except TlsFilesError as error:
         log(f"TLS key reload failed, keeping the previous keys: {error}")
 
 
 def build_protocol_router(
-    config: Config, operator: Operator | None, http_pools: UpstreamPool, keys: Keys | None
-) -> Mixed | None:
+    config: Config, operator: Operator | None, http_pools: UpstreamPool, keys: TlsCredentials | None
+) -> ProtocolRouter | None:
     """The pool of both protocols; None where the operator has no gRPC servers.
 
     Args:
@@ -200,13 +201,13 @@
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.types:
         return None
-    from sagetrack.grpc.protocol_router import Mixed
-    from sagetrack.grpc.upstream import NewPools
+    from sagetrack.grpc.connection_pool import GrpcConnectionPools
+    from sagetrack.grpc.protocol_router import ProtocolRouter
 
-    grpc_pools = NewPools(config.settings, lambda: keys.context if keys is not None else None)
+    grpc_pools = GrpcConnectionPools(config.settings, lambda: keys.context if keys is not None else None)
     kinds = [index_of_name(name, config.names.kinds) for name in settings.types]
     migration = Migration(settings.share, *traffic_shares(config, settings))
-    return Mixed(http_pools, grpc_pools, kinds, migration, lambda: None)
+    return ProtocolRouter(http_pools, grpc_pools, kinds, migration, lambda: None)
 
 
 def with_grpc(config: Config, operator: Operator | None) -> Config:
