--- a/tests/test_endpoints_by_protocol.py
+++ b/tests/test_endpoints_by_protocol.py
@@ -20,10 +20,8 @@
     changes = by_protocol.update(ListKind.DELTA, [listed("a", "h:1", 9)])
     assert [e.listed.status for e in changes["http"]] == [ServerStatus.GONE]
     assert [e.listed.status for e in changes["dns"]] == [ServerStatus.READY]
-    assert {e.name for e in by_protocol.endpoints["dns"].values()} == {
-        "a",
-        "b",
-    } and not by_protocol.endpoints["http"]
+    assert {e.name for e in by_protocol.endpoints["dns"].values()} == {"a", "b"}
+    assert not by_protocol.endpoints["http"]
     assert not any(by_protocol.update(ListKind.ERROR, []).values()) and len(by_protocol.endpoints["dns"]) == 2
     assert [e.name for e in by_protocol.update(ListKind.FULL, [listed("c", "h:3")])["http"]] == ["c"]
     assert not by_protocol.endpoints["dns"]
