--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""The one state of readiness, drain and the way out."""
+"""The phases of a process: active, on standby, shutting down."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from sagetrack.core.send_rules import FIRST_REQUEST_TIMEOUT_S
 
 
-def test_a_drain_goes_on_and_off_and_repeats_do_no_harm() -> None:
+def test_standby_begins_and_ends_and_repeated_calls_change_nothing() -> None:
     drain = Drain(1.0)
     assert not drain.is_draining and drain.end_standby(0.0)
     assert drain.begin_standby(1.0) and drain.begin_standby(2.0)
@@ -15,7 +15,7 @@
     assert not drain.is_draining
 
 
-def test_the_way_out_is_the_end() -> None:
+def test_a_shutdown_is_final() -> None:
     drain = Drain(1.0)
     drain.begin_standby(1.0)
     drain.begin_shutdown(2.0)
@@ -24,7 +24,7 @@
     assert not drain.begin_standby(4.0) and not drain.end_standby(4.0) and drain.is_draining
 
 
-def test_idle_connections_close_late_enough_to_be_told_and_soon_enough_for_the_rule() -> None:
+def test_idle_connections_close_after_their_delay_and_soon_enough_for_the_platform() -> None:
     drain = Drain(1.0)
     assert not drain.may_close_idle(60.0, 0.0, True)
     drain.begin_standby(100.0)
@@ -45,7 +45,7 @@
     assert drain.may_close_idle(101.0, 101.0 - FIRST_REQUEST_TIMEOUT_S, False)
 
 
-def test_the_end_is_before_the_kill_and_follows_the_settings() -> None:
+def test_the_answer_cutoff_is_before_the_kill_and_follows_the_settings() -> None:
     for longest_s, kill_s in ((0.4, 1.1), (1.67, 2.37), (5.0, 3.7)):
         drain = Drain(longest_s)
         drain.begin_shutdown(10.0)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: one plain line, or structured ones; each event bounded in rate."""
+"""The log: one plain line, or structured ones; each event limited in rate."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 import pytest
 
-from sagetrack.core import log as module
+from sagetrack.core import log as log_module
 from sagetrack.core.log import LogRateLimit, log, use_sink
 from sagetrack.core.structured import sink
 
 
 @pytest.fixture(autouse=True)
 def restored() -> Iterator[None]:
-    use_sink(module.plain_sink)
+    use_sink(log_module.plain_sink)
     yield
-    use_sink(module.plain_sink)
+    use_sink(log_module.plain_sink)
 
 
 def test_a_flood_of_one_event_hides_no_other_and_is_counted() -> None:
@@ -29,10 +29,10 @@
     assert rate_limit.admit("flood", 1.0) == 2
 
 
-def test_endless_kinds_of_events_share_one_bound() -> None:
+def test_events_without_a_limit_of_their_own_share_one() -> None:
     rate_limit = LogRateLimit(burst=1, rate=0.001)
     passed = sum(rate_limit.admit(f"event {number}", 0.0) >= 0 for number in range(10_000))
-    assert passed <= module.EVENTS + 1 and len(rate_limit.buckets) <= module.EVENTS + 1
+    assert passed <= log_module.EVENTS + 1 and len(rate_limit.buckets) <= log_module.EVENTS + 1
 
 
 def test_json_lines_carry_the_fields_by_their_names() -> None:
@@ -54,26 +54,26 @@
     }
 
 
-def test_the_plain_log_heeds_a_level(capsys: pytest.CaptureFixture[str]) -> None:
-    use_sink(module.with_minimum_level("warning", module.plain_sink))
+def test_the_plain_log_has_a_minimum_level(capsys: pytest.CaptureFixture[str]) -> None:
+    use_sink(log_module.with_minimum_level("warning", log_module.plain_sink))
     log("hidden")
     log("shown", "warning")
     assert capsys.readouterr().err == "sagetrack: shown\n"
 
 
-def test_the_plain_line_is_as_it_was(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_plain_line_has_the_event_after_the_name_of_the_program(capsys: pytest.CaptureFixture[str]) -> None:
     log("ends; connections to hosts: 3")
     assert capsys.readouterr().err == "sagetrack: ends; connections to hosts: 3\n"
 
 
-def test_a_pipe_that_nobody_reads_holds_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_pipe_blocks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
     with open(writer, "w") as stream, open(reader) as lines:
         monkeypatch.setattr(sys, "stderr", stream)
-        use_sink(module.plain_sink, LogRateLimit(10_000, 10_000))
+        use_sink(log_module.plain_sink, LogRateLimit(10_000, 10_000))
         for number in range(2_000):  # more than a pipe holds
             log(f"line {number}: {'x' * 100}")
-        assert module._unwritten > 0
+        assert log_module._unwritten > 0
         os.set_blocking(reader, False)
         assert lines.read().startswith("sagetrack: line 0: ")
         log("read again")
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -1,4 +1,4 @@
-"""What a server is told of the time left is what its client has left, whatever held the attempt up."""
+"""The deadline that a server receives is the time its client has left, whatever has delayed the attempt."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from tests.sockets import Exchange, configuration, on_loop, peer, reply, request, running, silent, until
 from tests.test_crossings import Late
 
-SLACK_MS = 150  # that what is told may be over what is left
+SLACK_MS = 150  # by which the deadline that is sent may exceed the time left
 
 
-def told_ms(exchange: Exchange) -> int:
+def sent_budget_ms(exchange: Exchange) -> int:
     return int(exchange.message.headers["x-budget-ms"])
 
 
 @on_loop
-async def test_a_connection_that_comes_up_late_takes_its_time_off_what_the_server_is_told() -> None:
+async def test_the_deadline_sent_to_a_server_is_reduced_by_a_late_connection() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         late = Late(run)
         client = await run.connect()
@@ -27,12 +27,12 @@
         late.release()
         left_ms = 1_000 - (now_us() - begun_us) / 1_000
         await until(lambda: host.seen)
-        assert told_ms(host.seen[0]) <= left_ms + 5
+        assert sent_budget_ms(host.seen[0]) <= left_ms + 5
         client.close()
 
 
 @on_loop
-async def test_a_request_behind_another_on_its_connection_has_its_time_from_when_it_came() -> None:
+async def test_the_timeout_of_a_pipelined_request_runs_from_its_arrival() -> None:
     async def slow(exchange: Exchange) -> None:
         await asyncio.sleep(0.3)
         exchange.answer(reply())
@@ -45,5 +45,5 @@
         took_ms = (now_us() - begun_us) / 1_000
         assert statuses[0] == 200
         assert took_ms < 400 + 200, "the last one was answered that late"
-        assert all(told_ms(exchange) <= 400 - 300 + SLACK_MS for exchange in host.seen[1:])
+        assert all(sent_budget_ms(exchange) <= 400 - 300 + SLACK_MS for exchange in host.seen[1:])
         client.close()
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The one place that decides what may be sent, repeated, closed or started."""
+"""The rules for what may be sent, retried, closed or accepted."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 ONE_AT_A_TIME = replace(SETTINGS, hedging=False)
 
 
-def asked(gone: bool = False) -> tuple[list[bool], ClientConnectionState]:
-    """A client that may be closed, and the looks at what it has sent."""
-    looks: list[bool] = []
+def closable_client(gone: bool = False) -> tuple[list[bool], ClientConnectionState]:
+    """A client that may be closed, and the kernel_checks at what it has sent."""
+    kernel_checks: list[bool] = []
 
     def unread() -> bool:
-        looks.append(True)
+        kernel_checks.append(True)
         return gone
 
-    return looks, ClientConnectionState(
+    return kernel_checks, ClientConnectionState(
         response_pending=False,
         request_incomplete=False,
         has_sent_data=True,
@@ -46,7 +46,7 @@
     )
 
 
-def test_nothing_is_sent_for_a_call_that_is_over_or_to_a_server_that_is_not_there() -> None:
+def test_nothing_is_sent_for_a_finished_request_or_to_a_server_that_is_not_serving() -> None:
     serving = ServerState.SERVING
     assert may_send(False, 1, serving, lambda: False) is None
     assert may_send(True, 1, serving, lambda: False) is DenialReason.ANSWERED
@@ -72,19 +72,19 @@
         (SAFE, AttemptRecord(0, 2, 0), 1, None),
     ],
 )
-def test_a_repeat_goes_out_only_where_it_cannot_run_twice(
+def test_a_retry_is_sent_only_where_it_cannot_run_twice(
     klass: RequestClass, other: AttemptRecord, at_us: int, denial: DenialReason | None
 ) -> None:
     assert may_retry(SETTINGS, klass, HERE, [HERE, other], at_us) is denial
 
 
-def test_a_second_attempt_waits_for_the_end_of_the_first_where_there_may_be_one() -> None:
+def test_without_hedging_a_second_attempt_waits_for_the_end_of_the_first() -> None:
     out, over = AttemptRecord(0, 1, 0), AttemptRecord(0, 1, 0, Outcome.RESET)
     assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [out], 1) is DenialReason.ATTEMPT_IN_FLIGHT
     assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [over], 1) is None
 
 
-def test_a_refusal_proves_nothing_where_the_settings_say_so() -> None:
+def test_a_rejection_proves_nothing_where_the_settings_say_so() -> None:
     full = AttemptRecord(0, 1, 0, Outcome.REJECTED)
     unproven = replace(SETTINGS, rejection_may_have_run=True)
     assert may_retry(unproven, UNSAFE, HERE, [full], 1) is DenialReason.MAY_HAVE_RUN
@@ -92,11 +92,11 @@
 
 def test_no_connection_is_closed_under_a_request() -> None:
     for purpose in CloseReason:
-        _, client = asked()
+        _, client = closable_client()
         assert may_close(client, purpose) is None
         assert may_close(replace(client, response_pending=True), purpose) is DenialReason.RESPONSE_PENDING
         assert may_close(replace(client, has_unread_data=lambda: True), purpose) is DenialReason.UNREAD_DATA
-    _, client = asked()
+    _, client = closable_client()
     begun = replace(client, request_incomplete=True)
     assert may_close(begun, CloseReason.IDLE) is DenialReason.INCOMPLETE_REQUEST
     assert may_close(begun, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.INCOMPLETE_REQUEST
@@ -105,22 +105,22 @@
 
 
 def test_a_new_connection_has_time_for_its_first_request() -> None:
-    _, client = asked()
+    _, client = closable_client()
     new = replace(client, has_sent_data=False)
     assert may_close(new, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.AWAITS_FIRST_REQUEST
     assert may_close(replace(new, age_s=FIRST_REQUEST_TIMEOUT_S), CloseReason.RECLAIM_DESCRIPTOR) is None
     assert may_close(new, CloseReason.DESCRIPTORS_EXHAUSTED) is None
 
 
-def test_the_kernel_is_asked_last_and_only_where_all_else_allows_it() -> None:
-    looks, client = asked()
+def test_the_kernel_is_asked_last_and_only_where_every_other_rule_allows_it() -> None:
+    kernel_checks, client = closable_client()
     may_close(replace(client, response_pending=True), CloseReason.IDLE)
-    assert not looks
+    assert not kernel_checks
     may_close(client, CloseReason.IDLE)
-    assert looks
+    assert kernel_checks
 
 
-def test_clients_are_taken_only_where_they_can_be_served() -> None:
+def test_clients_are_accepted_only_where_they_can_be_served() -> None:
     assert may_take_clients(False, True, True) is None
     assert may_take_clients(True, True, True) is DenialReason.SHUTTING_DOWN
     assert may_take_clients(False, False, True) is DenialReason.NOT_LISTENING
@@ -128,7 +128,7 @@
 
 
 @on_loop
-async def test_a_repeat_that_the_module_should_not_have_chosen_is_not_sent_and_is_counted() -> None:
+async def test_an_unsafe_retry_of_the_load_balancer_is_not_sent_and_is_counted() -> None:
     async with peer(silent) as first, peer(silent) as second, running(configuration(first, second)) as run:
         client = await run.connect()
         client.send(request("transfer", b"x"))
@@ -143,8 +143,8 @@
 
 
 @on_loop
-async def test_a_call_that_nobody_answers_is_answered_when_its_time_is_over() -> None:
-    """Whatever the module does: here it forgets every request."""
+async def test_a_request_without_a_response_is_failed_when_its_deadline_is_over() -> None:
+    """Whatever the load balancer does: here it forgets every request."""
     async with peer() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = (  # type: ignore[method-assign]
