--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -28,9 +28,9 @@
 class IdleConnections:
     """The rules for idle connections; the connections themselves stand in their `UpstreamServer.idle`.
 
-    A connection is not reused for `REST_S` after a response. Without that pause, a second response or noise
-    that follows the first by a moment would be taken for the response to the next request; so it arrives
-    while nothing is outstanding, and ends the connection.
+    A connection is not reused for `REST_S` after a response. Without that pause, a second response or
+    noise that follows the first by a moment would be taken for the response to the next request; so it
+    arrives while nothing is outstanding, and ends the connection.
     """
 
     def __init__(self, settings: Settings, counts: PoolCounts) -> None:
