--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -13,29 +13,31 @@
 from sagetrack.cli.lab import INTERRUPTED, bar, fail, judged
 
 if TYPE_CHECKING:
-    from sagetrack.store.engine import Opened, Store
+    from sagetrack.store.engine import Store
+    from sagetrack.store.recovery import RecoveryReport
 
 app = typer.Typer(help="A gateway's store on disk (docs/operators/store.md).", no_args_is_help=True)
 
 Folder = Annotated[Path, typer.Argument(help="the store's directory")]
 
 
-def opened(folder: Path, stack: ExitStack, writes: bool) -> tuple[Store, Opened]:
+def opened(folder: Path, stack: ExitStack, writes: bool) -> tuple[Store, RecoveryReport]:
     """The store, to be read in a copy-free way without `writes`; fails with one line."""
-    from sagetrack.store.engine import Options, Store
-    from sagetrack.store.files import Disk, Looking
-    from sagetrack.store.format import FormatError, NewerError
+    from sagetrack.store.directory import Disk, DryRunDirectory
+    from sagetrack.store.engine import Store
+    from sagetrack.store.errors import CorruptionError, NewerFormatError
+    from sagetrack.store.options import StoreOptions
 
     if not folder.is_dir():
         raise fail(f"{folder}: no directory")
     try:
-        files = Disk(folder, create=False) if writes else Looking(folder)
+        files = Disk(folder, create=False) if writes else DryRunDirectory(folder)
         stack.callback(files.close)
-        store = Store(files, Options(most_bytes=2**50), lambda line: print(line, file=sys.stderr))
+        store = Store(files, StoreOptions(max_bytes=2**50), lambda line: print(line, file=sys.stderr))
         return store, store.open()
     except BlockingIOError:
         raise fail(f"{folder}: a gateway or another command has this store") from None
-    except (OSError, NewerError, FormatError) as error:
+    except (OSError, NewerFormatError, CorruptionError) as error:
         raise fail(f"{folder}: {getattr(error, 'strerror', None) or error}") from None
 
 
@@ -51,12 +53,12 @@
                 values += 1
                 size += len(op.key) + len(op.value or b"")
                 if values % 1000 == 0:
-                    tell(min(1.0, size / max(1, store.bytes)))
+                    tell(min(1.0, size / max(1, store.bytes_used)))
         print(
-            f"{folder}: batch {found.seq} is the last; {values} values of {size} bytes in {store.bytes} "
-            f"bytes; {len(found.aside)} parts damaged, {found.lost_bytes} bytes"
+            f"{folder}: batch {found.sequence} is the last; {values} values of {size} bytes in "
+            f"{store.bytes_used} bytes; {len(found.quarantined)} parts damaged, {found.lost_bytes} bytes"
         )
-        raise judged(found.aside)
+        raise judged(found.quarantined)
 
 
 @app.command("dump")
@@ -81,11 +83,11 @@
 
     with ExitStack() as stack:
         store, found = opened(folder, stack, True)
-        before, records = store.bytes, max(1, found.records + len(store.tail))
+        before, records = store.bytes_used, max(1, found.records + store.uncompacted_keys)
         with bar("compact", False) as tell:
             for step, _ in enumerate(store.compact(int(time.time() * 1000))):
                 tell(min(1.0, step * 200 / records))
-        print(f"{folder}: {before} bytes before, {store.bytes} now")
+        print(f"{folder}: {before} bytes before, {store.bytes_used} now")
 
 
 @app.command("repair")
@@ -97,8 +99,10 @@
     with ExitStack() as stack:
         _, found = opened(folder, stack, not dry_run)
         would = "would be" if dry_run else "is"
-        print(f"{folder}: batch {found.seq} {would} the last; {found.lost_bytes} bytes {would} put aside")
-        for line in found.aside:
+        print(
+            f"{folder}: batch {found.sequence} {would} the last; {found.lost_bytes} bytes {would} put aside"
+        )
+        for line in found.quarantined:
             print(line)
 
 
--- a/sagetrack/lab/crash_test.py
+++ b/sagetrack/lab/crash_test.py
@@ -21,13 +21,15 @@
 from pathlib import Path
 
 from sagetrack.lab.faulty_filesystem import Crash, SimFiles
-from sagetrack.store.engine import Options, Store, StoreError
-from sagetrack.store.files import Disk
-from sagetrack.store.format import FormatError, Op
+from sagetrack.store.directory import Disk
+from sagetrack.store.engine import Store
+from sagetrack.store.errors import CorruptionError, WriteRejectedError
+from sagetrack.store.format import Record
+from sagetrack.store.options import StoreOptions
 
 State = dict[tuple[str, bytes], bytes]
-SMALL = Options(log_bytes=700, most_bytes=1_000_000)
-LOGGED = Options(log_bytes=64 * 1024, most_bytes=64_000_000)
+SMALL = StoreOptions(segment_bytes=700, max_bytes=1_000_000)
+LOGGED = StoreOptions(segment_bytes=64 * 1024, max_bytes=64_000_000)
 
 
 @dataclass(slots=True)
@@ -52,7 +54,7 @@
         snapshot.close()
 
 
-def changed(state: State, ops: list[Op]) -> State:
+def changed(state: State, ops: list[Record]) -> State:
     made = dict(state)
     for op in ops:
         if op.value is None:
@@ -62,12 +64,12 @@
     return made
 
 
-def drawn(draw: random.Random, keys: int = 12) -> list[Op]:
+def drawn(draw: random.Random, keys: int = 12) -> list[Record]:
     """A batch: some values, now and then one taken out."""
     ops = []
     for _ in range(draw.randint(1, 3)):
         value = None if draw.random() < 0.2 else draw.randbytes(draw.randint(0, 20))
-        ops.append(Op(draw.choice("ab"), b"k%d" % draw.randrange(keys), value, 5))
+        ops.append(Record(draw.choice("ab"), b"k%d" % draw.randrange(keys), value, 5))
     return ops
 
 
@@ -97,15 +99,15 @@
     except Exception as fault:
         tried.wrong.append(f"{what}: {fault!r}")
         return
-    if not 0 <= found.seq < len(states) or states[found.seq] != state:
-        tried.wrong.append(f"{what}: not the state after batch {found.seq}")
+    if not 0 <= found.sequence < len(states) or states[found.sequence] != state:
+        tried.wrong.append(f"{what}: not the state after batch {found.sequence}")
         return
-    tried.whole += found.seq == len(states) - 1
+    tried.whole += found.sequence == len(states) - 1
     try:  # it can be written to again, and has it then
-        store.write([[Op("a", b"again", b"x")]])
+        store.write([[Record("a", b"again", b"x")]])
         store.sync()
         again = Store(files, SMALL)
-        if again.open().seq != found.seq + 1 or again.get("a", b"again") != b"x":
+        if again.open().sequence != found.sequence + 1 or again.get("a", b"again") != b"x":
             tried.wrong.append(f"{what}: what was written after it is not there")
     except Exception as fault:
         tried.wrong.append(f"{what}, written again: {fault!r}")
@@ -145,13 +147,13 @@
         self.may: dict[int, list[State]] = {}
         self.acknowledged = 0
 
-    def begin(self, batches: list[list[Op]]) -> None:
+    def begin(self, batches: list[list[Record]]) -> None:
         state = self.states[-1]
         for number, ops in enumerate(batches, len(self.states)):
             state = changed(state, ops)
             self.may.setdefault(number, []).append(state)
 
-    def written(self, batches: list[list[Op]]) -> None:
+    def written(self, batches: list[list[Record]]) -> None:
         for ops in batches:
             self.states.append(changed(self.states[-1], ops))
 
@@ -182,8 +184,8 @@
         store = Store(files, SMALL)
         files.failing, files.room = {}, None
         try:
-            wrong = life.found(store.open().seq, state_of(store))
-        except (OSError, FormatError) as fault:
+            wrong = life.found(store.open().sequence, state_of(store))
+        except (OSError, CorruptionError) as fault:
             wrong = repr(fault)
         if wrong is not None:
             tried.wrong.append(f"seed {seed}: {wrong}")
@@ -201,7 +203,7 @@
                     put(store, life, [drawn(draw) for _ in range(draw.randint(1, 3))])
                     if draw.random() < 0.6:
                         life.lasts(store.sync())
-                except (OSError, StoreError):
+                except (OSError, WriteRejectedError):
                     pass
         except Crash:
             tried.crashes += 1
@@ -221,7 +223,7 @@
         files.failing, files.room = {}, None
 
 
-def put(store: Store, life: Life, batches: list[list[Op]]) -> None:
+def put(store: Store, life: Life, batches: list[list[Record]]) -> None:
     life.begin(batches)
     store.write(batches)
     life.written(batches)
@@ -230,20 +232,20 @@
 def writer(folder: str) -> None:
     """A real writer: batch n sets eight keys to values that follow from n; tells n once it lasts."""
     store = Store(Disk(folder), LOGGED)
-    seq = store.open().seq
+    sequence = store.open().sequence
     while True:
-        seq += 1
-        store.write([numbered(seq)])
+        sequence += 1
+        store.write([numbered(sequence)])
         store.sync()
-        os.write(1, b"%d\n" % seq)
-        if store.due or seq % 200 == 0:
+        os.write(1, b"%d\n" % sequence)
+        if store.compaction_due or sequence % 200 == 0:
             for _ in store.compact(0):
                 pass
 
 
-def numbered(seq: int) -> list[Op]:
-    draw = random.Random(seq)
-    return [Op("w", b"%d" % draw.randrange(50), b"%d:" % seq + draw.randbytes(40)) for _ in range(8)]
+def numbered(sequence: int) -> list[Record]:
+    draw = random.Random(sequence)
+    return [Record("w", b"%d" % draw.randrange(50), b"%d:" % sequence + draw.randbytes(40)) for _ in range(8)]
 
 
 def kill_once(folder: Path, draw: random.Random, before: int, tried: Tried) -> int:
@@ -272,15 +274,17 @@
     store = Store(Disk(folder), LOGGED)
     try:
         found = store.open()
-        if found.seq < last:
-            tried.wrong.append(f"kill {tried.kills}: batch {last} was acknowledged, {found.seq} is there")
+        if found.sequence < last:
+            tried.wrong.append(
+                f"kill {tried.kills}: batch {last} was acknowledged, {found.sequence} is there"
+            )
         state: State = {}
-        for seq in range(max(1, found.seq - 400), found.seq + 1):
-            state = changed(state, numbered(seq))
+        for sequence in range(max(1, found.sequence - 400), found.sequence + 1):
+            state = changed(state, numbered(sequence))
         there = state_of(store)
-        if found.seq and any(there.get(key) != value for key, value in state.items()):
-            tried.wrong.append(f"kill {tried.kills}: a value is not that of batch {found.seq}")
-        return found.seq
+        if found.sequence and any(there.get(key) != value for key, value in state.items()):
+            tried.wrong.append(f"kill {tried.kills}: a value is not that of batch {found.sequence}")
+        return found.sequence
     finally:
         store.close()
 
--- a/sagetrack/lab/faulty_filesystem.py
+++ b/sagetrack/lab/faulty_filesystem.py
@@ -29,7 +29,7 @@
 
 
 class SimFiles:
-    """`files.Files` in memory."""
+    """`store.directory.StoreDirectory` in memory."""
 
     def __init__(self, bodies: dict[str, Body] | None = None) -> None:
         self.bodies = bodies or {}
--- a/sagetrack/lab/readiness.py
+++ b/sagetrack/lab/readiness.py
@@ -23,9 +23,10 @@
 from sagetrack.lab.scenario import Fleet, Member, Peers, Scenario, platform_settings
 from sagetrack.lab.sockets import Agent, AgentConnection
 from sagetrack.lab.world import Listed, World
-from sagetrack.store.engine import Options, Store
-from sagetrack.store.files import Disk
-from sagetrack.store.format import Op
+from sagetrack.store.directory import Disk
+from sagetrack.store.engine import Store
+from sagetrack.store.format import Record
+from sagetrack.store.options import StoreOptions
 
 SHARE = 0.25  # of a core
 MOST_S = 10.0  # that nine in ten restarted processes may take
@@ -92,12 +93,12 @@
 
 def fill(folder: Path, values: int) -> None:
     """A store of so many values, as the process before left it."""
-    store = Store(Disk(folder), Options())
+    store = Store(Disk(folder), StoreOptions())
     store.open()
     at_ms = int(time.time() * 1000)
     for first in range(0, values, 1000):
         keys = range(first, min(values, first + 1000))
-        store.write([[Op("seconds", b"%015d g0" % (at_ms - n), VALUE, at_ms)] for n in keys])
+        store.write([[Record("seconds", b"%015d g0" % (at_ms - n), VALUE, at_ms)] for n in keys])
     store.close()
 
 
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -17,11 +17,12 @@
 from sagetrack.core.log import log
 from sagetrack.peers.handover import Note
 from sagetrack.policy.interface import ObservationsReceived
-from sagetrack.store.engine import Options, Space, StoreError
-from sagetrack.store.files import Disk
-from sagetrack.store.format import FormatError, Op
+from sagetrack.store.directory import Disk
+from sagetrack.store.errors import CorruptionError, StoreOpenError
+from sagetrack.store.format import Record
+from sagetrack.store.options import SpacePolicy, StoreOptions
 from sagetrack.store.recorder import Recorder
-from sagetrack.store.writer import Keeper
+from sagetrack.store.writer import BackgroundWriter
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -38,10 +39,10 @@
         """A store that cannot be opened, as the process before has it or its disk fails, is tried again."""
         asked = operator.store
         self.config, self.asked, self.gateway = config, asked, gateway
-        spaces = {SECONDS: Space(int(asked.keep_hours * 3_600_000), droppable=True)}
-        options = Options(most_bytes=int(asked.most_mb * 1_000_000), spaces=spaces)
+        spaces = {SECONDS: SpacePolicy(int(asked.keep_hours * 3_600_000), evictable=True)}
+        options = StoreOptions(max_bytes=int(asked.most_mb * 1_000_000), spaces=spaces)
         folder = Path(asked.folder.replace("{gateway}", config.name))
-        self.keeper = Keeper(
+        self.keeper = BackgroundWriter(
             partial(Disk, folder), options, lambda line: log(line, "warning"), asked.sync, asked.every_s
         )
         self.folder = folder
@@ -51,7 +52,7 @@
         self.was_read = asyncio.Event()
         self.has_list = False
         self.keeper.start(loop, self.open)
-        gateway.metrics.more.append(self.keeper.figures)
+        gateway.metrics.more.append(self.keeper.metric_values)
         self.recorder: Recorder | None = None
         if asked.recorder:
             self.recorder = gateway.recorder = Recorder(len(config.settings.classes))
@@ -61,11 +62,11 @@
         """In the store's thread: open it, and read what was known before, ahead of what is kept now."""
         note = None
         try:
-            for line in self.keeper.open().aside:
+            for line in self.keeper.open().quarantined:
                 log(f"the store: {line}", "warning")
             note = self.read()
-        except StoreError as error:
-            self.keeper.fail(f"store.folder {self.folder}: {error}")
+        except StoreOpenError as error:
+            self.keeper.record_failure(f"store.folder {self.folder}: {error}")
         finally:
             with suppress(RuntimeError):  # the loop has ended meanwhile
                 self.loop.call_soon_threadsafe(self.on_read, note)
@@ -90,7 +91,7 @@
         try:
             value = store.get(KNOWN, self.config.name.encode())
             return None if value is None else msgspec.msgpack.decode(value, type=Note)
-        except (OSError, FormatError, msgspec.DecodeError) as error:
+        except (OSError, CorruptionError, msgspec.DecodeError) as error:
             log(f"what was known of servers cannot be read: {error}", "warning")
             return None
 
@@ -121,16 +122,16 @@
         if self.asked.knowledge and self.was_read.is_set():  # or what was known before would be lost
             sights, latencies = self.gateway.balancer.sights()
             note = Note(self.config.name, now_us(), sights, latencies)
-            ops.append(Op(KNOWN, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms))
+            ops.append(Record(KNOWN, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms))
         if self.recorder is not None:
             m = self.gateway.metrics
             counters = (m.answered.by_class, m.deferred.by_class, m.errored.by_class, m.sends.by_class)
-            made = self.recorder.second(at_ms // 1000, counters)
+            made = self.recorder.end_second(at_ms // 1000, counters)
             if made is not None:
                 key = f"{at_ms:015d} {self.config.name}".encode()
-                ops.append(Op(SECONDS, key, made, at_ms))
+                ops.append(Record(SECONDS, key, made, at_ms))
         if ops:
-            self.keeper.put(ops)
+            self.keeper.submit(ops)
 
     def close(self) -> None:
         """Keep what there is. Waits for the disk."""
--- a/sagetrack/store/format.py
+++ b/sagetrack/store/format.py
@@ -1,8 +1,8 @@
-"""The bytes of the store: file heads, frames of batches, records of bases, the manifest. Pure.
+"""The on-disk format: file headers, frames, record batches, checkpoint records, the manifest. No I/O.
 
-Every file begins with the same head: eight bytes of magic, the format's version, a number, and a checksum
-over these, which no later version may change. A frame holds one batch: it is there whole or not at all.
-Checksums are CRC-32C (Castagnoli; RFC 3720, B.4).
+Every file begins with the same header: eight bytes of magic, the format version, a number, and a checksum
+over these. No later version may change the header. A frame carries one batch and is either complete or
+invalid. Checksums are CRC-32C (Castagnoli; RFC 3720, B.4).
 """
 
 from __future__ import annotations
@@ -15,147 +15,217 @@
 import msgspec
 from crc32c import crc32c
 
-VERSION = 2  # version 1 had no times
-LOG_MAGIC, BASE_MAGIC, MANIFEST_MAGIC = b"sgtk-log", b"sgtk-bas", b"sgtk-man"
-HEAD = struct.Struct("<8sHQI")
-FRAME = struct.Struct("<IIQ")  # bytes of the payload, checksum of all else, sequence number or hash
-LONGEST = 16 * 1024 * 1024  # of a payload: what says more is damaged
-END = 2**64 - 1  # in place of a hash: the last record of a base
+from sagetrack.store.errors import CorruptionError, NewerFormatError
 
-
-class FormatError(ValueError):
-    """These bytes are not what they were written as."""
-
-
-class NewerError(ValueError):
-    """A later version wrote this; it is left alone."""
+FORMAT_VERSION = 2  # version 1 had no times
+LOG_MAGIC, CHECKPOINT_MAGIC, MANIFEST_MAGIC = b"sgtk-log", b"sgtk-bas", b"sgtk-man"
+FILE_HEADER = struct.Struct("<8sHQI")  # magic, format version, number, checksum of these
+FRAME_HEADER = struct.Struct("<IIQ")  # payload length, checksum of all else, sequence number or key hash
+CHECKSUM_BYTES = 4
+MAX_PAYLOAD_BYTES = 16 * 1024 * 1024  # a longer length field is taken for corruption
+END_OF_CHECKPOINT = 2**64 - 1  # stands in place of a hash in the last record of a checkpoint
 
 
 @dataclass(slots=True, frozen=True)
-class Op:
-    """One change: a value for a key in a space, or None, which takes the key out."""
+class Record:
+    """One change of a key.
+
+    Attributes:
+        space: The key space.
+        key: The key within its space.
+        value: The new value, or None for a tombstone, which deletes the key.
+        at_ms: Unix time of the change in milliseconds; expiry counts from it.
+    """
 
     space: str
     key: bytes
     value: bytes | None
-    at_ms: int = 0  # Unix time
+    at_ms: int = 0
 
 
 _encoder = msgspec.msgpack.Encoder()
-_rows: msgspec.msgpack.Decoder[list[tuple[str, bytes, bytes | None, int]]] = msgspec.msgpack.Decoder(
+_batch_decoder: msgspec.msgpack.Decoder[list[tuple[str, bytes, bytes | None, int]]] = msgspec.msgpack.Decoder(
     list[tuple[str, bytes, bytes | None, int]]
 )
-_rows1: msgspec.msgpack.Decoder[list[tuple[str, bytes, bytes | None]]] = msgspec.msgpack.Decoder(
+_batch_decoder_v1: msgspec.msgpack.Decoder[list[tuple[str, bytes, bytes | None]]] = msgspec.msgpack.Decoder(
     list[tuple[str, bytes, bytes | None]]
 )
-_record: msgspec.msgpack.Decoder[tuple[str, bytes, bytes, int]] = msgspec.msgpack.Decoder(
+_record_decoder: msgspec.msgpack.Decoder[tuple[str, bytes, bytes, int]] = msgspec.msgpack.Decoder(
     tuple[str, bytes, bytes, int]
 )
-_end: msgspec.msgpack.Decoder[tuple[int, int]] = msgspec.msgpack.Decoder(tuple[int, int])
-_names: msgspec.msgpack.Decoder[tuple[list[int], int]] = msgspec.msgpack.Decoder(tuple[list[int], int])
+_end_decoder: msgspec.msgpack.Decoder[tuple[int, int]] = msgspec.msgpack.Decoder(tuple[int, int])
+_manifest_decoder: msgspec.msgpack.Decoder[tuple[list[int], int]] = msgspec.msgpack.Decoder(
+    tuple[list[int], int]
+)
+
 
+def encode_file_header(magic: bytes, number: int, version: int = FORMAT_VERSION) -> bytes:
+    """Encode the first bytes of a file.
+
+    Args:
+        magic: The kind of file.
+        number: A log segment's first sequence number, a checkpoint's last.
+        version: The format version.
+    """
+    unchecked = FILE_HEADER.pack(magic, version, number, 0)[:-CHECKSUM_BYTES]
+    return unchecked + struct.pack("<I", crc32c(unchecked))
+
+
+def decode_file_header(data: bytes, magic: bytes) -> tuple[int, int]:
+    """Decode a file header.
+
+    Returns:
+        The format version and the number.
+
+    Raises:
+        CorruptionError: The header is damaged, or that of another kind of file.
+        NewerFormatError: The format version is later than this program's.
+    """
+    if len(data) < FILE_HEADER.size:
+        raise CorruptionError("the head is cut off")
+    found, version, number, checksum = FILE_HEADER.unpack_from(data)
+    if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM_BYTES]) or found != magic:
+        raise CorruptionError("the head is damaged")
+    if version > FORMAT_VERSION:
+        raise NewerFormatError(
+            f"written in format {version}; this program knows formats 1 to {FORMAT_VERSION}"
+        )
+    return version, number
 
-def head(magic: bytes, number: int, version: int = VERSION) -> bytes:
-    """The first bytes of a file; `number`: a log's first sequence number, a base's last."""
-    front = HEAD.pack(magic, version, number, 0)[:-4]
-    return front + struct.pack("<I", crc32c(front))
 
+def _frame_checksum(length: int, number: int, payload: bytes) -> int:
+    """Checksum of the payload's length, the number and the payload, in this order."""
+    header = FRAME_HEADER.pack(length, 0, number)
+    return crc32c(payload, crc32c(header[8:], crc32c(header[:4])))
 
-def read_head(data: bytes, magic: bytes) -> tuple[int, int]:
-    """Version and number. FormatError for a damaged head, NewerError for a version that is not known."""
-    if len(data) < HEAD.size:
-        raise FormatError("the head is cut off")
-    found, version, number, checksum = HEAD.unpack_from(data)
-    if checksum != crc32c(data[: HEAD.size - 4]) or found != magic:
-        raise FormatError("the head is damaged")
-    if version > VERSION:
-        raise NewerError(f"written in format {version}; this program knows formats 1 to {VERSION}")
-    return version, number
 
+def encode_frame(payload: bytes, number: int) -> bytes:
+    """Frame a payload with its length, its checksum, and a sequence number or key hash."""
+    length = len(payload)
+    return FRAME_HEADER.pack(length, _frame_checksum(length, number, payload), number) + payload
 
-def frame(payload: bytes, number: int) -> bytes:
-    front = FRAME.pack(len(payload), 0, number)
-    checksum = crc32c(payload, crc32c(front[8:], crc32c(front[:4])))
-    return FRAME.pack(len(payload), checksum, number) + payload
 
+def decode_frame_header(data: bytes, offset: int = 0) -> tuple[int, int, int]:
+    """Decode the header of a frame.
 
-def read_frame_head(data: bytes, at: int = 0) -> tuple[int, int, int]:
-    """Bytes of the payload, checksum, number; FormatError if it can be none."""
-    if len(data) - at < FRAME.size:
-        raise FormatError("a frame is cut off")
-    length, checksum, number = FRAME.unpack_from(data, at)
-    if length > LONGEST:
-        raise FormatError("a frame of impossible length")
+    Returns:
+        Payload length in bytes, checksum, and sequence number or key hash.
+
+    Raises:
+        CorruptionError: The header is incomplete or its length field impossible.
+    """
+    if len(data) - offset < FRAME_HEADER.size:
+        raise CorruptionError("a frame is cut off")
+    length, checksum, number = FRAME_HEADER.unpack_from(data, offset)
+    if length > MAX_PAYLOAD_BYTES:
+        raise CorruptionError("a frame of impossible length")
     return length, checksum, number
 
 
-def check_frame(length: int, checksum: int, number: int, payload: bytes) -> None:
-    """FormatError if the payload is not the one that was written."""
-    front = FRAME.pack(length, 0, number)
+def verify_frame(length: int, checksum: int, number: int, payload: bytes) -> None:
+    """Check a payload against its frame header.
+
+    Raises:
+        CorruptionError: The payload is not the one that was written.
+    """
     if len(payload) != length:
-        raise FormatError("a frame is cut off")
-    if crc32c(payload, crc32c(front[8:], crc32c(front[:4]))) != checksum:
-        raise FormatError("a frame is damaged")
+        raise CorruptionError("a frame is cut off")
+    if _frame_checksum(length, number, payload) != checksum:
+        raise CorruptionError("a frame is damaged")
 
 
-def batch(ops: Sequence[Op]) -> bytes:
-    return _encoder.encode([(op.space, op.key, op.value, op.at_ms) for op in ops])
+def encode_batch(records: Sequence[Record]) -> bytes:
+    """Encode the payload of a log frame."""
+    return _encoder.encode([(record.space, record.key, record.value, record.at_ms) for record in records])
 
 
-def read_batch(payload: bytes, version: int = VERSION) -> list[Op]:
-    """FormatError for a payload that passed its checksum and is no batch."""
+def decode_batch(payload: bytes, version: int = FORMAT_VERSION) -> list[Record]:
+    """Decode the payload of a log frame.
+
+    Raises:
+        CorruptionError: The payload passed its checksum and is no batch.
+    """
     try:
         if version == 1:
-            return [Op(*row) for row in _rows1.decode(payload)]
-        return [Op(*row) for row in _rows.decode(payload)]
+            return [Record(*row) for row in _batch_decoder_v1.decode(payload)]
+        return [Record(*row) for row in _batch_decoder.decode(payload)]
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise FormatError(f"no batch: {error}") from None
+        raise CorruptionError(f"no batch: {error}") from None
+
 
+def encode_record(record: Record) -> bytes:
+    """Encode one record of a checkpoint as a frame that carries the hash of its key."""
+    assert record.value is not None
+    payload = _encoder.encode((record.space, record.key, record.value, record.at_ms))
+    return encode_frame(payload, key_hash(record.space, record.key))
 
-def record(op: Op) -> bytes:
-    """One record of a base, framed with its hash."""
-    assert op.value is not None
-    return frame(_encoder.encode((op.space, op.key, op.value, op.at_ms)), place(op.space, op.key))
 
+def decode_record(payload: bytes) -> Record:
+    """Decode the payload of a checkpoint's record.
 
-def read_record(payload: bytes) -> Op:
+    Raises:
+        CorruptionError: The payload passed its checksum and is no record.
+    """
     try:
-        return Op(*_record.decode(payload))
+        return Record(*_record_decoder.decode(payload))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise FormatError(f"no record: {error}") from None
+        raise CorruptionError(f"no record: {error}") from None
 
 
-def end_record(count: int, checksum: int) -> bytes:
-    """The last of a base: how many came before, and a checksum over all their checksums in order."""
-    return frame(_encoder.encode((count, checksum)), END)
+def encode_end_record(count: int, checksum: int) -> bytes:
+    """Encode the last frame of a checkpoint.
 
+    Args:
+        count: How many records precede it.
+        checksum: A checksum over the checksums of all of them, in order.
+    """
+    return encode_frame(_encoder.encode((count, checksum)), END_OF_CHECKPOINT)
 
-def read_end(payload: bytes) -> tuple[int, int]:
+
+def decode_end_record(payload: bytes) -> tuple[int, int]:
+    """Decode the last frame's payload into the count of records and their checksum.
+
+    Raises:
+        CorruptionError: The payload passed its checksum and is no end record.
+    """
     try:
-        count, checksum = _end.decode(payload)
+        count, checksum = _end_decoder.decode(payload)
         return count, checksum
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise FormatError(f"no end: {error}") from None
+        raise CorruptionError(f"no end: {error}") from None
+
+
+def encode_manifest(checkpoints: list[int], first_segment: int) -> bytes:
+    """Encode the manifest.
 
+    Args:
+        checkpoints: Their sequence numbers, the newest first.
+        first_segment: The number of the first log segment that is needed.
+    """
+    payload = _encoder.encode((checkpoints, first_segment))
+    return encode_file_header(MANIFEST_MAGIC, 0) + encode_frame(payload, 0)
 
-def manifest(bases: list[int], first_log: int) -> bytes:
-    """Bases by sequence number, the newest first, and the first log file that is needed."""
-    return head(MANIFEST_MAGIC, 0) + frame(_encoder.encode((bases, first_log)), 0)
 
+def decode_manifest(data: bytes) -> tuple[list[int], int]:
+    """Decode the manifest into the checkpoints' sequence numbers and the first log segment's number.
 
-def read_manifest(data: bytes) -> tuple[list[int], int]:
-    read_head(data, MANIFEST_MAGIC)
-    length, checksum, number = read_frame_head(data, HEAD.size)
-    payload = data[HEAD.size + FRAME.size : HEAD.size + FRAME.size + length]
-    check_frame(length, checksum, number, payload)
+    Raises:
+        CorruptionError: The manifest is damaged.
+        NewerFormatError: A later version wrote it.
+    """
+    decode_file_header(data, MANIFEST_MAGIC)
+    length, checksum, number = decode_frame_header(data, FILE_HEADER.size)
+    begin = FILE_HEADER.size + FRAME_HEADER.size
+    payload = data[begin : begin + length]
+    verify_frame(length, checksum, number, payload)
     try:
-        bases, first = _names.decode(payload)
-        return bases, first
+        checkpoints, first_segment = _manifest_decoder.decode(payload)
+        return checkpoints, first_segment
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise FormatError(f"no manifest: {error}") from None
+        raise CorruptionError(f"no manifest: {error}") from None
 
 
-def place(space: str, key: bytes) -> int:
-    """Where a key stands in a base: 63 bits of a hash, by which records are sorted."""
+def key_hash(space: str, key: bytes) -> int:
+    """Hash a key to the 63 bits by which the records of a checkpoint are sorted."""
     digest = hashlib.blake2b(space.encode() + b"\0" + key, digest_size=8).digest()
     return int.from_bytes(digest) >> 1
--- /dev/null
+++ b/sagetrack/store/write_ahead_log.py
@@ -0,0 +1,231 @@
+"""The write-ahead log: append, sync, rotation of segments, and rewriting after an error of the disk.
+
+Segments are named by number and begin with the sequence number of their first batch. Batches in a segment
+from the first sequence number of the next segment on were never acknowledged and do not count.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from sagetrack.store.directory import StoreDirectory
+from sagetrack.store.disk_space import DiskSpace
+from sagetrack.store.errors import BatchTooLargeError
+from sagetrack.store.file_names import segment_name
+from sagetrack.store.format import (
+    FORMAT_VERSION,
+    FRAME_HEADER,
+    LOG_MAGIC,
+    MAX_PAYLOAD_BYTES,
+    Record,
+    decode_batch,
+    encode_batch,
+    encode_file_header,
+    encode_frame,
+)
+from sagetrack.store.log_index import LogIndex
+
+
+@dataclass(slots=True)
+class Segment:
+    """One file of the log.
+
+    Attributes:
+        number: Its place among the segments; numbers are never used again.
+        first_sequence: Sequence number of its first batch.
+        version: Format version.
+        size: Bytes that count.
+    """
+
+    number: int
+    first_sequence: int
+    version: int
+    size: int = 0
+
+    @property
+    def name(self) -> str:
+        """Its file's name."""
+        return segment_name(self.number)
+
+
+class UnsyncedBatch(NamedTuple):
+    """A batch that was appended and is not durable yet.
+
+    Attributes:
+        sequence: Its sequence number.
+        frame: Its encoded frame.
+    """
+
+    sequence: int
+    frame: bytes
+
+
+class WriteAheadLog:
+    """The segments of the log, the last of which is appended to.
+
+    Attributes:
+        sequence: Sequence number of the last batch that was appended.
+        durable_sequence: Sequence number up to which all batches are durable.
+        current_segment: What is appended to; None if the next append begins a segment.
+    """
+
+    __slots__ = (
+        "_directory",
+        "_disk_space",
+        "_index",
+        "_last_number",
+        "_segment_bytes",
+        "_segments",
+        "_unsynced",
+        "current_segment",
+        "durable_sequence",
+        "sequence",
+    )
+
+    def __init__(
+        self, directory: StoreDirectory, segment_bytes: int, index: LogIndex, disk_space: DiskSpace
+    ) -> None:
+        self._directory = directory
+        self._segment_bytes = segment_bytes
+        self._index = index
+        self._disk_space = disk_space
+        self._segments: list[Segment] = []
+        self._last_number = 0  # the highest that a segment ever had
+        self._unsynced: list[UnsyncedBatch] = []
+        self.sequence = 0
+        self.durable_sequence = 0
+        self.current_segment: Segment | None = None
+
+    def resume(self, segments: list[Segment], last_number: int, sequence: int) -> None:
+        """Go on after recovery; all that it found is durable."""
+        self._segments = segments
+        self._last_number = last_number
+        self.sequence = self.durable_sequence = sequence
+
+    @property
+    def has_unsynced(self) -> bool:
+        """Whether a batch is not durable yet."""
+        return bool(self._unsynced)
+
+    def size_after(self, sequence: int | None) -> int:
+        """Bytes of the segments that begin after a sequence number, or of all."""
+        return sum(s.size for s in self._segments if sequence is None or s.first_sequence > sequence)
+
+    def segments_after(self, sequence: int) -> list[Segment]:
+        """The segments that begin after a sequence number."""
+        return [segment for segment in self._segments if segment.first_sequence > sequence]
+
+    def drop_segments_through(self, sequence: int) -> list[str]:
+        """Forget the segments that do not begin after a sequence number; returns their files' names."""
+        obsolete = [segment.name for segment in self._segments if segment.first_sequence <= sequence]
+        self._segments = self.segments_after(sequence)
+        return obsolete
+
+    def encode(self, batches: Sequence[Sequence[Record]]) -> list[bytes]:
+        """Encode the next batches as frames.
+
+        Raises:
+            BatchTooLargeError: One of them is too large for a frame.
+        """
+        frames: list[bytes] = []
+        for records in batches:
+            payload = encode_batch(records)
+            if len(payload) > MAX_PAYLOAD_BYTES:
+                raise BatchTooLargeError(f"a batch of {len(payload)} bytes; {MAX_PAYLOAD_BYTES} is the most")
+            frames.append(encode_frame(payload, self.sequence + 1 + len(frames)))
+        return frames
+
+    def append(self, batches: Sequence[Sequence[Record]], frames: Sequence[bytes]) -> None:
+        """Append batches, each with its frame from `encode`, by one write.
+
+        Raises:
+            OSError: Nothing was appended; after a crash before the next append some of the first batches may
+                be found all the same.
+        """
+        if self.current_segment is None and self._unsynced:
+            self._rewrite_unsynced()
+        segment = self.current_segment
+        if segment is None or segment.size >= self._segment_bytes:
+            segment = self._rotate()
+        self._append_to(segment, b"".join(frames))
+        offset = segment.size
+        for records, frame in zip(batches, frames, strict=True):
+            self.sequence += 1
+            self._unsynced.append(UnsyncedBatch(self.sequence, frame))
+            self._index.put_batch(records, segment.name, offset, segment.version)
+            offset += len(frame)
+        self._disk_space.add(offset - segment.size)
+        segment.size = offset
+
+    def sync(self) -> int:
+        """Make all that was appended durable.
+
+        Returns:
+            The sequence number up to which all batches are durable.
+
+        Raises:
+            OSError: What was not durable is written again, into a new segment, by the next append or sync:
+                what a failed `fsync` leaves behind cannot be trusted, whatever the next one reports
+                (Rebello et al., Can Applications Recover from fsync Failures?, ATC 2020).
+        """
+        if self._unsynced and self.current_segment is None:
+            self._rewrite_unsynced()
+        if self.current_segment is not None and self._unsynced:
+            try:
+                self._directory.sync(self.current_segment.name)
+            except OSError:
+                self.close_segment()
+                raise
+            self._unsynced.clear()
+            self.durable_sequence = self.sequence
+        return self.durable_sequence
+
+    def close_segment(self) -> None:
+        """Append no more to the current segment.
+
+        The first sequence number of the next one invalidates what is not durable in it.
+        """
+        self.current_segment = None
+
+    def _append_to(self, segment: Segment, data: bytes) -> None:
+        try:
+            self._directory.append(segment.name, data)
+        except OSError:
+            self.close_segment()
+            raise
+
+    def _rotate(self) -> Segment:
+        """Begin a segment with the next batch."""
+        if self.current_segment is not None:
+            self.sync()
+        self._last_number += 1  # also if the last attempt failed: its file may be there
+        segment = Segment(self._last_number, self.sequence + 1, FORMAT_VERSION)
+        header = encode_file_header(LOG_MAGIC, segment.first_sequence)
+        self._directory.create(segment.name)
+        self._directory.append(segment.name, header)
+        self._directory.sync(segment.name)
+        self._directory.sync_names()
+        segment.size = len(header)
+        self._disk_space.add(segment.size)
+        self._segments.append(segment)
+        self.current_segment = segment
+        return segment
+
+    def _rewrite_unsynced(self) -> None:
+        """Write what is not durable into a new segment, whose first sequence number voids the old copy."""
+        pending, sequence = self._unsynced, self.sequence
+        self.sequence = pending[0].sequence - 1
+        try:
+            segment = self._rotate()
+        finally:
+            self.sequence = sequence
+        self._append_to(segment, b"".join(batch.frame for batch in pending))
+        offset = segment.size
+        for batch in pending:
+            records = decode_batch(batch.frame[FRAME_HEADER.size :])
+            self._index.put_batch(records, segment.name, offset, segment.version)
+            offset += len(batch.frame)
+        self._disk_space.add(offset - segment.size)
+        segment.size = offset
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -1,8 +1,8 @@
-"""The store's own thread: takes what is to be kept off the event loop, commits in groups, compacts in steps.
+"""The background writer: commits batches in groups and compacts in steps, on a thread of its own.
 
-The loop never waits for a disk. What is put here waits in bounded memory; at the bound the newest is dropped
-and counted. A disk that is full, slow, read-only or failing is told once, and again when it works once more;
-it is tried every few seconds meanwhile.
+An event loop never waits for a disk. Submitted batches wait in bounded memory; at the bound new ones are
+dropped and counted. A disk that is full, slow, read-only or failing is logged once, and again when it has
+recovered; meanwhile it is retried every few seconds.
 """
 
 from __future__ import annotations
@@ -10,259 +10,374 @@
 import asyncio
 import threading
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Generator, Sequence
 from dataclasses import dataclass
 from typing import Literal
 
-from sagetrack.store.engine import FullError, Opened, Options, Store, StoreError
-from sagetrack.store.files import Files
-from sagetrack.store.format import FormatError, NewerError, Op
+from sagetrack.store.directory import StoreDirectory
+from sagetrack.store.engine import Store
+from sagetrack.store.errors import (
+    CorruptionError,
+    NewerFormatError,
+    StoreFullError,
+    StoreOpenError,
+    WriteRejectedError,
+)
+from sagetrack.store.format import Record
+from sagetrack.store.options import StoreOptions
+from sagetrack.store.recovery import RecoveryReport
 
-Sync = Literal["batch", "every", "never"]
-STEP_S = 0.002  # of compaction at once: the loop gets the interpreter in between
-REST = 2.0  # times as long as a step takes the thread rests after it
-AGAIN_S = 5.0  # after a failure
-LEAVE_S = 2.0  # that a way out waits for the disk
-WAITING_BYTES = 4 * 1024 * 1024  # that wait for the disk
+SyncPolicy = Literal["batch", "every", "never"]
+OnDurable = Callable[[bool], None]  # called with whether the batch is durable
+
+COMPACTION_STEP_S = 0.002  # of compaction at once: other threads get the interpreter in between
+REST_FACTOR = 2.0  # the thread rests this many times as long as the step took
+MAX_REST_S = 0.05
+RETRY_S = 5.0  # after a failure
+CLOSE_TIMEOUT_S = 2.0  # how long `close` waits for the disk
+IDLE_WAIT_S = 1.0  # between looks at what is due when nothing is submitted
+MAX_QUEUED_BYTES = 4 * 1024 * 1024
+RECORD_OVERHEAD_BYTES = 64  # counted for a queued record besides its key and value
 
 
 @dataclass(slots=True)
-class Counts:
-    """Since the start."""
+class WriterCounters:
+    """Totals since the start.
+
+    Attributes:
+        batches: Batches that were written.
+        syncs: Syncs that succeeded.
+        dropped: Batches for which there was no capacity, in memory or on disk, or whose write failed.
+        failures: Operations that failed.
+        checkpoints: Compactions that were completed.
+        slowest_commit_ms: The longest that one group took.
+    """
 
     batches: int = 0
     syncs: int = 0
-    dropped: int = 0  # batches for which there was no room, in memory or on disk
+    dropped: int = 0
     failures: int = 0
-    bases: int = 0
-    slowest_ms: float = 0.0  # one commit
-    failing: bool = False
+    checkpoints: int = 0
+    slowest_commit_ms: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class QueuedBatch:
+    """A submitted batch and who is notified of its fate."""
+
+    records: Sequence[Record]
+    on_durable: OnDurable | None
+
+
+class BatchQueue:
+    """Submitted batches in bounded memory, from any thread to the writer's."""
+
+    __slots__ = ("_batches", "_closing", "_condition", "queued_bytes")
+
+    def __init__(self) -> None:
+        self._condition = threading.Condition()
+        self._batches: list[QueuedBatch] = []
+        self._closing = False
+        self.queued_bytes = 0
+
+    def offer(self, batch: QueuedBatch) -> bool:
+        """Queue a batch; False if the bound is reached or the queue is closing."""
+        size = sum(
+            len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES for record in batch.records
+        )
+        with self._condition:
+            if self._closing or self.queued_bytes + size > MAX_QUEUED_BYTES:
+                return False
+            self._batches.append(batch)
+            self.queued_bytes += size
+            if len(self._batches) == 1:
+                self._condition.notify()
+        return True
+
+    def take(self, wait_s: Callable[[], float]) -> tuple[list[QueuedBatch], bool]:
+        """Take all that is queued, waiting once if that is nothing.
 
+        Args:
+            wait_s: How long to wait, in seconds; asked only if there is nothing.
 
-Done = Callable[[bool], None]
+        Returns:
+            The batches in order, and whether the queue is closing.
+        """
+        with self._condition:
+            if not self._batches and not self._closing:
+                self._condition.wait(wait_s())
+            taken, self._batches, self.queued_bytes = self._batches, [], 0
+            return taken, self._closing
+
+    def close(self) -> None:
+        """Refuse further batches, and wake the writer."""
+        with self._condition:
+            self._closing = True
+            self._condition.notify()
+
+
+class Outage:
+    """Whether the store fails now, and when it is tried again."""
+
+    __slots__ = ("_retry_at_s", "active")
 
+    def __init__(self) -> None:
+        self.active = False
+        self._retry_at_s = 0.0
 
-class Keeper:
-    """One store and its thread. `open` reads it, `start` and `close` bound when `put` may be called.
+    @property
+    def backing_off(self) -> bool:
+        """Whether it is too early for a retry."""
+        return self.active and time.monotonic() < self._retry_at_s
 
-    `open` is called before `start`, or in the thread by what `start` is given.
+    def begin(self) -> bool:
+        """Note a failure and put off the next try; returns whether it is the first of this outage."""
+        self._retry_at_s = time.monotonic() + RETRY_S
+        is_first, self.active = not self.active, True
+        return is_first
+
+    def end(self) -> bool:
+        """Note a success; returns whether it ends an outage."""
+        was_active, self.active = self.active, False
+        return was_active
+
+
+class BackgroundWriter:
+    """One store and its thread.
+
+    Batches may be submitted between `start` and `close`. `open` is called before `start`, or on the thread by
+    what `start` is given.
+
+    Attributes:
+        store: The store once it is open.
+        counters: What was done since the start.
     """
 
     def __init__(
         self,
-        make: Callable[[], Files],
-        options: Options,
+        open_directory: Callable[[], StoreDirectory],
+        options: StoreOptions,
         log: Callable[[str], None],
-        sync: Sync = "every",
-        every_s: float = 0.1,
+        sync_policy: SyncPolicy = "every",
+        sync_interval_s: float = 0.1,
     ) -> None:
-        self.make, self.options, self.log, self.sync, self.every_s = make, options, log, sync, every_s
+        """Prepare a writer; nothing is opened yet.
+
+        Args:
+            open_directory: Opens the directory; may raise OSError.
+            options: Of the store.
+            log: Takes a line of the log; called on either thread.
+            sync_policy: Whether to sync each group of batches, at intervals, or never.
+            sync_interval_s: The interval in seconds.
+        """
+        self._open_directory, self._options, self._log = open_directory, options, log
+        self._sync_policy, self._sync_interval_s = sync_policy, sync_interval_s
         self.store: Store | None = None
-        self.counts = Counts()
-        self.lock = threading.Condition()
-        self.waiting: list[tuple[Sequence[Op], Done | None]] = []
-        self.waiting_bytes = 0
-        self.ending = False
-        self.thread: threading.Thread | None = None
-        self.first: Callable[[], None] = lambda: None
-        self.loop: asyncio.AbstractEventLoop | None = None
-        self.unkept: list[Done] = []  # written, and not yet lasting
-        self.synced_s = 0.0
-        self.retry_s = 0.0
+        self.counters = WriterCounters()
+        self._queue = BatchQueue()
+        self._outage = Outage()
+        self._thread: threading.Thread | None = None
+        self._on_start: Callable[[], None] = lambda: None
+        self._loop: asyncio.AbstractEventLoop | None = None
+        self._awaiting_sync: list[OnDurable] = []
+        self._synced_at_s = 0.0
+        self._compaction: Generator[None, None, None] | None = None
 
     def start(
-        self, loop: asyncio.AbstractEventLoop | None = None, first: Callable[[], None] = lambda: None
+        self, loop: asyncio.AbstractEventLoop | None = None, on_start: Callable[[], None] = lambda: None
     ) -> None:
-        """Begin to keep; a store that is not open yet is tried again every few seconds.
+        """Start the thread; a store that is not open yet is retried every few seconds.
 
-        `first` is what the thread does before anything else: a long store, or a disk that stands still, is no
-        business of the loop.
+        Args:
+            loop: The event loop on which `on_durable` callbacks run; without one they run on the thread.
+            on_start: What the thread does before anything else: the place to open a store that may be
+                large, or on a disk that hangs.
         """
-        self.loop, self.first = loop, first
-        self.thread = threading.Thread(target=self.run, name="store", daemon=True)
-        self.thread.start()
+        self._loop, self._on_start = loop, on_start
+        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread.start()
+
+    def open(self) -> RecoveryReport:
+        """Open the store on the calling thread.
 
-    def open(self) -> Opened:
-        """Open the store, here and now. StoreError with one plain line if that cannot be."""
-        files: Files | None = None
+        Raises:
+            StoreOpenError: With one plain line, if the store cannot be opened.
+        """
+        directory: StoreDirectory | None = None
         try:
-            files = self.make()
-            store = Store(files, self.options, self.log)
-            found = store.open()
-        except (OSError, NewerError, FormatError) as error:
-            if files is not None:
-                files.close()
-            why = getattr(error, "strerror", None) or str(error)
-            raise StoreError(f"the store cannot be opened: {why}") from None
+            directory = self._open_directory()
+            store = Store(directory, self._options, self._log)
+            report = store.open()
+        except (OSError, NewerFormatError, CorruptionError) as error:
+            if directory is not None:
+                directory.close()
+            raise StoreOpenError(f"the store cannot be opened: {_reason(error)}") from None
         self.store = store
-        return found
-
-    def put(self, ops: Sequence[Op], done: Done | None = None) -> bool:
-        """Have a batch kept; False if it was dropped. `done` hears on the loop whether it lasts."""
-        size = sum(len(op.key) + len(op.value or b"") + 64 for op in ops)
-        with self.lock:
-            if self.ending or self.waiting_bytes + size > WAITING_BYTES:
-                self.counts.dropped += 1
-                dropped = True
-            else:
-                dropped = False
-                self.waiting.append((ops, done))
-                self.waiting_bytes += size
-                if len(self.waiting) == 1:
-                    self.lock.notify()
-        if dropped and done is not None:
-            self.tell([done], False)
-        return not dropped
-
-    # The thread
-
-    def run(self) -> None:
-        self.first()
+        return report
+
+    def submit(self, records: Sequence[Record], on_durable: OnDurable | None = None) -> bool:
+        """Submit a batch without waiting for the disk.
+
+        Args:
+            records: The batch.
+            on_durable: Called with whether the batch is durable.
+
+        Returns:
+            Whether the batch was queued; else it is dropped.
+        """
+        queued = self._queue.offer(QueuedBatch(records, on_durable))
+        if not queued:
+            self.counters.dropped += 1
+            if on_durable is not None:
+                self._notify([on_durable], False)
+        return queued
+
+    def close(self) -> None:
+        """Write what is queued, and end. Waits for the disk, but not for one that hangs."""
+        self._queue.close()
+        if self._thread is not None:
+            self._thread.join(CLOSE_TIMEOUT_S)
+            self._thread = None
+
+    def record_failure(self, why: str) -> None:
+        """Count a failure, put off the next try, and log the first failure of an outage."""
+        self.counters.failures += 1
+        if self._outage.begin():
+            self._log(f"store writes failing, records are dropped until it recovers: {why}")
+
+    def metric_values(self) -> dict[str, float]:
+        """Values by exported metric name."""
+        counters, store = self.counters, self.store
+        return {
+            "store_batches_total": counters.batches,
+            "store_syncs_total": counters.syncs,
+            "store_dropped_total": counters.dropped,
+            "store_failures_total": counters.failures,
+            "store_bases_total": counters.checkpoints,
+            "store_failing": int(self._outage.active),
+            "store_slowest_commit_ms": round(counters.slowest_commit_ms, 1),
+            "store_waiting_bytes": self._queue.queued_bytes,
+            "store_bytes": store.bytes_used if store is not None else 0,
+        }
+
+    # Everything below runs on the writer's thread.
+
+    def _run(self) -> None:
+        self._on_start()
         while True:
-            with self.lock:
-                if not self.waiting and not self.ending:
-                    self.lock.wait(self.patience())
-                taken, self.waiting, self.waiting_bytes = self.waiting, [], 0
-                ending = self.ending
+            taken, closing = self._queue.take(self._wait_s)
             if taken:
-                self.commit(taken)
-            self.sync_if_due(ending)
-            if ending and not taken:
+                self._commit(taken)
+            self._sync_if_due(closing)
+            if closing and not taken:
                 break
-            self.step()
+            self._step_compaction()
         if self.store is not None:
             try:
                 self.store.close()
             except OSError as error:
-                self.log(f"the store could not be closed: {error.strerror or error}")
+                self._log(f"store close failed: {_reason(error)}")
 
-    def patience(self) -> float | None:
-        """How long to wait for work: there may be something to sync or to compact."""
-        if self.store is not None and self.store.work is not None:
+    def _wait_s(self) -> float:
+        """How long to wait for batches: there may be something to sync or to compact."""
+        if self._compaction is not None:
             return 0.0
-        if self.unkept and self.sync == "every":
-            return max(0.0, self.synced_s + self.every_s - time.monotonic())
-        return 1.0
+        if self._awaiting_sync and self._sync_policy == "every":
+            return max(0.0, self._synced_at_s + self._sync_interval_s - time.monotonic())
+        return IDLE_WAIT_S
 
-    def commit(self, taken: list[tuple[Sequence[Op], Done | None]]) -> None:
-        """Write a group at once, and sync it where each batch is to last when it is told."""
-        dones = [done for _, done in taken if done is not None]
+    def _commit(self, taken: list[QueuedBatch]) -> None:
+        """Write a group by one append, and sync it if the policy is to sync each."""
+        callbacks = [batch.on_durable for batch in taken if batch.on_durable is not None]
         began = time.monotonic()
-        if not self.usable():
-            self.drop(len(taken), dones)
+        store = self._usable_store()
+        if store is None:
+            self._drop(len(taken), callbacks)
             return
-        assert self.store is not None
         try:
-            self.store.write([ops for ops, _ in taken])
-            self.counts.batches += len(taken)
-            self.unkept += dones
-            if self.sync == "batch":
-                self.sync_now()
-        except FullError as error:
-            self.drop(len(taken), dones)
-            self.fail(str(error))
-        except StoreError as error:
-            self.drop(len(taken), dones)
-            self.log(f"the store does not take it: {error}")
+            store.write([batch.records for batch in taken])
+            self.counters.batches += len(taken)
+            self._awaiting_sync += callbacks
+            if self._sync_policy == "batch":
+                self._sync(store)
+        except StoreFullError as error:
+            self._drop(len(taken), callbacks)
+            self.record_failure(str(error))
+        except WriteRejectedError as error:
+            self._drop(len(taken), callbacks)
+            self._log(f"store rejected a write: {error}")
         except OSError as error:
-            self.drop(len(taken), dones)
-            self.fail(error.strerror or str(error))
-        self.counts.slowest_ms = max(self.counts.slowest_ms, (time.monotonic() - began) * 1000)
+            self._drop(len(taken), callbacks)
+            self.record_failure(_reason(error))
+        took_ms = (time.monotonic() - began) * 1000
+        self.counters.slowest_commit_ms = max(self.counters.slowest_commit_ms, took_ms)
 
-    def usable(self) -> bool:
-        """Whether the store may be written to now; one that failed is tried again after a while."""
-        if self.store is None and time.monotonic() >= self.retry_s:
+    def _usable_store(self) -> Store | None:
+        """The store if it may be written to now; opens one that is not open when a retry is due."""
+        if self.store is None and not self._outage.backing_off:
             try:
                 self.open()
-            except StoreError as error:
-                self.fail(str(error))
-        return self.store is not None and (not self.counts.failing or time.monotonic() >= self.retry_s)
-
-    def drop(self, count: int, dones: list[Done]) -> None:
-        self.counts.dropped += count
-        self.tell(dones, False)
-
-    def fail(self, why: str) -> None:
-        self.counts.failures += 1
-        self.retry_s = time.monotonic() + AGAIN_S
-        if not self.counts.failing:
-            self.counts.failing = True
-            self.log(f"the store keeps nothing for now: {why}")
-
-    def sync_if_due(self, ending: bool) -> None:
+            except StoreOpenError as error:
+                self.record_failure(str(error))
+        return None if self._outage.backing_off else self.store
+
+    def _drop(self, count: int, callbacks: list[OnDurable]) -> None:
+        self.counters.dropped += count
+        self._notify(callbacks, False)
+
+    def _sync_if_due(self, closing: bool) -> None:
         store = self.store
-        if store is None or self.sync == "never" or not (store.unsynced or self.unkept):
+        if store is None or self._sync_policy == "never" or not (store.has_unsynced or self._awaiting_sync):
             return
-        if not ending and time.monotonic() < self.synced_s + self.every_s:
+        if not closing and time.monotonic() < self._synced_at_s + self._sync_interval_s:
             return
-        if self.counts.failing and not ending and time.monotonic() < self.retry_s:
+        if self._outage.backing_off and not closing:
             return
         try:
-            self.sync_now()
+            self._sync(store)
         except OSError as error:
-            self.fail(error.strerror or str(error))
-
-    def sync_now(self) -> None:
-        assert self.store is not None
-        self.store.sync()
-        self.counts.syncs += 1
-        self.synced_s = time.monotonic()
-        dones, self.unkept = self.unkept, []
-        self.tell(dones, True)
-        if self.counts.failing:
-            self.counts.failing = False
-            self.log("the store keeps what comes again")
-
-    def tell(self, dones: list[Done], lasts: bool) -> None:
-        if not dones:
+            self.record_failure(_reason(error))
+
+    def _sync(self, store: Store) -> None:
+        store.sync()
+        self.counters.syncs += 1
+        self._synced_at_s = time.monotonic()
+        callbacks, self._awaiting_sync = self._awaiting_sync, []
+        self._notify(callbacks, True)
+        if self._outage.end():
+            self._log("store writes recovered")
+
+    def _notify(self, callbacks: list[OnDurable], durable: bool) -> None:
+        if not callbacks:
             return
-        if self.loop is None or self.loop.is_closed():
-            for done in dones:
-                done(lasts)
+        if self._loop is None or self._loop.is_closed():
+            for callback in callbacks:
+                callback(durable)
         else:
-            self.loop.call_soon_threadsafe(lambda: [done(lasts) for done in dones])
+            self._loop.call_soon_threadsafe(lambda: [callback(durable) for callback in callbacks])
 
-    def step(self) -> None:
-        """Some of a compaction, and a rest, so that neither writes nor the loop wait for it."""
+    def _step_compaction(self) -> None:
+        """Do a part of a compaction, and rest, so that neither writes nor the event loop wait for it."""
         store = self.store
-        if store is None or (self.counts.failing and time.monotonic() < self.retry_s):
+        if store is None or self._outage.backing_off:
             return
         began = time.monotonic()
         try:
-            if store.due:
-                store.work = store.compact(int(time.time() * 1000))
-            if store.work is None:
+            if self._compaction is None and store.compaction_due:
+                self._compaction = store.compact(int(time.time() * 1000))
+            if self._compaction is None:
                 return
-            while time.monotonic() - began < STEP_S:
-                if next(store.work, self) is self:
-                    store.work = None
-                    self.counts.bases += 1
+            while time.monotonic() - began < COMPACTION_STEP_S:
+                if next(self._compaction, self) is self:
+                    self._compaction = None
+                    self.counters.checkpoints += 1
                     break
-        except (OSError, FormatError) as error:
-            store.work = None
-            self.fail(getattr(error, "strerror", None) or str(error))
-        time.sleep(min(0.05, REST * (time.monotonic() - began)))
+        except (OSError, CorruptionError) as error:
+            self._compaction = None
+            self.record_failure(_reason(error))
+        time.sleep(min(MAX_REST_S, REST_FACTOR * (time.monotonic() - began)))
 
-    def close(self) -> None:
-        """Keep what waits, and end. Waits for the disk, but not for one that stands still."""
-        with self.lock:
-            self.ending = True
-            self.lock.notify()
-        if self.thread is not None:
-            self.thread.join(LEAVE_S)
-            self.thread = None
-
-    def figures(self) -> dict[str, float]:
-        """For the stats."""
-        c, store = self.counts, self.store
-        return {
-            "store_batches_total": c.batches,
-            "store_syncs_total": c.syncs,
-            "store_dropped_total": c.dropped,
-            "store_failures_total": c.failures,
-            "store_bases_total": c.bases,
-            "store_failing": int(c.failing),
-            "store_slowest_commit_ms": round(c.slowest_ms, 1),
-            "store_waiting_bytes": self.waiting_bytes,
-            "store_bytes": store.bytes if store is not None else 0,
-        }
+
+def _reason(error: Exception) -> str:
+    """What an error says without its number and file."""
+    return getattr(error, "strerror", None) or str(error)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -15,7 +15,7 @@
 
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.readiness import Case, fill, nine_in_ten
-from sagetrack.store.files import Disk
+from sagetrack.store.directory import Disk
 from tests.sockets import configuration, on_loop, peer, request, running
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,11 +27,19 @@
 from sagetrack.lab.scripted import peer
 from sagetrack.lab.virtual import VirtualGateway, play
 from sagetrack.policy.interface import Event, ObservationsReceived
-from sagetrack.store.engine import FullError, Options, Space, Store, StoreError
-from sagetrack.store.files import Disk
-from sagetrack.store.format import HEAD, LOG_MAGIC, NewerError, Op, frame, head
-from sagetrack.store.recorder import EVENTS, Recorder, bound_us, read_second, step_of
-from sagetrack.store.writer import Keeper
+from sagetrack.store.directory import Disk
+from sagetrack.store.engine import Store
+from sagetrack.store.errors import NewerFormatError, StoreFullError, StoreOpenError
+from sagetrack.store.format import FILE_HEADER, LOG_MAGIC, Record, encode_file_header, encode_frame
+from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.recorder import (
+    MAX_EVENTS,
+    Recorder,
+    bucket_lower_bound_us,
+    decode_second,
+    latency_bucket,
+)
+from sagetrack.store.writer import BackgroundWriter
 from tests.sockets import configuration, on_loop, request, running
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -71,11 +79,11 @@
     def up(self) -> None:
         self.files.failing = {}
         self.store = Store(self.files, SMALL)
-        assert self.life.found(self.store.open().seq, state_of(self.store)) is None
+        assert self.life.found(self.store.open().sequence, state_of(self.store)) is None
 
     @rule(keys=st.lists(st.integers(0, 5), min_size=1, max_size=3), value=st.binary(max_size=300))
     def write(self, keys: list[int], value: bytes) -> None:
-        ops = [Op("s", b"%d" % key, value + b"%d" % key if value else None, 1) for key in keys]
+        ops = [Record("s", b"%d" % key, value + b"%d" % key if value else None, 1) for key in keys]
         self.life.begin([ops])
         try:
             self.store.write([ops])
@@ -117,7 +125,7 @@
 
     @invariant()
     def reads_what_was_written(self) -> None:
-        if not self.files.failing and self.store.current is not None:
+        if not self.files.failing and self.store.log.current_segment is not None:
             assert state_of(self.store) == self.life.states[-1]
 
 
@@ -136,67 +144,68 @@
     files = SimFiles()
     files.create("log-0000000000000001")
     rows = msgspec.msgpack.encode([("s", b"k", b"old")])
-    files.append("log-0000000000000001", head(LOG_MAGIC, 1, version=1) + frame(rows, 1))
+    files.append("log-0000000000000001", encode_file_header(LOG_MAGIC, 1, version=1) + encode_frame(rows, 1))
     store = Store(files, SMALL)
     store.open()
-    store.write([[Op("s", b"n", b"new", 1)]])
+    store.write([[Record("s", b"n", b"new", 1)]])
     list(store.compact(0))
     again = Store(files, SMALL)
     assert again.open().records == 2 and again.get("s", b"k") == b"old"
     files.create("log-00000000000000ff")
-    files.append("log-00000000000000ff", head(LOG_MAGIC, 9, version=7))
+    files.append("log-00000000000000ff", encode_file_header(LOG_MAGIC, 9, version=7))
     before = {name: bytes(body.data) for name, body in files.bodies.items()}
-    with pytest.raises(NewerError, match="format 7; this program knows formats 1 to 2"):
+    with pytest.raises(NewerFormatError, match="format 7; this program knows formats 1 to 2"):
         Store(files, SMALL).open()
     assert before == {name: bytes(body.data) for name, body in files.bodies.items()}
 
 
 def test_at_the_bound_the_oldest_of_what_may_go_makes_room_and_the_rest_is_refused() -> None:
-    spaces = {"notes": Space(droppable=True), "brief": Space(age_ms=1000)}
-    store = Store(SimFiles(), Options(4000, 40_000, spaces))
+    spaces = {"notes": SpacePolicy(evictable=True), "brief": SpacePolicy(max_age_ms=1000)}
+    store = Store(SimFiles(), StoreOptions(4000, 40_000, spaces))
     store.open()
-    store.write([[Op("brief", b"b", b"x", 0), Op("kept", b"k", b"stays", 0)]])
+    store.write([[Record("brief", b"b", b"x", 0), Record("kept", b"k", b"stays", 0)]])
     refused = 0
     for n in range(400):
         try:
-            store.write([[Op("notes", b"%d" % n, bytes(200), n * 60_000)]])
-        except FullError:
+            store.write([[Record("notes", b"%d" % n, bytes(200), n * 60_000)]])
+        except StoreFullError:
             refused += 1
-        if store.due:
+        if store.compaction_due:
             list(store.compact(n * 60_000))
-        assert store.bytes <= 40_000
+        assert store.bytes_used <= 40_000
     there = {key for space, key in state_of(store) if space == "notes"}
     assert b"399" in there and b"0" not in there and refused == 0
     assert store.get("kept", b"k") == b"stays" and store.get("brief", b"b", 10_000) is None
-    with pytest.raises(FullError):
+    with pytest.raises(StoreFullError):
         for n in range(400):
-            store.write([[Op("kept", b"%d" % n, bytes(200), 0)]])
+            store.write([[Record("kept", b"%d" % n, bytes(200), 0)]])
 
 
 def test_a_snapshot_stays_as_it_was_while_a_base_takes_the_place_of_another() -> None:
-    store = Store(SimFiles(), SMALL)
+    files = SimFiles()
+    store = Store(files, SMALL)
     store.open()
     for n in range(60):
-        store.write([[Op("s", b"%d" % (n % 20), b"%d" % n, 1)]])
+        store.write([[Record("s", b"%d" % (n % 20), b"%d" % n, 1)]])
         if n == 30:
             list(store.compact(0))
     snapshot, before = store.snapshot(), state_of(store)
     for n in range(3):
-        store.write([[Op("s", b"%d" % n, b"later", 1)]])
+        store.write([[Record("s", b"%d" % n, b"later", 1)]])
         list(store.compact(0))
     assert {(op.space, op.key): op.value for op in snapshot.items()} == before
     assert snapshot.get("s", b"0") == b"40" and store.get("s", b"0") == b"later"
-    names = len(store.files.names())
+    names = len(files.names())
     snapshot.close()
-    assert len(store.files.names()) < names
+    assert len(files.names()) < names
 
 
 def test_another_process_is_kept_out(tmp_path: Path) -> None:
     first = Disk(tmp_path)
     with pytest.raises(BlockingIOError):
         Disk(tmp_path)
-    keeper = Keeper(lambda: Disk(tmp_path), SMALL, lambda line: None)
-    with pytest.raises(StoreError, match="another process has it"):
+    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL, lambda line: None)
+    with pytest.raises(StoreOpenError, match="another process has it"):
         keeper.open()
     first.close()
     Disk(tmp_path).close()
@@ -216,24 +225,24 @@
 
 def test_a_slow_or_failing_disk_holds_nobody_up_and_is_told_once() -> None:
     files, lines, lasting = Slow(), list[str](), list[bool]()
-    keeper = Keeper(lambda: files, SMALL, lines.append, sync="batch")
+    keeper = BackgroundWriter(lambda: files, SMALL, lines.append, sync_policy="batch")
     keeper.open()
     keeper.start()
     began = time.monotonic()
     for n in range(200):
-        assert keeper.put([Op("s", b"%d" % n, bytes(30), 1)], lasting.append)
-    while keeper.put([Op("s", b"big", bytes(100_000), 1)]):
+        assert keeper.submit([Record("s", b"%d" % n, bytes(30), 1)], lasting.append)
+    while keeper.submit([Record("s", b"big", bytes(100_000), 1)]):
         pass  # the disk stands still: memory is bounded
-    assert time.monotonic() - began < 5 and keeper.counts.dropped == 1 and not lasting
+    assert time.monotonic() - began < 5 and keeper.counters.dropped == 1 and not lasting
     files.failing = {"sync": errno.EIO, "append": errno.ENOSPC}
     files.go.set()
     keeper.close()
-    assert len([line for line in lines if "keeps nothing for now" in line]) == 1
-    assert lasting.count(False) == 200 and keeper.figures()["store_failing"] == 1
-    good = Keeper(SimFiles, SMALL, lines.append, sync="batch")
+    assert len([line for line in lines if "store writes failing" in line]) == 1
+    assert lasting.count(False) == 200 and keeper.metric_values()["store_failing"] == 1
+    good = BackgroundWriter(SimFiles, SMALL, lines.append, sync_policy="batch")
     good.open()
     good.start()
-    good.put([Op("s", b"k", b"v", 1)], lasting.append)
+    good.submit([Record("s", b"k", b"v", 1)], lasting.append)
     good.close()
     assert lasting[-1] is True and good.store is not None and good.store.get("s", b"k") == b"v"
 
@@ -243,7 +252,7 @@
     store = Store(Disk(folder), SMALL)
     store.open()
     for n in range(5):
-        store.write([[Op("s", b"k%d" % n, msgspec.msgpack.encode({"n": n}), 7)]])
+        store.write([[Record("s", b"k%d" % n, msgspec.msgpack.encode({"n": n}), 7)]])
     store.close()
     (folder / "strange.txt").write_text("not ours")
     log = next(folder.glob("log-*"))
@@ -265,24 +274,24 @@
     assert command("compact", str(folder)).returncode == 0
     none = command("verify", str(tmp_path / "none"))
     assert none.returncode == 2 and none.stderr.count("\n") == 1
-    assert (folder / "strange.txt").read_text() == "not ours" and HEAD.size == 22
+    assert (folder / "strange.txt").read_text() == "not ours" and FILE_HEADER.size == 22
 
 
 def test_a_second_is_recorded_and_read_again() -> None:
     recorder = Recorder(2)
     for latency_us in (1, 64, 100, 5_000, 10**9):
-        assert bound_us(step_of(latency_us)) <= max(64, latency_us)
+        assert bucket_lower_bound_us(latency_bucket(latency_us)) <= max(64, latency_us)
     recorder.attempt(1, "ok", 5_000, True)
     recorder.attempt(1, "reset", 9, False)
-    for n in range(EVENTS + 3):
+    for n in range(MAX_EVENTS + 3):
         recorder.event(f"breaker {n}")
-    value = recorder.second(7, [[1, 2], [0, 0], [0, 1], [1, 3]])
-    assert value is not None and recorder.second(8, [[1, 2], [0, 0], [0, 1], [1, 3]]) is None
-    made = read_second(value)
-    assert made.answered == [1, 2] and made.outcomes == {"ok": 1, "reset": 1} and made.lost == 3
-    assert made.latencies == [{}, {step_of(5_000): 1}] and len(made.events) == EVENTS
+    value = recorder.end_second(7, [[1, 2], [0, 0], [0, 1], [1, 3]])
+    assert value is not None and recorder.end_second(8, [[1, 2], [0, 0], [0, 1], [1, 3]]) is None
+    made = decode_second(value)
+    assert made.answered == [1, 2] and made.outcomes == {"ok": 1, "reset": 1} and made.dropped_events == 3
+    assert made.latencies == [{}, {latency_bucket(5_000): 1}] and len(made.events) == MAX_EVENTS
     with pytest.raises(ValueError, match="version 9"):
-        read_second(msgspec.msgpack.encode(msgspec.structs.replace(made, version=9)))
+        decode_second(msgspec.msgpack.encode(msgspec.structs.replace(made, version=9)))
 
 
 @on_loop
@@ -305,7 +314,7 @@
             assert "svc_store_failing 0" in gateway.server.stats()
             store = gateway.instance.keeping.keeper.store  # type: ignore[union-attr]
             assert store is not None
-            rows = [read_second(op.value or b"") for op in store.snapshot().items("seconds")]
+            rows = [decode_second(op.value or b"") for op in store.snapshot().items("seconds")]
         assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
     file.write_text("[store]\nmost_mb = 5.0\n")
     with pytest.raises(FileError, match="store needs folder"):
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -29,10 +29,16 @@
 from sagetrack.server.gateway_assembly import Instance
 from sagetrack.server.hot_restart import Overlap
 from sagetrack.server.persistence import KNOWN, SECONDS
+from sagetrack.store.directory import Disk, DryRunDirectory
 from sagetrack.store.engine import Store
-from sagetrack.store.files import Disk, Looking
-from sagetrack.store.format import BASE_MAGIC, LOG_MAGIC, Op, read_head, read_manifest
-from sagetrack.store.recorder import read_second
+from sagetrack.store.format import (
+    CHECKPOINT_MAGIC,
+    LOG_MAGIC,
+    Record,
+    decode_file_header,
+    decode_manifest,
+)
+from sagetrack.store.recorder import decode_second
 from tests.fixtures.generate_before import (
     BEFORE,
     DATAGRAMS,
@@ -99,14 +105,14 @@
 @pytest.fixture
 def looked_at() -> Iterator[Store]:
     """The store of the earlier version, opened without changing it."""
-    with closing(Store(Looking(STORE), OPTIONS)) as store:
+    with closing(Store(DryRunDirectory(STORE), OPTIONS)) as store:
         found = store.open()
-        assert (found.seq, found.batches, found.records) == (6, 2, 3)
-        assert (found.aside, found.lost_bytes) == ([], 0)
+        assert (found.sequence, found.batches, found.records) == (6, 2, 3)
+        assert (found.quarantined, found.lost_bytes) == ([], 0)
         yield store
 
 
-def content(store: Store, now_ms: int = 0) -> list[Op]:
+def content(store: Store, now_ms: int = 0) -> list[Record]:
     return sorted(store.snapshot().items(now_ms=now_ms), key=lambda op: (op.space, op.key))
 
 
@@ -317,24 +323,24 @@
 
 def test_heads_of_a_stores_files_are_read_as_they_were_meant() -> None:
     def numbers(pattern: str, magic: bytes) -> list[tuple[int, int]]:
-        return [read_head(path.read_bytes(), magic) for path in sorted(STORE.glob(pattern))]
+        return [decode_file_header(path.read_bytes(), magic) for path in sorted(STORE.glob(pattern))]
 
     assert numbers("log-*", LOG_MAGIC) == [(2, 4), (2, 5), (2, 6)]
-    assert numbers("base-*", BASE_MAGIC) == [(2, 3), (2, 4)]
-    assert read_manifest((STORE / "MANIFEST").read_bytes()) == ([4, 3], 2)
+    assert numbers("base-*", CHECKPOINT_MAGIC) == [(2, 3), (2, 4)]
+    assert decode_manifest((STORE / "MANIFEST").read_bytes()) == ([4, 3], 2)
 
 
 def test_a_store_without_its_newest_base_is_read_from_the_older_one(store_copy: Path) -> None:
     (store_copy / "base-0000000000000004").unlink()
     with closing(Store(Disk(store_copy), OPTIONS)) as store:
         found = store.open()
-        assert (found.seq, found.batches, found.records) == (6, 3, 3)
-        assert found.aside == ["base-0000000000000004: gone"]
+        assert (found.sequence, found.batches, found.records) == (6, 3, 3)
+        assert found.quarantined == ["base-0000000000000004: gone"]
         assert content(store) == live()
 
 
 def test_a_store_is_written_on(store_copy: Path) -> None:
-    added = Op(space=KNOWN, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
+    added = Record(space=KNOWN, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
     with closing(Store(Disk(store_copy), OPTIONS)) as store:
         store.open()
         assert store.write([[added]]) == 7
@@ -342,7 +348,7 @@
             pass
     with closing(Store(Disk(store_copy), OPTIONS)) as store:
         found = store.open()
-        assert (found.seq, found.batches, found.records, found.aside) == (7, 0, 6, [])
+        assert (found.sequence, found.batches, found.records, found.quarantined) == (7, 0, 6, [])
         assert content(store) == [*live()[:2], added, *live()[2:]]
 
 
@@ -356,27 +362,27 @@
 def test_seconds_in_a_store_are_read_as_they_were_meant(looked_at: Store) -> None:
     values = [looked_at.get(SECONDS, seconds_key(at_ms)) for at_ms in (NOW_MS, NOW_MS + 1000)]
     assert values[0] is not None and values[1] is not None
-    first, second = read_second(values[0]), read_second(values[1])
+    first, second = decode_second(values[0]), decode_second(values[1])
     assert first.version == 1
     assert first.at_s == 1_764_633_600
     assert first.answered == [3, 0, 1]
-    assert first.refused == [0, 1, 0]
+    assert first.rejected == [0, 1, 0]
     assert first.failed == [0, 2, 0]
-    assert first.sent == [4, 5, 6]
+    assert first.attempts == [4, 5, 6]
     assert first.outcomes == {"ok": 3, "timeout": 1}
     assert first.latencies == [{16: 2}, {}, {0: 1}]
     assert first.events == ["s-0: opened", "größer"]
-    assert first.lost == 0
+    assert first.dropped_events == 0
     assert second.version == 1
     assert second.at_s == 1_764_633_601
     assert second.answered == [2, 7, 8]
-    assert second.refused == [0, 0, 1]
+    assert second.rejected == [0, 0, 1]
     assert second.failed == [0, 0, 0]
-    assert second.sent == [5, 7, 3]
+    assert second.attempts == [5, 7, 3]
     assert second.outcomes == {"ok": 1}
     assert second.latencies == [{}, {63: 1}, {}]
     assert second.events == [str(number) for number in range(50)]
-    assert second.lost == 2
+    assert second.dropped_events == 2
 
 
 @on_loop
