--- a/sagetrack/cli/__init__.py
+++ b/sagetrack/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The commands of `sagetrack`, one file a command or group; `app` puts them together."""
--- a/sagetrack/cli/fleets.py
+++ b/sagetrack/cli/fleets.py
@@ -47,6 +47,7 @@
 
 
 def check_fault(fault: str, known: tuple[str, ...]) -> None:
+    """Exit 2 with one line for a deliberate fault that is not known."""
     from sagetrack.cli.lab_app import fail
 
     if fault and fault not in known:
--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -44,6 +44,7 @@
 
 
 def settings_of(pairs: list[str] | None) -> dict[str, str]:
+    """Values by key of all `--set key=value`; exit 2 with one line for another form."""
     found = {}
     for pair in pairs or []:
         name, mark, value = pair.partition("=")
@@ -69,6 +70,7 @@
 
 
 def scenario_from(path: str, settings: list[str] | None) -> Scenario:
+    """Load a scenario and apply all `--set` options to it."""
     from sagetrack.lab.scenario import altered, load
 
     scenario = load(path)
--- /dev/null
+++ b/tests/test_store_parts.py
@@ -0,0 +1,76 @@
+"""Parts of the store that need no disk: expiry and eviction, the writer's queue, outages, file names."""
+
+from __future__ import annotations
+
+import pytest
+
+from sagetrack.store.errors import StoreError, StoreFullError, StoreOpenError, WriteRejectedError
+from sagetrack.store.file_names import (
+    checkpoint_name,
+    checkpoint_sequence,
+    is_own,
+    quarantine_name,
+    segment_name,
+    segment_number,
+    unfinished_name,
+)
+from sagetrack.store.format import Record
+from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.writer import MAX_QUEUED_BYTES, BatchQueue, Outage, QueuedBatch
+
+
+def test_records_expire_at_their_maximum_age_and_tombstones_have_no_value() -> None:
+    limits = SpaceLimits(StoreOptions(spaces={"brief": SpacePolicy(max_age_ms=1000)}))
+    record = Record("brief", b"k", b"v", 5000)
+    assert limits.visible_value(record, 5999) == b"v"
+    assert limits.visible_value(record, 6000) is None
+    assert limits.visible_value(Record("other", b"k", b"v", 0), 2**60) == b"v"
+    assert limits.visible_value(Record("other", b"k", None, 0), 0) is None
+
+
+def test_eviction_spares_retained_spaces_and_takes_the_oldest_of_evictable_ones() -> None:
+    limits = SpaceLimits(StoreOptions(max_bytes=4000, spaces={"notes": SpacePolicy(evictable=True)}))
+    limits.count("kept", 0, 400)
+    for minute in range(6):
+        limits.count("notes", minute * 60_000, 100)
+    assert limits.eviction_cutoffs() == {}
+    limits.count("notes", 6 * 60_000, 100)
+    assert limits.eviction_cutoffs() == {"notes": 60_000}
+    before = limits.begin_recount()
+    assert limits.eviction_cutoffs() == {}
+    limits.restore(before)
+    assert limits.eviction_cutoffs() == {"notes": 60_000}
+
+
+def test_the_queue_is_bounded_and_refuses_batches_once_it_closes() -> None:
+    queue = BatchQueue()
+    large = QueuedBatch([Record("s", b"", bytes(MAX_QUEUED_BYTES - 64))], None)
+    small = QueuedBatch([Record("s", b"", b"x")], None)
+    assert queue.offer(large) and not queue.offer(small)
+    assert queue.take(lambda: 0.0) == ([large], False) and queue.queued_bytes == 0
+    assert queue.offer(small)
+    queue.close()
+    assert not queue.offer(small)
+    assert queue.take(lambda: 0.0) == ([small], True) and queue.take(lambda: 0.0) == ([], True)
+
+
+def test_an_outage_begins_and_ends_once() -> None:
+    outage = Outage()
+    assert not outage.backing_off and not outage.end()
+    assert outage.begin() and not outage.begin() and outage.backing_off
+    assert outage.end() and not outage.backing_off
+
+
+@pytest.mark.parametrize("number", [0, 1, 0xFF, 2**64 - 1])
+def test_names_of_files_are_read_again(number: int) -> None:
+    segment, checkpoint = segment_name(number), checkpoint_name(number)
+    assert segment_number(segment) == number and checkpoint_sequence(checkpoint) == number
+    assert segment_number(checkpoint) is None and checkpoint_sequence(segment) is None
+    names = [segment, checkpoint, unfinished_name(checkpoint), quarantine_name(segment, 5)]
+    assert all(is_own(name) for name in names) and not is_own("strange.txt")
+
+
+def test_errors_of_the_store_have_one_base() -> None:
+    assert issubclass(StoreFullError, WriteRejectedError) and issubclass(StoreOpenError, StoreError)
+    assert issubclass(WriteRejectedError, StoreError) and not issubclass(StoreError, OSError)
