--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -100,8 +100,9 @@
                 be found.
         """
         frames = self.log.encode(batches)
-        self._disk_space.require(sum(map(len, frames)) + FILE_HEADER.size)
-        self.log.append(batches, frames)
+        data = b"".join(frames)
+        self._disk_space.require(len(data) + FILE_HEADER.size)
+        self.log.append(batches, frames, data)
         for records in batches:
             for record in records:
                 self._limits.count(record.space, record.at_ms, len(record.value or b""))
--- a/sagetrack/store/write_ahead_log.py
+++ b/sagetrack/store/write_ahead_log.py
@@ -137,8 +137,8 @@
             frames.append(encode_frame(payload, self.sequence + 1 + len(frames)))
         return frames
 
-    def append(self, batches: Sequence[Sequence[Record]], frames: Sequence[bytes]) -> None:
-        """Append batches, each with its frame from `encode`, by one write.
+    def append(self, batches: Sequence[Sequence[Record]], frames: Sequence[bytes], data: bytes) -> None:
+        """Append batches, each with its frame from `encode`, by one write of the joined frames.
 
         Raises:
             OSError: Nothing was appended; after a crash before the next append some of the first batches may
@@ -149,7 +149,7 @@
         segment = self.current_segment
         if segment is None or segment.size >= self._segment_bytes:
             segment = self._rotate()
-        self._append_to(segment, b"".join(frames))
+        self._append_to(segment, data)
         offset = segment.size
         for records, frame in zip(batches, frames, strict=True):
             self.sequence += 1
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable, Generator, Sequence
 from dataclasses import dataclass
-from typing import Literal
+from typing import Literal, NamedTuple
 
 from sagetrack.store.directory import StoreDirectory
 from sagetrack.store.engine import Store
@@ -61,8 +61,7 @@
     slowest_commit_ms: float = 0.0
 
 
-@dataclass(slots=True, frozen=True)
-class QueuedBatch:
+class QueuedBatch(NamedTuple):
     """A submitted batch and who is notified of its fate."""
 
     records: Sequence[Record]
