--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,14 +1,9 @@
-"""The store: damaged bytes, crashes, disks that fail, other versions, its thread and its commands."""
+"""The storage engine: damaged bytes, crashes, disks that fail, other versions, limits, snapshots."""
 
 from __future__ import annotations
 
 import errno
-import json
 import random
-import subprocess
-import sys
-import threading
-import time
 from contextlib import closing, suppress
 from pathlib import Path
 
@@ -18,31 +13,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sagetrack.config.operator import load as load_operator
-from sagetrack.config.validation import FileError
 from sagetrack.lab.crash_test import SMALL, Life, Tried, crash_once, kill_once, look, sample, state_of
 from sagetrack.lab.faulty_filesystem import Crash, SimFiles
-from sagetrack.lab.judges import judge
-from sagetrack.lab.scenario import altered, load
-from sagetrack.lab.scripted import peer
-from sagetrack.lab.virtual import VirtualGateway, play
-from sagetrack.policy.interface import Event, ObservationsReceived
-from sagetrack.store.directory import Disk
 from sagetrack.store.engine import Store
-from sagetrack.store.errors import NewerFormatError, StoreFullError, StoreOpenError
-from sagetrack.store.format import FILE_HEADER, LOG_MAGIC, Record, encode_file_header, encode_frame
+from sagetrack.store.errors import NewerFormatError, StoreFullError
+from sagetrack.store.format import LOG_MAGIC, Record, encode_file_header, encode_frame
 from sagetrack.store.options import SpacePolicy, StoreOptions
-from sagetrack.store.recorder import (
-    MAX_EVENTS,
-    Recorder,
-    bucket_lower_bound_us,
-    decode_second,
-    latency_bucket,
-)
-from sagetrack.store.writer import BackgroundWriter
-from tests.sockets import configuration, on_loop, request, running
-
-ROOT = Path(__file__).resolve().parent.parent
 
 
 def test_whatever_byte_is_cut_or_flipped_an_earlier_state_is_found() -> None:
@@ -198,144 +174,3 @@
     names = len(files.names())
     snapshot.close()
     assert len(files.names()) < names
-
-
-def test_another_process_is_kept_out(tmp_path: Path) -> None:
-    first = Disk(tmp_path)
-    with pytest.raises(BlockingIOError):
-        Disk(tmp_path)
-    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL, lambda line: None)
-    with pytest.raises(StoreOpenError, match="another process has it"):
-        keeper.open()
-    first.close()
-    Disk(tmp_path).close()
-
-
-class Slow(SimFiles):
-    """A disk that stands still until it is let go."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.go = threading.Event()
-
-    def append(self, name: str, data: bytes) -> None:
-        self.go.wait(10)
-        super().append(name, data)
-
-
-def test_a_slow_or_failing_disk_holds_nobody_up_and_is_told_once() -> None:
-    files, lines, lasting = Slow(), list[str](), list[bool]()
-    keeper = BackgroundWriter(lambda: files, SMALL, lines.append, sync_policy="batch")
-    keeper.open()
-    keeper.start()
-    began = time.monotonic()
-    for n in range(200):
-        assert keeper.submit([Record("s", b"%d" % n, bytes(30), 1)], lasting.append)
-    while keeper.submit([Record("s", b"big", bytes(100_000), 1)]):
-        pass  # the disk stands still: memory is bounded
-    assert time.monotonic() - began < 5 and keeper.counters.dropped == 1 and not lasting
-    files.failing = {"sync": errno.EIO, "append": errno.ENOSPC}
-    files.go.set()
-    keeper.close()
-    assert len([line for line in lines if "store writes failing" in line]) == 1
-    assert lasting.count(False) == 200 and keeper.metric_values()["store_failing"] == 1
-    good = BackgroundWriter(SimFiles, SMALL, lines.append, sync_policy="batch")
-    good.open()
-    good.start()
-    good.submit([Record("s", b"k", b"v", 1)], lasting.append)
-    good.close()
-    assert lasting[-1] is True and good.store is not None and good.store.get("s", b"k") == b"v"
-
-
-def test_the_commands_tell_and_mend_what_is_damaged(tmp_path: Path) -> None:
-    folder = tmp_path / "store"
-    store = Store(Disk(folder), SMALL)
-    store.open()
-    for n in range(5):
-        store.write([[Record("s", b"k%d" % n, msgspec.msgpack.encode({"n": n}), 7)]])
-    store.close()
-    (folder / "strange.txt").write_text("not ours")
-    log = next(folder.glob("log-*"))
-    log.write_bytes(log.read_bytes()[:-3])
-
-    def command(*words: str) -> subprocess.CompletedProcess[str]:
-        line = [sys.executable, "-m", "sagetrack", "store", *words]
-        return subprocess.run(line, cwd=ROOT, text=True, capture_output=True, timeout=60)
-
-    bad = command("verify", str(folder))
-    assert bad.returncode == 1 and "batch 4 is the last; 4 values" in bad.stdout
-    rows = [json.loads(line) for line in command("dump", str(folder)).stdout.splitlines()]
-    assert {"space": "s", "key": "k2", "at_ms": 7, "value": {"n": 2}} in rows and len(rows) == 4
-    size = log.stat().st_size
-    dry = command("repair", str(folder), "--dry-run")
-    assert dry.returncode == 0 and log.stat().st_size == size and "would be put aside" in dry.stdout
-    assert command("repair", str(folder)).returncode == 0 and log.stat().st_size < size
-    assert command("verify", str(folder)).returncode == 0
-    assert command("compact", str(folder)).returncode == 0
-    none = command("verify", str(tmp_path / "none"))
-    assert none.returncode == 2 and none.stderr.count("\n") == 1
-    assert (folder / "strange.txt").read_text() == "not ours" and FILE_HEADER.size == 22
-
-
-def test_a_second_is_recorded_and_read_again() -> None:
-    recorder = Recorder(2)
-    for latency_us in (1, 64, 100, 5_000, 10**9):
-        assert bucket_lower_bound_us(latency_bucket(latency_us)) <= max(64, latency_us)
-    recorder.attempt(1, "ok", 5_000, True)
-    recorder.attempt(1, "reset", 9, False)
-    for n in range(MAX_EVENTS + 3):
-        recorder.event(f"breaker {n}")
-    value = recorder.end_second(7, [[1, 2], [0, 0], [0, 1], [1, 3]])
-    assert value is not None and recorder.end_second(8, [[1, 2], [0, 0], [0, 1], [1, 3]]) is None
-    made = decode_second(value)
-    assert made.answered == [1, 2] and made.outcomes == {"ok": 1, "reset": 1} and made.dropped_events == 3
-    assert made.latencies == [{}, {latency_bucket(5_000): 1}] and len(made.events) == MAX_EVENTS
-    with pytest.raises(ValueError, match="version 9"):
-        decode_second(msgspec.msgpack.encode(msgspec.structs.replace(made, version=9)))
-
-
-@on_loop
-async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
-    file = tmp_path / "operator.toml"
-    file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
-    async with peer() as host:
-        config = configuration(host)
-        async with running(config, load_operator(str(file))) as gateway:
-            for _ in range(8):
-                assert (await gateway.ask(request())).status == 200
-            before = {s.server: s.weight for s in gateway.gateway.balancer.sights()[0]}
-            assert gateway.instance.keeping is not None and before
-            async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
-                assert (await successor.ask(request())).status == 200
-                assert "svc_store_failing 1" in successor.server.stats()
-        async with running(config, load_operator(str(file))) as gateway:
-            heard = gateway.gateway.balancer.heard
-            assert {server for server, _ in heard} == set(before)
-            assert "svc_store_failing 0" in gateway.server.stats()
-            store = gateway.instance.keeping.keeper.store  # type: ignore[union-attr]
-            assert store is not None
-            rows = [decode_second(op.value or b"") for op in store.snapshot().items("seconds")]
-        assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
-    file.write_text("[store]\nmost_mb = 5.0\n")
-    with pytest.raises(FileError, match="store needs folder"):
-        load_operator(str(file))
-
-
-def test_gateways_of_the_lab_take_up_what_they_kept_when_all_were_killed(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Nobody is left to ask: what they hear after the death is what they knew before."""
-    scenario = load(ROOT / "scenarios" / "all-killed.toml")
-    heard: dict[bool, int] = {True: 0, False: 0}
-    handle = VirtualGateway.handle
-
-    def watched(gateway: VirtualGateway, event: Event) -> None:
-        if isinstance(event, ObservationsReceived):
-            heard[use] += len(event.sights)
-        handle(gateway, event)
-
-    monkeypatch.setattr(VirtualGateway, "handle", watched)
-    for use in heard:
-        played = altered(scenario, {"store.use": use, "seconds": 13.0})
-        assert not judge(play(played, 1), played)
-    assert heard[True] >= 12 and not heard[False]
--- /dev/null
+++ b/tests/test_store_commands.py
@@ -0,0 +1,47 @@
+"""The commands of `sagetrack store`, on a store that is damaged."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from pathlib import Path
+
+import msgspec
+
+from sagetrack.lab.crash_test import SMALL
+from sagetrack.store.directory import Disk
+from sagetrack.store.engine import Store
+from sagetrack.store.format import FILE_HEADER, Record
+
+ROOT = Path(__file__).resolve().parent.parent
+
+
+def test_the_commands_tell_and_mend_what_is_damaged(tmp_path: Path) -> None:
+    folder = tmp_path / "store"
+    store = Store(Disk(folder), SMALL)
+    store.open()
+    for n in range(5):
+        store.write([[Record("s", b"k%d" % n, msgspec.msgpack.encode({"n": n}), 7)]])
+    store.close()
+    (folder / "strange.txt").write_text("not ours")
+    log = next(folder.glob("log-*"))
+    log.write_bytes(log.read_bytes()[:-3])
+
+    def command(*words: str) -> subprocess.CompletedProcess[str]:
+        line = [sys.executable, "-m", "sagetrack", "store", *words]
+        return subprocess.run(line, cwd=ROOT, text=True, capture_output=True, timeout=60)
+
+    bad = command("verify", str(folder))
+    assert bad.returncode == 1 and "batch 4 is the last; 4 values" in bad.stdout
+    rows = [json.loads(line) for line in command("dump", str(folder)).stdout.splitlines()]
+    assert {"space": "s", "key": "k2", "at_ms": 7, "value": {"n": 2}} in rows and len(rows) == 4
+    size = log.stat().st_size
+    dry = command("repair", str(folder), "--dry-run")
+    assert dry.returncode == 0 and log.stat().st_size == size and "would be put aside" in dry.stdout
+    assert command("repair", str(folder)).returncode == 0 and log.stat().st_size < size
+    assert command("verify", str(folder)).returncode == 0
+    assert command("compact", str(folder)).returncode == 0
+    none = command("verify", str(tmp_path / "none"))
+    assert none.returncode == 2 and none.stderr.count("\n") == 1
+    assert (folder / "strange.txt").read_text() == "not ours" and FILE_HEADER.size == 22
--- /dev/null
+++ b/tests/test_store_persistence.py
@@ -0,0 +1,68 @@
+"""What a gateway keeps in its store and has again after a restart."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from sagetrack.config.operator import load as load_operator
+from sagetrack.config.validation import FileError
+from sagetrack.lab.judges import judge
+from sagetrack.lab.scenario import altered, load
+from sagetrack.lab.scripted import peer
+from sagetrack.lab.virtual import VirtualGateway, play
+from sagetrack.policy.interface import Event, ObservationsReceived
+from sagetrack.store.recorder import (
+    decode_second,
+)
+from tests.sockets import configuration, on_loop, request, running
+
+ROOT = Path(__file__).resolve().parent.parent
+
+
+@on_loop
+async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
+    file = tmp_path / "operator.toml"
+    file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
+    async with peer() as host:
+        config = configuration(host)
+        async with running(config, load_operator(str(file))) as gateway:
+            for _ in range(8):
+                assert (await gateway.ask(request())).status == 200
+            before = {s.server: s.weight for s in gateway.gateway.balancer.sights()[0]}
+            assert gateway.instance.keeping is not None and before
+            async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
+                assert (await successor.ask(request())).status == 200
+                assert "svc_store_failing 1" in successor.server.stats()
+        async with running(config, load_operator(str(file))) as gateway:
+            heard = gateway.gateway.balancer.heard
+            assert {server for server, _ in heard} == set(before)
+            assert "svc_store_failing 0" in gateway.server.stats()
+            store = gateway.instance.keeping.keeper.store  # type: ignore[union-attr]
+            assert store is not None
+            rows = [decode_second(op.value or b"") for op in store.snapshot().items("seconds")]
+        assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
+    file.write_text("[store]\nmost_mb = 5.0\n")
+    with pytest.raises(FileError, match="store needs folder"):
+        load_operator(str(file))
+
+
+def test_gateways_of_the_lab_take_up_what_they_kept_when_all_were_killed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Nobody is left to ask: what they hear after the death is what they knew before."""
+    scenario = load(ROOT / "scenarios" / "all-killed.toml")
+    heard: dict[bool, int] = {True: 0, False: 0}
+    handle = VirtualGateway.handle
+
+    def watched(gateway: VirtualGateway, event: Event) -> None:
+        if isinstance(event, ObservationsReceived):
+            heard[use] += len(event.sights)
+        handle(gateway, event)
+
+    monkeypatch.setattr(VirtualGateway, "handle", watched)
+    for use in heard:
+        played = altered(scenario, {"store.use": use, "seconds": 13.0})
+        assert not judge(play(played, 1), played)
+    assert heard[True] >= 12 and not heard[False]
--- /dev/null
+++ b/tests/test_store_writer.py
@@ -0,0 +1,64 @@
+"""The store's background writer: a disk that is slow or fails, and one that another process has."""
+
+from __future__ import annotations
+
+import errno
+import threading
+import time
+from pathlib import Path
+
+import pytest
+
+from sagetrack.lab.crash_test import SMALL
+from sagetrack.lab.faulty_filesystem import SimFiles
+from sagetrack.store.directory import Disk
+from sagetrack.store.errors import StoreOpenError
+from sagetrack.store.format import Record
+from sagetrack.store.writer import BackgroundWriter
+
+
+def test_another_process_is_kept_out(tmp_path: Path) -> None:
+    first = Disk(tmp_path)
+    with pytest.raises(BlockingIOError):
+        Disk(tmp_path)
+    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL, lambda line: None)
+    with pytest.raises(StoreOpenError, match="another process has it"):
+        keeper.open()
+    first.close()
+    Disk(tmp_path).close()
+
+
+class Slow(SimFiles):
+    """A disk that stands still until it is let go."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.go = threading.Event()
+
+    def append(self, name: str, data: bytes) -> None:
+        self.go.wait(10)
+        super().append(name, data)
+
+
+def test_a_slow_or_failing_disk_holds_nobody_up_and_is_told_once() -> None:
+    files, lines, lasting = Slow(), list[str](), list[bool]()
+    keeper = BackgroundWriter(lambda: files, SMALL, lines.append, sync_policy="batch")
+    keeper.open()
+    keeper.start()
+    began = time.monotonic()
+    for n in range(200):
+        assert keeper.submit([Record("s", b"%d" % n, bytes(30), 1)], lasting.append)
+    while keeper.submit([Record("s", b"big", bytes(100_000), 1)]):
+        pass  # the disk stands still: memory is bounded
+    assert time.monotonic() - began < 5 and keeper.counters.dropped == 1 and not lasting
+    files.failing = {"sync": errno.EIO, "append": errno.ENOSPC}
+    files.go.set()
+    keeper.close()
+    assert len([line for line in lines if "store writes failing" in line]) == 1
+    assert lasting.count(False) == 200 and keeper.metric_values()["store_failing"] == 1
+    good = BackgroundWriter(SimFiles, SMALL, lines.append, sync_policy="batch")
+    good.open()
+    good.start()
+    good.submit([Record("s", b"k", b"v", 1)], lasting.append)
+    good.close()
+    assert lasting[-1] is True and good.store is not None and good.store.get("s", b"k") == b"v"
