--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -17,11 +17,12 @@
 from sagetrack.core.log import log
 from sagetrack.peers.handover import HandoverRecord
 from sagetrack.policy.events import ObservationsReceived
-from sagetrack.store.engine import Options, Space, StoreError
-from sagetrack.store.files import Disk
-from sagetrack.store.format import FormatError, Op
+from sagetrack.store.directory import Disk
+from sagetrack.store.errors import CorruptionError, StoreOpenError
+from sagetrack.store.format import Record
+from sagetrack.store.options import SpacePolicy, StoreOptions
 from sagetrack.store.recorder import Recorder
-from sagetrack.store.writer import Keeper
+from sagetrack.store.writer import BackgroundWriter
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import StoreSettings
@@ -48,12 +49,12 @@
         """
         self.config, self.settings, self.gateway = config, settings, gateway
         max_age_ms = int(settings.keep_hours * 3_600_000)
-        options = Options(
-            most_bytes=int(settings.most_mb * 1_000_000),
-            spaces={RECORDER_SPACE: Space(max_age_ms, droppable=True)},
+        options = StoreOptions(
+            max_bytes=int(settings.most_mb * 1_000_000),
+            spaces={RECORDER_SPACE: SpacePolicy(max_age_ms, evictable=True)},
         )
         self.folder = Path(settings.folder.replace("{gateway}", config.name))
-        self.writer = Keeper(
+        self.writer = BackgroundWriter(
             partial(Disk, self.folder),
             options,
             lambda line: log(line, "warning"),
@@ -65,7 +66,7 @@
         self.stored: HandoverRecord | None = None  # what the store had when it was opened
         self._has_endpoint_list = False
         self.writer.start(self._loop, self._open)
-        gateway.metrics.extra_figures.append(self.writer.figures)
+        gateway.metrics.extra_figures.append(self.writer.metric_values)
         self._recorder: Recorder | None = None
         if settings.recorder:
             self._recorder = gateway.recorder = Recorder(len(config.settings.classes))
@@ -75,11 +76,11 @@
         """Open the store and read its observations, in its thread and before anything is written to it."""
         stored = None
         try:
-            for line in self.writer.open().aside:
+            for line in self.writer.open().quarantined:
                 log(f"store: {line}", "warning")
             stored = self._read_observations()
-        except StoreError as error:
-            self.writer.fail(f"store.folder {self.folder}: {error}")
+        except StoreOpenError as error:
+            self.writer.record_failure(f"store.folder {self.folder}: {error}")
         finally:
             with suppress(RuntimeError):  # the loop may have been closed
                 self._loop.call_soon_threadsafe(self._on_read, stored)
@@ -91,7 +92,7 @@
         try:
             value = store.get(OBSERVATIONS_SPACE, self.config.name.encode())
             return None if value is None else msgspec.msgpack.decode(value, type=HandoverRecord)
-        except (OSError, FormatError, msgspec.DecodeError) as error:
+        except (OSError, CorruptionError, msgspec.DecodeError) as error:
             log(f"stored health of servers cannot be read: {error}", "warning")
             return None
 
@@ -137,14 +138,14 @@
         if second is not None:
             ops.append(second)
         if ops:
-            self.writer.put(ops)
+            self.writer.submit(ops)
 
-    def _observations(self, at_ms: int) -> Op:
+    def _observations(self, at_ms: int) -> Record:
         observations, latencies = self.gateway.balancer.own_observations()
         note = HandoverRecord(self.config.name, now_us(), observations, latencies)
-        return Op(OBSERVATIONS_SPACE, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms)
+        return Record(OBSERVATIONS_SPACE, self.config.name.encode(), msgspec.msgpack.encode(note), at_ms)
 
-    def _record_of_second(self, at_ms: int) -> Op | None:
+    def _record_of_second(self, at_ms: int) -> Record | None:
         if self._recorder is None:
             return None
         metrics = self.gateway.metrics
@@ -154,11 +155,11 @@
             metrics.errored.by_class,
             metrics.sends.by_class,
         )
-        record = self._recorder.second(at_ms // 1000, counters)
+        record = self._recorder.end_second(at_ms // 1000, counters)
         if record is None:
             return None
         key = f"{at_ms:015d} {self.config.name}".encode()
-        return Op(RECORDER_SPACE, key, record, at_ms)
+        return Record(RECORDER_SPACE, key, record, at_ms)
 
     def close(self) -> None:
         """Write the current state and close the store; blocks until the disk has it."""
