--- a/sagetrack/lab/scale/probe.py
+++ b/sagetrack/lab/scale/probe.py
@@ -30,7 +30,10 @@
 
 
 def steps(call: Callable[[], object]) -> int:
-    """Bytecodes that a call runs."""
+    """Bytecodes that a call runs.
+
+    The garbage collector rests meanwhile: finalizers of objects made earlier would be counted with it.
+    """
     count = 0
 
     def each(frame: FrameType, event: str, arg: object) -> Any:
@@ -42,12 +45,15 @@
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
         return each
 
-    before = sys.gettrace()
+    before, collects = sys.gettrace(), gc.isenabled()
+    gc.disable()
     sys.settrace(begin)
     try:
         call()
     finally:
         sys.settrace(before)
+        if collects:
+            gc.enable()
     return count
 
 
