--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import sys
-from pathlib import Path
 from typing import TYPE_CHECKING, Annotated
 
 import typer
@@ -11,7 +10,7 @@
 if TYPE_CHECKING:
     from rich.table import Table
 
-    from sagetrack.lab.world import World
+    from sagetrack.lab.model.world import World
 
 PLANNED_S = 30.0
 REFRESH = 4  # times a second
@@ -29,13 +28,15 @@
 
     from sagetrack.cli.lab_app import INTERRUPTED, fail
     from sagetrack.cli.lab_play import verdict
-    from sagetrack.lab.figures import figures
-    from sagetrack.lab.judges import judge
-    from sagetrack.lab.real import LabError, play
-    from sagetrack.lab.records import Records
-    from sagetrack.lab.scenario import altered, load
-
-    scenario = load(Path(__file__).resolve().parent.parent.parent / "scenarios" / "demo.toml")
+    from sagetrack.lab.analysis.figures import figures
+    from sagetrack.lab.analysis.judges import judge
+    from sagetrack.lab.analysis.records import Records
+    from sagetrack.lab.errors import LabError
+    from sagetrack.lab.model.scenario import altered, load
+    from sagetrack.lab.processes.fleet import play
+    from sagetrack.lab.repository import SCENARIOS
+
+    scenario = load(SCENARIOS / "demo.toml")
     if seconds != PLANNED_S:
         share = seconds / PLANNED_S
         changes: dict[str, float] = {"seconds": seconds}
@@ -77,7 +78,7 @@
     """The fleet as it stands."""
     from rich.table import Table
 
-    from sagetrack.lab.records import Records
+    from sagetrack.lab.analysis.records import Records
 
     assert isinstance(records, Records)
     now = world.clock.now_us()
--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from sagetrack.lab.scenario import Scenario
+    from sagetrack.lab.model.scenario import Scenario
 
 INTERRUPTED = 130
 SHOWN = 10  # violations that are printed
@@ -71,7 +71,7 @@
 
 def scenario_from(path: str, settings: list[str] | None) -> Scenario:
     """Load a scenario and apply all `--set` options to it."""
-    from sagetrack.lab.scenario import altered, load
+    from sagetrack.lab.model.scenario import altered, load
 
     scenario = load(path)
     chosen = {name: value_of(value) for name, value in settings_of(settings).items()}
--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -25,8 +25,9 @@
     as_json: Annotated[bool, typer.Option("--json", help="one JSON array as the last line")] = False,
 ) -> None:
     """Measure what a request costs on one core, against a bare relay on the same core in the same run."""
-    from sagetrack.lab.real import ROOT, LabError
-    from sagetrack.lab.throughput import measure, summary
+    from sagetrack.lab.benchmarks.throughput import measure, summary
+    from sagetrack.lab.errors import LabError
+    from sagetrack.lab.repository import ROOT
 
     try:
         sizes = [int(size) for size in servers.split(",")]
@@ -68,7 +69,7 @@
     seconds: Annotated[float, typer.Option(help="played after the death", min=5, max=3600)] = 60.0,
 ) -> None:
     """Play membership in virtual time: how soon a death is known, who is wrongly declared, what it costs."""
-    from sagetrack.lab.membership import death, partition
+    from sagetrack.lab.benchmarks.membership import death, partition
 
     try:
         sizes = [int(size) for size in gateways.split(",")]
@@ -103,8 +104,8 @@
     names: Annotated[int, typer.Option(help="names to keep in one more run, 0: none", min=0)] = 0,
 ) -> None:
     """Measure DNS queries a second on one core, cached and forwarded, against a bare UDP relay."""
-    from sagetrack.lab.dnsthroughput import measure as measure_dns
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.benchmarks.dns_throughput import measure as measure_dns
+    from sagetrack.lab.errors import LabError
 
     try:
         with bar("dns", False) as tell:
@@ -131,8 +132,8 @@
     json_: Annotated[bool, typer.Option("--json", help="as one JSON object")] = False,
 ) -> None:
     """Measure DNS and HTTP on one gateway with one slow server of each, alone and together."""
-    from sagetrack.lab.mixed_protocols import measure as measure_both
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.benchmarks.mixed_protocols import measure as measure_both
+    from sagetrack.lab.errors import LabError
 
     try:
         with bar("together", json_) as tell:
@@ -163,7 +164,7 @@
     load: Annotated[float, typer.Option(help="times what the servers can do", min=0.01, max=100.0)] = 2.0,
 ) -> None:
     """Measure what fair queues cost, in a crowd or in calm: time of a call, memory."""
-    from sagetrack.lab.fair_queue_benchmark import measure as measure_door
+    from sagetrack.lab.benchmarks.fair_queue import measure as measure_door
 
     try:
         sizes = [int(size) for size in clients.split(",")]
@@ -192,8 +193,8 @@
     body_kb: Annotated[int, typer.Option(help="of each body, both ways", min=1, max=32_000)] = 1000,
 ) -> None:
     """Measure the gateway's memory while long bodies pass to and from servers of the newer format."""
-    from sagetrack.lab.bodies import measure as measure_bodies
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.benchmarks.bodies import measure as measure_bodies
+    from sagetrack.lab.errors import LabError
 
     try:
         with bar("bodies", False) as tell:
@@ -216,8 +217,8 @@
     as_json: Annotated[bool, typer.Option("--json", help="a JSON line for each case")] = False,
 ) -> None:
     """Measure CPU time from a gateway's start to ready; exit 1 if a quarter of a core is too little."""
-    from sagetrack.lab.readiness import CASES, MOST_S, measure, nine_in_ten
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.benchmarks.readiness import CASES, MOST_S, measure, nine_in_ten
+    from sagetrack.lab.errors import LabError
 
     cases = tuple(case for case in CASES if only in case.name)
     if not cases:
--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -17,8 +17,8 @@
     seconds: Annotated[float, typer.Option(help="for how long", min=1, max=600)] = 10.0,
 ) -> None:
     """Send a gateway forged answers beside the true ones; exit 1 if one of them reaches a client."""
-    from sagetrack.lab.dns_spoofing import forge
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.errors import LabError
+    from sagetrack.lab.fault_injection.dns_spoofing import forge
 
     try:
         with bar("forge", False) as tell:
@@ -60,7 +60,7 @@
     seed: Annotated[int, typer.Option(help="what is spoilt follows from it", min=0)] = 1,
 ) -> None:
     """Feed mutated DNS messages to the reader; exit 1 if any breaks it or passes for what it is not."""
-    from sagetrack.lab.dnsfuzz import fuzz
+    from sagetrack.lab.fault_injection.dns_fuzz import fuzz
 
     try:
         with bar("fuzz", False) as tell:
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -12,17 +12,18 @@
 from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, SetOption, bar, fail, scenario_from
 
 if TYPE_CHECKING:
-    from sagetrack.lab.figures import Figures
-    from sagetrack.lab.judges import Violation
-    from sagetrack.lab.records import Records
-    from sagetrack.lab.scenario import Scenario
+    from sagetrack.lab.analysis.figures import Figures
+    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.analysis.records import Records
+    from sagetrack.lab.model.scenario import Scenario
 
 
 def list_scenarios(folder: Annotated[str, typer.Argument(help="where they lie")] = "") -> None:
     """Scenarios, a line each."""
-    from sagetrack.lab.scenario import load
+    from sagetrack.lab.model.scenario import load
+    from sagetrack.lab.repository import SCENARIOS
 
-    place = Path(folder) if folder else Path(__file__).resolve().parent.parent.parent / "scenarios"
+    place = Path(folder) if folder else SCENARIOS
     paths = sorted(place.glob("*.toml"))
     if not paths:
         raise fail(f"{place}: no scenarios there")
@@ -43,9 +44,9 @@
     fault: Annotated[str, typer.Option(help="a deliberate fault of the gateways; with --virtual")] = "",
 ) -> None:
     """Play a scenario and judge it; exit 0 only if no rule is broken and every expectation holds."""
-    from sagetrack.lab.faults import FAULTS
-    from sagetrack.lab.figures import figures
-    from sagetrack.lab.judges import judge
+    from sagetrack.lab.analysis.figures import figures
+    from sagetrack.lab.analysis.judges import judge
+    from sagetrack.lab.virtual.faulty_gateways import FAULTS
 
     played = scenario_from(scenario, settings)
     if fault and fault not in FAULTS:
@@ -55,7 +56,7 @@
     sample_s = 0.25 if plot else 0.0
     try:
         if virtual:
-            from sagetrack.lab.virtual import play as play_virtual
+            from sagetrack.lab.virtual.simulation import play as play_virtual
 
             with bar(played.name, as_json) as tell:
                 try:
@@ -73,7 +74,7 @@
         if records_file:
             records.write(records_file)
         if plot:
-            from sagetrack.lab.plots import draw
+            from sagetrack.lab.analysis.plots import draw
 
             draw(records, plot)
     except (OSError, ValueError) as error:
@@ -92,7 +93,8 @@
 
 def play_real(scenario: Scenario, seed: int, quiet: bool, sample_s: float) -> Records:
     """Play in real time behind a bar; one plain line and exit 2 if the lab cannot."""
-    from sagetrack.lab.real import LabError, play
+    from sagetrack.lab.errors import LabError
+    from sagetrack.lab.processes.fleet import play
 
     try:
         with bar(scenario.name, quiet) as tell:
@@ -144,8 +146,8 @@
     out: Annotated[str, typer.Argument(help="a .png or .svg")],
 ) -> None:
     """Draw a run from its records."""
-    from sagetrack.lab.plots import draw
-    from sagetrack.lab.records import read
+    from sagetrack.lab.analysis.plots import draw
+    from sagetrack.lab.analysis.records import read
 
     try:
         draw(read(records_file), out)
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -13,8 +13,8 @@
 from sagetrack.cli.lab_app import INTERRUPTED, SetOption, bar, fail, scenario_from, settings_of, value_of
 
 if TYPE_CHECKING:
-    from sagetrack.lab.records import Records
-    from sagetrack.lab.scenario import Scenario
+    from sagetrack.lab.analysis.records import Records
+    from sagetrack.lab.model.scenario import Scenario
 
 
 def sweep(
@@ -29,8 +29,8 @@
     fault: Annotated[str, typer.Option(help="a deliberate fault of the gateways")] = "",
 ) -> None:
     """Play scenarios over seeds and settings in virtual time, on all cores."""
-    from sagetrack.lab import sweep as sweeps
-    from sagetrack.lab.scenario import load
+    from sagetrack.lab.benchmarks import sweep as sweeps
+    from sagetrack.lab.model.scenario import load
 
     first, mark, last = seeds.partition("-")
     try:
@@ -76,7 +76,7 @@
     figure: Annotated[str, typer.Option(help="which figure")] = "service",
 ) -> None:
     """Compare two sweeps by pairs of one seed, with a 95% confidence interval."""
-    from sagetrack.lab.sweep import compare as compare_files
+    from sagetrack.lab.benchmarks.sweep import compare as compare_files
 
     try:
         found = compare_files(Path(a), Path(b), figure)
@@ -97,8 +97,8 @@
     settings: SetOption = None,
 ) -> None:
     """Measure what a restart costs in a gateway's first 10 s, with and without the others' help."""
-    from sagetrack.lab import restart as restarts
-    from sagetrack.lab.records import read as read_records
+    from sagetrack.lab.analysis.records import read as read_records
+    from sagetrack.lab.benchmarks import restart as restarts
 
     played = scenario_from(scenario, settings)
 
@@ -124,7 +124,7 @@
             return read_records(out)
 
     try:
-        from sagetrack.lab.virtual import play as play_virtual
+        from sagetrack.lab.virtual.simulation import play as play_virtual
 
         play = play_virtual if virtual else real
         with bar("restart", False) as tell:
--- a/sagetrack/cli/overload.py
+++ b/sagetrack/cli/overload.py
@@ -35,9 +35,9 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.cli.lab_app import fail
-    from sagetrack.lab.faults import JAM_FAULTS
-    from sagetrack.lab.judges import Violation
-    from sagetrack.lab.overload import MOST_GATEWAYS, measure
+    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.benchmarks.overload import MOST_GATEWAYS, measure
+    from sagetrack.lab.virtual.faulty_gateways import JAM_FAULTS
 
     counts = sizes_of(gateways, MOST_GATEWAYS)
     try:
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -52,7 +52,7 @@
     file: Annotated[str, typer.Option("--json", help="write all figures here")] = "",
 ) -> None:
     """Sweep each size of a large fleet over hollow gateways, beside a real one: what grows, and how fast."""
-    from sagetrack.lab.real import LabError
+    from sagetrack.lab.errors import LabError
     from sagetrack.lab.scale.run import ScaleError, check, chosen, measure, table
     from sagetrack.lab.scale.target import Sizes
 
--- a/sagetrack/cli/slow_start.py
+++ b/sagetrack/cli/slow_start.py
@@ -34,9 +34,9 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.cli.lab_app import fail
-    from sagetrack.lab.faults import COLD_FAULTS
-    from sagetrack.lab.judges import Violation
-    from sagetrack.lab.slow_start import CASES, MOST_GATEWAYS, measure
+    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.benchmarks.slow_start import CASES, MOST_GATEWAYS, measure
+    from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS
 
     sizes = sizes_of(gateways, MOST_GATEWAYS)
     names = list(CASES) if cases == "all" else cases.split(",")
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -112,7 +112,7 @@
     seed: Annotated[int, typer.Option(help="what is drawn follows from it", min=0)] = 1,
 ) -> None:
     """Cut and flip every byte of a store, crash it anywhere, kill a writer; exit 0 if all held."""
-    from sagetrack.lab.crash_test import torture as run
+    from sagetrack.lab.fault_injection.crash_test import torture as run
 
     try:
         with bar("torture", False) as tell:
--- /dev/null
+++ b/sagetrack/lab/analysis/__init__.py
@@ -0,0 +1,1 @@
+"""What the records of a run show: broken rules, figures and plots."""
--- a/sagetrack/lab/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -8,9 +8,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrack.lab.judges import RULES, Violation
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Expect, Scenario
+from sagetrack.lab.analysis.judges import RULES, Violation
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Expect, Scenario
 from sagetrack.policy.fair_queue import max_min_fair_shares
 
 WINDOW_S = 5
--- a/sagetrack/lab/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from sagetrack.lab.records import Record, Records
-from sagetrack.lab.scenario import Scenario
+from sagetrack.lab.analysis.records import Record, Records
+from sagetrack.lab.model.scenario import Scenario
 
 SLACK_US = 50_000  # on every time limit: clocks, scheduling
 COLD_SLACK = 1.1  # of a cold server's budget, for chance
--- a/sagetrack/lab/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -14,8 +14,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
 
-from sagetrack.lab.figures import histogram
-from sagetrack.lab.records import Records
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.records import Records
 
 OUTCOMES = {
     "served": "#2a7f4f",
--- a/sagetrack/lab/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -27,10 +27,12 @@
 
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import pack
-from sagetrack.lab.grpc_server import Asked, NewConnection
-from sagetrack.lab.measure import free_port, memory_mb
-from sagetrack.lab.real import ROOT, LabError, need_files
-from sagetrack.lab.throughput import configuration
+from sagetrack.lab.benchmarks.throughput import configuration
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.processes.fleet import need_files
+from sagetrack.lab.processes.resource_usage import free_port, memory_mb
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 
 PIECE = 16_000  # of an answer's body
 HEAD = (
--- a/sagetrack/lab/dnsthroughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -20,11 +20,12 @@
 
 import uvloop
 
-from sagetrack.lab.dnsclients import wire_query
-from sagetrack.lab.figures import histogram
-from sagetrack.lab.measure import cpu_s, free_port, memory_mb
-from sagetrack.lab.real import ROOT, LabError
-from sagetrack.lab.throughput import configuration
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.benchmarks.throughput import configuration
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.dns_clients import wire_query
 
 WINDOW = 64  # queries out at once
 SOCKETS = 8
@@ -214,7 +215,7 @@
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         environment = os.environ | {"PYTHONPATH": str(ROOT), "TMPDIR": folder}
         if what == "relay":
-            code = f"from sagetrack.lab.dnsthroughput import relay; relay({port}, {upstream})"
+            code = f"from sagetrack.lab.benchmarks.dns_throughput import relay; relay({port}, {upstream})"
             command = [sys.executable, "-c", code]
         else:
             config, operator = Path(folder) / "config.json", Path(folder) / "operator.toml"
--- a/sagetrack/lab/mixed_protocols.py
+++ b/sagetrack/lab/benchmarks/mixed_protocols.py
@@ -22,12 +22,13 @@
 
 import uvloop
 
-from sagetrack.lab import dnsthroughput, throughput
-from sagetrack.lab.dnsclients import wire_query
-from sagetrack.lab.dnsthroughput import answer_to
-from sagetrack.lab.figures import histogram
-from sagetrack.lab.measure import cpu_s, free_port
-from sagetrack.lab.real import ROOT, LabError
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.benchmarks import dns_throughput, throughput
+from sagetrack.lab.benchmarks.dns_throughput import answer_to
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.dns_clients import wire_query
 
 HTTP_AIM_S, DNS_AIM_S = 0.25, 0.5
 HTTP_SLOW_S, DNS_SLOW_S = 0.4, 1.0  # what a slow server takes
@@ -320,10 +321,10 @@
         )
         try:
             os.sched_setaffinity(process.pid, {cores[0]})
-            dnsthroughput._await_answer(listen[True], process)
+            dns_throughput._await_answer(listen[True], process)
             closed = uvloop.run(throughput._load(listen[False], throughput.CONNECTIONS, 3.0, 0.0))
             most = {False: closed.finished / 3.0}
-            asked = uvloop.run(dnsthroughput._load(listen[True], 3.0, True))
+            asked = uvloop.run(dns_throughput._load(listen[True], 3.0, True))
             most[True] = asked.done / 3.1
             plans = [(False,), (True,), (False, True)]
             for number in range(rounds * len(plans)):
--- a/sagetrack/lab/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -9,17 +9,17 @@
 
 from collections import Counter
 from dataclasses import asdict, dataclass, field
-from pathlib import Path
 from typing import Any
 
 from msgspec.structs import replace
 
-from sagetrack.lab.judges import Violation, judge
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, Trouble, altered, load
-from sagetrack.lab.virtual import play
+from sagetrack.lab.analysis.judges import Violation, judge
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
+from sagetrack.lab.repository import SCENARIOS
+from sagetrack.lab.virtual.simulation import play
 
-SCENARIO = Path(__file__).resolve().parent.parent.parent / "scenarios" / "fleet-burst.toml"
+SCENARIO = SCENARIOS / "fleet-burst.toml"
 SAMPLE_S = 0.25  # between two looks at what servers hold
 SETTLED_S = 4.0  # of the run, after which the usual goodput is taken
 RISEN_S = 2.0  # of the burst, after which its goodput is taken
--- a/sagetrack/lab/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -17,12 +17,13 @@
 from pathlib import Path
 from typing import Any
 
-from sagetrack.lab.measure import cpu_s, free_port
-from sagetrack.lab.real import GatewayProcess, LabError, RealClock
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Fleet, Member, Peers, Scenario, platform_settings
-from sagetrack.lab.sockets import Agent, AgentConnection
-from sagetrack.lab.world import Listed, World
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario, platform_settings
+from sagetrack.lab.model.world import Listed, World
+from sagetrack.lab.processes.fleet import GatewayProcess, RealClock
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port
+from sagetrack.lab.stand_ins.sockets import Agent, AgentConnection
 from sagetrack.store.directory import Disk
 from sagetrack.store.engine import Store
 from sagetrack.store.format import Record
--- a/sagetrack/lab/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -13,9 +13,9 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 
-from sagetrack.lab.judges import judge
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, altered
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Scenario, altered
 
 FIRST_S = 10.0
 VARIANTS = ("never", "without", "with", "store")
--- a/sagetrack/lab/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -11,16 +11,16 @@
 from collections import defaultdict
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from sagetrack.lab.judges import Violation, cold_windows, judge
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, Trouble, altered, load
-from sagetrack.lab.virtual import SimClock, VirtualGateway, VirtualGateways, play
-from sagetrack.lab.world import Listed, Try, World
+from sagetrack.lab.analysis.judges import Violation, cold_windows, judge
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
+from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.repository import SCENARIOS
+from sagetrack.lab.virtual.simulation import SimClock, VirtualGateway, VirtualGateways, play
 from sagetrack.policy.events import (
     EndpointList,
     Event,
@@ -30,7 +30,7 @@
     ProcessCountChanged,
 )
 
-SCENARIO = Path(__file__).resolve().parent.parent.parent / "scenarios" / "cold-fleet.toml"
+SCENARIO = SCENARIOS / "cold-fleet.toml"
 FIRST_US = 12_000_000  # of a cold server's life: what it could do then is held against what it was sent
 STEP_US = 100_000  # in which work that is there and capacity are compared
 MOST_GATEWAYS = 1000
--- a/sagetrack/lab/sweep.py
+++ b/sagetrack/lab/benchmarks/sweep.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from sagetrack.lab.figures import Figures, figures
-from sagetrack.lab.judges import judge
-from sagetrack.lab.scenario import Scenario, altered
+from sagetrack.lab.analysis.figures import Figures, figures
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.model.scenario import Scenario, altered
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,7 +58,7 @@
 
 def play(job: Job) -> dict[str, Any]:
     """One run in virtual time, as a line of results."""
-    from sagetrack.lab.virtual import play as play_virtual
+    from sagetrack.lab.virtual.simulation import play as play_virtual
 
     started = time.perf_counter()
     records = play_virtual(job.scenario, job.seed, fault=job.fault)
--- a/sagetrack/lab/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -26,10 +26,12 @@
 
 import uvloop
 
-from sagetrack.lab.figures import histogram
-from sagetrack.lab.measure import cpu_s, free_port, memory_mb
-from sagetrack.lab.real import ROOT, LabError, need_files
-from sagetrack.lab.scenario import Clients, Fleet, RequestKind, Scenario, platform_settings
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.model.scenario import Clients, Fleet, RequestKind, Scenario, platform_settings
+from sagetrack.lab.processes.fleet import need_files
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
+from sagetrack.lab.repository import ROOT
 
 OPEN_SHARE = 0.6  # of the most that passes: the open loop's rate at the most
 OPEN_RATE = 1000.0  # the same for all that is measured, so that what a request costs can be compared
@@ -86,7 +88,7 @@
 
 def _serve_newer(count: int, core: int, pipe: Any) -> None:
     """The same of the newer format."""
-    from sagetrack.lab.grpc_server import NewConnection
+    from sagetrack.lab.stand_ins.grpc_server import NewConnection
 
     os.sched_setaffinity(0, {core})
 
@@ -319,7 +321,7 @@
             command = [
                 sys.executable,
                 "-c",
-                f"from sagetrack.lab.throughput import relay; relay({port}, {ports})",
+                f"from sagetrack.lab.benchmarks.throughput import relay; relay({port}, {ports})",
             ]
             process = subprocess.Popen(command, cwd=ROOT, env=os.environ | {"PYTHONPATH": str(ROOT)})
         else:
--- /dev/null
+++ b/sagetrack/lab/fault_injection/__init__.py
@@ -0,0 +1,1 @@
+"""Fault injection: crashes, a faulty file system, spoofed and mutated messages."""
--- a/sagetrack/lab/crash_test.py
+++ b/sagetrack/lab/fault_injection/crash_test.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.faulty_filesystem import Crash, SimFiles
+from sagetrack.lab.fault_injection.faulty_filesystem import Crash, SimFiles
 from sagetrack.store.directory import Disk
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import CorruptionError, WriteRejectedError
@@ -250,7 +250,7 @@
 
 def kill_once(folder: Path, draw: random.Random, before: int, tried: Tried) -> int:
     """Let a writer write for a moment, kill it, and look; returns the last batch that is there."""
-    code = f"from sagetrack.lab.crash_test import writer; writer({str(folder)!r})"
+    code = f"from sagetrack.lab.fault_injection.crash_test import writer; writer({str(folder)!r})"
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
     assert process.stdout is not None
     os.set_blocking(process.stdout.fileno(), False)
--- a/sagetrack/lab/dnsfuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -23,7 +23,7 @@
     parse_query,
 )
 from sagetrack.dns.message import Rcode as Code
-from sagetrack.lab.dns import Manner, Nameserver
+from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 
 SLOW_S = 0.05  # for one message: a hang
 EVIL = (b"\xc0\x0c", b"\xff\xff", b"\0\0", b"\x3f", b"\xc0\xff", b"\0\x29", b"\x80", b"\0\xff\0\xff")
--- a/sagetrack/lab/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -16,11 +16,11 @@
 
 import uvloop
 
-from sagetrack.lab.dnsclients import wire_query
-from sagetrack.lab.dnsthroughput import _await_answer, answer_to
-from sagetrack.lab.measure import free_port
-from sagetrack.lab.real import ROOT
-from sagetrack.lab.throughput import configuration
+from sagetrack.lab.benchmarks.dns_throughput import _await_answer, answer_to
+from sagetrack.lab.benchmarks.throughput import configuration
+from sagetrack.lab.processes.resource_usage import free_port
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.dns_clients import wire_query
 
 TRUE = answer_to(wire_query("a.example", 0))[-4:]
 FALSE = b"\xc6\x33\x64\x42"
--- a/sagetrack/lab/server.py
+++ b/sagetrack/lab/model/server.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from itertools import islice
 
-from sagetrack.lab.scenario import Choke, Fleet
+from sagetrack.lab.model.scenario import Choke, Fleet
 
 KEPT_US = 60_000_000  # a key is forgotten after this: windows are shorter
 STEP_US = 200_000  # how far a rate that changes with time is taken as it is
--- a/sagetrack/lab/world.py
+++ b/sagetrack/lab/model/world.py
@@ -14,9 +14,9 @@
 from itertools import accumulate, pairwise
 from typing import Protocol
 
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import ANSWER_SLACK_US, RequestKind, Scenario, Trouble
-from sagetrack.lab.server import Job, Keys, Result, Server
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import ANSWER_SLACK_US, RequestKind, Scenario, Trouble
+from sagetrack.lab.model.server import Job, Keys, Result, Server
 
 READY, DRAINING, GONE = "SERVING", "DRAINING", "DELETED"
 LATE_US = 50_000  # a client that starts later than this past its time counts as late
--- /dev/null
+++ b/sagetrack/lab/processes/__init__.py
@@ -0,0 +1,1 @@
+"""A fleet of real gateway processes in real time, on loopback."""
--- a/sagetrack/lab/real.py
+++ b/sagetrack/lab/processes/fleet.py
@@ -26,27 +26,24 @@
 
 import uvloop
 
-from sagetrack.lab.dnsclients import DnsSide
-from sagetrack.lab.grpc_server import NewServerConnection
-from sagetrack.lab.measure import cpu_s, free_port, memory_mb
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, Trouble, platform_settings
-from sagetrack.lab.server import Server
-from sagetrack.lab.sockets import Agent, ClientConnection, ServerHost, Way
-from sagetrack.lab.world import Listed, Try, World
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.model.scenario import Scenario, Trouble, platform_settings
+from sagetrack.lab.model.server import Server
+from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.dns_clients import DnsSide
+from sagetrack.lab.stand_ins.grpc_server import NewServerConnection
+from sagetrack.lab.stand_ins.sockets import Agent, ClientConnection, ServerHost, Way
 
 READY_S = 15.0  # for a gateway to say that it is ready
 SETTLE_S = 0.3  # between an upgrade's new process being ready and the old one's SIGTERM
 LEAVE_S = 4.0  # for a gateway to end after SIGTERM
 SPARE_FILES = 200
-ROOT = Path(__file__).resolve().parent.parent.parent
 PR_SET_PDEATHSIG = 1
 
 
-class LabError(RuntimeError):
-    """The lab cannot play this; the message says why, in one line."""
-
-
 class RealClock:
     """Microseconds of the event loop since the run began."""
 
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -6,7 +6,7 @@
 
 import time
 
-from sagetrack.lab.membership import Fleet, death, partition
+from sagetrack.lab.benchmarks.membership import Fleet, death, partition
 from sagetrack.lab.scale.gateway import BASE_US, FEW_TENANTS, Hollow
 from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
 from sagetrack.lab.scale.world import FleetAhead
--- a/sagetrack/lab/scale/process.py
+++ b/sagetrack/lab/scale/process.py
@@ -21,11 +21,12 @@
 
 import uvloop
 
-from sagetrack.lab.measure import cpu_s, free_port, memory_mb
-from sagetrack.lab.real import GatewayProcess, LabError, need_files
+from sagetrack.lab.benchmarks.throughput import _Echo, _load, _Run
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.processes.fleet import GatewayProcess, need_files
+from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.scale.world import FleetAhead
-from sagetrack.lab.scripted import Exchange, peer, reply
-from sagetrack.lab.throughput import _Echo, _load, _Run
+from sagetrack.lab.stand_ins.scripted import Exchange, peer, reply
 
 NAME = "real-gateway"
 STEPS = 5
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from sagetrack.lab.scripted import Message, read_message
 from sagetrack.lab.soak.events import Answered, Journal, Left, Misbehaved, Sent, Unanswered, now_us
 from sagetrack.lab.soak.server import is_body_for
+from sagetrack.lab.stand_ins.scripted import Message, read_message
 
 WORKERS = 10
 FIRST_REQUEST_US = 450_000  # a gateway gives a new connection so long, and a little more
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -9,8 +9,8 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from sagetrack.lab.scripted import read_message, reply
 from sagetrack.lab.soak.events import now_us
+from sagetrack.lab.stand_ins.scripted import read_message, reply
 
 GROUPS = 3
 REMEMBERED = 50  # changes
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sagetrack.lab.soak.events import Begun, Journal, Whole, now_us
-from sagetrack.lab.sockets import Door
+from sagetrack.lab.stand_ins.sockets import Door
 
 PIECE = 16 * 1024
 Fault = Literal["mute", "unmute", "reset", "stall", "flow"]
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -16,8 +16,9 @@
 
 import msgspec
 
-from sagetrack.lab.measure import free_port
-from sagetrack.lab.real import ROOT, _die_with_parent
+from sagetrack.lab.processes.fleet import _die_with_parent
+from sagetrack.lab.processes.resource_usage import free_port
+from sagetrack.lab.repository import ROOT
 from sagetrack.lab.soak import events
 from sagetrack.lab.soak.client import Plan
 from sagetrack.lab.soak.discovery import GROUPS, Agent, Listed, Registry
--- a/sagetrack/lab/soak/server.py
+++ b/sagetrack/lab/soak/server.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from pathlib import Path
 
-from sagetrack.lab.scripted import Message, read_message
 from sagetrack.lab.soak.events import Journal, Rejected, Second, now_us
+from sagetrack.lab.stand_ins.scripted import Message, read_message
 
 WORK_S = (0.005, 0.03)
 SLOW_S = (0.3, 0.9)
--- a/sagetrack/lab/dnsclients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from sagetrack.lab.dns import Manner, Nameserver
-from sagetrack.lab.scenario import Scenario, Trouble
-from sagetrack.lab.world import World
+from sagetrack.lab.model.scenario import Scenario, Trouble
+from sagetrack.lab.model.world import World
+from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 
 SOCKETS = 4  # of the clients of each gateway
 
--- a/sagetrack/lab/grpc_server.py
+++ b/sagetrack/lab/stand_ins/grpc_server.py
@@ -18,10 +18,10 @@
 from sagetrack.grpc.calls_pb2 import Answer, Call
 from sagetrack.grpc.messages import Unpacker, goaway_frame, pack
 from sagetrack.grpc.metadata import parse_timeout_us
-from sagetrack.lab.server import Job, Result
+from sagetrack.lab.model.server import Job, Result
 
 if TYPE_CHECKING:
-    from sagetrack.lab.sockets import ServerHost
+    from sagetrack.lab.stand_ins.sockets import ServerHost
 
 BODY = b"x" * 64
 
--- a/sagetrack/lab/sockets.py
+++ b/sagetrack/lab/stand_ins/sockets.py
@@ -15,9 +15,9 @@
 
 import httptools
 
-from sagetrack.lab.grpc_server import NewServerConnection
-from sagetrack.lab.server import Job, Result, Server
-from sagetrack.lab.world import GONE, Listed, World
+from sagetrack.lab.model.server import Job, Result, Server
+from sagetrack.lab.model.world import GONE, Listed, World
+from sagetrack.lab.stand_ins.grpc_server import NewServerConnection
 
 TOLD_LATEST_US = 6_000_000  # after the agent has it, a change counts as told
 BODY = b"x" * 64
--- a/sagetrack/lab/faults.py
+++ b/sagetrack/lab/virtual/faulty_gateways.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sagetrack.lab.virtual import Held, VirtualGateway
+from sagetrack.lab.virtual.simulation import Held, VirtualGateway
 from sagetrack.policy.actions import Action, Fail, Reject, SendAttempt
 from sagetrack.policy.events import (
     AttemptEnded,
--- a/sagetrack/lab/virtual.py
+++ b/sagetrack/lab/virtual/simulation.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, Trouble, platform_settings
-from sagetrack.lab.server import Job, Result
-from sagetrack.lab.world import GONE, Listed, Try, World
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Scenario, Trouble, platform_settings
+from sagetrack.lab.model.server import Job, Result
+from sagetrack.lab.model.world import GONE, Listed, Try, World
 from sagetrack.peers.codec import Datagram, DemandGossip, WarmStartRequest, WarmStartResponse, decode, encode
 from sagetrack.peers.demand_gossip import DemandGossipSchedule, demand_message, demands_from
 from sagetrack.peers.membership import Membership
@@ -589,7 +589,7 @@
     records.header["driver"] = "virtual"
     make: Callable[..., VirtualGateway] = VirtualGateway
     if fault:
-        from sagetrack.lab.faults import maker
+        from sagetrack.lab.virtual.faulty_gateways import maker
 
         make = maker(fault)
         records.header["fault"] = fault
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -14,7 +14,7 @@
 import dns.rdatatype
 
 from sagetrack.dns.service import DnsConfig, DnsService
-from sagetrack.lab.dns import Manner, Nameserver
+from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 from tests.sockets import until
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,7 +17,7 @@
 from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.core.gateway import Gateway
 from sagetrack.http1.listener import HttpListener
-from sagetrack.lab.scripted import (
+from sagetrack.lab.stand_ins.scripted import (
     Exchange,
     Message,
     Peer,
--- a/tests/test_admission_gateway.py
+++ b/tests/test_admission_gateway.py
@@ -10,10 +10,10 @@
 from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.lab.figures import figures
-from sagetrack.lab.judges import judge
-from sagetrack.lab.scenario import altered, load
-from sagetrack.lab.virtual import play
+from sagetrack.lab.analysis.figures import figures
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.model.scenario import altered, load
+from sagetrack.lab.virtual.simulation import play
 from sagetrack.policy.rate_limit import Rate
 from sagetrack.server.admission_settings import tenant_shares, with_admission
 from sagetrack.server.reload import read_operator
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,8 +13,9 @@
 
 import pytest
 
-from sagetrack.lab.real import LabError, need_files, play
-from sagetrack.lab.scenario import load
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.model.scenario import load
+from sagetrack.lab.processes.fleet import need_files, play
 from tests.sockets import configuration
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,12 +10,12 @@
 from typer.testing import CliRunner
 
 from sagetrack.cli.app import app
-from sagetrack.lab.faults import COLD_FAULTS, COLD_SHOWN_BY
-from sagetrack.lab.judges import cold_sum, cold_windows
-from sagetrack.lab.records import Record, Records
-from sagetrack.lab.scenario import Fleet, RequestKind, Scenario
-from sagetrack.lab.slow_start import CASES, Case, ColdGateways, figures, measure
-from sagetrack.lab.virtual import play
+from sagetrack.lab.analysis.judges import cold_sum, cold_windows
+from sagetrack.lab.analysis.records import Record, Records
+from sagetrack.lab.benchmarks.slow_start import CASES, Case, ColdGateways, figures, measure
+from sagetrack.lab.model.scenario import Fleet, RequestKind, Scenario
+from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS, COLD_SHOWN_BY
+from sagetrack.lab.virtual.simulation import play
 from sagetrack.policy.events import ObservationsReceived
 
 # The judge and the figures, on records made by hand: a server that starts at 1 s with a fifth of its
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -10,7 +10,7 @@
 from sagetrack.config.platform import stable_id
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.discovery.endpoints_by_protocol import EndpointsByProtocol
-from sagetrack.lab.dns import nameserver
+from sagetrack.lab.stand_ins.dns_server import nameserver
 from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 from tests.dns_helpers import (
     UdpClient,
--- a/tests/test_dns_fuzz.py
+++ b/tests/test_dns_fuzz.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sagetrack.lab.dnsfuzz import Found, examine, fuzz, seeds
+from sagetrack.lab.fault_injection.dns_fuzz import Found, examine, fuzz, seeds
 
 
 def test_mutated_messages_of_a_fixed_seed_break_nothing() -> None:
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -12,7 +12,7 @@
 import dns.rdatatype
 
 from sagetrack.dns.service import DnsConfig, DnsService
-from sagetrack.lab.dns import Manner, nameserver
+from sagetrack.lab.stand_ins.dns_server import Manner, nameserver
 from tests.dns_helpers import (
     UdpClient,
     extended_errors,
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -14,7 +14,7 @@
 
 from sagetrack.dns.downstream_connection import MAX_PIPELINED_QUERIES
 from sagetrack.dns.listener import ClientLimits
-from sagetrack.lab.dns import Manner, nameserver
+from sagetrack.lab.stand_ins.dns_server import Manner, nameserver
 from tests.dns_helpers import (
     UdpClient,
     query,
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -18,7 +18,7 @@
 )
 from sagetrack.dns.service import ZoneConfig
 from sagetrack.dns.zone import LocalZones, ZoneError, ZoneMember
-from sagetrack.lab.dns import nameserver
+from sagetrack.lab.stand_ins.dns_server import nameserver
 from tests.dns_helpers import (
     UdpClient,
     extended_errors,
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -10,7 +10,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from sagetrack.lab.measure import free_port
+from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.soak.shim import NONE, Control, Faults, build
 from tests.sockets import configuration, on_loop, peer, request, until
 from tests.test_gateway_process import READY, ROOT, ask
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -10,8 +10,8 @@
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.core.responses import Response
 from sagetrack.grpc.mirroring import MirrorReport, difference
-from sagetrack.lab.grpc_server import Asked, NewConnection
-from sagetrack.lab.scripted import peer
+from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.scripted import peer
 from tests.grpc_helpers import (
     grpc_upstream_rig,
 )
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -10,7 +10,7 @@
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.protocol_router import ProtocolRouter
 from sagetrack.http1.connection_pool import ConnectionPools
-from sagetrack.lab.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import ListedServer
 from sagetrack.policy.migration import Migration
 from tests.grpc_helpers import (
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -10,7 +10,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.grpc.outcomes import Reset
-from sagetrack.lab.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import ListedServer, Outcome, ServerStatus
 from tests.grpc_helpers import (
     SETTINGS,
--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -9,8 +9,8 @@
 from typer.testing import CliRunner
 
 from sagetrack.cli.app import app
-from sagetrack.lab.overload import JamFigures, figures, measure, percentiles, scenario_for
-from sagetrack.lab.records import Records
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.benchmarks.overload import JamFigures, figures, measure, percentiles, scenario_for
 
 SMALL = {"fleet.servers": 20, "seconds": 30, "trouble.1.at_s": 8, "trouble.1.seconds": 7}  # for CI
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.errors import FileError
-from sagetrack.lab import sweep as sweeps
-from sagetrack.lab.faults import FAULTS, SHOWN_BY
-from sagetrack.lab.figures import figures
-from sagetrack.lab.judges import RULES, judge
-from sagetrack.lab.records import Record, Records, read
-from sagetrack.lab.scenario import Choke, Fleet, Scenario, altered, load
-from sagetrack.lab.server import Job, Keys, Result, Server
-from sagetrack.lab.virtual import play
+from sagetrack.lab.analysis.figures import figures
+from sagetrack.lab.analysis.judges import RULES, judge
+from sagetrack.lab.analysis.records import Record, Records, read
+from sagetrack.lab.benchmarks import sweep as sweeps
+from sagetrack.lab.model.scenario import Choke, Fleet, Scenario, altered, load
+from sagetrack.lab.model.server import Job, Keys, Result, Server
+from sagetrack.lab.virtual.faulty_gateways import FAULTS, SHOWN_BY
+from sagetrack.lab.virtual.simulation import play
 
 SCENARIOS = Path(__file__).parent.parent / "scenarios"
 SHORT = altered(load(SCENARIOS / "three-troubles.toml"), {"seconds": 22.0})
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from sagetrack.lab.judges import judge
-from sagetrack.lab.real import GatewayProcess, RealClock, RealGateways
-from sagetrack.lab.records import Records
-from sagetrack.lab.scenario import Scenario, altered, load
-from sagetrack.lab.world import World
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.model.scenario import Scenario, altered, load
+from sagetrack.lab.model.world import World
+from sagetrack.lab.processes.fleet import GatewayProcess, RealClock, RealGateways
 
 
 def test_a_death_overtakes_an_upgrade(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.lab.membership import Fleet, death, partition
+from sagetrack.lab.benchmarks.membership import Fleet, death, partition
 from sagetrack.peers.codec import (
     Datagram,
     Ping,
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -14,7 +14,7 @@
 import pytest
 
 from sagetrack.config.operator import load as load_operator
-from sagetrack.lab.readiness import Case, fill, nine_in_ten
+from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
 from sagetrack.store.directory import Disk
 from tests.sockets import configuration, on_loop, peer, request, running
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,8 +13,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sagetrack.lab.crash_test import SMALL, Life, Tried, crash_once, kill_once, look, sample, state_of
-from sagetrack.lab.faulty_filesystem import Crash, SimFiles
+from sagetrack.lab.fault_injection.crash_test import (
+    SMALL,
+    Life,
+    Tried,
+    crash_once,
+    kill_once,
+    look,
+    sample,
+    state_of,
+)
+from sagetrack.lab.fault_injection.faulty_filesystem import Crash, SimFiles
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import NewerFormatError, StoreFullError
 from sagetrack.store.format import LOG_MAGIC, Record, encode_file_header, encode_frame
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sagetrack.lab.crash_test import SMALL
+from sagetrack.lab.fault_injection.crash_test import SMALL
 from sagetrack.store.directory import Disk
 from sagetrack.store.engine import Store
 from sagetrack.store.format import FILE_HEADER, Record
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -8,10 +8,10 @@
 
 from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
-from sagetrack.lab.judges import judge
-from sagetrack.lab.scenario import altered, load
-from sagetrack.lab.scripted import peer
-from sagetrack.lab.virtual import VirtualGateway, play
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.model.scenario import altered, load
+from sagetrack.lab.stand_ins.scripted import peer
+from sagetrack.lab.virtual.simulation import VirtualGateway, play
 from sagetrack.policy.events import Event, ObservationsReceived
 from sagetrack.store.recorder import (
     decode_second,
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from sagetrack.lab.crash_test import SMALL
-from sagetrack.lab.faulty_filesystem import SimFiles
+from sagetrack.lab.fault_injection.crash_test import SMALL
+from sagetrack.lab.fault_injection.faulty_filesystem import SimFiles
 from sagetrack.store.directory import Disk
 from sagetrack.store.errors import StoreOpenError
 from sagetrack.store.format import Record
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from sagetrack.lab.restart import pairs
-from sagetrack.lab.scenario import load
-from sagetrack.lab.virtual import play
+from sagetrack.lab.benchmarks.restart import pairs
+from sagetrack.lab.model.scenario import load
+from sagetrack.lab.virtual.simulation import play
 from sagetrack.peers.codec import (
     DATAGRAM_LIMIT,
     Datagram,
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.scripted import Exchange, peer, read_message, reply
+from sagetrack.lab.stand_ins.scripted import Exchange, peer, read_message, reply
 from tests.sockets import configuration, request
 
 SERVICE_TIME_S = 0.03
