--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -62,20 +62,20 @@
 
     def _reject(self, action: Reject) -> None:
         context = self._context
-        request = context.in_flight.finish_unanswered(action.request)
-        if request is not None:
-            request.count_in(context.metrics.deferred)
+        in_flight = context.in_flight.finish_unanswered(action.request)
+        if in_flight is not None:
+            in_flight.count_in(context.metrics.deferred)
             context.rejections.add(action.reason.value)
             context.trace.note(Step.REJECTED, action.request, action.reason.value)
-            request.call.client.on_rejected(request.call, action.retry_after_us)
+            in_flight.request.client.on_rejected(in_flight.request, action.retry_after_us)
 
     def _fail(self, action: Fail) -> None:
         context = self._context
-        request = context.in_flight.finish_unanswered(action.request)
-        if request is not None:
-            request.count_in(context.metrics.errored)
-            context.trace.note(Step.FAILED, action.request, "timed out" if request.timed_out else "")
-            request.call.client.on_failed(request.call, request.timed_out)
+        in_flight = context.in_flight.finish_unanswered(action.request)
+        if in_flight is not None:
+            in_flight.count_in(context.metrics.errored)
+            context.trace.note(Step.FAILED, action.request, "timed out" if in_flight.timed_out else "")
+            in_flight.request.client.on_failed(in_flight.request, in_flight.timed_out)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
         if self._context.endpoint_source is not None:
--- a/sagetrack/core/answer_watchdog.py
+++ b/sagetrack/core/answer_watchdog.py
@@ -39,16 +39,16 @@
         self.start()
         context = self._context
         now = now_us()
-        for id_, request in list(context.in_flight.items()):
-            remaining_us = request.remaining_us(now)
+        for id_, in_flight in list(context.in_flight.items()):
+            remaining_us = in_flight.remaining_us(now)
             if (
-                request.is_finished
-                or request.streaming_attempt is not None
+                in_flight.is_finished
+                or in_flight.streaming_attempt is not None
                 or remaining_us > -MAX_LATENESS_US
             ):
                 continue
-            if not request.was_overdue:
-                request.was_overdue = True
+            if not in_flight.was_overdue:
+                in_flight.was_overdue = True
                 continue
             detail = f"{-remaining_us / 1000:.0f} ms past its time"
             context.violations.note(Invariant.ANSWERED_IN_TIME, id_, detail)
--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -22,54 +22,56 @@
     def send(self, action: SendAttempt) -> None:
         """Start an attempt; one that a rule forbids is reported to the load balancer as not sent."""
         context = self._context
-        request = context.in_flight.get(action.request)
-        if request is None:
+        in_flight = context.in_flight.get(action.request)
+        if in_flight is None:
             return
-        remaining_us = request.remaining_us(now_us())
+        remaining_us = in_flight.remaining_us(now_us())
         wait_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
         # Added first: the attempt may end before `begin` returns.
-        number = request.add_attempt(self._servers.new_attempt_record(action.server))
-        denial = self._denial(request, action.server, number, wait_us)
+        number = in_flight.add_attempt(self._servers.new_attempt_record(action.server))
+        denial = self._denial(in_flight, action.server, number, wait_us)
         if denial is not None:
             context.note_denial(action.request, denial)
             context.post(lambda: self._not_sent(action, number))
             return
-        request.attempts_in_flight += 1
-        observer = GatewayAttemptObserver(context, request, number, action.begin_by_us)
-        request.attempts[number] = context.upstream.begin(request.call, action.server, wait_us, observer)
+        in_flight.attempts_in_flight += 1
+        observer = GatewayAttemptObserver(context, in_flight, number, action.begin_by_us)
+        in_flight.attempts[number] = context.upstream.begin(
+            in_flight.request, action.server, wait_us, observer
+        )
 
     def cancel(self, action: Cancel) -> None:
         """Cancel an attempt, if it was started."""
-        request = self._context.in_flight.get(action.request)
-        if request is not None and 0 <= action.attempt < len(request.attempts):
-            attempt = request.attempts[action.attempt]
+        in_flight = self._context.in_flight.get(action.request)
+        if in_flight is not None and 0 <= action.attempt < len(in_flight.attempts):
+            attempt = in_flight.attempts[action.attempt]
             if attempt is not None:
                 self._context.upstream.cancel(attempt)
 
     def _denial(
-        self, request: InFlightRequest, server: int, number: int, wait_us: int
+        self, in_flight: InFlightRequest, server: int, number: int, wait_us: int
     ) -> DenialReason | None:
         """Return why an attempt may not be started; an unsafe retry is noted as a violation."""
         context = self._context
         settings = context.settings
         if number >= settings.max_attempts:
             return DenialReason.TOO_MANY_ATTEMPTS
-        body = request.call.streamed_body
+        body = in_flight.request.streamed_body
         if body is not None and (body.forwarding_started or body.is_aborted):
             return DenialReason.BODY_CONSUMED
         state = ServerState.SERVING if server in context.upstream.listed else ServerState.NOT_LISTED
-        denial = may_send(request.is_finished, wait_us, state, lambda: False)
+        denial = may_send(in_flight.is_finished, wait_us, state, lambda: False)
         if denial is not None:
             return denial
-        request_class = settings.classes[request.call.class_index]
-        records = request.attempt_records
+        request_class = settings.classes[in_flight.request.class_index]
+        records = in_flight.attempt_records
         denial = may_retry(settings, request_class, records[number], records, now_us())
         if denial is not None:
             detail = f"{denial.value} at server {server}"
-            context.violations.note(Invariant.RETRIES_ARE_SAFE, request.call.id, detail)
+            context.violations.note(Invariant.RETRIES_ARE_SAFE, in_flight.request.id, detail)
         return denial
 
     def _not_sent(self, action: SendAttempt, number: int) -> Event:
-        request = self._context.in_flight.get(action.request)
-        finished = request is None or request.is_finished
+        in_flight = self._context.in_flight.get(action.request)
+        finished = in_flight is None or in_flight.is_finished
         return AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, finished)
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -19,7 +19,7 @@
 from sagetrack.core.event_dispatcher import EventDispatcher, PostEvent
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
-from sagetrack.core.interfaces import Call, Recorder, UpstreamPool
+from sagetrack.core.interfaces import Recorder, Request, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
 from sagetrack.core.metrics import Metrics, ReasonCounter
 from sagetrack.core.send_rules import DenialReason
@@ -140,28 +140,28 @@
             self._context.endpoint_source.close()
         self._upstream.close()
 
-    def submit(self, call: Call) -> bool:
+    def submit(self, request: Request) -> bool:
         """Take a request, which will have exactly one final response unless it is cancelled.
 
         Returns:
             Whether it was taken: False if a request with its id is in flight already.
         """
-        if call.id in self.in_flight:
+        if request.id in self.in_flight:
             return False
         now = now_us()
-        waited_us = max(0, now - call.received_us) if call.received_us else 0
-        self.in_flight[call.id] = InFlightRequest(call, now + call.client_timeout_us - waited_us)
+        waited_us = max(0, now - request.received_us) if request.received_us else 0
+        self.in_flight[request.id] = InFlightRequest(request, now + request.client_timeout_us - waited_us)
         event = RequestArrived(
-            call.id,
-            call.class_index,
-            call.client_timeout_us,
-            call.key,
-            call.work_us,
-            call.is_retry,
-            call.tenant,
-            call.streamed_body is not None,
-            call.client_id,
-            call.mirror_target,
+            request.id,
+            request.class_index,
+            request.client_timeout_us,
+            request.key,
+            request.work_us,
+            request.is_retry,
+            request.tenant,
+            request.streamed_body is not None,
+            request.client_id,
+            request.mirror_target,
             waited_us,
         )
         self.post(lambda: event)
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.event_dispatcher import PostEvent
 from sagetrack.core.event_trace import EventTrace, Step
-from sagetrack.core.interfaces import Attempt, Call, UpstreamPool
+from sagetrack.core.interfaces import Attempt, Request, UpstreamPool
 from sagetrack.core.metrics import Counter
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import RequestCancelled
@@ -18,7 +18,7 @@
     """A request that awaits its final response, or whose attempts have not all ended.
 
     Attributes:
-        call: The request.
+        request: The request.
         deadline_us: When its client stops waiting, unless its body is streamed.
         attempts: Its attempts in the order of their choice; None for one that was never started.
         attempt_records: The same attempts, as far as retries depend on them.
@@ -29,7 +29,7 @@
         was_overdue: Whether it was found unanswered past its deadline before.
     """
 
-    call: Call
+    request: Request
     deadline_us: int
     attempts: list[Attempt | None] = field(default_factory=list)
     attempt_records: list[AttemptRecord] = field(default_factory=list)
@@ -41,19 +41,19 @@
 
     def remaining_us(self, now_us: int) -> int:
         """Return what is left of its client's timeout, which runs from the last byte of the request on."""
-        body = self.call.streamed_body
+        body = self.request.streamed_body
         if body is None:
             return self.deadline_us - now_us
         since_us = body.completed_us if body.is_complete else now_us
-        return since_us + self.call.client_timeout_us - now_us
+        return since_us + self.request.client_timeout_us - now_us
 
     @property
     def is_current(self) -> bool:
         """Whether it is a client's, has come completely and awaits its final response."""
         return (
             not self.is_finished
-            and self.call.mirror_target < 0
-            and (self.call.streamed_body is None or self.call.streamed_body.is_complete)
+            and self.request.mirror_target < 0
+            and (self.request.streamed_body is None or self.request.streamed_body.is_complete)
         )
 
     def add_attempt(self, record: AttemptRecord) -> int:
@@ -68,8 +68,8 @@
 
     def count_in(self, counter: Counter) -> None:
         """Count it by its class, unless it is a mirrored request, which no client awaits."""
-        if self.call.mirror_target < 0:
-            counter.add(self.call.class_index)
+        if self.request.mirror_target < 0:
+            counter.add(self.request.class_index)
 
 
 class InFlightRequests(dict[str, InFlightRequest]):
@@ -79,44 +79,44 @@
         super().__init__()
         self._upstream, self._trace, self._post = upstream, trace, post
 
-    def finish(self, request: InFlightRequest) -> None:
+    def finish(self, in_flight: InFlightRequest) -> None:
         """Mark a request as finished, and cancel its attempts of which nothing was sent yet."""
-        request.is_finished = True
-        if request.attempts_in_flight == 0:
-            del self[request.call.id]
+        in_flight.is_finished = True
+        if in_flight.attempts_in_flight == 0:
+            del self[in_flight.request.id]
             return
-        for attempt in request.started_attempts():
+        for attempt in in_flight.started_attempts():
             self._upstream.cancel_unsent(attempt)
 
     def finish_unanswered(self, id_: str) -> InFlightRequest | None:
         """Finish a request and return it, for the caller to respond; None if it is finished already."""
-        request = self.get(id_)
-        if request is None or request.is_finished:
+        in_flight = self.get(id_)
+        if in_flight is None or in_flight.is_finished:
             return None
-        self.finish(request)
-        return request
+        self.finish(in_flight)
+        return in_flight
 
     def cancel(self, id_: str) -> None:
         """Finish a request whose client has disconnected: no response is sent."""
-        request = self.get(id_)
-        if request is None or request.is_finished:
+        in_flight = self.get(id_)
+        if in_flight is None or in_flight.is_finished:
             return
         self._trace.note(Step.CLIENT_GONE, id_)
-        self.finish(request)
+        self.finish(in_flight)
         self._post(lambda: RequestCancelled(id_))
-        if request.streaming_attempt is not None or request.call.streamed_body is not None:
+        if in_flight.streaming_attempt is not None or in_flight.request.streamed_body is not None:
             # What is streamed through such an attempt has lost its downstream end.
-            for attempt in request.started_attempts():
+            for attempt in in_flight.started_attempts():
                 self._upstream.cancel(attempt)
 
     def cancel_unanswered_attempts(self) -> None:
         """Cancel all attempts whose response has not started; the load balancer decides what follows."""
-        for request in list(self.values()):
-            if request.is_finished or request.streaming_attempt is not None:
+        for in_flight in list(self.values()):
+            if in_flight.is_finished or in_flight.streaming_attempt is not None:
                 continue
-            for attempt in request.started_attempts():
+            for attempt in in_flight.started_attempts():
                 self._upstream.cancel(attempt)
 
     def current_count(self) -> int:
         """Return how many clients' requests have come completely and await their final response."""
-        return sum(request.is_current for request in self.values())
+        return sum(in_flight.is_current for in_flight in self.values())
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -27,7 +27,7 @@
 
 
 class Attempt(Protocol):
-    """One attempt of a call at one server, as the protocol's upstream pool holds it."""
+    """One attempt of a request at one server, as the protocol's upstream pool holds it."""
 
     @property
     def server(self) -> int:
@@ -93,7 +93,7 @@
         """Return when each listed server started, in microseconds: it tells incarnations apart."""
         ...
 
-    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
+    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
         """Start an attempt that may take `wait_us`; None if the server is not listed."""
         ...
 
@@ -124,49 +124,49 @@
 
 
 class Client(Protocol):
-    """The downstream side of a call, which receives exactly one final response.
+    """The downstream side of a request, which receives exactly one final response.
 
     That is one of `on_response`, `on_rejected` and `on_failed`, or a streamed response: one
     `on_response_started`, any number of `on_response_data`, and one of `on_response_ended` and
     `on_response_aborted`.
     """
 
-    def on_response(self, call: Call, answer: Any) -> None:
+    def on_response(self, request: Request, answer: Any) -> None:
         """Take a complete response."""
         ...
 
-    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
         """Take the head of a streamed response."""
         ...
 
-    def on_response_data(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, request: Request, data: bytes) -> None:
         """Take the next bytes of a streamed response."""
         ...
 
-    def on_response_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, request: Request, answer: Any) -> None:
         """Take the end of a streamed response, which is complete."""
         ...
 
-    def on_response_aborted(self, call: Call) -> None:
+    def on_response_aborted(self, request: Request) -> None:
         """Learn that the rest of a streamed response will not come."""
         ...
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
-        """Learn that the call is rejected; a retry has a chance after `retry_after_us`."""
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
+        """Learn that the request is rejected; a retry has a chance after `retry_after_us`."""
         ...
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
-        """Learn that the call has failed; `timed_out` if its last attempt took too long."""
+    def on_failed(self, request: Request, timed_out: bool) -> None:
+        """Learn that the request has failed; `timed_out` if its last attempt took too long."""
         ...
 
 
 def never_gone() -> bool:
-    """Return False: the default for calls whose client cannot disconnect."""
+    """Return False: the default for requests whose client cannot disconnect."""
     return False
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class Request:
     """A client's request, as the gateway takes it from any protocol.
 
     Attributes:
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -13,7 +13,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Source
+from sagetrack.core.interfaces import Request, Source
 from sagetrack.dns.cache import STALE_TTL_S, AnswerCache, CacheKey
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
 from sagetrack.dns.message import (
@@ -103,7 +103,7 @@
         self.counts = QueryCounts()
         self.waiting: dict[tuple[Any, ...], WaitingQuery] = {}
         self.shared: dict[CacheKey, SharedRequest] = {}
-        self.requests: dict[str, SharedRequest] = {}  # by id of the call
+        self.requests: dict[str, SharedRequest] = {}  # by id of the request
         self.last_number = 0
 
     # Queries
@@ -209,13 +209,13 @@
         shared = self.shared[query.cache_key] = SharedRequest(query.cache_key, [waiting] if waiting else [])
         self.last_number += 1
         id_ = f"q{self.last_number:x}"
-        call = Call(id_, 0, self.client_timeout_us, None, None, False, 0, query, self)
-        self.requests[call.id] = shared
-        self.gateway.submit(call)
+        request = Request(id_, 0, self.client_timeout_us, None, None, False, 0, query, self)
+        self.requests[request.id] = shared
+        self.gateway.submit(request)
 
-    def end_request(self, call: Call) -> list[WaitingQuery]:
+    def end_request(self, request: Request) -> list[WaitingQuery]:
         """Forget a request that has ended; the queries that are to be answered now."""
-        shared = self.requests.pop(call.id, None)
+        shared = self.requests.pop(request.id, None)
         if shared is None:
             return []
         if self.shared.get(shared.cache_key) is shared:
@@ -227,29 +227,29 @@
 
     # The response, as the gateway gives it
 
-    def on_response(self, call: Call, answer: Answer) -> None:
+    def on_response(self, request: Request, answer: Answer) -> None:
         """Response from upstream."""
-        self.cache.put(call.message.cache_key, answer, now_us())
-        for waiting in self.end_request(call):
+        self.cache.put(request.message.cache_key, answer, now_us())
+        for waiting in self.end_request(request):
             self.counts.answered += 1
             self.respond(waiting, encode_reply(waiting.query, answer, waiting.limit))
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """The request is rejected."""
         text = f"come back in {retry_after_us / 1e6:.1f} s" if retry_after_us else "busy"
-        self.answer_failure(call, ExtendedError.NOT_READY, text, rejected=True)
+        self.answer_failure(request, ExtendedError.NOT_READY, text, rejected=True)
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
+    def on_failed(self, request: Request, timed_out: bool) -> None:
         """The request failed, or its deadline has passed."""
         code = ExtendedError.NO_REACHABLE_AUTHORITY if timed_out else ExtendedError.NETWORK_ERROR
-        self.answer_failure(call, code, "", rejected=False)
+        self.answer_failure(request, code, "", rejected=False)
 
-    def answer_failure(self, call: Call, code: ExtendedError, text: str, rejected: bool) -> None:
+    def answer_failure(self, request: Request, code: ExtendedError, text: str, rejected: bool) -> None:
         """Answer the queries of a request without response, from a stale answer if there is one."""
-        key, now = call.message.cache_key, now_us()
+        key, now = request.message.cache_key, now_us()
         self.cache.prefetch_failed(key)
         stale = self.cache.get_stale(key, now)
-        for waiting in self.end_request(call):
+        for waiting in self.end_request(request):
             if stale is not None:
                 self.counts.answered += 1
                 self.respond(waiting, encode_stale_reply(waiting, stale.answer))
@@ -276,19 +276,19 @@
 
     # Never called: DNS responses are not streamed
 
-    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
-    def on_response_data(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, request: Request, data: bytes) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
-    def on_response_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, request: Request, answer: Any) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
-    def on_response_aborted(self, call: Call) -> None:
+    def on_response_aborted(self, request: Request) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.dns.tcp_connection import UpstreamTcpConnection
 from sagetrack.dns.udp_socket import UdpSocket
 from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts
@@ -155,13 +155,15 @@
 
     # Attempts
 
-    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> DnsAttempt | None:
+    def begin(
+        self, request: Request, server: int, wait_us: int, observer: AttemptObserver
+    ) -> DnsAttempt | None:
         """Send a query to a server and wait `wait_us` for its response; None if it is not listed."""
         sockets = self.servers.get(server)
         if sockets is None:
             return None
         now = now_us()
-        attempt = DnsAttempt(sockets.server, call.message, observer, now)
+        attempt = DnsAttempt(sockets.server, request.message, observer, now)
         if not observer.may_begin(sockets.server.state):
             attempt.finish(Outcome.NOT_SENT)
             return attempt
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -14,7 +14,7 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.errors import TranslationError
 from sagetrack.grpc.messages import pack
@@ -146,16 +146,18 @@
 
     # Attempts
 
-    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> GrpcAttempt | None:
+    def begin(
+        self, request: Request, server: int, wait_us: int, observer: AttemptObserver
+    ) -> GrpcAttempt | None:
         """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return None
         now = now_us()
-        attempt = self.prepare(call, pool.server, wait_us, observer, now)
+        attempt = self.prepare(request, pool.server, wait_us, observer, now)
         if attempt is None:
             self.counts.untranslated += 1
-            attempt = GrpcAttempt(pool.server, call, observer, now, wait_us, [], deque())
+            attempt = GrpcAttempt(pool.server, request, observer, now, wait_us, [], deque())
             attempt.finish(Outcome.NOT_SENT)
             return attempt
         if not attempt.may_start():
@@ -170,20 +172,22 @@
         return attempt
 
     def prepare(
-        self, call: Call, server: GrpcUpstreamServer, wait_us: int, observer: AttemptObserver, now: int
+        self, request: Request, server: GrpcUpstreamServer, wait_us: int, observer: AttemptObserver, now: int
     ) -> GrpcAttempt | None:
         """Translate a request; None if it has no counterpart in gRPC.
 
         Downstream rejects such a request with the reason; this is for what is not known there.
         """
         authority = f"{server.address[0]}:{server.address[1]}"
-        length = call.streamed_body.length if call.streamed_body is not None else None
+        length = request.streamed_body.length if request.streamed_body is not None else None
         try:
-            headers, first = request_to_grpc(call.message.head, call.message.body, length, wait_us, authority)
+            headers, first = request_to_grpc(
+                request.message.head, request.message.body, length, wait_us, authority
+            )
         except TranslationError:
             return None
         pending = deque([pack(first)])
-        return GrpcAttempt(server, call, observer, now, wait_us, headers, pending, last_progress_us=now)
+        return GrpcAttempt(server, request, observer, now, wait_us, headers, pending, last_progress_us=now)
 
     def start_timeout(self, attempt: GrpcAttempt, wait_us: int) -> None:
         """Let the timeout run from the request's last byte."""
@@ -191,7 +195,7 @@
         def start() -> None:
             attempt.timers.append(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
 
-        streamed_body = attempt.call.streamed_body
+        streamed_body = attempt.request.streamed_body
         if streamed_body is None or streamed_body.is_complete:
             start()
         else:
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Source
+from sagetrack.core.interfaces import Request, Source
 from sagetrack.core.responses import Response
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import Unpacker, pack
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class DownstreamStream:
-    """One request and, as the `Client` of its call, its response."""
+    """One request and, as the `Client` of its request, its response."""
 
     gateway: Gateway
     counts: DownstreamCounts
@@ -56,7 +56,7 @@
     buffered_bytes: int = 0  # of them
     streamed_body: StreamedBody | None = None  # the body, once it is too long to be buffered
     unacknowledged: int = 0  # bytes for which its window is not opened again, while the body is full
-    call: Call | None = None
+    request: Request | None = None
     pending: bytearray = field(default_factory=bytearray)  # framed messages that are still to be sent
     trailers: list[tuple[str, str]] | None = None
     source: Source | None = None
@@ -67,13 +67,13 @@
 
     # The response, as the gateway gives it
 
-    def on_response(self, call: Call, answer: Any) -> None:
+    def on_response(self, request: Request, answer: Any) -> None:
         """Complete response."""
         reply: Response = answer
         self.pending += pack(response_to_grpc(reply.headers, reply.body))
         self.finish([("grpc-status", "0")])
 
-    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
         """Head of a streamed response."""
         reply: Response = head
         first = Answer.FromString(response_to_grpc(reply.headers, b""))
@@ -82,27 +82,27 @@
         self.source = source
         self.send(pack(first.SerializeToString()))
 
-    def on_response_data(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, request: Request, data: bytes) -> None:
         """Part of a streamed response's body."""
         self.send(pack(Answer(body=data).SerializeToString()))
 
-    def on_response_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, request: Request, answer: Any) -> None:
         """End of a streamed response."""
         self.source = None
         if answer.body:
             self.pending += pack(Answer(body=answer.body).SerializeToString())
         self.finish([("grpc-status", "0")])
 
-    def on_response_aborted(self, call: Call) -> None:
+    def on_response_aborted(self, request: Request) -> None:
         """A streamed response broke off."""
         self.source = None
         self.finish([("grpc-status", str(int(Status.DATA_LOSS))), ("grpc-message", "the answer broke off")])
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """The request is rejected and never ran."""
         self.finish(rejection_trailers(retry_after_us))
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
+    def on_failed(self, request: Request, timed_out: bool) -> None:
         """The request failed, or its deadline has passed."""
         status = Status.DEADLINE_EXCEEDED if timed_out else Status.INTERNAL
         self.finish([("grpc-status", str(int(status)))])
@@ -130,7 +130,7 @@
 
     def finish(self, trailers: list[tuple[str, str]]) -> None:
         """End the response; only the first trailers count."""
-        self.call = None
+        self.request = None
         if self.streamed_body is not None:
             self.streamed_body.abort()  # nobody takes the rest of the body
         if self.trailers is None:
@@ -145,23 +145,23 @@
 
     def abort(self, status: int, reason: str) -> None:
         """Answer a request whose body is not what it should be, and cancel its attempts."""
-        call = self.call
+        request = self.request
         self.answer_error(status, reason)
-        if call is not None:
-            self.gateway.cancel_request(call.id)
+        if request is not None:
+            self.gateway.cancel_request(request.id)
 
     def drop(self) -> None:
         """Cancel the request: the client has gone or has reset the stream."""
         self.closed = True
-        call, self.call = self.call, None
+        request, self.request = self.request, None
         if self.streamed_body is not None:
             self.streamed_body.abort()
-        if call is not None:
-            self.gateway.cancel_request(call.id)
+        if request is not None:
+            self.gateway.cancel_request(request.id)
 
     def is_stalled(self, now: int, timeout_us: float) -> bool:
         """Whether the client neither reads its response nor sends the body it still owes."""
         streamed_body = self.streamed_body
         sends_body = streamed_body is not None and not streamed_body.is_finished and not streamed_body.is_full
-        awaits_client = self.pending or self.call is None or sends_body
+        awaits_client = self.pending or self.request is None or sends_body
         return bool(awaits_client) and now - self.last_progress_us > timeout_us
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -18,7 +18,7 @@
 import h2.connection
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.interfaces import Call, Client
+from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header, Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.calls_pb2 import Answer
@@ -213,8 +213,8 @@
         for number, observer in enumerate(observers):
             head = b"GET /lookup/%d HTTP/1.1\r\nX-Call-Class: lookup\r\n" % number
             message = Message(head, b"")
-            call = Call(str(number), 0, 3_000_000, None, None, False, 0, message, observer)  # type: ignore[arg-type]
-            pools.begin(call, 1, 3_000_000, observer)
+            request = Request(str(number), 0, 3_000_000, None, None, False, 0, message, observer)  # type: ignore[arg-type]
+            pools.begin(request, 1, 3_000_000, observer)
         connection.connection_made(transport)
         data = mutated(valid_responses(bytes(transport.out), draw), draw)
         found.frames += max(1, len(data) // BYTES_PER_FRAME_UPSTREAM)
@@ -245,53 +245,55 @@
 
     def __init__(self, draw: random.Random) -> None:
         self.draw = draw
-        self.unanswered: dict[str, Call] = {}
+        self.unanswered: dict[str, Request] = {}
         self.ended = 0
         self.cancelled = 0
 
-    def submit(self, call: Call) -> bool:
+    def submit(self, request: Request) -> bool:
         """Take a request."""
-        if call.id in self.unanswered:
+        if request.id in self.unanswered:
             return False
-        self.unanswered[call.id] = call
-        if call.streamed_body is not None:
-            call.streamed_body.on_data = lambda: self.drain(call)
-            self.drain(call)
+        self.unanswered[request.id] = request
+        if request.streamed_body is not None:
+            request.streamed_body.on_data = lambda: self.drain(request)
+            self.drain(request)
         if self.draw.random() < 0.5:
-            self.end(call)
+            self.end(request)
         return True
 
-    def drain(self, call: Call) -> None:
+    def drain(self, request: Request) -> None:
         """Take what has come of its body."""
-        while call.streamed_body is not None and call.streamed_body.chunks:
-            call.streamed_body.take()
+        while request.streamed_body is not None and request.streamed_body.chunks:
+            request.streamed_body.take()
 
     def cancel_request(self, id_: str) -> None:
         """Take note that the client has cancelled a request."""
         self.cancelled += self.unanswered.pop(id_, None) is not None
 
-    def end(self, call: Call) -> None:
+    def end(self, request: Request) -> None:
         """Answer a request in a random way."""
-        if self.unanswered.pop(call.id, None) is None:
+        if self.unanswered.pop(request.id, None) is None:
             return
         self.ended += 1
         match self.draw.randrange(4):
             case 0:
-                call.client.on_rejected(call, self.draw.randrange(2_000_000))
+                request.client.on_rejected(request, self.draw.randrange(2_000_000))
             case 1:
-                call.client.on_failed(call, self.draw.random() < 0.5)
+                request.client.on_failed(request, self.draw.random() < 0.5)
             case 2:
-                call.client.on_response_started(call, Response(200, [(b"X-A", b"b")], b"", True, 3000), self)
-                call.client.on_response_data(call, bytes(3000))
-                call.client.on_response_ended(call, Response(200, [], b"", True))
+                request.client.on_response_started(
+                    request, Response(200, [(b"X-A", b"b")], b"", True, 3000), self
+                )
+                request.client.on_response_data(request, bytes(3000))
+                request.client.on_response_ended(request, Response(200, [], b"", True))
             case _:
-                call.client.on_response(call, Response(200, [(b"X-A", b"b")], b"true", True))
+                request.client.on_response(request, Response(200, [(b"X-A", b"b")], b"true", True))
 
     def end_some(self) -> None:
         """Answer each unanswered request with even odds."""
-        for call in list(self.unanswered.values()):
+        for request in list(self.unanswered.values()):
             if self.draw.random() < 0.5:
-                self.end(call)
+                self.end(request)
 
     def pause(self) -> None:
         """As the source of a response, which has no more."""
@@ -308,12 +310,14 @@
     budget_us: int,
     client: Client,
     streamed_body: StreamedBody | None,
-) -> Call:
+) -> Request:
     ids = [value for name, value in headers if name.lower() == b"x-call-id"]
     if not ids:
         raise RequestReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
     message = Message(b"", body)
-    return Call(ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, streamed_body)
+    return Request(
+        ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, streamed_body
+    )
 
 
 def valid_requests(draw: random.Random) -> bytes:
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -25,7 +25,7 @@
 
     Args:
         gateway: Where requests go.
-        read: Makes a call from a request.
+        read: Makes a request of the gateway from what was received.
         stands_by: Whether the process is on standby, and its connections should drain.
         allowance: Memory for streamed bodies.
     """
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -14,7 +14,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Source
+from sagetrack.core.interfaces import Request, Source
 from sagetrack.core.log import log
 from sagetrack.core.responses import Header, Response
 from sagetrack.policy.rate_limit import Rate, RateLimiter
@@ -114,13 +114,13 @@
         self.report = MirrorReport()
         self.last_number = 0
 
-    def on_response(self, call: Call, from_grpc: bool, answer: Any) -> None:
+    def on_response(self, request: Request, from_grpc: bool, answer: Any) -> None:
         """A request has had its complete response, from a server of the given protocol."""
         now = now_us()
         if (
-            call.mirror_target >= 0
-            or call.streamed_body is not None
-            or call.class_index not in self.safe_classes
+            request.mirror_target >= 0
+            or request.streamed_body is not None
+            or request.class_index not in self.safe_classes
         ):
             return
         if self.rate_limiter.wait_us(0, now) > 0 or not isinstance(answer, Response) or not self.wanted():
@@ -129,7 +129,7 @@
         self.last_number += 1
         self.report.mirrored += 1
         mirrored = replace(
-            call,
+            request,
             id=f"{ID_PREFIX}{self.last_number:x}",
             client=MirrorClient(self, answer, from_grpc),
             is_retry=True,
@@ -137,14 +137,16 @@
         )
         self.gateway.submit(mirrored)
 
-    def compare(self, call: Call, original: Response, mirrored: Response, original_from_grpc: bool) -> None:
+    def compare(
+        self, request: Request, original: Response, mirrored: Response, original_from_grpc: bool
+    ) -> None:
         """Compare the responses, that of HTTP/1.1 first."""
         http1, grpc = (mirrored, original) if original_from_grpc else (original, mirrored)
         found = difference(http1, grpc, self.ignored)
         if found is None:
             self.report.equal += 1
-        elif self.report.record_difference(call.class_index, found, now_us()):
-            log(f"mirrored response differs: class {self.names[call.class_index]}, {found}", "warning")
+        elif self.report.record_difference(request.class_index, found, now_us()):
+            log(f"mirrored response differs: class {self.names[request.class_index]}, {found}", "warning")
 
     def figures(self) -> dict[str, float]:
         """Values for the exported metrics."""
@@ -168,28 +170,28 @@
     def __init__(self, mirror: ResponseMirror, original: Response, original_from_grpc: bool) -> None:
         self.mirror, self.original, self.original_from_grpc = mirror, original, original_from_grpc
 
-    def on_response(self, call: Call, answer: Any) -> None:
+    def on_response(self, request: Request, answer: Any) -> None:
         """Compare the response."""
-        self.mirror.compare(call, self.original, answer, self.original_from_grpc)
+        self.mirror.compare(request, self.original, answer, self.original_from_grpc)
 
-    def on_response_started(self, call: Call, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
         """Cancel the request: its response is too long to be buffered."""
         self.mirror.report.too_long += 1
-        self.mirror.gateway.cancel_request(call.id)
+        self.mirror.gateway.cancel_request(request.id)
 
-    def on_response_data(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, request: Request, data: bytes) -> None:
         """Ignore it: the request is cancelled."""
 
-    def on_response_ended(self, call: Call, answer: Any) -> None:
+    def on_response_ended(self, request: Request, answer: Any) -> None:
         """Ignore it: the request is cancelled."""
 
-    def on_response_aborted(self, call: Call) -> None:
+    def on_response_aborted(self, request: Request) -> None:
         """Ignore it: the request is cancelled."""
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Count the rejection."""
         self.mirror.report.rejected += 1
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
+    def on_failed(self, request: Request, timed_out: bool) -> None:
         """Count the failure."""
         self.mirror.report.failed += 1
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -8,7 +8,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, Call, Source, UpstreamPool
+from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, Request, Source, UpstreamPool
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
@@ -24,10 +24,12 @@
 class ProtocolAttemptObserver:
     """Observes one attempt ahead of its own observer, and records how its protocol fares."""
 
-    __slots__ = ("call", "is_grpc", "observer", "router", "streaming")
+    __slots__ = ("is_grpc", "observer", "request", "router", "streaming")
 
-    def __init__(self, observer: AttemptObserver, router: ProtocolRouter, is_grpc: bool, call: Call) -> None:
-        self.observer, self.router, self.is_grpc, self.call = observer, router, is_grpc, call
+    def __init__(
+        self, observer: AttemptObserver, router: ProtocolRouter, is_grpc: bool, request: Request
+    ) -> None:
+        self.observer, self.router, self.is_grpc, self.request = observer, router, is_grpc, request
         self.streaming = False
 
     def may_begin(self, server: ServerState) -> bool:
@@ -58,7 +60,7 @@
         self.router.record_outcome(self.is_grpc, outcome)
         self.observer.on_attempt_ended(attempt, outcome, answer, load)
         if outcome is Outcome.OK and not self.streaming and self.router.on_response is not None:
-            self.router.on_response(self.call, self.is_grpc, answer)
+            self.router.on_response(self.request, self.is_grpc, answer)
 
 
 class ProtocolRouter:
@@ -86,7 +88,7 @@
         self.factors = (1.0, 1.0)
         self.exceptions: tuple[WeightFactors, WeightFactors] = {}, {}  # by class and by tenant
         self.on_exceptions: Callable[[WeightFactors, WeightFactors], None] | None = None
-        self.on_response: Callable[[Call, bool, Any], None] | None = None  # complete; whether from gRPC
+        self.on_response: Callable[[Request, bool, Any], None] | None = None  # complete; whether from gRPC
         self.numbers: dict[int, None] = {}  # of all servers: read at each attempt
 
     # Weights
@@ -171,11 +173,11 @@
         """When each listed server started."""
         return self.http1.server_start_times() | self.grpc.server_start_times()
 
-    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> Any:
+    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Any:
         """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
         is_grpc = self.speaks_grpc(server)
         pool: Any = self.grpc if is_grpc else self.http1
-        return pool.begin(call, server, wait_us, ProtocolAttemptObserver(observer, self, is_grpc, call))
+        return pool.begin(request, server, wait_us, ProtocolAttemptObserver(observer, self, is_grpc, request))
 
     def cancel(self, attempt: Any) -> None:
         """Stop waiting for a response."""
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -7,16 +7,16 @@
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Client
+from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.grpc.downstream_stream import MAX_BUFFERED_BODY_BYTES, DownstreamCounts, DownstreamStream
 from sagetrack.grpc.errors import MessageError, RequestReadError, TranslationError
 from sagetrack.grpc.outcomes import Status
 from sagetrack.grpc.translate import request_body_chunk, request_to_http1, split_head
 
-RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Call]
-"""Makes a call from method, target, headers, body, time budget (us; 0: the class's own), client, and the body
-if it is streamed. Raises RequestReadError."""
+RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Request]
+"""Makes a request from method, target, headers, body, time budget (us; 0: the class's own), client, and the
+body that is streamed, if any. Raises RequestReadError."""
 
 
 class RequestIntake:
@@ -24,7 +24,7 @@
 
     Args:
         gateway: Where requests go.
-        read: Makes a call from a request.
+        read: Makes a request of the gateway from what was received.
         allowance: Memory for streamed bodies.
     """
 
@@ -86,7 +86,7 @@
             stream.answer_error(Status.INVALID_ARGUMENT, "no whole message")
             return
         try:
-            call = self.read_call(stream, streamed)
+            request = self.read_request(stream, streamed)
         except TranslationError as error:
             stream.answer_error(Status.INVALID_ARGUMENT, str(error))
             return
@@ -94,15 +94,15 @@
             stream.answer_error(error.status, str(error))
             return
         stream.messages.clear()
-        stream.call = call
-        call.has_gone = stream.connection.has_gone
+        stream.request = request
+        request.has_gone = stream.connection.has_gone
         stream.last_progress_us = now_us()
-        if not self.gateway.submit(call):
-            stream.call = None
+        if not self.gateway.submit(request):
+            stream.request = None
             stream.answer_error(Status.ALREADY_EXISTS, "this x-call-id is in use")
 
-    def read_call(self, stream: DownstreamStream, streamed: bool) -> Call:
-        """Make a call from the buffered messages.
+    def read_request(self, stream: DownstreamStream, streamed: bool) -> Request:
+        """Make a request from the buffered messages.
 
         Raises:
             TranslationError: The request has no counterpart in HTTP/1.1, or its body not the stated length.
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -10,7 +10,7 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.errors import MessageError, TranslationError
@@ -49,7 +49,7 @@
     """One attempt. It ends exactly once, by `finish`, which tells its observer."""
 
     upstream: GrpcUpstreamServer
-    call: Call
+    request: Request
     observer: AttemptObserver
     sent_us: int
     timeout_us: int
@@ -76,7 +76,7 @@
     @property
     def remaining_us(self) -> int:
         """How long the response is still waited for; the timeout runs from the request's last byte."""
-        if self.call.streamed_body is not None and not self.call.streamed_body.is_complete:
+        if self.request.streamed_body is not None and not self.request.streamed_body.is_complete:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
@@ -90,7 +90,7 @@
 
     def load_pending(self) -> bool:
         """Take the next chunk of a streamed body once all before it is sent; False if there is none."""
-        streamed_body = self.call.streamed_body
+        streamed_body = self.request.streamed_body
         if not self.pending and streamed_body is not None and streamed_body.chunks:
             self.pending.append(pack(request_body_message(streamed_body.take())))
         return bool(self.pending)
@@ -106,7 +106,7 @@
     @property
     def all_sent(self) -> bool:
         """Whether nothing of the request is left to send, now or later."""
-        streamed_body = self.call.streamed_body
+        streamed_body = self.request.streamed_body
         return not self.pending and (
             streamed_body is None or (streamed_body.is_complete and not streamed_body.chunks)
         )
@@ -155,7 +155,7 @@
 
     def is_stalled(self, now: int) -> bool:
         """Whether a streamed body, of the request or the response, has made no progress for too long."""
-        is_streamed = self.streaming or self.call.streamed_body is not None
+        is_streamed = self.streaming or self.request.streamed_body is not None
         return is_streamed and not self.paused and now - self.last_progress_us > BODY_STALL_TIMEOUT_S * 1e6
 
     def pause(self) -> None:
@@ -183,8 +183,8 @@
             self.latency_us = now_us() - self.sent_us
         for timer in self.timers:
             timer.cancel()
-        if self.call.streamed_body is not None:
-            self.call.streamed_body.on_data = self.call.streamed_body.on_complete = do_nothing
+        if self.request.streamed_body is not None:
+            self.request.streamed_body.on_data = self.request.streamed_body.on_complete = do_nothing
         if self.connection is not None:
             self.connection.forget(self)
         self.observer.on_attempt_ended(self, outcome, reply, None)
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -127,7 +127,7 @@
         attempt.stream_id, attempt.headers_sent = stream_id, True
         self.attempts[stream_id] = attempt
         self.counts.streams += 1
-        streamed_body = attempt.call.streamed_body
+        streamed_body = attempt.request.streamed_body
         if streamed_body is not None:
             streamed_body.on_data = lambda: self.send_and_flush(attempt)
         self.send_pending(attempt)
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Call
+from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.core.responses import Response
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
@@ -85,12 +85,12 @@
 
     # Attempts
 
-    def begin(self, call: Call, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
+    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
         """Send a client's request to a server and wait for so long; None if the server is not listed."""
         upstream = self.servers.get(server)
         if upstream is None:
             return None
-        message: Message = call.message
+        message: Message = request.message
 
         def payload(left_us: int) -> bytes:
             return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, left_us // 1000), message.body)
@@ -107,7 +107,7 @@
             observer.on_first_byte,
             observer.on_request_sent,
             observer.on_response_started,
-            streamed_body=call.streamed_body,
+            streamed_body=request.streamed_body,
         )
         attempt.on_response_data = lambda data: observer.on_response_data(attempt, data)
         self.attempts.send(attempt)
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -17,7 +17,7 @@
 from sagetrack.http1.connection_phases import ConnectionPhases, PhaseTracker
 from sagetrack.http1.exchange import Exchange, RequestHandling
 from sagetrack.http1.request_reader import RequestReader
-from sagetrack.http1.requests import Request, RequestError
+from sagetrack.http1.requests import HttpRequest, RequestError
 
 MAX_PIPELINED = 16  # requests read ahead on one connection
 MIN_BODY_RATE = 64_000  # bytes a second at which a body has to come
@@ -164,17 +164,17 @@
         """Enter the phase that follows from what has come and which response is due."""
         if self.is_closing:
             return
-        reader, request = self.reader, self.exchange.request
+        reader, message = self.reader, self.exchange.message
         if self.write_blocked:
             timeout_s = WRITE_TIMEOUT_S if self.exchange.source is None else STREAM_WRITE_TIMEOUT_S
             self.phase.enter_closing(timeout_s)
         elif (
             reader.streamed_body is not None
-            and request is not None
-            and request.streamed_body is reader.streamed_body
+            and message is not None
+            and message.streamed_body is reader.streamed_body
         ):
             self.phase.enter(self.context.phases.receiving_body)
-        elif request is not None or reader.requests:
+        elif message is not None or reader.requests:
             self.phase.enter(None)
         else:
             has_responded = self.exchange.has_responded
@@ -237,12 +237,12 @@
         if self.transport is None or self.transport.is_closing() or reason == CLIENT_LEFT:
             return
         self.context.closed.add(reason)
-        gateway, call = self.context.handling.gateway, self.exchange.call
+        gateway, request = self.context.handling.gateway, self.exchange.request
         if reason not in ORDINARY:
-            gateway.trace.note(Step.CONNECTION_CLOSED, call.id if call is not None else "", reason)
+            gateway.trace.note(Step.CONNECTION_CLOSED, request.id if request is not None else "", reason)
         awaits_response = self.exchange.awaits_response and not self.write_blocked
-        if awaits_response and call is not None and not self.has_gone():
-            gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, call.id, reason)
+        if awaits_response and request is not None and not self.has_gone():
+            gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, request.id, reason)
 
     def _close_after_response(self, linger: bool) -> None:
         """Close once the response is written.
@@ -305,9 +305,9 @@
 
     def send_continue(self) -> None:
         """Write `100 Continue` to a client that waits for it, once its request is the next to be answered."""
-        reader, current = self.reader, self.exchange.request
+        reader, current = self.reader, self.exchange.message
         ahead = current is not None and current is not reader.reading
-        ahead = ahead or any(request is not reader.reading for request in reader.requests)
+        ahead = ahead or any(message is not reader.reading for message in reader.requests)
         if not reader.expects_continue or ahead or self.is_closing or self.discarded is not None:
             return
         if self.transport is not None:
@@ -340,28 +340,28 @@
         if self.reader.requests or self.reader.unparsed:
             asyncio.get_running_loop().call_soon(self.take_next)
 
-    def is_last(self, request: Request) -> bool:
+    def is_last(self, message: HttpRequest) -> bool:
         """Whether the connection ends with the response to this request."""
-        if request.streamed_body is not None and not request.streamed_body.is_complete:
+        if message.streamed_body is not None and not message.streamed_body.is_complete:
             return True  # its body is incomplete, and the rest is not waited for
         # Requests that were read are answered, also in a shutdown, but not without end.
         more = bool(self.reader.requests) or self.reader.has_partial_request
         drain = self.context.drain
         if drain.is_draining and more and drain.is_past_answer_cutoff(asyncio.get_running_loop().time()):
             more = False
-        return not request.keep_alive or (drain.is_draining and not more)
+        return not message.keep_alive or (drain.is_draining and not more)
 
-    def on_response_written(self, request: Request, is_last: bool) -> None:
+    def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
         """Go on with the next request, or close."""
         if not is_last:
             self.take_next_soon()
             self.update_phase()
             return
         self.reader.requests.clear()
-        if request.streamed_body is not None and not request.streamed_body.is_finished:
-            self._discard(request.streamed_body)
+        if message.streamed_body is not None and not message.streamed_body.is_finished:
+            self._discard(message.streamed_body)
         else:
-            self._close_after_response(linger=request.fault is not None)
+            self._close_after_response(linger=message.fault is not None)
 
     def _discard(self, streamed_body: StreamedBody) -> None:
         """Read the rest of a body that is not needed, and close then.
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -9,10 +9,10 @@
 
 from sagetrack.config.platform import Config, stable_id
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Source
+from sagetrack.core.interfaces import Request, Source
 from sagetrack.core.responses import Header, Response
 from sagetrack.http1.codec import end_to_end
-from sagetrack.http1.requests import Request, RequestError, read_call
+from sagetrack.http1.requests import HttpRequest, RequestError, read_request
 
 READY_PATH = b"/health/ready"
 NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
@@ -49,10 +49,10 @@
     def has_gone(self) -> bool:
         """Whether the client has closed the connection."""
 
-    def is_last(self, request: Request) -> bool:
+    def is_last(self, message: HttpRequest) -> bool:
         """Whether the connection ends with the response to this request."""
 
-    def on_response_written(self, request: Request, is_last: bool) -> None:
+    def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
         """The response is written to its end."""
 
     def resume_parsing_soon(self) -> None:
@@ -66,11 +66,11 @@
     """The request in progress on a client's connection, and its response; the gateway's `Client`."""
 
     __slots__ = (
-        "call",
         "chunked",
         "ends_connection",
         "handling",
         "has_responded",
+        "message",
         "owner",
         "request",
         "source",
@@ -80,8 +80,8 @@
     def __init__(self, owner: ExchangeOwner, handling: RequestHandling) -> None:
         self.owner, self.handling = owner, handling
         self.transport: asyncio.Transport | None = None
-        self.request: Request | None = None  # in progress
-        self.call: Call | None = None  # the same as the gateway has it
+        self.message: HttpRequest | None = None  # in progress, as it was read
+        self.request: Request | None = None  # the same, as the gateway has it
         self.source: Source | None = None  # of a response that is streamed
         self.chunked = False  # how that one is framed
         self.ends_connection = False  # and whether the connection ends with it
@@ -89,35 +89,35 @@
 
     # Requests
 
-    def start(self, request: Request) -> None:
+    def start(self, message: HttpRequest) -> None:
         """Handle the next request: by a response of this process, or by the gateway."""
-        self.request = request
+        self.message = message
         try:
-            self._handle(request)
+            self._handle(message)
         except RequestError as error:
             self.respond(error.status, error.headers, f"{error}\n".encode())
 
-    def _handle(self, request: Request) -> None:
-        if request.fault is not None:
-            raise request.fault
-        if request.streamed_body is not None:
-            request.streamed_body.on_capacity = self.owner.resume_parsing_soon
+    def _handle(self, message: HttpRequest) -> None:
+        if message.fault is not None:
+            raise message.fault
+        if message.streamed_body is not None:
+            message.streamed_body.on_capacity = self.owner.resume_parsing_soon
         handling = self.handling
-        path = request.target.partition(b"?")[0]
+        path = message.target.partition(b"?")[0]
         if path == READY_PATH:
-            if request.method not in (b"GET", b"HEAD"):
+            if message.method not in (b"GET", b"HEAD"):
                 raise RequestError(405, "GET it", (b"Allow", b"GET, HEAD"))
             self.respond(200 if handling.is_ready() else 503, [], b"")
             return
-        call = read_call(request, path, handling.config, self)
-        if handling.check_head is not None and (why := handling.check_head(call.message.head)) is not None:
+        request = read_request(message, path, handling.config, self)
+        if handling.check_head is not None and (why := handling.check_head(request.message.head)) is not None:
             raise RequestError(400, why)
-        self.call = call
-        call.has_gone = self.owner.has_gone
-        if not call.client_id and handling.config.settings.admission is not None:
-            call.client_id = self._address_id()
-        if not handling.gateway.submit(call):
-            self.call = None
+        self.request = request
+        request.has_gone = self.owner.has_gone
+        if not request.client_id and handling.config.settings.admission is not None:
+            request.client_id = self._address_id()
+        if not handling.gateway.submit(request):
+            self.request = None
             raise RequestError(400, "this X-Call-Id is in use")
 
     def _address_id(self) -> int:
@@ -126,89 +126,89 @@
         peer = self.transport.get_extra_info("peername")
         return -stable_id(peer[0], 8) if peer else 0
 
-    def cancel_call(self) -> None:
+    def cancel_request(self) -> None:
         """Have the gateway cancel the request, if it has it."""
-        call, self.call = self.call, None
-        if call is not None:
-            self.handling.gateway.cancel_request(call.id)
+        request, self.request = self.request, None
+        if request is not None:
+            self.handling.gateway.cancel_request(request.id)
 
     def cancel(self) -> None:
         """The client has gone: nothing more of a response is written for it, and its request is cancelled."""
         self.source = None
-        self.cancel_call()
+        self.cancel_request()
 
     def fail_body(self) -> None:
         """Respond to a long body that was being passed on and cannot be read to its end."""
-        request = self.request
-        if request is None or request.streamed_body is None or request.fault is None:
+        message = self.message
+        if message is None or message.streamed_body is None or message.fault is None:
             return
-        self.cancel_call()
+        self.cancel_request()
         if self.source is not None:
             self.owner.abort("broken_body")  # its response has begun: the client sees that it is incomplete
         else:
-            self.respond(request.fault.status, request.fault.headers, f"{request.fault}\n".encode())
+            self.respond(message.fault.status, message.fault.headers, f"{message.fault}\n".encode())
 
     @property
     def is_busy(self) -> bool:
         """Whether a request is in progress."""
-        return self.request is not None
+        return self.message is not None
 
     @property
     def awaits_response(self) -> bool:
         """Whether a request is with the gateway, and nothing of its response is written."""
-        return self.call is not None and self.source is None
+        return self.request is not None and self.source is None
 
     # Responses
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
         """Write a complete response at once, and go on with the next request."""
-        request, transport = self.request, self.transport
-        assert request is not None and transport is not None
+        message, transport = self.message, self.transport
+        assert message is not None and transport is not None
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
         lines += [b"%s: %s" % pair for pair in headers]
         lines += [b"Content-Length: %d" % len(body)]
-        is_last = self.owner.is_last(request)
+        is_last = self.owner.is_last(message)
         if is_last:
             lines.append(b"Connection: close")
-        if request.method == b"HEAD":
+        if message.method == b"HEAD":
             body = b""
         transport.write(b"%s\r\n\r\n%s" % (b"\r\n".join(lines), body))
-        self._finish(request, is_last)
+        self._finish(message, is_last)
 
-    def _finish(self, request: Request, is_last: bool) -> None:
-        self.request = self.call = None
+    def _finish(self, message: HttpRequest, is_last: bool) -> None:
+        self.message = self.request = None
         self.has_responded = True
-        self.owner.on_response_written(request, is_last)
+        self.owner.on_response_written(message, is_last)
 
-    def on_response(self, call: Call, answer: Response) -> None:
+    def on_response(self, request: Request, answer: Response) -> None:
         """Respond with what an upstream server has responded."""
-        if self.call is call:
+        if self.request is request:
             self.respond(200, end_to_end(answer.headers, NOT_PASSED_BACK), answer.body)
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Respond that the request was rejected, and when to retry if that is known."""
-        if self.call is call:
+        if self.request is request:
             value = b"%.3f" % (retry_after_us / 1e6)
             if self.handling.config.whole_seconds:  # rounded up: not before it is due
                 value = b"%d" % -(-retry_after_us // 1_000_000)
             headers = [(b"Retry-After", value)] if retry_after_us > 0 else []
             self.respond(503, headers, b"")
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
+    def on_failed(self, request: Request, timed_out: bool) -> None:
         """Respond that every attempt has failed, or that the time is over."""
-        if self.call is call:
+        if self.request is request:
             self.respond(504 if timed_out else 502, [], b"")
 
     # Responses that are streamed
 
-    def on_response_started(self, call: Call, head: Response, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Response, source: Source) -> None:
         """Write the head of a response that is too long to be buffered."""
-        request, transport = self.request, self.transport
-        if self.call is not call or request is None or transport is None:
+        message, transport = self.message, self.transport
+        if self.request is not request or message is None or transport is None:
             return
         self.source = source
-        self.chunked = head.length is None and request.version == "1.1"
-        self.ends_connection = self.owner.is_last(request) or (head.length is None and not self.chunked)
+        self.chunked = head.length is None and message.version == "1.1"
+        self.ends_connection = self.owner.is_last(message) or (head.length is None and not self.chunked)
         lines = [b"HTTP/1.1 200 OK"]
         lines += [b"%s: %s" % pair for pair in end_to_end(head.headers, NOT_PASSED_BACK)]
         if head.length is not None:
@@ -219,26 +219,26 @@
             lines.append(b"Connection: close")
         transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
-    def on_response_data(self, call: Call, data: bytes) -> None:
+    def on_response_data(self, request: Request, data: bytes) -> None:
         """Write a part of its body."""
-        if self.call is call and self.transport is not None and data:
+        if self.request is request and self.transport is not None and data:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
-    def on_response_ended(self, call: Call, answer: Response) -> None:
+    def on_response_ended(self, request: Request, answer: Response) -> None:
         """Write the end of its body, and go on with the next request."""
-        request = self.request
-        if self.call is not call or request is None or self.transport is None:
+        message = self.message
+        if self.request is not request or message is None or self.transport is None:
             return
-        self.on_response_data(call, answer.body)
+        self.on_response_data(request, answer.body)
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
         self.source = None
-        self._finish(request, self.ends_connection)
+        self._finish(message, self.ends_connection)
 
-    def on_response_aborted(self, call: Call) -> None:
+    def on_response_aborted(self, request: Request) -> None:
         """The rest of its body will not come: the client sees that what it has is incomplete."""
-        if self.call is call:
-            self.call = self.source = None
+        if self.request is request:
+            self.request = self.source = None
             self.owner.abort("broken_answer")
 
     def pause(self) -> None:
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, header, trimmed
-from sagetrack.http1.requests import Request, RequestError
+from sagetrack.http1.requests import HttpRequest, RequestError
 
 SLICE = 4096  # bytes parsed between looks at how many requests they contained
 BODY_SLICE = 32 * 1024  # the same in a long body
@@ -38,13 +38,13 @@
     def __init__(self, body_budget: BodyMemoryBudget) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self._body_budget = body_budget
-        self.reading: Request | None = None
+        self.reading: HttpRequest | None = None
         self._body_size = 0
         self.in_body = False
         self.expects_continue = False  # the request that is being read waits for `100 Continue`
         self._unreported = 0  # bytes since the parser last reported anything
         self._fed_us = 0  # when the newest bytes were read: what waits unparsed came with them
-        self.requests: deque[Request] = deque()  # read and not yet taken
+        self.requests: deque[HttpRequest] = deque()  # read and not yet taken
         self.unparsed = b""  # as enough requests wait
         self.has_failed = False  # nothing more is read
 
@@ -97,7 +97,7 @@
             reading.fault = fault  # it was handed over at its head, and is known to its owner
             reading.streamed_body.abort()
         else:
-            self.requests.append(Request(fault))
+            self.requests.append(HttpRequest(fault))
 
     def _parse(self, piece: memoryview) -> RequestError | None:
         self._unreported += len(piece)
@@ -116,7 +116,7 @@
 
     def on_message_begin(self) -> None:
         """A request begins; called by the parser."""
-        self.reading = Request()
+        self.reading = HttpRequest()
         self._body_size = 0
         self.expects_continue = False
 
@@ -174,7 +174,7 @@
         if self._body_size > BODY_LIMIT:
             self._stream_body(request, None)
 
-    def _stream_body(self, request: Request, length: int | None) -> None:
+    def _stream_body(self, request: HttpRequest, length: int | None) -> None:
         """Stream the body from here on, and hand the request over before it is complete."""
         request.keep_alive = self._parser.should_keep_alive()
         request.streamed_body = StreamedBody(length, self._body_budget)
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -1,4 +1,4 @@
-"""A client's request, and the checks that make it a call of the gateway.
+"""A client's HTTP message, and the checks that make it a request of the gateway.
 
 The texts of `RequestError` are sent to clients as they stand.
 """
@@ -7,7 +7,7 @@
 
 from sagetrack.config.platform import Config, Names, stable_id
 from sagetrack.core.bodies import StreamedBody
-from sagetrack.core.interfaces import Call, Client
+from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.http1.codec import ProtocolError, end_to_end
 from sagetrack.http1.upstream_connection import Message
@@ -30,7 +30,7 @@
         self.headers = list(headers)
 
 
-class Request:
+class HttpRequest:
     """One request as it was read; with a `fault`, it cannot be read, and nothing after it."""
 
     __slots__ = (
@@ -57,27 +57,27 @@
         self.received_us = 0  # when its last byte was read
 
 
-def read_call(request: Request, path: bytes, config: Config, client: Client) -> Call:
+def read_request(message: HttpRequest, path: bytes, config: Config, client: Client) -> Request:
     """Return the request as the gateway takes it.
 
     Raises:
         RequestError: It is not one that this gateway serves.
     """
-    headers = _unique_headers(request)
+    headers = _unique_headers(message)
     names = config.names
     parts = [part for part in path.split(b"/") if part]
-    class_index = _class_of(request, path, parts, headers.get(b"x-call-class"), names)
+    class_index = _class_of(message, path, parts, headers.get(b"x-call-class"), names)
     settings = config.settings.classes[class_index]
-    id_ = _check_class_rules(request, settings, headers)
+    id_ = _check_class_rules(message, settings, headers)
     budget_ms = _whole_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    body = b"".join(request.body)
+    body = b"".join(message.body)
     # No client waits for longer than its class allows: a longer budget is cut to that.
     client_timeout_us = (
         settings.request_timeout_us
         if budget_ms is None
         else min(budget_ms * 1000, settings.request_timeout_us)
     )
-    return Call(
+    return Request(
         id=id_.decode("latin-1"),
         class_index=class_index,
         client_timeout_us=client_timeout_us,
@@ -85,17 +85,17 @@
         work_us=_whole_number(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
-        message=Message(_forwarded_head(request, body), body),
+        message=Message(_forwarded_head(message, body), body),
         client=client,
-        streamed_body=request.streamed_body,
-        received_us=request.received_us,
+        streamed_body=message.streamed_body,
+        received_us=message.received_us,
         client_id=stable_id(named_by, 8) if (named_by := headers.get(config.client_header)) else 0,
     )
 
 
-def _unique_headers(request: Request) -> dict[bytes, bytes]:
+def _unique_headers(message: HttpRequest) -> dict[bytes, bytes]:
     headers: dict[bytes, bytes] = {}
-    for name, value in request.headers:
+    for name, value in message.headers:
         name = name.lower()
         if name in headers and name in SINGLE:
             raise RequestError(400, f"{name.decode()} comes twice")
@@ -103,23 +103,25 @@
     return headers
 
 
-def _class_of(request: Request, path: bytes, parts: list[bytes], named: bytes | None, names: Names) -> int:
+def _class_of(
+    message: HttpRequest, path: bytes, parts: list[bytes], named: bytes | None, names: Names
+) -> int:
     """Return the number of the request's class, which its path names, and X-Call-Class may."""
     if named is not None and named not in names.classes:
         raise RequestError(400, "unknown class")
     if not parts or not path.startswith(b"/") or parts[0] not in names.classes:
         raise RequestError(404, "unknown path")
-    if b"#" in request.target:
+    if b"#" in message.target:
         raise RequestError(400, "a fragment is not sent")
     if named is not None and named != parts[0]:
         raise RequestError(400, "the class is not that of the path")
     return names.classes[parts[0]]
 
 
-def _check_class_rules(request: Request, settings: RequestClass, headers: dict[bytes, bytes]) -> bytes:
+def _check_class_rules(message: HttpRequest, settings: RequestClass, headers: dict[bytes, bytes]) -> bytes:
     """Check what the class asks of a request, and return its X-Call-Id."""
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
-    if request.method != method:
+    if message.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
     if settings.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
         raise RequestError(400, "no Idempotency-Key")
@@ -137,13 +139,13 @@
     return int(text)
 
 
-def _forwarded_head(request: Request, body: bytes) -> bytes:
+def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
     """Return what is forwarded of the head: all but the budget and the empty line."""
-    lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
-    lines += [b"%s: %s" % pair for pair in end_to_end(request.headers, NOT_FORWARDED)]
-    length = len(body) if request.streamed_body is None else request.streamed_body.length
+    lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
+    lines += [b"%s: %s" % pair for pair in end_to_end(message.headers, NOT_FORWARDED)]
+    length = len(body) if message.streamed_body is None else message.streamed_body.length
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
-    elif length or request.method == b"POST":
+    elif length or message.method == b"POST":
         lines.append(b"Content-Length: %d" % length)
     return b"\r\n".join(lines) + b"\r\n"
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -15,11 +15,11 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call, Client, UpstreamPool
+from sagetrack.core.interfaces import Client, Request, UpstreamPool
 from sagetrack.core.log import log
 from sagetrack.core.responses import Header
 from sagetrack.discovery.endpoint_parsing import index_of_name
-from sagetrack.http1.requests import Request, RequestError, read_call
+from sagetrack.http1.requests import HttpRequest, RequestError, read_request
 from sagetrack.policy.events import ListKind, TrafficShift
 from sagetrack.policy.migration import Migration
 
@@ -51,16 +51,16 @@
         budget_us: int,
         client: Client,
         streamed_body: StreamedBody | None,
-    ) -> Call:
-        request = Request()
-        request.streamed_body = streamed_body
-        request.method, request.target, request.body = method.encode(), target, [body] if body else []
-        request.headers = [
+    ) -> Request:
+        message = HttpRequest()
+        message.streamed_body = streamed_body
+        message.method, message.target, message.body = method.encode(), target, [body] if body else []
+        message.headers = [
             *headers,
             *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else []),
         ]
         try:
-            return read_call(request, target.partition(b"?")[0], config, client)
+            return read_request(message, target.partition(b"?")[0], config, client)
         except RequestError as error:
             status = Status.UNIMPLEMENTED if error.status == NOT_FOUND else Status.INVALID_ARGUMENT
             raise RequestReadError(status, str(error)) from None
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -13,7 +13,7 @@
 from sagetrack.config.platform import parse
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import Call
+from sagetrack.core.interfaces import Request
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
@@ -76,8 +76,8 @@
         pauses: bool = False,
     ) -> RecordingObserver:
         heard = RecordingObserver(pauses)
-        call = Call("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
-        self.pools.begin(call, 1, wait_us, heard)
+        request = Request("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
+        self.pools.begin(request, 1, wait_us, heard)
         return heard
 
     @property
@@ -144,8 +144,8 @@
 
 def send_request(client: GrpcUpstreamRig, head: bytes, body: bytes = b"") -> RecordingObserver:
     heard = RecordingObserver()
-    call = Call("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
-    client.pools.begin(call, 1, 5_000_000, heard)
+    request = Request("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
+    client.pools.begin(request, 1, 5_000_000, heard)
     return heard
 
 
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.interfaces import Call
+from sagetrack.core.interfaces import Request
 from sagetrack.http1.upstream_connection import Message
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import Outcome
@@ -56,8 +56,8 @@
         async def send(number: int, size: int, told: int | None) -> RecordingObserver:
             streamed_body, heard = StreamedBody(told, BodyMemoryBudget(64)), RecordingObserver()
             message = Message(request_head(number), b"")
-            call = Call("a", 0, 5_000_000, None, None, False, 0, message, None, streamed_body)  # type: ignore[arg-type]
-            client.pools.begin(call, 1, 5_000_000, heard)
+            request = Request("a", 0, 5_000_000, None, None, False, 0, message, None, streamed_body)  # type: ignore[arg-type]
+            client.pools.begin(request, 1, 5_000_000, heard)
             for _ in range(0, size, 50_000):
                 await until(lambda: not streamed_body.is_full or heard.ends)
                 streamed_body.feed(b"z" * 50_000)
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -7,7 +7,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
-from sagetrack.core.interfaces import Call
+from sagetrack.core.interfaces import Request
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import Event, RequestCancelled
 
@@ -43,25 +43,25 @@
             lambda event: self.posted.append(event()),
         )
 
-    def add(self, request: InFlightRequest, attempts: int = 0) -> list[Started]:
-        self.requests[request.call.id] = request
+    def add(self, in_flight: InFlightRequest, attempts: int = 0) -> list[Started]:
+        self.requests[in_flight.request.id] = in_flight
         started = [Started() for _ in range(attempts)]
         for attempt in started:
-            request.attempts[request.add_attempt(AttemptRecord(0, 0))] = attempt
-        request.attempts_in_flight = attempts
+            in_flight.attempts[in_flight.add_attempt(AttemptRecord(0, 0))] = attempt
+        in_flight.attempts_in_flight = attempts
         return started
 
 
-def request(body: StreamedBody | None = None, mirror_target: int = -1) -> InFlightRequest:
-    call = Call("a", 0, 1_000, None, None, False, 0, None, None, body)  # type: ignore[arg-type]
-    call.mirror_target = mirror_target
-    return InFlightRequest(call, 5_000)
+def in_flight(body: StreamedBody | None = None, mirror_target: int = -1) -> InFlightRequest:
+    request = Request("a", 0, 1_000, None, None, False, 0, None, None, body)  # type: ignore[arg-type]
+    request.mirror_target = mirror_target
+    return InFlightRequest(request, 5_000)
 
 
 def test_the_time_left_runs_from_the_last_byte_of_a_streamed_body_on() -> None:
-    assert request().remaining_us(4_000) == 1_000
+    assert in_flight().remaining_us(4_000) == 1_000
     body = StreamedBody(None, BodyMemoryBudget(64))
-    streamed = request(body)
+    streamed = in_flight(body)
     assert streamed.remaining_us(4_000) == streamed.remaining_us(9_000) == 1_000
     body.complete()
     assert streamed.remaining_us(body.completed_us + 300) == 700
@@ -69,28 +69,28 @@
 
 def test_a_request_is_current_once_it_is_complete_and_until_it_is_finished() -> None:
     body = StreamedBody(None, BodyMemoryBudget(64))
-    streamed, table = request(body), Table()
+    streamed, table = in_flight(body), Table()
     table.add(streamed)
     assert table.requests.current_count() == 0
     body.complete()
     assert table.requests.current_count() == 1
     streamed.is_finished = True
     assert table.requests.current_count() == 0
-    assert not request(mirror_target=1).is_current
+    assert not in_flight(mirror_target=1).is_current
 
 
 def test_a_finished_request_stays_until_its_last_attempt_has_ended() -> None:
     table = Table()
-    table.add(request())
+    table.add(in_flight())
     assert table.requests.finish_unanswered("a") is not None and not table.requests
-    attempts = table.add(request(), attempts=2)
+    attempts = table.add(in_flight(), attempts=2)
     assert table.requests.finish_unanswered("a") is table.requests["a"]
     assert table.upstream.cancelled_unsent == attempts and not table.upstream.cancelled
     assert table.requests.finish_unanswered("a") is None  # it has had its final response
 
 
 def test_a_client_that_disconnects_is_reported_once_and_ends_a_streamed_response() -> None:
-    table, one = Table(), request()
+    table, one = Table(), in_flight()
     attempts = table.add(one, attempts=1)
     table.requests.cancel("a")
     assert table.posted == [RequestCancelled("a")] and not table.upstream.cancelled
@@ -102,7 +102,7 @@
 
 
 def test_only_attempts_without_a_response_are_cancelled_at_the_end_of_a_shutdown() -> None:
-    table, one = Table(), request()
+    table, one = Table(), in_flight()
     attempts = table.add(one, attempts=2)
     one.streaming_attempt = attempts[0]
     table.requests.cancel_unanswered_attempts()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -22,7 +22,7 @@
 
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Call
+from sagetrack.core.interfaces import Request
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.connection_pool import ConnectionPools
@@ -162,33 +162,33 @@
 
 @dataclass(eq=False)
 class Asked:
-    """A client's call: it gets one answer, unless it leaves before."""
+    """A client's request: it gets one answer, unless it leaves before."""
 
     world: World
-    call: Call | None = None
+    request: Request | None = None
     answers: list[str] = field(default_factory=list)
     left: bool = False
     tried: list[Tried] = field(default_factory=list)
 
-    def on_response(self, call: Call, answer: Any) -> None:
+    def on_response(self, request: Request, answer: Any) -> None:
         self.answers.append("served")
 
-    def on_rejected(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, request: Request, retry_after_us: int) -> None:
         ran = any(t.may_have_run for t in self.tried)
-        self.world.rule(not ran or call.class_index < 2, "an unsafe call refused though it may have run")
+        self.world.rule(not ran or request.class_index < 2, "an unsafe call refused though it may have run")
         self.answers.append("refused")
 
-    def on_failed(self, call: Call, timed_out: bool) -> None:
+    def on_failed(self, request: Request, timed_out: bool) -> None:
         self.answers.append("failed")
 
-    def on_response_started(self, call: Call, head: Any, source: Any) -> None:
+    def on_response_started(self, request: Request, head: Any, source: Any) -> None:
         self.answers.append("long")  # none here is
 
-    def on_response_data(self, call: Call, data: bytes) -> None: ...
+    def on_response_data(self, request: Request, data: bytes) -> None: ...
 
-    def on_response_ended(self, call: Call, answer: Any) -> None: ...
+    def on_response_ended(self, request: Request, answer: Any) -> None: ...
 
-    def on_response_aborted(self, call: Call) -> None: ...
+    def on_response_aborted(self, request: Request) -> None: ...
 
 
 class World:
@@ -248,11 +248,11 @@
         server = wire.connection.upstream.id
         self.rule(server not in self.withdrawn, "begun at a server after word that it leaves")
         name = data.split(b" ")[1].decode()
-        (asked,) = [one for one in self.asked if one.call is not None and one.call.id == name]
+        (asked,) = [one for one in self.asked if one.request is not None and one.request.id == name]
         self.rule(not asked.left, "begun for a client that has left")
         self.rule(not asked.answers, "begun for a call that has had its answer")
-        assert asked.call is not None
-        if RULES.classes[asked.call.class_index].effect is Effect.UNSAFE:
+        assert asked.request is not None
+        if RULES.classes[asked.request.class_index].effect is Effect.UNSAFE:
             ran = any(t.may_have_run for t in asked.tried)
             self.rule(not ran, "an unsafe call again though it may have run")
             out = any(not (t.over or t.wire.closing) for t in asked.tried)
@@ -272,17 +272,17 @@
         client = Asked(self)
         class_index, name = self.draw.randrange(3), f"r{self.count}"
         message = Message(b"GET %s X\r\n" % name.encode(), b"")
-        client.call = Call(name, class_index, 400_000, None, None, False, 0, message, client)
+        client.request = Request(name, class_index, 400_000, None, None, False, 0, message, client)
         self.asked.append(client)
-        gateway.submit(client.call)
+        gateway.submit(client.request)
 
     def leave(self, gateway: Gateway) -> None:
         here = [one for one in self.asked if not one.left and not one.answers]
         if here:
             one = self.draw.choice(here)
             one.left = True
-            assert one.call is not None
-            gateway.cancel_request(one.call.id)
+            assert one.request is not None
+            gateway.cancel_request(one.request.id)
 
     def step(self, gateway: Gateway) -> None:
         draw = self.draw
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -57,7 +57,7 @@
     client.send(b"".join(request(class_name) for _ in range(BEHIND)))
     await until(lambda: run.server.context.paused - before)
     (connection,) = run.server.context.paused - before
-    await until(lambda: connection.exchange.call is not None)
+    await until(lambda: connection.exchange.request is not None)
     return client, connection
 
 
@@ -238,8 +238,8 @@
             await until(lambda: len(run.gateway.in_flight) == len(clients))
             assert len(host.seen) == len(clients)
             client, connection = await crowding(run)
-            call = connection.exchange.call
-            assert call is not None and run.gateway.in_flight[call.id].attempts_in_flight == 0
+            waiting = connection.exchange.request
+            assert waiting is not None and run.gateway.in_flight[waiting.id].attempts_in_flight == 0
             await leaves(client, connection)
             for exchange in list(host.seen):
                 exchange.answer(reply())
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -137,7 +137,7 @@
         await until(lambda: first.seen or second.seen)
         (held,) = run.gateway.in_flight.values()
         for server in run.instance.pools.servers:
-            run.gateway.executor.execute(SendAttempt(held.call.id, server, 1_000_000))
+            run.gateway.executor.execute(SendAttempt(held.request.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.seen) + len(second.seen) == 1
         assert run.gateway.violations.counts[Invariant.RETRIES_ARE_SAFE] == 2
