--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -6,17 +6,14 @@
 from sagetrack.policy.attempts import AttemptSender
 from sagetrack.policy.class_priorities import ClassPriorities
 from sagetrack.policy.endpoint_ring import Ring
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import AttemptEnded, Outcome
-from sagetrack.policy.fleet_size import FleetSize
 from sagetrack.policy.in_flight import InFlightAttempts
-from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.load_shedding import LoadShedder
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.reservations import Requester
 from sagetrack.policy.selection import ServerSelector
-from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request, Server
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 TELL_COST = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT})  # outcomes that admission learns from
 
@@ -27,30 +24,26 @@
     def __init__(
         self,
         admission: AdmissionController[Request],
-        context: EventContext,
-        settings: Settings,
-        fleet: FleetSize,
+        shared: PolicyContext,
         ring: Ring[Server],
-        latency: LatencyEstimator,
         priorities: ClassPriorities,
         shedder: LoadShedder,
         selector: ServerSelector,
         sender: AttemptSender,
         in_flight: InFlightAttempts,
-        timers: Timers,
     ) -> None:
         self._admission = admission
-        self._context = context
-        self._settings = settings
-        self._fleet = fleet
+        self._context = shared.event
+        self._settings = shared.settings
+        self._fleet = shared.fleet
         self._ring = ring
-        self._latency = latency
+        self._latency = shared.latency
         self._priorities = priorities
         self._shedder = shedder
         self._selector = selector
         self._sender = sender
         self._in_flight = in_flight
-        self._timers = timers
+        self._timers = shared.timers
 
     @property
     def has_queue(self) -> bool:
--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -8,16 +8,14 @@
 from sagetrack.policy.attempt_deadline import attempt_deadline_us
 from sagetrack.policy.attempts import AttemptSender
 from sagetrack.policy.capacity_wait import CapacityWait
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import RequestArrived
-from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.load_shedding import LoadShedder
 from sagetrack.policy.ordered_keys import OrderedKeys, Turn
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.request_factory import RequestFactory
 from sagetrack.policy.request_lifecycle import RequestLifecycle
-from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 
 class Arrivals:
@@ -25,29 +23,26 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
+        shared: PolicyContext,
         factory: RequestFactory,
         requests: RequestLifecycle,
         gate: AdmissionGate | None,
         shedder: LoadShedder,
         sender: AttemptSender,
-        latency: LatencyEstimator,
         ordered_keys: OrderedKeys,
         capacity_wait: CapacityWait,
-        timers: Timers,
     ) -> None:
-        self._context = context
-        self._settings = settings
+        self._context = shared.event
+        self._settings = shared.settings
         self._factory = factory
         self._requests = requests
         self._gate = gate
         self._shedder = shedder
         self._sender = sender
-        self._latency = latency
+        self._latency = shared.latency
         self._ordered_keys = ordered_keys
         self._capacity_wait = capacity_wait
-        self._timers = timers
+        self._timers = shared.timers
 
     def arrive(self, event: RequestArrived) -> None:
         """Take a new request."""
--- a/sagetrack/policy/attempts.py
+++ b/sagetrack/policy/attempts.py
@@ -5,16 +5,15 @@
 from sagetrack.policy.actions import SendAttempt
 from sagetrack.policy.attempt_deadline import attempt_deadline_us
 from sagetrack.policy.endpoints import Endpoints
-from sagetrack.policy.event_context import EventContext
-from sagetrack.policy.fleet_size import FleetSize
 from sagetrack.policy.in_flight import InFlightAttempts
-from sagetrack.policy.latency import STALL_FACTOR, LatencyEstimator
+from sagetrack.policy.latency import STALL_FACTOR
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.selection import ServerSelector
-from sagetrack.policy.settings import Effect, Settings
+from sagetrack.policy.settings import Effect
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import Attempt, Request, Server
 from sagetrack.policy.subset_size import SubsetSize
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 NEVER_US = 2**62
 
@@ -24,27 +23,23 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
-        fleet: FleetSize,
+        shared: PolicyContext,
         endpoints: Endpoints,
         selector: ServerSelector,
         slow_start: SlowStart,
         subset_size: SubsetSize,
         in_flight: InFlightAttempts,
-        latency: LatencyEstimator,
-        timers: Timers,
     ) -> None:
-        self._context = context
-        self._settings = settings
-        self._fleet = fleet
+        self._context = shared.event
+        self._settings = shared.settings
+        self._fleet = shared.fleet
         self._endpoints = endpoints
         self._selector = selector
         self._slow_start = slow_start
         self._subset_size = subset_size
         self._in_flight = in_flight
-        self._latency = latency
-        self._timers = timers
+        self._latency = shared.latency
+        self._timers = shared.timers
         self.stops_at_us = NEVER_US  # at a shutdown: when the last answer is due
 
     def stop_at(self, at_us: int) -> None:
--- a/sagetrack/policy/capacity_wait.py
+++ b/sagetrack/policy/capacity_wait.py
@@ -4,12 +4,10 @@
 
 from sagetrack.policy.attempts import AttemptSender
 from sagetrack.policy.class_priorities import ClassPriorities
-from sagetrack.policy.event_context import EventContext
-from sagetrack.policy.latency import LatencyEstimator
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.selection import ServerSelector
-from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 MAX_WAIT_SHARE = 0.25  # of the slack under the objective that a request may wait here for capacity
 
@@ -19,21 +17,18 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
-        latency: LatencyEstimator,
+        shared: PolicyContext,
         priorities: ClassPriorities,
         selector: ServerSelector,
         sender: AttemptSender,
-        timers: Timers,
     ) -> None:
-        self._context = context
-        self._settings = settings
-        self._latency = latency
+        self._context = shared.event
+        self._settings = shared.settings
+        self._latency = shared.latency
         self._priorities = priorities
         self._selector = selector
         self._sender = sender
-        self._timers = timers
+        self._timers = shared.timers
         self._waiting: dict[Request, None] = {}
 
     def __len__(self) -> int:
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -5,13 +5,12 @@
 from sagetrack.policy.circuit_breaker import State
 from sagetrack.policy.discovery_backoff import first_call_us, longest_pause_us
 from sagetrack.policy.endpoint_ring import ExactSum, Ring, RingPosition
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 from sagetrack.policy.incarnations import Incarnations
-from sagetrack.policy.settings import Scope, Settings
+from sagetrack.policy.policy_context import PolicyContext
+from sagetrack.policy.settings import Scope
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server, rendezvous
-from sagetrack.policy.timers import Timers
 
 CROSS_ZONE_FACTOR = 80.0  # how hard the price of crossing zones lowers the weight of servers in other zones
 
@@ -21,17 +20,15 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
+        shared: PolicyContext,
         ring: Ring[Server],
         slow_start: SlowStart,
-        timers: Timers,
     ) -> None:
-        self._context = context
-        self._settings = settings
+        self._context = shared.event
+        self._settings = shared.settings
         self._ring = ring  # those that are ready
         self._slow_start = slow_start
-        self._timers = timers
+        self._timers = shared.timers
         self.servers: dict[int, Server] = {}
         self.tripped: set[Server] = set()  # ready ones whose breaker is not closed
         self._incarnations = Incarnations()
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -5,9 +5,7 @@
 from sagetrack.policy.circuit_breaker import MAX_COOLDOWN_US, State
 from sagetrack.policy.endpoint_ring import Ring
 from sagetrack.policy.endpoints import Endpoints
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import ObservationsReceived
-from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.peer_observations import (
     CLOSED,
     HALF_OPEN,
@@ -19,6 +17,7 @@
     merge_observations,
     weigh_observations,
 )
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
@@ -31,18 +30,16 @@
 
     def __init__(
         self,
-        context: EventContext,
-        gateway: int,
+        shared: PolicyContext,
         endpoints: Endpoints,
         ring: Ring[Server],
-        latency: LatencyEstimator,
         slow_start: SlowStart,
     ) -> None:
-        self._context = context
-        self._gateway = gateway
+        self._context = shared.event
+        self._gateway = shared.settings.gateway_index
         self._endpoints = endpoints
         self._ranked = ring.ranked
-        self._latency = latency
+        self._latency = shared.latency
         self._slow_start = slow_start
         self.received: dict[tuple[int, int], Observation] = {}  # by server and gateway
 
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 from sagetrack.policy.concurrency_share import ConcurrencyShare
-from sagetrack.policy.event_context import EventContext
-from sagetrack.policy.fleet_size import FleetSize
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.state import Attempt
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 PLANNED_CONCURRENCY = 0.85  # of what servers may hold, in the mean, by gateways that don't see each other's
 
@@ -16,12 +15,12 @@
 class InFlightAttempts:
     """Counts attempts in flight; where concurrency is scarce, tells when one more may be sent."""
 
-    def __init__(self, context: EventContext, fleet: FleetSize, timers: Timers) -> None:
-        self._context = context
-        self._fleet = fleet
-        self._timers = timers
+    def __init__(self, shared: PolicyContext) -> None:
+        self._context = shared.event
+        self._fleet = shared.fleet
+        self._timers = shared.timers
         self._share = ConcurrencyShare()
-        self._planned_per_server = PLANNED_CONCURRENCY * fleet.max_concurrency
+        self._planned_per_server = PLANNED_CONCURRENCY * shared.fleet.max_concurrency
         self.count = 0
         self.timer_token = NO_TIMER  # the timer that ends a wait for this gateway's share
 
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -46,6 +46,7 @@
 from sagetrack.policy.ordered_keys import OrderedKeys
 from sagetrack.policy.outcomes import AttemptOutcomes
 from sagetrack.policy.peer_observations import ClassLatency, Observation
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.request_factory import RequestFactory
 from sagetrack.policy.request_lifecycle import RequestLifecycle
 from sagetrack.policy.retry import RetryBudget, RetryPolicy
@@ -66,87 +67,96 @@
     def __init__(self, settings: Settings, seed: int, fleet: FleetSize | None = None) -> None:
         """Make all components; `fleet` replaces what follows from the settings."""
         self.settings = settings
-        self.context = context = EventContext(seed)
-        self.fleet = fleet = fleet or FleetSize(settings)
-        self.timers = timers = Timers(context)
+        self.context = EventContext(seed)
+        self.fleet = fleet or FleetSize(settings)
+        self.timers = Timers(self.context)
+        self.latency = LatencyEstimator(settings.classes)
+        self.shared = PolicyContext(settings, self.context, self.timers, self.fleet, self.latency)
+        self.admission = _admission(settings)
+        self.client_timeouts = ClientTimeouts(settings.classes, settings.clients_mark_retries)
+        self.priorities = ClassPriorities(settings, self.latency)
+        self.shedder = LoadShedder(
+            settings, self.latency, self.client_timeouts, self.priorities, self.admission
+        )
+        self._make_servers()
+        self._make_requests()
+        self._make_entry_points()
+        self._handlers = self._event_handlers()
+
+    def _make_servers(self) -> None:
+        """Make what knows the servers, selects among them and sends to them."""
+        shared, settings = self.shared, self.settings
         # The ring holds the servers that are ready.
-        self.ring = ring = Ring[Server](settings.gateway_index, settings.gateway_count)
-        self.subset_size = subset = SubsetSize()
-        self.latency = latency = LatencyEstimator(settings.classes)
-        self.client_timeouts = timeouts = ClientTimeouts(settings.classes, settings.clients_mark_retries)
-        self.priorities = priorities = ClassPriorities(settings, latency)
-        self.admission = admission = _admission(settings)
-        self.shedder = shedder = LoadShedder(settings, latency, timeouts, priorities, admission)
-        self.slow_start = slow_start = SlowStart(settings, fleet, latency, subset, ring)
-        self.endpoints = endpoints = Endpoints(context, settings, ring, slow_start, timers)
-        self.in_flight = in_flight = InFlightAttempts(context, fleet, timers)
-        self.selector = selector = ServerSelector(context, settings, fleet, ring, latency, slow_start, subset)
-        self.sender = sender = AttemptSender(
-            context, settings, fleet, endpoints, selector, slow_start, subset, in_flight, latency, timers
+        self.ring = Ring[Server](settings.gateway_index, settings.gateway_count)
+        self.subset_size = SubsetSize()
+        self.slow_start = SlowStart(settings, self.fleet, self.latency, self.subset_size, self.ring)
+        self.endpoints = Endpoints(shared, self.ring, self.slow_start)
+        self.outliers = OutlierDetector(self.context, self.endpoints, self.latency, self.client_timeouts)
+        self.gossip = HealthGossip(shared, self.endpoints, self.ring, self.slow_start)
+        self.in_flight = InFlightAttempts(shared)
+        self.selector = ServerSelector(shared, self.ring, self.slow_start, self.subset_size)
+        self.sender = AttemptSender(
+            shared, self.endpoints, self.selector, self.slow_start, self.subset_size, self.in_flight
         )
-        self.capacity_wait = CapacityWait(context, settings, latency, priorities, selector, sender, timers)
+
+    def _make_requests(self) -> None:
+        """Make what keeps requests, and decides on their retries."""
+        shared, settings = self.shared, self.settings
+        self.capacity_wait = CapacityWait(shared, self.priorities, self.selector, self.sender)
         self.ordered_keys = OrderedKeys()
-        retry_after = RetryAfter(context, settings, endpoints, admission)
+        retry_after = RetryAfter(self.context, settings, self.endpoints, self.admission)
         self.requests = RequestLifecycle(
-            context, settings, admission, self.ordered_keys, self.capacity_wait, retry_after, sender, timers
+            shared, self.admission, self.ordered_keys, self.capacity_wait, retry_after, self.sender
         )
         self.retry_budget = RetryBudget()
-        self.retry_policy = RetryPolicy(settings, self.retry_budget, latency, shedder)
+        self.retry_policy = RetryPolicy(settings, self.retry_budget, self.latency, self.shedder)
         self.tenant_quota = TenantQuota(settings.tenants, settings.over_quota_priority)
         self.factory = RequestFactory(
-            settings, timeouts, priorities, self.retry_budget, self.tenant_quota, admission
+            settings,
+            self.client_timeouts,
+            self.priorities,
+            self.retry_budget,
+            self.tenant_quota,
+            self.admission,
         )
-        self.outliers = OutlierDetector(context, endpoints, latency, timeouts)
-        self.gossip = HealthGossip(context, settings.gateway_index, endpoints, ring, latency, slow_start)
-        self._build_handlers()
 
-    def _build_handlers(self) -> None:
-        """Make what takes events in, of the components that decide."""
-        context, settings, gate = self.context, self.settings, self._admission_gate()
+    def _make_entry_points(self) -> None:
+        """Make what takes arrivals and the outcomes of attempts."""
+        gate = self._admission_gate()
         self.arrivals = Arrivals(
-            context,
-            settings,
+            self.shared,
             self.factory,
             self.requests,
             gate,
             self.shedder,
             self.sender,
-            self.latency,
             self.ordered_keys,
             self.capacity_wait,
-            self.timers,
         )
         self.outcomes = AttemptOutcomes(
-            context,
-            settings,
+            self.shared,
             self.requests,
             gate,
             self.sender,
             self.in_flight,
-            self.latency,
             self.shedder,
             self.priorities,
             self.outliers,
             self.retry_policy,
         )
-        self._handlers = self._event_handlers()
 
     def _admission_gate(self) -> AdmissionGate | None:
         if self.admission is None:
             return None
         return AdmissionGate(
             self.admission,
-            self.context,
-            self.settings,
-            self.fleet,
+            self.shared,
             self.ring,
-            self.latency,
             self.priorities,
             self.shedder,
             self.selector,
             self.sender,
             self.in_flight,
-            self.timers,
         )
 
     def _event_handlers(self) -> Mapping[type, Callable[[Any], None]]:
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -8,15 +8,13 @@
 from sagetrack.policy.admission_gate import AdmissionGate
 from sagetrack.policy.attempts import AttemptSender
 from sagetrack.policy.class_priorities import ClassPriorities
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import NEVER_RAN, AttemptEnded, AttemptSent, Outcome, StreamStarted
 from sagetrack.policy.in_flight import InFlightAttempts
-from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.load_shedding import TELL_LOAD, LoadShedder
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.request_lifecycle import RequestLifecycle
 from sagetrack.policy.retry import RetryPolicy
 from sagetrack.policy.server_health import OutlierDetector
-from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Attempt, Request
 
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
@@ -27,25 +25,23 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
+        shared: PolicyContext,
         requests: RequestLifecycle,
         gate: AdmissionGate | None,
         sender: AttemptSender,
         in_flight: InFlightAttempts,
-        latency: LatencyEstimator,
         shedder: LoadShedder,
         priorities: ClassPriorities,
         outliers: OutlierDetector,
         retry_policy: RetryPolicy,
     ) -> None:
-        self._context = context
-        self._settings = settings
+        self._context = shared.event
+        self._settings = shared.settings
         self._requests = requests
         self._gate = gate
         self._sender = sender
         self._in_flight = in_flight
-        self._latency = latency
+        self._latency = shared.latency
         self._shedder = shedder
         self._priorities = priorities
         self._outliers = outliers
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -8,12 +8,12 @@
 from sagetrack.policy.admission import AdmissionController
 from sagetrack.policy.attempts import AttemptSender
 from sagetrack.policy.capacity_wait import CapacityWait
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.ordered_keys import OrderedKeys
+from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.retry_after import RetryAfter
-from sagetrack.policy.settings import Effect, Scope, Settings
+from sagetrack.policy.settings import Effect, Scope
 from sagetrack.policy.state import Request
-from sagetrack.policy.timers import TimerPurpose, Timers
+from sagetrack.policy.timers import TimerPurpose
 
 
 class RequestLifecycle:
@@ -21,23 +21,21 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
+        shared: PolicyContext,
         admission: AdmissionController[Request] | None,
         ordered_keys: OrderedKeys,
         capacity_wait: CapacityWait,
         retry_after: RetryAfter,
         sender: AttemptSender,
-        timers: Timers,
     ) -> None:
-        self._context = context
-        self._settings = settings
+        self._context = shared.event
+        self._settings = shared.settings
         self._admission = admission
         self._ordered_keys = ordered_keys
         self._capacity_wait = capacity_wait
         self._retry_after = retry_after
         self._sender = sender
-        self._timers = timers
+        self._timers = shared.timers
         self._requests: dict[str, Request] = {}
 
     def __contains__(self, request_id: str) -> bool:
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -7,11 +7,9 @@
 
 from sagetrack.policy.circuit_breaker import State
 from sagetrack.policy.endpoint_ring import Ring
-from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.events import ListedServer, ServerStatus, TrafficShift
-from sagetrack.policy.fleet_size import FleetSize
-from sagetrack.policy.latency import LatencyEstimator
-from sagetrack.policy.settings import Effect, Scope, Settings
+from sagetrack.policy.policy_context import PolicyContext
+from sagetrack.policy.settings import Effect, Scope
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import Request, Server, rendezvous
 from sagetrack.policy.subset_size import SubsetSize
@@ -26,19 +24,16 @@
 
     def __init__(
         self,
-        context: EventContext,
-        settings: Settings,
-        fleet: FleetSize,
+        shared: PolicyContext,
         ring: Ring[Server],
-        latency: LatencyEstimator,
         slow_start: SlowStart,
         subset_size: SubsetSize,
     ) -> None:
-        self._context = context
-        self._settings = settings
-        self._fleet = fleet
+        self._context = shared.event
+        self._settings = shared.settings
+        self._fleet = shared.fleet
         self._ring = ring
-        self._latency = latency
+        self._latency = shared.latency
         self._slow_start = slow_start
         self._subset_size = subset_size
         self._traffic_shift = TrafficShift({}, {})
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -22,6 +22,7 @@
     "event_context",
     "events",
     "parsing",
+    "policy_context",
     "settings",
     "timers",
 }
