--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -15,7 +15,9 @@
 from sagetrack.policy.state import Request, Server
 from sagetrack.policy.timers import TimerPurpose
 
-TELL_COST = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT})  # outcomes that admission learns from
+COST_OUTCOMES = frozenset(
+    {Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT}
+)  # outcomes that admission learns from
 
 
 class AdmissionGate:
@@ -72,7 +74,7 @@
             return AdmissionDenial.OVER_QUOTA
         idle = not admission.queued and admission.has_capacity(self._in_flight.count)
         if idle and self._sender.try_send(request):
-            return None  # nobody is passed over: the queues cost something only while there is one
+            return None  # no request is overtaken: queueing has a cost only while there is a queue
         return self._queue(request, work_us)
 
     def _check_limits(self, request: Request, work_us: float, is_retry: bool) -> AdmissionDenial | None:
@@ -87,7 +89,7 @@
         return None
 
     def _queue(self, request: Request, work_us: float) -> AdmissionDenial | None:
-        """Let a request wait for its turn, which may be now."""
+        """Queue a request; it may be sent at once."""
         admission, now_us = self._admission, self._context.now_us
         late, max_wait_us = self._max_wait_us(request)
         if not self._selector.any_eligible(request.class_index):
@@ -111,7 +113,7 @@
     def _max_wait_us(self, request: Request) -> tuple[bool, float]:
         """Whether only a late answer is to be had, and how long the request may wait for its turn."""
         now_us = self._context.now_us
-        needed_us = self._latency.unqueued_us(request.class_index, request.relative_work)
+        needed_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         left_us = request.deadline_us - now_us - needed_us
         late_weight = self._settings.classes[request.class_index].late_priority_weight
         late = late_weight > 0.0 and (request.has_reservation or now_us >= request.objective_at_us)
@@ -119,12 +121,12 @@
         return late, self._admission.settings.max_wait_fraction * slack_us
 
     def _set_bounds(self) -> None:
-        """Tell admission control what the servers can do at the least.
+        """Pass admission control the least that the servers can serve.
 
         Requests that servers hold at once are, by Little's law, the latencies served in a unit of time.
         """
         servers = len(self._ring.ranked)
-        self._admission.set_assumed_service_rate(float(servers * self._fleet.places_per_server()))
+        self._admission.set_assumed_service_rate(float(servers * self._fleet.max_in_flight_per_server()))
         self._admission.set_minimum_concurrency(max(1.0, servers / self._fleet.gateways))
 
     def serve(self) -> None:
@@ -137,7 +139,7 @@
 
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
         """Learn what a request costs from the end of an attempt. To be called while it counts in flight."""
-        if event.outcome in TELL_COST:
+        if event.outcome in COST_OUTCOMES:
             good, rejected = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
             in_flight, size = self._in_flight.count, request.relative_work
             self._admission.record_completion(
--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -72,7 +72,7 @@
             requests.answer_unserved(request, RejectReason.NO_CAPACITY)
 
     def _admit_mirrored(self, request: Request) -> None:
-        """A mirrored request yields to all others: nobody waits for it, and it waits for nothing."""
+        """Send a mirrored request if there is spare capacity, and drop it otherwise."""
         queued = len(self._capacity_wait) > 0 or (self._gate is not None and self._gate.has_queue)
         if self._shedder.is_active or queued or not self._sender.try_send(request):
             self._requests.answer_unserved(request)
@@ -104,7 +104,7 @@
             self._gate.serve()
         self._capacity_wait.serve()
 
-    def wait_over(self, request: Request) -> None:
+    def queue_wait_expired(self, request: Request) -> None:
         """A request has waited for as long as it may: deny or reject it, if it still waits."""
         if self._gate is not None and self._gate.is_queued(request):
             self._deny(self._gate, request, AdmissionDenial.WAIT_TOO_LONG)
--- a/sagetrack/policy/capacity_wait.py
+++ b/sagetrack/policy/capacity_wait.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a moment, as all servers that could take them hold as much as they may."""
+"""A short queue of requests that found every eligible server at its concurrency limit."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from sagetrack.policy.state import Request
 from sagetrack.policy.timers import TimerPurpose
 
-MAX_WAIT_SHARE = 0.25  # of the slack under the objective that a request may wait here for capacity
+MAX_WAIT_SHARE = 0.25  # of the slack under the latency objective: the longest wait for capacity
 
 
 class CapacityWait:
-    """The requests that wait, the first come first."""
+    """The requests that wait, in the order of their arrival."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         return request in self._waiting
 
     def join(self, request: Request) -> bool:
-        """Let a request wait; False where no server could take it, or it has no time for that.
+        """Queue a request; False where no server could take it, or its deadline leaves no time for that.
 
-        This bridges a short burst. It is no way to hold back a rejection: the wait is a small part of the
+        This bridges a short burst and is not meant to delay a rejection: the wait is a small part of the
         request's time. A request of an in-order class does not wait here, as its key's order would be lost.
         """
         if self._settings.classes[request.class_index].in_order:
@@ -48,7 +48,7 @@
         if not self._selector.any_eligible(request.class_index):
             return False
         now_us = self._context.now_us
-        needed_us = self._latency.unqueued_us(request.class_index, request.relative_work)
+        needed_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         slack_us = request.objective_at_us - now_us - needed_us
         wait_us = int(MAX_WAIT_SHARE * min(slack_us, request.deadline_us - now_us))
         if wait_us <= 0:
@@ -58,11 +58,11 @@
         return True
 
     def leave(self, request: Request) -> None:
-        """A request waits no longer, if it did."""
+        """Take a request out of the queue, if it is in it."""
         self._waiting.pop(request, None)
 
     def serve(self) -> None:
-        """Send what waits while there is capacity, what gains the most for its work first."""
+        """Send queued requests while there is capacity, those of the highest priority first."""
         while self._waiting:
             gains = self._priorities.gains()
             request = max(
--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -63,7 +63,7 @@
             now_us: The present time.
             failed: Whether the attempt failed.
             trial_of: What `take_trial` returned for the attempt.
-            common: The failure share of the other servers of late.
+            common: The recent failure share of the other servers.
 
         Returns:
             The new state if it opened or closed the breaker, else None.
@@ -88,7 +88,7 @@
         return None
 
     def return_trial(self, trial_of: int) -> None:
-        """Give back the place of a trial that proved nothing."""
+        """Allow another trial in place of one that showed nothing."""
         if self.state is State.HALF_OPEN and trial_of == self.episode:
             self.trials_in_flight -= 1
 
--- a/sagetrack/policy/class_priorities.py
+++ b/sagetrack/policy/class_priorities.py
@@ -1,29 +1,29 @@
-"""What the operator's goal gains from a unit of server time spent on each class."""
+"""Priority of each request class: what the operator's goal gains from a unit of server time spent on it."""
 
 from __future__ import annotations
 
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.settings import Settings
 
-MEMORY = 500  # first tries after which the counts of asked and served requests are halved
+MEMORY = 500  # first tries after which the counts of first tries and served requests are halved
 
 
 class ClassPriorities:
-    """First tries by class, asked for and served in time, and the priorities that follow from them."""
+    """Counts first tries by class, and those served in time; derives priorities from them."""
 
     def __init__(self, settings: Settings, latency: LatencyEstimator) -> None:
         self._classes = settings.classes
         self._goal = settings.goal
         self._per_work = settings.priority_per_work
         self._latency = latency
-        self.asked = [0.0] * len(settings.classes)
+        self.first_tries = [0.0] * len(settings.classes)
         self.served = [0.0] * len(settings.classes)
 
-    def count_asked(self, class_index: int) -> None:
+    def count_first_try(self, class_index: int) -> None:
         """Count a first try."""
-        self.asked[class_index] += 1
-        if sum(self.asked) > MEMORY:
-            self.asked = [count / 2 for count in self.asked]
+        self.first_tries[class_index] += 1
+        if sum(self.first_tries) > MEMORY:
+            self.first_tries = [count / 2 for count in self.first_tries]
             self.served = [count / 2 for count in self.served]
 
     def count_served(self, class_index: int) -> None:
@@ -33,18 +33,22 @@
     def gains(self) -> list[float]:
         """What the goal gains from each unit of server time, by class."""
         goal, classes = self._goal, self._classes
-        total = sum(self.asked) or 1.0
-        mean = sum(c.priority_weight * a for c, a in zip(classes, self.asked, strict=True)) / total or 1.0
-        fractions = [s / a if a else 1.0 for s, a in zip(self.served, self.asked, strict=True)]
+        total = sum(self.first_tries) or 1.0
+        weights = [request_class.priority_weight for request_class in classes]
+        mean = sum(w * tries for w, tries in zip(weights, self.first_tries, strict=True)) / total or 1.0
+        fractions = [
+            served / tries if tries else 1.0
+            for served, tries in zip(self.served, self.first_tries, strict=True)
+        ]
         worst = min(fractions)
         gains = []
         for index, request_class in enumerate(classes):
             gain = (goal.overall + goal.worst_window) * request_class.priority_weight / mean
-            if fractions[index] == worst and self.asked[index]:
-                gain += goal.worst_class * total / self.asked[index]
+            if fractions[index] == worst and self.first_tries[index]:
+                gain += goal.worst_class * total / self.first_tries[index]
             gains.append(gain / (1.0 if self._per_work else self._latency.baseline_us[index]))
         return gains
 
     def work(self) -> list[float]:
-        """Server time asked for of late, by class."""
-        return [a * us for a, us in zip(self.asked, self._latency.baseline_us, strict=True)]
+        """Server time that recent first tries need, by class."""
+        return [tries * us for tries, us in zip(self.first_tries, self._latency.baseline_us, strict=True)]
--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -19,11 +19,11 @@
 
     usual_us: int
     votes: int = 0  # for `usual_us`: majority vote of Boyer and Moore
-    regular: float = 1.0  # share of the tries of late that came with it
+    regular: float = 1.0  # share of the recent tries that came with it
 
 
 class ClientTimeouts:
-    """The usual client timeout by class and tenant: one tenant's clients tell nothing of another's."""
+    """The usual client timeout by class and tenant."""
 
     def __init__(self, classes: Sequence[RequestClass], clients_mark_retries: bool) -> None:
         self._classes = classes
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -1,11 +1,11 @@
 """A gateway's share of the concurrency of all servers, where it is less than one request at each.
 
-A limit of three requests at a server that eighteen gateways use cannot be dealt out in whole places: each
-gateway would hold one, and the server eighteen. So a gateway keeps to a share of all places at all servers,
-as a mean over time: while it holds more than its share it uses up credit, while it holds less it saves some.
-The sum over all gateways then keeps the limit without a message, whichever of them has work just then, and a
-gateway with nothing to send for a while may hold several requests in a burst. The savings are small, so that
-all gateways together fill no server's queue for as long as it takes to overload one.
+A limit of three requests at a server that eighteen gateways use cannot be divided into integers: with one
+request for each gateway the server would have eighteen. So a gateway keeps to a share of the concurrency of
+all servers as a mean over time: while it has more than its share in flight it uses up credit, while it has
+less it saves some. The sum over all gateways then keeps the limit without a message, whichever of them has
+requests at the time, and a gateway that was idle may send a burst. The credit is small, so that bursts of all
+gateways together do not fill a server's queue for as long as it takes to overload one.
 
 The limit is a guess: servers may have more cores, and other gateways less to do. A gateway that finds its
 share used up while its answers come without queueing boosts it by small steps, and takes the boost back by
@@ -16,9 +16,9 @@
 from __future__ import annotations
 
 MAX_SAVED_US = 500_000.0  # of its share that may be saved up
-MAX_DEBT_US = 4_000_000.0  # of its share that may be owed: servers that hang silence it for no longer
+MAX_DEBT_US = 4_000_000.0  # of its share that may be owed: servers that hang stop a gateway for no longer
 MIN_CREDIT_US = -MAX_DEBT_US
-BOOST_SAVED_US = 100_000.0  # what is beyond its share must be saved for so long: no burst on credit
+BOOST_SAVED_US = 100_000.0  # how long credit for what is beyond its share must have been saved
 PROMPT, LATE = 1.0, 2.0  # times the baseline latency that an answer has queued: below, above
 BOOST_STEP, BOOST_CUT = 0.15, 0.7  # of the share: added after a prompt answer, left after a late one
 MAX_BOOST = 16.0  # times its share: servers of many cores
--- a/sagetrack/policy/endpoint_ring.py
+++ b/sagetrack/policy/endpoint_ring.py
@@ -35,7 +35,7 @@
     def __init__(self, gateway: int, gateways: int) -> None:
         self._gateway, self._gateways = gateway, gateways
         self.ranked: list[Item] = []  # always the same list object
-        self._places: dict[int, RingPosition[Item]] = {}  # by the item's number
+        self._positions: dict[int, RingPosition[Item]] = {}  # by the item's number
         self._order: list[tuple[float, int]] = []  # rank and number of all
         self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # the same of those in each
         self._first = 0
@@ -45,71 +45,72 @@
         order = self._scopes.get(scope, [])
         first = bisect_left(order, self._order[self._first]) if order else 0
         for at in range(first, first + len(order)):
-            yield self._places[order[at % len(order)][1]].item
+            yield self._positions[order[at % len(order)][1]].item
 
-    def change(self, places: Mapping[int, RingPosition[Item] | None]) -> None:
+    def change(self, positions: Mapping[int, RingPosition[Item] | None]) -> None:
         """Set the positions of items by their number; None removes one."""
-        changed = {n: place for n, place in places.items() if place != self._places.get(n)}
+        changed = {n: position for n, position in positions.items() if position != self._positions.get(n)}
         if len(changed) * SORT_FRACTION > len(self._order):
             self._sort(changed)
             return
-        for number, place in changed.items():
-            known = self._places.get(number)
-            if place is not None and known is not None and place.rank == known.rank:
-                self.ranked[self._ranked_index(bisect_left(self._order, (place.rank, number)))] = place.item
+        for number, position in changed.items():
+            known = self._positions.get(number)
+            if position is not None and known is not None and position.rank == known.rank:
+                index = self._ranked_index(bisect_left(self._order, (position.rank, number)))
+                self.ranked[index] = position.item
                 self._remove_from_scopes(number, known)
-                self._add_to_scopes(number, place)
+                self._add_to_scopes(number, position)
                 continue
             if known is not None:
                 self._remove(number, known)
-            if place is not None:
-                self._insert(number, place)
+            if position is not None:
+                self._insert(number, position)
 
-    def _add_to_scopes(self, number: int, place: RingPosition[Item]) -> None:
-        self._places[number] = place
-        for scope in place.scopes:
-            insort(self._scopes.setdefault(scope, []), (place.rank, number))
+    def _add_to_scopes(self, number: int, position: RingPosition[Item]) -> None:
+        self._positions[number] = position
+        for scope in position.scopes:
+            insort(self._scopes.setdefault(scope, []), (position.rank, number))
 
-    def _remove_from_scopes(self, number: int, place: RingPosition[Item]) -> None:
-        del self._places[number]
-        for scope in place.scopes:
+    def _remove_from_scopes(self, number: int, position: RingPosition[Item]) -> None:
+        del self._positions[number]
+        for scope in position.scopes:
             order = self._scopes[scope]
-            del order[bisect_left(order, (place.rank, number))]
+            del order[bisect_left(order, (position.rank, number))]
             if not order:
                 del self._scopes[scope]
 
     def _sort(self, changed: Mapping[int, RingPosition[Item] | None]) -> None:
-        for number, place in changed.items():
-            if place is None:
-                del self._places[number]
+        for number, position in changed.items():
+            if position is None:
+                del self._positions[number]
             else:
-                self._places[number] = place
-        self._order = sorted((place.rank, number) for number, place in self._places.items())
+                self._positions[number] = position
+        self._order = sorted((position.rank, number) for number, position in self._positions.items())
         self._first = first = self._gateway * len(self._order) // self._gateways
-        seen = self._order[first:] + self._order[:first]
-        self.ranked[:] = [self._places[number].item for _, number in seen]
+        ranked = self._order[first:] + self._order[:first]
+        self.ranked[:] = [self._positions[number].item for _, number in ranked]
         self._scopes = {}
         for rank, number in self._order:
-            for scope in self._places[number].scopes:
+            for scope in self._positions[number].scopes:
                 self._scopes.setdefault(scope, []).append((rank, number))
 
     def _ranked_index(self, at: int) -> int:
         """The index in `ranked` of what has the index `at` in the order."""
         return at - self._first if at >= self._first else at - self._first + len(self._order)
 
-    def _insert(self, number: int, place: RingPosition[Item]) -> None:
-        at = bisect_left(self._order, (place.rank, number))
-        self.ranked.insert(self._ranked_index(at), place.item)
-        self._order.insert(at, (place.rank, number))
-        self._add_to_scopes(number, place)
+    def _insert(self, number: int, position: RingPosition[Item]) -> None:
+        at = bisect_left(self._order, (position.rank, number))
+        self.ranked.insert(self._ranked_index(at), position.item)
+        self._order.insert(at, (position.rank, number))
+        self._add_to_scopes(number, position)
         self._first += at < self._first
         self._rotate()
 
-    def _remove(self, number: int, place: RingPosition[Item]) -> None:
-        at = bisect_left(self._order, (place.rank, number))
+    def _remove(self, number: int, position: RingPosition[Item]) -> None:
+        at = bisect_left(self._order, (position.rank, number))
         del self.ranked[self._ranked_index(at)]
         del self._order[at]
-        self._remove_from_scopes(number, place)
+        self._remove_from_scopes(number, position)
         self._first -= at < self._first
         self._rotate()
 
--- a/sagetrack/policy/events.py
+++ b/sagetrack/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the load balancer decides on: what the rest of the gateway tells it.
+"""Events that the load balancer decides on, sent by the rest of the gateway.
 
 Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
 everything else is a duration. Servers, requests, classes and zones are plain identifiers that are compared
--- a/sagetrack/policy/fleet_size.py
+++ b/sagetrack/policy/fleet_size.py
@@ -1,9 +1,9 @@
-"""How many gateways share the servers, and so each one's part of what a server may hold.
+"""How many gateways share the servers, and each gateway's share of a server's concurrency limit.
 
-A gateway behind a network partition cannot be told from a dead one, and both sides of a partition go on
-sending. So the parts grow only on the side of the majority, and by no more than the margin that is planned
-with: with at most `MAX_TAKEOVER` of the parts taken over, a majority that uses all of it and a minority that
-still sends as before stay within the whole together.
+A gateway behind a network partition looks like a dead one, and both sides of a partition go on sending. So
+shares grow only on the side of the majority, and by no more than the margin that is planned with: as at most
+`MAX_TAKEOVER` of the shares is taken over, a majority that uses all of it and a minority that sends as before
+stay within the limit together.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from sagetrack.policy.settings import Settings
 
-MAX_TAKEOVER = 0.25  # of all parts: so much of the dead gateways' parts may be taken over
+MAX_TAKEOVER = 0.25  # of all shares: the most that is taken over from dead gateways
 DEFAULT_MAX_CONCURRENCY = 3.0  # requests in flight at one server, by all gateways: more slow it down for long
 
 
@@ -46,9 +46,9 @@
         self.processes = max(1, processes)
 
     def is_concurrency_scarce(self) -> bool:
-        """Whether a server may hold fewer requests than there are gateways: none has a whole place there."""
+        """Whether a server's concurrency limit is less than one request for each gateway."""
         return self.gateways > self.max_concurrency
 
-    def places_per_server(self) -> int:
+    def max_in_flight_per_server(self) -> int:
         """The most requests that this gateway has in flight at one server."""
         return max(1, math.ceil(self.max_concurrency / self.gateways))
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Observations of servers that gateways tell each other: what this one tells, and what it believes."""
+"""Gossip of server health: which observations this gateway sends, and how it uses those of its peers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
-OWN_OUTWEIGHS_US = 2_000_000  # what this gateway saw itself within this outweighs all that peers tell
-TOLD_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
+OWN_OUTWEIGHS_US = 2_000_000  # an own outcome within this outweighs all observations of peers
+GOSSIP_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
 
 
 class HealthGossip:
-    """Peers' observations, joined, and what follows from them for servers that this gateway knows less of."""
+    """Merges observations of peers, and applies them to servers without a recent outcome here."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.received: dict[tuple[int, int], Observation] = {}  # by server and gateway
 
     def own_observations(self) -> list[Observation]:
-        """What this gateway itself has seen of servers."""
+        """Return this gateway's own observations of servers."""
         observed = []
         now_us, stall_us = self._context.now_us, self._latency.stall_timeout_us
         for number, server in self._endpoints.servers.items():
@@ -60,7 +60,7 @@
                     server.entry.started_us,
                     self._gateway,
                     max(seen_us, oldest_us + int(stall_us)) if stalled else seen_us,
-                    TOLD_STATES[server.breaker.state],
+                    GOSSIP_STATES[server.breaker.state],
                     server.breaker.open_until_us,
                     server.weight,
                     stalled,
@@ -70,40 +70,43 @@
         return observed
 
     def receive(self, event: ObservationsReceived) -> None:
-        """Believe what peers saw where this gateway has seen nothing itself of late.
+        """Apply the observations of peers to servers that this gateway has no recent outcome of.
 
-        The older, the less. A gateway that starts would otherwise feed a slow server until its own breaker
-        has seen enough.
+        An older observation counts less. Without them a gateway that starts would send to a slow server until
+        its own breaker has enough outcomes.
         """
         now_us = self._context.now_us
         ready = {s.entry.server: s.entry.started_us for s in self._ranked}
-        joined = merge_observations(self.received.values(), event.observations)
-        news = {key[0] for key, seen in joined.items() if self.received.get(key) != seen}
+        merged = merge_observations(self.received.values(), event.observations)
+        changed = {key[0] for key, observation in merged.items() if self.received.get(key) != observation}
         oldest_us = now_us - MAX_OBSERVATION_AGE_US
         listed = self._endpoints.servers
-        self.received = {k: s for k, s in joined.items() if k[0] in listed and s.seen_us > oldest_us}
-        told = [seen for seen in self.received.values() if seen.server in news]  # by all that saw these
+        self.received = {k: s for k, s in merged.items() if k[0] in listed and s.seen_us > oldest_us}
+        # All gateways' observations of a server are weighed again when one of them has changed.
+        concerned = [seen for seen in self.received.values() if seen.server in changed]
         ejected = sum(s.breaker.state is not State.CLOSED for s in self._ranked)
         self._restore_own(event)
         for advice in weigh_observations(
-            told, ready, now_us, max(0, int(MAX_EJECTED_FRACTION * len(ready)) - ejected)
+            concerned, ready, now_us, max(0, int(MAX_EJECTED_FRACTION * len(ready)) - ejected)
         ):
             self._follow(advice)
         self._latency.adopt(event.latencies)
 
     def _restore_own(self, event: ObservationsReceived) -> None:
         """Take the slow-start budget that this gateway itself had used before it was restarted."""
-        for seen in event.observations:
-            own = self._endpoints.servers.get(seen.server)
-            if seen.by == self._gateway and own and own.entry.started_us == seen.started_us:
-                self._slow_start.restore_used(own, seen.slow_start_used_us)
+        for observation in event.observations:
+            server = self._endpoints.servers.get(observation.server)
+            if server is None or observation.by != self._gateway:
+                continue
+            if server.entry.started_us == observation.started_us:
+                self._slow_start.restore_used(server, observation.slow_start_used_us)
 
     def _follow(self, advice: ServerAdvice) -> None:
         server, now_us = self._endpoints.servers[advice.server], self._context.now_us
         if server.last_outcome_us and now_us - server.last_outcome_us < OWN_OUTWEIGHS_US:
             return
-        believed = min(MAX_WEIGHT, max(MIN_WEIGHT, advice.weight))
-        server.weight += advice.confidence * (believed - server.weight)
+        advised_weight = min(MAX_WEIGHT, max(MIN_WEIGHT, advice.weight))
+        server.weight += advice.confidence * (advised_weight - server.weight)
         if advice.open_us > 0 and server.breaker.state is State.CLOSED:
             server.breaker.open(now_us)
             server.breaker.open_until_us = now_us + min(advice.open_us, MAX_COOLDOWN_US)
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -1,4 +1,4 @@
-"""This gateway's attempts in flight, held against its share of what all servers may hold."""
+"""This gateway's attempts in flight, and its share of the concurrency of all servers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from sagetrack.policy.state import Attempt
 from sagetrack.policy.timers import TimerPurpose
 
-PLANNED_CONCURRENCY = 0.85  # of what servers may hold, in the mean, by gateways that don't see each other's
+PLANNED_CONCURRENCY = 0.85  # of the servers' limits, in the mean: gateways don't see each other's attempts
 
 NO_TIMER = -1
 
 
 class InFlightAttempts:
-    """Counts attempts in flight; where concurrency is scarce, tells when one more may be sent."""
+    """Counts attempts in flight; where concurrency is scarce, says when one more may be sent."""
 
     def __init__(self, shared: PolicyContext) -> None:
         self._context = shared.event
@@ -30,25 +30,25 @@
             self._share.pass_time(now_us, self.count)
 
     def add(self, attempt: Attempt) -> None:
-        """An attempt is with its server from now on."""
+        """Count an attempt as in flight at its server from now on."""
         attempt.server.in_flight[attempt] = self._context.now_us
         self.count += 1
 
     def remove(self, attempt: Attempt) -> None:
-        """Its server no longer holds an attempt."""
+        """Count an attempt as in flight no longer."""
         if attempt.server.in_flight.pop(attempt, None) is not None:
             self.count -= 1
 
     def has_quota(self, now_us: int, usable_servers: int) -> bool:
-        """Whether one more may be sent now; where that is so by itself later, a timer is set.
+        """Return whether one more may be sent now; where it may be at a known time later, set a timer.
 
-        Hundreds of gateways that each hold no more than one attempt at each server would overload them.
+        Hundreds of gateways with one attempt in flight at each server would overload the servers.
         """
         fleet = self._fleet
         if not fleet.is_concurrency_scarce():
             return True
-        part = self._planned_per_server * usable_servers / fleet.gateways / fleet.processes
-        wait_us = self._share.wait_us(now_us, self.count, part)
+        share = self._planned_per_server * usable_servers / fleet.gateways / fleet.processes
+        wait_us = self._share.wait_us(now_us, self.count, share)
         if wait_us == 0:
             return True
         if wait_us is not None and self.timer_token == NO_TIMER:
@@ -56,9 +56,9 @@
         return False
 
     def timer_fired(self) -> None:
-        """The wait for this gateway's share is over."""
+        """Forget the timer that ended a wait for this gateway's share."""
         self.timer_token = NO_TIMER
 
     def learn(self, queued: float) -> None:
-        """An answer has queued for so many times its baseline latency; a lost or rejected one for ever."""
+        """Learn from a response that queued for so many times its baseline latency; inf if it was lost."""
         self._share.learn(queued)
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -14,7 +14,7 @@
 BASELINE_DRIFT = 0.0005  # relative rise with each longer answer: an overload must not become the baseline
 STALL_FACTOR = 4.0  # times the smoothed latency: an attempt that should have been answered
 FEW_ANSWERS = 20  # own good answers of a class: with fewer, peers' latencies are taken
-MAX_PEER_FACTOR = 2.0  # times the first guess: latencies of peers are believed up to this
+MAX_PEER_FACTOR = 2.0  # times the first guess: latencies of peers are used up to this
 
 
 class LatencyEstimator:
@@ -29,44 +29,41 @@
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # longer in flight: the server stalls
 
     def learn(self, class_index: int, relative_work: float, latency_us: int) -> None:
-        """Take the latency of a good answer."""
+        """Learn from the latency of a successful response."""
         latency = latency_us / relative_work
         self.answers[class_index] += 1
         self.answers_us[class_index] += latency
         self.smoothed_us[class_index] += SMOOTHING * (latency - self.smoothed_us[class_index])
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
         floor_us = self.baseline_us[class_index]
-        self.baseline_us[class_index] += (
-            min(0.0, self.smoothed_us[class_index] - floor_us) + BASELINE_DRIFT * floor_us
-        )
+        below_us = min(0.0, self.smoothed_us[class_index] - floor_us)
+        self.baseline_us[class_index] += below_us + BASELINE_DRIFT * floor_us
 
     def expected_us(self, class_index: int, relative_work: float) -> float:
-        """What an answer usually takes, queueing included."""
+        """Return the usual latency in microseconds, queueing included."""
         return self.smoothed_us[class_index] * relative_work
 
-    def unqueued_us(self, class_index: int, relative_work: float) -> float:
-        """What an answer takes where it does not queue."""
+    def expected_baseline_us(self, class_index: int, relative_work: float) -> float:
+        """Return the baseline latency in microseconds: without queueing."""
         return self.baseline_us[class_index] * relative_work
 
     def mean_us(self, class_index: int, prior_answers: float) -> float:
-        """The mean of all good answers; the first guess counts for `prior_answers` of them."""
+        """Return the mean latency of good responses; the first guess counts as `prior_answers` of them."""
         total_us = prior_answers * self.initial_us[class_index] + self.answers_us[class_index]
         return total_us / (prior_answers + self.answers[class_index])
 
     def observed(self) -> list[ClassLatency]:
-        """What to tell peers: the classes of which this gateway had enough answers itself."""
-        known = [class_index for class_index, count in enumerate(self.answers) if count >= FEW_ANSWERS]
-        return [
-            ClassLatency(class_index, self.smoothed_us[class_index], self.baseline_us[class_index])
-            for class_index in known
-        ]
+        """Return the latencies of the classes of which this gateway has enough responses, for its peers."""
+        known = [index for index, count in enumerate(self.answers) if count >= FEW_ANSWERS]
+        return [ClassLatency(index, self.smoothed_us[index], self.baseline_us[index]) for index in known]
 
     def adopt(self, latencies: Iterable[ClassLatency]) -> None:
-        """Take peers' latencies of classes of which this gateway had few answers itself."""
-        for told in latencies:
-            class_index = told.class_index
+        """Use peers' latencies of the classes of which this gateway has too few responses."""
+        for latency in latencies:
+            class_index = latency.class_index
             if 0 <= class_index < len(self.answers) and self.answers[class_index] < FEW_ANSWERS:
                 most_us = MAX_PEER_FACTOR * self.initial_us[class_index]
-                self.smoothed_us[class_index] = min(most_us, max(1.0, told.smoothed_us))
-                self.baseline_us[class_index] = min(self.smoothed_us[class_index], max(1.0, told.baseline_us))
+                self.smoothed_us[class_index] = min(most_us, max(1.0, latency.smoothed_us))
+                baseline_us = max(1.0, latency.baseline_us)
+                self.baseline_us[class_index] = min(self.smoothed_us[class_index], baseline_us)
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -202,7 +202,7 @@
         return self.endpoints.open_count()
 
     def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
-        """What this gateway itself has seen of servers and classes."""
+        """Return this gateway's own observations of servers, and its latencies by class."""
         return self.gossip.own_observations(), self.latency.observed()
 
     # Events
@@ -233,7 +233,7 @@
             if not self.settings.endpoints_are_pushed:
                 self.context.actions.append(WatchEndpoints())
         elif timer.request is not None and timer.purpose is TimerPurpose.QUEUE_WAIT:
-            self.arrivals.wait_over(timer.request)
+            self.arrivals.queue_wait_expired(timer.request)
         elif timer.request is not None:
             self._on_request_timer(timer.request)
 
--- a/sagetrack/policy/load_shedding.py
+++ b/sagetrack/policy/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: which requests to reject before they cost a server anything.
 
-Two fractions of the work asked for are shed, of the classes that gain the goal little for their work and of
-all others. Both are moved by feedback: up with each answer that queued for too long, down with a prompt one.
+Two fractions of the requested work are shed: of the low-priority classes, and of all others. Both are moved
+by feedback: up with each response that queued for too long, down with a prompt one.
 """
 
 from __future__ import annotations
@@ -16,20 +16,24 @@
 from sagetrack.policy.state import Request
 
 MAX_QUEUED_SHARE = 0.5  # of the slack under the latency objective: an answer that queued longer is late
-LOW_PRIORITY = 0.5  # of the mean gain for work: classes below yield to queueing, the rest only to lateness
+LOW_PRIORITY = (
+    0.5  # of the mean gain for work: classes below are shed for queueing, the rest only for lateness
+)
 NOTICED_SHARE = 0.05  # of the slack under the objective: queueing for less is never an overload
 OVERLOAD_FACTOR = 4.0  # times the baseline latency: answers of overloaded servers, whatever the objective
-SHED_STEP = 0.1  # of the work asked for, shed more or less after one answer at the usual pace
+SHED_STEP = 0.1  # of the requested work: more or less is shed by this after one answer at the usual pace
 MIN_SHED_STEP, SHED_STEP_PER_S = 0.02, 4.0  # with many answers: at the least, and by the time since the last
 SLOW_SHED_STEP_PER_S = 0.4  # the same with few answers, where it makes the step larger than SHED_STEP
 MAX_ANSWER_GAP_US = 500_000  # one answer speaks for no longer: a single late one on a quiet day is chance
-MAX_SHED = 0.95  # what still comes through tells when to shed less
+MAX_SHED = 0.95  # the outcomes of the rest show when to shed less
 MIN_USEFUL_SHARE = 0.5  # of the baseline latency: a request with less time left is not sent
-TELL_LOAD = frozenset({Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED})  # outcomes that tell of queueing
+LOAD_OUTCOMES = frozenset(
+    {Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED}
+)  # outcomes that show whether requests queue
 
 
 class LoadShedder:
-    """The fractions that are shed, and who is part of them."""
+    """Owns the fractions that are shed, and decides which requests are."""
 
     def __init__(
         self,
@@ -57,10 +61,8 @@
         """Whether an answer would come too late to be of any use."""
         if now_us >= request.deadline_us:
             return True
-        if (
-            self._classes[request.class_index].late_priority_weight <= 0.0
-            and now_us >= request.objective_at_us
-        ):
+        request_class = self._classes[request.class_index]
+        if request_class.late_priority_weight <= 0.0 and now_us >= request.objective_at_us:
             return True
         useful_us = MIN_USEFUL_SHARE * self._latency.baseline_us[request.class_index] * request.relative_work
         irregular = self._client_timeouts.is_irregular(request.class_index, request.tenant)
@@ -89,7 +91,7 @@
         mean = sum(w * g for w, g in zip(work, gains, strict=True)) / total
         high = gain >= LOW_PRIORITY * mean
         shed = self.shed_fraction_high_priority if high else self.shed_fraction
-        if self._admission is not None:  # a client that asks for no more than its part yields nothing
+        if self._admission is not None:  # a client within its fair share is not shed
             shed = self._admission.rejection_fraction(
                 context.now_us, request.admission_tenant, request.client, shed, high
             )
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -10,7 +10,7 @@
 from sagetrack.policy.class_priorities import ClassPriorities
 from sagetrack.policy.events import NEVER_RAN, AttemptEnded, AttemptSent, Outcome, StreamStarted
 from sagetrack.policy.in_flight import InFlightAttempts
-from sagetrack.policy.load_shedding import TELL_LOAD, LoadShedder
+from sagetrack.policy.load_shedding import LOAD_OUTCOMES, LoadShedder
 from sagetrack.policy.policy_context import PolicyContext
 from sagetrack.policy.request_lifecycle import RequestLifecycle
 from sagetrack.policy.retry import RetryPolicy
@@ -21,7 +21,7 @@
 
 
 class AttemptOutcomes:
-    """Takes what is reported of attempts, and tells the components that learn from it."""
+    """Takes the outcomes of attempts, and passes them to the components that learn from them."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         request.streaming = True
         request.response_began_us = self._context.now_us
         self._in_flight.remove(attempt)  # its server has done the work
-        self._requests.cancel_attempts(request, spared=event.attempt)
+        self._requests.cancel_attempts(request, except_for=event.attempt)
         return True
 
     def body_sent(self, event: AttemptSent) -> None:
@@ -78,7 +78,7 @@
         if request is None or attempt is None or attempt.ended:
             return False
         self._end_attempt(request, attempt, event)
-        if self._outliers.judge(request, attempt, event) and event.outcome in TELL_LOAD:
+        if self._outliers.judge(request, attempt, event) and event.outcome in LOAD_OUTCOMES:
             self._learn_load(request, event)
         if request.answered:
             if request.in_flight == 0:
@@ -104,9 +104,9 @@
 
     def _learn_load(self, request: Request, event: AttemptEnded) -> None:
         """Move what is shed and this gateway's share of concurrency by how long an answer has queued."""
-        unqueued_us = self._latency.unqueued_us(request.class_index, request.relative_work)
+        baseline_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         if event.outcome is Outcome.OK:
-            self._in_flight.learn((event.latency_us - unqueued_us) / max(1.0, unqueued_us))
+            self._in_flight.learn((event.latency_us - baseline_us) / max(1.0, baseline_us))
         else:
             self._in_flight.learn(math.inf)
         self._shedder.adjust(self._context.now_us, request, event.outcome, event.latency_us)
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -122,8 +122,8 @@
     advice = [_advice_for(server, weighted, now_us) for server, weighted in by_server.items()]
     advice.sort(key=lambda a: (-a.open_us, a.weight, a.server))
     return [
-        a if place < max_ejected or a.open_us < 0 else replace(a, open_us=NOT_EJECTED)
-        for place, a in enumerate(advice)
+        one if rank < max_ejected or one.open_us < 0 else replace(one, open_us=NOT_EJECTED)
+        for rank, one in enumerate(advice)
     ]
 
 
@@ -132,10 +132,10 @@
     total = sum(weight for weight, _ in weighted)
     mean = sum(weight * observation.weight for weight, observation in weighted) / total
     unhealthy = [(weight, observation) for weight, observation in weighted if observation.is_unhealthy]
-    believed = sum(weight for weight, _ in unhealthy)
+    unhealthy_confidence = sum(weight for weight, _ in unhealthy)
     open_us = NOT_EJECTED
-    if believed > total / 2 and believed >= MIN_CONFIDENCE_TO_EJECT:
-        # A breaker that was open until before now says nothing any more, an overload does for a moment.
+    if unhealthy_confidence > total / 2 and unhealthy_confidence >= MIN_CONFIDENCE_TO_EJECT:
+        # A breaker whose cooldown is over ejects nothing; an overload ejects for OVERLOAD_EJECTION_US.
         left_us = max(o.open_until_us - now_us if o.state == OPEN else 0 for _, o in unhealthy)
         if left_us > 0:
             open_us = left_us
--- a/sagetrack/policy/request_factory.py
+++ b/sagetrack/policy/request_factory.py
@@ -43,7 +43,7 @@
         relative_work = self._relative_work(event)
         if is_first_try:
             self._retry_budget.add_first_try()
-            self._priorities.count_asked(event.class_index)
+            self._priorities.count_first_try(event.class_index)
         return Request(
             event.request,
             event.class_index,
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -84,10 +84,10 @@
         elif not request.streaming:
             self.cancel_attempts(request)
 
-    def cancel_attempts(self, request: Request, spared: int | None = None) -> None:
-        """Cancel what is still in flight, but for one attempt that is wanted."""
+    def cancel_attempts(self, request: Request, except_for: int | None = None) -> None:
+        """Cancel the attempts that are still in flight, except for one."""
         for number, attempt in enumerate(request.attempts if self._settings.may_cancel else ()):
-            if not attempt.ended and number != spared:
+            if not attempt.ended and number != except_for:
                 self._context.actions.append(Cancel(request.id, number))
 
     def release(self, request: Request) -> None:
--- a/sagetrack/policy/reservations.py
+++ b/sagetrack/policy/reservations.py
@@ -9,14 +9,14 @@
 from typing import NamedTuple
 
 EARLY_FRACTION = 0.2  # of a Retry-After: a client that comes back sooner than the rest of it has ignored it
-EXPIRY_US = 3_000_000  # a reservation that nobody claims is void this long after its time
+EXPIRY_US = 3_000_000  # an unclaimed reservation is void this long after its time
 JITTER = 0.1  # of a Retry-After, added at random: clients rejected together come back apart
 MAX_RESERVATIONS_PER_CLIENT = 64  # one client's many requests do not lengthen the schedule for others
 MIN_RETRY_AFTER_US = 10_000  # a shorter wait is not worth another round trip
 
 
 class Requester(NamedTuple):
-    """Who sends a request, as far as the gateway can tell."""
+    """Who sends a request, as far as the gateway knows."""
 
     tenant: int  # its place in the settings
     client: int  # 0: not known; below 0: an address that several clients may share
@@ -88,7 +88,7 @@
         return int(wait_us)
 
     def claim(self, requester: Requester, now_us: int) -> int | None:
-        """Use a reservation of a client that asks again.
+        """Use the reservation of a client that retries.
 
         Returns:
             0 if one is due about now and has been used up; how long the client still has to wait, in
@@ -121,7 +121,7 @@
                 del self.count_by_client[tenant, client]
 
     def _expire(self, now_us: int) -> None:
-        """Drop reservations that nobody has claimed: those of the two oldest requesters at the most."""
+        """Drop unclaimed reservations: those of the two oldest requesters at the most."""
         for _ in range(2):
             requester = next(iter(self.table), None)
             if requester is None or max(self.table[requester])[0] > now_us - EXPIRY_US:
--- a/sagetrack/policy/retry.py
+++ b/sagetrack/policy/retry.py
@@ -56,7 +56,7 @@
         """Whether to try again after the last attempt in flight has failed."""
         request_class = self._settings.classes[request.class_index]
         left_us = attempt_deadline_us(request, request_class, context.now_us) - context.now_us
-        in_time = left_us > self._latency.unqueued_us(request.class_index, request.relative_work)
+        in_time = left_us > self._latency.expected_baseline_us(request.class_index, request.relative_work)
         if outcome is Outcome.TIMEOUT:
             shed = self._shedder.shed_fraction > 0.0
         else:
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -43,7 +43,7 @@
         self._traffic_shift = shift
 
     def select(self, request: Request) -> Server | None:
-        """Weighted random choice among the servers that may take this request now; None if none may."""
+        """Draw a server at random, by weight, of those that may take this request now, if any may."""
         weights, total = self._draw_weights(self._candidates(request), request)
         if self._settings.grpc_kinds:
             weights = self._by_protocol(request, weights)
@@ -60,7 +60,7 @@
         return weights[-1][1]
 
     def any_eligible(self, class_index: int) -> bool:
-        """Whether any server could take a request of a class, but for what it holds."""
+        """Whether any server could take a request of a class, its concurrency limit aside."""
         return any(self.is_eligible(server, class_index) for server in self._ring.ranked)
 
     def is_eligible(self, server: Server, class_index: int) -> bool:
@@ -69,7 +69,7 @@
             return False
         now_us = self._context.now_us
         if server.breaker.state is not State.CLOSED:
-            # Trials risk their request: one that could not be retried takes no such place.
+            # A trial may fail: a request that could not be retried is not used for one.
             if self._settings.classes[class_index].effect is Effect.UNSAFE:
                 return False
             if not server.breaker.allows_request(now_us):
@@ -88,17 +88,17 @@
     def subset(self, class_index: int) -> list[Server]:
         """The servers that this gateway spreads over: the first in rank that are eligible.
 
-        All servers would mean full connection tables, a handshake for each request and thin evidence. An
-        open or stalled server gives its place to the next. One that is warming up is used only by gateways
-        that rank it high without that, so that many who step aside never meet on it.
+        Spreading over all servers would mean full connection tables, a handshake for each request and few
+        outcomes to judge a server by. A server whose breaker is open, or that stalls, is replaced by the next
+        in rank. One that is warming up is no such replacement: many gateways at once could choose it.
         """
         size, now_us = self._subset_size.size, self._context.now_us
         is_eligible = self.is_eligible
         subset: list[Server] = []
-        for place, server in enumerate(self._ring.ranked):
+        for rank, server in enumerate(self._ring.ranked):
             if len(subset) >= size:
                 break
-            if (place < size or now_us >= server.warm_at_us) and is_eligible(server, class_index):
+            if (rank < size or now_us >= server.warm_at_us) and is_eligible(server, class_index):
                 subset.append(server)
         return subset
 
@@ -110,7 +110,7 @@
         return self.subset(request.class_index)
 
     def _retry_candidates(self, request: Request) -> list[Server]:
-        """Servers that another attempt may go to without a second effect."""
+        """Servers that a retry may go to without running the request twice."""
         tried = [attempt.server for attempt in request.attempts]
         request_class = self._settings.classes[request.class_index]
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -129,11 +129,11 @@
         return servers
 
     def _in_scope(self, scope: Scope, entries: list[ListedServer]) -> Iterable[Server]:
-        """By rank, the servers that drop retries of what may have run at all of these."""
+        """By rank, the servers that deduplicate a request which may have run at all of these."""
         if scope is Scope.ALL:
             return self._ring.ranked
-        places = {entry.zone if scope is Scope.ZONE else entry.group for entry in entries}
-        return self._ring.within((scope, places.pop())) if len(places) == 1 else ()
+        scope_ids = {entry.zone if scope is Scope.ZONE else entry.group for entry in entries}
+        return self._ring.within((scope, scope_ids.pop())) if len(scope_ids) == 1 else ()
 
     def _draw_weights(self, candidates: Iterable[Server], request: Request) -> tuple[Weights, float]:
         """The candidates with a weight in the draw, and its sum.
@@ -141,14 +141,14 @@
         A weight is the listed one times the controller's for the server and the class, less for another
         zone, for what is in flight there and while the server warms up.
         """
-        places = self._fleet.places_per_server()
+        max_in_flight = self._fleet.max_in_flight_per_server()
         class_index = request.class_index
         now_us = self._context.now_us
         weights: Weights = []
         total = 0.0
         for server in candidates:
             in_flight = len(server.in_flight)
-            if in_flight >= places:
+            if in_flight >= max_in_flight:
                 continue
             share = 1.0
             if now_us < server.warm_at_us:
@@ -166,8 +166,8 @@
         """Weights multiplied for the share of gRPC servers that the request's tenant or class has."""
         grpc = self._settings.grpc_kinds
         if request.mirror_target >= 0:
-            wanted = bool(request.mirror_target)
-            return [(weight, s) for weight, s in weights if (s.entry.kind in grpc) == wanted]
+            wants_grpc = bool(request.mirror_target)
+            return [(weight, s) for weight, s in weights if (s.entry.kind in grpc) == wants_grpc]
         shift = self._traffic_shift
         factors = shift.tenants.get(request.tenant) or shift.classes.get(request.class_index)
         if factors is None:
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what the outcome of an attempt says of its server, and of its class there."""
+"""Outlier detection: what the outcome of an attempt shows of its server, and of the class at that server."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Attempt, ClassHealth, Request, Server
 
-RECENT_OUTCOMES = 100  # of all servers, which tell what fails in common
+RECENT_OUTCOMES = 100  # of all servers: the failures they have in common
 WEIGHT_STEP = 0.02  # added by a good answer
 WEIGHT_CUT = 0.7  # factor of a failure or a slow answer
 SLOW_FACTOR = 2.0  # times the smoothed latency: a slow answer
-TELLS_OF_CLASS = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
+CLASS_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
 
 
 class OutlierDetector:
@@ -36,10 +36,10 @@
         self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # server, class, failed
 
     def judge(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Enter an outcome; False if it proves nothing of the whole server, and so nothing of its load."""
+        """Record an outcome; return False if it shows nothing of the server as a whole, nor of its load."""
         server, outcome = attempt.server, event.outcome
         health = server.class_health(request.class_index)
-        if outcome not in TELLS_OF_CLASS:
+        if outcome not in CLASS_OUTCOMES:
             health.breaker.return_trial(attempt.class_trial_of)
         expected_us = self._latency.expected_us(request.class_index, request.relative_work)
         if self._proves_nothing(request, attempt, event, expected_us):
@@ -51,7 +51,7 @@
         slow = not failed and event.latency_us / max(1.0, expected_us) > SLOW_FACTOR
         if not failed:
             self._latency.learn(request.class_index, request.relative_work, event.latency_us)
-        if outcome in TELLS_OF_CLASS:
+        if outcome in CLASS_OUTCOMES:
             self._judge_class(request.class_index, attempt, failed)
             others = [h.last_succeeded for h in server.classes.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
@@ -89,15 +89,15 @@
         recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
         refused = outcome is Outcome.CONNECT_FAILED
         if refused and server.breaker.state is not State.OPEN and not recently_good:
-            # A dead process or a full connection table: one such outcome is verdict enough, of a trial too,
-            # but where good answers came until a moment ago.
+            # A dead process or a full connection table: one such outcome opens the breaker, of a trial too,
+            # unless a good response came recently.
             changed = server.breaker.reopen(now_us)
         server.last_success_us = 0 if failed else now_us
         self._endpoints.breaker_changed(server)
         self._log_change(server, server.breaker, changed)
 
     def _common_failure_share(self, server: Server, class_index: int | None) -> float:
-        """Failure share of the other servers of late: what no single server is to blame for.
+        """Return the recent failure share of the other servers: failures with a common cause.
 
         Of all outcomes, not of the breakers' rings: tripped breakers would be missing from it.
         """
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -18,7 +18,7 @@
 class ClassHealth:
     """Circuit breaker and weight of one class at one server, for failures of that class alone.
 
-    A verdict on the whole server would waste what it does well for other classes.
+    Ejecting the whole server would waste its capacity for the classes that it serves well.
     """
 
     breaker: Breaker
@@ -33,13 +33,13 @@
     entry: ListedServer
     controlled: float  # the feedback controller's weight: see `weight`
     rank: float  # a hash: the position in the ring, the same at every gateway
-    zone_factor: float  # 1 in this gateway's zone, less in others the more a crossing costs
+    zone_factor: float  # 1 in this gateway's zone; in others less, by the price of crossing zones
     warm_at_us: int  # at the latest, on this gateway's clock
     breaker: Breaker = field(default_factory=Breaker)
     classes: dict[int, ClassHealth] = field(default_factory=dict)
     in_flight: dict[Attempt, int] = field(default_factory=dict)  # and when each was sent, oldest first
     last_success_us: int = 0  # the last answer, if it was good; else 0
-    last_outcome_us: int = 0  # the last outcome that told something
+    last_outcome_us: int = 0  # the last outcome that said something of its health
     slow_start_used_us: float = 0.0  # work sent while warming up that has not drained: see SlowStart
     slow_start_used_at_us: int = 0
     weights: ExactSum | None = None  # of all that are listed
@@ -56,7 +56,7 @@
         self.controlled = weight
 
     def class_health(self, class_index: int) -> ClassHealth:
-        """The health of one class here; made when it is first asked for."""
+        """The health of one class here, made at the first use."""
         if class_index not in self.classes:
             self.classes[class_index] = ClassHealth(Breaker(CLASS_MINIMUM))
         return self.classes[class_index]
@@ -96,8 +96,8 @@
     single_use_body: bool = False  # its body can't be sent again
     admission_tenant: int = 0  # the number that admission control has for its tenant
     client: int = 0
-    has_reservation: bool = False  # it comes back at the time that its client was told
-    retry_after_us: int = -1  # what admission control said of when to come back; -1: nothing
+    has_reservation: bool = False  # a retry at the time that a Retry-After named
+    retry_after_us: int = -1  # as admission control set it; -1: not set
     tenant: int = 0
     mirror_target: int = -1  # mirrored, for gRPC servers (1) or for the others (0) alone; -1: not mirrored
     key_cooldown_until_us: int = 0  # in order: an attempt may still be running until then
--- a/sagetrack/policy/subset_size.py
+++ b/sagetrack/policy/subset_size.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MIN_SUBSET = 3  # few enough that breakers see many outcomes each, and enough to outlive a bad third
-MEMORY = 0.98  # of the widest subset needed of late, left after each attempt
+MEMORY = 0.98  # of the widest recently needed subset, left after each attempt
 MEMORY_SCARCE = 0.8  # the same where concurrency is scarce: a wider subset meets more of the other gateways
 
 
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -21,7 +21,7 @@
 
 
 class DecayedDemand:
-    """Work requested of late, by key of a fixed range: a sum that decays with time."""
+    """Recently requested work, by key of a fixed range: a sum that decays with time."""
 
     __slots__ = ("at_us", "sums")
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, eq=False)
 class FlowDemand:
-    """Work requested of late by the clients of one flow."""
+    """Work recently requested by the clients of one flow."""
 
     work_us: float
     at_us: float
--- a/sagetrack/policy/tenant_quota.py
+++ b/sagetrack/policy/tenant_quota.py
@@ -1,4 +1,4 @@
-"""How far a tenant's tries of late are beyond its share: while load is shed, these yield first."""
+"""How far a tenant's recent tries exceed its quota: the excess is shed first."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TenantQuota:
-    """Decayed counts of tries by tenant, held against the tenants' shares."""
+    """Decayed counts of tries by tenant, compared with the tenants' shares."""
 
     def __init__(self, tenants: Sequence[Tenant], over_quota_priority: float) -> None:
         self._tenants = tenants
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -167,7 +167,7 @@
     assert sorted(fleet.olds) == sorted(fleet.up) == list(range(10))
     assert all(p.balancer.fleet.processes == 2 for n in range(10) for p in (fleet.up[n], fleet.olds[n]))
     came = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.of("ask"))  # first tries
-    new = sum(p.balancer.priorities.asked[0] for p in fleet.up.values())
+    new = sum(p.balancer.priorities.first_tries[0] for p in fleet.up.values())
     assert 0.4 < new / came < 0.6
 
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -74,7 +74,7 @@
     dear = replace(SAFE, priority_weight=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
     for number in range(100):
-        driver.balancer.priorities.asked[number % 2] += 1
+        driver.balancer.priorities.first_tries[number % 2] += 1
         driver.balancer.priorities.served[number % 2] += 1
     for latency_us, shed in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(round(0.3 / SHED_STEP)):
@@ -120,7 +120,7 @@
     latency = LatencyEstimator(settings.classes)
     priorities = ClassPriorities(settings, latency)
     for class_index in (0, 1) * 20:
-        priorities.count_asked(class_index)
+        priorities.count_first_try(class_index)
         priorities.count_served(class_index)
     timeouts = ClientTimeouts(settings.classes, clients_mark_retries=False)
     return LoadShedder(settings, latency, timeouts, priorities), priorities, EventContext(1)
