--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, each crossing forced on real sockets. Their table: docs/design/crossings.md."""
+"""Two events that cross, each crossing forced on real sockets. Their table: docs/design/races.md."""
 
 from __future__ import annotations
 
