--- a/sagetrack/cli/soak.py
+++ b/sagetrack/cli/soak.py
@@ -3,10 +3,15 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 import typer
 
+if TYPE_CHECKING:
+    from sagetrack.lab.soak.verdict import SoakReport
+
+PRINTED_VIOLATIONS = 20  # of a seed, at most
+
 
 def soak(
     seed: Annotated[int, typer.Option(help="the first seed")] = 1,
@@ -22,28 +27,33 @@
     Exit 0 only if no rule is broken in any seed.
     """
     from sagetrack.cli.lab_app import fail
-    from sagetrack.lab.soak.run import Size, fresh_folder
-    from sagetrack.lab.soak.run import soak as play
+    from sagetrack.lab.soak.fleet import SoakSize
+    from sagetrack.lab.soak.run import make_folder, run_soak
 
     if seeds < 1 or seconds < 3.0 or min(gateways, servers, clients) < 1:
         raise fail("--seeds, --gateways, --servers and --clients are at least 1, --seconds at least 3")
-    size = Size(gateways, servers, clients, seconds)
-    kept = folder if folder is not None else fresh_folder()
-    broken = 0
+    size = SoakSize(gateways, servers, clients, seconds)
+    run_folder = folder if folder is not None else make_folder()
+    failed_seeds = 0
     for number in range(seed, seed + seeds):
-        report = play(number, size, kept / f"seed-{number}")
-        verdict = "passed" if not report.breaks else f"{len(report.breaks)} breaks"
-        print(
-            f"seed {number}: {verdict}, {report.served} of {report.sent} served, {len(report.troubles)} "
-            f"troubles, {report.failed_calls} failed system calls"
-        )
-        for line in report.without:
-            print(f"  without {line}")
-        for one in report.breaks[:20]:
-            print(f"  {one}")
-        if report.breaks:
-            for trouble in report.troubles:
-                print(f"    {trouble}")
-        broken += bool(report.breaks)
-    print(f"{seeds - broken} of {seeds} seeds passed; events and logs in {kept}")
-    raise typer.Exit(1 if broken else 0)
+        report = run_soak(number, size, run_folder / f"seed-{number}")
+        _print_report(report)
+        failed_seeds += bool(report.violations)
+    print(f"{seeds - failed_seeds} of {seeds} seeds passed; events and logs in {run_folder}")
+    raise typer.Exit(1 if failed_seeds else 0)
+
+
+def _print_report(report: SoakReport) -> None:
+    """Print one seed's verdict, and what it takes to understand a failed one."""
+    verdict = f"{len(report.violations)} breaks" if report.violations else "passed"
+    print(
+        f"seed {report.seed}: {verdict}, {report.served} of {report.sent} served, {len(report.faults)} "
+        f"troubles, {report.failed_system_calls} failed system calls"
+    )
+    for limitation in report.limitations:
+        print(f"  without {limitation}")
+    for violation in report.violations[:PRINTED_VIOLATIONS]:
+        print(f"  {violation}")
+    if report.violations:
+        for fault in report.faults:
+            print(f"    {fault}")
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -1,6 +1,6 @@
-"""Members' clients of the soak, as a process: `… .client NUMBER SEED FILE PLAN`.
+"""Clients of the soak, as a process: `python -m sagetrack.lab.soak.client NUMBER SEED FILE PORTS`.
 
-It ends with its standard input.
+PORTS is a JSON file with the list of the gateways' ports. The process ends with its standard input.
 """
 
 from __future__ import annotations
@@ -9,23 +9,40 @@
 import random
 import sys
 from contextlib import suppress
-from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
-from sagetrack.lab.soak.events import Answered, Journal, Left, Misbehaved, Sent, Unanswered, now_us
-from sagetrack.lab.soak.server import is_body_for
-from sagetrack.lab.stand_ins.scripted import Message, read_message
-
-WORKERS = 10
-FIRST_REQUEST_US = 450_000  # a gateway gives a new connection so long, and a little more
-PATIENCE_S = 1.0  # past a request's time, until its client is sure that no answer comes
-BAD_CLIENT_S = 3.0  # within which one that sends what cannot be read is owed an error or a close
-RENEW = 0.15  # of the requests are the last on their connection
+from sagetrack.lab.soak.client_connection import Connection, build_request
+from sagetrack.lab.soak.events import (
+    AnyEvent,
+    ClientDisconnected,
+    EventWriter,
+    MalformedRequestIgnored,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+    now_us,
+)
+from sagetrack.lab.soak.response_body import is_body_for
+
+CLIENTS = 10  # of one process
+PAUSE_S = (0.005, 0.08)  # between a client's actions
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.05
+PATIENCE_S = 1.0  # past a request's budget, until its client is sure that no response comes
+MALFORMED_REQUEST_TIMEOUT_S = 3.0  # within which a malformed request must get an error or a close
+LAST_ON_CONNECTION_SHARE = 0.15  # of the requests
+CLASS_NAMES = ("search", "search", "hold", "reserve", "transfer", "transfer")
 BUDGETS_MS = (150, 400, 800, 1_500, 2_500)
-PIECE = 16 * 1024  # of a long body
-GARBAGE = (
+DISCONNECT_AFTER_S = (0.0, 0.01, 0.03, 0.2)
+SPLIT_DELAY_S = (0.05, 0.6)
+IDLE_S = (0.3, 1.5)
+UPLOAD_BYTES = (70_000, 300_000)
+UPLOAD_PIECE = 16 * 1024
+UPLOAD_DELAY_S = (0.0, 0.0, 0.01)  # between pieces
+MALFORMED_REQUESTS = (
     b"no request at all\r\n\r\n",
     b"GET /search HTTP/9.9\r\n\r\n",
     b"POST /transfer/1 HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
@@ -33,248 +50,223 @@
 )
 
 
-class Plan(msgspec.Struct):
-    """What all clients know."""
-
-    ports: list[int]  # of the gateways
-    weights: dict[str, float]  # of the behaviours
-
+class Request(NamedTuple):
+    """A request as its client has drawn it."""
 
-@dataclass(slots=True)
-class Connection:
-    reader: asyncio.StreamReader
-    writer: asyncio.StreamWriter
-    since_us: int
-    used: bool = False
-    answer_begun: bool = False  # its head has come: what does not come whole has failed, and is not lost
+    request_id: str
+    class_name: str
+    budget_ms: int
 
-    @property
-    def fresh(self) -> bool:
-        """Whether a request on it is its first one, and comes in time: it is not sent again then."""
-        return not self.used and now_us() - self.since_us < FIRST_REQUEST_US
+    def encode(self, padding: int = 0) -> bytes:
+        """The request's bytes, with so many bytes added to its body."""
+        return build_request(self.request_id, self.class_name, self.budget_ms, padding)
 
-    def close(self) -> None:
-        self.writer.transport.abort()
-
-
-def request(call: str, class_name: str, budget_ms: int, more: int = 0) -> bytes:
-    """A request in full; `more` bytes are added to its body."""
-    method = "GET" if class_name == "search" else "POST"
-    lines = [
-        f"{method} /{class_name}/{call} HTTP/1.1",
-        "Host: gateway",
-        f"X-Call-Id: {call}",
-        f"X-Call-Class: {class_name}",
-        "X-Caller: acme",
-        f"X-Budget-Ms: {budget_ms}",
-    ]
-    if class_name in ("hold", "reserve"):
-        lines.append(f"Idempotency-Key: {call}")
-    body = b"" if class_name == "search" else call.encode() + b"x" * more
-    if class_name != "search":
-        lines.append(f"Content-Length: {len(body)}")
-    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
+class Client:
+    """One client: a connection to one gateway at a time, which it renews now and then."""
 
-class Worker:
-    """One client: a connection to one gateway at a time, renewed now and then."""
-
-    def __init__(self, name: str, plan: Plan, journal: Journal, draw: random.Random) -> None:
-        self.name, self.plan, self.journal, self.draw = name, plan, journal, draw
-        self.count = 0
-        self.gateway = draw.randrange(len(plan.ports))
-        self.connection: Connection | None = None
+    def __init__(self, name: str, gateway_ports: list[int], events: EventWriter, rng: random.Random) -> None:
+        self._name = name
+        self._gateway_ports = gateway_ports
+        self._events = events
+        self._rng = rng
+        self._request_count = 0
+        self._gateway = rng.randrange(len(gateway_ports))
+        self._connection: Connection | None = None
+        self._action_weights = {
+            self._send_plain: 60.0,
+            self._disconnect: 12.0,
+            self._pipeline: 8.0,
+            self._send_split: 8.0,
+            self._upload: 5.0,
+            self._send_after_idle: 8.0,
+            self._send_malformed: 4.0,
+        }
 
     async def run(self) -> None:
-        """Ask without end; a gateway that cannot be reached is left for another."""
-        names, weights = list(self.plan.weights), list(self.plan.weights.values())
+        """Act without end; a gateway that cannot be reached is left for another one."""
+        actions = list(self._action_weights)
+        weights = list(self._action_weights.values())
         while True:
-            await asyncio.sleep(self.draw.uniform(0.005, 0.08))
-            behaviour = self.draw.choices(names, weights)[0]
+            await asyncio.sleep(self._rng.uniform(*PAUSE_S))
+            act = self._rng.choices(actions, weights)[0]
             try:
-                await getattr(self, behaviour)()
+                await act()
             except OSError:
-                self.drop()
-                await asyncio.sleep(0.05)
-                self.gateway = self.draw.randrange(len(self.plan.ports))
-            if self.draw.random() < RENEW:
-                self.drop()
-
-    def drop(self) -> None:
-        if self.connection is not None:
-            self.connection.close()
-            self.connection = None
-
-    async def connect(self) -> Connection:
-        if self.connection is not None and self.connection.reader.at_eof():
-            self.drop()  # its end has come
-        if self.connection is None:
-            async with asyncio.timeout(1.0):
-                streams = await asyncio.open_connection("127.0.0.1", self.plan.ports[self.gateway])
-            self.connection = Connection(*streams, now_us())
-        return self.connection
-
-    def drawn(self) -> tuple[str, str, int]:
-        self.count += 1
-        class_name = self.draw.choice(("search", "search", "hold", "reserve", "transfer", "transfer"))
-        return f"{self.name}-{self.count}", class_name, self.draw.choice(BUDGETS_MS)
-
-    def sent(self, connection: Connection, call: str, class_name: str, budget_ms: int, again: bool) -> None:
-        event = Sent(now_us(), call, class_name, budget_ms, self.gateway, connection.fresh, again)
-        connection.used = True
-        self.journal.write(event)
-
-    # Behaviours
-
-    async def plain(self) -> None:
-        await self.ask(*self.drawn())
-
-    async def ask(self, call: str, class_name: str, budget_ms: int, again: bool = False) -> None:
-        """Ask, and once more on a new connection if a kept one ends under it."""
-        connection = await self.connect()
-        fresh = connection.fresh
-        connection.writer.write(request(call, class_name, budget_ms))
-        self.sent(connection, call, class_name, budget_ms, again)
-        if await self.answer(connection, call, budget_ms) or fresh or self.connection is not None:
-            return
-        await self.ask(call, class_name, budget_ms, again=True)
-
-    async def answer(self, connection: Connection, call: str, budget_ms: int) -> bool:
-        """Whether the answer has come; without one the connection is over."""
-        try:
-            async with asyncio.timeout(budget_ms / 1000 + PATIENCE_S):
-                message = await read_answer(connection)
-        except (OSError, asyncio.IncompleteReadError, ValueError) as error:  # a time-out is an OSError
-            closed = not isinstance(error, TimeoutError)
-            begun = connection.answer_begun
-            self.journal.write(
-                Answered(now_us(), call, 0, True) if begun else Unanswered(now_us(), call, closed)
-            )
-            self.drop()
-            return begun
-        right = message.status != 200 or is_body_for(call, message.body)
-        self.journal.write(Answered(now_us(), call, message.status, right))
-        if message.headers.get("connection", "").lower() == "close":
-            self.drop()
-        return True
-
-    async def leave(self) -> None:
-        """Close before the answer."""
-        call, class_name, budget_ms = self.drawn()
-        connection = await self.connect()
-        connection.writer.write(request(call, class_name, budget_ms))
-        self.sent(connection, call, class_name, budget_ms, False)
-        await asyncio.sleep(self.draw.choice((0.0, 0.01, 0.03, 0.2)))
-        self.drop()
-        self.journal.write(Left(now_us(), call))
-
-    async def pipeline(self) -> None:
-        """Several at once on one new connection, all with the same time: answers come in their order."""
-        self.drop()
-        connection = await self.connect()
-        budget = self.draw.choice(BUDGETS_MS)
-        calls = [(*self.drawn()[:2], budget) for _ in range(self.draw.randrange(2, 5))]
-        connection.writer.write(b"".join(request(*call) for call in calls))
-        for drawn in calls:
-            self.sent(connection, *drawn, again=False)
-        longest_ms = max(budget_ms for _, _, budget_ms in calls)
+                self._drop_connection()
+                await asyncio.sleep(RECONNECT_DELAY_S)
+                self._gateway = self._rng.randrange(len(self._gateway_ports))
+            if self._rng.random() < LAST_ON_CONNECTION_SHARE:
+                self._drop_connection()
+
+    # Actions
+
+    async def _send_plain(self) -> None:
+        await self._send_whole(self._draw_request())
+
+    async def _disconnect(self) -> None:
+        """Close the connection before the response."""
+        request = self._draw_request()
+        connection = await self._connect()
+        connection.writer.write(request.encode())
+        self._record_sent(connection, request)
+        await asyncio.sleep(self._rng.choice(DISCONNECT_AFTER_S))
+        self._drop_connection()
+        self._events.write(ClientDisconnected(now_us(), request.request_id))
+
+    async def _pipeline(self) -> None:
+        """Send several requests of the same budget at once on a new connection; responses keep the order."""
+        self._drop_connection()
+        connection = await self._connect()
+        budget_ms = self._rng.choice(BUDGETS_MS)
+        count = self._rng.randrange(2, 5)
+        requests = [self._draw_request()._replace(budget_ms=budget_ms) for _ in range(count)]
+        connection.writer.write(b"".join(request.encode() for request in requests))
+        for request in requests:
+            self._record_sent(connection, request)
         answered = True
-        for call, _, _ in calls:
+        for request in requests:
             if answered:
-                answered = await self.answer(connection, call, longest_ms)
+                answered = await self._await_response(connection, request)
             else:
-                self.journal.write(Unanswered(now_us(), call, True))
-        self.drop()
-
-    async def slow(self) -> None:
-        """A head that comes in two parts."""
-        call, class_name, budget_ms = self.drawn()
-        connection = await self.connect()
-        data = request(call, class_name, budget_ms)
-        half = self.draw.randrange(1, len(data))
-        connection.writer.write(data[:half])
-        await asyncio.sleep(self.draw.uniform(0.05, 0.6))
-        fresh = connection.fresh
-        connection.writer.write(data[half:])
-        self.sent(connection, call, class_name, budget_ms, False)
-        if not await self.answer(connection, call, budget_ms) and not fresh and self.connection is None:
-            await self.ask(call, class_name, budget_ms, again=True)
-
-    async def upload(self) -> None:
-        """A body that is longer than a gateway holds, in pieces; its time counts from its last byte."""
-        call, _, budget_ms = self.drawn()
-        connection = await self.connect()
-        fresh = connection.fresh
-        data = request(call, "transfer", budget_ms, self.draw.randrange(70_000, 300_000))
-        for at in range(0, len(data), PIECE):
-            connection.writer.write(data[at : at + PIECE])
+                self._events.write(ResponseMissing(now_us(), request.request_id, connection_closed=True))
+        self._drop_connection()
+
+    async def _send_split(self) -> None:
+        """Send a request in two parts; its connection counts as fresh or not when the second is sent."""
+        request = self._draw_request()
+        connection = await self._connect()
+        data = request.encode()
+        split_at = self._rng.randrange(1, len(data))
+        connection.writer.write(data[:split_at])
+        await asyncio.sleep(self._rng.uniform(*SPLIT_DELAY_S))
+        fresh = connection.is_fresh
+        connection.writer.write(data[split_at:])
+        await self._finish(connection, request, fresh)
+
+    async def _upload(self) -> None:
+        """Send a body that is longer than a gateway buffers, in pieces.
+
+        The request's budget counts from its last byte.
+        """
+        request = self._draw_request()._replace(class_name="transfer")
+        connection = await self._connect()
+        fresh = connection.is_fresh
+        data = request.encode(padding=self._rng.randrange(*UPLOAD_BYTES))
+        for start in range(0, len(data), UPLOAD_PIECE):
+            connection.writer.write(data[start : start + UPLOAD_PIECE])
             await connection.writer.drain()
-            await asyncio.sleep(self.draw.choice((0.0, 0.0, 0.01)))
-        self.sent(connection, call, "transfer", budget_ms, False)
-        if not await self.answer(connection, call, budget_ms) and not fresh and self.connection is None:
-            await self.ask(call, "transfer", budget_ms, again=True)
-
-    async def rest(self) -> None:
-        """Keep a connection idle for long, and ask then."""
-        await self.connect()
-        await asyncio.sleep(self.draw.uniform(0.3, 1.5))
-        await self.ask(*self.drawn())
-
-    async def bad(self) -> None:
-        """Send what cannot be read: an error or a close is owed within some seconds."""
-        self.drop()
-        connection = await self.connect()
-        what = self.draw.choice(GARBAGE)
+            await asyncio.sleep(self._rng.choice(UPLOAD_DELAY_S))
+        await self._finish(connection, request, fresh)
+
+    async def _send_after_idle(self) -> None:
+        """Leave a connection idle for long, and send a request then."""
+        await self._connect()
+        await asyncio.sleep(self._rng.uniform(*IDLE_S))
+        await self._send_whole(self._draw_request())
+
+    async def _send_malformed(self) -> None:
+        """Send what is no request on a new connection, and wait for an error or a close."""
+        self._drop_connection()
+        connection = await self._connect()
+        data = self._rng.choice(MALFORMED_REQUESTS)
         with suppress(OSError, asyncio.IncompleteReadError):
-            connection.writer.write(what)
+            connection.writer.write(data)
             try:
-                async with asyncio.timeout(BAD_CLIENT_S):
+                async with asyncio.timeout(MALFORMED_REQUEST_TIMEOUT_S):
                     await connection.reader.read(1)
             except TimeoutError:
-                self.journal.write(Misbehaved(now_us(), self.gateway, what.decode()))
-        self.drop()
-
-
-async def read_answer(connection: Connection) -> Message:
-    """One answer, with a length or in chunks; IncompleteReadError, or ValueError, if it is not whole."""
-    reader = connection.reader
-    connection.answer_begun = False
-    head = await reader.readuntil(b"\r\n\r\n")
-    connection.answer_begun = True
-    if b"transfer-encoding: chunked" not in head.lower():
-        peeked = asyncio.StreamReader()
-        peeked.feed_data(head)
-        fields = [line.partition(b":") for line in head.lower().split(b"\r\n")]
-        length = next((int(value) for name, _, value in fields if name == b"content-length"), 0)
+                self._events.write(MalformedRequestIgnored(now_us(), self._gateway, data.decode()))
+        self._drop_connection()
+
+    # What actions consist of
+
+    def _draw_request(self) -> Request:
+        self._request_count += 1
+        class_name = self._rng.choice(CLASS_NAMES)
+        return Request(f"{self._name}-{self._request_count}", class_name, self._rng.choice(BUDGETS_MS))
+
+    async def _connect(self) -> Connection:
+        """The connection that is kept, or a new one."""
+        if self._connection is not None and self._connection.reader.at_eof():
+            self._drop_connection()
+        if self._connection is None:
+            port = self._gateway_ports[self._gateway]
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            self._connection = Connection(reader, writer, now_us())
+        return self._connection
+
+    def _drop_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
+
+    async def _send_whole(self, request: Request, is_resend: bool = False) -> None:
+        """Send a request at once, and again on a new connection if a kept one ends under it."""
+        connection = await self._connect()
+        fresh = connection.is_fresh
+        connection.writer.write(request.encode())
+        await self._finish(connection, request, fresh, is_resend)
+
+    async def _finish(
+        self, connection: Connection, request: Request, fresh: bool, is_resend: bool = False
+    ) -> None:
+        """After a request's last byte: await the response, and resend the request if a kept connection ends.
+
+        `fresh` is whether the connection was fresh for this request.
+        """
+        self._record_sent(connection, request, is_resend)
+        answered = await self._await_response(connection, request)
+        if not answered and not fresh and self._connection is None:
+            await self._send_whole(request, is_resend=True)
+
+    def _record_sent(self, connection: Connection, request: Request, is_resend: bool = False) -> None:
+        event = RequestSent(now_us(), *request, self._gateway, connection.is_fresh, is_resend)
+        connection.used = True
+        self._events.write(event)
+
+    async def _await_response(self, connection: Connection, request: Request) -> bool:
+        """Whether a response has begun; the connection is dropped unless it has come in full."""
+        request_id = request.request_id
         try:
-            peeked.feed_data(await reader.readexactly(length))
-        except asyncio.IncompleteReadError:
-            raise ValueError("the answer is not whole") from None
-        return await read_message(peeked)
-    body = b""
-    try:
-        while size := int(await reader.readuntil(b"\r\n"), 16):
-            body += (await reader.readexactly(size + 2))[:-2]
-        await reader.readuntil(b"\r\n")
-    except asyncio.IncompleteReadError:
-        raise ValueError("the answer is not whole") from None
-    first, *lines = head.decode("latin-1")[:-4].split("\r\n")
-    headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return Message(first, headers, body)
-
-
-async def main(number: int, seed: int, file: Path, plan_file: Path) -> None:
-    plan: Plan = msgspec.json.decode(plan_file.read_bytes(), type=Plan)
-    journal = Journal(file)
-    workers = [
-        Worker(f"c{number}w{worker}", plan, journal, random.Random(f"{seed}/{number}/{worker}"))
-        for worker in range(WORKERS)
+            async with asyncio.timeout(request.budget_ms / 1000 + PATIENCE_S):
+                response = await connection.read_response()
+        except (OSError, asyncio.IncompleteReadError, ValueError) as error:
+            begun = connection.response_begun
+            event: AnyEvent
+            if begun:
+                event = ResponseReceived(now_us(), request_id, status=0, body_correct=True)
+            else:
+                timed_out = isinstance(error, TimeoutError)
+                event = ResponseMissing(now_us(), request_id, connection_closed=not timed_out)
+            self._events.write(event)
+            self._drop_connection()
+            return begun
+        correct = response.status != 200 or is_body_for(request_id, response.body)
+        self._events.write(ResponseReceived(now_us(), request_id, response.status, correct))
+        if response.headers.get("connection", "").lower() == "close":
+            self._drop_connection()
+        return True
+
+
+async def main(number: int, seed: int, event_file: Path, port_file: Path) -> None:
+    """Run clients until standard input ends.
+
+    Raises:
+        Exception: Whatever a client has raised; without its load the run shows nothing.
+    """
+    gateway_ports: list[int] = msgspec.json.decode(port_file.read_bytes(), type=list[int])
+    events = EventWriter(event_file)
+    clients = [
+        Client(f"c{number}w{index}", gateway_ports, events, random.Random(f"{seed}/{number}/{index}"))
+        for index in range(CLIENTS)
     ]
-    tasks = [asyncio.create_task(worker.run()) for worker in workers]
-    ended = asyncio.create_task(asyncio.to_thread(sys.stdin.read))
-    done, _ = await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
-    for task in done - {ended}:
-        task.result()  # a client that fails shows nothing: its error ends the process
+    tasks = [asyncio.create_task(client.run()) for client in clients]
+    input_ended = asyncio.create_task(asyncio.to_thread(sys.stdin.read))
+    done, _ = await asyncio.wait([input_ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
+    for task in done - {input_ended}:
+        task.result()
 
 
 if __name__ == "__main__":
--- a/sagetrack/lab/soak/events.py
+++ b/sagetrack/lab/soak/events.py
@@ -1,6 +1,6 @@
-"""What the parties of a soak write down: one JSON line for each event, stamped with the machine's own clock.
+"""Events that the processes of a soak write down: one JSON line each, stamped with the machine's clock.
 
-All processes read CLOCK_MONOTONIC, which no step moves and which they share, in microseconds.
+All processes read CLOCK_MONOTONIC in microseconds: they share it, and no step of the wall clock moves it.
 """
 
 from __future__ import annotations
@@ -10,104 +10,123 @@
 
 import msgspec
 
+EVENT_FILES = "*.events"
+
 
 def now_us() -> int:
+    """The time of CLOCK_MONOTONIC, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Event(msgspec.Struct, tag=True):
+    """Anything that a process has seen; `at_us` is when, and the class name is the tag in the file."""
+
     at_us: int
 
 
-class Sent(Event):
+class RequestSent(Event):
     """A client has written the last byte of a request."""
 
-    call: str
+    request_id: str
     class_name: str
     budget_ms: int
     gateway: int
-    fresh: bool  # the first request on its connection
-    again: bool  # sent once more, as the connection before ended unanswered
+    first_on_connection: bool  # and in time, so that the client does not resend it
+    is_resend: bool  # the connection before has ended without a response
 
 
-class Answered(Event):
-    """A client has read the last byte of an answer."""
+class ResponseReceived(Event):
+    """A client has read the last byte of a response."""
 
-    call: str
-    status: int  # 0: it has begun and did not come whole, as the client can tell
-    right: bool  # the body is the one made for this request, or the answer is no 200
+    request_id: str
+    status: int  # 0: the response has begun, and the client could tell that it was cut off
+    body_correct: bool  # the body is the one made for this request; also true for any status but 200
 
 
-class Unanswered(Event):
-    """A client's connection has ended, or its patience, without an answer."""
+class ResponseMissing(Event):
+    """A client's connection has ended, or its patience, before a response began."""
 
-    call: str
-    closed: bool
+    request_id: str
+    connection_closed: bool
 
 
-class Left(Event):
-    """A client has closed its connection before its answer."""
+class ClientDisconnected(Event):
+    """A client has closed its connection before the response."""
 
-    call: str
+    request_id: str
 
 
-class Begun(Event):
-    """The first byte of an attempt has come to the fault proxy."""
+class AttemptStarted(Event):
+    """The first byte of an attempt has reached the fault proxy."""
 
-    call: str
+    request_id: str
     gateway: int
     server: int
-    told_ms: int
+    budget_ms: int  # the time left, as the attempt's header says; -1 without one
 
 
-class Whole(Event):
-    """The last byte of an attempt has come to the fault proxy."""
+class AttemptReceived(Event):
+    """The last byte of an attempt's request has reached the fault proxy."""
 
-    call: str
+    request_id: str
     gateway: int
     server: int
 
 
-class Rejected(Event):
-    """A server has turned a request away unseen."""
+class RequestRejected(Event):
+    """A server has rejected a request without processing it."""
 
-    call: str
+    request_id: str
     server: int
 
 
-class Second(Event):
-    """A server has sent an answer once more, so long after the first as its machine let it."""
+class DuplicateResponseSent(Event):
+    """A server has sent a response for the second time."""
 
     server: int
-    late_us: int
+    delay_us: int  # after the first
 
 
-class Misbehaved(Event):
-    """A client that sends what cannot be read got neither an error nor a close in time."""
+class MalformedRequestIgnored(Event):
+    """A client that sent a malformed request got neither an error nor a close in time."""
 
     gateway: int
-    what: str
+    data: str
 
 
-AnyEvent = Sent | Answered | Unanswered | Left | Begun | Whole | Rejected | Second | Misbehaved
+AnyEvent = (
+    RequestSent
+    | ResponseReceived
+    | ResponseMissing
+    | ClientDisconnected
+    | AttemptStarted
+    | AttemptReceived
+    | RequestRejected
+    | DuplicateResponseSent
+    | MalformedRequestIgnored
+)
 
 
-class Journal:
-    """One party's events, in a file of its own."""
+class EventWriter:
+    """Appends the events of one process to a file of its own, without a buffer."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("ab", buffering=0)
-        self.encoder = msgspec.json.Encoder()
+        self._encoder = msgspec.json.Encoder()
 
     def write(self, event: AnyEvent) -> None:
-        self.file.write(self.encoder.encode(event) + b"\n")
+        """Append one event as one line."""
+        self.file.write(self._encoder.encode(event) + b"\n")
+
 
+def read_events(folder: Path) -> list[AnyEvent]:
+    """All events of all processes in the order of time.
 
-def read(folder: Path) -> list[AnyEvent]:
-    """All events of all parties, in order of time; a last line that was cut off is left out."""
+    A last line that was cut off, by the end of its process, is left out.
+    """
     decoder: msgspec.json.Decoder[AnyEvent] = msgspec.json.Decoder(AnyEvent)
     events: list[AnyEvent] = []
-    for path in sorted(folder.glob("*.events")):
-        for line in path.read_bytes().split(b"\n")[:-1]:
-            events.append(decoder.decode(line))
+    for path in sorted(folder.glob(EVENT_FILES)):
+        complete_lines = path.read_bytes().split(b"\n")[:-1]
+        events += [decoder.decode(line) for line in complete_lines]
     return sorted(events, key=lambda event: event.at_us)
--- /dev/null
+++ b/sagetrack/lab/soak/fault_injection.py
@@ -0,0 +1,212 @@
+"""Applies the scheduled faults to the fleet, each at its time, and records what the oracle must know."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import time
+from collections.abc import Awaitable, Callable
+
+from sagetrack.lab.soak.discovery import AgentFault, EndpointStatus
+from sagetrack.lab.soak.events import now_us
+from sagetrack.lab.soak.fault_schedule import FaultKind, ScheduledFault
+from sagetrack.lab.soak.fleet import Fleet, set_behaviour
+from sagetrack.lab.soak.gateway import Gateway
+from sagetrack.lab.soak.gateway_lifecycle import GatewayLifecycle
+from sagetrack.lab.soak.history import MICROSECONDS, GatewaySpan, History, Restart, Withdrawal
+from sagetrack.lab.soak.proxy import FaultOrder, RouteFault
+from sagetrack.lab.soak.server import Behaviour
+from sagetrack.lab.soak.shim import NO_FAULTS, SystemCallFaults
+
+PAUSED_S = 0.12  # a gateway is stopped for
+BETWEEN_PAUSES_S = 0.15
+HALF_WRITTEN_S = 0.2  # from SIGHUP until the configuration is complete
+OLD_DISCOVERY_S = 1.5  # from SIGHUP until the old address of discovery is closed
+RELOAD_GRACE_US = 4_000_000  # after a reload discovery counts as unreachable for so long
+CRASH_NOTICED_S = 0.3  # from a server's crash until discovery lists it as deleted
+SERVER_START_S = 0.4  # from a server's restart until discovery lists it again
+
+
+class FaultInjector:
+    """Applies faults to the parties of one run; several may be under way at once."""
+
+    def __init__(
+        self, fleet: Fleet, lifecycle: GatewayLifecycle, server_count: int, history: History
+    ) -> None:
+        self._fleet = fleet
+        self._lifecycle = lifecycle
+        self._server_count = server_count
+        self._history = history
+        self._withdrawn_servers: set[int] = set()
+        self._appliers: dict[FaultKind, Callable[[ScheduledFault], Awaitable[None]]] = {
+            FaultKind.KILL: self._kill,
+            FaultKind.SIGTERM: self._sigterm,
+            FaultKind.UPGRADE: self._upgrade,
+            FaultKind.CROSSED_UPGRADE: self._upgrade,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.RELOAD: self._reload,
+            FaultKind.HALF_WRITTEN_RELOAD: self._reload,
+            FaultKind.SYSTEM_CALLS: self._fail_system_calls,
+            FaultKind.CLOCK_STEP: self._step_clock,
+            FaultKind.DISCOVERY_DOWN: self._fail_discovery,
+            FaultKind.DISCOVERY_SILENT: self._fail_discovery,
+            FaultKind.DISCOVERY_RESET: self._reset_discovery,
+            FaultKind.DRAIN: self._drain_server,
+            FaultKind.CRASH: self._crash_server,
+            FaultKind.MISBEHAVE: self._misbehave,
+            FaultKind.MUTE: self._mute_route,
+            FaultKind.RESET: self._reset_route,
+            FaultKind.STALL: self._stall_route,
+        }
+
+    async def apply_when_due(self, fault: ScheduledFault) -> None:
+        """Wait for a fault's start, apply it, and return when it is over and what it ended runs again."""
+        await asyncio.sleep(fault.at_s)
+        await self._appliers[fault.kind](fault)
+
+    # Faults of gateways
+
+    async def _kill(self, fault: ScheduledFault) -> None:
+        await self._lifecycle.kill_and_restart(self._gateway(fault))
+
+    async def _sigterm(self, fault: ScheduledFault) -> None:
+        await self._lifecycle.shut_down_and_restart(self._gateway(fault))
+
+    async def _upgrade(self, fault: ScheduledFault) -> None:
+        crossed = fault.kind is FaultKind.CROSSED_UPGRADE
+        await self._lifecycle.upgrade(self._gateway(fault), crossed)
+
+    async def _pause(self, fault: ScheduledFault) -> None:
+        """Stop the newest process for a moment, again and again."""
+        gateway = self._gateway(fault)
+        end_s = time.monotonic() + fault.duration_s
+        while time.monotonic() < end_s:
+            process = gateway.newest_process
+            process.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(PAUSED_S)
+            process.send_signal(signal.SIGCONT)
+            await asyncio.sleep(BETWEEN_PAUSES_S)
+
+    async def _reload(self, fault: ScheduledFault) -> None:
+        """Move discovery to a new address, and send SIGHUP with the configuration that has it."""
+        gateway = self._gateway(fault)
+        half_written = fault.kind is FaultKind.HALF_WRITTEN_RELOAD
+        old_listeners = await gateway.agent.listen()
+        reloaded_us = now_us()
+        self._history.discovery_unreachable.append(
+            GatewaySpan(gateway.number, reloaded_us, reloaded_us + RELOAD_GRACE_US)
+        )
+        configuration = gateway.configuration()
+        written = configuration[: len(configuration) // 2] if half_written else configuration
+        gateway.write_configuration(written)
+        gateway.newest_process.send_signal(signal.SIGHUP)
+        if half_written:
+            await asyncio.sleep(HALF_WRITTEN_S)
+            gateway.write_configuration(configuration)
+        await asyncio.sleep(OLD_DISCOVERY_S)
+        gateway.agent.close(old_listeners)
+
+    async def _fail_system_calls(self, fault: ScheduledFault) -> None:
+        await self._apply_system_call_faults(fault, fault.system_call_faults)
+
+    async def _step_clock(self, fault: ScheduledFault) -> None:
+        step = SystemCallFaults(wall_step_us=fault.clock_step_s * MICROSECONDS)
+        await self._apply_system_call_faults(fault, step)
+
+    async def _apply_system_call_faults(self, fault: ScheduledFault, faults: SystemCallFaults) -> None:
+        gateway = self._gateway(fault)
+        since_us = now_us()
+        gateway.system_calls.set(faults)
+        await asyncio.sleep(fault.duration_s)
+        gateway.system_calls.set(NO_FAULTS)
+        self._history.system_call_faults.append(GatewaySpan(gateway.number, since_us, now_us()))
+
+    # Faults of discovery
+
+    async def _fail_discovery(self, fault: ScheduledFault) -> None:
+        agent = self._gateway(fault).agent
+        down = fault.kind is FaultKind.DISCOVERY_DOWN
+        agent.fail(AgentFault.DOWN if down else AgentFault.SILENT)
+        await asyncio.sleep(fault.duration_s)
+        agent.recover()
+
+    async def _reset_discovery(self, fault: ScheduledFault) -> None:
+        self._gateway(fault).agent.reset_connections()
+
+    # Faults of servers
+
+    async def _drain_server(self, fault: ScheduledFault) -> None:
+        """List a server as draining, end it after the fault's duration, and start it again."""
+        server = fault.server
+        if not self._may_withdraw(server):
+            return
+        self._withdrawn_servers.add(server)
+        withdrawal = self._withdraw(server, EndpointStatus.DRAINING)
+        await asyncio.sleep(fault.duration_s)
+        self._fleet.endpoint_list.set_status(server, EndpointStatus.DELETED)
+        self._fleet.kill_server(server)
+        await self._start_server_again(withdrawal)
+
+    async def _crash_server(self, fault: ScheduledFault) -> None:
+        """Kill a server, delete it from the list shortly after, and start it again."""
+        server = fault.server
+        if not self._may_withdraw(server):
+            return
+        self._withdrawn_servers.add(server)
+        self._fleet.kill_server(server)
+        await asyncio.sleep(CRASH_NOTICED_S)
+        withdrawal = self._withdraw(server, EndpointStatus.DELETED)
+        await asyncio.sleep(fault.duration_s)
+        await self._start_server_again(withdrawal)
+
+    def _may_withdraw(self, server: int) -> bool:
+        """Whether the server is not withdrawn yet, and enough others serve."""
+        withdrawn = self._withdrawn_servers
+        return server not in withdrawn and len(withdrawn) <= self._server_count // 3
+
+    def _withdraw(self, server: int, status: EndpointStatus) -> Withdrawal:
+        """List a server so that it gets nothing new."""
+        withdrawal = Withdrawal(server, now_us())
+        self._history.withdrawals.append(withdrawal)
+        self._fleet.endpoint_list.set_status(server, status)
+        return withdrawal
+
+    async def _start_server_again(self, withdrawal: Withdrawal) -> None:
+        """Start a withdrawn server once its process has ended, and list it as serving."""
+        server = withdrawal.server
+        await self._fleet.wait_for_server(server)
+        await self._fleet.start_server(server)
+        await asyncio.sleep(SERVER_START_S)
+        withdrawal.until_us = now_us()
+        self._history.restarts.append(Restart(server, now_us()))
+        self._fleet.endpoint_list.set_status(server, EndpointStatus.SERVING, restarted=True)
+        self._withdrawn_servers.discard(server)
+
+    async def _misbehave(self, fault: ScheduledFault) -> None:
+        """Let one process of a server misbehave; one that is started meanwhile does not."""
+        process = self._fleet.server_process(fault.server)
+        set_behaviour(process, fault.behaviour)
+        await asyncio.sleep(fault.duration_s)
+        set_behaviour(process, Behaviour.NORMAL)
+
+    # Faults of routes
+
+    async def _mute_route(self, fault: ScheduledFault) -> None:
+        await self._apply_to_route(fault, RouteFault.MUTE, RouteFault.UNMUTE)
+
+    async def _stall_route(self, fault: ScheduledFault) -> None:
+        await self._apply_to_route(fault, RouteFault.STALL, RouteFault.RESUME)
+
+    async def _apply_to_route(self, fault: ScheduledFault, start: RouteFault, end: RouteFault) -> None:
+        self._order(start, fault)
+        await asyncio.sleep(fault.duration_s)
+        self._order(end, fault)
+
+    async def _reset_route(self, fault: ScheduledFault) -> None:
+        self._order(RouteFault.RESET, fault)
+
+    def _order(self, route_fault: RouteFault, fault: ScheduledFault) -> None:
+        self._fleet.order_route_fault(FaultOrder(route_fault, fault.gateway, fault.server))
+
+    def _gateway(self, fault: ScheduledFault) -> Gateway:
+        return self._fleet.gateways[fault.gateway]
--- a/sagetrack/lab/soak/fault_schedule.py
+++ b/sagetrack/lab/soak/fault_schedule.py
@@ -1,4 +1,4 @@
-"""What befalls a soak, drawn from its seed: troubles that begin at any time and overlap. Pure."""
+"""The faults of a soak, drawn from its seed: they begin at any time and overlap. Pure."""
 
 from __future__ import annotations
 
@@ -7,108 +7,131 @@
 from enum import Enum
 
 from sagetrack.lab.soak.server import Behaviour
-from sagetrack.lab.soak.shim import NONE, Faults
+from sagetrack.lab.soak.shim import CALL_GROUPS, NO_FAULTS, SystemCallFaults
 
-QUIET_S = 1.0  # before the first trouble, and after the last
-STEPS_S = (-3_600, -30, 30, 3_600)
+QUIET_S = 1.0  # before the first fault, and after the last
+MEAN_GAP_S = 0.7  # between the starts of two faults
+GATEWAY_BUSY_S = 8.0  # for so long after a fault that ends its process, no other does
+CLOCK_STEPS_S = (-3_600, -30, 30, 3_600)
+FAILURE_RATES = (20, 100, 300)  # per 1,000 system calls
 
 
-class Kind(Enum):
-    """What happens; a gateway or a server, or both, stand with it."""
+class FaultKind(Enum):
+    """What happens to a gateway, a server or the route between them; the values are printed."""
 
     KILL = "kill"  # a gateway, which starts again
-    TERM = "term"  # the same after its way out
-    UPGRADE = "upgrade"  # a second process takes over
-    CROSSED_UPGRADE = "crossed_upgrade"  # which is told to end while the first still leaves
-    HOLD = "hold"  # a gateway is stopped for a moment, again and again
-    RELOAD = "reload"  # SIGHUP, and discovery moves
-    HALF_RELOAD = "half_reload"  # the configuration is half written when SIGHUP comes
-    SYSTEM = "system"  # a gateway's system calls fail
-    STEP = "step"  # its wall clock is stepped
+    SIGTERM = "term"  # a gateway, which shuts down gracefully and starts again
+    UPGRADE = "upgrade"  # a second process of a gateway takes over
+    CROSSED_UPGRADE = "crossed_upgrade"  # and gets SIGTERM while the first still shuts down
+    PAUSE = "hold"  # a gateway is stopped for a moment, again and again
+    RELOAD = "reload"  # SIGHUP with a new address of discovery
+    HALF_WRITTEN_RELOAD = "half_reload"  # the same while the configuration is half written
+    SYSTEM_CALLS = "system"  # a gateway's system calls fail
+    CLOCK_STEP = "step"  # its wall clock is stepped
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_SILENT = "discovery_silent"
-    DISCOVERY_RESET = "discovery_reset"  # open watches
-    DRAIN = "drain"  # a server is withdrawn, goes on answering, and comes back anew
-    CRASH = "crash"  # a server dies, and comes back anew
-    BEHAVE = "behave"  # a server misbehaves
-    MUTE = "mute"  # connections of a gateway to a server come up late
+    DISCOVERY_RESET = "discovery_reset"  # of open watches
+    DRAIN = "drain"  # a server is withdrawn, keeps responding, and starts again
+    CRASH = "crash"  # a server dies, and starts again
+    MISBEHAVE = "behave"  # a server behaves otherwise than it should
+    MUTE = "mute"  # connections of a gateway to a server do not come up
     RESET = "reset"  # those that are up are reset
-    STALL = "stall"  # and nothing passes on them
+    STALL = "stall"  # nothing passes on them
 
 
 WEIGHTS = {
-    Kind.KILL: 1,
-    Kind.TERM: 2,
-    Kind.UPGRADE: 2,
-    Kind.CROSSED_UPGRADE: 1,
-    Kind.HOLD: 2,
-    Kind.RELOAD: 1,
-    Kind.HALF_RELOAD: 1,
-    Kind.SYSTEM: 4,
-    Kind.STEP: 1,
-    Kind.DISCOVERY_DOWN: 2,
-    Kind.DISCOVERY_SILENT: 2,
-    Kind.DISCOVERY_RESET: 2,
-    Kind.DRAIN: 3,
-    Kind.CRASH: 2,
-    Kind.BEHAVE: 5,
-    Kind.MUTE: 3,
-    Kind.RESET: 2,
-    Kind.STALL: 1,
+    FaultKind.KILL: 1,
+    FaultKind.SIGTERM: 2,
+    FaultKind.UPGRADE: 2,
+    FaultKind.CROSSED_UPGRADE: 1,
+    FaultKind.PAUSE: 2,
+    FaultKind.RELOAD: 1,
+    FaultKind.HALF_WRITTEN_RELOAD: 1,
+    FaultKind.SYSTEM_CALLS: 4,
+    FaultKind.CLOCK_STEP: 1,
+    FaultKind.DISCOVERY_DOWN: 2,
+    FaultKind.DISCOVERY_SILENT: 2,
+    FaultKind.DISCOVERY_RESET: 2,
+    FaultKind.DRAIN: 3,
+    FaultKind.CRASH: 2,
+    FaultKind.MISBEHAVE: 5,
+    FaultKind.MUTE: 3,
+    FaultKind.RESET: 2,
+    FaultKind.STALL: 1,
 }
-LENGTHS_S = {Kind.MUTE: (0.2, 1.6), Kind.STALL: (0.1, 0.8), Kind.HOLD: (0.5, 2.0), Kind.DRAIN: (3.5, 5.0)}
-USUAL_S = (0.4, 3.0)
+DURATIONS_S = {
+    FaultKind.MUTE: (0.2, 1.6),
+    FaultKind.STALL: (0.1, 0.8),
+    FaultKind.PAUSE: (0.5, 2.0),
+    FaultKind.DRAIN: (3.5, 5.0),
+}
+USUAL_DURATION_S = (0.4, 3.0)
+ENDS_GATEWAY = (FaultKind.KILL, FaultKind.SIGTERM, FaultKind.UPGRADE, FaultKind.CROSSED_UPGRADE)
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class ScheduledFault:
+    """One fault of a run, in seconds from its start.
+
+    It has all that any kind may need: a kind of fault uses the fields that it is about.
+    """
+
     at_s: float
-    length_s: float
-    kind: Kind
+    duration_s: float
+    kind: FaultKind
     gateway: int
     server: int
     behaviour: Behaviour = Behaviour.NORMAL
-    faults: Faults = NONE
-    step_s: int = 0
+    system_call_faults: SystemCallFaults = NO_FAULTS
+    clock_step_s: int = 0
 
     def __str__(self) -> str:
-        more = ""
-        if self.kind is Kind.BEHAVE:
-            more = f" {self.behaviour.value}"
-        elif self.kind is Kind.SYSTEM:
-            rates = ("accept", "connect", "socket", "read", "write", "file", "watch")
-            more = "".join(f" {name}" for name in rates if getattr(self.faults, f"{name}_rate"))
-        elif self.kind is Kind.STEP:
-            more = f" {self.step_s:+d} s"
         return (
-            f"{self.at_s:5.2f} to {self.at_s + self.length_s:5.2f} s {self.kind.value}{more} "
+            f"{self.at_s:5.2f} to {self.at_s + self.duration_s:5.2f} s {self.kind.value}{self._detail()} "
             f"(gateway {self.gateway}, server {self.server})"
         )
 
-
-def draw_faults(draw: random.Random) -> Faults:
-    """One or two families of system calls that fail."""
-    families = draw.sample(("accept", "connect", "socket", "read", "write", "file", "watch"), 2)
-    return replace(NONE, **{f"{family}_rate": draw.choice((20, 100, 300)) for family in families})
-
-
-def drawn(seed: int, seconds: float, gateways: int, servers: int) -> list[Trouble]:
-    """About one trouble a second and a half; a gateway is ended by one at a time."""
-    draw = random.Random(seed)
-    kinds, weights = list(WEIGHTS), list(WEIGHTS.values())
-    troubles: list[Trouble] = []
-    ending = (Kind.KILL, Kind.TERM, Kind.UPGRADE, Kind.CROSSED_UPGRADE)
-    busy_s = dict.fromkeys(range(gateways), 0.0)
+    def _detail(self) -> str:
+        match self.kind:
+            case FaultKind.MISBEHAVE:
+                return f" {self.behaviour.value}"
+            case FaultKind.SYSTEM_CALLS:
+                return "".join(f" {group}" for group in self.system_call_faults.failing_groups())
+            case FaultKind.CLOCK_STEP:
+                return f" {self.clock_step_s:+d} s"
+            case _:
+                return ""
+
+
+def draw_schedule(seed: int, seconds: float, gateways: int, servers: int) -> list[ScheduledFault]:
+    """The faults of a run, in the order of their starts; the same for the same arguments.
+
+    One starts every `MEAN_GAP_S` on average. A fault that ends a gateway's process is left out while another
+    one may still be at it.
+    """
+    rng = random.Random(seed)
+    schedule: list[ScheduledFault] = []
+    busy_until_s = dict.fromkeys(range(gateways), 0.0)
     at_s = QUIET_S
     while at_s < seconds - QUIET_S:
-        kind = draw.choices(kinds, weights)[0]
-        gateway, server = draw.randrange(gateways), draw.randrange(servers)
-        length_s = draw.uniform(*LENGTHS_S.get(kind, USUAL_S))
-        if kind not in ending or at_s >= busy_s[gateway]:
-            if kind in ending:
-                busy_s[gateway] = at_s + 8.0
-            behaviour = draw.choice([one for one in Behaviour if one is not Behaviour.NORMAL])
-            step_s, faults = draw.choice(STEPS_S), draw_faults(draw)
-            troubles.append(Trouble(at_s, length_s, kind, gateway, server, behaviour, faults, step_s))
-        at_s += draw.expovariate(1 / 0.7)
-    return troubles
+        kind = rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+        gateway = rng.randrange(gateways)
+        server = rng.randrange(servers)
+        duration_s = rng.uniform(*DURATIONS_S.get(kind, USUAL_DURATION_S))
+        ends_gateway = kind in ENDS_GATEWAY
+        if not ends_gateway or at_s >= busy_until_s[gateway]:
+            if ends_gateway:
+                busy_until_s[gateway] = at_s + GATEWAY_BUSY_S
+            behaviour = rng.choice([one for one in Behaviour if one is not Behaviour.NORMAL])
+            step_s = rng.choice(CLOCK_STEPS_S)
+            faults = _draw_system_call_faults(rng)
+            fault = ScheduledFault(at_s, duration_s, kind, gateway, server, behaviour, faults, step_s)
+            schedule.append(fault)
+        at_s += rng.expovariate(1 / MEAN_GAP_S)
+    return schedule
+
+
+def _draw_system_call_faults(rng: random.Random) -> SystemCallFaults:
+    """Two groups of system calls that fail, each at a rate of its own."""
+    groups = rng.sample(CALL_GROUPS, 2)
+    return replace(NO_FAULTS, **{f"{group}_rate": rng.choice(FAILURE_RATES) for group in groups})
--- /dev/null
+++ b/sagetrack/lab/soak/fleet.py
@@ -0,0 +1,151 @@
+"""The parties of one run: servers, the fault proxy, gateways with their discovery, and clients."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from asyncio.subprocess import Process
+from dataclasses import dataclass
+from pathlib import Path
+
+import msgspec
+
+from sagetrack.lab.processes.resource_usage import free_port
+from sagetrack.lab.soak.discovery import DiscoveryAgent, EndpointList
+from sagetrack.lab.soak.gateway import Gateway
+from sagetrack.lab.soak.process_supervisor import ProcessSupervisor, send_line
+from sagetrack.lab.soak.proxy import FaultOrder, Route
+from sagetrack.lab.soak.server import Behaviour
+
+
+@dataclass(slots=True)
+class SoakSize:
+    """How large a run is; each client process has `client.CLIENTS` clients."""
+
+    gateways: int = 4
+    servers: int = 6
+    client_processes: int = 3
+    seconds: float = 12.0  # of faults
+
+
+class ClientsEndedError(RuntimeError):
+    """A client process has ended before the run; its log in the run's folder says why."""
+
+
+class Fleet:
+    """All parties of one run, which write their events and logs into the run's folder."""
+
+    def __init__(self, seed: int, size: SoakSize, folder: Path, library: Path | None) -> None:
+        self.gateways: list[Gateway] = []
+        self.endpoint_list = EndpointList.of(size.servers)
+        self._seed = seed
+        self._size = size
+        self._folder = folder
+        self._library = library  # makes system calls fail; None: they cannot be made to
+        self._supervisor = ProcessSupervisor(folder)
+        self._server_ports = [free_port() for _ in range(size.servers)]
+        self._servers: dict[int, Process] = {}
+        self._proxy: Process | None = None
+        self._clients: list[Process] = []
+
+    async def start_upstream(self) -> None:
+        """Start the servers, the fault proxy and discovery, and make the gateways, which are not started."""
+        await asyncio.gather(*(self.start_server(number) for number in range(self._size.servers)))
+        addresses = await self._start_proxy()
+        servers = self._size.servers
+        for number in range(self._size.gateways):
+            own_addresses = addresses[number * servers : (number + 1) * servers]
+            agent = DiscoveryAgent(number, self.endpoint_list, dict(enumerate(own_addresses)))
+            await agent.listen()
+            self.gateways.append(
+                Gateway(number, self._size.gateways, self._folder, agent, self._supervisor, self._library)
+            )
+        peer_addresses = [gateway.peer_address for gateway in self.gateways]
+        for gateway in self.gateways:
+            gateway.set_peers(peer_addresses)
+
+    async def start_server(self, number: int) -> None:
+        """Start a server's process, also in place of one that has ended."""
+        self._servers[number] = await self._supervisor.start_party(
+            "server",
+            f"server-{number}",
+            str(number),
+            str(self._server_ports[number]),
+            str(self._folder / f"server-{number}.events"),
+            str(self._seed + number),
+        )
+
+    def kill_server(self, number: int) -> None:
+        """Kill a server's process, without waiting for its end."""
+        self._servers[number].kill()
+
+    async def wait_for_server(self, number: int) -> None:
+        """Wait until a server's process has ended."""
+        await self._servers[number].wait()
+
+    def server_process(self, number: int) -> Process:
+        """A server's process as it is now; a restart makes another one."""
+        return self._servers[number]
+
+    async def start_clients(self) -> None:
+        """Start the clients, which send requests at once."""
+        port_file = self._folder / "gateway-ports.json"
+        port_file.write_bytes(msgspec.json.encode([gateway.port for gateway in self.gateways]))
+        for number in range(self._size.client_processes):
+            client = await self._supervisor.start_party(
+                "client",
+                f"client-{number}",
+                str(number),
+                str(self._seed),
+                str(self._folder / f"client-{number}.events"),
+                str(port_file),
+            )
+            self._clients.append(client)
+
+    async def end_clients(self) -> None:
+        """End the clients, and wait for their end.
+
+        Raises:
+            ClientsEndedError: One has ended before.
+        """
+        for client in self._clients:
+            if client.returncode is not None:
+                raise ClientsEndedError(f"a client of seed {self._seed} has ended: see {self._folder}")
+            assert client.stdin is not None
+            client.stdin.close()
+        await asyncio.gather(*(client.wait() for client in self._clients))
+
+    def order_route_fault(self, order: FaultOrder) -> None:
+        """Let the proxy apply a fault to a route."""
+        assert self._proxy is not None
+        send_line(self._proxy, msgspec.json.encode(order))
+
+    def end(self) -> None:
+        """Kill all processes that still run, and close the gateways' sockets."""
+        self._supervisor.kill_all()
+        for gateway in self.gateways:
+            gateway.close()
+
+    async def _start_proxy(self) -> list[str]:
+        """Start the fault proxy.
+
+        Returns:
+            An address for each route: those of the first gateway to all servers, then the next one's.
+        """
+        routes = [
+            Route(gateway, server, self._server_ports[server])
+            for gateway in range(self._size.gateways)
+            for server in range(self._size.servers)
+        ]
+        plan = self._folder / "routes.json"
+        plan.write_bytes(msgspec.json.encode(routes))
+        events = self._folder / "proxy.events"
+        self._proxy = await self._supervisor.start_party("proxy", "proxy", str(plan), str(events))
+        assert self._proxy.stdout is not None
+        addresses: list[str] = json.loads(await self._proxy.stdout.readline())
+        return addresses
+
+
+def set_behaviour(server: Process, behaviour: Behaviour) -> None:
+    """Let a server's process behave so from now on; nothing happens if it has ended."""
+    send_line(server, behaviour.value.encode())
--- /dev/null
+++ b/sagetrack/lab/soak/gateway.py
@@ -0,0 +1,172 @@
+"""One gateway of the soak: its listening socket, its processes, and the faults of its system calls."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import socket
+import time
+from asyncio.subprocess import Process
+from pathlib import Path
+
+from sagetrack.lab.processes.resource_usage import free_port
+from sagetrack.lab.soak.discovery import DiscoveryAgent
+from sagetrack.lab.soak.gateway_configuration import (
+    GatewayNetwork,
+    gateway_configuration,
+    operator_configuration,
+)
+from sagetrack.lab.soak.process_supervisor import ProcessSupervisor
+from sagetrack.lab.soak.shim import FaultControl
+
+READY_TIMEOUT_S = 15.0
+READY_POLL_S = 0.02
+ADMIN_TIMEOUT_S = 1.0
+ADMIN_RESPONSE_BYTES = 1 << 20
+BACKLOG = 512
+STATUS_COMMAND = b"status\n"
+STATS_COMMAND = b"stats\n"
+
+
+class GatewayProcess:
+    """One process of a gateway, with an admin address of its own."""
+
+    def __init__(self, process: Process, admin_port: int) -> None:
+        self.end_expected = False  # it got SIGTERM or SIGKILL
+        self._process = process
+        self._admin_port = admin_port
+
+    @property
+    def exit_status(self) -> int | None:
+        """The exit status; None as long as it runs."""
+        return self._process.returncode
+
+    async def admin_response(self, command: bytes) -> str:
+        """What the process responds to a command at its admin address; empty if it does not."""
+        try:
+            async with asyncio.timeout(ADMIN_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection("127.0.0.1", self._admin_port)
+                writer.write(command)
+                response = await reader.read(ADMIN_RESPONSE_BYTES)
+                writer.close()
+        except OSError:
+            return ""
+        return response.decode()
+
+    async def stats(self) -> list[str]:
+        """The lines of the process's metrics; empty if it does not respond."""
+        return (await self.admin_response(STATS_COMMAND)).splitlines()
+
+    async def wait_until_ready(self) -> bool:
+        """Whether the process has become ready; False if it has ended, or not in `READY_TIMEOUT_S`."""
+        end_s = time.monotonic() + READY_TIMEOUT_S
+        while self.exit_status is None and time.monotonic() < end_s:
+            if (await self.admin_response(STATUS_COMMAND)).startswith("SUCCESS"):
+                return True
+            await asyncio.sleep(READY_POLL_S)
+        return False
+
+    async def wait(self) -> None:
+        """Wait until the process has ended."""
+        await self._process.wait()
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal; nothing happens if the process has ended."""
+        if self.exit_status is not None:
+            return
+        if number in (signal.SIGTERM, signal.SIGKILL):
+            self.end_expected = True
+        self._process.send_signal(number)
+
+    def open_descriptors(self) -> int:
+        """How many descriptors the process has open; 0 if it has ended."""
+        if self.exit_status is not None:
+            return 0
+        return len(os.listdir(f"/proc/{self._process.pid}/fd"))
+
+
+class Gateway:
+    """One gateway: its processes share a listening socket, a configuration and a folder."""
+
+    def __init__(
+        self,
+        number: int,
+        gateway_count: int,
+        folder: Path,
+        agent: DiscoveryAgent,
+        supervisor: ProcessSupervisor,
+        library: Path | None,
+    ) -> None:
+        """Open the listening socket; no process is started yet.
+
+        Args:
+            number: The gateway's number, from 0.
+            gateway_count: How many gateways there are.
+            folder: Where the gateway's own folder is made.
+            agent: The gateway's discovery, which listens already.
+            supervisor: What starts and ends processes.
+            library: What makes system calls fail; None: they cannot be made to.
+        """
+        self.number = number
+        self.agent = agent
+        self.processes: list[GatewayProcess] = []  # the newest last
+        self._gateway_count = gateway_count
+        self._supervisor = supervisor
+        self._library = library
+        self._folder = folder / f"g{number}"
+        self._temporary_folder = self._folder / "tmp"
+        self._temporary_folder.mkdir(parents=True)
+        self.system_calls = FaultControl(self._folder / "control", number)
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
+        self.port: int = self._listener.getsockname()[1]
+        self.peer_address = f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
+        self._network = GatewayNetwork(f"127.0.0.1:{self.port}", self.peer_address)
+        self._configuration_file = self._folder / "config.json"
+        self._operator_file = self._folder / "operator.toml"
+        self._operator_file.write_text(operator_configuration(str(self._folder / "store")))
+
+    @property
+    def newest_process(self) -> GatewayProcess:
+        """The process that was started last."""
+        return self.processes[-1]
+
+    def set_peers(self, addresses: list[str]) -> None:
+        """Set the addresses of all gateways, by their numbers, for processes that are started from now on."""
+        self._network.peers = addresses
+
+    async def start_process(self) -> GatewayProcess:
+        """Start a further process; it is not ready yet."""
+        self.write_configuration(self.configuration())
+        admin_port = free_port()
+        listener_fd = self._listener.fileno()
+        environment = {
+            "LB_CONFIG": str(self._configuration_file),
+            "LB_ACCEPT_FD": str(listener_fd),
+            "LB_ADMIN": f"127.0.0.1:{admin_port}",
+            "LB_OPERATOR": str(self._operator_file),
+            "TMPDIR": str(self._temporary_folder),
+        }
+        if self._library is not None:
+            environment |= self.system_calls.environment(self._library)
+        child = await self._supervisor.start_gateway(environment, listener_fd, self._folder / "log")
+        process = GatewayProcess(child, admin_port)
+        self.processes.append(process)
+        return process
+
+    def configuration(self) -> bytes:
+        """The configuration file's content, with the agent's address and endpoint list as they are now."""
+        agent = self.agent
+        configuration = gateway_configuration(
+            self.number, self._gateway_count, self._network, agent.address, agent.snapshot()
+        )
+        return json.dumps(configuration).encode()
+
+    def write_configuration(self, data: bytes) -> None:
+        """Write the configuration file; a process reads it when it starts and at SIGHUP."""
+        self._configuration_file.write_bytes(data)
+
+    def close(self) -> None:
+        """Close the listening socket; processes that run have their own descriptor of it."""
+        self._listener.close()
--- /dev/null
+++ b/sagetrack/lab/soak/gateway_configuration.py
@@ -0,0 +1,95 @@
+"""The configuration files of the soak's gateways, in the form that the platform writes them."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass, field
+from typing import Any
+
+from sagetrack.lab.soak.oracle import OVERLOAD_MULTIPLE, START_CAPACITY, WARMUP_S
+
+JsonObject = dict[str, Any]
+
+
+@dataclass(slots=True)
+class GatewayNetwork:
+    """Where a gateway listens and what it connects to; addresses are HOST:PORT."""
+
+    listen: str
+    peer_listen: str
+    peers: list[str] = field(default_factory=list)  # of all gateways, by their numbers
+
+
+def gateway_configuration(
+    number: int, gateway_count: int, network: GatewayNetwork, discovery: str, endpoints: JsonObject
+) -> JsonObject:
+    """The configuration of one gateway.
+
+    Args:
+        number: The gateway's number, from 0.
+        gateway_count: How many gateways there are.
+        network: Its own addresses and its peers'.
+        discovery: The address of its discovery agent.
+        endpoints: A snapshot of the endpoint list, which it starts with.
+    """
+    return {
+        "name": f"g{number}",
+        "listen": network.listen,
+        "discovery": discovery,
+        "seed": f"{number}/{time.monotonic_ns()}",
+        "limits": {"sockets": 512, "memory_mb": 128},
+        "known": endpoints,
+        "peer_listen": network.peer_listen,
+        "peers": network.peers,
+        "settings": {
+            "balancers": gateway_count,
+            "index": number,
+            "zones": ["a"],
+            "shapes": ["m"],
+            "tenants": [{"name": "acme"}],
+            "membershipMode": "pushed",
+            "caps": _capabilities(),
+            "contract": _contract(),
+            "lanes": _request_classes(),
+        },
+    }
+
+
+def operator_configuration(store_folder: str) -> str:
+    """The operator's file of a gateway, which keeps a store in a folder."""
+    return f'[store]\nfolder = "{store_folder}"\nsync = "batch"\n'
+
+
+def _capabilities() -> JsonObject:
+    return {
+        "maxAttempts": 4,
+        "mayCancel": True,
+        "peers": True,
+        "connectTimeoutUs": 1_600_000,
+        "keepaliveUs": 10_000_000,
+        "secondCopies": True,
+        "maxRetryAfterUs": 1_000_000,
+    }
+
+
+def _contract() -> JsonObject:
+    return {
+        "stopSendingWithinUs": 2_000_000,
+        "mustAskInUs": 10_000_000,
+        "startCapacity": START_CAPACITY,
+        "warmAfterUs": int(WARMUP_S * 1e6),
+        "tipMultiple": OVERLOAD_MULTIPLE,
+        "fallUs": 3_000_000,
+    }
+
+
+def _request_classes() -> list[JsonObject]:
+    """The classes that the clients draw from, one for each effect that a request can have."""
+    common = {"aimUs": 400_000, "giveUpUs": 2_500_000, "lateValue": 0.3, "value": 1.0}
+    keyed = common | {"effect": "guarded", "windowUs": 2_000_000}
+    return [
+        common | {"name": "search", "effect": "free"},
+        keyed | {"name": "hold", "group": "all"},
+        keyed | {"name": "reserve", "group": "cell"},
+        common | {"name": "transfer", "effect": "single_shot"},
+    ]
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -1,77 +1,52 @@
-"""The oracle of the soak: which rules the events of one run break. Pure.
+"""The oracle of the soak: which rules the events of one run violate. Pure.
 
-It is told what was done to whom (`History`), and takes as broken only what nothing excuses. Times that two
-processes have stamped differ by how late either was scheduled: `SCHEDULING_S` is allowed for that.
+A rule counts as violated only where nothing in the run's `History` excuses it. Times that two processes have
+stamped differ by how late either was scheduled: `SCHEDULING_S` is allowed for that in each comparison.
+
+The rules' codes ("lost", "told", "cold" and so on) are printed by `lab soak` and stay as they are.
 """
 
 from __future__ import annotations
 
-from collections import defaultdict
-from collections.abc import Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass
+from itertools import combinations
 
 from sagetrack.lab.soak.events import (
-    Answered,
     AnyEvent,
-    Begun,
-    Left,
-    Misbehaved,
-    Rejected,
-    Sent,
-    Unanswered,
-    Whole,
+    AttemptReceived,
+    AttemptStarted,
+    MalformedRequestIgnored,
+    RequestSent,
+    ResponseMissing,
 )
+from sagetrack.lab.soak.history import MICROSECONDS, History, Restart, Withdrawal
+from sagetrack.lab.soak.request_trace import RequestTrace, trace_requests
 
-S = 1_000_000  # microseconds
+# Slack of the comparisons
 SCHEDULING_S = 0.25
-ANSWER_LATE_S = 0.5  # a final answer may be so late
-LEFT_S = 0.1  # an attempt may begin so long after its client's close
-DRAIN_S = 2.05  # and so long after word that its server is withdrawn
-FAILING_S = 6.0  # word counts as had this long after it could be had, whatever fails
-DEADLINE_S = 0.15  # what a server is told may be over what is left
-TERM_TAKES_S = 0.7  # after SIGTERM: what is sent until then is owed its answer
-KEYED_WINDOW_S = 2.0
-WINDOW_S = 3.0  # the slow-start budget's
-
-
-@dataclass(slots=True)
-class Withdrawal:
-    """A server that may get nothing new."""
-
-    server: int
-    at_us: int  # discovery had it
-    until_us: int | None = None  # it was listed again
-
-
-@dataclass(slots=True)
-class Restart:
-    """A server that has started anew, and what it may be sent in a window while it is cold."""
-
-    server: int
-    at_us: int
-
-
-@dataclass(slots=True)
-class History:
-    """What was done in a run. Spans are pairs of microseconds; an open one ends with the run."""
-
-    kills: list[tuple[int, int]] = field(default_factory=list)  # gateway, when
-    terms: list[tuple[int, int]] = field(default_factory=list)
-    down: list[tuple[int, int, int]] = field(default_factory=list)  # gateway, without a ready process
-    unreachable: list[tuple[int, int, int]] = field(default_factory=list)  # gateway's discovery, from, to
-    failing: list[tuple[int, int, int]] = field(default_factory=list)  # its system calls
-    withdrawals: list[Withdrawal] = field(default_factory=list)
-    restarts: list[Restart] = field(default_factory=list)
-    groups: dict[int, int] = field(default_factory=dict)  # of servers
-    starts_us: dict[int, list[int]] = field(default_factory=dict)  # of gateways' processes
-    crashes: list[str] = field(default_factory=list)
-    leaks: list[str] = field(default_factory=list)
-    violations: list[str] = field(default_factory=list)  # that gateways have counted themselves
+RESPONSE_SLACK_S = 0.5  # a response may come so long after the request's budget
+DISCONNECT_SLACK_S = 0.1  # an attempt may start so long after its client's close
+DRAIN_SLACK_S = 2.05  # and so long after the gateway could know that its server is withdrawn
+BUDGET_SLACK_S = 0.15  # an attempt's budget may exceed what is left by so much
+SENT_STAMP_SLACK_S = 0.1  # a client may stamp a request so long after the proxy has seen its attempt
+RESEND_OVERLAP_S = 1.0  # attempts so long before a request was sent may still be its own
+
+IDEMPOTENCY_WINDOW_S = 2.0  # servers drop repeats of a key for so long
+MALFORMED_REQUEST_TIME_S = 3.0  # as `client.MALFORMED_REQUEST_TIMEOUT_S`
+
+# Slow start, as the gateways are configured
+START_CAPACITY = 0.13
+WARMUP_S = 12.0
+OVERLOAD_MULTIPLE = 4.0
+SLOW_START_WINDOW_S = 3.0
+MEAN_WORK_S = 0.0175  # as `server.WORK_S` is drawn from
+SMALL_COUNT = 30  # below it the normal approximation of a Poisson count needs more slack
 
 
 @dataclass(slots=True, frozen=True)
-class Break:
-    """A rule that was broken, and the trace of it."""
+class Violation:
+    """A rule that was violated, and what shows it."""
 
     rule: str
     detail: str
@@ -80,189 +55,228 @@
         return f"{self.rule}: {self.detail}"
 
 
-@dataclass(slots=True)
-class Call:
-    """All that happened to one request."""
+Violations = Iterator[Violation]
+RequestRule = Callable[[str, RequestTrace, History], Violations]
 
-    sent: list[Sent] = field(default_factory=list)
-    answers: list[Answered] = field(default_factory=list)
-    unanswered: list[Unanswered] = field(default_factory=list)
-    left: Left | None = None
-    begun: list[Begun] = field(default_factory=list)
-    whole: list[Whole] = field(default_factory=list)
-    rejected: list[Rejected] = field(default_factory=list)
 
-
-def calls_of(events: Sequence[AnyEvent]) -> dict[str, Call]:
-    calls: dict[str, Call] = defaultdict(Call)
-    for event in events:
-        match event:
-            case Sent():
-                calls[event.call].sent.append(event)
-            case Answered():
-                calls[event.call].answers.append(event)
-            case Unanswered():
-                calls[event.call].unanswered.append(event)
-            case Left():
-                calls[event.call].left = event
-            case Begun():
-                calls[event.call].begun.append(event)
-            case Whole():
-                calls[event.call].whole.append(event)
-            case Rejected():
-                calls[event.call].rejected.append(event)
-    return calls
-
-
-def judge(events: Sequence[AnyEvent], history: History) -> list[Break]:
-    """All rules that were broken."""
-    found = [Break("crash", crash) for crash in history.crashes]
-    found += [Break("leak", leak) for leak in history.leaks]
-    found += [Break("counted", violation) for violation in history.violations]
-    for name, call in calls_of(events).items():
-        found += _lost(name, call, history)
-        found += _twice(name, call, history)
-        found += _begun_late(name, call, history)
-    for event in events:
-        if not isinstance(event, Misbehaved):
-            continue
-        if not _queued(event.gateway, event.at_us - 3 * S, event.at_us, history):
-            found.append(Break("bad_client", f"{event.what!r} at gateway {event.gateway}"))
-    return found + _cold(events, history)
-
-
-def _excused(gateway: int, sent_us: int, until_us: int, history: History) -> bool:
-    """Whether the gateway was killed under a request, or was told to end too long before it, or was down."""
-    if any(of == gateway and killed <= sent_us <= up for of, killed, up in history.down):
-        return True
-    if any(of == gateway and sent_us - S // 5 <= at_us <= until_us for of, at_us in history.kills):
-        return True
-    spared_us = int(TERM_TAKES_S * S)
-    return any(of == gateway and spared_us < sent_us - at_us < 6 * S for of, at_us in history.terms)
-
-
-def _queued(gateway: int, from_us: int, until_us: int, history: History) -> bool:
-    """Whether a client may have waited in the listening socket while no process was ready: nobody sees it."""
-    return any(of == gateway and down < until_us and up > from_us for of, down, up in history.down)
-
-
-def _lost(name: str, call: Call, history: History) -> list[Break]:
-    """One final answer, in time, and the right one."""
-    found = [Break("wrong_answer", name) for answer in call.answers if not answer.right]
-    if call.left is not None or not call.sent:
-        return found
-    last = call.sent[-1]
-    due_us = last.at_us + int((last.budget_ms / 1000 + ANSWER_LATE_S + SCHEDULING_S) * S)
-    told = f"{name} {last.class_name} at gateway {last.gateway}, {last.budget_ms} ms, sent at {last.at_us}"
-    for answer in call.answers[:1]:
-        excused = not answer.status or _excused(last.gateway, last.at_us, answer.at_us, history)
-        if answer.at_us > due_us and not excused:
-            found.append(Break("late", f"{told}, answered {(answer.at_us - due_us) / 1000:.0f} ms too late"))
-    for end in call.unanswered:
-        sent = [one for one in call.sent if one.at_us <= end.at_us][-1]
-        if _excused(sent.gateway, sent.at_us, end.at_us, history):
-            continue
-        begun = [one for one in call.begun if sent.at_us - S <= one.at_us <= end.at_us]
-        if not end.closed or sent.fresh or begun:
-            how = "closed" if end.closed else "silent"
-            where = "a new" if sent.fresh else "a kept"
-            after = (end.at_us - sent.at_us) / 1000
-            found.append(
-                Break("lost", f"{told}, {how} after {after:.0f} ms on {where} connection, {len(begun)} begun")
-            )
-    return found
-
-
-def _twice(name: str, call: Call, history: History) -> list[Break]:
-    """What may have run is not sent again but where its repeats are dropped."""
-    if len(call.sent) != 1 or call.sent[0].class_name == "search":
-        return []  # a client that has sent it again itself has reason to: see _lost
-    class_name, found = call.sent[0].class_name, []
-    for number, later in enumerate(call.whole):
-        for earlier in call.whole[:number]:
-            if any(rejected.server == earlier.server for rejected in call.rejected):
-                continue
-            here, there = history.groups[later.server], history.groups[earlier.server]
-            late_s = (later.at_us - earlier.at_us) / S
-            if class_name == "transfer" or (class_name == "reserve" and here != there):
-                found.append(
-                    Break("duplicate", f"{name} {class_name} at {earlier.server} and {later.server}")
-                )
-            elif late_s > KEYED_WINDOW_S + SCHEDULING_S:
-                found.append(Break("duplicate", f"{name} {class_name} again after {late_s:.2f} s"))
-    return found
-
-
-def _begun_late(name: str, call: Call, history: History) -> list[Break]:
-    """Attempts after their client's end, beyond its time, or at a server that is withdrawn."""
-    found = []
-    for begun in call.begun:
-        if call.left is not None and begun.at_us > call.left.at_us + (LEFT_S + SCHEDULING_S) * S:
-            late = (begun.at_us - call.left.at_us) / 1000
-            found.append(Break("after_close", f"{name} begun {late:.0f} ms after its client's close"))
-        sent = [one for one in call.sent if one.at_us <= begun.at_us + S // 10]
-        if sent:
-            left_ms = sent[-1].budget_ms - (begun.at_us - sent[-1].at_us) / 1000
-            queued = _queued(begun.gateway, sent[-1].at_us, begun.at_us, history)
-            if not queued and begun.told_ms > left_ms + (DEADLINE_S + SCHEDULING_S) * 1000:
-                found.append(Break("told", f"{name} told {begun.told_ms} ms with {left_ms:.0f} left"))
-        found += _withdrawn(name, begun, history)
+def find_violations(events: Sequence[AnyEvent], history: History) -> list[Violation]:
+    """All violations of one run, whose events are in the order of time."""
+    found = list(_found_by_the_run(history))
+    for request_id, trace in trace_requests(events).items():
+        for rule in REQUEST_RULES:
+            found += rule(request_id, trace, history)
+    found += _malformed_requests_are_answered(events, history)
+    for restart in history.restarts:
+        found += _slow_start_is_kept(restart, events)
     return found
 
 
-def _withdrawn(name: str, begun: Begun, history: History) -> list[Break]:
-    for one in history.withdrawals:
-        if one.server != begun.server or begun.at_us <= one.at_us:
+def _found_by_the_run(history: History) -> Violations:
+    """Rules "crash", "leak" and "counted": what the run has found in its processes. No slack."""
+    yield from (Violation("crash", crash) for crash in history.crashes)
+    yield from (Violation("leak", leak) for leak in history.leaks)
+    yield from (Violation("counted", violation) for violation in history.counted_violations)
+
+
+def _response_is_for_its_request(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "wrong_answer": the body of a 200 is the one that was made for this request. No slack."""
+    for response in trace.responses:
+        if not response.body_correct:
+            yield Violation("wrong_answer", request_id)
+
+
+def _response_is_in_time(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "late": the first response has come in full within the request's budget.
+
+    Slack: `RESPONSE_SLACK_S` and scheduling. Excused are a response that was cut off, a client that has
+    closed its connection, and a gateway that was killed, ended or down.
+    """
+    if trace.disconnect is not None or not trace.sent or not trace.responses:
+        return
+    sent, response = trace.sent[-1], trace.responses[0]
+    due_us = sent.at_us + int((sent.budget_ms / 1000 + RESPONSE_SLACK_S + SCHEDULING_S) * MICROSECONDS)
+    if response.at_us <= due_us or not response.status:
+        return
+    if history.excuses_missing_response(sent.gateway, sent.at_us, response.at_us):
+        return
+    late_ms = (response.at_us - due_us) / 1000
+    yield Violation("late", f"{_describe(request_id, sent)}, answered {late_ms:.0f} ms too late")
+
+
+def _request_is_answered(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "lost": each request gets a response.
+
+    No slack in time: its client waits for longer than the budget. Excused are a client that has closed its
+    connection, a gateway that was killed, ended or down, and a kept connection that was closed before any
+    attempt started: the client sends its request again.
+    """
+    if trace.disconnect is not None or not trace.sent:
+        return
+    for missing in trace.missing_responses:
+        sent = trace.last_sent_before(missing.at_us)
+        if sent is None:
+            raise ValueError(f"request {request_id} misses a response before it was sent")
+        if history.excuses_missing_response(sent.gateway, sent.at_us, missing.at_us):
             continue
-        if one.until_us is not None and begun.at_us >= one.until_us:
+        attempts = _attempts_between(trace, sent, missing)
+        if missing.connection_closed and not sent.first_on_connection and not attempts:
             continue
-        told_us = told_at(begun.gateway, one.at_us, history)
-        late_s = (begun.at_us - told_us) / S - DRAIN_S - SCHEDULING_S
-        if late_s > 0:
-            where = f"server {begun.server} by gateway {begun.gateway}"
-            return [Break("drain", f"{name} begun at {where}, {late_s + DRAIN_S:.2f} s after word")]
-    return []
-
-
-def told_at(gateway: int, change_us: int, history: History) -> int:
-    """When a change counts as told: at once where discovery can be reached, later where calls fail."""
-    told_us = change_us
-    for of, from_us, to_us in sorted(history.unreachable):
-        if of == gateway and from_us <= told_us < to_us:
-            told_us = to_us
-    grace_us = int((FAILING_S) * S)
-    for of, from_us, to_us in history.failing:
-        if of == gateway and from_us < told_us + grace_us and to_us > told_us:
-            return told_us + grace_us
-    return told_us
-
-
-def _cold(events: Sequence[AnyEvent], history: History) -> list[Break]:
-    """What all gateways send to a server that has just started, in any window."""
-    found = []
-    for restart in history.restarts:
-        times = [
-            event.at_us
-            for event in events
-            if isinstance(event, Whole) and event.server == restart.server and event.at_us >= restart.at_us
-        ]
-        for first, at_us in enumerate(times):
-            sent = sum(at_us <= time < at_us + WINDOW_S * S for time in times[first:])
-            allowed = cold_budget((at_us - restart.at_us) / S + WINDOW_S)
-            if sent > allowed:
-                after = (at_us - restart.at_us) / S
-                detail = f"server {restart.server}: {sent} of {allowed:.0f} in a window from {after:.1f} s on"
-                found.append(Break("cold", detail))
+        how = "closed" if missing.connection_closed else "silent"
+        connection = "a new" if sent.first_on_connection else "a kept"
+        after_ms = (missing.at_us - sent.at_us) / 1000
+        yield Violation(
+            "lost",
+            f"{_describe(request_id, trace.sent[-1])}, {how} after {after_ms:.0f} ms "
+            f"on {connection} connection, {attempts} begun",
+        )
+
+
+def _attempts_between(trace: RequestTrace, sent: RequestSent, missing: ResponseMissing) -> int:
+    """How many attempts belong to a request that got no response."""
+    earliest_us = sent.at_us - RESEND_OVERLAP_S * MICROSECONDS
+    return sum(earliest_us <= attempt.at_us <= missing.at_us for attempt in trace.attempts_started)
+
+
+def _describe(request_id: str, sent: RequestSent) -> str:
+    """A request in a violation's detail."""
+    return (
+        f"{request_id} {sent.class_name} at gateway {sent.gateway}, {sent.budget_ms} ms, sent at {sent.at_us}"
+    )
+
+
+def _request_is_not_processed_twice(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "duplicate": what a server may have processed is retried only where it drops repeats.
+
+    A single-shot request is never retried, a keyed one only within the idempotency window and, if its key
+    counts in one group alone, only there. Slack: scheduling, at the end of the window. Excused are attempts
+    after a rejection, safe requests ("search"), and requests that the client itself has resent.
+    """
+    if len(trace.sent) != 1 or trace.sent[0].class_name == "search":
+        return
+    class_name = trace.sent[0].class_name
+    for earlier, later in combinations(trace.attempts_received, 2):
+        if trace.rejected_by(earlier.server):
+            continue
+        same_group = history.server_groups[later.server] == history.server_groups[earlier.server]
+        apart_s = (later.at_us - earlier.at_us) / MICROSECONDS
+        if class_name == "transfer" or (class_name == "reserve" and not same_group):
+            where = f"at {earlier.server} and {later.server}"
+            yield Violation("duplicate", f"{request_id} {class_name} {where}")
+        elif apart_s > IDEMPOTENCY_WINDOW_S + SCHEDULING_S:
+            yield Violation("duplicate", f"{request_id} {class_name} again after {apart_s:.2f} s")
+
+
+def _no_attempt_after_disconnect(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "after_close": no attempt starts after its client has closed the connection.
+
+    Slack: `DISCONNECT_SLACK_S` and scheduling.
+    """
+    if trace.disconnect is None:
+        return
+    latest_us = trace.disconnect.at_us + (DISCONNECT_SLACK_S + SCHEDULING_S) * MICROSECONDS
+    for attempt in trace.attempts_started:
+        if attempt.at_us > latest_us:
+            after_ms = (attempt.at_us - trace.disconnect.at_us) / 1000
+            yield Violation("after_close", f"{request_id} begun {after_ms:.0f} ms after its client's close")
+
+
+def _attempt_budget_is_what_is_left(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "told": an attempt's budget is no more than what is left of its request's.
+
+    Slack: `BUDGET_SLACK_S` and scheduling. Excused are requests that may have waited in the listening socket.
+    """
+    for attempt in trace.attempts_started:
+        sent = trace.last_sent_before(attempt.at_us + int(SENT_STAMP_SLACK_S * MICROSECONDS))
+        if sent is None:
+            continue
+        left_ms = sent.budget_ms - (attempt.at_us - sent.at_us) / 1000
+        if attempt.budget_ms <= left_ms + (BUDGET_SLACK_S + SCHEDULING_S) * 1000:
+            continue
+        if not history.may_have_waited_in_backlog(attempt.gateway, sent.at_us, attempt.at_us):
+            yield Violation("told", f"{request_id} told {attempt.budget_ms} ms with {left_ms:.0f} left")
+
+
+def _withdrawn_server_gets_no_attempt(request_id: str, trace: RequestTrace, history: History) -> Violations:
+    """Rule "drain": no attempt starts at a server that is withdrawn.
+
+    Slack: `DRAIN_SLACK_S` and scheduling, after the moment that the gateway could know of the withdrawal. At
+    most one violation for each attempt.
+    """
+    for attempt in trace.attempts_started:
+        for withdrawal in history.withdrawals:
+            late_s = _seconds_too_late(attempt, withdrawal, history)
+            if late_s > 0:
+                where = f"server {attempt.server} by gateway {attempt.gateway}"
+                after_s = late_s + DRAIN_SLACK_S
+                yield Violation("drain", f"{request_id} begun at {where}, {after_s:.2f} s after word")
                 break
-    return found
 
 
-START_CAPACITY, WARM_S, MULTIPLE = 0.13, 12.0, 4.0
-MEAN_WORK_S = 0.0175  # as `server.WORK_S` is drawn from
+def _seconds_too_late(attempt: AttemptStarted, withdrawal: Withdrawal, history: History) -> float:
+    """How long after the slack's end an attempt has started at a withdrawn server; 0 if it was allowed."""
+    if withdrawal.server != attempt.server or attempt.at_us <= withdrawal.at_us:
+        return 0.0
+    if withdrawal.until_us is not None and attempt.at_us >= withdrawal.until_us:
+        return 0.0
+    known_us = history.change_effective_us(attempt.gateway, withdrawal.at_us)
+    return (attempt.at_us - known_us) / MICROSECONDS - DRAIN_SLACK_S - SCHEDULING_S
 
 
-def cold_budget(age_s: float) -> float:
-    """Requests in one window that a server of this age bears."""
-    capacity = min(1.0, START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARM_S)
-    n = MULTIPLE * capacity * WINDOW_S / MEAN_WORK_S
-    return float(n + (3 if n < 30 else 2) * n**0.5 + (3 if n < 30 else 2))
+def _malformed_requests_are_answered(events: Sequence[AnyEvent], history: History) -> Violations:
+    """Rule "bad_client": a malformed request gets an error or a close within the client's timeout.
+
+    No further slack. Excused are connections that may have waited in the listening socket.
+    """
+    for event in events:
+        if not isinstance(event, MalformedRequestIgnored):
+            continue
+        sent_us = event.at_us - int(MALFORMED_REQUEST_TIME_S * MICROSECONDS)
+        if not history.may_have_waited_in_backlog(event.gateway, sent_us, event.at_us):
+            yield Violation("bad_client", f"{event.data!r} at gateway {event.gateway}")
+
+
+def _slow_start_is_kept(restart: Restart, events: Sequence[AnyEvent]) -> Violations:
+    """Rule "cold": all gateways together send a server in slow start no more than its budget.
+
+    Held in each window that begins with an attempt; the first that exceeds it is reported. Slack: that of
+    `slow_start_budget`.
+    """
+    times_us = [
+        event.at_us
+        for event in events
+        if isinstance(event, AttemptReceived)
+        and event.server == restart.server
+        and event.at_us >= restart.at_us
+    ]
+    for first, window_us in enumerate(times_us):
+        window_end_us = window_us + SLOW_START_WINDOW_S * MICROSECONDS
+        received = sum(time_us < window_end_us for time_us in times_us[first:])
+        age_s = (window_us - restart.at_us) / MICROSECONDS
+        budget = slow_start_budget(age_s + SLOW_START_WINDOW_S)
+        if received > budget:
+            detail = f"{received} of {budget:.0f} in a window from {age_s:.1f} s on"
+            yield Violation("cold", f"server {restart.server}: {detail}")
+            return
+
+
+def slow_start_budget(age_s: float) -> float:
+    """Requests that a server so long after its start can take in one window.
+
+    That is the overload limit of its capacity, and two standard deviations and two requests more (three of
+    each for small counts), since requests arrive at random.
+    """
+    capacity = min(1.0, START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARMUP_S)
+    expected = OVERLOAD_MULTIPLE * capacity * SLOW_START_WINDOW_S / MEAN_WORK_S
+    slack = 3 if expected < SMALL_COUNT else 2
+    return float(expected + slack * expected**0.5 + slack)
+
+
+REQUEST_RULES: tuple[RequestRule, ...] = (
+    _response_is_for_its_request,
+    _response_is_in_time,
+    _request_is_answered,
+    _request_is_not_processed_twice,
+    _no_attempt_after_disconnect,
+    _attempt_budget_is_what_is_left,
+    _withdrawn_server_gets_no_attempt,
+)
--- /dev/null
+++ b/sagetrack/lab/soak/process_supervisor.py
@@ -0,0 +1,76 @@
+"""Child processes of a soak: they are started here, and none outlives the run."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import sys
+from asyncio.subprocess import PIPE, Process
+from collections.abc import Mapping
+from pathlib import Path
+
+from sagetrack.lab.processes.fleet import _die_with_parent
+from sagetrack.lab.repository import ROOT
+
+PARTY_PACKAGE = "sagetrack.lab.soak"
+
+
+class ProcessSupervisor:
+    """Starts the processes of one run, and ends them with it.
+
+    The kernel kills them should this process die.
+    """
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._processes: list[Process] = []
+
+    async def start_party(self, module: str, name: str, *arguments: str) -> Process:
+        """Start a module of this package.
+
+        Its standard input and output are pipes; its standard error goes to NAME.log.
+        """
+        with (self._folder / f"{name}.log").open("ab") as log:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                f"{PARTY_PACKAGE}.{module}",
+                *arguments,
+                cwd=ROOT,
+                env=os.environ | {"PYTHONPATH": str(ROOT)},
+                stdin=PIPE,
+                stdout=PIPE,
+                stderr=log,
+                preexec_fn=_die_with_parent,
+            )
+        self._processes.append(process)
+        return process
+
+    async def start_gateway(self, environment: Mapping[str, str], listener_fd: int, log: Path) -> Process:
+        """Start a gateway, which inherits its listening socket; what it prints goes to the log."""
+        with log.open("ab") as output:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "sagetrack",
+                cwd=ROOT,
+                env=os.environ | environment | {"PYTHONPATH": str(ROOT)},
+                stdout=output,
+                stderr=output,
+                pass_fds=[listener_fd],
+                preexec_fn=_die_with_parent,
+            )
+        self._processes.append(process)
+        return process
+
+    def kill_all(self) -> None:
+        """Kill every process that still runs, without waiting for it."""
+        for process in self._processes:
+            if process.returncode is None:
+                process.kill()
+
+
+def send_line(process: Process, line: bytes) -> None:
+    """Write a line to the standard input of a process; nothing happens if it has ended."""
+    if process.returncode is None and process.stdin is not None:
+        process.stdin.write(line + b"\n")
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -1,25 +1,37 @@
-"""The fault proxy between gateways and address servers, as a process: `… .proxy PLAN FILE`.
+"""The fault proxy between gateways and servers, as a process: `python -m sagetrack.lab.soak.proxy PLAN FILE`.
 
-Each gateway reaches each server at an address of its own, so that faults strike one way alone. What comes is
-written down here, before any fault delays it. Standard input tells of faults: one `Order` in JSON a line.
+Each gateway reaches each server at an address of its own, so that a fault strikes one route alone. What
+arrives is written down before any fault delays it. Standard input brings the faults: one `FaultOrder` in JSON
+a line.
 """
 
 from __future__ import annotations
 
 import asyncio
 import sys
+from collections.abc import Callable
 from contextlib import suppress
+from enum import Enum
 from pathlib import Path
-from typing import Literal
+from typing import NamedTuple
 
 import httptools
 import msgspec
 
-from sagetrack.lab.soak.events import Begun, Journal, Whole, now_us
+from sagetrack.lab.soak.events import AttemptReceived, AttemptStarted, EventWriter, now_us
 from sagetrack.lab.stand_ins.sockets import Door
 
-PIECE = 16 * 1024
-Fault = Literal["mute", "unmute", "reset", "stall", "flow"]
+NO_BUDGET_MS = -1  # of an attempt without the header
+
+
+class RouteFault(Enum):
+    """What is done to a route."""
+
+    MUTE = "mute"  # new connections do not come up
+    UNMUTE = "unmute"
+    RESET = "reset"  # of all connections that are up
+    STALL = "stall"  # nothing passes, in either direction
+    RESUME = "resume"  # what has stalled passes now
 
 
 class Route(msgspec.Struct, frozen=True):
@@ -27,166 +39,225 @@
 
     gateway: int
     server: int
-    port: int  # the server's
+    server_port: int
+
 
+class FaultOrder(msgspec.Struct):
+    """A fault for one route, effective at once."""
 
-class Order(msgspec.Struct):
-    fault: Fault
+    fault: RouteFault
     gateway: int
     server: int
 
 
-class Watch:
-    """Tells of requests in the bytes that pass."""
+class AttemptObserver:
+    """Writes down the requests in the bytes of one connection; bytes that are no HTTP are ignored."""
 
-    def __init__(self, route: Route, journal: Journal) -> None:
-        self.route, self.journal = route, journal
-        self.parser = httptools.HttpRequestParser(self)
-        self.begun_us = 0
-        self.call, self.told_ms = "", -1
-        self.readable = True
+    def __init__(self, route: Route, events: EventWriter) -> None:
+        self._route = route
+        self._events = events
+        self._parser = httptools.HttpRequestParser(self)
+        self._parsable = True
+        self._started_us = 0
+        self._request_id = ""
+        self._budget_ms = NO_BUDGET_MS
 
     def feed(self, data: bytes) -> None:
-        if not self.readable:
+        """Take the next bytes of the connection."""
+        if not self._parsable:
             return
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.readable = False
+            self._parsable = False
+
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        self.begun_us, self.call, self.told_ms = now_us(), "", -1
+        """A request begins."""
+        self._started_us = now_us()
+        self._request_id = ""
+        self._budget_ms = NO_BUDGET_MS
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header field of the request."""
         if name.lower() == b"x-call-id":
-            self.call = value.decode("latin-1").strip()
+            self._request_id = value.decode("latin-1").strip()
         elif name.lower() == b"x-budget-ms":
-            self.told_ms = int(value)
+            self._budget_ms = int(value)
 
     def on_headers_complete(self) -> None:
-        route = self.route
-        self.journal.write(Begun(self.begun_us, self.call, route.gateway, route.server, self.told_ms))
+        """The ID and budget are known: the attempt is written down with the time of its first byte."""
+        gateway, server = self._route.gateway, self._route.server
+        self._events.write(
+            AttemptStarted(self._started_us, self._request_id, gateway, server, self._budget_ms)
+        )
 
     def on_message_complete(self) -> None:
-        self.journal.write(Whole(now_us(), self.call, self.route.gateway, self.route.server))
+        """The last byte of the request has come."""
+        route = self._route
+        self._events.write(AttemptReceived(now_us(), self._request_id, route.gateway, route.server))
 
 
 class Relay(asyncio.Protocol):
-    """One connection of a gateway and the one to its server."""
+    """A gateway's connection, and the one to the server that belongs to it."""
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
-        self.watch = Watch(way.route, way.journal)
-        self.near: asyncio.Transport | None = None
-        self.far: asyncio.Transport | None = None
-        self.early: list[bytes] = []
+    def __init__(self, route: RouteProxy, observer: AttemptObserver) -> None:
+        self._route = route
+        self._observer = observer
+        self._downstream: asyncio.Transport | None = None
+        self._upstream: asyncio.Transport | None = None
+        self._before_upstream: list[bytes] = []  # what came before the server's connection was up
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Connect to the server too."""
         assert isinstance(transport, asyncio.Transport)
-        self.near = transport
-        self.way.relays.add(self)
-        self.way.tasks.add(task := asyncio.get_running_loop().create_task(self.reach()))
-        task.add_done_callback(self.way.tasks.discard)
+        self._downstream = transport
+        self._route.add(self)
 
-    async def reach(self) -> None:
+    async def connect_upstream(self, port: int) -> None:
+        """Connect to the server; if that fails, the gateway's connection is reset."""
         try:
-            far, _ = await asyncio.get_running_loop().create_connection(
-                lambda: UpstreamPool(self), "127.0.0.1", self.way.route.port
+            upstream, _ = await asyncio.get_running_loop().create_connection(
+                lambda: UpstreamConnection(self), "127.0.0.1", port
             )
         except OSError:
-            self.end()
+            self.abort()
             return
-        self.far = far
-        for data in self.early:
-            far.write(data)
+        self._upstream = upstream
+        for data in self._before_upstream:
+            upstream.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.watch.feed(data)
-        self.way.pass_on(self.forward, data)
+        """Bytes of the gateway, which are observed before they can stall."""
+        self._observer.feed(data)
+        self._route.pass_on(self._send_upstream, data)
 
-    def forward(self, data: bytes) -> None:
-        if self.far is None:
-            self.early.append(data)
-        else:
-            self.far.write(data)
+    def response_received(self, data: bytes) -> None:
+        """Bytes of the server."""
+        self._route.pass_on(self._send_downstream, data)
 
-    def back(self, data: bytes) -> None:
-        if self.near is not None:
-            self.near.write(data)
+    def upstream_lost(self) -> None:
+        """The server's connection has ended: the gateway's is flushed and closed."""
+        if self._downstream is not None:
+            self._downstream.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.near = None
-        self.end()
-
-    def end(self) -> None:
-        self.way.relays.discard(self)
-        for transport in (self.near, self.far):
+        """The gateway's connection has ended."""
+        self._downstream = None
+        self.abort()
+
+    def abort(self) -> None:
+        """Reset both connections."""
+        self._route.discard(self)
+        for transport in (self._downstream, self._upstream):
             if transport is not None:
                 transport.abort()
 
+    def _send_upstream(self, data: bytes) -> None:
+        if self._upstream is None:
+            self._before_upstream.append(data)
+        else:
+            self._upstream.write(data)
+
+    def _send_downstream(self, data: bytes) -> None:
+        if self._downstream is not None:
+            self._downstream.write(data)
+
 
-class UpstreamPool(asyncio.Protocol):
-    """The server's side of a relay."""
+class UpstreamConnection(asyncio.Protocol):
+    """The connection of a relay to its server."""
 
     def __init__(self, relay: Relay) -> None:
-        self.relay = relay
+        self._relay = relay
 
     def data_received(self, data: bytes) -> None:
-        self.relay.way.pass_on(self.relay.back, data)
+        """Bytes of the server."""
+        self._relay.response_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.relay.near is not None:
-            self.relay.near.close()
+        """The server's connection has ended."""
+        self._relay.upstream_lost()
+
+
+class StalledData(NamedTuple):
+    """Bytes that wait for a stall's end, and what sends them then."""
+
+    send: Callable[[bytes], None]
+    data: bytes
+
+
+class RouteProxy:
+    """All connections of one route, and the faults on it."""
+
+    def __init__(self, route: Route, events: EventWriter) -> None:
+        self._route = route
+        self._relays: set[Relay] = set()
+        self._connecting: set[asyncio.Task[None]] = set()
+        self._stalled_data: list[StalledData] = []
+        self._stalled = False
+        self._listener = Door("127.0.0.1", lambda: Relay(self, AttemptObserver(route, events)))
 
+    @property
+    def address(self) -> str:
+        """Where the gateway connects to."""
+        return self._listener.address
 
-class Way:
-    """All connections of one route, and what befalls them."""
+    def add(self, relay: Relay) -> None:
+        """Take a new connection of the gateway, and connect it to the server."""
+        self._relays.add(relay)
+        task = asyncio.get_running_loop().create_task(relay.connect_upstream(self._route.server_port))
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
 
-    def __init__(self, route: Route, journal: Journal) -> None:
-        self.route, self.journal = route, journal
-        self.relays: set[Relay] = set()
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.held: list[tuple[object, bytes]] = []
-        self.stalled = False
-        self.door = Door("127.0.0.1", lambda: Relay(self))
+    def discard(self, relay: Relay) -> None:
+        """Forget a connection that has ended."""
+        self._relays.discard(relay)
 
-    def pass_on(self, forward: object, data: bytes) -> None:
-        if self.stalled:
-            self.held.append((forward, data))
+    def pass_on(self, send: Callable[[bytes], None], data: bytes) -> None:
+        """Send bytes now, or in their order as soon as the route no longer stalls."""
+        if self._stalled:
+            self._stalled_data.append(StalledData(send, data))
         else:
-            forward(data)  # type: ignore[operator]
+            send(data)
 
-    def obey(self, fault: Fault) -> None:
+    def apply(self, fault: RouteFault) -> None:
+        """Let a fault happen, or end."""
         match fault:
-            case "mute":
-                self.door.mute()
-            case "unmute":
-                self.door.unmute()
-            case "reset":
-                for relay in list(self.relays):
-                    relay.end()
-            case "stall":
-                self.stalled = True
-            case "flow":
-                self.stalled = False
-                held, self.held = self.held, []
-                for forward, data in held:
-                    with suppress(RuntimeError):
-                        self.pass_on(forward, data)
-
-
-async def main(plan: Path, file: Path) -> None:
-    """Listen for each route, say at which ports, and obey."""
-    journal = Journal(file)
+            case RouteFault.MUTE:
+                self._listener.mute()
+            case RouteFault.UNMUTE:
+                self._listener.unmute()
+            case RouteFault.RESET:
+                for relay in list(self._relays):
+                    relay.abort()
+            case RouteFault.STALL:
+                self._stalled = True
+            case RouteFault.RESUME:
+                self._resume()
+
+    def _resume(self) -> None:
+        self._stalled = False
+        stalled_data = self._stalled_data
+        self._stalled_data = []
+        for send, data in stalled_data:
+            with suppress(RuntimeError):  # the connection has ended meanwhile
+                send(data)
+
+
+async def main(plan: Path, event_file: Path) -> None:
+    """Listen for each route of the plan, print the addresses in its order, and follow the orders."""
+    events = EventWriter(event_file)
     routes: list[Route] = msgspec.json.decode(plan.read_bytes(), type=list[Route])
-    ways = {(route.gateway, route.server): Way(route, journal) for route in routes}
-    print(msgspec.json.encode([way.door.address for way in ways.values()]).decode(), flush=True)
+    proxies = {(route.gateway, route.server): RouteProxy(route, events) for route in routes}
+    addresses = [proxy.address for proxy in proxies.values()]
+    print(msgspec.json.encode(addresses).decode(), flush=True)
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        order: Order = msgspec.json.decode(line, type=Order)
-        ways[order.gateway, order.server].obey(order.fault)
+        order: FaultOrder = msgspec.json.decode(line, type=FaultOrder)
+        proxies[order.gateway, order.server].apply(order.fault)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/sagetrack/lab/soak/request_trace.py
@@ -0,0 +1,62 @@
+"""The events of one run, gathered by request. Pure."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from sagetrack.lab.soak.events import (
+    AnyEvent,
+    AttemptReceived,
+    AttemptStarted,
+    ClientDisconnected,
+    RequestRejected,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+)
+
+
+@dataclass(slots=True)
+class RequestTrace:
+    """All that happened to one request, each list in the order of time."""
+
+    sent: list[RequestSent] = field(default_factory=list)  # more than one if its client has resent it
+    responses: list[ResponseReceived] = field(default_factory=list)
+    missing_responses: list[ResponseMissing] = field(default_factory=list)
+    disconnect: ClientDisconnected | None = None
+    attempts_started: list[AttemptStarted] = field(default_factory=list)
+    attempts_received: list[AttemptReceived] = field(default_factory=list)
+    rejections: list[RequestRejected] = field(default_factory=list)
+
+    def last_sent_before(self, at_us: int) -> RequestSent | None:
+        """The last time that the client had sent the request at a moment; None before the first."""
+        sent = [event for event in self.sent if event.at_us <= at_us]
+        return sent[-1] if sent else None
+
+    def rejected_by(self, server: int) -> bool:
+        """Whether a server has rejected the request without processing it."""
+        return any(rejection.server == server for rejection in self.rejections)
+
+
+def trace_requests(events: Sequence[AnyEvent]) -> dict[str, RequestTrace]:
+    """The trace of each request by its ID, from events in the order of time."""
+    traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
+    for event in events:
+        match event:
+            case RequestSent():
+                traces[event.request_id].sent.append(event)
+            case ResponseReceived():
+                traces[event.request_id].responses.append(event)
+            case ResponseMissing():
+                traces[event.request_id].missing_responses.append(event)
+            case ClientDisconnected():
+                traces[event.request_id].disconnect = event
+            case AttemptStarted():
+                traces[event.request_id].attempts_started.append(event)
+            case AttemptReceived():
+                traces[event.request_id].attempts_received.append(event)
+            case RequestRejected():
+                traces[event.request_id].rejections.append(event)
+    return traces
--- a/sagetrack/lab/soak/server.py
+++ b/sagetrack/lab/soak/server.py
@@ -1,6 +1,6 @@
-"""An address server of the soak, as a process: `python -m sagetrack.lab.soak.server NUMBER PORT FILE SEED`.
+"""An upstream server of the soak, as a process: `python -m sagetrack.lab.soak.server NUMBER PORT FILE SEED`.
 
-Its standard input tells how it behaves from now on: one `Behaviour` a line.
+Its standard input says how it behaves from now on: one `Behaviour` a line. It ends with its standard input.
 """
 
 from __future__ import annotations
@@ -11,116 +11,156 @@
 from enum import Enum
 from pathlib import Path
 
-from sagetrack.lab.soak.events import Journal, Rejected, Second, now_us
+from sagetrack.lab.soak.events import DuplicateResponseSent, EventWriter, RequestRejected, now_us
+from sagetrack.lab.soak.response_body import body_for
 from sagetrack.lab.stand_ins.scripted import Message, read_message
 
 WORK_S = (0.005, 0.03)
-SLOW_S = (0.3, 0.9)
-SECOND_ANSWER_S = (0.0005, 0.004)  # after the first
-LONG_PARTS = 2_000  # of a long answer's body: some 150 KB
-SPOILT = b"HTTP/1.1 200 OK\r\nContent-Length: nothing\r\n\r\n"
+SLOW_WORK_S = (0.3, 0.9)
+HANG_S = 30.0  # longer than any request's budget
+DUPLICATE_DELAY_S = (0.0005, 0.004)  # of a second response after the first
+LAST_CHUNK_DELAY_S = (0.0, 0.08)
+TRUNCATED_DELAY_S = 0.02  # between half a response and the reset
+LONG_BODY_REPEATS = 2_000  # makes some 150 KB
+
+OK_CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+MALFORMED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: nothing\r\n\r\n"
 
 
 class Behaviour(Enum):
+    """How a server answers; the values are printed with the faults of a run."""
+
     NORMAL = "normal"
     SLOW = "slow"
     HANG = "hang"
     ERROR = "error"
     REJECT = "reject"
     RESET = "reset"  # after the request was read
-    SPOIL = "spoil"
-    TWICE = "twice"
-    UNENDING = "unending"  # no length, and no end
-    UNFRAMED = "unframed"  # in chunks
-    LONG = "long"  # more than is held at once
-    HALF = "half"  # breaks off in the answer's body
-    CLOSE = "close"  # right after an answer
-
-
-def body_for(call: str) -> bytes:
-    """What only the answer to this request holds."""
-    return f"answer to {call} ".encode() * 4
+    MALFORMED = "spoil"
+    DUPLICATE = "twice"
+    ENDLESS = "unending"  # neither a length nor an end
+    CHUNKED = "unframed"
+    LONG = "long"  # more than a gateway buffers
+    TRUNCATED = "half"  # breaks off in the response's body
+    CLOSE = "close"  # right after a response
 
 
-def is_body_for(call: str, body: bytes) -> bool:
-    """Whether it is that, once or many times."""
-    part = body_for(call)
-    return bool(body) and body == part * (len(body) // len(part))
-
-
-def answer(body: bytes) -> bytes:
+def ok_response(body: bytes) -> bytes:
+    """A complete 200 with a length."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 class Server:
-    """One process's behaviour, and its connections."""
+    """One server: its behaviour, which may be set at any time, and its connections."""
 
-    def __init__(self, number: int, journal: Journal, draw: random.Random) -> None:
-        self.number, self.journal, self.draw = number, journal, draw
+    def __init__(self, number: int, events: EventWriter, rng: random.Random) -> None:
         self.behaviour = Behaviour.NORMAL
+        self._number = number
+        self._events = events
+        self._rng = rng
+        self._responders = {
+            Behaviour.HANG: self._hang,
+            Behaviour.ERROR: self._send_error,
+            Behaviour.REJECT: self._reject,
+            Behaviour.RESET: self._reset,
+            Behaviour.MALFORMED: self._send_malformed,
+            Behaviour.DUPLICATE: self._send_twice,
+            Behaviour.ENDLESS: self._send_endless,
+            Behaviour.CHUNKED: self._send_chunked,
+            Behaviour.LONG: self._send_long,
+            Behaviour.TRUNCATED: self._send_truncated,
+            Behaviour.CLOSE: self._send_and_close,
+        }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the requests of one connection until either side ends it."""
         try:
-            while await self.answer(await read_message(reader), writer):
+            while await self._respond(await read_message(reader), writer):
                 pass
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, RuntimeError):
             pass
         finally:
             writer.close()
 
-    async def answer(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Whether the connection goes on."""
-        behaviour, draw = self.behaviour, self.draw
-        call = message.headers.get("x-call-id", "")
-        good = answer(body_for(call))
-        await asyncio.sleep(draw.uniform(*(SLOW_S if behaviour is Behaviour.SLOW else WORK_S)))
-        match behaviour:
-            case Behaviour.HANG:
-                await asyncio.sleep(30.0)
-                return False
-            case Behaviour.ERROR:
-                writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
-            case Behaviour.REJECT:
-                self.journal.write(Rejected(now_us(), call, self.number))
-                writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
-            case Behaviour.RESET:
-                writer.transport.abort()
-                return False
-            case Behaviour.SPOIL:
-                writer.write(SPOILT)
-            case Behaviour.TWICE:
-                writer.write(good)
-                first_us = now_us()
-                await asyncio.sleep(draw.uniform(*SECOND_ANSWER_S))
-                writer.write(good)
-                self.journal.write(Second(now_us(), self.number, now_us() - first_us))
-            case Behaviour.UNENDING:
-                writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
-                await asyncio.sleep(30.0)
-            case Behaviour.UNFRAMED:
-                body = body_for(call)
-                writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                writer.write(b"%x\r\n%s\r\n" % (len(body), body))
-                await asyncio.sleep(draw.uniform(0.0, 0.08))
-                writer.write(b"0\r\n\r\n")
-            case Behaviour.LONG:
-                writer.write(answer(body_for(call) * LONG_PARTS))
-                await writer.drain()
-            case Behaviour.HALF:
-                writer.write(good[: len(good) // 2])
-                await asyncio.sleep(0.02)
-                writer.transport.abort()
-                return False
-            case Behaviour.CLOSE:
-                writer.write(good)
-                await writer.drain()
-                return False
-            case _:
-                writer.write(good)
+    async def _respond(self, request: Message, writer: asyncio.StreamWriter) -> bool:
+        """Answer one request as the server behaves when it comes; False if the connection ends with that."""
+        behaviour = self.behaviour
+        request_id = request.headers.get("x-call-id", "")
+        work_s = SLOW_WORK_S if behaviour is Behaviour.SLOW else WORK_S
+        await asyncio.sleep(self._rng.uniform(*work_s))
+        respond = self._responders.get(behaviour, self._send_ok)
+        return await respond(request_id, writer)
+
+    # One method for each behaviour; each returns whether the connection goes on.
+
+    async def _send_ok(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(ok_response(body_for(request_id)))
+        return True
+
+    async def _hang(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        await asyncio.sleep(HANG_S)
+        return False
+
+    async def _send_error(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(ERROR_RESPONSE)
+        return True
+
+    async def _reject(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        self._events.write(RequestRejected(now_us(), request_id, self._number))
+        writer.write(REJECTION)
         return True
 
+    async def _reset(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.transport.abort()
+        return False
+
+    async def _send_malformed(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(MALFORMED_RESPONSE)
+        return True
+
+    async def _send_twice(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        response = ok_response(body_for(request_id))
+        writer.write(response)
+        first_us = now_us()
+        await asyncio.sleep(self._rng.uniform(*DUPLICATE_DELAY_S))
+        writer.write(response)
+        self._events.write(DuplicateResponseSent(now_us(), self._number, now_us() - first_us))
+        return True
+
+    async def _send_endless(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(OK_CHUNKED_HEAD + b"5\r\nbegun\r\n")
+        await asyncio.sleep(HANG_S)
+        return True
+
+    async def _send_chunked(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        body = body_for(request_id)
+        writer.write(OK_CHUNKED_HEAD)
+        writer.write(b"%x\r\n%s\r\n" % (len(body), body))
+        await asyncio.sleep(self._rng.uniform(*LAST_CHUNK_DELAY_S))
+        writer.write(b"0\r\n\r\n")
+        return True
+
+    async def _send_long(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(ok_response(body_for(request_id) * LONG_BODY_REPEATS))
+        await writer.drain()
+        return True
+
+    async def _send_truncated(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        response = ok_response(body_for(request_id))
+        writer.write(response[: len(response) // 2])
+        await asyncio.sleep(TRUNCATED_DELAY_S)
+        writer.transport.abort()
+        return False
+
+    async def _send_and_close(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
+        writer.write(ok_response(body_for(request_id)))
+        await writer.drain()
+        return False
+
 
-async def obey(server: Server) -> None:
+async def follow_behaviour(server: Server) -> None:
     """Behave as the lines of standard input say, until it ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
@@ -129,10 +169,11 @@
         server.behaviour = Behaviour(line.decode().strip())
 
 
-async def main(number: int, port: int, file: Path, seed: int) -> None:
-    server = Server(number, Journal(file), random.Random(seed))
+async def main(number: int, port: int, event_file: Path, seed: int) -> None:
+    """Serve at a port of loopback until standard input ends."""
+    server = Server(number, EventWriter(event_file), random.Random(seed))
     await asyncio.start_server(server.serve, "127.0.0.1", port, backlog=512)
-    await obey(server)
+    await follow_behaviour(server)
 
 
 if __name__ == "__main__":
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from sagetrack.lab.processes.resource_usage import free_port
-from sagetrack.lab.soak.shim import NONE, Control, Faults, build
+from sagetrack.lab.soak.shim import NO_FAULTS, FaultControl, SystemCallFaults, build_library
 from tests.sockets import configuration, on_loop, peer, request, until
 from tests.test_gateway_process import READY, ROOT, ask
 
@@ -20,13 +20,13 @@
 
 @asynccontextmanager
 async def failing(
-    folder: Path, faults: Faults, address: str, elsewhere: Path | None = None
+    folder: Path, faults: SystemCallFaults, address: str, elsewhere: Path | None = None
 ) -> AsyncIterator[tuple[int, int]]:
     """A process whose system calls fail from its first one on, for a moment; its two ports.
 
     Files in the folder fail; the configuration may lie elsewhere.
     """
-    control = Control(folder / "control", 1)
+    control = FaultControl(folder / "control", 1)
     control.set(faults)
     port, admin = free_port(), free_port()
     file = (elsewhere or folder) / "config.json"
@@ -35,7 +35,7 @@
     operator.write_text('[log]\nlevel = "warning"\n')
     names = {"LB_CONFIG": str(file), "LB_ADMIN": f"127.0.0.1:{admin}", "TMPDIR": str(folder)}
     names["LB_OPERATOR"] = str(operator)
-    names |= control.environment(build(folder))
+    names |= control.environment(build_library(folder))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -45,9 +45,9 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until(lambda: control.failed or process.returncode is not None)
+        await until(lambda: control.failed_calls or process.returncode is not None)
         await asyncio.sleep(MOMENT_S)
-        control.set(NONE)
+        control.set(NO_FAULTS)
         yield port, admin
     finally:
         if process.returncode is None:
@@ -67,7 +67,10 @@
 
 @on_loop
 async def test_sockets_that_cannot_be_had_for_a_moment_are_asked_for_again(tmp_path: Path) -> None:
-    async with peer() as host, failing(tmp_path, Faults(socket_rate=1000), host.address) as (port, admin):
+    async with (
+        peer() as host,
+        failing(tmp_path, SystemCallFaults(socket_rate=1000), host.address) as (port, admin),
+    ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
 
@@ -80,14 +83,17 @@
     here.mkdir()
     async with (
         peer() as host,
-        failing(here, Faults(file_rate=1000), host.address, elsewhere) as (port, admin),
+        failing(here, SystemCallFaults(file_rate=1000), host.address, elsewhere) as (port, admin),
     ):
         await becomes_ready(port, admin)
 
 
 @on_loop
 async def test_a_configuration_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
-    async with peer() as host, failing(tmp_path, Faults(file_rate=1000), host.address) as (port, admin):
+    async with (
+        peer() as host,
+        failing(tmp_path, SystemCallFaults(file_rate=1000), host.address) as (port, admin),
+    ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
 
