--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -134,6 +134,26 @@
     assert rules(events, History(server_groups=GROUPS, kills=[GatewayTime(1, 900)])) == {"lost"}
 
 
+def test_a_gateway_that_was_down_owes_nothing() -> None:
+    events: list[AnyEvent] = [sent(1_000, fresh=True), ResponseMissing(2_000, "c", True)]
+    assert not rules(events, History(server_groups=GROUPS, down=[GatewaySpan(0, 500, 1_500)]))
+    assert rules(events, History(server_groups=GROUPS, down=[GatewaySpan(0, 1_500, S)])) == {"lost"}
+    assert rules(events, History(server_groups=GROUPS, down=[GatewaySpan(1, 500, 1_500)])) == {"lost"}
+
+
+@pytest.mark.parametrize(("sent_us", "broken"), [(S // 2, {"lost"}), (S, set()), (7 * S, {"lost"})])
+def test_a_gateway_owes_responses_for_a_moment_after_sigterm(sent_us: int, broken: set[str]) -> None:
+    events: list[AnyEvent] = [sent(sent_us, fresh=True), ResponseMissing(sent_us + 1_000, "c", True)]
+    assert rules(events, History(server_groups=GROUPS, sigterms=[GatewayTime(0, 0)])) == broken
+
+
+def test_what_may_have_waited_in_the_listening_socket_is_excused() -> None:
+    history = History(server_groups=GROUPS, down=[GatewaySpan(0, 100, S // 2)])
+    assert not rules([sent(), AttemptStarted(S, "c", 0, 1, 1_000)], history)
+    assert not rules([MalformedRequestIgnored(3 * S, 0, "x")], history)
+    assert rules([MalformedRequestIgnored(4 * S, 0, "x")], history) == {"bad_client"}
+
+
 def test_events_are_read_as_they_were_written_but_for_a_last_half(tmp_path: Path) -> None:
     writer = EventWriter(tmp_path / "a.events")
     for event in GOOD:
