--- a/sagetrack/cli/soak.py
+++ b/sagetrack/cli/soak.py
@@ -16,15 +16,15 @@
 def soak(
     seed: Annotated[int, typer.Option(help="the first seed")] = 1,
     seeds: Annotated[int, typer.Option(help="how many seeds, one after the other")] = 1,
-    seconds: Annotated[float, typer.Option(help="of troubles, for each seed")] = 12.0,
+    seconds: Annotated[float, typer.Option(help="of faults, for each seed")] = 12.0,
     gateways: Annotated[int, typer.Option(help="gateway processes")] = 4,
-    servers: Annotated[int, typer.Option(help="address server processes")] = 6,
+    servers: Annotated[int, typer.Option(help="upstream server processes")] = 6,
     clients: Annotated[int, typer.Option(help="client processes, of ten clients each")] = 3,
-    folder: Annotated[Path | None, typer.Option(help="keeps every party's events and log")] = None,
+    folder: Annotated[Path | None, typer.Option(help="keeps each process's events and log")] = None,
 ) -> None:
     """Play random faults on real processes; each seed draws its own, and is played again by its number.
 
-    Exit 0 only if no rule is broken in any seed.
+    Exit 0 only if no rule is violated in any seed.
     """
     from sagetrack.cli.lab_app import fail
     from sagetrack.lab.soak.fleet import SoakSize
@@ -45,10 +45,10 @@
 
 def _print_report(report: SoakReport) -> None:
     """Print one seed's verdict, and what it takes to understand a failed one."""
-    verdict = f"{len(report.violations)} breaks" if report.violations else "passed"
+    verdict = f"{len(report.violations)} violations" if report.violations else "passed"
     print(
         f"seed {report.seed}: {verdict}, {report.served} of {report.sent} served, {len(report.faults)} "
-        f"troubles, {report.failed_system_calls} failed system calls"
+        f"faults, {report.failed_system_calls} failed system calls"
     )
     for limitation in report.limitations:
         print(f"  without {limitation}")
--- a/sagetrack/lab/soak/gateway_configuration.py
+++ b/sagetrack/lab/soak/gateway_configuration.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sagetrack.lab.soak.oracle import OVERLOAD_MULTIPLE, START_CAPACITY, WARMUP_S
+from sagetrack.lab.soak.slow_start import OVERLOAD_MULTIPLE, START_CAPACITY, WARMUP_S
 
 JsonObject = dict[str, Any]
 
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -2,14 +2,13 @@
 
 A rule counts as violated only where nothing in the run's `History` excuses it. Times that two processes have
 stamped differ by how late either was scheduled: `SCHEDULING_S` is allowed for that in each comparison.
-
-The rules' codes ("lost", "told", "cold" and so on) are printed by `lab soak` and stay as they are.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
+from enum import Enum
 from itertools import combinations
 
 from sagetrack.lab.soak.events import (
@@ -22,6 +21,7 @@
 )
 from sagetrack.lab.soak.history import MICROSECONDS, History, Restart, Withdrawal
 from sagetrack.lab.soak.request_trace import RequestTrace, trace_requests
+from sagetrack.lab.soak.slow_start import SLOW_START_WINDOW_S, slow_start_budget
 
 # Slack of the comparisons
 SCHEDULING_S = 0.25
@@ -35,24 +35,34 @@
 IDEMPOTENCY_WINDOW_S = 2.0  # servers drop repeats of a key for so long
 MALFORMED_REQUEST_TIME_S = 3.0  # as `client.MALFORMED_REQUEST_TIMEOUT_S`
 
-# Slow start, as the gateways are configured
-START_CAPACITY = 0.13
-WARMUP_S = 12.0
-OVERLOAD_MULTIPLE = 4.0
-SLOW_START_WINDOW_S = 3.0
-MEAN_WORK_S = 0.0175  # as `server.WORK_S` is drawn from
-SMALL_COUNT = 30  # below it the normal approximation of a Poisson count needs more slack
+
+class Rule(Enum):
+    """What a gateway must keep to; the values are the codes that `lab soak` prints and documents name."""
+
+    NO_CRASH = "crash"
+    NO_LEAK = "leak"
+    NO_COUNTED_VIOLATION = "counted"
+    CORRECT_RESPONSE = "wrong_answer"
+    RESPONSE_IN_TIME = "late"
+    RESPONSE = "lost"
+    NO_DUPLICATE = "duplicate"
+    NO_ATTEMPT_AFTER_DISCONNECT = "after_close"
+    ATTEMPT_BUDGET = "told"
+    NO_ATTEMPT_AT_WITHDRAWN_SERVER = "drain"
+    MALFORMED_REQUEST_ANSWERED = "bad_client"
+    SLOW_START = "cold"
+    ENOUGH_SERVED = "service"  # of the run as a whole: see `verdict`
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
     """A rule that was violated, and what shows it."""
 
-    rule: str
+    rule: Rule
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.detail}"
+        return f"{self.rule.value}: {self.detail}"
 
 
 Violations = Iterator[Violation]
@@ -72,21 +82,21 @@
 
 
 def _found_by_the_run(history: History) -> Violations:
-    """Rules "crash", "leak" and "counted": what the run has found in its processes. No slack."""
-    yield from (Violation("crash", crash) for crash in history.crashes)
-    yield from (Violation("leak", leak) for leak in history.leaks)
-    yield from (Violation("counted", violation) for violation in history.counted_violations)
+    """`NO_CRASH`, `NO_LEAK` and `NO_COUNTED_VIOLATION`: what the run has found in its processes. No slack."""
+    yield from (Violation(Rule.NO_CRASH, crash) for crash in history.crashes)
+    yield from (Violation(Rule.NO_LEAK, leak) for leak in history.leaks)
+    yield from (Violation(Rule.NO_COUNTED_VIOLATION, violation) for violation in history.counted_violations)
 
 
 def _response_is_for_its_request(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "wrong_answer": the body of a 200 is the one that was made for this request. No slack."""
+    """`CORRECT_RESPONSE`: the body of a 200 is the one that was made for this request. No slack."""
     for response in trace.responses:
         if not response.body_correct:
-            yield Violation("wrong_answer", request_id)
+            yield Violation(Rule.CORRECT_RESPONSE, request_id)
 
 
 def _response_is_in_time(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "late": the first response has come in full within the request's budget.
+    """`RESPONSE_IN_TIME`: the first response has come in full within the request's budget.
 
     Slack: `RESPONSE_SLACK_S` and scheduling. Excused are a response that was cut off, a client that has
     closed its connection, and a gateway that was killed, ended or down.
@@ -100,11 +110,13 @@
     if history.excuses_missing_response(sent.gateway, sent.at_us, response.at_us):
         return
     late_ms = (response.at_us - due_us) / 1000
-    yield Violation("late", f"{_describe(request_id, sent)}, answered {late_ms:.0f} ms too late")
+    yield Violation(
+        Rule.RESPONSE_IN_TIME, f"{_describe(request_id, sent)}, answered {late_ms:.0f} ms too late"
+    )
 
 
 def _request_is_answered(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "lost": each request gets a response.
+    """`RESPONSE`: each request gets a response.
 
     No slack in time: its client waits for longer than the budget. Excused are a client that has closed its
     connection, a gateway that was killed, ended or down, and a kept connection that was closed before any
@@ -125,9 +137,9 @@
         connection = "a new" if sent.first_on_connection else "a kept"
         after_ms = (missing.at_us - sent.at_us) / 1000
         yield Violation(
-            "lost",
+            Rule.RESPONSE,
             f"{_describe(request_id, trace.sent[-1])}, {how} after {after_ms:.0f} ms "
-            f"on {connection} connection, {attempts} begun",
+            f"on {connection} connection, {attempts} attempts started",
         )
 
 
@@ -145,7 +157,7 @@
 
 
 def _request_is_not_processed_twice(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "duplicate": what a server may have processed is retried only where it drops repeats.
+    """`NO_DUPLICATE`: what a server may have processed is retried only where it drops repeats.
 
     A single-shot request is never retried, a keyed one only within the idempotency window and, if its key
     counts in one group alone, only there. Slack: scheduling, at the end of the window. Excused are attempts
@@ -161,13 +173,13 @@
         apart_s = (later.at_us - earlier.at_us) / MICROSECONDS
         if class_name == "transfer" or (class_name == "reserve" and not same_group):
             where = f"at {earlier.server} and {later.server}"
-            yield Violation("duplicate", f"{request_id} {class_name} {where}")
+            yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} {where}")
         elif apart_s > IDEMPOTENCY_WINDOW_S + SCHEDULING_S:
-            yield Violation("duplicate", f"{request_id} {class_name} again after {apart_s:.2f} s")
+            yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} again after {apart_s:.2f} s")
 
 
 def _no_attempt_after_disconnect(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "after_close": no attempt starts after its client has closed the connection.
+    """`NO_ATTEMPT_AFTER_DISCONNECT`: no attempt starts after its client has closed the connection.
 
     Slack: `DISCONNECT_SLACK_S` and scheduling.
     """
@@ -177,11 +189,14 @@
     for attempt in trace.attempts_started:
         if attempt.at_us > latest_us:
             after_ms = (attempt.at_us - trace.disconnect.at_us) / 1000
-            yield Violation("after_close", f"{request_id} begun {after_ms:.0f} ms after its client's close")
+            yield Violation(
+                Rule.NO_ATTEMPT_AFTER_DISCONNECT,
+                f"{request_id} started {after_ms:.0f} ms after its client's close",
+            )
 
 
 def _attempt_budget_is_what_is_left(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "told": an attempt's budget is no more than what is left of its request's.
+    """`ATTEMPT_BUDGET`: an attempt's budget is no more than what is left of its request's.
 
     Slack: `BUDGET_SLACK_S` and scheduling. Excused are requests that may have waited in the listening socket.
     """
@@ -193,11 +208,14 @@
         if attempt.budget_ms <= left_ms + (BUDGET_SLACK_S + SCHEDULING_S) * 1000:
             continue
         if not history.may_have_waited_in_backlog(attempt.gateway, sent.at_us, attempt.at_us):
-            yield Violation("told", f"{request_id} told {attempt.budget_ms} ms with {left_ms:.0f} left")
+            yield Violation(
+                Rule.ATTEMPT_BUDGET,
+                f"{request_id} has a budget of {attempt.budget_ms} ms with {left_ms:.0f} ms left",
+            )
 
 
 def _withdrawn_server_gets_no_attempt(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """Rule "drain": no attempt starts at a server that is withdrawn.
+    """`NO_ATTEMPT_AT_WITHDRAWN_SERVER`: no attempt starts at a server that is withdrawn.
 
     Slack: `DRAIN_SLACK_S` and scheduling, after the moment that the gateway could know of the withdrawal. At
     most one violation for each attempt.
@@ -208,7 +226,10 @@
             if late_s > 0:
                 where = f"server {attempt.server} by gateway {attempt.gateway}"
                 after_s = late_s + DRAIN_SLACK_S
-                yield Violation("drain", f"{request_id} begun at {where}, {after_s:.2f} s after word")
+                yield Violation(
+                    Rule.NO_ATTEMPT_AT_WITHDRAWN_SERVER,
+                    f"{request_id} started at {where}, {after_s:.2f} s after it could know",
+                )
                 break
 
 
@@ -223,7 +244,7 @@
 
 
 def _malformed_requests_are_answered(events: Sequence[AnyEvent], history: History) -> Violations:
-    """Rule "bad_client": a malformed request gets an error or a close within the client's timeout.
+    """`MALFORMED_REQUEST_ANSWERED`: a malformed request gets an error or a close within the client's timeout.
 
     No further slack. Excused are connections that may have waited in the listening socket.
     """
@@ -232,11 +253,11 @@
             continue
         sent_us = event.at_us - int(MALFORMED_REQUEST_TIME_S * MICROSECONDS)
         if not history.may_have_waited_in_backlog(event.gateway, sent_us, event.at_us):
-            yield Violation("bad_client", f"{event.data!r} at gateway {event.gateway}")
+            yield Violation(Rule.MALFORMED_REQUEST_ANSWERED, f"{event.data!r} at gateway {event.gateway}")
 
 
 def _slow_start_is_kept(restart: Restart, events: Sequence[AnyEvent]) -> Violations:
-    """Rule "cold": all gateways together send a server in slow start no more than its budget.
+    """`SLOW_START`: all gateways together send a server in slow start no more than its budget.
 
     Held in each window that begins with an attempt; the first that exceeds it is reported. Slack: that of
     `slow_start_budget`.
@@ -255,22 +276,10 @@
         budget = slow_start_budget(age_s + SLOW_START_WINDOW_S)
         if received > budget:
             detail = f"{received} of {budget:.0f} in a window from {age_s:.1f} s on"
-            yield Violation("cold", f"server {restart.server}: {detail}")
+            yield Violation(Rule.SLOW_START, f"server {restart.server}: {detail}")
             return
 
 
-def slow_start_budget(age_s: float) -> float:
-    """Requests that a server so long after its start can take in one window.
-
-    That is the overload limit of its capacity, and two standard deviations and two requests more (three of
-    each for small counts), since requests arrive at random.
-    """
-    capacity = min(1.0, START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARMUP_S)
-    expected = OVERLOAD_MULTIPLE * capacity * SLOW_START_WINDOW_S / MEAN_WORK_S
-    slack = 3 if expected < SMALL_COUNT else 2
-    return float(expected + slack * expected**0.5 + slack)
-
-
 REQUEST_RULES: tuple[RequestRule, ...] = (
     _response_is_for_its_request,
     _response_is_in_time,
--- a/sagetrack/lab/soak/verdict.py
+++ b/sagetrack/lab/soak/verdict.py
@@ -8,7 +8,7 @@
 from sagetrack.lab.soak.events import AnyEvent, RequestSent, ResponseReceived
 from sagetrack.lab.soak.fault_schedule import ScheduledFault
 from sagetrack.lab.soak.history import History
-from sagetrack.lab.soak.oracle import Violation, find_violations
+from sagetrack.lab.soak.oracle import Rule, Violation, find_violations
 
 MIN_SERVED_SHARE = 0.2  # below it a run shows too little
 
@@ -35,12 +35,12 @@
 ) -> SoakReport:
     """Judge one run by its events, in the order of time, and its history.
 
-    Beside the oracle's rules there is the rule "service": `MIN_SERVED_SHARE` of the requests must be served.
+    Beside the oracle's rules there is `Rule.ENOUGH_SERVED`: at least `MIN_SERVED_SHARE` of the requests.
     """
     served = sum(isinstance(event, ResponseReceived) and event.status == 200 for event in events)
     sent = sum(isinstance(event, RequestSent) and not event.is_resend for event in events)
     violations = find_violations(events, history)
     if served < sent * MIN_SERVED_SHARE:
         detail = f"{served} of {sent} served: the run shows too little"
-        violations.append(Violation("service", detail))
+        violations.append(Violation(Rule.ENOUGH_SERVED, detail))
     return SoakReport(seed, violations, faults, sent, served, failed_system_calls)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -46,7 +46,7 @@
 
 
 def rules(events: list[AnyEvent], history: History | None = None) -> set[str]:
-    return {one.rule for one in find_violations(events, history or History(server_groups=GROUPS))}
+    return {one.rule.value for one in find_violations(events, history or History(server_groups=GROUPS))}
 
 
 def test_a_good_request_breaks_nothing() -> None:
@@ -184,6 +184,6 @@
 def test_a_short_soak_of_real_processes(tmp_path: Path) -> None:
     """Rules that no busy machine excuses; `lab soak` on idle cores holds all of them."""
     report = run_soak(4, SoakSize(gateways=2, servers=4, client_processes=1, seconds=6.0), tmp_path)
-    violations = [one for one in report.violations if one.rule not in TIMED]
+    violations = [one for one in report.violations if one.rule.value not in TIMED]
     assert not violations, "\n".join(map(str, [*violations, *report.faults]))
     assert report.sent > 50 and not report.limitations
