--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -53,7 +53,7 @@
 ) -> None:
     """Sweep each size of a large fleet over hollow gateways, beside a real one: what grows, and how fast."""
     from sagetrack.lab.errors import LabError
-    from sagetrack.lab.scale.run import ScaleError, check, chosen, measure, table
+    from sagetrack.lab.scale.run import ScaleError, check_sizes, result_table, run_probes, select_probes
     from sagetrack.lab.scale.target import Sizes
 
     sizes = Sizes(
@@ -66,10 +66,10 @@
     if file:
         writable(Path(file))
     try:
-        check(sizes)
-        chosen(probe or [])
+        check_sizes(sizes)
+        select_probes(probe or [])
         with bar("scale", False) as tell:
-            found = measure(sizes, from_seed, probe or [], quick, not counts, tell)
+            found = run_probes(sizes, from_seed, probe or [], quick, not counts, tell)
     except (ScaleError, LabError) as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
@@ -82,7 +82,7 @@
     shown = Table(title=f"{found['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
     for name in ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size"):
         shown.add_column(name)
-    for line in table(found):
+    for line in result_table(found):
         shown.add_row(*line)
     Console(width=190).print(shown)
 
@@ -94,7 +94,7 @@
     check: Annotated[bool, typer.Option("--check", help="whether they agree; exit 1 if not")] = False,
 ) -> None:
     """Fill the measured part of docs/CAPACITY.md from figures, or see that it agrees with them."""
-    from sagetrack.lab.scale.page import filled
+    from sagetrack.lab.scale.page.rendering import render_page
 
     def read(path: str) -> dict[str, Any]:
         try:
@@ -110,7 +110,7 @@
     before, later = read(file), read(after) if after else None
     try:
         text = Path(page).read_text()
-        fresh = filled(text, before, later)
+        fresh = render_page(text, before, later)
     except OSError as error:
         raise fail(f"{page}: {error.strerror}") from None
     except (KeyError, TypeError, ValueError) as error:
--- a/sagetrack/lab/scale/__init__.py
+++ b/sagetrack/lab/scale/__init__.py
@@ -1,6 +1,7 @@
-"""The fleet ahead, measured on one machine: probes that each sweep one size of it, a file for each role.
+"""A fleet of the target's sizes, measured on one machine: probes that each sweep one size of it.
 
-A gateway here is *hollow*: the state machines of the real one (settings, decisions, membership, datagrams),
-fed by hand, without sockets. `process` is the one real gateway beside them. docs/design/scale.md says how the
-figures come about, docs/CAPACITY.md what they are.
+Each role has a module of probes: `gateway`, `agent`, `peers`, `servers`, `control`. They run a simulated
+gateway: the state machines of the real one (settings, policy, membership, datagrams), fed by hand, without
+sockets. `real_gateway` measures one real process beside them. docs/design/scale.md says how the figures are
+made, docs/CAPACITY.md what they are.
 """
--- a/sagetrack/lab/scale/agent.py
+++ b/sagetrack/lab/scale/agent.py
@@ -1,35 +1,30 @@
-"""A gateway's agent for lists: the text of a whole list and of one changed entry, read and handed on."""
+"""Probes of a gateway's agent for endpoint lists: the text of a list is read, and written again."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
 
-from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
-from sagetrack.lab.scale.world import FleetAhead
+from sagetrack.lab.scale.gateway import memory_values
+from sagetrack.lab.scale.meter import Meter, Values, retained_bytes
+from sagetrack.lab.scale.probe import Probe
+from sagetrack.lab.scale.target_fleet import TargetFleet
 
 
-def listed(fleet: FleetAhead, size: int) -> dict[str, Any]:
-    """A whole list in discovery's form."""
-    endpoints = [fleet.endpoint(number) for number in range(size)]
-    return {"index": 1, "snapshot": True, "endpoints": endpoints}
+def text_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The JSON of a full list is read; the check of each entry shows only at the real gateway."""
+    text = json.dumps(fleet.full_list(size))
+    delta = json.dumps(fleet.delta("DELETED"))
+    retained = retained_bytes(lambda: json.loads(text))
+    values = meter.measure_event(lambda: json.loads(text), step_samples=1)
+    values |= {"bytes": float(len(text)), "change_bytes": float(len(delta))}
+    return values | memory_values(retained, size)
 
 
-def text_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """The JSON alone; that the entries are then checked one by one shows at the real gateway."""
-    text = json.dumps(listed(fleet, size))
-    changed = json.dumps({"index": 2, "snapshot": False, "endpoints": [fleet.endpoint(0, "DELETED")]})
-    held = held_bytes(lambda: json.loads(text))
-    values = meter.event(lambda: json.loads(text), few=1)
-    values |= {"bytes": float(len(text)), "change_bytes": float(len(changed))}
-    return values | {"held_bytes": held, "each_bytes": held / size}
-
-
-def handing_on_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """The list as it stands becomes a text again, for the process that comes next."""
-    known = listed(fleet, size)
-    values = meter.event(lambda: json.dumps({"discovery": [], "known": known}).encode(), few=1)
-    return values | {"bytes": float(len(json.dumps({"discovery": [], "known": known})))}
+def handover_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The current list is written as a text for the gateway's next process."""
+    handover = {"discovery": [], "known": fleet.full_list(size)}
+    values = meter.measure_event(lambda: json.dumps(handover).encode(), step_samples=1)
+    return values | {"bytes": float(len(json.dumps(handover)))}
 
 
 PROBES = (
@@ -41,7 +36,7 @@
         "names of 16 bytes",
         "sagetrack/discovery/client.py: _call",
         text_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "handing-on-by-servers",
@@ -50,7 +45,7 @@
         "servers",
         "names of 16 bytes",
         "sagetrack/server/endpoint_list_file.py: write",
-        handing_on_by_servers,
-        least=25,
+        handover_by_servers,
+        smallest=25,
     ),
 )
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -1,33 +1,34 @@
-"""The machines set aside for control: nothing of the program runs on them. What a change of configuration
-would put on them is reckoned from the texts that a gateway reads.
+"""Estimates for the machines of the control plane, on which no part of the program runs.
+
+They are of what a change of the configuration would have them send, from the texts that a gateway reads.
 """
 
 from __future__ import annotations
 
 import json
 
-from sagetrack.lab.scale.agent import listed
-from sagetrack.lab.scale.probe import Meter, Probe, Values
-from sagetrack.lab.scale.target import CHANGES_PER_DAY, DAY_S, IN_FORCE_S, MACHINES
-from sagetrack.lab.scale.world import FleetAhead
+from sagetrack.lab.scale.meter import Meter, Values
+from sagetrack.lab.scale.probe import Probe
+from sagetrack.lab.scale.target import CHANGE_IN_FORCE_S, CHANGES_PER_DAY, CONTROL_MACHINES, DAY_S
+from sagetrack.lab.scale.target_fleet import TargetFleet
 
 
-def change_to_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """Each change as the whole text, as a gateway reads it today, sent to each of so many gateways."""
-    text = len(json.dumps(fleet.platform(fleet.sizes.tenants)))
+def change_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """Each change is sent to each gateway as the whole text, as a gateway reads it today."""
+    text = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
     return {
         "bytes": float(text * size),
         "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
-        "machine_bytes_per_s": text * size / IN_FORCE_S / MACHINES,
+        "machine_bytes_per_s": text * size / CHANGE_IN_FORCE_S / CONTROL_MACHINES,
         "messages": float(size),
     }
 
 
-def lists_to_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """Whole lists to so many gateways that start, and one changed entry to as many."""
-    whole = len(json.dumps(listed(fleet, fleet.sizes.servers)))
-    one = len(json.dumps({"index": 2, "snapshot": False, "endpoints": [fleet.endpoint(0)]}))
-    return {"bytes": float(whole * size), "change_bytes": float(one * size), "messages": float(size)}
+def lists_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """A full list is sent to so many gateways that start, and one changed entry to as many."""
+    full = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
+    delta = len(json.dumps(fleet.delta()))
+    return {"bytes": float(full * size), "change_bytes": float(delta * size), "messages": float(size)}
 
 
 PROBES = (
@@ -39,7 +40,7 @@
         "all tenants in the text",
         "none: a file and SIGHUP on each machine",
         change_to_gateways,
-        least=3,
+        smallest=3,
     ),
     Probe(
         "lists-to-gateways",
@@ -49,6 +50,6 @@
         "all servers in the list",
         "none of ours: discovery serves them",
         lists_to_gateways,
-        least=3,
+        smallest=3,
     ),
 )
--- a/sagetrack/lab/scale/fit.py
+++ b/sagetrack/lab/scale/fit.py
@@ -5,43 +5,64 @@
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
+
+MIN_POINTS = 3
 
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """`exponent` and `factor` of y = factor * x ** exponent; `slope` and `base` of y = base + slope * x."""
+    """A power law y = factor * x ** exponent and a line y = intercept + slope * x through the same points."""
 
     exponent: float
     factor: float
-    residual: float  # root mean square of the logarithm's: 0.1 is about 10 in 100 off
+    residual: float  # of the power law: root mean square of the logarithm's; 0.1 is about 10% off
     slope: float
-    base: float
-    slope_residual: float  # root mean square over the mean of y
+    intercept: float
+    slope_residual: float  # of the line: root mean square over the mean of y
 
-    def at(self, size: float) -> float:
-        """By whichever of both lies closer to the points."""
+    def predict(self, size: float) -> float:
+        """Return the figure at a size, by whichever of the two has the smaller residual."""
         if self.slope_residual <= self.residual:
-            return self.base + self.slope * size
+            return self.intercept + self.slope * size
         return self.factor * float(size**self.exponent)
 
 
-def line(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float]:
-    """Slope, base and root mean square residual."""
-    n = len(xs)
-    mean_x, mean_y = sum(xs) / n, sum(ys) / n
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / spread if spread else 0.0
-    base = mean_y - slope * mean_x
-    off = sum((y - base - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
-    return slope, base, math.sqrt(off / n)
+class Line(NamedTuple):
+    """A straight line through points."""
+
+    slope: float
+    intercept: float
+    residual: float  # root mean square
+
+
+def fit_line(xs: Sequence[float], ys: Sequence[float]) -> Line:
+    """Return the least-squares line; its slope is 0 if all `xs` are equal."""
+    count = len(xs)
+    mean_x = sum(xs) / count
+    mean_y = sum(ys) / count
+    variance = sum((x - mean_x) ** 2 for x in xs)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True))
+    slope = covariance / variance if variance else 0.0
+    intercept = mean_y - slope * mean_x
+    squares = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
+    return Line(slope, intercept, math.sqrt(squares / count))
 
 
-def fit(xs: Sequence[float], ys: Sequence[float]) -> Fit | None:
-    """None where there is nothing to fit: fewer than three points above 0."""
+def fit_points(xs: Sequence[float], ys: Sequence[float]) -> Fit | None:
+    """Fit the points above 0; None if there are fewer than three of them."""
     points = [(x, y) for x, y in zip(xs, ys, strict=True) if x > 0 and y > 0]
-    if len(points) < 3:
+    if len(points) < MIN_POINTS:
         return None
-    xs, ys = [x for x, _ in points], [y for _, y in points]
-    exponent, constant, residual = line([math.log(x) for x in xs], [math.log(y) for y in ys])
-    slope, base, off = line(xs, ys)
-    return Fit(exponent, math.exp(constant), residual, slope, base, off * len(ys) / sum(ys))
+    xs = [x for x, _ in points]
+    ys = [y for _, y in points]
+    power = fit_line([math.log(x) for x in xs], [math.log(y) for y in ys])
+    line = fit_line(xs, ys)
+    return Fit(
+        exponent=power.slope,
+        factor=math.exp(power.intercept),
+        residual=power.residual,
+        slope=line.slope,
+        intercept=line.intercept,
+        slope_residual=line.residual * len(ys) / sum(ys),
+    )
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -1,208 +1,161 @@
-"""The gateway's own work, by tenants, servers, services and gateways: deciding, refusing, taking lists."""
+"""Probes of the gateway's own work: deciding, rejecting, taking endpoint lists, reading its configuration."""
 
 from __future__ import annotations
 
 import json
-import random
-from itertools import accumulate, pairwise
+from itertools import accumulate, count, pairwise
 
 from sagetrack.config.platform import parse
-from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
-from sagetrack.lab.scale.world import KEYED, SAFE, FleetAhead
-from sagetrack.policy.actions import SendAttempt, SetTimer
-from sagetrack.policy.events import (
-    AttemptEnded,
-    EndpointList,
-    Event,
-    ListedServer,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    ServerStatus,
-    TimerFired,
-)
+from sagetrack.lab.scale.meter import Meter, Values, retained_bytes
+from sagetrack.lab.scale.probe import Probe
+from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
+from sagetrack.lab.scale.target_fleet import KEYED, TargetFleet
+from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 from sagetrack.policy.load_balancer import LoadBalancer
-from sagetrack.policy.settings import Settings
-
-FEW_TENANTS, FEW_SERVERS = 10, 25  # what is held while another size grows
-PATIENCE_US = 3_000_000
-LATENCY_US = 4_000
-BASE_US = 1_000_000_000
-GAP_US = 8_200  # between calls: 122 a second
-REST_US = 500_000  # after a planted error, so that breakers and repeats recover
-
-
-class Hollow:
-    """A gateway's module and what would be round it: each call is answered at once, timers are let fire."""
-
-    def __init__(self, settings: Settings, servers: tuple[ListedServer, ...], seed: int = 1) -> None:
-        self.balancer = LoadBalancer(settings, seed)
-        self.draw = random.Random(seed)
-        self.now_us, self.number = BASE_US, 0
-        self.timers: list[int] = []  # set by the call that is under way
-        self.tenants = len(settings.tenants)
-        self.balancer.handle(self.now_us, EndpointList(ListKind.FULL, servers))
-
-    def handle(self, event: Event) -> list[SendAttempt]:
-        """Sendings that follow from an event; timers fire when the call is over."""
-        sends = []
-        for action in self.balancer.handle(self.now_us, event):
-            if isinstance(action, SendAttempt):
-                sends.append(action)
-            elif isinstance(action, SetTimer):
-                self.timers.append(action.token)
-        return sends
-
-    def call(self, class_index: int = SAFE, failures: int = 0) -> list[int]:
-        """One call, whose first so many attempts end in errors; the servers that it was sent to."""
-        self.number += 1
-        self.timers = []
-        name, tenant = f"{self.number:x}", self.draw.randrange(max(1, self.tenants))
-        arrived = RequestArrived(name, class_index, PATIENCE_US, key=self.number, tenant=tenant)
-        sent, attempt = self.handle(arrived), 0
-        used: list[int] = []
-        while sent:
-            used.append(sent[0].server)
-            self.now_us += LATENCY_US
-            outcome = Outcome.ERROR if attempt < failures else Outcome.OK
-            over = AttemptEnded(name, attempt, sent[0].server, outcome, LATENCY_US)
-            sent, attempt = self.handle(over), attempt + 1
-        for token in self.timers:
-            self.handle(TimerFired(token))
-        self.now_us += GAP_US
-        return used
-
-    def refuse(self) -> None:
-        """A repeat that comes too late to earn anything: turned away with word of when to come back."""
-        self.number += 1
-        self.timers = []
-        self.handle(RequestArrived(f"{self.number:x}", SAFE, 1_000, is_retry=True))
-
-    def rest(self) -> None:
-        """Calls that go well, so that repeats are paid for and breakers close."""
-        for _ in range(6):
-            self.call()
-            self.now_us += REST_US
-
-
-def module_bytes(fleet: FleetAhead, tenants: int, servers: int) -> float:
-    """What a module of so many holds once it has its list; without the settings, which are counted apart."""
-    settings, listed = fleet.settings(tenants), fleet.listed(servers)
-    return held_bytes(lambda: Hollow(settings, listed))
-
-
-def decision_by_tenants(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    hollow = Hollow(fleet.settings(size), fleet.listed(FEW_SERVERS))
-    hollow.rest()
-    held = held_bytes(lambda: Hollow(fleet.settings(size), fleet.listed(FEW_SERVERS)))
-    return meter.event(hollow.call) | {"held_bytes": held, "each_bytes": held / size}
-
-
-def decision_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
-    hollow.rest()
-    held = module_bytes(fleet, FEW_TENANTS, size)
-    return meter.event(hollow.call) | {"held_bytes": held, "each_bytes": held / size}
-
-
-def decision_by_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    hollow = Hollow(fleet.settings(FEW_TENANTS, size, size // 2), fleet.listed(FEW_SERVERS))
-    hollow.rest()
-    return meter.event(hollow.call)
-
-
-def decision_by_services(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """A module for each service, as a program that knew services would have; calls in turn to each."""
-
-    def make() -> list[Hollow]:
+
+FEW_TENANTS, FEW_SERVERS = 10, 25  # the fixed sizes while another one grows
+REQUESTS_PER_S = 122  # of one gateway
+
+
+def memory_values(retained: float, size: int) -> Values:
+    """Return the measures of memory: of all, and of one of what is swept."""
+    return {"held_bytes": retained, "each_bytes": retained / size}
+
+
+def decision_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One request of a gateway with so many tenants, and the memory of its policy and settings."""
+    gateway = SimulatedGateway(fleet.settings(size), fleet.listed_servers(FEW_SERVERS))
+    gateway.recover()
+    retained = retained_bytes(
+        lambda: SimulatedGateway(fleet.settings(size), fleet.listed_servers(FEW_SERVERS))
+    )
+    return meter.measure_event(gateway.send_request) | memory_values(retained, size)
+
+
+def decision_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One request of a gateway with so many servers, and the memory of its policy without its settings."""
+    settings = fleet.settings(FEW_TENANTS)
+    servers = fleet.listed_servers(size)
+    gateway = SimulatedGateway(settings, servers)
+    gateway.recover()
+    retained = retained_bytes(lambda: SimulatedGateway(settings, servers))
+    return meter.measure_event(gateway.send_request) | memory_values(retained, size)
+
+
+def decision_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One request of one of so many gateways."""
+    settings = fleet.settings(FEW_TENANTS, size, size // 2)
+    gateway = SimulatedGateway(settings, fleet.listed_servers(FEW_SERVERS))
+    gateway.recover()
+    return meter.measure_event(gateway.send_request)
+
+
+def decision_by_services(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """Requests in turn to a policy for each service, as a gateway that knew services would have."""
+
+    def make() -> list[SimulatedGateway]:
         settings = fleet.settings(FEW_TENANTS)
-        ends = [0, *accumulate(fleet.services[:size])]
-        return [Hollow(settings, fleet.listed(end - first, first)) for first, end in pairwise(ends)]
+        ends = [0, *accumulate(fleet.service_sizes[:size])]
+        return [
+            SimulatedGateway(settings, fleet.listed_servers(end - first, first))
+            for first, end in pairwise(ends)
+        ]
+
+    gateways = make()
+    turns = count(1)
 
-    modules = make()
-    turn = [0]
+    def send_to_next() -> None:
+        gateways[next(turns) % len(gateways)].send_request()
 
-    def call() -> None:
-        turn[0] += 1
-        modules[turn[0] % len(modules)].call()
+    retained = retained_bytes(make)
+    return meter.measure_event(send_to_next) | memory_values(retained, size)
 
-    held = held_bytes(make)
-    return meter.event(call) | {"held_bytes": held, "each_bytes": held / size}
 
+def retry_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One request with an idempotency key whose first attempt fails."""
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
+    attempts: list[int] = []
+    values = meter.measure_event(
+        lambda: attempts.append(len(gateway.send_request(KEYED, failures=1))), gateway.recover
+    )
+    return values | {"attempts": sum(attempts) / len(attempts)}
 
-def repeat_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
-    sent: list[int] = []
-    values = meter.event(lambda: sent.append(len(hollow.call(KEYED, 1))), hollow.rest)
-    return values | {"attempts": sum(sent) / len(sent)}
 
+def rejection_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One rejected request."""
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
+    gateway.recover()
+    return meter.measure_event(gateway.reject_request)
 
-def refusal_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
-    hollow.rest()
-    return meter.event(hollow.refuse)
 
+def list_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """A new policy takes its first full list."""
+    settings = fleet.settings(FEW_TENANTS)
+    event = EndpointList(ListKind.FULL, fleet.listed_servers(size))
+    balancer = LoadBalancer(settings, 1)
 
-def list_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    settings, listed = fleet.settings(FEW_TENANTS), fleet.listed(size)
-    made: list[LoadBalancer] = []
+    def make_balancer() -> None:
+        nonlocal balancer
+        balancer = LoadBalancer(settings, 1)
 
-    def fresh() -> None:
-        made[:] = [LoadBalancer(settings, 1)]
+    return meter.measure_event(lambda: balancer.handle(START_US, event), make_balancer, step_samples=1)
 
-    event = EndpointList(ListKind.FULL, listed)
-    return meter.event(lambda: made[0].handle(BASE_US, event), fresh, few=1)
 
+def change_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """A server is replaced by a restarted one."""
+    listed = fleet.listed_servers(size)
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), listed)
+    restarts = count(1)
 
-def change_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """A server is replaced by another life of it."""
-    listed = fleet.listed(size)
-    hollow = Hollow(fleet.settings(FEW_TENANTS), listed)
-    lives = [0]
+    def replace_server() -> None:
+        restart = next(restarts)
+        old = listed[restart % size]
+        new = ListedServer(old.server, zone=old.zone, group=old.group, started_us=START_US + restart)
+        gateway.balancer.handle(gateway.now_us, EndpointList(ListKind.DELTA, (new,)))
 
-    def change() -> None:
-        lives[0] += 1
-        old = listed[lives[0] % size]
-        again = ListedServer(old.server, zone=old.zone, group=old.group, started_us=BASE_US + lives[0])
-        hollow.balancer.handle(hollow.now_us, EndpointList(ListKind.DELTA, (again,)))
+    return meter.measure_event(replace_server)
 
-    return meter.event(change)
 
+def zone_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """All servers of a zone are deleted by one list."""
+    listed = fleet.listed_servers(size)
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), listed)
+    lost = [listed[number] for number in fleet.servers_in_zone(0, size)]
+    deleted = tuple(ListedServer(entry.server, ServerStatus.GONE) for entry in lost)
+    restored = EndpointList(ListKind.DELTA, tuple(lost))
 
-def zone_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """All servers of a zone go in one word."""
-    listed = fleet.listed(size)
-    hollow = Hollow(fleet.settings(FEW_TENANTS), listed)
-    lost = [listed[number] for number in fleet.zone(0, size)]
-    gone = tuple(ListedServer(entry.server, ServerStatus.GONE) for entry in lost)
-    back = EndpointList(ListKind.DELTA, tuple(lost))
+    def lose_zone() -> None:
+        gateway.balancer.handle(gateway.now_us, EndpointList(ListKind.DELTA, deleted))
 
-    def lose() -> None:
-        hollow.balancer.handle(hollow.now_us, EndpointList(ListKind.DELTA, gone))
+    def restore_zone() -> None:
+        gateway.balancer.handle(gateway.now_us, restored)
 
-    values = meter.event(lose, lambda: hollow.balancer.handle(hollow.now_us, back), few=1)
-    return values | {"entries": float(len(gone))}
+    values = meter.measure_event(lose_zone, restore_zone, step_samples=1)
+    return values | {"entries": float(len(deleted))}
 
 
-def sights_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """What is kept each second and told to who asks; a second's calls have been answered."""
-    hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
-    for _ in range(122):
-        hollow.call()
-    told = float(len(hollow.balancer.own_observations()[0]))
-    return meter.event(hollow.balancer.own_observations) | {"entries": told}
+def observations_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The gateway's observations are collected after a second's requests, as for its peers."""
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
+    for _ in range(REQUESTS_PER_S):
+        gateway.send_request()
+    observations = gateway.balancer.own_observations()[0]
+    values = meter.measure_event(gateway.balancer.own_observations)
+    return values | {"entries": float(len(observations))}
 
 
-def configuration_by_tenants(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """The whole file is read again, as SIGHUP has it."""
-    text = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": fleet.platform(size)})
-    held = held_bytes(lambda: parse(json.loads(text)))
-    values = meter.event(lambda: parse(json.loads(text)), few=1)
-    return values | {"bytes": float(len(text)), "held_bytes": held, "each_bytes": held / size}
+def configuration_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The whole configuration file is read again, as after SIGHUP."""
+    settings = fleet.platform_settings(size)
+    text = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings})
+    retained = retained_bytes(lambda: parse(json.loads(text)))
+    values = meter.measure_event(lambda: parse(json.loads(text)), step_samples=1)
+    return values | {"bytes": float(len(text))} | memory_values(retained, size)
 
 
+# Names of probes and their texts are those of the stored results and of docs/CAPACITY.md
 POLICY = "sagetrack/policy"
-HOLDS_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
+FIXED_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
 PROBES = (
     Probe(
         "decision-by-tenants",
@@ -218,10 +171,10 @@
         "gateway",
         "one call, decided and answered",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/selection.py: subset, select",
         decision_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "decision-by-gateways",
@@ -231,7 +184,7 @@
         f"{FEW_TENANTS} tenants, {FEW_SERVERS} servers",
         f"{POLICY}/selection.py: select",
         decision_by_gateways,
-        least=3,
+        smallest=3,
     ),
     Probe(
         "decision-by-services",
@@ -241,67 +194,67 @@
         f"{FEW_TENANTS} tenants, services of the target's sizes",
         "none: the program knows one service",
         decision_by_services,
-        least=4,
+        smallest=4,
     ),
     Probe(
         "repeat-by-servers",
         "gateway",
         "a keyed call with one repeat",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/selection.py: _retry_candidates",
-        repeat_by_servers,
-        least=25,
+        retry_by_servers,
+        smallest=25,
     ),
     Probe(
         "refusal-by-servers",
         "gateway",
         "a refusal with word of when to come back",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/retry_after.py: wait_us",
-        refusal_by_servers,
-        least=25,
+        rejection_by_servers,
+        smallest=25,
     ),
     Probe(
         "list-by-servers",
         "gateway",
         "the module takes a whole list",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/endpoints.py: update",
         list_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "change-by-servers",
         "gateway",
         "the module takes one changed entry",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/endpoints.py: update",
         change_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "zone-by-servers",
         "gateway",
         "the module hears that a zone's servers are gone",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/endpoints.py: update",
         zone_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "sights-by-servers",
         "gateway",
         "what it has seen is gathered, each second",
         "servers",
-        HOLDS_TENANTS,
+        FIXED_TENANTS,
         f"{POLICY}/gossip.py: own_observations",
-        sights_by_servers,
-        least=25,
+        observations_by_servers,
+        smallest=25,
     ),
     Probe(
         "configuration-by-tenants",
--- /dev/null
+++ b/sagetrack/lab/scale/page/figures.py
@@ -0,0 +1,72 @@
+"""Figures of stored results, read by probe and measure, and how they are shown."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from sagetrack.lab.scale import real_gateway
+from sagetrack.lab.scale.results import StoredResults, StoredRow
+from sagetrack.lab.scale.target import Sizes
+
+NOT_RUN = "not run"
+
+
+class FigureNotRunError(LookupError):
+    """The results have no such figure, as its probe was not run or took no times."""
+
+
+class FigureKey(NamedTuple):
+    """Where a figure is from."""
+
+    probe: str
+    measure: str
+
+
+class FigureReader:
+    """Reads figures of one run, and notes which were read, also of those that were not run."""
+
+    def __init__(self, results: StoredResults) -> None:
+        self.results = results
+        self.rows = {row.probe: row for row in results.rows}
+        self.read: list[FigureKey] = []
+
+    @property
+    def sizes(self) -> Sizes:
+        """The target's sizes."""
+        return self.results.sizes
+
+    def at_target(self, probe: str, measure: str) -> float:
+        """Return a probe's figure at the target's size. FigureNotRunError if there is none."""
+        self.read.append(FigureKey(probe, measure))
+        row = self.rows.get(probe)
+        if row is None or measure not in row.at_target:
+            raise FigureNotRunError(f"{probe}: {measure}")
+        return float(row.at_target[measure])
+
+    def real(self, measure: str) -> float:
+        """Return a figure of the real gateway. FigureNotRunError if there is none."""
+        self.read.append(FigureKey(real_gateway.NAME, measure))
+        if measure not in self.results.real:
+            raise FigureNotRunError(f"{real_gateway.NAME}: {measure}")
+        return float(self.results.real[measure])
+
+    def probe_rows(self) -> list[StoredRow]:
+        """Return the rows of the probes that were read from, in that order, each once."""
+        names = dict.fromkeys(key.probe for key in self.read)
+        return [self.rows[name] for name in names if name in self.rows]
+
+
+def format_figure(value: float) -> str:
+    """Return a figure with three significant digits, without an exponent from 0.001 on."""
+    if value == 0:
+        return "0"
+    if abs(value) >= 1000:
+        return f"{float(f'{value:.3g}'):,.0f}"
+    return f"{float(f'{value:.3g}'):g}" if abs(value) >= 0.001 else f"{value:.2g}"
+
+
+def change_cpu_us(figures: FigureReader) -> float:
+    """CPU time of one changed entry: the policy takes it, and the list is written for the next process."""
+    return figures.at_target("change-by-servers", "cpu_us") + figures.at_target(
+        "handing-on-by-servers", "cpu_us"
+    )
--- /dev/null
+++ b/sagetrack/lab/scale/page/rendering.py
@@ -0,0 +1,56 @@
+"""Renders the measured part of docs/CAPACITY.md and puts it between the page's marks."""
+
+from __future__ import annotations
+
+from dataclasses import asdict
+from typing import Any
+
+from sagetrack.lab.scale.page.failures import failures_table
+from sagetrack.lab.scale.page.tables import ranking_lines, requirements_table, work_table
+from sagetrack.lab.scale.results import StoredResults
+
+BEGIN_MARK, END_MARK = "<!-- measured: begin -->", "<!-- measured: end -->"
+
+
+def render_page(text: str, before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
+    """Return the page with its measured part made anew from stored results.
+
+    Raises:
+        ValueError: The page's marks are not there, once each and in order.
+        KeyError, TypeError: These are no stored results.
+    """
+    is_marked = text.count(BEGIN_MARK) == 1 and text.count(END_MARK) == 1
+    if not is_marked or text.index(BEGIN_MARK) > text.index(END_MARK):
+        raise ValueError(f"it needs the lines {BEGIN_MARK} and {END_MARK}, once each")
+    head, _, rest = text.partition(BEGIN_MARK)
+    tail = rest.partition(END_MARK)[2]
+    return f"{head}{BEGIN_MARK}\n{render_measurements(before, after)}\n{END_MARK}{tail}"
+
+
+def render_measurements(before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
+    """Return the part between the marks; `after` are stored results of the changed program."""
+    first = StoredResults.from_json(before)
+    second = StoredResults.from_json(after) if after is not None else None
+    lines = [_run_line(first, "Run")]
+    if second is not None:
+        lines.append(_run_line(second, "After the mends"))
+    lines += ["", "## Need and allowance", "", *requirements_table(first, second)]
+    lines += ["", "## Ranking by need over allowance", "", *ranking_lines(first)]
+    if second is not None:
+        lines += ["", "### After the mends", "", *ranking_lines(second)]
+    latest = first if second is None else second
+    lines += ["", "## What each failure costs", "", *failures_table(latest)]
+    lines += ["", "## Work by size", "", *work_table(latest)]
+    return "\n".join(lines)
+
+
+def _run_line(results: StoredResults, name: str) -> str:
+    """When and how a run was made."""
+    options = [] if results.times else ["`--counts` (no times)"]
+    options += ["`--quick`"] if results.quick else []
+    sizes = ", ".join(f"{count:,} {size}" for size, count in asdict(results.sizes).items())
+    return (
+        f"{name}: {results.made}, Python {results.python}, seed {results.seed}, {results.seconds:g} s"
+        f"{', ' + ', '.join(options) if options else ''}; {sizes}; services of {results.smallest_service} to "
+        f"{results.largest_service} servers."
+    )
--- /dev/null
+++ b/sagetrack/lab/scale/page/tables.py
@@ -0,0 +1,126 @@
+"""The tables of requirements and of work by size, and the ranking of what is over its allowance."""
+
+from __future__ import annotations
+
+from sagetrack.lab.scale.page.figures import NOT_RUN, FigureKey, FigureReader, format_figure
+from sagetrack.lab.scale.page.requirement import Evaluation, Requirement, evaluate
+from sagetrack.lab.scale.page.requirements import REQUIREMENTS
+from sagetrack.lab.scale.results import StoredResults, StoredRow
+
+
+def requirements_table(before: StoredResults, after: StoredResults | None) -> list[str]:
+    """Return a line for each requirement; the figures of `after` have a column of their own."""
+    lines = [
+        "| role | what | allowed | needed | factor | after the mends | spread | basis | probe | carried by |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    for requirement in REQUIREMENTS:
+        later = evaluate(requirement, after) if after is not None else None
+        lines.append(_requirement_line(evaluate(requirement, before), later))
+    return lines
+
+
+def _requirement_line(evaluation: Evaluation, later: Evaluation | None) -> str:
+    requirement = evaluation.requirement
+    figures = evaluation.figures
+    factor = evaluation.factor
+    is_run = evaluation.needed is not None
+    cells = (
+        requirement.role,
+        requirement.description,
+        "-" if requirement.allowed is None else f"{format_figure(requirement.allowed)} {requirement.unit}",
+        _needed_cell(evaluation),
+        "-" if factor is None else format_figure(factor),
+        "" if later is None else _later_cell(later),
+        _spread_cell(figures) if is_run else "-",
+        _basis_cell(requirement, figures) if is_run else requirement.basis,
+        ", ".join(f"`{probe}`" for probe in dict.fromkeys(key.probe for key in figures.read)),
+        "; ".join(dict.fromkeys(row.mechanism for row in figures.probe_rows())) or "the whole process",
+    )
+    return f"| {' | '.join(cells)} |"
+
+
+def _needed_cell(evaluation: Evaluation) -> str:
+    if evaluation.needed is None:
+        return NOT_RUN
+    return f"{format_figure(evaluation.needed)} {evaluation.requirement.unit}"
+
+
+def _later_cell(later: Evaluation) -> str:
+    """The figure after the changes, and its factor."""
+    factor = later.factor
+    return _needed_cell(later) + ("" if factor is None else f" ({format_figure(factor)})")
+
+
+def _basis_cell(requirement: Requirement, figures: FigureReader) -> str:
+    """What the figure rests on, and whether the target's sizes were run or extrapolated."""
+    rows = figures.probe_rows()
+    beyond = [f"{row.axis} from {row.reached:,}" for row in rows if row.extrapolated]
+    if beyond:
+        return f"{requirement.basis}, extrapolated in {', '.join(beyond)}"
+    return requirement.basis + (", size reached" if rows else "")
+
+
+def _spread_cell(figures: FigureReader) -> str:
+    """The spread of each figure that the row rests on."""
+    return ", ".join(dict.fromkeys(_spread(figures.rows.get(key.probe), key) for key in figures.read))
+
+
+def _spread(row: StoredRow | None, key: FigureKey) -> str:
+    """Half of most less least for times, the residual of the better fit for the rest."""
+    if row is None:
+        return "one play"
+    last = row.points[-1].values
+    if key.measure in ("cpu_us", "longest_ms") and last.get("cpu_us"):
+        half_percent = 50 * (last["cpu_us_most"] - last["cpu_us_least"]) / last["cpu_us"]
+        return f"±{half_percent:.0f}%"
+    fit = row.fits.get(key.measure)
+    return f"fit ±{min(fit.residual, fit.slope_residual):.2f}" if fit else "exact"
+
+
+def over_allowance(results: StoredResults) -> list[tuple[float, Requirement]]:
+    """Return the requirements over their allowance with their factors, the worst first."""
+    over = []
+    for requirement in REQUIREMENTS:
+        factor = evaluate(requirement, results).factor
+        if factor is not None and factor > 1.0:
+            over.append((factor, requirement))
+    return sorted(over, key=lambda pair: -pair[0])
+
+
+def ranking_lines(results: StoredResults) -> list[str]:
+    """Return the ranked list of what is over its allowance."""
+    lines = [
+        f"{place}. {requirement.role}: {requirement.description}, "
+        f"{format_figure(factor)} times what is allowed"
+        for place, (factor, requirement) in enumerate(over_allowance(results), 1)
+    ]
+    not_run = sum(
+        bool(requirement.allowed) and evaluate(requirement, results).needed is None
+        for requirement in REQUIREMENTS
+    )
+    if not_run:
+        lines += ["", f"{not_run} rows with an allowance are not run and not ranked."]
+    return lines or ["No row is over its allowance."]
+
+
+def work_table(results: StoredResults) -> list[str]:
+    """Return the steps of each probe's event by size."""
+    lines = [
+        "| probe | event | swept | held | steps at each size | steps for one more | longest hold, ms |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    lines += [_work_line(row) for row in results.rows if "steps" in row.points[0].values]
+    return lines
+
+
+def _work_line(row: StoredRow) -> str:
+    fit = row.fits["steps"]
+    steps = ", ".join(f"{point.values['steps']:,.0f}" for point in row.points)
+    sizes = ", ".join(f"{point.size:,}" for point in row.points)
+    longest_ms = row.points[-1].values.get("longest_ms")
+    longest = NOT_RUN if longest_ms is None else format_figure(longest_ms)
+    return (
+        f"| `{row.probe}` | {row.event} | {row.axis} {sizes} | {row.fixed} | {steps} | "
+        f"{format_figure(fit.slope)} ±{fit.slope_residual:.2f} | {longest} |"
+    )
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -1,15 +1,19 @@
-"""What gateways tell each other: membership, demands, warm starts. Messages, bytes, and how soon a death is
-known (in simulated time, which no other work on the machine changes).
+"""Probes of what gateways send each other: membership, demands, warm starts.
+
+How soon a death is known is in simulated time, which no other work on the machine changes.
 """
 
 from __future__ import annotations
 
 import time
+from itertools import count
 
 from sagetrack.lab.benchmarks.membership import Fleet, death, partition
-from sagetrack.lab.scale.gateway import BASE_US, FEW_TENANTS, Hollow
-from sagetrack.lab.scale.probe import Meter, Probe, Values, held_bytes
-from sagetrack.lab.scale.world import FleetAhead
+from sagetrack.lab.scale.gateway import FEW_TENANTS
+from sagetrack.lab.scale.meter import Meter, Values, retained_bytes
+from sagetrack.lab.scale.probe import Probe
+from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
+from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.peers.codec import Datagram, encode
 from sagetrack.peers.demand_gossip import FANOUT, demand_message, demands_from
 from sagetrack.peers.settings import MembershipSettings
@@ -17,76 +21,83 @@
 from sagetrack.policy.events import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
+WARM_UP_S = 5.0  # of the membership benchmark, before the death
 WATCHED_S = 100.0  # after the death
-CUT_S, HEALED_S = 60.0, 240.0  # how long a third is cut off; how long its end is watched
-WARM_S = 5.0
+PARTITION_S = 60.0
+HEALING_LIMIT_S = 240.0  # how long the end of the partition is watched
+OBSERVATIONS_PER_DATAGRAM = 10
 
 
-def membership_by_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    began = time.thread_time_ns()
-    seen = death(size, fleet.seed, 0.0, WATCHED_S)
-    spent_us = (time.thread_time_ns() - began) / 1000
-    held = held_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
+def membership_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One of so many gateways fails: when the others know, and what membership costs each of them."""
+    began_ns = time.thread_time_ns()
+    outcome = death(size, fleet.seed, 0.0, WATCHED_S)
+    spent_us = (time.thread_time_ns() - began_ns) / 1000
+    retained = retained_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
     values: Values = {
-        "known_s": seen.median_s,
-        "known_p99_s": seen.p99_s,
-        "missed": float(seen.missed),
-        "messages_per_s": seen.sent_per_s,
-        "bytes_per_s": seen.bytes_per_s,
-        "held_bytes": held / size,
-        "each_bytes": held / size / size,
+        "known_s": outcome.median_s,
+        "known_p99_s": outcome.p99_s,
+        "missed": float(outcome.missed),
+        "messages_per_s": outcome.sent_per_s,
+        "bytes_per_s": outcome.bytes_per_s,
+        "held_bytes": retained / size,
+        "each_bytes": retained / size / size,
     }
     if meter.times:
-        values["cpu_us_per_s"] = spent_us / size / (WATCHED_S + WARM_S)
+        values["cpu_us_per_s"] = spent_us / size / (WATCHED_S + WARM_UP_S)
     return values
 
 
-def healing_by_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """A third is cut off, for longer than it takes until a death is known."""
-    healed_s = partition(size, fleet.seed, 0.0, CUT_S, HEALED_S).healed_s
-    return {"healed_s": healed_s if healed_s >= 0 else HEALED_S, "unhealed": float(healed_s < 0)}
+def healing_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """A third of the gateways is cut off, for longer than it takes until a death is known."""
+    healed_s = partition(size, fleet.seed, 0.0, PARTITION_S, HEALING_LIMIT_S).healed_s
+    return {"healed_s": healed_s if healed_s >= 0 else HEALING_LIMIT_S, "unhealed": float(healed_s < 0)}
 
 
-def demands_by_tenants(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """What is asked for here becomes a datagram, and one that came becomes demands, as each second."""
-    demands = [share * 1e9 for share in fleet.shares[:size]]
-    told = demand_message(demands)
-    assert told is not None
-    data = encode(Datagram(0, 1, [told]))
-    values = meter.event(lambda: (demand_message(demands), demands_from(told, size)), few=1)
+def demands_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The demands of a second are made a datagram, and one that was received is read."""
+    demands = [share * 1e9 for share in fleet.tenant_shares[:size]]
+    message = demand_message(demands)
+    assert message is not None
+    data = encode(Datagram(0, 1, [message]))
+    values = meter.measure_event(
+        lambda: (demand_message(demands), demands_from(message, size)), step_samples=1
+    )
     return values | {
         "bytes": float(len(data)),
         "bytes_per_s": float(FANOUT * len(data)),
         "messages_per_s": float(FANOUT),
-        "entries": float(len(told.demands)),
+        "entries": float(len(message.demands)),
     }
 
 
-def warm_start_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """A gateway that knows all servers answers one that has just started."""
-    sights = [Observation(number, 0, 0, BASE_US, weight=0.5) for number in range(size)]
-    parts = divide_response(1, sights, [], BASE_US)
-    values = meter.event(lambda: divide_response(1, sights, [], BASE_US), few=1)
-    told = sum(len(part.servers) for part in parts)
+def warm_start_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """A gateway that has observed all servers answers one that has just started."""
+    observations = [Observation(number, 0, 0, START_US, weight=0.5) for number in range(size)]
+    parts = divide_response(1, observations, [], START_US)
+    values = meter.measure_event(lambda: divide_response(1, observations, [], START_US), step_samples=1)
+    entries = sum(len(part.servers) for part in parts)
     length = sum(len(encode(Datagram(0, 1, [part]))) for part in parts)
     return values | {
         "messages": float(len(parts)),
         "bytes": float(length * PEERS_ASKED),
-        "entries": float(told),
+        "entries": float(entries),
     }
 
 
-def learned_by_servers(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """One such datagram is taken up."""
-    hollow = Hollow(fleet.settings(FEW_TENANTS), fleet.listed(size))
-    turn = [0]
+def learned_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """The policy takes the observations of one datagram."""
+    gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
+    turns = count(1)
 
-    def learn() -> None:
-        turn[0] += 1
-        sights = tuple(Observation(n, 0, 1, BASE_US + turn[0], weight=0.5) for n in range(10))
-        hollow.balancer.handle(BASE_US + turn[0], ObservationsReceived(sights))
+    def receive_observations() -> None:
+        now_us = START_US + next(turns)
+        observations = tuple(
+            Observation(number, 0, 1, now_us, weight=0.5) for number in range(OBSERVATIONS_PER_DATAGRAM)
+        )
+        gateway.balancer.handle(now_us, ObservationsReceived(observations))
 
-    return meter.event(learn)
+    return meter.measure_event(receive_observations)
 
 
 PROBES = (
@@ -98,9 +109,9 @@
         "no loss, 1 to 10 ms one way",
         "sagetrack/peers/membership.py",
         membership_by_gateways,
-        least=16,
-        quick_most=200,
-        virtual=("known_s", "known_p99_s", "missed", "messages_per_s", "bytes_per_s"),
+        smallest=16,
+        quick_largest=200,
+        simulated=("known_s", "known_p99_s", "missed", "messages_per_s", "bytes_per_s"),
     ),
     Probe(
         "healing-by-gateways",
@@ -110,10 +121,10 @@
         "no loss, 1 to 10 ms one way",
         "sagetrack/peers/membership.py",
         healing_by_gateways,
-        least=16,
-        most=200,
-        quick_most=100,
-        virtual=("healed_s",),
+        smallest=16,
+        largest=200,
+        quick_largest=100,
+        simulated=("healed_s",),
     ),
     Probe(
         "demands-by-tenants",
@@ -132,7 +143,7 @@
         "all seen",
         "sagetrack/peers/warm_start.py: divide_response",
         warm_start_by_servers,
-        least=25,
+        smallest=25,
     ),
     Probe(
         "learned-by-servers",
@@ -142,6 +153,6 @@
         "10 sights in it",
         "sagetrack/policy/gossip.py: receive",
         learned_by_servers,
-        least=25,
+        smallest=25,
     ),
 )
--- /dev/null
+++ b/sagetrack/lab/scale/results.py
@@ -0,0 +1,137 @@
+"""The stored form of results, written and read: its keys are those of the files in docs/capacity/.
+
+Keys that are not ordinary terms are translated here and nowhere else: `about` is a probe's event, `held` its
+fixed sizes, `virtual` its measures in simulated time, `base` a line's intercept, `kind` "hollow" a simulated
+gateway. Names of probes and measures are the same in the code and in the files.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from sagetrack.lab.scale.fit import Fit
+from sagetrack.lab.scale.meter import Values
+from sagetrack.lab.scale.probe import Point, SweepResult
+from sagetrack.lab.scale.target import Sizes
+
+VERSION = 1
+
+
+def round_values(values: Values) -> Values:
+    """Return the values with six significant digits, more than any of them has."""
+    return {name: float(f"{value:.6g}") for name, value in values.items()}
+
+
+def row_to_json(result: SweepResult, command: str) -> dict[str, Any]:
+    """Return the stored form of a probe's figures; `command` is what runs the probe again."""
+    probe = result.probe
+    return {
+        "probe": probe.name,
+        "role": probe.role,
+        "about": probe.event,
+        "axis": probe.axis,
+        "held": probe.fixed,
+        "mechanism": probe.mechanism,
+        "kind": "hollow",
+        "command": command,
+        "reached": result.reached,
+        "target": result.target,
+        "extrapolated": result.reached < result.target,
+        "virtual": list(probe.simulated),
+        "points": [{"size": point.size} | round_values(point.values) for point in result.points],
+        "fits": {measure: round_values(_fit_to_json(fit)) for measure, fit in result.fits.items()},
+        "at_target": round_values(result.at_target()),
+    }
+
+
+def _fit_to_json(fit: Fit) -> Values:
+    return {
+        "exponent": fit.exponent,
+        "factor": fit.factor,
+        "residual": fit.residual,
+        "slope": fit.slope,
+        "base": fit.intercept,
+        "slope_residual": fit.slope_residual,
+    }
+
+
+def _fit_from_json(data: dict[str, Any]) -> Fit:
+    return Fit(
+        exponent=data["exponent"],
+        factor=data["factor"],
+        residual=data["residual"],
+        slope=data["slope"],
+        intercept=data["base"],
+        slope_residual=data["slope_residual"],
+    )
+
+
+def _point_from_json(data: dict[str, Any]) -> Point:
+    return Point(data["size"], {name: value for name, value in data.items() if name != "size"})
+
+
+@dataclass(slots=True, frozen=True)
+class StoredRow:
+    """The stored figures of one probe."""
+
+    probe: str
+    event: str
+    axis: str
+    fixed: str
+    mechanism: str
+    reached: int
+    extrapolated: bool
+    points: list[Point]
+    fits: dict[str, Fit]
+    at_target: Values
+
+    @classmethod
+    def from_json(cls, data: dict[str, Any]) -> StoredRow:
+        """Read a row. KeyError or TypeError if it is not one."""
+        return cls(
+            probe=data["probe"],
+            event=data["about"],
+            axis=data["axis"],
+            fixed=data["held"],
+            mechanism=data["mechanism"],
+            reached=data["reached"],
+            extrapolated=data["extrapolated"],
+            points=[_point_from_json(point) for point in data["points"]],
+            fits={measure: _fit_from_json(fit) for measure, fit in data["fits"].items()},
+            at_target=data["at_target"],
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class StoredResults:
+    """The stored results of one run."""
+
+    made: str  # its date
+    python: str
+    seed: int
+    seconds: float  # that it took
+    quick: bool
+    times: bool
+    sizes: Sizes
+    smallest_service: int
+    largest_service: int
+    rows: list[StoredRow]
+    real: Values  # of the real gateway; empty if it was not run
+
+    @classmethod
+    def from_json(cls, data: dict[str, Any]) -> StoredResults:
+        """Read what `lab scale --json` wrote. KeyError or TypeError if it is something else."""
+        return cls(
+            made=data["made"],
+            python=data["python"],
+            seed=data["seed"],
+            seconds=data["seconds"],
+            quick=data["quick"],
+            times=data["times"],
+            sizes=Sizes(**data["sizes"]),
+            smallest_service=data["smallest_service"],
+            largest_service=data["largest_service"],
+            rows=[StoredRow.from_json(row) for row in data["rows"]],
+            real=data["real"] or {},
+        )
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -1,104 +1,105 @@
-"""All probes, one after another, and what they found as plain data."""
+"""Runs all probes, or some of them, one after another."""
 
 from __future__ import annotations
 
 import os
 import platform
 import time
+from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import asdict
 from typing import Any
 
-from sagetrack.lab.scale import agent, control, gateway, peers, process, servers
-from sagetrack.lab.scale.probe import POINTS, TIMES, Found, Meter, Probe, sweep
+from sagetrack.lab.scale import agent, control, gateway, peers, real_gateway, servers
+from sagetrack.lab.scale.meter import TIMES, Meter
+from sagetrack.lab.scale.probe import POINTS, Probe, run_sweep
+from sagetrack.lab.scale.results import VERSION, StoredResults, StoredRow, row_to_json
 from sagetrack.lab.scale.target import Sizes, needed_bytes
-from sagetrack.lab.scale.world import FleetAhead
+from sagetrack.lab.scale.target_fleet import TargetFleet
 
 PROBES: tuple[Probe, ...] = (*gateway.PROBES, *agent.PROBES, *peers.PROBES, *servers.PROBES, *control.PROBES)
-VERSION = 1  # of the form below
+GIB = 2**30
 
 
 class ScaleError(ValueError):
     """This cannot be measured here; the message says why, in one line."""
 
 
-def check(sizes: Sizes) -> None:
-    """ScaleError for sizes that make no fleet or would not fit into half of the machine's memory."""
+def check_sizes(sizes: Sizes) -> None:
+    """Check that sizes make a fleet which fits into half of the machine's memory.
+
+    Raises:
+        ScaleError: They do not.
+    """
     if sizes.services > sizes.servers:
         raise ScaleError(f"{sizes.services} services need at least as many servers, not {sizes.servers}")
-    half = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
+    available = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
     needed = needed_bytes(sizes)
-    if needed > half:
+    if needed > available:
         raise ScaleError(
-            f"these sizes need about {needed / 2**30:.1f} GiB, and half of this machine's memory is "
-            f"{half / 2**30:.1f} GiB"
+            f"these sizes need about {needed / GIB:.1f} GiB, and half of this machine's memory is "
+            f"{available / GIB:.1f} GiB"
         )
 
 
-def chosen(names: Sequence[str]) -> list[Probe]:
-    """The probes of these names, all where none is given; ScaleError for a name that is none."""
-    known = {probe.name: probe for probe in PROBES}
+def select_probes(names: Sequence[str]) -> list[Probe]:
+    """Return the probes of these names, all if none is given.
+
+    Raises:
+        ScaleError: No probe has one of these names.
+    """
+    known = [*(probe.name for probe in PROBES), real_gateway.NAME]
     for name in names:
-        if name not in known and name != process.NAME:
-            raise ScaleError(f"no probe is called {name}; there are {', '.join([*known, process.NAME])}")
+        if name not in known:
+            raise ScaleError(f"no probe is called {name}; there are {', '.join(known)}")
     return [probe for probe in PROBES if not names or probe.name in names]
 
 
-def plain(found: Found, command: str) -> dict[str, Any]:
-    """A probe's figures as JSON has them: sizes reached, and how far what was fitted goes beyond them."""
-    probe, reached = found.probe, found.points[-1][0]
-    return {
-        "probe": probe.name,
-        "role": probe.role,
-        "about": probe.about,
-        "axis": probe.axis,
-        "held": probe.held,
-        "mechanism": probe.mechanism,
-        "kind": "hollow",
-        "command": command,
-        "reached": reached,
-        "target": found.target,
-        "extrapolated": reached < found.target,
-        "virtual": list(probe.virtual),
-        "points": [{"size": size} | rounded(values) for size, values in found.points],
-        "fits": {measure: rounded(asdict(fit)) for measure, fit in found.fits.items()},
-        "at_target": rounded(
-            {
-                measure: value if reached == found.target else found.fits[measure].at(found.target)
-                for measure, value in found.points[-1][1].items()
-                if reached == found.target or measure in found.fits
-            }
-        ),
-    }
+class Progress:
+    """Counts steps and reports the share that is done."""
 
+    def __init__(self, total: int, report: Callable[[float], None]) -> None:
+        self.total = max(1, total)
+        self.report = report
+        self.done = 0
 
-def rounded(values: dict[str, float]) -> dict[str, float]:
-    """Six figures: more say nothing."""
-    return {name: float(f"{value:.6g}") for name, value in values.items()}
+    def step(self) -> None:
+        """Count one step and report."""
+        self.done += 1
+        self.report(min(1.0, self.done / self.total))
 
 
-def measure(
-    sizes: Sizes, seed: int, names: Sequence[str], quick: bool, times: bool, progress: Callable[[float], None]
+def run_probes(
+    sizes: Sizes, seed: int, names: Sequence[str], quick: bool, times: bool, report: Callable[[float], None]
 ) -> dict[str, Any]:
-    """Ask all probes, or those that are named. ScaleError or LabError if that cannot be done.
-
-    Without `times` only what is the same every time is taken: work, bytes, messages, memory, simulated time.
-    The real gateway is all times, so it is left out then.
+    """Run all probes, or those that are named, and return the results in their stored form.
+
+    Args:
+        sizes: The target's sizes.
+        seed: What the generated fleet follows from.
+        names: Probes; none means all.
+        quick: Stop at smaller sizes where the rest is slow.
+        times: Take times too. Without it only what is the same every time is measured (steps, bytes,
+            messages, memory, simulated time), and the real gateway, which is all times, is left out.
+        report: Is told the share that is done.
+
+    Raises:
+        ScaleError: The sizes or names are no good.
+        LabError: The real gateway cannot be measured.
     """
-    check(sizes)
-    probes = chosen(names)
-    fleet, meter = FleetAhead(sizes, seed), Meter(times)
-    real = times and (not names or process.NAME in names)
-    total, done, began = len(probes) * POINTS + real * process.STEPS, 0, time.monotonic()
-
-    def step() -> None:
-        nonlocal done
-        done += 1
-        progress(min(1.0, done / max(1, total)))
-
-    rows = [plain(sweep(probe, fleet, meter, quick, step), command_of(probe.name, quick)) for probe in probes]
-    day = fleet.day()
-    seconds = process.QUICK_SECONDS if quick else process.SECONDS
+    check_sizes(sizes)
+    probes = select_probes(names)
+    fleet = TargetFleet(sizes, seed)
+    meter = Meter(times)
+    is_real_run = times and (not names or real_gateway.NAME in names)
+    progress = Progress(len(probes) * POINTS + is_real_run * real_gateway.STEPS, report)
+    began_s = time.monotonic()
+    rows = [
+        row_to_json(run_sweep(probe, fleet, meter, quick, progress.step), command_of(probe.name, quick))
+        for probe in probes
+    ]
+    phase_s = real_gateway.QUICK_PHASE_S if quick else real_gateway.PHASE_S
+    events_by_kind = Counter(event.kind for event in fleet.day())
     return {
         "version": VERSION,
         "made": time.strftime("%Y-%m-%d"),
@@ -109,45 +110,50 @@
         "times": times,
         "sizes": asdict(sizes),
         "rows": rows,
-        "real": process.measure(fleet, seconds, step) if real else None,
-        "day": {kind: sum(one.kind == kind for one in day) for kind in sorted({one.kind for one in day})},
-        "largest_service": max(fleet.services),
-        "smallest_service": min(fleet.services),
-        "seconds": round(time.monotonic() - began, 1),
+        "real": real_gateway.measure(fleet, phase_s, progress.step) if is_real_run else None,
+        "day": dict(sorted(events_by_kind.items())),
+        "largest_service": max(fleet.service_sizes),
+        "smallest_service": min(fleet.service_sizes),
+        "seconds": round(time.monotonic() - began_s, 1),
     }
 
 
 def command_of(name: str, quick: bool) -> str:
+    """Return the command that runs a probe again."""
     return f"./run.sh lab scale --probe {name}{' --quick' if quick else ''}"
 
 
-def table(found: dict[str, Any]) -> list[list[str]]:
-    """A line for each measure of each probe: its points, how it grows, what it comes to at the target."""
-    lines = []
-    for row in found["rows"]:
-        sizes = [point["size"] for point in row["points"]]
-        for name in row["points"][0]:
-            if name == "size" or name in ("cpu_us_least", "cpu_us_most"):
-                continue
-            fit = row["fits"].get(name)
-            grows = f"{fit['exponent']:.2f} ±{fit['residual']:.2f}" if fit else "-"
-            slope = f"{fit['slope']:.3g} ±{fit['slope_residual']:.2f}" if fit else "-"
-            at = row["at_target"].get(name)
-            whence = "extrapolated" if row["extrapolated"] else "reached"
-            lines.append(
-                [
-                    row["probe"],
-                    name,
-                    f"{row['axis']} {sizes[0]} to {sizes[-1]}",
-                    " ".join(f"{point[name]:.4g}" for point in row["points"]),
-                    grows,
-                    slope,
-                    "-" if at is None else f"{at:.4g}",
-                    whence,
-                ]
-            )
-    if not found["times"]:
+def result_table(stored: dict[str, Any]) -> list[list[str]]:
+    """Return a line for each measure of each probe, from results in their stored form.
+
+    Its columns: probe, measure, sizes swept, figures at each, exponent, slope, figure at the target, and
+    whether that size was reached.
+    """
+    results = StoredResults.from_json(stored)
+    lines = [
+        _measure_line(row, measure)
+        for row in results.rows
+        for measure in row.points[0].values
+        if measure not in ("cpu_us_least", "cpu_us_most")
+    ]
+    if not results.times:
         lines.append(["times", ", ".join(TIMES), "", "", "", "", "not run", ""])
-    for name, value in (found["real"] or {}).items():
-        lines.append([process.NAME, name, "one process", "", "", "", f"{value:.4g}", "reached"])
+    for name, value in results.real.items():
+        lines.append([real_gateway.NAME, name, "one process", "", "", "", f"{value:.4g}", "reached"])
     return lines
+
+
+def _measure_line(row: StoredRow, measure: str) -> list[str]:
+    """One measure of a probe."""
+    fit = row.fits.get(measure)
+    at_target = row.at_target.get(measure)
+    return [
+        row.probe,
+        measure,
+        f"{row.axis} {row.points[0].size} to {row.points[-1].size}",
+        " ".join(f"{point.values[measure]:.4g}" for point in row.points),
+        f"{fit.exponent:.2f} ±{fit.residual:.2f}" if fit else "-",
+        f"{fit.slope:.3g} ±{fit.slope_residual:.2f}" if fit else "-",
+        "-" if at_target is None else f"{at_target:.4g}",
+        "extrapolated" if row.extrapolated else "reached",
+    ]
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -1,54 +1,84 @@
-"""What address servers see of the gateways: connections that are held to them, and handshakes."""
+"""Probes of what servers see of the gateways: the connections that are kept open to them, and handshakes."""
 
 from __future__ import annotations
 
 import heapq
 import random
+from typing import NamedTuple
 
-from sagetrack.lab.scale.gateway import FEW_TENANTS, Hollow
-from sagetrack.lab.scale.probe import Meter, Probe, Values
-from sagetrack.lab.scale.world import FleetAhead
+from sagetrack.lab.scale.gateway import FEW_TENANTS
+from sagetrack.lab.scale.meter import Meter, Values
+from sagetrack.lab.scale.probe import Probe
+from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
+from sagetrack.lab.scale.target_fleet import TargetFleet
 
 WATCHED_S = 30.0
-IDLE_S = 10.0  # that an unused connection is kept for
+IDLE_TIMEOUT_S = 10.0  # after which an unused connection is closed
 
 
-def connections_by_gateways(fleet: FleetAhead, size: int, meter: Meter) -> Values:
-    """One service of the mean size, all gateways: arrivals by chance, each at a gateway drawn by lot."""
+class Expiry(NamedTuple):
+    """When a connection is to be looked at: it is closed unless it was used since."""
+
+    due_s: float
+    gateway: int
+    server: int
+
+
+class ConnectionTable:
+    """The open connections from all gateways to the servers of one service, one for each pair."""
+
+    def __init__(self, servers: int) -> None:
+        self.open_by_server = [0] * servers
+        self.most_open = 0  # at one server, at any time
+        self.handshakes = 0
+        self.attempts = 0
+        self._used_s: dict[tuple[int, int], float] = {}  # last use, by gateway and server
+        self._expiries: list[Expiry] = []  # a heap
+
+    def close_idle(self, now_s: float) -> None:
+        """Close the connections that have been idle for long enough."""
+        while self._expiries and self._expiries[0].due_s <= now_s:
+            _, gateway, server = heapq.heappop(self._expiries)
+            used_s = self._used_s.get((gateway, server))
+            if used_s is not None and used_s + IDLE_TIMEOUT_S <= now_s:
+                del self._used_s[gateway, server]
+                self.open_by_server[server] -= 1
+
+    def use(self, gateway: int, server: int, now_s: float) -> None:
+        """Send an attempt over a gateway's connection to a server, which is opened if there is none."""
+        self.attempts += 1
+        if (gateway, server) not in self._used_s:
+            self.handshakes += 1
+            self.open_by_server[server] += 1
+            self.most_open = max(self.most_open, self.open_by_server[server])
+        self._used_s[gateway, server] = now_s
+        heapq.heappush(self._expiries, Expiry(now_s + IDLE_TIMEOUT_S, gateway, server))
+
+
+def connections_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
+    """One service of the mean size behind all gateways: Poisson arrivals, each at a random gateway."""
     draw = random.Random(f"{fleet.seed}/connections")
-    servers = fleet.sizes.servers_each
+    servers = fleet.sizes.servers_per_service
     settings = [fleet.settings(FEW_TENANTS, size, number) for number in range(size)]
-    listed = fleet.listed(servers)
-    gateways = [Hollow(settings[number], listed, number) for number in range(size)]
-    rate = fleet.sizes.requests_per_s / fleet.sizes.services
-    used_s: dict[tuple[int, int], float] = {}
-    ends: list[tuple[float, int, int]] = []  # when a connection has been idle for long enough
-    open_at = [0] * servers
-    most, handshakes, calls, now_s = 0, 0, 0, 0.0
+    listed = fleet.listed_servers(servers)
+    gateways = [SimulatedGateway(settings[number], listed, number) for number in range(size)]
+    rate_per_s = fleet.sizes.requests_per_s / fleet.sizes.services
+    connections = ConnectionTable(servers)
+    now_s = 0.0
     while now_s < WATCHED_S:
-        now_s += draw.expovariate(rate)
+        now_s += draw.expovariate(rate_per_s)
         number = draw.randrange(size)
         gateway = gateways[number]
-        gateway.now_us = max(gateway.now_us, int(1e9 + now_s * 1e6))
-        while ends and ends[0][0] <= now_s:
-            _, owner, server = heapq.heappop(ends)
-            if (owner, server) in used_s and used_s[owner, server] + IDLE_S <= now_s:
-                del used_s[owner, server]
-                open_at[server] -= 1
-        for server in gateway.call():
-            calls += 1
-            if (number, server) not in used_s:
-                handshakes += 1
-                open_at[server] += 1
-                most = max(most, open_at[server])
-            used_s[number, server] = now_s
-            heapq.heappush(ends, (now_s + IDLE_S, number, server))
+        gateway.now_us = max(gateway.now_us, int(START_US + now_s * 1e6))
+        connections.close_idle(now_s)
+        for server in gateway.send_request():
+            connections.use(number, server, now_s)
     return {
-        "open_each": sum(open_at) / servers,
-        "open_most": float(most),
-        "calls": float(calls),
-        "handshakes_per_call": handshakes / max(1, calls),
-        "messages_per_s": handshakes / WATCHED_S / servers,
+        "open_each": sum(connections.open_by_server) / servers,
+        "open_most": float(connections.most_open),
+        "calls": float(connections.attempts),
+        "handshakes_per_call": connections.handshakes / max(1, connections.attempts),
+        "messages_per_s": connections.handshakes / WATCHED_S / servers,
     }
 
 
@@ -61,7 +91,7 @@
         "one service of the mean size at its part of the load, 10 s idle",
         "sagetrack/http1/connection_pool.py: ConnectionPools; sagetrack/policy/selection.py: subset",
         connections_by_gateways,
-        least=3,
-        virtual=("open_each", "open_most", "handshakes_per_call", "messages_per_s"),
+        smallest=3,
+        simulated=("open_each", "open_most", "handshakes_per_call", "messages_per_s"),
     ),
 )
--- /dev/null
+++ b/sagetrack/lab/scale/target_fleet.py
@@ -0,0 +1,170 @@
+"""A fleet of the target's sizes, all of which follows from a seed.
+
+It has services of unequal size, zones, tenants by Zipf's law, and a day of changes and failures.
+"""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from itertools import accumulate
+from typing import Any
+
+from sagetrack.lab.scale.target import (
+    CHANGES_PER_DAY,
+    DAY_S,
+    FAILED_PER_DAY,
+    MACHINES_PER_RACK,
+    REGION_CUTS_PER_YEAR,
+    RESTARTED_PER_DAY,
+    ZONE_LOSSES_PER_YEAR,
+    Sizes,
+)
+from sagetrack.policy.events import ListedServer
+from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings, Tenant
+
+ZIPF_EXPONENT = 1.1  # the share of the tenant at rank r is proportional to r to the minus this
+SERVICE_SIZE_SIGMA = 1.2  # standard deviation of the logarithm of a service's size
+RACK_LOSSES_PER_DAY = 1 / 7
+SERVERS_PER_GROUP = 4
+SAFE, KEYED, UNSAFE = range(3)  # indexes of CLASSES
+CLASSES = (
+    RequestClass(latency_objective_us=1_000_000, request_timeout_us=3_000_000, effect=Effect.SAFE),
+    RequestClass(
+        latency_objective_us=1_000_000,
+        request_timeout_us=3_000_000,
+        effect=Effect.KEYED,
+        scope=Scope.ZONE,
+        window_us=10_000_000,
+    ),
+    RequestClass(latency_objective_us=2_000_000, request_timeout_us=6_000_000, effect=Effect.UNSAFE),
+)
+
+
+@dataclass(slots=True, frozen=True)
+class FleetEvent:
+    """A change or failure, so many seconds after the day began."""
+
+    at_s: float
+    kind: str  # change, machine, restart, rack, zone or region
+    servers: tuple[int, ...] = ()
+
+
+def zipf_shares(count: int) -> list[float]:
+    """Return the shares of so many tenants, the largest first; they add up to 1."""
+    raw = [rank**-ZIPF_EXPONENT for rank in range(1, count + 1)]
+    total = sum(raw)
+    return [share / total for share in raw]
+
+
+def lognormal_sizes(total: int, parts: int, draw: random.Random) -> list[int]:
+    """Return lognormal sizes of so many services that add up to `total`, each at least 1.
+
+    Raises:
+        ValueError: There are fewer servers than services.
+    """
+    if not 1 <= parts <= total:
+        raise ValueError(f"{total} servers are too few for {parts} services")
+    raw = [draw.lognormvariate(0.0, SERVICE_SIZE_SIGMA) for _ in range(parts)]
+    spare = total - parts
+    raw_total = sum(raw)
+    ends = [round(spare * reached / raw_total) for reached in accumulate(raw)]
+    return [1 + end - begin for begin, end in zip([0, *ends], ends, strict=False)]
+
+
+class TargetFleet:
+    """Services, servers and tenants of a fleet of these sizes."""
+
+    def __init__(self, sizes: Sizes, seed: int) -> None:
+        self.sizes = sizes
+        self.seed = seed
+        draw = random.Random(f"{seed}/fleet ahead")  # this text is part of the seed of the stored results
+        self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, draw)
+        self.tenant_shares = zipf_shares(sizes.tenants)
+        self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # as many in each
+
+    def listed_servers(self, count: int, first: int = 0) -> tuple[ListedServer, ...]:
+        """Return so many servers as the policy takes them; none is in slow start."""
+        return tuple(
+            ListedServer(number, zone=self.zone_by_server[number], group=number // SERVERS_PER_GROUP)
+            for number in range(first, first + count)
+        )
+
+    def settings(self, tenants: int, gateways: int = 1, gateway: int = 0) -> Settings:
+        """Return a gateway's settings with the first so many tenants, whose shares then add up to 1."""
+        total = sum(self.tenant_shares[:tenants]) or 1.0
+        return Settings(
+            classes=CLASSES,
+            gateway_count=gateways,
+            gateway_index=gateway,
+            zone=gateway % self.sizes.zones,
+            tenants=tuple(Tenant(share / total) for share in self.tenant_shares[:tenants]),
+        )
+
+    def platform_settings(self, tenants: int) -> dict[str, Any]:
+        """Return the settings object of a gateway's file (its keys are the file's) with so many tenants."""
+        return {
+            "balancers": self.sizes.gateways,
+            "index": 0,
+            "zone": 0,
+            "zones": [f"z{number}" for number in range(self.sizes.zones)],
+            "shapes": ["plain"],
+            "lanes": [
+                {"name": "lookup", "effect": "free", "aimUs": 1_000_000, "giveUpUs": 3_000_000, "value": 1.0}
+            ],
+            "tenants": [
+                {"name": tenant_name(number), "fraction": round(share, 9)}
+                for number, share in enumerate(self.tenant_shares[:tenants])
+            ],
+        }
+
+    def discovery_entry(self, number: int, status: str = "SERVING", address: str = "") -> dict[str, Any]:
+        """Return a server's entry in discovery's form."""
+        return {
+            "name": f"s-{number:014d}",
+            "address": address or f"10.0.{number // 250}.{number % 250}:8080",
+            "zone": f"z{self.zone_by_server[number]}",
+            "type": "plain",
+            "group": number // SERVERS_PER_GROUP,
+            "status": status,
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+
+    def full_list(self, count: int) -> dict[str, Any]:
+        """Return a full list of the first so many servers in discovery's form."""
+        endpoints = [self.discovery_entry(number) for number in range(count)]
+        return {"index": 1, "snapshot": True, "endpoints": endpoints}
+
+    def delta(self, status: str = "SERVING") -> dict[str, Any]:
+        """Return the list of one changed entry in discovery's form."""
+        return {"index": 2, "snapshot": False, "endpoints": [self.discovery_entry(0, status)]}
+
+    def servers_in_zone(self, zone: int, count: int) -> tuple[int, ...]:
+        """Return those of the first so many servers that are in a zone."""
+        return tuple(number for number in range(count) if self.zone_by_server[number] == zone)
+
+    def day(self) -> list[FleetEvent]:
+        """Return the changes and failures of a day, in order of time."""
+        draw = random.Random(f"{self.seed}/day")
+        servers = self.sizes.servers
+        events = [FleetEvent(draw.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
+        for kind, count in (("machine", FAILED_PER_DAY), ("restart", RESTARTED_PER_DAY)):
+            events += [
+                FleetEvent(draw.uniform(0, DAY_S), kind, (draw.randrange(servers),)) for _ in range(count)
+            ]
+        if draw.random() < RACK_LOSSES_PER_DAY:
+            first = draw.randrange(max(1, servers - MACHINES_PER_RACK))
+            lost = tuple(range(first, first + MACHINES_PER_RACK))
+            events.append(FleetEvent(draw.uniform(0, DAY_S), "rack", lost))
+        for kind, per_year in (("zone", ZONE_LOSSES_PER_YEAR), ("region", REGION_CUTS_PER_YEAR)):
+            if draw.random() < per_year / 365:
+                zone = draw.randrange(self.sizes.zones)
+                lost = self.servers_in_zone(zone, servers) if kind == "zone" else ()
+                events.append(FleetEvent(draw.uniform(0, DAY_S), kind, lost))
+        return sorted(events, key=lambda event: event.at_s)
+
+
+def tenant_name(number: int) -> str:
+    """Return a tenant's name; the first is the one that the load of the throughput benchmark has."""
+    return "acme" if number == 0 else f"tenant-{number:09d}"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,14 +16,18 @@
 
 import pytest
 
-from sagetrack.lab.scale import process
-from sagetrack.lab.scale.fit import fit
-from sagetrack.lab.scale.page import BEGIN, END, NEEDS, NOT_RUN, filled, measured, ranking
-from sagetrack.lab.scale.probe import TIMES, Meter, spread, steps
-from sagetrack.lab.scale.run import PROBES, ScaleError, chosen, measure, table
-from sagetrack.lab.scale.run import check as check_sizes
+from sagetrack.lab.scale import real_gateway
+from sagetrack.lab.scale.fit import fit_points
+from sagetrack.lab.scale.meter import TIMES, Meter, count_steps
+from sagetrack.lab.scale.page.figures import NOT_RUN
+from sagetrack.lab.scale.page.rendering import BEGIN_MARK, END_MARK, render_measurements, render_page
+from sagetrack.lab.scale.page.requirements import REQUIREMENTS
+from sagetrack.lab.scale.page.tables import over_allowance
+from sagetrack.lab.scale.probe import geometric_sizes
+from sagetrack.lab.scale.results import StoredResults
+from sagetrack.lab.scale.run import PROBES, ScaleError, check_sizes, result_table, run_probes, select_probes
 from sagetrack.lab.scale.target import CHANGES_PER_DAY, FAILED_PER_DAY, RESTARTED_PER_DAY, Sizes
-from sagetrack.lab.scale.world import FleetAhead, long_tail, unequal
+from sagetrack.lab.scale.target_fleet import TargetFleet, lognormal_sizes, zipf_shares
 from sagetrack.policy.events import RequestArrived
 from sagetrack.policy.load_balancer import LoadBalancer
 from tests.test_cli import ROOT, command
@@ -35,7 +39,7 @@
 @pytest.fixture(scope="module")
 def small() -> dict[str, Any]:
     """All probes at small sizes, counts alone."""
-    return measure(SMALL, 1, [], False, False, lambda share: None)
+    return run_probes(SMALL, 1, [], False, False, lambda share: None)
 
 
 def row(found: dict[str, Any], probe: str) -> dict[str, Any]:
@@ -46,68 +50,70 @@
 
 
 def test_a_service_has_a_size_of_its_own_and_all_servers_are_in_one() -> None:
-    fleet = FleetAhead(Sizes(), 1)
-    assert sum(fleet.services) == 9_600 and len(fleet.services) == 390
-    assert min(fleet.services) >= 1 and max(fleet.services) > 4 * 9_600 / 390
-    assert fleet.services == FleetAhead(Sizes(), 1).services != FleetAhead(Sizes(), 2).services
+    fleet = TargetFleet(Sizes(), 1)
+    assert sum(fleet.service_sizes) == 9_600 and len(fleet.service_sizes) == 390
+    assert min(fleet.service_sizes) >= 1 and max(fleet.service_sizes) > 4 * 9_600 / 390
+    assert (
+        fleet.service_sizes == TargetFleet(Sizes(), 1).service_sizes != TargetFleet(Sizes(), 2).service_sizes
+    )
     with pytest.raises(ValueError, match="too few"):
-        unequal(3, 4, random.Random(1))
+        lognormal_sizes(3, 4, random.Random(1))
 
 
 def test_tenants_are_many_with_a_long_tail() -> None:
-    shares = long_tail(39_000)
+    shares = zipf_shares(39_000)
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
     assert sum(shares[:390]) > 0.5 and shares[-1] > 0  # one in a hundred asks for more than half
 
 
 def test_a_day_brings_what_the_target_says_and_is_the_same_for_a_seed() -> None:
-    day = FleetAhead(Sizes(), 5).day()
+    day = TargetFleet(Sizes(), 5).day()
     counts = {kind: sum(one.kind == kind for one in day) for kind in ("change", "machine", "restart")}
     assert counts == {"change": CHANGES_PER_DAY, "machine": FAILED_PER_DAY, "restart": RESTARTED_PER_DAY}
-    assert day == sorted(day, key=lambda one: one.at_s) == FleetAhead(Sizes(), 5).day()
-    kinds = {one.kind for seed in range(40) for one in FleetAhead(Sizes(), seed).day()}
+    assert day == sorted(day, key=lambda one: one.at_s) == TargetFleet(Sizes(), 5).day()
+    kinds = {one.kind for seed in range(40) for one in TargetFleet(Sizes(), seed).day()}
     assert "rack" in kinds
 
 
 def test_each_zone_has_its_part_of_the_servers() -> None:
-    fleet = FleetAhead(Sizes(), 1)
-    assert {len(fleet.zone(zone, 9_600)) for zone in range(8)} == {1_200}
+    fleet = TargetFleet(Sizes(), 1)
+    assert {len(fleet.servers_in_zone(zone, 9_600)) for zone in range(8)} == {1_200}
 
 
 # Figures
 
 
 def test_a_fit_finds_the_slope_and_the_exponent() -> None:
-    line = fit([10, 100, 1000, 4000], [70 + 3 * x for x in (10, 100, 1000, 4000)])
-    assert line is not None and line.slope == pytest.approx(3) and line.base == pytest.approx(70)
-    assert line.slope_residual < 1e-9 < line.residual and line.at(9_600) == pytest.approx(28_870)
-    law = fit([10, 100, 1000, 4000], [2 * x**1.5 for x in (10, 100, 1000, 4000)])
+    line = fit_points([10, 100, 1000, 4000], [70 + 3 * x for x in (10, 100, 1000, 4000)])
+    assert line is not None and line.slope == pytest.approx(3) and line.intercept == pytest.approx(70)
+    assert line.slope_residual < 1e-9 < line.residual and line.predict(9_600) == pytest.approx(28_870)
+    law = fit_points([10, 100, 1000, 4000], [2 * x**1.5 for x in (10, 100, 1000, 4000)])
     assert law is not None and law.exponent == pytest.approx(1.5) and law.residual < 1e-9
-    assert law.at(10_000) == pytest.approx(2e6)
-    assert fit([1, 2, 3], [0, 0, 5]) is None
+    assert law.predict(10_000) == pytest.approx(2e6)
+    assert fit_points([1, 2, 3], [0, 0, 5]) is None
 
 
 def test_sizes_are_five_from_the_least_to_the_target() -> None:
-    assert spread(10, 39_000) == [10, 79, 624, 4_935, 39_000]
-    assert spread(25, 10) == [10]
+    assert geometric_sizes(10, 39_000) == [10, 79, 624, 4_935, 39_000]
+    assert geometric_sizes(25, 10) == [10]
 
 
 def test_steps_count_the_turns_of_a_loop_and_are_the_same_every_time() -> None:
     def walk(count: int) -> int:
-        return steps(lambda: [n + 1 for n in range(count)])
+        return count_steps(lambda: [n + 1 for n in range(count)])
 
     assert walk(1_000) - walk(500) == 5 * (walk(400) - walk(300)) > 0
     assert walk(1_000) == walk(1_000)
-    assert sys.gettrace() is None or steps.__module__  # tracing that was on is on again
+    assert sys.gettrace() is None or count_steps.__module__  # tracing that was on is on again
 
 
 def test_times_are_taken_where_they_are_wanted_and_nowhere_else() -> None:
     calls: list[int] = []
     rested: list[int] = []
-    values = Meter(True).event(lambda: calls.append(1), lambda: rested.append(1))
+    values = Meter(True).measure_event(lambda: calls.append(1), lambda: rested.append(1))
     assert set(values) == {"steps", *TIMES} and len(calls) == len(rested)
     assert values["cpu_us_least"] <= values["cpu_us"] <= values["cpu_us_most"]
-    assert set(Meter(False).event(lambda: None)) == {"steps"}
+    assert set(Meter(False).measure_event(lambda: None)) == {"steps"}
 
 
 # Work, by the sizes that it may not or does grow with
@@ -160,13 +166,13 @@
         return handle(self, now_us, event)
 
     monkeypatch.setattr(LoadBalancer, "handle", walks)
-    found = measure(SMALL, 1, ["decision-by-servers"], False, False, lambda share: None)
+    found = run_probes(SMALL, 1, ["decision-by-servers"], False, False, lambda share: None)
     assert row(found, "decision-by-servers")["fits"]["steps"]["slope"] > CEILINGS["decision-by-servers"]
 
 
 def test_counts_are_the_same_every_time(small: dict[str, Any]) -> None:
     names = ["decision-by-tenants", "repeat-by-servers", "connections-by-gateways", "membership-by-gateways"]
-    again = measure(SMALL, 1, names, False, False, lambda share: None)
+    again = run_probes(SMALL, 1, names, False, False, lambda share: None)
     for name in names:
         first, second = row(small, name)["points"], row(again, name)["points"]
         same = [
@@ -181,7 +187,7 @@
 
 def test_a_list_has_as_many_bytes_as_its_entries(small: dict[str, Any]) -> None:
     points = row(small, "text-by-servers")["points"]
-    one = len(json.dumps(FleetAhead(SMALL, 1).endpoint(100)))
+    one = len(json.dumps(TargetFleet(SMALL, 1).discovery_entry(100)))
     assert points[-1]["size"] == 200 and abs(points[-1]["bytes"] / 200 - one) < 3
     assert {point["change_bytes"] for point in points} == {198}
 
@@ -201,7 +207,7 @@
 
 def test_a_warm_start_is_told_a_bounded_number_of_datagrams() -> None:
     points = [
-        KNOWN["warm-start-by-servers"].run(FleetAhead(Sizes(), 1), size, Meter(False))
+        KNOWN["warm-start-by-servers"].run(TargetFleet(Sizes(), 1), size, Meter(False))
         for size in (100, 1_000, 2_000)
     ]
     assert points[0]["entries"] == 100  # all of them
@@ -211,9 +217,9 @@
 
 
 def test_connections_that_nobody_uses_are_closed_and_made_again() -> None:
-    found = KNOWN["connections-by-gateways"].run(FleetAhead(Sizes(), 1), 185, Meter(False))
+    found = KNOWN["connections-by-gateways"].run(TargetFleet(Sizes(), 1), 185, Meter(False))
     made = found["handshakes_per_call"] * found["calls"]
-    assert found["open_each"] * Sizes().servers_each < made - 1 and found["open_most"] <= 185
+    assert found["open_each"] * Sizes().servers_per_service < made - 1 and found["open_most"] <= 185
 
 
 def test_a_server_has_no_more_connections_than_gateways(small: dict[str, Any]) -> None:
@@ -224,7 +230,7 @@
 
 def test_what_a_change_puts_on_the_control_machines_is_by_the_gateway(small: dict[str, Any]) -> None:
     points = row(small, "change-to-gateways")["points"]
-    text = len(json.dumps(FleetAhead(SMALL, 1).platform(SMALL.tenants)))
+    text = len(json.dumps(TargetFleet(SMALL, 1).platform_settings(SMALL.tenants)))
     assert [point["bytes"] for point in points] == [text * point["size"] for point in points]
 
 
@@ -238,15 +244,15 @@
         assert found["command"].startswith("./run.sh lab scale --probe ")
     assert not small["times"] and small["real"] is None
     assert not any("cpu_us" in found["points"][0] for found in small["rows"])
-    assert any(line[6] == NOT_RUN for line in table(small))
+    assert any(line[6] == NOT_RUN for line in result_table(small))
 
 
 def test_a_quick_run_says_that_it_extrapolates() -> None:
-    probe = replace(KNOWN["change-to-gateways"], quick_most=12)
-    from sagetrack.lab.scale.probe import sweep
-    from sagetrack.lab.scale.run import plain
+    probe = replace(KNOWN["change-to-gateways"], quick_largest=12)
+    from sagetrack.lab.scale.probe import run_sweep
+    from sagetrack.lab.scale.results import row_to_json
 
-    found = plain(sweep(probe, FleetAhead(SMALL, 1), Meter(False), True, lambda: None), "x")
+    found = row_to_json(run_sweep(probe, TargetFleet(SMALL, 1), Meter(False), True, lambda: None), "x")
     assert found["reached"] == 12 and found["target"] == 24 and found["extrapolated"]
     assert found["at_target"]["messages"] == pytest.approx(24)
 
@@ -255,21 +261,27 @@
 
 
 def test_the_page_says_not_run_where_it_was_not(small: dict[str, Any]) -> None:
-    lines = {line.split(" | ")[1]: line for line in measured(small).splitlines() if line.count(" | ") > 8}
+    lines = {
+        line.split(" | ")[1]: line
+        for line in render_measurements(small).splitlines()
+        if line.count(" | ") > 8
+    }
     assert NOT_RUN in lines["one call, all tenants"]
     assert NOT_RUN not in lines["tenants, servers, settings and list in memory"]
-    assert len({(need.role, need.what, need.unit) for need in NEEDS}) == len(NEEDS)
+    assert len({(need.role, need.description, need.unit) for need in REQUIREMENTS}) == len(REQUIREMENTS)
 
 
 def test_the_page_is_filled_between_its_marks_and_only_there(small: dict[str, Any]) -> None:
-    page = f"# before\n{BEGIN}\nstale\n{END}\nafter\n"
-    once = filled(page, small)
+    page = f"# before\n{BEGIN_MARK}\nstale\n{END_MARK}\nafter\n"
+    once = render_page(page, small)
     assert (
-        once.startswith(f"# before\n{BEGIN}\n") and once.endswith(f"\n{END}\nafter\n") and "stale" not in once
+        once.startswith(f"# before\n{BEGIN_MARK}\n")
+        and once.endswith(f"\n{END_MARK}\nafter\n")
+        and "stale" not in once
     )
-    assert filled(once, small) == once
+    assert render_page(once, small) == once
     with pytest.raises(ValueError, match="once each"):
-        filled("nothing", small)
+        render_page("nothing", small)
 
 
 def test_times_that_were_run_are_ranked_before_and_after(small: dict[str, Any]) -> None:
@@ -279,16 +291,20 @@
             found["at_target"]["cpu_us"] = 64_000.0 if found["probe"] == "repeat-by-servers" else 12_800.0
             for point in found["points"]:
                 point |= {"cpu_us": 1.0, "cpu_us_least": 0.9, "cpu_us_most": 1.1, "longest_ms": 1.0}
-    order = [need.what for times, need in ranking(slow) if times in (10.0, 2.0)]
+    order = [
+        need.description
+        for times, need in over_allowance(StoredResults.from_json(slow))
+        if times in (10.0, 2.0)
+    ]
     assert order == ["a keyed call with one repeat", "one call, all tenants"]
-    text = measured(slow, small)
+    text = render_measurements(slow, small)
     assert "### After the mends" in text and "| 64 ms | 10 | not run |" in text and "±10%" in text
 
 
 def test_the_page_that_ships_has_its_marks_and_knows_every_probe_that_it_names() -> None:
     text = (ROOT / "docs" / "CAPACITY.md").read_text()
-    assert text.count(BEGIN) == text.count(END) == 1
-    part = text.split(BEGIN)[1].split(END)[0]
+    assert text.count(BEGIN_MARK) == text.count(END_MARK) == 1
+    part = text.split(BEGIN_MARK)[1].split(END_MARK)[0]
     named = {word for word in part.split("`") if "-by-" in word or "-to-gateways" in word}
     assert named and named <= set(KNOWN)
 
@@ -298,7 +314,7 @@
 
 def test_the_command_writes_json_and_the_page_agrees_with_it(tmp_path: Path) -> None:
     file, page = tmp_path / "s.json", tmp_path / "page.md"
-    page.write_text(f"{BEGIN}\n{END}\n")
+    page.write_text(f"{BEGIN_MARK}\n{END_MARK}\n")
     small = ("--gateways", "12", "--servers", "60", "--services", "4", "--tenants", "40", "--counts")
     done = command("lab", "scale", *small, "--probe", "change-to-gateways", "--json", str(file))
     assert done.returncode == 0 and "change-to-gateways" in done.stdout, done.stderr
@@ -348,7 +364,7 @@
     with pytest.raises(ScaleError, match="GiB"):
         check_sizes(Sizes(tenants=half // 1000))
     with pytest.raises(ScaleError, match="no probe"):
-        chosen(["x"])
+        select_probes(["x"])
 
 
 # The real gateway beside them
@@ -364,8 +380,8 @@
 def test_a_real_gateway_takes_a_long_list_changes_and_the_loss_of_a_zone() -> None:
     before, cores = children(), os.sched_getaffinity(0)
     done: list[int] = []
-    found = process.measure(FleetAhead(SMALL, 1), 0.5, lambda: done.append(1))
-    assert len(done) == process.STEPS
+    found = real_gateway.measure(TargetFleet(SMALL, 1), 0.5, lambda: done.append(1))
+    assert len(done) == real_gateway.STEPS
     parts = ("warm", "calm", "listing", "changes", "zone")
     # How many are turned away follows from the machine's other work; none may fail, whatever that is.
     assert all(found[f"{name}_failed"] == 0 for name in parts), found
