--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -69,7 +69,7 @@
         check_sizes(sizes)
         select_probes(probe or [])
         with bar("scale", False) as tell:
-            found = run_probes(sizes, from_seed, probe or [], quick, not counts, tell)
+            found = run_probes(sizes, from_seed, probe or [], tell, quick=quick, times=not counts)
     except (ScaleError, LabError) as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -14,7 +14,7 @@
 
 
 def change_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """Each change is sent to each gateway as the whole text, as a gateway reads it today."""
+    """Each change is sent to each gateway as a whole configuration, which is what a gateway reads today."""
     text = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
     return {
         "bytes": float(text * size),
@@ -25,7 +25,7 @@
 
 
 def lists_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A full list is sent to so many gateways that start, and one changed entry to as many."""
+    """A full list is sent to `size` gateways that start, and one changed entry to as many."""
     full = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
     delta = len(json.dumps(fleet.delta()))
     return {"bytes": float(full * size), "change_bytes": float(delta * size), "messages": float(size)}
@@ -33,23 +33,23 @@
 
 PROBES = (
     Probe(
-        "change-to-gateways",
-        "control",
-        "a changed configuration goes to all",
-        "gateways",
-        "all tenants in the text",
-        "none: a file and SIGHUP on each machine",
-        change_to_gateways,
+        name="change-to-gateways",
+        role="control",
+        event="a changed configuration goes to all",
+        axis="gateways",
+        fixed="all tenants in the text",
+        mechanism="none: a file and SIGHUP on each machine",
+        run=change_to_gateways,
         smallest=3,
     ),
     Probe(
-        "lists-to-gateways",
-        "control",
-        "the whole list goes to all, and one changed entry",
-        "gateways",
-        "all servers in the list",
-        "none of ours: discovery serves them",
-        lists_to_gateways,
+        name="lists-to-gateways",
+        role="control",
+        event="the whole list goes to all, and one changed entry",
+        axis="gateways",
+        fixed="all servers in the list",
+        mechanism="none of ours: discovery serves them",
+        run=lists_to_gateways,
         smallest=3,
     ),
 )
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -23,7 +23,7 @@
 
 
 def decision_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of a gateway with so many tenants, and the memory of its policy and settings."""
+    """One request of a gateway with `size` tenants, and the memory of its policy and settings."""
     gateway = SimulatedGateway(fleet.settings(size), fleet.listed_servers(FEW_SERVERS))
     gateway.recover()
     retained = retained_bytes(
@@ -33,7 +33,7 @@
 
 
 def decision_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of a gateway with so many servers, and the memory of its policy without its settings."""
+    """One request of a gateway with `size` servers, and the memory of its policy without its settings."""
     settings = fleet.settings(FEW_TENANTS)
     servers = fleet.listed_servers(size)
     gateway = SimulatedGateway(settings, servers)
@@ -43,7 +43,7 @@
 
 
 def decision_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of one of so many gateways."""
+    """One request of one of `size` gateways."""
     settings = fleet.settings(FEW_TENANTS, size, size // 2)
     gateway = SimulatedGateway(settings, fleet.listed_servers(FEW_SERVERS))
     gateway.recover()
@@ -51,7 +51,7 @@
 
 
 def decision_by_services(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """Requests in turn to a policy for each service, as a gateway that knew services would have."""
+    """Requests to a policy for each service, one after another, as in a gateway that knew services."""
 
     def make() -> list[SimulatedGateway]:
         settings = fleet.settings(FEW_TENANTS)
@@ -62,10 +62,10 @@
         ]
 
     gateways = make()
-    turns = count(1)
+    requests = count(1)
 
     def send_to_next() -> None:
-        gateways[next(turns) % len(gateways)].send_request()
+        gateways[next(requests) % len(gateways)].send_request()
 
     retained = retained_bytes(make)
     return meter.measure_event(send_to_next) | memory_values(retained, size)
@@ -158,111 +158,111 @@
 FIXED_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
 PROBES = (
     Probe(
-        "decision-by-tenants",
-        "gateway",
-        "one call, decided and answered",
-        "tenants",
-        f"{FEW_SERVERS} servers, 1 gateway",
-        f"{POLICY}/tenant_quota.py: excess",
-        decision_by_tenants,
+        name="decision-by-tenants",
+        role="gateway",
+        event="one call, decided and answered",
+        axis="tenants",
+        fixed=f"{FEW_SERVERS} servers, 1 gateway",
+        mechanism=f"{POLICY}/tenant_quota.py: excess",
+        run=decision_by_tenants,
     ),
     Probe(
-        "decision-by-servers",
-        "gateway",
-        "one call, decided and answered",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/selection.py: subset, select",
-        decision_by_servers,
+        name="decision-by-servers",
+        role="gateway",
+        event="one call, decided and answered",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/selection.py: subset, select",
+        run=decision_by_servers,
         smallest=25,
     ),
     Probe(
-        "decision-by-gateways",
-        "gateway",
-        "one call, decided and answered",
-        "gateways",
-        f"{FEW_TENANTS} tenants, {FEW_SERVERS} servers",
-        f"{POLICY}/selection.py: select",
-        decision_by_gateways,
+        name="decision-by-gateways",
+        role="gateway",
+        event="one call, decided and answered",
+        axis="gateways",
+        fixed=f"{FEW_TENANTS} tenants, {FEW_SERVERS} servers",
+        mechanism=f"{POLICY}/selection.py: select",
+        run=decision_by_gateways,
         smallest=3,
     ),
     Probe(
-        "decision-by-services",
-        "gateway",
-        "one call at one module for each service",
-        "services",
-        f"{FEW_TENANTS} tenants, services of the target's sizes",
-        "none: the program knows one service",
-        decision_by_services,
+        name="decision-by-services",
+        role="gateway",
+        event="one call at one module for each service",
+        axis="services",
+        fixed=f"{FEW_TENANTS} tenants, services of the target's sizes",
+        mechanism="none: the program knows one service",
+        run=decision_by_services,
         smallest=4,
     ),
     Probe(
-        "repeat-by-servers",
-        "gateway",
-        "a keyed call with one repeat",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/selection.py: _retry_candidates",
-        retry_by_servers,
+        name="repeat-by-servers",
+        role="gateway",
+        event="a keyed call with one repeat",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/selection.py: _retry_candidates",
+        run=retry_by_servers,
         smallest=25,
     ),
     Probe(
-        "refusal-by-servers",
-        "gateway",
-        "a refusal with word of when to come back",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/retry_after.py: wait_us",
-        rejection_by_servers,
+        name="refusal-by-servers",
+        role="gateway",
+        event="a refusal with word of when to come back",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/retry_after.py: wait_us",
+        run=rejection_by_servers,
         smallest=25,
     ),
     Probe(
-        "list-by-servers",
-        "gateway",
-        "the module takes a whole list",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/endpoints.py: update",
-        list_by_servers,
+        name="list-by-servers",
+        role="gateway",
+        event="the module takes a whole list",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/endpoints.py: update",
+        run=list_by_servers,
         smallest=25,
     ),
     Probe(
-        "change-by-servers",
-        "gateway",
-        "the module takes one changed entry",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/endpoints.py: update",
-        change_by_servers,
+        name="change-by-servers",
+        role="gateway",
+        event="the module takes one changed entry",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/endpoints.py: update",
+        run=change_by_servers,
         smallest=25,
     ),
     Probe(
-        "zone-by-servers",
-        "gateway",
-        "the module hears that a zone's servers are gone",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/endpoints.py: update",
-        zone_by_servers,
+        name="zone-by-servers",
+        role="gateway",
+        event="the module hears that a zone's servers are gone",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/endpoints.py: update",
+        run=zone_by_servers,
         smallest=25,
     ),
     Probe(
-        "sights-by-servers",
-        "gateway",
-        "what it has seen is gathered, each second",
-        "servers",
-        FIXED_TENANTS,
-        f"{POLICY}/gossip.py: own_observations",
-        observations_by_servers,
+        name="sights-by-servers",
+        role="gateway",
+        event="what it has seen is gathered, each second",
+        axis="servers",
+        fixed=FIXED_TENANTS,
+        mechanism=f"{POLICY}/gossip.py: own_observations",
+        run=observations_by_servers,
         smallest=25,
     ),
     Probe(
-        "configuration-by-tenants",
-        "gateway",
-        "the file is read again (SIGHUP)",
-        "tenants",
-        "no servers",
-        "sagetrack/config/platform.py: parse",
-        configuration_by_tenants,
+        name="configuration-by-tenants",
+        role="gateway",
+        event="the file is read again (SIGHUP)",
+        axis="tenants",
+        fixed="no servers",
+        mechanism="sagetrack/config/platform.py: parse",
+        run=configuration_by_tenants,
     ),
 )
--- a/sagetrack/lab/scale/meter.py
+++ b/sagetrack/lab/scale/meter.py
@@ -81,10 +81,10 @@
 
 
 class Meter:
-    """Measures events; takes times only if asked to, since they mean nothing on a busy machine."""
+    """Measures events; takes times only if `takes_times`, as they mean nothing on a busy machine."""
 
-    def __init__(self, times: bool) -> None:
-        self.times = times
+    def __init__(self, takes_times: bool) -> None:
+        self.takes_times = takes_times
 
     def measure_event(
         self,
@@ -104,7 +104,7 @@
             prepare()
             samples.append(count_steps(call))
         values: Values = {"steps": statistics.median(samples)}
-        return values | self._time_event(call, prepare) if self.times else values
+        return values | self._time_event(call, prepare) if self.takes_times else values
 
     def _time_event(self, call: Callable[[], object], prepare: Callable[[], object]) -> Values:
         """CPU time over some rounds (median, least, most) and the longest single event."""
--- a/sagetrack/lab/scale/page/failures.py
+++ b/sagetrack/lab/scale/page/failures.py
@@ -36,14 +36,14 @@
 
 
 def _list_bytes(figures: FigureReader, entries: float) -> str:
-    """Bytes of so many changed entries to one gateway and to all."""
+    """Bytes of changed entries, sent to one gateway and to all."""
     to_one = figures.at_target("text-by-servers", "change_bytes") * entries
     to_all = to_one * figures.sizes.gateways
     return f"{format_figure(to_one)} B to each gateway, {format_figure(to_all)} B to all"
 
 
 def _policy_work(figures: FigureReader, entries: float) -> str:
-    """Work of so many changed entries at each gateway."""
+    """Work of taking changed entries at each gateway."""
     steps = figures.at_target("change-by-servers", "steps") * entries
     try:
         spent = f"{format_figure(change_cpu_us(figures) * entries / 1e3)} ms of a core"
--- a/sagetrack/lab/scale/page/figures.py
+++ b/sagetrack/lab/scale/page/figures.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from sagetrack.lab.scale import real_gateway
+from sagetrack.lab.scale.real_gateway.measurement import NAME as REAL_GATEWAY
 from sagetrack.lab.scale.results import StoredResults, StoredRow
 from sagetrack.lab.scale.target import Sizes
 
@@ -28,7 +28,7 @@
     def __init__(self, results: StoredResults) -> None:
         self.results = results
         self.rows = {row.probe: row for row in results.rows}
-        self.read: list[FigureKey] = []
+        self.keys_read: list[FigureKey] = []
 
     @property
     def sizes(self) -> Sizes:
@@ -37,7 +37,7 @@
 
     def at_target(self, probe: str, measure: str) -> float:
         """Return a probe's figure at the target's size. FigureNotRunError if there is none."""
-        self.read.append(FigureKey(probe, measure))
+        self.keys_read.append(FigureKey(probe, measure))
         row = self.rows.get(probe)
         if row is None or measure not in row.at_target:
             raise FigureNotRunError(f"{probe}: {measure}")
@@ -45,14 +45,14 @@
 
     def real(self, measure: str) -> float:
         """Return a figure of the real gateway. FigureNotRunError if there is none."""
-        self.read.append(FigureKey(real_gateway.NAME, measure))
+        self.keys_read.append(FigureKey(REAL_GATEWAY, measure))
         if measure not in self.results.real:
-            raise FigureNotRunError(f"{real_gateway.NAME}: {measure}")
+            raise FigureNotRunError(f"{REAL_GATEWAY}: {measure}")
         return float(self.results.real[measure])
 
     def probe_rows(self) -> list[StoredRow]:
         """Return the rows of the probes that were read from, in that order, each once."""
-        names = dict.fromkeys(key.probe for key in self.read)
+        names = dict.fromkeys(key.probe for key in self.keys_read)
         return [self.rows[name] for name in names if name in self.rows]
 
 
--- a/sagetrack/lab/scale/page/tables.py
+++ b/sagetrack/lab/scale/page/tables.py
@@ -34,7 +34,7 @@
         "" if later is None else _later_cell(later),
         _spread_cell(figures) if is_run else "-",
         _basis_cell(requirement, figures) if is_run else requirement.basis,
-        ", ".join(f"`{probe}`" for probe in dict.fromkeys(key.probe for key in figures.read)),
+        ", ".join(f"`{probe}`" for probe in dict.fromkeys(key.probe for key in figures.keys_read)),
         "; ".join(dict.fromkeys(row.mechanism for row in figures.probe_rows())) or "the whole process",
     )
     return f"| {' | '.join(cells)} |"
@@ -63,7 +63,7 @@
 
 def _spread_cell(figures: FigureReader) -> str:
     """The spread of each figure that the row rests on."""
-    return ", ".join(dict.fromkeys(_spread(figures.rows.get(key.probe), key) for key in figures.read))
+    return ", ".join(dict.fromkeys(_spread(figures.rows.get(key.probe), key) for key in figures.keys_read))
 
 
 def _spread(row: StoredRow | None, key: FigureKey) -> str:
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -29,7 +29,7 @@
 
 
 def membership_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One of so many gateways fails: when the others know, and what membership costs each of them."""
+    """One of `size` gateways fails: when the others know, and what membership costs each of them."""
     began_ns = time.thread_time_ns()
     outcome = death(size, fleet.seed, 0.0, WATCHED_S)
     spent_us = (time.thread_time_ns() - began_ns) / 1000
@@ -43,7 +43,7 @@
         "held_bytes": retained / size,
         "each_bytes": retained / size / size,
     }
-    if meter.times:
+    if meter.takes_times:
         values["cpu_us_per_s"] = spent_us / size / (WATCHED_S + WARM_UP_S)
     return values
 
@@ -88,10 +88,10 @@
 def learned_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """The policy takes the observations of one datagram."""
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
-    turns = count(1)
+    receptions = count(1)
 
     def receive_observations() -> None:
-        now_us = START_US + next(turns)
+        now_us = START_US + next(receptions)
         observations = tuple(
             Observation(number, 0, 1, now_us, weight=0.5) for number in range(OBSERVATIONS_PER_DATAGRAM)
         )
@@ -102,57 +102,57 @@
 
 PROBES = (
     Probe(
-        "membership-by-gateways",
-        "peers",
-        "a gateway's part of a second of membership; a death",
-        "gateways",
-        "no loss, 1 to 10 ms one way",
-        "sagetrack/peers/membership.py",
-        membership_by_gateways,
+        name="membership-by-gateways",
+        role="peers",
+        event="a gateway's part of a second of membership; a death",
+        axis="gateways",
+        fixed="no loss, 1 to 10 ms one way",
+        mechanism="sagetrack/peers/membership.py",
+        run=membership_by_gateways,
         smallest=16,
         quick_largest=200,
         simulated=("known_s", "known_p99_s", "missed", "messages_per_s", "bytes_per_s"),
     ),
     Probe(
-        "healing-by-gateways",
-        "peers",
-        "a third is cut off for 60 s",
-        "gateways",
-        "no loss, 1 to 10 ms one way",
-        "sagetrack/peers/membership.py",
-        healing_by_gateways,
+        name="healing-by-gateways",
+        role="peers",
+        event="a third is cut off for 60 s",
+        axis="gateways",
+        fixed="no loss, 1 to 10 ms one way",
+        mechanism="sagetrack/peers/membership.py",
+        run=healing_by_gateways,
         smallest=16,
         largest=200,
         quick_largest=100,
         simulated=("healed_s",),
     ),
     Probe(
-        "demands-by-tenants",
-        "peers",
-        "demands are told, and one telling is read",
-        "tenants",
-        "6 fellows",
-        "sagetrack/peers/demand_gossip.py",
-        demands_by_tenants,
+        name="demands-by-tenants",
+        role="peers",
+        event="demands are told, and one telling is read",
+        axis="tenants",
+        fixed="6 fellows",
+        mechanism="sagetrack/peers/demand_gossip.py",
+        run=demands_by_tenants,
     ),
     Probe(
-        "warm-start-by-servers",
-        "peers",
-        "an answer to who has just started",
-        "servers",
-        "all seen",
-        "sagetrack/peers/warm_start.py: divide_response",
-        warm_start_by_servers,
+        name="warm-start-by-servers",
+        role="peers",
+        event="an answer to who has just started",
+        axis="servers",
+        fixed="all seen",
+        mechanism="sagetrack/peers/warm_start.py: divide_response",
+        run=warm_start_by_servers,
         smallest=25,
     ),
     Probe(
-        "learned-by-servers",
-        "peers",
-        "one datagram of sights is taken up",
-        "servers",
-        "10 sights in it",
-        "sagetrack/policy/gossip.py: receive",
-        learned_by_servers,
+        name="learned-by-servers",
+        role="peers",
+        event="one datagram of sights is taken up",
+        axis="servers",
+        fixed="10 sights in it",
+        mechanism="sagetrack/policy/gossip.py: receive",
+        run=learned_by_servers,
         smallest=25,
     ),
 )
--- a/sagetrack/lab/scale/probe.py
+++ b/sagetrack/lab/scale/probe.py
@@ -68,7 +68,7 @@
 
 
 def geometric_sizes(smallest: int, largest: int, points: int = POINTS) -> list[int]:
-    """Return up to so many sizes from the smallest to the largest, in even steps of their logarithm."""
+    """Return at most `points` sizes from the smallest to the largest, evenly spaced by their logarithm."""
     smallest = max(1, min(smallest, largest))
     raw = [round(smallest * (largest / smallest) ** (step / (points - 1))) for step in range(points)]
     return sorted(set(raw))
--- a/sagetrack/lab/scale/scripted_discovery.py
+++ b/sagetrack/lab/scale/real_gateway/discovery.py
@@ -70,7 +70,7 @@
         )
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer a poll, once there is something newer or the time that it may be held is over."""
+        """Answer a poll as soon as there is a newer list, or when its long-poll timeout is over."""
         query = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
         since = int(query["from"][0]) if "from" in query else FULL_LIST
         self._polls.put_nowait(since)
--- /dev/null
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -0,0 +1,112 @@
+"""A running gateway under load while its list changes."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Any
+
+from sagetrack.lab.benchmarks.throughput import _load, _Run
+from sagetrack.lab.processes.resource_usage import cpu_s, memory_mb
+from sagetrack.lab.scale.real_gateway.admin import request_totals
+from sagetrack.lab.scale.real_gateway.discovery import ScriptedDiscovery
+from sagetrack.lab.scale.real_gateway.launcher import RunningGateway
+from sagetrack.lab.scale.target_fleet import TargetFleet
+
+CONNECTIONS = 32  # of the load
+FIRST_SERVERS = 25  # in the list that the gateway starts with
+CHANGED_SERVERS, CHANGE_S = 200, 1.0
+TICK_S = 0.001
+
+
+async def longest_gap_ms() -> float:
+    """Measure the longest time for which this process's own event loop was blocked, until cancelled.
+
+    The lab itself may be the cause of that part of the longest latency.
+    """
+    longest_s = 0.0
+    last_s = time.monotonic()
+    try:
+        while True:
+            await asyncio.sleep(TICK_S)
+            now_s = time.monotonic()
+            longest_s = max(longest_s, now_s - last_s - TICK_S)
+            last_s = now_s
+    except asyncio.CancelledError:
+        return longest_s * 1000
+
+
+def percentile_ms(run: _Run, percentile: float) -> float:
+    """Return a percentile of a load's latencies."""
+    return float(run.times.get_value_at_percentile(percentile)) / 1000
+
+
+class LoadTrial:
+    """One running gateway under load, and the changes of its list. Figures have their stored names."""
+
+    def __init__(self, fleet: TargetFleet, discovery: ScriptedDiscovery, gateway: RunningGateway) -> None:
+        self.fleet = fleet
+        self.discovery = discovery
+        self.gateway = gateway
+        self.figures: dict[str, float] = {}
+
+    async def run_phase(
+        self, name: str, seconds: float, change: Callable[[], Coroutine[Any, Any, None]]
+    ) -> None:
+        """Put load on the gateway during a change; store latencies, counts and CPU under the phase's name."""
+        process = self.gateway.process
+        sizes = self.fleet.sizes
+        totals_before = await request_totals(process)
+        cpu_before_s = cpu_s(self.gateway.pid)
+        began_s = time.monotonic()
+        gap = asyncio.create_task(longest_gap_ms())
+        change_task = asyncio.create_task(change())
+        load_task = asyncio.create_task(
+            _load(self.gateway.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
+        )
+        await change_task
+        change_s = time.monotonic() - began_s
+        run = await load_task
+        gap.cancel()
+        # The gateway's own counts: the load counts also those requests as failed that it cuts off at its end.
+        totals = await request_totals(process) - totals_before
+        self.figures |= {
+            f"{name}_own_hold_ms": await gap,
+            f"{name}_p50_ms": percentile_ms(run, 50),
+            f"{name}_p99_ms": percentile_ms(run, 99),
+            f"{name}_longest_ms": float(run.times.get_max_value()) / 1000,
+            f"{name}_refused": totals.rejected,
+            f"{name}_failed": totals.failed,
+            f"{name}_done": float(run.finished),
+            f"{name}_core": (cpu_s(self.gateway.pid) - cpu_before_s) / (time.monotonic() - began_s),
+            f"{name}_over_s": change_s,
+            f"{name}_memory_mb": memory_mb(self.gateway.pid),
+        }
+
+    async def change_nothing(self) -> None:
+        """Leave the list as it is."""
+
+    async def list_all(self) -> None:
+        """List all servers at once."""
+        await self._change([range(FIRST_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
+
+    async def change_some(self) -> None:
+        """Set 200 servers to draining, one after another within a second; a quarter of a smaller fleet."""
+        changed = min(CHANGED_SERVERS, self.fleet.sizes.servers // 4)
+        batches = [range(number, number + 1) for number in range(changed)]
+        await self._change(batches, "DRAINING", CHANGE_S / changed)
+
+    async def lose_zone(self) -> None:
+        """Delete the servers of the last zone at once."""
+        sizes = self.fleet.sizes
+        await self._change([self.fleet.servers_in_zone(sizes.zones - 1, sizes.servers)], "DELETED", 0.0)
+
+    async def _change(self, batches: Sequence[Sequence[int]], status: str, interval_s: float) -> None:
+        """Change the list in batches, and wait until the gateway has taken all of them."""
+        loop = asyncio.get_running_loop()
+        began_s = loop.time()
+        for count, numbers in enumerate(batches, 1):
+            self.discovery.change(numbers, status)
+            await asyncio.sleep(max(0.0, began_s + count * interval_s - loop.time()))
+        await self.discovery.wait_until_taken()
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -10,9 +10,10 @@
 from dataclasses import asdict
 from typing import Any
 
-from sagetrack.lab.scale import agent, control, gateway, peers, real_gateway, servers
-from sagetrack.lab.scale.meter import TIMES, Meter
+from sagetrack.lab.scale import agent, control, gateway, peers, servers
+from sagetrack.lab.scale.meter import TIMES, Meter, Values
 from sagetrack.lab.scale.probe import POINTS, Probe, run_sweep
+from sagetrack.lab.scale.real_gateway import measurement
 from sagetrack.lab.scale.results import VERSION, StoredResults, StoredRow, row_to_json
 from sagetrack.lab.scale.target import Sizes, needed_bytes
 from sagetrack.lab.scale.target_fleet import TargetFleet
@@ -48,7 +49,7 @@
     Raises:
         ScaleError: No probe has one of these names.
     """
-    known = [*(probe.name for probe in PROBES), real_gateway.NAME]
+    known = [*(probe.name for probe in PROBES), measurement.NAME]
     for name in names:
         if name not in known:
             raise ScaleError(f"no probe is called {name}; there are {', '.join(known)}")
@@ -70,7 +71,13 @@
 
 
 def run_probes(
-    sizes: Sizes, seed: int, names: Sequence[str], quick: bool, times: bool, report: Callable[[float], None]
+    sizes: Sizes,
+    seed: int,
+    names: Sequence[str],
+    report: Callable[[float], None],
+    *,
+    quick: bool,
+    times: bool,
 ) -> dict[str, Any]:
     """Run all probes, or those that are named, and return the results in their stored form.
 
@@ -78,10 +85,10 @@
         sizes: The target's sizes.
         seed: What the generated fleet follows from.
         names: Probes; none means all.
+        report: Called with the share that is done.
         quick: Stop at smaller sizes where the rest is slow.
         times: Take times too. Without it only what is the same every time is measured (steps, bytes,
             messages, memory, simulated time), and the real gateway, which is all times, is left out.
-        report: Is told the share that is done.
 
     Raises:
         ScaleError: The sizes or names are no good.
@@ -91,34 +98,53 @@
     probes = select_probes(names)
     fleet = TargetFleet(sizes, seed)
     meter = Meter(times)
-    is_real_run = times and (not names or real_gateway.NAME in names)
-    progress = Progress(len(probes) * POINTS + is_real_run * real_gateway.STEPS, report)
+    is_real_run = times and (not names or measurement.NAME in names)
+    progress = Progress(len(probes) * POINTS + is_real_run * measurement.STEPS, report)
     began_s = time.monotonic()
     rows = [
-        row_to_json(run_sweep(probe, fleet, meter, quick, progress.step), command_of(probe.name, quick))
+        row_to_json(run_sweep(probe, fleet, meter, quick, progress.step), probe_command(probe.name, quick))
         for probe in probes
     ]
-    phase_s = real_gateway.QUICK_PHASE_S if quick else real_gateway.PHASE_S
-    events_by_kind = Counter(event.kind for event in fleet.day())
+    real = _measure_real_gateway(fleet, quick, progress) if is_real_run else None
     return {
         "version": VERSION,
-        "made": time.strftime("%Y-%m-%d"),
-        "python": platform.python_version(),
-        "cores": len(os.sched_getaffinity(0)),
+        **_environment(),
         "seed": seed,
         "quick": quick,
         "times": times,
         "sizes": asdict(sizes),
         "rows": rows,
-        "real": real_gateway.measure(fleet, phase_s, progress.step) if is_real_run else None,
+        "real": real,
+        **_fleet_summary(fleet),
+        "seconds": round(time.monotonic() - began_s, 1),
+    }
+
+
+def _measure_real_gateway(fleet: TargetFleet, quick: bool, progress: Progress) -> Values:
+    phase_s = measurement.QUICK_PHASE_S if quick else measurement.PHASE_S
+    return measurement.measure(fleet, phase_s, progress.step)
+
+
+def _environment() -> dict[str, Any]:
+    """When and where the results are made."""
+    return {
+        "made": time.strftime("%Y-%m-%d"),
+        "python": platform.python_version(),
+        "cores": len(os.sched_getaffinity(0)),
+    }
+
+
+def _fleet_summary(fleet: TargetFleet) -> dict[str, Any]:
+    """What was generated: the events of a day by kind, and the bounds of the services' sizes."""
+    events_by_kind = Counter(event.kind for event in fleet.day())
+    return {
         "day": dict(sorted(events_by_kind.items())),
         "largest_service": max(fleet.service_sizes),
         "smallest_service": min(fleet.service_sizes),
-        "seconds": round(time.monotonic() - began_s, 1),
     }
 
 
-def command_of(name: str, quick: bool) -> str:
+def probe_command(name: str, quick: bool) -> str:
     """Return the command that runs a probe again."""
     return f"./run.sh lab scale --probe {name}{' --quick' if quick else ''}"
 
@@ -139,7 +165,7 @@
     if not results.times:
         lines.append(["times", ", ".join(TIMES), "", "", "", "", "not run", ""])
     for name, value in results.real.items():
-        lines.append([real_gateway.NAME, name, "one process", "", "", "", f"{value:.4g}", "reached"])
+        lines.append([measurement.NAME, name, "one process", "", "", "", f"{value:.4g}", "reached"])
     return lines
 
 
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -84,13 +84,14 @@
 
 PROBES = (
     Probe(
-        "connections-by-gateways",
-        "servers",
-        "connections held to one server of the mean service",
-        "gateways",
-        "one service of the mean size at its part of the load, 10 s idle",
-        "sagetrack/http1/connection_pool.py: ConnectionPools; sagetrack/policy/selection.py: subset",
-        connections_by_gateways,
+        name="connections-by-gateways",
+        role="servers",
+        event="connections held to one server of the mean service",
+        axis="gateways",
+        fixed="one service of the mean size at its part of the load, 10 s idle",
+        mechanism="sagetrack/http1/connection_pool.py: ConnectionPools; "
+        "sagetrack/policy/selection.py: subset",
+        run=connections_by_gateways,
         smallest=3,
         simulated=("open_each", "open_most", "handshakes_per_call", "messages_per_s"),
     ),
--- a/sagetrack/lab/scale/simulated_gateway.py
+++ b/sagetrack/lab/scale/simulated_gateway.py
@@ -1,6 +1,6 @@
 """A gateway's policy without sockets: requests are answered at once, timers fire when a request is over.
 
-The pages and the stored results call this "hollow".
+docs/CAPACITY.md and the stored results call this "hollow".
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         return attempts
 
     def send_request(self, class_index: int = SAFE, failures: int = 0) -> list[int]:
-        """Play one request, whose first so many attempts end in errors; return the servers it was sent to."""
+        """Play one request whose first `failures` attempts fail; return the servers it was sent to."""
         self.request_count += 1
         self.timers = []
         name = f"{self.request_count:x}"
--- a/sagetrack/lab/scale/target_fleet.py
+++ b/sagetrack/lab/scale/target_fleet.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetEvent:
-    """A change or failure, so many seconds after the day began."""
+    """A change or failure, and when it happens, in seconds since the start of the day."""
 
     at_s: float
     kind: str  # change, machine, restart, rack, zone or region
@@ -51,14 +51,14 @@
 
 
 def zipf_shares(count: int) -> list[float]:
-    """Return the shares of so many tenants, the largest first; they add up to 1."""
+    """Return the share of each of `count` tenants, the largest first; they add up to 1."""
     raw = [rank**-ZIPF_EXPONENT for rank in range(1, count + 1)]
     total = sum(raw)
     return [share / total for share in raw]
 
 
 def lognormal_sizes(total: int, parts: int, draw: random.Random) -> list[int]:
-    """Return lognormal sizes of so many services that add up to `total`, each at least 1.
+    """Return `parts` lognormal sizes that add up to `total`, each at least 1.
 
     Raises:
         ValueError: There are fewer servers than services.
@@ -84,14 +84,14 @@
         self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # as many in each
 
     def listed_servers(self, count: int, first: int = 0) -> tuple[ListedServer, ...]:
-        """Return so many servers as the policy takes them; none is in slow start."""
+        """Return `count` servers in the form of the policy; none is in slow start."""
         return tuple(
             ListedServer(number, zone=self.zone_by_server[number], group=number // SERVERS_PER_GROUP)
             for number in range(first, first + count)
         )
 
     def settings(self, tenants: int, gateways: int = 1, gateway: int = 0) -> Settings:
-        """Return a gateway's settings with the first so many tenants, whose shares then add up to 1."""
+        """Return a gateway's settings with the first `tenants` tenants, whose shares then add up to 1."""
         total = sum(self.tenant_shares[:tenants]) or 1.0
         return Settings(
             classes=CLASSES,
@@ -102,7 +102,7 @@
         )
 
     def platform_settings(self, tenants: int) -> dict[str, Any]:
-        """Return the settings object of a gateway's file (its keys are the file's) with so many tenants."""
+        """Return the settings object of a gateway's file (with the file's keys) with `tenants` tenants."""
         return {
             "balancers": self.sizes.gateways,
             "index": 0,
@@ -132,7 +132,7 @@
         }
 
     def full_list(self, count: int) -> dict[str, Any]:
-        """Return a full list of the first so many servers in discovery's form."""
+        """Return a full list of the first `count` servers in discovery's form."""
         endpoints = [self.discovery_entry(number) for number in range(count)]
         return {"index": 1, "snapshot": True, "endpoints": endpoints}
 
@@ -141,7 +141,7 @@
         return {"index": 2, "snapshot": False, "endpoints": [self.discovery_entry(0, status)]}
 
     def servers_in_zone(self, zone: int, count: int) -> tuple[int, ...]:
-        """Return those of the first so many servers that are in a zone."""
+        """Return those of the first `count` servers that are in a zone."""
         return tuple(number for number in range(count) if self.zone_by_server[number] == zone)
 
     def day(self) -> list[FleetEvent]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""The fleet ahead: what grows with it, counted (never timed); its generator, its page, its bad input.
+"""The scale tests: what grows with the fleet, counted and never timed; the generator, the page, bad input.
 
-Work is asserted as ceilings in steps of the interpreter: the same every time, and lowered by a mend.
+Work is asserted as ceilings in steps of the interpreter, which are the same every time.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 import pytest
 
-from sagetrack.lab.scale import real_gateway
 from sagetrack.lab.scale.fit import fit_points
 from sagetrack.lab.scale.meter import TIMES, Meter, count_steps
 from sagetrack.lab.scale.page.figures import NOT_RUN
 from sagetrack.lab.scale.page.rendering import BEGIN_MARK, END_MARK, render_measurements, render_page
 from sagetrack.lab.scale.page.requirements import REQUIREMENTS
 from sagetrack.lab.scale.page.tables import over_allowance
-from sagetrack.lab.scale.probe import geometric_sizes
-from sagetrack.lab.scale.results import StoredResults
+from sagetrack.lab.scale.probe import geometric_sizes, run_sweep
+from sagetrack.lab.scale.real_gateway import measurement
+from sagetrack.lab.scale.results import StoredResults, row_to_json
 from sagetrack.lab.scale.run import PROBES, ScaleError, check_sizes, result_table, run_probes, select_probes
 from sagetrack.lab.scale.target import CHANGES_PER_DAY, FAILED_PER_DAY, RESTARTED_PER_DAY, Sizes
 from sagetrack.lab.scale.target_fleet import TargetFleet, lognormal_sizes, zipf_shares
@@ -33,13 +33,13 @@
 from tests.test_cli import ROOT, command
 
 SMALL = Sizes(gateways=24, servers=200, services=8, tenants=400)
-KNOWN = {probe.name: probe for probe in PROBES}
+PROBES_BY_NAME = {probe.name: probe for probe in PROBES}
 
 
 @pytest.fixture(scope="module")
 def small() -> dict[str, Any]:
     """All probes at small sizes, counts alone."""
-    return run_probes(SMALL, 1, [], False, False, lambda share: None)
+    return run_probes(SMALL, 1, [], lambda share: None, quick=False, times=False)
 
 
 def row(found: dict[str, Any], probe: str) -> dict[str, Any]:
@@ -166,13 +166,13 @@
         return handle(self, now_us, event)
 
     monkeypatch.setattr(LoadBalancer, "handle", walks)
-    found = run_probes(SMALL, 1, ["decision-by-servers"], False, False, lambda share: None)
+    found = run_probes(SMALL, 1, ["decision-by-servers"], lambda share: None, quick=False, times=False)
     assert row(found, "decision-by-servers")["fits"]["steps"]["slope"] > CEILINGS["decision-by-servers"]
 
 
 def test_counts_are_the_same_every_time(small: dict[str, Any]) -> None:
     names = ["decision-by-tenants", "repeat-by-servers", "connections-by-gateways", "membership-by-gateways"]
-    again = run_probes(SMALL, 1, names, False, False, lambda share: None)
+    again = run_probes(SMALL, 1, names, lambda share: None, quick=False, times=False)
     for name in names:
         first, second = row(small, name)["points"], row(again, name)["points"]
         same = [
@@ -207,7 +207,7 @@
 
 def test_a_warm_start_is_told_a_bounded_number_of_datagrams() -> None:
     points = [
-        KNOWN["warm-start-by-servers"].run(TargetFleet(Sizes(), 1), size, Meter(False))
+        PROBES_BY_NAME["warm-start-by-servers"].run(TargetFleet(Sizes(), 1), size, Meter(False))
         for size in (100, 1_000, 2_000)
     ]
     assert points[0]["entries"] == 100  # all of them
@@ -217,7 +217,7 @@
 
 
 def test_connections_that_nobody_uses_are_closed_and_made_again() -> None:
-    found = KNOWN["connections-by-gateways"].run(TargetFleet(Sizes(), 1), 185, Meter(False))
+    found = PROBES_BY_NAME["connections-by-gateways"].run(TargetFleet(Sizes(), 1), 185, Meter(False))
     made = found["handshakes_per_call"] * found["calls"]
     assert found["open_each"] * Sizes().servers_per_service < made - 1 and found["open_most"] <= 185
 
@@ -248,10 +248,7 @@
 
 
 def test_a_quick_run_says_that_it_extrapolates() -> None:
-    probe = replace(KNOWN["change-to-gateways"], quick_largest=12)
-    from sagetrack.lab.scale.probe import run_sweep
-    from sagetrack.lab.scale.results import row_to_json
-
+    probe = replace(PROBES_BY_NAME["change-to-gateways"], quick_largest=12)
     found = row_to_json(run_sweep(probe, TargetFleet(SMALL, 1), Meter(False), True, lambda: None), "x")
     assert found["reached"] == 12 and found["target"] == 24 and found["extrapolated"]
     assert found["at_target"]["messages"] == pytest.approx(24)
@@ -306,7 +303,7 @@
     assert text.count(BEGIN_MARK) == text.count(END_MARK) == 1
     part = text.split(BEGIN_MARK)[1].split(END_MARK)[0]
     named = {word for word in part.split("`") if "-by-" in word or "-to-gateways" in word}
-    assert named and named <= set(KNOWN)
+    assert named and named <= set(PROBES_BY_NAME)
 
 
 # The command
@@ -380,8 +377,8 @@
 def test_a_real_gateway_takes_a_long_list_changes_and_the_loss_of_a_zone() -> None:
     before, cores = children(), os.sched_getaffinity(0)
     done: list[int] = []
-    found = real_gateway.measure(TargetFleet(SMALL, 1), 0.5, lambda: done.append(1))
-    assert len(done) == real_gateway.STEPS
+    found = measurement.measure(TargetFleet(SMALL, 1), 0.5, lambda: done.append(1))
+    assert len(done) == measurement.STEPS
     parts = ("warm", "calm", "listing", "changes", "zone")
     # How many are turned away follows from the machine's other work; none may fail, whatever that is.
     assert all(found[f"{name}_failed"] == 0 for name in parts), found
