--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -46,10 +46,10 @@
     return next(row for row in found["rows"] if row["probe"] == probe)
 
 
-# The generator
+# The generated fleet
 
 
-def test_a_service_has_a_size_of_its_own_and_all_servers_are_in_one() -> None:
+def test_services_differ_in_size_and_every_server_is_in_one() -> None:
     fleet = TargetFleet(Sizes(), 1)
     assert sum(fleet.service_sizes) == 9_600 and len(fleet.service_sizes) == 390
     assert min(fleet.service_sizes) >= 1 and max(fleet.service_sizes) > 4 * 9_600 / 390
@@ -63,15 +63,15 @@
 def test_tenants_are_many_with_a_long_tail() -> None:
     shares = zipf_shares(39_000)
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
-    assert sum(shares[:390]) > 0.5 and shares[-1] > 0  # one in a hundred asks for more than half
+    assert sum(shares[:390]) > 0.5 and shares[-1] > 0  # one in a hundred has more than half
 
 
-def test_a_day_brings_what_the_target_says_and_is_the_same_for_a_seed() -> None:
+def test_a_day_has_the_targets_events_and_is_the_same_for_a_seed() -> None:
     day = TargetFleet(Sizes(), 5).day()
-    counts = {kind: sum(one.kind == kind for one in day) for kind in ("change", "machine", "restart")}
+    counts = {kind: sum(event.kind == kind for event in day) for kind in ("change", "machine", "restart")}
     assert counts == {"change": CHANGES_PER_DAY, "machine": FAILED_PER_DAY, "restart": RESTARTED_PER_DAY}
-    assert day == sorted(day, key=lambda one: one.at_s) == TargetFleet(Sizes(), 5).day()
-    kinds = {one.kind for seed in range(40) for one in TargetFleet(Sizes(), seed).day()}
+    assert day == sorted(day, key=lambda event: event.at_s) == TargetFleet(Sizes(), 5).day()
+    kinds = {event.kind for seed in range(40) for event in TargetFleet(Sizes(), seed).day()}
     assert "rack" in kinds
 
 
@@ -109,20 +109,21 @@
 
 def test_times_are_taken_where_they_are_wanted_and_nowhere_else() -> None:
     calls: list[int] = []
-    rested: list[int] = []
-    values = Meter(True).measure_event(lambda: calls.append(1), lambda: rested.append(1))
-    assert set(values) == {"steps", *TIMES} and len(calls) == len(rested)
+    prepared: list[int] = []
+    values = Meter(True).measure_event(lambda: calls.append(1), lambda: prepared.append(1))
+    assert set(values) == {"steps", *TIMES} and len(calls) == len(prepared)
     assert values["cpu_us_least"] <= values["cpu_us"] <= values["cpu_us_most"]
     assert set(Meter(False).measure_event(lambda: None)) == {"steps"}
 
 
-# Work, by the sizes that it may not or does grow with
+# Work, and the sizes that it grows with
 
 
-# Steps for one more of the size that is swept, as they are now: none may grow.
-# `list` and `zone` were 346 and 23.5 when each changed entry walked and sorted all servers: who belongs where
-# is kept now, so that the first whole list and one that takes many away at once pay it in, and nothing else.
-# `gateways` is one step up of 71, from four on, where a call asks for its part of all places, and no slope.
+# The slope of the steps as it is now, that is, steps for one more of the size that is swept: none may grow.
+# `list` and `zone` were 346 and 23.5 when each changed entry walked and sorted all servers. An index of the
+# servers is kept now: the first full list and a list that deletes many at once cost more, and nothing else.
+# `gateways` has no slope but one rise of 71 steps from four gateways on, where a request computes this
+# gateway's share of the places at the servers.
 CEILINGS = {
     "decision-by-tenants": 0.1,
     "decision-by-servers": 0.5,
@@ -148,7 +149,7 @@
     assert row(small, probe)["fits"]["steps"]["slope"] <= CEILINGS[probe]
 
 
-def test_a_call_costs_the_same_however_many_gateways_there_are_beyond_three(small: dict[str, Any]) -> None:
+def test_a_request_costs_the_same_for_any_number_of_gateways_above_three(small: dict[str, Any]) -> None:
     steps = [point["steps"] for point in row(small, "decision-by-gateways")["points"]]
     assert len(set(steps[1:])) == 1 and steps[1] - steps[0] <= 75
 
@@ -157,15 +158,15 @@
     assert {row["probe"] for row in small["rows"] if "steps" in row["points"][0]} == set(CEILINGS)
 
 
-def test_work_that_walks_the_servers_for_each_call_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_walks_all_servers_exceeds_its_ceiling(monkeypatch: pytest.MonkeyPatch) -> None:
     handle = LoadBalancer.handle
 
-    def walks(self: LoadBalancer, now_us: int, event: Any) -> Any:
+    def handle_and_walk(self: LoadBalancer, now_us: int, event: Any) -> Any:
         if isinstance(event, RequestArrived):
             assert all(server.weight >= 0 for server in self.servers.values())
         return handle(self, now_us, event)
 
-    monkeypatch.setattr(LoadBalancer, "handle", walks)
+    monkeypatch.setattr(LoadBalancer, "handle", handle_and_walk)
     found = run_probes(SMALL, 1, ["decision-by-servers"], lambda share: None, quick=False, times=False)
     assert row(found, "decision-by-servers")["fits"]["steps"]["slope"] > CEILINGS["decision-by-servers"]
 
@@ -192,20 +193,22 @@
     assert {point["change_bytes"] for point in points} == {198}
 
 
-def test_demands_are_six_datagrams_a_second_however_many_ask(small: dict[str, Any]) -> None:
+def test_demands_are_six_datagrams_a_second_for_any_number_of_tenants(small: dict[str, Any]) -> None:
     points = row(small, "demands-by-tenants")["points"]
     assert {point["messages_per_s"] for point in points} == {6}
     assert max(point["bytes"] for point in points) <= 256
     assert max(point["entries"] for point in points) == 24
 
 
-def test_membership_sends_the_same_few_datagrams_however_many_there_are(small: dict[str, Any]) -> None:
+def test_membership_sends_a_bounded_number_of_datagrams_for_any_number_of_gateways(
+    small: dict[str, Any],
+) -> None:
     points = row(small, "membership-by-gateways")["points"]
     assert all(point["messages_per_s"] < 2.5 and point["missed"] == 0 for point in points)
     assert all(point["bytes_per_s"] < 2.5 * 256 for point in points)
 
 
-def test_a_warm_start_is_told_a_bounded_number_of_datagrams() -> None:
+def test_a_warm_start_is_answered_with_a_bounded_number_of_datagrams() -> None:
     points = [
         PROBES_BY_NAME["warm-start-by-servers"].run(TargetFleet(Sizes(), 1), size, Meter(False))
         for size in (100, 1_000, 2_000)
@@ -216,7 +219,7 @@
     assert all(point["bytes"] <= 3 * 32 * 256 for point in points)
 
 
-def test_connections_that_nobody_uses_are_closed_and_made_again() -> None:
+def test_idle_connections_are_closed_and_opened_again() -> None:
     found = PROBES_BY_NAME["connections-by-gateways"].run(TargetFleet(Sizes(), 1), 185, Meter(False))
     made = found["handshakes_per_call"] * found["calls"]
     assert found["open_each"] * Sizes().servers_per_service < made - 1 and found["open_most"] <= 185
@@ -228,16 +231,16 @@
         assert 0 < point["handshakes_per_call"] < 1
 
 
-def test_what_a_change_puts_on_the_control_machines_is_by_the_gateway(small: dict[str, Any]) -> None:
+def test_bytes_of_a_configuration_change_are_proportional_to_the_gateways(small: dict[str, Any]) -> None:
     points = row(small, "change-to-gateways")["points"]
     text = len(json.dumps(TargetFleet(SMALL, 1).platform_settings(SMALL.tenants)))
     assert [point["bytes"] for point in points] == [text * point["size"] for point in points]
 
 
-# What is said of each figure
+# What the results say of each figure
 
 
-def test_each_row_says_what_it_reached_and_what_was_extrapolated(small: dict[str, Any]) -> None:
+def test_each_row_says_which_size_it_reached_and_whether_it_is_extrapolated(small: dict[str, Any]) -> None:
     for found in small["rows"]:
         assert found["reached"] <= found["target"] and found["mechanism"] and found["kind"] == "hollow"
         assert found["extrapolated"] == (found["reached"] < found["target"])
@@ -257,7 +260,7 @@
 # The page
 
 
-def test_the_page_says_not_run_where_it_was_not(small: dict[str, Any]) -> None:
+def test_the_page_says_not_run_where_nothing_was_run(small: dict[str, Any]) -> None:
     lines = {
         line.split(" | ")[1]: line
         for line in render_measurements(small).splitlines()
@@ -265,10 +268,10 @@
     }
     assert NOT_RUN in lines["one call, all tenants"]
     assert NOT_RUN not in lines["tenants, servers, settings and list in memory"]
-    assert len({(need.role, need.description, need.unit) for need in REQUIREMENTS}) == len(REQUIREMENTS)
+    assert len({(row.role, row.description, row.unit) for row in REQUIREMENTS}) == len(REQUIREMENTS)
 
 
-def test_the_page_is_filled_between_its_marks_and_only_there(small: dict[str, Any]) -> None:
+def test_the_page_is_rendered_between_its_marks_only(small: dict[str, Any]) -> None:
     page = f"# before\n{BEGIN_MARK}\nstale\n{END_MARK}\nafter\n"
     once = render_page(page, small)
     assert (
@@ -289,9 +292,9 @@
             for point in found["points"]:
                 point |= {"cpu_us": 1.0, "cpu_us_least": 0.9, "cpu_us_most": 1.1, "longest_ms": 1.0}
     order = [
-        need.description
-        for times, need in over_allowance(StoredResults.from_json(slow))
-        if times in (10.0, 2.0)
+        requirement.description
+        for factor, requirement in over_allowance(StoredResults.from_json(slow))
+        if factor in (10.0, 2.0)
     ]
     assert order == ["a keyed call with one repeat", "one call, all tenants"]
     text = render_measurements(slow, small)
@@ -346,7 +349,7 @@
     assert file.read_text() == "kept" and len(list(tmp_path.iterdir())) == 1
 
 
-def test_a_page_that_cannot_be_filled_is_left_as_it_is(tmp_path: Path) -> None:
+def test_a_page_that_cannot_be_rendered_stays_as_it_is(tmp_path: Path) -> None:
     file, page = tmp_path / "s.json", tmp_path / "page.md"
     page.write_text("no marks")
     for text in ("{", "[]", '{"rows": []}'):
@@ -355,7 +358,7 @@
         assert done.returncode == 2 and done.stderr.count("\n") == 1 and page.read_text() == "no marks"
 
 
-def test_what_does_not_fit_is_refused_before_anything_is_made() -> None:
+def test_sizes_that_do_not_fit_into_memory_are_rejected_first() -> None:
     half = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
     check_sizes(Sizes())
     with pytest.raises(ScaleError, match="GiB"):
@@ -364,23 +367,23 @@
         select_probes(["x"])
 
 
-# The real gateway beside them
+# The real gateway
 
 
 def children() -> set[str]:
-    """Processes that this one has started and that are there still, by id."""
+    """Return the ids of the running processes that this one has started."""
     shown = subprocess.run(["ps", "-e", "-o", "pid=,ppid=,comm="], capture_output=True, text=True).stdout
     rows = [line.split(None, 2) for line in shown.splitlines()]
     return {pid for pid, parent, name in rows if parent == str(os.getpid()) and name != "ps"}
 
 
-def test_a_real_gateway_takes_a_long_list_changes_and_the_loss_of_a_zone() -> None:
+def test_a_real_gateway_takes_a_full_list_changes_and_the_loss_of_a_zone() -> None:
     before, cores = children(), os.sched_getaffinity(0)
     done: list[int] = []
     found = measurement.measure(TargetFleet(SMALL, 1), 0.5, lambda: done.append(1))
     assert len(done) == measurement.STEPS
     parts = ("warm", "calm", "listing", "changes", "zone")
-    # How many are turned away follows from the machine's other work; none may fail, whatever that is.
+    # How many are rejected depends on the machine's other work; none may fail in any case.
     assert all(found[f"{name}_failed"] == 0 for name in parts), found
     assert sum(found[f"{name}_done"] for name in parts) <= found["all_answered"] > 0, found
     assert found["listing_bytes"] > 200 * 100 and found["ready_full_list_s"] > 0
