--- a/sagetrack/lab/scale/page/failures.py
+++ b/sagetrack/lab/scale/page/failures.py
@@ -147,7 +147,7 @@
         "for an hour, now and then",
         _constant(
             "half of the members are held for dead on each side; no side has the majority, so no "
-            "gateway takes over another's part (`decide/shares.py`)"
+            "gateway takes over another's part (`policy/fleet_size.py`)"
         ),
         _views_equal,
     ),
--- a/sagetrack/lab/scale/page/tables.py
+++ b/sagetrack/lab/scale/page/tables.py
@@ -5,6 +5,7 @@
 from sagetrack.lab.scale.page.figures import NOT_RUN, FigureKey, FigureReader, format_figure
 from sagetrack.lab.scale.page.requirement import Evaluation, Requirement, evaluate
 from sagetrack.lab.scale.page.requirements import REQUIREMENTS
+from sagetrack.lab.scale.probes import PROBES_BY_NAME
 from sagetrack.lab.scale.results import StoredResults, StoredRow
 
 
@@ -35,11 +36,17 @@
         _spread_cell(figures) if is_run else "-",
         _basis_cell(requirement, figures) if is_run else requirement.basis,
         ", ".join(f"`{probe}`" for probe in dict.fromkeys(key.probe for key in figures.keys_read)),
-        "; ".join(dict.fromkeys(row.mechanism for row in figures.probe_rows())) or "the whole process",
+        "; ".join(dict.fromkeys(map(_mechanism, figures.probe_rows()))) or "the whole process",
     )
     return f"| {' | '.join(cells)} |"
 
 
+def _mechanism(row: StoredRow) -> str:
+    """The file that does a probe's work today; as stored for a probe that is gone."""
+    probe = PROBES_BY_NAME.get(row.probe)
+    return row.mechanism if probe is None else probe.mechanism
+
+
 def _needed_cell(evaluation: Evaluation) -> str:
     if evaluation.needed is None:
         return NOT_RUN
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -10,15 +10,14 @@
 from dataclasses import asdict
 from typing import Any
 
-from sagetrack.lab.scale import agent, control, gateway, peers, servers
 from sagetrack.lab.scale.meter import TIMES, Meter, Values
 from sagetrack.lab.scale.probe import POINTS, Probe, run_sweep
+from sagetrack.lab.scale.probes import PROBES
 from sagetrack.lab.scale.real_gateway import measurement
 from sagetrack.lab.scale.results import VERSION, StoredResults, StoredRow, row_to_json
 from sagetrack.lab.scale.target import Sizes, needed_bytes
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-PROBES: tuple[Probe, ...] = (*gateway.PROBES, *agent.PROBES, *peers.PROBES, *servers.PROBES, *control.PROBES)
 GIB = 2**30
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,9 +23,10 @@
 from sagetrack.lab.scale.page.requirements import REQUIREMENTS
 from sagetrack.lab.scale.page.tables import over_allowance
 from sagetrack.lab.scale.probe import geometric_sizes, run_sweep
+from sagetrack.lab.scale.probes import PROBES_BY_NAME
 from sagetrack.lab.scale.real_gateway import measurement
 from sagetrack.lab.scale.results import StoredResults, row_to_json
-from sagetrack.lab.scale.run import PROBES, ScaleError, check_sizes, result_table, run_probes, select_probes
+from sagetrack.lab.scale.run import ScaleError, check_sizes, result_table, run_probes, select_probes
 from sagetrack.lab.scale.target import CHANGES_PER_DAY, FAILED_PER_DAY, RESTARTED_PER_DAY, Sizes
 from sagetrack.lab.scale.target_fleet import TargetFleet, lognormal_sizes, zipf_shares
 from sagetrack.policy.events import RequestArrived
@@ -33,7 +34,6 @@
 from tests.test_cli import ROOT, command
 
 SMALL = Sizes(gateways=24, servers=200, services=8, tenants=400)
-PROBES_BY_NAME = {probe.name: probe for probe in PROBES}
 
 
 @pytest.fixture(scope="module")
@@ -309,6 +309,15 @@
     assert named and named <= set(PROBES_BY_NAME)
 
 
+def test_the_page_that_ships_is_what_its_stored_results_render() -> None:
+    page = ROOT / "docs" / "CAPACITY.md"
+    before, after = (
+        json.loads((ROOT / "docs" / "capacity" / f"2026-12-02-{name}.json").read_text())
+        for name in ("before", "after")
+    )
+    assert render_page(page.read_text(), before, after) == page.read_text()
+
+
 # The command
 
 
