--- a/sagetrack/policy/policy_context.py
+++ b/sagetrack/policy/policy_context.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.fleet_size import FleetSize
 from sagetrack.policy.latency import LatencyEstimator
@@ -11,20 +9,30 @@
 from sagetrack.policy.timers import Timers
 
 
-@dataclass(slots=True, frozen=True)
 class PolicyContext:
-    """Collaborators that most components need; a component keeps those that it uses.
+    """Collaborators that most components need; a component keeps those that it uses."""
+
+    __slots__ = ("event", "fleet", "latency", "settings", "timers")
 
-    Attributes:
-        settings: The settings of the load balancer.
-        event: The event that is being handled: its time, its actions, the random generator.
-        timers: Timers that are set, by what they are for.
-        fleet: How many gateways and processes share the servers.
-        latency: Latency estimates by request class.
-    """
+    def __init__(
+        self,
+        settings: Settings,
+        event: EventContext,
+        timers: Timers,
+        fleet: FleetSize,
+        latency: LatencyEstimator,
+    ) -> None:
+        """Hold the collaborators of one load balancer.
 
-    settings: Settings
-    event: EventContext
-    timers: Timers
-    fleet: FleetSize
-    latency: LatencyEstimator
+        Args:
+            settings: The settings of the load balancer.
+            event: The event that is being handled: its time, its actions, the random generator.
+            timers: Timers that are set, by what they are for.
+            fleet: How many gateways and processes share the servers.
+            latency: Latency estimates by request class.
+        """
+        self.settings = settings
+        self.event = event
+        self.timers = timers
+        self.fleet = fleet
+        self.latency = latency
