--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -33,7 +33,7 @@
     from sagetrack.lab.analysis.records import Records
     from sagetrack.lab.errors import LabError
     from sagetrack.lab.model.scenario import altered, load
-    from sagetrack.lab.processes.fleet import play
+    from sagetrack.lab.processes.run import play
     from sagetrack.lab.repository import SCENARIOS
 
     scenario = load(SCENARIOS / "demo.toml")
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -94,7 +94,7 @@
 def play_real(scenario: Scenario, seed: int, quiet: bool, sample_s: float) -> Records:
     """Play in real time behind a bar; one plain line and exit 2 if the lab cannot."""
     from sagetrack.lab.errors import LabError
-    from sagetrack.lab.processes.fleet import play
+    from sagetrack.lab.processes.run import play
 
     try:
         with bar(scenario.name, quiet) as tell:
--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -29,10 +29,10 @@
 from sagetrack.grpc.messages import pack
 from sagetrack.lab.benchmarks.throughput import configuration
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.processes.fleet import need_files
+from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
 from sagetrack.lab.repository import ROOT
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 
 PIECE = 16_000  # of an answer's body
 HEAD = (
@@ -58,10 +58,10 @@
     seconds: float
 
 
-class _Sink(NewConnection):
+class _Sink(GrpcServerConnection):
     """A server that keeps no body, and makes its own answer as it goes."""
 
-    def __init__(self, on_call: Callable[[NewConnection, Asked], None]) -> None:
+    def __init__(self, on_call: Callable[[GrpcServerConnection, GrpcRequest], None]) -> None:
         super().__init__(on_call)
         self.left: dict[int, int] = {}
 
@@ -71,46 +71,46 @@
         else:
             super().on_event(event)
 
-    def answer_long(self, asked: Asked, size: int) -> None:
-        asked.out += pack(Answer(length=size).SerializeToString())
-        self.left[asked.stream] = size
-        asked.trailers = [("grpc-status", "0")]
-        self.begin(asked)
-        self.push(asked)
-
-    def push(self, asked: Asked) -> None:
-        while not asked.over and asked.trailers is not None:
-            left = self.left.get(asked.stream, 0)
-            if not asked.out and left:
+    def answer_long(self, request: GrpcRequest, size: int) -> None:
+        request.outgoing += pack(Answer(length=size).SerializeToString())
+        self.left[request.stream_id] = size
+        request.trailers = [("grpc-status", "0")]
+        self.send_head(request)
+        self.send_pending(request)
+
+    def send_pending(self, request: GrpcRequest) -> None:
+        while not request.is_closed and request.trailers is not None:
+            left = self.left.get(request.stream_id, 0)
+            if not request.outgoing and left:
                 size = min(left, PIECE)
-                self.left[asked.stream] = left - size
-                asked.out += pack(Answer(body=bytes(size)).SerializeToString())
+                self.left[request.stream_id] = left - size
+                request.outgoing += pack(Answer(body=bytes(size)).SerializeToString())
             try:
-                if not asked.out:
-                    self.h2.send_headers(asked.stream, asked.trailers, end_stream=True)
-                    self.end(asked)
+                if not request.outgoing:
+                    self.h2.send_headers(request.stream_id, request.trailers, end_stream=True)
+                    self.close_stream(request)
                     return
-                window = self.h2.local_flow_control_window(asked.stream)
+                window = self.h2.local_flow_control_window(request.stream_id)
                 room = min(window, self.h2.max_outbound_frame_size)
                 if room <= 0:
                     self.flush()
                     return
-                self.h2.send_data(asked.stream, bytes(asked.out[:room]))
-                del asked.out[:room]
+                self.h2.send_data(request.stream_id, bytes(request.outgoing[:room]))
+                del request.outgoing[:room]
             except h2.exceptions.H2Error:
-                asked.over = True
+                request.is_closed = True
 
 
 def _serve(ports: int, size: int, pipe: Any) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        held: list[tuple[_Sink, Asked]] = []
+        held: list[tuple[_Sink, GrpcRequest]] = []
         due: asyncio.TimerHandle | None = None
 
-        def take(connection: NewConnection, asked: Asked) -> None:
+        def take(connection: GrpcServerConnection, request: GrpcRequest) -> None:
             nonlocal due
             assert isinstance(connection, _Sink)
-            held.append((connection, asked))
+            held.append((connection, request))
             if due is not None:
                 due.cancel()
             due = loop.call_later(QUIET_S, answer)
@@ -157,7 +157,7 @@
 
 def measure(streams: int, body_kb: int, progress: Callable[[float], None]) -> Held:
     """One round; LabError if the gateway does not come up."""
-    need_files(4 * streams + 2000)
+    require_file_descriptors(4 * streams + 2000)
     size = body_kb * 1000
     context = multiprocessing.get_context("fork")
     here, there = context.Pipe()
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -21,9 +21,10 @@
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario, platform_settings
 from sagetrack.lab.model.world import Listed, World
-from sagetrack.lab.processes.fleet import GatewayProcess, RealClock
+from sagetrack.lab.processes.clock import RealClock
+from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
-from sagetrack.lab.stand_ins.sockets import Agent, AgentConnection
+from sagetrack.lab.stand_ins.discovery_agent import DiscoveryAgent, DiscoveryConnection
 from sagetrack.store.directory import Disk
 from sagetrack.store.engine import Store
 from sagetrack.store.format import Record
@@ -85,10 +86,10 @@
 )
 
 
-class SlowAgent(Agent):
+class SlowAgent(DiscoveryAgent):
     """Discovery that takes its time."""
 
-    def answer(self, connection: AgentConnection, since: int | None) -> None:
+    def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
         asyncio.get_running_loop().call_later(SLOW_S, super().answer, connection, since)
 
 
@@ -114,7 +115,9 @@
     return f"127.20.{server // 250}.{server % 250 + 1}:8000"  # nobody listens, and nothing is sent
 
 
-def launch(case: Case, agent: Agent, settings: dict[str, Any], folder: Path) -> tuple[GatewayProcess, str]:
+def launch(
+    case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path
+) -> tuple[GatewayProcess, str]:
     """Start a process of the case; it and where it will listen."""
     folder.mkdir()
     operator = ""
@@ -128,9 +131,9 @@
         "listen": listen,
         "admin": f"{host}:{free_port()}",
         "seed": "1",
-        "discovery": agent.door.address,
+        "discovery": agent.listener.address,
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": agent.known(),
+        "known": agent.full_list(),
         "settings": settings,
     }
     if case.gateways > 1:
@@ -146,7 +149,7 @@
     end_s = loop.time() + GIVE_UP_S
     while loop.time() < end_s:
         if process.process.poll() is not None:
-            raise LabError(f"a gateway ended as it started: {process.last_words()}")
+            raise LabError(f"a gateway ended as it started: {process.last_log_line()}")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
@@ -157,20 +160,20 @@
         except OSError:
             pass
         await asyncio.sleep(POLL_S)
-    raise LabError(f"a gateway was not ready within {GIVE_UP_S:g} s: {process.last_words()}")
+    raise LabError(f"a gateway was not ready within {GIVE_UP_S:g} s: {process.last_log_line()}")
 
 
 async def play(case: Case, rounds: int, folder: Path) -> Reading:
     """One case, so many times; LabError if a gateway does not start."""
     world = world_of(case)
     settings = platform_settings(world.scenario, 0)
-    agent = (SlowAgent if case.discovery == "slow" else Agent)(world, 0, address_of, 0)
+    agent = (SlowAgent if case.discovery == "slow" else DiscoveryAgent)(world, 0, address_of, 0)
     zones = len(world.scenario.fleet.zones)
     for server in range(1, case.servers + 1):
         agent.entries[server] = Listed(server, server % zones, server // 20)
     world.roster.down = case.discovery == "silent"
     if case.discovery == "refuses":
-        agent.door.close()
+        agent.listener.close()
     found: list[tuple[float, float, str]] = []
     loop = asyncio.get_running_loop()
     for number in range(rounds):
@@ -190,7 +193,7 @@
             for process in processes:
                 process.process.kill()
                 process.process.wait()
-    agent.door.close()
+    agent.listener.close()
     found.sort()
     parts = found[len(found) // 2][2]
     return Reading(case, [row[0] for row in found], sorted(row[1] for row in found), parts)
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -29,7 +29,7 @@
 from sagetrack.lab.analysis.figures import histogram
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.model.scenario import Clients, Fleet, RequestKind, Scenario, platform_settings
-from sagetrack.lab.processes.fleet import need_files
+from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.repository import ROOT
 
@@ -88,7 +88,7 @@
 
 def _serve_newer(count: int, core: int, pipe: Any) -> None:
     """The same of the newer format."""
-    from sagetrack.lab.stand_ins.grpc_server import NewConnection
+    from sagetrack.lab.stand_ins.grpc_server import GrpcServerConnection
 
     os.sched_setaffinity(0, {core})
 
@@ -97,7 +97,9 @@
         ports = []
         for _ in range(count):
             server = await loop.create_server(
-                lambda: NewConnection(lambda connection, asked: connection.answer(asked)), "127.0.0.1", 0
+                lambda: GrpcServerConnection(lambda connection, request: connection.respond(request)),
+                "127.0.0.1",
+                0,
             )
             ports.append(server.sockets[0].getsockname()[1])
         pipe.send(ports)
@@ -393,7 +395,7 @@
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 3:
         raise LabError(f"{len(cores)} cores are too few: the gateway, the servers and the load need one each")
-    need_files(2000 + max(sizes) * 4)
+    require_file_descriptors(2000 + max(sizes) * 4)
     results: list[Result] = []
     if newer and len(cores) < 4:
         raise LabError(f"{len(cores)} cores are too few: servers of the newer format need one too")
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -23,7 +23,7 @@
     parse_query,
 )
 from sagetrack.dns.message import Rcode as Code
-from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
+from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
 
 SLOW_S = 0.05  # for one message: a hang
 EVIL = (b"\xc0\x0c", b"\xff\xff", b"\0\0", b"\x3f", b"\xc0\xff", b"\0\x29", b"\x80", b"\0\xff\0\xff")
@@ -43,21 +43,21 @@
 def seeds() -> list[tuple[bytes, Query, int]]:
     """True messages to begin with: an answer, the query that it answers, and its id."""
     made = []
-    for number, (kind, manner) in enumerate(
+    for number, (kind, behaviour) in enumerate(
         (
-            ("A", Manner()),
-            ("A", Manner(records=20)),
-            ("A", Manner(negative=True)),
-            ("AAAA", Manner()),
-            ("A", Manner(cut=True)),
-            ("A", Manner(rcode=2)),
+            ("A", NameserverBehaviour()),
+            ("A", NameserverBehaviour(records=20)),
+            ("A", NameserverBehaviour(is_nxdomain=True)),
+            ("AAAA", NameserverBehaviour()),
+            ("A", NameserverBehaviour(truncates=True)),
+            ("A", NameserverBehaviour(rcode=2)),
         )
     ):
         wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
         query = parse_query(wire)
         made.append(
             (
-                Nameserver(manner).answers(encode_upstream_query(query, 1000 + number), True)[-1],
+                Nameserver(behaviour).responses(encode_upstream_query(query, 1000 + number), True)[-1],
                 query,
                 1000 + number,
             )
--- /dev/null
+++ b/sagetrack/lab/processes/background_tasks.py
@@ -0,0 +1,37 @@
+"""Tasks that a run starts and does not await, of which the first failure ends it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+from sagetrack.lab.errors import LabError
+
+
+class BackgroundTasks:
+    """Keeps tasks until they are done. `failure` is the first one's error text, or None."""
+
+    def __init__(self) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.tasks: set[asyncio.Task[Any]] = set()
+        self.failure: str | None = None
+
+    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start a task."""
+        task = self.loop.create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self._on_done)
+        return task
+
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
+        self.tasks.discard(task)
+        error = None if task.cancelled() else task.exception()
+        if error is not None and self.failure is None:
+            # Any error counts, not only the lab's own: a run without its clients shows nothing.
+            self.failure = str(error) if isinstance(error, LabError) else repr(error)
+
+    def cancel_all(self) -> None:
+        """Cancel every task."""
+        for task in list(self.tasks):
+            task.cancel()
--- /dev/null
+++ b/sagetrack/lab/processes/child_process.py
@@ -0,0 +1,25 @@
+"""What a process of the lab needs before it starts others."""
+
+from __future__ import annotations
+
+import ctypes
+import resource
+import signal
+
+from sagetrack.lab.errors import LabError
+
+PR_SET_PDEATHSIG = 1  # of prctl(2)
+
+
+def die_with_parent() -> None:
+    """Have the kernel kill this process when its parent ends; for `preexec_fn` of a child process."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+
+
+def require_file_descriptors(count: int) -> None:
+    """Raise this process's soft limit of open files to a number; LabError if the hard limit is below it."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft < count:
+        if hard != resource.RLIM_INFINITY and hard < count:
+            raise LabError(f"{count} descriptors are needed and {hard} allowed; raise `ulimit -Hn`")
+        resource.setrlimit(resource.RLIMIT_NOFILE, (count, hard))
--- /dev/null
+++ b/sagetrack/lab/processes/client_traffic.py
@@ -0,0 +1,128 @@
+"""Clients' requests to gateways over real connections, some of them kept for further requests."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Mapping
+
+from sagetrack.lab.model.world import Try, World
+from sagetrack.lab.processes.background_tasks import BackgroundTasks
+from sagetrack.lab.stand_ins.client_connection import CONNECTION_BROKE, ClientConnection, GatewayResponse
+
+# Verdicts of the model, by status; any other one is "failed".
+VERDICTS = {CONNECTION_BROKE: "broken", 200: "served", 429: "refused", 503: "refused"}
+
+
+def encode_request(world: World, attempt: Try) -> bytes:
+    """An attempt as an HTTP/1.1 request, its budget reduced by the time since the client sent it."""
+    request = attempt.request
+    kind = request.kind
+    spent_us = world.clock.now_us() - attempt.sent_us
+    method = "GET" if kind.effect == "safe" else "POST"
+    body = b"" if method == "GET" else b"b" * kind.body_bytes
+    lines = [
+        f"{method} /{kind.name}/{request.id} HTTP/1.1",
+        "Host: gateway",
+        f"X-Call-Id: {attempt.call}",
+        f"X-Call-Class: {kind.name}",
+        f"X-Caller: {world.scenario.members[request.member].name}",
+        f"X-Budget-Ms: {max(1, (attempt.budget_us - spent_us) // 1000)}",
+    ]
+    if request.client:
+        lines.append(f"X-Client: {request.client}")
+    if kind.effect == "keyed":
+        lines.append(f"Idempotency-Key: {request.key:x}")
+    if method == "POST":
+        lines.append(f"Content-Length: {len(body)}")
+    if attempt.number > 1 and world.scenario.clients.marks_retry:
+        lines.append("X-Again: 1")
+    if not request.keeps:
+        lines.append("Connection: close")
+    return "\r\n".join([*lines, "", ""]).encode() + body
+
+
+class ClientTraffic:
+    """Sends clients' attempts and reports their outcomes to the world.
+
+    `attempts` keeps every attempt by call id, for the stand-in servers that receive it. `ports` has each
+    gateway's, which may change.
+    """
+
+    def __init__(
+        self, world: World, ports: Mapping[int, int], draw: random.Random, background: BackgroundTasks
+    ) -> None:
+        self.world = world
+        self.ports = ports
+        self.draw = draw
+        self.background = background
+        self.attempts: dict[str, Try] = {}
+        self.idle: dict[int, list[ClientConnection]] = {gateway: [] for gateway in world.alive}
+        self.is_stopped = False
+
+    def stop(self) -> None:
+        """Send nothing more: an attempt that fails as the run ends would be retried."""
+        self.is_stopped = True
+
+    def send(self, attempt: Try) -> None:
+        """Send an attempt after the network's delay; `World.on_answer` is called once, or never."""
+        self.attempts[attempt.call] = attempt
+        self.world.clock.at(self.world.clock.now_us() + self._delay_us(), lambda: self.send_now(attempt))
+
+    def _delay_us(self) -> int:
+        return int(self.world.scenario.network.client_ms * 1000)
+
+    def send_now(self, attempt: Try) -> None:
+        """Send an attempt on a kept connection if there is one, or else on a new one."""
+        if attempt.over or self.is_stopped:
+            return
+        idle = self.idle[attempt.gateway]
+        while idle and attempt.request.keeps:
+            connection = idle.pop()
+            if connection.is_open:
+                self._write(attempt, connection)
+                return
+        self.background.spawn(self._connect_and_send(attempt))
+
+    async def _connect_and_send(self, attempt: Try) -> None:
+        gateway = attempt.gateway
+        try:
+            async with asyncio.timeout(attempt.budget_us / 1e6):
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    lambda: ClientConnection(self.idle[gateway].append),
+                    f"127.10.{gateway + 1}.1",
+                    self.ports[gateway],
+                )
+        except (OSError, TimeoutError):
+            if not attempt.over:
+                self.world.on_answer(attempt, "unreachable")
+            return
+        connection.reads_slowly = self.draw.random() < self.world.scenario.clients.slow_readers
+        if attempt.over or not connection.is_open:
+            connection.close()
+            return
+        self._write(attempt, connection)
+
+    def _write(self, attempt: Try, connection: ClientConnection) -> None:
+        was_reused = connection.is_reused
+        attempt.connection = connection
+        connection.send(
+            encode_request(self.world, attempt),
+            lambda response: self._on_response(attempt, response, was_reused),
+        )
+
+    def _on_response(self, attempt: Try, response: GatewayResponse, was_reused: bool) -> None:
+        is_broken = response.status == CONNECTION_BROKE
+        if is_broken and was_reused and not attempt.over and self.world.alive[attempt.gateway]:
+            # The gateway closed the kept connection while the request was on its way: it is sent again.
+            self.background.spawn(self._connect_and_send(attempt))
+            return
+        verdict = VERDICTS.get(response.status, "failed")
+        retry_after_us = int(response.retry_after_s * 1e6)
+        due_us = self.world.clock.now_us() + self._delay_us()
+        self.world.clock.at(due_us, lambda: self.world.on_answer(attempt, verdict, retry_after_us))
+
+    def abandon(self, attempt: Try) -> None:
+        """The client no longer waits: its connection is closed if the request is still in flight."""
+        if isinstance(attempt.connection, ClientConnection):
+            attempt.connection.abandon()
--- /dev/null
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -0,0 +1,187 @@
+"""A run's gateways in real time: processes, and everything that they reach over loopback sockets."""
+
+from __future__ import annotations
+
+import random
+from pathlib import Path
+
+from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.server import Server
+from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.processes.background_tasks import BackgroundTasks
+from sagetrack.lab.processes.client_traffic import ClientTraffic
+from sagetrack.lab.processes.gateway_settings import GatewaySettings, gateway_config, operator_settings
+from sagetrack.lab.processes.gateway_supervisor import GatewaySupervisor
+from sagetrack.lab.processes.hostile_clients import HostileClients
+from sagetrack.lab.stand_ins.address_server import AddressServer
+from sagetrack.lab.stand_ins.discovery_agent import DiscoveryAgent
+from sagetrack.lab.stand_ins.dns_clients import DnsTraffic
+from sagetrack.lab.stand_ins.grpc_address_server import GrpcAddressServerConnection
+from sagetrack.lab.stand_ins.http1_address_server import Http1ServerConnection
+from sagetrack.lab.stand_ins.peer_network import PeerNetwork
+
+
+class GatewayFleet:
+    """The world's `Gateways` in real time.
+
+    `folder` is for the processes' files; `base_ms` is the Unix time of the run's start in milliseconds. It
+    needs a running event loop. `stop` ends whatever it has started.
+    """
+
+    def __init__(self, world: World, folder: Path, base_ms: int) -> None:
+        self.world = world
+        self.base_ms = base_ms
+        self.draw = random.Random(f"{world.seed}/net")
+        self.background = BackgroundTasks()
+        self.supervisor = GatewaySupervisor(world, folder, self.background, self._settings)
+        self.clients = ClientTraffic(world, self.supervisor.ports, self.draw, self.background)
+        self.hostile_clients = HostileClients(self.supervisor.ports, self.draw, self.background)
+        self.servers: dict[int, AddressServer] = {}
+        self.agents: dict[int, DiscoveryAgent] = {}  # by gateway
+        self.peers = PeerNetwork(world) if world.scenario.peers.use else None
+        self.dns = DnsTraffic(world) if world.scenario.dns.rate else None
+        world.on_server = self._add_server
+        world.on_server_gone = self._remove_server
+
+    # Upstream servers
+
+    def _add_server(self, server: Server) -> None:
+        speaks_grpc = server.number in self.world.newer
+        connection_factory = GrpcAddressServerConnection if speaks_grpc else Http1ServerConnection
+        self.servers[server.number] = AddressServer(
+            self.world, server, self.clients.attempts, self._network_delay_us, connection_factory
+        )
+
+    def _remove_server(self, number: int) -> None:
+        server = self.servers.get(number)
+        if server is None:
+            return
+        if number in self.world.vanished:
+            server.silence()
+        else:
+            server.close()
+
+    def _server_address(self, gateway: int, number: int) -> str:
+        """Where a gateway reaches a server; for one that never was, where nobody listens."""
+        server = self.servers.get(number)
+        return server.listeners[gateway].address if server is not None else f"127.20.{gateway + 1}.254:9"
+
+    def _network_delay_us(self, gateway: int, number: int) -> int:
+        """A one-way delay between a gateway and a server, drawn with the scenario's jitter."""
+        network = self.world.scenario.network
+        entry = self.world.roster.entries.get(number)
+        zone_count = len(self.world.scenario.fleet.zones)
+        is_same_zone = entry is None or entry.zone == gateway % zone_count
+        base_ms = network.same_ms if is_same_zone else network.cross_ms
+        return int(base_ms * 1000 * (1.0 + network.jitter * self.draw.random()))
+
+    # Gateways
+
+    def _settings(self, gateway: int, process_number: int, folder: Path) -> GatewaySettings:
+        port = self.supervisor.ports[gateway]
+        agent = self.agents[gateway]
+        return GatewaySettings(
+            gateway_config(self.world, gateway, port, process_number, agent, self.peers),
+            operator_settings(self.world.scenario, gateway, folder, self.dns),
+        )
+
+    def start(self) -> None:
+        """Open the sockets of discovery and find each gateway a port; `start_all` starts the processes."""
+        for gateway in self.world.alive:
+            agent = DiscoveryAgent(self.world, gateway, self._server_address, self.base_ms)
+            for entry in self.world.known():
+                agent.entries[entry.server] = Listed(entry.server, entry.zone, entry.rack)
+            self.agents[gateway] = agent
+            self.supervisor.reserve_port(gateway)
+
+    async def start_all(self) -> None:
+        """Start the processes and wait until all are ready; LabError if one is not."""
+        if self.peers is not None:
+            await self.peers.open()
+        if self.dns is not None:
+            await self.dns.prepare()
+        await self.supervisor.start_all()
+
+    def kill(self, gateway: int) -> None:
+        """Kill a gateway's processes."""
+        self.supervisor.kill(gateway)
+
+    def revive(self, gateway: int) -> None:
+        """Start a killed gateway again, with the list that it last had, in the background."""
+        self.background.spawn(self._revive(gateway))
+
+    async def _revive(self, gateway: int) -> None:
+        await self.supervisor.restart(gateway)
+        self.world.revived(gateway)
+        self.tell(gateway, self.world.known(), True)
+
+    def upgrade(self, gateway: int) -> None:
+        """Replace a gateway's process by a new one in the background."""
+        self.supervisor.upgrade(gateway)
+
+    def tell(self, gateway: int, entries: list[Listed], whole: bool) -> None:
+        """Change the list that discovery has for a gateway."""
+        self.agents[gateway].apply(entries, whole)
+
+    def restart_base_time(self, base_ms: int) -> None:
+        """The run's start has this Unix time in milliseconds instead."""
+        for agent in self.agents.values():
+            agent.base_ms = base_ms
+
+    # Clients
+
+    def ask(self, this: Try) -> None:
+        """Send a client's attempt."""
+        self.clients.send(this)
+
+    def leave(self, this: Try) -> None:
+        """A client no longer waits for its attempt."""
+        self.clients.abandon(this)
+
+    @property
+    def open_dns_queries(self) -> int:
+        """DNS queries that have no outcome yet."""
+        return self.dns.open_queries if self.dns is not None else 0
+
+    # Faults that only sockets have
+
+    def special(self, trouble: Trouble, on: bool) -> None:
+        """Begin or end a fault; kinds that are the model's alone are passed over."""
+        match trouble.kind:
+            case "reload" if on:
+                self.supervisor.reload_all()
+            case "goaway" if on:
+                self._send_goaway()
+            case "slow-dns" if self.dns is not None:
+                self.dns.slow_upstreams(trouble, on)
+            case "discovery-down" if not on:
+                for agent in self.agents.values():
+                    agent.answer_pending()
+            case "crowd" | "rude" as kind if on:
+                self.hostile_clients.start(kind, int(trouble.size))
+            case "crowd" | "rude" as kind:
+                self.hostile_clients.stop(kind)
+            case _:
+                pass
+
+    def _send_goaway(self) -> None:
+        for server in self.servers.values():
+            for connection in list(server.connections):
+                if isinstance(connection, GrpcAddressServerConnection):
+                    connection.goaway()
+
+    # The end
+
+    def stop(self) -> None:
+        """End every process and close every socket."""
+        self.clients.stop()
+        self.background.cancel_all()
+        self.supervisor.stop()
+        for server in self.servers.values():
+            server.close()
+        for agent in self.agents.values():
+            agent.listener.close()
+        if self.dns is not None:
+            self.dns.close()
+        if self.peers is not None:
+            self.peers.close()
--- /dev/null
+++ b/sagetrack/lab/processes/gateway_settings.py
@@ -0,0 +1,76 @@
+"""What a gateway process is configured with: its JSON configuration and its operator file.
+
+The keys are the platform's and the operator file's; the scenario's names are translated to them here.
+"""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from sagetrack.lab.model.scenario import Scenario, platform_settings
+from sagetrack.lab.model.world import World
+from sagetrack.lab.processes.resource_usage import free_port
+from sagetrack.lab.stand_ins.discovery_agent import DiscoveryAgent
+from sagetrack.lab.stand_ins.dns_clients import DnsTraffic
+from sagetrack.lab.stand_ins.peer_network import PeerNetwork
+
+
+class GatewaySettings(NamedTuple):
+    """What one process is started with."""
+
+    config: dict[str, Any]
+    operator: str  # text of the operator file; empty for none
+
+
+def admission_settings(scenario: Scenario) -> str:
+    """The operator file's tables for gRPC servers, fair queues and rate limits."""
+    door = scenario.door
+    has_grpc_servers = scenario.fleet.new_share > 0 or scenario.fleet.roll_new
+    text = '[newer]\ntypes = ["v2"]\n' if has_grpc_servers else ""
+    if not door.use:
+        return text
+    return text + (
+        f"[queues]\nuse = true\npatience = {door.patience:g}\nmemory_mb = {door.memory_mb:g}\n"
+        f"[limits]\nadaptive = {str(door.adaptive).lower()}\nclient_per_s = {door.client_per_s:g}\n"
+        f"member_per_s = {door.member_per_s:g}\n"
+    )
+
+
+def operator_settings(scenario: Scenario, gateway: int, folder: Path, dns: DnsTraffic | None) -> str:
+    """The text of a gateway's operator file; its store, if there is one, is in this folder."""
+    text = dns.operator_settings(gateway) if dns is not None else ""
+    text += admission_settings(scenario)
+    if scenario.store.use:
+        text += f'[store]\nfolder = "{folder / "store"}"\nsync = "{scenario.store.sync}"\n'
+    return text
+
+
+def gateway_config(
+    world: World,
+    gateway: int,
+    port: int,
+    process_number: int,
+    agent: DiscoveryAgent,
+    peers: PeerNetwork | None,
+) -> dict[str, Any]:
+    """The JSON configuration of a gateway that listens for clients at this port."""
+    scenario = world.scenario
+    peer_settings: dict[str, Any] = {}
+    if peers is not None:
+        peer_settings["peer_listen"] = peers.listen_address(gateway)
+        peer_settings["peers"] = peers.peer_addresses(gateway)
+    return peer_settings | {
+        "name": f"g{gateway}",
+        "listen": f"127.10.{gateway + 1}.1:{port}",
+        "discovery": agent.listener.address,
+        "admin": f"127.0.0.1:{free_port()}",
+        "seed": f"{world.seed}/{gateway}/{process_number}",
+        "limits": {
+            "cores": 1.0,
+            "memory_mb": scenario.gateways.memory_mb,
+            "sockets": scenario.gateways.sockets,
+        },
+        "known": agent.full_list(),
+        "settings": platform_settings(scenario, gateway),
+    }
--- a/sagetrack/lab/scale/process.py
+++ b/sagetrack/lab/scale/process.py
@@ -23,7 +23,8 @@
 
 from sagetrack.lab.benchmarks.throughput import _Echo, _load, _Run
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.processes.fleet import GatewayProcess, need_files
+from sagetrack.lab.processes.child_process import require_file_descriptors
+from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.scale.world import FleetAhead
 from sagetrack.lab.stand_ins.scripted import Exchange, peer, reply
@@ -125,7 +126,7 @@
             if (await ask(process, b"status", b"\n")).startswith(b"SUCCESS"):
                 return time.monotonic() - began
         await asyncio.sleep(0.01)
-    raise LabError(f"the gateway is not ready: {process.last_words()}")
+    raise LabError(f"the gateway is not ready: {process.last_log_line()}")
 
 
 async def longest_gap_ms() -> float:
@@ -301,7 +302,7 @@
 
 def measure(fleet: FleetAhead, seconds: float, step: Callable[[], None]) -> dict[str, float]:
     """Figures by name; LabError if it cannot be played."""
-    need_files(1000)
+    require_file_descriptors(1000)
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2:
         raise LabError("one core is too few: the gateway and the load need one each")
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sagetrack.lab.soak.events import Begun, Journal, Whole, now_us
-from sagetrack.lab.stand_ins.sockets import Door
+from sagetrack.lab.stand_ins.listener import SilenceableListener
 
 PIECE = 16 * 1024
 Fault = Literal["mute", "unmute", "reset", "stall", "flow"]
@@ -148,7 +148,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.held: list[tuple[object, bytes]] = []
         self.stalled = False
-        self.door = Door("127.0.0.1", lambda: Relay(self))
+        self.door = SilenceableListener("127.0.0.1", lambda: Relay(self))
 
     def pass_on(self, forward: object, data: bytes) -> None:
         if self.stalled:
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from sagetrack.lab.processes.fleet import _die_with_parent
+from sagetrack.lab.processes.child_process import die_with_parent
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.repository import ROOT
 from sagetrack.lab.soak import events
@@ -164,7 +164,7 @@
             stdout=self.log,
             stderr=self.log,
             pass_fds=[self.listener.fileno()],
-            preexec_fn=_die_with_parent,
+            preexec_fn=die_with_parent,
         )
         self.processes.append(process)
         self.admins.append(admin)
@@ -226,7 +226,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=errors,
             env=os.environ | {"PYTHONPATH": str(ROOT)},
-            preexec_fn=_die_with_parent,
+            preexec_fn=die_with_parent,
         )
 
     async def start_server(self, number: int) -> None:
--- a/sagetrack/lab/stand_ins/__init__.py
+++ b/sagetrack/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback sockets: address servers, service discovery, DNS servers, clients."""
+"""Stand-ins on loopback sockets for what surrounds gateways: upstream servers, discovery, DNS, clients."""
--- /dev/null
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -0,0 +1,112 @@
+"""An upstream server of the lab's model on loopback sockets, apart from the protocol that it speaks.
+
+Each gateway reaches each server at an address of its own, so that the lab knows which gateway calls and can
+cut one direction alone.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+from sagetrack.lab.model.server import Job, Result, Server
+from sagetrack.lab.model.world import Try, World
+from sagetrack.lab.stand_ins.listener import SilenceableListener
+
+HANDSHAKE_ROUND_TRIP_HOPS = 2  # a new connection's first request takes a round trip more
+
+
+class ServerConnection(Protocol):
+    """A connection that an address server has accepted."""
+
+    transport: asyncio.Transport | None
+
+
+ConnectionFactory = Callable[["AddressServer", int], asyncio.Protocol]  # server and number of the gateway
+
+
+class AddressServer:
+    """One server of the model with a listener for each gateway.
+
+    Its connections add themselves to `connections` and leave it when they are lost. `attempts` are the
+    clients' requests by call id; what a request costs is read there.
+    """
+
+    def __init__(
+        self,
+        world: World,
+        server: Server,
+        attempts: Mapping[str, Try],
+        delay_us: Callable[[int, int], int],
+        connection_factory: ConnectionFactory,
+    ) -> None:
+        self.world = world
+        self.server = server
+        self.attempts = attempts
+        self._delay_us = delay_us
+        self.connections: set[ServerConnection] = set()
+        self.listeners = {
+            gateway: SilenceableListener(
+                f"127.20.{gateway + 1}.{server.number % 250 + 1}",
+                lambda gateway=gateway: connection_factory(self, gateway),  # type: ignore[misc]
+            )
+            for gateway in world.alive
+        }
+
+    def is_connected_to(self, gateway: int) -> bool:
+        """Whether messages pass between this server and a gateway: no partition separates them."""
+        return self.world.reaches(gateway, self.server.number)
+
+    def receives_from(self, gateway: int) -> bool:
+        """Whether what a gateway sends gets here and is read."""
+        return self.is_connected_to(gateway) and not self.server.silent
+
+    def new_job(
+        self, attempt: Try, is_new_connection: bool, deadline_us: int, on_done: Callable[[Job, Result], None]
+    ) -> Job:
+        """The model's work for a client's request; a new connection adds the work of its handshake."""
+        request = attempt.request
+        handshake_us = self.world.scenario.fleet.handshake_ms * 1000 if is_new_connection else 0.0
+        return Job(
+            attempt.call,
+            request.work_us + handshake_us,
+            request.key,
+            int(request.kind.window_ms * 1000),
+            request.kind.scope,
+            deadline_us,
+            on_done,
+        )
+
+    def after_network_delay(
+        self, gateway: int, action: Callable[[], None], is_new_connection: bool = False
+    ) -> None:
+        """Run an action once a message between this server and the gateway would have arrived."""
+        hops = 1 + (HANDSHAKE_ROUND_TRIP_HOPS if is_new_connection else 0)
+        delay_us = self._delay_us(gateway, self.server.number) * hops
+        self.world.clock.at(self.world.clock.now_us() + delay_us, action)
+
+    def deliver(self, job: Job, gateway: int, sent_us: int) -> None:
+        """Give a job to the model, unless the server has ended; `job.done` is called for a rejection too."""
+        if self.server.number not in self.world.servers:
+            return
+        if self.world.receive(self.server, job, gateway, sent_us) is Result.REJECTED:
+            job.done(job, Result.REJECTED)
+
+    def cancel(self, job: Job) -> None:
+        """The gateway no longer waits for this job."""
+        if not job.ended:
+            self.world.give_up(self.server, job)
+
+    def silence(self) -> None:
+        """Vanish: open connections stay open and say nothing, new ones do not come up."""
+        for listener in self.listeners.values():
+            listener.mute()
+
+    def close(self) -> None:
+        """Close the listeners and abort every connection."""
+        for listener in self.listeners.values():
+            listener.close()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -1,4 +1,4 @@
-"""DNS beside HTTP in a run: stand-in upstream servers, and clients that ask every gateway in an open loop."""
+"""DNS beside HTTP in a run: stand-in upstream servers, and clients that query gateways in an open loop."""
 
 from __future__ import annotations
 
@@ -7,43 +7,57 @@
 import socket
 import struct
 from collections.abc import Callable
+from functools import partial
 from typing import Any, cast
 
 from sagetrack.lab.model.scenario import Scenario, Trouble
 from sagetrack.lab.model.world import World
-from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
+from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
 
-SOCKETS = 4  # of the clients of each gateway
+SOCKETS_PER_GATEWAY = 4
+HEADER_BYTES = 12
+RECURSION_DESIRED = 0x0100
+IDS = 65_536
+ANSWERED_RCODES = (0, 3)  # NOERROR and NXDOMAIN
+TIMEOUT_SLACK_S = 0.2  # beyond the deadline, until a query counts as unanswered
 
 
-def wire_query(name: str, id_: int) -> bytes:
+def wire_query(name: str, query_id: int) -> bytes:
     """An A query with recursion desired, without EDNS."""
     labels = b"".join(bytes([len(part)]) + part.encode() for part in name.strip(".").split("."))
-    return struct.pack("!HHHHHH", id_, 0x0100, 1, 0, 0, 0) + labels + b"\0\0\1\0\1"
+    header = struct.pack("!HHHHHH", query_id, RECURSION_DESIRED, 1, 0, 0, 0)
+    return header + labels + b"\0\0\1\0\1"
 
 
-class Asker(asyncio.DatagramProtocol):
-    """One client socket: queries are told apart by their id."""
+class DnsClientSocket(asyncio.DatagramProtocol):
+    """One client socket. `waiting` has by query id who is called with the response's rcode."""
 
     def __init__(self) -> None:
         self.transport: asyncio.DatagramTransport | None = None
         self.waiting: dict[int, Callable[[int], None]] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        if len(data) >= 12:
-            done = self.waiting.pop(int.from_bytes(data[:2]), None)
-            if done is not None:
-                done(data[3] & 0xF)
+        """Report a response to the query of its id; others are dropped."""
+        if len(data) >= HEADER_BYTES:
+            on_response = self.waiting.pop(int.from_bytes(data[:2]), None)
+            if on_response is not None:
+                on_response(data[3] & 0xF)
 
     def error_received(self, exc: Exception) -> None:
         """The gateway is down just now: the query times out."""
 
+    def close(self) -> None:
+        """Close the socket."""
+        if self.transport is not None:
+            self.transport.close()
+
 
-class DnsSide:
-    """All of a run that is DNS."""
+class DnsTraffic:
+    """A run's upstream nameservers and DNS clients; `open_queries` is how many have no outcome yet."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -51,23 +65,24 @@
         self.loop = asyncio.get_running_loop()
         self.draw = random.Random(f"{world.seed}/dns")
         load = self.scenario.dns
-        manner = {"delay_s": load.delay_ms / 1000, "ttl": load.ttl_s}
         self.upstreams = [
-            Nameserver(Manner(**manner), host=f"127.50.1.{n + 1}")  # type: ignore[arg-type]
+            Nameserver(
+                NameserverBehaviour(delay_s=load.delay_ms / 1000, ttl=load.ttl_s), host=f"127.50.1.{n + 1}"
+            )
             for n in range(load.upstreams)
         ]
-        self.ports: dict[int, int] = {}
-        self.askers: dict[int, list[Asker]] = {}
-        self.number = 0
-        self.next_s = 0.0
-        weights = [1.0 / (rank + 1) for rank in range(load.names)]  # Zipf's law
+        self.ports: dict[int, int] = {}  # by gateway
+        self.sockets: dict[int, list[DnsClientSocket]] = {}  # by gateway
+        self.last_id = 0
+        self.next_query_s = 0.0
         self.names = [f"host{rank}.shops.example." for rank in range(load.names)]
+        weights = [1.0 / (rank + 1) for rank in range(load.names)]  # Zipf's law
         total = sum(weights)
         self.weights = [weight / total for weight in weights]
-        self.open = 0
+        self.open_queries = 0
 
     async def prepare(self) -> None:
-        """Start the upstream servers, and find each gateway an address for DNS."""
+        """Start the upstream servers, and find each gateway a port for DNS."""
         for upstream in self.upstreams:
             await upstream.start()
         for gateway in self.world.alive:
@@ -75,70 +90,79 @@
                 probe.bind((f"127.10.{gateway + 1}.1", 0))
                 self.ports[gateway] = probe.getsockname()[1]
 
-    def operator(self, gateway: int) -> str:
-        """What the operator's file of a gateway says."""
+    def operator_settings(self, gateway: int) -> str:
+        """The DNS table of a gateway's operator file."""
         load = self.scenario.dns
-        places = ", ".join(f'"{host}:{port}"' for host, port in (u.place for u in self.upstreams))
+        upstreams = ", ".join(f'"{upstream.host}:{upstream.port}"' for upstream in self.upstreams)
+        listen = f"127.10.{gateway + 1}.1:{self.ports[gateway]}"
         return (
-            f'[dns]\nlisten = ["127.10.{gateway + 1}.1:{self.ports[gateway]}"]\nupstreams = [{places}]\n'
+            f'[dns]\nlisten = ["{listen}"]\nupstreams = [{upstreams}]\n'
             f"aim_ms = {load.aim_ms:.0f}\ndeadline_ms = {load.deadline_ms:.0f}\nqueries_each = 10000\n"
         )
 
     async def begin(self) -> None:
+        """Open the clients' sockets and let queries come."""
         for gateway in self.world.alive:
-            self.askers[gateway] = []
-            for _ in range(SOCKETS):
-                place = (f"127.10.{gateway + 1}.1", self.ports[gateway])
-                _, asker = await self.loop.create_datagram_endpoint(Asker, remote_addr=place)
-                self.askers[gateway].append(asker)
-        self.next_s = 0.0
-        self.plan()
-
-    def plan(self) -> None:
-        self.next_s += self.draw.expovariate(self.scenario.dns.rate)
-        if self.next_s < self.scenario.seconds:
-            self.world.clock.at(int(self.next_s * 1e6), self.arrive)
-
-    def arrive(self) -> None:
-        due_us = int(self.next_s * 1e6)
+            self.sockets[gateway] = []
+            remote = (f"127.10.{gateway + 1}.1", self.ports[gateway])
+            for _ in range(SOCKETS_PER_GATEWAY):
+                _, client = await self.loop.create_datagram_endpoint(DnsClientSocket, remote_addr=remote)
+                self.sockets[gateway].append(client)
+        self.next_query_s = 0.0
+        self._plan_query()
+
+    def _plan_query(self) -> None:
+        self.next_query_s += self.draw.expovariate(self.scenario.dns.rate)
+        if self.next_query_s < self.scenario.seconds:
+            self.world.clock.at(int(self.next_query_s * 1e6), self._send_query)
+
+    def _send_query(self) -> None:
+        due_us = int(self.next_query_s * 1e6)
         name = self.draw.choices(self.names, self.weights)[0]
-        gateway = self.draw.choice([g for g, up in self.world.believed.items() if up] or list(self.ports))
-        asker = self.draw.choice(self.askers[gateway])
-        self.plan()
-        self.number = (self.number + 1) % 65_536
-        id_ = self.number
-        if asker.transport is None or id_ in asker.waiting:
+        reachable = [gateway for gateway, is_up in self.world.believed.items() if is_up]
+        gateway = self.draw.choice(reachable or list(self.ports))
+        client = self.draw.choice(self.sockets[gateway])
+        self._plan_query()
+        self.last_id = (self.last_id + 1) % IDS
+        query_id = self.last_id
+        if client.transport is None or query_id in client.waiting:
             return
-        self.open += 1
-
-        def over(outcome: str) -> None:
-            self.open -= 1
-            timer.cancel()
-            self.world.records.add("dns", self.world.clock.now_us(), gateway, outcome, due_us)
-
-        def done(rcode: int) -> None:
-            late = self.world.clock.now_us() - due_us > self.scenario.dns.aim_ms * 1000
-            over("refused" if rcode not in (0, 3) else "late" if late else "served")
-
-        def silent() -> None:
-            if asker.waiting.pop(id_, None) is not None:
-                over("unanswered")
-
-        asker.waiting[id_] = done
-        timer = self.loop.call_later(self.scenario.dns.deadline_ms / 1000 + 0.2, silent)
-        asker.transport.sendto(wire_query(name, id_))
-
-    def slow(self, trouble: Trouble, on: bool) -> list[int]:
-        """Make part of the upstream servers slow, or well again."""
+        self.open_queries += 1
+        timeout_s = self.scenario.dns.deadline_ms / 1000 + TIMEOUT_SLACK_S
+        timer = self.loop.call_later(timeout_s, self._on_timeout, client, query_id, gateway, due_us)
+        client.waiting[query_id] = partial(self._on_response, gateway, due_us, timer)
+        client.transport.sendto(wire_query(name, query_id))
+
+    def _on_response(self, gateway: int, due_us: int, timer: asyncio.TimerHandle, rcode: int) -> None:
+        timer.cancel()
+        is_late = self.world.clock.now_us() - due_us > self.scenario.dns.aim_ms * 1000
+        if rcode not in ANSWERED_RCODES:
+            outcome = "refused"
+        elif is_late:
+            outcome = "late"
+        else:
+            outcome = "served"
+        self._record(outcome, gateway, due_us)
+
+    def _on_timeout(self, client: DnsClientSocket, query_id: int, gateway: int, due_us: int) -> None:
+        if client.waiting.pop(query_id, None) is not None:
+            self._record("unanswered", gateway, due_us)
+
+    def _record(self, outcome: str, gateway: int, due_us: int) -> None:
+        self.open_queries -= 1
+        self.world.records.add("dns", self.world.clock.now_us(), gateway, outcome, due_us)
+
+    def slow_upstreams(self, trouble: Trouble, is_on: bool) -> None:
+        """Make part of the upstream servers slow, or as fast as before."""
         count = max(1, round(trouble.part * len(self.upstreams)))
+        factor = trouble.size if is_on else 1.0
         for upstream in self.upstreams[:count]:
-            upstream.manner.delay_s = self.scenario.dns.delay_ms / 1000 * (trouble.size if on else 1.0)
-        return list(range(count))
+            upstream.behaviour.delay_s = self.scenario.dns.delay_ms / 1000 * factor
 
     def close(self) -> None:
-        for askers in self.askers.values():
-            for asker in askers:
-                if asker.transport is not None:
-                    asker.transport.close()
+        """Close every socket."""
+        for clients in self.sockets.values():
+            for client in clients:
+                client.close()
         for upstream in self.upstreams:
             upstream.close()
--- a/sagetrack/lab/stand_ins/dns_server.py
+++ b/sagetrack/lab/stand_ins/dns_server.py
@@ -1,4 +1,4 @@
-"""Stand-in DNS servers on loopback, UDP and TCP: slow, lossy, cutting, forging, spoilt or silent as told."""
+"""Stand-in DNS servers on loopback, over UDP and TCP, that misbehave as a test or a scenario wants."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
-from typing import Any, cast
+from typing import NamedTuple, cast
 
 import dns.flags
 import dns.message
@@ -16,140 +16,170 @@
 import dns.rdatatype
 import dns.rrset
 
+BYTES_MAX = 65_535
+CORRUPT_BYTES = 6  # cut off the end of a corrupt response
+QUESTION_OFFSET = 13  # the first letter of the question's name
+
 
 @dataclass(slots=True)
-class Manner:
+class NameserverBehaviour:
     """How a stand-in behaves; it may be changed while it runs."""
 
     delay_s: float = 0.0
-    loss: float = 0.0  # share of queries over UDP that are not answered
-    cut: bool = False  # over UDP every answer is cut short
-    forge: int = 0  # forged answers ahead of each true one: wrong ids, wrong questions
-    stranger: bool = False  # a false answer that matches comes first, from another address
-    spoilt: bool = False
-    silent: bool = False
+    loss: float = 0.0  # share of queries over UDP that get no response
+    truncates: bool = False  # over UDP each response has TC set and no records
+    forgeries: int = 0  # forged responses ahead of each true one: wrong ids, wrong questions
+    spoofs_source: bool = False  # a false response that matches comes first, from another address
+    is_corrupt: bool = False
+    is_silent: bool = False
     rcode: int = 0
     ttl: int = 60
     records: int = 1
-    negative: bool = False
-    address: str = "192.0.2.1"
+    is_nxdomain: bool = False
+    address: str = "192.0.2.1"  # in the first record
+
+
+class SeenQuery(NamedTuple):
+    """A query that came over UDP."""
+
+    name: str  # in the letters' case as it came
+    id: int
+    source_port: int
 
 
 @dataclass
 class Nameserver:
-    """One stand-in. It answers A queries with `address`, and counts what it gets."""
+    """One stand-in. It answers A queries as `behaviour` says, and counts what it gets.
 
-    manner: Manner = field(default_factory=Manner)
+    With `port` 0 it listens at a free one, which `port` then holds.
+    """
+
+    behaviour: NameserverBehaviour = field(default_factory=NameserverBehaviour)
     host: str = "127.0.0.1"
     port: int = 0
     udp_queries: int = 0
     tcp_queries: int = 0
-    seen: list[tuple[str, int, int]] = field(default_factory=list)  # name as it came, id, source port
+    seen: list[SeenQuery] = field(default_factory=list)
     draw: random.Random = field(default_factory=lambda: random.Random(7))
-    servers: list[Any] = field(default_factory=list)
+    servers: list[asyncio.Server | asyncio.DatagramTransport] = field(default_factory=list)
 
     @property
-    def place(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
+        """Where it listens, over UDP and TCP."""
         return self.host, self.port
 
-    def answers(self, data: bytes, over_udp: bool) -> list[bytes]:
-        """What is sent back for a query, in order."""
-        manner = self.manner
-        query = dns.message.from_wire(data)
+    def responses(self, data: bytes, over_udp: bool) -> list[bytes]:
+        """What is sent back for a query, in order; the true response is the last."""
+        reply = self._reply(dns.message.from_wire(data))
+        if over_udp and self.behaviour.truncates:
+            reply.answer.clear()
+            reply.flags |= dns.flags.TC
+        wire = reply.to_wire(max_size=BYTES_MAX)
+        if self.behaviour.is_corrupt:
+            wire = wire[:-CORRUPT_BYTES]
+        return [*self._forgeries(wire), wire]
+
+    def _reply(self, query: dns.message.Message) -> dns.message.Message:
+        behaviour = self.behaviour
         reply = dns.message.make_response(query)
         reply.flags |= dns.flags.RA
         question = query.question[0]
-        if manner.rcode:
-            reply.set_rcode(dns.rcode.Rcode(manner.rcode))
-        elif manner.negative:
+        if behaviour.rcode:
+            reply.set_rcode(dns.rcode.Rcode(behaviour.rcode))
+        elif behaviour.is_nxdomain:
             reply.set_rcode(dns.rcode.NXDOMAIN)
-            text = f"ns.invalid. root.invalid. 1 60 60 60 {manner.ttl}"
+            text = f"ns.invalid. root.invalid. 1 60 60 60 {behaviour.ttl}"
             reply.authority.append(dns.rrset.from_text("invalid.", 3600, "IN", "SOA", text))
         elif question.rdtype == dns.rdatatype.A:
-            addresses = [f"192.0.2.{n % 250 + 1}" for n in range(manner.records)]
-            addresses[0] = manner.address
-            reply.answer.append(dns.rrset.from_text(question.name, manner.ttl, "IN", "A", *addresses))
-        if over_udp and manner.cut:
-            reply.answer.clear()
-            reply.flags |= dns.flags.TC
-        wire = reply.to_wire(max_size=65_535)
-        if manner.spoilt:
-            wire = wire[: len(wire) - 6]
-        forged = []
-        for number in range(manner.forge):
-            false = bytearray(wire)
+            addresses = [f"192.0.2.{number % 250 + 1}" for number in range(behaviour.records)]
+            addresses[0] = behaviour.address
+            reply.answer.append(dns.rrset.from_text(question.name, behaviour.ttl, "IN", "A", *addresses))
+        return reply
+
+    def _forgeries(self, wire: bytes) -> list[bytes]:
+        forgeries = []
+        for number in range(self.behaviour.forgeries):
+            forged = bytearray(wire)
             if number % 2:
-                false[0] ^= 0xFF  # another id
+                forged[0] ^= 0xFF  # another id
             else:
-                false[13] ^= 0x01  # another question
-            false[-1] ^= 0xAA
-            forged.append(bytes(false))
-        return [*forged, wire]
+                forged[QUESTION_OFFSET] ^= 0x01  # another question
+            forged[-1] ^= 0xAA
+            forgeries.append(bytes(forged))
+        return forgeries
 
     async def start(self) -> None:
+        """Listen over TCP and UDP; OSError if the port is taken."""
         loop = asyncio.get_running_loop()
-        tcp = await asyncio.start_server(self._serve, self.host, self.port)
+        tcp = await asyncio.start_server(self._serve_tcp, self.host, self.port)
         self.port = tcp.sockets[0].getsockname()[1]
-        udp, _ = await loop.create_datagram_endpoint(lambda: _Udp(self), self.place)
+        udp, _ = await loop.create_datagram_endpoint(lambda: _UdpServer(self), self.address)
         self.servers = [tcp, udp]
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_tcp(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 length = int.from_bytes(await reader.readexactly(2))
                 data = await reader.readexactly(length)
                 self.tcp_queries += 1
-                if self.manner.silent:
+                if self.behaviour.is_silent:
                     continue
-                if self.manner.delay_s:
-                    await asyncio.sleep(self.manner.delay_s)
-                for wire in self.answers(data, False):
+                if self.behaviour.delay_s:
+                    await asyncio.sleep(self.behaviour.delay_s)
+                for wire in self.responses(data, False):
                     writer.write(len(wire).to_bytes(2) + wire)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
 
     def close(self) -> None:
+        """Stop listening."""
         for server in self.servers:
             server.close()
 
 
-class _Udp(asyncio.DatagramProtocol):
-    def __init__(self, server: Nameserver) -> None:
-        self.server = server
+class _UdpServer(asyncio.DatagramProtocol):
+    """A nameserver's UDP socket."""
+
+    transport: asyncio.DatagramTransport
+
+    def __init__(self, nameserver: Nameserver) -> None:
+        self.nameserver = nameserver
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        server = self.server
-        server.udp_queries += 1
+        nameserver = self.nameserver
+        behaviour = nameserver.behaviour
+        nameserver.udp_queries += 1
         name = dns.message.from_wire(data).question[0].name.to_text()
-        server.seen.append((name, int.from_bytes(data[:2]), addr[1]))
-        manner = server.manner
-        if manner.silent or server.draw.random() < manner.loss:
+        nameserver.seen.append(SeenQuery(name, int.from_bytes(data[:2]), addr[1]))
+        if behaviour.is_silent or nameserver.draw.random() < behaviour.loss:
             return
-
-        def send() -> None:
-            if manner.stranger:
-                false = bytearray(server.answers(data, True)[-1])
-                false[-1] ^= 0xAA
-                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
-                    other.sendto(bytes(false), addr)
-            for wire in server.answers(data, True):
-                self.transport.sendto(wire, addr)
-
-        if manner.delay_s:
-            asyncio.get_running_loop().call_later(manner.delay_s, send)
+        if behaviour.delay_s:
+            loop = asyncio.get_running_loop()
+            loop.call_later(behaviour.delay_s, self._respond, behaviour, data, addr)
         else:
-            send()
+            self._respond(behaviour, data, addr)
+
+    def _respond(self, behaviour: NameserverBehaviour, data: bytes, addr: tuple[str, int]) -> None:
+        if behaviour.spoofs_source:
+            forged = bytearray(self.nameserver.responses(data, True)[-1])
+            forged[-1] ^= 0xAA
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+                stranger.sendto(bytes(forged), addr)
+        for wire in self.nameserver.responses(data, True):
+            self.transport.sendto(wire, addr)
 
 
 @asynccontextmanager
-async def nameserver(manner: Manner | None = None, port: int = 0) -> AsyncIterator[Nameserver]:
-    """A stand-in that runs for as long as it is asked for."""
-    made = Nameserver(manner or Manner(), port=port)
-    await made.start()
+async def nameserver(
+    behaviour: NameserverBehaviour | None = None, port: int = 0
+) -> AsyncIterator[Nameserver]:
+    """A stand-in that listens on loopback until the context ends."""
+    server = Nameserver(behaviour or NameserverBehaviour(), port=port)
+    await server.start()
     try:
-        yield made
+        yield server
     finally:
-        made.close()
+        server.close()
--- a/sagetrack/lab/stand_ins/grpc_server.py
+++ b/sagetrack/lab/stand_ins/grpc_server.py
@@ -1,4 +1,7 @@
-"""Stand-in address servers of the newer format: HTTP/2 in gRPC's manner, as docs/protocol-2.md has it."""
+"""A gRPC server's side of an HTTP/2 connection, as docs/protocol-2.md has the protocol.
+
+It is for tests and benchmarks that decide for themselves how each request is answered.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any, cast
+from typing import Any, cast
 
 import h2.config
 import h2.connection
@@ -17,63 +20,68 @@
 
 from sagetrack.grpc.calls_pb2 import Answer, Call
 from sagetrack.grpc.messages import Unpacker, goaway_frame, pack
-from sagetrack.grpc.metadata import parse_timeout_us
-from sagetrack.lab.model.server import Job, Result
-
-if TYPE_CHECKING:
-    from sagetrack.lab.stand_ins.sockets import ServerHost
 
-BODY = b"x" * 64
+RESPONSE_BODY = b"x" * 64
+HEAD = [(":status", "200"), ("content-type", "application/grpc+proto")]
+OK_TRAILERS = [("grpc-status", "0")]
+HEADER_LIST_BYTES_MAX = 65_536
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """One stream: what came on it."""
+class GrpcRequest:
+    """One stream: what has come on it, and what is still to be sent."""
 
-    stream: int
+    stream_id: int
     headers: dict[str, str]
     unpacker: Unpacker = field(default_factory=Unpacker)
-    calls: list[Call] = field(default_factory=list)
-    out: bytearray = field(default_factory=bytearray)
-    trailers: list[tuple[str, str]] | None = None
-    over: bool = False
+    messages: list[Call] = field(default_factory=list)
+    outgoing: bytearray = field(default_factory=bytearray)
+    trailers: list[tuple[str, str]] | None = None  # sent after the last of `outgoing`
+    is_closed: bool = False
 
     @property
     def body(self) -> bytes:
-        return b"".join(call.body for call in self.calls)
+        """The request's body as far as it has come, over all messages."""
+        return b"".join(message.body for message in self.messages)
 
 
-class NewConnection(asyncio.Protocol):
-    """The server's side of one connection. What is asked whole goes to `on_call`."""
+class GrpcServerConnection(asyncio.Protocol):
+    """The server's side of one connection. Each complete request goes to `on_request`.
 
-    def __init__(self, on_call: Callable[[NewConnection, Asked], None], most: int = 100) -> None:
-        self.on_call = on_call
+    `max_streams` is the announced limit of concurrent streams. With `acknowledges_data` off, flow-control
+    windows stay as they are and a long request stalls.
+    """
+
+    def __init__(
+        self, on_request: Callable[[GrpcServerConnection, GrpcRequest], None], max_streams: int = 100
+    ) -> None:
+        self.on_request = on_request
         self.transport: asyncio.Transport | None = None
         config = h2.config.H2Configuration(client_side=False, header_encoding="latin-1")
         self.h2 = h2.connection.H2Connection(config)
-        self.most = most
-        self.asked: dict[int, Asked] = {}
-        self.last = 0  # the highest stream that was begun
-        self.on_reset: Callable[[Asked], None] = lambda asked: None
+        self.max_streams = max_streams
+        self.requests: dict[int, GrpcRequest] = {}  # open ones, by stream
+        self.highest_stream = 0
+        self.on_reset: Callable[[GrpcRequest], None] = lambda request: None
         self.on_lost: Callable[[], None] = lambda: None
-        self.opens_windows = True
-        self.cut: int | None = None  # after GOAWAY: streams above it are not worked on
+        self.acknowledges_data = True
+        self.goaway_stream: int | None = None  # after GOAWAY: streams above it are ignored
+
+    # Receiving
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the connection preface."""
         self.transport = cast(asyncio.Transport, transport)
         values = {
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.most,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: 65_536,
+            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.max_streams,
+            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADER_LIST_BYTES_MAX,
         }
         self.h2.local_settings = h2.settings.Settings(client=False, initial_values=values)
         self.h2.initiate_connection()
         self.flush()
 
-    def flush(self) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(self.h2.data_to_send())
-
     def data_received(self, data: bytes) -> None:
+        """Handle what has come; close on a breach of HTTP/2."""
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
@@ -85,190 +93,128 @@
         self.flush()
 
     def on_event(self, event: h2.events.Event) -> None:
-        stream = getattr(event, "stream_id", None) or 0
-        asked = self.asked.get(stream)
+        """Handle one event of the HTTP/2 state machine."""
+        stream_id = getattr(event, "stream_id", None) or 0
+        request = self.requests.get(stream_id)
         match event:
-            case h2.events.RequestReceived() if self.cut is not None and stream > self.cut:
-                pass  # it was on its way when GOAWAY was
             case h2.events.RequestReceived():
-                self.last = max(self.last, stream)
-                self.asked[stream] = Asked(stream, {str(n): str(v) for n, v in event.headers or ()})
+                self._on_head(event, stream_id)
             case h2.events.DataReceived():
-                if asked is not None:
-                    asked.calls += [Call.FromString(m) for m in asked.unpacker.feed(event.data or b"")]
-                if self.opens_windows:
-                    self.h2.acknowledge_received_data(event.flow_controlled_length or 0, stream)
-            case h2.events.StreamEnded():
-                if asked is not None:
-                    self.on_call(self, asked)
-            case h2.events.StreamReset():
-                if asked is not None:
-                    asked.over = True
-                    del self.asked[stream]
-                    self.on_reset(asked)
+                self._on_data(event, stream_id, request)
+            case h2.events.StreamEnded() if request is not None:
+                self.on_request(self, request)
+            case h2.events.StreamReset() if request is not None:
+                request.is_closed = True
+                del self.requests[stream_id]
+                self.on_reset(request)
             case h2.events.WindowUpdated():
-                for one in list(self.asked.values()):
-                    self.push(one)
+                for waiting in list(self.requests.values()):
+                    self.send_pending(waiting)
             case _:
                 pass
 
-    # Replies
+    def _on_head(self, event: h2.events.RequestReceived, stream_id: int) -> None:
+        if self.goaway_stream is not None and stream_id > self.goaway_stream:
+            return  # the gateway sent it before it had the GOAWAY
+        self.highest_stream = max(self.highest_stream, stream_id)
+        headers = {str(name): str(value) for name, value in event.headers or ()}
+        self.requests[stream_id] = GrpcRequest(stream_id, headers)
+
+    def _on_data(self, event: h2.events.DataReceived, stream_id: int, request: GrpcRequest | None) -> None:
+        if request is not None:
+            request.messages += [Call.FromString(data) for data in request.unpacker.feed(event.data or b"")]
+        if self.acknowledges_data:
+            self.h2.acknowledge_received_data(event.flow_controlled_length or 0, stream_id)
+
+    # Responding
 
-    def answer(self, asked: Asked, fields: Any = (), body: bytes = BODY, parts: int = 1) -> None:
-        """A whole answer, its body in so many messages."""
+    def flush(self) -> None:
+        """Write what the HTTP/2 state machine has to send."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.transport.write(self.h2.data_to_send())
+
+    def respond(
+        self, request: GrpcRequest, fields: Any = (), body: bytes = RESPONSE_BODY, parts: int = 1
+    ) -> None:
+        """Send a complete response, its body in up to `parts` messages."""
         size = max(1, -(-len(body) // parts))
-        pieces = [body[i : i + size] for i in range(0, len(body), size)] or [b""]
+        pieces = [body[start : start + size] for start in range(0, len(body), size)] or [b""]
         first = Answer(fields=fields, body=pieces[0], length=len(body))
-        asked.out += pack(first.SerializeToString())
-        for more in pieces[1:]:
-            asked.out += pack(Answer(body=more).SerializeToString())
-        self.begin(asked)
-        asked.trailers = [("grpc-status", "0")]
-        self.push(asked)
-
-    def begin(self, asked: Asked) -> None:
-        if not asked.over:
+        request.outgoing += pack(first.SerializeToString())
+        for piece in pieces[1:]:
+            request.outgoing += pack(Answer(body=piece).SerializeToString())
+        self.send_head(request)
+        request.trailers = OK_TRAILERS
+        self.send_pending(request)
+
+    def send_head(self, request: GrpcRequest) -> None:
+        """Send the response's first headers, unless the stream is closed."""
+        if not request.is_closed:
             try:
-                self.h2.send_headers(
-                    asked.stream, [(":status", "200"), ("content-type", "application/grpc+proto")]
-                )
+                self.h2.send_headers(request.stream_id, HEAD)
             except h2.exceptions.H2Error:
-                asked.over = True
+                request.is_closed = True
 
-    def push(self, asked: Asked) -> None:
-        """Send what the window takes, and the trailers after the last of it."""
-        if asked.over or asked.trailers is None:
+    def send_pending(self, request: GrpcRequest) -> None:
+        """Send what the flow-control window takes, and the trailers after the last of it."""
+        if request.is_closed or request.trailers is None:
             return
         try:
-            while asked.out:
-                room = min(self.h2.local_flow_control_window(asked.stream), self.h2.max_outbound_frame_size)
-                if room <= 0:
+            while request.outgoing:
+                window = self.h2.local_flow_control_window(request.stream_id)
+                size = min(window, self.h2.max_outbound_frame_size)
+                if size <= 0:
                     self.flush()
                     return
-                self.h2.send_data(asked.stream, bytes(asked.out[:room]))
-                del asked.out[:room]
-            self.h2.send_headers(asked.stream, asked.trailers, end_stream=True)
+                self.h2.send_data(request.stream_id, bytes(request.outgoing[:size]))
+                del request.outgoing[:size]
+            self.h2.send_headers(request.stream_id, request.trailers, end_stream=True)
         except h2.exceptions.H2Error:
-            pass
-        self.end(asked)
-
-    def trailers_only(self, asked: Asked, status: int, **more: str) -> None:
-        """An answer without a message."""
-        extra = [(name.replace("_", "-"), value) for name, value in more.items()]
-        headers = [(":status", "200"), ("content-type", "application/grpc+proto")]
-        headers.append(("grpc-status", str(status)))
+            pass  # the gateway has reset the stream
+        self.close_stream(request)
+
+    def trailers_only(self, request: GrpcRequest, status: int, **metadata: str) -> None:
+        """Respond without a message; underscores in names of metadata become hyphens."""
+        extra = [(name.replace("_", "-"), value) for name, value in metadata.items()]
+        headers = [*HEAD, ("grpc-status", str(status)), *extra]
         with suppress(h2.exceptions.H2Error):
-            self.h2.send_headers(asked.stream, [*headers, *extra], end_stream=True)
-        self.end(asked)
+            self.h2.send_headers(request.stream_id, headers, end_stream=True)
+        self.close_stream(request)
 
-    def reset(self, asked: Asked, code: int = 2) -> None:
+    def reset(self, request: GrpcRequest, code: int = h2.errors.ErrorCodes.INTERNAL_ERROR) -> None:
+        """Reset a stream."""
         with suppress(h2.exceptions.H2Error):
-            self.h2.reset_stream(asked.stream, h2.errors.ErrorCodes(code))
-        self.end(asked)
+            self.h2.reset_stream(request.stream_id, h2.errors.ErrorCodes(code))
+        self.close_stream(request)
 
-    def end(self, asked: Asked) -> None:
-        asked.over = True
-        self.asked.pop(asked.stream, None)
+    def close_stream(self, request: GrpcRequest) -> None:
+        """Nothing more comes or goes on this stream."""
+        request.is_closed = True
+        self.requests.pop(request.stream_id, None)
         self.flush()
 
+    # The end of the connection
+
     def goaway(self, last: int | None = None) -> None:
-        """Take no stream after this one (RFC 9113, 6.8); those up to it go on."""
-        self.cut = last = self.last if last is None else last
+        """Accept no stream after this one (RFC 9113, 6.8), by default the highest so far; others go on."""
+        last_stream = self.highest_stream if last is None else last
+        self.goaway_stream = last_stream
         self.flush()
         if self.transport is not None:
-            self.transport.write(goaway_frame(last))
-        for stream in [s for s in self.asked if s > last]:
-            self.asked.pop(stream).over = True
+            self.transport.write(goaway_frame(last_stream))
+        for stream_id in [stream_id for stream_id in self.requests if stream_id > last_stream]:
+            self.requests.pop(stream_id).is_closed = True
 
     def close(self) -> None:
+        """Close the connection."""
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report every open request as reset, and the end of the connection."""
         self.transport = None
-        for asked in list(self.asked.values()):
-            asked.over = True
-            self.on_reset(asked)
-        self.asked.clear()
+        for request in list(self.requests.values()):
+            request.is_closed = True
+            self.on_reset(request)
+        self.requests.clear()
         self.on_lost()
-
-
-class NewServerConnection(NewConnection):
-    """A connection to a server of the lab's world: many streams, the same model behind them."""
-
-    def __init__(self, host: ServerHost, gateway: int) -> None:
-        super().__init__(self.take)
-        self.host, self.gateway = host, gateway
-        self.jobs: dict[Asked, Job] = {}
-        self.fresh = True
-        self.on_reset = self.given_up
-        self.on_lost = lambda: host.connections.discard(self)
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.host.connections.add(self)
-        super().connection_made(transport)
-
-    def data_received(self, data: bytes) -> None:
-        world = self.host.world
-        if world.reaches(self.gateway, self.host.server.number) and not self.host.server.silent:
-            super().data_received(data)
-
-    def take(self, connection: NewConnection, asked: Asked) -> None:
-        world, host = self.host.world, self.host
-        call = asked.headers.get("x-call-id", "")
-        this = host.calls.get(call)
-        if this is None:
-            self.trailers_only(asked, 3, grpc_message="no such call")
-            return
-        request, now = this.request, world.clock.now_us()
-        work = request.work_us + (world.scenario.fleet.handshake_ms * 1000 if self.fresh else 0.0)
-        ways = 3 if self.fresh else 1
-        self.fresh = False
-        patience = parse_timeout_us(asked.headers.get("grpc-timeout", "1u"))
-        job = self.jobs[asked] = Job(
-            call,
-            work,
-            request.key,
-            int(request.kind.window_ms * 1000),
-            request.kind.scope,
-            now + patience,
-            lambda job, result: self.served(asked, job, result),
-        )
-        way = host.distance_us(self.gateway)
-        world.clock.at(now + way * ways, lambda: self.deliver(asked, job, now))
-
-    def deliver(self, asked: Asked, job: Job, sent_us: int) -> None:
-        host = self.host
-        if job.ended or asked.over or host.server.number not in host.world.servers:
-            return
-        if host.world.receive(host.server, job, self.gateway, sent_us) is Result.REJECTED:
-            self.served(asked, job, Result.REJECTED)
-
-    def served(self, asked: Asked, job: Job, result: Result) -> None:
-        self.jobs.pop(asked, None)
-        world = self.host.world
-
-        def reply() -> None:
-            if asked.over or not world.reaches(self.gateway, self.host.server.number):
-                return
-            match result:
-                case Result.SERVED:
-                    self.answer(asked)
-                case Result.REJECTED:
-                    self.trailers_only(asked, 8, x_rejected="1", grpc_retry_pushback_ms="50")
-                case Result.RESET:
-                    self.reset(asked)
-                case Result.SPOILT:
-                    asked.out += b"\x09nonsense"
-                    self.begin(asked)
-                    asked.trailers = [("grpc-status", "0")]
-                    self.push(asked)
-                case _:
-                    self.trailers_only(asked, 13)
-
-        world.clock.at(world.clock.now_us() + self.host.distance_us(self.gateway), reply)
-
-    def given_up(self, asked: Asked) -> None:
-        job = self.jobs.pop(asked, None)
-        if job is not None and not job.ended:
-            self.host.world.give_up(self.host.server, job)
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -14,7 +14,7 @@
 import dns.rdatatype
 
 from sagetrack.dns.service import DnsConfig, DnsService
-from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
+from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
 from tests.sockets import until
 
 
@@ -22,15 +22,15 @@
     return dns.message.make_query(name, kind, **options).to_wire()
 
 
-def response_to(data: bytes, ttl: int = 60, **manner: Any) -> bytes:
-    return Nameserver(Manner(ttl=ttl, **manner)).answers(data, False)[0]
+def response_to(data: bytes, ttl: int = 60, **behaviour: Any) -> bytes:
+    return Nameserver(NameserverBehaviour(ttl=ttl, **behaviour)).responses(data, False)[0]
 
 
 @asynccontextmanager
 async def running_service(
     *servers: Nameserver, **plan: Any
 ) -> AsyncIterator[tuple[DnsService, tuple[str, int]]]:
-    service = DnsService(DnsConfig([("127.0.0.1", 0)], [server.place for server in servers], **plan), 1)
+    service = DnsService(DnsConfig([("127.0.0.1", 0)], [server.address for server in servers], **plan), 1)
     (place,) = await service.start()
     try:
         yield service, place
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -19,7 +19,7 @@
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
 from sagetrack.http1.upstream_connection import Message
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome
 from tests.sockets import configuration, running, until
 
@@ -65,8 +65,8 @@
 
     def __init__(self, pools: GrpcConnectionPools, entry: Endpoint) -> None:
         self.pools, self.entry = pools, entry
-        self.connections: list[NewConnection] = []
-        self.asked: list[tuple[NewConnection, Asked]] = []
+        self.connections: list[GrpcServerConnection] = []
+        self.asked: list[tuple[GrpcServerConnection, GrpcRequest]] = []
 
     def ask(
         self,
@@ -91,14 +91,14 @@
 @asynccontextmanager
 async def grpc_upstream_rig(
     most: int = 100,
-    on_call: Callable[[NewConnection, Asked], None] | None = None,
+    on_call: Callable[[GrpcServerConnection, GrpcRequest], None] | None = None,
     keys: tuple[ssl.SSLContext, Callable[[], ssl.SSLContext | None]] | None = None,
 ) -> AsyncIterator[GrpcUpstreamRig]:
     rig: GrpcUpstreamRig
 
-    def make() -> NewConnection:
+    def make() -> GrpcServerConnection:
         take = on_call or (lambda connection, asked: rig.asked.append((connection, asked)))
-        connection = NewConnection(take, most)
+        connection = GrpcServerConnection(take, most)
         rig.connections.append(connection)
         return connection
 
@@ -118,7 +118,7 @@
 async def warm_up(rig: GrpcUpstreamRig) -> None:
     heard = rig.ask()
     await rig.until_asked(1)
-    rig.asked[0][0].answer(rig.asked[0][1])
+    rig.asked[0][0].respond(rig.asked[0][1])
     await until(lambda: heard.ends)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,8 @@
 
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.model.scenario import load
-from sagetrack.lab.processes.fleet import need_files, play
+from sagetrack.lab.processes.child_process import require_file_descriptors
+from sagetrack.lab.processes.run import play
 from tests.sockets import configuration
 
 ROOT = Path(__file__).parent.parent
@@ -199,7 +200,7 @@
 
 def test_too_few_descriptors_are_said_before_anything_starts() -> None:
     with pytest.raises(LabError, match="descriptors are needed"):
-        need_files(10**9)
+        require_file_descriptors(10**9)
 
 
 def test_what_ends_the_start_is_said_at_the_highest_level_too(tmp_path: Path) -> None:
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -47,7 +47,7 @@
         service.on_list(ListKind.FULL, [first])
         await client.ask(query("a.example."))
         draining = ListedServer(first.listed.server, ServerStatus.DRAINING)
-        service.on_list(ListKind.DELTA, [Endpoint("one", one.place, draining), second])
+        service.on_list(ListKind.DELTA, [Endpoint("one", one.address, draining), second])
         for number in range(20):
             await client.ask(query(f"n{number}.example."))
         assert (one.udp_queries, two.udp_queries) == (1, 20)
@@ -83,7 +83,7 @@
 async def test_a_server_that_is_taken_off_the_list_gets_nothing_more() -> None:
     async with nameserver() as one, nameserver() as two, running_service(one, two) as (service, place):
         client = await UdpClient.to(place)
-        service.list_upstreams([two.place])
+        service.list_upstreams([two.address])
         before = one.udp_queries
         for number in range(20):
             await client.ask(query(f"n{number}.example."))
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -12,7 +12,7 @@
 import dns.rdatatype
 
 from sagetrack.dns.service import DnsConfig, DnsService
-from sagetrack.lab.stand_ins.dns_server import Manner, nameserver
+from sagetrack.lab.stand_ins.dns_server import NameserverBehaviour, nameserver
 from tests.dns_helpers import (
     UdpClient,
     extended_errors,
@@ -37,7 +37,7 @@
 @on_loop
 async def test_a_cut_answer_is_asked_for_over_tcp_and_counts_as_one_attempt() -> None:
     async with (
-        nameserver(Manner(cut=True, records=60)) as upstream,
+        nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
         running_service(upstream) as (service, place),
     ):
         client = await UdpClient.to(place)
@@ -51,7 +51,10 @@
 
 @on_loop
 async def test_equal_questions_share_a_call_and_a_repeat_joins_it() -> None:
-    async with nameserver(Manner(delay_s=0.1)) as upstream, running_service(upstream) as (service, place):
+    async with (
+        nameserver(NameserverBehaviour(delay_s=0.1)) as upstream,
+        running_service(upstream) as (service, place),
+    ):
         one, other = await UdpClient.to(place), await UdpClient.to(place)
         data = query()
         one.transport.sendto(data)
@@ -66,7 +69,7 @@
 
 @on_loop
 async def test_forged_answers_are_passed_over() -> None:
-    forger = Manner(forge=50, stranger=True)
+    forger = NameserverBehaviour(forgeries=50, spoofs_source=True)
     async with nameserver(forger) as upstream, running_service(upstream) as (service, place):
         client = await UdpClient.to(place)
         for number in range(20):
@@ -81,10 +84,13 @@
 @on_loop
 async def test_a_failing_fleet_is_answered_at_once_or_from_what_is_stale() -> None:
     plan = {"deadline_us": 400_000}
-    async with nameserver(Manner(ttl=1)) as upstream, running_service(upstream, **plan) as (service, place):
+    async with (
+        nameserver(NameserverBehaviour(ttl=1)) as upstream,
+        running_service(upstream, **plan) as (service, place),
+    ):
         client = await UdpClient.to(place)
         await client.ask(query("kept.example."))
-        upstream.manner.rcode = 2
+        upstream.behaviour.rcode = 2
         for kept in service.cache.entries.values():
             kept.expires_us = 0
             kept.expires_us = kept.cached_us
@@ -92,7 +98,7 @@
         assert stale.answer[0].ttl == 30 and extended_errors(stale) == [3]
         failed = await client.ask(query("other.example.", use_edns=0))
         assert failed.rcode() == dns.rcode.SERVFAIL and extended_errors(failed) in ([14], [22], [23])
-        upstream.manner = Manner(silent=True)
+        upstream.behaviour = NameserverBehaviour(is_silent=True)
         late = await client.ask(query("silent.example.", use_edns=0))
         assert late.rcode() == dns.rcode.SERVFAIL
         client.transport.close()
@@ -100,7 +106,7 @@
 
 @on_loop
 async def test_a_slow_server_does_not_stall_the_others() -> None:
-    slow, good = Manner(delay_s=5.0), Manner(address="192.0.2.9")
+    slow, good = NameserverBehaviour(delay_s=5.0), NameserverBehaviour(address="192.0.2.9")
     async with nameserver(slow) as one, nameserver(good) as two, running_service(one, two) as (_, place):
         client = await UdpClient.to(place)
         said = [await client.ask(query(f"n{number}.example.")) for number in range(100)]
@@ -113,7 +119,7 @@
 @on_loop
 async def test_a_lost_datagram_takes_no_server_out_of_use() -> None:
     async with (
-        nameserver(Manner(loss=0.02, delay_s=0.001)) as upstream,
+        nameserver(NameserverBehaviour(loss=0.02, delay_s=0.001)) as upstream,
         running_service(upstream) as (_, place),
     ):
         client = await UdpClient.to(place)
@@ -143,7 +149,7 @@
 @on_loop
 async def test_two_processes_share_the_address_at_an_upgrade_and_the_second_goes_on() -> None:
     async with nameserver() as upstream:
-        plan = DnsConfig([("127.0.0.1", 0)], [upstream.place])
+        plan = DnsConfig([("127.0.0.1", 0)], [upstream.address])
         old = DnsService(plan, 1)
         (place,) = await old.start(shared=True)
         new = DnsService(replace(plan, listen=[place]), 2)
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -14,7 +14,7 @@
 
 from sagetrack.dns.downstream_connection import MAX_PIPELINED_QUERIES
 from sagetrack.dns.listener import ClientLimits
-from sagetrack.lab.stand_ins.dns_server import Manner, nameserver
+from sagetrack.lab.stand_ins.dns_server import NameserverBehaviour, nameserver
 from tests.dns_helpers import (
     UdpClient,
     query,
@@ -31,7 +31,7 @@
         "deadline_us": 20_000_000,
     }  # on a busy machine none is shed
     async with (
-        nameserver(Manner(records=100)) as upstream,
+        nameserver(NameserverBehaviour(records=100)) as upstream,
         running_service(upstream, **unhurried) as (_, place),
     ):
         reader, writer = await asyncio.open_connection(*place)
@@ -79,7 +79,7 @@
 async def test_a_client_that_reads_nothing_is_bounded() -> None:
     plan = {"limits": ClientLimits(connections_per_client=1)}
     async with (
-        nameserver(Manner(records=200)) as upstream,
+        nameserver(NameserverBehaviour(records=200)) as upstream,
         running_service(upstream, **plan) as (service, place),
     ):
         reader, writer = await asyncio.open_connection(*place)
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -7,7 +7,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.interfaces import Call
 from sagetrack.http1.upstream_connection import Message
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
     RecordingObserver,
@@ -20,8 +20,8 @@
 
 @on_loop
 async def test_a_new_client_is_served_with_long_answers_and_what_is_wrong_is_named(tmp_path: Path) -> None:
-    def take(connection: NewConnection, asked: Asked) -> None:
-        connection.answer(asked, body=asked.body * 3000, parts=9)
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
+        connection.respond(asked, body=asked.body * 3000, parts=9)
 
     async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, _, listener):
         calls = [send_request(client, request_head(n), b"%04d" % n) for n in range(20)]
@@ -47,9 +47,9 @@
 ) -> None:
     whole: list[bytes] = []
 
-    def take(connection: NewConnection, asked: Asked) -> None:
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
         whole.append(asked.body)
-        connection.answer(asked, body=b"%d" % len(asked.body))
+        connection.respond(asked, body=b"%d" % len(asked.body))
 
     async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, gateway, listener):
 
@@ -95,10 +95,10 @@
 async def test_a_call_on_its_way_when_a_drain_began_is_not_run(tmp_path: Path) -> None:
     ran: list[str] = []
 
-    def take(connection: NewConnection, asked: Asked) -> None:
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
         ran.append(asked.headers["x-call-id"])
         if len(ran) > 1:
-            connection.answer(asked)
+            connection.respond(asked)
 
     async with gateway_with_grpc_listener(tmp_path, on_call=take) as (client, gateway, listener):
         held = send_request(client, request_head(1))
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -10,7 +10,7 @@
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.core.responses import Response
 from sagetrack.grpc.mirroring import MirrorReport, difference
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.lab.stand_ins.scripted import peer
 from tests.grpc_helpers import (
     grpc_upstream_rig,
@@ -39,9 +39,9 @@
     file.write_text('[newer]\ntypes = ["v2"]\nshare = 0.0\ncompare_per_s = 1000.0\n')
     seen: list[str] = []
 
-    def take(connection: NewConnection, asked: Asked) -> None:
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
         seen.append(asked.headers["x-call-class"])
-        connection.answer(asked, body=b"other")
+        connection.respond(asked, body=b"other")
 
     async with grpc_upstream_rig(on_call=take) as rig, peer() as host:
         config = configuration(host, f"127.0.0.1:{rig.entry.address[1]}")
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -10,7 +10,7 @@
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.protocol_router import ProtocolRouter
 from sagetrack.http1.connection_pool import ConnectionPools
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer
 from sagetrack.policy.migration import Migration
 from tests.grpc_helpers import (
@@ -24,11 +24,11 @@
 async def test_an_old_client_is_served_by_a_new_server_and_told_what_cannot_pass(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\ntypes = ["v2"]\n')
-    seen: list[Asked] = []
+    seen: list[GrpcRequest] = []
 
-    def take(connection: NewConnection, asked: Asked) -> None:
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
         seen.append(asked)
-        connection.answer(asked, body=b"new " + asked.body)
+        connection.respond(asked, body=b"new " + asked.body)
 
     async with grpc_upstream_rig(on_call=take) as rig:
         config = configuration(f"127.0.0.1:{rig.entry.address[1]}")
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -10,7 +10,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.grpc.outcomes import Reset
-from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
+from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome, ServerStatus
 from tests.grpc_helpers import (
     SETTINGS,
@@ -27,7 +27,7 @@
         await rig.until_asked(40)
         assert len(rig.connections) == 1
         for connection, asked in rig.asked[1:]:
-            connection.answer(asked, body=asked.body)
+            connection.respond(asked, body=asked.body)
         await until(lambda: sum(len(c.ends) for c in calls) == 39)
         bodies = {c.ends[0][1].body for c in calls if c.ends and c.ends[0][1]}
         assert bodies == {b"b%d" % n for n in range(1, 40)} and not calls[0].ends
@@ -44,7 +44,7 @@
         later = rig.ask()
         await until(lambda: len(rig.connections) == 2)
         for connection, asked in rig.asked[:50]:
-            connection.answer(asked)
+            connection.respond(asked)
         await until(lambda: all(c.ends for c in calls))
         assert {c.ends[0][0] for c in calls[:50]} == {Outcome.OK}
         await until(lambda: rig.connections[0].transport is None)  # it left once all was answered
@@ -54,13 +54,13 @@
 @on_loop
 async def test_each_way_a_stream_can_end_is_told_and_the_others_go_on() -> None:
     async with grpc_upstream_rig() as rig:
-        ways: list[tuple[Callable[[NewConnection, Asked], None], Outcome]] = [
+        ways: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
             (lambda c, a: c.reset(a, Reset.REFUSED_STREAM), Outcome.REJECTED),
             (lambda c, a: c.reset(a, Reset.INTERNAL_ERROR), Outcome.RESET),
             (lambda c, a: c.trailers_only(a, 8, x_rejected="1"), Outcome.REJECTED),
             (lambda c, a: c.trailers_only(a, 8), Outcome.ERROR),
             (lambda c, a: c.trailers_only(a, 0), Outcome.ERROR),
-            (lambda c, a: c.answer(a, fields=[]), Outcome.OK),
+            (lambda c, a: c.respond(a, fields=[]), Outcome.OK),
         ]
         kept = rig.ask()
         await rig.until_asked(1)
@@ -86,9 +86,9 @@
         calls = first + [rig.ask() for _ in range(5)]
         await rig.until_asked(6)
         assert len(rig.connections) == 2
-        assert all(len(connection.asked) <= 3 for connection in rig.connections)
+        assert all(len(connection.requests) <= 3 for connection in rig.connections)
         for connection, asked in rig.asked:
-            connection.answer(asked)
+            connection.respond(asked)
         await until(lambda: all(c.ends for c in calls))
         assert {c.ends[0][0] for c in calls} == {Outcome.OK}
 
@@ -97,7 +97,7 @@
 async def test_a_window_that_never_opens_holds_up_one_call_until_its_time_is_over() -> None:
     async with grpc_upstream_rig() as rig:
         await warm_up(rig)
-        rig.connections[0].opens_windows = False
+        rig.connections[0].acknowledges_data = False
         stuck = rig.ask(b"x" * 200_000, wait_us=300_000)
         await until(lambda: stuck.ends)
         assert stuck.ends[0][0] is Outcome.TIMEOUT and not stuck.written
@@ -106,7 +106,7 @@
 @on_loop
 async def test_long_bodies_pass_in_bounded_memory_both_ways() -> None:
     size = 3_000_000
-    async with grpc_upstream_rig(on_call=lambda c, a: c.answer(a, body=a.body, parts=30)) as rig:
+    async with grpc_upstream_rig(on_call=lambda c, a: c.respond(a, body=a.body, parts=30)) as rig:
         streamed_body = StreamedBody(size, BodyMemoryBudget(64))
         heard = rig.ask(streamed_body=streamed_body)
         fed = most = 0
@@ -129,8 +129,8 @@
 
 @on_loop
 async def test_clients_that_read_nothing_do_not_hold_back_the_others_of_a_connection() -> None:
-    def take(connection: NewConnection, asked: Asked) -> None:
-        connection.answer(asked, body=b"y" * (1_000_000 if asked.body == b"long" else 10), parts=20)
+    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
+        connection.respond(asked, body=b"y" * (1_000_000 if asked.body == b"long" else 10), parts=20)
 
     async with grpc_upstream_rig(on_call=take) as rig:
         stuck = [rig.ask(b"long", pauses=True) for _ in range(90)]
@@ -184,7 +184,7 @@
         await rig.until_asked(1)
         connection, asked = rig.asked[0]
         head: Any = [(b":status", b"200"), (b"content-type", b"appl\xe9"), (b"grpc-status", b"13")]
-        connection.h2.send_headers(asked.stream, head, end_stream=True)
+        connection.h2.send_headers(asked.stream_id, head, end_stream=True)
         connection.flush()
         await until(lambda: heard.ends)
         assert heard.ends[0][0] is Outcome.ERROR and not rig.connection.closed
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -14,7 +14,10 @@
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, altered, load
 from sagetrack.lab.model.world import World
-from sagetrack.lab.processes.fleet import GatewayProcess, RealClock, RealGateways
+from sagetrack.lab.processes.clock import RealClock
+from sagetrack.lab.processes.gateway_fleet import GatewayFleet
+from sagetrack.lab.processes.gateway_process import GatewayProcess
+from sagetrack.lab.processes.gateway_supervisor import GatewaySupervisor
 
 
 def test_a_death_overtakes_an_upgrade(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -23,34 +26,34 @@
 
     async def play() -> None:
         waits = asyncio.Event()
-        until_ready = RealGateways.until_ready
+        wait_until_ready = GatewaySupervisor.wait_until_ready
 
-        async def seen(self: RealGateways, gateway: int, process: GatewayProcess) -> None:
+        async def seen(self: GatewaySupervisor, gateway: int, process: GatewayProcess) -> None:
             waits.set()
-            await until_ready(self, gateway, process)
+            await wait_until_ready(self, gateway, process)
 
         world = World(scenario, 1, RealClock(), Records())
-        gateways = world.gateways = RealGateways(world, tmp_path, 0)
+        gateways = world.gateways = GatewayFleet(world, tmp_path, 0)
         try:
             world.prepare()
             gateways.start()
             await gateways.start_all()
-            monkeypatch.setattr(RealGateways, "until_ready", seen)
+            monkeypatch.setattr(GatewaySupervisor, "wait_until_ready", seen)
             gateways.upgrade(0)
-            while len(gateways.processes[0]) < 2:
+            while len(gateways.supervisor.processes[0]) < 2:
                 await asyncio.sleep(0)
-            gateways.processes[0][1].process.send_signal(signal.SIGSTOP)
+            gateways.supervisor.processes[0][1].process.send_signal(signal.SIGSTOP)
             await waits.wait()
             world.alive[0] = False
             gateways.kill(0)
-            await asyncio.wait(gateways.tasks)
-            assert gateways.failure is None
+            await asyncio.wait(gateways.background.tasks)
+            assert gateways.background.failure is None
             waits.clear()
             gateways.revive(0)
             await waits.wait()
-            await asyncio.wait(gateways.tasks)
-            assert gateways.failure is None and world.alive[0]
-            ended = [one.process.poll() for one in gateways.processes[0]]
+            await asyncio.wait(gateways.background.tasks)
+            assert gateways.background.failure is None and world.alive[0]
+            ended = [one.process.poll() for one in gateways.supervisor.processes[0]]
             assert ended == [-signal.SIGKILL, -signal.SIGKILL, None]
         finally:
             gateways.stop()
@@ -64,7 +67,7 @@
 
     async def play() -> None:
         world = World(scenario, 1, RealClock(), Records())
-        gateways = world.gateways = RealGateways(world, tmp_path, 0)
+        gateways = world.gateways = GatewayFleet(world, tmp_path, 0)
         world.prepare()
         gateways.start()
         asked = asyncio.Event()
@@ -73,13 +76,13 @@
             work.close()
             asked.set()
 
-        monkeypatch.setattr(gateways, "spawn", spawn)
+        monkeypatch.setattr(gateways.background, "spawn", spawn)
         world.begin()
         await asked.wait()
         gateways.stop()
         asked.clear()
         (this, *_) = world.tries.values()
-        gateways._ask(this)
+        gateways.clients.send_now(this)
         assert not asked.is_set()
 
     asyncio.run(play())
