--- a/sagetrack/lab/scale/process.py
+++ b/sagetrack/lab/scale/process.py
@@ -27,7 +27,7 @@
 from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.scale.world import FleetAhead
-from sagetrack.lab.stand_ins.scripted import Exchange, peer, reply
+from sagetrack.lab.stand_ins.scripted import Exchange, reply, scripted_server
 
 NAME = "real-gateway"
 STEPS = 5
@@ -86,7 +86,7 @@
         )
 
     async def serve(self, exchange: Exchange) -> None:
-        query = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
+        query = parse_qs(urlsplit(exchange.message.start_line.split(" ")[1]).query)
         since = int(query["from"][0]) if "from" in query else -1
         self.asked_from.put_nowait(since)
         if since >= self.index:
@@ -232,7 +232,7 @@
     processes: list[GatewayProcess] = []
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         try:
-            async with peer(roster.serve) as discovery:
+            async with scripted_server(roster.serve) as discovery:
 
                 def start(life: int, known: dict[str, object]) -> tuple[int, GatewayProcess]:
                     # A listening socket that it inherits: only then it hands its list on, as in earnest.
@@ -283,7 +283,7 @@
                 end(process)
                 roster.change([])  # who still waits for news hears it, and finds its caller gone
                 async with asyncio.timeout(STARTED_S):
-                    while discovery.ended < discovery.opened:
+                    while discovery.closed_connections < discovery.opened_connections:
                         await asyncio.sleep(0.01)
                 return trial.found
         finally:
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -100,7 +100,7 @@
         try:
             while not self.down:
                 message = await read_message(reader)
-                body = await self.answer(message.first.split(" ")[1])
+                body = await self.answer(message.start_line.split(" ")[1])
                 if self.down:
                     break
                 if self.silent:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,15 +20,15 @@
 from sagetrack.lab.stand_ins.scripted import (
     Exchange,
     Message,
-    Peer,
     Script,
+    ScriptedServer,
     answers,
     endpoint,
-    hosts_list,
+    endpoint_list,
     list_reply,
-    peer,
     read_message,
     reply,
+    scripted_server,
     silent,
 )
 from sagetrack.server.gateway_assembly import GatewayAssembly
@@ -37,22 +37,22 @@
     "Client",
     "Exchange",
     "Message",
-    "Peer",
     "Running",
     "Script",
+    "ScriptedServer",
     "answers",
     "configuration",
     "endpoint",
+    "endpoint_list",
     "host_id",
-    "hosts_list",
     "list_reply",
     "on_loop",
-    "peer",
     "read_message",
     "reply",
     "request",
     "rested",
     "running",
+    "scripted_server",
     "silent",
     "until",
 ]
@@ -88,7 +88,9 @@
     await until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
 
 
-def configuration(*hosts: Peer | str, discovery: str = "127.0.0.1:9", **caps: object) -> dict[str, Any]:
+def configuration(
+    *hosts: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object
+) -> dict[str, Any]:
     """A configuration for these hosts; no list is asked for unless `membershipMode` is changed."""
     addresses = [host if isinstance(host, str) else host.address for host in hosts]
     lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
@@ -98,7 +100,7 @@
         "discovery": discovery,
         "seed": "5eed",
         "limits": {"sockets": 1024},
-        "known": hosts_list(7, *(endpoint(f"s-{n}", a) for n, a in enumerate(addresses))),
+        "known": endpoint_list(7, *(endpoint(f"s-{n}", a) for n, a in enumerate(addresses))),
         "settings": {
             "zones": ["a", "b"],
             "shapes": ["m"],
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -33,11 +33,11 @@
     answers,
     configuration,
     on_loop,
-    peer,
     reply,
     request,
     rested,
     running,
+    scripted_server,
     until,
 )
 from tests.test_gateway_process import connect, program
@@ -125,14 +125,14 @@
 @pytest.mark.parametrize("script", [answers(HEAD + LONG), in_chunks])
 @on_loop
 async def test_a_long_answer_passes_whole_and_both_connections_go_on(script: Script) -> None:
-    async with peer(script) as host, running(configuration(host)) as run:
+    async with scripted_server(script) as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
             client.send(request())
             status, headers, body = await read_answer(client)
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
             await rested(run)
-        assert host.opened == 1 and run.gateway.metrics.answered.by_class[0] == 3
+        assert host.opened_connections == 1 and run.gateway.metrics.answered.by_class[0] == 3
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
@@ -145,7 +145,7 @@
 @on_loop
 async def test_the_first_bytes_pass_before_the_last_have_come(head: bytes) -> None:
     """A head that tells a length over the limit, and one that tells none: neither is held back."""
-    async with peer(answers(b"")) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(b"")) as host, running(configuration(host)) as run:
         events: list[object] = []
         handle = run.gateway.balancer.handle
 
@@ -158,9 +158,9 @@
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         client = await run.connect()
         client.send(request())
-        await until(lambda: host.seen)
+        await until(lambda: host.exchanges)
         framed = chunk if head is CHUNKED_HEAD else bytes
-        host.seen[0].answer(head + framed(LONG[:1000]))
+        host.exchanges[0].answer(head + framed(LONG[:1000]))
         await client.reader.readuntil(b"\r\n\r\n")
         if head is CHUNKED_HEAD:
             assert await client.reader.readexactly(1007) == chunk(LONG[:1000])
@@ -168,7 +168,7 @@
             assert await client.reader.readexactly(1000) == LONG[:1000]
         assert isinstance(events[-1], StreamStarted)
         assert run.gateway.metrics.answered.by_class[0] == 0  # it is served once it is whole
-        host.seen[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
+        host.exchanges[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
         await until(lambda: run.gateway.metrics.answered.by_class[0])
         assert isinstance(events[-1], AttemptEnded) and events[-1].outcome is Outcome.OK
         assert events[-1].finished
@@ -180,13 +180,13 @@
 )
 @on_loop
 async def test_an_answer_that_breaks_off_is_visibly_not_whole(begun: bytes) -> None:
-    async with peer(answers(begun)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(begun)) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
         await client.reader.read(1)
         if not begun.endswith(b"zz"):
-            host.seen[0].reset()
+            host.exchanges[0].reset()
         rest = b""
         try:
             while data := await client.reader.read(65536):
@@ -196,18 +196,18 @@
         assert b"\r\n0\r\n" not in rest and len(rest) < len(LONG) + 100
         await until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
-        assert len(host.seen) == 1  # what the client has begun to get is not asked for again
+        assert len(host.exchanges) == 1  # what the client has begun to get is not asked for again
         client.close()
 
 
 @on_loop
 async def test_a_client_that_leaves_in_the_middle_frees_the_host() -> None:
-    async with peer(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
-        await until(lambda: host.ended == 1)
+        await until(lambda: host.closed_connections == 1)
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
@@ -217,7 +217,7 @@
 
 @on_loop
 async def test_a_host_that_stalls_in_the_middle_is_given_up() -> None:
-    async with peer(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
@@ -228,7 +228,7 @@
         pools.sweep()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await client.reader.readexactly(len(LONG))
-        await until(lambda: host.ended == 1)
+        await until(lambda: host.closed_connections == 1)
         client.close()
 
 
@@ -387,7 +387,7 @@
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     # What limits short answers does not limit long ones.
     monkeypatch.setattr(client_module, "WRITE_TIMEOUT_S", 0.0)
-    async with peer(answers(head + body)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(head + body)) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
@@ -413,7 +413,7 @@
     """Sixteen bodies each way of 8 MB, 256 MB in all, through a program that may hold 64 MB."""
     long = bytes(8 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long)
-    async with sink() as taker, peer(answers(head + long)) as giver:
+    async with sink() as taker, scripted_server(answers(head + long)) as giver:
         config = configuration(taker.address) | {"limits": {"memory_mb": 64, "sockets": 1024}}
         other = configuration(giver) | {"limits": {"memory_mb": 64, "sockets": 1024}}
         for number, (each, class_name, body) in enumerate(
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -11,7 +11,7 @@
 from sagetrack.core.send_rules import CloseReason
 from sagetrack.http1 import connection_phases as phases_module
 from sagetrack.http1 import downstream as client_module
-from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
+from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
 from tests.test_gateway_process import connect, program
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
@@ -29,16 +29,16 @@
 async def test_a_silent_client_and_a_kept_connection_are_let_go_and_a_busy_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         busy, quiet, kept = [await run.connect() for _ in range(3)]
         busy.send(request("transfer"))
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         assert (await kept.ask(ready)).status == 200
-        await until(lambda: host.seen)
+        await until(lambda: host.exchanges)
         hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_CROWDED_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
-        host.seen[0].answer(reply(200, b"late"))
+        host.exchanges[0].answer(reply(200, b"late"))
         assert (await busy.answer()).body == b"late"
         phases = run.server.context.phases
         for phase in (phases.awaiting_first_byte, phases.receiving_request, phases.idle, phases.closing):
@@ -62,13 +62,13 @@
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hurry(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(begun)
         assert answer.status == 408 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
         await until(lambda: not run.server.connections)
-        assert not host.seen
+        assert not host.exchanges
         client.close()
 
 
@@ -79,7 +79,7 @@
 async def test_silent_clients_crowd_out_neither_hosts_nor_other_clients(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that say nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
-    async with peer() as host:
+    async with scripted_server() as host:
         config["known"]["endpoints"][0]["address"] = host.address
         async with program(tmp_path, config) as (process, port):
             client = await connect(port)
@@ -95,7 +95,7 @@
                     again = await connect(port)
                     assert (await again.ask(request("transfer"))).status == 200
                     again.close()
-            assert host.opened == 1  # the kept connection has been kept
+            assert host.opened_connections == 1  # the kept connection has been kept
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
             for one in (*crowd, client, other):
@@ -139,19 +139,19 @@
 async def test_what_is_no_request_is_refused_and_nothing_of_it_reaches_a_host(
     data: bytes, status: int
 ) -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(data)
         answer = await client.answer()
         assert answer.status == status
         assert (await run.ask(request())).status == 200
-        assert len(host.seen) == 1 and "search" in host.seen[0].message.first
+        assert len(host.exchanges) == 1 and "search" in host.exchanges[0].message.start_line
         client.close()
 
 
 @on_loop
 async def test_hundreds_of_requests_at_once_wait_unparsed_and_are_all_answered() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
         most = 0
@@ -164,11 +164,11 @@
 
 @on_loop
 async def test_a_time_beyond_the_class_is_cut_and_none_at_all_is_answered_at_once() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer", budget_ms=10**14))
-        await until(lambda: host.seen)
-        assert int(host.seen[0].message.headers["x-budget-ms"]) <= 20_000
+        await until(lambda: host.exchanges)
+        assert int(host.exchanges[0].message.headers["x-budget-ms"]) <= 20_000
         assert (await run.ask(request("transfer", budget_ms=0))).status in (502, 503, 504)
         client.close()
 
@@ -176,7 +176,7 @@
 @on_loop
 async def test_who_never_finishes_a_request_yields_to_who_does(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that begin a request and never end it."""
-    async with peer() as host:
+    async with scripted_server() as host:
         config = configuration(host) | {"limits": {"sockets": 80}}
         async with program(tmp_path, config) as (process, port):
             crowd = []
@@ -196,7 +196,7 @@
 @on_loop
 async def test_who_has_had_the_time_for_a_head_yields_first() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         phases = run.server.context.phases
         overdue, kept, writing = [await run.connect() for _ in range(3)]
         overdue.send(TRANSFER)
@@ -221,11 +221,11 @@
 
     from sagetrack.core.drain import SHUTDOWN_INCOMPLETE_WAIT_S
 
-    async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         begun, held = await connect(port), await connect(port)
         begun.send(TRANSFER)
         held.send(request("transfer"))
-        await until(lambda: host.seen)
+        await until(lambda: host.exchanges)
         loop = asyncio.get_running_loop()
         since_s = loop.time()
         process.send_signal(signal.SIGTERM)
@@ -233,7 +233,7 @@
         assert turned_away.status == 503 and turned_away.headers["connection"] == "close"
         assert await begun.reader.read() == b""
         assert loop.time() - since_s >= SHUTDOWN_INCOMPLETE_WAIT_S
-        host.seen[0].answer(reply())
+        host.exchanges[0].answer(reply())
         assert (await held.answer()).status == 200
         assert await process.wait() == 0
         _, errors = await process.communicate()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -15,14 +15,14 @@
     answers,
     configuration,
     endpoint,
+    endpoint_list,
     host_id,
-    hosts_list,
     on_loop,
-    peer,
     reply,
     request,
     rested,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -34,28 +34,28 @@
 
 @on_loop
 async def test_a_connection_is_used_again_and_only_by_one_at_a_time() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(2)]
-        await until(lambda: len(host.seen) == 2)
-        assert host.opened == 2
-        for exchange in host.seen:
+        await until(lambda: len(host.exchanges) == 2)
+        assert host.opened_connections == 2
+        for exchange in host.exchanges:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
         host.script = answers(reply())
         for _ in range(3):
             await rested(run)
             assert (await run.ask(request())).status == 200
-        assert host.opened == 2
-        last = [exchange.connection for exchange in host.seen[2:]]
+        assert host.opened_connections == 2
+        last = [exchange.connection for exchange in host.exchanges[2:]]
         assert len(set(last)) == 1  # the one used last, so that the other can age
 
 
 @on_loop
 async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.instance.pools, idle(run)[0]
-        host.seen[0].writer.close()
+        host.exchanges[0].writer.close()
         await until(lambda: not connection.is_usable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
@@ -70,7 +70,7 @@
             Attempt(pool.servers[host_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended)
         )
         await until(lambda: ended)
-        assert ended == [Outcome.OK] and host.opened == 2
+        assert ended == [Outcome.OK] and host.opened_connections == 2
 
 
 @on_loop
@@ -97,21 +97,21 @@
 @on_loop
 async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
     async with (
-        peer(answers(reply(200, b"", "Connection: close"))) as host,
+        scripted_server(answers(reply(200, b"", "Connection: close"))) as host,
         running(configuration(host)) as run,
     ):
         for opened in (1, 2):
             assert (await run.ask(request())).status == 200
-            assert host.opened == opened
+            assert host.opened_connections == opened
         assert not idle(run)
 
 
 @on_loop
 async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(3)]
-        await until(lambda: len(host.seen) == 3)
-        for exchange in host.seen:
+        await until(lambda: len(host.exchanges) == 3)
+        for exchange in host.exchanges:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
         pools = run.instance.pools
@@ -121,24 +121,24 @@
         await until(lambda: pools.open == 1)
         idle(run)[0].idle_since_us -= 45_000_000
         pools.sweep()
-        await until(lambda: pools.open == 0 and host.ended == 3)
+        await until(lambda: pools.open == 0 and host.closed_connections == 3)
 
 
 @on_loop
 async def test_a_drained_host_keeps_no_idle_connection_and_finishes_what_it_has() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         asking = asyncio.create_task(run.ask(request()))
-        await until(lambda: host.seen)
+        await until(lambda: host.exchanges)
         names = parse(configuration(host)).names
         _, _, entries = parse_endpoint_list(
-            hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names
+            endpoint_list(8, endpoint("s-0", host.address, status="DRAINING")), names
         )
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
-        host.seen[0].answer(reply(200, b"done"))
+        host.exchanges[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
-        await until(lambda: host.ended == 1)
-        assert len(host.seen) == 1
+        await until(lambda: host.closed_connections == 1)
+        assert len(host.exchanges) == 1
 
 
 @on_loop
@@ -147,7 +147,7 @@
 
     The grace is no part of it: the word may have counted as told for as long before it came.
     """
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         pools, ended = run.instance.pools, list[Outcome]()
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
@@ -157,45 +157,45 @@
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         pools.drain(known)
         await until(lambda: ended)
-        assert ended == [Outcome.NOT_SENT] and not host.seen
+        assert ended == [Outcome.NOT_SENT] and not host.exchanges
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         assert ended == [Outcome.NOT_SENT] * 2
 
 
 @on_loop
 async def test_a_host_that_moves_is_reached_at_its_new_address() -> None:
-    async with peer() as old, peer() as new, running(configuration(old)) as run:
+    async with scripted_server() as old, scripted_server() as new, running(configuration(old)) as run:
         old.script = silent
         asking = asyncio.create_task(run.ask(request()))
-        await until(lambda: old.seen)
+        await until(lambda: old.exchanges)
         names = parse(configuration(old)).names
-        _, _, entries = parse_endpoint_list(hosts_list(8, endpoint("s-0", new.address)), names)
+        _, _, entries = parse_endpoint_list(endpoint_list(8, endpoint("s-0", new.address)), names)
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
-        old.seen[0].answer(reply())
+        old.exchanges[0].answer(reply())
         await asking
         assert not idle(run)  # the old connection is not kept for the new address
         assert (await run.ask(request())).status == 200
-        assert len(old.seen) == len(new.seen) == 1
+        assert len(old.exchanges) == len(new.exchanges) == 1
 
 
 @on_loop
 async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         names = parse(configuration(host)).names
         assert (await run.ask(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
             _, _, entries = parse_endpoint_list(
-                hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names
+                endpoint_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names
             )
             run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
-        assert host.opened == 2
+        assert host.opened_connections == 2
 
 
 @on_loop
 async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
-    async with peer() as one, peer() as two:
+    async with scripted_server() as one, scripted_server() as two:
         config = configuration(one, two)
         async with running(config) as run:
             client = await run.connect()
@@ -222,16 +222,16 @@
     def twice(exchange: Exchange) -> None:
         exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
 
-    async with peer(twice) as host, running(configuration(host)) as run:
+    async with scripted_server(twice) as host, running(configuration(host)) as run:
         for opened in (1, 2):
             assert (await run.ask(request())).body == b"mine"
-            assert host.opened == opened
+            assert host.opened_connections == opened
 
 
 @on_loop
 async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         pools = run.instance.pools
         connected = pools.attempts.on_connected
 
@@ -247,5 +247,5 @@
         await until(lambda: pools.counts.opened)
         await until(lambda: pools.open == 0)
         (known,) = pools.servers.values()
-        assert known.open == 0 and not known.idle and not host.seen
+        assert known.open == 0 and not known.idle and not host.exchanges
         client.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,13 +20,13 @@
     answers,
     configuration,
     endpoint,
+    endpoint_list,
     host_id,
-    hosts_list,
     on_loop,
-    peer,
     reply,
     request,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -72,7 +72,7 @@
 
 def tell(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
     names = parse(configuration()).names
-    run.gateway.on_endpoint_list(kind, parse_endpoint_list(hosts_list(8, *endpoints), names).endpoints)
+    run.gateway.on_endpoint_list(kind, parse_endpoint_list(endpoint_list(8, *endpoints), names).endpoints)
 
 
 def nothing_is_left(run: Running) -> bool:
@@ -89,7 +89,7 @@
 async def test_a_client_leaves_while_its_connection_comes_up(may_cancel: bool, taken_back: bool) -> None:
     """Its call is taken back at once; and were that missed, the last look before the first byte sees it."""
     config = configuration(mayCancel=may_cancel)
-    async with peer() as host:
+    async with scripted_server() as host:
         config["known"] = configuration(host)["known"]
         async with running(config) as run:
             late, told = Late(run), outcomes(run)
@@ -106,13 +106,13 @@
                 assert told == [Outcome.NOT_SENT]
             late.release()
             await until(lambda: nothing_is_left(run))
-            assert told == [Outcome.NOT_SENT] and not host.seen
+            assert told == [Outcome.NOT_SENT] and not host.exchanges
 
 
 @on_loop
 async def test_a_second_copy_that_comes_up_late_is_taken_back_with_the_answer() -> None:
     """Where nothing may be cancelled too: it has not begun, so that there is nothing to cancel."""
-    async with peer(silent) as host, peer() as other:
+    async with scripted_server(silent) as host, scripted_server() as other:
         config = configuration(host, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
             for server in run.gateway.balancer.servers.values():
@@ -121,12 +121,12 @@
             late = Late(run, host_id(1))
             client = await run.connect()
             client.send(request())
-            await until(lambda: host.seen and late.held)
-            host.seen[0].answer(reply(200, b"first"))
+            await until(lambda: host.exchanges and late.held)
+            host.exchanges[0].answer(reply(200, b"first"))
             assert (await client.answer()).body == b"first"
             late.release()
             await until(lambda: not run.gateway.in_flight)
-            assert not other.seen
+            assert not other.exchanges
             client.close()
 
 
@@ -137,8 +137,8 @@
 ) -> None:
     """It was chosen within the window; servers drop a repeat of what ran only as long as that lasts."""
     async with (
-        peer(lambda exchange: exchange.reset()) as host,
-        peer() as other,
+        scripted_server(lambda exchange: exchange.reset()) as host,
+        scripted_server() as other,
         running(configuration(host, other)) as run,
     ):
         for server in run.gateway.balancer.servers.values():
@@ -146,7 +146,7 @@
         late = Late(run, host_id(1))
         client = await run.connect()
         client.send(request("hold"))
-        await until(lambda: host.seen and late.held)
+        await until(lambda: host.exchanges and late.held)
         told = outcomes(run)
         window_us = run.gateway.settings.classes[1].window_us
         if over:
@@ -154,7 +154,7 @@
                 monkeypatch.setattr(f"{module}.now_us", lambda: now_us() + window_us)
         late.release()
         answer = await client.answer()
-        assert (answer.status != 200) is over and len(other.seen) == (not over)
+        assert (answer.status != 200) is over and len(other.exchanges) == (not over)
         assert told == ([Outcome.NOT_SENT] if over else [Outcome.OK])
         client.close()
 
@@ -167,10 +167,10 @@
 @on_loop
 async def test_a_client_leaves_while_nothing_is_read_from_it(told: bool) -> None:
     """It has sent more than is read ahead: neither the call in work nor one behind it goes on without it."""
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(behind(5 * MAX_PIPELINED))
-        await until(lambda: run.server.context.paused and host.seen)
+        await until(lambda: run.server.context.paused and host.exchanges)
         (connection,) = run.server.connections
         if not told:  # it leaves just before its first answer comes
             run.server.context.hangups.forget(connection.descriptor)
@@ -178,9 +178,9 @@
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
             if not told:
-                host.seen[0].answer(reply())
+                host.exchanges[0].answer(reply())
             await until(lambda: not run.server.connections and not run.gateway.in_flight)
-        assert len(host.seen) == 1 and not run.server.context.paused
+        assert len(host.exchanges) == 1 and not run.server.context.paused
 
 
 # A server leaves, moves or starts anew
@@ -208,8 +208,8 @@
 async def test_word_of_a_server_crosses_a_connection_that_comes_up(what: str) -> None:
     """What was chosen before the word is chosen anew, once: also of a class that is unsafe to repeat."""
     async with (
-        peer() as host,
-        peer(answers(reply(200, b"other"))) as other,
+        scripted_server() as host,
+        scripted_server(answers(reply(200, b"other"))) as other,
         running(configuration(host)) as run,
     ):
         late, told = Late(run), outcomes(run)
@@ -221,38 +221,38 @@
         tell(run, kind, *[e if e["name"] == "s-0" else endpoint("s-1", other.address) for e in entries])
         late.release()
         assert (await client.answer()).body == b"other"
-        assert told == [Outcome.NOT_SENT, Outcome.OK] and not host.seen and len(other.seen) == 1
-        await until(lambda: host.ended == host.opened)
+        assert told == [Outcome.NOT_SENT, Outcome.OK] and not host.exchanges and len(other.exchanges) == 1
+        await until(lambda: host.closed_connections == host.opened_connections)
         client.close()
 
 
 @pytest.mark.parametrize("what", ["draining", "gone", "unnamed", "moved", "started anew"])
 @on_loop
 async def test_word_of_a_server_ends_its_kept_connections(what: str) -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
         kind, entries = word(what, host.address)
         tell(run, kind, *entries)
-        await until(lambda: host.ended == 1 and run.instance.pools.open == 0)
+        await until(lambda: host.closed_connections == 1 and run.instance.pools.open == 0)
 
 
 @on_loop
 async def test_a_server_returns_under_its_id_while_it_still_answers_for_its_earlier_life() -> None:
     """The answer passes, and its connection is not kept for the server of now."""
     async with (
-        peer(silent) as old,
-        peer(answers(reply(200, b"new"))) as new,
+        scripted_server(silent) as old,
+        scripted_server(answers(reply(200, b"new"))) as new,
         running(configuration(old)) as run,
     ):
         first = await run.connect()
         first.send(request())
-        await until(lambda: old.seen)
+        await until(lambda: old.exchanges)
         tell(run, ListKind.DELTA, endpoint("s-0", old.address, status="DELETED"))
         tell(run, ListKind.DELTA, endpoint("s-0", new.address, since_ms=5))
-        old.seen[0].answer(reply(200, b"old"))
+        old.exchanges[0].answer(reply(200, b"old"))
         assert (await first.answer()).body == b"old"
-        await until(lambda: old.ended == 1)
-        assert (await first.ask(request())).body == b"new" and len(old.seen) == 1
+        await until(lambda: old.closed_connections == 1)
+        assert (await first.ask(request())).body == b"new" and len(old.exchanges) == 1
         first.close()
 
 
@@ -265,32 +265,32 @@
     monkeypatch.setattr(
         "sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0
     )  # however busy this machine is
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
-        await until(lambda: host.seen)
-        host.seen[0].answer(reply(200, b"one"))
+        await until(lambda: host.exchanges)
+        host.exchanges[0].answer(reply(200, b"one"))
         assert (await client.answer()).body == b"one"
         (kept,) = run.instance.pools.servers[host_id(0)].idle
         kept.last_response_us = 120_000_000
         client.send(request())
-        await until(lambda: len(host.seen) == 2 or kept.waiting_attempt)
-        host.seen[0].answer(reply(200, b"one"))
-        await until(lambda: len(host.seen) == 2)
-        host.seen[1].answer(reply(200, b"two"))
+        await until(lambda: len(host.exchanges) == 2 or kept.waiting_attempt)
+        host.exchanges[0].answer(reply(200, b"one"))
+        await until(lambda: len(host.exchanges) == 2)
+        host.exchanges[1].answer(reply(200, b"two"))
         assert (await client.answer()).body == b"two"
-        await until(lambda: host.ended == 1)  # what spoke unasked is of no more use
+        await until(lambda: host.closed_connections == 1)  # what spoke unasked is of no more use
         client.close()
 
 
 @on_loop
 async def test_the_next_request_waits_for_its_connections_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 0.1)
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
             assert (await client.ask(request())).status == 200
-            assert host.opened == 1
+            assert host.opened_connections == 1
             for kept in run.instance.pools.servers[host_id(0)].idle:
                 kept.last_response_us = 1_000_000
         client.close()
@@ -298,13 +298,13 @@
 
 @on_loop
 async def test_no_request_waits_for_a_rest_of_a_server_that_answers_sooner_than_that() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         client = await run.connect()
         for opened in (1, 2):
             assert (await client.ask(request())).status == 200
             for kept in run.instance.pools.servers[host_id(0)].idle:
                 kept.last_response_us, kept.idle_since_us = 1_000, now_us() + 10_000_000
-            assert host.opened == opened
+            assert host.opened_connections == opened
         client.close()
 
 
@@ -314,8 +314,8 @@
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
-        peer() as host,
-        peer(answers(reply(200, b"other"))) as other,
+        scripted_server() as host,
+        scripted_server(answers(reply(200, b"other"))) as other,
         running(configuration(host, mayCancel=False)) as run,
     ):
         client = await run.connect()
@@ -333,8 +333,8 @@
             kind, entries = word(what, host.address)
             tell(run, kind, *entries)
             assert (await client.answer()).body == b"other"
-        assert len(host.seen) == 1 and len(other.seen) == (what != "left")
-        await until(lambda: host.ended == 1)
+        assert len(host.exchanges) == 1 and len(other.exchanges) == (what != "left")
+        await until(lambda: host.closed_connections == 1)
         client.close()
 
 
@@ -344,7 +344,7 @@
 @on_loop
 async def test_the_end_of_listening_crosses_a_connection_for_which_there_is_no_room() -> None:
     """It waits with the kernel until others have had their answers, and is not reset with the listener."""
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         server = run.server
         reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
@@ -354,7 +354,7 @@
         await until(
             lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
         )
-        assert server.is_listening and not host.seen
+        assert server.is_listening and not host.exchanges
         server.acceptor.reclaim = reclaim
         assert (await client.answer()).status == 200
         await leaving
@@ -367,16 +367,16 @@
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = True
-    async with peer(silent) as host:
+    async with scripted_server(silent) as host:
         config["known"] = configuration(host)["known"]
         async with running(config) as run:
             clients = [await run.connect() for _ in range(2)]
             for client in clients:
                 client.send(request("transfer"))
-            await until(lambda: host.seen and len(run.gateway.in_flight) == 2)
+            await until(lambda: host.exchanges and len(run.gateway.in_flight) == 2)
             run.gateway.shut_down_within(0.1)
             told = sorted([(await client.answer()).status for client in clients])
-            assert told == [502, 503] and len(host.seen) == 1
+            assert told == [502, 503] and len(host.exchanges) == 1
             assert (await run.ask(request("transfer"))).status == 503  # what comes later is refused at once
             assert not [held for held in run.gateway.in_flight.values() if not held.is_finished]
             for client in clients:
@@ -390,7 +390,7 @@
 async def test_nothing_of_one_request_shows_in_the_next_on_its_connection() -> None:
     """Sent together: the second names another member, the third none that there is, the last no class."""
     arrived: list[RequestArrived] = []
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
 
         def listen(now_us: int, event: object) -> object:
@@ -412,7 +412,7 @@
         assert [event.is_retry for event in arrived] == [True, False, False, False]
         assert [event.work_us for event in arrived] == [7, None, None, None]
         assert [event.client_timeout_us for event in arrived] == [900_000, 20_000_000, 20_000_000, 20_000_000]
-        said = [exchange.message for exchange in host.seen]
+        said = [exchange.message for exchange in host.exchanges]
         assert [message.body for message in said] == [b"x", b"y", b"", b""]
         assert [bool(message.headers.get("idempotency-key")) for message in said] == [True] + [False] * 3
         client.close()
@@ -428,7 +428,7 @@
     loop, late_s = asyncio.get_running_loop(), [0.0]
 
     async def twice(exchange: Exchange) -> None:
-        answer = reply(200, exchange.message.first.encode())
+        answer = reply(200, exchange.message.start_line.encode())
         await asyncio.sleep(0.03)  # longer than a connection rests: the next request may wait for one
         exchange.answer(answer)
         first_s = loop.time()
@@ -436,7 +436,7 @@
         exchange.answer(answer)
         late_s.append(loop.time() - first_s)
 
-    async with peer(twice) as host, running(configuration(host)) as run:
+    async with scripted_server(twice) as host, running(configuration(host)) as run:
         client = await run.connect()
         judged = number = 0
         while judged < 12:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,17 +12,17 @@
 from tests.sockets import (
     Client,
     Exchange,
-    Peer,
     Running,
+    ScriptedServer,
     configuration,
     endpoint,
     host_id,
     list_reply,
     on_loop,
-    peer,
     reply,
     request,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -55,20 +55,20 @@
 
 
 @asynccontextmanager
-async def down_then_up(host: Peer) -> AsyncIterator[tuple[Peer, list[bool]]]:
+async def down_then_up(host: ScriptedServer) -> AsyncIterator[tuple[ScriptedServer, list[bool]]]:
     """A discovery that ends every call, until it is told to answer with this server."""
     up: list[bool] = []
 
     async def script(exchange: Exchange) -> None:
         if not up:
             exchange.reset()
-        elif "from=" in exchange.message.first:
+        elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
             exchange.answer(list_reply(9, snapshot=False))
         else:
             exchange.answer(list_reply(9, endpoint("s-0", host.address)))
 
-    async with peer(script) as discovery:
+    async with scripted_server(script) as discovery:
         yield discovery, up
 
 
@@ -77,13 +77,13 @@
 @on_loop
 async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(sockets: int, others: int) -> None:
     """It returns: the list is taken, first requests have their server, who is owed an answer has it."""
-    async with peer(silent) as old, peer() as new, down_then_up(new) as (discovery, up):
+    async with scripted_server(silent) as old, scripted_server() as new, down_then_up(new) as (discovery, up):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
             run.server.siblings.others = others
             owed = await run.connect()
             owed.send(request("transfer"))
-            await until(lambda: old.seen)
+            await until(lambda: old.exchanges)
             crowd = await fill(run, run.server.descriptors.max_clients + KINDS * 4)
             assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and within(run)
             up.append(True)
@@ -94,13 +94,13 @@
             for client in fresh:
                 assert (await client.answer()).status == 200
             assert within(run)
-            old.seen[0].answer(reply())
+            old.exchanges[0].answer(reply())
             assert (await owed.answer()).status == 200
             for client in (owed, *fresh, *crowd):
                 client.close()
 
 
-def parsed(peer_: Peer) -> tuple[str, int]:
+def parsed(peer_: ScriptedServer) -> tuple[str, int]:
     host, _, port = peer_.address.rpartition(":")
     return host, int(port)
 
@@ -109,19 +109,19 @@
 @on_loop
 async def test_a_full_process_makes_way_when_a_second_one_starts(sockets: int) -> None:
     """The limit is for both together: what asks nothing is closed by the next look, what is owed is not."""
-    async with peer(silent) as host:
+    async with scripted_server(silent) as host:
         config = configuration(host) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
             owed = await run.connect()
             owed.send(request("transfer"))
-            await until(lambda: host.seen)
+            await until(lambda: host.exchanges)
             crowd = await fill(run, run.server.descriptors.max_clients)
             assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
             run.server.siblings.others = 1
             run.server.sweep()
             await until(lambda: not any(c.is_closing for c in run.server.connections))
             assert within(run)
-            host.seen[0].answer(reply())
+            host.exchanges[0].answer(reply())
             assert (await owed.answer()).status == 200
             for client in (owed, *crowd):
                 client.close()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -38,13 +38,13 @@
     answers,
     configuration,
     endpoint,
+    endpoint_list,
     host_id,
-    hosts_list,
     list_reply,
     on_loop,
-    peer,
     reply,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @on_loop
 async def test_after_five_failures_in_a_row_a_change_is_here_in_time(fault: str, mode: str) -> None:
-    async with peer(FAULTS[fault]) as registry, running(asks(registry.address, mode)) as run:
+    async with scripted_server(FAULTS[fault]) as registry, running(asks(registry.address, mode)) as run:
         failed = begin(run, 5)
         await until(lambda: failed.told == 5)
         registry.script = answers(drains(9))  # it is back, and has had the change all the time
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @on_loop
 async def test_after_five_refused_connections_a_change_is_here_in_time(mode: str) -> None:
-    async with peer(answers(drains(9))) as registry:
+    async with scripted_server(answers(drains(9))) as registry:
         assert registry.server is not None
         place = registry.server.sockets[0].getsockname()
         registry.server.close()
@@ -174,7 +174,7 @@
 @on_loop
 async def test_a_call_that_hangs_when_discovery_returns_is_given_up_in_time(before: int, mode: str) -> None:
     """The call under way has been lost and is waited for in vain; what comes after it is answered."""
-    async with peer(reset) as registry, running(asks(registry.address, mode)) as run:
+    async with scripted_server(reset) as registry, running(asks(registry.address, mode)) as run:
         failed = begin(run, before + 1)  # the pause before the call that hangs is over at once
         await until(lambda: failed.told >= before)
         hung = asyncio.Event()
@@ -197,7 +197,7 @@
     silent_on: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
-        if "from=" not in exchange.message.first:
+        if "from=" not in exchange.message.start_line:
             exchange.answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
         elif silent_on:
             exchange.answer(drains(9))
@@ -205,7 +205,7 @@
             silent_on.append(exchange)
 
     config = asks("") | {"known": {}}
-    async with peer(script) as registry, running(config | {"discovery": registry.address}) as run:
+    async with scripted_server(script) as registry, running(config | {"discovery": registry.address}) as run:
         begin(run, 0)
         await until(lambda: silent_on)
         assert not is_draining(run)
@@ -224,8 +224,8 @@
         refused.set()
 
     async with (
-        peer(FAULTS["503"]) as old,
-        peer(refuses_once) as new,
+        scripted_server(FAULTS["503"]) as old,
+        scripted_server(refuses_once) as new,
         running(asks(old.address)) as run,
     ):
         failed = begin(run, 5)
@@ -233,14 +233,14 @@
         async with asyncio.timeout(MOVED_S + grace_s(run)):
             run.instance.discovery.change_address(parse_address(new.address, "discovery"))
             await until(lambda: is_draining(run))
-        assert refused.is_set() and len(old.seen) == 5
+        assert refused.is_set() and len(old.exchanges) == 5
         new.script = silent
 
 
 @on_loop
 async def test_a_new_process_asks_soon_however_long_the_rules_let_it_wait() -> None:
     async with (
-        peer(answers(drains(9))) as registry,
+        scripted_server(answers(drains(9))) as registry,
         running(asks(registry.address, must_ask_us=10**12)) as run,
     ):
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S):
@@ -292,7 +292,7 @@
         self.discovery = DiscoveryClient(
             ("127.0.0.1", 9), names, self.on_list, settings.endpoints_are_pushed, self.connect, self.limits
         )
-        self.discovery.restore_known_endpoints(hosts_list(7, endpoint("s-0", "127.0.0.1:1")))
+        self.discovery.restore_known_endpoints(endpoint_list(7, endpoint("s-0", "127.0.0.1:1")))
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         statuses = [entry.listed.status for entry in entries]
@@ -345,7 +345,7 @@
         await asyncio.sleep(late_s)
         if self.fault:
             return Response(503, [], b"", True)
-        left = hosts_list(8, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
+        left = endpoint_list(8, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
         return Response(200, [], json.dumps(left).encode(), True)
 
     def close(self) -> None: ...
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -12,7 +12,7 @@
 
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.soak.shim import NONE, Control, Faults, build
-from tests.sockets import configuration, on_loop, peer, request, until
+from tests.sockets import configuration, on_loop, request, scripted_server, until
 from tests.test_gateway_process import READY, ROOT, ask
 
 MOMENT_S = 0.6
@@ -67,7 +67,10 @@
 
 @on_loop
 async def test_sockets_that_cannot_be_had_for_a_moment_are_asked_for_again(tmp_path: Path) -> None:
-    async with peer() as host, failing(tmp_path, Faults(socket_rate=1000), host.address) as (port, admin):
+    async with (
+        scripted_server() as host,
+        failing(tmp_path, Faults(socket_rate=1000), host.address) as (port, admin),
+    ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
 
@@ -79,7 +82,7 @@
     elsewhere.mkdir()
     here.mkdir()
     async with (
-        peer() as host,
+        scripted_server() as host,
         failing(here, Faults(file_rate=1000), host.address, elsewhere) as (port, admin),
     ):
         await becomes_ready(port, admin)
@@ -87,7 +90,10 @@
 
 @on_loop
 async def test_a_configuration_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
-    async with peer() as host, failing(tmp_path, Faults(file_rate=1000), host.address) as (port, admin):
+    async with (
+        scripted_server() as host,
+        failing(tmp_path, Faults(file_rate=1000), host.address) as (port, admin),
+    ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
 
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -16,16 +16,16 @@
 from sagetrack.server.hot_restart import HotRestart
 from tests.sockets import (
     Exchange,
-    Peer,
+    ScriptedServer,
     configuration,
     endpoint,
     host_id,
     list_reply,
     on_loop,
-    peer,
     reply,
     request,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -34,7 +34,7 @@
 
 
 @asynccontextmanager
-async def returning_discovery(host: Peer, resets: int) -> AsyncIterator[Peer]:
+async def returning_discovery(host: ScriptedServer, resets: int) -> AsyncIterator[ScriptedServer]:
     """It resets its first calls, and then says that the server drains."""
     calls = 0
 
@@ -43,13 +43,13 @@
         calls += 1
         if calls <= resets:
             exchange.reset()
-        elif "from=" in exchange.message.first:
+        elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
             exchange.answer(list_reply(9, snapshot=False))
         else:
             exchange.answer(list_reply(9, endpoint("s-0", host.address, status="DRAINING")))
 
-    async with peer(script) as discovery:
+    async with scripted_server(script) as discovery:
         yield discovery
 
 
@@ -58,7 +58,7 @@
     """A full disk under standard error: discovery fails, which is told in the log, and is asked again."""
     full = os.open("/dev/full", os.O_WRONLY)
     kept = os.dup(sys.__stderr__.fileno())  # type: ignore[union-attr]
-    async with peer() as host, returning_discovery(host, resets=2) as discovery:
+    async with scripted_server() as host, returning_discovery(host, resets=2) as discovery:
         os.dup2(full, 2)
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
@@ -77,13 +77,13 @@
     tmp_path: Path,
 ) -> None:
     """An upgrade and a restart cross: neither may count on the other for new clients."""
-    async with peer(silent) as host:
+    async with scripted_server(silent) as host:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(host))
             held = await connect(port)
             held.send(request("transfer", b"held"))
-            await until(lambda: host.seen)
+            await until(lambda: host.exchanges)
             new = await start(tmp_path, listener, configuration(host))
             await until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
@@ -93,7 +93,7 @@
             async with asyncio.timeout(3.0):
                 for _ in range(4):
                     assert await ask(port, READY) == 503
-            host.seen[0].answer(reply(200, b"done"))
+            host.exchanges[0].answer(reply(200, b"done"))
             assert (await held.answer()).body == b"done"
             assert await old.wait() == 0 and await new.wait() == 0
             held.close()
@@ -101,7 +101,7 @@
 
 @on_loop
 async def test_a_mark_that_is_lost_in_the_folder_does_not_keep_a_process_from_serving(tmp_path: Path) -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         overlap = HotRestart(str(tmp_path))
         overlap.join()
         for mark in tmp_path.iterdir():
@@ -133,7 +133,7 @@
 @on_loop
 async def test_an_accept_that_fails_costs_no_client_its_answer() -> None:
     """Neither who waits to be accepted nor who was accepted a moment ago and has not spoken yet."""
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         assert run.server.acceptor.listener is not None
         run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
@@ -157,7 +157,7 @@
 async def test_a_process_that_may_hold_fewer_descriptors_than_it_is_told_serves(tmp_path: Path) -> None:
     """The shell's limit is lower than the configuration's, and idle clients would use it up."""
     port = free_port()
-    async with peer() as host:
+    async with scripted_server() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host) | {"listen": f"127.0.0.1:{port}"}))
         process = await asyncio.create_subprocess_shell(
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -14,20 +14,20 @@
 from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
 from tests.sockets import (
     Exchange,
-    Peer,
     Running,
     Script,
+    ScriptedServer,
     answers,
     configuration,
     endpoint,
+    endpoint_list,
     host_id,
-    hosts_list,
     list_reply,
     on_loop,
-    peer,
     reply,
     request,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -55,8 +55,8 @@
     )
 
 
-def asked(registry: Peer) -> list[str]:
-    return [exchange.message.first.split(" ")[1] for exchange in registry.seen]
+def asked(registry: ScriptedServer) -> list[str]:
+    return [exchange.message.start_line.split(" ")[1] for exchange in registry.exchanges]
 
 
 def watcher(run: Running) -> None:
@@ -77,37 +77,37 @@
             exchange.answer(news.pop(0))
 
     async with (
-        peer(script) as registry,
+        scripted_server(script) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         watcher(run)
         watcher(run)  # while it is on, another changes nothing
-        await until(lambda: len(registry.seen) == 5)
+        await until(lambda: len(registry.exchanges) == 5)
         # The whole list first; then each watch asks for a quarter of the grace for sending (1 s here).
         watches = [f"/registry/instances?from={n}&hold_ms=250" for n in (7, 8, 8, 9)]
         assert asked(registry) == ["/registry/instances", *watches]
-        assert registry.opened == 1
+        assert registry.opened_connections == 1
         assert set(run.instance.pools.servers) == {host_id(1)} == set(run.gateway.balancer.servers)
 
 
 @on_loop
 async def test_a_watch_that_is_let_go_is_heard_no_more() -> None:
     async with (
-        peer(silent) as registry,
+        scripted_server(silent) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         watcher(run)
-        await until(lambda: registry.seen)
+        await until(lambda: registry.exchanges)
         told = lists(run)
         run.gateway.executor.execute(WatchEndpoints(False))
-        await until(lambda: registry.ended == 1)
+        await until(lambda: registry.closed_connections == 1)
         assert not told and run.instance.discovery.watch_task is None
 
 
 @on_loop
 async def test_the_whole_list_drops_what_it_does_not_name() -> None:
     listed = endpoint("s-1", "127.0.0.1:1", zone="b", group=3, since_ms=5, weight=2)
-    async with peer(answers(list_reply(12, listed))) as registry:
+    async with scripted_server(answers(list_reply(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {}}
         async with running(config) as run:
@@ -141,7 +141,7 @@
 )
 @on_loop
 async def test_a_failed_call_is_told_and_made_again_when_the_module_says(script: Script) -> None:
-    async with peer(script) as registry:
+    async with scripted_server(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
         async with running(config) as run:
@@ -157,10 +157,10 @@
 @on_loop
 async def test_a_pushed_list_is_watched_from_the_start_and_again_after_a_failure() -> None:
     async with (
-        peer(reset) as registry,
+        scripted_server(reset) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        await until(lambda: len(registry.seen) >= 2)
+        await until(lambda: len(registry.exchanges) >= 2)
         registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
         await until(lambda: host_id(3) in run.instance.pools.servers)
         registry.script = silent
@@ -168,7 +168,7 @@
 
 @on_loop
 async def test_bad_entries_and_unknown_fields_are_survived() -> None:
-    async with peer() as host:
+    async with scripted_server() as host:
         good = endpoint("s-1", host.address, colour="red")
         bad: list[object] = [
             None,
@@ -186,7 +186,7 @@
         text = json.dumps({"index": 9, "snapshot": True, "more": {}, "endpoints": [*bad, good]})
         script = answers(reply(200, text.encode()))
         async with (
-            peer(script) as registry,
+            scripted_server(script) as registry,
             running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
         ):
             await until(lambda: host_id(1) in run.instance.pools.servers)
@@ -197,11 +197,11 @@
 
 @on_loop
 async def test_a_list_known_from_before_that_cannot_be_used_is_as_none() -> None:
-    async with peer(silent) as registry:
+    async with scripted_server(silent) as registry:
         config = configuration(discovery=registry.address)
         config["known"] = {"index": "new", "endpoints": 3}
         async with running(config) as run:
-            await until(lambda: registry.seen)
+            await until(lambda: registry.exchanges)
             assert asked(registry) == ["/registry/instances"]
             assert not run.instance.pools.servers
     await asyncio.sleep(0)
@@ -232,19 +232,19 @@
     def script(exchange: Exchange) -> None:
         if exchange.connection > 1:
             exchange.answer(drains(9))
-        elif "from=" in exchange.message.first:
+        elif "from=" in exchange.message.start_line:
             exchange.answer(half)
         else:
             exchange.answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
 
     async with (
-        peer(script) as registry,
+        scripted_server(script) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        await until(lambda: len(registry.seen) == 2)
+        await until(lambda: len(registry.exchanges) == 2)
         assert not is_draining(run)
         await within_grace(run, lambda: is_draining(run))
-        assert registry.opened == 2 and asked(registry)[2] == "/registry/instances"
+        assert registry.opened_connections == 2 and asked(registry)[2] == "/registry/instances"
 
 
 @on_loop
@@ -259,13 +259,13 @@
             exchange.reset()  # and from then on silence
 
     async with (
-        peer(answers(list_reply(8, endpoint("s-0", "127.0.0.1:1")))) as registry,
+        scripted_server(answers(list_reply(8, endpoint("s-0", "127.0.0.1:1")))) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         registry.script = script
-        await until(lambda: registry.seen)
-        registry.seen[-1].reset()
-        await until(lambda: registry.opened >= 5)  # each given up in its turn
+        await until(lambda: registry.exchanges)
+        registry.exchanges[-1].reset()
+        await until(lambda: registry.opened_connections >= 5)  # each given up in its turn
         assert not is_draining(run)
         back = True
         await within_grace(run, lambda: is_draining(run))
@@ -274,19 +274,19 @@
 @on_loop
 async def test_an_answer_that_another_has_overtaken_takes_nothing_back() -> None:
     """A whole list asked for before a withdrawal, and answered after word of it, is asked for again."""
-    async with peer(silent) as registry:
+    async with scripted_server(silent) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request"}
         async with running(config) as run:
             only_our_calls(run)
             run.gateway.executor.execute(FetchEndpoints())
-            await until(lambda: len(registry.seen) == 1)
+            await until(lambda: len(registry.exchanges) == 1)
             watcher(run)
-            await until(lambda: len(registry.seen) == 2)
-            registry.seen[1].answer(drains(9))
+            await until(lambda: len(registry.exchanges) == 2)
+            registry.exchanges[1].answer(drains(9))
             await until(lambda: is_draining(run))
             told = lists(run)
-            registry.seen[0].answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
+            registry.exchanges[0].answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
             await until(lambda: told)
             assert [event.kind for event in told] == [ListKind.ERROR] and is_draining(run)
             # Said again, it is what the service has: it may have begun to count anew.
@@ -303,16 +303,16 @@
 
     def script(exchange: Exchange) -> None:
         asked_for.set()
-        if "from=" not in exchange.message.first:
+        if "from=" not in exchange.message.start_line:
             exchange.answer(drains(9))
 
     async with (
-        peer() as host,
-        peer(script) as registry,
+        scripted_server() as host,
+        scripted_server(script) as registry,
         running(configuration(host, discovery=registry.address)) as run,
     ):
         assert asked_for.is_set() and is_draining(run)
-        assert (await run.ask(request())).status == 503 and not host.seen
+        assert (await run.ask(request())).status == 503 and not host.exchanges
 
 
 @on_loop
@@ -326,20 +326,20 @@
         {"status": "PAUSED"},  # a status that is not known here is no word that it serves
     )
     for entry in withdrawals:
-        async with peer() as host, running(configuration(host)) as run:
-            changes = hosts_list(8, endpoint("s-0", host.address) | entry, snapshot=False)
+        async with scripted_server() as host, running(configuration(host)) as run:
+            changes = endpoint_list(8, endpoint("s-0", host.address) | entry, snapshot=False)
             run.gateway.on_endpoint_list(
                 ListKind.DELTA, parse_endpoint_list(changes, run.instance.config.names).endpoints
             )
             assert (await run.ask(request("transfer", b"x"))).status == 503, entry
-            assert not host.seen
+            assert not host.exchanges
 
 
 @on_loop
 async def test_a_failure_while_a_failed_call_is_told_does_not_end_the_watch() -> None:
     """Whoever hears of it may fail: the next call is set before."""
     async with (
-        peer(lambda exchange: exchange.reset()) as registry,
+        scripted_server(lambda exchange: exchange.reset()) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
 
@@ -347,5 +347,5 @@
             raise RuntimeError("a planted fault")
 
         run.instance.discovery.on_list = fails
-        seen = len(registry.seen)
-        await until(lambda: len(registry.seen) >= seen + 3)
+        seen = len(registry.exchanges)
+        await until(lambda: len(registry.exchanges) >= seen + 3)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -18,13 +18,13 @@
 from tests.sockets import (
     configuration,
     endpoint,
-    hosts_list,
+    endpoint_list,
     list_reply,
     on_loop,
-    peer,
     reply,
     request,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -65,7 +65,7 @@
 
 @on_loop
 async def test_a_second_process_takes_over_and_the_first_finishes_what_it_took(tmp_path: Path) -> None:
-    async with peer(silent) as host:
+    async with scripted_server(silent) as host:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(host))
@@ -73,7 +73,7 @@
             held.send(request("transfer", b"held"))
             kept = await connect(port)
             assert (await kept.ask(READY)).status == 200
-            await until(lambda: host.seen)
+            await until(lambda: host.exchanges)
             new = await start(tmp_path, listener, configuration(host))
             await until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
@@ -84,7 +84,7 @@
             # New connections are the new process's: the old one's way out does not shut the socket down.
             for _ in range(8):
                 assert await ask(port, READY) == 200
-            host.seen[0].answer(reply(200, b"done"))
+            host.exchanges[0].answer(reply(200, b"done"))
             assert (await held.answer()).body == b"done"
             assert await old.wait() == 0
             assert await ask(port, READY) == 200
@@ -184,7 +184,7 @@
         list_reply(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
         list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
-    async with peer(lambda exchange: exchange.answer(news.pop(0)) if news else None) as registry:
+    async with scripted_server(lambda exchange: exchange.answer(news.pop(0)) if news else None) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"
         async with running(config) as run:
@@ -192,23 +192,25 @@
             run.instance.discovery.on_list_changed = lambda address, known: kept.append(as_written(known()))
             run.instance.discovery.watch(True)
             await until(lambda: len(kept) == 2)
-            assert kept[0] == hosts_list(
+            assert kept[0] == endpoint_list(
                 8, endpoint("s-0", "127.0.0.1:1"), endpoint("s-1", "127.0.0.1:1", status="DRAINING")
             )
-            assert kept[1] == hosts_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
+            assert kept[1] == endpoint_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
 
 
 @on_loop
 async def test_the_next_process_begins_with_what_the_last_one_heard(tmp_path: Path) -> None:
     """The platform's list still names a host that has gone; the processes' own one has its successor."""
-    async with peer() as gone, peer() as successor:
+    async with scripted_server() as gone, scripted_server() as successor:
         config = configuration(gone)
-        EndpointListFile(tmp_path).write(("127.0.0.1", 9), hosts_list(8, endpoint("s-5", successor.address)))
+        EndpointListFile(tmp_path).write(
+            ("127.0.0.1", 9), endpoint_list(8, endpoint("s-5", successor.address))
+        )
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             process = await start(tmp_path, listener, config)
             assert await ask(port, request("transfer")) == 200
-            assert len(successor.seen) == 1 and not gone.seen
+            assert len(successor.exchanges) == 1 and not gone.exchanges
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -32,11 +32,11 @@
     configuration,
     host_id,
     on_loop,
-    peer,
     reply,
     request,
     rested,
     running,
+    scripted_server,
     silent,
     until,
 )
@@ -88,7 +88,7 @@
 async def test_a_request_and_its_clients_end_are_found_together() -> None:
     """As after a turn that took long: the client has given up in the queue of the listening socket."""
     arrived = 0
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
 
         def listen(now: int, event: object) -> object:
@@ -104,12 +104,12 @@
                 client.sendall(request(class_index))
         await until(lambda: arrived == 3 and not run.server.connections)
         await nothing_is_owed(run)
-        assert len(host.seen) == 1
+        assert len(host.exchanges) == 1
 
 
 @on_loop
 async def test_a_client_leaves_in_the_turn_in_which_the_connection_to_its_server_comes_up() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         late = Late(run)
         client = await run.connect()
         client.send(request("transfer"))
@@ -118,7 +118,7 @@
         ends_between_turns(client.writer.transport, connection.poll)
         late.release()
         await nothing_is_owed(run)
-        assert not host.seen
+        assert not host.exchanges
 
 
 # What is not read from the client
@@ -126,7 +126,7 @@
 
 @on_loop
 async def test_a_first_try_waits_for_a_connection() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         unheard(run)
         late = Late(run)
         client, connection = await crowding(run)
@@ -134,12 +134,12 @@
         await leaves(client, connection)
         late.release()
         await nothing_is_owed(run)
-        assert not host.seen
+        assert not host.exchanges
 
 
 @on_loop
 async def test_a_first_try_waits_for_a_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         unheard(run)
         assert (await run.ask(request())).status == 200
         (kept,) = run.instance.pools.servers[host_id(0)].idle
@@ -150,22 +150,26 @@
         await leaves(client, connection)
         run.instance.pools.attempts.on_reusable(kept)
         await nothing_is_owed(run)
-        assert len(host.seen) == 1
+        assert len(host.exchanges) == 1
 
 
 @on_loop
 async def test_a_further_try_follows_a_refusal() -> None:
-    async with peer(silent) as one, peer(silent) as other, running(configuration(one, other)) as run:
+    async with (
+        scripted_server(silent) as one,
+        scripted_server(silent) as other,
+        running(configuration(one, other)) as run,
+    ):
         unheard(run)
         client, connection = await crowding(run)
-        await until(lambda: one.seen or other.seen)
-        (first,) = one.seen + other.seen
+        await until(lambda: one.exchanges or other.exchanges)
+        (first,) = one.exchanges + other.exchanges
         await leaves(client, connection)
         told = outcomes(run)
         first.answer(reply(503, b"", "X-Rejected: 1"))
         await nothing_is_owed(run)
         assert told[0] is Outcome.REJECTED and set(told[1:]) <= {Outcome.NOT_SENT}
-        assert len(one.seen + other.seen) == 1
+        assert len(one.exchanges + other.exchanges) == 1
 
 
 class Timers:
@@ -196,22 +200,22 @@
 
 @on_loop
 async def test_a_second_copy_is_due() -> None:
-    async with peer(silent) as one, peer(silent) as other:
+    async with scripted_server(silent) as one, scripted_server(silent) as other:
         config = configuration(one, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
             unheard(run)
             run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a copy after 4 ms
             timers = Timers(run)
             client, connection = await crowding(run, "search")
-            await until(lambda: one.seen or other.seen)
-            (first,) = one.seen + other.seen
+            await until(lambda: one.exchanges or other.exchanges)
+            (first,) = one.exchanges + other.exchanges
             (held,) = run.gateway.in_flight.values()
             await leaves(client, connection)
             await timers.fire()
             assert len(held.attempts) == 2 and held.is_finished
             first.answer(reply())
             await nothing_is_owed(run)
-            assert len(one.seen + other.seen) == 1
+            assert len(one.exchanges + other.exchanges) == 1
 
 
 @pytest.mark.parametrize("what", ["its turn by key", "room"])
@@ -220,33 +224,33 @@
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = what == "its turn by key"
-    async with peer(silent) as host:
+    async with scripted_server(silent) as host:
         config["known"] = configuration(host)["known"]
         async with running(config) as run:
             unheard(run)
             Timers(run)  # nobody stops waiting
             clients: list[Client] = []
             before = -1
-            while len(host.seen) != before:  # until one finds no room
-                before = len(host.seen)
+            while len(host.exchanges) != before:  # until one finds no room
+                before = len(host.exchanges)
                 clients.append(await run.connect())
                 clients[-1].send(request("transfer"))
                 await until(lambda: len(run.gateway.in_flight) == len(clients))
                 out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
-                await until(lambda out=out: len(host.seen) == out)  # type: ignore[misc]
+                await until(lambda out=out: len(host.exchanges) == out)  # type: ignore[misc]
             clients.pop().close()
             await until(lambda: len(run.gateway.in_flight) == len(clients))
-            assert len(host.seen) == len(clients)
+            assert len(host.exchanges) == len(clients)
             client, connection = await crowding(run)
             call = connection.exchange.call
             assert call is not None and run.gateway.in_flight[call.id].attempts_in_flight == 0
             await leaves(client, connection)
-            for exchange in list(host.seen):
+            for exchange in list(host.exchanges):
                 exchange.answer(reply())
             for other in clients:
                 assert (await other.answer()).status == 200
             await nothing_is_owed(run)
-            assert len(host.seen) == len(clients)
+            assert len(host.exchanges) == len(clients)
             for other in clients:
                 other.close()
 
@@ -254,7 +258,7 @@
 @on_loop
 async def test_a_body_still_comes() -> None:
     """Nothing more of it is read before it has a server, and so the client's end is not either."""
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         unheard(run)
         late = Late(run)
         client = await run.connect()
@@ -266,8 +270,10 @@
         told = outcomes(run)
         late.release()
         await nothing_is_owed(run)
-        assert told == [Outcome.NOT_SENT] and host.opened <= 1 and not host.seen
-        await until(lambda: run.instance.pools.open == 0 and host.ended == host.opened)
+        assert told == [Outcome.NOT_SENT] and host.opened_connections <= 1 and not host.exchanges
+        await until(
+            lambda: run.instance.pools.open == 0 and host.closed_connections == host.opened_connections
+        )
 
 
 # The loop is told of it, though nothing is read
@@ -276,7 +282,7 @@
 @on_loop
 async def test_the_kernel_tells_of_a_client_on_which_nothing_is_read() -> None:
     """No sweep is waited for: the call ends where it is, and its attempt as far as may be."""
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         assert run.server.sweeper is not None
         run.server.sweeper.cancel()
         late = Late(run)
@@ -290,7 +296,7 @@
         assert told == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
         late.release()
         await until(lambda: run.instance.pools.open == 0)
-        assert not host.seen
+        assert not host.exchanges
 
 
 @on_loop
@@ -305,7 +311,7 @@
         looks += 1
         return has_peer_closed(poll)
 
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as host, running(configuration(host)) as run:
         made = [await crowding(run) for _ in range(40)]
         await until(lambda: len(run.server.context.paused) == 40)
         monkeypatch.setattr(client_module, "has_peer_closed", counting)
@@ -351,7 +357,7 @@
 
 @on_loop
 async def test_a_stream_is_reset_while_its_call_waits_for_a_connection(tmp_path: Path) -> None:
-    async with peer() as host, with_newer_clients(tmp_path, host) as (client, run, front):
+    async with scripted_server() as host, with_newer_clients(tmp_path, host) as (client, run, front):
         late, told = Late(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await until(lambda: late.held)
@@ -360,14 +366,16 @@
         await nothing_is_owed(run)
         assert told == [Outcome.NOT_SENT]
         late.release()
-        await until(lambda: run.instance.pools.open == 0 and host.ended == host.opened)
-        assert not host.seen
+        await until(
+            lambda: run.instance.pools.open == 0 and host.closed_connections == host.opened_connections
+        )
+        assert not host.exchanges
 
 
 @on_loop
 async def test_a_connection_ends_with_100_streams(tmp_path: Path) -> None:
     """Between two turns: some wait for a connection to a server, the others for room."""
-    async with peer() as host, with_newer_clients(tmp_path, host) as (client, run, front):
+    async with scripted_server() as host, with_newer_clients(tmp_path, host) as (client, run, front):
         late = Late(run)
         send_request(client, request_head(0), b"x")
         await until(lambda: front.connections and client.connection.transport is not None)
@@ -381,5 +389,5 @@
         ends_between_turns(client.connection.transport, line.poll)
         late.release()
         await nothing_is_owed(run)
-        assert not host.seen
+        assert not host.exchanges
         await until(lambda: not front.connections)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,7 +16,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
 from sagetrack.store.directory import Disk
-from tests.sockets import configuration, on_loop, peer, request, running
+from tests.sockets import configuration, on_loop, request, running, scripted_server
 
 ROOT = Path(__file__).parent.parent
 
@@ -45,7 +45,7 @@
 ) -> None:
     """What was known before is taken up when it can be read, and nothing is written over it meanwhile."""
     operator = load_operator(str(operator_with_store(tmp_path)))
-    async with peer() as host:
+    async with scripted_server() as host:
         config = configuration(host)
         async with running(config, operator) as gateway:
             for _ in range(8):
@@ -84,7 +84,7 @@
     silent = await asyncio.start_server(hold, "127.0.0.1", 0)
     port = silent.sockets[0].getsockname()[1]
     try:
-        async with peer() as host:
+        async with scripted_server() as host:
             config = configuration(host, discovery=f"127.0.0.1:{port}")
             config["settings"]["membershipMode"] = mode
             async with running(config) as gateway:
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -25,7 +25,7 @@
 from sagetrack.policy.events import Outcome, RequestArrived
 from sagetrack.policy.settings import RequestClass
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
-from tests.sockets import configuration, on_loop, peer, request, running, silent, until
+from tests.sockets import configuration, on_loop, request, running, scripted_server, silent, until
 
 HERE = AttemptRecord(zone=0, group=1)
 ONE_AT_A_TIME = replace(SETTINGS, hedging=False)
@@ -131,15 +131,19 @@
 
 @on_loop
 async def test_an_unsafe_retry_of_the_load_balancer_is_not_sent_and_is_counted() -> None:
-    async with peer(silent) as first, peer(silent) as second, running(configuration(first, second)) as run:
+    async with (
+        scripted_server(silent) as first,
+        scripted_server(silent) as second,
+        running(configuration(first, second)) as run,
+    ):
         client = await run.connect()
         client.send(request("transfer", b"x"))
-        await until(lambda: first.seen or second.seen)
+        await until(lambda: first.exchanges or second.exchanges)
         (held,) = run.gateway.in_flight.values()
         for server in run.instance.pools.servers:
             run.gateway.executor.execute(SendAttempt(held.call.id, server, 1_000_000))
         await asyncio.sleep(0.05)
-        assert len(first.seen) + len(second.seen) == 1
+        assert len(first.exchanges) + len(second.exchanges) == 1
         assert run.gateway.violations.counts[Invariant.RETRIES_ARE_SAFE] == 2
         client.close()
 
@@ -147,7 +151,7 @@
 @on_loop
 async def test_a_request_without_a_response_is_failed_when_its_deadline_is_over() -> None:
     """Whatever the load balancer does: here it forgets every request."""
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = (  # type: ignore[method-assign]
             lambda now_us, event: [] if isinstance(event, RequestArrived) else handle(now_us, event)
@@ -161,7 +165,7 @@
 
 @on_loop
 async def test_an_event_that_fails_holds_up_none_behind_it() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running(configuration(host)) as run:
 
         def broken() -> None:
             run.gateway.post(lambda: None)
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -10,7 +10,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.model.scenario import altered, load
-from sagetrack.lab.stand_ins.scripted import peer
+from sagetrack.lab.stand_ins.scripted import scripted_server
 from sagetrack.lab.virtual.simulation import VirtualGateway, play
 from sagetrack.policy.events import Event, ObservationsReceived
 from sagetrack.store.recorder import (
@@ -25,7 +25,7 @@
 async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
-    async with peer() as host:
+    async with scripted_server() as host:
         config = configuration(host)
         async with running(config, load_operator(str(file))) as gateway:
             for _ in range(8):
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -30,7 +30,7 @@
 from sagetrack.server.endpoint_list_file import FILE_NAME
 from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
-from tests.sockets import endpoint, hosts_list, on_loop, until
+from tests.sockets import endpoint, endpoint_list, on_loop, until
 
 
 class Counted(float):
@@ -348,7 +348,7 @@
     overlap.release()
     assert (writes.lists, writes.entries) == (2, 551)  # and the last one at the latest on the way out
     drained = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
-    stands = hosts_list(204, *drained, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
+    stands = endpoint_list(204, *drained, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
     assert overlap.endpoint_list.newest(REGISTRY, {}) == stands
 
 
@@ -372,10 +372,10 @@
     discovery = a_discovery(overlap)
     take(discovery, 1, endpoint("s-1", "127.0.0.1:1"), whole=True)
     take(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # held back
-    successor.endpoint_list.write(REGISTRY, hosts_list(3, endpoint("s-3", "127.0.0.1:1")))
+    successor.endpoint_list.write(REGISTRY, endpoint_list(3, endpoint("s-3", "127.0.0.1:1")))
     overlap.serving = 1
     overlap.release()
-    assert successor.endpoint_list.newest(REGISTRY, {}) == hosts_list(3, endpoint("s-3", "127.0.0.1:1"))
+    assert successor.endpoint_list.newest(REGISTRY, {}) == endpoint_list(3, endpoint("s-3", "127.0.0.1:1"))
 
 
 @on_loop
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.stand_ins.scripted import Exchange, peer, read_message, reply
+from sagetrack.lab.stand_ins.scripted import Exchange, read_message, reply, scripted_server
 from tests.sockets import configuration, request
 
 SERVICE_TIME_S = 0.03
@@ -98,7 +98,7 @@
     failed = 0
     with tempfile.TemporaryDirectory() as name, socket.create_server(("127.0.0.1", 0)) as listener:
         folder = Path(name)
-        async with peer(slow_answer) as first, peer(slow_answer) as second:
+        async with scripted_server(slow_answer) as first, scripted_server(slow_answer) as second:
             config = configuration(first, second) | {"listen": f"127.0.0.1:{listener.getsockname()[1]}"}
             (folder / "config.json").write_text(json.dumps(config))
             current = await start(roots[0], folder, listener)
