--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -69,13 +69,13 @@
         request = attempt.request
         handshake_us = self.world.scenario.fleet.handshake_ms * 1000 if is_new_connection else 0.0
         return Job(
-            attempt.call,
-            request.work_us + handshake_us,
-            request.key,
-            int(request.kind.window_ms * 1000),
-            request.kind.scope,
-            deadline_us,
-            on_done,
+            call=attempt.call,
+            work_us=request.work_us + handshake_us,
+            key=request.key,
+            window_us=int(request.kind.window_ms * 1000),
+            scope=request.kind.scope,
+            deadline_us=deadline_us,
+            done=on_done,
         )
 
     def after_network_delay(
