--- a/sagetrack/lab/scale/real_gateway/admin.py
+++ b/sagetrack/lab/scale/real_gateway/admin.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.processes.fleet import GatewayProcess
+from sagetrack.lab.processes.gateway_process import GatewayProcess
 
 START_TIMEOUT_S = 90.0  # for a gateway to be ready: its one core may be busy with other work
 READY_POLL_S = 0.01
@@ -52,7 +52,7 @@
             if (await run_command(process, b"status", b"\n")).startswith(b"SUCCESS"):
                 return time.monotonic() - began_s
         await asyncio.sleep(READY_POLL_S)
-    raise LabError(f"the gateway is not ready: {process.last_words()}")
+    raise LabError(f"the gateway is not ready: {process.last_log_line()}")
 
 
 async def request_totals(process: GatewayProcess) -> RequestTotals:
--- a/sagetrack/lab/scale/real_gateway/discovery.py
+++ b/sagetrack/lab/scale/real_gateway/discovery.py
@@ -71,7 +71,7 @@
 
     async def serve(self, exchange: Exchange) -> None:
         """Answer a poll as soon as there is a newer list, or when its long-poll timeout is over."""
-        query = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
+        query = parse_qs(urlsplit(exchange.message.start_line.split(" ")[1]).query)
         since = int(query["from"][0]) if "from" in query else FULL_LIST
         self._polls.put_nowait(since)
         if since >= self.index:
--- a/sagetrack/lab/scale/real_gateway/launcher.py
+++ b/sagetrack/lab/scale/real_gateway/launcher.py
@@ -10,7 +10,7 @@
 from types import TracebackType
 from typing import Any
 
-from sagetrack.lab.processes.fleet import GatewayProcess
+from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
--- a/sagetrack/lab/scale/real_gateway/measurement.py
+++ b/sagetrack/lab/scale/real_gateway/measurement.py
@@ -14,14 +14,14 @@
 
 from sagetrack.lab.benchmarks.throughput import _Echo
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.processes.fleet import need_files
+from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import memory_mb
 from sagetrack.lab.scale.real_gateway.admin import START_TIMEOUT_S, request_totals, wait_until_ready
 from sagetrack.lab.scale.real_gateway.discovery import ScriptedDiscovery
 from sagetrack.lab.scale.real_gateway.launcher import GatewayLauncher
 from sagetrack.lab.scale.real_gateway.trial import FIRST_SERVERS, LoadTrial
 from sagetrack.lab.scale.target_fleet import TargetFleet
-from sagetrack.lab.stand_ins.scripted import Peer, peer
+from sagetrack.lab.stand_ins.scripted import ScriptedServer, scripted_server
 
 NAME = "real-gateway"  # beside the names of the probes
 STEPS = 5  # that `measure` reports
@@ -58,11 +58,11 @@
     return {"ready_full_list_s": ready_s, "ready_memory_mb": memory_mb(gateway.pid)}
 
 
-async def _release_polls(discovery: ScriptedDiscovery, listener: Peer) -> None:
+async def _release_polls(discovery: ScriptedDiscovery, listener: ScriptedServer) -> None:
     """Answer the polls that wait, and wait until their ended callers' connections are seen to be closed."""
     discovery.change([])
     async with asyncio.timeout(START_TIMEOUT_S):
-        while listener.ended < listener.opened:
+        while listener.closed_connections < listener.opened_connections:
             await asyncio.sleep(0.01)
 
 
@@ -86,7 +86,7 @@
         async with _echo_servers(ECHO_SERVERS) as addresses:
             discovery = ScriptedDiscovery(fleet, addresses)
             discovery.change(range(FIRST_SERVERS))
-            async with peer(discovery.serve) as listener:
+            async with scripted_server(discovery.serve) as listener:
                 with GatewayLauncher(fleet, Path(folder), listener.address, core) as launcher:
                     trial = LoadTrial(fleet, discovery, launcher.start({}))
                     await _run_trial(trial, phase_s, on_step)
@@ -107,7 +107,7 @@
     Raises:
         LabError: It cannot be measured here.
     """
-    need_files(DESCRIPTORS)
+    require_file_descriptors(DESCRIPTORS)
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2:
         raise LabError("one core is too few: the gateway and the load need one each")
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -172,7 +172,7 @@
         try:
             while not self._is_down():
                 request = await read_message(reader)
-                target = request.first.split(" ")[1]
+                target = request.start_line.split(" ")[1]
                 message = await self._respond(target)
                 if self._is_down():
                     break
--- a/sagetrack/lab/soak/process_supervisor.py
+++ b/sagetrack/lab/soak/process_supervisor.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from sagetrack.lab.processes.fleet import _die_with_parent
+from sagetrack.lab.processes.child_process import die_with_parent
 from sagetrack.lab.repository import ROOT
 
 PARTY_PACKAGE = "sagetrack.lab.soak"
@@ -41,7 +41,7 @@
                 stdin=PIPE,
                 stdout=PIPE,
                 stderr=log,
-                preexec_fn=_die_with_parent,
+                preexec_fn=die_with_parent,
             )
         self._processes.append(process)
         return process
@@ -58,7 +58,7 @@
                 stdout=output,
                 stderr=output,
                 pass_fds=[listener_fd],
-                preexec_fn=_die_with_parent,
+                preexec_fn=die_with_parent,
             )
         self._processes.append(process)
         return process
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from sagetrack.lab.soak.events import AttemptReceived, AttemptStarted, EventWriter, now_us
-from sagetrack.lab.stand_ins.sockets import Door
+from sagetrack.lab.stand_ins.listener import SilenceableListener
 
 NO_BUDGET_MS = -1  # of an attempt without the header
 
@@ -196,7 +196,7 @@
         self._connecting: set[asyncio.Task[None]] = set()
         self._stalled_data: list[StalledData] = []
         self._stalled = False
-        self._listener = Door("127.0.0.1", lambda: Relay(self, AttemptObserver(route, events)))
+        self._listener = SilenceableListener("127.0.0.1", lambda: Relay(self, AttemptObserver(route, events)))
 
     @property
     def address(self) -> str:
