--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -5,13 +5,15 @@
 import asyncio
 from collections.abc import Callable
 
-from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
+from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S
 from sagetrack.core.clock import now_us
 from sagetrack.core.responses import Response
+from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
 from sagetrack.http1.response_outcome import outcome_of
-from sagetrack.http1.upstream_connection import Attempt, Incarnation, UpstreamConnection
+from sagetrack.http1.upstream_connection import UpstreamConnection
+from sagetrack.http1.upstream_server import Incarnation
 from sagetrack.policy.events import Outcome
 from sagetrack.policy.settings import Settings
 
@@ -26,13 +28,20 @@
         counts: PoolCounts,
         reclaim_descriptor: Callable[[], None],
     ) -> None:
-        self.settings, self.idle, self.counts = settings, idle, counts
+        self.settings = settings
+        self.idle = idle
+        self.counts = counts
         self.loop = asyncio.get_running_loop()
         self.reclaim_descriptor = reclaim_descriptor  # called before a connection is opened
-        self.open = 0  # connections up or coming up, to all servers
+        self.connections: set[UpstreamConnection] = set()  # up or coming up, to all servers
         self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
         self.transferring: set[Attempt] = set()  # with a long body under way
 
+    @property
+    def open(self) -> int:
+        """How many connections are up or coming up, to all servers."""
+        return len(self.connections)
+
     # Sending
 
     def send(self, attempt: Attempt) -> None:
@@ -48,7 +57,7 @@
                 call_later(end_s, self.on_timeout, attempt)
             )
         if streamed_body is not None:
-            attempt.last_progress_us = now_us()
+            attempt.note_progress()
             self.transferring.add(attempt)
         self.assign(attempt)
 
@@ -59,7 +68,7 @@
             self.end(attempt, Outcome.NOT_SENT)
             return
         while (connection := self.idle.take(upstream)) is not None:
-            if self.send_on(connection, attempt):
+            if connection.send(attempt):
                 self.counts.reused += 1
                 return
             # The write itself failed: nothing has reached the server, so the same attempt may start anew.
@@ -78,9 +87,8 @@
         attempt.timers.append(self.loop.call_later(connect_us / 1e6, self.on_connect_timeout, attempt))
         connection = UpstreamConnection(self, upstream, attempt)
         attempt.connection = connection
-        connection.is_counted = True
-        upstream.open += 1
-        self.open += 1
+        self.connections.add(connection)
+        upstream.on_connection_opening()
         self.counts.opened += 1
         opening: asyncio.Task[object] = self.loop.create_task(
             self.loop.create_connection(lambda: connection, *upstream.address)
@@ -98,51 +106,38 @@
 
     def wait_for(self, connection: UpstreamConnection, attempt: Attempt) -> None:
         """Let an attempt wait until a connection may be reused."""
-        attempt.connection, connection.waiting_attempt = connection, attempt
+        connection.await_reuse(attempt)
         wait_s = self.idle.reusable_in_s(connection)
         attempt.timers.append(self.loop.call_later(wait_s, self.on_reusable, connection))
 
     def on_reusable(self, connection: UpstreamConnection) -> None:
         """Send the attempt that has waited for a connection."""
-        attempt, connection.waiting_attempt = connection.waiting_attempt, None
-        if attempt is None or attempt.ended:
+        attempt = connection.take_waiting()
+        if attempt is None:
             return
-        attempt.connection = None
         if not self.may_send(attempt, connection.incarnation):
             connection.close()
             self.end(attempt, Outcome.NOT_SENT)
-        elif connection.is_usable() and self.send_on(connection, attempt):
+        elif connection.is_usable() and connection.send(attempt):
             self.counts.reused += 1
         else:
             self.counts.stale += 1
             connection.close()
             self.assign(attempt)
 
-    def send_on(self, connection: UpstreamConnection, attempt: Attempt) -> bool:
-        """Write an attempt to a connection; False, with the connection closed, if the write failed."""
-        connection.attempt, attempt.connection = attempt, connection
-        connection.has_sent = True
-        attempt.on_first_byte()
-        if connection.write(attempt.payload(attempt.left_us)):
-            connection.carry(attempt)
-            return True
-        connection.attempt = attempt.connection = None
-        connection.close()
-        return False
-
     # Ending
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
         """Stop waiting: the connection is closed, so that the server can tell, and its capacity is free."""
         if attempt.ended:
             return
-        connection, opening = attempt.connection, attempt.opening
+        connection = attempt.connection
+        opening = attempt.opening
         self.end(attempt, outcome)
         if opening is not None and not opening.done():
             opening.cancel()
         if connection is not None:
-            connection.attempt = connection.waiting_attempt = None
-            connection.close()
+            connection.abandon()
 
     def cancel_unsent(self, attempt: Attempt) -> None:
         """Cancel an attempt of which nothing has been sent yet; any other goes on."""
@@ -153,16 +148,10 @@
         """End an attempt with its outcome, unless it has ended."""
         if attempt.ended:
             return
-        attempt.ended = True
-        if not attempt.is_streaming:
-            attempt.latency_us = now_us() - attempt.sent_us
-        attempt.cancel_timers()
+        attempt.finish()
         self.transferring.discard(attempt)
-        if attempt.streamed_body is not None:
-            attempt.streamed_body.on_data = attempt.streamed_body.on_complete = do_nothing
         if outcome is Outcome.CONNECT_FAILED:
             self.counts.failed += 1
-        attempt.connection = attempt.opening = None
         attempt.on_attempt_ended(attempt, outcome, response)
 
     def end_stalled(self) -> None:
@@ -170,9 +159,9 @@
         oldest_us = now_us() - int(BODY_STALL_TIMEOUT_S * 1e6)
         for attempt in list(self.transferring):
             connection = attempt.connection
-            if connection is None or attempt.last_progress_us >= oldest_us or connection.paused:
+            if connection is None or attempt.last_progress_us >= oldest_us or connection.is_paused:
                 continue
-            if attempt.is_streaming or not connection.flushed:
+            if attempt.is_streaming or not connection.is_flushed:
                 self.on_timeout(attempt)
 
     def on_timeout(self, attempt: Attempt) -> None:
@@ -182,7 +171,7 @@
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
         """The time for connecting is over."""
-        if attempt.connection is not None and attempt.connection.transport is None:
+        if attempt.connection is not None and not attempt.connection.is_up:
             self.cancel(attempt, Outcome.CONNECT_FAILED)
 
     # Events of connections
@@ -192,14 +181,13 @@
         attempt = connection.attempt
         if attempt is None or attempt.ended:
             # Cancelled in the very turn in which it came up: its opening is cancelled, which closes it next.
-            connection.attempt = None
-            connection.close()
+            connection.abandon()
             return
-        may = self.may_send(attempt, connection.incarnation)
-        if not may or not self.send_on(connection, attempt):
-            connection.attempt = None
-            connection.close()
-            self.end(attempt, Outcome.CONNECT_FAILED if may else Outcome.NOT_SENT)
+        if not self.may_send(attempt, connection.incarnation):
+            connection.abandon()
+            self.end(attempt, Outcome.NOT_SENT)
+        elif not connection.send(attempt):
+            self.end(attempt, Outcome.CONNECT_FAILED)
 
     def on_opened(self, opening: asyncio.Task[object], connection: UpstreamConnection) -> None:
         """Account for a connection that did not come up, or was cancelled in the turn in which it did.
@@ -211,7 +199,8 @@
 
     def on_response(self, connection: UpstreamConnection, response: Response) -> None:
         """A response is complete: its connection is kept if it may be, and its attempt ends."""
-        attempt, connection.attempt = connection.attempt, None
+        attempt = connection.attempt
+        connection.attempt = None
         if attempt is None:
             connection.close()
             return
@@ -219,7 +208,7 @@
         if outcome is Outcome.OK and not attempt.written:
             outcome = Outcome.ERROR  # no success can precede the end of its request
         connection.last_response_us = now_us() - attempt.sent_us
-        if response.keep_alive and attempt.written and connection.flushed:
+        if response.keep_alive and attempt.written and connection.is_flushed:
             connection.resume()
             self.idle.keep(connection)
         else:
@@ -228,34 +217,26 @@
 
     def on_stream_started(self, attempt: Attempt) -> None:
         """The response has begun, in time: from now on only a stall ends it."""
-        attempt.is_streaming = True
-        attempt.last_progress_us = now_us()
-        attempt.latency_us = attempt.last_progress_us - attempt.sent_us
-        attempt.cancel_timers()
+        attempt.start_streaming()
         self.transferring.add(attempt)
 
     def on_protocol_error(self, connection: UpstreamConnection) -> None:
         """The server sent no valid response: the connection is closed, and its attempt ends."""
-        attempt, connection.attempt = connection.attempt, None
+        attempt = connection.take_attempt()
         connection.close()
         if attempt is not None:
             self.end(attempt, Outcome.ERROR)
 
     def on_lost(self, connection: UpstreamConnection) -> None:
         """A connection has ended: an attempt that has waited for it gets another, one on it ends."""
-        self._count_closed(connection)
-        attempt, connection.attempt = connection.attempt, None
-        waiting, connection.waiting_attempt = connection.waiting_attempt, None
-        if waiting is not None and not waiting.ended:
-            waiting.connection = None
+        if connection in self.connections:
+            self.connections.remove(connection)
+            connection.upstream.on_connection_ended()
+        attempt = connection.take_attempt()
+        waiting = connection.take_waiting()
+        if waiting is not None:
             self.assign(waiting)
         self.idle.forget(connection)
         connection.cancel_stream_timer()
         if attempt is not None:
             self.end(attempt, Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
-
-    def _count_closed(self, connection: UpstreamConnection) -> None:
-        if connection.is_counted:
-            connection.is_counted = False
-            connection.upstream.open -= 1
-            self.open -= 1
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -5,14 +5,16 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.core.responses import Response
+from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
+from sagetrack.http1.requests import Message
 from sagetrack.http1.response_outcome import load_of
-from sagetrack.http1.upstream_connection import Attempt, Message, UpstreamServer
+from sagetrack.http1.upstream_connection import PooledServer
+from sagetrack.http1.upstream_server import UpstreamServer
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.settings import Reports, Settings
 
@@ -26,7 +28,7 @@
     def __init__(self, settings: Settings, reclaim_descriptor: Callable[[], None] = lambda: None) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.servers: dict[int, UpstreamServer] = {}
+        self.servers: dict[int, PooledServer] = {}
         self.counts = PoolCounts()
         self.idle = IdleConnections(settings, self.counts)
         self.attempts = AttemptRunner(settings, self.idle, self.counts, reclaim_descriptor)
@@ -55,20 +57,18 @@
         if upstream is None:
             upstream = UpstreamServer(listed.server, entry.name, entry.address, listed.started_us)
             self.servers[listed.server] = upstream
-        if (upstream.address, upstream.started_us) != (entry.address, listed.started_us):
+        if upstream.move_to((entry.address, listed.started_us)):
             # A machine that went silent may not have ended connections of its earlier incarnation, and what
             # is written there ends as a reset.
-            upstream.address, upstream.started_us = entry.address, listed.started_us
             self.idle.close_all(upstream)
         if listed.status is ServerStatus.READY:
-            upstream.drained_us = None
+            upstream.mark_serving()
         else:
             self.drain(upstream)
 
-    def drain(self, upstream: UpstreamServer) -> None:
+    def drain(self, upstream: PooledServer) -> None:
         """Send nothing more to a server; attempts under way go on."""
-        if upstream.drained_us is None:
-            upstream.drained_us = now_us()
+        upstream.mark_drained()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REUSE_DELAY_S
-from sagetrack.http1.upstream_connection import UpstreamConnection, UpstreamServer
+from sagetrack.http1.upstream_connection import PooledServer, UpstreamConnection
 from sagetrack.policy.settings import Settings
 
 KEEPALIVE_FRACTION = 0.8  # of the server's idle timeout: no connection is kept unused for longer
@@ -34,9 +34,10 @@
     """
 
     def __init__(self, settings: Settings, counts: PoolCounts) -> None:
-        self.settings, self.counts = settings, counts
+        self.settings = settings
+        self.counts = counts
 
-    def take(self, upstream: UpstreamServer) -> UpstreamConnection | None:
+    def take(self, upstream: PooledServer) -> UpstreamConnection | None:
         """Return the most recently used connection that may be reused now: the others age and are closed."""
         now = now_us()
         oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
@@ -54,7 +55,7 @@
             connection.close()
         return None
 
-    def take_recent(self, upstream: UpstreamServer) -> UpstreamConnection | None:
+    def take_recent(self, upstream: PooledServer) -> UpstreamConnection | None:
         """Return the connection that may be reused next, if a wait for that is worth it.
 
         It is not for a server that responds in less than twice that wait, which would count as slowness.
@@ -83,12 +84,12 @@
         if connection in connection.upstream.idle:
             connection.upstream.idle.remove(connection)
 
-    def close_all(self, upstream: UpstreamServer) -> None:
+    def close_all(self, upstream: PooledServer) -> None:
         """Close all idle connections to a server."""
         while upstream.idle:
             upstream.idle.pop().close()
 
-    def close_expired(self, servers: Iterable[UpstreamServer]) -> None:
+    def close_expired(self, servers: Iterable[PooledServer]) -> None:
         """Close what has been idle for too long, well before the server does it."""
         now = now_us()
         oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
@@ -100,7 +101,7 @@
                     break
                 upstream.idle.pop(0).close()
 
-    def reclaim(self, servers: Iterable[UpstreamServer]) -> bool:
+    def reclaim(self, servers: Iterable[PooledServer]) -> bool:
         """Close the connection that was idle for the longest time, to gain a descriptor; False if none is."""
         with_idle = [upstream for upstream in servers if upstream.idle]
         if not with_idle:
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -5,12 +5,13 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from sagetrack.config.platform import Config, Names, stable_id
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.http1.codec import ProtocolError, end_to_end
-from sagetrack.http1.upstream_connection import Message
 from sagetrack.policy.settings import Effect, RequestClass
 
 ID_LIMIT = 128  # bytes of X-Call-Id
@@ -57,6 +58,19 @@
         self.received_us = 0  # when its last byte was read
 
 
+@dataclass(slots=True, frozen=True)
+class Message:
+    """A request as it is forwarded to an upstream server.
+
+    Attributes:
+        head: The request line and headers, all but the budget and the empty line.
+        body: The body; empty where it is streamed.
+    """
+
+    head: bytes
+    body: bytes
+
+
 def read_request(message: HttpRequest, path: bytes, config: Config, client: Client) -> Request:
     """Return the request as the gateway takes it.
 
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -1,106 +1,18 @@
-"""An upstream server, the attempts at it, and one connection to it."""
+"""One connection to an upstream server: it writes a request and reads the response to it."""
 
 from __future__ import annotations
 
 import asyncio
 import select
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Protocol, cast
+from typing import Protocol, TypeAlias, cast
 
-from sagetrack.config.platform import Address
-from sagetrack.core.bodies import StreamedBody, do_nothing
-from sagetrack.core.clock import now_us
 from sagetrack.core.responses import Response
-from sagetrack.core.send_rules import ServerState
+from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.codec import ResponseError, ResponseReader
-from sagetrack.policy.events import Outcome
+from sagetrack.http1.upstream_server import UpstreamServer
 
 STREAM_AFTER_S = 0.05  # a response of unknown length that is incomplete by then is streamed
 
-Incarnation = tuple[Address, int]  # where a server listens and when it started
-
-
-def if_serving(server: ServerState) -> bool:
-    """The send rule of attempts without a client, as probes: as long as the server is there."""
-    return server is ServerState.SERVING
-
-
-@dataclass(slots=True, eq=False)
-class UpstreamServer:
-    """One upstream server: its address, its drain state and its pool of idle connections."""
-
-    id: int
-    name: str
-    address: Address
-    started_us: int = 0  # as discovery reports it
-    drained_us: int | None = None  # when this gateway learned that it drains or is gone
-    idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
-    open: int = 0  # connections up or coming up
-
-    @property
-    def incarnation(self) -> Incarnation:
-        """The address and start time that tell a restarted or moved server from the one before."""
-        return self.address, self.started_us
-
-    def state(self, incarnation: Incarnation) -> ServerState:
-        """Return what has become of the server since it was this incarnation."""
-        if self.drained_us is not None:
-            return ServerState.WITHDRAWN
-        return ServerState.SERVING if self.incarnation == incarnation else ServerState.RESTARTED
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One request to one upstream server, until its outcome."""
-
-    upstream: UpstreamServer
-    payload: Callable[[int], bytes]  # takes the microseconds that are left when its first byte goes out
-    timeout_us: int
-    on_attempt_ended: Callable[[Attempt, Outcome, Response | None], None]
-    may_send: Callable[[ServerState], bool] = if_serving
-    on_first_byte: Callable[[], None] = do_nothing  # which goes out in this turn of the loop
-    on_request_sent: Callable[[], None] = do_nothing  # its last byte is with the kernel
-    on_response_started: Callable[[Attempt, Response, UpstreamConnection], None] | None = (
-        None  # the response is streamed
-    )
-    on_response_data: Callable[[bytes], None] = lambda data: None
-    streamed_body: StreamedBody | None = None  # what follows the payload
-    written: bool = False
-    is_streaming: bool = False  # its response is passed on as it comes
-    last_progress_us: int = 0  # when a byte of a long body last moved
-    sent_us: int = 0
-    latency_us: int = 0
-    connection: UpstreamConnection | None = None
-    opening: asyncio.Task[object] | None = None
-    timers: list[asyncio.TimerHandle] = field(default_factory=list)
-    ended: bool = False
-
-    @property
-    def server(self) -> int:
-        """The number of the upstream server."""
-        return self.upstream.id
-
-    @property
-    def left_us(self) -> int:
-        """How long its response is still waited for; the time of a request counts from its last byte."""
-        if self.streamed_body is not None and not self.streamed_body.is_complete:
-            return self.timeout_us
-        return self.timeout_us - (now_us() - self.sent_us)
-
-    def cancel_timers(self) -> None:
-        """Cancel its timeouts."""
-        for timer in self.timers:
-            timer.cancel()
-
-
-@dataclass(slots=True, frozen=True)
-class Message:
-    """A request as it is forwarded to an upstream server."""
-
-    head: bytes  # request line and headers, all but the budget and the empty line
-    body: bytes
-
 
 class ConnectionOwner(Protocol):
     """What an upstream connection needs of the one that opened it."""
@@ -125,19 +37,33 @@
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection to an upstream server; it carries one attempt at a time."""
+    """One connection to an upstream server; it carries one attempt at a time.
+
+    Attributes:
+        owner: Opened it, and is informed of its events.
+        upstream: The server.
+        incarnation: The incarnation of the server that it leads to.
+        attempt: The attempt that it carries.
+        waiting_attempt: The next one, while it waits until the connection may be reused.
+        has_sent: Whether some of the attempt may have been sent.
+        transport: Its transport, from the moment that it is up.
+        responses: Parses what the server sends.
+        is_paused: Whether it is not read for now, as the client takes no more.
+        is_flushed: Whether the last byte of what was written is with the kernel.
+        idle_since_us: When it last had a response, while it is idle.
+        last_response_us: How long its last response took.
+    """
 
     __slots__ = (
         "attempt",
         "body_written",
-        "flushed",
         "has_sent",
         "idle_since_us",
         "incarnation",
-        "is_counted",
+        "is_flushed",
+        "is_paused",
         "last_response_us",
         "owner",
-        "paused",
         "poll",
         "responses",
         "stream_timer",
@@ -146,21 +72,22 @@
         "waiting_attempt",
     )
 
-    def __init__(self, owner: ConnectionOwner, upstream: UpstreamServer, attempt: Attempt | None) -> None:
-        self.owner, self.upstream, self.attempt = owner, upstream, attempt
-        self.incarnation = upstream.incarnation  # the one that it leads to
-        self.has_sent = False  # some of the attempt may have been sent
-        self.waiting_attempt: Attempt | None = None  # the next one, until the connection may be reused
+    def __init__(self, owner: ConnectionOwner, upstream: PooledServer, attempt: Attempt | None) -> None:
+        self.owner = owner
+        self.upstream = upstream
+        self.attempt = attempt
+        self.incarnation = upstream.incarnation
+        self.has_sent = False
+        self.waiting_attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.responses = ResponseReader(streams=True)
         self.stream_timer: asyncio.TimerHandle | None = None  # until a response of unknown length is streamed
-        self.paused = False  # the client takes no more for now
+        self.is_paused = False
         self.body_written = True  # no more of the request is to be written
-        self.flushed = True  # the last byte of what was written is with the kernel
+        self.is_flushed = True
         self.idle_since_us = 0
-        self.last_response_us = 0  # how long its last response took
-        self.is_counted = False
-        self.poll = select.poll()
+        self.last_response_us = 0
+        self.poll = select.poll()  # asks the kernel what the loop has not seen yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the loop."""
@@ -170,8 +97,13 @@
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.owner.on_connected(self)
 
+    @property
+    def is_up(self) -> bool:
+        """Whether the connection has ever been established."""
+        return self.transport is not None
+
     def is_usable(self) -> bool:
-        """Whether a request may be written: False once the server has closed it or sent something unasked.
+        """Return whether a request may be written: not if the server has closed it or sent anything.
 
         The kernel is asked, since the loop may not have seen it yet: a request on a connection that the
         server has closed would end as a reset, and it could not be known whether it has run.
@@ -179,6 +111,40 @@
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
 
+    def send(self, attempt: Attempt) -> bool:
+        """Write an attempt; False, with the connection closed, if the write failed."""
+        self.attempt = attempt
+        attempt.connection = self
+        self.has_sent = True
+        attempt.on_first_byte()
+        if self.write(attempt.payload(attempt.left_us)):
+            self.carry(attempt)
+            return True
+        self.attempt = None
+        attempt.connection = None
+        self.close()
+        return False
+
+    def await_reuse(self, attempt: Attempt) -> None:
+        """Have this attempt wait until the connection may be reused."""
+        self.waiting_attempt = attempt
+        attempt.connection = self
+
+    def take_waiting(self) -> Attempt | None:
+        """Return the attempt that waits for the connection, which it has no more; None if there is none."""
+        attempt = self.waiting_attempt
+        self.waiting_attempt = None
+        if attempt is None or attempt.ended:
+            return None
+        attempt.connection = None
+        return attempt
+
+    def take_attempt(self) -> Attempt | None:
+        """Return the attempt that it carries, which it carries no more; None if there is none."""
+        attempt = self.attempt
+        self.attempt = None
+        return attempt
+
     def write(self, data: bytes) -> bool:
         """Write; False if the connection turned out broken before the last byte was written."""
         assert self.transport is not None
@@ -193,13 +159,19 @@
         if self.transport is not None:
             self.transport.abort()
 
+    def abandon(self) -> None:
+        """Close at once, and forget the attempts on it, which are given up."""
+        self.attempt = None
+        self.waiting_attempt = None
+        self.close()
+
     # A request body that is streamed
 
     def carry(self, attempt: Attempt) -> None:
         """Begin to send what follows the payload, if anything does."""
         self.body_written = attempt.streamed_body is None
         if attempt.streamed_body is not None:
-            attempt.last_progress_us = now_us()
+            attempt.note_progress()
             attempt.streamed_body.on_data = self.write_body
         self.write_body()
 
@@ -209,9 +181,9 @@
         if attempt is None or self.transport is None:
             return
         streamed_body = attempt.streamed_body
-        while streamed_body is not None and self.flushed and streamed_body.chunks:
+        while streamed_body is not None and self.is_flushed and streamed_body.chunks:
             data = streamed_body.take()
-            attempt.last_progress_us = now_us()
+            attempt.note_progress()
             self.write(data if streamed_body.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
         if (
             streamed_body is not None
@@ -222,17 +194,17 @@
             self.body_written = True
             if streamed_body.length is None:
                 self.write(b"0\r\n\r\n")
-        if self.body_written and self.flushed and not attempt.written and not self.transport.is_closing():
+        if self.body_written and self.is_flushed and not attempt.written and not self.transport.is_closing():
             attempt.written = True
             attempt.on_request_sent()
 
     def pause_writing(self) -> None:
         """The server takes no more for now; called by the loop."""
-        self.flushed = False
+        self.is_flushed = False
 
     def resume_writing(self) -> None:
         """All that was written is with the kernel; called by the loop."""
-        self.flushed = True
+        self.is_flushed = True
         self.write_body()
 
     # Responses
@@ -259,7 +231,7 @@
         elif attempt is None:
             self.close()
         elif attempt.is_streaming:
-            attempt.last_progress_us = now_us()
+            attempt.note_progress()
             attempt.on_response_data(self.responses.take())
         elif self.responses.is_long:
             self.start_stream()
@@ -289,18 +261,21 @@
 
     def pause(self) -> None:
         """Stop reading: the client takes no more for now."""
-        if self.transport is not None and not self.paused and not self.transport.is_closing():
-            self.paused = True
+        if self.transport is not None and not self.is_paused and not self.transport.is_closing():
+            self.is_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
         """Read again after `pause`."""
-        if self.transport is not None and self.paused and not self.transport.is_closing():
-            self.paused = False
+        if self.transport is not None and self.is_paused and not self.transport.is_closing():
+            self.is_paused = False
             if self.attempt is not None:
-                self.attempt.last_progress_us = now_us()
+                self.attempt.note_progress()
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection; called by the loop."""
         self.owner.on_lost(self)
+
+
+PooledServer: TypeAlias = UpstreamServer[UpstreamConnection]
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -18,7 +18,7 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
-from sagetrack.http1.upstream_connection import Message
+from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import ListedServer, Outcome
 from tests.sockets import configuration, running, until
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -7,7 +7,8 @@
 from sagetrack.config.platform import parse
 from sagetrack.core.responses import Response
 from sagetrack.discovery.endpoint_parsing import parse_endpoint_list
-from sagetrack.http1.upstream_connection import Attempt, UpstreamConnection
+from sagetrack.http1.attempt import Attempt
+from sagetrack.http1.upstream_connection import UpstreamConnection
 from sagetrack.policy.events import ListKind, Outcome
 from tests.sockets import (
     Exchange,
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.interfaces import Request
-from sagetrack.http1.upstream_connection import Message
+from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -14,7 +14,8 @@
     IdleConnections,
     PoolCounts,
 )
-from sagetrack.http1.upstream_connection import UpstreamConnection, UpstreamServer
+from sagetrack.http1.upstream_connection import PooledServer, UpstreamConnection
+from sagetrack.http1.upstream_server import UpstreamServer
 from tests.helpers import SETTINGS
 
 NOW_US = 100_000_000
@@ -24,7 +25,7 @@
 class Connection(UpstreamConnection):
     """A connection without a socket; what is asked of the kernel is answered by a field."""
 
-    def __init__(self, upstream: UpstreamServer, idle_us: int, usable: bool = True) -> None:
+    def __init__(self, upstream: PooledServer, idle_us: int, usable: bool = True) -> None:
         super().__init__(None, upstream, None)  # type: ignore[arg-type]
         self.idle_since_us, self.usable, self.closed = NOW_US - idle_us, usable, False
 
@@ -42,7 +43,7 @@
         monkeypatch.setattr(idle_module, "now_us", lambda: NOW_US)
         self.counts = PoolCounts()
         self.idle = IdleConnections(replace(SETTINGS, keepalive_us=KEEPALIVE_US), self.counts)
-        self.server = UpstreamServer(1, "s", ("127.0.0.1", 1))
+        self.server: PooledServer = UpstreamServer(1, "s", ("127.0.0.1", 1))
 
     def have(self, *idle_us: int) -> list[Connection]:
         made = [Connection(self.server, one) for one in idle_us]
@@ -104,7 +105,7 @@
 
 
 def test_the_longest_idle_of_all_servers_is_reclaimed(rules: Rules) -> None:
-    other = UpstreamServer(2, "t", ("127.0.0.1", 2))
+    other: PooledServer = UpstreamServer(2, "t", ("127.0.0.1", 2))
     servers = [rules.server, other]
     assert not rules.idle.reclaim(servers)
     (newer,) = rules.have(1_000)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -27,7 +27,8 @@
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.idle_connections import IdleConnections
-from sagetrack.http1.upstream_connection import Message, UpstreamConnection
+from sagetrack.http1.requests import Message
+from sagetrack.http1.upstream_connection import UpstreamConnection
 from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 from sagetrack.policy.settings import Effect
 from tests.helpers import GATEWAY_CLOCK_USERS, SETTINGS
@@ -322,9 +323,10 @@
     )
     for module in (
         *GATEWAY_CLOCK_USERS,
+        "sagetrack.http1.attempt",
         "sagetrack.http1.attempt_runner",
-        "sagetrack.http1.connection_pool",
         "sagetrack.http1.idle_connections",
+        "sagetrack.http1.upstream_server",
     ):
         patch.setattr(f"{module}.now_us", lambda: world.now)
     patch.setattr("asyncio.get_running_loop", lambda: loop)
