--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -64,7 +64,7 @@
                 if now_s - since_s < limit_s:
                     break
                 if connection.may_close(CloseReason.IDLE) is None:
-                    connection.close("idle")
+                    connection.close(CloseReason.IDLE.value)
         for connection, since_s in list(self.receiving_request.items()):
             if now_s - since_s >= REQUEST_TIMEOUT_S:
                 connection.abandon_request()
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are read ahead, handled one after the other, and answered."""
+"""One client's connection: its requests are read ahead, and handled and responded to one after the other."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.drain import Drain
-from sagetrack.core.event_trace import Step
-from sagetrack.core.invariants import Invariant
-from sagetrack.core.metrics import ReasonCounter
 from sagetrack.core.peer_close import PeerCloseWatcher, has_peer_closed
 from sagetrack.core.send_rules import ClientConnectionState, CloseReason, DenialReason, may_close
+from sagetrack.http1.client_closes import ABORTED, CLIENT_LEFT, DRAINED, RESPONDED, ClientCloses
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.http1.connection_phases import ConnectionPhases, PhaseTracker
 from sagetrack.http1.exchange import Exchange, RequestHandling
+from sagetrack.http1.read_pause import ReadPause
 from sagetrack.http1.request_reader import RequestReader
 from sagetrack.http1.requests import HttpRequest, RequestError
 
@@ -27,22 +26,33 @@
 # The same for one that is streamed: the kernel takes more only once a third of what it holds has been read,
 # which may be more than a megabyte, and a slow client has done nothing wrong.
 STREAM_WRITE_TIMEOUT_S = 30.0
-ORDINARY = frozenset({"answered", "idle"})  # reasons for closing that need no trace
-CLIENT_LEFT = "client_left"  # the one reason for an end that is not this process's
 
 
 class ClientContext:
-    """What all clients' connections share, and the list of them."""
+    """What all clients' connections share, and the list of them.
+
+    Attributes:
+        handling: How their requests are handled.
+        drain: The phase of the process.
+        connections: Those that are up.
+        phases: What each of them waits for.
+        paused: Those on which nothing is read for now.
+        hangups: Has the kernel report the end of those.
+        body_budget: The memory of all streamed bodies.
+        buffer: What any connection reads into: it is copied at once.
+        closes: Why this process has closed connections.
+    """
 
     def __init__(self, handling: RequestHandling, drain: Drain) -> None:
-        self.handling, self.drain = handling, drain
+        self.handling = handling
+        self.drain = drain
         self.connections: set[ClientConnection] = set()
         self.phases = ConnectionPhases()
-        self.paused: set[ClientConnection] = set()  # nothing is read on them for now
-        self.hangups = PeerCloseWatcher()  # of those
+        self.paused: set[ClientConnection] = set()
+        self.hangups = PeerCloseWatcher()
         self.body_budget = BodyMemoryBudget(handling.config.memory_mb)
-        self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
-        self.closed = ReasonCounter("client_closes_total", "reason", ())  # by this process
+        self.buffer = memoryview(bytearray(READ_SIZE))
+        self.closes = ClientCloses(handling.gateway)
 
     def watch_paused(self, connection: ClientConnection) -> None:
         """Have the kernel report the end of a connection on which nothing is read."""
@@ -56,43 +66,28 @@
             self.hangups.forget(connection.descriptor)
 
 
-class ReadPause:
-    """Back-pressure on a client: nothing is read from it while what it has sent waits to be parsed."""
-
-    __slots__ = ("connection", "since_s")
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self.connection = connection
-        self.since_s: float | None = None  # None: the connection is read
-
-    @property
-    def is_active(self) -> bool:
-        """Whether nothing is read for now."""
-        return self.since_s is not None
-
-    def begin(self, transport: asyncio.Transport) -> None:
-        """Read nothing more; the kernel reports the end of the connection meanwhile."""
-        if self.since_s is None:
-            self.since_s = asyncio.get_running_loop().time()
-            transport.pause_reading()
-            self.connection.context.watch_paused(self.connection)
-
-    def end(self, transport: asyncio.Transport) -> None:
-        """Read again."""
-        if self.since_s is not None:
-            self.connection.phase.exclude(asyncio.get_running_loop().time() - self.since_s)
-            self.since_s = None
-            self.connection.context.unwatch(self.connection)
-            transport.resume_reading()
-
-
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client; its requests are handled one after the other."""
+    """One connection of a client; its requests are handled one after the other.
+
+    Attributes:
+        context: What it shares with other clients' connections.
+        transport: Its transport, once it is up.
+        descriptor: The number of its socket.
+        poll: Has that socket registered, to ask the kernel what the loop has not seen yet.
+        reader: Makes requests of what it reads.
+        read_pause: Whether it is read.
+        exchange: The request in progress, and its response.
+        discarded_body: The rest of a body whose request has had its response, while that is read.
+        phase: What it waits for.
+        opened_s: When it came up, by the clock of the loop.
+        is_closing: Whether nothing more is read as a request.
+        write_blocked: Whether the client does not read its responses.
+    """
 
     __slots__ = (
         "context",
         "descriptor",
-        "discarded",
+        "discarded_body",
         "exchange",
         "is_closing",
         "opened_s",
@@ -109,12 +104,12 @@
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(context.body_budget)
         self.exchange = Exchange(self, context.handling)
-        self.discarded: StreamedBody | None = None  # the rest of a body whose request has had its response
+        self.discarded_body: StreamedBody | None = None
         self.read_pause = ReadPause(self)
         self.phase = PhaseTracker(self, context.phases)
         self.opened_s = 0.0
-        self.is_closing = False  # nothing more is read as a request
-        self.write_blocked = False  # the client does not read its responses
+        self.is_closing = False
+        self.write_blocked = False
         self.descriptor = -1
         self.poll = select.poll()
 
@@ -122,7 +117,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the loop."""
-        self.transport = self.exchange.transport = cast(asyncio.Transport, transport)  # uvloop's: no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.exchange.transport = self.transport
         self.descriptor = transport.get_extra_info("socket").fileno()
         self.poll.register(self.descriptor, select.POLLIN | select.POLLRDHUP)
         self.opened_s = asyncio.get_running_loop().time()
@@ -154,8 +150,16 @@
         self.abort(CLIENT_LEFT)
         self.cancel_requests()
 
+    def watch_hangup(self) -> None:
+        """Have the kernel report the end of the connection, as nothing is read here."""
+        self.context.watch_paused(self)
+
+    def unwatch_hangup(self) -> None:
+        """Leave the end of the connection to the loop, which reads here again."""
+        self.context.unwatch(self)
+
     def has_gone(self) -> bool:
-        """Whether the client has closed, seen by the loop or not: asked before anything is sent for it."""
+        """Return whether the client has closed, also where the loop has not seen it yet."""
         return self.transport is None or self.transport.is_closing() or has_peer_closed(self.poll)
 
     # Phases
@@ -181,13 +185,13 @@
             self.phase.await_request(reader.in_body, reader.has_partial_request, has_responded, self.opened_s)
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
-        """Abandon a request whose body comes too slowly, unless it is this process that does not read."""
+        """Give up a request whose body comes too slowly, unless it is this process that does not read."""
         allowed_s = BODY_GRACE_S + self.reader.received / MIN_BODY_RATE
         if not self.read_pause.is_active and now_s - since_s > allowed_s:
             self.abandon_request()
 
     def abandon_request(self, fault: RequestError | None = None) -> None:
-        """Answer a request of which the rest has not come in time, and read nothing more."""
+        """Respond to a request of which the rest has not come in time, and read nothing more."""
         self.reader.fail(fault or RequestError(408, "the request did not come in time"))
         self.handle_fault()
         self.take_next()
@@ -195,7 +199,7 @@
     # Closing
 
     def may_close(self, purpose: CloseReason) -> DenialReason | None:
-        """Why it may not be closed now without a response; None if it may."""
+        """Return why it may not be closed now without a response; None if it may."""
         state = ClientConnectionState(
             response_pending=self.is_closing or self.exchange.is_busy or bool(self.reader.requests),
             request_incomplete=self.reader.has_partial_request,
@@ -214,9 +218,9 @@
             if self.may_close(CloseReason.DESCRIPTORS_EXHAUSTED) is None:
                 self.abandon_request(RequestError(503, "this gateway is leaving: ask again"))
         elif self.may_close(CloseReason.IDLE) is None:
-            self.close("drain")
+            self.close(DRAINED)
 
-    def close(self, reason: str = "answered") -> None:
+    def close(self, reason: str = RESPONDED) -> None:
         """Close once what was written is with the client, and within `WRITE_TIMEOUT_S`."""
         self._note_close(reason)
         self.is_closing = True
@@ -224,7 +228,7 @@
             self.phase.enter_closing(WRITE_TIMEOUT_S)
             self.transport.close()
 
-    def abort(self, reason: str = "aborted") -> None:
+    def abort(self, reason: str = ABORTED) -> None:
         """Close at once; what the client has not taken yet is lost."""
         self._note_close(reason)
         self.is_closing = True
@@ -233,16 +237,13 @@
             self.transport.abort()
 
     def _note_close(self, reason: str) -> None:
-        """Count why this process closes the connection; with a response due it must not be closed."""
-        if self.transport is None or self.transport.is_closing() or reason == CLIENT_LEFT:
-            return
-        self.context.closed.add(reason)
-        gateway, request = self.context.handling.gateway, self.exchange.request
-        if reason not in ORDINARY:
-            gateway.trace.note(Step.CONNECTION_CLOSED, request.id if request is not None else "", reason)
-        awaits_response = self.exchange.awaits_response and not self.write_blocked
-        if awaits_response and request is not None and not self.has_gone():
-            gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, request.id, reason)
+        """Count why this process closes the connection, unless it does so already."""
+        if self.transport is not None and not self.transport.is_closing():
+            self.context.closes.note(reason, self.exchange.request, self._client_awaits_response)
+
+    def _client_awaits_response(self) -> bool:
+        """Return whether the client is there, reads, and nothing of the response that is due is written."""
+        return self.exchange.awaits_response and not self.write_blocked and not self.has_gone()
 
     def _close_after_response(self, linger: bool) -> None:
         """Close once the response is written.
@@ -272,7 +273,7 @@
     def data_received(self, data: bytes) -> None:
         """Read requests from these bytes, and handle the next one."""
         if self.is_closing:
-            return  # what follows a request that can't be read, until the connection ends
+            return  # it follows a request that cannot be read: nothing is known to begin here
         self.parse(data)
         self.take_next()
         self.update_phase()
@@ -304,11 +305,14 @@
         asyncio.get_running_loop().call_soon(self.resume_parsing)
 
     def send_continue(self) -> None:
-        """Write `100 Continue` to a client that waits for it, once its request is the next to be answered."""
-        reader, current = self.reader, self.exchange.message
-        ahead = current is not None and current is not reader.reading
-        ahead = ahead or any(message is not reader.reading for message in reader.requests)
-        if not reader.expects_continue or ahead or self.is_closing or self.discarded is not None:
+        """Write `100 Continue` to a client that waits for it, once its request is the next to be handled."""
+        reader = self.reader
+        if not reader.expects_continue or self.is_closing or self.discarded_body is not None:
+            return
+        current = self.exchange.message
+        if current is not None and current is not reader.reading:
+            return
+        if any(message is not reader.reading for message in reader.requests):
             return
         if self.transport is not None:
             reader.expects_continue = False
@@ -316,21 +320,21 @@
 
     def handle_fault(self) -> None:
         """Respond where the body of the request in progress cannot be read to its end."""
-        if self.discarded is not None and self.reader.has_failed:
+        if self.discarded_body is not None and self.reader.has_failed:
             self.close()
         self.exchange.fail_body()
 
     # Requests and responses
 
     def take_next(self) -> None:
-        """Handle the next request that was read, once the one before is answered."""
+        """Handle the next request that was read, once the one before has had its response."""
         if self.transport is None or self.is_closing or self.write_blocked or self.exchange.is_busy:
             return
         if self.read_pause.is_active and has_peer_closed(self.poll):
             self.on_hangup()
         if not self.reader.requests and self.reader.unparsed:
             self.parse(b"")
-        if not self.reader.requests or self.is_closing or self.discarded is not None:
+        if not self.reader.requests or self.is_closing or self.discarded_body is not None:
             return
         self.exchange.start(self.reader.requests.popleft())
         self.send_continue()
@@ -341,18 +345,20 @@
             asyncio.get_running_loop().call_soon(self.take_next)
 
     def is_last(self, message: HttpRequest) -> bool:
-        """Whether the connection ends with the response to this request."""
+        """Return whether the connection ends with the response to this request."""
         if message.streamed_body is not None and not message.streamed_body.is_complete:
             return True  # its body is incomplete, and the rest is not waited for
-        # Requests that were read are answered, also in a shutdown, but not without end.
-        more = bool(self.reader.requests) or self.reader.has_partial_request
+        if not message.keep_alive:
+            return True
         drain = self.context.drain
-        if drain.is_draining and more and drain.is_past_answer_cutoff(asyncio.get_running_loop().time()):
-            more = False
-        return not message.keep_alive or (drain.is_draining and not more)
+        if not drain.is_draining:
+            return False
+        # Requests that were read get their responses, also in a shutdown, but not without end.
+        has_more = bool(self.reader.requests) or self.reader.has_partial_request
+        return not has_more or drain.is_past_answer_cutoff(asyncio.get_running_loop().time())
 
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
-        """Go on with the next request, or close."""
+        """Go on with the next request, or close the connection after its last response."""
         if not is_last:
             self.take_next_soon()
             self.update_phase()
@@ -369,7 +375,7 @@
         A close before could reset the connection, which would overtake the response: the client reads it when
         it has sent everything.
         """
-        self.discarded = streamed_body
+        self.discarded_body = streamed_body
         streamed_body.discard()
         streamed_body.on_complete = self.close
         self.phase.enter(self.context.phases.receiving_body)
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -15,6 +15,7 @@
 from sagetrack.core.processes import NoSiblings, SiblingProcesses
 from sagetrack.core.send_rules import CloseReason, may_take_clients
 from sagetrack.http1.acceptor import BACKLOG, Acceptor
+from sagetrack.http1.client_closes import DRAINED
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.descriptors import DescriptorBudget
 from sagetrack.http1.downstream import ClientConnection, ClientContext
@@ -45,7 +46,7 @@
         self.describe_peers: Callable[[], list[str]] = lambda: ["messages between gateways are off"]
         self.sweeper: asyncio.TimerHandle | None = None
         self.drainer: asyncio.TimerHandle | None = None
-        gateway.metrics.extra_figures += [self.acceptor.errors.figures, self.context.closed.figures]
+        gateway.metrics.extra_figures += [self.acceptor.errors.figures, self.context.closes.counts.figures]
         pools.on_descriptor_needed(self.descriptors.reclaim_for_upstream)
 
     def prepare(self, source: EndpointSource) -> None:
@@ -172,7 +173,7 @@
         for connection in list(self.connections):
             due = self.drain.may_close_idle(now_s, connection.opened_s, connection.exchange.has_responded)
             if due and connection.may_close(CloseReason.IDLE) is None:
-                connection.close("drain")
+                connection.close(DRAINED)
 
     def close(self) -> None:
         """Close everything at once."""
