--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -30,13 +30,16 @@
         self._gateway = gateway
         self.counts = ReasonCounter("client_closes_total", "reason", ())
 
-    def note(self, reason: str, request: Request | None, awaits_response: Callable[[], bool]) -> None:
+    def note(
+        self, reason: str, request: Request | None, awaits_response: bool, has_gone: Callable[[], bool]
+    ) -> None:
         """Count a close by this process; with a response due it is a violated invariant.
 
         Args:
             reason: Why the connection is closed.
             request: Its request that is in progress.
-            awaits_response: Asks whether the client still waits for the response to that.
+            awaits_response: Whether nothing of the response to that is written, and the client reads.
+            has_gone: Asks the kernel whether the client has closed.
         """
         if reason == CLIENT_LEFT:
             return
@@ -45,5 +48,5 @@
             self._gateway.trace.note(
                 Step.CONNECTION_CLOSED, request.id if request is not None else "", reason
             )
-        if request is not None and awaits_response():
+        if awaits_response and request is not None and not has_gone():
             self._gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, request.id, reason)
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -67,22 +67,7 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client; its requests are handled one after the other.
-
-    Attributes:
-        context: What it shares with other clients' connections.
-        transport: Its transport, once it is up.
-        descriptor: The number of its socket.
-        poll: Has that socket registered, to ask the kernel what the loop has not seen yet.
-        reader: Makes requests of what it reads.
-        read_pause: Whether it is read.
-        exchange: The request in progress, and its response.
-        discarded_body: The rest of a body whose request has had its response, while that is read.
-        phase: What it waits for.
-        opened_s: When it came up, by the clock of the loop.
-        is_closing: Whether nothing more is read as a request.
-        write_blocked: Whether the client does not read its responses.
-    """
+    """One connection of a client; its requests are handled one after the other."""
 
     __slots__ = (
         "context",
@@ -104,14 +89,14 @@
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(context.body_budget)
         self.exchange = Exchange(self, context.handling)
-        self.discarded_body: StreamedBody | None = None
-        self.read_pause = ReadPause(self)
+        self.discarded_body: StreamedBody | None = None  # its request has had its response already
         self.phase = PhaseTracker(self, context.phases)
-        self.opened_s = 0.0
-        self.is_closing = False
-        self.write_blocked = False
+        self.read_pause = ReadPause(self.phase)
+        self.opened_s = 0.0  # by the clock of the loop
+        self.is_closing = False  # nothing more is read as a request
+        self.write_blocked = False  # the client does not read its responses
         self.descriptor = -1
-        self.poll = select.poll()
+        self.poll = select.poll()  # asks the kernel what the loop has not seen yet
 
     # Connection
 
@@ -150,14 +135,6 @@
         self.abort(CLIENT_LEFT)
         self.cancel_requests()
 
-    def watch_hangup(self) -> None:
-        """Have the kernel report the end of the connection, as nothing is read here."""
-        self.context.watch_paused(self)
-
-    def unwatch_hangup(self) -> None:
-        """Leave the end of the connection to the loop, which reads here again."""
-        self.context.unwatch(self)
-
     def has_gone(self) -> bool:
         """Return whether the client has closed, also where the loop has not seen it yet."""
         return self.transport is None or self.transport.is_closing() or has_peer_closed(self.poll)
@@ -168,15 +145,13 @@
         """Enter the phase that follows from what has come and which response is due."""
         if self.is_closing:
             return
-        reader, message = self.reader, self.exchange.message
+        reader = self.reader
+        message = self.exchange.message
+        body = reader.streamed_body
         if self.write_blocked:
             timeout_s = WRITE_TIMEOUT_S if self.exchange.source is None else STREAM_WRITE_TIMEOUT_S
             self.phase.enter_closing(timeout_s)
-        elif (
-            reader.streamed_body is not None
-            and message is not None
-            and message.streamed_body is reader.streamed_body
-        ):
+        elif message is not None and body is not None and message.streamed_body is body:
             self.phase.enter(self.context.phases.receiving_body)
         elif message is not None or reader.requests:
             self.phase.enter(None)
@@ -239,21 +214,15 @@
     def _note_close(self, reason: str) -> None:
         """Count why this process closes the connection, unless it does so already."""
         if self.transport is not None and not self.transport.is_closing():
-            self.context.closes.note(reason, self.exchange.request, self._client_awaits_response)
+            awaits_response = self.exchange.awaits_response and not self.write_blocked
+            self.context.closes.note(reason, self.exchange.request, awaits_response, self.has_gone)
 
-    def _client_awaits_response(self) -> bool:
-        """Return whether the client is there, reads, and nothing of the response that is due is written."""
-        return self.exchange.awaits_response and not self.write_blocked and not self.has_gone()
+    def _linger(self) -> None:
+        """Close after a response that the client does not expect yet, once it has had `LINGER_S` to read it.
 
-    def _close_after_response(self, linger: bool) -> None:
-        """Close once the response is written.
-
-        With `linger`, the client may still be sending, and a reset could overtake the response: it has
-        `LINGER_S` to read. What it sends meanwhile stays with the kernel, which holds little of it.
+        The client may still be sending, and a reset could overtake the response. What it sends meanwhile
+        stays with the kernel, which holds little of it.
         """
-        if not linger:
-            self.close()
-            return
         self.is_closing = True
         assert self.transport is not None
         if self.transport.can_write_eof():
@@ -267,14 +236,10 @@
         return self.context.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """Take what was read into the buffer; called by the loop."""
-        self.data_received(bytes(self.context.buffer[:size]))
-
-    def data_received(self, data: bytes) -> None:
-        """Read requests from these bytes, and handle the next one."""
+        """Make requests of what was read into the buffer, and handle the next one; called by the loop."""
         if self.is_closing:
             return  # it follows a request that cannot be read: nothing is known to begin here
-        self.parse(data)
+        self.parse(bytes(self.context.buffer[:size]))
         self.take_next()
         self.update_phase()
 
@@ -286,9 +251,10 @@
         if self.is_closing:
             return
         if self.reader.has_failed or self.reader.unparsed:
-            self.read_pause.begin(self.transport)
-        else:
-            self.read_pause.end(self.transport)
+            if self.read_pause.begin(self.transport):
+                self.context.watch_paused(self)
+        elif self.read_pause.end(self.transport):
+            self.context.unwatch(self)
         self.send_continue()
 
     def resume_parsing(self) -> None:
@@ -309,10 +275,8 @@
         reader = self.reader
         if not reader.expects_continue or self.is_closing or self.discarded_body is not None:
             return
-        current = self.exchange.message
-        if current is not None and current is not reader.reading:
-            return
-        if any(message is not reader.reading for message in reader.requests):
+        ahead = (self.exchange.message, *reader.requests)
+        if any(message is not None and message is not reader.reading for message in ahead):
             return
         if self.transport is not None:
             reader.expects_continue = False
@@ -366,8 +330,10 @@
         self.reader.requests.clear()
         if message.streamed_body is not None and not message.streamed_body.is_finished:
             self._discard(message.streamed_body)
+        elif message.fault is not None:
+            self._linger()
         else:
-            self._close_after_response(linger=message.fault is not None)
+            self.close()
 
     def _discard(self, streamed_body: StreamedBody) -> None:
         """Read the rest of a body that is not needed, and close then.
