--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -1,6 +1,45 @@
 """Deadlines that follow from the settings and the protocol, each with its sum written out.
 
 Nothing here reads a clock. Whoever has to meet a deadline takes its limits from here.
+
+How the limits for service discovery are derived
+
+Every change of the endpoint list has to be here before the grace for sending is over: before the time in
+which a gateway may still send to a server that drains or is gone. G is that grace in seconds, and at least
+`MIN_GRACE_S`. "Delivered" means that G runs from that moment on.
+
+Pushed: an agent on this machine is polled, which costs nothing. What the agent has counts as delivered at
+once, also while a watch is silent or is being opened anew, and when service discovery recovers. All limits
+are fractions of G.
+
+- A watch that has fallen silent: wait G/4 + response G/8 + backoff G/16 + connect G/8 + response G/8 = 11/16
+  of G. The other 5/16 (0.6 s of 2) are for a busy core and for an attempt that was chosen a moment before.
+- After failures all backoffs are equal, and polls of the complete list do not wait for a change: response
+  G/8 + 2 x (backoff G/16 + connect G/8 + response G/8) = 3/4 of G.
+
+Polled: one service of fixed capacity serves all gateways, and calls queue there, so that few are made.
+Whatever has failed, a change counts as delivered 6 s after service discovery had it and could be reached. A
+newer list has to be here by 6 + G, and the limits are chosen for 6 + 3/4 G.
+
+- What a watch of H seconds misses, silent from its first moment on, counts as delivered after max(6, H + 2).
+  H = 6 - 2 is the longest wait with which nothing counts as delivered later than after 6 s, by either term.
+- Limits are fractions of g = min(G, (4 + G)/3), which is G up to 2 s. As fractions of a longer G they alone
+  would use up the time (at G = 4: 10.5 s of 10).
+- The load balancer decides when to poll again, and no setting changes its longest backoff
+  (policy/discovery_backoff.py). A watch that falls silent, with the backoff after a first failure: wait 4 +
+  response g/2 + backoff 0.5 + connect 3g/8 + response g/2 = 4.5 + 11/8 g (G = 2: 7.25 of 7.5).
+- After any number of failures a poll waits for 1 ms, as it only has to find out whether service discovery has
+  recovered. The poll that is in flight at the recovery is lost, and its response limit counts, as that for
+  connecting is shorter. The next one is rejected as late as possible, and the one after it succeeds: 0.001 +
+  response g/2 + 2 x (backoff 1.4 + connect 3g/8 + response g/2) = 2.801 + 9/4 g (G = 2: 7.301).
+- A service that rejects a second time in a row has more calls than it can serve, and counts as unreachable
+  until its last rejection: if all gateways polled again within 1.4 s, they would keep it overloaded (seen
+  with 32 gateways at a service of fixed capacity). From then on each waits for 2.6 s more at most: backoff
+  1.4 + 2.6 + call 7/8 g = 4 + 7/8 g (G = 2: 5.75 of 7.5).
+- With g = (4 + G)/3, thus for G over 2 s, a silent watch takes 6.34 + 0.46 G and a recovery 5.81 + 0.75 G.
+- A new process waits for 1.4 s at most before its first call, as if that were the first of those backoffs.
+- What a new address of service discovery has to deliver counts as delivered 4 s after the signal, and has to
+  be here by 4 + G: call 7/8 g + backoff 1.4 + call 7/8 g = 1.4 + 7/4 g (G = 2: 4.9 of 6).
 """
 
 from __future__ import annotations
@@ -11,11 +50,11 @@
 from sagetrack.policy.settings import Settings
 
 SILENT_WATCH_LIMIT_S = 6.0  # after a watch fell silent, when the changes it has missed count as delivered
-AFTER_POLL_WAIT_S = 2.0  # or this long after the end of the wait that was asked for, if that is later
+AFTER_POLL_WAIT_S = 2.0  # or this long after the end of the wait that was requested, if that is later
 REJECTION_BACKOFF_S = 2.6  # beside the longest backoff, after a second rejection in a row: 4 s together
-RETRY_POLL_WAIT_S = 0.001  # of the poll after a failure: the least that can be asked for
+RETRY_POLL_WAIT_S = 0.001  # of the poll after a failure: the least that can be requested
 REUSE_DELAY_S = 0.015  # a surplus second response comes some milliseconds after the first (seen: 1.6 to 8.6)
-MIN_GRACE_S = 0.4  # the grace that is planned with where the settings allow less: a call takes some time
+MIN_GRACE_S = 0.4  # the grace to plan with where the settings allow less, as a call takes some time
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,64 +114,28 @@
 
 
 def discovery_timeouts(settings: Settings) -> DiscoveryTimeouts:
-    """Return limits by which every change of the endpoint list is here before the grace for sending is over.
-
-    G is the grace, and at least 0.4 s where limits are shares of it.
-
-    Pushed: the agent on this machine is polled, at no cost, and what it has counts as delivered at once, also
-    while a watch is silent or being opened anew, and when service discovery recovers. A watch that has fallen
-    silent:
-
-        wait G/4 + response G/8 + backoff G/16 + connect G/8 + response G/8 = 11/16 of G
-
-    which leaves 5/16 of G (0.6 s of 2) for a busy core and the attempt that was chosen a moment before. After
-    failures, with all backoffs alike and polls of the complete list, which wait for no change:
-
-        response G/8 + 2 x (backoff G/16 + connect G/8 + response G/8) = 3/4 of G
-
-    Polled: one service of fixed capacity answers all gateways, and calls queue there, so that few are made.
-    Whatever has failed, a change counts as delivered 6 s after service discovery had it and could be reached:
-    until 6 + G there must be a newer list, and 6 + 3/4 G is planned with. What a watch of H seconds misses,
-    silent from its first moment on, counts as delivered after max(6, H + 2); H = 6 - 2 is the longest for
-    which nothing counts later than the silence itself allows, and whichever of the two clocks is read, it
-    ends at 6. Limits are shares of g = min(G, (4 + G)/3), which is G up to 2 s: as shares of a longer G they
-    alone would use up the time (at G = 4: 10.5 s of 10). The load balancer decides when to poll again, and no
-    setting changes its longest backoff (policy/discovery_backoff.py). A watch that falls silent, with the
-    backoff after a first failure:
-
-        wait 4 + response g/2 + backoff 0.5 + connect 3g/8 + response g/2 = 4.5 + 11/8 g  (G = 2: 7.25 of 7.5)
-
-    After any number of failures a poll waits for 1 ms, as it only has to find out whether service discovery
-    has recovered. One is in flight at the recovery and lost (response limit; that for connecting is shorter),
-    the next is rejected as late as it may be, and the one after it is answered:
-
-        0.001 + response g/2 + 2 x (backoff 1.4 + connect 3g/8 + response g/2) = 2.801 + 9/4 g  (G = 2: 7.301)
+    """Return limits by which every change of the endpoint list is here before the grace has passed."""
+    grace_s = max(MIN_GRACE_S, settings.stop_sending_within_us / 1e6)
+    return _pushed_timeouts(grace_s) if settings.endpoints_are_pushed else _polled_timeouts(grace_s)
 
-    A service that rejects a second time in a row has more calls than it can answer, and counts as unreachable
-    until its last rejection: if all gateways polled again within 1.4 s, they would keep each other waiting
-    (seen with 32 gateways at a service of fixed capacity). From then on each waits for 2.6 s more at most:
 
-        backoff 1.4 + 2.6 + call 7/8 g = 4 + 7/8 g    (G = 2: 5.75 of 7.5)
+def _pushed_timeouts(grace_s: float) -> DiscoveryTimeouts:
+    """Return the limits for an agent on this machine: see "Pushed" above."""
+    return DiscoveryTimeouts(
+        poll_wait_s=grace_s / 4,
+        retry_poll_wait_s=0.0,
+        response_timeout_s=grace_s / 8,
+        connect_timeout_s=grace_s / 8,
+        first_backoff_s=grace_s / 16,
+        max_backoff_s=grace_s / 16,
+        rejection_backoff_s=0.0,
+        initial_list_timeout_s=grace_s / 4,
+    )
 
-    With g = (4 + G)/3 the first is 6.34 + 0.46 G and the second 5.81 + 0.75 G. A new process waits 1.4 s at
-    most before its first call, as if that were the first of those backoffs. What a new address has to deliver
-    counts 4 s after the signal, and has to be here within 4 + G:
 
-        call 7/8 g + backoff 1.4 + call 7/8 g = 1.4 + 7/4 g    (G = 2: 4.9 of 6)
-    """
-    grace_s = max(MIN_GRACE_S, settings.stop_sending_within_us / 1e6)
-    if settings.endpoints_are_pushed:
-        return DiscoveryTimeouts(
-            poll_wait_s=grace_s / 4,
-            retry_poll_wait_s=0.0,
-            response_timeout_s=grace_s / 8,
-            connect_timeout_s=grace_s / 8,
-            first_backoff_s=grace_s / 16,
-            max_backoff_s=grace_s / 16,
-            rejection_backoff_s=0.0,
-            initial_list_timeout_s=grace_s / 4,
-        )
-    planned_s = min(grace_s, (4.0 + grace_s) / 3)
+def _polled_timeouts(grace_s: float) -> DiscoveryTimeouts:
+    """Return the limits for a service that all gateways share: see "Polled" above."""
+    planned_s = min(grace_s, (4.0 + grace_s) / 3)  # g
     return DiscoveryTimeouts(
         poll_wait_s=SILENT_WATCH_LIMIT_S - AFTER_POLL_WAIT_S,
         retry_poll_wait_s=RETRY_POLL_WAIT_S,
--- a/sagetrack/core/drain.py
+++ b/sagetrack/core/drain.py
@@ -1,6 +1,6 @@
 """The phases of a process: active, on standby, or shutting down. The one place that knows them.
 
-Readiness, the calls of the admin address and SIGTERM all ask or change this one state. It is independent of
+Readiness, the calls of the admin address and SIGTERM all read or change this one state. It is independent of
 the protocol. Times are readings of the caller's clock, in seconds.
 """
 
@@ -46,19 +46,23 @@
     def begin_standby(self, now_s: float) -> bool:
         """Begin to drain, or go on draining; False if the process is shutting down."""
         if self.phase is DrainPhase.ACTIVE:
-            self.phase, self.since_s = DrainPhase.STANDBY, now_s
+            self._enter(DrainPhase.STANDBY, now_s)
         return self.phase is DrainPhase.STANDBY
 
     def end_standby(self, now_s: float) -> bool:
         """Become active again, or stay so; False if the process is shutting down."""
         if self.phase is DrainPhase.STANDBY:
-            self.phase, self.since_s = DrainPhase.ACTIVE, now_s
+            self._enter(DrainPhase.ACTIVE, now_s)
         return self.phase is DrainPhase.ACTIVE
 
     def begin_shutdown(self, now_s: float) -> None:
         """Begin to shut down; a second call changes nothing."""
         if self.phase is not DrainPhase.SHUTTING_DOWN:
-            self.phase, self.since_s = DrainPhase.SHUTTING_DOWN, now_s
+            self._enter(DrainPhase.SHUTTING_DOWN, now_s)
+
+    def _enter(self, phase: DrainPhase, now_s: float) -> None:
+        self.phase = phase
+        self.since_s = now_s
 
     @property
     def is_draining(self) -> bool:
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -21,7 +21,7 @@
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
 from sagetrack.core.interfaces import Recorder, Request, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
-from sagetrack.core.metrics import Metrics, ReasonCounter
+from sagetrack.core.metrics import Gauges, Metrics, ReasonCounter
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.core.server_list import ServerList
 from sagetrack.policy.events import ListKind, Outcome, ProcessCountChanged, RequestArrived, ShutdownStarted
@@ -71,14 +71,7 @@
         self._dispatcher = EventDispatcher(self.balancer, self.violations)
         self.post: PostEvent = self._dispatcher.post
         self.in_flight = InFlightRequests(upstream, self.trace, self.post)
-        self.metrics = Metrics(
-            classes,
-            {
-                "current": self.in_flight.current_count,
-                "cluster_size": lambda: len(upstream.listed),
-                "cluster_unhealthy": lambda: self.balancer.unhealthy_count(),
-            },
-        )
+        self.metrics = Metrics(classes, self._gauges())
         self._context = self._make_context()
         self._servers = ServerList(self._context)
         attempts = AttemptStarter(self._context, self._servers)
@@ -86,6 +79,14 @@
         self._dispatcher.start(self.executor)
         self._watchdog = AnswerWatchdog(self._context, self.executor, self._loop)
 
+    def _gauges(self) -> Gauges:
+        """Return what computes the metrics of the present state, by their names."""
+        return {
+            "current": self.in_flight.current_count,
+            "cluster_size": lambda: len(self._upstream.listed),
+            "cluster_unhealthy": lambda: self.balancer.unhealthy_count(),
+        }
+
     def _make_context(self) -> GatewayContext:
         """Make what the parts share, and export its counters."""
         context = GatewayContext(
--- a/sagetrack/core/log.py
+++ b/sagetrack/core/log.py
@@ -49,11 +49,12 @@
 
     def __init__(self, burst: float = BURST, rate: float = RATE) -> None:
         """Allow `burst` lines of an event at once, and `rate` lines a second in the long run."""
-        self.burst, self.rate = burst, rate
+        self.burst = burst
+        self.rate = rate
         self.buckets: dict[str, _Bucket] = {}
 
     def admit(self, event: str, now_s: float) -> int:
-        """Return how many lines of this event were suppressed before this one; -1 if this one is, too."""
+        """Return how many lines of this event were suppressed since the last one; -1 if this one is, too."""
         bucket = self.buckets.get(event)
         if bucket is None:
             if len(self.buckets) >= EVENTS:
@@ -65,7 +66,8 @@
             bucket.suppressed += 1
             return -1
         bucket.tokens -= 1.0
-        suppressed, bucket.suppressed = bucket.suppressed, 0
+        suppressed = bucket.suppressed
+        bucket.suppressed = 0
         return suppressed
 
 
@@ -111,7 +113,8 @@
 def use_sink(sink: Sink, rate_limit: LogRateLimit | None = None) -> None:
     """Write events to another sink from now on, under another rate limit or a new one of default size."""
     global _sink, _rate_limit
-    _sink, _rate_limit = sink, rate_limit or LogRateLimit()
+    _sink = sink
+    _rate_limit = rate_limit or LogRateLimit()
 
 
 def log(event: str, level: str = "info", kind: str | None = None, **fields: object) -> None:
