--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -33,7 +33,8 @@
     """Executes actions one at a time, each with one method."""
 
     def __init__(self, context: GatewayContext, attempts: AttemptStarter, loop: AbstractEventLoop) -> None:
-        self._context, self._loop = context, loop
+        self._context = context
+        self._loop = loop
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: attempts.send,
             SetTimer: self._set_timer,
@@ -86,7 +87,8 @@
             self._context.endpoint_source.fetch()
 
     def _probe(self, action: Probe) -> None:
-        server, post = action.server, self._context.post
+        server = action.server
+        post = self._context.post
 
         def on_result(outcome: Outcome, latency_us: int, load: LoadReport | None) -> None:
             post(lambda: Probed(server, outcome, latency_us, load))
--- a/sagetrack/core/answer_watchdog.py
+++ b/sagetrack/core/answer_watchdog.py
@@ -23,7 +23,9 @@
     """
 
     def __init__(self, context: GatewayContext, executor: Executor, loop: asyncio.AbstractEventLoop) -> None:
-        self._context, self._executor, self._loop = context, executor, loop
+        self._context = context
+        self._executor = executor
+        self._loop = loop
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -30,7 +30,9 @@
             number: Its place in the request's `attempts`.
             begin_by_us: From this time on nothing of it may be sent; 0 for no such limit.
         """
-        self._context, self._in_flight, self._number = context, in_flight, number
+        self._context = context
+        self._in_flight = in_flight
+        self._number = number
         self._begin_by_us = begin_by_us
 
     def may_begin(self, server: ServerState) -> bool:
@@ -40,7 +42,8 @@
         first byte: the event loop may not know of it yet, as nothing is being read from that client, or as
         the loop was busy and finds the request and its cancellation together.
         """
-        in_flight, context = self._in_flight, self._context
+        in_flight = self._in_flight
+        context = self._context
         denial = self._retry_denial() or may_send(
             in_flight.is_finished, in_flight.remaining_us(now_us()), server, in_flight.request.has_gone
         )
@@ -53,7 +56,9 @@
 
     def _retry_denial(self) -> DenialReason | None:
         """Return why a retry may no longer be sent: its connection may have come up late."""
-        in_flight, settings, now = self._in_flight, self._context.settings, now_us()
+        in_flight = self._in_flight
+        settings = self._context.settings
+        now = now_us()
         if self._begin_by_us and now >= self._begin_by_us:
             return DenialReason.WINDOW_OVER
         request_class = settings.classes[in_flight.request.class_index]
@@ -83,10 +88,10 @@
             in_flight.request.client.on_response_data(in_flight.request, data)
 
     def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
+        self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
         """Queue the end of the attempt."""
-        self._context.post(lambda: self._end(attempt, outcome, answer, load))
+        self._context.post(lambda: self._end(attempt, outcome, response, load))
 
     def _start_response(self, attempt: Attempt, head: AnyResponse, source: Source) -> Event | None:
         in_flight = self._in_flight
@@ -98,9 +103,10 @@
         return StreamStarted(in_flight.request.id, self._number)
 
     def _end(
-        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
+        self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> Event:
-        in_flight, context = self._in_flight, self._context
+        in_flight = self._in_flight
+        context = self._context
         id_ = in_flight.request.id
         in_flight.attempts_in_flight -= 1
         in_flight.attempt_records[self._number].outcome = outcome
@@ -114,26 +120,27 @@
             context.recorder.attempt(in_flight.request.class_index, outcome.value, latency_us, succeeded)
         in_flight.timed_out = outcome is Outcome.TIMEOUT
         if not in_flight.is_finished:
-            self._respond(attempt, answer if succeeded else None)
+            self._respond(attempt, response if succeeded else None)
         elif in_flight.attempts_in_flight == 0:
             context.in_flight.pop(id_, None)
         return AttemptEnded(
             id_, self._number, attempt.server, outcome, latency_us, in_flight.is_finished, load
         )
 
-    def _respond(self, attempt: Attempt, answer: AnyResponse | None) -> None:
+    def _respond(self, attempt: Attempt, response: AnyResponse | None) -> None:
         """Give the client its final response, if the end of this attempt brings it about."""
-        in_flight, context = self._in_flight, self._context
+        in_flight = self._in_flight
+        context = self._context
         request = in_flight.request
         if in_flight.streaming_attempt is attempt:
             context.in_flight.finish(in_flight)
-            if answer is not None:
+            if response is not None:
                 in_flight.count_in(context.metrics.answered)
-                request.client.on_response_ended(request, answer)
+                request.client.on_response_ended(request, response)
             else:
                 in_flight.count_in(context.metrics.errored)
                 request.client.on_response_aborted(request)
-        elif answer is not None:
+        elif response is not None:
             context.in_flight.finish(in_flight)
             in_flight.count_in(context.metrics.answered)
-            request.client.on_response(request, answer)
+            request.client.on_response(request, response)
--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -17,7 +17,8 @@
     """Starts and cancels attempts."""
 
     def __init__(self, context: GatewayContext, servers: ServerList) -> None:
-        self._context, self._servers = context, servers
+        self._context = context
+        self._servers = servers
 
     def send(self, action: SendAttempt) -> None:
         """Start an attempt; one that a rule forbids is reported to the load balancer as not sent."""
--- a/sagetrack/core/bodies.py
+++ b/sagetrack/core/bodies.py
@@ -130,7 +130,8 @@
     def complete(self) -> None:
         """Record that the last byte has come, and notify the receiver. A second call does nothing."""
         if not self.is_finished:
-            self.is_complete, self.completed_us = True, now_us()
+            self.is_complete = True
+            self.completed_us = now_us()
             self.body_budget.active_bodies -= 1
             self.on_complete()
             self.on_data()
@@ -145,7 +146,8 @@
     def discard(self) -> None:
         """Drop what is buffered and what still comes; the receiver is not notified any more."""
         self.discarding = True
-        self.on_data = self.on_complete = do_nothing
+        self.on_data = do_nothing
+        self.on_complete = do_nothing
         self.chunks.clear()
         self.buffered = 0
         self.on_capacity()
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -21,7 +21,9 @@
     __slots__ = ("address", "listed", "name")
 
     def __init__(self, name: str, address: Address, listed: ListedServer) -> None:
-        self.name, self.address, self.listed = name, address, listed
+        self.name = name
+        self.address = address
+        self.listed = listed
 
 
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -13,7 +13,9 @@
 from sagetrack.policy.events import AttemptEnded, Event, RequestArrived
 from sagetrack.policy.load_balancer import LoadBalancer
 
-LazyEvent = Callable[[], Event | None]  # makes the event when its turn comes; None: it is void by then
+LazyEvent = Callable[
+    [], Event | None
+]  # makes the event when its turn comes; None if there is nothing to report by then
 PostEvent = Callable[[LazyEvent], None]  # queues an event: see `EventDispatcher.post`
 
 
@@ -29,11 +31,12 @@
     """A queue of events. The actions of one are executed before the next is handled.
 
     Events are queued as functions that make them when their turn comes: an event describes the state as it is
-    then, and None stands for one that has become void meanwhile.
+    then, and None stands for one that no longer applies.
     """
 
     def __init__(self, balancer: LoadBalancer, violations: InvariantViolations) -> None:
-        self._balancer, self._violations = balancer, violations
+        self._balancer = balancer
+        self._violations = violations
         self._executor: Executor | None = None
         self._queue: deque[LazyEvent] = deque()
         self._is_dispatching = False
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -106,7 +106,7 @@
         return context
 
     def start(self, endpoint_source: EndpointSource) -> None:
-        """Begin with the endpoints known before; newer lists are asked for when the load balancer decides."""
+        """Begin with the endpoints known before; newer ones are requested when the load balancer decides."""
         self._context.endpoint_source = endpoint_source
         endpoint_source.restore_known_endpoints(self.known_endpoints)
         self._watchdog.start()
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -77,7 +77,9 @@
 
     def __init__(self, upstream: UpstreamPool, trace: EventTrace, post: PostEvent) -> None:
         super().__init__()
-        self._upstream, self._trace, self._post = upstream, trace, post
+        self._upstream = upstream
+        self._trace = trace
+        self._post = post
 
     def finish(self, in_flight: InFlightRequest) -> None:
         """Mark a request as finished, and cancel its attempts of which nothing was sent yet."""
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -67,7 +67,7 @@
         ...
 
     def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
+        self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
         """Take the outcome, the response if there is one, and the server's load report if it sent one."""
         ...
@@ -131,7 +131,7 @@
     `on_response_aborted`.
     """
 
-    def on_response(self, request: Request, answer: Any) -> None:
+    def on_response(self, request: Request, response: Any) -> None:
         """Take a complete response."""
         ...
 
@@ -143,7 +143,7 @@
         """Take the next bytes of a streamed response."""
         ...
 
-    def on_response_ended(self, request: Request, answer: Any) -> None:
+    def on_response_ended(self, request: Request, response: Any) -> None:
         """Take the end of a streamed response, which is complete."""
         ...
 
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -37,7 +37,8 @@
     __slots__ = ("counts", "label", "name")
 
     def __init__(self, name: str, label: str, reasons: Iterable[str]) -> None:
-        self.name, self.label = name, label
+        self.name = name
+        self.label = label
         self.counts = dict.fromkeys(reasons, 0)
 
     def add(self, reason: str) -> None:
--- a/sagetrack/core/responses.py
+++ b/sagetrack/core/responses.py
@@ -21,5 +21,8 @@
     def __init__(
         self, status: int, headers: list[Header], body: bytes, keep_alive: bool, length: int | None = None
     ) -> None:
-        self.status, self.headers, self.body, self.keep_alive = status, headers, body, keep_alive
+        self.status = status
+        self.headers = headers
+        self.body = body
+        self.keep_alive = keep_alive
         self.length = length
--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -28,9 +28,9 @@
         reclaim_idle: Callable[[], object],
         connection: Callable[[], asyncio.BaseProtocol],
     ) -> None:
-        self.reclaim = reclaim  # have a descriptor for one more; False if there is none
-        self.reclaim_idle = reclaim_idle  # close a client that is idle
-        self.connection = connection
+        self.reclaim = reclaim  # makes sure of a descriptor for one more; False if there is none
+        self.reclaim_idle = reclaim_idle  # closes a client that is idle
+        self.connection = connection  # makes the protocol of an accepted connection
         self.listener: socket.socket | None = None
         self.pending: set[asyncio.Task[object]] = set()  # accepted, not yet connections
         self.exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
@@ -42,16 +42,16 @@
         asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def accept(self, limit: int = ACCEPTS_PER_TURN) -> bool:
-        """Accept what waits, a few in a turn, so that a crowd is met by reclaiming, not by an error.
+        """Accept waiting connections, a few in a turn; True if none waits any more.
 
-        True if nothing waits any more.
+        Descriptors for many of them at once are gained by closing other connections, not by running out.
         """
         loop = asyncio.get_running_loop()
         for _ in range(limit):
             if self.listener is None:
                 return True
             if not self.reclaim():
-                # What has been accepted is read first: some of it can then be reclaimed, or answered.
+                # Accepted connections are read first: then some have their response, or may be closed.
                 self._pause()
                 return False
             try:
@@ -86,10 +86,10 @@
             asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def _handle_error(self, error: OSError) -> bool:
-        """Whether the next connection may be accepted at once; else nothing is accepted for a moment.
+        """Log an error, and return whether the next connection may be accepted at once.
 
-        Connected clients have not caused it, and none is closed, but where this process has used up its
-        descriptors and goes on to fail: then an idle one.
+        Otherwise accepting pauses for `ACCEPT_RETRY_S`. An idle client is closed only where this process has
+        run out of descriptors many times in a row: the other clients have not caused the error.
         """
         name = errno.errorcode.get(error.errno or 0, "other")
         self.errors.add(name)
@@ -104,7 +104,7 @@
         return False
 
     async def _connect(self, accepted: socket.socket) -> None:
-        with suppress(OSError):  # without it responses are as right, and a little later
+        with suppress(OSError):  # without TCP_NODELAY responses are only a little later
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self.connection, accepted)
--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -100,7 +100,7 @@
         return self.upstream.id
 
     @property
-    def left_us(self) -> int:
+    def remaining_us(self) -> int:
         """How long its response is still waited for; the time of a request counts from its last byte."""
         if self.streamed_body is not None and not self.streamed_body.is_complete:
             return self.timeout_us
--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -35,7 +35,7 @@
         self.reclaim_descriptor = reclaim_descriptor  # called before a connection is opened
         self.connections: set[UpstreamConnection] = set()  # up or coming up, to all servers
         self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
-        self.transferring: set[Attempt] = set()  # with a long body under way
+        self.transferring: set[Attempt] = set()  # with a long body in transfer
 
     @property
     def open(self) -> int:
@@ -97,10 +97,10 @@
         opening.add_done_callback(lambda task: self.on_opened(task, connection))
 
     def may_send(self, attempt: Attempt, incarnation: Incarnation) -> bool:
-        """Whether the first byte may go out now, to this incarnation: asked again once a connection is up.
+        """Return whether the first byte may be sent to this incarnation, now or once a connection is up.
 
-        To a server that drains or is gone nothing is sent from the notice on, not from the end of its grace
-        period on: the notice may have counted as received that long before it came.
+        Nothing is sent to a server that drains or is gone from the notice on, and not only from the end of
+        its grace period on: the notice may have counted as received that long before it came.
         """
         return attempt.may_send(attempt.upstream.state(incarnation))
 
@@ -128,7 +128,7 @@
     # Ending
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Stop waiting: the connection is closed, so that the server can tell, and its capacity is free."""
+        """Stop waiting, and close the connection: the server notices, and its capacity is free."""
         if attempt.ended:
             return
         connection = attempt.connection
@@ -165,12 +165,12 @@
                 self.on_timeout(attempt)
 
     def on_timeout(self, attempt: Attempt) -> None:
-        """The time for its response is over."""
+        """End an attempt whose response has not come in time."""
         # What was never written cannot have run, also when the time ended while connecting.
         self.cancel(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
-        """The time for connecting is over."""
+        """End an attempt whose connection has not come up in time."""
         if attempt.connection is not None and not attempt.connection.is_up:
             self.cancel(attempt, Outcome.CONNECT_FAILED)
 
@@ -180,7 +180,7 @@
         """A connection is up: send the attempt that it was opened for."""
         attempt = connection.attempt
         if attempt is None or attempt.ended:
-            # Cancelled in the very turn in which it came up: its opening is cancelled, which closes it next.
+            # It was cancelled in the turn in which it came up, and its task closes it next.
             connection.abandon()
             return
         if not self.may_send(attempt, connection.incarnation):
@@ -192,7 +192,7 @@
     def on_opened(self, opening: asyncio.Task[object], connection: UpstreamConnection) -> None:
         """Account for a connection that did not come up, or was cancelled in the turn in which it did.
 
-        Of the latter no connection_lost need follow, and it would count as open for good.
+        For the latter connection_lost may not be called, and it would count as open for good.
         """
         if opening.cancelled() or opening.exception() is not None:
             self.on_lost(connection)
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as both sides need it: limits, headers that end at a hop, and complete responses from bytes."""
+"""HTTP/1.1 for both sides: limits, end-to-end headers, and the reader of responses."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 BODY_LIMIT = 64 * 1024  # bytes of a body that is buffered; a longer one is streamed
 HEAD_LIMIT = 16 * 1024  # bytes of a request line or status line and headers
 READ_SIZE = 64 * 1024  # bytes read from a connection at once
-INTERIM_LIMIT = 8  # responses of status 1xx ahead of the final one
-VERSIONS = ("1.1", "1.0")  # that are understood
+INTERIM_LIMIT = 8  # responses of status 1xx before the final one
+VERSIONS = ("1.1", "1.0")  # supported versions
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer"
     b" transfer-encoding upgrade expect content-length".split()
@@ -48,9 +48,9 @@
     return value.strip(b" \t")
 
 
-def header(headers: Iterable[Header], wanted: bytes) -> bytes | None:
-    """Return the value of the first header of that name (lower case)."""
-    return next((value for name, value in headers if name.lower() == wanted), None)
+def header(headers: Iterable[Header], name: bytes) -> bytes | None:
+    """Return the value of the first header of that name (in lower case); None without one."""
+    return next((value for other, value in headers if other.lower() == name), None)
 
 
 class ResponseReader:
@@ -142,7 +142,9 @@
     def on_message_begin(self) -> None:
         """A response begins; called by the parser."""
         self.has_partial_response = True
-        self._headers, self._body, self._size = [], [], 0
+        self._headers = []
+        self._body = []
+        self._size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header is complete; called by the parser, also for trailers, which are left out."""
@@ -194,6 +196,8 @@
             self._interim += 1
             if self._interim > INTERIM_LIMIT:
                 raise ResponseError(f"more than {INTERIM_LIMIT} interim responses ahead of the final one")
-        self._headers, self._body = [], []
+        self._headers = []
+        self._body = []
         self._unparsed = 0
-        self.has_partial_response = self.in_body = False
+        self.has_partial_response = False
+        self.in_body = False
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -15,7 +15,7 @@
 FIRST_BYTE_TIMEOUT_S = REQUEST_HEAD_TIMEOUT_S  # from the accept to the first byte
 REQUEST_TIMEOUT_S = 2.4  # for a request without a long body to be complete; the first: since the accept
 KEEPALIVE_S = 20.0  # between requests
-KEEPALIVE_CROWDED_S = 2.0  # the same where many connections are up
+KEEPALIVE_MANY_CLIENTS_S = 2.0  # the same where many connections are up
 
 
 class TimedConnection(Protocol):
@@ -24,7 +24,7 @@
     is_closing: bool
 
     def may_close(self, purpose: CloseReason) -> DenialReason | None:
-        """Why it may not be closed now without a response; None if it may."""
+        """Return why it may not be closed now without a response; None if it may."""
 
     def close(self, reason: str = ...) -> None:
         """Close once what was written is with the client."""
@@ -33,10 +33,10 @@
         """Close at once."""
 
     def abandon_request(self) -> None:
-        """Answer a request that has not come in time."""
+        """Respond to a request that has not come in time."""
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
-        """Answer a request whose body comes too slowly."""
+        """Respond to a request whose body comes too slowly."""
 
 
 Phase = dict[TimedConnection, float]  # since when each connection is in it, the longest first
@@ -56,9 +56,9 @@
         self.idle: Phase = {}
         self.closing: Phase = {}
 
-    def close_expired(self, now_s: float, is_crowded: bool) -> None:
-        """Close what has been in its phase for too long."""
-        keepalive_s = KEEPALIVE_CROWDED_S if is_crowded else KEEPALIVE_S
+    def close_expired(self, now_s: float, has_many_clients: bool) -> None:
+        """Close connections that have been in their phase for too long."""
+        keepalive_s = KEEPALIVE_MANY_CLIENTS_S if has_many_clients else KEEPALIVE_S
         for phase, limit_s in ((self.awaiting_first_byte, FIRST_BYTE_TIMEOUT_S), (self.idle, keepalive_s)):
             for connection, since_s in list(phase.items()):
                 if now_s - since_s < limit_s:
@@ -77,7 +77,7 @@
     def reclaim(self, purpose: CloseReason, idle_s: float = 0.0) -> bool:
         """Close the oldest connection without a complete request, to gain a descriptor; False if none may be.
 
-        In this order: those that have had their time for a request, those that never sent one, those idle for
+        In this order: those whose time for a request has passed, those that never sent one, those idle for
         at least `idle_s`. Only where no other descriptor can be had, new ones and those still sending follow.
         """
         now_s = asyncio.get_running_loop().time()
@@ -106,13 +106,18 @@
     __slots__ = ("connection", "phase", "phases")
 
     def __init__(self, connection: TimedConnection, phases: ConnectionPhases) -> None:
-        self.connection, self.phases = connection, phases
+        self.connection = connection
+        self.phases = phases
         self.phase: Phase | None = None
 
     def enter(self, phase: Phase | None, since_s: float | None = None) -> None:
-        """Enter a phase, now or since then; None if the connection does not wait for its client.
+        """Enter a phase; None if the connection does not wait for its client.
 
-        A connection that is in the phase stays there since when it was.
+        In a phase that it is in already, it keeps the time since which it is there.
+
+        Args:
+            phase: The phase.
+            since_s: The time since which the connection counts as in it; now by default.
         """
         if phase is self.phase:
             return
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -18,7 +18,7 @@
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.settings import Reports, Settings
 
-SWEEP_S = 1.0  # between looks for idle connections and stalled bodies that have had their time
+SWEEP_S = 1.0  # between checks for idle connections and stalled bodies whose time limit has passed
 PROBE_TIMEOUT_US = 250_000
 
 
@@ -51,7 +51,7 @@
         return {number: upstream.started_us for number, upstream in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
-        """Learn of a server, of its new address, that it has restarted, or that it drains."""
+        """Add a server, or update its address, its start time or whether it drains."""
         listed = entry.listed
         upstream = self.servers.get(listed.server)
         if upstream is None:
@@ -67,12 +67,12 @@
             self.drain(upstream)
 
     def drain(self, upstream: PooledServer) -> None:
-        """Send nothing more to a server; attempts under way go on."""
+        """Send nothing more to a server; attempts in flight go on."""
         upstream.mark_drained()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
-        """Forget a server that is gone; attempts under way still end as they will."""
+        """Forget a server that is gone; attempts in flight are not cancelled."""
         upstream = self.servers.pop(id_, None)
         if upstream is not None:
             self.drain(upstream)
@@ -92,8 +92,8 @@
             return None
         message: Message = request.message
 
-        def payload(left_us: int) -> bytes:
-            return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, left_us // 1000), message.body)
+        def payload(remaining_us: int) -> bytes:
+            return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, remaining_us // 1000), message.body)
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
             observer.on_attempt_ended(attempt, outcome, response, load_of(response))
@@ -125,7 +125,9 @@
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
         address = f"{upstream.address[0]}:{upstream.address[1]}".encode()
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, address)
-        self.attempts.send(Attempt(upstream, lambda left_us: payload, PROBE_TIMEOUT_US, on_attempt_ended))
+        self.attempts.send(
+            Attempt(upstream, lambda remaining_us: payload, PROBE_TIMEOUT_US, on_attempt_ended)
+        )
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt: the connection is closed, so that the server can tell."""
@@ -138,13 +140,13 @@
     # Upkeep
 
     def sweep(self) -> None:
-        """Close idle connections and end stalled attempts that have had their time."""
+        """Close idle connections and end stalled attempts whose time limit has passed."""
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
         self.attempts.end_stalled()
         self.idle.close_expired(self.servers.values())
 
     def on_descriptor_needed(self, reclaim_descriptor: Callable[[], None]) -> None:
-        """Have this called before a connection is opened, which takes a descriptor."""
+        """Set the callback that makes sure of a descriptor before a connection is opened."""
         self.attempts.reclaim_descriptor = reclaim_descriptor
 
     def reclaim_idle(self) -> bool:
--- a/sagetrack/http1/descriptors.py
+++ b/sagetrack/http1/descriptors.py
@@ -14,24 +14,24 @@
 RESERVE = 32  # for all but connections of clients and to upstream servers: discovery, the loop, files
 UPSTREAM_FRACTION = 0.35  # of the rest, which clients leave to connections to upstream servers
 RECLAIM_IDLE_S = 0.3  # a client that is idle for so long is closed first for one that connects
-CROWDED_DIVISOR = 3  # of the limit for clients: above this part of it, idle ones are closed sooner
+MANY_CLIENTS_DIVISOR = 3  # of the limit for clients: above this part of it, idle ones are closed sooner
 
 
-def descriptor_limit(wanted: int) -> int:
+def descriptor_limit(configured: int) -> int:
     """Raise this process's limit to so many descriptors if its hard limit allows, and return the limit."""
     try:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     except OSError:
-        return wanted
-    if soft == resource.RLIM_INFINITY or soft >= wanted:
-        return wanted
-    allowed = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+        return configured
+    if soft == resource.RLIM_INFINITY or soft >= configured:
+        return configured
+    allowed = configured if hard == resource.RLIM_INFINITY else min(configured, hard)
     try:
         resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
     except (OSError, ValueError):
         allowed = soft
-    if allowed < wanted:
-        log(f"descriptor limit too low: {wanted} configured, {allowed} allowed by the system", "warning")
+    if allowed < configured:
+        log(f"descriptor limit too low: {configured} configured, {allowed} allowed by the system", "warning")
     return allowed
 
 
@@ -46,8 +46,11 @@
         count_clients: Callable[[], int],
         count_processes: Callable[[], int],
     ) -> None:
-        self.config, self.pools, self.phases = config, pools, phases
-        self.count_clients, self.count_processes = count_clients, count_processes
+        self.config = config
+        self.pools = pools
+        self.phases = phases
+        self.count_clients = count_clients
+        self.count_processes = count_processes
         self.process_limit = descriptor_limit(config.sockets)
 
     @property
@@ -61,9 +64,9 @@
         return int((self.limit - RESERVE) * (1 - UPSTREAM_FRACTION))
 
     @property
-    def is_crowded(self) -> bool:
+    def has_many_clients(self) -> bool:
         """Whether many clients are connected."""
-        return self.count_clients() > self.max_clients / CROWDED_DIVISOR
+        return self.count_clients() > self.max_clients / MANY_CLIENTS_DIVISOR
 
     @property
     def is_full(self) -> bool:
@@ -83,7 +86,7 @@
     def reclaim_for_upstream(self) -> None:
         """Have a descriptor for a connection to an upstream server: idle clients are closed first.
 
-        Otherwise idle clients would crowd out idle connections to servers, and each request would cost a
+        Otherwise idle clients would displace idle connections to servers, and each request would cost a
         handshake.
         """
         if self.is_full and not (
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -35,22 +35,29 @@
 
 @dataclass(slots=True)
 class RequestHandling:
-    """What all exchanges share: the configuration, the gateway, and what is asked of them about a request."""
+    """What all exchanges share.
+
+    Attributes:
+        config: The configuration.
+        gateway: Takes the requests.
+        is_ready: What `READY_PATH` reports.
+        check_head: Returns why a request with this head cannot be served here; None if it can.
+    """
 
     config: Config
     gateway: Gateway
-    is_ready: Callable[[], bool]  # what `READY_PATH` reports
-    check_head: Callable[[bytes], str | None] | None = None  # why a request cannot be served here
+    is_ready: Callable[[], bool]
+    check_head: Callable[[bytes], str | None] | None = None
 
 
 class ExchangeOwner(Protocol):
     """What an exchange needs of its connection."""
 
     def has_gone(self) -> bool:
-        """Whether the client has closed the connection."""
+        """Return whether the client has closed the connection."""
 
     def is_last(self, message: HttpRequest) -> bool:
-        """Whether the connection ends with the response to this request."""
+        """Return whether the connection ends with the response to this request."""
 
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
         """The response is written to its end."""
@@ -78,14 +85,15 @@
     )
 
     def __init__(self, owner: ExchangeOwner, handling: RequestHandling) -> None:
-        self.owner, self.handling = owner, handling
+        self.owner = owner
+        self.handling = handling
         self.transport: asyncio.Transport | None = None
         self.message: HttpRequest | None = None  # in progress, as it was read
         self.request: Request | None = None  # the same, as the gateway has it
-        self.source: Source | None = None  # of a response that is streamed
-        self.chunked = False  # how that one is framed
-        self.ends_connection = False  # and whether the connection ends with it
-        self.has_responded = False  # to any request
+        self.source: Source | None = None  # where a streamed response comes from
+        self.chunked = False  # whether a streamed response is sent in chunks
+        self.ends_connection = False  # whether the connection ends with a streamed response
+        self.has_responded = False  # whether any request on the connection has had its response
 
     # Requests
 
@@ -110,8 +118,9 @@
             self.respond(200 if handling.is_ready() else 503, [], b"")
             return
         request = read_request(message, path, handling.config, self)
-        if handling.check_head is not None and (why := handling.check_head(request.message.head)) is not None:
-            raise RequestError(400, why)
+        rejection = handling.check_head(request.message.head) if handling.check_head is not None else None
+        if rejection is not None:
+            raise RequestError(400, rejection)
         self.request = request
         request.has_gone = self.owner.has_gone
         if not request.client_id and handling.config.settings.admission is not None:
@@ -128,7 +137,8 @@
 
     def cancel_request(self) -> None:
         """Have the gateway cancel the request, if it has it."""
-        request, self.request = self.request, None
+        request = self.request
+        self.request = None
         if request is not None:
             self.handling.gateway.cancel_request(request.id)
 
@@ -162,7 +172,8 @@
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
         """Write a complete response at once, and go on with the next request."""
-        message, transport = self.message, self.transport
+        message = self.message
+        transport = self.transport
         assert message is not None and transport is not None
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
         lines += [b"%s: %s" % pair for pair in headers]
@@ -176,14 +187,15 @@
         self._finish(message, is_last)
 
     def _finish(self, message: HttpRequest, is_last: bool) -> None:
-        self.message = self.request = None
+        self.message = None
+        self.request = None
         self.has_responded = True
         self.owner.on_response_written(message, is_last)
 
-    def on_response(self, request: Request, answer: Response) -> None:
+    def on_response(self, request: Request, response: Response) -> None:
         """Respond with what an upstream server has responded."""
         if self.request is request:
-            self.respond(200, end_to_end(answer.headers, NOT_PASSED_BACK), answer.body)
+            self.respond(200, end_to_end(response.headers, NOT_PASSED_BACK), response.body)
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Respond that the request was rejected, and when to retry if that is known."""
@@ -203,7 +215,8 @@
 
     def on_response_started(self, request: Request, head: Response, source: Source) -> None:
         """Write the head of a response that is too long to be buffered."""
-        message, transport = self.message, self.transport
+        message = self.message
+        transport = self.transport
         if self.request is not request or message is None or transport is None:
             return
         self.source = source
@@ -224,12 +237,12 @@
         if self.request is request and self.transport is not None and data:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
-    def on_response_ended(self, request: Request, answer: Response) -> None:
+    def on_response_ended(self, request: Request, response: Response) -> None:
         """Write the end of its body, and go on with the next request."""
         message = self.message
         if self.request is not request or message is None or self.transport is None:
             return
-        self.on_response_data(request, answer.body)
+        self.on_response_data(request, response.body)
         if self.chunked:
             self.transport.write(b"0\r\n\r\n")
         self.source = None
@@ -238,7 +251,8 @@
     def on_response_aborted(self, request: Request) -> None:
         """The rest of its body will not come: the client sees that what it has is incomplete."""
         if self.request is request:
-            self.request = self.source = None
+            self.request = None
+            self.source = None
             self.owner.abort("broken_answer")
 
     def pause(self) -> None:
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -21,15 +21,16 @@
 from sagetrack.http1.downstream import ClientConnection, ClientContext
 from sagetrack.http1.exchange import RequestHandling
 
-DRAIN_POLL_S = 0.02  # between looks at what is still to end, during a drain
-SWEEP_S = 0.2  # between looks for connections that have had their time
+DRAIN_POLL_S = 0.02  # between checks of what has not ended yet, during a drain
+SWEEP_S = 0.2  # between checks for connections whose time limit has passed
 
 
 class HttpListener:
     """All connections of clients, from the accept to the end of a graceful shutdown."""
 
     def __init__(self, config: Config, gateway: Gateway, pools: ConnectionPools) -> None:
-        self.config, self.gateway = config, gateway
+        self.config = config
+        self.gateway = gateway
         longest_us = max(request_class.request_timeout_us for request_class in config.settings.classes)
         self.drain = Drain(longest_us / 1e6)
         self.siblings: SiblingProcesses = NoSiblings()
@@ -50,23 +51,23 @@
         pools.on_descriptor_needed(self.descriptors.reclaim_for_upstream)
 
     def prepare(self, source: EndpointSource) -> None:
-        """Have servers from this source: no request is admitted before there is a list of them."""
+        """Get servers from this source: no request is admitted before there is a list of them."""
         self.gateway.set_process_count(1 + self.siblings.others)
         self.gateway.start(source)
 
     def start(self, listener: socket.socket) -> None:
-        """Take clients from this socket, which listens."""
+        """Accept clients on this socket, which listens already."""
         self.acceptor.start(listener)
         self.sweeper = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
         self.siblings.mark_serving()
 
     def check_heads(self, check: Callable[[bytes], str | None]) -> None:
-        """Have this say why a request cannot be served here, from its head; None if it can."""
+        """Check heads of requests: `check` returns why one cannot be served here, None if it can."""
         self.handling.check_head = check
 
     @property
     def is_ready(self) -> bool:
-        """Whether this process takes clients and can serve them."""
+        """Whether this process accepts clients and can serve them."""
         return may_take_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
 
     @property
@@ -89,7 +90,7 @@
         return len(self.connections) + len(self.acceptor.pending)
 
     def sweep(self) -> None:
-        """Close connections that have had their time, and follow the number of processes side by side."""
+        """Close connections whose time limit has passed, and follow the number of processes side by side."""
         loop = asyncio.get_running_loop()
         others = self.siblings.others
         self.siblings.refresh()
@@ -97,12 +98,12 @@
             self.gateway.set_process_count(1 + self.siblings.others)
         self.descriptors.shrink_to_limit()
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
-        self.context.phases.close_expired(loop.time(), self.descriptors.is_crowded)
+        self.context.phases.close_expired(loop.time(), self.descriptors.has_many_clients)
 
-    # Calls of the admin address
+    # Commands of the admin address
 
     def status(self) -> bool:
-        """Whether this process takes clients and can serve them."""
+        """Return whether this process accepts clients and can serve them."""
         return self.is_ready
 
     def stats(self) -> str:
@@ -134,10 +135,10 @@
     # Shutdown
 
     async def leave(self) -> None:
-        """Shut down gracefully: every request that was read, or waits to be accepted, is answered first.
+        """Shut down gracefully: every request that was read or waits to be accepted gets its response first.
 
-        It takes as long as that does. What is still unanswered shortly before the process may be killed is
-        answered with an error then.
+        It takes as long as that does. What has no response shortly before the process may be killed is
+        responded to with an error then.
         """
         loop = asyncio.get_running_loop()
         self.drain.begin_shutdown(loop.time())
@@ -159,8 +160,8 @@
     def stop_listening(self) -> None:
         """Close our descriptor of the listening socket.
 
-        Where no other process serves on it, what waits there is accepted before, as far as descriptors allow;
-        if they do not, the socket stays until others have had their responses.
+        Where no other process serves on it, waiting connections are accepted first, as far as descriptors
+        allow; if they do not, the socket stays open until others have had their responses.
         """
         if self.is_listening and (self.siblings.serving or self.acceptor.accept(BACKLOG)):
             self.acceptor.stop()
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Requests of one client's connection, from bytes, within every limit on their size."""
+"""The reader of one client's requests, which enforces the limits on their size."""
 
 from __future__ import annotations
 
@@ -89,12 +89,14 @@
         self.unparsed = b"" if self.has_failed else bytes(view[at:])
 
     def fail(self, fault: RequestError) -> None:
-        """Have this answered after the requests that were read before, and read nothing more."""
+        """Have this fault responded to after the requests that were read before, and read nothing more."""
         self.has_failed = True
-        reading, self.reading, self.unparsed = self.reading, None, b""
+        reading = self.reading
+        self.reading = None
+        self.unparsed = b""
         self.in_body = False
         if reading is not None and reading.streamed_body is not None:
-            reading.fault = fault  # it was handed over at its head, and is known to its owner
+            reading.fault = fault  # the connection has had the request since its head was read
             reading.streamed_body.abort()
         else:
             self.requests.append(HttpRequest(fault))
@@ -189,7 +191,8 @@
         assert request is not None
         self.reading = None
         self._unreported = 0
-        self.in_body = self.expects_continue = False
+        self.in_body = False
+        self.expects_continue = False
         if request.streamed_body is not None:
             request.streamed_body.complete()
             return
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -17,13 +17,13 @@
 ID_LIMIT = 128  # bytes of X-Call-Id
 DIGITS_LIMIT = 15  # of a number in a header
 NOT_FORWARDED = frozenset({b"x-budget-ms"})
-SINGLE = frozenset(  # headers that may come once only
+SINGLE_HEADERS = frozenset(  # headers that may come only once
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
 )
 
 
 class RequestError(ProtocolError):
-    """A request that is answered by this process, with this status."""
+    """Why this process itself responds to a request, and with which status."""
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
         super().__init__(reason)
@@ -32,7 +32,7 @@
 
 
 class HttpRequest:
-    """One request as it was read; with a `fault`, it cannot be read, and nothing after it."""
+    """One request as it was read; with a `fault`, neither it nor anything after it can be read."""
 
     __slots__ = (
         "body",
@@ -85,6 +85,7 @@
     id_ = _check_class_rules(message, settings, headers)
     budget_ms = _whole_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
     body = b"".join(message.body)
+    client_name = headers.get(config.client_header)
     # No client waits for longer than its class allows: a longer budget is cut to that.
     client_timeout_us = (
         settings.request_timeout_us
@@ -103,7 +104,7 @@
         client=client,
         streamed_body=message.streamed_body,
         received_us=message.received_us,
-        client_id=stable_id(named_by, 8) if (named_by := headers.get(config.client_header)) else 0,
+        client_id=stable_id(client_name, 8) if client_name else 0,
     )
 
 
@@ -111,29 +112,29 @@
     headers: dict[bytes, bytes] = {}
     for name, value in message.headers:
         name = name.lower()
-        if name in headers and name in SINGLE:
+        if name in headers and name in SINGLE_HEADERS:
             raise RequestError(400, f"{name.decode()} comes twice")
         headers[name] = value
     return headers
 
 
 def _class_of(
-    message: HttpRequest, path: bytes, parts: list[bytes], named: bytes | None, names: Names
+    message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: Names
 ) -> int:
-    """Return the number of the request's class, which its path names, and X-Call-Class may."""
-    if named is not None and named not in names.classes:
+    """Return the index of the class that the path names, and X-Call-Class too if it is there."""
+    if class_header is not None and class_header not in names.classes:
         raise RequestError(400, "unknown class")
     if not parts or not path.startswith(b"/") or parts[0] not in names.classes:
         raise RequestError(404, "unknown path")
     if b"#" in message.target:
         raise RequestError(400, "a fragment is not sent")
-    if named is not None and named != parts[0]:
+    if class_header is not None and class_header != parts[0]:
         raise RequestError(400, "the class is not that of the path")
     return names.classes[parts[0]]
 
 
 def _check_class_rules(message: HttpRequest, settings: RequestClass, headers: dict[bytes, bytes]) -> bytes:
-    """Check what the class asks of a request, and return its X-Call-Id."""
+    """Check the method and headers that the class requires, and return the X-Call-Id."""
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
     if message.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
@@ -154,7 +155,7 @@
 
 
 def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
-    """Return what is forwarded of the head: all but the budget and the empty line."""
+    """Return the head as it is forwarded, without the budget and the empty line."""
     lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
     lines += [b"%s: %s" % pair for pair in end_to_end(message.headers, NOT_FORWARDED)]
     length = len(body) if message.streamed_body is None else message.streamed_body.length
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -117,7 +117,7 @@
         attempt.connection = self
         self.has_sent = True
         attempt.on_first_byte()
-        if self.write(attempt.payload(attempt.left_us)):
+        if self.write(attempt.payload(attempt.remaining_us)):
             self.carry(attempt)
             return True
         self.attempt = None
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -35,7 +35,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         assert (await kept.ask(ready)).status == 200
         await until(lambda: host.seen)
-        hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_CROWDED_S")
+        hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_MANY_CLIENTS_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
         host.seen[0].answer(reply(200, b"late"))
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -9,7 +9,7 @@
 from sagetrack.core.send_rules import CloseReason, DenialReason
 from sagetrack.http1.connection_phases import (
     FIRST_BYTE_TIMEOUT_S,
-    KEEPALIVE_CROWDED_S,
+    KEEPALIVE_MANY_CLIENTS_S,
     KEEPALIVE_S,
     REQUEST_TIMEOUT_S,
     ConnectionPhases,
@@ -46,7 +46,7 @@
     [
         ("awaiting_first_byte", FIRST_BYTE_TIMEOUT_S, False, "one closed: idle"),
         ("idle", KEEPALIVE_S, False, "one closed: idle"),
-        ("idle", KEEPALIVE_CROWDED_S, True, "one closed: idle"),
+        ("idle", KEEPALIVE_MANY_CLIENTS_S, True, "one closed: idle"),
         ("receiving_request", REQUEST_TIMEOUT_S, False, "one abandoned"),
         ("closing", 0.0, False, "one aborted"),
     ],
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -103,6 +103,6 @@
 def test_many_clients_make_it_crowded(monkeypatch: pytest.MonkeyPatch) -> None:
     made, side = budget(monkeypatch)
     side.clients = made.max_clients // 3
-    assert not made.is_crowded
+    assert not made.has_many_clients
     side.clients += 1
-    assert made.is_crowded
+    assert made.has_many_clients
