--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -6,7 +6,8 @@
 from sagetrack.core.context import GatewayContext
 from sagetrack.core.event_trace import Step
 from sagetrack.core.in_flight import InFlightRequest
-from sagetrack.core.interfaces import AnyResponse, Attempt, Source
+from sagetrack.core.interfaces import AnyResponse, Attempt
+from sagetrack.core.requests import Source
 from sagetrack.core.send_rules import DenialReason, ServerState, may_retry, may_send
 from sagetrack.policy.events import AttemptEnded, AttemptSent, Event, LoadReport, Outcome, StreamStarted
 
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -19,9 +19,10 @@
 from sagetrack.core.event_dispatcher import EventDispatcher, PostEvent
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
-from sagetrack.core.interfaces import Recorder, Request, UpstreamPool
+from sagetrack.core.interfaces import Recorder, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
 from sagetrack.core.metrics import Gauges, Metrics, ReasonCounter
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.core.server_list import ServerList
 from sagetrack.policy.events import ListKind, Outcome, ProcessCountChanged, RequestArrived, ShutdownStarted
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -7,8 +7,9 @@
 
 from sagetrack.core.event_dispatcher import PostEvent
 from sagetrack.core.event_trace import EventTrace, Step
-from sagetrack.core.interfaces import Attempt, Request, UpstreamPool
+from sagetrack.core.interfaces import Attempt, UpstreamPool
 from sagetrack.core.metrics import Counter
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import RequestCancelled
 
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -13,7 +13,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request, Source
+from sagetrack.core.requests import Request, Source
 from sagetrack.dns.cache import STALE_TTL_S, AnswerCache, CacheKey
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
 from sagetrack.dns.message import (
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -7,7 +7,8 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.requests import Request
 from sagetrack.dns.tcp_connection import UpstreamTcpConnection
 from sagetrack.dns.udp_socket import UdpSocket
 from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -14,7 +14,8 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.requests import Request
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.errors import TranslationError
 from sagetrack.grpc.messages import pack
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -7,7 +7,7 @@
 
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request, Source
+from sagetrack.core.requests import Request, Source
 from sagetrack.core.responses import Response
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import Unpacker, pack
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -18,7 +18,7 @@
 import h2.connection
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.interfaces import Client, Request
+from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header, Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.calls_pb2 import Answer
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -14,8 +14,8 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request, Source
 from sagetrack.core.log import log
+from sagetrack.core.requests import Request, Source
 from sagetrack.core.responses import Header, Response
 from sagetrack.policy.rate_limit import Rate, RateLimiter
 from sagetrack.policy.settings import Effect
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -8,7 +8,8 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, Request, Source, UpstreamPool
+from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, UpstreamPool
+from sagetrack.core.requests import Request, Source
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -7,7 +7,7 @@
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Client, Request
+from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.grpc.downstream_stream import MAX_BUFFERED_BODY_BYTES, DownstreamCounts, DownstreamStream
 from sagetrack.grpc.errors import MessageError, RequestReadError, TranslationError
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -10,7 +10,8 @@
 from sagetrack.config.platform import Address
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.errors import MessageError, TranslationError
--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -9,7 +9,7 @@
 
 from sagetrack.core.bodies import StreamedBody, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.interfaces import Source
+from sagetrack.core.requests import Source
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.upstream_server import UpstreamServer
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -6,9 +6,9 @@
 
 from sagetrack.core.event_trace import Step
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request
 from sagetrack.core.invariants import Invariant
 from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import CloseReason
 
 # Reasons, beside the values of `CloseReason`: labels of an exported metric.
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable, Collection
 
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
 from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.attempt_runner import AttemptRunner
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -9,7 +9,7 @@
 
 from sagetrack.config.platform import Config, stable_id
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request, Source
+from sagetrack.core.requests import Request, Source
 from sagetrack.core.responses import Header, Response
 from sagetrack.http1.codec import end_to_end
 from sagetrack.http1.requests import HttpRequest, RequestError, read_request
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -9,7 +9,7 @@
 
 from sagetrack.config.platform import Config, Names, stable_id
 from sagetrack.core.bodies import StreamedBody
-from sagetrack.core.interfaces import Client, Request
+from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.http1.codec import ProtocolError, end_to_end
 from sagetrack.policy.settings import Effect, RequestClass
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -15,8 +15,9 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Client, Request, UpstreamPool
+from sagetrack.core.interfaces import UpstreamPool
 from sagetrack.core.log import log
+from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header
 from sagetrack.discovery.endpoint_parsing import index_of_name
 from sagetrack.http1.requests import HttpRequest, RequestError, read_request
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -13,7 +13,7 @@
 from sagetrack.config.platform import parse
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import Request
+from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.interfaces import Request
+from sagetrack.core.requests import Request
 from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 from sagetrack.policy.events import Outcome
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -7,7 +7,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.event_trace import EventTrace
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
-from sagetrack.core.interfaces import Request
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import Event, RequestCancelled
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -22,7 +22,7 @@
 
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.interfaces import Request
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.connection_pool import ConnectionPools
