--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A connection for the gateway's own requests, as to service discovery: one at a time, without streaming."""
+"""A connection for the gateway's own requests, such as those to service discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection that carries one request at a time; what fails on it is raised as `error`."""
+    """One connection that carries one request at a time, not streamed; failures are raised as `error`."""
 
     def __init__(self, error: Callable[[str], Exception]) -> None:
         self.error = error
@@ -58,9 +58,10 @@
         return self.transport is not None and not self.transport.is_closing()
 
     async def request(self, head: bytes) -> Response:
-        """Send a request without a body, and return the response.
+        """Send a request without a body, and return the response; the wait has no time limit.
 
-        It waits without a limit; any failure is raised as an instance of `error`.
+        Raises:
+            Exception: An instance of `error`, whatever has failed.
         """
         if self.transport is None or self.transport.is_closing():
             raise self.error("the connection has ended")
@@ -72,7 +73,7 @@
 async def connect(
     address: Address, error: Callable[[str], Exception] = ConnectionError
 ) -> DiscoveryConnection:
-    """Return a connection that is up; what fails on it later is raised as `error`.
+    """Return a connection that is up; later failures on it are raised as `error`.
 
     Raises:
         OSError: It could not be opened.
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -26,7 +26,7 @@
 
 
 class IdleConnections:
-    """The rules for idle connections; the connections themselves stand in their `UpstreamServer.idle`.
+    """The rules for idle connections; the connections themselves are in `UpstreamServer.idle`.
 
     A connection is not reused for `REUSE_DELAY_S` after a response. Without that pause, a second response or
     noise that follows the first by a moment would be taken for the response to the next request; so it
@@ -38,7 +38,10 @@
         self.counts = counts
 
     def take(self, upstream: PooledServer) -> UpstreamConnection | None:
-        """Return the most recently used connection that may be reused now: the others age and are closed."""
+        """Return the most recently used connection that may be reused now; None if there is none.
+
+        The others age, so that those which are not needed are closed.
+        """
         now = now_us()
         oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
         reusable_us = now - int(REUSE_DELAY_S * 1e6)
@@ -90,7 +93,7 @@
             upstream.idle.pop().close()
 
     def close_expired(self, servers: Iterable[PooledServer]) -> None:
-        """Close what has been idle for too long, well before the server does it."""
+        """Close connections that have been idle for too long, well before their server closes them."""
         now = now_us()
         oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
         spare_us = now - SPARE_IDLE_US
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -27,7 +27,7 @@
         """A response is complete."""
 
     def on_protocol_error(self, connection: UpstreamConnection) -> None:
-        """The server sent what is no valid response."""
+        """The server sent something that is no valid response."""
 
     def on_stream_started(self, attempt: Attempt) -> None:
         """The response is streamed from here on."""
@@ -83,7 +83,7 @@
         self.responses = ResponseReader(streams=True)
         self.stream_timer: asyncio.TimerHandle | None = None  # until a response of unknown length is streamed
         self.is_paused = False
-        self.body_written = True  # no more of the request is to be written
+        self.body_written = True  # the whole request has been handed to the transport
         self.is_flushed = True
         self.idle_since_us = 0
         self.last_response_us = 0
@@ -92,7 +92,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the loop."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # Without room in the buffer, pause_writing tells at once that the last byte is not yet written.
+        # With no buffer allowed, pause_writing is called at once while the last byte is not yet written.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.owner.on_connected(self)
@@ -131,7 +131,7 @@
         attempt.connection = self
 
     def take_waiting(self) -> Attempt | None:
-        """Return the attempt that waits for the connection, which it has no more; None if there is none."""
+        """Return and forget the attempt that waits for the connection; None if there is none."""
         attempt = self.waiting_attempt
         self.waiting_attempt = None
         if attempt is None or attempt.ended:
@@ -140,7 +140,7 @@
         return attempt
 
     def take_attempt(self) -> Attempt | None:
-        """Return the attempt that it carries, which it carries no more; None if there is none."""
+        """Return and forget the attempt that the connection carries; None if there is none."""
         attempt = self.attempt
         self.attempt = None
         return attempt
