--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -7,8 +7,9 @@
 
 from sagetrack.core.event_dispatcher import PostEvent
 from sagetrack.core.event_trace import EventTrace, Step
-from sagetrack.core.interfaces import Attempt, Request, UpstreamPool
+from sagetrack.core.interfaces import Attempt, UpstreamPool
 from sagetrack.core.metrics import Counter
+from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import RequestCancelled
 
@@ -77,7 +78,9 @@
 
     def __init__(self, upstream: UpstreamPool, trace: EventTrace, post: PostEvent) -> None:
         super().__init__()
-        self._upstream, self._trace, self._post = upstream, trace, post
+        self._upstream = upstream
+        self._trace = trace
+        self._post = post
 
     def finish(self, in_flight: InFlightRequest) -> None:
         """Mark a request as finished, and cancel its attempts of which nothing was sent yet."""
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -5,18 +5,21 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.interfaces import AttemptObserver
+from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
+from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
+from sagetrack.http1.requests import Message
 from sagetrack.http1.response_outcome import load_of
-from sagetrack.http1.upstream_connection import Attempt, Message, UpstreamServer
+from sagetrack.http1.upstream_connection import PooledServer
+from sagetrack.http1.upstream_server import UpstreamServer
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.settings import Reports, Settings
 
-SWEEP_S = 1.0  # between looks for idle connections and stalled bodies that have had their time
+SWEEP_S = 1.0  # between checks for idle connections and stalled bodies whose time limit has passed
 PROBE_TIMEOUT_US = 250_000
 
 
@@ -26,7 +29,7 @@
     def __init__(self, settings: Settings, reclaim_descriptor: Callable[[], None] = lambda: None) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.servers: dict[int, UpstreamServer] = {}
+        self.servers: dict[int, PooledServer] = {}
         self.counts = PoolCounts()
         self.idle = IdleConnections(settings, self.counts)
         self.attempts = AttemptRunner(settings, self.idle, self.counts, reclaim_descriptor)
@@ -49,30 +52,28 @@
         return {number: upstream.started_us for number, upstream in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
-        """Learn of a server, of its new address, that it has restarted, or that it drains."""
+        """Add a server, or update its address, its start time or whether it drains."""
         listed = entry.listed
         upstream = self.servers.get(listed.server)
         if upstream is None:
             upstream = UpstreamServer(listed.server, entry.name, entry.address, listed.started_us)
             self.servers[listed.server] = upstream
-        if (upstream.address, upstream.started_us) != (entry.address, listed.started_us):
+        if upstream.move_to((entry.address, listed.started_us)):
             # A machine that went silent may not have ended connections of its earlier incarnation, and what
             # is written there ends as a reset.
-            upstream.address, upstream.started_us = entry.address, listed.started_us
             self.idle.close_all(upstream)
         if listed.status is ServerStatus.READY:
-            upstream.drained_us = None
+            upstream.mark_serving()
         else:
             self.drain(upstream)
 
-    def drain(self, upstream: UpstreamServer) -> None:
-        """Send nothing more to a server; attempts under way go on."""
-        if upstream.drained_us is None:
-            upstream.drained_us = now_us()
+    def drain(self, upstream: PooledServer) -> None:
+        """Send nothing more to a server; attempts in flight go on."""
+        upstream.mark_drained()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
-        """Forget a server that is gone; attempts under way still end as they will."""
+        """Forget a server that is gone; attempts in flight are not cancelled."""
         upstream = self.servers.pop(id_, None)
         if upstream is not None:
             self.drain(upstream)
@@ -92,8 +93,8 @@
             return None
         message: Message = request.message
 
-        def payload(left_us: int) -> bytes:
-            return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, left_us // 1000), message.body)
+        def payload(remaining_us: int) -> bytes:
+            return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, remaining_us // 1000), message.body)
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
             observer.on_attempt_ended(attempt, outcome, response, load_of(response))
@@ -125,7 +126,9 @@
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
         address = f"{upstream.address[0]}:{upstream.address[1]}".encode()
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, address)
-        self.attempts.send(Attempt(upstream, lambda left_us: payload, PROBE_TIMEOUT_US, on_attempt_ended))
+        self.attempts.send(
+            Attempt(upstream, lambda remaining_us: payload, PROBE_TIMEOUT_US, on_attempt_ended)
+        )
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt: the connection is closed, so that the server can tell."""
@@ -138,13 +141,13 @@
     # Upkeep
 
     def sweep(self) -> None:
-        """Close idle connections and end stalled attempts that have had their time."""
+        """Close idle connections and end stalled attempts whose time limit has passed."""
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
         self.attempts.end_stalled()
         self.idle.close_expired(self.servers.values())
 
     def on_descriptor_needed(self, reclaim_descriptor: Callable[[], None]) -> None:
-        """Have this called before a connection is opened, which takes a descriptor."""
+        """Set the callback that makes sure of a descriptor before a connection is opened."""
         self.attempts.reclaim_descriptor = reclaim_descriptor
 
     def reclaim_idle(self) -> bool:
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -13,12 +13,12 @@
 from sagetrack.config.platform import parse
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.interfaces import Request
+from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
-from sagetrack.http1.upstream_connection import Message
+from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome
 from tests.sockets import configuration, running, until
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
-from sagetrack.core.interfaces import Request
-from sagetrack.http1.upstream_connection import Message
+from sagetrack.core.requests import Request
+from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
