--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -114,28 +114,13 @@
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         raise ConfigError("the configuration has no settings")
-    limits, known = raw.get("limits") or {}, raw.get("known") or {}
+    limits = raw.get("limits") or {}
+    known = raw.get("known") or {}
     if not isinstance(limits, dict) or not isinstance(known, dict):
         raise ConfigError("limits or known is not an object")
-    admin = raw.get("admin") or environment.get("LB_ADMIN") or None
     descriptor = _accept_descriptor(environment)
     try:
-        return Config(
-            name=str(raw.get("name", "")),
-            listen=parse_address(raw.get("listen"), "listen"),
-            discovery=parse_address(raw.get("discovery"), "discovery"),
-            seed=stable_id(str(raw.get("seed", "")), 8),
-            sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
-            memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
-            admin=parse_address(admin, "admin") if admin is not None else None,
-            accept_fd=int(descriptor) if descriptor is not None else None,
-            folder=environment.get("TMPDIR") or None,
-            known=known,
-            settings=parse_settings(json.dumps(settings)),
-            names=_names(settings),
-            peer_listen=parse_address(listen, "peer_listen") if (listen := raw.get("peer_listen")) else None,
-            peers=tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ()),
-        )
+        return _build(raw, settings, limits, known, environment, descriptor)
     except WireError as error:
         raise ConfigError(str(error)) from None
     except ConfigError:
@@ -144,6 +129,35 @@
         raise ConfigError(f"the configuration cannot be used: {error}") from None
 
 
+def _build(
+    raw: dict[str, Any],
+    settings: dict[str, Any],
+    limits: dict[str, Any],
+    known: dict[str, Any],
+    environment: Mapping[str, str],
+    descriptor: str | None,
+) -> Config:
+    """The configuration in an object whose tables are objects; any fault in a value raises."""
+    admin = raw.get("admin") or environment.get("LB_ADMIN") or None
+    peer_listen = raw.get("peer_listen")
+    return Config(
+        name=str(raw.get("name", "")),
+        listen=parse_address(raw.get("listen"), "listen"),
+        discovery=parse_address(raw.get("discovery"), "discovery"),
+        seed=stable_id(str(raw.get("seed", "")), 8),
+        sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        admin=parse_address(admin, "admin") if admin is not None else None,
+        accept_fd=int(descriptor) if descriptor is not None else None,
+        folder=environment.get("TMPDIR") or None,
+        known=known,
+        settings=parse_settings(json.dumps(settings)),
+        names=_names(settings),
+        peer_listen=parse_address(peer_listen, "peer_listen") if peer_listen else None,
+        peers=tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ()),
+    )
+
+
 def _accept_descriptor(environment: Mapping[str, str]) -> str | None:
     """The digits that name the listening socket which the platform hands down; None if there is none."""
     descriptor = environment.get("LB_ACCEPT_FD") or None
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -4,9 +4,10 @@
 
 import asyncio
 import socket
+from collections.abc import Callable, Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from sagetrack.config.platform import Config, ConfigError, parse_address
+from sagetrack.config.platform import Config
 from sagetrack.core.deadlines import discovery_timeouts
 from sagetrack.core.drain import EXIT_MARGIN_S
 from sagetrack.core.endpoints import Endpoint
@@ -27,21 +28,17 @@
     build_protocol_router,
     load_tls_keys,
     reload_keys,
-    request_reader,
     with_grpc,
 )
-from sagetrack.server.health_handover import HealthHandover
 from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.listen import bind, inherit
-from sagetrack.server.peer_node import build_peer_node
+from sagetrack.server.observation_exchange import ObservationExchange
+from sagetrack.server.protocol_listeners import ProtocolListeners
 from sagetrack.server.startup_timing import StartupTiming
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.grpc.listener import GrpcListener
     from sagetrack.grpc.protocol_router import ProtocolRouter
-    from sagetrack.peers.node import Node
-    from sagetrack.server.dns_assembly import DnsAssembly
     from sagetrack.server.persistence import Persistence
 
 DNS = "dns"  # the protocol of endpoints whose type is the operator's `dns.type`
@@ -74,11 +71,8 @@
         asyncio.get_running_loop()
         self.timing = timing if timing is not None else StartupTiming()
         config = with_grpc(with_admission(config, operator), operator)
-        self.config, self.operator = config, operator
-        self.peer_node: Node | None = None
-        self.health_handover: HealthHandover | None = None
-        self.dns: DnsAssembly | None = None
-        self.grpc_listener: GrpcListener | None = None
+        self.config = config
+        self.operator = operator
         self.persistence: Persistence | None = None
         self.pools = ConnectionPools(config.settings)
         self.tls_keys = load_tls_keys(operator)
@@ -87,15 +81,21 @@
         self.server = HttpListener(config, self.gateway, self.pools)
         self.hot_restart = HotRestart(config.folder if config.accept_fd is not None else None)
         self.server.siblings = self.hot_restart
+        self.observations = ObservationExchange(config, operator, self.gateway)
+        self.listeners = ProtocolListeners(config, operator, self.gateway)
         self.split = self._build_protocol_split()
         self.grpc_upstreams = self._build_grpc_upstreams(router) if router is not None else None
         self._on_http_list = (
             self.gateway.on_endpoint_list if self.grpc_upstreams is None else self.grpc_upstreams.on_list
         )
         if self.tls_keys is not None:
-            self.gateway.metrics.extra_figures.append(self.tls_keys.figures)
+            self._publish(self.tls_keys.figures)
         self.discovery = self._build_discovery()
 
+    def _publish(self, figures: Callable[[], Mapping[str, float]]) -> None:
+        """Show the metrics of a component at the admin address, after those published before it."""
+        self.gateway.metrics.extra_figures.append(figures)
+
     def _build_gateway(self, upstreams: UpstreamPool) -> Gateway:
         config = self.config
         gateway = Gateway(config.settings, config.seed, self._class_names(), upstreams, config.known)
@@ -124,7 +124,7 @@
                 self.operator.newer, self._class_names(), lambda: not self.server.drain.is_draining
             )
         self.server.check_heads(untranslatable_reason)
-        self.gateway.metrics.extra_figures.append(upstreams.figures)
+        self._publish(upstreams.figures)
         return upstreams
 
     def _build_discovery(self) -> DiscoveryClient:
@@ -137,7 +137,7 @@
             _connect_to_discovery,
             discovery_timeouts(config.settings),
         )
-        self.gateway.metrics.extra_figures.append(discovery.calls.figures)
+        self._publish(discovery.calls.figures)
         return discovery
 
     async def start(self) -> None:
@@ -166,10 +166,10 @@
         self.server.start(listener)
         if self.persistence is not None:
             self.persistence.restore()
-        self._join_peers()
+        self.observations.start(self.server, self.hot_restart)
         phase_done("peers")
-        await self._start_dns()
-        await self._start_grpc_listener()
+        await self.listeners.start_dns(self.server, self.pools, self._listed_dns_servers())
+        await self.listeners.start_grpc(self.server, self.tls_keys)
         phase_done("other fronts")
 
     def start_persistence(self) -> None:
@@ -196,59 +196,15 @@
             return inherit(descriptor)
         return await retry_while_transient(lambda: bind(self.config.listen))
 
-    def _join_peers(self) -> None:
-        """Exchange observations with other gateways where that is on, and with a sibling process."""
-        self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
-        if self.peer_node is not None:
-            self.gateway.metrics.extra_figures.append(self.peer_node.figures)
-            self.server.describe_peers = self.peer_node.describe
-            self.peer_node.start()
-        if self.hot_restart.folder is not None:
-            self.health_handover = HealthHandover(self.hot_restart, self.config, self.gateway)
-
-    async def _start_dns(self) -> None:
-        """Answer DNS where the operator asks for it; ConfigError if that cannot be."""
-        settings = self.operator.dns if self.operator is not None else None
-        if settings is None or not settings.listen:
-            return
-        from sagetrack.server.dns_assembly import DnsAssembly
-
-        drain = self.server.drain
-        listed = self.split.endpoints[DNS].values() if self.split is not None else ()
-        self.dns = DnsAssembly(
-            self.config, settings, self.gateway, self.pools, lambda: drain.is_draining, listed
-        )
-        await self.dns.start()
-        self.gateway.metrics.extra_figures.append(self.dns.figures)
-
-    async def _start_grpc_listener(self) -> None:
-        """Accept gRPC clients where the operator asks for it; ConfigError if that cannot be."""
-        settings = self.operator.newer if self.operator is not None else None
-        if settings is None or not settings.listen:
-            return
-        from sagetrack.grpc.listener import GrpcListener
-
-        drain, body_memory = self.server.drain, self.server.body_budget
-        listener = GrpcListener(
-            self.gateway, request_reader(self.config), lambda: drain.is_draining, body_memory
-        )
-        tls_context = self.tls_keys.create_server_context() if self.tls_keys is not None else None
-        addresses = [parse_address(address, "newer.listen") for address in settings.listen]
-        try:
-            await listener.start(addresses, tls_context, shared=self.config.accept_fd is not None)
-        except OSError as error:
-            where = ", ".join(settings.listen)
-            raise ConfigError(f"newer.listen {where}: {error.strerror or error}") from None
-        self.grpc_listener = listener
-        self.gateway.metrics.extra_figures.append(listener.figures)
+    def _listed_dns_servers(self) -> Iterable[Endpoint]:
+        return self.split.endpoints[DNS].values() if self.split is not None else ()
 
     def _on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         """Pass each protocol its own endpoints."""
         assert self.split is not None
         by_protocol = self.split.update(kind, endpoints)
         self._on_http_list(kind, by_protocol[HTTP])
-        if self.dns is not None:
-            self.dns.on_list(kind, by_protocol[DNS])
+        self.listeners.on_dns_list(kind, by_protocol[DNS])
 
     def apply_operator(self, config: Config, operator: Operator) -> None:
         """Apply what may change in the operator's file while requests go on: traffic and tenant shares.
@@ -277,22 +233,14 @@
         Returns when no request is in flight. DNS and gRPC answer until shortly before the platform may kill
         the process.
         """
-        self._leave_peers()
-        loop = asyncio.get_running_loop()
-        http_drained = loop.create_task(self.server.leave())
+        self.observations.close()
+        http_drained = asyncio.get_running_loop().create_task(self.server.leave())
         await asyncio.sleep(0)  # `leave` has begun now, and it is known when the last answers are due
-        until_s = self.server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
-        dns_drained = loop.create_task(self.dns.drain(until_s)) if self.dns is not None else None
-        grpc_listener = self.grpc_listener
-        grpc_drained = (
-            loop.create_task(grpc_listener.shut_down(until_s)) if grpc_listener is not None else None
-        )
+        others_drained = self.listeners.begin_drain(self.server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2)
         # No time limit here: what is unanswered at an end by the clock would be lost.
         await http_drained
-        if dns_drained is not None:
-            await dns_drained
-        if grpc_drained is not None:
-            await grpc_drained
+        for drained in others_drained:
+            await drained
 
     def close_drained(self) -> None:
         """Write what is to be kept, and close what `drain` left open."""
@@ -301,23 +249,13 @@
         self.hot_restart.release()
         self.gateway.close()
 
-    def _leave_peers(self) -> None:
-        """Exchange no more observations, and free the address for a successor."""
-        if self.peer_node is not None:
-            self.peer_node.close()
-        if self.health_handover is not None:
-            self.health_handover.close()
-
     def close(self) -> None:
         """Close everything at once; requests in flight are lost."""
         self.server.close()
-        self._leave_peers()
+        self.observations.close()
         if self.persistence is not None:
             self.persistence.close()
         if self.grpc_upstreams is not None:
             self.grpc_upstreams.close()
-        if self.grpc_listener is not None:
-            self.grpc_listener.close()
-        if self.dns is not None:
-            self.dns.close()
+        self.listeners.close()
         self.gateway.close()
