--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -141,7 +141,7 @@
         if pool is not None:
             pool.drain()
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Do nothing: gRPC servers are never probed."""
 
     # Attempts
@@ -252,7 +252,7 @@
         return {
             "new_servers": len(self.pools),
             "new_connections": len(connections),
-            "new_streams": sum(len(connection.attempts) for connection in connections),
+            "new_streams": sum(connection.attempts.open_count for connection in connections),
             "new_opened_total": counts.opened,
             "new_streams_total": counts.streams,
             "new_streams_refused_total": counts.refused_streams,
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -56,10 +56,12 @@
             codes.INITIAL_WINDOW_SIZE: MAX_MESSAGE_BYTES,
         }
         super().__init__(False, settings)
-        self.intake, self.registry = intake, registry
+        self.intake = intake
+        self.registry = registry
         self.streams: dict[int, DownstreamStream] = {}
         self.last_stream_id = 0
-        self.draining = self.closed = False
+        self.draining = False
+        self.closed = False
         self.poll: select.poll | None = None  # for the client's end of the socket
         self.last_received_us = now_us()
         self.flood_guard = FloodGuard(self.last_received_us, MAX_RESETS_PER_S)
@@ -107,7 +109,7 @@
                 self.on_data(event, stream_id)
             case h2.events.StreamEnded():
                 stream = self.streams.get(stream_id)
-                if stream is not None and stream.trailers is None:
+                if stream is not None and not stream.is_answered:
                     self.intake.on_end(stream)
             case h2.events.StreamReset():
                 stream = self.streams.pop(stream_id, None)
@@ -141,7 +143,7 @@
         stream = self.streams.get(stream_id)
         if not event.data:
             self.count_frames(control_frames=1)
-        if stream is not None and stream.trailers is None:
+        if stream is not None and not stream.is_answered:
             self.intake.on_data(stream, event.data or b"")
         self.acknowledge(stream, stream_id, event.flow_controlled_length or 0)
 
@@ -150,16 +152,16 @@
 
         The connection's window is opened in any case, so that other streams go on.
         """
-        if stream is None or stream.streamed_body is None or not stream.streamed_body.is_full:
+        if stream is None or not stream.withholds_window:
             self.acknowledge_data(size, stream_id)
         elif size:
-            stream.unacknowledged += size
+            stream.withhold(size)
             with suppress(h2.exceptions.H2Error):
                 self.h2.increment_flow_control_window(size)
 
     def reopen_window(self, stream: DownstreamStream) -> None:
         """Open a stream's window for what was withheld while its body's buffer was full."""
-        size, stream.unacknowledged = stream.unacknowledged, 0
+        size = stream.take_withheld()
         if size and not stream.closed and not self.closed:
             self.open_stream_window(size, stream.id)
             self.flush()
@@ -195,26 +197,25 @@
     def send_response(self, stream: DownstreamStream) -> None:
         """Feed a response to the state machine: headers, messages, trailers."""
         head = [(":status", "200"), ("content-type", CONTENT_TYPE)]
-        if stream.trailers is not None and not stream.headers_sent and not stream.pending:
-            self.send_trailers(stream, [*head, *stream.trailers])  # a response of trailers only
+        if stream.is_trailers_only:
+            self.send_trailers(stream, [*head, *(stream.trailers or ())])
             return
-        if stream.pending and not stream.headers_sent:
-            stream.headers_sent = True
+        if stream.needs_headers:
+            stream.on_headers_sent()
             self.h2.send_headers(stream.id, head)
         while stream.pending and not self.write_paused:
             window = min(self.h2.local_flow_control_window(stream.id), self.h2.max_outbound_frame_size)
             if window <= 0:
                 return
             self.h2.send_data(stream.id, bytes(stream.pending[:window]))
-            del stream.pending[:window]
-            stream.last_progress_us = now_us()
+            stream.on_data_sent(window)
         if stream.trailers is not None and not stream.pending:
             self.send_trailers(stream, stream.trailers)
 
     def send_trailers(self, stream: DownstreamStream, trailers: list[tuple[str, str]]) -> None:
         """End a response."""
         self.h2.send_headers(stream.id, trailers, end_stream=True)
-        stream.closed = True
+        stream.on_trailers_sent()
         self.streams.pop(stream.id, None)
 
     # Ends
@@ -259,7 +260,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The socket is gone."""
-        self.closed, self.transport = True, None
+        self.closed = True
+        self.transport = None
         self.drop_streams()
 
     def sweep(self, now: int) -> None:
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from sagetrack.core.bodies import StreamedBody
+from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
+from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Request, Source
 from sagetrack.core.responses import Response
@@ -65,6 +66,55 @@
     closed: bool = False
     last_progress_us: int = 0
 
+    # The request, as it arrives
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether the response has its trailers; what still comes of the request is ignored."""
+        return self.trailers is not None
+
+    def record_progress(self) -> None:
+        """The client has sent or taken something just now."""
+        self.last_progress_us = now_us()
+
+    def buffer_message(self, message: bytes) -> None:
+        """Keep a message until the request is handed to the gateway."""
+        self.messages.append(message)
+        self.buffered_bytes += len(message)
+
+    def start_body(self, length: int | None, body_budget: BodyMemoryBudget) -> StreamedBody:
+        """Stream the body from here on; the client's window is opened again as the body is taken."""
+        body = StreamedBody(length, body_budget)
+        self.streamed_body = body
+        body.on_capacity = lambda: self.connection.reopen_window(self)
+        return body
+
+    def submit(self, request: Request) -> bool:
+        """Hand the request to the gateway; False if its id is in use."""
+        self.messages.clear()
+        self.request = request
+        request.has_gone = self.connection.has_gone
+        self.record_progress()
+        if self.gateway.submit(request):
+            return True
+        self.request = None
+        return False
+
+    @property
+    def withholds_window(self) -> bool:
+        """Whether the stream's flow-control window stays closed, as the buffer of its body is full."""
+        return self.streamed_body is not None and self.streamed_body.is_full
+
+    def withhold(self, size: int) -> None:
+        """Count received bytes for which the window is not opened yet."""
+        self.unacknowledged += size
+
+    def take_withheld(self) -> int:
+        """The bytes for which the window is to be opened now; each is returned once."""
+        size = self.unacknowledged
+        self.unacknowledged = 0
+        return size
+
     # The response, as the gateway gives it
 
     def on_response(self, request: Request, answer: Any) -> None:
@@ -121,6 +171,29 @@
             self.source_paused = True
             self.source.pause()
 
+    @property
+    def is_trailers_only(self) -> bool:
+        """Whether the response is complete and has no message, so that it is a single block of headers."""
+        return self.trailers is not None and not self.headers_sent and not self.pending
+
+    @property
+    def needs_headers(self) -> bool:
+        """Whether the response's headers are to be sent before its first message."""
+        return bool(self.pending) and not self.headers_sent
+
+    def on_headers_sent(self) -> None:
+        """The response's headers are sent, and its messages follow."""
+        self.headers_sent = True
+
+    def on_data_sent(self, size: int) -> None:
+        """The first `size` pending bytes are sent."""
+        del self.pending[:size]
+        self.record_progress()
+
+    def on_trailers_sent(self) -> None:
+        """The response is sent to its end."""
+        self.closed = True
+
     def resume_source(self) -> None:
         """Let the source go on once half of what may wait has been sent."""
         may_resume = len(self.pending) < MAX_PENDING_RESPONSE_BYTES // 2
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Collection
 from dataclasses import replace
-from typing import Any
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
@@ -12,7 +11,7 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
-from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.events import ListKind, LoadReport, Outcome, ServerStatus
 from sagetrack.policy.migration import Migration
 
 WeightFactors = dict[int, tuple[float, float]]
@@ -29,7 +28,10 @@
     def __init__(
         self, observer: AttemptObserver, router: ProtocolRouter, is_grpc: bool, request: Request
     ) -> None:
-        self.observer, self.router, self.is_grpc, self.request = observer, router, is_grpc, request
+        self.observer = observer
+        self.router = router
+        self.is_grpc = is_grpc
+        self.request = request
         self.streaming = False
 
     def may_begin(self, server: ServerState) -> bool:
@@ -82,19 +84,29 @@
         migration: Migration,
         on_fallback: Callable[[], None],
     ) -> None:
-        self.http1, self.grpc, self.grpc_kinds = http1, grpc, frozenset(grpc_kinds)
-        self.migration, self.on_fallback = migration, on_fallback
+        self.http1 = http1
+        self.grpc = grpc
+        self.grpc_kinds = frozenset(grpc_kinds)
+        self.migration = migration
+        self.on_fallback = on_fallback
         self.endpoints: dict[int, Endpoint] = {}  # with the weights that are listed
         self.factors = (1.0, 1.0)
         self.exceptions: tuple[WeightFactors, WeightFactors] = {}, {}  # by class and by tenant
         self.on_exceptions: Callable[[WeightFactors, WeightFactors], None] | None = None
-        self.on_response: Callable[[Request, bool, Any], None] | None = None  # complete; whether from gRPC
+        self.on_response: Callable[[Request, bool, AnyResponse], None] | None = None
+        """Called with each complete response, and whether it is a gRPC server's."""
         self.numbers: dict[int, None] = {}  # of all servers: read at each attempt
 
     # Weights
 
-    def weighted(self, entries: list[Endpoint]) -> list[Endpoint]:
-        """Take over a list, and scale its weights so that gRPC has its share of the requests."""
+    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> list[Endpoint]:
+        """Take over a change of the endpoint list.
+
+        Returns:
+            The entries, with their weights scaled so that gRPC has its share of the requests.
+        """
+        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
+            self.endpoints.clear()
         for entry in entries:
             if entry.listed.status is ServerStatus.GONE:
                 self.endpoints.pop(entry.listed.server, None)
@@ -138,11 +150,11 @@
         """Whether a server is listed as a gRPC server."""
         return server in self.grpc.pools
 
-    def pool_of(self, server: int) -> Any:
+    def pool_of(self, server: int) -> UpstreamPool:
         """The pools of the protocol that a server speaks."""
         return self.grpc if self.speaks_grpc(server) else self.http1
 
-    def pool_of_attempt(self, attempt: Any) -> Any:
+    def pool_of_attempt(self, attempt: Attempt) -> UpstreamPool:
         """The pools that carry an attempt."""
         return self.grpc if isinstance(attempt, GrpcAttempt) else self.http1
 
@@ -173,17 +185,17 @@
         """When each listed server started."""
         return self.http1.server_start_times() | self.grpc.server_start_times()
 
-    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Any:
+    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
         """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
         is_grpc = self.speaks_grpc(server)
-        pool: Any = self.grpc if is_grpc else self.http1
+        pool: UpstreamPool = self.grpc if is_grpc else self.http1
         return pool.begin(request, server, wait_us, ProtocolAttemptObserver(observer, self, is_grpc, request))
 
-    def cancel(self, attempt: Any) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Stop waiting for a response."""
         self.pool_of_attempt(attempt).cancel(attempt)
 
-    def cancel_unsent(self, attempt: Any) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         """End an attempt if nothing of it has been sent."""
         self.pool_of_attempt(attempt).cancel_unsent(attempt)
 
@@ -191,10 +203,10 @@
         """Close connections to a server's earlier incarnation, as they become idle."""
         self.pool_of(server).close_idle(server)
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Ask an HTTP/1.1 server for its load; gRPC servers are not probed."""
         if not self.speaks_grpc(server):
-            self.http1.probe(server, told)
+            self.http1.probe(server, on_result)
 
     def close(self) -> None:
         """Close all connections."""
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
-from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header
@@ -25,24 +24,25 @@
     Args:
         gateway: Where requests go.
         read: Makes a request of the gateway from what was received.
-        allowance: Memory for streamed bodies.
+        body_budget: Memory for streamed bodies.
     """
 
     def __init__(self, gateway: Gateway, read: RequestReader, body_budget: BodyMemoryBudget) -> None:
-        self.gateway, self.read, self.body_budget = gateway, read, body_budget
+        self.gateway = gateway
+        self.read = read
+        self.body_budget = body_budget
         self.max_buffered_body = MAX_BUFFERED_BODY_BYTES
         self.counts = DownstreamCounts()
 
     def on_data(self, stream: DownstreamStream, data: bytes) -> None:
         """DATA of a request; a body that gets too long to be buffered is streamed from here on."""
-        stream.last_progress_us = now_us()
+        stream.record_progress()
         try:
             for message in stream.unpacker.feed(data):
                 if stream.streamed_body is not None:
                     self.feed_body(stream, stream.streamed_body, message)
                 else:
-                    stream.messages.append(message)
-                    stream.buffered_bytes += len(message)
+                    stream.buffer_message(message)
         except MessageError as error:
             stream.abort(Status.RESOURCE_EXHAUSTED, str(error))
             return
@@ -93,12 +93,7 @@
         except RequestReadError as error:
             stream.answer_error(error.status, str(error))
             return
-        stream.messages.clear()
-        stream.request = request
-        request.has_gone = stream.connection.has_gone
-        stream.last_progress_us = now_us()
-        if not self.gateway.submit(request):
-            stream.request = None
+        if not stream.submit(request):
             stream.answer_error(Status.ALREADY_EXISTS, "this x-call-id is in use")
 
     def read_request(self, stream: DownstreamStream, streamed: bool) -> Request:
@@ -116,8 +111,6 @@
             raise TranslationError(f"a body of {length} bytes, over {STREAMED_BODY_LIMIT}")
         method, target, headers = split_head(head)
         if streamed:
-            stream.streamed_body = streamed_body = StreamedBody(length, self.body_budget)
-            streamed_body.on_capacity = lambda: stream.connection.reopen_window(stream)
-            streamed_body.feed(body)
+            stream.start_body(length, self.body_budget).feed(body)
             body = b""
         return self.read(method, target, headers, body, budget_us, stream, stream.streamed_body)
--- a/sagetrack/grpc/request_writer.py
+++ b/sagetrack/grpc/request_writer.py
@@ -4,7 +4,6 @@
 
 import h2.exceptions
 
-from sagetrack.core.clock import now_us
 from sagetrack.grpc.http2_protocol import Http2Protocol
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
 
@@ -24,7 +23,7 @@
         protocol.h2.end_stream(attempt.stream_id)
     except h2.exceptions.H2Error:
         return False
-    attempt.request_sent = True
+    attempt.on_request_sent()
     return True
 
 
@@ -38,5 +37,5 @@
         if window <= 0:
             return False
         connection.send_data(attempt.stream_id, attempt.take_pending(window))
-        attempt.last_progress_us = now_us()
+        attempt.on_data_sent()
     return True
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -88,6 +88,23 @@
         withdrawn = self.upstream.drained_us is not None
         return self.observer.may_begin(ServerState.WITHDRAWN if withdrawn else ServerState.SERVING)
 
+    def assign(self, connection: AttemptConnection) -> None:
+        """Take the connection that carries the attempt."""
+        self.connection = connection
+
+    def on_headers_sent(self, stream_id: int) -> None:
+        """The headers are sent on this stream: the server may run the request from now on."""
+        self.stream_id = stream_id
+        self.headers_sent = True
+
+    def on_data_sent(self) -> None:
+        """A part of the request is sent."""
+        self.last_progress_us = now_us()
+
+    def on_request_sent(self) -> None:
+        """The request is sent to its last byte."""
+        self.request_sent = True
+
     def load_pending(self) -> bool:
         """Take the next chunk of a streamed body once all before it is sent; False if there is none."""
         streamed_body = self.request.streamed_body
@@ -169,6 +186,16 @@
         if self.connection is not None and self.unacknowledged:
             self.connection.reopen_window(self)
 
+    def withhold(self, size: int) -> None:
+        """Count received bytes for which the stream's window is not opened yet."""
+        self.unacknowledged += size
+
+    def take_withheld(self) -> int:
+        """The bytes for which the window is to be opened now; each is returned once."""
+        size = self.unacknowledged
+        self.unacknowledged = 0
+        return size
+
     def cancel_stream(self) -> None:
         """Reset its stream, so that its server can stop working on it."""
         if self.connection is not None:
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass
@@ -20,6 +19,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.grpc import outcomes
+from sagetrack.grpc.attempt_streams import AttemptStreams
 from sagetrack.grpc.flood_guard import FloodGuard
 from sagetrack.grpc.http2_protocol import MAX_HEADER_LIST_BYTES, Http2Protocol
 from sagetrack.grpc.liveness import Liveness
@@ -64,10 +64,11 @@
             codes.INITIAL_WINDOW_SIZE: STREAM_WINDOW_BYTES,
         }
         super().__init__(True, settings)
-        self.counts, self.on_closed = counts, on_closed
-        self.attempts: dict[int, GrpcAttempt] = {}
-        self.awaiting_connect: deque[GrpcAttempt] = deque()
-        self.draining = self.closed = False  # draining: takes no new streams
+        self.counts = counts
+        self.on_closed = on_closed
+        self.attempts = AttemptStreams()
+        self.draining = False  # takes no new streams
+        self.closed = False
         created_us = now_us()
         self.liveness = Liveness(created_us)
         self.flood_guard = FloodGuard(created_us)
@@ -78,12 +79,12 @@
         if self.draining or self.closed:
             return 0
         announced = MAX_STREAMS if self.transport is None else self.h2.remote_settings.max_concurrent_streams
-        return min(MAX_STREAMS, announced) - len(self.attempts) - len(self.awaiting_connect)
+        return min(MAX_STREAMS, announced) - len(self.attempts)
 
     @property
     def is_idle(self) -> bool:
         """Whether it carries no attempt."""
-        return not self.attempts and not self.awaiting_connect
+        return not self.attempts
 
     # Sending
 
@@ -96,17 +97,16 @@
             return
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
-        while self.awaiting_connect:
-            attempt = self.awaiting_connect.popleft()
+        while (attempt := self.attempts.next_waiting()) is not None:
             if not attempt.ended:
                 self.open_stream(attempt)
         self.flush()
 
     def send(self, attempt: GrpcAttempt) -> None:
         """Send an attempt, now or once the connection is up."""
-        attempt.connection = self
+        attempt.assign(self)
         if self.transport is None:
-            self.awaiting_connect.append(attempt)
+            self.attempts.add_waiting(attempt)
         else:
             self.open_stream(attempt)
             self.flush()
@@ -124,8 +124,8 @@
             self.draining = True
             attempt.finish(Outcome.NOT_SENT)
             return
-        attempt.stream_id, attempt.headers_sent = stream_id, True
-        self.attempts[stream_id] = attempt
+        attempt.on_headers_sent(stream_id)
+        self.attempts.add(attempt)
         self.counts.streams += 1
         streamed_body = attempt.request.streamed_body
         if streamed_body is not None:
@@ -147,7 +147,7 @@
 
     def send_all_pending(self) -> None:
         """Send what flow control allows on each stream."""
-        for attempt in list(self.attempts.values()):
+        for attempt in self.attempts.on_open_streams():
             self.send_pending(attempt)
         self.flush()
 
@@ -185,7 +185,7 @@
             case h2.events.ResponseReceived() | h2.events.TrailersReceived():
                 self.on_headers(event)
             case h2.events.StreamEnded():
-                attempt = self.attempts.get(event.stream_id or 0)
+                attempt = self.attempts.get(event.stream_id)
                 if attempt is not None:
                     attempt.finish_response()
             case h2.events.StreamReset():
@@ -240,25 +240,24 @@
         if not attempt.paused:
             self.acknowledge_data(size, attempt.stream_id)
         elif size:
-            attempt.unacknowledged += size
+            attempt.withhold(size)
             self.h2.increment_flow_control_window(size)
         self.flush()
 
     def reopen_window(self, attempt: GrpcAttempt) -> None:
         """Open a stream's window for what was withheld while its client read nothing."""
-        size, attempt.unacknowledged = attempt.unacknowledged, 0
-        if self.open_stream_window(size, attempt.stream_id):
+        if self.open_stream_window(attempt.take_withheld(), attempt.stream_id):
             self.flush()
 
     def on_headers(self, event: h2.events.ResponseReceived | h2.events.TrailersReceived) -> None:
         """Headers or trailers of a response."""
-        attempt = self.attempts.get(event.stream_id or 0)
+        attempt = self.attempts.get(event.stream_id)
         if attempt is not None:
             attempt.response.add_headers((str(name), str(value)) for name, value in event.headers or ())
 
     def on_reset(self, event: h2.events.StreamReset) -> None:
         """RST_STREAM from the server."""
-        attempt = self.attempts.get(event.stream_id or 0)
+        attempt = self.attempts.get(event.stream_id)
         code = int(event.error_code or 0)
         self.counts.resets += 1
         self.count_control_frame()
@@ -271,8 +270,8 @@
         self.counts.goaways += 1
         self.draining = True
         last_stream_id = event.last_stream_id if event.last_stream_id is not None else LAST_STREAM_ID
-        for stream_id, attempt in list(self.attempts.items()):
-            outcome = outcomes.of_goaway(stream_id, last_stream_id)
+        for attempt in self.attempts.on_open_streams():
+            outcome = outcomes.of_goaway(attempt.stream_id, last_stream_id)
             if outcome is not None:
                 attempt.finish(outcome)
         if event.error_code:
@@ -282,10 +281,7 @@
 
     def forget(self, attempt: GrpcAttempt) -> None:
         """Drop an attempt that has ended."""
-        if self.attempts.get(attempt.stream_id) is attempt:
-            del self.attempts[attempt.stream_id]
-        if attempt in self.awaiting_connect:
-            self.awaiting_connect.remove(attempt)
+        self.attempts.discard(attempt)
         if self.is_idle:
             self.liveness.on_idle(now_us())
 
@@ -321,12 +317,13 @@
             with suppress(h2.exceptions.H2Error):
                 self.h2.close_connection(error)
                 self.flush()
-        self.closed = self.draining = True
-        self.counts.broken += bool(self.attempts)
+        self.closed = True
+        self.draining = True
+        self.counts.broken += bool(self.attempts.open_count)
         self.on_closed(self)
         if self.transport is not None:
             self.transport.close()
-        for attempt in [*self.attempts.values(), *self.awaiting_connect]:
+        for attempt in self.attempts.all():
             attempt.finish(outcomes.of_loss(attempt.headers_sent))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -340,11 +337,11 @@
             self.draining = True
         if self.liveness.ping_timed_out(now):
             self.fail(h2.errors.ErrorCodes.NO_ERROR)
-        elif self.attempts and self.liveness.ping_due(now):
+        elif self.attempts.open_count and self.liveness.ping_due(now):
             self.liveness.on_ping_sent(now)
             self.h2.ping(PING_PAYLOAD)
             self.flush()
-        for attempt in list(self.attempts.values()):
+        for attempt in self.attempts.on_open_streams():
             if attempt.is_stalled(now):
                 self.abort(attempt, outcomes.of_deadline(attempt.headers_sent))
         self.close_if_drained()
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -78,7 +78,9 @@
             router: routes attempts to the pool of a server's protocol.
             gateway: is given the endpoint list with weights that lead to the traffic shares.
         """
-        self.router, self.gateway, self._publish = router, gateway, gateway.on_endpoint_list
+        self.router = router
+        self.gateway = gateway
+        self._publish = gateway.on_endpoint_list
         self.mirror: ResponseMirror | None = None
         self._loop = asyncio.get_running_loop()
         router.on_fallback = self._on_rollback
@@ -87,9 +89,7 @@
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         """Pass a change of the endpoint list on, with weights adjusted to the traffic share."""
-        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            self.router.endpoints.clear()
-        self._publish(kind, self.router.weighted(endpoints))
+        self._publish(kind, self.router.on_list(kind, endpoints))
         self._refresh_weights()
 
     def start_mirroring(
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -119,7 +119,7 @@
         for n in range(2, 180):
             heard = send_request(client, request_head(n))
             connection = client.connection
-            connection.abort(next(reversed(connection.attempts.values())), Outcome.CANCELLED)
+            connection.abort(connection.attempts.on_open_streams()[-1], Outcome.CANCELLED)
             calls.append(heard)
         await until(lambda: calls[0].ends)
         assert listener.intake.counts.closed_for_flooding == 1 and not listener.connections
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -355,7 +355,7 @@
         late, told = Late(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await until(lambda: late.held)
-        (attempt,) = client.connection.attempts.values()
+        (attempt,) = client.connection.attempts.on_open_streams()
         client.pools.cancel(attempt)
         await nothing_is_owed(run)
         assert told == [Outcome.NOT_SENT]
