--- a/sagetrack/peers/failure_detector.py
+++ b/sagetrack/peers/failure_detector.py
@@ -10,15 +10,14 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Protocol
 
 from sagetrack.peers.codec import Ack, Message, Nack, Ping, PingRequest, Update
 from sagetrack.peers.member_table import MemberState, MemberTable
+from sagetrack.peers.probes import LocalHealth, Probe, RelayedPing
 from sagetrack.peers.settings import MembershipSettings
 
 RETURNED_PINGS = 4  # dead members that are pinged in a period once one has come back
-MAX_LOCAL_HEALTH = 8  # the period and timeout are at most this much longer, plus one
 MAX_RELAYED_PINGS = 64  # pings for other members that are under way at a time
 SEQUENCE_BITS = 40  # of the first sequence number, which is random
 
@@ -30,76 +29,6 @@
         """Send `first`, if any, and then `message` to the target."""
 
 
-class LocalHealth:
-    """How badly this member seems to receive others (Lifeguard's local health multiplier); 0 is well."""
-
-    def __init__(self) -> None:
-        self._score = 0
-
-    def worsen(self) -> None:
-        """An acknowledgement or nack was missed, or this member itself was suspected."""
-        self._score = min(MAX_LOCAL_HEALTH, self._score + 1)
-
-    def improve(self) -> None:
-        """An acknowledgement was received."""
-        self._score = max(0, self._score - 1)
-
-    def stretch(self, time_us: int) -> int:
-        """Return a period or timeout, longer the worse the health."""
-        return time_us * (self._score + 1)
-
-
-@dataclass(slots=True)
-class Probe:
-    """A ping of which the outcome is awaited.
-
-    Attributes:
-        sequence: Its sequence number.
-        target: The member that is pinged.
-        retry_us: When it is pinged once more.
-        indirect_us: When others are asked for an indirect ping.
-        deadline_us: When it counts as not acknowledged.
-        was_retried: Whether it was pinged once more.
-        is_indirect: Whether others were asked.
-        silent_helpers: Others that were asked and have not answered at all.
-    """
-
-    sequence: int
-    target: int
-    retry_us: int
-    indirect_us: int
-    deadline_us: int
-    was_retried: bool = False
-    is_indirect: bool = False
-    silent_helpers: set[int] = field(default_factory=set)
-
-    @property
-    def next_us(self) -> int:
-        """When something is due."""
-        if self.is_indirect:
-            return self.deadline_us
-        return self.indirect_us if self.was_retried else self.retry_us
-
-
-@dataclass(slots=True)
-class RelayedPing:
-    """An indirect ping that is made for another member.
-
-    Attributes:
-        requester: The member that asked for it.
-        requester_sequence: The sequence number that it asked with.
-        target: The member that is pinged.
-        due_us: When the nack is sent, and after that when the ping is forgotten.
-        was_nacked: Whether the nack was sent.
-    """
-
-    requester: int
-    requester_sequence: int
-    target: int
-    due_us: int
-    was_nacked: bool = False
-
-
 class FailureDetector:
     """Pings members in turn. Call `tick` no later than `next_us`, and hand in the answers.
 
@@ -129,8 +58,12 @@
             on_unanswered: Called with the time and a member that has not acknowledged in time.
         """
         self.health = LocalHealth()
-        self._table, self._settings, self._random = table, settings, draw
-        self._send, self._current_update, self._on_unanswered = send, current_update, on_unanswered
+        self._table = table
+        self._settings = settings
+        self._random = draw
+        self._send = send
+        self._current_update = current_update
+        self._on_unanswered = on_unanswered
         self._sequence = draw.getrandbits(SEQUENCE_BITS)
         self._next_ping_us = now_us + int(draw.random() * settings.period_us)
         self._probe: Probe | None = None
@@ -234,11 +167,19 @@
         self._ping_dead_members(now_us, dead, any_alive)
         if not any_alive:
             return
-        target = self._next_target()
+        self._begin_probe(now_us, self._next_target())
+
+    def _begin_probe(self, now_us: int, target: int) -> None:
+        """Ping a member: once more after half the timeout, indirectly after all of it."""
         sequence = self._next_sequence()
         timeout_us = self.health.stretch(self._settings.timeout_us)
-        deadline_us = now_us + self.health.stretch(self._settings.period_us) * 9 // 10
-        self._probe = Probe(sequence, target, now_us + timeout_us // 2, now_us + timeout_us, deadline_us)
+        self._probe = Probe(
+            sequence,
+            target,
+            retry_us=now_us + timeout_us // 2,
+            indirect_us=now_us + timeout_us,
+            deadline_us=now_us + self.health.stretch(self._settings.period_us) * 9 // 10,
+        )
         self._send(now_us, target, Ping(sequence, target))
 
     def _next_target(self) -> int:
@@ -254,7 +195,9 @@
     def _ping_dead_members(self, now_us: int, dead: list[int], any_alive: bool) -> None:
         """Ping a dead member now and then, for good: so a partition heals, and one that returns is found."""
         peers = self._table.peers
-        self._maybe_returned = [m for m in self._maybe_returned if peers[m].state is MemberState.DEAD]
+        self._maybe_returned = [
+            member for member in self._maybe_returned if peers[member].state is MemberState.DEAD
+        ]
         if self._maybe_returned:
             for target in self._maybe_returned[:RETURNED_PINGS]:
                 self._ping_dead(now_us, target)
--- /dev/null
+++ b/sagetrack/store/batch_queue.py
@@ -0,0 +1,70 @@
+"""The queue between the threads that submit batches and the writer's thread."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
+from sagetrack.store.format import Record
+
+OnDurable = Callable[[bool], None]  # called with whether the batch is durable
+
+MAX_QUEUED_BYTES = 4 * 1024 * 1024
+RECORD_OVERHEAD_BYTES = 64  # counted for a queued record besides its key and value
+
+
+class QueuedBatch(NamedTuple):
+    """A submitted batch and who is notified of its fate."""
+
+    records: Sequence[Record]
+    on_durable: OnDurable | None
+
+
+class BatchQueue:
+    """Submitted batches in bounded memory, from any thread to the writer's."""
+
+    __slots__ = ("_batches", "_closing", "_condition", "queued_bytes")
+
+    def __init__(self) -> None:
+        self._condition = threading.Condition()
+        self._batches: list[QueuedBatch] = []
+        self._closing = False
+        self.queued_bytes = 0
+
+    def offer(self, batch: QueuedBatch) -> bool:
+        """Queue a batch; False if the bound is reached or the queue is closing."""
+        size = sum(
+            len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES for record in batch.records
+        )
+        with self._condition:
+            if self._closing or self.queued_bytes + size > MAX_QUEUED_BYTES:
+                return False
+            self._batches.append(batch)
+            self.queued_bytes += size
+            if len(self._batches) == 1:
+                self._condition.notify()
+        return True
+
+    def take(self, wait_s: Callable[[], float]) -> tuple[list[QueuedBatch], bool]:
+        """Take all that is queued, waiting once if that is nothing.
+
+        Args:
+            wait_s: How long to wait, in seconds; asked only if there is nothing.
+
+        Returns:
+            The batches in order, and whether the queue is closing.
+        """
+        with self._condition:
+            if not self._batches and not self._closing:
+                self._condition.wait(wait_s())
+            taken = self._batches
+            self._batches = []
+            self.queued_bytes = 0
+            return taken, self._closing
+
+    def close(self) -> None:
+        """Refuse further batches, and wake the writer."""
+        with self._condition:
+            self._closing = True
+            self._condition.notify()
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -12,8 +12,9 @@
 import time
 from collections.abc import Callable, Generator, Sequence
 from dataclasses import dataclass
-from typing import Literal, NamedTuple
+from typing import Literal
 
+from sagetrack.store.batch_queue import BatchQueue, OnDurable, QueuedBatch
 from sagetrack.store.directory import StoreDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import (
@@ -25,19 +26,16 @@
 )
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
+from sagetrack.store.outage import Outage
 from sagetrack.store.recovery import RecoveryReport
 
 SyncPolicy = Literal["batch", "every", "never"]
-OnDurable = Callable[[bool], None]  # called with whether the batch is durable
 
 COMPACTION_STEP_S = 0.002  # of compaction at once: other threads get the interpreter in between
 REST_FACTOR = 2.0  # the thread rests this many times as long as the step took
 MAX_REST_S = 0.05
-RETRY_S = 5.0  # after a failure
 CLOSE_TIMEOUT_S = 2.0  # how long `close` waits for the disk
 IDLE_WAIT_S = 1.0  # between looks at what is due when nothing is submitted
-MAX_QUEUED_BYTES = 4 * 1024 * 1024
-RECORD_OVERHEAD_BYTES = 64  # counted for a queued record besides its key and value
 
 
 @dataclass(slots=True)
@@ -61,86 +59,6 @@
     slowest_commit_ms: float = 0.0
 
 
-class QueuedBatch(NamedTuple):
-    """A submitted batch and who is notified of its fate."""
-
-    records: Sequence[Record]
-    on_durable: OnDurable | None
-
-
-class BatchQueue:
-    """Submitted batches in bounded memory, from any thread to the writer's."""
-
-    __slots__ = ("_batches", "_closing", "_condition", "queued_bytes")
-
-    def __init__(self) -> None:
-        self._condition = threading.Condition()
-        self._batches: list[QueuedBatch] = []
-        self._closing = False
-        self.queued_bytes = 0
-
-    def offer(self, batch: QueuedBatch) -> bool:
-        """Queue a batch; False if the bound is reached or the queue is closing."""
-        size = sum(
-            len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES for record in batch.records
-        )
-        with self._condition:
-            if self._closing or self.queued_bytes + size > MAX_QUEUED_BYTES:
-                return False
-            self._batches.append(batch)
-            self.queued_bytes += size
-            if len(self._batches) == 1:
-                self._condition.notify()
-        return True
-
-    def take(self, wait_s: Callable[[], float]) -> tuple[list[QueuedBatch], bool]:
-        """Take all that is queued, waiting once if that is nothing.
-
-        Args:
-            wait_s: How long to wait, in seconds; asked only if there is nothing.
-
-        Returns:
-            The batches in order, and whether the queue is closing.
-        """
-        with self._condition:
-            if not self._batches and not self._closing:
-                self._condition.wait(wait_s())
-            taken, self._batches, self.queued_bytes = self._batches, [], 0
-            return taken, self._closing
-
-    def close(self) -> None:
-        """Refuse further batches, and wake the writer."""
-        with self._condition:
-            self._closing = True
-            self._condition.notify()
-
-
-class Outage:
-    """Whether the store fails now, and when it is tried again."""
-
-    __slots__ = ("_retry_at_s", "active")
-
-    def __init__(self) -> None:
-        self.active = False
-        self._retry_at_s = 0.0
-
-    @property
-    def backing_off(self) -> bool:
-        """Whether it is too early for a retry."""
-        return self.active and time.monotonic() < self._retry_at_s
-
-    def begin(self) -> bool:
-        """Note a failure and put off the next try; returns whether it is the first of this outage."""
-        self._retry_at_s = time.monotonic() + RETRY_S
-        is_first, self.active = not self.active, True
-        return is_first
-
-    def end(self) -> bool:
-        """Note a success; returns whether it ends an outage."""
-        was_active, self.active = self.active, False
-        return was_active
-
-
 class BackgroundWriter:
     """One store and its thread.
 
@@ -169,8 +87,11 @@
             sync_policy: Whether to sync each group of batches, at intervals, or never.
             sync_interval_s: The interval in seconds.
         """
-        self._open_directory, self._options, self._log = open_directory, options, log
-        self._sync_policy, self._sync_interval_s = sync_policy, sync_interval_s
+        self._open_directory = open_directory
+        self._options = options
+        self._log = log
+        self._sync_policy = sync_policy
+        self._sync_interval_s = sync_interval_s
         self.store: Store | None = None
         self.counters = WriterCounters()
         self._queue = BatchQueue()
@@ -192,7 +113,8 @@
             on_start: What the thread does before anything else: the place to open a store that may be
                 large, or on a disk that hangs.
         """
-        self._loop, self._on_start = loop, on_start
+        self._loop = loop
+        self._on_start = on_start
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
@@ -246,7 +168,8 @@
 
     def metric_values(self) -> dict[str, float]:
         """Values by exported metric name."""
-        counters, store = self.counters, self.store
+        counters = self.counters
+        store = self.store
         return {
             "store_batches_total": counters.batches,
             "store_syncs_total": counters.syncs,
@@ -271,11 +194,15 @@
             if closing and not taken:
                 break
             self._step_compaction()
-        if self.store is not None:
-            try:
-                self.store.close()
-            except OSError as error:
-                self._log(f"store close failed: {_reason(error)}")
+        self._close_store()
+
+    def _close_store(self) -> None:
+        if self.store is None:
+            return
+        try:
+            self.store.close()
+        except OSError as error:
+            self._log(f"store close failed: {_reason(error)}")
 
     def _wait_s(self) -> float:
         """How long to wait for batches: there may be something to sync or to compact."""
@@ -341,7 +268,8 @@
         store.sync()
         self.counters.syncs += 1
         self._synced_at_s = time.monotonic()
-        callbacks, self._awaiting_sync = self._awaiting_sync, []
+        callbacks = self._awaiting_sync
+        self._awaiting_sync = []
         self._notify(callbacks, True)
         if self._outage.end():
             self._log("store writes recovered")
@@ -366,16 +294,24 @@
                 self._compaction = store.compact(int(time.time() * 1000))
             if self._compaction is None:
                 return
-            while time.monotonic() - began < COMPACTION_STEP_S:
-                if next(self._compaction, self) is self:
-                    self._compaction = None
-                    self.counters.checkpoints += 1
-                    break
+            if self._is_finished_within_step(self._compaction, began):
+                self._compaction = None
+                self.counters.checkpoints += 1
         except (OSError, CorruptionError) as error:
             self._compaction = None
             self.record_failure(_reason(error))
         time.sleep(min(MAX_REST_S, REST_FACTOR * (time.monotonic() - began)))
 
+    @staticmethod
+    def _is_finished_within_step(compaction: Generator[None, None, None], began_s: float) -> bool:
+        """Go on with a compaction until COMPACTION_STEP_S after `began_s`; whether it is complete."""
+        while time.monotonic() - began_s < COMPACTION_STEP_S:
+            try:
+                next(compaction)
+            except StopIteration:
+                return True
+        return False
+
 
 def _reason(error: Exception) -> str:
     """What an error says without its number and file."""
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -8,13 +8,9 @@
 
 from sagetrack.peers.codec import DATAGRAM_LIMIT, Ack, Message, Nack, Ping, PingRequest, Update, encoded_size
 from sagetrack.peers.dissemination import UpdateQueue, max_transmissions
-from sagetrack.peers.failure_detector import (
-    MAX_LOCAL_HEALTH,
-    MAX_RELAYED_PINGS,
-    FailureDetector,
-    LocalHealth,
-)
+from sagetrack.peers.failure_detector import MAX_RELAYED_PINGS, FailureDetector
 from sagetrack.peers.member_table import MemberState, MemberTable
+from sagetrack.peers.probes import MAX_LOCAL_HEALTH, LocalHealth
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.token_bucket import TokenBucket
 
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from sagetrack.store.batch_queue import MAX_QUEUED_BYTES, BatchQueue, QueuedBatch
 from sagetrack.store.errors import StoreError, StoreFullError, StoreOpenError, WriteRejectedError
 from sagetrack.store.file_names import (
     checkpoint_name,
@@ -16,8 +17,8 @@
 )
 from sagetrack.store.format import Record
 from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.outage import Outage
 from sagetrack.store.space_limits import SpaceLimits
-from sagetrack.store.writer import MAX_QUEUED_BYTES, BatchQueue, Outage, QueuedBatch
 
 
 def test_records_expire_at_their_maximum_age_and_tombstones_have_no_value() -> None:
