--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -11,16 +11,14 @@
 import random
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
-from enum import StrEnum
 from typing import Any
 
 from sagetrack.config.platform import Address, Names
-from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import DiscoveryTimeouts
 from sagetrack.core.endpoints import Endpoint, OnEndpointList
 from sagetrack.core.log import log
-from sagetrack.core.metrics import ReasonCounter
 from sagetrack.core.responses import Response
+from sagetrack.discovery.call_history import CallHistory
 from sagetrack.discovery.connection import DiscoveryConnection, OpenConnection
 from sagetrack.discovery.endpoint_list_json import EndpointListSnapshot
 from sagetrack.discovery.endpoint_parsing import EndpointListUpdate, parse_endpoint_list
@@ -30,23 +28,9 @@
 
 LIST_PATH = b"/registry/instances"
 STATUS_OK = 200
-OVERLOAD_STATUSES = (429, 503)  # discovery can be reached, and has too many calls
-# From so many overload responses on, without a list between, a watch waits besides the backoff; what else
-# failed between them does not matter.
-OVERLOADS_UNTIL_WAIT = 2
 SHORTEST_JITTER = 0.5  # part of a wait that is not random
 
 
-class CallOutcome(StrEnum):
-    """How a call ended; the values are the metric's label."""
-
-    COMPLETE_LIST = "whole"
-    CHANGES = "changes"
-    NO_CHANGES = "no_news"
-    TIMEOUT = "late"
-    FAILED = "failed"
-
-
 OnListChanged = Callable[[Address, Callable[[], dict[str, Any]]], None]
 
 
@@ -56,7 +40,7 @@
     At most one watch and one fetch are under way at a time.
 
     Attributes:
-        calls: Calls by outcome, an exported metric.
+        history: How the calls have ended.
         address: Where discovery is called.
         version: The version that a watch continues from; None: the complete list is needed.
         watch_task: The watch under way.
@@ -84,9 +68,13 @@
             connect: Opens a connection.
             limits: Timeouts and waits.
         """
-        self.names, self.on_list, self.connect = names, on_list, connect
-        self.pushed, self.limits, self.address = pushed, limits, address
-        self.calls = ReasonCounter("discovery_calls_total", "outcome", ())
+        self.names = names
+        self.on_list = on_list
+        self.connect = connect
+        self.pushed = pushed
+        self.limits = limits
+        self.address = address
+        self.history = CallHistory()
         self.version: int | None = None
         self.watch_task: asyncio.Task[None] | None = None
         self.on_list_changed: OnListChanged = lambda address, known: None
@@ -94,18 +82,13 @@
         self._rewatch_timer: asyncio.TimerHandle | None = None  # starts the watch after a failure
         self._first_call_ended = asyncio.Event()  # successful or not
         self._closed = False
-        self._failing_since_us: int | None = None  # the first of the calls in a row that have failed
-        self._last_response_us: int | None = None  # except the one that is being reported
-        self._no_list_since_failure = True
-        self._last_call_failed = False  # the next call only finds out whether discovery is back
-        self._overloads = 0  # overload responses since the last list
         self._versions = VersionCheck()
         self._snapshot = EndpointListSnapshot()
 
     @property
     def time_without_contact_us(self) -> int | None:
         """Time without a response before the list that is being reported; None: there was none before."""
-        return None if self._last_response_us is None else now_us() - self._last_response_us
+        return self.history.time_without_contact_us
 
     def record_changes(self, raw: dict[str, Any], is_complete: bool) -> None:
         """Keep the list for a successor process up to date, and report that it has changed."""
@@ -117,7 +100,8 @@
         endpoints: list[Endpoint] = []
         try:
             update = parse_endpoint_list(raw, self.names)
-            self.version, endpoints = update.version, update.endpoints
+            self.version = update.version
+            endpoints = update.endpoints
             self.record_changes(raw, True)
         except (KeyError, TypeError, ValueError) as error:
             if raw:
@@ -160,8 +144,9 @@
             return
         fetching = self._fetch_task is not None
         self._cancel()
-        self.address, self.version = address, None
-        self._no_list_since_failure, self._overloads = True, 0
+        self.address = address
+        self.version = None
+        self.history.on_address_changed()
         self._versions.reset()
         self.watch(True)
         if fetching:
@@ -178,7 +163,8 @@
         for task in (self.watch_task, self._fetch_task):
             if task is not None:
                 task.cancel()
-        self.watch_task = self._fetch_task = None
+        self.watch_task = None
+        self._fetch_task = None
 
     # Failures
 
@@ -189,8 +175,7 @@
             # Forgotten first: `on_list` may call again while the failure is reported to it.
             self._forget(asyncio.current_task())
             self._schedule_rewatch()
-            self._note_failure(error)
-            self._no_list_since_failure = self._last_call_failed = True
+            self.history.on_failure(error)
             self.on_list(ListKind.ERROR, [])
         finally:
             self._forget(asyncio.current_task())
@@ -206,22 +191,6 @@
                 self._rewatch_timer.cancel()
             self._rewatch_timer = asyncio.get_running_loop().call_later(wait_s, self.watch, True)
 
-    def _note_failure(self, error: Exception) -> None:
-        timed_out = isinstance(error, TimeoutError)
-        self.calls.add(CallOutcome.TIMEOUT if timed_out else CallOutcome.FAILED)
-        if self._failing_since_us is None:
-            self._failing_since_us = now_us()
-        log(f"discovery call failed: {'timeout, no response in time' if timed_out else error}")
-
-    def _note_success(self, update: EndpointListUpdate) -> None:
-        if update.is_complete:
-            self.calls.add(CallOutcome.COMPLETE_LIST)
-        else:
-            self.calls.add(CallOutcome.CHANGES if update.endpoints else CallOutcome.NO_CHANGES)
-        if self._failing_since_us is not None:
-            log(f"discovery reachable again after {(now_us() - self._failing_since_us) / 1e6:.2f} s")
-            self._failing_since_us = None
-
     def _forget(self, task: asyncio.Task[Any] | None) -> None:
         if self.watch_task is task:
             self.watch_task = None
@@ -238,7 +207,7 @@
             connection.close()
 
     async def _watch(self) -> None:
-        if self._overloads >= OVERLOADS_UNTIL_WAIT and not self.pushed:
+        if self.history.is_overloaded and not self.pushed:
             # Gateways that call an overloaded service too often would keep it overloaded.
             await asyncio.sleep(self.limits.rejection_backoff_s * random.uniform(SHORTEST_JITTER, 1.0))
         connection = await self._open()
@@ -249,15 +218,19 @@
                 if self.version is None:
                     await self._call(connection, LIST_PATH, 0.0)
                 else:
-                    # After a failure a long poll that is not answered would take what is left of the time.
-                    poll_wait_s = (
-                        self.limits.retry_poll_wait_s if self._last_call_failed else self.limits.poll_wait_s
-                    )
-                    target = LIST_PATH + b"?from=%d&hold_ms=%d" % (self.version, round(poll_wait_s * 1000))
-                    await self._call(connection, target, poll_wait_s)
+                    await self._poll(connection, self.version)
         finally:
             connection.close()
 
+    async def _poll(self, connection: DiscoveryConnection, version: int) -> None:
+        """Make a long poll for the changes since a version."""
+        poll_wait_s = self.limits.poll_wait_s
+        if self.history.last_failed:
+            # After a failure a long poll that is not answered would take what is left of the time.
+            poll_wait_s = self.limits.retry_poll_wait_s
+        target = LIST_PATH + b"?from=%d&hold_ms=%d" % (version, round(poll_wait_s * 1000))
+        await self._call(connection, target, poll_wait_s)
+
     async def _open(self) -> DiscoveryConnection:
         async with asyncio.timeout(self.limits.connect_timeout_s):
             return await self.connect(self.address)
@@ -268,7 +241,7 @@
         head = b"GET %s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (target, host.encode(), port)
         async with asyncio.timeout(poll_wait_s + self.limits.response_timeout_s):
             reply = await connection.request(head)
-        self._overloads += reply.status in OVERLOAD_STATUSES
+        self.history.on_status(reply.status)
         if reply.status != STATUS_OK:
             raise DiscoveryCallError(f"answered {reply.status}")
         if not reply.keep_alive:
@@ -279,19 +252,17 @@
         raw = json.loads(reply.body)
         update = parse_endpoint_list(raw, self.names)
         self._check_version(update)
-        self._note_success(update)
+        self.history.on_success(update)
         changed = update.is_complete or bool(update.endpoints) or update.version != self.version
         self.version = update.version
         self._versions.taken(update.version)
-        self._last_call_failed, self._overloads = False, 0
         if changed:
             self.record_changes(raw, update.is_complete)
-        if (
-            changed or self._no_list_since_failure
-        ):  # a watch that ends unchanged is reported after a failure only
-            self._no_list_since_failure = False
+        # A watch that ends unchanged is reported after a failure only.
+        if changed or self.history.no_list_since_failure:
+            self.history.on_reporting()
             self.on_list(ListKind.FULL if update.is_complete else ListKind.DELTA, update.endpoints)
-        self._last_response_us = now_us()
+        self.history.on_list_reported()
         self._first_call_ended.set()
 
     def _check_version(self, update: EndpointListUpdate) -> None:
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -28,13 +28,15 @@
 from sagetrack.peers.membership import Counts, Membership
 from sagetrack.peers.observation_codec import latencies_from
 from sagetrack.peers.settings import MembershipSettings
+from sagetrack.peers.status_report import describe_datagrams, describe_warm_start
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
 from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 BIND_RETRY_S = 0.5  # while an older process of this gateway has the address
 LEAST_WAIT_S = 0.005  # between two calls of the timer
-WARM_START_SEED, DEMAND_SEED = 0x5A5A, 0xA5  # set the seeds of the state machines apart
+WARM_START_SEED = 0x5A5A  # sets the seeds of the state machines apart, as does the next
+DEMAND_SEED = 0xA5
 
 ObservationSource = Callable[[], tuple[list[Observation], list[ClassLatency]]]
 
@@ -49,7 +51,7 @@
         warm_start_client: Asks for observations at the start; None if that is off.
 
     Args:
-        me: This gateway's number.
+        own_number: This gateway's number.
         listen: The address to bind.
         peers: All gateways' addresses, by number.
         settings: Parameters of membership.
@@ -57,13 +59,13 @@
         post: Hands an event to the load balancer.
         observations: Returns this gateway's own observations and latencies.
         start_times: Returns when each listed server started, in microseconds, by its id.
-        warm: Whether to ask the others for observations at the start.
+        use_warm_start: Whether to ask the others for observations at the start.
         demands: Returns the demand by tenant; None where fair queues are off.
     """
 
     def __init__(
         self,
-        me: int,
+        own_number: int,
         listen: Address,
         peers: Sequence[Address],
         settings: MembershipSettings,
@@ -71,26 +73,31 @@
         post: Callable[[Event], None],
         observations: ObservationSource,
         start_times: Callable[[], dict[int, int]],
-        warm: bool = True,
+        use_warm_start: bool = True,
         demands: Callable[[], list[float]] | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._me, self._listen, self._peers = me, listen, list(peers)
-        self._post, self._observations, self._start_times = post, observations, start_times
+        self._own_number = own_number
+        self._listen = listen
+        self._peers = list(peers)
+        self._post = post
+        self._observations = observations
+        self._start_times = start_times
         self._demands = demands
         now = now_us()
-        incarnation = now // 1_000_000
         count = len(self._peers)
-        self.membership = Membership(me, count, settings, seed, now, self._send, incarnation=incarnation)
+        self.membership = Membership(
+            own_number, count, settings, seed, now, self._send, incarnation=now // 1_000_000
+        )
         self.membership.on_change = self._on_change
-        others = [number for number in range(count) if number != me]
+        others = [number for number in range(count) if number != own_number]
         self.warm_start_client: WarmStartClient | None = None
-        if warm and others:
-            self.warm_start_client = WarmStartClient(others, seed ^ WARM_START_SEED, now, self._request)
+        if use_warm_start and others:
+            self.warm_start_client = WarmStartClient(others, seed ^ WARM_START_SEED, now, self._send_message)
         self._warm_start_server = WarmStartServer(now)
         self._demand_schedule: DemandGossipSchedule | None = None
         if demands is not None:
-            self._demand_schedule = DemandGossipSchedule(me, count, seed ^ DEMAND_SEED, now)
+            self._demand_schedule = DemandGossipSchedule(own_number, count, seed ^ DEMAND_SEED, now)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._binding: asyncio.Task[None] | None = None
@@ -182,10 +189,7 @@
         self._transport.sendto(data, self._peers[target])
 
     def _send_message(self, target: int, message: Message) -> None:
-        self._send(target, Datagram(self._me, self.membership.incarnation, [message]))
-
-    def _request(self, target: int, request: WarmStartRequest) -> None:
-        self._send_message(target, request)
+        self._send(target, Datagram(self._own_number, self.membership.incarnation, [message]))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Take in a datagram; one that is unreadable or not from its sender's own address is rejected."""
@@ -197,8 +201,7 @@
             self.counts.rejected += 1
             return
         sender = datagram.sender
-        # From its own address only: no member may speak for another by writing its number.
-        if sender >= len(self._peers) or sender == self._me or self._peers[sender] != (addr[0], addr[1]):
+        if not self._is_from(sender, addr):
             self.counts.rejected += 1
             return
         now = now_us()
@@ -207,6 +210,15 @@
             self._handle(now, sender, message)
         self._wake()
 
+    def _is_from(self, sender: int, address: tuple[str, int]) -> bool:
+        """Whether a datagram is from another member, and from that member's own address.
+
+        No member may speak for another by writing its number.
+        """
+        if sender >= len(self._peers) or sender == self._own_number:
+            return False
+        return self._peers[sender] == (address[0], address[1])
+
     def _handle(self, now: int, sender: int, message: Message) -> None:
         if isinstance(message, WarmStartRequest):
             self._answer(now, sender, message)
@@ -238,44 +250,29 @@
     def describe(self) -> list[str]:
         """Return a line for each member, then lines of what was sent and of the warm start."""
         now = now_us()
-        host, port = self._peers[self._me]
-        lines = [f"member {self._me} {host}:{port} self"]
+        host, port = self._peers[self._own_number]
+        lines = [f"member {self._own_number} {host}:{port} self"]
         for number, peer in sorted(self.membership.peers.items()):
             host, port = self._peers[number]
             since_s = (now - peer.since_us) / 1e6
             lines.append(f"member {number} {host}:{port} {peer.state.name.lower()} since {since_s:.1f} s")
-        return [*lines, self._describe_datagrams(), self._describe_warm_start()]
-
-    def _describe_datagrams(self) -> str:
-        c = self.counts
-        held_back = c.rate_limited + self._warm_start_server.rate_limited
-        return (
-            f"datagrams sent {c.sent} ({c.sent_bytes} bytes), "
-            f"received {c.received} ({c.received_bytes} bytes), "
-            f"rejected {c.rejected}, held back {held_back}, "
-            f"pings unanswered {c.unanswered}, refuted {c.refuted}"
-        )
-
-    def _describe_warm_start(self) -> str:
-        result = self.warm_start_client.result if self.warm_start_client is not None else None
-        if result is None or not result.observations:
-            return "taken over at the start: nothing"
-        return (
-            f"taken over at the start: {result.observations} sights from {result.peers} whole answers within "
-            f"{result.completed_us / 1e6:.2f} s, "
-            f"{result.youngest_us / 1e6:.1f} to {result.oldest_us / 1e6:.1f} s old"
-        )
+        warm_start = self.warm_start_client.result if self.warm_start_client is not None else None
+        lines.append(describe_datagrams(self.counts, self._warm_start_server.rate_limited))
+        lines.append(describe_warm_start(warm_start))
+        return lines
 
     def figures(self) -> dict[str, int]:
         """Return the exported metrics."""
-        c, membership, client = self.counts, self.membership, self.warm_start_client
+        counts = self.counts
+        membership = self.membership
+        client = self.warm_start_client
         return {
             "peers_alive": membership.alive,
             "peers_suspect": len(membership.members(MemberState.SUSPECT)),
             "peers_dead": len(membership.members(MemberState.DEAD)),
-            "peer_datagrams_sent_total": c.sent,
-            "peer_bytes_sent_total": c.sent_bytes,
-            "peer_datagrams_rejected_total": c.rejected,
-            "peer_pings_unanswered_total": c.unanswered,
+            "peer_datagrams_sent_total": counts.sent,
+            "peer_bytes_sent_total": counts.sent_bytes,
+            "peer_datagrams_rejected_total": counts.rejected,
+            "peer_pings_unanswered_total": counts.unanswered,
             "peer_sights_taken": client.result.observations if client is not None else 0,
         }
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -137,7 +137,7 @@
             _connect_to_discovery,
             discovery_timeouts(config.settings),
         )
-        self._publish(discovery.calls.figures)
+        self._publish(discovery.history.counts.figures)
         return discovery
 
     async def start(self) -> None:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -38,7 +38,7 @@
             learned.append,
             lambda: (sights, []),
             lambda: lives,
-            warm=me == 0,
+            use_warm_start=me == 0,
         )
 
     nodes = [node(0, []), node(1, observations(3))]
