--- /dev/null
+++ b/sagetrack/dns/answer.py
@@ -0,0 +1,166 @@
+"""DNS responses with records: their TTLs and OPT are found, the rest is forwarded as it is.
+
+RFC 1035 (messages), RFC 2181 (TTLs), RFC 2308 (negative answers). A response is forwarded as bytes under the
+client's id, question and letter case, as parsing it would cost the hot path.
+"""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+
+from sagetrack.dns.message import (
+    AA,
+    AD,
+    HEADER,
+    HEADER_BYTES,
+    OPCODE_MASK,
+    OPT,
+    QR,
+    RA,
+    RCODE_MASK,
+    RD,
+    RECORD_HEADER_BYTES,
+    SOA,
+    TC,
+    ExtendedError,
+    MessageError,
+    Query,
+    Rcode,
+    encode_error,
+    encode_opt,
+    lower_case,
+    skip_name,
+)
+
+MAX_TTL_S = 86_400 * 7  # longer TTLs count as this
+TTL_OFFSET = 4  # of a record's TTL, behind its name
+MIN_SOA_BYTES = 20  # of the data of an SOA record: its five numbers, of which MINIMUM is the last
+CACHEABLE_RCODES = (Rcode.NOERROR, Rcode.NXDOMAIN)
+
+
+@dataclass(slots=True, frozen=True)
+class Answer:
+    """A response as it came from upstream, and where its TTLs stand."""
+
+    data: bytes
+    rcode: int
+    truncated: bool
+    ttl_offsets: tuple[int, ...]
+    ttl: int  # for how long it may be cached, in seconds; 0: not at all
+    opt_offset: int  # -1: it has no OPT record
+    records_end: int  # of its records, without the OPT if that is the last
+
+    @property
+    def size(self) -> int:
+        """Bytes of the message."""
+        return len(self.data)
+
+
+def parse_answer(data: bytes, query: Query, id_: int) -> Answer | None:
+    """Read a response to a query; None if it is not a response to it.
+
+    It needs the id that was sent and the same question, the name in any letter case: who forges one has to
+    guess both, and the port.
+
+    Raises:
+        MessageError: It is malformed.
+    """
+    if len(data) < HEADER_BYTES:
+        return None
+    id_received, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
+    if id_received != id_ or not flags & QR or flags & OPCODE_MASK:
+        return None
+    end = HEADER_BYTES + len(query.question)
+    if (
+        questions != 1
+        or lower_case(data[HEADER_BYTES : end - 4]) != query.name
+        or data[end - 4 : end] != query.question[-4:]
+    ):
+        return None
+    return read_records(data, flags, end, answers, authorities, additional)
+
+
+def read_records(data: bytes, flags: int, at: int, answers: int, authorities: int, additional: int) -> Answer:
+    """Walk over the records of a response, from the end of its question.
+
+    Raises:
+        MessageError: A record is incomplete.
+    """
+    rcode = flags & RCODE_MASK
+    truncated = bool(flags & TC)
+    ttl_offsets: list[int] = []
+    min_ttl = MAX_TTL_S
+    soa_ttl = -1
+    opt_offset = -1
+    records_end = at
+    for number in range(answers + authorities + additional):
+        record = at
+        at = skip_name(data, at)
+        if at + RECORD_HEADER_BYTES > len(data):
+            raise MessageError("a record is incomplete")
+        kind, _, ttl, length = struct.unpack_from("!HHIH", data, at)
+        if at + RECORD_HEADER_BYTES + length > len(data):
+            raise MessageError("a record is incomplete")
+        if kind == OPT:
+            opt_offset = record
+            rcode |= (ttl >> 24) << 4
+        else:
+            ttl = 0 if ttl >= 2**31 else ttl  # RFC 2181, section 8
+            ttl_offsets.append(at + TTL_OFFSET)
+            min_ttl = min(min_ttl, ttl)
+            if kind == SOA and answers <= number < answers + authorities and length >= MIN_SOA_BYTES:
+                minimum = int.from_bytes(
+                    data[at + RECORD_HEADER_BYTES + length - 4 : at + RECORD_HEADER_BYTES + length]
+                )
+                soa_ttl = min(ttl, minimum)
+        at += RECORD_HEADER_BYTES + length
+        if kind != OPT:
+            records_end = at
+    if 0 <= opt_offset < records_end:
+        records_end = at  # the OPT stands between others, and stays
+    # A negative answer is cached by its SOA (RFC 2308, section 5).
+    ttl = min_ttl if ttl_offsets and answers else soa_ttl
+    is_cacheable = rcode in CACHEABLE_RCODES and not truncated and ttl > 0
+    return Answer(
+        data, rcode, truncated, tuple(ttl_offsets), ttl if is_cacheable else 0, opt_offset, records_end
+    )
+
+
+def encode_reply(
+    query: Query,
+    answer: Answer,
+    limit: int,
+    age_s: int = 0,
+    stale_ttl: int | None = None,
+    extended: ExtendedError | None = None,
+) -> bytes:
+    """Encode a response for a client: its id, its question in its letter case, and an OPT of this gateway.
+
+    Args:
+        query: The client's query.
+        answer: The response from upstream or the cache.
+        limit: Bytes that the client takes; a longer response is cut to its question with TC set.
+        age_s: Subtracted from each TTL.
+        stale_ttl: In place of each TTL.
+        extended: Extended error for the OPT.
+    """
+    _, flags, questions, answers, authorities, additional = HEADER.unpack_from(answer.data)
+    flags = (flags & ~RD) | QR | RA | (query.flags & RD)
+    strips_opt = answer.opt_offset >= 0 and answer.opt_offset >= answer.records_end
+    if strips_opt:
+        additional -= 1
+    has_no_opt = strips_opt or answer.opt_offset < 0
+    body = bytearray(answer.data[: answer.records_end] if has_no_opt else answer.data)
+    body[HEADER_BYTES : HEADER_BYTES + len(query.question)] = query.question
+    if age_s or stale_ttl is not None:
+        for at in answer.ttl_offsets:
+            left = stale_ttl if stale_ttl is not None else int.from_bytes(body[at : at + 4]) - age_s
+            body[at : at + 4] = max(0, left).to_bytes(4)
+    if query.edns and has_no_opt:
+        body += encode_opt(answer.rcode, query.dnssec, extended)
+        additional += 1
+    body[:HEADER_BYTES] = HEADER.pack(query.id, flags, 1, answers, authorities, additional)
+    if len(body) <= limit:
+        return bytes(body)
+    return encode_error(query, Rcode.NOERROR, flags=(flags & (AA | AD)) | TC)
--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sagetrack.dns.message import Answer
+from sagetrack.dns.answer import Answer
 
 ENTRY_OVERHEAD_BYTES = 700  # beside the message: resident memory measured over 100,000 names
 TTL_OVERHEAD_BYTES = 36  # for each TTL offset
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -14,6 +14,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.interfaces import Request, Source
+from sagetrack.dns.answer import Answer, encode_reply
 from sagetrack.dns.cache import STALE_TTL_S, AnswerCache, CacheKey
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
 from sagetrack.dns.message import (
@@ -21,14 +22,12 @@
     MAX_MESSAGE_BYTES,
     MIN_UDP_PAYLOAD_BYTES,
     TC,
-    Answer,
     ExtendedError,
     MessageError,
     Query,
     Rcode,
     encode_error,
     encode_error_for_unreadable,
-    encode_reply,
     parse_query,
 )
 
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query, parse_answer
+from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -12,13 +12,8 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
-from sagetrack.dns.message import (
-    HEADER_BYTES,
-    MAX_MESSAGE_BYTES,
-    MessageError,
-    encode_upstream_query,
-    parse_answer,
-)
+from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.message import HEADER_BYTES, MAX_MESSAGE_BYTES, MessageError, encode_upstream_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -12,7 +12,8 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver
 from sagetrack.core.send_rules import ServerState
-from sagetrack.dns.message import Answer, Query, Rcode
+from sagetrack.dns.answer import Answer
+from sagetrack.dns.message import Query, Rcode
 from sagetrack.policy.events import Outcome
 
 SUCCESSFUL = frozenset({Rcode.NOERROR, Rcode.NXDOMAIN})
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -26,8 +26,9 @@
 import dns.rrset
 import dns.zone
 
+from sagetrack.dns.answer import Answer, parse_answer
 from sagetrack.dns.errors import DnsError
-from sagetrack.dns.message import MAX_LABEL_BYTES, MAX_MESSAGE_BYTES, Answer, Query, parse_answer
+from sagetrack.dns.message import MAX_LABEL_BYTES, MAX_MESSAGE_BYTES, Query
 
 ORDERS = 8  # of the servers' records, drawn by weight; each response has the next
 MAX_RENDERED = 4096  # responses that are kept rendered
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -13,15 +13,8 @@
 
 import dns.message
 
-from sagetrack.dns.message import (
-    MessageError,
-    Query,
-    encode_error,
-    encode_reply,
-    encode_upstream_query,
-    parse_answer,
-    parse_query,
-)
+from sagetrack.dns.answer import encode_reply, parse_answer
+from sagetrack.dns.message import MessageError, Query, encode_error, encode_upstream_query, parse_query
 from sagetrack.dns.message import Rcode as Code
 from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 
--- a/tests/test_dns_cache.py
+++ b/tests/test_dns_cache.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
+from sagetrack.dns.answer import parse_answer
 from sagetrack.dns.cache import ENTRY_OVERHEAD_BYTES, AnswerCache
-from sagetrack.dns.message import (
-    encode_upstream_query,
-    parse_answer,
-    parse_query,
-)
+from sagetrack.dns.message import encode_upstream_query, parse_query
 from tests.dns_helpers import (
     query,
     response_to,
--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -13,14 +13,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sagetrack.dns.answer import encode_reply, parse_answer
 from sagetrack.dns.message import (
     MessageError,
     Rcode,
     encode_error,
     encode_error_for_unreadable,
-    encode_reply,
     encode_upstream_query,
-    parse_answer,
     parse_query,
 )
 from tests.dns_helpers import (
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -7,8 +7,9 @@
 import pytest
 
 from sagetrack.core.send_rules import ServerState
+from sagetrack.dns.answer import parse_answer
 from sagetrack.dns.errors import DnsError
-from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_answer, parse_query
+from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, unused_message_id
 from sagetrack.dns.zone import ZoneError, label
 from sagetrack.policy.events import Outcome
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -12,10 +12,8 @@
 import dns.rdatatype
 import pytest
 
-from sagetrack.dns.message import (
-    encode_reply,
-    parse_query,
-)
+from sagetrack.dns.answer import encode_reply
+from sagetrack.dns.message import parse_query
 from sagetrack.dns.service import ZoneConfig
 from sagetrack.dns.zone import LocalZones, ZoneError, ZoneMember
 from sagetrack.lab.stand_ins.dns_server import nameserver
