--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -96,9 +96,14 @@
         local_answers: LocalAnswers = lambda query: None,
         forwards: bool = True,
     ) -> None:
-        self.gateway, self.cache, self.access = gateway, cache, access
-        self.rate_limiter, self.in_flight = rate_limiter, in_flight
-        self.client_timeout_us, self.local_answers, self.forwards = client_timeout_us, local_answers, forwards
+        self.gateway = gateway
+        self.cache = cache
+        self.access = access
+        self.rate_limiter = rate_limiter
+        self.in_flight = in_flight
+        self.client_timeout_us = client_timeout_us
+        self.local_answers = local_answers
+        self.forwards = forwards
         self.counts = QueryCounts()
         self.waiting: dict[tuple[Any, ...], WaitingQuery] = {}
         self.shared: dict[CacheKey, SharedRequest] = {}
@@ -173,10 +178,7 @@
             return True
         if not self.gateway.can_serve:
             self.counts.refused += 1
-            code, extended = Rcode.REFUSED, ExtendedError.NOT_AUTHORITATIVE
-            if self.forwards:
-                code, extended = Rcode.SERVFAIL, ExtendedError.NOT_READY
-            self.respond(waiting, encode_error(query, code, extended))
+            self.respond(waiting, self.encode_not_serving(query))
             return True
         hit = self.cache.get(query.cache_key, now_us())
         if hit is None:
@@ -187,6 +189,12 @@
             self.start_request(query)
         return True
 
+    def encode_not_serving(self, query: Query) -> bytes:
+        """Encode the error for a query that only an upstream server could answer, while there is none."""
+        if self.forwards:
+            return encode_error(query, Rcode.SERVFAIL, ExtendedError.NOT_READY)
+        return encode_error(query, Rcode.REFUSED, ExtendedError.NOT_AUTHORITATIVE)
+
     def forward(self, waiting: WaitingQuery) -> None:
         """Wait for an upstream server, together with equal questions, unless too many queries do."""
         query = waiting.query
@@ -205,10 +213,20 @@
 
     def start_request(self, query: Query, waiting: WaitingQuery | None = None) -> None:
         """Send a question upstream; without a waiting query it only refreshes the cache."""
-        shared = self.shared[query.cache_key] = SharedRequest(query.cache_key, [waiting] if waiting else [])
+        shared = SharedRequest(query.cache_key, [waiting] if waiting else [])
+        self.shared[query.cache_key] = shared
         self.last_number += 1
-        id_ = f"q{self.last_number:x}"
-        request = Request(id_, 0, self.client_timeout_us, None, None, False, 0, query, self)
+        request = Request(
+            id=f"q{self.last_number:x}",
+            class_index=0,
+            client_timeout_us=self.client_timeout_us,
+            key=None,
+            work_us=None,
+            is_retry=False,
+            tenant=0,
+            message=query,
+            client=self,
+        )
         self.requests[request.id] = shared
         self.gateway.submit(request)
 
@@ -245,9 +263,9 @@
 
     def answer_failure(self, request: Request, code: ExtendedError, text: str, rejected: bool) -> None:
         """Answer the queries of a request without response, from a stale answer if there is one."""
-        key, now = request.message.cache_key, now_us()
+        key = request.message.cache_key
         self.cache.prefetch_failed(key)
-        stale = self.cache.get_stale(key, now)
+        stale = self.cache.get_stale(key, now_us())
         for waiting in self.end_request(request):
             if stale is not None:
                 self.counts.answered += 1
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -4,9 +4,9 @@
 
 import asyncio
 import gc
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Coroutine, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from sagetrack.config.platform import Address, stable_id
 from sagetrack.core.endpoints import Endpoint
@@ -100,18 +100,25 @@
         seed: Of the load balancer's and the zones' random draws.
         weights: Current weights of the installation's servers, by name.
         serial: First serial of the installation's zone.
+        listed: Upstream servers of the endpoint list, as far as they are known.
 
     Raises:
         ZoneError: A zone cannot be used.
     """
 
     def __init__(
-        self, config: DnsConfig, seed: int, weights: Callable[[], Mapping[str, float]] = dict, serial: int = 1
+        self,
+        config: DnsConfig,
+        seed: int,
+        weights: Callable[[], Mapping[str, float]] = dict,
+        serial: int = 1,
+        listed: Iterable[Endpoint] = (),
     ) -> None:
         self.config = config
         self.zones: LocalZones | None = None
         if config.zone is not None:
-            from sagetrack.dns.zone import LocalZones, ZoneMember  # loads dnspython, which only zones need
+            from sagetrack.dns.zone import LocalZones  # loads dnspython, which only zones need
+            from sagetrack.dns.zone_records import ZoneMember
 
             gateways = [ZoneMember(name, *place) for name, place in config.zone.gateways]
             self.zones = LocalZones(
@@ -126,7 +133,7 @@
             )
         self.freeze_timer: asyncio.TimerHandle | None = None
         self.configured: list[Endpoint] = []  # upstream servers of the operator's file
-        self.listed: list[Endpoint] = []  # upstream servers of the endpoint list, as it was last complete
+        self.listed = list(listed)  # upstream servers of the endpoint list, as it was last complete
         self.frozen_entries = 0  # cache entries that the garbage collector no longer scans
         settings = load_balancer_settings(config)
         self.upstreams = DnsUpstreams(settings)
@@ -189,10 +196,23 @@
     def list_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
         """Take over the ready servers (name, address, listed weight) for the installation's zone."""
         if self.zones is not None:
-            from sagetrack.dns.zone import ZoneMember
+            from sagetrack.dns.zone_records import ZoneMember
 
             self.zones.update(ZoneMember(name, *place, weight) for name, place, weight in servers)
 
+    def draw_zone_orders(self) -> None:
+        """Order the servers of the installation's zone anew, by their current weights."""
+        if self.zones is not None:
+            self.zones.draw_orders()
+
+    def stand_by_while(self, is_draining: Callable[[], bool]) -> None:
+        """Let client connections close once they are answered, while `is_draining` returns true."""
+        self.listener.stands_by = is_draining
+
+    def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
+        """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
+        return self.listener.shut_down(until_s)
+
     def figures(self) -> dict[str, int]:
         """Values for the exported metrics."""
         queries, cache, upstreams = self.handler.counts, self.cache, self.upstreams.counts
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -45,17 +45,21 @@
         Raises:
             ConfigError: an address or a zone cannot be used.
         """
-        self.config, self.settings, self.gateway, self.pools = config, settings, gateway, pools
+        self.config = config
+        self.settings = settings
+        self.gateway = gateway
+        self.pools = pools
         self._zone_timer: asyncio.TimerHandle | None = None
         plan = _service_plan(config, settings)
         self._has_zone = plan.zone is not None
         try:
             serial = now_us() // 1_000_000
-            self.service = DnsService(plan, config.seed ^ SEED_MASK, self._server_weights, serial)
+            self.service = DnsService(
+                plan, config.seed ^ SEED_MASK, self._server_weights, serial, listed=listed
+            )
         except ValueError as error:  # a zone that cannot be read
             raise ConfigError(f"dns.zone: {error}") from None
-        self.service.listener.stands_by = is_draining
-        self.service.listed = list(listed)
+        self.service.stand_by_while(is_draining)
 
     async def start(self) -> None:
         """Listen and keep our own zone up to date; ConfigError if an address cannot be had."""
@@ -77,7 +81,7 @@
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
-        return self.service.listener.shut_down(until_s)
+        return self.service.drain(until_s)
 
     def close(self) -> None:
         """Close everything at once."""
@@ -99,8 +103,7 @@
         self.service.list_servers(
             (host.name, host.address, servers[host.id].entry.weight) for host in ready if host.id in servers
         )
-        if self.service.zones is not None:
-            self.service.zones.turn_orders()
+        self.service.draw_zone_orders()
 
 
 def _service_plan(config: Config, settings: DnsSettings) -> DnsConfig:
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -11,7 +11,7 @@
 from sagetrack.dns.errors import DnsError
 from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, unused_message_id
-from sagetrack.dns.zone import ZoneError, label
+from sagetrack.dns.zone_records import ZoneError, label
 from sagetrack.policy.events import Outcome
 from tests.dns_helpers import query, response_to
 
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -15,7 +15,8 @@
 from sagetrack.dns.answer import encode_reply
 from sagetrack.dns.message import parse_query
 from sagetrack.dns.service import ZoneConfig
-from sagetrack.dns.zone import LocalZones, ZoneError, ZoneMember
+from sagetrack.dns.zone import LocalZones
+from sagetrack.dns.zone_records import ZoneError, ZoneMember
 from sagetrack.lab.stand_ins.dns_server import nameserver
 from tests.dns_helpers import (
     UdpClient,
@@ -89,7 +90,7 @@
     zones.update([ZoneMember("a", "192.0.2.1", 1), ZoneMember("b", "192.0.2.2", 1)])
     first = 0
     for _ in range(40):
-        zones.turn_orders()
+        zones.draw_orders()
         heads = [said(zones, "servers.z.example.").answer[0][0].to_text() for _ in range(8)]
         first += heads.count("192.0.2.1")
     assert 0.85 < first / 320 < 1.0
