--- a/sagetrack/config/allowed_values.py
+++ b/sagetrack/config/allowed_values.py
@@ -20,9 +20,11 @@
 def _describe_number(kind: inspect.IntType | inspect.FloatType, noun: str) -> str:
     least = kind.ge if kind.ge is not None else kind.gt
     most = kind.le if kind.le is not None else kind.lt
-    excludes_least, excludes_most = kind.gt is not None, kind.lt is not None
+    excludes_least = kind.gt is not None
+    excludes_most = kind.lt is not None
     if least is not None and most is not None:
-        above, below = "above " if excludes_least else "from ", "below " if excludes_most else ""
+        above = "above " if excludes_least else "from "
+        below = "below " if excludes_most else ""
         return f"{noun} {above}{least:g} to {below}{most:g}"
     if least is not None:
         return f"{noun} {'above' if excludes_least else 'of at least'} {least:g}"
--- a/sagetrack/discovery/endpoint_list_json.py
+++ b/sagetrack/discovery/endpoint_list_json.py
@@ -36,7 +36,8 @@
     def apply(self, raw: dict[str, Any], version: int | None, is_complete: bool) -> None:
         """Take in a response of discovery; entries without a name are ignored."""
         if is_complete:
-            self._encoded, self._changed = {}, {}
+            self._encoded = {}
+            self._changed = {}
         for entry in raw.get("endpoints") or []:
             if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
                 continue
--- a/sagetrack/discovery/version_check.py
+++ b/sagetrack/discovery/version_check.py
@@ -25,7 +25,8 @@
         if self._newest is None or version >= self._newest:
             self._last_was_older = False
             return True
-        repeated, self._last_was_older = self._last_was_older, True
+        repeated = self._last_was_older
+        self._last_was_older = True
         return repeated and is_complete
 
     def taken(self, version: int) -> None:
@@ -34,4 +35,5 @@
 
     def reset(self) -> None:
         """Forget all: versions of two services need not be comparable."""
-        self._newest, self._last_was_older = None, False
+        self._newest = None
+        self._last_was_older = False
--- a/sagetrack/dns/downstream_connection.py
+++ b/sagetrack/dns/downstream_connection.py
@@ -57,7 +57,8 @@
     """
 
     def __init__(self, handler: QueryHandler, registry: ConnectionRegistry) -> None:
-        self.handler, self.registry = handler, registry
+        self.handler = handler
+        self.registry = registry
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.host = ""
--- a/sagetrack/dns/limits.py
+++ b/sagetrack/dns/limits.py
@@ -73,7 +73,8 @@
         self.per_s = per_s
         self.burst = burst if burst is not None else 2 * per_s
         self.buckets: OrderedDict[bytes, RateBucket] = OrderedDict()
-        self.truncated = self.dropped = 0
+        self.truncated = 0
+        self.dropped = 0
 
     @staticmethod
     def prefix(host: str) -> bytes:
@@ -115,7 +116,8 @@
     """
 
     def __init__(self, per_client: int, total: int) -> None:
-        self.per_client, self.total = per_client, total
+        self.per_client = per_client
+        self.total = total
         self.by_host: dict[str, int] = {}
         self.count = 0
 
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -34,7 +34,8 @@
     """
 
     def __init__(self, handler: QueryHandler, limits: ClientLimits) -> None:
-        self.handler, self.limits = handler, limits
+        self.handler = handler
+        self.limits = limits
         self.loop = asyncio.get_running_loop()
         self.udp: list[asyncio.DatagramTransport] = []
         self.tcp: list[asyncio.Server] = []
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -215,7 +215,9 @@
 
     def figures(self) -> dict[str, int]:
         """Values for the exported metrics."""
-        queries, cache, upstreams = self.handler.counts, self.cache, self.upstreams.counts
+        queries = self.handler.counts
+        cache = self.cache
+        upstreams = self.upstreams.counts
         return {
             "dns_queries_total": queries.queries,
             "dns_answered_total": queries.answered,
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -32,7 +32,10 @@
         counts: UpstreamCounts,
         on_closed: Callable[[UpstreamTcpConnection], None],
     ) -> None:
-        self.loop, self.server, self.counts, self.on_closed = loop, server, counts, on_closed
+        self.loop = loop
+        self.server = server
+        self.counts = counts
+        self.on_closed = on_closed
         self.transport: asyncio.Transport | None = None
         self.waiting: dict[int, DnsAttempt] = {}
         self.awaiting_connect: deque[DnsAttempt] = deque()
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -42,7 +42,9 @@
         counts: UpstreamCounts,
         on_truncated: Callable[[DnsAttempt], None],
     ) -> None:
-        self.loop, self.counts, self.on_truncated = loop, counts, on_truncated
+        self.loop = loop
+        self.counts = counts
+        self.on_truncated = on_truncated
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -70,7 +72,8 @@
             self.socket.send(encode_upstream_query(attempt.query, id_))
         except OSError:
             return False
-        attempt.id, attempt.carrier = id_, self
+        attempt.id = id_
+        attempt.carrier = self
         self.waiting[id_] = attempt
         return True
 
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -34,7 +34,10 @@
         counts: UpstreamCounts,
         retry_over_tcp: Callable[[DnsServerSockets, DnsAttempt], None],
     ) -> None:
-        self.loop, self.server, self.counts, self.retry_over_tcp = loop, server, counts, retry_over_tcp
+        self.loop = loop
+        self.server = server
+        self.counts = counts
+        self.retry_over_tcp = retry_over_tcp
         self.udp: list[UdpSocket] = []
         self.tcp: UpstreamTcpConnection | None = None
         self.last_index = 0
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -43,7 +43,9 @@
         counts: UpstreamCounts,
         connect: Callable[[GrpcUpstreamConnection, Address], None],
     ) -> None:
-        self.server, self.counts, self.connect = server, counts, connect
+        self.server = server
+        self.counts = counts
+        self.connect = connect
         self.connections: list[GrpcUpstreamConnection] = []
 
     def connection_with_capacity(self) -> GrpcUpstreamConnection | None:
@@ -91,7 +93,8 @@
     def __init__(
         self, settings: Settings, tls_context: Callable[[], ssl.SSLContext | None] = lambda: None
     ) -> None:
-        self.settings, self.tls_context = settings, tls_context
+        self.settings = settings
+        self.tls_context = tls_context
         self.loop = asyncio.get_running_loop()
         self.pools: dict[int, GrpcConnectionPool] = {}
         self.counts = UpstreamCounts()
@@ -116,7 +119,8 @@
             self.add_server(GrpcUpstreamServer(listed.server, entry.name, entry.address, listed.started_us))
         server = self.pools[listed.server].server
         if (server.address, server.started_us) != (entry.address, listed.started_us):
-            server.address, server.started_us = entry.address, listed.started_us
+            server.address = entry.address
+            server.started_us = listed.started_us
             self.close_idle(server.id)
         if listed.status is ServerStatus.READY:
             server.drained_us = None
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -226,7 +226,8 @@
     def drop(self) -> None:
         """Cancel the request: the client has gone or has reset the stream."""
         self.closed = True
-        request, self.request = self.request, None
+        request = self.request
+        self.request = None
         if self.streamed_body is not None:
             self.streamed_body.abort()
         if request is not None:
--- a/sagetrack/grpc/flood_guard.py
+++ b/sagetrack/grpc/flood_guard.py
@@ -19,12 +19,15 @@
     def __init__(self, now_us: int, max_resets_per_s: int | None = None) -> None:
         self._window_start_us = now_us
         self._max_resets = max_resets_per_s
-        self._control_frames = self._resets = 0
+        self._control_frames = 0
+        self._resets = 0
 
     def record(self, now_us: int, *, control_frames: int = 0, resets: int = 0) -> bool:
         """Count frames that arrived now; True if the peer exceeds a limit in this window."""
         if now_us - self._window_start_us > WINDOW_US:
-            self._window_start_us, self._control_frames, self._resets = now_us, 0, 0
+            self._window_start_us = now_us
+            self._control_frames = 0
+            self._resets = 0
         self._control_frames += control_frames
         self._resets += resets
         if self._max_resets is not None and self._resets > self._max_resets:
--- a/sagetrack/grpc/liveness.py
+++ b/sagetrack/grpc/liveness.py
@@ -14,7 +14,9 @@
     __slots__ = ("_created_us", "_idle_since_us", "_last_received_us", "_ping_sent_us")
 
     def __init__(self, now_us: int) -> None:
-        self._created_us = self._last_received_us = self._idle_since_us = now_us
+        self._created_us = now_us
+        self._last_received_us = now_us
+        self._idle_since_us = now_us
         self._ping_sent_us = 0  # 0: no ping is unanswered
 
     def on_received(self, now_us: int) -> None:
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -106,7 +106,9 @@
         names: list[str],
         wanted: Callable[[], bool],
     ) -> None:
-        self.gateway, self.names, self.wanted = gateway, names, wanted
+        self.gateway = gateway
+        self.names = names
+        self.wanted = wanted
         classes = enumerate(gateway.settings.classes)
         self.safe_classes = frozenset(number for number, kind in classes if kind.effect is Effect.SAFE)
         self.ignored = IGNORED_FIELDS | {name.lower().encode() for name in ignored}
@@ -168,7 +170,9 @@
     """The client of one mirrored request."""
 
     def __init__(self, mirror: ResponseMirror, original: Response, original_from_grpc: bool) -> None:
-        self.mirror, self.original, self.original_from_grpc = mirror, original, original_from_grpc
+        self.mirror = mirror
+        self.original = original
+        self.original_from_grpc = original_from_grpc
 
     def on_response(self, request: Request, answer: Any) -> None:
         """Compare the response."""
--- a/sagetrack/grpc/tls.py
+++ b/sagetrack/grpc/tls.py
@@ -27,7 +27,9 @@
     """
 
     def __init__(self, ca: str, certificate: str = "", key: str = "") -> None:
-        self.ca, self.certificate, self.key = ca, certificate, key
+        self.ca = ca
+        self.certificate = certificate
+        self.key = key
         self.server_context: ssl.SSLContext | None = None  # reloaded in place
         self.context, self.expires_s = self.load_client_context()
 
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -25,7 +25,8 @@
     b"x-call-cost": "x-call-cost",
     b"x-again": "x-again",
 }
-KEY_FIELD, KEY_METADATA = b"idempotency-key", "idempotency-key-bin"
+KEY_FIELD = b"idempotency-key"
+KEY_METADATA = "idempotency-key-bin"
 FIELD_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
 FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
 PRINTABLE = re.compile(rb"[\x20-\x7e]*")
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -211,7 +211,8 @@
         for timer in self.timers:
             timer.cancel()
         if self.request.streamed_body is not None:
-            self.request.streamed_body.on_data = self.request.streamed_body.on_complete = do_nothing
+            self.request.streamed_body.on_data = do_nothing
+            self.request.streamed_body.on_complete = do_nothing
         if self.connection is not None:
             self.connection.forget(self)
         self.observer.on_attempt_ended(self, outcome, reply, None)
--- a/sagetrack/peers/member_table.py
+++ b/sagetrack/peers/member_table.py
@@ -64,7 +64,8 @@
             now_us: The time.
         """
         self.peers = {number: MemberRecord(since_us=now_us) for number in range(count) if number != me}
-        self._me, self._settings = me, settings
+        self._me = me
+        self._settings = settings
 
     @property
     def alive(self) -> int:
@@ -100,7 +101,8 @@
         """
         peer = self.peers[member]
         before = peer.state
-        peer.state, peer.incarnation = state, incarnation
+        peer.state = state
+        peer.incarnation = incarnation
         if state is MemberState.SUSPECT:
             peer.confirmations = {reporter}
             peer.since_us = now_us
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -96,10 +96,12 @@
             send: Sends a datagram to a member.
             incarnation: This member's incarnation; higher than any that it had before.
         """
-        self.me, self.incarnation = me, incarnation
+        self.me = me
+        self.incarnation = incarnation
         self.counts = Counts()
         self.on_change: Callable[[int, MemberState], None] = lambda member, state: None
-        self._settings, self._send_datagram = settings, send
+        self._settings = settings
+        self._send_datagram = send
         self._table = MemberTable(me, count, settings, now_us)
         self._updates = UpdateQueue(self._current_update)
         self._bucket = TokenBucket(settings.datagrams_per_s, settings.burst, now_us)
--- a/sagetrack/peers/token_bucket.py
+++ b/sagetrack/peers/token_bucket.py
@@ -7,8 +7,10 @@
     """Tokens that accrue at a fixed rate, up to a maximum; full at first."""
 
     def __init__(self, rate_per_s: float, burst: float, now_us: int) -> None:
-        self._rate_per_s, self._burst = rate_per_s, burst
-        self._tokens, self._counted_us = burst, now_us
+        self._rate_per_s = rate_per_s
+        self._burst = burst
+        self._tokens = burst
+        self._counted_us = now_us
 
     def take(self, now_us: int, count: int) -> bool:
         """Take so many tokens, or none at all if there are fewer.
@@ -17,7 +19,8 @@
             Whether they were taken.
         """
         accrued = (now_us - self._counted_us) / 1e6 * self._rate_per_s
-        self._tokens, self._counted_us = min(self._burst, self._tokens + accrued), now_us
+        self._tokens = min(self._burst, self._tokens + accrued)
+        self._counted_us = now_us
         if self._tokens < count:
             return False
         self._tokens -= count
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -37,7 +37,8 @@
 
 
 def _admission_settings(config: Config, operator: Operator) -> AdmissionSettings:
-    queues, limits = operator.queues, operator.limits
+    queues = operator.queues
+    limits = operator.limits
     return AdmissionSettings(
         shares=tenant_shares(config, operator),
         flows=queues.flows,
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -181,7 +181,8 @@
 
     def _join_siblings(self) -> None:
         """Find other processes of this gateway, and begin with the newest endpoint list at hand."""
-        config, endpoint_list = self.config, self.hot_restart.endpoint_list
+        config = self.config
+        endpoint_list = self.hot_restart.endpoint_list
         self.hot_restart.join()
         self.gateway.known_endpoints = endpoint_list.newest(
             config.discovery,
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -54,7 +54,9 @@
     ) -> Request:
         message = HttpRequest()
         message.streamed_body = streamed_body
-        message.method, message.target, message.body = method.encode(), target, [body] if body else []
+        message.method = method.encode()
+        message.target = target
+        message.body = [body] if body else []
         message.headers = [
             *headers,
             *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else []),
@@ -120,7 +122,9 @@
         ):
             share = "by listed weights" if settings.share is None else settings.share
             log(f"gRPC traffic share changed: {share}")
-            move.target_share, move.class_shares, move.tenant_shares = settings.share, by_class, by_tenant
+            move.target_share = settings.share
+            move.class_shares = by_class
+            move.tenant_shares = by_tenant
             self._refresh_weights()
 
     def figures(self) -> dict[str, float]:
--- a/sagetrack/server/health_handover.py
+++ b/sagetrack/server/health_handover.py
@@ -34,7 +34,9 @@
         """
         assert hot_restart.folder is not None
         self.folder: Path = hot_restart.folder
-        self.hot_restart, self.config, self.gateway = hot_restart, config, gateway
+        self.hot_restart = hot_restart
+        self.config = config
+        self.gateway = gateway
         self._loop = asyncio.get_running_loop()
         self._is_successor = hot_restart.serving > 0
         self._read_until_s = self._loop.time() + READING_PERIOD_S
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -84,7 +84,8 @@
         """
         if self.folder is None or self._marker is None:
             return
-        others = serving = 0
+        others = 0
+        serving = 0
         try:
             names = os.listdir(self.folder)
         except OSError:
@@ -96,7 +97,8 @@
             if self._is_locked(self.folder / name):
                 others += 1
                 serving += marker[2] == SERVING
-        self.others, self.serving = others, serving
+        self.others = others
+        self.serving = serving
 
     @staticmethod
     def _is_locked(path: Path) -> bool:
@@ -126,4 +128,5 @@
             with suppress(OSError):  # a marker that stays has no lock, and the next process removes it
                 self._marker.unlink(missing_ok=True)
             os.close(self._descriptor)
-            self._descriptor = self._marker = None
+            self._descriptor = None
+            self._marker = None
--- a/sagetrack/server/lifecycle.py
+++ b/sagetrack/server/lifecycle.py
@@ -56,8 +56,11 @@
             timing: the record of this start.
             early_reloads: a list that is not empty if SIGHUP came before `run` handles it.
         """
-        self.config, self.operator, self.operator_path = config, operator, operator_path
-        self.timing, self.early_reloads = timing, early_reloads
+        self.config = config
+        self.operator = operator
+        self.operator_path = operator_path
+        self.timing = timing
+        self.early_reloads = early_reloads
 
     async def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then drain and shut down; returns the exit status."""
--- a/sagetrack/server/observation_exchange.py
+++ b/sagetrack/server/observation_exchange.py
@@ -27,7 +27,9 @@
             operator: the operator's file, which may switch messages between gateways on or off.
             gateway: where observations are from, and where received ones go.
         """
-        self.config, self.operator, self.gateway = config, operator, gateway
+        self.config = config
+        self.operator = operator
+        self.gateway = gateway
         self.peer_node: Node | None = None
         self.health_handover: HealthHandover | None = None
 
--- a/sagetrack/server/peer_node.py
+++ b/sagetrack/server/peer_node.py
@@ -65,7 +65,8 @@
     from sagetrack.peers.node import Node
     from sagetrack.peers.settings import MembershipSettings
 
-    settings, warm_start = MembershipSettings(), True
+    settings = MembershipSettings()
+    warm_start = True
     if operator is not None:
         asked = operator.peers
         settings = MembershipSettings(period_us=asked.period_ms * 1000, timeout_us=asked.timeout_ms * 1000)
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -47,7 +47,9 @@
             settings: the operator's `store` table, with a folder.
             gateway: where observations are from, and where restored ones go.
         """
-        self.config, self.settings, self.gateway = config, settings, gateway
+        self.config = config
+        self.settings = settings
+        self.gateway = gateway
         max_age_ms = int(settings.keep_hours * 3_600_000)
         options = StoreOptions(
             max_bytes=int(settings.most_mb * 1_000_000),
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -32,7 +32,9 @@
             operator: the operator's file, which says which listeners are on.
             gateway: where requests go, and where the metrics are registered.
         """
-        self.config, self.operator, self.gateway = config, operator, gateway
+        self.config = config
+        self.operator = operator
+        self.gateway = gateway
         self.dns: DnsAssembly | None = None
         self.grpc: GrpcListener | None = None
 
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -52,8 +52,10 @@
             on_operator: called with both files as read again; it may raise ConfigError.
             on_keys: called to read the TLS keys again; None where there are none.
         """
-        self.discovery, self.operator_path = discovery, operator_path
-        self.on_operator, self.on_keys = on_operator, on_keys
+        self.discovery = discovery
+        self.operator_path = operator_path
+        self.on_operator = on_operator
+        self.on_keys = on_keys
         self._is_requested = False
         self._reading: asyncio.Task[None] | None = None
         self._failures = 0  # in a row
--- a/sagetrack/server/startup_timing.py
+++ b/sagetrack/server/startup_timing.py
@@ -23,7 +23,8 @@
         cpu_s, now_s = process_time(), monotonic()
         cpu, elapsed = self.phases.get(phase, (0.0, 0.0))
         self.phases[phase] = cpu + cpu_s - self.cpu_s, elapsed + now_s - self.now_s
-        self.cpu_s, self.now_s = cpu_s, now_s
+        self.cpu_s = cpu_s
+        self.now_s = now_s
 
     def log(self) -> None:
         """Log the phases where SAGETRACK_STARTUP is set; `sagetrack lab readiness` parses this line."""
--- a/sagetrack/store/checkpoint.py
+++ b/sagetrack/store/checkpoint.py
@@ -75,7 +75,8 @@
         _, sequence = decode_file_header(header, CHECKPOINT_MAGIC)
         if sequence != self.sequence:
             raise CorruptionError("its name is that of another")
-        chained, last_hash = 0, -1
+        chained = 0
+        last_hash = -1
         for frame in read_frames(self._directory, self.name, FILE_HEADER.size, self.size, verify):
             if frame.number == END_OF_CHECKPOINT:
                 self._verify_end(frame, chained)
@@ -85,7 +86,8 @@
             self.add(frame.number, frame.offset)
             if frame.payload:
                 on_record(decode_record(frame.payload), len(frame.payload))
-            chained, last_hash = chain_checksum(frame.checksum, chained), frame.number
+            chained = chain_checksum(frame.checksum, chained)
+            last_hash = frame.number
         raise CorruptionError("it has no end")
 
     def _verify_end(self, frame: Frame, chained: int) -> None:
@@ -107,7 +109,9 @@
     def pinned(self) -> Checkpoint:
         """A copy whose index outlives `release_index`."""
         copy = Checkpoint(self._directory, self.sequence)
-        copy._hashes, copy._offsets, copy.size = self._hashes, self._offsets, self.size
+        copy._hashes = self._hashes
+        copy._offsets = self._offsets
+        copy.size = self.size
         return copy
 
     def find(self, space: str, key: bytes) -> Record | None:
@@ -163,7 +167,8 @@
     def install(self, checkpoint: Checkpoint) -> Checkpoint | None:
         """Make a checkpoint the newest; returns the one that is not needed any more."""
         obsolete = self._previous
-        self._previous, self.newest = self.newest, checkpoint
+        self._previous = self.newest
+        self.newest = checkpoint
         if self._previous is not None:
             self._previous.release_index()
         return obsolete
--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -46,7 +46,9 @@
         options: StoreOptions,
         report: Callable[[str], None] = lambda line: None,
     ) -> None:
-        self._directory, self._options, self._report = directory, options, report
+        self._directory = directory
+        self._options = options
+        self._report = report
         self._disk_space = DiskSpace(directory, options.max_bytes)
         self._limits = SpaceLimits(options)
         self._index = LogIndex()
@@ -77,7 +79,8 @@
             CorruptionError: The record is damaged on disk.
             OSError: It cannot be read.
         """
-        tables, newest = self._index.tables(), self._checkpoints.newest
+        tables = self._index.tables()
+        newest = self._checkpoints.newest
         record = find_record(self._directory, tables, newest, space, key)
         return None if record is None else self._limits.visible_value(record, now_ms)
 
--- a/sagetrack/store/format.py
+++ b/sagetrack/store/format.py
@@ -18,7 +18,9 @@
 from sagetrack.store.errors import CorruptionError, NewerFormatError
 
 FORMAT_VERSION = 2  # version 1 had no times
-LOG_MAGIC, CHECKPOINT_MAGIC, MANIFEST_MAGIC = b"sgtk-log", b"sgtk-bas", b"sgtk-man"
+LOG_MAGIC = b"sgtk-log"
+CHECKPOINT_MAGIC = b"sgtk-bas"
+MANIFEST_MAGIC = b"sgtk-man"
 FILE_HEADER = struct.Struct("<8sHQI")  # magic, format version, number, checksum of these
 FRAME_HEADER = struct.Struct("<IIQ")  # payload length, checksum of all else, sequence number or key hash
 CHECKSUM_BYTES = 4
--- a/sagetrack/store/frames.py
+++ b/sagetrack/store/frames.py
@@ -57,15 +57,18 @@
         CorruptionError: At the first frame that is damaged or incomplete.
         OSError: The file cannot be read.
     """
-    block, block_offset = b"", offset
+    block = b""
+    block_offset = offset
     while offset < end:
         if block_offset + len(block) - offset < FRAME_HEADER.size:
-            block, block_offset = directory.read(name, offset, READ_BYTES), offset
+            block = directory.read(name, offset, READ_BYTES)
+            block_offset = offset
         length, checksum, number = decode_frame_header(block, offset - block_offset)
         size = FRAME_HEADER.size + length
         if verify:
             if block_offset + len(block) - offset < size:
-                block, block_offset = directory.read(name, offset, max(READ_BYTES, size)), offset
+                block = directory.read(name, offset, max(READ_BYTES, size))
+                block_offset = offset
             begin = offset - block_offset + FRAME_HEADER.size
             payload = block[begin : begin + length]
             verify_frame(length, checksum, number, payload)
--- a/sagetrack/store/log_index.py
+++ b/sagetrack/store/log_index.py
@@ -70,7 +70,8 @@
 
     def freeze(self) -> None:
         """Freeze what is active, on top of what an unfinished compaction has left frozen."""
-        self._frozen, self._active = self.merged(), {}
+        self._frozen = self.merged()
+        self._active = {}
 
     def unfreeze(self) -> None:
         """Make all active again after a compaction that failed."""
--- a/sagetrack/store/recorder.py
+++ b/sagetrack/store/recorder.py
@@ -119,7 +119,9 @@
             events=self._events,
             dropped_events=self._dropped_events,
         )
-        self._outcomes, self._events, self._dropped_events = {}, [], 0
+        self._outcomes = {}
+        self._events = []
+        self._dropped_events = 0
         self._latencies = [{} for _ in range(self.classes)]
         return msgspec.msgpack.encode(record)
 
--- a/sagetrack/store/recovery.py
+++ b/sagetrack/store/recovery.py
@@ -90,8 +90,11 @@
         index: LogIndex,
         limits: SpaceLimits,
     ) -> None:
-        self._directory, self._options, self._report = directory, options, report
-        self._index, self._limits = index, limits
+        self._directory = directory
+        self._options = options
+        self._report = report
+        self._index = index
+        self._limits = limits
         self._found = RecoveryReport()
         self._segments: list[Segment] = []
         self._sequence = 0
--- a/sagetrack/store/write_ahead_log.py
+++ b/sagetrack/store/write_ahead_log.py
@@ -102,7 +102,8 @@
         """Go on after recovery; all that it found is durable."""
         self._segments = segments
         self._last_number = last_number
-        self.sequence = self.durable_sequence = sequence
+        self.sequence = sequence
+        self.durable_sequence = sequence
 
     @property
     def has_unsynced(self) -> bool:
@@ -215,7 +216,8 @@
 
     def _rewrite_unsynced(self) -> None:
         """Write what is not durable into a new segment, whose first sequence number voids the old copy."""
-        pending, sequence = self._unsynced, self.sequence
+        pending = self._unsynced
+        sequence = self.sequence
         self.sequence = pending[0].sequence - 1
         try:
             segment = self._rotate()
