--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -7,9 +7,10 @@
 from collections.abc import Callable
 from typing import cast
 
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.dns.answer import parse_answer
 from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query
-from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts, unused_message_id
+from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
 IDLE_TIMEOUT_S = 8.0
@@ -28,7 +29,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        server: DnsServer,
+        server: UpstreamServerRecord,
         counts: UpstreamCounts,
         on_closed: Callable[[UpstreamTcpConnection], None],
     ) -> None:
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -8,10 +8,11 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.dns.tcp_connection import UpstreamTcpConnection
 from sagetrack.dns.udp_socket import UdpSocket
-from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts
-from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts
+from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.settings import Settings
 
 SOCKETS_PER_SERVER = 4
@@ -30,7 +31,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        server: DnsServer,
+        server: UpstreamServerRecord,
         counts: UpstreamCounts,
         retry_over_tcp: Callable[[DnsServerSockets, DnsAttempt], None],
     ) -> None:
@@ -125,26 +126,20 @@
         """Add a server, or take over its new address, start time or status."""
         listed = entry.listed
         known = self.servers.get(listed.server)
-        if known is not None and (known.server.address, known.server.started_us) != (
-            entry.address,
-            listed.started_us,
-        ):
+        if known is not None and not known.server.is_same_incarnation(entry):
             known.close_idle()
             known = None
         if known is None:
-            server = DnsServer(listed.server, entry.name, entry.address, listed.started_us)
+            server = UpstreamServerRecord.of(entry)
             known = DnsServerSockets(self.loop, server, self.counts, self.retry_over_tcp)
             self.servers[listed.server] = known
-        if listed.status is ServerStatus.READY:
-            known.server.drained_us = None
-        elif known.server.drained_us is None:
-            known.server.drained_us = now_us()
+        known.server.update_status(listed.status)
 
     def remove(self, server: int) -> None:
         """Drop a server; queries that wait there end as they would."""
         known = self.servers.pop(server, None)
         if known is not None:
-            known.server.drained_us = known.server.drained_us or now_us()
+            known.server.withdraw()
             known.retire_udp()
 
     def close_idle(self, server: int) -> None:
@@ -153,7 +148,7 @@
         if known is not None:
             known.close_idle()
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Do nothing: upstream DNS servers are never probed."""
 
     # Attempts
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -8,10 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver
-from sagetrack.core.send_rules import ServerState
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.dns.answer import Answer
 from sagetrack.dns.message import Query, Rcode
 from sagetrack.policy.events import Outcome
@@ -29,22 +28,6 @@
     malformed: int = 0
 
 
-@dataclass(slots=True, eq=False)
-class DnsServer:
-    """One server as it is listed."""
-
-    id: int
-    name: str
-    address: Address
-    started_us: int = 0
-    drained_us: int | None = None  # since when it is listed as draining or gone
-
-    @property
-    def state(self) -> ServerState:
-        """What the send rules have to know of it."""
-        return ServerState.SERVING if self.drained_us is None else ServerState.WITHDRAWN
-
-
 class AttemptCarrier(Protocol):
     """The socket or connection on which an attempt waits."""
 
@@ -56,7 +39,7 @@
 class DnsAttempt:
     """One attempt. It ends exactly once, by `finish`, which tells its observer."""
 
-    upstream: DnsServer
+    upstream: UpstreamServerRecord
     query: Query
     observer: AttemptObserver
     sent_us: int
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -15,13 +15,14 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver, Request
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.errors import TranslationError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.translate import request_to_grpc
-from sagetrack.grpc.upstream_attempt import GrpcAttempt, GrpcUpstreamServer
+from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection, UpstreamCounts
-from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.settings import Settings
 
 MAX_CONNECTIONS_PER_SERVER = 4  # those that drain do not count
@@ -39,7 +40,7 @@
 
     def __init__(
         self,
-        server: GrpcUpstreamServer,
+        server: UpstreamServerRecord,
         counts: UpstreamCounts,
         connect: Callable[[GrpcUpstreamConnection, Address], None],
     ) -> None:
@@ -116,18 +117,14 @@
         """Add a server, or take over its new address, start time or status."""
         listed = entry.listed
         if listed.server not in self.pools:
-            self.add_server(GrpcUpstreamServer(listed.server, entry.name, entry.address, listed.started_us))
+            self.add_server(UpstreamServerRecord.of(entry))
         server = self.pools[listed.server].server
-        if (server.address, server.started_us) != (entry.address, listed.started_us):
-            server.address = entry.address
-            server.started_us = listed.started_us
+        if not server.is_same_incarnation(entry):
+            server.restart(entry)
             self.close_idle(server.id)
-        if listed.status is ServerStatus.READY:
-            server.drained_us = None
-        elif server.drained_us is None:
-            server.drained_us = now_us()
+        server.update_status(listed.status)
 
-    def add_server(self, server: GrpcUpstreamServer) -> GrpcConnectionPool:
+    def add_server(self, server: UpstreamServerRecord) -> GrpcConnectionPool:
         """Make an empty pool for a server."""
         pool = self.pools[server.id] = GrpcConnectionPool(server, self.counts, self.start_connect)
         return pool
@@ -136,7 +133,7 @@
         """Drop a server; requests in flight there end as they would."""
         pool = self.pools.pop(server, None)
         if pool is not None:
-            pool.server.drained_us = pool.server.drained_us or now_us()
+            pool.server.withdraw()
             pool.drain()
 
     def close_idle(self, server: int) -> None:
@@ -176,7 +173,12 @@
         return attempt
 
     def prepare(
-        self, request: Request, server: GrpcUpstreamServer, wait_us: int, observer: AttemptObserver, now: int
+        self,
+        request: Request,
+        server: UpstreamServerRecord,
+        wait_us: int,
+        observer: AttemptObserver,
+        now: int,
     ) -> GrpcAttempt | None:
         """Translate a request; None if it has no counterpart in gRPC.
 
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -21,6 +21,7 @@
 from sagetrack.core.interfaces import Client, Request
 from sagetrack.core.responses import Header, Response
 from sagetrack.core.send_rules import ServerState
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.downstream_connection import GrpcDownstreamConnection
@@ -29,7 +30,6 @@
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.outcomes import Status
 from sagetrack.grpc.translate import request_body_message, request_to_grpc
-from sagetrack.grpc.upstream_attempt import GrpcUpstreamServer
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
 from sagetrack.policy.events import Outcome
 from sagetrack.policy.settings import RequestClass, Settings
@@ -205,7 +205,7 @@
     while found.frames < frames:
         settings = Settings(classes=(RequestClass(1_000_000, 3_000_000),))
         pools = GrpcConnectionPools(settings)
-        pool = pools.add_server(GrpcUpstreamServer(1, "n", ("127.0.0.1", 1)))
+        pool = pools.add_server(UpstreamServerRecord(1, "n", ("127.0.0.1", 1)))
         connection = GrpcUpstreamConnection(pools.counts, pool.discard)
         pool.connections.append(connection)
         observers = [RecordingObserver() for _ in range(STREAMS_PER_CONNECTION)]
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -7,12 +7,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from sagetrack.config.platform import Address
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver, Request
 from sagetrack.core.responses import Response
-from sagetrack.core.send_rules import ServerState
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.grpc.errors import MessageError, TranslationError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.response_reader import ResponseReader
@@ -20,17 +19,6 @@
 from sagetrack.policy.events import Outcome
 
 
-@dataclass(slots=True, eq=False)
-class GrpcUpstreamServer:
-    """One server as discovery lists it."""
-
-    id: int
-    name: str
-    address: Address
-    started_us: int = 0
-    drained_us: int | None = None  # since when it is listed as draining or gone
-
-
 class AttemptConnection(Protocol):
     """What an attempt asks of the connection that carries it."""
 
@@ -48,7 +36,7 @@
 class GrpcAttempt:
     """One attempt. It ends exactly once, by `finish`, which tells its observer."""
 
-    upstream: GrpcUpstreamServer
+    upstream: UpstreamServerRecord
     request: Request
     observer: AttemptObserver
     sent_us: int
@@ -85,8 +73,7 @@
 
         Once the server is listed as draining or gone, the observer decides by the send rules.
         """
-        withdrawn = self.upstream.drained_us is not None
-        return self.observer.may_begin(ServerState.WITHDRAWN if withdrawn else ServerState.SERVING)
+        return self.observer.may_begin(self.upstream.state)
 
     def assign(self, connection: AttemptConnection) -> None:
         """Take the connection that carries the attempt."""
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -7,10 +7,11 @@
 import pytest
 
 from sagetrack.core.send_rules import ServerState
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.dns.answer import parse_answer
 from sagetrack.dns.errors import DnsError
 from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
-from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, unused_message_id
+from sagetrack.dns.upstream_attempt import DnsAttempt, unused_message_id
 from sagetrack.dns.zone_records import ZoneError, label
 from sagetrack.policy.events import Outcome
 from tests.dns_helpers import query, response_to
@@ -45,14 +46,16 @@
     answer = parse_answer(response_to(encode_upstream_query(asked, 1), rcode=int(rcode)), asked, 1)
     assert answer is not None
     observer: Any = Observer()
-    attempt = DnsAttempt(DnsServer(1, "n", ("127.0.0.1", 53)), asked, observer, 0)
+    attempt = DnsAttempt(UpstreamServerRecord(1, "n", ("127.0.0.1", 53)), asked, observer, 0)
     attempt.complete(answer)
     attempt.finish(Outcome.TIMEOUT)
     assert observer.ends == [end]
 
 
 def test_a_server_is_withdrawn_from_when_it_drains() -> None:
-    states = [DnsServer(1, "n", ("127.0.0.1", 53), 0, drained_us).state for drained_us in (None, 0)]
+    states = [
+        UpstreamServerRecord(1, "n", ("127.0.0.1", 53), 0, drained_us).state for drained_us in (None, 0)
+    ]
     assert states == [ServerState.SERVING, ServerState.WITHDRAWN]
 
 
