--- a/sagetrack/dns/answer.py
+++ b/sagetrack/dns/answer.py
@@ -81,6 +81,20 @@
     return read_records(data, flags, end, answers, authorities, additional)
 
 
+def read_record_header(data: bytes, at: int) -> tuple[int, int, int]:
+    """Type, TTL and length of the data of the record whose name ends at `at`.
+
+    Raises:
+        MessageError: The record is incomplete.
+    """
+    if at + RECORD_HEADER_BYTES > len(data):
+        raise MessageError("a record is incomplete")
+    kind, _, ttl, length = struct.unpack_from("!HHIH", data, at)
+    if at + RECORD_HEADER_BYTES + length > len(data):
+        raise MessageError("a record is incomplete")
+    return kind, ttl, length
+
+
 def read_records(data: bytes, flags: int, at: int, answers: int, authorities: int, additional: int) -> Answer:
     """Walk over the records of a response, from the end of its question.
 
@@ -97,11 +111,7 @@
     for number in range(answers + authorities + additional):
         record = at
         at = skip_name(data, at)
-        if at + RECORD_HEADER_BYTES > len(data):
-            raise MessageError("a record is incomplete")
-        kind, _, ttl, length = struct.unpack_from("!HHIH", data, at)
-        if at + RECORD_HEADER_BYTES + length > len(data):
-            raise MessageError("a record is incomplete")
+        kind, ttl, length = read_record_header(data, at)
         if kind == OPT:
             opt_offset = record
             rcode |= (ttl >> 24) << 4
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -115,22 +115,7 @@
         listed: Iterable[Endpoint] = (),
     ) -> None:
         self.config = config
-        self.zones: LocalZones | None = None
-        if config.zone is not None:
-            from sagetrack.dns.zone import LocalZones  # loads dnspython, which only zones need
-            from sagetrack.dns.zone_records import ZoneMember
-
-            gateways = [ZoneMember(name, *place) for name, place in config.zone.gateways]
-            self.zones = LocalZones(
-                config.zone.origin,
-                seed,
-                config.zone.ttl_s,
-                config.zone.ttl_s,
-                gateways,
-                config.zone.files,
-                serial,
-                weights,
-            )
+        self.zones = self._build_zones(seed, weights, serial)
         self.freeze_timer: asyncio.TimerHandle | None = None
         self.configured: list[Endpoint] = []  # upstream servers of the operator's file
         self.listed = list(listed)  # upstream servers of the endpoint list, as it was last complete
@@ -152,6 +137,27 @@
         )
         self.listener = DnsListener(self.handler, limits)
 
+    def _build_zones(
+        self, seed: int, weights: Callable[[], Mapping[str, float]], serial: int
+    ) -> LocalZones | None:
+        """The zones that the gateway answers itself; None if there are none."""
+        plan = self.config.zone
+        if plan is None:
+            return None
+        from sagetrack.dns.zone import LocalZones  # loads dnspython, which only zones need
+        from sagetrack.dns.zone_records import ZoneMember
+
+        return LocalZones(
+            plan.origin,
+            seed,
+            ttl_s=plan.ttl_s,
+            negative_ttl_s=plan.ttl_s,
+            gateways=[ZoneMember(name, *address) for name, address in plan.gateways],
+            files=plan.files,
+            serial=serial,
+            weights=weights,
+        )
+
     async def start(self, shared: bool = False) -> list[Address]:
         """Listen, with `SO_REUSEPORT` if `shared`, as during a hot restart.
 
@@ -198,7 +204,7 @@
         if self.zones is not None:
             from sagetrack.dns.zone_records import ZoneMember
 
-            self.zones.update(ZoneMember(name, *place, weight) for name, place, weight in servers)
+            self.zones.update(ZoneMember(name, *address, weight) for name, address, weight in servers)
 
     def draw_zone_orders(self) -> None:
         """Order the servers of the installation's zone anew, by their current weights."""
