--- a/sagetrack/config/validation.py
+++ b/sagetrack/config/validation.py
@@ -125,9 +125,9 @@
         known = ", ".join(field_names(here)) or "none"
         return Fault(path, f"{key_text(path)} is unknown; allowed are {known}")
     if (missing := MSGSPEC_MISSING.match(reason)) is not None:
-        wanted = field_type(here, missing[1])
+        expected = field_type(here, missing[1])
         absent = (*path, missing[1])
-        allowed = describe(wanted) if wanted is not None else ""
+        allowed = describe(expected) if expected is not None else ""
         return Fault(path, f"{key_text(absent)} is missing; it is {allowed}", absent)
     try:
         value = json.dumps(_value_at(raw, path), default=str)[:MAX_VALUE_LENGTH]
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -56,7 +56,7 @@
 
     def send(self, attempt: DnsAttempt) -> None:
         """Send a query, now or once the connection is up."""
-        attempt.carrier = self
+        attempt.assign(self)
         if self.transport is None:
             self.awaiting_connect.append(attempt)
         else:
@@ -67,7 +67,7 @@
         assert self.transport is not None
         if attempt.ended:
             return
-        attempt.id = unused_message_id(self.waiting)
+        attempt.use_message_id(unused_message_id(self.waiting))
         self.waiting[attempt.id] = attempt
         data = encode_upstream_query(attempt.query, attempt.id)
         self.transport.write(len(data).to_bytes(2) + data)
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -72,8 +72,8 @@
             self.socket.send(encode_upstream_query(attempt.query, id_))
         except OSError:
             return False
-        attempt.id = id_
-        attempt.carrier = self
+        attempt.use_message_id(id_)
+        attempt.assign(self)
         self.waiting[id_] = attempt
         return True
 
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -165,7 +165,7 @@
         if not observer.may_begin(sockets.server.state):
             attempt.finish(Outcome.NOT_SENT)
             return attempt
-        attempt.timer = self.loop.call_later(wait_us / 1e6, attempt.finish, Outcome.TIMEOUT)
+        attempt.start_timeout(self.loop.call_later(wait_us / 1e6, attempt.finish, Outcome.TIMEOUT))
         observer.on_first_byte()
         try:
             sent = sockets.next_udp_socket(now).send(attempt)
@@ -175,8 +175,7 @@
             attempt.finish(Outcome.CONNECT_FAILED)
             return attempt
         self.counts.udp += 1
-        attempt.request_sent = True
-        observer.on_request_sent()
+        attempt.on_request_sent()
         return attempt
 
     def retry_over_tcp(self, sockets: DnsServerSockets, attempt: DnsAttempt) -> None:
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -55,6 +55,23 @@
         """Number of the server."""
         return self.upstream.id
 
+    def start_timeout(self, timer: asyncio.TimerHandle) -> None:
+        """Take the timer that ends the attempt; it is cancelled where the attempt ends before."""
+        self.timer = timer
+
+    def assign(self, carrier: AttemptCarrier) -> None:
+        """Take the socket or connection that carries the attempt."""
+        self.carrier = carrier
+
+    def use_message_id(self, message_id: int) -> None:
+        """Take the message id that the query is sent with."""
+        self.id = message_id
+
+    def on_request_sent(self) -> None:
+        """Note that the query has been sent."""
+        self.request_sent = True
+        self.observer.on_request_sent()
+
     def complete(self, answer: Answer) -> None:
         """End with a response; any rcode but NOERROR and NXDOMAIN is an error of the server."""
         successful = answer.rcode in SUCCESSFUL
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -199,7 +199,7 @@
         """Let the timeout run from the request's last byte."""
 
         def start() -> None:
-            attempt.timers.append(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
+            attempt.add_timer(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
 
         streamed_body = attempt.request.streamed_body
         if streamed_body is None or streamed_body.is_complete:
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -155,13 +155,13 @@
         if stream is None or not stream.withholds_window:
             self.acknowledge_data(size, stream_id)
         elif size:
-            stream.withhold(size)
+            stream.withheld.add(size)
             with suppress(h2.exceptions.H2Error):
                 self.h2.increment_flow_control_window(size)
 
     def reopen_window(self, stream: DownstreamStream) -> None:
         """Open a stream's window for what was withheld while its body's buffer was full."""
-        size = stream.take_withheld()
+        size = stream.withheld.take()
         if size and not stream.closed and not self.closed:
             self.open_stream_window(size, stream.id)
             self.flush()
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -14,6 +14,7 @@
 from sagetrack.grpc.messages import Unpacker, pack
 from sagetrack.grpc.outcomes import Status
 from sagetrack.grpc.translate import rejection_trailers, response_to_grpc
+from sagetrack.grpc.withheld_bytes import WithheldBytes
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be sent again
 MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # of a request: the body and its fields
@@ -56,7 +57,7 @@
     messages: list[bytes] = field(default_factory=list)  # until the request is handed to the gateway
     buffered_bytes: int = 0  # of them
     streamed_body: StreamedBody | None = None  # the body, once it is too long to be buffered
-    unacknowledged: int = 0  # bytes for which its window is not opened again, while the body is full
+    withheld: WithheldBytes = field(default_factory=WithheldBytes)
     request: Request | None = None
     pending: bytearray = field(default_factory=bytearray)  # framed messages that are still to be sent
     trailers: list[tuple[str, str]] | None = None
@@ -105,16 +106,6 @@
         """Whether the stream's flow-control window stays closed, as the buffer of its body is full."""
         return self.streamed_body is not None and self.streamed_body.is_full
 
-    def withhold(self, size: int) -> None:
-        """Count received bytes for which the window is not opened yet."""
-        self.unacknowledged += size
-
-    def take_withheld(self) -> int:
-        """The bytes for which the window is to be opened now; each is returned once."""
-        size = self.unacknowledged
-        self.unacknowledged = 0
-        return size
-
     # The response, as the gateway gives it
 
     def on_response(self, request: Request, answer: Any) -> None:
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -94,8 +94,8 @@
         gateway: Takes the mirrored requests.
         per_s: Mirrored requests a second.
         ignored: Names of further fields that may differ.
-        names: Names of the classes, by number.
-        wanted: Whether requests should be mirrored now.
+        class_names: Names of the classes, by index.
+        is_active: Whether requests should be mirrored now.
     """
 
     def __init__(
@@ -103,12 +103,12 @@
         gateway: Gateway,
         per_s: float,
         ignored: list[str],
-        names: list[str],
-        wanted: Callable[[], bool],
+        class_names: list[str],
+        is_active: Callable[[], bool],
     ) -> None:
         self.gateway = gateway
-        self.names = names
-        self.wanted = wanted
+        self.class_names = class_names
+        self.is_active = is_active
         classes = enumerate(gateway.settings.classes)
         self.safe_classes = frozenset(number for number, kind in classes if kind.effect is Effect.SAFE)
         self.ignored = IGNORED_FIELDS | {name.lower().encode() for name in ignored}
@@ -125,7 +125,7 @@
             or request.class_index not in self.safe_classes
         ):
             return
-        if self.rate_limiter.wait_us(0, now) > 0 or not isinstance(answer, Response) or not self.wanted():
+        if self.rate_limiter.wait_us(0, now) > 0 or not isinstance(answer, Response) or not self.is_active():
             return
         self.rate_limiter.take(0, now)
         self.last_number += 1
@@ -148,7 +148,10 @@
         if found is None:
             self.report.equal += 1
         elif self.report.record_difference(request.class_index, found, now_us()):
-            log(f"mirrored response differs: class {self.names[request.class_index]}, {found}", "warning")
+            log(
+                f"mirrored response differs: class {self.class_names[request.class_index]}, {found}",
+                "warning",
+            )
 
     def figures(self) -> dict[str, float]:
         """Values for the exported metrics."""
@@ -162,7 +165,7 @@
         }
         by_class: dict[str, int] = {}
         for (class_index, _), count in report.different.items():
-            by_class[self.names[class_index]] = by_class.get(self.names[class_index], 0) + count
+            by_class[self.class_names[class_index]] = by_class.get(self.class_names[class_index], 0) + count
         return values | {f"new_differs_{name}_total": count for name, count in by_class.items()}
 
 
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -16,6 +16,7 @@
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.response_reader import ResponseReader
 from sagetrack.grpc.translate import request_body_message
+from sagetrack.grpc.withheld_bytes import WithheldBytes
 from sagetrack.policy.events import Outcome
 
 
@@ -53,7 +54,7 @@
     paused: bool = False  # the client takes nothing at the moment
     last_progress_us: int = 0
     response: ResponseReader = field(default_factory=ResponseReader)
-    unacknowledged: int = 0  # bytes for which the stream's window is not opened again yet
+    withheld: WithheldBytes = field(default_factory=WithheldBytes)
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
     @property
@@ -79,6 +80,10 @@
         """Take the connection that carries the attempt."""
         self.connection = connection
 
+    def add_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Take a timer that is cancelled once the response has come or begins to be streamed."""
+        self.timers.append(timer)
+
     def on_headers_sent(self, stream_id: int) -> None:
         """The headers are sent on this stream: the server may run the request from now on."""
         self.stream_id = stream_id
@@ -170,19 +175,9 @@
         """Client side reads again."""
         self.paused = False
         self.last_progress_us = now_us()
-        if self.connection is not None and self.unacknowledged:
+        if self.connection is not None and self.withheld:
             self.connection.reopen_window(self)
 
-    def withhold(self, size: int) -> None:
-        """Count received bytes for which the stream's window is not opened yet."""
-        self.unacknowledged += size
-
-    def take_withheld(self) -> int:
-        """The bytes for which the window is to be opened now; each is returned once."""
-        size = self.unacknowledged
-        self.unacknowledged = 0
-        return size
-
     def cancel_stream(self) -> None:
         """Reset its stream, so that its server can stop working on it."""
         if self.connection is not None:
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -240,13 +240,13 @@
         if not attempt.paused:
             self.acknowledge_data(size, attempt.stream_id)
         elif size:
-            attempt.withhold(size)
+            attempt.withheld.add(size)
             self.h2.increment_flow_control_window(size)
         self.flush()
 
     def reopen_window(self, attempt: GrpcAttempt) -> None:
         """Open a stream's window for what was withheld while its client read nothing."""
-        if self.open_stream_window(attempt.take_withheld(), attempt.stream_id):
+        if self.open_stream_window(attempt.withheld.take(), attempt.stream_id):
             self.flush()
 
     def on_headers(self, event: h2.events.ResponseReceived | h2.events.TrailersReceived) -> None:
--- a/sagetrack/peers/member_table.py
+++ b/sagetrack/peers/member_table.py
@@ -54,17 +54,19 @@
         peers: The records, by member; the members themselves are fixed.
     """
 
-    def __init__(self, me: int, count: int, settings: MembershipSettings, now_us: int) -> None:
+    def __init__(self, own_number: int, count: int, settings: MembershipSettings, now_us: int) -> None:
         """Begin with all members alive.
 
         Args:
-            me: The member whose view this is.
+            own_number: The member whose view this is.
             count: Members in all.
             settings: Parameters of suspicion.
             now_us: The time.
         """
-        self.peers = {number: MemberRecord(since_us=now_us) for number in range(count) if number != me}
-        self._me = me
+        self.peers = {
+            number: MemberRecord(since_us=now_us) for number in range(count) if number != own_number
+        }
+        self._own_number = own_number
         self._settings = settings
 
     @property
@@ -127,9 +129,9 @@
     def reporter(self, member: int) -> int:
         """Return in whose name the state of a member is passed on: its own view, or one that suspects it."""
         peer = self.peers[member]
-        if peer.state is MemberState.SUSPECT and self._me not in peer.confirmations:
+        if peer.state is MemberState.SUSPECT and self._own_number not in peer.confirmations:
             return min(peer.confirmations)
-        return self._me
+        return self._own_number
 
     def suspicion_us(self, confirmations: int) -> int:
         """Return how long a suspicion lasts with so many confirmations (Lifeguard's LHA-Suspicion)."""
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -69,7 +69,7 @@
     """One member's view. Call `handle` with each datagram received, and `tick` no later than `next_us`.
 
     Attributes:
-        me: This member's number.
+        own_number: This member's number.
         incarnation: This member's incarnation.
         counts: Counts since the start.
         on_change: Called with a member and its state, whenever the state changes.
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        me: int,
+        own_number: int,
         count: int,
         settings: MembershipSettings,
         seed: int,
@@ -88,7 +88,7 @@
         """Begin with all members alive.
 
         Args:
-            me: This member's number.
+            own_number: This member's number.
             count: Members in all, numbered from 0.
             settings: Parameters of SWIM.
             seed: Of the randomness.
@@ -96,13 +96,13 @@
             send: Sends a datagram to a member.
             incarnation: This member's incarnation; higher than any that it had before.
         """
-        self.me = me
+        self.own_number = own_number
         self.incarnation = incarnation
         self.counts = Counts()
         self.on_change: Callable[[int, MemberState], None] = lambda member, state: None
         self._settings = settings
         self._send_datagram = send
-        self._table = MemberTable(me, count, settings, now_us)
+        self._table = MemberTable(own_number, count, settings, now_us)
         self._updates = UpdateQueue(self._current_update)
         self._bucket = TokenBucket(settings.datagrams_per_s, settings.burst, now_us)
         self._detector = FailureDetector(
@@ -137,7 +137,7 @@
         """Do what is due."""
         for member in self._table.expired_suspects(now_us):
             incarnation = self._table.peers[member].incarnation
-            self._change(now_us, member, MemberState.DEAD, incarnation, self.me)
+            self._change(now_us, member, MemberState.DEAD, incarnation, self.own_number)
         self._detector.tick(now_us)
 
     def handle(self, now_us: int, datagram: Datagram) -> None:
@@ -146,7 +146,7 @@
         A sender is alive, but only its own incarnation says so: a datagram may be older than its death.
         """
         sender = datagram.sender
-        if sender == self.me or sender not in self._table.peers:
+        if sender == self.own_number or sender not in self._table.peers:
             self.counts.rejected += 1
             return
         self.apply_update(now_us, Update(sender, MemberState.ALIVE, datagram.incarnation, sender))
@@ -159,8 +159,8 @@
     def _handle_message(self, now_us: int, sender: int, message: Message) -> None:
         match message:
             case Ping():
-                if message.target == self.me:
-                    self._send(now_us, sender, Ack(message.sequence, self.me))
+                if message.target == self.own_number:
+                    self._send(now_us, sender, Ack(message.sequence, self.own_number))
             case Ack():
                 self._detector.on_ack(now_us, sender, message)
             case PingRequest():
@@ -173,7 +173,7 @@
     def apply_update(self, now_us: int, update: Update) -> None:
         """Take in an update: one that overrides what is believed is believed and passed on."""
         member, state = update.member, MemberState(update.state)
-        if member == self.me:
+        if member == self.own_number:
             if state is not MemberState.ALIVE and update.incarnation >= self.incarnation:
                 self._refute(update.incarnation)
             return
@@ -189,16 +189,16 @@
         self.incarnation = incarnation + 1
         self.counts.refuted += 1
         self._detector.health.worsen()
-        self._updates.enqueue(self.me)
+        self._updates.enqueue(self.own_number)
 
     def _suspect(self, now_us: int, member: int) -> None:
         """A ping of this member was not acknowledged."""
         self.counts.unanswered += 1
         peer = self._table.peers[member]
         if peer.state is MemberState.ALIVE:
-            self._change(now_us, member, MemberState.SUSPECT, peer.incarnation, self.me)
+            self._change(now_us, member, MemberState.SUSPECT, peer.incarnation, self.own_number)
         elif peer.state is MemberState.SUSPECT:
-            self._confirm_suspicion(member, self.me)
+            self._confirm_suspicion(member, self.own_number)
 
     def _confirm_suspicion(self, member: int, reporter: int) -> None:
         if self._table.confirm_suspicion(member, reporter):
@@ -215,8 +215,8 @@
 
     def _current_update(self, member: int) -> Update:
         """Return what is believed of a member at present."""
-        if member == self.me:
-            return Update(self.me, MemberState.ALIVE, self.incarnation, self.me)
+        if member == self.own_number:
+            return Update(self.own_number, MemberState.ALIVE, self.incarnation, self.own_number)
         peer = self._table.peers[member]
         return Update(member, peer.state, peer.incarnation, self._table.reporter(member))
 
@@ -228,4 +228,4 @@
         messages: list[Message] = [message] if first is None else [first, message]
         most = max_transmissions(self._settings.retransmit_multiplier, self._table.log_size)
         messages += self._updates.piggyback(target, encoded_size(messages), most)
-        self._send_datagram(target, Datagram(self.me, self.incarnation, messages))
+        self._send_datagram(target, Datagram(self.own_number, self.incarnation, messages))
--- a/sagetrack/server/peer_node.py
+++ b/sagetrack/server/peer_node.py
@@ -68,9 +68,9 @@
     settings = MembershipSettings()
     warm_start = True
     if operator is not None:
-        asked = operator.peers
-        settings = MembershipSettings(period_us=asked.period_ms * 1000, timeout_us=asked.timeout_ms * 1000)
-        warm_start = asked.warm_start
+        peers = operator.peers
+        settings = MembershipSettings(period_us=peers.period_ms * 1000, timeout_us=peers.timeout_ms * 1000)
+        warm_start = peers.warm_start
     return Node(
         addresses.own_number,
         addresses.listen,
