--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -138,6 +138,31 @@
         self.factors = factors
         return [self.scaled(entry) for entry in self.endpoints.values()]
 
+    def set_shares(
+        self,
+        target_share: float | None,
+        class_shares: dict[int, float],
+        tenant_shares: dict[int, float],
+    ) -> bool:
+        """Change the share of gRPC in the traffic; False if it is as it was.
+
+        Args:
+            target_share: Of all requests, from 0 to 1; None: as the listed weights have it.
+            class_shares: Other shares, by number of a class.
+            tenant_shares: Other shares, by number of a tenant.
+        """
+        migration = self.migration
+        if (migration.target_share, migration.class_shares, migration.tenant_shares) == (
+            target_share,
+            class_shares,
+            tenant_shares,
+        ):
+            return False
+        migration.target_share = target_share
+        migration.class_shares = class_shares
+        migration.tenant_shares = tenant_shares
+        return True
+
     def record_outcome(self, is_grpc: bool, outcome: Outcome) -> None:
         """Count an outcome that says how a protocol fares; the others say nothing of it."""
         significant = outcome is Outcome.OK or outcome in FAILURES
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -31,6 +31,7 @@
     from sagetrack.grpc.tls import TlsCredentials
 
 WEIGHT_REFRESH_S = 1.0  # between updates of the listed weights from the traffic share
+MICROSECONDS_PER_MS = 1000
 NOT_FOUND = 404  # HTTP status of a request for a path that no class has
 
 
@@ -57,10 +58,9 @@
         message.method = method.encode()
         message.target = target
         message.body = [body] if body else []
-        message.headers = [
-            *headers,
-            *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else []),
-        ]
+        message.headers = list(headers)
+        if budget_us:
+            message.headers.append((b"X-Budget-Ms", b"%d" % max(1, budget_us // MICROSECONDS_PER_MS)))
         try:
             return read_request(message, target.partition(b"?")[0], config, client)
         except RequestError as error:
@@ -114,30 +114,22 @@
     def set_shares(self, config: Config, settings: GrpcSettings) -> None:
         """Change the traffic shares; ConfigError for a class or tenant that is not known."""
         by_class, by_tenant = traffic_shares(config, settings)
-        move = self.router.migration
-        if (move.target_share, move.class_shares, move.tenant_shares) != (
-            settings.share,
-            by_class,
-            by_tenant,
-        ):
+        if self.router.set_shares(settings.share, by_class, by_tenant):
             share = "by listed weights" if settings.share is None else settings.share
             log(f"gRPC traffic share changed: {share}")
-            move.target_share = settings.share
-            move.class_shares = by_class
-            move.tenant_shares = by_tenant
             self._refresh_weights()
 
     def figures(self) -> dict[str, float]:
         """Metrics of mirroring, of the gRPC pool and of the migration."""
-        move = self.router.migration
+        migration = self.router.migration
         mirroring = self.mirror.figures() if self.mirror is not None else {}
         return (
             mirroring
             | self.router.grpc.figures()
             | {
-                "new_failing": round(move.new.failure_rate, 4),
-                "old_failing": round(move.old.failure_rate, 4),
-                "new_returns_total": move.fallbacks,
+                "new_failing": round(migration.new.failure_rate, 4),
+                "old_failing": round(migration.old.failure_rate, 4),
+                "new_returns_total": migration.fallbacks,
             }
         )
 
@@ -160,8 +152,8 @@
 
     def _on_rollback(self) -> None:
         """Refresh the weights soon: gRPC servers fail more than the others, and get no share for a while."""
-        hold_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
-        log(f"gRPC traffic share rolled back for {hold_s:.0f} s: gRPC servers fail more than the others")
+        fallback_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
+        log(f"gRPC traffic share rolled back for {fallback_s:.0f} s: gRPC servers fail more than the others")
         self._loop.call_soon(self._refresh_weights)
 
 
