--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -7,8 +7,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query, parse_answer
-from sagetrack.dns.upstream_attempt import DnsAttempt, DnsServer, UpstreamCounts, unused_message_id
+from sagetrack.core.upstream_server import UpstreamServerRecord
+from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query
+from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
 IDLE_TIMEOUT_S = 8.0
@@ -27,11 +29,14 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        server: DnsServer,
+        server: UpstreamServerRecord,
         counts: UpstreamCounts,
         on_closed: Callable[[UpstreamTcpConnection], None],
     ) -> None:
-        self.loop, self.server, self.counts, self.on_closed = loop, server, counts, on_closed
+        self.loop = loop
+        self.server = server
+        self.counts = counts
+        self.on_closed = on_closed
         self.transport: asyncio.Transport | None = None
         self.waiting: dict[int, DnsAttempt] = {}
         self.awaiting_connect: deque[DnsAttempt] = deque()
@@ -51,7 +56,7 @@
 
     def send(self, attempt: DnsAttempt) -> None:
         """Send a query, now or once the connection is up."""
-        attempt.carrier = self
+        attempt.assign(self)
         if self.transport is None:
             self.awaiting_connect.append(attempt)
         else:
@@ -62,7 +67,7 @@
         assert self.transport is not None
         if attempt.ended:
             return
-        attempt.id = unused_message_id(self.waiting)
+        attempt.use_message_id(unused_message_id(self.waiting))
         self.waiting[attempt.id] = attempt
         data = encode_upstream_query(attempt.query, attempt.id)
         self.transport.write(len(data).to_bytes(2) + data)
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -12,13 +12,8 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
-from sagetrack.dns.message import (
-    HEADER_BYTES,
-    MAX_MESSAGE_BYTES,
-    MessageError,
-    encode_upstream_query,
-    parse_answer,
-)
+from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.message import HEADER_BYTES, MAX_MESSAGE_BYTES, MessageError, encode_upstream_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
@@ -47,7 +42,9 @@
         counts: UpstreamCounts,
         on_truncated: Callable[[DnsAttempt], None],
     ) -> None:
-        self.loop, self.counts, self.on_truncated = loop, counts, on_truncated
+        self.loop = loop
+        self.counts = counts
+        self.on_truncated = on_truncated
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -75,7 +72,8 @@
             self.socket.send(encode_upstream_query(attempt.query, id_))
         except OSError:
             return False
-        attempt.id, attempt.carrier = id_, self
+        attempt.use_message_id(id_)
+        attempt.assign(self)
         self.waiting[id_] = attempt
         return True
 
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver
-from sagetrack.core.send_rules import ServerState
-from sagetrack.dns.message import Answer, Query, Rcode
+from sagetrack.core.upstream_server import UpstreamServerRecord
+from sagetrack.dns.answer import Answer
+from sagetrack.dns.message import Query, Rcode
 from sagetrack.policy.events import Outcome
 
 SUCCESSFUL = frozenset({Rcode.NOERROR, Rcode.NXDOMAIN})
@@ -28,22 +28,6 @@
     malformed: int = 0
 
 
-@dataclass(slots=True, eq=False)
-class DnsServer:
-    """One server as it is listed."""
-
-    id: int
-    name: str
-    address: Address
-    started_us: int = 0
-    drained_us: int | None = None  # since when it is listed as draining or gone
-
-    @property
-    def state(self) -> ServerState:
-        """What the send rules have to know of it."""
-        return ServerState.SERVING if self.drained_us is None else ServerState.WITHDRAWN
-
-
 class AttemptCarrier(Protocol):
     """The socket or connection on which an attempt waits."""
 
@@ -55,7 +39,7 @@
 class DnsAttempt:
     """One attempt. It ends exactly once, by `finish`, which tells its observer."""
 
-    upstream: DnsServer
+    upstream: UpstreamServerRecord
     query: Query
     observer: AttemptObserver
     sent_us: int
@@ -71,6 +55,23 @@
         """Number of the server."""
         return self.upstream.id
 
+    def start_timeout(self, timer: asyncio.TimerHandle) -> None:
+        """Take the timer that ends the attempt; it is cancelled where the attempt ends before."""
+        self.timer = timer
+
+    def assign(self, carrier: AttemptCarrier) -> None:
+        """Take the socket or connection that carries the attempt."""
+        self.carrier = carrier
+
+    def use_message_id(self, message_id: int) -> None:
+        """Take the message id that the query is sent with."""
+        self.id = message_id
+
+    def on_request_sent(self) -> None:
+        """Note that the query has been sent."""
+        self.request_sent = True
+        self.observer.on_request_sent()
+
     def complete(self, answer: Answer) -> None:
         """End with a response; any rcode but NOERROR and NXDOMAIN is an error of the server."""
         successful = answer.rcode in SUCCESSFUL
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -16,13 +16,14 @@
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AttemptObserver
 from sagetrack.core.requests import Request
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.grpc import outcomes
 from sagetrack.grpc.errors import TranslationError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.translate import request_to_grpc
-from sagetrack.grpc.upstream_attempt import GrpcAttempt, GrpcUpstreamServer
+from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection, UpstreamCounts
-from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
+from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.settings import Settings
 
 MAX_CONNECTIONS_PER_SERVER = 4  # those that drain do not count
@@ -40,11 +41,13 @@
 
     def __init__(
         self,
-        server: GrpcUpstreamServer,
+        server: UpstreamServerRecord,
         counts: UpstreamCounts,
         connect: Callable[[GrpcUpstreamConnection, Address], None],
     ) -> None:
-        self.server, self.counts, self.connect = server, counts, connect
+        self.server = server
+        self.counts = counts
+        self.connect = connect
         self.connections: list[GrpcUpstreamConnection] = []
 
     def connection_with_capacity(self) -> GrpcUpstreamConnection | None:
@@ -92,7 +95,8 @@
     def __init__(
         self, settings: Settings, tls_context: Callable[[], ssl.SSLContext | None] = lambda: None
     ) -> None:
-        self.settings, self.tls_context = settings, tls_context
+        self.settings = settings
+        self.tls_context = tls_context
         self.loop = asyncio.get_running_loop()
         self.pools: dict[int, GrpcConnectionPool] = {}
         self.counts = UpstreamCounts()
@@ -114,17 +118,14 @@
         """Add a server, or take over its new address, start time or status."""
         listed = entry.listed
         if listed.server not in self.pools:
-            self.add_server(GrpcUpstreamServer(listed.server, entry.name, entry.address, listed.started_us))
+            self.add_server(UpstreamServerRecord.of(entry))
         server = self.pools[listed.server].server
-        if (server.address, server.started_us) != (entry.address, listed.started_us):
-            server.address, server.started_us = entry.address, listed.started_us
+        if not server.is_same_incarnation(entry):
+            server.restart(entry)
             self.close_idle(server.id)
-        if listed.status is ServerStatus.READY:
-            server.drained_us = None
-        elif server.drained_us is None:
-            server.drained_us = now_us()
+        server.update_status(listed.status)
 
-    def add_server(self, server: GrpcUpstreamServer) -> GrpcConnectionPool:
+    def add_server(self, server: UpstreamServerRecord) -> GrpcConnectionPool:
         """Make an empty pool for a server."""
         pool = self.pools[server.id] = GrpcConnectionPool(server, self.counts, self.start_connect)
         return pool
@@ -133,7 +134,7 @@
         """Drop a server; requests in flight there end as they would."""
         pool = self.pools.pop(server, None)
         if pool is not None:
-            pool.server.drained_us = pool.server.drained_us or now_us()
+            pool.server.withdraw()
             pool.drain()
 
     def close_idle(self, server: int) -> None:
@@ -142,7 +143,7 @@
         if pool is not None:
             pool.drain()
 
-    def probe(self, server: int, told: Callable[[Outcome, int, LoadReport | None], None]) -> None:
+    def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Do nothing: gRPC servers are never probed."""
 
     # Attempts
@@ -173,7 +174,12 @@
         return attempt
 
     def prepare(
-        self, request: Request, server: GrpcUpstreamServer, wait_us: int, observer: AttemptObserver, now: int
+        self,
+        request: Request,
+        server: UpstreamServerRecord,
+        wait_us: int,
+        observer: AttemptObserver,
+        now: int,
     ) -> GrpcAttempt | None:
         """Translate a request; None if it has no counterpart in gRPC.
 
@@ -194,7 +200,7 @@
         """Let the timeout run from the request's last byte."""
 
         def start() -> None:
-            attempt.timers.append(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
+            attempt.add_timer(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
 
         streamed_body = attempt.request.streamed_body
         if streamed_body is None or streamed_body.is_complete:
@@ -253,7 +259,7 @@
         return {
             "new_servers": len(self.pools),
             "new_connections": len(connections),
-            "new_streams": sum(len(connection.attempts) for connection in connections),
+            "new_streams": sum(connection.attempts.open_count for connection in connections),
             "new_opened_total": counts.opened,
             "new_streams_total": counts.streams,
             "new_streams_refused_total": counts.refused_streams,
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -7,31 +7,20 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from sagetrack.config.platform import Address
 from sagetrack.core.bodies import BODY_STALL_TIMEOUT_S, do_nothing
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver
 from sagetrack.core.requests import Request
 from sagetrack.core.responses import Response
-from sagetrack.core.send_rules import ServerState
+from sagetrack.core.upstream_server import UpstreamServerRecord
 from sagetrack.grpc.errors import MessageError, TranslationError
 from sagetrack.grpc.messages import pack
 from sagetrack.grpc.response_reader import ResponseReader
 from sagetrack.grpc.translate import request_body_message
+from sagetrack.grpc.withheld_bytes import WithheldBytes
 from sagetrack.policy.events import Outcome
 
 
-@dataclass(slots=True, eq=False)
-class GrpcUpstreamServer:
-    """One server as discovery lists it."""
-
-    id: int
-    name: str
-    address: Address
-    started_us: int = 0
-    drained_us: int | None = None  # since when it is listed as draining or gone
-
-
 class AttemptConnection(Protocol):
     """What an attempt asks of the connection that carries it."""
 
@@ -49,7 +38,7 @@
 class GrpcAttempt:
     """One attempt. It ends exactly once, by `finish`, which tells its observer."""
 
-    upstream: GrpcUpstreamServer
+    upstream: UpstreamServerRecord
     request: Request
     observer: AttemptObserver
     sent_us: int
@@ -66,7 +55,7 @@
     paused: bool = False  # the client takes nothing at the moment
     last_progress_us: int = 0
     response: ResponseReader = field(default_factory=ResponseReader)
-    unacknowledged: int = 0  # bytes for which the stream's window is not opened again yet
+    withheld: WithheldBytes = field(default_factory=WithheldBytes)
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
     @property
@@ -86,8 +75,28 @@
 
         Once the server is listed as draining or gone, the observer decides by the send rules.
         """
-        withdrawn = self.upstream.drained_us is not None
-        return self.observer.may_begin(ServerState.WITHDRAWN if withdrawn else ServerState.SERVING)
+        return self.observer.may_begin(self.upstream.state)
+
+    def assign(self, connection: AttemptConnection) -> None:
+        """Take the connection that carries the attempt."""
+        self.connection = connection
+
+    def add_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Take a timer that is cancelled once the response has come or begins to be streamed."""
+        self.timers.append(timer)
+
+    def on_headers_sent(self, stream_id: int) -> None:
+        """The headers are sent on this stream: the server may run the request from now on."""
+        self.stream_id = stream_id
+        self.headers_sent = True
+
+    def on_data_sent(self) -> None:
+        """A part of the request is sent."""
+        self.last_progress_us = now_us()
+
+    def on_request_sent(self) -> None:
+        """The request is sent to its last byte."""
+        self.request_sent = True
 
     def load_pending(self) -> bool:
         """Take the next chunk of a streamed body once all before it is sent; False if there is none."""
@@ -167,7 +176,7 @@
         """Client side reads again."""
         self.paused = False
         self.last_progress_us = now_us()
-        if self.connection is not None and self.unacknowledged:
+        if self.connection is not None and self.withheld:
             self.connection.reopen_window(self)
 
     def cancel_stream(self) -> None:
@@ -185,7 +194,8 @@
         for timer in self.timers:
             timer.cancel()
         if self.request.streamed_body is not None:
-            self.request.streamed_body.on_data = self.request.streamed_body.on_complete = do_nothing
+            self.request.streamed_body.on_data = do_nothing
+            self.request.streamed_body.on_complete = do_nothing
         if self.connection is not None:
             self.connection.forget(self)
         self.observer.on_attempt_ended(self, outcome, reply, None)
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -32,6 +32,7 @@
     from sagetrack.grpc.tls import TlsCredentials
 
 WEIGHT_REFRESH_S = 1.0  # between updates of the listed weights from the traffic share
+MICROSECONDS_PER_MS = 1000
 NOT_FOUND = 404  # HTTP status of a request for a path that no class has
 
 
@@ -55,11 +56,12 @@
     ) -> Request:
         message = HttpRequest()
         message.streamed_body = streamed_body
-        message.method, message.target, message.body = method.encode(), target, [body] if body else []
-        message.headers = [
-            *headers,
-            *([(b"X-Budget-Ms", b"%d" % max(1, budget_us // 1000))] if budget_us else []),
-        ]
+        message.method = method.encode()
+        message.target = target
+        message.body = [body] if body else []
+        message.headers = list(headers)
+        if budget_us:
+            message.headers.append((b"X-Budget-Ms", b"%d" % max(1, budget_us // MICROSECONDS_PER_MS)))
         try:
             return read_request(message, target.partition(b"?")[0], config, client)
         except RequestError as error:
@@ -79,7 +81,9 @@
             router: routes attempts to the pool of a server's protocol.
             gateway: is given the endpoint list with weights that lead to the traffic shares.
         """
-        self.router, self.gateway, self._publish = router, gateway, gateway.on_endpoint_list
+        self.router = router
+        self.gateway = gateway
+        self._publish = gateway.on_endpoint_list
         self.mirror: ResponseMirror | None = None
         self._loop = asyncio.get_running_loop()
         router.on_fallback = self._on_rollback
@@ -88,9 +92,7 @@
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         """Pass a change of the endpoint list on, with weights adjusted to the traffic share."""
-        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            self.router.endpoints.clear()
-        self._publish(kind, self.router.weighted(endpoints))
+        self._publish(kind, self.router.on_list(kind, endpoints))
         self._refresh_weights()
 
     def start_mirroring(
@@ -113,28 +115,22 @@
     def set_shares(self, config: Config, settings: GrpcSettings) -> None:
         """Change the traffic shares; ConfigError for a class or tenant that is not known."""
         by_class, by_tenant = traffic_shares(config, settings)
-        move = self.router.migration
-        if (move.target_share, move.class_shares, move.tenant_shares) != (
-            settings.share,
-            by_class,
-            by_tenant,
-        ):
+        if self.router.set_shares(settings.share, by_class, by_tenant):
             share = "by listed weights" if settings.share is None else settings.share
             log(f"gRPC traffic share changed: {share}")
-            move.target_share, move.class_shares, move.tenant_shares = settings.share, by_class, by_tenant
             self._refresh_weights()
 
     def figures(self) -> dict[str, float]:
         """Metrics of mirroring, of the gRPC pool and of the migration."""
-        move = self.router.migration
+        migration = self.router.migration
         mirroring = self.mirror.figures() if self.mirror is not None else {}
         return (
             mirroring
             | self.router.grpc.figures()
             | {
-                "new_failing": round(move.new.failure_rate, 4),
-                "old_failing": round(move.old.failure_rate, 4),
-                "new_returns_total": move.fallbacks,
+                "new_failing": round(migration.new.failure_rate, 4),
+                "old_failing": round(migration.old.failure_rate, 4),
+                "new_returns_total": migration.fallbacks,
             }
         )
 
@@ -157,8 +153,8 @@
 
     def _on_rollback(self) -> None:
         """Refresh the weights soon: gRPC servers fail more than the others, and get no share for a while."""
-        hold_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
-        log(f"gRPC traffic share rolled back for {hold_s:.0f} s: gRPC servers fail more than the others")
+        fallback_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
+        log(f"gRPC traffic share rolled back for {fallback_s:.0f} s: gRPC servers fail more than the others")
         self._loop.call_soon(self._refresh_weights)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -348,7 +348,7 @@
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
-        front = run.instance.grpc_listener
+        front = run.instance.listeners.grpc
         assert front is not None
         place = front.servers[0].sockets[0].getsockname()
         client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
@@ -361,7 +361,7 @@
         late, told = Late(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await until(lambda: late.held)
-        (attempt,) = client.connection.attempts.values()
+        (attempt,) = client.connection.attempts.on_open_streams()
         client.pools.cancel(attempt)
         await nothing_is_owed(run)
         assert told == [Outcome.NOT_SENT]
