--- a/sagetrack/config/key_lines.py
+++ b/sagetrack/config/key_lines.py
@@ -107,7 +107,8 @@
         self.expects_key = bool(self.open_brackets) and not in_list
 
     def _end_key(self) -> None:
-        if self.open_brackets and self.key is not None:
+        in_object = bool(self.open_brackets) and self.open_brackets[-1] == "{"
+        if in_object and self.key is not None:
             self.path[-1] = self.key
             self.lines.setdefault(tuple(self.path), self.line)
 
--- a/tests/test_config_validation.py
+++ b/tests/test_config_validation.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from sagetrack.config.allowed_values import describe
@@ -69,6 +69,7 @@
 
 
 @given(st.text(alphabet='ab.[]{}="#,: \n01', max_size=80))
+@example('{""[:,')  # a colon in a list is no key's end
 def test_no_text_breaks_the_scans_for_lines(text: str) -> None:
     toml_key_lines(text)
     json_key_lines(text)
