--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -204,11 +204,11 @@
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
-        f"{found.whole} of {found.streams} calls whole in {found.seconds} s, {found.body_kb} kB each way; "
+        f"{found.complete} of {found.streams} calls whole in {found.seconds} s, {found.body_kb} kB each way; "
         f"memory {found.idle_mb} MB idle, {found.sending_mb} while bodies came, {found.peak_mb} at the most: "
-        f"{found.each_kb} kB a call"
+        f"{found.per_stream_kb} kB a call"
     )
-    raise typer.Exit(0 if found.whole == found.streams else 1)
+    raise typer.Exit(0 if found.complete == found.streams else 1)
 
 
 def readiness(
--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -1,25 +1,22 @@
-"""Memory of the gateway while many calls with long bodies are under way to servers of the newer format.
+"""Memory of the gateway while many requests with long bodies are under way to servers of the newer format.
 
-Clients of the older format send so many bodies at once; servers, in several processes, answer when no more
-have come for a while, each with as long a body, and the clients read slowly. The gateway is a process of its
-own, whose resident memory is looked at all the time.
+Clients of the older format send so many bodies at once; servers, in several processes, answer when no further
+body has come for a while, each with as long a body, and the clients read slowly. The gateway is a process of
+its own, whose resident memory is sampled all the time.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
-import multiprocessing
-import os
-import signal
 import subprocess
-import sys
 import tempfile
 import time
 from collections.abc import Callable
+from contextlib import ExitStack
 from dataclasses import dataclass
+from multiprocessing.connection import Connection
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import h2.events
 import h2.exceptions
@@ -27,43 +24,54 @@
 
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import pack
-from sagetrack.lab.benchmarks.throughput import configuration
-from sagetrack.lab.errors import LabError
+from sagetrack.lab.benchmarks.gateway_files import (
+    GATEWAY_COMMAND,
+    NEWER_OPERATOR_SETTINGS,
+    NEWER_TYPE,
+    gateway_configuration,
+    gateway_environment,
+)
+from sagetrack.lab.benchmarks.measured_process import await_listening, forked_process, measured_process
 from sagetrack.lab.processes.fleet import need_files
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
-from sagetrack.lab.repository import ROOT
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
 
-PIECE = 16_000  # of an answer's body
-HEAD = (
+CHUNK_BYTES = 16_000  # of a body, sent or read at a time
+REQUEST_HEAD = (
     b"GET /lookup/1 HTTP/1.1\r\nHost: g\r\nX-Call-Id: b%x\r\nX-Call-Class: lookup\r\n"
     b"X-Caller: acme\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
 )
-WAIT_S = 300.0
+TIMEOUT_S = 300.0  # of every request
 QUIET_S = 3.0  # without a further body: all have come
-PROCESSES = 4  # of servers: one alone is slower than the gateway, which takes it for dead
+CONNECT_S = 1.0  # for all clients to connect
+SAMPLE_INTERVAL_S = 0.02
+READ_INTERVAL_S = 0.001  # between two chunks that a client reads
+SERVER_PROCESSES = 4  # one alone is slower than the gateway, which would take it for dead
+LEAST_SERVERS = 8
+REQUESTS_PER_SERVER = 2
+MEMORY_LIMIT_MB = 1024
 
 
 @dataclass(slots=True, frozen=True)
-class Held:
-    """What it came to. Megabytes are resident ones of the gateway."""
+class MemoryUse:
+    """What one round showed. Megabytes are resident ones of the gateway."""
 
     streams: int
     body_kb: int
-    whole: int  # answers of the full length
+    complete: int  # answers of the full length
     idle_mb: float  # connections open, before the first body
     sending_mb: float  # the most until all bodies had come
     peak_mb: float
-    each_kb: float  # what is above idle, for each stream
+    per_stream_kb: float  # the peak less the idle memory, for each stream
     seconds: float
 
 
-class _Sink(NewConnection):
+class _BodySink(NewConnection):
     """A server that keeps no body, and makes its own answer as it goes."""
 
     def __init__(self, on_call: Callable[[NewConnection, Asked], None]) -> None:
         super().__init__(on_call)
-        self.left: dict[int, int] = {}
+        self.bytes_left: dict[int, int] = {}  # of the answer's body, by stream
 
     def on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.DataReceived):
@@ -72,175 +80,195 @@
             super().on_event(event)
 
     def answer_long(self, asked: Asked, size: int) -> None:
+        """Answer with a body of so many bytes, as the flow control windows allow."""
         asked.out += pack(Answer(length=size).SerializeToString())
-        self.left[asked.stream] = size
+        self.bytes_left[asked.stream] = size
         asked.trailers = [("grpc-status", "0")]
         self.begin(asked)
         self.push(asked)
 
     def push(self, asked: Asked) -> None:
         while not asked.over and asked.trailers is not None:
-            left = self.left.get(asked.stream, 0)
-            if not asked.out and left:
-                size = min(left, PIECE)
-                self.left[asked.stream] = left - size
-                asked.out += pack(Answer(body=bytes(size)).SerializeToString())
+            self._make_chunk(asked)
             try:
                 if not asked.out:
                     self.h2.send_headers(asked.stream, asked.trailers, end_stream=True)
                     self.end(asked)
                     return
                 window = self.h2.local_flow_control_window(asked.stream)
-                room = min(window, self.h2.max_outbound_frame_size)
-                if room <= 0:
+                size = min(window, self.h2.max_outbound_frame_size)
+                if size <= 0:
                     self.flush()
                     return
-                self.h2.send_data(asked.stream, bytes(asked.out[:room]))
-                del asked.out[:room]
+                self.h2.send_data(asked.stream, bytes(asked.out[:size]))
+                del asked.out[:size]
             except h2.exceptions.H2Error:
                 asked.over = True
 
+    def _make_chunk(self, asked: Asked) -> None:
+        bytes_left = self.bytes_left.get(asked.stream, 0)
+        if asked.out or not bytes_left:
+            return
+        size = min(bytes_left, CHUNK_BYTES)
+        self.bytes_left[asked.stream] = bytes_left - size
+        asked.out += pack(Answer(body=bytes(size)).SerializeToString())
+
+
+class _AnswerTogether:
+    """The requests of one server process, which are answered when no more have come for a while."""
+
+    def __init__(self, size: int, pipe: Connection) -> None:
+        self.size = size
+        self.pipe = pipe
+        self.loop = asyncio.get_running_loop()
+        self.unanswered: list[tuple[_BodySink, Asked]] = []
+        self.timer: asyncio.TimerHandle | None = None
+
+    def take(self, connection: NewConnection, asked: Asked) -> None:
+        """Take a request whose body has come whole."""
+        assert isinstance(connection, _BodySink)
+        self.unanswered.append((connection, asked))
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.loop.call_later(QUIET_S, self._answer_all)
+
+    def _answer_all(self) -> None:
+        self.pipe.send("all")
+        for connection, asked in self.unanswered:
+            connection.answer_long(asked, self.size)
+        self.unanswered.clear()
+
+
+def _serve(count: int, size: int, pipe: Connection) -> None:
+    """Run servers and a silent discovery until killed.
+
+    Their ports go into the pipe first, and a message each time that all bodies have come.
+    """
 
-def _serve(ports: int, size: int, pipe: Any) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        held: list[tuple[_Sink, Asked]] = []
-        due: asyncio.TimerHandle | None = None
-
-        def take(connection: NewConnection, asked: Asked) -> None:
-            nonlocal due
-            assert isinstance(connection, _Sink)
-            held.append((connection, asked))
-            if due is not None:
-                due.cancel()
-            due = loop.call_later(QUIET_S, answer)
-
-        def answer() -> None:
-            pipe.send("all")
-            for one, its in held:
-                one.answer_long(its, size)
-            held.clear()
-
-        found = []
-        for _ in range(ports):
-            server = await loop.create_server(lambda: _Sink(take), "127.0.0.1", 0, backlog=64)
-            found.append(server.sockets[0].getsockname()[1])
+        requests = _AnswerTogether(size, pipe)
+        ports = []
+        for _ in range(count):
+            server = await loop.create_server(lambda: _BodySink(requests.take), "127.0.0.1", 0, backlog=64)
+            ports.append(server.sockets[0].getsockname()[1])
         silent = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
-        pipe.send((found, silent.sockets[0].getsockname()[1]))
+        pipe.send((ports, silent.sockets[0].getsockname()[1]))
         await asyncio.Event().wait()
 
     uvloop.run(main())
 
 
-async def _client(port: int, number: int, size: int, begin: asyncio.Event) -> int:
-    """Send a long body and read a long answer, both without haste; returns the answer's bytes."""
+async def _send_and_read(port: int, number: int, size: int, begin: asyncio.Event) -> int:
+    """Send a long body and read a long answer, both slowly; returns the bytes of the answer's body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=16 * 1024)
     try:
         await begin.wait()
-        writer.write(HEAD % (number, size))
-        for at in range(0, size, PIECE):
-            writer.write(bytes(min(PIECE, size - at)))
+        writer.write(REQUEST_HEAD % (number, size))
+        for start in range(0, size, CHUNK_BYTES):
+            writer.write(bytes(min(CHUNK_BYTES, size - start)))
             await writer.drain()
         head = await reader.readuntil(b"\r\n\r\n")
         if not head.startswith(b"HTTP/1.1 200"):
             return 0
-        got = 0
-        while data := await reader.read(PIECE):
-            got += len(data)
-            await asyncio.sleep(0.001)
-        return got
+        received = 0
+        while data := await reader.read(CHUNK_BYTES):
+            received += len(data)
+            await asyncio.sleep(READ_INTERVAL_S)
+        return received
     except (OSError, asyncio.IncompleteReadError):
         return 0
     finally:
         writer.transport.abort()
 
 
-def measure(streams: int, body_kb: int, progress: Callable[[float], None]) -> Held:
-    """One round; LabError if the gateway does not come up."""
+class _Gateway(NamedTuple):
+    """What the clients and the sampling of memory need to know of the gateway."""
+
+    pid: int
+    port: int
+    server_pipes: list[Connection]  # readable once that process has had all its bodies
+
+    def all_bodies_came(self) -> bool:
+        return any(pipe.poll() for pipe in self.server_pipes)
+
+
+def _configuration(port: int, server_ports: list[int], discovery_port: int, streams: int) -> dict[str, Any]:
+    configuration = gateway_configuration(port, server_ports, discovery_port, free_port(), NEWER_TYPE)
+    configuration["limits"] = {
+        "cores": 1.0,
+        "memory_mb": MEMORY_LIMIT_MB,
+        "sockets": 4 * streams + 1000,
+    }
+    for lane in configuration["settings"]["lanes"]:
+        lane["aimUs"] = int(TIMEOUT_S * 1e6)
+        lane["giveUpUs"] = int(TIMEOUT_S * 1e6)
+    return configuration
+
+
+def measure(streams: int, body_kb: int, progress: Callable[[float], None]) -> MemoryUse:
+    """Play one round.
+
+    Args:
+        streams: requests under way at once.
+        body_kb: kilobytes of each body, of the request and of the answer.
+        progress: called with the share of requests that have ended.
+
+    Raises:
+        LabError: the gateway does not start, or too few descriptors are allowed.
+    """
     need_files(4 * streams + 2000)
     size = body_kb * 1000
-    context = multiprocessing.get_context("fork")
-    here, there = context.Pipe()
-    count = max(8, -(-streams // 2)) // PROCESSES  # a server holds no more than a few calls
-    make = context.Process
-    servers = [make(target=_serve, args=(count, size, there), daemon=True) for _ in range(PROCESSES)]
-    try:
-        ports, discovery = [], 0
-        for process in servers:  # one at a time: they share the pipe
-            process.start()
-            found, discovery = here.recv()
-            ports += found
-        with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
-            port, file, operator = free_port(), Path(folder) / "config.json", Path(folder) / "operator.toml"
-            made = configuration(port, ports, discovery, free_port(), "newer")
-            made["limits"] = {"cores": 1.0, "memory_mb": 1024, "sockets": 4 * streams + 1000}
-            for lane in made["settings"]["lanes"]:
-                lane["aimUs"] = lane["giveUpUs"] = int(WAIT_S * 1e6)
-            file.write_text(json.dumps(made))
-            operator.write_text('[newer]\ntypes = ["newer"]\n')
-            environment = os.environ | {
-                "LB_CONFIG": str(file),
-                "LB_OPERATOR": str(operator),
-                "PYTHONPATH": str(ROOT),
-                "TMPDIR": folder,
-            }
-            command = [sys.executable, "-m", "sagetrack"]
-            gateway = subprocess.Popen(command, env=environment, stdout=subprocess.DEVNULL)
-            try:
-                return uvloop.run(_play(gateway.pid, port, streams, size, here, progress))
-            finally:
-                gateway.kill()
-                gateway.wait()
-    finally:
-        for process in servers:
-            if process.pid is not None:
-                os.kill(process.pid, signal.SIGKILL)
-                process.join()
-
-
-async def _up(port: int) -> None:
-    end = time.monotonic() + 10
-    while time.monotonic() < end:
-        try:
-            _, writer = await asyncio.open_connection("127.0.0.1", port)
-        except OSError:
-            await asyncio.sleep(0.02)
-        else:
-            writer.close()
-            return
-    raise LabError("the gateway does not listen")
+    servers_needed = max(LEAST_SERVERS, -(-streams // REQUESTS_PER_SERVER))
+    server_count = servers_needed // SERVER_PROCESSES
+    with ExitStack() as stack:
+        server_ports: list[int] = []
+        discovery_port = 0
+        pipes = []
+        for _ in range(SERVER_PROCESSES):
+            pipe = stack.enter_context(forked_process(_serve, server_count, size))
+            pipes.append(pipe)
+            ports, discovery_port = pipe.recv()
+            server_ports += ports
+        folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="sagetrack-lab-")))
+        port = free_port()
+        configuration = _configuration(port, server_ports, discovery_port, streams)
+        environment = gateway_environment(folder, configuration, NEWER_OPERATOR_SETTINGS)
+        process: subprocess.Popen[bytes] = stack.enter_context(
+            measured_process(GATEWAY_COMMAND, environment, stderr=None)
+        )
+        await_listening(port, process)
+        return uvloop.run(_play(_Gateway(process.pid, port, pipes), streams, size, progress))
 
 
-async def _play(
-    pid: int, port: int, streams: int, size: int, pipe: Any, progress: Callable[[float], None]
-) -> Held:
-    await _up(port)
+async def _play(gateway: _Gateway, streams: int, size: int, progress: Callable[[float], None]) -> MemoryUse:
     begin = asyncio.Event()
-    clients = [asyncio.create_task(_client(port, n, size, begin)) for n in range(streams)]
-    await asyncio.sleep(1.0)  # all connect, and none has sent: what is measured from is a busy gateway's
-    idle = peak = sending = memory_mb(pid)
-    began = time.monotonic()
+    clients = [
+        asyncio.create_task(_send_and_read(gateway.port, number, size, begin)) for number in range(streams)
+    ]
+    await asyncio.sleep(CONNECT_S)  # all connect, and none has sent: idle memory is that of a gateway in use
+    idle_mb = peak_mb = sending_mb = memory_mb(gateway.pid)
+    start_s = time.monotonic()
     begin.set()
-    whole_sent = False
-    while not all(task.done() for task in clients) and time.monotonic() - began < WAIT_S:
-        await asyncio.sleep(0.02)
-        now = memory_mb(pid)
-        peak = max(peak, now)
-        whole_sent = whole_sent or pipe.poll()
-        if not whole_sent:
-            sending = max(sending, now)
+    all_sent = False
+    while not all(task.done() for task in clients) and time.monotonic() - start_s < TIMEOUT_S:
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+        now_mb = memory_mb(gateway.pid)
+        peak_mb = max(peak_mb, now_mb)
+        all_sent = all_sent or gateway.all_bodies_came()
+        if not all_sent:
+            sending_mb = max(sending_mb, now_mb)
         progress(sum(task.done() for task in clients) / streams)
     for task in clients:
         task.cancel()
     answers = await asyncio.gather(*clients, return_exceptions=True)
-    whole = sum(answer == size for answer in answers)
-    return Held(
-        streams,
-        size // 1000,
-        whole,
-        round(idle, 1),
-        round(sending, 1),
-        round(peak, 1),
-        round((peak - idle) * 1000 / streams, 1),
-        round(time.monotonic() - began, 1),
+    return MemoryUse(
+        streams=streams,
+        body_kb=size // 1000,
+        complete=sum(answer == size for answer in answers),
+        idle_mb=round(idle_mb, 1),
+        sending_mb=round(sending_mb, 1),
+        peak_mb=round(peak_mb, 1),
+        per_stream_kb=round((peak_mb - idle_mb) * 1000 / streams, 1),
+        seconds=round(time.monotonic() - start_s, 1),
     )
--- /dev/null
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -0,0 +1,146 @@
+"""DNS servers that answer at once, and a closed loop of queries to a gateway in front of them."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+from typing import Any, cast
+
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.stand_ins.dns_clients import wire_query
+
+WINDOW = 64  # queries under way at once
+SOCKETS = 8
+CACHED_NAMES = 100  # where answers are to come from the cache
+QUERY_TIMEOUT_S = 2.0
+CHECK_INTERVAL_S = 0.05
+LAST_ANSWERS_S = 0.1  # for answers that are still on their way at the end
+HEADER_BYTES = 12
+QUERY_IDS = 65_536
+A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"  # of the question's name, for an hour
+
+
+def answer_to(query: bytes) -> bytes:
+    """Return a true answer to an A query, made without a codec."""
+    end = HEADER_BYTES
+    while query[end]:
+        end += 1 + query[end]
+    end += 5  # the root label, the type and the class
+    return query[:2] + b"\x81\x80\0\1\0\1\0\0\0\0" + query[HEADER_BYTES:end] + A_RECORD
+
+
+def query_id(message: bytes) -> int:
+    """Return the id of a DNS message."""
+    return int.from_bytes(message[:2])
+
+
+def has_answer(message: bytes) -> bool:
+    """Return whether a response has no error code and at least one answer record."""
+    return not message[3] & 0xF and message[7] != 0
+
+
+class DnsServer(asyncio.DatagramProtocol):
+    """A server that answers each query at once."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Answer a query."""
+        self.transport.sendto(answer_to(data), addr)
+
+
+class DnsLoad:
+    """The queries of one measurement and what became of them.
+
+    Attributes:
+        answered: queries that any answer came to; `bad` of these had no record in it.
+        lost: queries without an answer within `QUERY_TIMEOUT_S`.
+        latencies: histogram in microseconds of the queries that were answered.
+    """
+
+    def __init__(self, unique_names: bool) -> None:
+        self.unique_names = unique_names
+        self.names_given = 0
+        self.answered = 0
+        self.lost = 0
+        self.bad = 0
+        self.stopped = False
+        self.latencies = histogram()
+        self.name_suffix = f"{time.monotonic_ns():x}"
+
+    def next_name(self) -> str:
+        """Return the name of the next query: a new one, or one of `CACHED_NAMES` in turn."""
+        self.names_given += 1
+        if self.unique_names:
+            return f"n{self.names_given}.{self.name_suffix}.example"
+        return f"n{self.names_given % CACHED_NAMES}.example"
+
+
+class _LoadSocket(asyncio.DatagramProtocol):
+    """One socket of the load: a window of queries, the next as soon as one is answered or given up."""
+
+    def __init__(self, load: DnsLoad) -> None:
+        self.load = load
+        self.sent_s: dict[int, float] = {}  # by id, of the queries under way
+        self.order: deque[tuple[int, float]] = deque()  # id and time, the oldest first; answered ones too
+        self.last_id = 0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def send(self) -> None:
+        self.last_id = (self.last_id + 1) % QUERY_IDS
+        now_s = time.perf_counter()
+        self.sent_s[self.last_id] = now_s
+        self.order.append((self.last_id, now_s))
+        self.transport.sendto(wire_query(self.load.next_name(), self.last_id))
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        sent_s = self.sent_s.pop(query_id(data), None)
+        if sent_s is None:
+            return
+        load = self.load
+        if not has_answer(data):
+            load.bad += 1
+        load.answered += 1
+        load.latencies.record_value(max(1, int((time.perf_counter() - sent_s) * 1e6)))
+        if not load.stopped:
+            self.send()
+
+    def give_up(self, before_s: float) -> None:
+        """Count queries that were sent before this time and not answered as lost."""
+        while self.order and self.order[0][1] < before_s:
+            id_, sent_s = self.order.popleft()
+            if self.sent_s.get(id_) == sent_s:
+                del self.sent_s[id_]
+                self.load.lost += 1
+                if not self.load.stopped:
+                    self.send()
+
+
+async def run_dns_load(port: int, seconds: float, unique_names: bool, most: int = 0) -> DnsLoad:
+    """Keep `WINDOW` queries under way for so long, or until `most` are answered if that is not 0."""
+    loop = asyncio.get_running_loop()
+    load = DnsLoad(unique_names)
+    sockets = []
+    for _ in range(SOCKETS):
+        _, opened = await loop.create_datagram_endpoint(
+            lambda: _LoadSocket(load), remote_addr=("127.0.0.1", port)
+        )
+        sockets.append(opened)
+    for each in sockets:
+        for _ in range(WINDOW // SOCKETS):
+            each.send()
+    end_s = loop.time() + seconds
+    while loop.time() < end_s and (not most or load.answered < most):
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        for each in sockets:
+            each.give_up(time.perf_counter() - QUERY_TIMEOUT_S)
+    load.stopped = True
+    await asyncio.sleep(LAST_ANSWERS_S)
+    for each in sockets:
+        each.transport.close()
+    return load
--- a/sagetrack/lab/benchmarks/fair_queue.py
+++ b/sagetrack/lab/benchmarks/fair_queue.py
@@ -1,7 +1,7 @@
-"""What fair queues cost, by the number of clients: time of a decision, and memory. A simulated clock.
+"""What fair queues cost, by the number of clients: CPU time of a request, and memory. A simulated clock.
 
-The whole module decides, at a stated multiple of what its servers do, with fair queues on and off by turns in
-one process.
+The whole decision module runs, at a stated multiple of what its servers can do, with fair queues on and off
+by turns in one process.
 """
 
 from __future__ import annotations
@@ -12,8 +12,9 @@
 import statistics
 import time
 import tracemalloc
-from collections.abc import Callable
-from dataclasses import asdict, dataclass, replace
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass, replace
 from typing import Any
 
 from sagetrack.policy.actions import SendAttempt, SetTimer
@@ -31,8 +32,12 @@
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
-SERVERS, WORK_US, MEMBERS = 20, 50_000, 10
-WARM = 2_000  # calls before it is measured
+SERVERS = 20
+MEAN_WORK_US = 50_000  # of a request on its server
+TENANTS = 10
+TIMEOUT_US = 8_000_000
+LATENCY_OBJECTIVES_US = (1_500_000, 6_000_000)  # by class
+WARM_UP_REQUESTS = 2_000  # before those that are measured
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,128 +45,222 @@
     """One round."""
 
     clients: int
-    door: bool
-    call_us: float  # CPU of all events of one call, arrival to end
-    waiting: int  # at the end
-    promised: int
-    held_kb: float  # Python's own count of what the module has allocated since it was made
-    counted_kb: float  # what the door counts against its bound
+    request_us: float  # CPU time of all events of one request, arrival to end
+    queued: int  # at the end
+    reserved: int  # open reservations at the end
+    allocated_kb: float  # by Python's own count, since the module was made; 0 if not traced
+    counted_kb: float  # what the queues count against their bound
     bound_kb: float
 
 
-def settings(door: bool, memory_kb: int) -> Settings:
-    kinds = tuple(
+def settings(fair_queues: bool, memory_kb: int) -> Settings:
+    """Return the settings of a round; `memory_kb` bounds the queues."""
+    classes = tuple(
         RequestClass(
-            latency_objective_us=aim,
-            request_timeout_us=8_000_000,
+            latency_objective_us=objective_us,
+            request_timeout_us=TIMEOUT_US,
             late_priority_weight=0.5,
             effect=Effect.SAFE,
         )
-        for aim in (1_500_000, 6_000_000)
+        for objective_us in LATENCY_OBJECTIVES_US
     )
-    members = tuple(Tenant(1.0 / MEMBERS) for _ in range(MEMBERS))
-    made = Settings(classes=kinds, tenants=members, max_attempts=3, max_retry_after_us=8_000_000)
-    return replace(made, admission=AdmissionSettings(memory_bytes=memory_kb * 1024)) if door else made
+    tenants = tuple(Tenant(1.0 / TENANTS) for _ in range(TENANTS))
+    without = Settings(classes=classes, tenants=tenants, max_attempts=3, max_retry_after_us=TIMEOUT_US)
+    if not fair_queues:
+        return without
+    return replace(without, admission=AdmissionSettings(memory_bytes=memory_kb * 1024))
 
 
-def drive(
-    clients: int, calls: int, door: bool, memory_kb: int, seed: int, trace: bool, load: float = 2.0
-) -> Cost:
-    """So many calls from so many clients, each as likely as any other."""
-    draw = random.Random(seed)
-    gc.collect()
-    if trace:
-        tracemalloc.start()
-    balancer = LoadBalancer(settings(door, memory_kb), seed)
-    balancer.handle(0, EndpointList(ListKind.FULL, tuple(ListedServer(n) for n in range(SERVERS))))
-    due: list[tuple[int, int, Event]] = []
-    order, now, spent = 0, 0, 0
-    free_us = [0] * SERVERS  # when each server has done what it holds
-    tries: dict[str, int] = {}
-    gap_us = WORK_US / SERVERS / load
-
-    def take(event: Event, counted: bool) -> None:
-        nonlocal order, spent
-        began = time.process_time_ns()
-        actions = balancer.handle(now, event)
+class _Simulation:
+    """A load balancer, its servers with one core each, and what is planned on the simulated clock."""
+
+    def __init__(self, balancer_settings: Settings, seed: int, draw: random.Random) -> None:
+        self.draw = draw
+        self.balancer = LoadBalancer(balancer_settings, seed)
+        self.now_us = 0
+        self.cpu_ns = 0  # of the balancer, in events that are counted
+        self.planned: list[tuple[int, int, Event]] = []  # a heap: time, order of planning, event
+        self.actions = 0
+        self.free_us = [0] * SERVERS  # when each server has done what it was given
+        self.attempts: dict[str, int] = {}  # by request
+        servers = tuple(ListedServer(number) for number in range(SERVERS))
+        self.balancer.handle(0, EndpointList(ListKind.FULL, servers))
+
+    def handle(self, event: Event, counted: bool) -> None:
+        """Hand an event to the balancer now and plan what follows from its actions."""
+        start_ns = time.process_time_ns()
+        actions = self.balancer.handle(self.now_us, event)
         if counted:
-            spent += time.process_time_ns() - began
+            self.cpu_ns += time.process_time_ns() - start_ns
         for action in actions:
-            order += 1
+            self.actions += 1
             if isinstance(action, SendAttempt):
-                attempt = tries.get(action.request, 0)
-                tries[action.request] = attempt + 1
-                begins = max(now, free_us[action.server])
-                free_us[action.server] = ends = begins + int(draw.expovariate(1 / WORK_US))
-                outcome = Outcome.OK
-                if ends - now > action.timeout_us:
-                    ends, outcome = now + action.timeout_us, Outcome.TIMEOUT
-                over = AttemptEnded(
-                    action.request, attempt, action.server, outcome, ends - now, outcome is Outcome.OK
-                )
-                heapq.heappush(due, (ends, order, over))
+                end_us, ended = self._attempt(action)
+                self._plan(end_us, ended)
             elif isinstance(action, SetTimer):
-                heapq.heappush(due, (action.due_us, order, TimerFired(action.token)))
-
-    arrival = 0.0
-    for number in range(WARM + calls):
-        arrival += draw.expovariate(1 / gap_us)
-        while due and due[0][0] <= arrival:
-            now, _, event = heapq.heappop(due)
-            take(event, number >= WARM)
-        now = int(arrival)
-        client = draw.randrange(clients) + 1
-        take(
-            RequestArrived(
-                f"{number:x}", number % 2, 8_000_000, number, tenant=client % MEMBERS, client=client
-            ),
-            number >= WARM,
-        )
-    held = 0.0
-    if trace:
-        tries.clear()
-        due.clear()
-        gc.collect()
-        held = tracemalloc.get_traced_memory()[0] / 1024
+                self._plan(action.due_us, TimerFired(action.token))
+
+    def advance(self, until_us: float, counted: bool) -> None:
+        """Handle what is planned up to that time."""
+        while self.planned and self.planned[0][0] <= until_us:
+            self.now_us, _, event = heapq.heappop(self.planned)
+            self.handle(event, counted)
+        self.now_us = int(until_us)
+
+    def forget(self) -> None:
+        """Drop what only the simulation holds, so that it does not count as the balancer's memory."""
+        self.attempts.clear()
+        self.planned.clear()
+
+    def _plan(self, due_us: int, event: Event) -> None:
+        heapq.heappush(self.planned, (due_us, self.actions, event))
+
+    def _attempt(self, action: SendAttempt) -> tuple[int, AttemptEnded]:
+        """Return when an attempt ends, and how: its server does one after the other."""
+        number = self.attempts.get(action.request, 0)
+        self.attempts[action.request] = number + 1
+        start_us = max(self.now_us, self.free_us[action.server])
+        end_us = start_us + int(self.draw.expovariate(1 / MEAN_WORK_US))
+        self.free_us[action.server] = end_us
+        outcome = Outcome.OK
+        if end_us - self.now_us > action.timeout_us:
+            end_us = self.now_us + action.timeout_us
+            outcome = Outcome.TIMEOUT
+        latency_us = end_us - self.now_us
+        is_ok = outcome is Outcome.OK
+        return end_us, AttemptEnded(action.request, number, action.server, outcome, latency_us, is_ok)
+
+
+@contextmanager
+def _tracing(enabled: bool) -> Iterator[None]:
+    if not enabled:
+        yield
+        return
+    tracemalloc.start()
+    try:
+        yield
+    finally:
         tracemalloc.stop()
-    made = balancer.admission
+
+
+def drive(
+    clients: int,
+    requests: int,
+    fair_queues: bool,
+    memory_kb: int,
+    seed: int,
+    trace: bool,
+    load: float = 2.0,
+) -> Cost:
+    """Play one round.
+
+    Args:
+        clients: each sends as many requests as any other, on average.
+        requests: how many are measured, after `WARM_UP_REQUESTS`.
+        fair_queues: whether the balancer has them.
+        memory_kb: their bound.
+        seed: of all that is drawn.
+        trace: whether to count allocated memory, which makes CPU time worthless.
+        load: times what the servers can do.
+    """
+    draw = random.Random(seed)
+    gc.collect()
+    with _tracing(trace):
+        simulation = _Simulation(settings(fair_queues, memory_kb), seed, draw)
+        _send_requests(simulation, clients, requests, draw, load)
+        allocated_kb = 0.0
+        if trace:
+            simulation.forget()
+            gc.collect()
+            allocated_kb = tracemalloc.get_traced_memory()[0] / 1024
+    balancer = simulation.balancer
+    admission = balancer.admission
     return Cost(
-        clients,
-        door,
-        spent / 1000 / calls,
-        made.queued if made else len(balancer.capacity_wait),
-        made.open_reservations if made else 0,
-        held,
-        made.memory_used() / 1024 if made else 0.0,
-        memory_kb if made else 0.0,
+        clients=clients,
+        request_us=simulation.cpu_ns / 1000 / requests,
+        queued=admission.queued if admission else len(balancer.capacity_wait),
+        reserved=admission.open_reservations if admission else 0,
+        allocated_kb=allocated_kb,
+        counted_kb=admission.memory_used() / 1024 if admission else 0.0,
+        bound_kb=memory_kb if admission else 0.0,
     )
 
 
+def _send_requests(
+    simulation: _Simulation, clients: int, requests: int, draw: random.Random, load: float
+) -> None:
+    mean_gap_us = MEAN_WORK_US / SERVERS / load
+    arrival_us = 0.0
+    for number in range(WARM_UP_REQUESTS + requests):
+        counted = number >= WARM_UP_REQUESTS
+        arrival_us += draw.expovariate(1 / mean_gap_us)
+        simulation.advance(arrival_us, counted)
+        client = draw.randrange(clients) + 1
+        arrived = RequestArrived(
+            f"{number:x}",
+            number % len(LATENCY_OBJECTIVES_US),
+            TIMEOUT_US,
+            number,
+            tenant=client % TENANTS,
+            client=client,
+        )
+        simulation.handle(arrived, counted)
+
+
 def measure(
     sizes: list[int],
-    calls: int,
+    requests: int,
     rounds: int,
     memory_kb: int,
     progress: Callable[[float], None],
     load: float = 2.0,
 ) -> list[dict[str, Any]]:
-    """Medians by number of clients, fair queues on and off by turns; memory in a round of its own."""
+    """Measure each number of clients, fair queues on and off by turns, and memory in a round of its own.
+
+    Args:
+        sizes: numbers of clients.
+        requests: measured in each round.
+        rounds: with fair queues, and as many without.
+        memory_kb: bound of the queues.
+        progress: called with the share of rounds that are done.
+        load: times what the servers can do.
+
+    Returns:
+        A row of medians for each number of clients, for the printed table.
+    """
     rows = []
-    total, at = len(sizes) * (2 * rounds + 1), 0
+    total = len(sizes) * (2 * rounds + 1)
+    done = 0
     for size in sizes:
-        found: dict[bool, list[Cost]] = {True: [], False: []}
+        costs: dict[bool, list[Cost]] = {True: [], False: []}  # by whether there are fair queues
         for turn in range(rounds):
-            for door in (True, False) if turn % 2 else (False, True):
-                found[door].append(drive(size, calls, door, memory_kb, turn, False, load))
-                at += 1
-                progress(at / total)
-        traced = drive(size, max(calls, 2 * size), True, memory_kb, 0, True, load)
-        at += 1
-        progress(at / total)
-        on, off = (statistics.median(c.call_us for c in found[door]) for door in (True, False))
-        ratios = [a.call_us / b.call_us for a, b in zip(found[True], found[False], strict=True)]
-        row = asdict(traced) | {"call_us": on, "off_us": off, "times": on / off}
-        row |= {"times_from": min(ratios), "times_to": max(ratios)}
-        del row["door"]
-        rows.append({k: round(v, 2) if isinstance(v, float) else v for k, v in row.items()})
+            for fair_queues in (True, False) if turn % 2 else (False, True):
+                costs[fair_queues].append(drive(size, requests, fair_queues, memory_kb, turn, False, load))
+                done += 1
+                progress(done / total)
+        traced = drive(size, max(requests, 2 * size), True, memory_kb, 0, True, load)
+        done += 1
+        progress(done / total)
+        rows.append(_summary_row(traced, costs[True], costs[False]))
     return rows
+
+
+def _summary_row(traced: Cost, with_queues: list[Cost], without: list[Cost]) -> dict[str, Any]:
+    on_us = statistics.median(cost.request_us for cost in with_queues)
+    off_us = statistics.median(cost.request_us for cost in without)
+    ratios = [on.request_us / off.request_us for on, off in zip(with_queues, without, strict=True)]
+    # The keys are the printed table's columns, which stay; the fields have today's names.
+    row = {
+        "clients": traced.clients,
+        "call_us": on_us,
+        "waiting": traced.queued,
+        "promised": traced.reserved,
+        "held_kb": traced.allocated_kb,
+        "counted_kb": traced.counted_kb,
+        "bound_kb": traced.bound_kb,
+        "off_us": off_us,
+        "times": on_us / off_us,
+        "times_from": min(ratios),
+        "times_to": max(ratios),
+    }
+    return {key: round(value, 2) if isinstance(value, float) else value for key, value in row.items()}
--- /dev/null
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -0,0 +1,195 @@
+"""HTTP servers that answer at once, and the load on a gateway in front of them: closed loop or open loop.
+
+In an open loop latencies count from when each request was due, not from when it was sent, so that a slow
+gateway doesn't slow down its own measurement (no coordinated omission).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from collections import deque
+from collections.abc import Callable
+from typing import cast
+
+from sagetrack.lab.analysis.figures import histogram
+
+RESPONSE_BODY = b"x" * 64
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + RESPONSE_BODY
+END_OF_HEAD = b"\r\n\r\n"
+PACE_STEP_S = 0.0005  # between two looks at which requests are due
+LAST_RESPONSES_S = 0.05  # for responses that are still on their way at the end
+
+
+class EchoServer(asyncio.Protocol):
+    """A connection to a server that answers each request at once."""
+
+    def __init__(self) -> None:
+        self.buffer = b""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Answer each request whose head is complete; requests have no body."""
+        self.buffer += data
+        while (end := self.buffer.find(END_OF_HEAD)) >= 0:
+            self.buffer = self.buffer[end + len(END_OF_HEAD) :]
+            self.respond()
+
+    def respond(self) -> None:
+        """Answer one request."""
+        self.transport.write(RESPONSE)
+
+
+class LoadConnection(asyncio.Protocol):
+    """One client connection of the load, with one request at a time."""
+
+    def __init__(self, load: HttpLoad) -> None:
+        self.load = load
+        self.buffer = b""
+        self.due_s = 0.0
+        self.is_busy = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def send(self, due_s: float) -> None:
+        """Send a request that was due at `due_s` on the load's clock."""
+        self.is_busy = True
+        self.due_s = due_s
+        self.transport.write(self.load.next_request())
+
+    def data_received(self, data: bytes) -> None:
+        """Count a response as long as `RESPONSE` as a success; a shorter one fails unless it is a 200."""
+        self.buffer += data
+        end = self.buffer.find(END_OF_HEAD)
+        if end < 0:
+            return
+        if len(self.buffer) >= end + len(END_OF_HEAD) + len(RESPONSE_BODY):
+            self._end_request()
+            self.load.request_succeeded(self)
+        elif not self.buffer.startswith(b"HTTP/1.1 200"):
+            self._end_request()
+            self.load.request_failed(self)
+
+    def _end_request(self) -> None:
+        self.buffer = b""
+        self.is_busy = False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Count the request that was under way as failed."""
+        if self.is_busy:
+            self.load.failed += 1
+
+
+class HttpLoad:
+    """The requests of one measurement and what became of them.
+
+    Attributes:
+        succeeded: requests that were answered with 200.
+        failed: requests that were answered otherwise, or not at all.
+        latencies: histogram in microseconds of the requests that succeeded.
+    """
+
+    def __init__(self, closed_loop: bool) -> None:
+        self.closed_loop = closed_loop
+        self.sent = 0
+        self.succeeded = 0
+        self.failed = 0
+        self.latencies = histogram()
+        self.stopped = False
+        self.idle: deque[LoadConnection] = deque()
+        self.waiting: deque[float] = deque()  # due times of requests that no connection was idle for
+        self.now_s = time.perf_counter  # the event loop's own clock counts whole milliseconds
+        self.id_prefix = f"{os.getpid():x}{time.monotonic_ns():x}".encode()
+
+    def next_request(self) -> bytes:
+        """Return a request with an id that no other has."""
+        self.sent += 1
+        return (
+            b"GET /lookup/1 HTTP/1.1\r\nHost: g\r\nX-Call-Id: %s%x\r\nX-Call-Class: lookup\r\n"
+            b"X-Caller: acme\r\nX-Budget-Ms: 3000\r\n\r\n" % (self.id_prefix, self.sent)
+        )
+
+    def offer(self, due_s: float) -> None:
+        """Send a request of an open loop now, or when a connection is next idle."""
+        if self.idle:
+            self.idle.popleft().send(due_s)
+        else:
+            self.waiting.append(due_s)
+
+    def request_succeeded(self, connection: LoadConnection) -> None:
+        """Count a success, and go on with the connection."""
+        self.succeeded += 1
+        self.latencies.record_value(max(1, int((self.now_s() - connection.due_s) * 1e6)))
+        self._connection_idle(connection)
+
+    def request_failed(self, connection: LoadConnection) -> None:
+        """Count a failure, and go on with the connection."""
+        self.failed += 1
+        self._connection_idle(connection)
+
+    def _connection_idle(self, connection: LoadConnection) -> None:
+        if self.stopped:
+            return
+        if self.closed_loop:
+            connection.send(self.now_s())
+        elif self.waiting:
+            connection.send(self.waiting.popleft())
+        else:
+            self.idle.append(connection)
+
+    async def connect(self, port: int, count: int) -> list[LoadConnection]:
+        """Open so many connections to a port of loopback; those of an open loop are idle then."""
+        loop = asyncio.get_running_loop()
+        connections = []
+        for _ in range(count):
+            _, connection = await loop.create_connection(lambda: LoadConnection(self), "127.0.0.1", port)
+            connections.append(connection)
+        if not self.closed_loop:
+            self.idle.extend(connections)
+        return connections
+
+    def latency_ms(self, percentile: float) -> float:
+        """Return a percentile, 0 to 100, of the latencies in milliseconds."""
+        return float(self.latencies.get_value_at_percentile(percentile)) / 1000
+
+
+async def pace(rate: float, seconds: float, send: Callable[[float], None]) -> float:
+    """Call `send` at an even rate with the time, of `time.perf_counter`, at which each call was due.
+
+    Returns:
+        By how many seconds the worst of these calls was late.
+    """
+    start_s = time.perf_counter()
+    sent = 0
+    worst_s = 0.0
+    while (now_s := time.perf_counter()) < start_s + seconds:
+        while sent < (now_s - start_s) * rate:
+            due_s = start_s + sent / rate
+            sent += 1
+            worst_s = max(worst_s, time.perf_counter() - due_s)
+            send(due_s)
+        await asyncio.sleep(PACE_STEP_S)
+    return worst_s
+
+
+async def run_http_load(port: int, connections: int, seconds: float, rate: float = 0.0) -> HttpLoad:
+    """Put load on a gateway for so long: an open loop at `rate` a second, or a closed loop if it is 0."""
+    load = HttpLoad(closed_loop=rate <= 0)
+    opened = await load.connect(port, connections)
+    if load.closed_loop:
+        for connection in opened:
+            connection.send(load.now_s())
+        await asyncio.sleep(seconds)
+    else:
+        await pace(rate, seconds, load.offer)
+    load.stopped = True
+    await asyncio.sleep(LAST_RESPONSES_S)
+    for connection in opened:
+        connection.transport.abort()
+    return load
--- /dev/null
+++ b/sagetrack/lab/benchmarks/measured_process.py
@@ -0,0 +1,121 @@
+"""Processes of a benchmark: the measured one on a core of its own, stand-in servers, and this one's cores."""
+
+from __future__ import annotations
+
+import multiprocessing
+import os
+import socket
+import subprocess
+import time
+from collections.abc import Callable, Iterator, Mapping
+from contextlib import contextmanager
+from multiprocessing.connection import Connection
+from pathlib import Path
+from typing import Any
+
+from sagetrack.lab.errors import LabError
+from sagetrack.lab.repository import ROOT
+from sagetrack.lab.stand_ins.dns_clients import wire_query
+
+START_TIMEOUT_S = 10.0
+CONNECT_TIMEOUT_S = 1.0
+PORT_POLL_S = 0.01
+DNS_POLL_S = 0.02
+DNS_ANSWER_TIMEOUT_S = 0.1
+LARGEST_DNS_ANSWER = 600
+
+
+def require_cores(count: int, reason: str) -> list[int]:
+    """Return the cores that this process may use, in order.
+
+    Raises:
+        LabError: there are fewer than `count`; the message ends with `reason`.
+    """
+    cores = sorted(os.sched_getaffinity(0))
+    if len(cores) < count:
+        raise LabError(f"{len(cores)} cores are too few: {reason}")
+    return cores
+
+
+@contextmanager
+def pinned_to(core: int) -> Iterator[None]:
+    """Keep this process on one core for as long as the block runs."""
+    cores_before = os.sched_getaffinity(0)
+    os.sched_setaffinity(0, {core})
+    try:
+        yield
+    finally:
+        os.sched_setaffinity(0, cores_before)
+
+
+@contextmanager
+def forked_process(target: Callable[..., None], *arguments: Any) -> Iterator[Connection]:
+    """Run `target(*arguments, pipe)` in a forked process that is killed when the block ends.
+
+    Yields:
+        This side of the pipe to the process.
+    """
+    context = multiprocessing.get_context("fork")
+    here, there = context.Pipe()
+    process = context.Process(target=target, args=(*arguments, there), daemon=True)
+    process.start()
+    try:
+        yield here
+    finally:
+        process.kill()
+        process.join()
+
+
+@contextmanager
+def measured_process(
+    command: list[str],
+    environment: Mapping[str, str],
+    core: int | None = None,
+    folder: Path = ROOT,
+    stdout: int | None = subprocess.DEVNULL,
+    stderr: int | None = subprocess.DEVNULL,
+) -> Iterator[subprocess.Popen[bytes]]:
+    """Run a command in `folder`, on one core if one is given; it is killed when the block ends."""
+    process = subprocess.Popen(command, cwd=folder, env=environment, stdout=stdout, stderr=stderr)
+    try:
+        if core is not None:
+            os.sched_setaffinity(process.pid, {core})
+        yield process
+    finally:
+        process.kill()
+        process.wait()
+
+
+def await_listening(port: int, process: subprocess.Popen[bytes]) -> None:
+    """Return when the process accepts TCP connections on a port of loopback.
+
+    Raises:
+        LabError: the process ended, or did not listen within `START_TIMEOUT_S`.
+    """
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline and process.poll() is None:
+        try:
+            socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S).close()
+            return
+        except OSError:
+            time.sleep(PORT_POLL_S)
+    raise LabError("the measured process does not listen")
+
+
+def await_dns_answer(port: int, process: subprocess.Popen[bytes]) -> None:
+    """Return when the process answers a DNS query over UDP on a port of loopback.
+
+    Raises:
+        LabError: the process ended, or did not answer within `START_TIMEOUT_S`.
+    """
+    deadline = time.monotonic() + START_TIMEOUT_S
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.settimeout(DNS_ANSWER_TIMEOUT_S)
+        while time.monotonic() < deadline and process.poll() is None:
+            try:
+                probe.sendto(wire_query("ready.example", 1), ("127.0.0.1", port))
+                probe.recv(LARGEST_DNS_ANSWER)
+                return
+            except OSError:
+                time.sleep(DNS_POLL_S)
+    raise LabError("the measured process does not answer DNS")
--- /dev/null
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -0,0 +1,236 @@
+"""HTTP and DNS loads at an even rate on one gateway, and servers one of which turns slow meanwhile.
+
+Each runs in a process of its own on one core; see `mixed_protocols`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import time
+from collections.abc import Callable
+from enum import StrEnum
+from multiprocessing.connection import Connection
+from typing import Any, NamedTuple, cast
+
+import uvloop
+
+from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.benchmarks.dns_load import QUERY_IDS, DnsServer, answer_to, has_answer, query_id
+from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, LoadConnection, pace
+from sagetrack.lab.stand_ins.dns_clients import wire_query
+
+HTTP_OBJECTIVE_S, DNS_OBJECTIVE_S = 0.25, 0.5  # within which an answer is in time
+HTTP_SLOW_S, DNS_SLOW_S = 0.4, 1.0  # what a slow server takes
+SLOW_AFTER = 0.3  # share of the load's time during which all servers are well
+SERVERS = 8
+HTTP_CONNECTIONS = 128
+DNS_SOCKETS = 8
+LAST_ANSWERS_S = 2.0  # for answers that are still on their way at the end
+LATE_ABOVE_S = 0.02  # a load whose requests left later than that ran late itself
+
+
+class Protocol(StrEnum):
+    """What a load and its servers speak."""
+
+    HTTP = "http"
+    DNS = "dns"
+
+
+class LoadOutcome(NamedTuple):
+    """What became of the requests of one load."""
+
+    sent: int
+    in_time_share: float  # served within the objective
+    failed_share: float  # refused or failed
+    lost: int  # neither served nor failed
+    p50_ms: float
+    p99_ms: float
+    is_late: bool  # the load itself ran late
+
+
+class _HttpServer(EchoServer):
+    def __init__(self, is_slow: Callable[[], bool]) -> None:
+        super().__init__()
+        self.is_slow = is_slow
+
+    def respond(self) -> None:
+        if self.is_slow():
+            asyncio.get_running_loop().call_later(HTTP_SLOW_S, self._respond_if_open)
+        else:
+            self._respond_if_open()
+
+    def _respond_if_open(self) -> None:
+        if not self.transport.is_closing():
+            super().respond()
+
+
+class _DnsServer(DnsServer):
+    def __init__(self, is_slow: Callable[[], bool]) -> None:
+        self.is_slow = is_slow
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        if self.is_slow():
+            loop = asyncio.get_running_loop()
+            loop.call_later(DNS_SLOW_S, self.transport.sendto, answer_to(data), addr)
+        else:
+            super().datagram_received(data, addr)
+
+
+def serve(core: int, protocol: Protocol, slow: Any, pipe: Connection) -> None:
+    """Run servers until killed; their ports go into the pipe.
+
+    Args:
+        core: where they run.
+        protocol: what they speak.
+        slow: a shared integer; the first server is slow while it isn't 0.
+        pipe: takes the list of ports.
+    """
+    os.sched_setaffinity(0, {core})
+
+    async def open_server(is_slow: Callable[[], bool]) -> int:
+        loop = asyncio.get_running_loop()
+        if protocol is Protocol.DNS:
+            transport, _ = await loop.create_datagram_endpoint(lambda: _DnsServer(is_slow), ("127.0.0.1", 0))
+            return int(transport.get_extra_info("sockname")[1])
+        server = await loop.create_server(lambda: _HttpServer(is_slow), "127.0.0.1", 0, backlog=256)
+        return int(server.sockets[0].getsockname()[1])
+
+    async def main() -> None:
+        ports = [await open_server(lambda: bool(slow.value))]
+        for _ in range(SERVERS - 1):
+            ports.append(await open_server(lambda: False))
+        pipe.send(ports)
+        await asyncio.Event().wait()
+
+    uvloop.run(main())
+
+
+class _HttpLoadInTime(HttpLoad):
+    """An open loop that also counts the requests that were served within the objective."""
+
+    def __init__(self) -> None:
+        super().__init__(closed_loop=False)
+        self.offered = 0
+        self.in_time = 0
+
+    def offer(self, due_s: float) -> None:
+        self.offered += 1
+        super().offer(due_s)
+
+    def request_succeeded(self, connection: LoadConnection) -> None:
+        self.in_time += self.now_s() - connection.due_s <= HTTP_OBJECTIVE_S
+        super().request_succeeded(connection)
+
+
+async def _put_http_load(port: int, rate: float, seconds: float) -> LoadOutcome:
+    load = _HttpLoadInTime()
+    connections = await load.connect(port, HTTP_CONNECTIONS)
+    worst_s = await pace(rate, seconds, load.offer)
+    await asyncio.sleep(LAST_ANSWERS_S)
+    load.stopped = True
+    for connection in connections:
+        connection.transport.abort()
+    lost = load.offered - load.succeeded - load.failed
+    return _outcome(load.offered, load.in_time, load.failed, lost, load.latencies, worst_s)
+
+
+class _DnsSocket(asyncio.DatagramProtocol):
+    """One client socket, whose queries are told apart by their id."""
+
+    def __init__(self) -> None:
+        self.due_s: dict[int, float] = {}  # by id, of the queries under way
+        self.sent = 0
+        self.answered = 0
+        self.failed = 0
+        self.in_time = 0
+        self.latencies = histogram()
+        self.name_suffix = f"{time.monotonic_ns():x}"
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def send(self, due_s: float) -> None:
+        """Send a query, unless its id is still in use: it counts as lost then."""
+        self.sent += 1
+        id_ = self.sent % QUERY_IDS
+        if id_ not in self.due_s:
+            self.due_s[id_] = due_s
+            self.transport.sendto(wire_query(f"n{self.sent}.{self.name_suffix}.example", id_))
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        due_s = self.due_s.pop(query_id(data), None)
+        if due_s is None:
+            return
+        latency_s = time.perf_counter() - due_s
+        self.latencies.record_value(max(1, int(latency_s * 1e6)))
+        if has_answer(data):
+            self.answered += 1
+            self.in_time += latency_s <= DNS_OBJECTIVE_S
+        else:
+            self.failed += 1
+
+
+async def _put_dns_load(port: int, rate: float, seconds: float) -> LoadOutcome:
+    loop = asyncio.get_running_loop()
+    sockets = []
+    for _ in range(DNS_SOCKETS):
+        _, opened = await loop.create_datagram_endpoint(_DnsSocket, remote_addr=("127.0.0.1", port))
+        sockets.append(opened)
+    sent = 0
+
+    def send(due_s: float) -> None:
+        nonlocal sent
+        sent += 1
+        sockets[sent % len(sockets)].send(due_s)
+
+    worst_s = await pace(rate, seconds, send)
+    await asyncio.sleep(LAST_ANSWERS_S + DNS_SLOW_S)
+    latencies = histogram()
+    for each in sockets:
+        latencies.add(each.latencies)
+        each.transport.close()
+    failed = sum(each.failed for each in sockets)
+    lost = sent - failed - sum(each.answered for each in sockets)
+    return _outcome(sent, sum(each.in_time for each in sockets), failed, lost, latencies, worst_s)
+
+
+def _outcome(
+    sent: int, in_time: int, failed: int, lost: int, latencies: Any, worst_late_s: float
+) -> LoadOutcome:
+    return LoadOutcome(
+        sent=sent,
+        in_time_share=in_time / max(1, sent),
+        failed_share=failed / max(1, sent),
+        lost=lost,
+        p50_ms=latencies.get_value_at_percentile(50) / 1000,
+        p99_ms=latencies.get_value_at_percentile(99) / 1000,
+        is_late=worst_late_s > LATE_ABOVE_S,
+    )
+
+
+def put_load(
+    core: int, protocol: Protocol, port: int, rate: float, seconds: float, slow: Any, pipe: Connection
+) -> None:
+    """Put load on a gateway; its `LoadOutcome` goes into the pipe.
+
+    Args:
+        core: where the load runs.
+        protocol: what it speaks.
+        port: the gateway's, on loopback.
+        rate: requests a second.
+        seconds: length of the load.
+        slow: a shared integer that becomes 1 after `SLOW_AFTER` of that time, see `serve`.
+        pipe: takes the outcome.
+    """
+    os.sched_setaffinity(0, {core})
+
+    def make_slow() -> None:
+        slow.value = 1
+
+    async def main() -> LoadOutcome:
+        asyncio.get_running_loop().call_later(SLOW_AFTER * seconds, make_slow)
+        put = _put_dns_load if protocol is Protocol.DNS else _put_http_load
+        return await put(port, rate, seconds)
+
+    pipe.send(uvloop.run(main()))
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -16,8 +16,9 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.dns_throughput import _await_answer, answer_to
-from sagetrack.lab.benchmarks.throughput import configuration
+from sagetrack.lab.benchmarks.dns_load import answer_to
+from sagetrack.lab.benchmarks.gateway_files import gateway_configuration
+from sagetrack.lab.benchmarks.measured_process import await_dns_answer
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.repository import ROOT
 from sagetrack.lab.stand_ins.dns_clients import wire_query
@@ -100,7 +101,7 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            await asyncio.to_thread(_await_answer, port, process)
+            await asyncio.to_thread(await_dns_answer, port, process)
             found.sent, start = 0, loop.time()
             while (at := loop.time() - start) < seconds:
                 while found.asked < at * QUERIES:
@@ -119,7 +120,8 @@
     port = free_port()
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         config, operator = Path(folder) / "config.json", Path(folder) / "operator.toml"
-        config.write_text(json.dumps(configuration(free_port(), [free_port()], free_port(), free_port())))
+        plain = gateway_configuration(free_port(), [free_port()], free_port(), free_port())
+        config.write_text(json.dumps(plain))
         environment = os.environ | {
             "PYTHONPATH": str(ROOT),
             "TMPDIR": folder,
--- a/sagetrack/lab/scale/process.py
+++ b/sagetrack/lab/scale/process.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.throughput import _Echo, _load, _Run
+from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, run_http_load
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.processes.fleet import GatewayProcess, need_files
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
@@ -140,8 +140,8 @@
         return longest_s * 1000
 
 
-def ms_at(run: _Run, percentile: float) -> float:
-    return float(run.times.get_value_at_percentile(percentile)) / 1000
+def ms_at(run: HttpLoad, percentile: float) -> float:
+    return float(run.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 async def totals(process: GatewayProcess) -> dict[str, float]:
@@ -171,7 +171,7 @@
         ticking = asyncio.create_task(longest_gap_ms())
         task = act()
         load = asyncio.create_task(
-            _load(self.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
+            run_http_load(self.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
         )
         await task
         over_s = time.monotonic() - began
@@ -184,10 +184,10 @@
             f"{name}_own_hold_ms": await ticking,
             f"{name}_p50_ms": ms_at(run, 50),
             f"{name}_p99_ms": ms_at(run, 99),
-            f"{name}_longest_ms": float(run.times.get_max_value()) / 1000,
+            f"{name}_longest_ms": float(run.latencies.get_max_value()) / 1000,
             f"{name}_refused": refused,
             f"{name}_failed": failed,
-            f"{name}_done": float(run.finished),
+            f"{name}_done": float(run.succeeded),
             f"{name}_core": (cpu_s(pid) - before_s) / (time.monotonic() - began),
             f"{name}_over_s": over_s,
             f"{name}_memory_mb": memory_mb(pid),
@@ -224,7 +224,7 @@
 ) -> dict[str, float]:
     """A gateway with a short list, the load, the long list, changes, a zone; then a start with it all."""
     loop = asyncio.get_running_loop()
-    doors = [await loop.create_server(_Echo, "127.0.0.1", 0, backlog=256) for _ in range(DOORS)]
+    doors = [await loop.create_server(EchoServer, "127.0.0.1", 0, backlog=256) for _ in range(DOORS)]
     addresses = [f"127.0.0.1:{door.sockets[0].getsockname()[1]}" for door in doors]
     roster = EndpointSource(fleet, addresses)
     roster.change(range(FIRST))
