--- a/sagetrack/cli/slow_start.py
+++ b/sagetrack/cli/slow_start.py
@@ -47,13 +47,13 @@
 
     def play(size: int, name: str, number: int) -> tuple[dict[str, Any], str, list[Violation]]:
         made, violations = measure(CASES[name], size, number, fault)
-        part = f"{made.sent:.0f} of {made.could:.0f}" if made.could else "-"
+        part = f"{made.received:.0f} of {made.usable:.0f}" if made.usable else "-"
         line = (
-            f"{name:12} {size:8}  {number:4}  {made.past_budget:4} of {made.windows:5}  "
-            f"{made.most_calls:14.2f}  {made.used:4.0%} {part:>10} {made.answered:8}  "
-            f"{made.in_time} of {made.asked}"
+            f"{name:12} {size:8}  {number:4}  {made.windows_over_budget:4} of {made.windows:5}  "
+            f"{made.most_requests:14.2f}  {made.used_share:4.0%} {part:>10} {made.answered:8}  "
+            f"{made.in_time} of {made.first_attempts}"
         )
-        return made.plain(), line, violations
+        return made.to_json(), line, violations
 
     plays = [partial(play, size, name, n) for name in names for size in sizes for n in numbers]
     raise play_all("cold", HEADER, list(plays), as_json)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -12,7 +12,8 @@
 from sagetrack.cli.app import app
 from sagetrack.lab.analysis.judges import cold_sum, cold_windows
 from sagetrack.lab.analysis.records import Record, Records
-from sagetrack.lab.benchmarks.slow_start import CASES, Case, ColdGateways, figures, measure
+from sagetrack.lab.benchmarks.slow_start import CASES, Case, SlowStartGateways, measure
+from sagetrack.lab.benchmarks.slow_start_figures import figures
 from sagetrack.lab.model.scenario import Fleet, RequestKind, Scenario
 from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS, COLD_SHOWN_BY
 from sagetrack.lab.virtual.simulation import play
@@ -89,11 +90,11 @@
     cold one could do its own share of a core, 7.8 s of work in its first 12 s."""
     records = records_of([n * 50_000 for n in range(1, 280)])
     made = figures(records, SCENARIO, "x")
-    assert made.could == pytest.approx(80, rel=0.03)
-    assert made.sent == pytest.approx(80, rel=0.03)  # it was sent more than it could do
-    assert made.used == 1.0 and made.cold == 1
+    assert made.usable == pytest.approx(80, rel=0.03)
+    assert made.received == pytest.approx(80, rel=0.03)  # it was sent more than it could do
+    assert made.used_share == 1.0 and made.warming_servers == 1
     half = records_of([n * 100_000 for n in range(1, 140)])  # the warm server could do all of it
-    assert figures(half, SCENARIO, "x").could < 1
+    assert figures(half, SCENARIO, "x").usable < 1
 
 
 # The virtual fleet
@@ -105,7 +106,7 @@
 def test_each_planted_fault_breaks_the_rule(fault: str) -> None:
     seconds = 7.0 if fault == "three-for-granted" else SHORT_S
     made, found = measure(CASES[COLD_SHOWN_BY[fault]], 30, 1, fault, seconds=seconds)
-    assert made.past_budget > 0 and made.most_calls > 1.0
+    assert made.windows_over_budget > 0 and made.most_requests > 1.0
     assert "cold_sum" in {violation.rule for violation in found}
 
 
@@ -115,8 +116,8 @@
 def test_correct_gateways_stay_within_the_budget(gateways: int, case: str) -> None:
     made, found = measure(CASES[case], gateways, 1, seconds=6.5)
     assert not found
-    assert made.windows > 0 and 0.0 < made.most_calls <= 1.0
-    assert made.cold == (3 if "few" in case else 15)
+    assert made.windows > 0 and 0.0 < made.most_requests <= 1.0
+    assert made.warming_servers == (3 if "few" in case else 15)
 
 
 def test_the_verdict_is_the_same_every_time() -> None:
@@ -124,7 +125,7 @@
     assert one == two
 
 
-class Noting(ColdGateways):
+class Noting(SlowStartGateways):
     """Keeps when the number of the living was told, and what each process then shares by."""
 
     told: list[tuple[int, int, set[int]]]
@@ -135,8 +136,8 @@
         super().kill(gateway)
         self.whole.append(self.kept.get(gateway) == ObservationsReceived(tuple(sights), tuple(latencies)))
 
-    def all_learn(self, alive: int) -> None:
-        super().all_learn(alive)
+    def announce_fleet_size(self, alive: int) -> None:
+        super().announce_fleet_size(alive)
         self.told.append((self.clock.now_us(), alive, {p.balancer.fleet.gateways for p in self.up.values()}))
 
 
@@ -164,8 +165,10 @@
 
 def test_old_and_new_process_take_calls_together_and_halve_their_part() -> None:
     fleet, records = watched(replace(CASES["overlap"], overlap_s=1000.0), 6.0)
-    assert sorted(fleet.olds) == sorted(fleet.up) == list(range(10))
-    assert all(p.balancer.fleet.processes == 2 for n in range(10) for p in (fleet.up[n], fleet.olds[n]))
+    assert sorted(fleet.old_processes) == sorted(fleet.up) == list(range(10))
+    assert all(
+        p.balancer.fleet.processes == 2 for n in range(10) for p in (fleet.up[n], fleet.old_processes[n])
+    )
     came = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.of("ask"))  # first tries
     new = sum(p.balancer.priorities.asked[0] for p in fleet.up.values())
     assert 0.4 < new / came < 0.6
@@ -173,7 +176,7 @@
 
 def test_the_new_process_has_its_whole_part_when_the_old_one_has_left() -> None:
     fleet, _ = watched(replace(CASES["overlap"], overlap_s=0.5), 5.0)
-    assert not fleet.olds and len(fleet.up) == 10
+    assert not fleet.old_processes and len(fleet.up) == 10
     assert all(p.balancer.fleet.processes == 1 for p in fleet.up.values())
 
 
