--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -128,11 +128,11 @@
 
         play = play_virtual if virtual else real
         with bar("restart", False) as tell:
-            made = restarts.pairs(played, range(1, seeds + 1), play, 1 if virtual else lanes, tell)
+            made = restarts.play_seeds(played, range(1, seeds + 1), play, 1 if virtual else lanes, tell)
     except (ValueError, RuntimeError) as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     for line in restarts.summary(made):
         print(line)
-    raise typer.Exit(1 if any(one.broken for one in made) else 0)
+    raise typer.Exit(1 if any(one.violations for one in made) else 0)
--- a/sagetrack/cli/overload.py
+++ b/sagetrack/cli/overload.py
@@ -50,12 +50,12 @@
 
     def play(count: int, size: float, number: int) -> tuple[dict[str, Any], str, list[Violation]]:
         made, violations = measure(count, size, number, fault)
-        held = " ".join(f"{value:3}" for value in made.held.values())
+        held = " ".join(f"{value:3}" for value in made.in_flight.values())
         line = (
             f"{count:8} {size:5.1f} {number:5}  {made.served_before:13.3f}  {made.during:14.2f} "
-            f"{made.after:6.2f}      {held}  {made.jammed:6.2f}  {made.served:6.3f}"
+            f"{made.after:6.2f}      {held}  {made.overloaded:6.2f}  {made.served:6.3f}"
         )
-        return made.plain(), line, violations
+        return made.to_json(), line, violations
 
     numbers = seeds_of(seed, seeds)
     plays = [partial(play, count, size, n) for count in counts for size in bursts for n in numbers]
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -1,7 +1,6 @@
-"""Membership among many gateways in virtual time: how soon a death is known, who is wrongly declared, what it
-costs.
+"""Membership among many gateways in virtual time: detection of deaths, false deaths, and what they cost.
 
-The state machines are those of the gateways; the way between them loses and delays datagrams as it is told.
+The state machines are those of the gateways; the network between them loses and delays datagrams as set.
 """
 
 from __future__ import annotations
@@ -10,6 +9,7 @@
 import statistics
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from sagetrack.lab.virtual.simulation import SimClock
 from sagetrack.peers.codec import Datagram, decode, encode
@@ -17,7 +17,10 @@
 from sagetrack.peers.membership import Membership
 from sagetrack.peers.settings import MembershipSettings
 
-WARM_US = 5_000_000  # before anything happens
+WARM_UP_US = 5_000_000  # before anything happens
+VIEW_CHECK_US = 250_000  # between two looks at whether all views are equal
+DELAY_US = (1_000, 10_000)  # of a datagram: the least and the most
+NEVER_S = -1.0
 
 
 @dataclass(slots=True)
@@ -25,26 +28,43 @@
     """What one run showed. Times in seconds."""
 
     gateways: int
-    loss: float
+    loss: float  # share of datagrams
     known_s: list[float] = field(default_factory=list)  # for each survivor, until it knew of a death
     missed: int = 0  # pairs of survivor and dead that never became known
     false_deaths: int = 0  # pairs of a member and a living one that it declared or believed dead
-    sent_per_s: float = 0.0  # datagrams a gateway
-    bytes_per_s: float = 0.0
-    most_per_s: float = 0.0  # of the gateway that sent the most
-    healed_s: float = -1.0  # after a partition, until all views were equal and all alive
+    sent_per_s: float = 0.0  # datagrams of a gateway
+    bytes_per_s: float = 0.0  # the same in bytes
+    most_per_s: float = 0.0  # datagrams of the gateway that sent the most
+    healed_s: float = NEVER_S  # after a partition, until all views were equal and all alive
 
     @property
     def median_s(self) -> float:
-        return statistics.median(self.known_s) if self.known_s else -1.0
+        """Median time until a death was known; -1 if none ever was."""
+        return statistics.median(self.known_s) if self.known_s else NEVER_S
 
     @property
     def p99_s(self) -> float:
-        return sorted(self.known_s)[int(0.99 * (len(self.known_s) - 1))] if self.known_s else -1.0
+        """99th percentile of that time; -1 if no death ever was known."""
+        return sorted(self.known_s)[int(0.99 * (len(self.known_s) - 1))] if self.known_s else NEVER_S
+
+
+class StateChange(NamedTuple):
+    """A member's view of another has changed."""
+
+    time_us: int
+    observer: int
+    member: int
+    state: MemberState
 
 
 class Fleet:
-    """So many members on one simulated clock."""
+    """So many members on one simulated clock.
+
+    Attributes:
+        dead: members that neither receive nor send.
+        sides: while the network is partitioned, the side of each member; those of one side reach each other.
+        changes: all changes of views, in order of time.
+    """
 
     def __init__(
         self,
@@ -52,21 +72,24 @@
         seed: int,
         loss: float,
         settings: MembershipSettings,
-        delay_us: tuple[int, int] = (1_000, 10_000),
+        delay_us: tuple[int, int] = DELAY_US,
     ) -> None:
         self.clock = SimClock()
         self.draw = random.Random(f"{seed}/membership")
-        self.loss, self.delay_us, self.settings, self.count = loss, delay_us, settings, count
+        self.loss = loss
+        self.delay_us = delay_us
+        self.settings = settings
+        self.count = count
         self.dead: set[int] = set()
-        self.sides: dict[int, int] = {}  # while partitioned: each one's side
+        self.sides: dict[int, int] = {}
         self.members: dict[int, Membership] = {}
-        self.planned: dict[int, int] = {}  # when each is looked at next
-        self.changed: list[tuple[int, int, int, MemberState]] = []  # time, who, of whom, to what
+        self.planned_us: dict[int, int] = {}  # by member: when its next tick is planned
+        self.changes: list[StateChange] = []
         for number in range(count):
             self.start(number, 1)
 
     def start(self, number: int, incarnation: int) -> None:
-        """A member begins, or begins again with a higher incarnation."""
+        """Start a member, or start it again with a higher incarnation."""
         self.dead.discard(number)
         member = Membership(
             number,
@@ -77,9 +100,11 @@
             self._sender(number),
             incarnation,
         )
-        member.on_change = lambda of, state: self.changed.append((self.clock.now_us(), number, of, state))
+        member.on_change = lambda other, state: self.changes.append(
+            StateChange(self.clock.now_us(), number, other, state)
+        )
         self.members[number] = member
-        self._wake(number, member)
+        self._plan_tick(number, member)
 
     def _sender(self, source: int) -> Callable[[int, Datagram], None]:
         def send(target: int, datagram: Datagram) -> None:
@@ -87,11 +112,11 @@
             member = self.members[source]
             member.counts.sent += 1
             member.counts.sent_bytes += len(data)
-            apart = self.sides.get(source, 0) != self.sides.get(target, 0)
-            if apart or self.draw.random() < self.loss:
+            is_cut_off = self.sides.get(source, 0) != self.sides.get(target, 0)
+            if is_cut_off or self.draw.random() < self.loss:
                 return
-            due = self.clock.now_us() + self.draw.randint(*self.delay_us)
-            self.clock.at(due, lambda: self._deliver(target, data))
+            due_us = self.clock.now_us() + self.draw.randint(*self.delay_us)
+            self.clock.at(due_us, lambda: self._deliver(target, data))
 
         return send
 
@@ -100,31 +125,36 @@
             return
         member = self.members[target]
         member.handle(self.clock.now_us(), decode(data))
-        self._wake(target, member)
+        self._plan_tick(target, member)
 
-    def _wake(self, number: int, member: Membership) -> None:
+    def _plan_tick(self, number: int, member: Membership) -> None:
         def tick() -> None:
             if number in self.dead or self.members[number] is not member:
                 return
             if self.clock.now_us() >= member.next_us():
                 member.tick(self.clock.now_us())
-            self._wake(number, member)
+            self._plan_tick(number, member)
 
-        due = member.next_us()
-        planned = self.planned.get(number, -1)
-        if planned == due and planned > self.clock.now_us():
+        due_us = member.next_us()
+        planned_us = self.planned_us.get(number, -1)
+        if planned_us == due_us and planned_us > self.clock.now_us():
             return
-        self.planned[number] = due
-        self.clock.at(due, tick)
+        self.planned_us[number] = due_us
+        self.clock.at(due_us, tick)
 
     def run(self, until_us: int) -> None:
         """Let time pass up to then."""
-        over = [False]
-        self.clock.at(until_us, lambda: over.__setitem__(0, True))
-        self.clock.run(lambda: over[0], lambda: until_us)
+        has_ended = False
+
+        def end() -> None:
+            nonlocal has_ended
+            has_ended = True
+
+        self.clock.at(until_us, end)
+        self.clock.run(lambda: has_ended, lambda: until_us)
 
     def views_equal(self) -> bool:
-        """Whether every living member takes every dead one for dead, and no other."""
+        """Return whether every living member takes every dead one for dead, and no other."""
         return all(
             (peer.state is MemberState.DEAD) == (other in self.dead)
             for number, member in self.members.items()
@@ -141,41 +171,63 @@
     deaths: int = 1,
     settings: MembershipSettings | None = None,
 ) -> Outcome:
-    """Some die at once, after a while; until when is it known, and who else is taken for dead?"""
+    """Let some members die at once after a while: until when is it known, and who else is taken for dead?
+
+    Args:
+        count: of all members.
+        seed: of all that is drawn.
+        loss: share of datagrams.
+        seconds: played after the death.
+        deaths: how many die.
+        settings: of all members; the default ones if None.
+    """
     fleet = Fleet(count, seed, loss, settings or MembershipSettings())
-    made = Outcome(count, loss)
-    fleet.run(WARM_US)
-    fleet.dead = set(fleet.draw.sample(range(count), deaths))
-    victims = set(fleet.dead)
-    fleet.run(WARM_US + int(seconds * 1e6))
-    known: dict[tuple[int, int], float] = {}
-    for time, who, of, state in fleet.changed:
-        if state is MemberState.DEAD and of in victims and time >= WARM_US:
-            known.setdefault((who, of), (time - WARM_US) / 1e6)
-        elif state is MemberState.DEAD and of not in victims:
-            made.false_deaths += 1
+    fleet.run(WARM_UP_US)
+    victims = set(fleet.draw.sample(range(count), deaths))
+    fleet.dead = set(victims)
+    fleet.run(WARM_UP_US + int(seconds * 1e6))
+    outcome = Outcome(count, loss)
+    known_s: dict[tuple[int, int], float] = {}  # by observer and victim
+    for change in fleet.changes:
+        if change.state is not MemberState.DEAD:
+            continue
+        if change.member not in victims:
+            outcome.false_deaths += 1
+        elif change.time_us >= WARM_UP_US:
+            pair = (change.observer, change.member)
+            known_s.setdefault(pair, (change.time_us - WARM_UP_US) / 1e6)
     survivors = [number for number in range(count) if number not in victims]
-    made.known_s = [known[s, v] for s in survivors for v in victims if (s, v) in known]
-    made.missed = len(survivors) * len(victims) - len(made.known_s)
-    whole = WARM_US / 1e6 + seconds
-    rates = [fleet.members[s].counts.sent / whole for s in survivors]
-    made.sent_per_s, made.most_per_s = statistics.fmean(rates), max(rates)
-    made.bytes_per_s = statistics.fmean(fleet.members[s].counts.sent_bytes / whole for s in survivors)
-    return made
+    pairs = [(survivor, victim) for survivor in survivors for victim in victims]
+    outcome.known_s = [known_s[pair] for pair in pairs if pair in known_s]
+    outcome.missed = len(pairs) - len(outcome.known_s)
+    played_s = WARM_UP_US / 1e6 + seconds
+    counts = [fleet.members[survivor].counts for survivor in survivors]
+    outcome.sent_per_s = statistics.fmean(each.sent / played_s for each in counts)
+    outcome.most_per_s = max(each.sent / played_s for each in counts)
+    outcome.bytes_per_s = statistics.fmean(each.sent_bytes / played_s for each in counts)
+    return outcome
 
 
 def partition(count: int, seed: int, loss: float, seconds: float = 10.0, longest: float = 120.0) -> Outcome:
-    """A third is cut off for a while; how long after its end are all views equal again?"""
+    """Cut off a third of the members for a while: how long after its end are all views equal again?
+
+    Args:
+        count: of all members.
+        seed: of all that is drawn.
+        loss: share of datagrams.
+        seconds: length of the partition.
+        longest: seconds after its end for which the views are watched.
+    """
     fleet = Fleet(count, seed, loss, MembershipSettings())
-    made = Outcome(count, loss)
-    fleet.run(WARM_US)
+    outcome = Outcome(count, loss)
+    fleet.run(WARM_UP_US)
     fleet.sides = {number: int(number < count // 3) for number in range(count)}
-    end = WARM_US + int(seconds * 1e6)
-    fleet.run(end)
+    end_us = WARM_UP_US + int(seconds * 1e6)
+    fleet.run(end_us)
     fleet.sides = {}
-    while fleet.clock.now_us() < end + longest * 1e6:
+    while fleet.clock.now_us() < end_us + longest * 1e6:
         if fleet.views_equal():
-            made.healed_s = (fleet.clock.now_us() - end) / 1e6
+            outcome.healed_s = (fleet.clock.now_us() - end_us) / 1e6
             break
-        fleet.run(fleet.clock.now_us() + 250_000)
-    return made
+        fleet.run(fleet.clock.now_us() + VIEW_CHECK_US)
+    return outcome
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -1,14 +1,15 @@
-"""A virtual fleet under more load than usual: whether its servers jam, and what goodput is left.
+"""A virtual fleet under more load than usual: whether its servers are overloaded, and what goodput is left.
 
-The scenario is scenarios/fleet-burst.toml: servers that are crowded for a while turn slow and stay so until
-they have been left alone. A collapse sustains itself: goodput falls far under what it was with less load, and
-does not return when the load does. The clock is simulated: the same figures for the same seed everywhere.
+The scenario is scenarios/fleet-burst.toml: servers that hold too many requests for a while turn slow and stay
+so until they have been left alone. A collapse sustains itself: goodput falls far under what it was with less
+load, and does not return when the load does. The clock is simulated: the same figures for the same seed
+everywhere.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from typing import Any
 
 from msgspec.structs import replace
@@ -20,79 +21,122 @@
 from sagetrack.lab.virtual.simulation import play
 
 SCENARIO = SCENARIOS / "fleet-burst.toml"
-SAMPLE_S = 0.25  # between two looks at what servers hold
+SAMPLE_INTERVAL_S = 0.25  # between two samples of what servers hold
 SETTLED_S = 4.0  # of the run, after which the usual goodput is taken
-RISEN_S = 2.0  # of the burst, after which its goodput is taken
-BACK_S = 5.0  # after the burst's end, by when goodput has to be back
+RAMP_UP_S = 2.0  # of the burst, after which its goodput is taken
+RECOVERY_S = 5.0  # after the burst's end, by when goodput has to be back
 MOST_GATEWAYS = 1000
+PERCENTILES = (("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0))
 
 
 @dataclass(slots=True)
-class JamFigures:
-    """What a burst came to. Goodput is what is served in a second."""
+class OverloadFigures:
+    """What a burst came to. Goodput is the number of requests that are served in a second."""
 
     gateways: int
-    size: float  # times the usual load
+    burst_size: float  # times the usual load
     seed: int
-    before: float = 0.0  # served a second
-    served_before: float = 0.0  # share of what was asked for
-    during: float = 0.0  # share of `before`
-    after: float = 0.0  # share of `before`, from BACK_S after the end on
-    served: float = 0.0  # share of what was asked for, over the whole run
-    held: dict[str, int] = field(default_factory=dict)  # at a server in the burst, by all: percentiles
-    jammed: float = 0.0  # share of servers and moments in which a server was jammed
-
-    def plain(self) -> dict[str, Any]:
-        """Rounded, for JSON."""
-        return {k: round(v, 4) if isinstance(v, float) else v for k, v in asdict(self).items()}
-
-
-def scenario_for(gateways: int, size: float, more: dict[str, Any] | None = None) -> Scenario:
-    """The scenario at a size; `checked.FileError` for values out of range."""
-    return altered(load(SCENARIO), {"fleet.gateways": gateways, "trouble.1.size": size, **(more or {})})
-
-
-def percentiles(values: Counter[int]) -> dict[str, int]:
-    """Of counted whole numbers; zeros where there are none."""
-    found, total, seen = {}, values.total(), 0
-    wanted = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)]
-    for value in sorted(values):
-        seen += values[value]
-        while wanted and seen >= wanted[0][1] * total:
-            found[wanted.pop(0)[0]] = value
-    return {name: found.get(name, 0) for name in ("p50", "p90", "p99", "max")}
-
-
-def figures(records: Records, scenario: Scenario) -> JamFigures:
+    goodput_before: float = 0.0
+    served_before: float = 0.0  # share of the requests before the burst
+    during: float = 0.0  # goodput in the burst, as a share of `goodput_before`
+    after: float = 0.0  # the same from RECOVERY_S after the burst on
+    served: float = 0.0  # share of all requests of the run
+    in_flight: dict[str, int] = field(default_factory=dict)  # at a server in the burst: percentiles by name
+    overloaded: float = 0.0  # share of servers and samples in which a server was overloaded
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the figures rounded to 4 digits.
+
+        The keys stay as they were stored from the first; the fields have today's names.
+        """
+        plain = {
+            "gateways": self.gateways,
+            "size": self.burst_size,
+            "seed": self.seed,
+            "before": self.goodput_before,
+            "served_before": self.served_before,
+            "during": self.during,
+            "after": self.after,
+            "served": self.served,
+            "held": self.in_flight,
+            "jammed": self.overloaded,
+        }
+        return {key: round(value, 4) if isinstance(value, float) else value for key, value in plain.items()}
+
+
+def scenario_for(gateways: int, size: float, settings: dict[str, Any] | None = None) -> Scenario:
+    """Return the scenario with so many gateways, a burst of this size and further settings.
+
+    Raises:
+        FileError: a value is out of range.
+    """
+    sizes = {"fleet.gateways": gateways, "trouble.1.size": size}
+    return altered(load(SCENARIO), {**sizes, **(settings or {})})
+
+
+def percentiles(counts: Counter[int]) -> dict[str, int]:
+    """Return the percentiles of counted whole numbers by name; zeros where there are none."""
+    found = {name: 0 for name, _ in PERCENTILES}
+    missing = list(PERCENTILES)
+    total = counts.total()
+    seen = 0
+    for value in sorted(counts):
+        seen += counts[value]
+        while missing and seen >= missing[0][1] * total:
+            name, _ = missing.pop(0)
+            found[name] = value
+    return found
+
+
+class _RequestCounts:
+    """Requests of a run, and those of them that were served, by the second in which they were sent."""
+
+    def __init__(self, records: Records) -> None:
+        self.sent: Counter[int] = Counter()
+        self.served: Counter[int] = Counter()
+        for _, _, _, _, _, outcome, asked_us, _ in records.of("request"):
+            second = int(asked_us // 1_000_000)
+            self.sent[second] += 1
+            self.served[second] += outcome == "served"
+
+    def goodput(self, from_s: float, to_s: float) -> float:
+        """Return the requests served in a second between two whole seconds."""
+        served = sum(self.served[second] for second in range(int(from_s), int(to_s)))
+        return served / max(1, int(to_s) - int(from_s))
+
+    def sent_between(self, from_s: float, to_s: float) -> int:
+        """Return the requests that were sent between two whole seconds."""
+        return sum(self.sent[second] for second in range(int(from_s), int(to_s)))
+
+    def served_share(self) -> float:
+        """Return the share of all requests that were served."""
+        return self.served.total() / max(1, self.sent.total())
+
+
+def figures(records: Records, scenario: Scenario) -> OverloadFigures:
     """Work out the figures from a run's records, with `load` sampled."""
     burst = scenario.troubles[0]
-    made = JamFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
-    asked: Counter[int] = Counter()
-    served: Counter[int] = Counter()
-    for row in records.of("request"):
-        second = int(row[6] // 1_000_000)
-        asked[second] += 1
-        served[second] += row[5] == "served"
-    end = burst.at_s + burst.seconds
-
-    def goodput(from_s: float, to_s: float) -> float:
-        return sum(served[s] for s in range(int(from_s), int(to_s))) / max(1, int(to_s) - int(from_s))
-
-    made.before = goodput(SETTLED_S, burst.at_s)
-    whole = sum(asked[s] for s in range(int(SETTLED_S), int(burst.at_s)))
-    made.served_before = made.before * (int(burst.at_s) - int(SETTLED_S)) / max(1, whole)
-    made.during = goodput(burst.at_s + RISEN_S, end) / max(1e-9, made.before)
-    made.after = goodput(end + BACK_S, scenario.seconds) / max(1e-9, made.before)
-    made.served = served.total() / max(1, asked.total())
-    held: Counter[int] = Counter()
-    jammed = looks = 0
-    for row in records.of("load"):
-        looks += 1
-        jammed += row[5]
-        if burst.at_s <= row[1] / 1e6 < end:
-            held[row[3]] += 1
-    made.held, made.jammed = percentiles(held), jammed / max(1, looks)
-    return made
+    burst_end_s = burst.at_s + burst.seconds
+    counts = _RequestCounts(records)
+    found = OverloadFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
+    found.goodput_before = counts.goodput(SETTLED_S, burst.at_s)
+    settled_s = int(burst.at_s) - int(SETTLED_S)
+    sent_before = counts.sent_between(SETTLED_S, burst.at_s)
+    found.served_before = found.goodput_before * settled_s / max(1, sent_before)
+    usual_goodput = max(1e-9, found.goodput_before)
+    found.during = counts.goodput(burst.at_s + RAMP_UP_S, burst_end_s) / usual_goodput
+    found.after = counts.goodput(burst_end_s + RECOVERY_S, scenario.seconds) / usual_goodput
+    found.served = counts.served_share()
+    in_flight: Counter[int] = Counter()
+    overloaded = samples = 0
+    for _, time_us, _, held, _, is_overloaded in records.of("load"):
+        samples += 1
+        overloaded += is_overloaded
+        if burst.at_s <= time_us / 1e6 < burst_end_s:
+            in_flight[held] += 1
+    found.in_flight = percentiles(in_flight)
+    found.overloaded = overloaded / max(1, samples)
+    return found
 
 
 def measure(
@@ -100,17 +144,26 @@
     size: float,
     seed: int,
     fault: str = "",
-    more: dict[str, Any] | None = None,
-    dead: float = 0.0,
-) -> tuple[JamFigures, list[Violation]]:
-    """Play the burst and judge it by all rules; `checked.FileError` for values out of range.
-
-    `dead`: so many of the gateways die as the burst begins and stay dead, and the others are not told.
+    settings: dict[str, Any] | None = None,
+    dead_share: float = 0.0,
+) -> tuple[OverloadFigures, list[Violation]]:
+    """Play the burst and judge it by all rules.
+
+    Args:
+        gateways: their number.
+        size: of the burst, times the usual load.
+        seed: of all that is drawn.
+        fault: a deliberate fault of the gateways, by its name; none if empty.
+        settings: further ones of the scenario, as `lab run --set` has them.
+        dead_share: of the gateways that die as the burst begins and stay dead; the others don't learn it.
+
+    Raises:
+        FileError: a value is out of range.
     """
-    scenario = scenario_for(gateways, size, more)
-    if dead:
+    scenario = scenario_for(gateways, size, settings)
+    if dead_share:
         at_s = scenario.troubles[0].at_s
-        death = Trouble(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, part=dead)
+        death = Trouble(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, part=dead_share)
         scenario = replace(scenario, troubles=[*scenario.troubles, death])
-    records = play(scenario, seed, None, SAMPLE_S, fault)
+    records = play(scenario, seed, None, SAMPLE_INTERVAL_S, fault)
     return figures(records, scenario), judge(records, scenario)
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -1,9 +1,9 @@
-"""How long a gateway takes from its start to its first 200 on /health/ready, of the real program, by part.
+"""How long the real program takes from its start to its first 200 on /health/ready, by part.
 
 What counts is CPU time, since a restarted process may have as little as a quarter of a core: of CPU seconds
-to ready, four times as many pass there if nothing else is waited for. CPU is the kernel's count for the
+to ready, four times as many pass there if nothing else is waited for. CPU time is the kernel's count for the
 process: other work on the machine lengthens the elapsed times, and CPU time through caches that it shares.
-The parts are as the process tells them itself, in milliseconds of CPU and elapsed.
+The parts are as the process logs them itself, in milliseconds of CPU and elapsed.
 """
 
 from __future__ import annotations
@@ -13,9 +13,11 @@
 import tempfile
 import time
 from collections.abc import Callable, Iterator
+from contextlib import suppress
 from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.errors import LabError
@@ -29,13 +31,25 @@
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
 
-SHARE = 0.25  # of a core
+CORE_SHARE = 0.25  # of a core, that a restarted process may have
 MOST_S = 10.0  # that nine in ten restarted processes may take
-GIVE_UP_S = 120.0
-POLL_S = 0.02
-SLOW_S = 2.0  # that a slow discovery takes for an answer
-TOLD = "started; ms of CPU/elapsed: "
-VALUE = bytes(150)  # as long as a second's record
+READY_TIMEOUT_S = 120.0
+POLL_INTERVAL_S = 0.02
+SLOW_DISCOVERY_S = 2.0  # that a slow discovery takes for an answer
+PARTS_MARK = "started; ms of CPU/elapsed: "  # in the log, before the parts of a start
+STORED_VALUE = bytes(150)  # as long as a second's record
+STORE_BATCH = 1000  # values that are written at once
+SERVERS_PER_RACK = 20
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"
+
+
+class Discovery(StrEnum):
+    """How discovery behaves while a process starts."""
+
+    ANSWERS = "answers"
+    SLOW = "slow"
+    SILENT = "silent"
+    REFUSES = "refuses"
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,10 +59,10 @@
     name: str
     servers: int = 25
     tenants: int = 10
-    gateways: int = 1  # others listen to no datagram: with more than one, peers are silent
-    discovery: str = "answers"  # slow, silent, refuses
-    store: int = 0  # values in it; 0: no store
-    at_once: int = 1
+    gateways: int = 1  # the others listen for no datagram: with more than one, peers are silent
+    discovery: Discovery = Discovery.ANSWERS
+    stored_values: int = 0  # 0: no store
+    simultaneous_starts: int = 1
 
 
 @dataclass(slots=True)
@@ -57,31 +71,36 @@
 
     case: Case
     cpu_s: list[float] = field(default_factory=list)  # of each start, in order of size
-    elapsed_s: list[float] = field(default_factory=list)
+    elapsed_s: list[float] = field(default_factory=list)  # the same
     parts: str = ""
 
     @property
     def quarter_s(self) -> float:
         """Seconds to ready on a quarter of a core, of nine in ten."""
-        return nine_in_ten(self.cpu_s) / SHARE
+        return nine_in_ten(self.cpu_s) / CORE_SHARE
 
 
 def nine_in_ten(values: list[float]) -> float:
-    """The value that nine in ten do not pass; the list is in order of size."""
+    """Return the value that nine in ten do not pass; the list is in order of size."""
     return values[-(-9 * len(values) // 10) - 1]
 
 
+def _target(name: str, **more: Any) -> Case:
+    """Return a case of the size that gateways are planned for."""
+    return Case(name, servers=9_600, tenants=39_000, gateways=730, **more)
+
+
 CASES = (
     Case("today"),
-    Case("today, discovery slow", discovery="slow"),
-    Case("today, discovery silent", discovery="silent"),
-    Case("today, discovery refuses", discovery="refuses"),
-    Case("target", 9_600, 39_000, 730),
-    Case("target, discovery silent", 9_600, 39_000, 730, "silent"),
-    Case("target, discovery refuses", 9_600, 39_000, 730, "refuses"),
-    Case("target, long store", 9_600, 39_000, 730, store=300_000),
-    Case("today, 20 at once", at_once=20),
-    Case("target, 20 at once", 9_600, 39_000, 730, at_once=20),
+    Case("today, discovery slow", discovery=Discovery.SLOW),
+    Case("today, discovery silent", discovery=Discovery.SILENT),
+    Case("today, discovery refuses", discovery=Discovery.REFUSES),
+    _target("target"),
+    _target("target, discovery silent", discovery=Discovery.SILENT),
+    _target("target, discovery refuses", discovery=Discovery.REFUSES),
+    _target("target, long store", stored_values=300_000),
+    Case("today, 20 at once", simultaneous_starts=20),
+    _target("target, 20 at once", simultaneous_starts=20),
 )
 
 
@@ -89,21 +108,23 @@
     """Discovery that takes its time."""
 
     def answer(self, connection: AgentConnection, since: int | None) -> None:
-        asyncio.get_running_loop().call_later(SLOW_S, super().answer, connection, since)
+        """Answer after `SLOW_DISCOVERY_S`."""
+        asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().answer, connection, since)
 
 
 def fill(folder: Path, values: int) -> None:
-    """A store of so many values, as the process before left it."""
+    """Write a store of so many values, as the process before left it."""
     store = Store(Disk(folder), StoreOptions())
     store.open()
     at_ms = int(time.time() * 1000)
-    for first in range(0, values, 1000):
-        keys = range(first, min(values, first + 1000))
-        store.write([[Record("seconds", b"%015d g0" % (at_ms - n), VALUE, at_ms)] for n in keys])
+    for first in range(0, values, STORE_BATCH):
+        keys = range(first, min(values, first + STORE_BATCH))
+        store.write([[Record("seconds", b"%015d g0" % (at_ms - n), STORED_VALUE, at_ms)] for n in keys])
     store.close()
 
 
 def world_of(case: Case) -> World:
+    """Return a world of the case's size."""
     members = [Member(f"t-{number}") for number in range(case.tenants)]
     fleet = Fleet(servers=case.servers, gateways=case.gateways)
     scenario = Scenario(name="readiness", fleet=fleet, members=members, peers=Peers(use=case.gateways > 1))
@@ -111,17 +132,57 @@
 
 
 def address_of(gateway: int, server: int) -> str:
-    return f"127.20.{server // 250}.{server % 250 + 1}:8000"  # nobody listens, and nothing is sent
+    """Return a server's address, where nobody listens: nothing is sent there."""
+    return f"127.20.{server // 250}.{server % 250 + 1}:8000"
+
+
+def _discovery_of(case: Case, world: World) -> Agent:
+    """Return the case's discovery, which knows all servers."""
+    agent = (SlowAgent if case.discovery is Discovery.SLOW else Agent)(world, 0, address_of, 0)
+    zones = len(world.scenario.fleet.zones)
+    for server in range(1, case.servers + 1):
+        agent.entries[server] = Listed(server, server % zones, server // SERVERS_PER_RACK)
+    world.roster.down = case.discovery is Discovery.SILENT
+    if case.discovery is Discovery.REFUSES:
+        agent.door.close()
+    return agent
+
+
+class Start(NamedTuple):
+    """A process that was started, and where it will listen."""
+
+    process: GatewayProcess
+    listen: str
+    started_s: float  # on the event loop's clock
+
+    def logged_parts(self) -> str:
+        """Return the parts of the start as the process logged them; empty if it has not yet."""
+        log = self.process.log.read_text(errors="replace")
+        return log.partition(PARTS_MARK)[2].partition("\n")[0]
 
 
-def launch(case: Case, agent: Agent, settings: dict[str, Any], folder: Path) -> tuple[GatewayProcess, str]:
-    """Start a process of the case; it and where it will listen."""
+class Ready(NamedTuple):
+    """What a process took until it was ready."""
+
+    cpu_s: float
+    elapsed_s: float
+
+
+def launch(case: Case, agent: Agent, settings: dict[str, Any], folder: Path) -> Start:
+    """Start a process of the case.
+
+    Args:
+        case: what it starts with.
+        agent: its discovery.
+        settings: the platform's.
+        folder: made for it; its name ends with a number that no other process of this time has.
+    """
     folder.mkdir()
     operator = ""
-    if case.store:
-        fill(folder / "store", case.store)
+    if case.stored_values:
+        fill(folder / "store", case.stored_values)
         operator = f'[log]\nformat = "plain"\nlevel = "debug"\n[store]\nfolder = "{folder / "store"}"\n'
-    host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"  # nobody calls from there
+    host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"  # nobody sends requests from there
     listen = f"{host}:{free_port()}"
     config: dict[str, Any] = {
         "name": "g0",
@@ -136,72 +197,80 @@
     if case.gateways > 1:
         peers = [f"127.40.{number // 250}.{number % 250 + 1}:9" for number in range(case.gateways)]
         config |= {"peer_listen": f"{host}:{free_port()}", "peers": peers}
-    return GatewayProcess(folder, config, None, 1, operator), listen
+    process = GatewayProcess(folder, config, None, 1, operator)
+    return Start(process, listen, asyncio.get_running_loop().time())
 
 
-async def first_ready(process: GatewayProcess, listen: str) -> tuple[float, float]:
-    """CPU seconds of a process until its first 200, and when that came on the loop's clock."""
+async def _answers_ready(listen: str) -> bool:
+    """Return whether /health/ready is answered with 200; OSError if nobody listens."""
     host, _, port = listen.rpartition(":")
+    reader, writer = await asyncio.open_connection(host, int(port))
+    writer.write(READY_REQUEST)
+    status_line = await reader.readline()
+    writer.close()
+    return status_line.startswith(b"HTTP/1.1 200")
+
+
+async def first_ready(start: Start) -> Ready:
+    """Wait for a process's first 200 and return what it took.
+
+    Raises:
+        LabError: the process ended, or was not ready within `READY_TIMEOUT_S`.
+    """
     loop = asyncio.get_running_loop()
-    end_s = loop.time() + GIVE_UP_S
-    while loop.time() < end_s:
-        if process.process.poll() is not None:
-            raise LabError(f"a gateway ended as it started: {process.last_words()}")
-        try:
-            reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(b"GET /health/ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
-            line = await reader.readline()
-            writer.close()
-            if line.startswith(b"HTTP/1.1 200"):
-                return cpu_s(process.process.pid), loop.time()
-        except OSError:
-            pass
-        await asyncio.sleep(POLL_S)
-    raise LabError(f"a gateway was not ready within {GIVE_UP_S:g} s: {process.last_words()}")
+    gateway = start.process
+    deadline_s = loop.time() + READY_TIMEOUT_S
+    while loop.time() < deadline_s:
+        if gateway.process.poll() is not None:
+            raise LabError(f"a gateway ended as it started: {gateway.last_words()}")
+        with suppress(OSError):
+            if await _answers_ready(start.listen):
+                return Ready(cpu_s(gateway.process.pid), loop.time() - start.started_s)
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise LabError(f"a gateway was not ready within {READY_TIMEOUT_S:g} s: {gateway.last_words()}")
 
 
 async def play(case: Case, rounds: int, folder: Path) -> Reading:
-    """One case, so many times; LabError if a gateway does not start."""
+    """Play one case so many times.
+
+    Raises:
+        LabError: a gateway did not start.
+    """
     world = world_of(case)
     settings = platform_settings(world.scenario, 0)
-    agent = (SlowAgent if case.discovery == "slow" else Agent)(world, 0, address_of, 0)
-    zones = len(world.scenario.fleet.zones)
-    for server in range(1, case.servers + 1):
-        agent.entries[server] = Listed(server, server % zones, server // 20)
-    world.roster.down = case.discovery == "silent"
-    if case.discovery == "refuses":
-        agent.door.close()
-    found: list[tuple[float, float, str]] = []
-    loop = asyncio.get_running_loop()
+    agent = _discovery_of(case, world)
+    found: list[tuple[Ready, str]] = []  # with the parts of the start
     for number in range(rounds):
-        processes: list[GatewayProcess] = []
+        starts: list[Start] = []
         try:
-            began, waiting = [], []
-            for one in range(case.at_once):
-                process, listen = launch(case, agent, settings, folder / f"{number}-{one}")
-                began.append(loop.time())
-                processes.append(process)
-                waiting.append(loop.create_task(first_ready(process, listen)))
-            ready = await asyncio.gather(*waiting)
-            for start_s, process, (spent, end_s) in zip(began, processes, ready, strict=True):
-                words = process.log.read_text(errors="replace")
-                found.append((spent, end_s - start_s, words.partition(TOLD)[2].partition("\n")[0]))
+            for place in range(case.simultaneous_starts):
+                starts.append(launch(case, agent, settings, folder / f"{number}-{place}"))
+            ready = await asyncio.gather(*map(first_ready, starts))
+            found += zip(ready, (start.logged_parts() for start in starts), strict=True)
         finally:
-            for process in processes:
-                process.process.kill()
-                process.process.wait()
+            for start in starts:
+                start.process.process.kill()
+                start.process.process.wait()
     agent.door.close()
     found.sort()
-    parts = found[len(found) // 2][2]
-    return Reading(case, [row[0] for row in found], sorted(row[1] for row in found), parts)
+    return Reading(
+        case,
+        cpu_s=[ready.cpu_s for ready, _ in found],
+        elapsed_s=sorted(ready.elapsed_s for ready, _ in found),
+        parts=found[len(found) // 2][1],
+    )
 
 
 def measure(rounds: int, cases: tuple[Case, ...], progress: Callable[[float], None]) -> Iterator[Reading]:
-    """Every case, so many rounds each."""
-    os.environ["SAGETRACK_STARTUP"] = "1"
+    """Play every case so many times; `progress` is called with the share of cases that are done.
+
+    Raises:
+        LabError: a gateway did not start.
+    """
+    os.environ["SAGETRACK_STARTUP"] = "1"  # the process logs its parts
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         for number, case in enumerate(cases):
-            place = Path(folder) / str(number)
-            os.mkdir(place)
-            yield asyncio.run(play(case, rounds, place))
+            case_folder = Path(folder) / str(number)
+            case_folder.mkdir()
+            yield asyncio.run(play(case, rounds, case_folder))
             progress((number + 1) / len(cases))
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -1,8 +1,7 @@
-"""What a gateway's restart costs: its service in its first seconds, beside one that never died, by paired
-seeds.
+"""What a gateway's restart costs: service in its first seconds, beside one that never died, by paired seeds.
 
 Each seed is played four times: the gateway never dies, it comes back without help, it comes back and asks
-the others, it comes back with a store of its own. Counted are the requests whose first try went to the
+its peers, it comes back with a store of its own. Counted are the requests whose first attempt went to the
 gateways that died, from when they were up again.
 """
 
@@ -11,108 +10,134 @@
 import statistics
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, altered
 
-FIRST_S = 10.0
+FIRST_S = 10.0  # after a gateway is up again
 VARIANTS = ("never", "without", "with", "store")
+VARIANT_NAMES = {"without": "without help", "with": "with help", "store": "with a store"}
 Play = Callable[[Scenario, int], Records]
 
 
+class Revival(NamedTuple):
+    """A gateway that came back."""
+
+    gateway: int
+    up_us: int
+
+    def covers(self, gateway: int, time_us: int, seconds: float) -> bool:
+        """Return whether a time is within the gateway's first seconds."""
+        return gateway == self.gateway and self.up_us <= time_us < self.up_us + seconds * 1e6
+
+
 @dataclass(slots=True)
-class Pair:
-    """One seed: shares of the worth that was served in time, and mean latencies in milliseconds."""
+class SeedResult:
+    """One seed in its variants."""
 
     seed: int
-    service: dict[str, float]
-    latency_ms: dict[str, float]
-    broken: int  # rules, in all of them
+    service: dict[str, float] = field(default_factory=dict)  # share of the priority weight served, by variant
+    latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by variant
+    violations: int = 0  # of rules, in all variants
 
 
 def variants(scenario: Scenario) -> dict[str, Scenario]:
-    """The three plays; ValueError if no gateway dies in the scenario."""
-    deaths = [n for n, trouble in enumerate(scenario.troubles, 1) if trouble.kind == "gateway-death"]
+    """Return what is played, by the names in `VARIANTS`.
+
+    Raises:
+        ValueError: no gateway dies in the scenario.
+    """
+    deaths = [n for n, fault in enumerate(scenario.troubles, 1) if fault.kind == "gateway-death"]
     if not deaths:
         raise ValueError(f"{scenario.name}: no gateway dies in it")
-    off = {"peers.use": False, "store.use": False}
-    spared = {f"trouble.{n}.kind": "reload" for n in deaths}
+    no_help = {"peers.use": False, "store.use": False}
+    no_deaths = {f"trouble.{n}.kind": "reload" for n in deaths}
     return {
-        "never": altered(scenario, off | spared),
-        "without": altered(scenario, off),
-        "with": altered(scenario, off | {"peers.use": True}),
-        "store": altered(scenario, off | {"store.use": True}),
+        "never": altered(scenario, no_help | no_deaths),
+        "without": altered(scenario, no_help),
+        "with": altered(scenario, no_help | {"peers.use": True}),
+        "store": altered(scenario, no_help | {"store.use": True}),
     }
 
 
-def revivals(records: Records) -> list[tuple[int, int]]:
-    """Gateways that came back, and when."""
-    return [(row[2], row[1]) for row in records.of("gateway") if row[3] == "up" and row[1] > 0]
+def revivals(records: Records) -> list[Revival]:
+    """Return the gateways that came back, and when."""
+    return [
+        Revival(gateway, time_us)
+        for _, time_us, gateway, state in records.of("gateway")
+        if state == "up" and time_us > 0
+    ]
 
 
 def first_seconds(
-    records: Records, scenario: Scenario, back: list[tuple[int, int]], seconds: float = FIRST_S
+    records: Records, scenario: Scenario, revived: list[Revival], seconds: float = FIRST_S
 ) -> tuple[float, float]:
-    """Service and mean latency of what was first asked of these gateways, in their first seconds."""
-    first = {row[8]: row for row in records.of("ask") if row[9] == 1}
-    worth = got = 0.0
-    times = []
-    for row in records.of("request"):
-        _, time, request, class_index, _, outcome, due, _ = row
-        ask = first[request]
-        if not any(ask[3] == gateway and up <= ask[1] < up + seconds * 1e6 for gateway, up in back):
+    """Return the service and the mean latency of requests in the gateways' first seconds.
+
+    Returns:
+        The share of the requests' priority weight that was served, and the mean latency in milliseconds of
+        the requests that were served.
+    """
+    first_attempts = {row[8]: row for row in records.of("ask") if row[9] == 1}  # by request
+    total_weight = 0.0
+    served_weight = 0.0
+    latencies_ms = []
+    for _, time_us, request, class_index, _, outcome, due_us, _ in records.of("request"):
+        _, sent_us, _, gateway, *_ = first_attempts[request]
+        if not any(revival.covers(gateway, sent_us, seconds) for revival in revived):
             continue
-        worth += scenario.classes[class_index].worth
+        weight = scenario.classes[class_index].worth
+        total_weight += weight
         if outcome == "served":
-            got += scenario.classes[class_index].worth
-            times.append((time - due) / 1000)
-    return got / worth if worth else 1.0, statistics.fmean(times) if times else 0.0
-
-
-def pair(scenario: Scenario, seed: int, play: Play) -> Pair:
-    """One seed in its variants."""
-    made = Pair(seed, {}, {}, 0)
-    plays = variants(scenario)
-    records = {name: play(variant, seed) for name, variant in plays.items()}
-    back = revivals(records["with"])
-    for name, of in records.items():
-        mine = back if name == "never" else revivals(of)
-        made.service[name], made.latency_ms[name] = first_seconds(of, scenario, mine)
-        made.broken += len(judge(of, plays[name]))
-    return made
-
-
-def pairs(
-    scenario: Scenario, seeds: range, play: Play, lanes: int, progress: Callable[[float], None]
-) -> list[Pair]:
-    """All seeds, so many at a time."""
-    done = 0
-    made = []
-    with ThreadPoolExecutor(lanes) as pool:
-        for one in pool.map(lambda seed: pair(scenario, seed, play), seeds):
-            made.append(one)
-            done += 1
-            progress(done / len(seeds))
-    return made
-
-
-def summary(made: list[Pair]) -> list[str]:
-    """For people, with the spread over seeds."""
+            served_weight += weight
+            latencies_ms.append((time_us - due_us) / 1000)
+    service = served_weight / total_weight if total_weight else 1.0
+    return service, statistics.fmean(latencies_ms) if latencies_ms else 0.0
+
+
+def play_seed(scenario: Scenario, seed: int, play: Play) -> SeedResult:
+    """Play one seed in its variants."""
+    result = SeedResult(seed)
+    scenarios = variants(scenario)
+    records = {name: play(variant, seed) for name, variant in scenarios.items()}
+    revived = revivals(records["with"])
+    for name, played in records.items():
+        counted = revived if name == "never" else revivals(played)
+        result.service[name], result.latency_ms[name] = first_seconds(played, scenario, counted)
+        result.violations += len(judge(played, scenarios[name]))
+    return result
+
+
+def play_seeds(
+    scenario: Scenario, seeds: range, play: Play, workers: int, progress: Callable[[float], None]
+) -> list[SeedResult]:
+    """Play all seeds, so many at a time; `progress` is called with the share that is done."""
+    results = []
+    with ThreadPoolExecutor(workers) as pool:
+        for result in pool.map(lambda seed: play_seed(scenario, seed, play), seeds):
+            results.append(result)
+            progress(len(results) / len(seeds))
+    return results
+
+
+def summary(results: list[SeedResult]) -> list[str]:
+    """Return lines for people, with the spread over seeds."""
     lines = []
     for name in VARIANTS:
-        service = [one.service[name] for one in made]
-        latency = statistics.fmean(one.latency_ms[name] for one in made)
+        service = [result.service[name] for result in results]
+        latency_ms = statistics.fmean(result.latency_ms[name] for result in results)
         lines.append(
             f"{name:8} service {statistics.fmean(service):.4f} ({min(service):.4f} to {max(service):.4f}), "
-            f"mean latency {latency:.0f} ms"
+            f"mean latency {latency_ms:.0f} ms"
         )
-    told = []
-    for what, name in (("without help", "without"), ("with help", "with"), ("with a store", "store")):
-        lost = [one.service["never"] - one.service[name] for one in made]
+    losses = []
+    for name, description in VARIANT_NAMES.items():
+        lost = [result.service["never"] - result.service[name] for result in results]
         spread = statistics.stdev(lost) if len(lost) > 1 else 0.0
-        told.append(f"{what} {statistics.fmean(lost):+.4f} (sd {spread:.4f})")
-    broken = sum(one.broken for one in made)
-    lines.append(f"lost {', '.join(told)}, over {len(made)} seeds; {broken} rules broken")
+        losses.append(f"{description} {statistics.fmean(lost):+.4f} (sd {spread:.4f})")
+    violations = sum(result.violations for result in results)
+    lines.append(f"lost {', '.join(losses)}, over {len(results)} seeds; {violations} rules broken")
     return lines
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -139,7 +139,7 @@
 
 def test_the_probe_counts_nine_in_ten_and_fills_a_store(tmp_path: Path) -> None:
     assert nine_in_ten([1.0]) == 1.0 and nine_in_ten([float(n) for n in range(1, 21)]) == 18.0
-    assert Case("x").store == 0
+    assert Case("x").stored_values == 0
     fill(tmp_path / "store", 2_500)
     line = [sys.executable, "-m", "sagetrack", "store", "verify", str(tmp_path / "store")]
     done = subprocess.run(line, cwd=ROOT, text=True, capture_output=True, timeout=60)
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sagetrack.lab.benchmarks.restart import pairs
+from sagetrack.lab.benchmarks.restart import play_seeds
 from sagetrack.lab.model.scenario import load
 from sagetrack.lab.virtual.simulation import play
 from sagetrack.peers.codec import (
@@ -78,9 +78,9 @@
 def test_a_restart_with_help_loses_little_and_breaks_no_rule() -> None:
     """In virtual time: what restarted gateways serve in their first 10 s, by paired seeds."""
     scenario = load(Path(__file__).parent.parent / "scenarios" / "warm-restart.toml")
-    made = pairs(scenario, range(1, 5), play, 1, lambda share: None)
+    made = play_seeds(scenario, range(1, 5), play, 1, lambda share: None)
     lost = sum(one.service["never"] - one.service["without"] for one in made)
     kept = sum(one.service["never"] - one.service["with"] for one in made)
-    assert not any(one.broken for one in made)
+    assert not any(one.violations for one in made)
     assert lost > 0 and kept <= lost / 4
     assert "".join(play(scenario, 1).lines()) == "".join(play(scenario, 1).lines())
