--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -76,7 +76,7 @@
     figure: Annotated[str, typer.Option(help="which figure")] = "service",
 ) -> None:
     """Compare two sweeps by pairs of one seed, with a 95% confidence interval."""
-    from sagetrack.lab.benchmarks.sweep import compare as compare_files
+    from sagetrack.lab.benchmarks.comparison import compare as compare_files
 
     try:
         found = compare_files(Path(a), Path(b), figure)
@@ -85,7 +85,7 @@
     word = "clear" if found.is_clear else "within the noise"
     print(
         f"{found.figure}: A {found.mean_a:.4f}, B {found.mean_b:.4f}, B - A {found.difference:+.4f} "
-        f"± {found.half_width:.4f} over {found.pairs} pairs ({found.better} with B larger): {word}"
+        f"± {found.half_width:.4f} over {found.pairs} pairs ({found.larger_in_b} with B larger): {word}"
     )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,6 +15,7 @@
 from sagetrack.lab.analysis.judges import RULES, judge
 from sagetrack.lab.analysis.records import Record, Records, read
 from sagetrack.lab.benchmarks import sweep as sweeps
+from sagetrack.lab.benchmarks.comparison import compare
 from sagetrack.lab.model.scenario import Choke, Fleet, Scenario, altered, load
 from sagetrack.lab.model.server import Job, Keys, Result, Server
 from sagetrack.lab.virtual.faulty_gateways import FAULTS, SHOWN_BY
@@ -276,8 +277,8 @@
         return tmp_path / name
 
     a = write("a", [0.90, 0.80, 0.95, 0.85])
-    clear = sweeps.compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
-    assert clear.is_clear and math.isclose(clear.difference, 0.02) and clear.better == 4
-    assert not sweeps.compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_clear
+    clear = compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
+    assert clear.is_clear and math.isclose(clear.difference, 0.02) and clear.larger_in_b == 4
+    assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_clear
     with pytest.raises(ValueError, match="no figure"):
-        sweeps.compare(a, a, "speed")
+        compare(a, a, "speed")
