--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -31,7 +31,12 @@
     gateway_configuration,
     gateway_environment,
 )
-from sagetrack.lab.benchmarks.measured_process import await_listening, forked_process, measured_process
+from sagetrack.lab.benchmarks.measured_process import (
+    await_listening,
+    forked_process,
+    measured_process,
+    open_servers,
+)
 from sagetrack.lab.processes.fleet import need_files
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
 from sagetrack.lab.stand_ins.grpc_server import Asked, NewConnection
@@ -146,14 +151,10 @@
     """
 
     async def main() -> None:
-        loop = asyncio.get_running_loop()
         requests = _AnswerTogether(size, pipe)
-        ports = []
-        for _ in range(count):
-            server = await loop.create_server(lambda: _BodySink(requests.take), "127.0.0.1", 0, backlog=64)
-            ports.append(server.sockets[0].getsockname()[1])
-        silent = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
-        pipe.send((ports, silent.sockets[0].getsockname()[1]))
+        ports = await open_servers(lambda: _BodySink(requests.take), count, backlog=64)
+        (discovery_port,) = await open_servers(asyncio.Protocol, 1)
+        pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
 
     uvloop.run(main())
--- a/sagetrack/lab/benchmarks/fair_queue.py
+++ b/sagetrack/lab/benchmarks/fair_queue.py
@@ -17,6 +17,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.policy.actions import SendAttempt, SetTimer
 from sagetrack.policy.admission import AdmissionSettings
 from sagetrack.policy.events import (
@@ -144,13 +145,7 @@
 
 
 def drive(
-    clients: int,
-    requests: int,
-    fair_queues: bool,
-    memory_kb: int,
-    seed: int,
-    trace: bool,
-    load: float = 2.0,
+    clients: int, requests: int, fair_queues: bool, memory_kb: int, seed: int, trace: bool, load: float = 2.0
 ) -> Cost:
     """Play one round.
 
@@ -173,16 +168,19 @@
             simulation.forget()
             gc.collect()
             allocated_kb = tracemalloc.get_traced_memory()[0] / 1024
-    balancer = simulation.balancer
-    admission = balancer.admission
+    request_us = simulation.cpu_ns / 1000 / requests
+    admission = simulation.balancer.admission
+    if admission is None:
+        queued = len(simulation.balancer.capacity_wait)
+        return Cost(clients, request_us, queued, 0, allocated_kb, counted_kb=0.0, bound_kb=0.0)
     return Cost(
         clients=clients,
-        request_us=simulation.cpu_ns / 1000 / requests,
-        queued=admission.queued if admission else len(balancer.capacity_wait),
-        reserved=admission.open_reservations if admission else 0,
+        request_us=request_us,
+        queued=admission.queued,
+        reserved=admission.open_reservations,
         allocated_kb=allocated_kb,
-        counted_kb=admission.memory_used() / 1024 if admission else 0.0,
-        bound_kb=memory_kb if admission else 0.0,
+        counted_kb=admission.memory_used() / 1024,
+        bound_kb=memory_kb,
     )
 
 
@@ -263,4 +261,4 @@
         "times_from": min(ratios),
         "times_to": max(ratios),
     }
-    return {key: round(value, 2) if isinstance(value, float) else value for key, value in row.items()}
+    return rounded(row, 2)
--- a/sagetrack/lab/benchmarks/measured_process.py
+++ b/sagetrack/lab/benchmarks/measured_process.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import multiprocessing
 import os
 import socket
@@ -66,6 +67,16 @@
         process.join()
 
 
+async def open_servers(make: Callable[[], asyncio.Protocol], count: int, backlog: int = 100) -> list[int]:
+    """Listen on so many ports of loopback until the event loop ends, and return the ports."""
+    loop = asyncio.get_running_loop()
+    ports = []
+    for _ in range(count):
+        server = await loop.create_server(make, "127.0.0.1", 0, backlog=backlog)
+        ports.append(int(server.sockets[0].getsockname()[1]))
+    return ports
+
+
 @contextmanager
 def measured_process(
     command: list[str],
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -163,6 +163,16 @@
         )
 
 
+def _first_known_s(deaths_seen: list[StateChange]) -> dict[tuple[int, int], float]:
+    """Return by observer and member when it was first taken for dead, in seconds after the warm-up."""
+    known_s: dict[tuple[int, int], float] = {}
+    for change in deaths_seen:
+        if change.time_us >= WARM_UP_US:
+            pair = (change.observer, change.member)
+            known_s.setdefault(pair, (change.time_us - WARM_UP_US) / 1e6)
+    return known_s
+
+
 def death(
     count: int,
     seed: int,
@@ -187,17 +197,11 @@
     fleet.dead = set(victims)
     fleet.run(WARM_UP_US + int(seconds * 1e6))
     outcome = Outcome(count, loss)
-    known_s: dict[tuple[int, int], float] = {}  # by observer and victim
-    for change in fleet.changes:
-        if change.state is not MemberState.DEAD:
-            continue
-        if change.member not in victims:
-            outcome.false_deaths += 1
-        elif change.time_us >= WARM_UP_US:
-            pair = (change.observer, change.member)
-            known_s.setdefault(pair, (change.time_us - WARM_UP_US) / 1e6)
+    deaths_seen = [change for change in fleet.changes if change.state is MemberState.DEAD]
+    outcome.false_deaths = sum(change.member not in victims for change in deaths_seen)
     survivors = [number for number in range(count) if number not in victims]
     pairs = [(survivor, victim) for survivor in survivors for victim in victims]
+    known_s = _first_known_s(deaths_seen)
     outcome.known_s = [known_s[pair] for pair in pairs if pair in known_s]
     outcome.missed = len(pairs) - len(outcome.known_s)
     played_s = WARM_UP_US / 1e6 + seconds
--- a/sagetrack/lab/benchmarks/mixed_protocols.py
+++ b/sagetrack/lab/benchmarks/mixed_protocols.py
@@ -43,6 +43,7 @@
     put_load,
     serve,
 )
+from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.benchmarks.throughput import CLOSED_LOOP_CONNECTIONS
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
 
@@ -79,7 +80,7 @@
             "cpu": self.cpu,
             "late": self.outcome.is_late,
         }
-        return {key: round(value, 4) if isinstance(value, float) else value for key, value in row.items()}
+        return rounded(row, 4)
 
 
 class _Bench:
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -16,6 +16,7 @@
 
 from sagetrack.lab.analysis.judges import Violation, judge
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.simulation import play
@@ -61,7 +62,7 @@
             "held": self.in_flight,
             "jammed": self.overloaded,
         }
-        return {key: round(value, 4) if isinstance(value, float) else value for key, value in plain.items()}
+        return rounded(plain, 4)
 
 
 def scenario_for(gateways: int, size: float, settings: dict[str, Any] | None = None) -> Scenario:
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -18,6 +18,7 @@
 from sagetrack.lab.analysis.figures import histogram
 from sagetrack.lab.benchmarks.dns_load import QUERY_IDS, DnsServer, answer_to, has_answer, query_id
 from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, LoadConnection, pace
+from sagetrack.lab.benchmarks.measured_process import open_servers
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
 HTTP_OBJECTIVE_S, DNS_OBJECTIVE_S = 0.25, 0.5  # within which an answer is in time
@@ -89,12 +90,12 @@
     os.sched_setaffinity(0, {core})
 
     async def open_server(is_slow: Callable[[], bool]) -> int:
-        loop = asyncio.get_running_loop()
         if protocol is Protocol.DNS:
+            loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(lambda: _DnsServer(is_slow), ("127.0.0.1", 0))
             return int(transport.get_extra_info("sockname")[1])
-        server = await loop.create_server(lambda: _HttpServer(is_slow), "127.0.0.1", 0, backlog=256)
-        return int(server.sockets[0].getsockname()[1])
+        (port,) = await open_servers(lambda: _HttpServer(is_slow), 1, backlog=256)
+        return port
 
     async def main() -> None:
         ports = [await open_server(lambda: bool(slow.value))]
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -12,6 +12,7 @@
 
 from sagetrack.lab.analysis.judges import cold_windows
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario
 
 FIRST_US = 12_000_000  # after the first cold start: capacity and work of that time are compared
@@ -65,7 +66,7 @@
             "in_time": self.in_time,
             "used": self.used_share,
         }
-        return {key: round(value, 4) if isinstance(value, float) else value for key, value in plain.items()}
+        return rounded(plain, 4)
 
 
 class _Server(NamedTuple):
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -13,7 +13,7 @@
 import sys
 import tempfile
 from collections.abc import Callable, Iterator
-from contextlib import AbstractContextManager, ExitStack
+from contextlib import AbstractContextManager, ExitStack, contextmanager
 from dataclasses import dataclass
 from multiprocessing.connection import Connection
 from pathlib import Path
@@ -33,6 +33,7 @@
     await_listening,
     forked_process,
     measured_process,
+    open_servers,
     pinned_to,
     require_cores,
 )
@@ -49,6 +50,7 @@
 WARM_UP_S = 1.0  # of load before a measurement, at the most
 MOST_FAILED = 0.01  # share of the open loop's requests, beyond which a measurement is worthless
 LATE_BELOW = 0.99  # share of the planned requests: with fewer, the load ran late
+GATEWAY_CORE, SERVER_CORE, LOAD_CORE, NEWER_SERVER_CORE = range(4)  # places among the cores that may be used
 SPARE_FILES = 2000
 FILES_PER_SERVER = 4
 PACKAGE, PACKAGE_OF_OLD_BUILDS = "sagetrack", "cloverkeel"
@@ -94,23 +96,13 @@
     open_loop_cpu_s: float
 
 
-async def _listen(make: Callable[[], asyncio.Protocol], count: int, backlog: int = 100) -> list[int]:
-    """Open so many servers on loopback and return their ports."""
-    loop = asyncio.get_running_loop()
-    ports = []
-    for _ in range(count):
-        server = await loop.create_server(make, "127.0.0.1", 0, backlog=backlog)
-        ports.append(server.sockets[0].getsockname()[1])
-    return ports
-
-
 def _serve(count: int, core: int, pipe: Connection) -> None:
     """Run servers and a silent discovery until killed; their ports go into the pipe."""
     os.sched_setaffinity(0, {core})
 
     async def main() -> None:
-        ports = await _listen(EchoServer, count, backlog=256)
-        (discovery_port,) = await _listen(asyncio.Protocol, 1)
+        ports = await open_servers(EchoServer, count, backlog=256)
+        (discovery_port,) = await open_servers(asyncio.Protocol, 1)
         pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
 
@@ -125,7 +117,7 @@
 
     async def main() -> None:
         pipe.send(
-            await _listen(
+            await open_servers(
                 lambda: NewConnection(lambda connection, asked: connection.answer(asked)),
                 count,
             )
@@ -135,6 +127,18 @@
     uvloop.run(main())
 
 
+@contextmanager
+def _running_servers(count: int, cores: list[int], newer: bool) -> Iterator[_Servers]:
+    with ExitStack() as stack:
+        pipe = stack.enter_context(forked_process(_serve, count, cores[SERVER_CORE]))
+        newer_ports: list[int] = []
+        if newer:
+            newer_pipe = stack.enter_context(forked_process(_serve_newer, count, cores[NEWER_SERVER_CORE]))
+            newer_ports = newer_pipe.recv()
+        ports, discovery_port = pipe.recv()
+        yield _Servers(ports, newer_ports, discovery_port)
+
+
 def _start(
     subject: Subject, port: int, servers: _Servers, folder: Path, core: int
 ) -> AbstractContextManager[Popen[bytes]]:
@@ -231,17 +235,10 @@
     total = len(sizes) * rounds * (1 + len(builds) + newer)
     results: list[Result] = []
     for size in sizes:
-        with ExitStack() as stack:
-            pipe = stack.enter_context(forked_process(_serve, size, cores[1]))
-            newer_ports: list[int] = []
-            if newer:
-                newer_ports = stack.enter_context(forked_process(_serve_newer, size, cores[3])).recv()
-            ports, discovery_port = pipe.recv()
-            servers = _Servers(ports, newer_ports, discovery_port)
-            stack.enter_context(pinned_to(cores[2]))
+        with _running_servers(size, cores, newer) as servers, pinned_to(cores[LOAD_CORE]):
             for turn in range(rounds):
                 for subject in _subjects(turn, builds, newer):
-                    results.append(_measure_round(subject, servers, cores[0], seconds))
+                    results.append(_measure_round(subject, servers, cores[GATEWAY_CORE], seconds))
                     progress(len(results), total)
     return results
 
