--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -1,4 +1,4 @@
-"""Memory of the gateway while many requests with long bodies are under way to servers of the newer format.
+"""Memory of the gateway while many requests with long bodies are in flight to servers of the newer format.
 
 Clients of the older format send so many bodies at once; servers, in several processes, answer when no further
 body has come for a while, each with as long a body, and the clients read slowly. The gateway is a process of
@@ -119,7 +119,7 @@
         asked.out += pack(Answer(body=bytes(size)).SerializeToString())
 
 
-class _AnswerTogether:
+class _DelayedAnswers:
     """The requests of one server process, which are answered when no more have come for a while."""
 
     def __init__(self, size: int, pipe: Connection) -> None:
@@ -151,8 +151,8 @@
     """
 
     async def main() -> None:
-        requests = _AnswerTogether(size, pipe)
-        ports = await open_servers(lambda: _BodySink(requests.take), count, backlog=64)
+        answers = _DelayedAnswers(size, pipe)
+        ports = await open_servers(lambda: _BodySink(answers.take), count, backlog=64)
         (discovery_port,) = await open_servers(asyncio.Protocol, 1)
         pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
@@ -211,7 +211,7 @@
     """Play one round.
 
     Args:
-        streams: requests under way at once.
+        streams: requests in flight at once.
         body_kb: kilobytes of each body, of the request and of the answer.
         progress: called with the share of requests that have ended.
 
--- a/sagetrack/lab/benchmarks/dns_load.py
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -10,12 +10,12 @@
 from sagetrack.lab.analysis.figures import histogram
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
-WINDOW = 64  # queries under way at once
+WINDOW = 64  # queries in flight at once
 SOCKETS = 8
 CACHED_NAMES = 100  # where answers are to come from the cache
 QUERY_TIMEOUT_S = 2.0
 CHECK_INTERVAL_S = 0.05
-LAST_ANSWERS_S = 0.1  # for answers that are still on their way at the end
+LAST_ANSWERS_S = 0.1  # for answers that are still in transit at the end
 HEADER_BYTES = 12
 QUERY_IDS = 65_536
 A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"  # of the question's name, for an hour
@@ -84,7 +84,7 @@
 
     def __init__(self, load: DnsLoad) -> None:
         self.load = load
-        self.sent_s: dict[int, float] = {}  # by id, of the queries under way
+        self.sent_s: dict[int, float] = {}  # by id, of the queries in flight
         self.order: deque[tuple[int, float]] = deque()  # id and time, the oldest first; answered ones too
         self.last_id = 0
 
@@ -122,7 +122,7 @@
 
 
 async def run_dns_load(port: int, seconds: float, unique_names: bool, most: int = 0) -> DnsLoad:
-    """Keep `WINDOW` queries under way for so long, or until `most` are answered if that is not 0."""
+    """Keep `WINDOW` queries in flight for so long, or until `most` are answered if that is not 0."""
     loop = asyncio.get_running_loop()
     load = DnsLoad(unique_names)
     sockets = []
--- a/sagetrack/lab/benchmarks/dns_throughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from contextlib import AbstractContextManager
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from multiprocessing.connection import Connection
 from pathlib import Path
 from subprocess import Popen
@@ -38,14 +38,15 @@
 SUBJECTS = (RELAY, CACHED, FORWARDED)
 WARM_UP_S = 0.5  # of load before a measurement, at the most
 FILL_LIMIT_S = 600.0  # for a run that goes on until the cache keeps so many names
+MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")  # of a printed row
 MOST_BAD = 0.01  # share of answers without a record, beyond which a measurement is worthless
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """One measurement. The names of the fields are the columns of the printed table."""
+    """One measurement."""
 
-    what: str  # one of SUBJECTS
+    subject: str  # one of SUBJECTS
     per_s: float
     cpu_us: float  # of the measured process for each query
     p50_ms: float
@@ -109,7 +110,7 @@
         if load.bad > MOST_BAD * answered:
             raise LabError(f"{subject}: {load.bad} of {load.answered} answers were no good")
         return Result(
-            what=subject,
+            subject=subject,
             per_s=load.answered / elapsed_s,
             cpu_us=spent_s * 1e6 / answered,
             p50_ms=load.latencies.get_value_at_percentile(50) / 1000,
@@ -124,10 +125,9 @@
     relay_cpu_us = statistics.median(result.cpu_us for result in results[RELAY])
     rows = []
     for subject, rounds in results.items():
-        medians: dict[str, Any] = {
-            name: round(statistics.median(getattr(result, name) for result in rounds), 2)
-            for name in asdict(rounds[0])
-            if name != "what"
+        medians = {
+            column: round(statistics.median(getattr(result, column) for result in rounds), 2)
+            for column in MEDIAN_COLUMNS
         }
         rows.append({"what": subject, **medians, "times_relay": round(medians["cpu_us"] / relay_cpu_us, 2)})
     return rows
@@ -145,7 +145,7 @@
         progress: called with the number of measurements that are done and of all.
 
     Returns:
-        Rows of medians, see `Result` for the columns.
+        A row of medians for each subject: `what` it is, the fields of `Result`, and `times_relay`.
 
     Raises:
         LabError: there are too few cores, or a measurement failed.
--- a/sagetrack/lab/benchmarks/fair_queue.py
+++ b/sagetrack/lab/benchmarks/fair_queue.py
@@ -231,9 +231,9 @@
     done = 0
     for size in sizes:
         costs: dict[bool, list[Cost]] = {True: [], False: []}  # by whether there are fair queues
-        for turn in range(rounds):
-            for fair_queues in (True, False) if turn % 2 else (False, True):
-                costs[fair_queues].append(drive(size, requests, fair_queues, memory_kb, turn, False, load))
+        for number in range(rounds):
+            for fair_queues in (True, False) if number % 2 else (False, True):
+                costs[fair_queues].append(drive(size, requests, fair_queues, memory_kb, number, False, load))
                 done += 1
                 progress(done / total)
         traced = drive(size, max(requests, 2 * size), True, memory_kb, 0, True, load)
--- a/sagetrack/lab/benchmarks/http_load.py
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -19,7 +19,7 @@
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + RESPONSE_BODY
 END_OF_HEAD = b"\r\n\r\n"
 PACE_STEP_S = 0.0005  # between two looks at which requests are due
-LAST_RESPONSES_S = 0.05  # for responses that are still on their way at the end
+LAST_RESPONSES_S = 0.05  # for responses that are still in transit at the end
 
 
 class EchoServer(asyncio.Protocol):
@@ -81,7 +81,7 @@
         self.is_busy = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the request that was under way as failed."""
+        """Count the request that was in flight as failed."""
         if self.is_busy:
             self.load.failed += 1
 
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -27,7 +27,7 @@
 SERVERS = 8
 HTTP_CONNECTIONS = 128
 DNS_SOCKETS = 8
-LAST_ANSWERS_S = 2.0  # for answers that are still on their way at the end
+LAST_ANSWERS_S = 2.0  # for answers that are still in transit at the end
 LATE_ABOVE_S = 0.02  # a load whose requests left later than that ran late itself
 
 
@@ -140,7 +140,7 @@
     """One client socket, whose queries are told apart by their id."""
 
     def __init__(self) -> None:
-        self.due_s: dict[int, float] = {}  # by id, of the queries under way
+        self.due_s: dict[int, float] = {}  # by id, of the queries in flight
         self.sent = 0
         self.answered = 0
         self.failed = 0
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -114,7 +114,7 @@
         super().__init__(world, clock, make)
         self.case = case
         self.old_processes: dict[int, VirtualGateway] = {}  # by gateway, while an upgrade goes on
-        self.sent = 0  # requests, to tell whose turn it is of two processes
+        self.sent = 0  # requests; every second one goes to the old process if there are two
 
     def handle_in_all_processes(self, number: int, event: Event) -> None:
         """Hand an event to each process of a gateway."""
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -195,9 +195,9 @@
         )
 
 
-def _subjects(turn: int, builds: list[Path], newer: bool) -> Iterator[Subject]:
-    """Yield what is measured in a turn: relay first and builds in order, then the other way round."""
-    order = [None, *builds] if turn % 2 == 0 else [*reversed(builds), None]
+def _subjects(round_number: int, builds: list[Path], newer: bool) -> Iterator[Subject]:
+    """Yield what is measured in a round: relay first and builds in order, then the other way round."""
+    order = [None, *builds] if round_number % 2 == 0 else [*reversed(builds), None]
     for build in order:
         if build is None:
             yield Subject(RELAY)
@@ -236,8 +236,8 @@
     results: list[Result] = []
     for size in sizes:
         with _running_servers(size, cores, newer) as servers, pinned_to(cores[LOAD_CORE]):
-            for turn in range(rounds):
-                for subject in _subjects(turn, builds, newer):
+            for number in range(rounds):
+                for subject in _subjects(number, builds, newer):
                     results.append(_measure_round(subject, servers, cores[GATEWAY_CORE], seconds))
                     progress(len(results), total)
     return results
