--- a/sagetrack/lab/scale/real_gateway/trial.py
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine, Sequence
 from typing import Any
 
-from sagetrack.lab.benchmarks.throughput import _load, _Run
+from sagetrack.lab.benchmarks.http_load import HttpLoad, run_http_load
 from sagetrack.lab.processes.resource_usage import cpu_s, memory_mb
 from sagetrack.lab.scale.real_gateway.admin import request_totals
 from sagetrack.lab.scale.real_gateway.discovery import ScriptedDiscovery
@@ -37,9 +37,9 @@
         return longest_s * 1000
 
 
-def percentile_ms(run: _Run, percentile: float) -> float:
+def percentile_ms(run: HttpLoad, percentile: float) -> float:
     """Return a percentile of a load's latencies."""
-    return float(run.times.get_value_at_percentile(percentile)) / 1000
+    return float(run.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 class LoadTrial:
@@ -63,7 +63,7 @@
         gap = asyncio.create_task(longest_gap_ms())
         change_task = asyncio.create_task(change())
         load_task = asyncio.create_task(
-            _load(self.gateway.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
+            run_http_load(self.gateway.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
         )
         await change_task
         change_s = time.monotonic() - began_s
@@ -75,10 +75,10 @@
             f"{name}_own_hold_ms": await gap,
             f"{name}_p50_ms": percentile_ms(run, 50),
             f"{name}_p99_ms": percentile_ms(run, 99),
-            f"{name}_longest_ms": float(run.times.get_max_value()) / 1000,
+            f"{name}_longest_ms": float(run.latencies.get_max_value()) / 1000,
             f"{name}_refused": totals.rejected,
             f"{name}_failed": totals.failed,
-            f"{name}_done": float(run.finished),
+            f"{name}_done": float(run.succeeded),
             f"{name}_core": (cpu_s(self.gateway.pid) - cpu_before_s) / (time.monotonic() - began_s),
             f"{name}_over_s": change_s,
             f"{name}_memory_mb": memory_mb(self.gateway.pid),
