--- /dev/null
+++ b/sagetrack/lab/model/clients.py
@@ -0,0 +1,137 @@
+"""Clients: how they send requests, wait for responses and retry."""
+
+from __future__ import annotations
+
+from sagetrack.lab.model.client_requests import ClientAttempt, ClientRequest
+from sagetrack.lab.model.gateway_fleet import GatewayFleet
+from sagetrack.lab.model.run_context import RunContext
+from sagetrack.lab.model.scenario import ANSWER_SLACK_US
+
+MIN_BUDGET_US = 1000  # with less time than this before its deadline a client sends nothing
+RETRY_JITTER = (0.8, 1.2)  # times the wait before a retry
+
+
+class Clients:
+    """Owns the attempts that wait for a response; every outcome is recorded."""
+
+    def __init__(self, context: RunContext, gateways: GatewayFleet) -> None:
+        self.waiting: dict[str, ClientAttempt] = {}
+        self._context = context
+        self._gateways = gateways
+
+    def send(self, request: ClientRequest) -> None:
+        """Send a request's next attempt, or finish the request if its deadline is too near."""
+        now = self._context.clock.now_us()
+        first_budget_us = request.kind.deadline_ms * 1000 * self._context.scenario.clients.try_share
+        budget_us = min(request.deadline_us - now, int(first_budget_us))
+        if budget_us < MIN_BUDGET_US:
+            self._finish(request, "unanswered", now)
+            return
+        request.attempt_count += 1
+        number = request.attempt_count
+        gateway = self._choose_gateway(request)
+        attempt = ClientAttempt(f"{request.id}-{number:x}", request, number, gateway, budget_us, now)
+        self.waiting[attempt.call] = attempt
+        self._record_sent(attempt)
+        # The platform lets a final response be this late: until then a client listens.
+        self._context.clock.at(attempt.deadline_us + ANSWER_SLACK_US, lambda: self._time_out(attempt))
+        self._gateways.driver.ask(attempt)
+
+    def on_response(self, attempt: ClientAttempt, verdict: str, retry_after_us: int) -> None:
+        """Take a response, or the end of a connection; also those that come too late are recorded."""
+        now = self._context.clock.now_us()
+        request = attempt.request
+        self._context.records.add("answer", now, attempt.call, attempt.gateway, verdict, retry_after_us)
+        if retry_after_us and request.honors_retry_after:
+            self._context.records.add(
+                "advised", now, attempt.call, request.id, attempt.number, retry_after_us
+            )
+        if attempt.over:
+            return
+        self._end(attempt)
+        if verdict != "served":
+            self._retry_or_finish(request, verdict, retry_after_us)
+            return
+        is_late = now - request.created_us > request.kind.aim_ms * 1000
+        self._finish(request, "late" if is_late else "served", now)
+
+    def _record_sent(self, attempt: ClientAttempt) -> None:
+        request = attempt.request
+        self._context.records.add(
+            "ask",
+            attempt.sent_us,
+            attempt.call,
+            attempt.gateway,
+            request.class_index,
+            request.member,
+            attempt.budget_us,
+            request.key,
+            request.id,
+            attempt.number,
+        )
+        if request.client:
+            self._context.records.add("client", attempt.sent_us, request.id, request.client)
+
+    def _choose_gateway(self, request: ClientRequest) -> int:
+        """Spread a zone's clients over its gateways that the front takes to be up."""
+        in_rotation = [gateway for gateway, up in self._gateways.in_rotation.items() if up]
+        near = [gateway for gateway in in_rotation if gateway % self._context.zone_count == request.zone]
+        return self._context.random.clients.choice(near or in_rotation or list(self._gateways.in_rotation))
+
+    def _time_out(self, attempt: ClientAttempt) -> None:
+        if attempt.over:
+            return
+        self._end(attempt)
+        self._context.record("gone", attempt.call, attempt.gateway)
+        self._gateways.driver.leave(attempt)
+        self._retry_or_finish(attempt.request, "unanswered", 0)
+
+    def _end(self, attempt: ClientAttempt) -> None:
+        attempt.over = True
+        del self.waiting[attempt.call]
+
+    def _retry_or_finish(self, request: ClientRequest, verdict: str, retry_after_us: int) -> None:
+        """Retry after a failed attempt, as the request's class and the client's settings allow."""
+        clients = self._context.scenario.clients
+        now = self._context.clock.now_us()
+        if request.attempt_count > clients.retries or not _may_repeat(request, verdict, now):
+            outcome = verdict if verdict in ("refused", "unanswered") else "failed"
+            self._finish(request, outcome, now)
+            return
+        wait_us = self._draw_wait_us(request, retry_after_us)
+        if now + wait_us >= request.created_us + request.kind.deadline_ms * 1000:
+            self._finish(request, "refused" if verdict == "refused" else "failed", now)
+            return
+        self._context.clock.at(now + wait_us, lambda: self.send(request))
+
+    def _draw_wait_us(self, request: ClientRequest, retry_after_us: int) -> int:
+        clients = self._context.scenario.clients
+        wait_ms = 0.0
+        if clients.wait == "fixed":
+            wait_ms = clients.wait_ms
+        elif clients.wait == "doubling":
+            wait_ms = clients.wait_ms * 2 ** (request.attempt_count - 1)
+        if request.honors_retry_after and retry_after_us:
+            wait_ms = max(wait_ms, retry_after_us / 1000)
+        return int(wait_ms * 1000 * self._context.random.clients.uniform(*RETRY_JITTER))
+
+    def _finish(self, request: ClientRequest, outcome: str, now_us: int) -> None:
+        self._context.records.add(
+            "request",
+            now_us,
+            request.id,
+            request.class_index,
+            request.member,
+            outcome,
+            request.created_us,
+            request.attempt_count,
+        )
+
+
+def _may_repeat(request: ClientRequest, verdict: str, now_us: int) -> bool:
+    """Whether a repeat can have no second effect."""
+    kind = request.kind
+    if verdict in ("refused", "unreachable") or kind.effect == "safe":
+        return True
+    is_deduplicated = kind.effect == "keyed" and kind.scope == "all"
+    return is_deduplicated and now_us - request.created_us < kind.window_ms * 1000
--- /dev/null
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -0,0 +1,216 @@
+"""The faults of a scenario: when each begins and ends, whom it strikes, and what it does."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from sagetrack.lab.model.endpoint_entry import READY, EndpointEntry
+from sagetrack.lab.model.endpoint_registry import EndpointRegistry
+from sagetrack.lab.model.gateway_fleet import GatewayFleet
+from sagetrack.lab.model.network import NetworkConditions, Partition
+from sagetrack.lab.model.run_context import RunContext
+from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.server_fleet import ServerFleet
+
+Undo = Callable[[], None] | None  # what ends a fault; None if it ends by itself
+
+
+class FaultSchedule:
+    """Begins and ends faults, and records both. A fault that is not known here is the driver's."""
+
+    def __init__(
+        self,
+        context: RunContext,
+        servers: ServerFleet,
+        registry: EndpointRegistry,
+        gateways: GatewayFleet,
+        network: NetworkConditions,
+    ) -> None:
+        self._context = context
+        self._servers = servers
+        self._registry = registry
+        self._gateways = gateways
+        self._network = network
+        # By the kinds of the scenario's form. Each records the begin with whom it strikes.
+        self._inject: dict[str, Callable[[Trouble], Undo]] = {
+            "slow": self._slow_servers,
+            "burst": self._burst,
+            "deploy": self._deploy,
+            "vanish": self._vanish_servers,
+            "spoilt": self._spoil_responses,
+            "reset": self._reset_connections,
+            "gateway-death": self._kill_gateways,
+            "gateway-upgrade": self._upgrade_gateways,
+            "discovery-down": self._stop_discovery,
+            "overbook": self._list_phantoms,
+            "partition": self._partition,
+            "skew": self._skew_clocks,
+        }
+
+    def schedule_all(self) -> None:
+        """Schedule the scenario's faults."""
+        for fault in self._context.scenario.troubles:
+            self._context.clock.at(int(fault.at_s * 1e6), partial(self._begin, fault))
+
+    def _begin(self, fault: Trouble) -> None:
+        end_us = self._context.clock.now_us() + int(fault.seconds * 1e6)
+        inject = self._inject.get(fault.kind)
+        if inject is None:
+            self._record(fault, "begins")
+            self._gateways.driver.special(fault, True)
+            self._context.clock.at(end_us, partial(self._end_of_driver, fault))
+            return
+        undo = inject(fault)
+        self._context.clock.at(end_us, partial(self._end, fault, undo))
+
+    def _end_of_driver(self, fault: Trouble) -> None:
+        self._record(fault, "ends")
+        self._gateways.driver.special(fault, False)
+
+    def _end(self, fault: Trouble, undo: Undo) -> None:
+        if undo is not None:
+            undo()
+        self._record(fault, "ends")
+
+    def _record(self, fault: Trouble, state: str, detail: object = None) -> None:
+        self._context.record("trouble", fault.kind, state, detail)
+
+    def _choose(self, candidates: list[int], share: float) -> list[int]:
+        """Draw a share of the candidates, at least one unless the share is 0; sorted."""
+        if share <= 0 or not candidates:
+            count = 0
+        else:
+            count = min(len(candidates), max(1, round(share * len(candidates))))
+        return sorted(self._context.random.faults.sample(sorted(candidates), count))
+
+    def _choose_and_record(self, fault: Trouble, candidates: list[int]) -> list[int]:
+        chosen = self._choose(candidates, fault.part)
+        self._record(fault, "begins", chosen)
+        return chosen
+
+    # Servers
+
+    def _slow_servers(self, fault: Trouble) -> Undo:
+        chosen = self._choose_and_record(fault, self._servers.in_service())
+        self._servers.set_slowdown(chosen, fault.size)
+        return lambda: self._servers.set_slowdown(chosen, 1.0)
+
+    def _burst(self, fault: Trouble) -> Undo:
+        self._record(fault, "begins")  # the arrivals are drawn with it
+        return None
+
+    def _deploy(self, fault: Trouble) -> Undo:
+        chosen = self._choose(self._servers.in_service(), fault.part)
+        size = max(1, round(fault.batch * max(1, len(self._servers.servers))))
+        batches = [chosen[start : start + size] for start in range(0, len(chosen), size)]
+        self._record(fault, "begins", chosen)
+        interval_s = fault.seconds / max(1, len(batches))
+        for index, batch in enumerate(batches):
+            self._context.after(int(index * interval_s * 1e6), partial(self._replace, batch))
+        return None
+
+    def _replace(self, numbers: list[int]) -> None:
+        for number in numbers:
+            self._servers.replace(number)
+
+    def _vanish_servers(self, fault: Trouble) -> Undo:
+        for number in self._choose_and_record(fault, self._servers.in_service()):
+            server = self._servers.vanish(number)
+            self._context.after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
+        return None
+
+    def _spoil_responses(self, fault: Trouble) -> Undo:
+        self._record(fault, "begins")
+        responses = self._servers.response_faults
+        responses.invalid_share = fault.part
+
+        def undo() -> None:
+            responses.invalid_share = 0.0
+
+        return undo
+
+    def _reset_connections(self, fault: Trouble) -> Undo:
+        self._record(fault, "begins")
+        responses = self._servers.response_faults
+        responses.reset_share = fault.part
+
+        def undo() -> None:
+            responses.reset_share = 0.0
+
+        return undo
+
+    # Gateways
+
+    def _kill_gateways(self, fault: Trouble) -> Undo:
+        chosen = self._choose_and_record(fault, self._gateways.running())
+        notice_us = int(self._context.scenario.clients.notice_s * 1e6)
+        for gateway in chosen:
+            self._context.record("gateway", gateway, "down")
+            self._gateways.kill(gateway)
+            self._context.after(notice_us, partial(self._gateways.health_checked, gateway))
+
+        def undo() -> None:
+            for gateway in chosen:
+                self._gateways.driver.revive(gateway)
+
+        return undo
+
+    def _upgrade_gateways(self, fault: Trouble) -> Undo:
+        for gateway in self._choose_and_record(fault, self._gateways.running()):
+            self._context.record("gateway", gateway, "upgrade")
+            self._gateways.driver.upgrade(gateway)
+        return None
+
+    # Discovery and network
+
+    def _stop_discovery(self, fault: Trouble) -> Undo:
+        self._record(fault, "begins")
+        self._registry.down = True
+        self._gateways.driver.special(fault, True)
+
+        def undo() -> None:
+            self._registry.down = False
+            self._gateways.driver.special(fault, False)
+            self._registry.send_missed()
+
+        return undo
+
+    def _list_phantoms(self, fault: Trouble) -> Undo:
+        """Have discovery list servers that do not exist."""
+        count = max(1, round(fault.part * self._context.scenario.fleet.servers))
+        numbers = self._servers.reserve_numbers(count)
+        self._record(fault, "begins", list(numbers))
+        for number in numbers:
+            zone = number % self._context.zone_count
+            rack = number % self._context.rack_count
+            now = self._context.clock.now_us()
+            self._registry.add(EndpointEntry(number, zone, rack, READY, now))
+
+        def undo() -> None:
+            for number in numbers:
+                self._registry.remove(number)
+
+        return undo
+
+    def _partition(self, fault: Trouble) -> Undo:
+        """Cut gateways and servers of some zones off from those of the others."""
+        zone_count = self._context.zone_count
+        inside = set(self._choose(list(range(zone_count)), fault.part))
+        gateways, servers = self._gateways.alive, self._servers.servers
+        gateways_inside = frozenset(gateway for gateway in gateways if gateway % zone_count in inside)
+        servers_inside = frozenset(number for number, server in servers.items() if server.zone in inside)
+        partitions = [
+            Partition(gateways_inside, frozenset(servers) - servers_inside),
+            Partition(frozenset(gateways) - gateways_inside, servers_inside),
+        ]
+        self._record(fault, "begins", sorted(inside))
+        self._network.cut(partitions)
+        return lambda: self._network.heal(partitions)
+
+    def _skew_clocks(self, fault: Trouble) -> Undo:
+        """Set clocks of some gateways off by `size` seconds, by turns behind and ahead."""
+        skew_us = int(fault.size * 1e6)
+        for index, gateway in enumerate(self._choose_and_record(fault, list(self._gateways.alive))):
+            self._network.skew_clock(gateway, skew_us if index % 2 == 0 else -skew_us)
+        return self._network.correct_clocks
--- /dev/null
+++ b/sagetrack/lab/model/server_fleet.py
@@ -0,0 +1,194 @@
+"""The fleet of address servers: their starts, work, replacements and ends."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from sagetrack.lab.model.endpoint_registry import EndpointRegistry
+from sagetrack.lab.model.response_faults import ResponseFaults
+from sagetrack.lab.model.run_context import RunContext, ScheduledCall
+from sagetrack.lab.model.server import Job, Keys, Result, Server
+
+
+@dataclass(slots=True)
+class ServerObserver:
+    """Whom a driver has informed of servers; the defaults do nothing."""
+
+    started: Callable[[Server], None] = lambda server: None
+    ended: Callable[[int], None] = lambda number: None
+
+
+class _Wake(NamedTuple):
+    due_us: int
+    timer: ScheduledCall
+
+
+class ServerFleet:
+    """Owns the servers that run, and the timers that let their work go on."""
+
+    def __init__(self, context: RunContext, registry: EndpointRegistry) -> None:
+        self.servers: dict[int, Server] = {}
+        self.newer: set[int] = set()  # servers that speak the newer format
+        self.vanished: set[int] = set()  # servers that neither respond nor refuse connections
+        self.observer = ServerObserver()
+        self.response_faults = ResponseFaults(context.scenario.fleet.error_share, context.random.clients)
+        self._context = context
+        self._registry = registry
+        self._next_number = 1
+        self._keys: dict[str, Keys] = {"all": Keys()}
+        self._wakes: dict[int, _Wake] = {}
+
+    def start_all(self) -> None:
+        """Start the warm fleet, and list it."""
+        fleet = self._context.scenario.fleet
+        for index in range(fleet.servers):
+            newer = int((index + 1) * fleet.new_share) > int(index * fleet.new_share)
+            zone = index % self._context.zone_count
+            rack = index % self._context.rack_count
+            self._start(zone=zone, rack=rack, cold=False, newer=newer)
+        for server in self.servers.values():
+            self._registry.register_warm(server)
+
+    def reserve_numbers(self, count: int) -> range:
+        """Take numbers that no server will get."""
+        first = self._next_number
+        self._next_number += count
+        return range(first, first + count)
+
+    def in_service(self) -> list[int]:
+        """Numbers of the servers that run and do not drain."""
+        return [number for number, server in self.servers.items() if not server.draining]
+
+    # Work
+
+    def receive(self, server: Server, job: Job, gateway: int, sent_us: int) -> Result | None:
+        """Deliver an attempt, complete to the last byte: REJECTED at once, or None and `job.done` later."""
+        now = self._context.clock.now_us()
+        result = server.receive(now, job)
+        if server.silent:
+            verdict = "lost"
+        elif result is Result.REJECTED or server.down:
+            verdict = "rejected"
+        else:
+            verdict = "taken"
+        self._context.records.add(
+            "recv", now, job.call, server.number, gateway, verdict, round(job.work_us), sent_us
+        )
+        if server.down and not server.silent and server.number in self.servers:
+            self._lose(server, "fell")
+        if verdict == "taken":
+            job.result = self.response_faults.draw_result()
+        self._schedule_wake(server)
+        return result
+
+    def give_up(self, server: Server, job: Job) -> None:
+        """Inform a server that a gateway has given up an attempt."""
+        server.give_up(self._context.clock.now_us(), job)
+        self._schedule_wake(server)
+
+    def set_slowdown(self, numbers: list[int], factor: float) -> None:
+        """Make servers `factor` times slower; those that have ended are skipped."""
+        for number in numbers:
+            server = self.servers.get(number)
+            if server is not None:
+                server.advance(self._context.clock.now_us())
+                server.slow = factor
+                self._schedule_wake(server)
+
+    def _schedule_wake(self, server: Server) -> None:
+        """See that the server goes on when its next event falls due."""
+        due_us = server.next_us()
+        planned = self._wakes.get(server.number)
+        if planned is not None:
+            if due_us is not None and planned.due_us == due_us:
+                return
+            planned.timer.cancel()
+            del self._wakes[server.number]
+        if due_us is not None:
+            timer = self._context.clock.at(due_us, lambda: self._wake(server))
+            self._wakes[server.number] = _Wake(due_us, timer)
+
+    def _wake(self, server: Server) -> None:
+        self._wakes.pop(server.number, None)
+        server.advance(self._context.clock.now_us())
+        self._schedule_wake(server)
+
+    # Lifecycle
+
+    def replace(self, number: int) -> None:
+        """Drain a server, end it, and start its cold successor; one that already drains is left."""
+        server = self.servers.get(number)
+        if server is None or server.draining:
+            return
+        scenario = self._context.scenario
+        now = self._context.clock.now_us()
+        self._registry.drain_later(number)
+        drain_us = int((scenario.discovery.drain_s + scenario.discovery.delay_s[1]) * 1e6)
+        grace_us = int(scenario.gateways.drain_grace_ms * 1000)
+
+        def refuse() -> None:
+            server.draining = True
+
+        def end() -> None:
+            if number in self.servers:
+                self._stop(server)
+                self._registry.remove_later(number)
+                self.start_successor(server)
+
+        self._context.clock.at(now + drain_us + grace_us // 2, refuse)
+        self._context.clock.at(now + drain_us + grace_us, end)
+
+    def vanish(self, number: int) -> Server:
+        """Make a server fall silent without closing its connections; discovery notices it late."""
+        server = self.servers[number]
+        server.advance(self._context.clock.now_us())
+        server.silent = True
+        self.vanished.add(number)
+        self._lose(server, "vanished")
+        return server
+
+    def start_successor(self, server: Server) -> None:
+        """Start a cold server in the place of one that has ended."""
+        newer = server.number in self.newer or self._context.scenario.fleet.roll_new
+        successor = self._start(server.zone, server.rack, cold=True, newer=newer)
+        self._registry.add_later(successor, self._context.clock.now_us())
+
+    def _start(self, zone: int, rack: int, cold: bool, newer: bool) -> Server:
+        fleet = self._context.scenario.fleet
+        now = self._context.clock.now_us()
+        number = self._next_number
+        self._next_number += 1
+        keys = {
+            "all": self._keys["all"],
+            "zone": self._keys.setdefault(f"zone {zone}", Keys()),
+            "rack": self._keys.setdefault(f"rack {rack}", Keys()),
+        }
+        speed = self._context.random.fleet.uniform(*fleet.speed)
+
+        def record_run(job: Job, has_effect: bool) -> None:
+            self._context.record("run", job.call, number, job.key, int(has_effect))
+
+        server = Server(number, fleet, zone, rack, speed, now, cold, keys, record_run)
+        self.servers[number] = server
+        if newer:
+            self.newer.add(number)
+        capacity = round(speed * fleet.cores, 6)
+        self._context.records.add("start", now, number, zone, rack, int(cold), capacity)
+        self.observer.started(server)
+        return server
+
+    def _stop(self, server: Server) -> None:
+        del self.servers[server.number]
+        self._context.record("stop", server.number, "replaced")
+        server.stop()
+        self.observer.ended(server.number)
+
+    def _lose(self, server: Server, reason: str) -> None:
+        """Forget a server that ended unannounced; discovery notices it later."""
+        if self.servers.pop(server.number, None) is None:
+            return
+        self._context.record("stop", server.number, reason)
+        self.observer.ended(server.number)
+        self._registry.remove_later(server.number, silent=reason == "vanished")
