--- a/sagetrack/lab/model/fault_schedule.py
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -11,6 +11,7 @@
 from sagetrack.lab.model.network import NetworkConditions, Partition
 from sagetrack.lab.model.run_context import RunContext
 from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.server import Result
 from sagetrack.lab.model.server_fleet import ServerFleet
 
 Undo = Callable[[], None] | None  # what ends a fault; None if it ends by itself
@@ -38,8 +39,8 @@
             "burst": self._burst,
             "deploy": self._deploy,
             "vanish": self._vanish_servers,
-            "spoilt": self._spoil_responses,
-            "reset": self._reset_connections,
+            "spoilt": partial(self._fail_responses, Result.SPOILT),
+            "reset": partial(self._fail_responses, Result.RESET),
             "gateway-death": self._kill_gateways,
             "gateway-upgrade": self._upgrade_gateways,
             "discovery-down": self._stop_discovery,
@@ -120,25 +121,11 @@
             self._context.after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
         return None
 
-    def _spoil_responses(self, fault: Trouble) -> Undo:
+    def _fail_responses(self, result: Result, fault: Trouble) -> Undo:
         self._record(fault, "begins")
         responses = self._servers.response_faults
-        responses.invalid_share = fault.part
-
-        def undo() -> None:
-            responses.invalid_share = 0.0
-
-        return undo
-
-    def _reset_connections(self, fault: Trouble) -> Undo:
-        self._record(fault, "begins")
-        responses = self._servers.response_faults
-        responses.reset_share = fault.part
-
-        def undo() -> None:
-            responses.reset_share = 0.0
-
-        return undo
+        responses.set_share(result, fault.part)
+        return partial(responses.set_share, result, 0.0)
 
     # Gateways
 
--- a/sagetrack/lab/model/response_faults.py
+++ b/sagetrack/lab/model/response_faults.py
@@ -8,24 +8,23 @@
 
 
 class ResponseFaults:
-    """Owns the shares of responses that are spoilt at present, and draws each response's result."""
+    """Owns the share of responses that go wrong in each manner, and draws each response's result."""
 
     def __init__(self, error_share: float, draw: random.Random) -> None:
-        self.invalid_share = 0.0
-        self.reset_share = 0.0
-        self._error_share = error_share
+        # The order decides what is drawn.
+        self._shares = {Result.ERROR: error_share, Result.SPOILT: 0.0, Result.RESET: 0.0}
         self._draw = draw
 
+    def set_share(self, result: Result, share: float) -> None:
+        """Let a share (0 to 1) of the responses end in this manner."""
+        self._shares[result] = share
+
     def draw_result(self) -> Result:
         """Draw how a server will respond to an attempt that it accepted."""
-        if not (self._error_share or self.invalid_share or self.reset_share):
+        if not any(self._shares.values()):
             return Result.SERVED
         point = self._draw.random()
-        for share, result in (
-            (self._error_share, Result.ERROR),
-            (self.invalid_share, Result.SPOILT),
-            (self.reset_share, Result.RESET),
-        ):
+        for result, share in self._shares.items():
             if point < share:
                 return result
             point -= share
--- a/sagetrack/lab/model/scenario.py
+++ b/sagetrack/lab/model/scenario.py
@@ -1,6 +1,7 @@
 """Scenarios: what is played, typed and checked. A scenario is a TOML file; docs/operators/lab.md shows one.
 
-Times are in the unit that a key's name ends with. Random figures of the fleet are drawn from the run's seed.
+The fields are the keys of the file, unless a structure renames them. Times are in the unit that a key's name
+ends with. Random figures of the fleet are drawn from the run's seed.
 """
 
 from __future__ import annotations
@@ -13,26 +14,42 @@
 import msgspec
 from msgspec import Meta
 
-from sagetrack.config.validation import Fault, read
+from sagetrack.config.errors import FileError
+from sagetrack.config.validation import Fault, decode, read
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-ANSWER_SLACK_US = 20_000  # by which a final answer may be late
+ANSWER_SLACK_US = 20_000  # by which a final response may be late
+# The platform's words for what a scenario calls otherwise.
+PLATFORM_EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+PLATFORM_SCOPES = {"all": "all", "zone": "zone", "rack": "cell"}
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$")]
 Range = tuple[float, float]
 
 
-class Choke(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A server that was crowded for a while stays slow until it has been left alone."""
-
-    at: Positive = 6.0  # requests waiting, times its cores
-    over_s: Positive = 2.0
-    slower: Annotated[float, Meta(ge=1)] = 3.0
-    rest_s: Positive = 3.5  # mostly idle for so long, and it recovers
-    below: Share = 0.3  # busy for less than this share: mostly idle
-    most_s: Positive = 20.0
+class DegradationRules(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "queue_per_core": "at",
+        "overloaded_s": "over_s",
+        "slowdown": "slower",
+        "calm_s": "rest_s",
+        "calm_utilization": "below",
+        "max_s": "most_s",
+    },
+):
+    """A server that was overloaded for a while stays slow until it has been left mostly idle."""
+
+    queue_per_core: Positive = 6.0  # more requests waiting than this: overloaded
+    overloaded_s: Positive = 2.0  # for so long, and the server degrades
+    slowdown: Annotated[float, Meta(ge=1)] = 3.0  # times slower while it is degraded
+    calm_s: Positive = 3.5  # mostly idle for so long, and it recovers
+    calm_utilization: Share = 0.3  # busy for less than this share: mostly idle
+    max_s: Positive = 20.0  # after which it recovers in any case
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -41,23 +58,23 @@
     servers: Count = 9
     gateways: Count = 3
     zones: Annotated[list[Name], Meta(min_length=1)] = msgspec.field(default_factory=lambda: ["a", "b", "c"])
-    rack_size: Count = 3  # servers that share what keys they have seen
+    rack_size: Count = 3  # servers that share the idempotency keys they have seen
     cores: Count = 1
     slots_per_core: Count = 1  # requests in work
-    waiting_per_core: Count = 20  # further ones that wait; the next is turned away with X-Rejected
+    waiting_per_core: Count = 20  # further ones that wait; the next is rejected with X-Rejected
     speed: Range = (0.9, 1.1)  # times a standard core, drawn for each server
     error_share: Share = 0.0  # answered with an error after having run
-    thrash: Share = 0.0  # of the speed, lost for each held request beyond `thrash_at`
-    thrash_at: Positive = 10.0
-    cancel: Literal["none", "queued", "all"] = "queued"  # what of given-up work stops
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # of its capacity that a server starts with
-    cold_s: NotNegative = 12.0  # until it has all, evenly
-    fall_multiple: Annotated[float, Meta(ge=1)] = 4.0  # sent more than this times its present capacity
+    thrash: Share = 0.0  # of the speed, lost for each request at the server beyond `thrash_at`
+    thrash_at: Positive = 10.0  # requests at the server, times its cores
+    cancel: Literal["none", "queued", "all"] = "queued"  # which requests stop once their client has given up
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # of its capacity that a cold server starts with
+    cold_s: NotNegative = 12.0  # until it has all of it; the share rises evenly
+    fall_multiple: Annotated[float, Meta(ge=1)] = 4.0  # sent more than this many times its present capacity
     fall_s: Positive = 3.0  # for this long, a cold server falls over and stays down
     connections: Count = 800  # that one server holds
     handshake_ms: NotNegative = 1.0  # of its work for a new connection
     idle_s: Positive = 10.0  # an unused connection is closed
-    choke: Choke | None = None
+    choke: DegradationRules | None = None
     new_share: Share = 0.0  # of the servers, that speak the newer format; in real time
     roll_new: bool = False  # a deploy brings servers of the newer format
 
@@ -75,12 +92,12 @@
 
 
 class Discovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the roster follows what happens to servers."""
+    """How the endpoint list follows what happens to servers."""
 
-    delay_s: Range = (0.5, 2.0)  # until a change is told to gateways; a drain is announced at once
-    silent_s: Range = (3.0, 6.0)  # until a server that says nothing is listed as gone
-    spread_ms: NotNegative = 50.0  # between the first gateway that hears and the last
-    drain_s: Positive = 3.0  # how long a server that leaves goes on serving
+    delay_s: Range = (0.5, 2.0)  # until gateways learn of a change
+    silent_s: Range = (3.0, 6.0)  # until a silent server is listed as gone
+    spread_ms: NotNegative = 50.0  # between the first gateway that learns of it and the last
+    drain_s: Positive = 3.0  # how long a draining server goes on serving
 
 
 class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -90,53 +107,53 @@
     share: Positive = 1.0
     work_ms: Positive = 20.0  # mean, on a standard core
     spread: NotNegative = 0.8  # standard deviation of the work over its mean; lognormal
-    aim_ms: Positive = 1000.0
+    aim_ms: Positive = 1000.0  # latency objective
     deadline_ms: Positive = 3000.0
-    worth: NotNegative = 1.0
-    late_worth: Share = 0.0
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    scope: Literal["all", "zone", "rack"] = "all"
+    worth: NotNegative = 1.0  # priority weight of a response within the objective
+    late_worth: Share = 0.0  # of that, for a later response
+    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # whether a repeat does harm
+    scope: Literal["all", "zone", "rack"] = "all"  # for keyed: which servers know each other's keys
     window_ms: NotNegative = 5000.0  # for keyed: how long servers of the scope drop a repeat
     body_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 120
 
 
 class Member(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who shares the service."""
+    """A tenant of the service."""
 
     name: Name
-    share: Positive = 1.0  # of the service
-    asks: NotNegative = 0.0  # of the load; 0: by its share
-    clients: Annotated[int, Meta(ge=0, le=10_000_000)] = 0  # that it has; 0: nobody tells them apart
+    share: Positive = 1.0  # its quota, relative to the others'
+    asks: NotNegative = 0.0  # its part of the load, relative to the others'; 0: by its share
+    clients: Annotated[int, Meta(ge=0, le=10_000_000)] = 0  # that it has; 0: they are not identified
     skew: NotNegative = 0.0  # of its clients' loads, as the exponent of Zipf's law
-    once: bool = False  # each client asks for one thing only
-    honour: Share | None = None  # of its clients that follow Retry-After; as `clients` has it by default
-    kind: str = ""  # the only class that it asks for
+    once: bool = False  # each client sends a single request
+    honour: Share | None = None  # of its clients that follow Retry-After; by default as in `clients`
+    kind: str = ""  # the only class of its requests; empty: all classes
 
 
 class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How clients behave."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 1
-    wait: Literal["none", "fixed", "doubling"] = "fixed"
+    wait: Literal["none", "fixed", "doubling"] = "fixed"  # before a retry
     wait_ms: NotNegative = 200.0
     honour: Share = 0.7  # share of clients that follow Retry-After
-    try_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the deadline that a first try is given
+    try_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the deadline that one attempt is given
     marks_retry: bool = False
     keep: Share = 0.8  # share of requests on kept connections
-    slow_readers: Share = 0.0  # share that takes a second to read its answer; in real time only
+    slow_readers: Share = 0.0  # share that takes a second to read its response; in real time only
     notice_s: Positive = 2.0  # until the front sends no more to a dead gateway
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is asked for. Arrivals are drawn ahead and never wait for answers (an open loop)."""
+    """The load. Arrivals are drawn ahead and never wait for responses (an open loop)."""
 
     rate: NotNegative = 0.0  # requests a second; 0: by `use`
-    use: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of what the warm fleet can do
-    curve: list[tuple[float, float]] = msgspec.field(default_factory=list)  # [second, times the rate]
+    use: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of the warm fleet's capacity
+    curve: list[tuple[float, float]] = msgspec.field(default_factory=list)  # [second, factor on the rate]
 
 
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that happens on the way."""
+    """A fault that begins and ends during the run."""
 
     kind: Literal[
         "slow",
@@ -159,8 +176,8 @@
     ]
     at_s: NotNegative
     seconds: Positive = 5.0
-    part: Share = 0.2  # of servers or gateways it befalls
-    size: Positive = 3.0  # times slower, times the rate, seconds of skew, clients of a crowd: by the kind
+    part: Share = 0.2  # of the servers, gateways or responses that it strikes
+    size: Positive = 3.0  # by the kind: times slower, times the rate, seconds of skew, clients
     member: str = ""  # a burst of this member alone
     batch: Share = 0.15  # of the servers that a deploy replaces at a time
 
@@ -174,14 +191,14 @@
 
 
 class StoreUse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A store on disk in each gateway, which a death leaves as it was."""
+    """A store on disk in each gateway, which outlives the process."""
 
     use: bool = False
     sync: Literal["batch", "every", "never"] = "every"
 
 
 class Door(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Fair queues and limits in the gateways."""
+    """Admission control in the gateways: fair queues and limits."""
 
     use: bool = False
     patience: Annotated[float, Meta(ge=0, le=0.5)] = 0.5
@@ -196,15 +213,15 @@
 
     rate: NotNegative = 0.0  # queries a second, an open loop; 0: no DNS
     upstreams: Count = 3
-    names: Count = 500  # that are asked for, the popular ones more often
+    names: Count = 500  # that are queried, the popular ones more often
     ttl_s: Annotated[int, Meta(ge=0, le=86_400)] = 5
-    delay_ms: NotNegative = 5.0  # of an upstream's answer
+    delay_ms: NotNegative = 5.0  # of an upstream server's response
     aim_ms: Positive = 500.0
     deadline_ms: Positive = 2000.0
 
 
 class Expect(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds that must hold. No rule may be broken, whatever stands here."""
+    """Bounds that must hold, besides the rules, which must hold in every scenario."""
 
     service_min: Share = 0.0
     worst_member_min: Share = 0.0
@@ -218,10 +235,10 @@
 
 
 class Gateways(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What gateways are told, beyond what follows from the rest."""
+    """Settings of the gateways, beyond those that follow from the rest."""
 
     max_attempts: Count = 6
-    second_copies: bool = True
+    second_copies: bool = True  # hedged requests
     may_cancel: bool = True
     max_retry_after_ms: NotNegative = 2000.0
     drain_grace_ms: Positive = 2000.0
@@ -235,7 +252,7 @@
     name: Name
     about: str = ""
     seconds: Annotated[float, Meta(gt=0, le=100_000)] = 30.0  # of arrivals
-    settle_s: NotNegative = 1.0  # at the start: played and not counted in `service`
+    settle_s: NotNegative = 1.0  # at the start: played, but not counted in `service`
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     network: Network = msgspec.field(default_factory=Network)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
@@ -261,93 +278,128 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second before curve and troubles."""
+        """Requests a second, before curve and bursts."""
         if self.load.rate > 0:
             return self.load.rate
         cores = self.fleet.servers * self.fleet.cores * sum(self.fleet.speed) / 2
         return self.load.use * cores * 1000.0 / self.mean_work_ms
 
 
-def _across(scenario: Scenario) -> Iterator[Fault]:
-    """What types cannot tell."""
-    for number, request_class in enumerate(scenario.classes):
-        if request_class.aim_ms > request_class.deadline_ms:
-            place = ("class", number, "aim_ms")
-            yield Fault(
-                place, f"class[{number + 1}].aim_ms = {request_class.aim_ms:g} is above its deadline_ms"
-            )
-    for key, names in (
-        ("class", [k.name for k in scenario.classes]),
-        ("member", [m.name for m in scenario.members]),
-    ):
-        for number, name in enumerate(names):
-            if name in names[:number]:
-                yield Fault((key, number, "name"), f"{key}[{number + 1}].name = {name!r} stands there twice")
+def _check(scenario: Scenario) -> Iterator[Fault]:
+    """Find what types cannot express."""
+    yield from _check_classes(scenario)
+    yield from _check_names(scenario)
+    yield from _check_speed(scenario)
+    yield from _check_troubles(scenario)
+    yield from _check_member_classes(scenario)
+    yield from _check_curve(scenario)
+
+
+def _check_classes(scenario: Scenario) -> Iterator[Fault]:
+    for index, kind in enumerate(scenario.classes):
+        if kind.aim_ms > kind.deadline_ms:
+            message = f"class[{index + 1}].aim_ms = {kind.aim_ms:g} is above its deadline_ms"
+            yield Fault(("class", index, "aim_ms"), message)
+
+
+def _check_names(scenario: Scenario) -> Iterator[Fault]:
+    """Find names that occur twice, and tables without any entry."""
+    names = {
+        "class": [kind.name for kind in scenario.classes],
+        "member": [member.name for member in scenario.members],
+    }
+    for key, own_names in names.items():
+        for index, name in enumerate(own_names):
+            if name in own_names[:index]:
+                yield Fault((key, index, "name"), f"{key}[{index + 1}].name = {name!r} stands there twice")
     for table in ("classes", "members"):
         if not getattr(scenario, table):
             yield Fault((), f"there are no {table}; at least one is needed")
-    for key, pair in (("speed", scenario.fleet.speed),):
-        if not 0 < pair[0] <= pair[1]:
-            yield Fault(("fleet", key), f"fleet.{key} = {list(pair)} is no range of numbers above 0")
-    for number, trouble in enumerate(scenario.troubles):
+
+
+def _check_speed(scenario: Scenario) -> Iterator[Fault]:
+    low, high = scenario.fleet.speed
+    if not 0 < low <= high:
+        message = f"fleet.speed = {[low, high]} is no range of numbers above 0"
+        yield Fault(("fleet", "speed"), message)
+
+
+def _check_troubles(scenario: Scenario) -> Iterator[Fault]:
+    members = [member.name for member in scenario.members]
+    for index, trouble in enumerate(scenario.troubles):
+        name = f"trouble[{index + 1}]"
         if trouble.at_s >= scenario.seconds:
-            why = f"trouble[{number + 1}].at_s = {trouble.at_s:g} is after the last arrival"
-            yield Fault(("trouble", number, "at_s"), f"{why}; it is below seconds = {scenario.seconds:g}")
+            message = f"{name}.at_s = {trouble.at_s:g} is after the last arrival"
+            message += f"; it is below seconds = {scenario.seconds:g}"
+            yield Fault(("trouble", index, "at_s"), message)
         if trouble.kind in ("slow", "burst") and trouble.size < 1:
-            why = f"trouble[{number + 1}].size = {trouble.size:g} is below 1, the least for {trouble.kind}"
-            yield Fault(("trouble", number, "size"), why)
-        if trouble.member and trouble.member not in [m.name for m in scenario.members]:
-            place = ("trouble", number, "member")
-            yield Fault(place, f"trouble[{number + 1}].member = {trouble.member!r} is no member")
-    for number, member in enumerate(scenario.members):
-        if member.kind and member.kind not in [k.name for k in scenario.classes]:
-            why = f"member[{number + 1}].kind = {member.kind!r} is no class"
-            yield Fault(("member", number, "kind"), why)
-    times = [second for second, _ in scenario.load.curve]
-    if times != sorted(times) or any(times_rate < 0 for _, times_rate in scenario.load.curve):
+            message = f"{name}.size = {trouble.size:g} is below 1, the least for {trouble.kind}"
+            yield Fault(("trouble", index, "size"), message)
+        if trouble.member and trouble.member not in members:
+            yield Fault(("trouble", index, "member"), f"{name}.member = {trouble.member!r} is no member")
+
+
+def _check_member_classes(scenario: Scenario) -> Iterator[Fault]:
+    classes = [kind.name for kind in scenario.classes]
+    for index, member in enumerate(scenario.members):
+        if member.kind and member.kind not in classes:
+            message = f"member[{index + 1}].kind = {member.kind!r} is no class"
+            yield Fault(("member", index, "kind"), message)
+
+
+def _check_curve(scenario: Scenario) -> Iterator[Fault]:
+    seconds = [second for second, _ in scenario.load.curve]
+    if seconds != sorted(seconds) or any(factor < 0 for _, factor in scenario.load.curve):
         yield Fault(("load", "curve"), "load.curve needs rising seconds and rates of at least 0")
 
 
 def load(path: Path | str) -> Scenario:
-    """Read a scenario; `FileError` names everything that is wrong with it."""
-    return read(path, Scenario, _across)
+    """Read a scenario.
+
+    Raises:
+        FileError: It cannot be used; the error names everything that is wrong.
+    """
+    return read(path, Scenario, _check)
 
 
 def altered(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
-    """The same with other values, named as in `fleet.servers`; `FileError` for bad ones."""
-    from sagetrack.config.errors import FileError
-    from sagetrack.config.validation import decode
+    """Return the same scenario with other values, named as in `fleet.servers`.
 
+    Raises:
+        FileError: A key is unknown, or a value is not allowed.
+    """
     raw = msgspec.to_builtins(scenario)
     for name, value in settings.items():
-        *path, last = name.split(".")
-        here: Any = raw
-        try:
-            for part in path:
-                here = here[int(part) - 1] if isinstance(here, list) else here[part]
-            if isinstance(here, list):
-                here[int(last) - 1] = value
-            else:
-                here[last] = value
-        except (KeyError, ValueError, IndexError, TypeError):
-            raise FileError([f"{name}: no such key in a scenario"]) from None
+        _set_value(raw, name, value)
     if raw["expect"].get("p99_ms_max") is None:  # infinity has no plain form
         raw["expect"].pop("p99_ms_max", None)
-    made, faults = decode(raw, Scenario)
-    if made is None:
+    changed, faults = decode(raw, Scenario)
+    if changed is not None:
+        faults = list(_check(changed))
+    if changed is None or faults:
         raise FileError([fault.message for fault in faults])
-    across = list(_across(made))
-    if across:
-        raise FileError([fault.message for fault in across])
-    return made
+    return changed
+
+
+def _set_value(raw: dict[str, Any], name: str, value: Any) -> None:
+    """Set one value in a scenario's plain form; entries of lists are numbered from 1."""
+    *path, last = name.split(".")
+    here: Any = raw
+    try:
+        for part in path:
+            here = here[int(part) - 1] if isinstance(here, list) else here[part]
+        if isinstance(here, list):
+            here[int(last) - 1] = value
+        else:
+            here[last] = value
+    except (KeyError, ValueError, IndexError, TypeError):
+        raise FileError([f"{name}: no such key in a scenario"]) from None
 
 
 def platform_settings(scenario: Scenario, gateway: int) -> dict[str, Any]:
-    """The settings object that gateway number so and so gets, in the platform's form and units."""
-    fleet, rules, clients = scenario.fleet, scenario.gateways, scenario.clients
-    effects = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-    scopes = {"all": "all", "zone": "zone", "rack": "cell"}
-    whole = sum(member.share for member in scenario.members)
+    """Return the settings object of a gateway, by its number, in the platform's form and units."""
+    fleet = scenario.fleet
+    all_shares = sum(member.share for member in scenario.members)
     return {
         "balancers": fleet.gateways,
         "index": gateway,
@@ -355,46 +407,59 @@
         "zones": list(fleet.zones),
         "shapes": ["plain"],
         "membershipMode": "pushed",
-        "lanes": [
-            {
-                "name": request_class.name,
-                "effect": effects[request_class.effect],
-                "group": scopes[request_class.scope],
-                "aimUs": int(request_class.aim_ms * 1000),
-                "giveUpUs": int(request_class.deadline_ms * 1000),
-                "windowUs": int(request_class.window_ms * 1000),
-                "value": request_class.worth,
-                "lateValue": request_class.late_worth,
-                "streamed": False,
-            }
-            for request_class in scenario.classes
+        "lanes": [_platform_class(kind) for kind in scenario.classes],
+        "tenants": [
+            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.members
         ],
-        "tenants": [{"name": member.name, "fraction": member.share / whole} for member in scenario.members],
-        "clients": {"marksRetry": clients.marks_retry},
+        "clients": {"marksRetry": scenario.clients.marks_retry},
         "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
         "overShareWorth": 1.0,
         "prices": {"crossZone": 0.02},
         "report": {"how": "silent", "fields": []},
-        "caps": {
-            "maxAttempts": rules.max_attempts,
-            "mayCancel": rules.may_cancel,
-            "peers": scenario.peers.use,
-            "probes": False,
-            "secondCopies": rules.second_copies,
-            "retryAfter": rules.max_retry_after_ms > 0,
-            "multiplex": 1,
-            "maxRetryAfterUs": int(rules.max_retry_after_ms * 1000),
-            "connectTimeoutUs": int(scenario.network.connect_timeout_ms * 1000),
-            "keepaliveUs": int(fleet.idle_s * 1e6),
-            "cpuUsPerS": 0,
-        },
-        "contract": {
-            "answerSlackUs": ANSWER_SLACK_US,
-            "stopSendingWithinUs": int(rules.drain_grace_ms * 1000),
-            "mustAskInUs": 10_000_000,
-            "startCapacity": fleet.cold_share,
-            "warmAfterUs": int(fleet.cold_s * 1e6),
-            "tipMultiple": fleet.fall_multiple,
-            "fallUs": int(fleet.fall_s * 1e6),
-        },
+        "caps": _platform_caps(scenario),
+        "contract": _platform_contract(scenario),
+    }
+
+
+def _platform_class(kind: RequestKind) -> dict[str, Any]:
+    return {
+        "name": kind.name,
+        "effect": PLATFORM_EFFECTS[kind.effect],
+        "group": PLATFORM_SCOPES[kind.scope],
+        "aimUs": int(kind.aim_ms * 1000),
+        "giveUpUs": int(kind.deadline_ms * 1000),
+        "windowUs": int(kind.window_ms * 1000),
+        "value": kind.worth,
+        "lateValue": kind.late_worth,
+        "streamed": False,
+    }
+
+
+def _platform_caps(scenario: Scenario) -> dict[str, Any]:
+    rules = scenario.gateways
+    return {
+        "maxAttempts": rules.max_attempts,
+        "mayCancel": rules.may_cancel,
+        "peers": scenario.peers.use,
+        "probes": False,
+        "secondCopies": rules.second_copies,
+        "retryAfter": rules.max_retry_after_ms > 0,
+        "multiplex": 1,
+        "maxRetryAfterUs": int(rules.max_retry_after_ms * 1000),
+        "connectTimeoutUs": int(scenario.network.connect_timeout_ms * 1000),
+        "keepaliveUs": int(scenario.fleet.idle_s * 1e6),
+        "cpuUsPerS": 0,
+    }
+
+
+def _platform_contract(scenario: Scenario) -> dict[str, Any]:
+    fleet = scenario.fleet
+    return {
+        "answerSlackUs": ANSWER_SLACK_US,
+        "stopSendingWithinUs": int(scenario.gateways.drain_grace_ms * 1000),
+        "mustAskInUs": 10_000_000,
+        "startCapacity": fleet.cold_share,
+        "warmAfterUs": int(fleet.cold_s * 1e6),
+        "tipMultiple": fleet.fall_multiple,
+        "fallUs": int(fleet.fall_s * 1e6),
     }
--- a/sagetrack/lab/model/server_fleet.py
+++ b/sagetrack/lab/model/server_fleet.py
@@ -7,9 +7,10 @@
 from typing import NamedTuple
 
 from sagetrack.lab.model.endpoint_registry import EndpointRegistry
+from sagetrack.lab.model.idempotency_keys import IdempotencyKeys
 from sagetrack.lab.model.response_faults import ResponseFaults
 from sagetrack.lab.model.run_context import RunContext, ScheduledCall
-from sagetrack.lab.model.server import Job, Keys, Result, Server
+from sagetrack.lab.model.server import Job, Result, Server
 
 
 @dataclass(slots=True)
@@ -37,7 +38,7 @@
         self._context = context
         self._registry = registry
         self._next_number = 1
-        self._keys: dict[str, Keys] = {"all": Keys()}
+        self._keys: dict[str, IdempotencyKeys] = {"all": IdempotencyKeys()}
         self._wakes: dict[int, _Wake] = {}
 
     def start_all(self) -> None:
@@ -162,8 +163,8 @@
         self._next_number += 1
         keys = {
             "all": self._keys["all"],
-            "zone": self._keys.setdefault(f"zone {zone}", Keys()),
-            "rack": self._keys.setdefault(f"rack {rack}", Keys()),
+            "zone": self._keys.setdefault(f"zone {zone}", IdempotencyKeys()),
+            "rack": self._keys.setdefault(f"rack {rack}", IdempotencyKeys()),
         }
         speed = self._context.random.fleet.uniform(*fleet.speed)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,8 +15,9 @@
 from sagetrack.lab.analysis.judges import RULES, judge
 from sagetrack.lab.analysis.records import Record, Records, read
 from sagetrack.lab.benchmarks import sweep as sweeps
-from sagetrack.lab.model.scenario import Choke, Fleet, Scenario, altered, load
-from sagetrack.lab.model.server import Job, Keys, Result, Server
+from sagetrack.lab.model.idempotency_keys import IdempotencyKeys
+from sagetrack.lab.model.scenario import DegradationRules, Fleet, Scenario, altered, load
+from sagetrack.lab.model.server import Job, Result, Server
 from sagetrack.lab.virtual.faulty_gateways import FAULTS, SHOWN_BY
 from sagetrack.lab.virtual.simulation import play
 
@@ -56,8 +57,10 @@
 class Bench:
     """One server, and what it did."""
 
-    def __init__(self, cold: bool = False, racks: dict[str, Keys] | None = None, **fleet: object) -> None:
-        keys = racks or {"all": Keys(), "zone": Keys(), "rack": Keys()}
+    def __init__(
+        self, cold: bool = False, racks: dict[str, IdempotencyKeys] | None = None, **fleet: object
+    ) -> None:
+        keys = racks or {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
         made = Fleet(speed=(1.0, 1.0), **fleet)  # type: ignore[arg-type]
         self.runs: list[bool] = []
         self.ends: list[tuple[int, Result]] = []
@@ -110,7 +113,9 @@
 
 
 def test_a_crowded_server_stays_slow_until_it_was_left_alone() -> None:
-    choke = Choke(at=2, over_s=0.5, slower=4.0, rest_s=2.0, below=0.3, most_s=60.0)
+    choke = DegradationRules(
+        queue_per_core=2, overloaded_s=0.5, slowdown=4.0, calm_s=2.0, calm_utilization=0.3, max_s=60.0
+    )
     bench = Bench(choke=choke)
     for _ in range(15):
         bench.send(0, 200_000)
@@ -128,7 +133,7 @@
 
 
 def test_a_key_has_its_effect_once_in_its_rack_and_again_after_its_window() -> None:
-    rack = {"all": Keys(), "zone": Keys(), "rack": Keys()}
+    rack = {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
     one, other = Bench(racks=rack), Bench(racks=rack)
     far = Bench()
     one.send(0, key=7)
@@ -141,7 +146,7 @@
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 50_000), st.floats(1.0, 80_000.0)), min_size=1, max_size=60))
 def test_every_request_that_a_server_takes_ends_once(steps: list[tuple[int, float]]) -> None:
-    bench = Bench(cores=2, waiting_per_core=5, choke=Choke(at=1, over_s=0.05))
+    bench = Bench(cores=2, waiting_per_core=5, choke=DegradationRules(queue_per_core=1, overloaded_s=0.05))
     now, taken = 0, 0
     for wait, work in steps:
         now += wait
