--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -40,7 +40,7 @@
     if seconds != PLANNED_S:
         share = seconds / PLANNED_S
         changes: dict[str, float] = {"seconds": seconds}
-        for number, trouble in enumerate(scenario.troubles, 1):
+        for number, trouble in enumerate(scenario.faults, 1):
             changes[f"trouble.{number}.at_s"] = trouble.at_s * share
             changes[f"trouble.{number}.seconds"] = max(0.5, trouble.seconds * share)
         scenario = altered(scenario, changes)
@@ -56,7 +56,7 @@
             def tell(share: float, world: World) -> None:
                 if int(share * 4) > told[0]:
                     told[0] = int(share * 4)
-                    print(f"{share:4.0%} played, {world.count} calls", file=sys.stderr, flush=True)
+                    print(f"{share:4.0%} played, {world.arrivals.count} calls", file=sys.stderr, flush=True)
 
             play(scenario, seed, tell, 0.0, records)
     except LabError as error:
@@ -91,26 +91,26 @@
         elif row[2] in on:
             on.remove(row[2])
     made = Table(
-        title=f"{now / 1e6:5.1f} s   {world.count} calls   now: {', '.join(on) or 'nothing special'}"
+        title=f"{now / 1e6:5.1f} s   {world.arrivals.count} calls   now: {', '.join(on) or 'nothing special'}"
     )
     for column in ("server", "zone", "state", "held", "", "gateway", "state", "last 2 s"):
         made.add_column(column)
-    servers = sorted(world.servers.values(), key=lambda server: server.number)
-    gateways = list(world.alive)
+    servers = sorted(world.server_fleet.servers.values(), key=lambda server: server.number)
+    gateways = list(world.gateway_fleet.alive)
     for place in range(max(len(servers), len(gateways))):
         left, right = ["", "", "", ""], ["", "", ""]
         if place < len(servers):
             server = servers[place]
-            entry = world.roster.entries.get(server.number)
+            entry = world.registry.entries.get(server.number)
             state = "unlisted" if entry is None else "drains" if entry.status == "DRAINING" else "ready"
             state = (
                 "slow" if server.slow > 1 else f"cold {server.warmth(now):.0%}" if server.is_cold else state
             )
-            held = server.held
+            held = server.request_count
             left = [f"s-{server.number}", world.scenario.fleet.zones[server.zone], state, "▇" * min(held, 24)]
         if place < len(gateways):
             gateway = gateways[place]
-            right = [f"g{gateway}", "up" if world.alive[gateway] else "dead", ""]
+            right = [f"g{gateway}", "up" if world.gateway_fleet.alive[gateway] else "dead", ""]
         if place == 0 and recent:
             right[2] = f"{good / len(recent):.0%} served"
         made.add_row(*left, "", *right)
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -10,7 +10,7 @@
 
 from sagetrack.lab.analysis.judges import RULES, Violation
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Expect, Scenario
+from sagetrack.lab.model.scenario import Expectations, Scenario
 from sagetrack.policy.fair_queue import max_min_fair_shares
 
 WINDOW_S = 5
@@ -81,14 +81,14 @@
         if due < settled:
             continue
         kind = scenario.classes[class_index]
-        worth = kind.worth * {"served": 1.0, "late": kind.late_worth}.get(outcome, 0.0)
+        worth = kind.priority_weight * {"served": 1.0, "late": kind.late_weight}.get(outcome, 0.0)
         for key in (
             ("all", 0),
             ("class", class_index),
             ("member", member),
             ("window", due // (WINDOW_S * 1_000_000)),
         ):
-            asked[key] += kind.worth
+            asked[key] += kind.priority_weight
             got[key] += worth
         made.requests += 1
         made.served += outcome == "served"
@@ -130,7 +130,7 @@
             if row[3] in ("served", "late"):
                 answered.record_value(max(1, row[1] - row[4]))
         made.dns_p99_ms = answered.get_value_at_percentile(99) / 1000
-    jumpers = {t.member for t in scenario.troubles if t.member}
+    jumpers = {t.member for t in scenario.faults if t.member}
     calm = [member.name for member in scenario.members if member.name not in jumpers]
     made.expect_missed = missed(made, scenario.expect, calm)
     made.expect_held = not made.expect_missed
@@ -203,7 +203,7 @@
     made.jain_members = normalised(wanted, [sum(got[n].values()) for n in members], shares)
     for member in members:
         clients = [client for client in asked[member] if client]
-        if len(clients) > 1 and not scenario.members[member].once:
+        if len(clients) > 1 and not scenario.members[member].single_request:
             part = normalised(
                 [asked[member][c] for c in clients], [got[member][c] for c in clients], [1.0] * len(clients)
             )
@@ -216,7 +216,7 @@
     return jain([mine / part for mine, part in zip(got, fair, strict=True) if part > 0])
 
 
-def missed(made: Figures, expect: Expect, calm: list[str]) -> list[str]:
+def missed(made: Figures, expect: Expectations, calm: list[str]) -> list[str]:
     """The bounds that do not hold, in words."""
     whole = max(1, made.requests)
     least = {
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -15,7 +15,7 @@
 
 from sagetrack.lab.analysis.judges import Violation, judge
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.simulation import play
 
@@ -65,7 +65,7 @@
 
 def figures(records: Records, scenario: Scenario) -> JamFigures:
     """Work out the figures from a run's records, with `load` sampled."""
-    burst = scenario.troubles[0]
+    burst = scenario.faults[0]
     made = JamFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
     asked: Counter[int] = Counter()
     served: Counter[int] = Counter()
@@ -109,8 +109,8 @@
     """
     scenario = scenario_for(gateways, size, more)
     if dead:
-        at_s = scenario.troubles[0].at_s
-        death = Trouble(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, part=dead)
-        scenario = replace(scenario, troubles=[*scenario.troubles, death])
+        at_s = scenario.faults[0].at_s
+        death = ScheduledFault(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, share=dead)
+        scenario = replace(scenario, faults=[*scenario.faults, death])
     records = play(scenario, seed, None, SAMPLE_S, fault)
     return figures(records, scenario), judge(records, scenario)
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -19,8 +19,10 @@
 
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario, platform_settings
-from sagetrack.lab.model.world import Listed, World
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario
+from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.fleet import GatewayProcess, RealClock
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
 from sagetrack.lab.stand_ins.sockets import Agent, AgentConnection
@@ -167,8 +169,8 @@
     agent = (SlowAgent if case.discovery == "slow" else Agent)(world, 0, address_of, 0)
     zones = len(world.scenario.fleet.zones)
     for server in range(1, case.servers + 1):
-        agent.entries[server] = Listed(server, server % zones, server // 20)
-    world.roster.down = case.discovery == "silent"
+        agent.entries[server] = EndpointEntry(server, server % zones, server // 20)
+    world.registry.down = case.discovery == "silent"
     if case.discovery == "refuses":
         agent.door.close()
     found: list[tuple[float, float, str]] = []
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -34,7 +34,7 @@
 
 def variants(scenario: Scenario) -> dict[str, Scenario]:
     """The three plays; ValueError if no gateway dies in the scenario."""
-    deaths = [n for n, trouble in enumerate(scenario.troubles, 1) if trouble.kind == "gateway-death"]
+    deaths = [n for n, trouble in enumerate(scenario.faults, 1) if trouble.kind == "gateway-death"]
     if not deaths:
         raise ValueError(f"{scenario.name}: no gateway dies in it")
     off = {"peers.use": False, "store.use": False}
@@ -64,9 +64,9 @@
         ask = first[request]
         if not any(ask[3] == gateway and up <= ask[1] < up + seconds * 1e6 for gateway, up in back):
             continue
-        worth += scenario.classes[class_index].worth
+        worth += scenario.classes[class_index].priority_weight
         if outcome == "served":
-            got += scenario.classes[class_index].worth
+            got += scenario.classes[class_index].priority_weight
             times.append((time - due) / 1000)
     return got / worth if worth else 1.0, statistics.fmean(times) if times else 0.0
 
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -17,8 +17,10 @@
 
 from sagetrack.lab.analysis.judges import Violation, cold_windows, judge
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
-from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.model.client_requests import ClientAttempt
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
+from sagetrack.lab.model.world import World
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.clock import SimClock
 from sagetrack.lab.virtual.gateway import VirtualGateway
@@ -47,7 +49,7 @@
     name: str
     about: str
     settings: dict[str, Any] = field(default_factory=dict)  # of the scenario, as `lab run --set` has them
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[ScheduledFault, ...] = ()
     number_late_s: float = 0.0  # until all know how many gateways live; 0: nobody is told
     overlap_s: float = 0.0  # that both processes of an upgrade take calls
     orderly: bool = False  # gateways that end keep at their end what they know; else once a second
@@ -56,19 +58,19 @@
         """What is played; `checked.FileError` for values out of range. `seconds`: another length."""
         settings = {"fleet.gateways": gateways, **self.settings}
         base = altered(load(SCENARIO), settings | ({"seconds": seconds} if seconds else {}))
-        troubles = [t for t in (*base.troubles, *self.troubles) if t.at_s < base.seconds]
-        return msgspec.structs.replace(base, name=f"{base.name}-{self.name}", troubles=troubles)
+        troubles = [t for t in (*base.faults, *self.troubles) if t.at_s < base.seconds]
+        return msgspec.structs.replace(base, name=f"{base.name}-{self.name}", faults=troubles)
 
 
 FEW = {"trouble.1.part": 0.12}
 SHORT = {"class.1.aim_ms": 1000, "class.1.deadline_ms": 3000}  # attempts are cut short: places come free soon
 
 
-def dies(at_s: float, seconds: float, part: float) -> Trouble:
-    return Trouble(kind="gateway-death", at_s=at_s, seconds=seconds, part=part)
+def dies(at_s: float, seconds: float, part: float) -> ScheduledFault:
+    return ScheduledFault(kind="gateway-death", at_s=at_s, seconds=seconds, share=part)
 
 
-JUMP = Trouble(kind="burst", at_s=3.5, seconds=14.5, size=2.5)  # right as the cold ones are told of
+JUMP = ScheduledFault(kind="burst", at_s=3.5, seconds=14.5, size=2.5)  # right as the cold ones are told of
 RELEASE = tuple(dies(4.0 + 0.6 * n, 0.1, 1.0) for n in range(12))
 CASES = {
     case.name: case
@@ -102,7 +104,7 @@
             "overlap",
             "all gateways are upgraded: old and new process take calls for 6 s",
             {},
-            (Trouble(kind="gateway-upgrade", at_s=3.5, seconds=1, part=1.0),),
+            (ScheduledFault(kind="gateway-upgrade", at_s=3.5, seconds=1, share=1.0),),
             overlap_s=OVERLAP_S,
         ),
     )
@@ -133,8 +135,8 @@
         super().kill(gateway)
         self.number_changed()
 
-    def revive(self, gateway: int) -> None:
-        super().revive(gateway)
+    def restart(self, gateway: int) -> None:
+        super().restart(gateway)
         self.number_changed()
 
     def number_changed(self) -> None:
@@ -160,24 +162,24 @@
 
         self.clock.at(self.clock.now_us() + int(self.case.overlap_s * 1e6), leave)
 
-    def ask(self, this: Try) -> None:
+    def send(self, this: ClientAttempt) -> None:
         old = self.olds.get(this.gateway)
         self.turn += 1
         if old is None or self.turn % 2:
-            super().ask(this)
+            super().send(this)
             return
-        self.clock.at(self.clock.now_us() + self._client_us(), lambda: old.take(this))
+        self.clock.at(self.clock.now_us() + self.network.client_delay_us(), lambda: old.receive(this))
 
-    def leave(self, this: Try) -> None:
-        super().leave(this)
+    def disconnect(self, this: ClientAttempt) -> None:
+        super().disconnect(this)
         if (old := self.olds.get(this.gateway)) is not None:
-            old.leave(this)
+            old.on_disconnect(this)
 
-    def tell(self, gateway: int, entries: list[Listed], whole: bool) -> None:
-        super().tell(gateway, entries, whole)
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], whole: bool) -> None:
+        super().send_endpoints(gateway, entries, whole)
         if (old := self.olds.get(gateway)) is not None:
             kind = ListKind.FULL if whole else ListKind.DELTA
-            old.handle(EndpointList(kind, self._listed(gateway, entries)))
+            old.handle(EndpointList(kind, self.listed_servers(gateway, entries)))
 
 
 @dataclass(slots=True)
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -28,7 +28,8 @@
 
 from sagetrack.lab.analysis.figures import histogram
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.model.scenario import Clients, Fleet, RequestKind, Scenario, platform_settings
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Clients, Fleet, RequestClass, Scenario
 from sagetrack.lab.processes.fleet import need_files
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.repository import ROOT
@@ -273,7 +274,7 @@
 def configuration(
     port: int, ports: list[int], discovery: int, admin: int, type_: str = "plain"
 ) -> dict[str, Any]:
-    kind = RequestKind(name="lookup", work_ms=1, aim_ms=1000, deadline_ms=3000)
+    kind = RequestClass(name="lookup", work_ms=1, latency_objective_ms=1000, deadline_ms=3000)
     scenario = Scenario(
         name="throughput", fleet=Fleet(servers=len(ports), gateways=1), classes=[kind], clients=Clients()
     )
--- a/sagetrack/lab/model/arrivals.py
+++ b/sagetrack/lab/model/arrivals.py
@@ -10,7 +10,7 @@
 
 from sagetrack.lab.model.client_requests import ClientRequest
 from sagetrack.lab.model.run_context import RunContext
-from sagetrack.lab.model.scenario import RequestKind, Trouble
+from sagetrack.lab.model.scenario import RequestClass, ScheduledFault
 
 LATE_US = 50_000  # an arrival that is played later than this past its time counts as late
 
@@ -44,10 +44,10 @@
         self._next_us = 0.0
         total = sum(kind.share for kind in scenario.classes)
         self._class_shares = [kind.share / total for kind in scenario.classes]
-        loads = [member.asks or member.share for member in scenario.members]
+        loads = [member.load_share or member.share for member in scenario.members]
         self._member_shares = [load / sum(loads) for load in loads]
         self._populations = [ClientPopulation(member.clients, member.skew) for member in scenario.members]
-        bursts = [fault for fault in scenario.troubles if fault.kind == "burst"]
+        bursts = [fault for fault in scenario.faults if fault.kind == "burst"]
         self._bursts_of_all = [fault for fault in bursts if not fault.member]
         self._bursts_of_members = [fault for fault in bursts if fault.member]
         self._peak_factor = self._compute_peak_factor()
@@ -139,10 +139,10 @@
         work_us = _draw_work_us(kind, draw)
         key = draw.getrandbits(53) if kind.effect == "keyed" else None
         zone = draw.randrange(self._context.zone_count)
-        honor_share = scenario.clients.honour if member.honour is None else member.honour
+        honor_share = scenario.clients.honor_share if member.honor_share is None else member.honor_share
         honors_retry_after = draw.random() < honor_share
-        keeps = draw.random() < scenario.clients.keep
-        if member.once:
+        keeps_connection = draw.random() < scenario.clients.keep_alive_share
+        if member.single_request:
             client = self.count
         else:
             client = self._populations[member_index].draw(self._context.random.client_identities)
@@ -156,16 +156,16 @@
             work_us,
             created_us,
             honors_retry_after,
-            keeps,
+            keeps_connection,
             client,
         )
 
 
-def _draw_work_us(kind: RequestKind, draw: random.Random) -> float:
+def _draw_work_us(kind: RequestClass, draw: random.Random) -> float:
     """Draw a request's work on a standard core from the class's lognormal distribution."""
     deviation = math.sqrt(math.log(1.0 + kind.spread**2))
     return kind.work_ms * 1000 * math.exp(draw.gauss(-(deviation**2) / 2, deviation))
 
 
-def _is_on(burst: Trouble, second: float) -> bool:
+def _is_on(burst: ScheduledFault, second: float) -> bool:
     return burst.at_s <= second < burst.at_s + burst.seconds
--- a/sagetrack/lab/model/client_requests.py
+++ b/sagetrack/lab/model/client_requests.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sagetrack.lab.model.scenario import RequestKind
+from sagetrack.lab.model.scenario import RequestClass
 
 
 @dataclass(slots=True, eq=False)
@@ -12,7 +12,7 @@
     """What a client wants, over all its attempts."""
 
     id: str
-    kind: RequestKind
+    request_class: RequestClass
     class_index: int
     member: int
     zone: int
@@ -20,14 +20,14 @@
     work_us: float
     created_us: int
     honors_retry_after: bool
-    keeps: bool  # sends on a kept connection
+    keeps_connection: bool  # sends on a kept connection
     client: int = 0  # within its member, from 1; 0: unidentified
     attempt_count: int = 0
 
     @property
     def deadline_us(self) -> int:
         """When the client has no more use for a response."""
-        return self.created_us + int(self.kind.deadline_ms * 1000)
+        return self.created_us + int(self.request_class.deadline_ms * 1000)
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +40,7 @@
     gateway: int
     budget_us: int  # from `sent_us` on
     sent_us: int
-    over: bool = False
+    ended: bool = False  # answered, or given up
     connection: object = None  # the driver's
 
     @property
--- a/sagetrack/lab/model/clients.py
+++ b/sagetrack/lab/model/clients.py
@@ -22,7 +22,9 @@
     def send(self, request: ClientRequest) -> None:
         """Send a request's next attempt, or finish the request if its deadline is too near."""
         now = self._context.clock.now_us()
-        first_budget_us = request.kind.deadline_ms * 1000 * self._context.scenario.clients.try_share
+        first_budget_us = (
+            request.request_class.deadline_ms * 1000 * self._context.scenario.clients.attempt_share
+        )
         budget_us = min(request.deadline_us - now, int(first_budget_us))
         if budget_us < MIN_BUDGET_US:
             self._finish(request, "unanswered", now)
@@ -35,9 +37,9 @@
         self._record_sent(attempt)
         # The platform lets a final response be this late: until then a client listens.
         self._context.clock.at(attempt.deadline_us + ANSWER_SLACK_US, lambda: self._time_out(attempt))
-        self._gateways.driver.ask(attempt)
+        self._gateways.driver.send(attempt)
 
-    def on_response(self, attempt: ClientAttempt, verdict: str, retry_after_us: int) -> None:
+    def on_response(self, attempt: ClientAttempt, verdict: str, retry_after_us: int = 0) -> None:
         """Take a response, or the end of a connection; also those that come too late are recorded."""
         now = self._context.clock.now_us()
         request = attempt.request
@@ -46,13 +48,13 @@
             self._context.records.add(
                 "advised", now, attempt.call, request.id, attempt.number, retry_after_us
             )
-        if attempt.over:
+        if attempt.ended:
             return
         self._end(attempt)
         if verdict != "served":
             self._retry_or_finish(request, verdict, retry_after_us)
             return
-        is_late = now - request.created_us > request.kind.aim_ms * 1000
+        is_late = now - request.created_us > request.request_class.latency_objective_ms * 1000
         self._finish(request, "late" if is_late else "served", now)
 
     def _record_sent(self, attempt: ClientAttempt) -> None:
@@ -79,15 +81,15 @@
         return self._context.random.clients.choice(near or in_rotation or list(self._gateways.in_rotation))
 
     def _time_out(self, attempt: ClientAttempt) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
         self._end(attempt)
         self._context.record("gone", attempt.call, attempt.gateway)
-        self._gateways.driver.leave(attempt)
+        self._gateways.driver.disconnect(attempt)
         self._retry_or_finish(attempt.request, "unanswered", 0)
 
     def _end(self, attempt: ClientAttempt) -> None:
-        attempt.over = True
+        attempt.ended = True
         del self.waiting[attempt.call]
 
     def _retry_or_finish(self, request: ClientRequest, verdict: str, retry_after_us: int) -> None:
@@ -99,7 +101,7 @@
             self._finish(request, outcome, now)
             return
         wait_us = self._draw_wait_us(request, retry_after_us)
-        if now + wait_us >= request.created_us + request.kind.deadline_ms * 1000:
+        if now + wait_us >= request.created_us + request.request_class.deadline_ms * 1000:
             self._finish(request, "refused" if verdict == "refused" else "failed", now)
             return
         self._context.clock.at(now + wait_us, lambda: self.send(request))
@@ -130,7 +132,7 @@
 
 def _may_repeat(request: ClientRequest, verdict: str, now_us: int) -> bool:
     """Whether a repeat can have no second effect."""
-    kind = request.kind
+    kind = request.request_class
     if verdict in ("refused", "unreachable") or kind.effect == "safe":
         return True
     is_deduplicated = kind.effect == "keyed" and kind.scope == "all"
--- a/sagetrack/lab/model/endpoint_registry.py
+++ b/sagetrack/lab/model/endpoint_registry.py
@@ -70,7 +70,7 @@
                 for number in dict.fromkeys(numbers)
             ]
             if self._gateways.alive[gateway] and entries:
-                self._gateways.driver.tell(gateway, entries, False)
+                self._gateways.driver.send_endpoints(gateway, entries, False)
         self._missed.clear()
 
     def record_received(self, gateway: int, entries: list[EndpointEntry]) -> None:
@@ -96,4 +96,4 @@
         if self.down:
             self._missed.setdefault(gateway, []).append(entry.server)
         elif self._gateways.alive[gateway]:
-            self._gateways.driver.tell(gateway, [entry], False)
+            self._gateways.driver.send_endpoints(gateway, [entry], False)
--- a/sagetrack/lab/model/fault_schedule.py
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -10,7 +10,7 @@
 from sagetrack.lab.model.gateway_fleet import GatewayFleet
 from sagetrack.lab.model.network import NetworkConditions, Partition
 from sagetrack.lab.model.run_context import RunContext
-from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.scenario import ScheduledFault
 from sagetrack.lab.model.server import Result
 from sagetrack.lab.model.server_fleet import ServerFleet
 
@@ -34,7 +34,7 @@
         self._gateways = gateways
         self._network = network
         # By the kinds of the scenario's form. Each records the begin with whom it strikes.
-        self._inject: dict[str, Callable[[Trouble], Undo]] = {
+        self._inject: dict[str, Callable[[ScheduledFault], Undo]] = {
             "slow": self._slow_servers,
             "burst": self._burst,
             "deploy": self._deploy,
@@ -51,30 +51,30 @@
 
     def schedule_all(self) -> None:
         """Schedule the scenario's faults."""
-        for fault in self._context.scenario.troubles:
+        for fault in self._context.scenario.faults:
             self._context.clock.at(int(fault.at_s * 1e6), partial(self._begin, fault))
 
-    def _begin(self, fault: Trouble) -> None:
+    def _begin(self, fault: ScheduledFault) -> None:
         end_us = self._context.clock.now_us() + int(fault.seconds * 1e6)
         inject = self._inject.get(fault.kind)
         if inject is None:
             self._record(fault, "begins")
-            self._gateways.driver.special(fault, True)
+            self._gateways.driver.set_fault(fault, True)
             self._context.clock.at(end_us, partial(self._end_of_driver, fault))
             return
         undo = inject(fault)
         self._context.clock.at(end_us, partial(self._end, fault, undo))
 
-    def _end_of_driver(self, fault: Trouble) -> None:
+    def _end_of_driver(self, fault: ScheduledFault) -> None:
         self._record(fault, "ends")
-        self._gateways.driver.special(fault, False)
+        self._gateways.driver.set_fault(fault, False)
 
-    def _end(self, fault: Trouble, undo: Undo) -> None:
+    def _end(self, fault: ScheduledFault, undo: Undo) -> None:
         if undo is not None:
             undo()
         self._record(fault, "ends")
 
-    def _record(self, fault: Trouble, state: str, detail: object = None) -> None:
+    def _record(self, fault: ScheduledFault, state: str, detail: object = None) -> None:
         self._context.record("trouble", fault.kind, state, detail)
 
     def _choose(self, candidates: list[int], share: float) -> list[int]:
@@ -85,24 +85,24 @@
             count = min(len(candidates), max(1, round(share * len(candidates))))
         return sorted(self._context.random.faults.sample(sorted(candidates), count))
 
-    def _choose_and_record(self, fault: Trouble, candidates: list[int]) -> list[int]:
-        chosen = self._choose(candidates, fault.part)
+    def _choose_and_record(self, fault: ScheduledFault, candidates: list[int]) -> list[int]:
+        chosen = self._choose(candidates, fault.share)
         self._record(fault, "begins", chosen)
         return chosen
 
     # Servers
 
-    def _slow_servers(self, fault: Trouble) -> Undo:
+    def _slow_servers(self, fault: ScheduledFault) -> Undo:
         chosen = self._choose_and_record(fault, self._servers.in_service())
         self._servers.set_slowdown(chosen, fault.size)
         return lambda: self._servers.set_slowdown(chosen, 1.0)
 
-    def _burst(self, fault: Trouble) -> Undo:
+    def _burst(self, fault: ScheduledFault) -> Undo:
         self._record(fault, "begins")  # the arrivals are drawn with it
         return None
 
-    def _deploy(self, fault: Trouble) -> Undo:
-        chosen = self._choose(self._servers.in_service(), fault.part)
+    def _deploy(self, fault: ScheduledFault) -> Undo:
+        chosen = self._choose(self._servers.in_service(), fault.share)
         size = max(1, round(fault.batch * max(1, len(self._servers.servers))))
         batches = [chosen[start : start + size] for start in range(0, len(chosen), size)]
         self._record(fault, "begins", chosen)
@@ -115,21 +115,21 @@
         for number in numbers:
             self._servers.replace(number)
 
-    def _vanish_servers(self, fault: Trouble) -> Undo:
+    def _vanish_servers(self, fault: ScheduledFault) -> Undo:
         for number in self._choose_and_record(fault, self._servers.in_service()):
             server = self._servers.vanish(number)
             self._context.after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
         return None
 
-    def _fail_responses(self, result: Result, fault: Trouble) -> Undo:
+    def _fail_responses(self, result: Result, fault: ScheduledFault) -> Undo:
         self._record(fault, "begins")
         responses = self._servers.response_faults
-        responses.set_share(result, fault.part)
+        responses.set_share(result, fault.share)
         return partial(responses.set_share, result, 0.0)
 
     # Gateways
 
-    def _kill_gateways(self, fault: Trouble) -> Undo:
+    def _kill_gateways(self, fault: ScheduledFault) -> Undo:
         chosen = self._choose_and_record(fault, self._gateways.running())
         notice_us = int(self._context.scenario.clients.notice_s * 1e6)
         for gateway in chosen:
@@ -139,11 +139,11 @@
 
         def undo() -> None:
             for gateway in chosen:
-                self._gateways.driver.revive(gateway)
+                self._gateways.driver.restart(gateway)
 
         return undo
 
-    def _upgrade_gateways(self, fault: Trouble) -> Undo:
+    def _upgrade_gateways(self, fault: ScheduledFault) -> Undo:
         for gateway in self._choose_and_record(fault, self._gateways.running()):
             self._context.record("gateway", gateway, "upgrade")
             self._gateways.driver.upgrade(gateway)
@@ -151,21 +151,21 @@
 
     # Discovery and network
 
-    def _stop_discovery(self, fault: Trouble) -> Undo:
+    def _stop_discovery(self, fault: ScheduledFault) -> Undo:
         self._record(fault, "begins")
         self._registry.down = True
-        self._gateways.driver.special(fault, True)
+        self._gateways.driver.set_fault(fault, True)
 
         def undo() -> None:
             self._registry.down = False
-            self._gateways.driver.special(fault, False)
+            self._gateways.driver.set_fault(fault, False)
             self._registry.send_missed()
 
         return undo
 
-    def _list_phantoms(self, fault: Trouble) -> Undo:
+    def _list_phantoms(self, fault: ScheduledFault) -> Undo:
         """Have discovery list servers that do not exist."""
-        count = max(1, round(fault.part * self._context.scenario.fleet.servers))
+        count = max(1, round(fault.share * self._context.scenario.fleet.servers))
         numbers = self._servers.reserve_numbers(count)
         self._record(fault, "begins", list(numbers))
         for number in numbers:
@@ -180,10 +180,10 @@
 
         return undo
 
-    def _partition(self, fault: Trouble) -> Undo:
+    def _partition(self, fault: ScheduledFault) -> Undo:
         """Cut gateways and servers of some zones off from those of the others."""
         zone_count = self._context.zone_count
-        inside = set(self._choose(list(range(zone_count)), fault.part))
+        inside = set(self._choose(list(range(zone_count)), fault.share))
         gateways, servers = self._gateways.alive, self._servers.servers
         gateways_inside = frozenset(gateway for gateway in gateways if gateway % zone_count in inside)
         servers_inside = frozenset(number for number, server in servers.items() if server.zone in inside)
@@ -195,7 +195,7 @@
         self._network.cut(partitions)
         return lambda: self._network.heal(partitions)
 
-    def _skew_clocks(self, fault: Trouble) -> Undo:
+    def _skew_clocks(self, fault: ScheduledFault) -> Undo:
         """Set clocks of some gateways off by `size` seconds, by turns behind and ahead."""
         skew_us = int(fault.size * 1e6)
         for index, gateway in enumerate(self._choose_and_record(fault, list(self._gateways.alive))):
--- a/sagetrack/lab/model/gateway_fleet.py
+++ b/sagetrack/lab/model/gateway_fleet.py
@@ -6,7 +6,7 @@
 
 from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.endpoint_entry import EndpointEntry
-from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.scenario import ScheduledFault
 
 
 class GatewayDriver(Protocol):
@@ -16,31 +16,31 @@
         """Start all gateways."""
         ...
 
-    def ask(self, this: ClientAttempt) -> None:
-        """Send a client's attempt; `World.on_answer` is called once, or never."""
+    def send(self, attempt: ClientAttempt, /) -> None:
+        """Send a client's attempt; `Clients.on_response` is called once, or never."""
         ...
 
-    def leave(self, this: ClientAttempt) -> None:
+    def disconnect(self, attempt: ClientAttempt, /) -> None:
         """Close the attempt's connection: the client waits no longer."""
         ...
 
-    def tell(self, gateway: int, entries: list[EndpointEntry], whole: bool) -> None:
-        """Send a gateway changed entries of the endpoint list, or (`whole`) the complete list."""
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool, /) -> None:
+        """Send a gateway changed entries of the endpoint list, or all entries (`is_complete`)."""
         ...
 
-    def kill(self, gateway: int) -> None:
+    def kill(self, gateway: int, /) -> None:
         """End a gateway at once."""
         ...
 
-    def revive(self, gateway: int) -> None:
+    def restart(self, gateway: int, /) -> None:
         """Start a killed gateway again, with the endpoint list that it last had."""
         ...
 
-    def upgrade(self, gateway: int) -> None:
+    def upgrade(self, gateway: int, /) -> None:
         """Replace a gateway by a new process while it runs."""
         ...
 
-    def special(self, trouble: Trouble, on: bool) -> None:
+    def set_fault(self, fault: ScheduledFault, is_on: bool, /) -> None:
         """Begin or end a fault that only the driver can cause; one that it does not know is ignored."""
         ...
 
--- /dev/null
+++ b/sagetrack/lab/model/platform_settings.py
@@ -0,0 +1,82 @@
+"""The settings of a gateway, in the platform's form, as they follow from a scenario.
+
+The names and units of the platform stand here alone.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sagetrack.lab.model.scenario import ANSWER_SLACK_US, RequestClass, Scenario
+
+PLATFORM_EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+PLATFORM_SCOPES = {"all": "all", "zone": "zone", "rack": "cell"}
+
+
+def platform_settings(scenario: Scenario, gateway: int) -> dict[str, Any]:
+    """Return the settings object of a gateway, by its number, in the platform's form and units."""
+    fleet = scenario.fleet
+    all_shares = sum(member.share for member in scenario.members)
+    return {
+        "balancers": fleet.gateways,
+        "index": gateway,
+        "zone": gateway % len(fleet.zones),
+        "zones": list(fleet.zones),
+        "shapes": ["plain"],
+        "membershipMode": "pushed",
+        "lanes": [_platform_class(kind) for kind in scenario.classes],
+        "tenants": [
+            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.members
+        ],
+        "clients": {"marksRetry": scenario.clients.marks_retry},
+        "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
+        "overShareWorth": 1.0,
+        "prices": {"crossZone": 0.02},
+        "report": {"how": "silent", "fields": []},
+        "caps": _platform_caps(scenario),
+        "contract": _platform_contract(scenario),
+    }
+
+
+def _platform_class(kind: RequestClass) -> dict[str, Any]:
+    return {
+        "name": kind.name,
+        "effect": PLATFORM_EFFECTS[kind.effect],
+        "group": PLATFORM_SCOPES[kind.scope],
+        "aimUs": int(kind.latency_objective_ms * 1000),
+        "giveUpUs": int(kind.deadline_ms * 1000),
+        "windowUs": int(kind.window_ms * 1000),
+        "value": kind.priority_weight,
+        "lateValue": kind.late_weight,
+        "streamed": False,
+    }
+
+
+def _platform_caps(scenario: Scenario) -> dict[str, Any]:
+    rules = scenario.gateways
+    return {
+        "maxAttempts": rules.max_attempts,
+        "mayCancel": rules.may_cancel,
+        "peers": scenario.peers.use,
+        "probes": False,
+        "secondCopies": rules.second_copies,
+        "retryAfter": rules.max_retry_after_ms > 0,
+        "multiplex": 1,
+        "maxRetryAfterUs": int(rules.max_retry_after_ms * 1000),
+        "connectTimeoutUs": int(scenario.network.connect_timeout_ms * 1000),
+        "keepaliveUs": int(scenario.fleet.idle_s * 1e6),
+        "cpuUsPerS": 0,
+    }
+
+
+def _platform_contract(scenario: Scenario) -> dict[str, Any]:
+    fleet = scenario.fleet
+    return {
+        "answerSlackUs": ANSWER_SLACK_US,
+        "stopSendingWithinUs": int(scenario.gateways.drain_grace_ms * 1000),
+        "mustAskInUs": 10_000_000,
+        "startCapacity": fleet.cold_share,
+        "warmAfterUs": int(fleet.cold_s * 1e6),
+        "tipMultiple": fleet.fall_multiple,
+        "fallUs": int(fleet.fall_s * 1e6),
+    }
--- a/sagetrack/lab/model/run_context.py
+++ b/sagetrack/lab/model/run_context.py
@@ -66,7 +66,7 @@
         return max(1, -(-fleet.servers // fleet.rack_size))
 
     def record(self, kind: str, *fields: Any) -> None:
-        """Add a record with the current time."""
+        """Add a record with the current time; `analysis.records` has the kinds, which are a stored form."""
         self.records.add(kind, self.clock.now_us(), *fields)
 
     def after(self, delay_us: int, call: Callable[[], None]) -> None:
--- a/sagetrack/lab/model/scenario.py
+++ b/sagetrack/lab/model/scenario.py
@@ -22,9 +22,6 @@
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 ANSWER_SLACK_US = 20_000  # by which a final response may be late
-# The platform's words for what a scenario calls otherwise.
-PLATFORM_EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-PLATFORM_SCOPES = {"all": "all", "zone": "zone", "rack": "cell"}
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$")]
 Range = tuple[float, float]
 
@@ -79,11 +76,16 @@
     roll_new: bool = False  # a deploy brings servers of the newer format
 
 
-class Network(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Network(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"same_zone_ms": "same_ms", "cross_zone_ms": "cross_ms"},
+):
     """One-way delays. In real time they are added to loopback's."""
 
-    same_ms: NotNegative = 0.25
-    cross_ms: NotNegative = 2.0
+    same_zone_ms: NotNegative = 0.25
+    cross_zone_ms: NotNegative = 2.0
     client_ms: NotNegative = 0.5
     jitter: Share = 0.2
     connect_timeout_ms: Positive = 250.0
@@ -100,59 +102,84 @@
     drain_s: Positive = 3.0  # how long a draining server goes on serving
 
 
-class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RequestClass(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"latency_objective_ms": "aim_ms", "priority_weight": "worth", "late_weight": "late_worth"},
+):
     """A class of requests."""
 
     name: Name
     share: Positive = 1.0
     work_ms: Positive = 20.0  # mean, on a standard core
     spread: NotNegative = 0.8  # standard deviation of the work over its mean; lognormal
-    aim_ms: Positive = 1000.0  # latency objective
+    latency_objective_ms: Positive = 1000.0  # latency objective
     deadline_ms: Positive = 3000.0
-    worth: NotNegative = 1.0  # priority weight of a response within the objective
-    late_worth: Share = 0.0  # of that, for a later response
+    priority_weight: NotNegative = 1.0  # priority weight of a response within the objective
+    late_weight: Share = 0.0  # of that, for a later response
     effect: Literal["safe", "keyed", "unsafe"] = "safe"  # whether a repeat does harm
     scope: Literal["all", "zone", "rack"] = "all"  # for keyed: which servers know each other's keys
     window_ms: NotNegative = 5000.0  # for keyed: how long servers of the scope drop a repeat
     body_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 120
 
 
-class Member(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Member(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"load_share": "asks", "single_request": "once", "honor_share": "honour"},
+):
     """A tenant of the service."""
 
     name: Name
     share: Positive = 1.0  # its quota, relative to the others'
-    asks: NotNegative = 0.0  # its part of the load, relative to the others'; 0: by its share
+    load_share: NotNegative = 0.0  # its part of the load, relative to the others'; 0: by its share
     clients: Annotated[int, Meta(ge=0, le=10_000_000)] = 0  # that it has; 0: they are not identified
     skew: NotNegative = 0.0  # of its clients' loads, as the exponent of Zipf's law
-    once: bool = False  # each client sends a single request
-    honour: Share | None = None  # of its clients that follow Retry-After; by default as in `clients`
+    single_request: bool = False  # each client sends a single request
+    honor_share: Share | None = None  # of its clients that follow Retry-After; by default as in `clients`
     kind: str = ""  # the only class of its requests; empty: all classes
 
 
-class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Clients(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"honor_share": "honour", "attempt_share": "try_share", "keep_alive_share": "keep"},
+):
     """How clients behave."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 1
     wait: Literal["none", "fixed", "doubling"] = "fixed"  # before a retry
     wait_ms: NotNegative = 200.0
-    honour: Share = 0.7  # share of clients that follow Retry-After
-    try_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the deadline that one attempt is given
+    honor_share: Share = 0.7  # share of clients that follow Retry-After
+    attempt_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the deadline that one attempt is given
     marks_retry: bool = False
-    keep: Share = 0.8  # share of requests on kept connections
+    keep_alive_share: Share = 0.8  # share of requests on kept connections
     slow_readers: Share = 0.0  # share that takes a second to read its response; in real time only
     notice_s: Positive = 2.0  # until the front sends no more to a dead gateway
 
 
-class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Load(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"utilization": "use"},
+):
     """The load. Arrivals are drawn ahead and never wait for responses (an open loop)."""
 
     rate: NotNegative = 0.0  # requests a second; 0: by `use`
-    use: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of the warm fleet's capacity
+    utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of the warm fleet's capacity
     curve: list[tuple[float, float]] = msgspec.field(default_factory=list)  # [second, factor on the rate]
 
 
-class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ScheduledFault(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"share": "part"},
+):
     """A fault that begins and ends during the run."""
 
     kind: Literal[
@@ -176,7 +203,7 @@
     ]
     at_s: NotNegative
     seconds: Positive = 5.0
-    part: Share = 0.2  # of the servers, gateways or responses that it strikes
+    share: Share = 0.2  # of the servers, gateways or responses that it strikes
     size: Positive = 3.0  # by the kind: times slower, times the rate, seconds of skew, clients
     member: str = ""  # a burst of this member alone
     batch: Share = 0.15  # of the servers that a deploy replaces at a time
@@ -190,25 +217,35 @@
     warm_start: bool = True
 
 
-class StoreUse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A store on disk in each gateway, which outlives the process."""
 
     use: bool = False
     sync: Literal["batch", "every", "never"] = "every"
 
 
-class Door(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AdmissionControl(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"max_wait_fraction": "patience", "tenant_per_s": "member_per_s"},
+):
     """Admission control in the gateways: fair queues and limits."""
 
     use: bool = False
-    patience: Annotated[float, Meta(ge=0, le=0.5)] = 0.5
+    max_wait_fraction: Annotated[float, Meta(ge=0, le=0.5)] = 0.5
     memory_mb: Positive = 16.0
     adaptive: bool = True
     client_per_s: NotNegative = 0.0
-    member_per_s: NotNegative = 0.0
+    tenant_per_s: NotNegative = 0.0
 
 
-class DnsLoad(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class DnsLoad(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"latency_objective_ms": "aim_ms"},
+):
     """DNS beside HTTP, in real time: stand-in upstream servers and queries to all gateways."""
 
     rate: NotNegative = 0.0  # queries a second, an open loop; 0: no DNS
@@ -216,11 +253,11 @@
     names: Count = 500  # that are queried, the popular ones more often
     ttl_s: Annotated[int, Meta(ge=0, le=86_400)] = 5
     delay_ms: NotNegative = 5.0  # of an upstream server's response
-    aim_ms: Positive = 500.0
+    latency_objective_ms: Positive = 500.0
     deadline_ms: Positive = 2000.0
 
 
-class Expect(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Expectations(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bounds that must hold, besides the rules, which must hold in every scenario."""
 
     service_min: Share = 0.0
@@ -247,7 +284,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole scenario."""
+    """A complete scenario."""
 
     name: Name
     about: str = ""
@@ -256,19 +293,19 @@
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     network: Network = msgspec.field(default_factory=Network)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
-    classes: list[RequestKind] = msgspec.field(
-        name="class", default_factory=lambda: [RequestKind(name="lookup")]
+    classes: list[RequestClass] = msgspec.field(
+        name="class", default_factory=lambda: [RequestClass(name="lookup")]
     )
     members: list[Member] = msgspec.field(name="member", default_factory=lambda: [Member(name="acme")])
     clients: Clients = msgspec.field(default_factory=Clients)
     load: Load = msgspec.field(default_factory=Load)
     gateways: Gateways = msgspec.field(name="gateway", default_factory=Gateways)
-    troubles: list[Trouble] = msgspec.field(name="trouble", default_factory=list)
+    faults: list[ScheduledFault] = msgspec.field(name="trouble", default_factory=list)
     peers: Peers = msgspec.field(default_factory=Peers)
-    door: Door = msgspec.field(default_factory=Door)
-    store: StoreUse = msgspec.field(default_factory=StoreUse)
+    admission: AdmissionControl = msgspec.field(name="door", default_factory=AdmissionControl)
+    store: StoreSettings = msgspec.field(default_factory=StoreSettings)
     dns: DnsLoad = msgspec.field(default_factory=DnsLoad)
-    expect: Expect = msgspec.field(default_factory=Expect)
+    expect: Expectations = msgspec.field(default_factory=Expectations)
 
     @property
     def mean_work_ms(self) -> float:
@@ -282,7 +319,7 @@
         if self.load.rate > 0:
             return self.load.rate
         cores = self.fleet.servers * self.fleet.cores * sum(self.fleet.speed) / 2
-        return self.load.use * cores * 1000.0 / self.mean_work_ms
+        return self.load.utilization * cores * 1000.0 / self.mean_work_ms
 
 
 def _check(scenario: Scenario) -> Iterator[Fault]:
@@ -290,15 +327,15 @@
     yield from _check_classes(scenario)
     yield from _check_names(scenario)
     yield from _check_speed(scenario)
-    yield from _check_troubles(scenario)
+    yield from _check_faults(scenario)
     yield from _check_member_classes(scenario)
     yield from _check_curve(scenario)
 
 
 def _check_classes(scenario: Scenario) -> Iterator[Fault]:
     for index, kind in enumerate(scenario.classes):
-        if kind.aim_ms > kind.deadline_ms:
-            message = f"class[{index + 1}].aim_ms = {kind.aim_ms:g} is above its deadline_ms"
+        if kind.latency_objective_ms > kind.deadline_ms:
+            message = f"class[{index + 1}].aim_ms = {kind.latency_objective_ms:g} is above its deadline_ms"
             yield Fault(("class", index, "aim_ms"), message)
 
 
@@ -324,19 +361,19 @@
         yield Fault(("fleet", "speed"), message)
 
 
-def _check_troubles(scenario: Scenario) -> Iterator[Fault]:
+def _check_faults(scenario: Scenario) -> Iterator[Fault]:
     members = [member.name for member in scenario.members]
-    for index, trouble in enumerate(scenario.troubles):
+    for index, fault in enumerate(scenario.faults):
         name = f"trouble[{index + 1}]"
-        if trouble.at_s >= scenario.seconds:
-            message = f"{name}.at_s = {trouble.at_s:g} is after the last arrival"
+        if fault.at_s >= scenario.seconds:
+            message = f"{name}.at_s = {fault.at_s:g} is after the last arrival"
             message += f"; it is below seconds = {scenario.seconds:g}"
             yield Fault(("trouble", index, "at_s"), message)
-        if trouble.kind in ("slow", "burst") and trouble.size < 1:
-            message = f"{name}.size = {trouble.size:g} is below 1, the least for {trouble.kind}"
+        if fault.kind in ("slow", "burst") and fault.size < 1:
+            message = f"{name}.size = {fault.size:g} is below 1, the least for {fault.kind}"
             yield Fault(("trouble", index, "size"), message)
-        if trouble.member and trouble.member not in members:
-            yield Fault(("trouble", index, "member"), f"{name}.member = {trouble.member!r} is no member")
+        if fault.member and fault.member not in members:
+            yield Fault(("trouble", index, "member"), f"{name}.member = {fault.member!r} is no member")
 
 
 def _check_member_classes(scenario: Scenario) -> Iterator[Fault]:
@@ -394,72 +431,3 @@
             here[last] = value
     except (KeyError, ValueError, IndexError, TypeError):
         raise FileError([f"{name}: no such key in a scenario"]) from None
-
-
-def platform_settings(scenario: Scenario, gateway: int) -> dict[str, Any]:
-    """Return the settings object of a gateway, by its number, in the platform's form and units."""
-    fleet = scenario.fleet
-    all_shares = sum(member.share for member in scenario.members)
-    return {
-        "balancers": fleet.gateways,
-        "index": gateway,
-        "zone": gateway % len(fleet.zones),
-        "zones": list(fleet.zones),
-        "shapes": ["plain"],
-        "membershipMode": "pushed",
-        "lanes": [_platform_class(kind) for kind in scenario.classes],
-        "tenants": [
-            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.members
-        ],
-        "clients": {"marksRetry": scenario.clients.marks_retry},
-        "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
-        "overShareWorth": 1.0,
-        "prices": {"crossZone": 0.02},
-        "report": {"how": "silent", "fields": []},
-        "caps": _platform_caps(scenario),
-        "contract": _platform_contract(scenario),
-    }
-
-
-def _platform_class(kind: RequestKind) -> dict[str, Any]:
-    return {
-        "name": kind.name,
-        "effect": PLATFORM_EFFECTS[kind.effect],
-        "group": PLATFORM_SCOPES[kind.scope],
-        "aimUs": int(kind.aim_ms * 1000),
-        "giveUpUs": int(kind.deadline_ms * 1000),
-        "windowUs": int(kind.window_ms * 1000),
-        "value": kind.worth,
-        "lateValue": kind.late_worth,
-        "streamed": False,
-    }
-
-
-def _platform_caps(scenario: Scenario) -> dict[str, Any]:
-    rules = scenario.gateways
-    return {
-        "maxAttempts": rules.max_attempts,
-        "mayCancel": rules.may_cancel,
-        "peers": scenario.peers.use,
-        "probes": False,
-        "secondCopies": rules.second_copies,
-        "retryAfter": rules.max_retry_after_ms > 0,
-        "multiplex": 1,
-        "maxRetryAfterUs": int(rules.max_retry_after_ms * 1000),
-        "connectTimeoutUs": int(scenario.network.connect_timeout_ms * 1000),
-        "keepaliveUs": int(scenario.fleet.idle_s * 1e6),
-        "cpuUsPerS": 0,
-    }
-
-
-def _platform_contract(scenario: Scenario) -> dict[str, Any]:
-    fleet = scenario.fleet
-    return {
-        "answerSlackUs": ANSWER_SLACK_US,
-        "stopSendingWithinUs": int(scenario.gateways.drain_grace_ms * 1000),
-        "mustAskInUs": 10_000_000,
-        "startCapacity": fleet.cold_share,
-        "warmAfterUs": int(fleet.cold_s * 1e6),
-        "tipMultiple": fleet.fall_multiple,
-        "fallUs": int(fleet.fall_s * 1e6),
-    }
--- a/sagetrack/lab/model/server.py
+++ b/sagetrack/lab/model/server.py
@@ -70,8 +70,8 @@
         Args:
             number: Its number in the fleet.
             fleet: The figures that all servers share.
-            zone: Its zone's number.
-            rack: Its rack's number.
+            zone: The number of its zone.
+            rack: The number of its rack.
             speed: Times a standard core.
             started_us: The time now.
             is_cold: Whether it has to warm up.
@@ -89,11 +89,14 @@
         self.silent = False
         self.running: list[Job] = []
         self.waiting: deque[Job] = deque()
+        self._keys = keys
+        self._on_run = on_run
+        self._set_capacity(fleet, speed, is_cold)
+
+    def _set_capacity(self, fleet: Fleet, speed: float, is_cold: bool) -> None:
         self._fleet = fleet
         self._speed = speed
         self._slots = fleet.cores * fleet.slots_per_core
-        self._keys = keys
-        self._on_run = on_run
         self._warm_up = WarmUp(fleet, fleet.cores * speed, is_cold)
         self._degradation = Degradation(fleet.choke, fleet.cores)
 
@@ -103,12 +106,12 @@
         return self._warm_up.is_cold
 
     @property
-    def choked_since_us(self) -> int | None:
-        """Since when the server has been degraded by overload; None if it is not."""
-        return self._degradation.degraded_since_us
+    def is_degraded(self) -> bool:
+        """Whether the server is slow after an overload."""
+        return self._degradation.is_degraded
 
     @property
-    def held(self) -> int:
+    def request_count(self) -> int:
         """Requests in work and in the queue."""
         return len(self.running) + len(self.waiting)
 
@@ -122,7 +125,7 @@
         rate = self._speed * self.warmth(now_us) / self.slow / fleet.slots_per_core
         rate /= self._degradation.slowdown
         if fleet.thrash:
-            excess = max(0.0, self.held - fleet.thrash_at * fleet.cores)
+            excess = max(0.0, self.request_count - fleet.thrash_at * fleet.cores)
             rate /= 1.0 + fleet.thrash * excess
         return rate
 
@@ -161,7 +164,7 @@
 
     def next_us(self) -> int | None:
         """When something happens by itself: at the latest then `advance` is to be called."""
-        if self.silent or (not self.running and self.choked_since_us is None):
+        if self.silent or (not self.running and not self.is_degraded):
             return None
         step_us = self.now_us + MAX_STEP_US
         if not self.running:
--- a/sagetrack/lab/model/server_fleet.py
+++ b/sagetrack/lab/model/server_fleet.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class ServerObserver:
-    """Whom a driver has informed of servers; the defaults do nothing."""
+    """A driver's callbacks for starts and ends of servers; the defaults do nothing."""
 
     started: Callable[[Server], None] = lambda server: None
     ended: Callable[[int], None] = lambda number: None
--- a/sagetrack/lab/processes/fleet.py
+++ b/sagetrack/lab/processes/fleet.py
@@ -28,9 +28,12 @@
 
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.model.scenario import Scenario, Trouble, platform_settings
+from sagetrack.lab.model.client_requests import ClientAttempt
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault
 from sagetrack.lab.model.server import Server
-from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 from sagetrack.lab.repository import ROOT
 from sagetrack.lab.stand_ins.dns_clients import DnsSide
@@ -73,15 +76,16 @@
 
 def door_operator(scenario: Scenario) -> str:
     """What the operator's file of a gateway says of fair queues, limits and newer servers."""
-    door = scenario.door
+    admission = scenario.admission
     newer = scenario.fleet.new_share > 0 or scenario.fleet.roll_new
     text = '[newer]\ntypes = ["v2"]\n' if newer else ""
-    if not door.use:
+    if not admission.use:
         return text
     return text + (
-        f"[queues]\nuse = true\npatience = {door.patience:g}\nmemory_mb = {door.memory_mb:g}\n"
-        f"[limits]\nadaptive = {str(door.adaptive).lower()}\nclient_per_s = {door.client_per_s:g}\n"
-        f"member_per_s = {door.member_per_s:g}\n"
+        f"[queues]\nuse = true\npatience = {admission.max_wait_fraction:g}\n"
+        f"memory_mb = {admission.memory_mb:g}\n"
+        f"[limits]\nadaptive = {str(admission.adaptive).lower()}\nclient_per_s = {admission.client_per_s:g}\n"
+        f"member_per_s = {admission.tenant_per_s:g}\n"
     )
 
 
@@ -148,7 +152,7 @@
         self.world, self.folder, self.base_ms = world, folder, base_ms
         self.loop = asyncio.get_running_loop()
         self.hosts: dict[int, ServerHost] = {}
-        self.calls: dict[str, Try] = {}
+        self.calls: dict[str, ClientAttempt] = {}
         self.draw = random.Random(f"{world.seed}/net")
         self.agents: dict[int, Agent] = {}
         self.processes: dict[int, list[GatewayProcess]] = {}  # the newest last
@@ -167,9 +171,9 @@
         self.upgrades: dict[int, set[asyncio.Task[Any]]] = {}  # under way, by gateway
         self.ended = False
         self.cpu_s = 0.0  # of processes that have ended
-        self.inherits = any(t.kind == "gateway-upgrade" for t in world.scenario.troubles)
-        world.on_server = self.add_server
-        world.on_server_gone = self.server_gone
+        self.inherits = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
+        world.server_fleet.observer.started = self.add_server
+        world.server_fleet.observer.ended = self.server_gone
 
     # Servers
 
@@ -180,7 +184,7 @@
         host = self.hosts.get(number)
         if host is None:
             return
-        if number in self.world.vanished:
+        if number in self.world.server_fleet.vanished:
             host.silence()
         else:
             host.close()
@@ -191,9 +195,9 @@
 
     def distance_us(self, gateway: int, server: int) -> int:
         network = self.world.scenario.network
-        there = self.world.roster.entries.get(server)
+        there = self.world.registry.entries.get(server)
         near = there is None or there.zone == gateway % len(self.world.scenario.fleet.zones)
-        base = network.same_ms if near else network.cross_ms
+        base = network.same_zone_ms if near else network.cross_zone_ms
         return int(base * 1000 * (1.0 + network.jitter * self.draw.random()))
 
     # Processes
@@ -205,7 +209,7 @@
         peers: dict[str, Any] = {}
         if self.ways:
             host, port = self.ways[gateway, gateway].gateway
-            known = [self.ways[gateway, other].address for other in self.world.alive]
+            known = [self.ways[gateway, other].address for other in self.world.gateway_fleet.alive]
             peers = {"peer_listen": f"{host}:{port}", "peers": known}
         return peers | {
             "name": f"g{gateway}",
@@ -276,16 +280,16 @@
 
     def start(self) -> None:
         """Agents and sockets first; processes come with `start_all`."""
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             agent = self.agents[gateway] = Agent(self.world, gateway, self.address, self.base_ms)
-            for entry in self.world.known():
-                agent.entries[entry.server] = Listed(entry.server, entry.zone, entry.rack)
+            for entry in self.world.registry.known():
+                agent.entries[entry.server] = EndpointEntry(entry.server, entry.zone, entry.rack)
             self.idle[gateway], self.open[gateway] = [], set()
             self.listen(gateway)
 
     async def open_ways(self) -> None:
         """Addresses for datagrams between gateways: one for each pair, and one at which each listens."""
-        everyone = list(self.world.alive)
+        everyone = list(self.world.gateway_fleet.alive)
         for source in everyone:
             host = f"127.10.{source + 1}.1"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
@@ -303,7 +307,7 @@
             await self.open_ways()
         if self.dns is not None:
             await self.dns.prepare()
-        processes = {gateway: self.launch(gateway) for gateway in self.world.alive}
+        processes = {gateway: self.launch(gateway) for gateway in self.world.gateway_fleet.alive}
         await asyncio.gather(*(self.until_ready(gateway, process) for gateway, process in processes.items()))
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
@@ -332,7 +336,7 @@
         if listener is not None:
             listener.close()
 
-    def revive(self, gateway: int) -> None:
+    def restart(self, gateway: int) -> None:
         async def work() -> None:
             for process in self.processes[gateway]:
                 await asyncio.to_thread(process.process.wait)
@@ -340,8 +344,8 @@
                 self.listen(gateway)
             process = self.launch(gateway)
             await self.until_ready(gateway, process)
-            self.world.revived(gateway)
-            self.tell(gateway, self.world.known(), True)
+            self.world.gateway_ready(gateway)
+            self.send_endpoints(gateway, self.world.registry.known(), True)
 
         self.spawn(work())
 
@@ -359,28 +363,28 @@
 
         self.upgrades.setdefault(gateway, set()).add(self.spawn(work()))
 
-    def tell(self, gateway: int, entries: list[Listed], whole: bool) -> None:
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], whole: bool) -> None:
         self.agents[gateway].take(entries, whole)
 
     # Clients
 
-    def ask(self, this: Try) -> None:
+    def send(self, this: ClientAttempt) -> None:
         self.calls[this.call] = this
         delay = int(self.world.scenario.network.client_ms * 1000)
         self.world.clock.at(self.world.clock.now_us() + delay, lambda: self._ask(this))
 
-    def _ask(self, this: Try) -> None:
-        if this.over or self.ended:  # a try that fails as the run ends would be made again
+    def _ask(self, this: ClientAttempt) -> None:
+        if this.ended or self.ended:  # a try that fails as the run ends would be made again
             return
         idle = self.idle[this.gateway]
-        while idle and this.request.keeps:
+        while idle and this.request.keeps_connection:
             connection = idle.pop()
             if connection.is_open:
                 self._write(this, connection)
                 return
         self.spawn(self._connect(this))
 
-    async def _connect(self, this: Try) -> None:
+    async def _connect(self, this: ClientAttempt) -> None:
         gateway = this.gateway
         try:
             async with asyncio.timeout(this.budget_us / 1e6):
@@ -390,17 +394,17 @@
                     self.ports[gateway],
                 )
         except (OSError, TimeoutError):
-            if not this.over:
-                self.world.on_answer(this, "unreachable")
+            if not this.ended:
+                self.world.clients.on_response(this, "unreachable")
             return
         connection.slow = self.draw.random() < self.world.scenario.clients.slow_readers
-        if this.over or not connection.is_open:
+        if this.ended or not connection.is_open:
             connection.close()
             return
         self._write(this, connection)
 
-    def _write(self, this: Try, connection: ClientConnection) -> None:
-        kind = this.request.kind
+    def _write(self, this: ClientAttempt, connection: ClientConnection) -> None:
+        kind = this.request.request_class
         spent = self.world.clock.now_us() - this.sent_us
         headers = [
             "Host: gateway",
@@ -420,7 +424,7 @@
             headers.append(f"Content-Length: {len(body)}")
         if this.number > 1 and self.world.scenario.clients.marks_retry:
             headers.append("X-Again: 1")
-        if not this.request.keeps:
+        if not this.request.keeps_connection:
             headers.append("Connection: close")
         data = (
             "\r\n".join([f"{method} /{kind.name}/{this.request.id} HTTP/1.1", *headers, "", ""]).encode()
@@ -431,19 +435,21 @@
 
         def answered(status: int, retry_after_s: float) -> None:
             self.open[this.gateway].discard(connection)
-            if status == 0 and used and not this.over and self.world.alive[this.gateway]:
+            if status == 0 and used and not this.ended and self.world.gateway_fleet.alive[this.gateway]:
                 # The end of a kept connection crossed the request: it is sent once more, on a new one.
                 self.spawn(self._connect(this))
                 return
             verdict = {0: "broken", 200: "served", 429: "refused", 503: "refused"}.get(status, "failed")
             delay = int(self.world.scenario.network.client_ms * 1000)
             due = self.world.clock.now_us() + delay
-            self.world.clock.at(due, lambda: self.world.on_answer(this, verdict, int(retry_after_s * 1e6)))
+            self.world.clock.at(
+                due, lambda: self.world.clients.on_response(this, verdict, int(retry_after_s * 1e6))
+            )
 
         this.connection = connection
         connection.ask(data, answered)
 
-    def leave(self, this: Try) -> None:
+    def disconnect(self, this: ClientAttempt) -> None:
         connection = this.connection
         if isinstance(connection, ClientConnection) and connection.waits is not None:
             connection.waits = None
@@ -451,10 +457,10 @@
 
     # Troubles of sockets
 
-    def special(self, trouble: Trouble, on: bool) -> None:
+    def set_fault(self, trouble: ScheduledFault, on: bool) -> None:
         if trouble.kind == "reload" and on:
             for gateway, processes in self.processes.items():
-                if self.world.alive[gateway]:
+                if self.world.gateway_fleet.alive[gateway]:
                     processes[-1].process.send_signal(signal.SIGHUP)
         elif trouble.kind == "goaway" and on:
             for host in self.hosts.values():
@@ -476,7 +482,7 @@
 
     async def _crowd(self, number: int) -> None:
         """Connect, begin a head, and never finish it; connect again when turned out."""
-        gateways = list(self.world.alive)
+        gateways = list(self.world.gateway_fleet.alive)
         while True:
             gateway = gateways[number % len(gateways)]
             try:
@@ -499,7 +505,7 @@
             b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
             b"GET /none HTTP/1.1\r\nX-Budget-Ms: soon\r\n\r\n",
         )
-        gateways = list(self.world.alive)
+        gateways = list(self.world.gateway_fleet.alive)
         while True:
             gateway = gateways[number % len(gateways)]
             try:
@@ -516,7 +522,7 @@
 
     def usage(self) -> tuple[float, float]:
         """CPU seconds of all gateways so far, and the resident megabytes of the largest."""
-        usages = [p[-1].usage() for g, p in self.processes.items() if self.world.alive[g]]
+        usages = [p[-1].usage() for g, p in self.processes.items() if self.world.gateway_fleet.alive[g]]
         return self.cpu_s + sum(u[0] for u in usages), max((u[1] for u in usages), default=0.0)
 
     def crashed(self) -> list[str]:
@@ -524,7 +530,7 @@
         return [
             f"gateway {gateway} ended with status {p[-1].process.returncode}: {p[-1].last_words()}"
             for gateway, p in self.processes.items()
-            if self.world.alive[gateway] and p[-1].process.poll() is not None
+            if self.world.gateway_fleet.alive[gateway] and p[-1].process.poll() is not None
         ]
 
     def stop(self) -> None:
@@ -564,7 +570,7 @@
     sample_s: float,
 ) -> None:
     fleet = scenario.fleet
-    replaced = sum(t.kind in ("deploy", "vanish") for t in scenario.troubles)
+    replaced = sum(t.kind in ("deploy", "vanish") for t in scenario.faults)
     doors = (fleet.servers * (1 + replaced) + 1) * fleet.gateways
     need_files(doors + int(scenario.rate * 4) + fleet.gateways * 20 + SPARE_FILES)
     folder = Path(tempfile.mkdtemp(prefix="sagetrack-lab-"))
@@ -572,7 +578,7 @@
     world = World(scenario, seed, clock, records)
     records.header["driver"] = "real"
     gateways = RealGateways(world, folder, time.time_ns() // 1_000_000)
-    world.gateways = gateways
+    world.gateway_fleet.driver = gateways
     try:
         world.prepare()
         gateways.start()
@@ -582,7 +588,7 @@
         base = time.time_ns() // 1_000_000
         for agent in gateways.agents.values():
             agent.base_ms = base
-        for server in world.servers.values():
+        for server in world.server_fleet.servers.values():
             server.now_us = server.started_us = 0
         records.rows = [(row[0], 0, *row[2:]) for row in records.rows]
         started, _ = gateways.usage()
@@ -604,11 +610,11 @@
                 progress(min(1.0, now / whole), world)
             if sample_s and now / 1e6 >= next_sample:
                 next_sample = now / 1e6 + sample_s
-                for server in world.servers.values():
-                    jammed = server.choked_since_us is not None
-                    records.add("load", now, server.number, server.held, len(server.running), jammed)
+                for server in world.server_fleet.servers.values():
+                    jammed = server.is_degraded
+                    records.add("load", now, server.number, server.request_count, len(server.running), jammed)
             asked = gateways.dns.open if gateways.dns is not None else 0
-            if now > whole and world.arrivals_over and not world.tries and not asked:
+            if now > whole and world.arrivals.finished and not world.clients.waiting and not asked:
                 break
         cpu_s, memory_mb = gateways.usage()
         records.header["gateway_cpu_s"] = round(cpu_s - started, 3)
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from sagetrack.lab.model.scenario import Scenario, Trouble
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault
 from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 
@@ -70,7 +70,7 @@
         """Start the upstream servers, and find each gateway an address for DNS."""
         for upstream in self.upstreams:
             await upstream.start()
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             with socket.socket() as probe:
                 probe.bind((f"127.10.{gateway + 1}.1", 0))
                 self.ports[gateway] = probe.getsockname()[1]
@@ -81,11 +81,12 @@
         places = ", ".join(f'"{host}:{port}"' for host, port in (u.place for u in self.upstreams))
         return (
             f'[dns]\nlisten = ["127.10.{gateway + 1}.1:{self.ports[gateway]}"]\nupstreams = [{places}]\n'
-            f"aim_ms = {load.aim_ms:.0f}\ndeadline_ms = {load.deadline_ms:.0f}\nqueries_each = 10000\n"
+            f"aim_ms = {load.latency_objective_ms:.0f}\ndeadline_ms = {load.deadline_ms:.0f}\n"
+            "queries_each = 10000\n"
         )
 
     async def begin(self) -> None:
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             self.askers[gateway] = []
             for _ in range(SOCKETS):
                 place = (f"127.10.{gateway + 1}.1", self.ports[gateway])
@@ -102,7 +103,9 @@
     def arrive(self) -> None:
         due_us = int(self.next_s * 1e6)
         name = self.draw.choices(self.names, self.weights)[0]
-        gateway = self.draw.choice([g for g, up in self.world.believed.items() if up] or list(self.ports))
+        gateway = self.draw.choice(
+            [g for g, up in self.world.gateway_fleet.in_rotation.items() if up] or list(self.ports)
+        )
         asker = self.draw.choice(self.askers[gateway])
         self.plan()
         self.number = (self.number + 1) % 65_536
@@ -117,7 +120,7 @@
             self.world.records.add("dns", self.world.clock.now_us(), gateway, outcome, due_us)
 
         def done(rcode: int) -> None:
-            late = self.world.clock.now_us() - due_us > self.scenario.dns.aim_ms * 1000
+            late = self.world.clock.now_us() - due_us > self.scenario.dns.latency_objective_ms * 1000
             over("refused" if rcode not in (0, 3) else "late" if late else "served")
 
         def silent() -> None:
@@ -128,9 +131,9 @@
         timer = self.loop.call_later(self.scenario.dns.deadline_ms / 1000 + 0.2, silent)
         asker.transport.sendto(wire_query(name, id_))
 
-    def slow(self, trouble: Trouble, on: bool) -> list[int]:
+    def slow(self, trouble: ScheduledFault, on: bool) -> list[int]:
         """Make part of the upstream servers slow, or well again."""
-        count = max(1, round(trouble.part * len(self.upstreams)))
+        count = max(1, round(trouble.share * len(self.upstreams)))
         for upstream in self.upstreams[:count]:
             upstream.manner.delay_s = self.scenario.dns.delay_ms / 1000 * (trouble.size if on else 1.0)
         return list(range(count))
--- a/sagetrack/lab/stand_ins/grpc_server.py
+++ b/sagetrack/lab/stand_ins/grpc_server.py
@@ -210,7 +210,7 @@
 
     def data_received(self, data: bytes) -> None:
         world = self.host.world
-        if world.reaches(self.gateway, self.host.server.number) and not self.host.server.silent:
+        if world.network.reaches(self.gateway, self.host.server.number) and not self.host.server.silent:
             super().data_received(data)
 
     def take(self, connection: NewConnection, asked: Asked) -> None:
@@ -229,8 +229,8 @@
             call,
             work,
             request.key,
-            int(request.kind.window_ms * 1000),
-            request.kind.scope,
+            int(request.request_class.window_ms * 1000),
+            request.request_class.scope,
             now + patience,
             lambda job, result: self.served(asked, job, result),
         )
@@ -239,9 +239,9 @@
 
     def deliver(self, asked: Asked, job: Job, sent_us: int) -> None:
         host = self.host
-        if job.ended or asked.over or host.server.number not in host.world.servers:
+        if job.ended or asked.over or host.server.number not in host.world.server_fleet.servers:
             return
-        if host.world.receive(host.server, job, self.gateway, sent_us) is Result.REJECTED:
+        if host.world.server_fleet.receive(host.server, job, self.gateway, sent_us) is Result.REJECTED:
             self.served(asked, job, Result.REJECTED)
 
     def served(self, asked: Asked, job: Job, result: Result) -> None:
@@ -249,7 +249,7 @@
         world = self.host.world
 
         def reply() -> None:
-            if asked.over or not world.reaches(self.gateway, self.host.server.number):
+            if asked.over or not world.network.reaches(self.gateway, self.host.server.number):
                 return
             match result:
                 case Result.SERVED:
@@ -271,4 +271,4 @@
     def given_up(self, asked: Asked) -> None:
         job = self.jobs.pop(asked, None)
         if job is not None and not job.ended:
-            self.host.world.give_up(self.host.server, job)
+            self.host.world.server_fleet.give_up(self.host.server, job)
--- a/sagetrack/lab/stand_ins/sockets.py
+++ b/sagetrack/lab/stand_ins/sockets.py
@@ -15,8 +15,9 @@
 
 import httptools
 
+from sagetrack.lab.model.endpoint_entry import GONE, EndpointEntry
 from sagetrack.lab.model.server import Job, Result, Server
-from sagetrack.lab.model.world import GONE, Listed, World
+from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.grpc_server import NewServerConnection
 
 TOLD_LATEST_US = 6_000_000  # after the agent has it, a change counts as told
@@ -169,7 +170,7 @@
         world = self.host.world
         if self.first_byte_us < 0:
             self.first_byte_us = world.clock.now_us()
-        if not world.reaches(self.gateway, self.host.server.number) or self.host.server.silent:
+        if not world.network.reaches(self.gateway, self.host.server.number) or self.host.server.silent:
             return  # it never got here
         try:
             self.reader.feed(data)
@@ -197,8 +198,8 @@
             call,
             work,
             request.key,
-            int(request.kind.window_ms * 1000),
-            request.kind.scope,
+            int(request.request_class.window_ms * 1000),
+            request.request_class.scope,
             sent_us + patience,
             lambda job, result: self.served(job, result),
         )
@@ -206,9 +207,9 @@
 
     def deliver(self, job: Job, sent_us: int) -> None:
         host = self.host
-        if job.ended or self.job is not job or host.server.number not in host.world.servers:
+        if job.ended or self.job is not job or host.server.number not in host.world.server_fleet.servers:
             return
-        if host.world.receive(host.server, job, self.gateway, sent_us) is Result.REJECTED:
+        if host.world.server_fleet.receive(host.server, job, self.gateway, sent_us) is Result.REJECTED:
             self.served(job, Result.REJECTED)
 
     def served(self, job: Job, result: Result) -> None:
@@ -229,7 +230,9 @@
         world.clock.at(world.clock.now_us() + self.host.distance_us(self.gateway), lambda: self.answer(data))
 
     def answer(self, data: bytes) -> None:
-        if self.transport is not None and self.host.world.reaches(self.gateway, self.host.server.number):
+        if self.transport is not None and self.host.world.network.reaches(
+            self.gateway, self.host.server.number
+        ):
             self.transport.write(data)
             self.rest()
 
@@ -243,7 +246,7 @@
             self.idle.cancel()
         job, self.job = self.job, None
         if job is not None and not job.ended:
-            self.host.world.give_up(self.host.server, job)
+            self.host.world.server_fleet.give_up(self.host.server, job)
 
 
 class ServerHost:
@@ -254,14 +257,14 @@
     ) -> None:
         self.world, self.server, self.calls = world, server, calls
         self.connections: set[ServerConnection | NewServerConnection] = set()
-        speaks = NewServerConnection if server.number in world.newer else ServerConnection
+        speaks = NewServerConnection if server.number in world.server_fleet.newer else ServerConnection
         self.distance_us: Callable[[int], int] = lambda gateway: distance_us(gateway, server.number)
         self.doors = {
             gateway: Door(
                 f"127.20.{gateway + 1}.{server.number % 250 + 1}",
                 lambda g=gateway: speaks(self, g),  # type: ignore[misc]
             )
-            for gateway in world.alive
+            for gateway in world.gateway_fleet.alive
         }
 
     def silence(self) -> None:
@@ -285,19 +288,19 @@
     ) -> None:
         self.world, self.gateway, self.addresses, self.base_ms = world, gateway, addresses, base_ms
         self.index = 1
-        self.entries: dict[int, Listed] = {}
-        self.changes: list[tuple[int, list[Listed], bool]] = []  # index, entries, whole
+        self.entries: dict[int, EndpointEntry] = {}
+        self.changes: list[tuple[int, list[EndpointEntry], bool]] = []  # index, entries, whole
         self.waiting: list[tuple[AgentConnection, int]] = []
-        self.untold: list[tuple[int, list[Listed]]] = []  # index, entries
+        self.untold: list[tuple[int, list[EndpointEntry]]] = []  # index, entries
         self.door = Door(f"127.30.{gateway + 1}.1", lambda: AgentConnection(self))
 
-    def endpoint(self, entry: Listed) -> dict[str, Any]:
-        since = self.world.since_us(self.gateway, entry)
+    def endpoint(self, entry: EndpointEntry) -> dict[str, Any]:
+        since = self.world.network.start_time_us(self.gateway, entry)
         return {
             "name": f"s-{entry.server}",
             "address": self.addresses(self.gateway, entry.server),
             "zone": self.world.scenario.fleet.zones[entry.zone],
-            "type": "v2" if entry.server in self.world.newer else "plain",
+            "type": "v2" if entry.server in self.world.server_fleet.newer else "plain",
             "group": entry.rack,
             "status": entry.status,
             "weight": 1.0,
@@ -309,7 +312,7 @@
         endpoints = [self.endpoint(entry) for entry in self.entries.values()]
         return {"index": self.index, "snapshot": True, "endpoints": endpoints}
 
-    def take(self, entries: list[Listed], whole: bool) -> None:
+    def take(self, entries: list[EndpointEntry], whole: bool) -> None:
         """The world tells of changes."""
         if whole:
             self.entries = {}
@@ -317,7 +320,7 @@
             if entry.status == GONE:
                 self.entries.pop(entry.server, None)
             else:
-                self.entries[entry.server] = Listed(
+                self.entries[entry.server] = EndpointEntry(
                     entry.server, entry.zone, entry.rack, entry.status, entry.since_us
                 )
         self.index += 1
@@ -337,11 +340,11 @@
     def _count_as_told(self, index: int) -> None:
         for change in [change for change in self.untold if change[0] <= index]:
             self.untold.remove(change)
-            self.world.told(self.gateway, change[1])
+            self.world.registry.record_received(self.gateway, change[1])
 
     def answer(self, connection: AgentConnection, since: int | None) -> None:
         """Answer a call, or keep it until there is news."""
-        if self.world.roster.down or (since is not None and since >= self.index):
+        if self.world.registry.down or (since is not None and since >= self.index):
             self.waiting.append((connection, since if since is not None else 0))
             return
         oldest = self.changes[0][0] if self.changes else self.index
@@ -385,7 +388,7 @@
 
     def nothing_new(self) -> None:
         agent = self.agent
-        if agent.world.roster.down or not any(connection is self for connection, _ in agent.waiting):
+        if agent.world.registry.down or not any(connection is self for connection, _ in agent.waiting):
             return
         agent.waiting = [(connection, since) for connection, since in agent.waiting if connection is not self]
         self.write(json.dumps({"index": agent.index, "snapshot": False, "endpoints": []}).encode())
@@ -424,10 +427,10 @@
         world, network = self.world, self.world.scenario.network
         if len(data) > 256:
             world.records.add("trouble", world.clock.now_us(), "long-datagram", "begins", len(data))
-        lost = world.draw_peers.random() < network.peer_loss
-        if lost or not world.peers_reach(self.source, self.target):
+        lost = world.context.random.peers.random() < network.peer_loss
+        if lost or not world.network.peers_reach(self.source, self.target):
             return
-        due = world.clock.now_us() + int(world.draw_peers.uniform(*network.peer_ms) * 1000)
+        due = world.clock.now_us() + int(world.context.random.peers.uniform(*network.peer_ms) * 1000)
         back = self.ways[self.target, self.source]  # the target knows the sender by this address
 
         def arrive() -> None:
--- a/sagetrack/lab/virtual/gateway.py
+++ b/sagetrack/lab/virtual/gateway.py
@@ -132,7 +132,7 @@
 
     # Requests
 
-    def take(self, attempt: ClientAttempt) -> None:
+    def receive(self, attempt: ClientAttempt) -> None:
         """Take a request that a client has sent."""
         request = attempt.request
         self.requests[attempt.call] = ProxiedRequest(attempt)
@@ -149,7 +149,7 @@
         )
         self.handle(event)
 
-    def leave(self, attempt: ClientAttempt) -> None:
+    def on_disconnect(self, attempt: ClientAttempt) -> None:
         """The client has closed the connection of its attempt."""
         request = self.requests.get(attempt.call)
         if request is not None and not request.closed:
@@ -248,8 +248,8 @@
             request.id,
             client_request.work_us + handshake_us,
             client_request.key,
-            int(client_request.kind.window_ms * 1000),
-            client_request.kind.scope,
+            int(client_request.request_class.window_ms * 1000),
+            client_request.request_class.scope,
             request.client_attempt.deadline_us,
             lambda job, result: self._on_result(request, attempt, result),
         )
--- a/sagetrack/lab/virtual/gateways.py
+++ b/sagetrack/lab/virtual/gateways.py
@@ -10,7 +10,8 @@
 
 from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.endpoint_entry import GONE, EndpointEntry
-from sagetrack.lab.model.scenario import Scenario, Trouble, platform_settings
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault
 from sagetrack.lab.model.world import World
 from sagetrack.lab.virtual.clock import GATEWAY_EPOCH_US, SimClock
 from sagetrack.lab.virtual.gateway import VirtualGateway
@@ -58,18 +59,18 @@
             self._lists[number] = {entry.server: entry for entry in self.world.registry.known()}
             self._start(number)
 
-    def ask(self, this: ClientAttempt) -> None:
+    def send(self, attempt: ClientAttempt) -> None:
         """Send a client's attempt to its gateway."""
-        self.clock.at(self.clock.now_us() + self._client_us(), partial(self._arrive, this))
+        self.clock.at(self.clock.now_us() + self.network.client_delay_us(), partial(self._arrive, attempt))
 
-    def leave(self, this: ClientAttempt) -> None:
+    def disconnect(self, attempt: ClientAttempt) -> None:
         """Close the attempt's connection: the client waits no longer."""
-        gateway = self.up.get(this.gateway)
+        gateway = self.up.get(attempt.gateway)
         if gateway is not None:
-            gateway.leave(this)
+            gateway.on_disconnect(attempt)
 
-    def tell(self, gateway: int, entries: list[EndpointEntry], whole: bool) -> None:
-        """Send a gateway changed entries of the endpoint list, or (`whole`) the complete list."""
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool) -> None:
+        """Send a gateway changed entries of the endpoint list, or all entries (`is_complete`)."""
         self.world.registry.record_received(gateway, entries)
         known = self._lists[gateway]
         for entry in entries:
@@ -77,39 +78,36 @@
                 known.pop(entry.server, None)
             else:
                 known[entry.server] = entry
-        kind = ListKind.FULL if whole else ListKind.DELTA
+        kind = ListKind.FULL if is_complete else ListKind.DELTA
         if gateway in self.up:
-            self.up[gateway].handle(EndpointList(kind, self._listed(gateway, entries)))
+            self.up[gateway].handle(EndpointList(kind, self.listed_servers(gateway, entries)))
 
     def kill(self, gateway: int) -> None:
         """End a gateway at once."""
         self.up.pop(gateway).kill()
 
-    def revive(self, gateway: int) -> None:
+    def restart(self, gateway: int) -> None:
         """Start a killed gateway with its last endpoint list, then send it the present one."""
         self._start(gateway)
-        self.world.revived(gateway)
-        self.tell(gateway, self.world.registry.known(), True)
+        self.world.gateway_ready(gateway)
+        self.send_endpoints(gateway, self.world.registry.known(), True)
 
     def upgrade(self, gateway: int) -> None:
         """Start a new process; the old one keeps the requests that it has taken."""
         self._start(gateway)
 
-    def special(self, trouble: Trouble, on: bool) -> None:
+    def set_fault(self, fault: ScheduledFault, is_on: bool) -> None:
         """Send all gateways the complete list at a reload; other faults need sockets and are ignored."""
-        if trouble.kind == "reload" and on:
+        if fault.kind == "reload" and is_on:
             for gateway in self.up:
-                self.tell(gateway, self.world.registry.known(), True)
+                self.send_endpoints(gateway, self.world.registry.known(), True)
 
     def _arrive(self, attempt: ClientAttempt) -> None:
         gateway = self.up.get(attempt.gateway)
         if gateway is None:
             self.network.respond(attempt, "unreachable", 0)
         else:
-            gateway.take(attempt)
-
-    def _client_us(self) -> int:
-        return self.network.client_delay_us()
+            gateway.receive(attempt)
 
     def _start(self, number: int) -> None:
         self._start_count += 1
@@ -117,7 +115,7 @@
         gateway = self._make(self.network, self._settings[number], number, seed)
         self.up[number] = gateway
         entries = list(self._lists[number].values())
-        gateway.handle(EndpointList(ListKind.DISK, self._listed(number, entries)))
+        gateway.handle(EndpointList(ListKind.DISK, self.listed_servers(number, entries)))
         if self.world.scenario.store.use:
             if number in self.kept:
                 gateway.handle(self.kept[number])
@@ -133,7 +131,8 @@
         due_us = self.clock.now_us() + STORE_INTERVAL_US
         self.clock.at(due_us, lambda: self._store_periodically(gateway))
 
-    def _listed(self, gateway: int, entries: list[EndpointEntry]) -> tuple[ListedServer, ...]:
+    def listed_servers(self, gateway: int, entries: list[EndpointEntry]) -> tuple[ListedServer, ...]:
+        """Entries as the decision module of a gateway takes them."""
         return tuple(self._listed_server(gateway, entry) for entry in entries)
 
     def _listed_server(self, gateway: int, entry: EndpointEntry) -> ListedServer:
@@ -156,13 +155,13 @@
 
 def admission_settings(scenario: Scenario) -> AdmissionSettings | None:
     """Fair queues and limits as a scenario has them; None if it has no admission control."""
-    door = scenario.door
-    if not door.use:
+    admission = scenario.admission
+    if not admission.use:
         return None
     return AdmissionSettings(
-        max_wait_fraction=door.patience,
-        memory_bytes=int(door.memory_mb * 1024 * 1024),
-        adaptive=door.adaptive,
-        client_rate=Rate(door.client_per_s, CLIENT_BURST_S) if door.client_per_s else None,
-        tenant_rate=Rate(door.member_per_s, TENANT_BURST_S) if door.member_per_s else None,
+        max_wait_fraction=admission.max_wait_fraction,
+        memory_bytes=int(admission.memory_mb * 1024 * 1024),
+        adaptive=admission.adaptive,
+        client_rate=Rate(admission.client_per_s, CLIENT_BURST_S) if admission.client_per_s else None,
+        tenant_rate=Rate(admission.tenant_per_s, TENANT_BURST_S) if admission.tenant_per_s else None,
     )
--- a/sagetrack/lab/virtual/network.py
+++ b/sagetrack/lab/virtual/network.py
@@ -46,7 +46,7 @@
         network = self.world.scenario.network
         entry = self.world.registry.entries.get(server)
         is_near = entry is None or entry.zone == gateway % self.world.context.zone_count
-        base_ms = network.same_ms if is_near else network.cross_ms
+        base_ms = network.same_zone_ms if is_near else network.cross_zone_ms
         return int(base_ms * 1000 * self._draw_jitter())
 
     def respond(self, attempt: ClientAttempt, verdict: str, retry_after_us: int) -> None:
--- a/sagetrack/lab/virtual/simulation.py
+++ b/sagetrack/lab/virtual/simulation.py
@@ -52,18 +52,23 @@
         make = faulty_gateway_factory(fault)
         records.header["fault"] = fault
     gateways = fleet(world, clock, make)
-    world.gateways = gateways
+    world.gateway_fleet.driver = gateways
     world.prepare()
     gateways.start()
     world.begin()
-    duration_us = int(scenario.seconds * 1e6)
+    _run(world, clock, progress, sample_s)
+    return records
+
+
+def _run(world: World, clock: SimClock, progress: Callable[[float], None] | None, sample_s: float) -> None:
+    """Let time pass until all requests have ended."""
+    duration_us = int(world.scenario.seconds * 1e6)
     if progress is not None:
         clock.at(0, partial(_report_progress, clock, duration_us, progress))
     if sample_s:
         clock.at(0, partial(_sample_load, world, duration_us, int(sample_s * 1e6)))
     completion = _Completion(world)
     clock.run(completion.is_reached, lambda: duration_us + MAX_TAIL_US)
-    return records
 
 
 def _report_progress(clock: SimClock, duration_us: int, progress: Callable[[float], None]) -> None:
@@ -78,8 +83,8 @@
 def _sample_load(world: World, duration_us: int, interval_us: int) -> None:
     """Record each server's load, now and regularly until the last arrival."""
     for server in world.server_fleet.servers.values():
-        is_degraded = server.choked_since_us is not None
-        world.context.record("load", server.number, server.held, len(server.running), is_degraded)
+        is_degraded = server.is_degraded
+        world.context.record("load", server.number, server.request_count, len(server.running), is_degraded)
     if world.clock.now_us() < duration_us:
         world.context.after(interval_us, partial(_sample_load, world, duration_us, interval_us))
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,7 @@
 from sagetrack.lab.analysis.judges import cold_sum, cold_windows
 from sagetrack.lab.analysis.records import Record, Records
 from sagetrack.lab.benchmarks.slow_start import CASES, Case, ColdGateways, figures, measure
-from sagetrack.lab.model.scenario import Fleet, RequestKind, Scenario
+from sagetrack.lab.model.scenario import Fleet, RequestClass, Scenario
 from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS, COLD_SHOWN_BY
 from sagetrack.lab.virtual.simulation import play
 from sagetrack.policy.events import ObservationsReceived
@@ -24,7 +24,7 @@
 SCENARIO = Scenario(
     name="cold",
     fleet=Fleet(servers=1, gateways=2, cold_share=0.2, cold_s=10, fall_multiple=4, fall_s=3),
-    classes=[RequestKind(name="lookup", work_ms=100)],
+    classes=[RequestClass(name="lookup", work_ms=100)],
 )
 STARTED_US = 1_000_000
 PLANNED = 4 * 0.2 * 3 / 0.1  # N of the first window: 24 calls
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -120,16 +120,16 @@
     for _ in range(15):
         bench.send(0, 200_000)
     bench.server.advance(1_000_000)
-    assert bench.server.choked_since_us is not None
+    assert bench.server.is_degraded
     assert math.isclose(bench.server.rate(1_000_000), 0.25)
-    while bench.server.held:
+    while bench.server.request_count:
         bench.server.advance(bench.server.now_us + 100_000)
     calm = bench.server.now_us
-    assert bench.server.choked_since_us is not None
+    assert bench.server.is_degraded
     bench.server.advance(calm + 1_000_000)
-    assert bench.server.choked_since_us is not None
+    assert bench.server.is_degraded
     bench.server.advance(calm + 4_000_000)
-    assert bench.server.choked_since_us is None
+    assert not bench.server.is_degraded
 
 
 def test_a_key_has_its_effect_once_in_its_rack_and_again_after_its_window() -> None:
@@ -151,7 +151,7 @@
     for wait, work in steps:
         now += wait
         taken += bench.send(now, work) is None
-    while bench.server.held:
+    while bench.server.request_count:
         due = bench.server.next_us()
         assert due is not None
         bench.server.advance(due)
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -30,7 +30,7 @@
             await until_ready(self, gateway, process)
 
         world = World(scenario, 1, RealClock(), Records())
-        gateways = world.gateways = RealGateways(world, tmp_path, 0)
+        gateways = world.gateway_fleet.driver = RealGateways(world, tmp_path, 0)
         try:
             world.prepare()
             gateways.start()
@@ -41,15 +41,15 @@
                 await asyncio.sleep(0)
             gateways.processes[0][1].process.send_signal(signal.SIGSTOP)
             await waits.wait()
-            world.alive[0] = False
+            world.gateway_fleet.alive[0] = False
             gateways.kill(0)
             await asyncio.wait(gateways.tasks)
             assert gateways.failure is None
             waits.clear()
-            gateways.revive(0)
+            gateways.restart(0)
             await waits.wait()
             await asyncio.wait(gateways.tasks)
-            assert gateways.failure is None and world.alive[0]
+            assert gateways.failure is None and world.gateway_fleet.alive[0]
             ended = [one.process.poll() for one in gateways.processes[0]]
             assert ended == [-signal.SIGKILL, -signal.SIGKILL, None]
         finally:
@@ -64,7 +64,7 @@
 
     async def play() -> None:
         world = World(scenario, 1, RealClock(), Records())
-        gateways = world.gateways = RealGateways(world, tmp_path, 0)
+        gateways = world.gateway_fleet.driver = RealGateways(world, tmp_path, 0)
         world.prepare()
         gateways.start()
         asked = asyncio.Event()
@@ -78,7 +78,7 @@
         await asked.wait()
         gateways.stop()
         asked.clear()
-        (this, *_) = world.tries.values()
+        (this, *_) = world.clients.waiting.values()
         gateways._ask(this)
         assert not asked.is_set()
 
