--- a/sagetrack/lab/benchmarks/gateway_files.py
+++ b/sagetrack/lab/benchmarks/gateway_files.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from sagetrack.lab.model.scenario import Clients, Fleet, RequestKind, Scenario, platform_settings
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Clients, Fleet, RequestClass, Scenario
 from sagetrack.lab.repository import ROOT
 
 GATEWAY_COMMAND = [sys.executable, "-m", "sagetrack"]
@@ -24,9 +25,9 @@
 
     It has one class of requests, `lookup`, with limits that no benchmark reaches by itself.
     """
-    kind = RequestKind(name="lookup", work_ms=1, aim_ms=1000, deadline_ms=3000)
+    lookup = RequestClass(name="lookup", work_ms=1, latency_objective_ms=1000, deadline_ms=3000)
     fleet = Fleet(servers=len(server_ports), gateways=1)
-    scenario = Scenario(name="throughput", fleet=fleet, classes=[kind], clients=Clients())
+    scenario = Scenario(name="throughput", fleet=fleet, classes=[lookup], clients=Clients())
     endpoints = [
         {
             "name": f"s-{number}",
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -17,7 +17,7 @@
 from sagetrack.lab.analysis.judges import Violation, judge
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.benchmarks.rows import rounded
-from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.simulation import play
 
@@ -116,7 +116,7 @@
 
 def figures(records: Records, scenario: Scenario) -> OverloadFigures:
     """Work out the figures from a run's records, with `load` sampled."""
-    burst = scenario.troubles[0]
+    burst = scenario.faults[0]
     burst_end_s = burst.at_s + burst.seconds
     counts = _RequestCounts(records)
     found = OverloadFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
@@ -163,8 +163,8 @@
     """
     scenario = scenario_for(gateways, size, settings)
     if dead_share:
-        at_s = scenario.troubles[0].at_s
-        death = Trouble(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, part=dead_share)
-        scenario = replace(scenario, troubles=[*scenario.troubles, death])
+        at_s = scenario.faults[0].at_s
+        death = ScheduledFault(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, share=dead_share)
+        scenario = replace(scenario, faults=[*scenario.faults, death])
     records = play(scenario, seed, None, SAMPLE_INTERVAL_S, fault)
     return figures(records, scenario), judge(records, scenario)
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -21,8 +21,10 @@
 
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario, platform_settings
-from sagetrack.lab.model.world import Listed, World
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario
+from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.clock import RealClock
 from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
@@ -142,8 +144,8 @@
     agent = (SlowAgent if case.discovery is Discovery.SLOW else DiscoveryAgent)(world, 0, address_of, 0)
     zones = len(world.scenario.fleet.zones)
     for server in range(1, case.servers + 1):
-        agent.entries[server] = Listed(server, server % zones, server // SERVERS_PER_RACK)
-    world.roster.down = case.discovery is Discovery.SILENT
+        agent.entries[server] = EndpointEntry(server, server % zones, server // SERVERS_PER_RACK)
+    world.registry.down = case.discovery is Discovery.SILENT
     if case.discovery is Discovery.REFUSES:
         agent.listener.close()
     return agent
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -50,7 +50,7 @@
     Raises:
         ValueError: no gateway dies in the scenario.
     """
-    deaths = [n for n, fault in enumerate(scenario.troubles, 1) if fault.kind == "gateway-death"]
+    deaths = [n for n, fault in enumerate(scenario.faults, 1) if fault.kind == "gateway-death"]
     if not deaths:
         raise ValueError(f"{scenario.name}: no gateway dies in it")
     no_help = {"peers.use": False, "store.use": False}
@@ -89,7 +89,7 @@
         _, sent_us, _, gateway, *_ = first_attempts[request]
         if not any(revival.covers(gateway, sent_us, seconds) for revival in revived):
             continue
-        weight = scenario.classes[class_index].worth
+        weight = scenario.classes[class_index].priority_weight
         total_weight += weight
         if outcome == "served":
             served_weight += weight
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -14,8 +14,10 @@
 
 from sagetrack.lab.analysis.judges import Violation, judge
 from sagetrack.lab.benchmarks.slow_start_figures import SlowStartFigures, figures
-from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
-from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.model.client_requests import ClientAttempt
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
+from sagetrack.lab.model.world import World
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.clock import SimClock
 from sagetrack.lab.virtual.gateway import VirtualGateway
@@ -42,7 +44,7 @@
     name: str
     description: str
     settings: dict[str, Any] = field(default_factory=dict)  # of the scenario, as `lab run --set` has them
-    faults: tuple[Trouble, ...] = ()  # beside those of the scenario
+    faults: tuple[ScheduledFault, ...] = ()  # beside those of the scenario
     fleet_size_delay_s: float = 0.0  # until all learn how many gateways live; 0: they never do
     overlap_s: float = 0.0  # that both processes of an upgrade take requests
     saves_at_exit: bool = False  # gateways that end save what they know then; else only once a second
@@ -57,12 +59,12 @@
         if seconds:
             settings["seconds"] = seconds
         base = altered(load(SCENARIO), settings)
-        faults = [fault for fault in (*base.troubles, *self.faults) if fault.at_s < base.seconds]
-        return msgspec.structs.replace(base, name=f"{base.name}-{self.name}", troubles=faults)
+        faults = [fault for fault in (*base.faults, *self.faults) if fault.at_s < base.seconds]
+        return msgspec.structs.replace(base, name=f"{base.name}-{self.name}", faults=faults)
 
 
-def _gateway_death(at_s: float, seconds: float, share: float) -> Trouble:
-    return Trouble(kind="gateway-death", at_s=at_s, seconds=seconds, part=share)
+def _gateway_death(at_s: float, seconds: float, share: float) -> ScheduledFault:
+    return ScheduledFault(kind="gateway-death", at_s=at_s, seconds=seconds, share=share)
 
 
 FEW = {"trouble.1.part": 0.12}
@@ -70,7 +72,7 @@
     "class.1.aim_ms": 1000,
     "class.1.deadline_ms": 3000,
 }
-BURST = Trouble(kind="burst", at_s=3.5, seconds=14.5, size=2.5)  # just as the cold servers are listed
+BURST = ScheduledFault(kind="burst", at_s=3.5, seconds=14.5, size=2.5)  # just as the cold servers are listed
 ROLLING_RESTARTS = tuple(_gateway_death(4.0 + 0.6 * number, 0.1, 1.0) for number in range(12))
 CASES = {
     case.name: case
@@ -101,7 +103,7 @@
         Case(
             "overlap",
             "all gateways are upgraded: old and new process take requests for 6 s",
-            faults=(Trouble(kind="gateway-upgrade", at_s=3.5, seconds=1, part=1.0),),
+            faults=(ScheduledFault(kind="gateway-upgrade", at_s=3.5, seconds=1, share=1.0),),
             overlap_s=OVERLAP_S,
         ),
     )
@@ -133,9 +135,9 @@
         super().kill(gateway)
         self._announce_fleet_size_later()
 
-    def revive(self, gateway: int) -> None:
+    def restart(self, gateway: int) -> None:
         """Start a gateway again."""
-        super().revive(gateway)
+        super().restart(gateway)
         self._announce_fleet_size_later()
 
     def _announce_fleet_size_later(self) -> None:
@@ -162,27 +164,27 @@
 
         self.clock.at(self.clock.now_us() + int(self.case.overlap_s * 1e6), leave)
 
-    def ask(self, this: Try) -> None:
+    def send(self, attempt: ClientAttempt) -> None:
         """Send a request to a gateway; of two processes, to each in turn."""
-        old = self.old_processes.get(this.gateway)
+        old = self.old_processes.get(attempt.gateway)
         self.sent += 1
         if old is None or self.sent % 2:
-            super().ask(this)
+            super().send(attempt)
             return
-        self.clock.at(self.clock.now_us() + self._client_us(), lambda: old.take(this))
+        self.clock.at(self.clock.now_us() + self.network.client_delay_us(), lambda: old.receive(attempt))
 
-    def leave(self, this: Try) -> None:
+    def disconnect(self, attempt: ClientAttempt) -> None:
         """Let each process know that a client has gone."""
-        super().leave(this)
-        if (old := self.old_processes.get(this.gateway)) is not None:
-            old.leave(this)
+        super().disconnect(attempt)
+        if (old := self.old_processes.get(attempt.gateway)) is not None:
+            old.on_disconnect(attempt)
 
-    def tell(self, gateway: int, entries: list[Listed], whole: bool) -> None:
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool) -> None:
         """Send entries of the endpoint list, or all of it, to each process of a gateway."""
-        super().tell(gateway, entries, whole)
+        super().send_endpoints(gateway, entries, is_complete)
         if (old := self.old_processes.get(gateway)) is not None:
-            kind = ListKind.FULL if whole else ListKind.DELTA
-            old.handle(EndpointList(kind, self._listed(gateway, entries)))
+            kind = ListKind.FULL if is_complete else ListKind.DELTA
+            old.handle(EndpointList(kind, self.listed_servers(gateway, entries)))
 
 
 def measure(
--- a/sagetrack/lab/processes/client_traffic.py
+++ b/sagetrack/lab/processes/client_traffic.py
@@ -6,7 +6,8 @@
 import random
 from collections.abc import Mapping
 
-from sagetrack.lab.model.world import Try, World
+from sagetrack.lab.model.client_requests import ClientAttempt
+from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.background_tasks import BackgroundTasks
 from sagetrack.lab.stand_ins.client_connection import CONNECTION_BROKE, ClientConnection, GatewayResponse
 
@@ -14,30 +15,30 @@
 VERDICTS = {CONNECTION_BROKE: "broken", 200: "served", 429: "refused", 503: "refused"}
 
 
-def encode_request(world: World, attempt: Try) -> bytes:
+def encode_request(world: World, attempt: ClientAttempt) -> bytes:
     """An attempt as an HTTP/1.1 request, its budget reduced by the time since the client sent it."""
     request = attempt.request
-    kind = request.kind
+    request_class = request.request_class
     spent_us = world.clock.now_us() - attempt.sent_us
-    method = "GET" if kind.effect == "safe" else "POST"
-    body = b"" if method == "GET" else b"b" * kind.body_bytes
+    method = "GET" if request_class.effect == "safe" else "POST"
+    body = b"" if method == "GET" else b"b" * request_class.body_bytes
     lines = [
-        f"{method} /{kind.name}/{request.id} HTTP/1.1",
+        f"{method} /{request_class.name}/{request.id} HTTP/1.1",
         "Host: gateway",
         f"X-Call-Id: {attempt.call}",
-        f"X-Call-Class: {kind.name}",
+        f"X-Call-Class: {request_class.name}",
         f"X-Caller: {world.scenario.members[request.member].name}",
         f"X-Budget-Ms: {max(1, (attempt.budget_us - spent_us) // 1000)}",
     ]
     if request.client:
         lines.append(f"X-Client: {request.client}")
-    if kind.effect == "keyed":
+    if request_class.effect == "keyed":
         lines.append(f"Idempotency-Key: {request.key:x}")
     if method == "POST":
         lines.append(f"Content-Length: {len(body)}")
     if attempt.number > 1 and world.scenario.clients.marks_retry:
         lines.append("X-Again: 1")
-    if not request.keeps:
+    if not request.keeps_connection:
         lines.append("Connection: close")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
@@ -56,15 +57,15 @@
         self.ports = ports
         self.draw = draw
         self.background = background
-        self.attempts: dict[str, Try] = {}
-        self.idle: dict[int, list[ClientConnection]] = {gateway: [] for gateway in world.alive}
+        self.attempts: dict[str, ClientAttempt] = {}
+        self.idle: dict[int, list[ClientConnection]] = {gateway: [] for gateway in world.gateway_fleet.alive}
         self.is_stopped = False
 
     def stop(self) -> None:
         """Send nothing more: an attempt that fails as the run ends would be retried."""
         self.is_stopped = True
 
-    def send(self, attempt: Try) -> None:
+    def send(self, attempt: ClientAttempt) -> None:
         """Send an attempt after the network's delay; `World.on_answer` is called once, or never."""
         self.attempts[attempt.call] = attempt
         self.world.clock.at(self.world.clock.now_us() + self._delay_us(), lambda: self.send_now(attempt))
@@ -72,19 +73,19 @@
     def _delay_us(self) -> int:
         return int(self.world.scenario.network.client_ms * 1000)
 
-    def send_now(self, attempt: Try) -> None:
+    def send_now(self, attempt: ClientAttempt) -> None:
         """Send an attempt on a kept connection if there is one, or else on a new one."""
-        if attempt.over or self.is_stopped:
+        if attempt.ended or self.is_stopped:
             return
         idle = self.idle[attempt.gateway]
-        while idle and attempt.request.keeps:
+        while idle and attempt.request.keeps_connection:
             connection = idle.pop()
             if connection.is_open:
                 self._write(attempt, connection)
                 return
         self.background.spawn(self._connect_and_send(attempt))
 
-    async def _connect_and_send(self, attempt: Try) -> None:
+    async def _connect_and_send(self, attempt: ClientAttempt) -> None:
         gateway = attempt.gateway
         try:
             async with asyncio.timeout(attempt.budget_us / 1e6):
@@ -94,16 +95,16 @@
                     self.ports[gateway],
                 )
         except (OSError, TimeoutError):
-            if not attempt.over:
-                self.world.on_answer(attempt, "unreachable")
+            if not attempt.ended:
+                self.world.clients.on_response(attempt, "unreachable")
             return
         connection.reads_slowly = self.draw.random() < self.world.scenario.clients.slow_readers
-        if attempt.over or not connection.is_open:
+        if attempt.ended or not connection.is_open:
             connection.close()
             return
         self._write(attempt, connection)
 
-    def _write(self, attempt: Try, connection: ClientConnection) -> None:
+    def _write(self, attempt: ClientAttempt, connection: ClientConnection) -> None:
         was_reused = connection.is_reused
         attempt.connection = connection
         connection.send(
@@ -111,18 +112,18 @@
             lambda response: self._on_response(attempt, response, was_reused),
         )
 
-    def _on_response(self, attempt: Try, response: GatewayResponse, was_reused: bool) -> None:
+    def _on_response(self, attempt: ClientAttempt, response: GatewayResponse, was_reused: bool) -> None:
         is_broken = response.status == CONNECTION_BROKE
-        if is_broken and was_reused and not attempt.over and self.world.alive[attempt.gateway]:
+        if is_broken and was_reused and not attempt.ended and self.world.gateway_fleet.alive[attempt.gateway]:
             # The gateway closed the kept connection while the request was on its way: it is sent again.
             self.background.spawn(self._connect_and_send(attempt))
             return
         verdict = VERDICTS.get(response.status, "failed")
         retry_after_us = int(response.retry_after_s * 1e6)
         due_us = self.world.clock.now_us() + self._delay_us()
-        self.world.clock.at(due_us, lambda: self.world.on_answer(attempt, verdict, retry_after_us))
+        self.world.clock.at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
 
-    def abandon(self, attempt: Try) -> None:
+    def abandon(self, attempt: ClientAttempt) -> None:
         """The client no longer waits: its connection is closed if the request is still in flight."""
         if isinstance(attempt.connection, ClientConnection):
             attempt.connection.abandon()
--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -5,9 +5,11 @@
 import random
 from pathlib import Path
 
-from sagetrack.lab.model.scenario import Trouble
+from sagetrack.lab.model.client_requests import ClientAttempt
+from sagetrack.lab.model.endpoint_entry import EndpointEntry
+from sagetrack.lab.model.scenario import ScheduledFault
 from sagetrack.lab.model.server import Server
-from sagetrack.lab.model.world import Listed, Try, World
+from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.background_tasks import BackgroundTasks
 from sagetrack.lab.processes.client_traffic import ClientTraffic
 from sagetrack.lab.processes.gateway_settings import GatewaySettings, gateway_config, operator_settings
@@ -40,13 +42,13 @@
         self.agents: dict[int, DiscoveryAgent] = {}  # by gateway
         self.peers = PeerNetwork(world) if world.scenario.peers.use else None
         self.dns = DnsTraffic(world) if world.scenario.dns.rate else None
-        world.on_server = self._add_server
-        world.on_server_gone = self._remove_server
+        world.server_fleet.observer.started = self._add_server
+        world.server_fleet.observer.ended = self._remove_server
 
     # Upstream servers
 
     def _add_server(self, server: Server) -> None:
-        speaks_grpc = server.number in self.world.newer
+        speaks_grpc = server.number in self.world.server_fleet.newer
         connection_factory = GrpcAddressServerConnection if speaks_grpc else Http1ServerConnection
         self.servers[server.number] = AddressServer(
             self.world, server, self.clients.attempts, self._network_delay_us, connection_factory
@@ -56,7 +58,7 @@
         server = self.servers.get(number)
         if server is None:
             return
-        if number in self.world.vanished:
+        if number in self.world.server_fleet.vanished:
             server.silence()
         else:
             server.close()
@@ -69,10 +71,10 @@
     def _network_delay_us(self, gateway: int, number: int) -> int:
         """A one-way delay between a gateway and a server, drawn with the scenario's jitter."""
         network = self.world.scenario.network
-        entry = self.world.roster.entries.get(number)
+        entry = self.world.registry.entries.get(number)
         zone_count = len(self.world.scenario.fleet.zones)
         is_same_zone = entry is None or entry.zone == gateway % zone_count
-        base_ms = network.same_ms if is_same_zone else network.cross_ms
+        base_ms = network.same_zone_ms if is_same_zone else network.cross_zone_ms
         return int(base_ms * 1000 * (1.0 + network.jitter * self.draw.random()))
 
     # Gateways
@@ -87,10 +89,10 @@
 
     def start(self) -> None:
         """Open the sockets of discovery and find each gateway a port; `start_all` starts the processes."""
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             agent = DiscoveryAgent(self.world, gateway, self._server_address, self.base_ms)
-            for entry in self.world.known():
-                agent.entries[entry.server] = Listed(entry.server, entry.zone, entry.rack)
+            for entry in self.world.registry.known():
+                agent.entries[entry.server] = EndpointEntry(entry.server, entry.zone, entry.rack)
             self.agents[gateway] = agent
             self.supervisor.reserve_port(gateway)
 
@@ -106,22 +108,22 @@
         """Kill a gateway's processes."""
         self.supervisor.kill(gateway)
 
-    def revive(self, gateway: int) -> None:
+    def restart(self, gateway: int) -> None:
         """Start a killed gateway again, with the list that it last had, in the background."""
-        self.background.spawn(self._revive(gateway))
+        self.background.spawn(self._restart(gateway))
 
-    async def _revive(self, gateway: int) -> None:
+    async def _restart(self, gateway: int) -> None:
         await self.supervisor.restart(gateway)
-        self.world.revived(gateway)
-        self.tell(gateway, self.world.known(), True)
+        self.world.gateway_ready(gateway)
+        self.send_endpoints(gateway, self.world.registry.known(), True)
 
     def upgrade(self, gateway: int) -> None:
         """Replace a gateway's process by a new one in the background."""
         self.supervisor.upgrade(gateway)
 
-    def tell(self, gateway: int, entries: list[Listed], whole: bool) -> None:
+    def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool) -> None:
         """Change the list that discovery has for a gateway."""
-        self.agents[gateway].apply(entries, whole)
+        self.agents[gateway].apply(entries, is_complete)
 
     def restart_base_time(self, base_ms: int) -> None:
         """The run's start has this Unix time in milliseconds instead."""
@@ -130,13 +132,13 @@
 
     # Clients
 
-    def ask(self, this: Try) -> None:
+    def send(self, attempt: ClientAttempt) -> None:
         """Send a client's attempt."""
-        self.clients.send(this)
+        self.clients.send(attempt)
 
-    def leave(self, this: Try) -> None:
+    def disconnect(self, attempt: ClientAttempt) -> None:
         """A client no longer waits for its attempt."""
-        self.clients.abandon(this)
+        self.clients.abandon(attempt)
 
     @property
     def open_dns_queries(self) -> int:
@@ -145,20 +147,20 @@
 
     # Faults that only sockets have
 
-    def special(self, trouble: Trouble, on: bool) -> None:
+    def set_fault(self, fault: ScheduledFault, is_on: bool) -> None:
         """Begin or end a fault; kinds that are the model's alone are passed over."""
-        match trouble.kind:
-            case "reload" if on:
+        match fault.kind:
+            case "reload" if is_on:
                 self.supervisor.reload_all()
-            case "goaway" if on:
+            case "goaway" if is_on:
                 self._send_goaway()
             case "slow-dns" if self.dns is not None:
-                self.dns.slow_upstreams(trouble, on)
-            case "discovery-down" if not on:
+                self.dns.slow_upstreams(fault, is_on)
+            case "discovery-down" if not is_on:
                 for agent in self.agents.values():
                     agent.answer_pending()
-            case "crowd" | "rude" as kind if on:
-                self.hostile_clients.start(kind, int(trouble.size))
+            case "crowd" | "rude" as kind if is_on:
+                self.hostile_clients.start(kind, int(fault.size))
             case "crowd" | "rude" as kind:
                 self.hostile_clients.stop(kind)
             case _:
--- a/sagetrack/lab/processes/gateway_settings.py
+++ b/sagetrack/lab/processes/gateway_settings.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from sagetrack.lab.model.scenario import Scenario, platform_settings
+from sagetrack.lab.model.platform_settings import platform_settings
+from sagetrack.lab.model.scenario import Scenario
 from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.stand_ins.discovery_agent import DiscoveryAgent
@@ -25,15 +26,16 @@
 
 def admission_settings(scenario: Scenario) -> str:
     """The operator file's tables for gRPC servers, fair queues and rate limits."""
-    door = scenario.door
+    admission = scenario.admission
     has_grpc_servers = scenario.fleet.new_share > 0 or scenario.fleet.roll_new
     text = '[newer]\ntypes = ["v2"]\n' if has_grpc_servers else ""
-    if not door.use:
+    if not admission.use:
         return text
     return text + (
-        f"[queues]\nuse = true\npatience = {door.patience:g}\nmemory_mb = {door.memory_mb:g}\n"
-        f"[limits]\nadaptive = {str(door.adaptive).lower()}\nclient_per_s = {door.client_per_s:g}\n"
-        f"member_per_s = {door.member_per_s:g}\n"
+        f"[queues]\nuse = true\npatience = {admission.max_wait_fraction:g}\n"
+        f"memory_mb = {admission.memory_mb:g}\n"
+        f"[limits]\nadaptive = {str(admission.adaptive).lower()}\nclient_per_s = {admission.client_per_s:g}\n"
+        f"member_per_s = {admission.tenant_per_s:g}\n"
     )
 
 
--- a/sagetrack/lab/processes/gateway_supervisor.py
+++ b/sagetrack/lab/processes/gateway_supervisor.py
@@ -46,7 +46,7 @@
         self.launch_count = 0
         self.ended_cpu_s = 0.0  # of killed processes
         # An upgrade hands the listening socket over, so the lab holds it.
-        self.hands_down_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.troubles)
+        self.hands_down_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
 
     # Starting
 
@@ -87,7 +87,7 @@
 
     async def start_all(self) -> None:
         """Start all gateways at once and wait until each is ready; LabError if one is not."""
-        processes = {gateway: self.launch(gateway) for gateway in self.world.alive}
+        processes = {gateway: self.launch(gateway) for gateway in self.world.gateway_fleet.alive}
         await asyncio.gather(
             *(self.wait_until_ready(gateway, process) for gateway, process in processes.items())
         )
@@ -143,7 +143,7 @@
         return {
             gateway: processes[-1]
             for gateway, processes in self.processes.items()
-            if self.world.alive[gateway]
+            if self.world.gateway_fleet.alive[gateway]
         }
 
     def usage(self) -> Usage:
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -76,7 +76,7 @@
     world = World(scenario, seed, clock, records)
     records.header["driver"] = "real"
     gateways = GatewayFleet(world, folder, _unix_ms())
-    world.gateways = gateways
+    world.gateway_fleet.driver = gateways
     try:
         world.prepare()
         gateways.start()
@@ -98,7 +98,7 @@
 def _descriptor_count(scenario: Scenario) -> int:
     """Descriptors that this process may need at once."""
     fleet = scenario.fleet
-    replacements = sum(trouble.kind in ("deploy", "vanish") for trouble in scenario.troubles)
+    replacements = sum(trouble.kind in ("deploy", "vanish") for trouble in scenario.faults)
     listeners = (fleet.servers * (1 + replacements) + 1) * fleet.gateways
     clients = int(scenario.rate * REQUEST_S)
     return listeners + clients + fleet.gateways * DESCRIPTORS_PER_GATEWAY + SPARE_DESCRIPTORS
@@ -112,7 +112,7 @@
     """Begin the run now that all gateways are ready: what came before counts as time 0."""
     clock.restart()
     gateways.restart_base_time(_unix_ms())
-    for server in world.servers.values():
+    for server in world.server_fleet.servers.values():
         server.now_us = 0
         server.started_us = 0
     world.records.rows = [(row[0], 0, *row[2:]) for row in world.records.rows]
@@ -133,8 +133,8 @@
         if progress is not None:
             progress(min(1.0, now_us / arrivals_end_us), world)
         sampler.sample_if_due(now_us)
-        has_open_requests = bool(world.tries) or gateways.open_dns_queries > 0
-        if now_us > arrivals_end_us and world.arrivals_over and not has_open_requests:
+        has_open_requests = bool(world.clients.waiting) or gateways.open_dns_queries > 0
+        if now_us > arrivals_end_us and world.arrivals.finished and not has_open_requests:
             return
 
 
@@ -160,8 +160,8 @@
         if not self.period_s or now_s < self.next_s:
             return
         self.next_s = now_s + self.period_s
-        for server in self.world.servers.values():
-            is_overloaded = server.choked_since_us is not None
+        for server in self.world.server_fleet.servers.values():
+            is_overloaded = server.is_degraded
             self.world.records.add(
-                "load", now_us, server.number, server.held, len(server.running), is_overloaded
+                "load", now_us, server.number, server.request_count, len(server.running), is_overloaded
             )
--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -10,8 +10,9 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
+from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.server import Job, Result, Server
-from sagetrack.lab.model.world import Try, World
+from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
 HANDSHAKE_ROUND_TRIP_HOPS = 2  # a new connection's first request takes a round trip more
@@ -37,7 +38,7 @@
         self,
         world: World,
         server: Server,
-        attempts: Mapping[str, Try],
+        attempts: Mapping[str, ClientAttempt],
         delay_us: Callable[[int, int], int],
         connection_factory: ConnectionFactory,
     ) -> None:
@@ -51,19 +52,23 @@
                 f"127.20.{gateway + 1}.{server.number % 250 + 1}",
                 lambda gateway=gateway: connection_factory(self, gateway),  # type: ignore[misc]
             )
-            for gateway in world.alive
+            for gateway in world.gateway_fleet.alive
         }
 
     def is_connected_to(self, gateway: int) -> bool:
         """Whether messages pass between this server and a gateway: no partition separates them."""
-        return self.world.reaches(gateway, self.server.number)
+        return self.world.network.reaches(gateway, self.server.number)
 
     def receives_from(self, gateway: int) -> bool:
         """Whether what a gateway sends gets here and is read."""
         return self.is_connected_to(gateway) and not self.server.silent
 
     def new_job(
-        self, attempt: Try, is_new_connection: bool, deadline_us: int, on_done: Callable[[Job, Result], None]
+        self,
+        attempt: ClientAttempt,
+        is_new_connection: bool,
+        deadline_us: int,
+        on_done: Callable[[Job, Result], None],
     ) -> Job:
         """The model's work for a client's request; a new connection adds the work of its handshake."""
         request = attempt.request
@@ -72,8 +77,8 @@
             call=attempt.call,
             work_us=request.work_us + handshake_us,
             key=request.key,
-            window_us=int(request.kind.window_ms * 1000),
-            scope=request.kind.scope,
+            window_us=int(request.request_class.window_ms * 1000),
+            scope=request.request_class.scope,
             deadline_us=deadline_us,
             done=on_done,
         )
@@ -88,15 +93,15 @@
 
     def deliver(self, job: Job, gateway: int, sent_us: int) -> None:
         """Give a job to the model, unless the server has ended; `job.done` is called for a rejection too."""
-        if self.server.number not in self.world.servers:
+        if self.server.number not in self.world.server_fleet.servers:
             return
-        if self.world.receive(self.server, job, gateway, sent_us) is Result.REJECTED:
+        if self.world.server_fleet.receive(self.server, job, gateway, sent_us) is Result.REJECTED:
             job.done(job, Result.REJECTED)
 
     def cancel(self, job: Job) -> None:
         """The gateway no longer waits for this job."""
         if not job.ended:
-            self.world.give_up(self.server, job)
+            self.world.server_fleet.give_up(self.server, job)
 
     def silence(self) -> None:
         """Vanish: open connections stay open and say nothing, new ones do not come up."""
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -11,7 +11,8 @@
 
 import httptools
 
-from sagetrack.lab.model.world import GONE, Listed, World
+from sagetrack.lab.model.endpoint_entry import GONE, EndpointEntry
+from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
@@ -24,7 +25,7 @@
     """One change of the list."""
 
     index: int  # of the list after it
-    entries: list[Listed]
+    entries: list[EndpointEntry]
     replaces_list: bool  # a full list, not a difference
 
 
@@ -50,7 +51,7 @@
         self.server_address = server_address
         self.base_ms = base_ms
         self.index = 1
-        self.entries: dict[int, Listed] = {}
+        self.entries: dict[int, EndpointEntry] = {}
         self.changes: list[ListChange] = []
         self.undelivered: list[ListChange] = []
         self.pending_polls: list[PendingPoll] = []
@@ -58,13 +59,13 @@
 
     # The list in discovery's wire form, whose keys are the platform's
 
-    def _endpoint(self, entry: Listed) -> dict[str, Any]:
-        since_us = self.world.since_us(self.gateway, entry)
+    def _endpoint(self, entry: EndpointEntry) -> dict[str, Any]:
+        since_us = self.world.network.start_time_us(self.gateway, entry)
         return {
             "name": f"s-{entry.server}",
             "address": self.server_address(self.gateway, entry.server),
             "zone": self.world.scenario.fleet.zones[entry.zone],
-            "type": "v2" if entry.server in self.world.newer else "plain",
+            "type": "v2" if entry.server in self.world.server_fleet.newer else "plain",
             "group": entry.rack,
             "status": entry.status,
             "weight": 1.0,
@@ -83,7 +84,7 @@
 
     # Changes
 
-    def apply(self, entries: list[Listed], replaces_list: bool) -> None:
+    def apply(self, entries: list[EndpointEntry], replaces_list: bool) -> None:
         """Change the list, and answer the polls that wait for it."""
         if replaces_list:
             self.entries = {}
@@ -91,7 +92,7 @@
             if entry.status == GONE:
                 self.entries.pop(entry.server, None)
             else:
-                self.entries[entry.server] = Listed(
+                self.entries[entry.server] = EndpointEntry(
                     entry.server, entry.zone, entry.rack, entry.status, entry.since_us
                 )
         self.index += 1
@@ -108,7 +109,7 @@
         """Report changes up to an index to the world."""
         for change in [change for change in self.undelivered if change.index <= index]:
             self.undelivered.remove(change)
-            self.world.told(self.gateway, change.entries)
+            self.world.registry.record_received(self.gateway, change.entries)
 
     # Polls
 
@@ -121,7 +122,7 @@
 
     def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
         """Answer a poll for what is newer than an index (None: for the list), or keep it until there is."""
-        if self.world.roster.down or (since is not None and since >= self.index):
+        if self.world.registry.down or (since is not None and since >= self.index):
             self.pending_polls.append(PendingPoll(connection, since if since is not None else 0))
             return
         connection.send(json.dumps(self._list_since(since)).encode())
@@ -146,7 +147,7 @@
 
     def time_out(self, connection: DiscoveryConnection) -> None:
         """A poll has waited as long as it wanted to: nothing is new, unless discovery is down."""
-        if self.world.roster.down or not self.is_pending(connection):
+        if self.world.registry.down or not self.is_pending(connection):
             return
         self.forget(connection)
         connection.send(json.dumps(self._difference([])).encode())
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any, cast
 
-from sagetrack.lab.model.scenario import Scenario, Trouble
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault
 from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
 
@@ -85,7 +85,7 @@
         """Start the upstream servers, and find each gateway a port for DNS."""
         for upstream in self.upstreams:
             await upstream.start()
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             with socket.socket() as probe:
                 probe.bind((f"127.10.{gateway + 1}.1", 0))
                 self.ports[gateway] = probe.getsockname()[1]
@@ -97,12 +97,13 @@
         listen = f"127.10.{gateway + 1}.1:{self.ports[gateway]}"
         return (
             f'[dns]\nlisten = ["{listen}"]\nupstreams = [{upstreams}]\n'
-            f"aim_ms = {load.aim_ms:.0f}\ndeadline_ms = {load.deadline_ms:.0f}\nqueries_each = 10000\n"
+            f"aim_ms = {load.latency_objective_ms:.0f}\ndeadline_ms = {load.deadline_ms:.0f}\n"
+            "queries_each = 10000\n"
         )
 
     async def begin(self) -> None:
         """Open the clients' sockets and let queries come."""
-        for gateway in self.world.alive:
+        for gateway in self.world.gateway_fleet.alive:
             self.sockets[gateway] = []
             remote = (f"127.10.{gateway + 1}.1", self.ports[gateway])
             for _ in range(SOCKETS_PER_GATEWAY):
@@ -119,7 +120,7 @@
     def _send_query(self) -> None:
         due_us = int(self.next_query_s * 1e6)
         name = self.draw.choices(self.names, self.weights)[0]
-        reachable = [gateway for gateway, is_up in self.world.believed.items() if is_up]
+        reachable = [gateway for gateway, is_up in self.world.gateway_fleet.in_rotation.items() if is_up]
         gateway = self.draw.choice(reachable or list(self.ports))
         client = self.draw.choice(self.sockets[gateway])
         self._plan_query()
@@ -135,7 +136,7 @@
 
     def _on_response(self, gateway: int, due_us: int, timer: asyncio.TimerHandle, rcode: int) -> None:
         timer.cancel()
-        is_late = self.world.clock.now_us() - due_us > self.scenario.dns.aim_ms * 1000
+        is_late = self.world.clock.now_us() - due_us > self.scenario.dns.latency_objective_ms * 1000
         if rcode not in ANSWERED_RCODES:
             outcome = "refused"
         elif is_late:
@@ -152,10 +153,10 @@
         self.open_queries -= 1
         self.world.records.add("dns", self.world.clock.now_us(), gateway, outcome, due_us)
 
-    def slow_upstreams(self, trouble: Trouble, is_on: bool) -> None:
+    def slow_upstreams(self, fault: ScheduledFault, is_on: bool) -> None:
         """Make part of the upstream servers slow, or as fast as before."""
-        count = max(1, round(trouble.part * len(self.upstreams)))
-        factor = trouble.size if is_on else 1.0
+        count = max(1, round(fault.share * len(self.upstreams)))
+        factor = fault.size if is_on else 1.0
         for upstream in self.upstreams[:count]:
             upstream.behaviour.delay_s = self.scenario.dns.delay_ms / 1000 * factor
 
--- a/sagetrack/lab/stand_ins/peer_network.py
+++ b/sagetrack/lab/stand_ins/peer_network.py
@@ -25,7 +25,7 @@
     async def open(self) -> None:
         """Find each gateway an address to listen at, and bind the relays."""
         loop = asyncio.get_running_loop()
-        gateways = list(self.world.alive)
+        gateways = list(self.world.gateway_fleet.alive)
         for source in gateways:
             host = f"127.10.{source + 1}.1"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
@@ -44,7 +44,7 @@
 
     def peer_addresses(self, gateway: int) -> list[str]:
         """The "host:port" of all gateways, as this one is to know them."""
-        return [self.relays[gateway, other].address for other in self.world.alive]
+        return [self.relays[gateway, other].address for other in self.world.gateway_fleet.alive]
 
     def close(self) -> None:
         """Close every relay."""
@@ -77,10 +77,10 @@
         settings = world.scenario.network
         if len(data) > DATAGRAM_BYTES_MAX:
             world.records.add("trouble", world.clock.now_us(), "long-datagram", "begins", len(data))
-        is_lost = world.draw_peers.random() < settings.peer_loss
-        if is_lost or not world.peers_reach(self.source, self.target):
+        is_lost = world.context.random.peers.random() < settings.peer_loss
+        if is_lost or not world.network.peers_reach(self.source, self.target):
             return
-        due_us = world.clock.now_us() + int(world.draw_peers.uniform(*settings.peer_ms) * 1000)
+        due_us = world.clock.now_us() + int(world.context.random.peers.uniform(*settings.peer_ms) * 1000)
         # The target knows the sender by the address of the relay in the other direction.
         reverse = self.network.relays[self.target, self.source]
         world.clock.at(due_us, lambda: reverse.send_to_owner(data))
