--- a/sagetrack/cli/fleets.py
+++ b/sagetrack/cli/fleets.py
@@ -9,7 +9,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.analysis.violations import Violation
 
     # figures, a line of them, what was broken
     Play = Callable[[], tuple[dict[str, Any], str, list[Violation]]]
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -13,8 +13,8 @@
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.figures import Figures
-    from sagetrack.lab.analysis.judges import Violation
     from sagetrack.lab.analysis.records import Records
+    from sagetrack.lab.analysis.violations import Violation
     from sagetrack.lab.model.scenario import Scenario
 
 
--- a/sagetrack/cli/overload.py
+++ b/sagetrack/cli/overload.py
@@ -35,7 +35,7 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.cli.lab_app import fail
-    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.analysis.violations import Violation
     from sagetrack.lab.benchmarks.overload import MOST_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import JAM_FAULTS
 
--- a/sagetrack/cli/slow_start.py
+++ b/sagetrack/cli/slow_start.py
@@ -34,7 +34,7 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.cli.lab_app import fail
-    from sagetrack.lab.analysis.judges import Violation
+    from sagetrack.lab.analysis.violations import Violation
     from sagetrack.lab.benchmarks.slow_start import CASES, MOST_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS
 
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -2,20 +2,33 @@
 
 from __future__ import annotations
 
-from collections import defaultdict
+from collections import Counter, defaultdict
+from collections.abc import Iterable, Sequence
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrack.lab.analysis.judges import RULES, Violation
-from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.fairness import fairness
+from sagetrack.lab.analysis.judges import RULES
+from sagetrack.lab.analysis.records import (
+    CallAnswered,
+    CallSent,
+    DnsQueryFinished,
+    Execution,
+    LateArrival,
+    Records,
+    RequestFinished,
+    RetryAdvised,
+)
+from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.model.scenario import Expect, Scenario
-from sagetrack.policy.fair_queue import max_min_fair_shares
 
 WINDOW_S = 5
 LONGEST_US = 3_600_000_000
 LATE_SHARE = 0.01  # of the arrivals: more of them late, and the run is marked as late
+ADVICE_TOLERANCE = 0.2  # of an advised wait: a retry within it has followed the advice
+ADVICE_SLACK_US = 50_000  # more than that: clocks, scheduling
 
 
 def histogram() -> HdrHistogram:
@@ -25,11 +38,14 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What a run came to. Shares are of requests asked for after the settling time."""
+    """The results of a run. Shares are of requests that were due after the settling time.
 
-    service: float = 0.0  # worth answered in time over worth asked for
+    The fields have the names of the keys in JSON results and in files of sweeps.
+    """
+
+    service: float = 0.0  # weight answered in time over weight requested
     requests: int = 0
-    served: int = 0  # within the aim
+    served: int = 0  # within the latency objective
     too_late: int = 0  # within the deadline only
     refused: int = 0
     failed: int = 0
@@ -43,13 +59,13 @@
     by_member: dict[str, float] = field(default_factory=dict)
     rules_broken: dict[str, int] = field(default_factory=dict)
     late: bool = False  # the load ran late: not to be scored
-    advised: int = 0  # refusals that said when to come back, to a client that does as told
-    advice_right: float = 1.0  # share of those who came back as told and were served then
+    advised: int = 0  # refusals that said when to retry, to a client that follows such advice
+    advice_right: float = 1.0  # share of the retries at the advised time that were served
     jain_members: float = 1.0  # Jain's index over members' service within their share
     jain_clients: float = 1.0  # over the clients of the member in which they differ the most
     duplicate_executions: int = 0  # of one key within its window, in its scope
     dns_queries: int = 0
-    dns_service: float = 1.0  # share of DNS queries answered within their aim
+    dns_service: float = 1.0  # share of DNS queries answered within their latency objective
     dns_p99_ms: float = 0.0
     expect_held: bool = True
     expect_missed: list[str] = field(default_factory=list)
@@ -66,173 +82,185 @@
 
 
 def figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
-    """Work out the figures, and hold them against the scenario's bounds.
+    """Work out the figures, and compare them with the scenario's bounds.
 
     A latency runs from the moment that the request was due, not from when it could be sent: an answer that
-    held up later requests counts for these too (no coordinated omission).
+    delayed later requests counts for these too (no coordinated omission).
     """
-    made = Figures()
-    times = histogram()
-    settled = scenario.settle_s * 1e6
-    got: dict[tuple[str, int], float] = defaultdict(float)
-    asked: dict[tuple[str, int], float] = defaultdict(float)
-    for row in records.of("request"):
-        _, time, _, class_index, member, outcome, due, _ = row
-        if due < settled:
-            continue
-        kind = scenario.classes[class_index]
-        worth = kind.worth * {"served": 1.0, "late": kind.late_worth}.get(outcome, 0.0)
-        for key in (
-            ("all", 0),
-            ("class", class_index),
-            ("member", member),
-            ("window", due // (WINDOW_S * 1_000_000)),
-        ):
-            asked[key] += kind.worth
-            got[key] += worth
-        made.requests += 1
-        made.served += outcome == "served"
-        made.too_late += outcome == "late"
-        made.refused += outcome == "refused"
-        made.failed += outcome == "failed"
-        made.unanswered += outcome == "unanswered"
-        if outcome in ("served", "late"):
-            times.record_value(max(1, time - due))
-
-    def share(kind: str, number: int) -> float:
-        whole = asked[kind, number]
-        return got[kind, number] / whole if whole else 1.0
-
-    made.service = share("all", 0)
-    made.by_class = {
-        request_class.name: share("class", n) for n, request_class in enumerate(scenario.classes)
-    }
-    made.by_member = {member.name: share("member", n) for n, member in enumerate(scenario.members)}
-    windows = [key for key in asked if key[0] == "window"]
-    made.worst_window = min((share(*key) for key in windows), default=1.0)
+    settled_us = scenario.settle_s * 1e6
+    requests = [request for request in records.typed(RequestFinished) if request.due_us >= settled_us]
+    made = Figures(requests=len(requests))
+    _count_outcomes(made, requests)
+    _measure_service(made, requests, scenario)
+    _measure_latency(made, requests)
     made.attempts = sum(1 for _ in records.of("recv"))
-    made.p50_ms, made.p99_ms, made.p999_ms = (
-        times.get_value_at_percentile(p) / 1000 if made.served + made.too_late else 0.0
-        for p in (50, 99, 99.9)
-    )
-    made.rules_broken = {rule: count for rule in RULES if (count := sum(v.rule == rule for v in violations))}
-    late = sum(1 for _ in records.of("late"))
-    made.late = late > LATE_SHARE * max(1, made.requests)
-    advice(made, records)
-    fairness(made, records, scenario, settled)
-    made.duplicate_executions = duplicates(records, scenario)
-    dns = [row for row in records.of("dns") if row[4] >= settled]
-    if dns:
-        made.dns_queries = len(dns)
-        made.dns_service = sum(row[3] == "served" for row in dns) / len(dns)
-        answered = histogram()
-        for row in dns:
-            if row[3] in ("served", "late"):
-                answered.record_value(max(1, row[1] - row[4]))
-        made.dns_p99_ms = answered.get_value_at_percentile(99) / 1000
-    jumpers = {t.member for t in scenario.troubles if t.member}
-    calm = [member.name for member in scenario.members if member.name not in jumpers]
-    made.expect_missed = missed(made, scenario.expect, calm)
+    broken = Counter(violation.rule for violation in violations)
+    made.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
+    late_arrivals = sum(1 for _ in records.typed(LateArrival))
+    made.late = late_arrivals > LATE_SHARE * max(1, made.requests)
+    _measure_advice(made, records)
+    made.jain_members, made.jain_clients = fairness(records, requests, scenario)
+    made.duplicate_executions = _count_duplicates(records, scenario)
+    _measure_dns(made, records, settled_us)
+    made.expect_missed = _missed_bounds(made, scenario.expect, _members_without_faults(scenario))
     made.expect_held = not made.expect_missed
     return made
 
 
-def duplicates(records: Records, scenario: Scenario) -> int:
-    """Executions that took effect a second time within the key's window, wherever they were."""
-    keys = {row[7]: row[4] for row in records.of("ask") if row[7] is not None}
-    last: dict[int, int] = {}
-    found = 0
-    for row in records.of("run"):
-        key, effect = row[4], row[5]
-        if key is None or not effect:
-            continue
-        window = scenario.classes[keys[key]].window_ms * 1000 if key in keys else 0
-        found += key in last and row[1] - last[key] < window
-        last[key] = row[1]
-    return found
+def _count_outcomes(made: Figures, requests: Iterable[RequestFinished]) -> None:
+    outcomes = Counter(request.outcome for request in requests)
+    made.served = outcomes["served"]
+    made.too_late = outcomes["late"]
+    made.refused = outcomes["refused"]
+    made.failed = outcomes["failed"]
+    made.unanswered = outcomes["unanswered"]
+
+
+class _Group(NamedTuple):
+    """Requests that are counted together: all, or those of one class, member or window."""
+
+    kind: str
+    number: int
 
 
-ADVICE_SLACK = 0.2  # of an advised wait: who comes back within it has come as told
+class _ServiceTally:
+    """By group of requests, the weight that was requested and the part of it that was served."""
 
+    def __init__(self) -> None:
+        self._requested: dict[_Group, float] = defaultdict(float)
+        self._served: dict[_Group, float] = defaultdict(float)
 
-def advice(made: Figures, records: Records) -> None:
-    """Of the clients that came back when told, how many were served then."""
-    told: dict[str, tuple[int, int, int]] = {}
-    verdicts: dict[str, str] = {}
-    came: list[str] = []
-    for row in records.of("advised", "ask", "answer"):
-        if row[0] == "advised":
+    def add(self, group: _Group, requested: float, served: float) -> None:
+        self._requested[group] += requested
+        self._served[group] += served
+
+    def share(self, kind: str, number: int) -> float:
+        """The served share; 1 for a group without requests."""
+        group = _Group(kind, number)
+        requested = self._requested.get(group, 0.0)
+        return self._served[group] / requested if requested else 1.0
+
+    def shares(self, kind: str) -> list[float]:
+        return [self.share(*group) for group in self._requested if group.kind == kind]
+
+
+def _measure_service(made: Figures, requests: Iterable[RequestFinished], scenario: Scenario) -> None:
+    tally = _ServiceTally()
+    for request in requests:
+        request_class = scenario.classes[request.class_index]
+        value_of_outcome = {"served": 1.0, "late": request_class.late_worth}
+        served = request_class.worth * value_of_outcome.get(request.outcome, 0.0)
+        for group in (
+            _Group("all", 0),
+            _Group("class", request.class_index),
+            _Group("member", request.member),
+            _Group("window", request.due_us // (WINDOW_S * 1_000_000)),
+        ):
+            tally.add(group, request_class.worth, served)
+    made.service = tally.share("all", 0)
+    made.by_class = {
+        request_class.name: tally.share("class", number)
+        for number, request_class in enumerate(scenario.classes)
+    }
+    made.by_member = {
+        member.name: tally.share("member", number) for number, member in enumerate(scenario.members)
+    }
+    made.worst_window = min(tally.shares("window"), default=1.0)
+
+
+def _latencies(finished: Iterable[RequestFinished | DnsQueryFinished]) -> HdrHistogram:
+    """From when each was due, of those that were answered in time or late."""
+    latencies = histogram()
+    for one in finished:
+        if one.outcome in ("served", "late"):
+            latencies.record_value(max(1, one.time_us - one.due_us))
+    return latencies
+
+
+def _measure_latency(made: Figures, requests: Iterable[RequestFinished]) -> None:
+    if not made.served + made.too_late:
+        return
+    latencies = _latencies(requests)
+    made.p50_ms = latencies.get_value_at_percentile(50) / 1000
+    made.p99_ms = latencies.get_value_at_percentile(99) / 1000
+    made.p999_ms = latencies.get_value_at_percentile(99.9) / 1000
+
+
+def _measure_dns(made: Figures, records: Records, settled_us: float) -> None:
+    queries = [query for query in records.typed(DnsQueryFinished) if query.due_us >= settled_us]
+    if not queries:
+        return
+    made.dns_queries = len(queries)
+    made.dns_service = sum(query.outcome == "served" for query in queries) / len(queries)
+    made.dns_p99_ms = _latencies(queries).get_value_at_percentile(99) / 1000
+
+
+def _count_duplicates(records: Records, scenario: Scenario) -> int:
+    """Executions that took effect a second time within the key's window, at any server."""
+    class_of_key = {sent.key: sent.class_index for sent in records.typed(CallSent) if sent.key is not None}
+    last_us: dict[int, int] = {}
+    duplicates = 0
+    for execution in records.typed(Execution):
+        key = execution.key
+        if key is None or not execution.has_effect:
+            continue
+        window_us = scenario.classes[class_of_key[key]].window_ms * 1000 if key in class_of_key else 0
+        duplicates += key in last_us and execution.time_us - last_us[key] < window_us
+        last_us[key] = execution.time_us
+    return duplicates
+
+
+def _measure_advice(made: Figures, records: Records) -> None:
+    """Of the calls that retried at the advised time, how many were served."""
+    advice_by_request: dict[str, RetryAdvised] = {}
+    first_verdicts: dict[str, str] = {}
+    followed: list[str] = []
+    for record in records.mixed(RetryAdvised, CallSent, CallAnswered):
+        if isinstance(record, RetryAdvised):
             made.advised += 1
-            told[row[3]] = (row[4], row[1], row[5])
-        elif row[0] == "ask":
-            word = told.pop(row[8], None)
-            if word is None:
-                continue
-            waited = row[1] - word[1]
-            if (1 - ADVICE_SLACK) * word[2] <= waited <= (1 + ADVICE_SLACK) * word[2] + 50_000:
-                came.append(row[2])
-        else:
-            verdicts.setdefault(row[2], row[4])
-    if came:
-        made.advice_right = sum(verdicts.get(call) == "served" for call in came) / len(came)
-
-
-def jain(values: list[float]) -> float:
-    """Jain's fairness index (Jain, Chiu, Hawe, 1984): 1 if all are equal, 1/n if one has all."""
-    squares = sum(value * value for value in values)
-    return min(1.0, sum(values) ** 2 / (len(values) * squares)) if squares else 1.0
-
-
-def fairness(made: Figures, records: Records, scenario: Scenario, settled: float) -> None:
-    """Jain's index over members and over the clients of each, of what each got over its fair part of it.
-
-    The fair part of what was served in all is the max-min fair one: by share for members, even for clients.
-    """
-    who = {row[2]: row[3] for row in records.of("client")}
-    asked: dict[int, dict[int, float]] = defaultdict(lambda: defaultdict(float))
-    got: dict[int, dict[int, float]] = defaultdict(lambda: defaultdict(float))
-    for row in records.of("request"):
-        if row[6] >= settled:
-            client = who.get(row[2], 0)
-            work = scenario.classes[row[3]].work_ms
-            asked[row[4]][client] += work
-            got[row[4]][client] += work * (row[5] in ("served", "late"))
-    members = sorted(asked)
-    shares = [scenario.members[n].share for n in members]
-    wanted = [sum(asked[n].values()) for n in members]
-    made.jain_members = normalised(wanted, [sum(got[n].values()) for n in members], shares)
-    for member in members:
-        clients = [client for client in asked[member] if client]
-        if len(clients) > 1 and not scenario.members[member].once:
-            part = normalised(
-                [asked[member][c] for c in clients], [got[member][c] for c in clients], [1.0] * len(clients)
-            )
-            made.jain_clients = min(made.jain_clients, part)
-
-
-def normalised(asked: list[float], got: list[float], shares: list[float]) -> float:
-    """Jain's index of each one's part over its fair part."""
-    fair = max_min_fair_shares(asked, shares, sum(got))
-    return jain([mine / part for mine, part in zip(got, fair, strict=True) if part > 0])
-
-
-def missed(made: Figures, expect: Expect, calm: list[str]) -> list[str]:
-    """The bounds that do not hold, in words."""
-    whole = max(1, made.requests)
+            advice_by_request[record.request] = record
+        elif isinstance(record, CallSent):
+            advice = advice_by_request.pop(record.request, None)
+            if advice is not None and _follows(record, advice):
+                followed.append(record.call)
+        elif isinstance(record, CallAnswered):
+            first_verdicts.setdefault(record.call, record.verdict)
+    if followed:
+        served = sum(first_verdicts.get(call) == "served" for call in followed)
+        made.advice_right = served / len(followed)
+
+
+def _follows(retry: CallSent, advice: RetryAdvised) -> bool:
+    """Whether a retry came at about the advised time."""
+    waited_us = retry.time_us - advice.time_us
+    least_us = (1 - ADVICE_TOLERANCE) * advice.retry_after_us
+    most_us = (1 + ADVICE_TOLERANCE) * advice.retry_after_us + ADVICE_SLACK_US
+    return least_us <= waited_us <= most_us
+
+
+def _members_without_faults(scenario: Scenario) -> list[str]:
+    """The members that no planned fault concerns."""
+    concerned = {fault.member for fault in scenario.troubles if fault.member}
+    return [member.name for member in scenario.members if member.name not in concerned]
+
+
+def _missed_bounds(made: Figures, expect: Expect, undisturbed: Sequence[str]) -> list[str]:
+    """The bounds that do not hold, in words that begin with the bound's key in the scenario."""
+    requests = max(1, made.requests)
+    worst_undisturbed = min((made.by_member[name] for name in undisturbed), default=1.0)
     least = {
         "service_min": (made.service, expect.service_min),
         "worst_member_min": (min(made.by_member.values(), default=1.0), expect.worst_member_min),
         "worst_window_min": (made.worst_window, expect.worst_window_min),
-        "others_min": (min((made.by_member[n] for n in calm), default=1.0), expect.others_min),
+        "others_min": (worst_undisturbed, expect.others_min),
         "advice_right_min": (made.advice_right, expect.advice_right_min),
         "dns_service_min": (made.dns_service, expect.dns_service_min),
     }
     most = {
-        "refused_max": (made.refused / whole, expect.refused_max),
-        "failed_max": ((made.failed + made.unanswered) / whole, expect.failed_max),
+        "refused_max": (made.refused / requests, expect.refused_max),
+        "failed_max": ((made.failed + made.unanswered) / requests, expect.failed_max),
         "p99_ms_max": (made.p99_ms, expect.p99_ms_max),
     }
-    words = [f"{name} {bound:g}: was {value:.4g}" for name, (value, bound) in least.items() if value < bound]
-    return words + [
-        f"{name} {bound:g}: was {value:.4g}" for name, (value, bound) in most.items() if value > bound
-    ]
+    missed = [(name, value, bound) for name, (value, bound) in least.items() if value < bound]
+    missed += [(name, value, bound) for name, (value, bound) in most.items() if value > bound]
+    return [f"{name} {bound:g}: was {value:.4g}" for name, value, bound in missed]
--- a/sagetrack/lab/analysis/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -1,22 +1,30 @@
-"""Pictures of a run: what was served, refused and failed, latencies, and each server's load, over time.
+"""Plots of a run over time: what was served, refused and failed, latencies, and each server's load.
 
-One PNG or SVG by `matplotlib`, with the troubles marked, from the records alone.
+One PNG or SVG by `matplotlib`, with the faults marked, from the records alone.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import matplotlib
 
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
+from matplotlib.axes import Axes
 
 from sagetrack.lab.analysis.figures import histogram
-from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.records import (
+    AttemptReceived,
+    FaultStateChanged,
+    Records,
+    RequestFinished,
+    ServerLoad,
+)
 
+SECOND_US = 1_000_000
 OUTCOMES = {
     "served": "#2a7f4f",
     "late": "#b8a12f",
@@ -24,68 +32,50 @@
     "failed": "#b02a2a",
     "unanswered": "#5a2a6b",
 }
+PERCENTILES = {50: "#2a5f9f", 99: "#b02a2a"}
+MOST_IN_LEGEND = 24  # servers
 
+ServerPoints = dict[int, list[tuple[float, int]]]  # by server: second of the run, value
 
-def troubles(records: Records) -> list[tuple[str, float, float]]:
-    """Each trouble's kind with the seconds at which it began and ended."""
-    open_: dict[str, list[float]] = defaultdict(list)
+
+class FaultSpan(NamedTuple):
+    """A fault's kind, with the seconds at which it began and ended."""
+
+    kind: str
+    begin_s: float
+    end_s: float
+
+
+def fault_spans(records: Records) -> list[FaultSpan]:
+    """All faults by their begin; one that did not end lasts until the last record."""
+    begins: dict[str, list[float]] = defaultdict(list)
     spans = []
-    last = max((row[1] for row in records.rows), default=0) / 1e6
-    for row in records.of("trouble"):
-        kind, state = row[2], row[3]
-        if state == "begins":
-            open_[kind].append(row[1] / 1e6)
-        elif open_[kind]:
-            spans.append((kind, open_[kind].pop(0), row[1] / 1e6))
-    spans += [(kind, begin, last) for kind, begins in open_.items() for begin in begins]
-    return sorted(spans, key=lambda span: span[1])
+    for change in records.typed(FaultStateChanged):
+        if change.state == "begins":
+            begins[change.fault].append(change.time_us / 1e6)
+        elif begins[change.fault]:
+            spans.append(FaultSpan(change.fault, begins[change.fault].pop(0), change.time_us / 1e6))
+    last_s = records.last_us() / 1e6
+    spans += [FaultSpan(kind, begin, last_s) for kind, open_begins in begins.items() for begin in open_begins]
+    return sorted(spans, key=lambda span: span.begin_s)
 
 
 def draw(records: Records, path: Path | str) -> None:
-    """Draw a run into a file; its suffix says what kind."""
-    counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in OUTCOMES}
-    times: dict[int, Any] = defaultdict(histogram)
-    for row in records.of("request"):
-        _, time, _, _, _, outcome, due, _ = row
-        counts[outcome][due // 1_000_000] += 1
-        if outcome in ("served", "late"):
-            times[due // 1_000_000].record_value(max(1, time - due))
-    seconds = sorted({second for of in counts.values() for second in of})
-    loads: dict[int, list[tuple[float, int]]] = defaultdict(list)
-    for row in records.of("load"):
-        loads[row[2]].append((row[1] / 1e6, row[3]))
-    if not loads:
-        for row in records.of("recv"):
-            loads[row[3]].append((row[1] // 1_000_000, 1))
-        for server, points in loads.items():
-            by_second: dict[float, int] = defaultdict(int)
-            for second, one in points:
-                by_second[second] += one
-            loads[server] = sorted(by_second.items())
+    """Draw a run into a file; its suffix says what kind.
+
+    Raises:
+        OSError: the file cannot be written.
+        ValueError: no such kind of file.
+    """
     figure, (top, middle, bottom) = plt.subplots(3, 1, figsize=(11, 9), sharex=True, layout="constrained")
-    stack = [[counts[name].get(second, 0) for second in seconds] for name in OUTCOMES]
-    top.stackplot(seconds, stack, labels=list(OUTCOMES), colors=list(OUTCOMES.values()))
-    top.set_ylabel("requests a second")
-    top.legend(loc="upper left", ncols=5, fontsize=8)
-    for percentile, colour in ((50, "#2a5f9f"), (99, "#b02a2a")):
-        line = [times[s].get_value_at_percentile(percentile) / 1000 if s in times else None for s in seconds]
-        middle.plot(seconds, line, color=colour, label=f"p{percentile}")
-    middle.set_ylabel("latency, ms")
-    middle.set_yscale("log")
-    middle.legend(loc="upper left", fontsize=8)
-    held = any(True for _ in records.of("load"))
-    for server, points in sorted(loads.items()):
-        bottom.plot(*zip(*points, strict=True), linewidth=0.9, label=f"s-{server}")
-    bottom.set_ylabel("requests held by each server" if held else "attempts a second at each server")
-    bottom.set_xlabel("seconds since the run began")
-    if len(loads) <= 24:
-        bottom.legend(loc="upper left", ncols=8, fontsize=7)
-    for place, (kind, begin, end) in enumerate(troubles(records)):
+    _draw_requests(records, top, middle)
+    _draw_servers(records, bottom)
+    for place, span in enumerate(fault_spans(records)):
         for axes in (top, middle, bottom):
-            axes.axvspan(begin, end, color="#777777", alpha=0.13, linewidth=0)
+            axes.axvspan(span.begin_s, span.end_s, color="#777777", alpha=0.13, linewidth=0)
         top.annotate(
-            kind,
-            (begin, 0.80 - 0.09 * (place % 4)),
+            span.kind,
+            (span.begin_s, 0.80 - 0.09 * (place % 4)),
             xycoords=("data", "axes fraction"),
             fontsize=8,
             color="#333333",
@@ -93,3 +83,49 @@
     top.set_title("{scenario}, seed {seed}, {driver} time".format_map(records.header))
     figure.savefig(path, dpi=110)
     plt.close(figure)
+
+
+def _draw_requests(records: Records, outcome_axes: Axes, latency_axes: Axes) -> None:
+    """Outcomes and latencies, by the second in which each request was due."""
+    counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in OUTCOMES}
+    latencies: dict[int, Any] = defaultdict(histogram)
+    for request in records.typed(RequestFinished):
+        second = request.due_us // SECOND_US
+        counts[request.outcome][second] += 1
+        if request.outcome in ("served", "late"):
+            latencies[second].record_value(max(1, request.time_us - request.due_us))
+    seconds = sorted({second for by_second in counts.values() for second in by_second})
+    stack = [[counts[name].get(second, 0) for second in seconds] for name in OUTCOMES]
+    outcome_axes.stackplot(seconds, stack, labels=list(OUTCOMES), colors=list(OUTCOMES.values()))
+    outcome_axes.set_ylabel("requests a second")
+    outcome_axes.legend(loc="upper left", ncols=5, fontsize=8)
+    for percentile, colour in PERCENTILES.items():
+        line: list[Any] = [
+            latencies[second].get_value_at_percentile(percentile) / 1000 if second in latencies else None
+            for second in seconds
+        ]
+        latency_axes.plot(seconds, line, color=colour, label=f"p{percentile}")
+    latency_axes.set_ylabel("latency, ms")
+    latency_axes.set_yscale("log")
+    latency_axes.legend(loc="upper left", fontsize=8)
+
+
+def _draw_servers(records: Records, axes: Axes) -> None:
+    """Each server's sampled requests in flight; without samples, the attempts that reached it."""
+    samples: ServerPoints = defaultdict(list)
+    for sample in records.typed(ServerLoad):
+        samples[sample.server].append((sample.time_us / 1e6, sample.in_flight))
+    points_by_server = samples or _attempts_by_second(records)
+    for server, points in sorted(points_by_server.items()):
+        axes.plot(*zip(*points, strict=True), linewidth=0.9, label=f"s-{server}")
+    axes.set_ylabel("requests in flight at each server" if samples else "attempts a second at each server")
+    axes.set_xlabel("seconds since the run began")
+    if len(points_by_server) <= MOST_IN_LEGEND:
+        axes.legend(loc="upper left", ncols=8, fontsize=7)
+
+
+def _attempts_by_second(records: Records) -> ServerPoints:
+    counts: dict[int, dict[float, int]] = defaultdict(lambda: defaultdict(int))
+    for attempt in records.typed(AttemptReceived):
+        counts[attempt.server][attempt.time_us // SECOND_US] += 1
+    return {server: sorted(by_second.items()) for server, by_second in counts.items()}
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -13,8 +13,9 @@
 
 from msgspec.structs import replace
 
-from sagetrack.lab.analysis.judges import Violation, judge
+from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.simulation import play
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -15,8 +15,10 @@
 
 import msgspec
 
-from sagetrack.lab.analysis.judges import Violation, cold_windows, judge
+from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.violations import Violation
+from sagetrack.lab.analysis.warm_up import warm_up_windows
 from sagetrack.lab.model.scenario import Scenario, Trouble, altered, load
 from sagetrack.lab.model.world import Listed, Try, World
 from sagetrack.lab.repository import SCENARIOS
@@ -223,7 +225,7 @@
     stops = {row[2]: row for row in records.of("stop")}
     fell = sum(stops[number][3] == "fell" for number in cold if number in stops)
     made = ColdFigures(fleet.gateways, case, int(records.header["seed"]), len(cold), fell)
-    for window in cold_windows(records, scenario):
+    for window in warm_up_windows(records, scenario):
         made.windows += 1
         made.past_budget += window.calls > window.budget
         made.most_calls = max(made.most_calls, window.calls / window.budget)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,8 +10,8 @@
 from typer.testing import CliRunner
 
 from sagetrack.cli.app import app
-from sagetrack.lab.analysis.judges import cold_sum, cold_windows
 from sagetrack.lab.analysis.records import Record, Records
+from sagetrack.lab.analysis.warm_up import cold_sum, warm_up_windows
 from sagetrack.lab.benchmarks.slow_start import CASES, Case, ColdGateways, figures, measure
 from sagetrack.lab.model.scenario import Fleet, RequestKind, Scenario
 from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS, COLD_SHOWN_BY
@@ -58,30 +58,30 @@
 
 def test_n_goes_by_the_warmth_when_the_window_begins() -> None:
     late = STARTED_US + 5_000_000  # the window begins 2 s after the start: 0.2 + 0.8 * 0.2
-    (window,) = cold_windows(records_of([late]), SCENARIO)
+    (window,) = warm_up_windows(records_of([late]), SCENARIO)
     assert window.planned == pytest.approx(4 * 0.36 * 3 / 0.1)
     early = STARTED_US + 2_000_000  # it would begin before the start
-    (window,) = cold_windows(records_of([early]), SCENARIO)
+    (window,) = warm_up_windows(records_of([early]), SCENARIO)
     assert window.planned == pytest.approx(PLANNED)
 
 
 def test_a_window_holds_what_came_within_its_span_and_not_before() -> None:
     span = 3_000_000
     first = STARTED_US + 10
-    windows = list(cold_windows(records_of([first, first + 1, first + span, first + span + 1]), SCENARIO))
+    windows = list(warm_up_windows(records_of([first, first + 1, first + span, first + span + 1]), SCENARIO))
     assert [window.calls for window in windows] == [1, 2, 2, 2]
 
 
 def test_calls_count_by_their_classes_mean_and_work_as_it_was_drawn() -> None:
-    (window,) = cold_windows(records_of([STARTED_US + 10], work_us=250_000), SCENARIO)
+    (window,) = warm_up_windows(records_of([STARTED_US + 10], work_us=250_000), SCENARIO)
     assert (window.calls, window.work) == (1.0, 2.5)
 
 
 def test_a_server_that_is_warm_is_not_judged() -> None:
-    assert not list(cold_windows(records_of(burst(200, STARTED_US + 10_000_000)), SCENARIO))
+    assert not list(warm_up_windows(records_of(burst(200, STARTED_US + 10_000_000)), SCENARIO))
     warm = records_of(burst(200))
     warm.rows[1] = (*warm.rows[1][:5], 0, 1.0)
-    assert not list(cold_windows(warm, SCENARIO))
+    assert not list(warm_up_windows(warm, SCENARIO))
 
 
 def test_used_is_held_against_what_the_server_could_do_while_there_was_work() -> None:
