--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -18,20 +18,20 @@
 ) -> None:
     """Send a gateway forged answers beside the true ones; exit 1 if one of them reaches a client."""
     from sagetrack.lab.errors import LabError
-    from sagetrack.lab.fault_injection.dns_spoofing import forge
+    from sagetrack.lab.fault_injection.dns_spoofing import spoof
 
     try:
         with bar("forge", False) as tell:
-            found = forge(rate, seconds, tell)
+            found = spoof(rate, seconds, tell)
     except LabError as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
-        f"{found.sent} forged answers, {found.sent / found.seconds:.0f} a second: {found.false} accepted; "
-        f"{found.true} of {found.asked} queries answered truly"
+        f"{found.sent} forged answers, {found.sent / found.seconds:.0f} a second: {found.accepted} accepted; "
+        f"{found.true_answers} of {found.queries} queries answered truly"
     )
-    raise typer.Exit(1 if found.false else 0)
+    raise typer.Exit(1 if found.accepted else 0)
 
 
 def fuzz_h2(
@@ -68,7 +68,8 @@
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
-        f"{found.messages} messages: {found.queries_read} read as queries, "
-        f"{found.answers_taken} taken as answers, {len(found.wrong)} wrong, slowest {found.slowest_ms:.2f} ms"
+        f"{found.messages} messages: {found.queries_parsed} read as queries, "
+        f"{found.answers_accepted} taken as answers, {len(found.failures)} wrong, "
+        f"slowest {found.slowest_ms:.2f} ms"
     )
-    raise judged(found.wrong)
+    raise judged(found.failures)
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -1,4 +1,4 @@
-"""`sagetrack store …`: check a store, write its values out, make it smaller, mend it, torture one."""
+"""`sagetrack store …`: check a store, write its values out, make it smaller, mend it, crash-test one."""
 
 from __future__ import annotations
 
@@ -106,23 +106,27 @@
             print(line)
 
 
-@app.command("torture")
-def torture(
+@app.command("crash-test")
+def crash_test(
     seconds: Annotated[float, typer.Option(help="about how long", min=1, max=86_400)] = 30.0,
     seed: Annotated[int, typer.Option(help="what is drawn follows from it", min=0)] = 1,
 ) -> None:
     """Cut and flip every byte of a store, crash it anywhere, kill a writer; exit 0 if all held."""
-    from sagetrack.lab.fault_injection.crash_test import torture as run
+    from sagetrack.lab.fault_injection.crash_test import crash_test as run
 
+    parts = {"bytes": (0.0, 0.6), "crashes": (0.6, 0.2), "kills": (0.8, 0.2)}  # begin and share of the time
     try:
-        with bar("torture", False) as tell:
-            parts = {"bytes": (0.0, 0.6), "crashes": (0.6, 0.2), "kills": (0.8, 0.2)}
-            found = run(seconds, seed, lambda part, share: tell(parts[part][0] + parts[part][1] * share))
+        with bar("crash-test", False) as tell:
+            report = run(seconds, seed, lambda part, share: tell(parts[part][0] + parts[part][1] * share))
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
-        f"{found.cut} cuts and {found.flipped} flipped bits ({found.whole} of them lost nothing), "
-        f"{found.crashes} crashes with {found.errors} errors of the disk, {found.kills} writers killed after "
-        f"{found.acknowledged} batches: {len(found.wrong)} wrong"
+        f"{report.truncations} cuts and {report.flipped_bits} flipped bits "
+        f"({report.complete} of them lost nothing), "
+        f"{report.crashes} crashes with {report.disk_errors} errors of the disk, "
+        f"{report.kills} writers killed after {report.acknowledged} batches: {len(report.failures)} wrong"
     )
-    raise judged(found.wrong)
+    raise judged(report.failures)
+
+
+app.command("torture", hidden=True)(crash_test)  # the name of earlier versions
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -1,7 +1,7 @@
-"""Mutated DNS messages against the reader: whatever the bytes, it ends, and takes nothing for what it is not.
+"""Mutated DNS messages against the parser: it ends on any bytes, and accepts nothing for what it is not.
 
-Queries and answers are made by `dnspython` and then spoilt: bytes changed, cut, doubled, lengths and pointers
-turned.
+Queries and answers are made by `dnspython` and then damaged: bytes changed, cut, doubled, lengths and
+pointers altered.
 """
 
 from __future__ import annotations
@@ -10,39 +10,61 @@
 import time
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import dns.message
 
 from sagetrack.dns.message import (
     MessageError,
     Query,
+    Rcode,
     encode_error,
     encode_reply,
     encode_upstream_query,
     parse_answer,
     parse_query,
 )
-from sagetrack.dns.message import Rcode as Code
+from sagetrack.lab.fault_injection.failures import ErrorsAsFailures
 from sagetrack.lab.stand_ins.dns_server import Manner, Nameserver
 
-SLOW_S = 0.05  # for one message: a hang
-EVIL = (b"\xc0\x0c", b"\xff\xff", b"\0\0", b"\x3f", b"\xc0\xff", b"\0\x29", b"\x80", b"\0\xff\0\xff")
+HEADER_BYTES = 12
+FIRST_ID = 1000
+MOST_UDP_BYTES = 512
+PROGRESS_EVERY = 10_000  # messages
+HOSTILE_BYTES = (  # pointers, lengths and types that parsers have fallen for
+    b"\xc0\x0c",
+    b"\xff\xff",
+    b"\0\0",
+    b"\x3f",
+    b"\xc0\xff",
+    b"\0\x29",
+    b"\x80",
+    b"\0\xff\0\xff",
+)
+
+
+class Sample(NamedTuple):
+    """A message, the query that the gateway sent upstream, and that query's id."""
+
+    data: bytes
+    query: Query
+    id: int
 
 
 @dataclass(slots=True)
-class Found:
-    """What came of it."""
+class DnsFuzzReport:
+    """What was tried, and what failed."""
 
     messages: int = 0
-    queries_read: int = 0
-    answers_taken: int = 0
-    wrong: list[str] = field(default_factory=list)  # what must not be
+    queries_parsed: int = 0
+    answers_accepted: int = 0
+    failures: list[str] = field(default_factory=list)
     slowest_ms: float = 0.0
 
 
-def seeds() -> list[tuple[bytes, Query, int]]:
-    """True messages to begin with: an answer, the query that it answers, and its id."""
-    made = []
+def valid_answers() -> list[Sample]:
+    """Valid answers to begin with."""
+    samples = []
     for number, (kind, manner) in enumerate(
         (
             ("A", Manner()),
@@ -55,87 +77,104 @@
     ):
         wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
         query = parse_query(wire)
-        made.append(
-            (
-                Nameserver(manner).answers(encode_upstream_query(query, 1000 + number), True)[-1],
-                query,
-                1000 + number,
-            )
-        )
-    return made
+        query_id = FIRST_ID + number
+        answers = Nameserver(manner).answers(encode_upstream_query(query, query_id), True)
+        samples.append(Sample(answers[-1], query, query_id))
+    return samples
 
 
-def mutated(data: bytes, draw: random.Random) -> bytes:
-    """The message with one to four things wrong with it."""
-    spoilt = bytearray(data)
+def mutate(data: bytes, draw: random.Random) -> bytes:
+    """The message with one to four random changes."""
+    mutated = bytearray(data)
     for _ in range(draw.randint(1, 4)):
-        at = draw.randrange(max(1, len(spoilt)))
+        at = draw.randrange(max(1, len(mutated)))
         match draw.randrange(7):
             case 0:
-                spoilt[at : at + 1] = bytes([draw.randrange(256)])
+                mutated[at : at + 1] = bytes([draw.randrange(256)])
             case 1:
-                del spoilt[at:]
+                del mutated[at:]
             case 2:
-                spoilt[at:at] = spoilt[at : at + draw.randrange(40)]
+                mutated[at:at] = mutated[at : at + draw.randrange(40)]
             case 3:
-                piece = draw.choice(EVIL)
-                spoilt[at : at + len(piece)] = piece
+                piece = draw.choice(HOSTILE_BYTES)
+                mutated[at : at + len(piece)] = piece
             case 4:
-                count = 4 + 2 * draw.randrange(4)
-                spoilt[count : count + 2] = draw.choice((0, 1, 2, 255, 65_535)).to_bytes(2)
+                count_at = 4 + 2 * draw.randrange(4)  # one of the header's four counts
+                mutated[count_at : count_at + 2] = draw.choice((0, 1, 2, 255, 65_535)).to_bytes(2)
             case 5:
-                spoilt += draw.randbytes(draw.randrange(20))
+                mutated += draw.randbytes(draw.randrange(20))
             case _:
-                del spoilt[at : at + draw.randrange(1, 9)]
-    return bytes(spoilt)
+                del mutated[at : at + draw.randrange(1, 9)]
+    return bytes(mutated)
 
 
-def messages(count: int, seed: int) -> Iterator[tuple[bytes, Query, int]]:
+def mutated_messages(count: int, seed: int) -> Iterator[Sample]:
+    """So many mutated messages, four tenths of them queries; the same for the same seed."""
     draw = random.Random(seed)
-    known = seeds()
+    samples = valid_answers()
     for _ in range(count):
-        wire, query, id_ = draw.choice(known)
+        wire, query, query_id = draw.choice(samples)
         if draw.random() < 0.4:
-            wire = encode_upstream_query(query, id_)
-        yield mutated(wire, draw), query, id_
+            wire = encode_upstream_query(query, query_id)
+        yield Sample(mutate(wire, draw), query, query_id)
+
 
+def check_message(sample: Sample, report: DnsFuzzReport) -> None:
+    """Parse one message as a query and as an answer, and check what comes of it.
 
-def examine(data: bytes, query: Query, id_: int, found: Found) -> None:
-    """One message, taken for a query and for an answer."""
+    Raises:
+        Exception: whatever the parser raises, but for MessageError, by which it rejects a message.
+    """
     began = time.perf_counter()
-    found.messages += 1
+    report.messages += 1
+    _check_as_query(sample.data, report)
+    _check_as_answer(sample, report)
+    took_s = time.perf_counter() - began
+    report.slowest_ms = max(report.slowest_ms, took_s * 1000)
+
+
+def _check_as_query(data: bytes, report: DnsFuzzReport) -> None:
     try:
-        read = parse_query(data)
-        found.queries_read += 1
-        if encode_error(read, Code.SERVFAIL)[:2] != data[:2]:
-            found.wrong.append(f"answered under another id: {data.hex()}")
+        query = parse_query(data)
+        report.queries_parsed += 1
+        if encode_error(query, Rcode.SERVFAIL)[:2] != data[:2]:
+            report.failures.append(f"answered under another id: {data.hex()}")
     except MessageError:
         pass
+
+
+def _check_as_answer(sample: Sample, report: DnsFuzzReport) -> None:
+    data, query, query_id = sample
     try:
-        answer = parse_answer(data, query, id_)
+        answer = parse_answer(data, query, query_id)
     except MessageError:
-        answer = None
-    if answer is not None:
-        found.answers_taken += 1
-        end = 12 + len(query.question)
-        same = data[12 : end - 4].lower() == query.name and data[end - 4 : end] == query.question[-4:]
-        if int.from_bytes(data[:2]) != id_ or not same:
-            found.wrong.append(f"took an answer to another question: {data.hex()}")
-        if len(encode_reply(query, answer, 512)) > 512:
-            found.wrong.append(f"an answer over its limit: {data.hex()}")
-        encode_reply(query, answer, 65_535, 10)
-    took = time.perf_counter() - began
-    found.slowest_ms = max(found.slowest_ms, took * 1000)
-
-
-def fuzz(count: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> Found:
-    """So many messages; an exception of any other kind than MessageError ends it and names the message."""
-    found = Found()
-    for number, (data, query, id_) in enumerate(messages(count, seed)):
-        try:
-            examine(data, query, id_, found)
-        except Exception as fault:
-            found.wrong.append(f"{fault!r}: {data.hex()}")
-        if number % 10_000 == 0:
+        return
+    if answer is None:
+        return
+    report.answers_accepted += 1
+    end = HEADER_BYTES + len(query.question)
+    same_name = data[HEADER_BYTES : end - 4].lower() == query.name
+    same_type = data[end - 4 : end] == query.question[-4:]
+    if int.from_bytes(data[:2]) != query_id or not same_name or not same_type:
+        report.failures.append(f"took an answer to another question: {data.hex()}")
+    if len(encode_reply(query, answer, MOST_UDP_BYTES)) > MOST_UDP_BYTES:
+        report.failures.append(f"an answer over its limit: {data.hex()}")
+    encode_reply(query, answer, 65_535, 10)
+
+
+def fuzz(count: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> DnsFuzzReport:
+    """Check so many messages; an exception of any other kind than MessageError is a failure.
+
+    Each failure names its message, in base 16.
+    """
+    report = DnsFuzzReport()
+    for number, sample in enumerate(mutated_messages(count, seed)):
+        _check_without_raising(sample, report)
+        if number % PROGRESS_EVERY == 0:
             progress(number / count)
-    return found
+    return report
+
+
+def _check_without_raising(sample: Sample, report: DnsFuzzReport) -> None:
+    with ErrorsAsFailures(report.failures, lambda error: f"{error!r}: {sample.data.hex()}"):
+        check_message(sample, report)
--- a/sagetrack/lab/fault_injection/faulty_filesystem.py
+++ b/sagetrack/lab/fault_injection/faulty_filesystem.py
@@ -11,152 +11,184 @@
 import os
 import random
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-SECTOR = 512
+SECTOR_BYTES = 512
 
 
-class Crash(BaseException):
+class SimulatedCrash(BaseException):
     """The machine has stopped: nothing after this was done."""
 
 
 @dataclass(slots=True, eq=False)
-class Body:
-    """One file."""
+class FaultyFile:
+    """One file: its bytes, and what of them a crash cannot take away."""
 
     data: bytearray = field(default_factory=bytearray)
-    lasts: bytes = b""  # as of the last sync
-    cut_to: int | None = None  # the least that it was cut to since
-
-
-class SimFiles:
-    """`store.directory.StoreDirectory` in memory."""
-
-    def __init__(self, bodies: dict[str, Body] | None = None) -> None:
-        self.bodies = bodies or {}
-        self.lasting = dict(self.bodies)
-        self.pending: list[tuple[str, str, Body | None]] = []  # changes of names since they were synced
+    durable: bytes = b""  # as of the last sync
+    truncated_to: int | None = None  # the least size that it was truncated to since
+
+    def bytes_after_crash(self, draw: random.Random) -> bytes:
+        """What a crash may leave of it."""
+        durable = self.durable
+        if self.truncated_to is not None and draw.random() < 0.5:
+            durable = durable[: self.truncated_to]
+        if bytes(self.data[: len(durable)]) != durable:
+            return durable  # truncated and written again, none of it synced
+        left = bytearray(durable)
+        end = draw.randint(len(durable), max(len(durable), len(self.data)))
+        at = len(durable)
+        while at < end:
+            size = min(SECTOR_BYTES - at % SECTOR_BYTES, end - at)
+            left += self.data[at : at + size] if draw.random() < 0.7 else bytes(size)
+            at += size
+        return bytes(left)
+
+
+class _NameChange(NamedTuple):
+    """A change of the directory: one name goes, and another stands for a file; either may be missing."""
+
+    removed: str | None
+    added: str | None
+    file: FaultyFile | None
+
+    def apply(self, files: dict[str, FaultyFile]) -> None:
+        if self.removed is not None:
+            files.pop(self.removed, None)
+        if self.added is not None and self.file is not None:
+            files[self.added] = self.file
+
+
+class FaultyDirectory:
+    """`store.directory.StoreDirectory` in memory, with faults on demand.
+
+    Attributes:
+        files: The files by name, as a program sees them now.
+        calls: How many calls that change something were made.
+        crash_at: The call from which on each raises SimulatedCrash; not positive for never.
+        failing: By name of a call the error number that it fails with, until it is taken out.
+        free_bytes: How many bytes may still be appended; None for any number.
+        largest_read: The most bytes that one read requested.
+    """
+
+    def __init__(self, files: dict[str, FaultyFile] | None = None) -> None:
+        self.files = files or {}
         self.calls = 0
         self.crash_at = -1
-        self.failing: dict[str, int] = {}  # by call: error number, until it is taken out
-        self.room: int | None = None  # bytes that may still be appended
-        self.most_read = 0
+        self.failing: dict[str, int] = {}
+        self.free_bytes: int | None = None
+        self.largest_read = 0
+        self._durable_files = dict(self.files)
+        self._pending_changes: list[_NameChange] = []  # since the names were synced
 
-    def _call(self, what: str) -> None:
+    def _call(self, name: str) -> None:
         self.calls += 1
         if 0 < self.crash_at <= self.calls:
-            raise Crash  # and whatever is tried from then on
-        code = self.failing.get(what)
+            raise SimulatedCrash  # and so does each call after it
+        code = self.failing.get(name)
         if code is not None:
             raise OSError(code, os.strerror(code))
 
-    def _body(self, name: str) -> Body:
-        body = self.bodies.get(name)
-        if body is None:
+    def _file(self, name: str) -> FaultyFile:
+        file = self.files.get(name)
+        if file is None:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return body
+        return file
 
     def names(self) -> list[str]:
-        return sorted(self.bodies)
+        """Names of all files, sorted."""
+        return sorted(self.files)
 
     def size(self, name: str) -> int:
-        return len(self._body(name).data)
+        """Size of a file in bytes."""
+        return len(self._file(name).data)
 
     def read(self, name: str, at: int, count: int) -> bytes:
-        self.most_read = max(self.most_read, count)
-        return bytes(self._body(name).data[at : at + count])
+        """Read bytes from an offset; fewer at the end of the file."""
+        self.largest_read = max(self.largest_read, count)
+        return bytes(self._file(name).data[at : at + count])
 
     def create(self, name: str) -> None:
+        """Create an empty file, in place of one that is there."""
         self._call("create")
-        body = self.bodies[name] = Body()
-        self.pending.append(("set", name, body))
+        file = FaultyFile()
+        self.files[name] = file
+        self._pending_changes.append(_NameChange(None, name, file))
 
     def append(self, name: str, data: bytes) -> None:
-        body = self._body(name)
+        """Append bytes; a crash leaves all of them in the cache, an error half of them."""
+        file = self._file(name)
         try:
             self._call("append")
-            if self.room is not None and len(data) > self.room:
+            if self.free_bytes is not None and len(data) > self.free_bytes:
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        except Crash:
-            body.data += data  # it may have got that far
+        except SimulatedCrash:
+            file.data += data  # it may have got that far
             raise
         except OSError:
-            body.data += data[: len(data) // 2]
+            file.data += data[: len(data) // 2]
             raise
-        if self.room is not None:
-            self.room -= len(data)
-        body.data += data
+        if self.free_bytes is not None:
+            self.free_bytes -= len(data)
+        file.data += data
 
     def sync(self, name: str) -> None:
-        body = self._body(name)
+        """Make what was appended durable; after an error it reads as zeros."""
+        file = self._file(name)
         try:
             self._call("sync")
         except OSError:
             # The pages are marked clean and may never have been written (Rebello et al., ATC 2020).
-            body.data[len(body.lasts) :] = bytes(len(body.data) - len(body.lasts))
+            file.data[len(file.durable) :] = bytes(len(file.data) - len(file.durable))
             raise
-        body.lasts, body.cut_to = bytes(body.data), None
+        file.durable = bytes(file.data)
+        file.truncated_to = None
 
     def cut(self, name: str, size: int) -> None:
+        """Truncate a file to a size in bytes."""
         self._call("cut")
-        body = self._body(name)
-        del body.data[size:]
-        body.cut_to = size if body.cut_to is None else min(size, body.cut_to)
+        file = self._file(name)
+        del file.data[size:]
+        file.truncated_to = size if file.truncated_to is None else min(size, file.truncated_to)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file atomically, in place of one of the new name."""
         self._call("rename")
-        body = self._body(old)
-        del self.bodies[old]
-        self.bodies[new] = body
-        self.pending += [("rename", f"{old}\n{new}", body)]
+        file = self._file(old)
+        del self.files[old]
+        self.files[new] = file
+        self._pending_changes.append(_NameChange(old, new, file))
 
     def remove(self, name: str) -> None:
+        """Remove a file."""
         self._call("remove")
-        self._body(name)
-        del self.bodies[name]
-        self.pending.append(("del", name, None))
+        self._file(name)
+        del self.files[name]
+        self._pending_changes.append(_NameChange(name, None, None))
 
     def sync_names(self) -> None:
+        """Make creations, renames and removals durable."""
         self._call("sync_names")
-        self.lasting, self.pending = dict(self.bodies), []
+        self._durable_files = dict(self.files)
+        self._pending_changes.clear()
 
     def close(self) -> None:
-        """Nothing is held."""
-
-    def after_crash(self, draw: random.Random) -> SimFiles:
-        """What is found when the machine is up again."""
-        names = dict(self.lasting)
-        for what, name, body in self.pending[: draw.randint(0, len(self.pending))]:
-            if what == "set" and body is not None:
-                names[name] = body
-            elif what == "rename" and body is not None:
-                old, new = name.split("\n")
-                names.pop(old, None)
-                names[new] = body
-            else:
-                names.pop(name, None)
+        """Release the directory: there is nothing to release."""
+
+    def after_crash(self, draw: random.Random) -> FaultyDirectory:
+        """The directory as it is found when the machine is up again."""
+        files = dict(self._durable_files)
+        for change in self._pending_changes[: draw.randint(0, len(self._pending_changes))]:
+            change.apply(files)
         found = {}
-        for name, body in names.items():
-            data = left_of(body, draw)
-            found[name] = Body(bytearray(data), data)
-        return SimFiles(found)
-
-    def copy(self) -> SimFiles:
-        """As it is, all of it lasting."""
-        return SimFiles({name: Body(bytearray(b.data), bytes(b.data)) for name, b in self.bodies.items()})
-
-
-def left_of(body: Body, draw: random.Random) -> bytes:
-    """A file's bytes after a crash."""
-    lasts = body.lasts
-    if body.cut_to is not None and draw.random() < 0.5:
-        lasts = lasts[: body.cut_to]
-    if bytes(body.data[: len(lasts)]) != lasts:
-        return lasts  # cut and written again, none of it synced
-    data = bytearray(lasts)
-    end = draw.randint(len(lasts), max(len(lasts), len(body.data)))
-    at = len(lasts)
-    while at < end:
-        size = min(SECTOR - at % SECTOR, end - at)
-        data += body.data[at : at + size] if draw.random() < 0.7 else bytes(size)
-        at += size
-    return bytes(data)
+        for name, file in files.items():
+            data = file.bytes_after_crash(draw)
+            found[name] = FaultyFile(bytearray(data), data)
+        return FaultyDirectory(found)
+
+    def copy(self) -> FaultyDirectory:
+        """The directory as it is, all of it durable."""
+        files = {
+            name: FaultyFile(bytearray(file.data), bytes(file.data)) for name, file in self.files.items()
+        }
+        return FaultyDirectory(files)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,16 +14,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sagetrack.lab.fault_injection.crash_test import (
-    SMALL,
-    Life,
-    Tried,
-    crash_once,
-    kill_once,
-    look,
-    sample,
-    state_of,
+    CrashTestReport,
+    check_recovery,
+    crash_repeatedly,
+    kill_writer,
+    sample_store,
 )
-from sagetrack.lab.fault_injection.faulty_filesystem import Crash, SimFiles
+from sagetrack.lab.fault_injection.faulty_filesystem import FaultyDirectory, SimulatedCrash
+from sagetrack.lab.fault_injection.store_states import SMALL_STORE, ExpectedStates, state_of
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import NewerFormatError, StoreFullError
 from sagetrack.store.format import LOG_MAGIC, Record, encode_file_header, encode_frame
@@ -31,26 +29,26 @@
 
 
 def test_whatever_byte_is_cut_or_flipped_an_earlier_state_is_found() -> None:
-    files, states = sample(3, batches=9, bases=2)
-    tried = Tried()
+    files, states = sample_store(3, batches=9, checkpoints=2)
+    report = CrashTestReport()
     for name in files.names():
         for at in range(files.size(name)):
             made = files.copy()
-            del made.bodies[name].data[at:]
-            look(made, states, tried, f"{name} cut at {at}")
+            del made.files[name].data[at:]
+            check_recovery(made, states, report, f"{name} cut at {at}")
             made = files.copy()
-            made.bodies[name].data[at] ^= 1 << at % 8
-            look(made, states, tried, f"{name} flipped at {at}")
-    assert not tried.wrong, tried.wrong[:3]
-    assert tried.whole > 300  # a damaged base costs nothing
+            made.files[name].data[at] ^= 1 << at % 8
+            check_recovery(made, states, report, f"{name} flipped at {at}")
+    assert not report.failures, report.failures[:3]
+    assert report.complete > 300  # a damaged base costs nothing
 
 
 def test_crashes_and_errors_of_the_disk_lose_nothing_that_was_acknowledged() -> None:
-    tried = Tried()
+    report = CrashTestReport()
     for seed in range(150):
-        crash_once(seed, tried)
-    assert not tried.wrong, tried.wrong[:3]
-    assert tried.crashes > 500 and tried.errors > 500
+        crash_repeatedly(seed, report)
+    assert not report.failures, report.failures[:3]
+    assert report.crashes > 500 and report.disk_errors > 500
 
 
 class Machine(RuleBasedStateMachine):
@@ -58,28 +56,28 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.files, self.life = SimFiles(), Life()
+        self.files, self.expected = FaultyDirectory(), ExpectedStates()
         self.up()
 
     def up(self) -> None:
         self.files.failing = {}
-        self.store = Store(self.files, SMALL)
-        assert self.life.found(self.store.open().sequence, state_of(self.store)) is None
+        self.store = Store(self.files, SMALL_STORE)
+        assert self.expected.check_recovered(self.store.open().sequence, state_of(self.store)) is None
 
     @rule(keys=st.lists(st.integers(0, 5), min_size=1, max_size=3), value=st.binary(max_size=300))
     def write(self, keys: list[int], value: bytes) -> None:
         ops = [Record("s", b"%d" % key, value + b"%d" % key if value else None, 1) for key in keys]
-        self.life.begin([ops])
+        self.expected.begin_write([ops])
         try:
             self.store.write([ops])
         except OSError:
             return
-        self.life.written([ops])
+        self.expected.end_write([ops])
 
     @rule()
     def sync(self) -> None:
         with suppress(OSError):
-            self.life.lasts(self.store.sync())
+            self.expected.acknowledge(self.store.sync())
 
     @rule(steps=st.integers(0, 20))
     def compact(self, steps: int) -> None:
@@ -100,7 +98,7 @@
     def crash(self, seed: int, calls: int) -> None:
         self.files.failing = {}
         self.files.crash_at = self.files.calls + calls
-        with suppress(Crash):
+        with suppress(SimulatedCrash):
             for _ in range(9):
                 self.sync()
                 self.write([seed % 6], b"at the end")
@@ -111,7 +109,7 @@
     @invariant()
     def reads_what_was_written(self) -> None:
         if not self.files.failing and self.store.log.current_segment is not None:
-            assert state_of(self.store) == self.life.states[-1]
+            assert state_of(self.store) == self.expected.newest
 
 
 TestMachine = Machine.TestCase
@@ -119,34 +117,36 @@
 
 
 def test_what_was_acknowledged_outlives_a_writer_that_is_killed(tmp_path: Path) -> None:
-    tried, last, draw = Tried(), 0, random.Random(1)
+    report, last, draw = CrashTestReport(), 0, random.Random(1)
     for _ in range(3):
-        last = kill_once(tmp_path, draw, last, tried)
-    assert not tried.wrong and tried.acknowledged > 0
+        last = kill_writer(tmp_path, draw, last, report)
+    assert not report.failures and report.acknowledged > 0
 
 
 def test_an_older_format_is_carried_over_and_a_newer_one_left_alone() -> None:
-    files = SimFiles()
-    files.create("log-0000000000000001")
+    directory = FaultyDirectory()
+    directory.create("log-0000000000000001")
     rows = msgspec.msgpack.encode([("s", b"k", b"old")])
-    files.append("log-0000000000000001", encode_file_header(LOG_MAGIC, 1, version=1) + encode_frame(rows, 1))
-    store = Store(files, SMALL)
+    directory.append(
+        "log-0000000000000001", encode_file_header(LOG_MAGIC, 1, version=1) + encode_frame(rows, 1)
+    )
+    store = Store(directory, SMALL_STORE)
     store.open()
     store.write([[Record("s", b"n", b"new", 1)]])
     list(store.compact(0))
-    again = Store(files, SMALL)
+    again = Store(directory, SMALL_STORE)
     assert again.open().records == 2 and again.get("s", b"k") == b"old"
-    files.create("log-00000000000000ff")
-    files.append("log-00000000000000ff", encode_file_header(LOG_MAGIC, 9, version=7))
-    before = {name: bytes(body.data) for name, body in files.bodies.items()}
+    directory.create("log-00000000000000ff")
+    directory.append("log-00000000000000ff", encode_file_header(LOG_MAGIC, 9, version=7))
+    before = {name: bytes(body.data) for name, body in directory.files.items()}
     with pytest.raises(NewerFormatError, match="format 7; this program knows formats 1 to 2"):
-        Store(files, SMALL).open()
-    assert before == {name: bytes(body.data) for name, body in files.bodies.items()}
+        Store(directory, SMALL_STORE).open()
+    assert before == {name: bytes(body.data) for name, body in directory.files.items()}
 
 
 def test_at_the_bound_the_oldest_of_what_may_go_makes_room_and_the_rest_is_refused() -> None:
     spaces = {"notes": SpacePolicy(evictable=True), "brief": SpacePolicy(max_age_ms=1000)}
-    store = Store(SimFiles(), StoreOptions(4000, 40_000, spaces))
+    store = Store(FaultyDirectory(), StoreOptions(4000, 40_000, spaces))
     store.open()
     store.write([[Record("brief", b"b", b"x", 0), Record("kept", b"k", b"stays", 0)]])
     refused = 0
@@ -167,8 +167,8 @@
 
 
 def test_a_snapshot_stays_as_it_was_while_a_base_takes_the_place_of_another() -> None:
-    files = SimFiles()
-    store = Store(files, SMALL)
+    files = FaultyDirectory()
+    store = Store(files, SMALL_STORE)
     store.open()
     for n in range(60):
         store.write([[Record("s", b"%d" % (n % 20), b"%d" % n, 1)]])
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from sagetrack.lab.fault_injection.crash_test import SMALL
-from sagetrack.lab.fault_injection.faulty_filesystem import SimFiles
+from sagetrack.lab.fault_injection.faulty_filesystem import FaultyDirectory
+from sagetrack.lab.fault_injection.store_states import SMALL_STORE
 from sagetrack.store.directory import Disk
 from sagetrack.store.errors import StoreOpenError
 from sagetrack.store.format import Record
@@ -21,14 +21,14 @@
     first = Disk(tmp_path)
     with pytest.raises(BlockingIOError):
         Disk(tmp_path)
-    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL, lambda line: None)
+    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL_STORE, lambda line: None)
     with pytest.raises(StoreOpenError, match="another process has it"):
         keeper.open()
     first.close()
     Disk(tmp_path).close()
 
 
-class Slow(SimFiles):
+class Slow(FaultyDirectory):
     """A disk that stands still until it is let go."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
 
 def test_a_slow_or_failing_disk_holds_nobody_up_and_is_told_once() -> None:
     files, lines, lasting = Slow(), list[str](), list[bool]()
-    keeper = BackgroundWriter(lambda: files, SMALL, lines.append, sync_policy="batch")
+    keeper = BackgroundWriter(lambda: files, SMALL_STORE, lines.append, sync_policy="batch")
     keeper.open()
     keeper.start()
     began = time.monotonic()
@@ -59,7 +59,7 @@
     keeper.close()
     assert len([line for line in lines if "store writes failing" in line]) == 1
     assert lasting.count(False) == 200 and keeper.metric_values()["store_failing"] == 1
-    good = BackgroundWriter(SimFiles, SMALL, lines.append, sync_policy="batch")
+    good = BackgroundWriter(FaultyDirectory, SMALL_STORE, lines.append, sync_policy="batch")
     good.open()
     good.start()
     good.submit([Record("s", b"k", b"v", 1)], lasting.append)
