--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -2,36 +2,52 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import typer
 
 from sagetrack.cli import lab_benchmarks, lab_hostile_input, lab_play, lab_sweep
-from sagetrack.cli.overload import jams
+from sagetrack.cli.lab_virtual_fleets import overload, slow_start
 from sagetrack.cli.scale import scale, scale_page
-from sagetrack.cli.slow_start import cold
 from sagetrack.cli.soak import soak
 
+COMMANDS: dict[str, Callable[..., None]] = {
+    "slow-start": slow_start,
+    "overload": overload,
+    "soak": soak,
+    "list": lab_play.list_scenarios,
+    "run": lab_play.run,
+    "sweep": lab_sweep.sweep,
+    "compare": lab_sweep.compare,
+    "throughput": lab_benchmarks.throughput,
+    "membership": lab_benchmarks.membership,
+    "dns": lab_benchmarks.dns,
+    "mixed-protocols": lab_benchmarks.mixed_protocols,
+    "spoof-dns": lab_hostile_input.spoof_dns,
+    "fair-queue": lab_benchmarks.fair_queue,
+    "bodies": lab_benchmarks.bodies,
+    "fuzz-h2": lab_hostile_input.fuzz_h2,
+    "fuzz-dns": lab_hostile_input.fuzz_dns,
+    "restart": lab_sweep.restart,
+    "readiness": lab_benchmarks.readiness,
+    "plot": lab_play.plot,
+    "scale": scale,
+    "scale-page": scale_page,
+}
+ALIASES = {
+    "cold": "slow-start",
+    "jams": "overload",
+    "together": "mixed-protocols",
+    "forge-dns": "spoof-dns",
+    "door": "fair-queue",
+}
+"""Names of earlier versions, which scripts may still use; no help lists them."""
+
 app = typer.Typer(
     help="Play a whole fleet on this machine, in real or in virtual time.", no_args_is_help=True
 )
 
-app.command("cold")(cold)
-app.command("jams")(jams)
-app.command("soak")(soak)
-app.command("list")(lab_play.list_scenarios)
-app.command("run")(lab_play.run)
-app.command("sweep")(lab_sweep.sweep)
-app.command("compare")(lab_sweep.compare)
-app.command("throughput")(lab_benchmarks.throughput)
-app.command("membership")(lab_benchmarks.membership)
-app.command("dns")(lab_benchmarks.dns)
-app.command("together")(lab_benchmarks.together)
-app.command("forge-dns")(lab_hostile_input.forge_dns)
-app.command("door")(lab_benchmarks.door)
-app.command("bodies")(lab_benchmarks.bodies)
-app.command("fuzz-h2")(lab_hostile_input.fuzz_h2)
-app.command("fuzz-dns")(lab_hostile_input.fuzz_dns)
-app.command("restart")(lab_sweep.restart)
-app.command("readiness")(lab_benchmarks.readiness)
-app.command("plot")(lab_play.plot)
-app.command("scale")(scale)
-app.command("scale-page")(scale_page)
+for _name, _command in COMMANDS.items():
+    app.command(_name)(_command)
+for _alias, _name in ALIASES.items():
+    app.command(_alias, hidden=True)(COMMANDS[_name])
--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -1,9 +1,9 @@
-"""What the commands of `sagetrack lab` share: options, exit statuses, errors in one line, a progress bar."""
+"""What the commands of `sagetrack lab` share: options, exit statuses, plain errors, progress, tables."""
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from contextlib import contextmanager
 from typing import TYPE_CHECKING, Annotated, Any
 
@@ -26,6 +26,12 @@
     return typer.Exit(2)
 
 
+def check_fault(fault: str, known: Sequence[str]) -> None:
+    """Exit 2 with one line for a deliberate fault that is not known."""
+    if fault and fault not in known:
+        raise fail(f"--fault {fault}: allowed are {', '.join(known)}")
+
+
 def judged(wrong: list[str]) -> typer.Exit:
     """Print the first of what was wrong; exit 1 if anything was."""
     for line in wrong[:SHOWN]:
@@ -33,6 +39,19 @@
     return typer.Exit(1 if wrong else 0)
 
 
+def integers_of(option: str, text: str, example: str, most: int | None = None) -> list[int]:
+    """Integers from 1, as `3,20,30`; exit 2 with one line for other forms and for larger ones than `most`."""
+    try:
+        numbers = [int(part) for part in text.split(",")]
+    except ValueError:
+        raise fail(f"{option} {text}: the form is {example}") from None
+    if most is None and min(numbers) < 1:
+        raise fail(f"{option} {text}: each is at least 1")
+    if most is not None and not all(1 <= number <= most for number in numbers):
+        raise fail(f"{option} {text}: each is from 1 to {most}")
+    return numbers
+
+
 def value_of(text: str) -> Any:
     """A value as TOML writes it; anything else is a text."""
     import tomllib
@@ -69,6 +88,35 @@
         yield lambda share: progress.update(task, completed=share)
 
 
+@contextmanager
+def measuring(what: str, quiet: bool) -> Iterator[Callable[[float], None]]:
+    """A progress bar round a measurement; LabError is one line and exit 2, an interrupt exit 130."""
+    from sagetrack.lab.errors import LabError
+
+    try:
+        with bar(what, quiet) as tell:
+            yield tell
+    except LabError as error:
+        raise fail(str(error)) from None
+    except KeyboardInterrupt:
+        raise typer.Exit(INTERRUPTED) from None
+
+
+def print_table(
+    title: str, rows: Sequence[Mapping[str, object]], width: int | None = None, left: Iterable[str] = ()
+) -> None:
+    """Rows of the same keys as a table; all columns but the `left` ones are aligned to the right."""
+    from rich.console import Console
+    from rich.table import Table
+
+    table = Table(title=title)
+    for name in rows[0]:
+        table.add_column(name.replace("_", " "), justify="left" if name in left else "right")
+    for row in rows:
+        table.add_row(*(str(value) for value in row.values()))
+    Console(width=width).print(table)
+
+
 def scenario_from(path: str, settings: list[str] | None) -> Scenario:
     """Load a scenario and apply all `--set` options to it."""
     from sagetrack.lab.model.scenario import altered, load
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, SetOption, bar, fail, scenario_from
+from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, SetOption, bar, check_fault, fail, scenario_from
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.figures import Figures
@@ -17,6 +17,8 @@
     from sagetrack.lab.analysis.violations import Violation
     from sagetrack.lab.model.scenario import Scenario
 
+PLOT_SAMPLE_S = 0.25  # between samples of the servers' load
+
 
 def list_scenarios(folder: Annotated[str, typer.Argument(help="where they lie")] = "") -> None:
     """Scenarios, a line each."""
@@ -49,27 +51,30 @@
     from sagetrack.lab.virtual.faulty_gateways import FAULTS
 
     played = scenario_from(scenario, settings)
-    if fault and fault not in FAULTS:
-        raise fail(f"--fault {fault}: allowed are {', '.join(FAULTS)}")
+    check_fault(fault, FAULTS)
     if fault and not virtual:
         raise fail("--fault needs --virtual")
-    sample_s = 0.25 if plot else 0.0
+    sample_s = PLOT_SAMPLE_S if plot else 0.0
     try:
         if virtual:
-            from sagetrack.lab.virtual.simulation import play as play_virtual
-
-            with bar(played.name, as_json) as tell:
-                try:
-                    records: Records = play_virtual(played, seed, tell, sample_s, fault)
-                except ValueError as error:
-                    raise fail(str(error)) from None
+            records = play_virtual(played, seed, as_json, sample_s, fault)
         else:
             records = play_real(played, seed, as_json, sample_s)
     except KeyboardInterrupt:
         print("sagetrack: ended; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
     violations = judge(records, played)
-    made = figures(records, played, violations)
+    results = figures(records, played, violations)
+    write_files(records, records_file, plot)
+    if as_json:
+        print(json_of(records, results, violations))
+    else:
+        show(played, results, violations, records)
+    raise typer.Exit(0 if not violations and results.expect_held and not results.late else 1)
+
+
+def write_files(records: Records, records_file: str, plot: str) -> None:
+    """Write the records and the plot where they are to go; exit 2 with one line if that fails."""
     try:
         if records_file:
             records.write(records_file)
@@ -79,16 +84,29 @@
             draw(records, plot)
     except (OSError, ValueError) as error:
         raise fail(f"the run is played, but cannot be written: {error}") from None
-    if as_json:
-        header = {name: records.header[name] for name in ("scenario", "seed", "driver")}
-        extra = {k: v for k, v in records.header.items() if k.startswith("gateway_")}
-        shown = [str(violation) for violation in violations[:SHOWN]]
-        extra |= {"http_service": round(made.service, 4)} if made.dns_queries else {}
-        extra |= {"service_by_member": {name: round(part, 4) for name, part in made.by_member.items()}}
-        print(json.dumps({**header, **made.plain(), **extra, "violations": shown}))
-    else:
-        show(played, made, violations, records)
-    raise typer.Exit(0 if not violations and made.expect_held and not made.late else 1)
+
+
+def json_of(records: Records, results: Figures, violations: list[Violation]) -> str:
+    """A run as one JSON object."""
+    row = {name: records.header[name] for name in ("scenario", "seed", "driver")}
+    row |= results.plain()
+    row |= {key: value for key, value in records.header.items() if key.startswith("gateway_")}
+    if results.dns_queries:
+        row["http_service"] = round(results.service, 4)
+    row["service_by_member"] = {name: round(part, 4) for name, part in results.by_member.items()}
+    row["violations"] = [str(violation) for violation in violations[:SHOWN]]
+    return json.dumps(row)
+
+
+def play_virtual(scenario: Scenario, seed: int, quiet: bool, sample_s: float, fault: str) -> Records:
+    """Play in virtual time behind a bar; one plain line and exit 2 if the lab cannot."""
+    from sagetrack.lab.virtual.simulation import play
+
+    with bar(scenario.name, quiet) as tell:
+        try:
+            return play(scenario, seed, tell, sample_s, fault)
+        except ValueError as error:
+            raise fail(str(error)) from None
 
 
 def play_real(scenario: Scenario, seed: int, quiet: bool, sample_s: float) -> Records:
@@ -103,7 +121,7 @@
         raise fail(str(error)) from None
 
 
-def show(scenario: Scenario, made: Figures, violations: list[Violation], records: Records) -> None:
+def show(scenario: Scenario, results: Figures, violations: list[Violation], records: Records) -> None:
     """The figures for people."""
     from rich.console import Console
     from rich.table import Table
@@ -112,32 +130,32 @@
     table = Table(title=f"{scenario.name}, seed {records.header['seed']}, {records.header['driver']} time")
     for column in ("", "service"):
         table.add_column(column, justify="right" if column else "left")
-    table.add_row("all", f"{made.service:.3f}")
-    for name, share in made.by_class.items():
+    table.add_row("all", f"{results.service:.3f}")
+    for name, share in results.by_class.items():
         table.add_row(f"class {name}", f"{share:.3f}")
-    for name, share in made.by_member.items():
+    for name, share in results.by_member.items():
         table.add_row(f"member {name}", f"{share:.3f}")
-    table.add_row("worst 5 s", f"{made.worst_window:.3f}")
+    table.add_row("worst 5 s", f"{results.worst_window:.3f}")
     out.print(table)
     for violation in violations[:SHOWN]:
         out.print(f"[red]broken[/red] {violation}", highlight=False)
     if len(violations) > SHOWN:
         out.print(f"and {len(violations) - SHOWN} more")
-    for words in made.expect_missed:
+    for words in results.expect_missed:
         out.print(f"[red]missed[/red] {words}", highlight=False)
-    if made.late:
+    if results.late:
         out.print("[red]late[/red] the load ran late: this run is not to be scored", highlight=False)
-    print(verdict(made))
+    print(verdict(results))
 
 
-def verdict(made: Figures) -> str:
+def verdict(results: Figures) -> str:
     """A run in one line."""
-    broken = sum(made.rules_broken.values())
-    held = "expectations held" if made.expect_held else "expectations missed"
+    broken = sum(results.rules_broken.values())
+    held = "expectations held" if results.expect_held else "expectations missed"
     return (
-        f"{made.requests} calls: {made.served} served, {made.too_late} too late, {made.refused} refused, "
-        f"{made.failed + made.unanswered} failed; p50 {made.p50_ms:.0f} ms, p99 {made.p99_ms:.0f} ms; "
-        f"{broken} rules broken; {held}"
+        f"{results.requests} calls: {results.served} served, {results.too_late} too late, "
+        f"{results.refused} refused, {results.failed + results.unanswered} failed; "
+        f"p50 {results.p50_ms:.0f} ms, p99 {results.p99_ms:.0f} ms; {broken} rules broken; {held}"
     )
 
 
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -4,7 +4,9 @@
 
 import json
 import os
+import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
 from typing import TYPE_CHECKING, Annotated, Any
 
@@ -32,20 +34,13 @@
     from sagetrack.lab.benchmarks import sweep as sweeps
     from sagetrack.lab.model.scenario import load
 
-    first, mark, last = seeds.partition("-")
-    try:
-        numbers = range(int(first), int(last) + 1) if mark else range(1, int(first) + 1)
-    except ValueError:
-        raise fail(f"--seeds {seeds}: the form is 10 or 3-12") from None
-    if not numbers:
-        raise fail(f"--seeds {seeds}: there are none")
+    numbers = seed_range_of(seeds)
     values = {name: [value_of(v) for v in text.split(",")] for name, text in settings_of(settings).items()}
     jobs = [job for path in scenario for job in sweeps.plan(load(path), numbers, values, fault)]
+    processes = workers or len(os.sched_getaffinity(0))
     try:
         with bar("sweep", False) as tell:
-            rows = sweeps.sweep(
-                jobs, Path(out), workers or len(os.sched_getaffinity(0)), lambda at, of: tell(at / max(1, of))
-            )
+            rows = sweeps.sweep(jobs, Path(out), processes, lambda at, of: tell(at / max(1, of)))
     except KeyboardInterrupt:
         print(
             f"sagetrack: ended; what was played stands in {out}, and the same call goes on", file=sys.stderr
@@ -53,21 +48,42 @@
         raise typer.Exit(INTERRUPTED) from None
     except OSError as error:
         raise fail(f"{out}: {error.strerror}") from None
+    for line in sweep_lines(rows):
+        print(line)
+    raise typer.Exit(1 if any(rules_broken(row) for row in rows) else 0)
+
+
+def seed_range_of(text: str) -> range:
+    """Seeds as `10`, from 1 on, or `3-12`; exit 2 with one line for other forms."""
+    first, mark, last = text.partition("-")
+    try:
+        numbers = range(int(first), int(last) + 1) if mark else range(1, int(first) + 1)
+    except ValueError:
+        raise fail(f"--seeds {text}: the form is 10 or 3-12") from None
+    if not numbers:
+        raise fail(f"--seeds {text}: there are none")
+    return numbers
+
+
+def rules_broken(row: dict[str, Any]) -> int:
+    """How many times a run of a sweep broke any rule."""
+    return sum(row["rules_broken"].values())
+
+
+def sweep_lines(rows: list[dict[str, Any]]) -> Iterator[str]:
+    """A line for each scenario and choice of settings, over its seeds."""
     groups: dict[str, list[dict[str, Any]]] = {}
     for row in rows:
         chosen = " ".join(f"{name}={value}" for name, value in row["settings"].items())
         groups.setdefault(f"{row['scenario']} {chosen}".strip(), []).append(row)
-    broken = 0
-    for name, mine in groups.items():
-        service = [row["service"] for row in mine]
-        rules = sum(sum(row["rules_broken"].values()) for row in mine)
-        held = sum(row["expect_held"] for row in mine)
-        broken += rules
-        print(
-            f"{name}: {len(mine)} runs, service {sum(service) / len(service):.4f} "
-            f"({min(service):.4f} to {max(service):.4f}), {rules} rules broken, expectations held in {held}"
+    for name, group in groups.items():
+        service = [row["service"] for row in group]
+        broken = sum(rules_broken(row) for row in group)
+        held = sum(row["expect_held"] for row in group)
+        yield (
+            f"{name}: {len(group)} runs, service {sum(service) / len(service):.4f} "
+            f"({min(service):.4f} to {max(service):.4f}), {broken} rules broken, expectations held in {held}"
         )
-    raise typer.Exit(1 if broken else 0)
 
 
 def compare(
@@ -97,36 +113,12 @@
     settings: SetOption = None,
 ) -> None:
     """Measure what a restart costs in a gateway's first 10 s, with and without the others' help."""
-    from sagetrack.lab.analysis.records import read as read_records
     from sagetrack.lab.benchmarks import restart as restarts
+    from sagetrack.lab.virtual.simulation import play as play_virtual
 
     played = scenario_from(scenario, settings)
-
-    def real(variant: Scenario, seed: int) -> Records:
-        """In a process of its own: signals and event loops belong to main threads."""
-        import subprocess
-        import tempfile
-
-        import msgspec
-
-        with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
-            file, out = Path(folder) / "scenario.json", Path(folder) / "records.gz"
-            plain = msgspec.to_builtins(variant)
-            if plain["expect"].get("p99_ms_max") is None:
-                plain["expect"].pop("p99_ms_max", None)
-            file.write_text(json.dumps(plain))
-            words = ["lab", "run", str(file), "--seed", str(seed), "--records", str(out), "--json"]
-            done = subprocess.run([sys.executable, "-m", "sagetrack", *words], capture_output=True, text=True)
-            if done.returncode not in (0, 1) or not out.exists():
-                raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr else "no records")
-            if json.loads(done.stdout.splitlines()[-1])["late"]:
-                raise RuntimeError(f"seed {seed} ran late: lower --lanes")
-            return read_records(out)
-
+    play = play_virtual if virtual else play_in_process
     try:
-        from sagetrack.lab.virtual.simulation import play as play_virtual
-
-        play = play_virtual if virtual else real
         with bar("restart", False) as tell:
             made = restarts.pairs(played, range(1, seeds + 1), play, 1 if virtual else lanes, tell)
     except (ValueError, RuntimeError) as error:
@@ -136,3 +128,40 @@
     for line in restarts.summary(made):
         print(line)
     raise typer.Exit(1 if any(one.broken for one in made) else 0)
+
+
+def play_in_process(scenario: Scenario, seed: int) -> Records:
+    """Play in real time in a process of its own: signals and event loops belong to main threads.
+
+    Raises:
+        RuntimeError: the run failed or was late; the message says why.
+    """
+    import tempfile
+
+    import msgspec
+
+    from sagetrack.lab.analysis.records import read
+
+    with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
+        scenario_file = Path(folder) / "scenario.json"
+        records_file = Path(folder) / "records.gz"
+        plain = msgspec.to_builtins(scenario)
+        if plain["expect"].get("p99_ms_max") is None:
+            plain["expect"].pop("p99_ms_max", None)
+        scenario_file.write_text(json.dumps(plain))
+        words = [
+            "lab",
+            "run",
+            str(scenario_file),
+            "--seed",
+            str(seed),
+            "--records",
+            str(records_file),
+            "--json",
+        ]
+        done = subprocess.run([sys.executable, "-m", "sagetrack", *words], capture_output=True, text=True)
+        if done.returncode not in (0, 1) or not records_file.exists():
+            raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr else "no records")
+        if json.loads(done.stdout.splitlines()[-1])["late"]:
+            raise RuntimeError(f"seed {seed} ran late: lower --lanes")
+        return read(records_file)
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -9,25 +9,27 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, bar, fail
+from sagetrack.cli.lab_app import fail, measuring
 
+COLUMNS = ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size")
 
-def whole(option: str, text: str, least: int, most: int) -> int:
-    """A whole number within bounds; else exit 2 with one line, which typer's own checks would not keep to."""
+
+def integer_of(option: str, text: str, least: int, most: int) -> int:
+    """An integer within bounds; else exit 2 with one line, where typer's own checks would print several."""
     number = int(text) if text.isascii() and text.isdigit() and len(text) < 20 else -1
     if not least <= number <= most:
         raise fail(f"{option} {text}: a whole number from {least} to {most}")
     return number
 
 
-def writable(path: Path) -> None:
+def check_writable(path: Path) -> None:
     """Exit 2 now for a file that could not be written later."""
     if path.is_dir() or not path.resolve().parent.is_dir():
         raise fail(f"{path}: no file can be written there")
 
 
-def write_whole(path: Path, text: str) -> None:
-    """All of it or nothing."""
+def write_atomically(path: Path, text: str) -> None:
+    """Write all of the file or nothing of it; exit 2 with one line for an error."""
     fresh = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         fresh.write_text(text)
@@ -52,35 +54,39 @@
     file: Annotated[str, typer.Option("--json", help="write all figures here")] = "",
 ) -> None:
     """Sweep each size of a large fleet over hollow gateways, beside a real one: what grows, and how fast."""
-    from sagetrack.lab.errors import LabError
-    from sagetrack.lab.scale.run import ScaleError, check, chosen, measure, table
+    from sagetrack.lab.scale.run import ScaleError, check, chosen, measure
     from sagetrack.lab.scale.target import Sizes
 
     sizes = Sizes(
-        whole("--gateways", gateways, 3, 65_535),
-        whole("--servers", servers, 25, 10_000_000),
-        whole("--services", services, 4, 10_000_000),
-        whole("--tenants", tenants, 10, 100_000_000),
+        integer_of("--gateways", gateways, 3, 65_535),
+        integer_of("--servers", servers, 25, 10_000_000),
+        integer_of("--services", services, 4, 10_000_000),
+        integer_of("--tenants", tenants, 10, 100_000_000),
     )
-    from_seed = whole("--seed", seed, 0, 2**63)
+    from_seed = integer_of("--seed", seed, 0, 2**63)
     if file:
-        writable(Path(file))
+        check_writable(Path(file))
     try:
         check(sizes)
         chosen(probe or [])
-        with bar("scale", False) as tell:
+        with measuring("scale", False) as tell:
             found = measure(sizes, from_seed, probe or [], quick, not counts, tell)
-    except (ScaleError, LabError) as error:
+    except ScaleError as error:
         raise fail(str(error)) from None
-    except KeyboardInterrupt:
-        raise typer.Exit(INTERRUPTED) from None
     if file:
-        write_whole(Path(file), json.dumps(found, indent=1) + "\n")
+        write_atomically(Path(file), json.dumps(found, indent=1) + "\n")
+    print_results(found, seed)
+
+
+def print_results(found: dict[str, Any], seed: str) -> None:
+    """The results as a table."""
     from rich.console import Console
     from rich.table import Table
 
+    from sagetrack.lab.scale.run import table
+
     shown = Table(title=f"{found['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
-    for name in ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size"):
+    for name in COLUMNS:
         shown.add_column(name)
     for line in table(found):
         shown.add_row(*line)
@@ -117,5 +123,5 @@
         raise fail(f"{page} cannot be filled from {file}: {error}") from None
     if check:
         raise typer.Exit(0 if fresh == text else 1)
-    write_whole(Path(page), fresh)
+    write_atomically(Path(page), fresh)
     print(page)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -200,13 +200,13 @@
     ],
 )
 def test_options_out_of_range_are_one_plain_line_and_2(words: tuple[str, ...], why: str) -> None:
-    done = CliRunner().invoke(app, ["lab", "cold", *words])
+    done = CliRunner().invoke(app, ["lab", "slow-start", *words])
     assert done.exit_code == 2 and done.stdout == ""
     assert done.stderr.count("\n") == 1 and done.stderr.startswith(f"sagetrack: {why}")
 
 
 def test_the_command_gives_the_figures_of_each_play_as_json() -> None:
-    words = ["lab", "cold", "--gateways", "2", "--case", "few", "--seed", "3", "--json"]
+    words = ["lab", "slow-start", "--gateways", "2", "--case", "few", "--seed", "3", "--json"]
     done = CliRunner().invoke(app, words)
     assert done.exit_code == 0
     (row,) = json.loads(done.stdout)
--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -81,7 +81,7 @@
 
 
 def test_the_command_prints_one_array() -> None:
-    done = CliRunner().invoke(app, ["lab", "jams", "--gateways", "3", "--size", "1.5", "--json"])
+    done = CliRunner().invoke(app, ["lab", "overload", "--gateways", "3", "--size", "1.5", "--json"])
     (row,) = json.loads(done.stdout.splitlines()[-1])
     assert done.exit_code == 0 and row["gateways"] == 3 and row["size"] == 1.5 and not row["broken"]
 
@@ -101,6 +101,6 @@
     ],
 )
 def test_an_option_out_of_range_is_one_line(options: tuple[str, ...]) -> None:
-    done = CliRunner().invoke(app, ["lab", "jams", *options])
+    done = CliRunner().invoke(app, ["lab", "overload", *options])
     assert done.exit_code == 2
     assert done.stderr.startswith("sagetrack: ") and done.stderr.count("\n") == 1 and not done.stdout
