--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -13,7 +13,7 @@
     from sagetrack.lab.model.scenario import Scenario
 
 INTERRUPTED = 130
-SHOWN = 10  # violations that are printed
+SHOWN = 10  # violations or failures that are printed
 
 SetOption = Annotated[
     list[str] | None, typer.Option("--set", help="another value, as in load.use=0.7; may be given again")
@@ -21,7 +21,7 @@
 
 
 def fail(line: str) -> typer.Exit:
-    """Say in one line why a command cannot go on; exit 2."""
+    """Print one line that says why a command cannot continue; exit 2."""
     print(f"sagetrack: {line}", file=sys.stderr)
     return typer.Exit(2)
 
@@ -32,11 +32,11 @@
         raise fail(f"--fault {fault}: allowed are {', '.join(known)}")
 
 
-def judged(wrong: list[str]) -> typer.Exit:
-    """Print the first of what was wrong; exit 1 if anything was."""
-    for line in wrong[:SHOWN]:
+def exit_with(failures: list[str]) -> typer.Exit:
+    """Print the first failures; exit 1 if there are any."""
+    for line in failures[:SHOWN]:
         print(line)
-    return typer.Exit(1 if wrong else 0)
+    return typer.Exit(1 if failures else 0)
 
 
 def integers_of(option: str, text: str, example: str, most: int | None = None) -> list[int]:
@@ -53,7 +53,7 @@
 
 
 def value_of(text: str) -> Any:
-    """A value as TOML writes it; anything else is a text."""
+    """A value as TOML writes it; anything else is a string."""
     import tomllib
 
     try:
@@ -64,18 +64,18 @@
 
 def settings_of(pairs: list[str] | None) -> dict[str, str]:
     """Values by key of all `--set key=value`; exit 2 with one line for another form."""
-    found = {}
+    values = {}
     for pair in pairs or []:
         name, mark, value = pair.partition("=")
         if not mark or not name:
             raise fail(f"--set {pair}: the form is key=value, as in load.use=0.7")
-        found[name.strip()] = value.strip()
-    return found
+        values[name.strip()] = value.strip()
+    return values
 
 
 @contextmanager
-def bar(what: str, quiet: bool) -> Iterator[Callable[[float], None]]:
-    """A progress bar on standard error, where that is a terminal."""
+def progress_bar(what: str, quiet: bool) -> Iterator[Callable[[float], None]]:
+    """A progress bar on standard error, where that is a terminal; call what it yields with the share done."""
     if quiet or not sys.stderr.isatty():
         yield lambda share: None
         return
@@ -83,9 +83,9 @@
     from rich.progress import BarColumn, Progress, TaskProgressColumn, TextColumn, TimeRemainingColumn
 
     columns = (TextColumn(what), BarColumn(), TaskProgressColumn(), TimeRemainingColumn())
-    with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
-        task = progress.add_task(what, total=1.0)
-        yield lambda share: progress.update(task, completed=share)
+    with Progress(*columns, console=Console(stderr=True), transient=True) as shown:
+        task = shown.add_task(what, total=1.0)
+        yield lambda share: shown.update(task, completed=share)
 
 
 @contextmanager
@@ -94,8 +94,8 @@
     from sagetrack.lab.errors import LabError
 
     try:
-        with bar(what, quiet) as tell:
-            yield tell
+        with progress_bar(what, quiet) as progress:
+            yield progress
     except LabError as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import bar, fail, integers_of, measuring, print_table
+from sagetrack.cli.lab_app import fail, integers_of, measuring, print_table, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.lab.benchmarks.membership import Outcome
@@ -44,8 +44,8 @@
 
     sizes = integers_of("--servers", servers, "8,64,400", MOST_SERVERS)
     builds = builds_of(build)
-    with measuring("throughput", as_json) as tell:
-        rows = summary(measure(sizes, seconds, rounds, builds, lambda at, of: tell(at / of), newer))
+    with measuring("throughput", as_json) as progress:
+        rows = summary(measure(sizes, seconds, rounds, builds, lambda at, of: progress(at / of), newer))
     if as_json:
         print(json.dumps(rows))
     else:
@@ -71,12 +71,12 @@
     if min(sizes) < 2 or not all(0 <= share < 1 for share in losses):
         raise fail("--gateways are from 2, --loss from 0 to below 1")
     print("gateways  loss  known after (median, p99)  missed  false deaths  sent/s (most)  bytes/s  healed")
-    with bar("membership", False) as tell:
+    with progress_bar("membership", False) as progress:
         for number, (size, share) in enumerate((size, share) for size in sizes for share in losses):
             runs = [death(size, seed, share, seconds) for seed in range(1, seeds + 1)]
             partitions = [partition(size, seed, share) for seed in range(1, seeds + 1)]
             print(_membership_line(size, share, runs, partitions), flush=True)
-            tell((number + 1) / (len(sizes) * len(losses)))
+            progress((number + 1) / (len(sizes) * len(losses)))
 
 
 def _membership_line(size: int, loss: float, runs: list[Outcome], partitions: list[Outcome]) -> str:
@@ -103,8 +103,8 @@
     """Measure DNS queries a second on one core, cached and forwarded, against a bare UDP relay."""
     from sagetrack.lab.benchmarks.dns_throughput import measure as measure_dns
 
-    with measuring("dns", False) as tell:
-        rows = measure_dns(seconds, rounds, names, lambda at, of: tell(at / of))
+    with measuring("dns", False) as progress:
+        rows = measure_dns(seconds, rounds, names, lambda at, of: progress(at / of))
     print_table(f"one core, {rounds} rounds of {seconds:g} s", rows, left=["what"])
 
 
@@ -117,12 +117,12 @@
     """Measure DNS and HTTP on one gateway with one slow server of each, alone and together."""
     from sagetrack.lab.benchmarks.mixed_protocols import measure as measure_both
 
-    with measuring("mixed-protocols", json_) as tell:
-        found = measure_both(share, seconds, rounds, tell)
+    with measuring("mixed-protocols", json_) as progress:
+        results = measure_both(share, seconds, rounds, progress)
     if json_:
-        print(json.dumps(found))
+        print(json.dumps(results))
         return
-    print_table(f"alone: HTTP {found['capacity_http']}/s, DNS {found['capacity_dns']}/s", found["rows"])
+    print_table(f"alone: HTTP {results['capacity_http']}/s, DNS {results['capacity_dns']}/s", results["rows"])
 
 
 def fair_queue(
@@ -136,8 +136,8 @@
     from sagetrack.lab.benchmarks.fair_queue import measure as measure_fair_queue
 
     sizes = integers_of("--clients", clients, "10,1000")
-    with measuring("fair-queue", False) as tell:
-        rows = measure_fair_queue(sizes, calls, rounds, memory_kb, tell, load)
+    with measuring("fair-queue", False) as progress:
+        rows = measure_fair_queue(sizes, calls, rounds, memory_kb, progress, load)
     print_table(f"{rounds} rounds of {calls} calls at {load:g} times what the servers do", rows, 150)
 
 
@@ -148,14 +148,16 @@
     """Measure the gateway's memory while long bodies pass to and from servers of the newer format."""
     from sagetrack.lab.benchmarks.bodies import measure as measure_bodies
 
-    with measuring("bodies", False) as tell:
-        found = measure_bodies(streams, body_kb, tell)
+    with measuring("bodies", False) as progress:
+        report = measure_bodies(streams, body_kb, progress)
     print(
-        f"{found.whole} of {found.streams} calls whole in {found.seconds} s, {found.body_kb} kB each way; "
-        f"memory {found.idle_mb} MB idle, {found.sending_mb} while bodies came, {found.peak_mb} at the most: "
-        f"{found.each_kb} kB a call"
+        f"{report.whole} of {report.streams} calls whole in {report.seconds} s, "
+        f"{report.body_kb} kB each way; "
+        f"memory {report.idle_mb} MB idle, {report.sending_mb} while bodies came, "
+        f"{report.peak_mb} at the most: "
+        f"{report.each_kb} kB a call"
     )
-    raise typer.Exit(0 if found.whole == found.streams else 1)
+    raise typer.Exit(0 if report.whole == report.streams else 1)
 
 
 def readiness(
@@ -170,8 +172,8 @@
     if not cases:
         raise fail(f"--only {only}: no case has that in its name")
     slow = False
-    with measuring("readiness", as_json) as tell:
-        for reading in measure(rounds, cases, tell):
+    with measuring("readiness", as_json) as progress:
+        for reading in measure(rounds, cases, progress):
             slow |= reading.quarter_s > MOST_S
             print(_readiness_json(reading) if as_json else _readiness_lines(reading), flush=True)
     raise typer.Exit(1 if slow else 0)
--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import judged, measuring
+from sagetrack.cli.lab_app import exit_with, measuring
 
 
 def spoof_dns(
@@ -16,8 +16,8 @@
     """Send a gateway forged answers beside the true ones; exit 1 if one of them reaches a client."""
     from sagetrack.lab.fault_injection.dns_spoofing import spoof
 
-    with measuring("spoof-dns", False) as tell:
-        report = spoof(rate, seconds, tell)
+    with measuring("spoof-dns", False) as progress:
+        report = spoof(rate, seconds, progress)
     print(
         f"{report.sent} forged answers, {report.sent / report.seconds:.0f} a second: "
         f"{report.accepted} accepted; "
@@ -34,14 +34,14 @@
     """Feed mutated HTTP/2 frames to the back; exit 1 if any breaks it or an attempt does not end once."""
     from sagetrack.grpc.fuzz import fuzz_downstream, fuzz_upstream
 
-    with measuring("fuzz", False) as tell:
-        result = (fuzz_downstream if front else fuzz_upstream)(frames, seed, tell)
+    with measuring("fuzz", False) as progress:
+        result = (fuzz_downstream if front else fuzz_upstream)(frames, seed, progress)
     print(
         f"{result.frames} frames: {result.answered} {'calls answered' if front else 'answers taken'}, "
         f"{result.failed} {'given up by clients' if front else 'attempts failed'}, "
         f"{result.closed} connections closed, {len(result.wrong)} wrong, slowest {result.slowest_ms:.2f} ms"
     )
-    raise judged(result.wrong)
+    raise exit_with(result.wrong)
 
 
 def fuzz_dns(
@@ -51,11 +51,11 @@
     """Feed mutated DNS messages to the parser; exit 1 if any breaks it or is accepted for what it is not."""
     from sagetrack.lab.fault_injection.dns_fuzz import fuzz
 
-    with measuring("fuzz", False) as tell:
-        report = fuzz(messages, seed, tell)
+    with measuring("fuzz", False) as progress:
+        report = fuzz(messages, seed, progress)
     print(
         f"{report.messages} messages: {report.queries_parsed} read as queries, "
         f"{report.answers_accepted} taken as answers, {len(report.failures)} wrong, "
         f"slowest {report.slowest_ms:.2f} ms"
     )
-    raise judged(report.failures)
+    raise exit_with(report.failures)
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab list`, `run`, `plot`: scenarios played once, judged and drawn."""
+"""`sagetrack lab list`, `run`, `plot`: scenarios played once, exit_with and drawn."""
 
 from __future__ import annotations
 
@@ -9,7 +9,15 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, SetOption, bar, check_fault, fail, scenario_from
+from sagetrack.cli.lab_app import (
+    INTERRUPTED,
+    SHOWN,
+    SetOption,
+    check_fault,
+    fail,
+    progress_bar,
+    scenario_from,
+)
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.figures import Figures
@@ -20,8 +28,8 @@
 PLOT_SAMPLE_S = 0.25  # between samples of the servers' load
 
 
-def list_scenarios(folder: Annotated[str, typer.Argument(help="where they lie")] = "") -> None:
-    """Scenarios, a line each."""
+def list_scenarios(folder: Annotated[str, typer.Argument(help="their folder")] = "") -> None:
+    """List the scenarios, a line each."""
     from sagetrack.lab.model.scenario import load
     from sagetrack.lab.repository import SCENARIOS
 
@@ -102,9 +110,9 @@
     """Play in virtual time behind a bar; one plain line and exit 2 if the lab cannot."""
     from sagetrack.lab.virtual.simulation import play
 
-    with bar(scenario.name, quiet) as tell:
+    with progress_bar(scenario.name, quiet) as progress:
         try:
-            return play(scenario, seed, tell, sample_s, fault)
+            return play(scenario, seed, progress, sample_s, fault)
         except ValueError as error:
             raise fail(str(error)) from None
 
@@ -115,14 +123,14 @@
     from sagetrack.lab.processes.fleet import play
 
     try:
-        with bar(scenario.name, quiet) as tell:
-            return play(scenario, seed, lambda share, world: tell(share), sample_s)
+        with progress_bar(scenario.name, quiet) as progress:
+            return play(scenario, seed, lambda share, world: progress(share), sample_s)
     except LabError as error:
         raise fail(str(error)) from None
 
 
 def show(scenario: Scenario, results: Figures, violations: list[Violation], records: Records) -> None:
-    """The figures for people."""
+    """Print the figures as a table, and the first violations."""
     from rich.console import Console
     from rich.table import Table
 
@@ -149,7 +157,7 @@
 
 
 def verdict(results: Figures) -> str:
-    """A run in one line."""
+    """A run's results in one line."""
     broken = sum(results.rules_broken.values())
     held = "expectations held" if results.expect_held else "expectations missed"
     return (
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -12,7 +12,15 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, SetOption, bar, fail, scenario_from, settings_of, value_of
+from sagetrack.cli.lab_app import (
+    INTERRUPTED,
+    SetOption,
+    fail,
+    progress_bar,
+    scenario_from,
+    settings_of,
+    value_of,
+)
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.records import Records
@@ -39,8 +47,8 @@
     jobs = [job for path in scenario for job in sweeps.plan(load(path), numbers, values, fault)]
     processes = workers or len(os.sched_getaffinity(0))
     try:
-        with bar("sweep", False) as tell:
-            rows = sweeps.sweep(jobs, Path(out), processes, lambda at, of: tell(at / max(1, of)))
+        with progress_bar("sweep", False) as progress:
+            rows = sweeps.sweep(jobs, Path(out), processes, lambda at, of: progress(at / max(1, of)))
     except KeyboardInterrupt:
         print(
             f"sagetrack: ended; what was played stands in {out}, and the same call goes on", file=sys.stderr
@@ -95,13 +103,13 @@
     from sagetrack.lab.benchmarks.sweep import compare as compare_files
 
     try:
-        found = compare_files(Path(a), Path(b), figure)
+        result = compare_files(Path(a), Path(b), figure)
     except (OSError, ValueError) as error:
         raise fail(str(error)) from None
-    word = "clear" if found.is_clear else "within the noise"
+    verdict = "clear" if result.is_clear else "within the noise"
     print(
-        f"{found.figure}: A {found.mean_a:.4f}, B {found.mean_b:.4f}, B - A {found.difference:+.4f} "
-        f"± {found.half_width:.4f} over {found.pairs} pairs ({found.better} with B larger): {word}"
+        f"{result.figure}: A {result.mean_a:.4f}, B {result.mean_b:.4f}, B - A {result.difference:+.4f} "
+        f"± {result.half_width:.4f} over {result.pairs} pairs ({result.better} with B larger): {verdict}"
     )
 
 
@@ -119,15 +127,15 @@
     played = scenario_from(scenario, settings)
     play = play_virtual if virtual else play_in_process
     try:
-        with bar("restart", False) as tell:
-            made = restarts.pairs(played, range(1, seeds + 1), play, 1 if virtual else lanes, tell)
+        with progress_bar("restart", False) as progress:
+            pairs = restarts.pairs(played, range(1, seeds + 1), play, 1 if virtual else lanes, progress)
     except (ValueError, RuntimeError) as error:
         raise fail(str(error)) from None
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
-    for line in restarts.summary(made):
+    for line in restarts.summary(pairs):
         print(line)
-    raise typer.Exit(1 if any(one.broken for one in made) else 0)
+    raise typer.Exit(1 if any(pair.broken for pair in pairs) else 0)
 
 
 def play_in_process(scenario: Scenario, seed: int) -> Records:
--- a/sagetrack/cli/lab_virtual_fleets.py
+++ b/sagetrack/cli/lab_virtual_fleets.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, bar, check_fault, fail, integers_of
+from sagetrack.cli.lab_app import INTERRUPTED, check_fault, fail, integers_of, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.violations import Violation
@@ -62,9 +62,9 @@
     if not as_json:
         print(header)
     try:
-        with bar(what, as_json) as tell:
+        with progress_bar(what, as_json) as progress:
             for at, play in enumerate(plays):
-                tell(at / len(plays))
+                progress(at / len(plays))
                 figures, line, violations = play()
                 broken += len(violations)
                 rows.append({**figures, "broken": [str(violation) for violation in violations]})
@@ -103,14 +103,14 @@
     check_fault(fault, COLD_FAULTS)
 
     def play(size: int, name: str, number: int) -> Played:
-        made, violations = measure(CASES[name], size, number, fault)
-        part = f"{made.sent:.0f} of {made.could:.0f}" if made.could else "-"
+        results, violations = measure(CASES[name], size, number, fault)
+        part = f"{results.sent:.0f} of {results.could:.0f}" if results.could else "-"
         line = (
-            f"{name:12} {size:8}  {number:4}  {made.past_budget:4} of {made.windows:5}  "
-            f"{made.most_calls:14.2f}  {made.used:4.0%} {part:>10} {made.answered:8}  "
-            f"{made.in_time} of {made.asked}"
+            f"{name:12} {size:8}  {number:4}  {results.past_budget:4} of {results.windows:5}  "
+            f"{results.most_calls:14.2f}  {results.used:4.0%} {part:>10} {results.answered:8}  "
+            f"{results.in_time} of {results.asked}"
         )
-        return Played(made.plain(), line, violations)
+        return Played(results.plain(), line, violations)
 
     plays = [partial(play, size, name, n) for name in names for size in sizes for n in numbers]
     raise play_all("slow-start", SLOW_START_HEADER, plays, as_json)
@@ -141,13 +141,13 @@
     check_fault(fault, JAM_FAULTS)
 
     def play(count: int, size: float, number: int) -> Played:
-        made, violations = measure(count, size, number, fault)
-        held = " ".join(f"{value:3}" for value in made.held.values())
+        results, violations = measure(count, size, number, fault)
+        held = " ".join(f"{value:3}" for value in results.held.values())
         line = (
-            f"{count:8} {size:5.1f} {number:5}  {made.served_before:13.3f}  {made.during:14.2f} "
-            f"{made.after:6.2f}      {held}  {made.jammed:6.2f}  {made.served:6.3f}"
+            f"{count:8} {size:5.1f} {number:5}  {results.served_before:13.3f}  {results.during:14.2f} "
+            f"{results.after:6.2f}      {held}  {results.jammed:6.2f}  {results.served:6.3f}"
         )
-        return Played(made.plain(), line, violations)
+        return Played(results.plain(), line, violations)
 
     numbers = seeds_of(seed, seeds)
     plays = [partial(play, count, size, n) for count in counts for size in bursts for n in numbers]
--- a/sagetrack/cli/run.py
+++ b/sagetrack/cli/run.py
@@ -12,7 +12,7 @@
     config: Annotated[str, typer.Option(help="the platform's configuration; else $LB_CONFIG")] = "",
     operator: Annotated[str, typer.Option(help="the operator's own file; else $LB_OPERATOR")] = "",
 ) -> None:
-    """Run one gateway until it is told to end."""
+    """Run one gateway until a signal ends it."""
     from sagetrack.server.process import main
 
     if config:
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -46,14 +46,14 @@
     services: Annotated[str, typer.Option(help="that these are in, from 4")] = "390",
     tenants: Annotated[str, typer.Option(help="members of all services, from 10")] = "39000",
     probe: Annotated[list[str] | None, typer.Option(help="this one alone; may be given again")] = None,
-    seed: Annotated[str, typer.Option(help="what the generated fleet follows from")] = "1",
+    seed: Annotated[str, typer.Option(help="the seed of the generated fleet")] = "1",
     quick: Annotated[bool, typer.Option("--quick", help="smaller fleets where they are slow")] = False,
     counts: Annotated[
         bool, typer.Option("--counts", help="no times: only what is the same on a busy machine")
     ] = False,
     file: Annotated[str, typer.Option("--json", help="write all figures here")] = "",
 ) -> None:
-    """Sweep each size of a large fleet over hollow gateways, beside a real one: what grows, and how fast."""
+    """Sweep each size of a large fleet over gateways without sockets and a real one: what grows, how fast."""
     from sagetrack.lab.scale.run import ScaleError, check, chosen, measure
     from sagetrack.lab.scale.target import Sizes
 
@@ -69,26 +69,26 @@
     try:
         check(sizes)
         chosen(probe or [])
-        with measuring("scale", False) as tell:
-            found = measure(sizes, from_seed, probe or [], quick, not counts, tell)
+        with measuring("scale", False) as progress:
+            results = measure(sizes, from_seed, probe or [], quick, not counts, progress)
     except ScaleError as error:
         raise fail(str(error)) from None
     if file:
-        write_atomically(Path(file), json.dumps(found, indent=1) + "\n")
-    print_results(found, seed)
+        write_atomically(Path(file), json.dumps(results, indent=1) + "\n")
+    print_results(results, seed)
 
 
-def print_results(found: dict[str, Any], seed: str) -> None:
+def print_results(results: dict[str, Any], seed: str) -> None:
     """The results as a table."""
     from rich.console import Console
     from rich.table import Table
 
     from sagetrack.lab.scale.run import table
 
-    shown = Table(title=f"{found['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
+    shown = Table(title=f"{results['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
     for name in COLUMNS:
         shown.add_column(name)
-    for line in table(found):
+    for line in table(results):
         shown.add_row(*line)
     Console(width=190).print(shown)
 
@@ -96,7 +96,7 @@
 def scale_page(
     file: Annotated[str, typer.Argument(help="what `lab scale --json` wrote")],
     page: Annotated[str, typer.Option(help="whose table it fills")] = "docs/CAPACITY.md",
-    after: Annotated[str, typer.Option(help="the same after the mends")] = "",
+    after: Annotated[str, typer.Option(help="the same after improvements")] = "",
     check: Annotated[bool, typer.Option("--check", help="whether they agree; exit 1 if not")] = False,
 ) -> None:
     """Fill the measured part of docs/CAPACITY.md from figures, or see that it agrees with them."""
@@ -104,14 +104,14 @@
 
     def read(path: str) -> dict[str, Any]:
         try:
-            found = json.loads(Path(path).read_text())
+            results = json.loads(Path(path).read_text())
         except OSError as error:
             raise fail(f"{path}: {error.strerror}") from None
         except ValueError as error:
             raise fail(f"{path} is not JSON: {error}") from None
-        if not isinstance(found, dict) or "rows" not in found:
+        if not isinstance(results, dict) or "rows" not in results:
             raise fail(f"{path} is not what `lab scale --json` writes")
-        return found
+        return results
 
     before, later = read(file), read(after) if after else None
     try:
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -1,4 +1,4 @@
-"""`sagetrack store …`: check a store, write its values out, make it smaller, mend it, crash-test one."""
+"""`sagetrack store …`: verify a store, print its values, compact it, repair it, crash-test one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, bar, fail, judged
+from sagetrack.cli.lab_app import INTERRUPTED, exit_with, fail, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.store.engine import Store
@@ -21,8 +21,12 @@
 Folder = Annotated[Path, typer.Argument(help="the store's directory")]
 
 
-def opened(folder: Path, stack: ExitStack, writes: bool) -> tuple[Store, RecoveryReport]:
-    """The store, to be read in a copy-free way without `writes`; fails with one line."""
+def open_store(folder: Path, stack: ExitStack, writes: bool) -> tuple[Store, RecoveryReport]:
+    """Open the store of a directory until the stack closes; without `writes` nothing on disk changes.
+
+    Returns:
+        The store and what was recovered; if it cannot be opened, exit 2 with one line.
+    """
     from sagetrack.store.directory import Disk, DryRunDirectory
     from sagetrack.store.engine import Store
     from sagetrack.store.errors import CorruptionError, NewerFormatError
@@ -45,20 +49,21 @@
 def verify(folder: Folder) -> None:
     """Read all of it, change nothing; exit 1 if anything is damaged."""
     with ExitStack() as stack:
-        store, found = opened(folder, stack, False)
+        store, recovery = open_store(folder, stack, False)
         snapshot = store.snapshot()
         values = size = 0
-        with bar("verify", False) as tell:
+        with progress_bar("verify", False) as progress:
             for op in snapshot.items():
                 values += 1
                 size += len(op.key) + len(op.value or b"")
                 if values % 1000 == 0:
-                    tell(min(1.0, size / max(1, store.bytes_used)))
+                    progress(min(1.0, size / max(1, store.bytes_used)))
         print(
-            f"{folder}: batch {found.sequence} is the last; {values} values of {size} bytes in "
-            f"{store.bytes_used} bytes; {len(found.quarantined)} parts damaged, {found.lost_bytes} bytes"
+            f"{folder}: batch {recovery.sequence} is the last; {values} values of {size} bytes in "
+            f"{store.bytes_used} bytes; {len(recovery.quarantined)} parts damaged, "
+            f"{recovery.lost_bytes} bytes"
         )
-        raise judged(found.quarantined)
+        raise exit_with(recovery.quarantined)
 
 
 @app.command("dump")
@@ -67,7 +72,7 @@
     import msgspec
 
     with ExitStack() as stack:
-        store, _ = opened(folder, stack, False)
+        store, _ = open_store(folder, stack, False)
         for op in store.snapshot().items(space):
             value: object = (op.value or b"").hex()
             with suppress(msgspec.DecodeError, UnicodeDecodeError):
@@ -78,31 +83,32 @@
 
 @app.command("compact")
 def compact(folder: Folder) -> None:
-    """Make a new base, and let go what it replaces."""
+    """Write a new base, and remove what it replaces."""
     import time
 
     with ExitStack() as stack:
-        store, found = opened(folder, stack, True)
-        before, records = store.bytes_used, max(1, found.records + store.uncompacted_keys)
-        with bar("compact", False) as tell:
+        store, recovery = open_store(folder, stack, True)
+        before, records = store.bytes_used, max(1, recovery.records + store.uncompacted_keys)
+        with progress_bar("compact", False) as progress:
             for step, _ in enumerate(store.compact(int(time.time() * 1000))):
-                tell(min(1.0, step * 200 / records))
+                progress(min(1.0, step * 200 / records))
         print(f"{folder}: {before} bytes before, {store.bytes_used} now")
 
 
 @app.command("repair")
 def repair(
     folder: Folder,
-    dry_run: Annotated[bool, typer.Option("--dry-run", help="say it, change nothing")] = False,
+    dry_run: Annotated[bool, typer.Option("--dry-run", help="report it, change nothing")] = False,
 ) -> None:
     """Put aside what is damaged, as a gateway does when it opens the store; exit 0 if it can be used then."""
     with ExitStack() as stack:
-        _, found = opened(folder, stack, not dry_run)
+        _, recovery = open_store(folder, stack, not dry_run)
         would = "would be" if dry_run else "is"
         print(
-            f"{folder}: batch {found.sequence} {would} the last; {found.lost_bytes} bytes {would} put aside"
+            f"{folder}: batch {recovery.sequence} {would} the last; "
+            f"{recovery.lost_bytes} bytes {would} put aside"
         )
-        for line in found.quarantined:
+        for line in recovery.quarantined:
             print(line)
 
 
@@ -116,8 +122,8 @@
 
     parts = {"bytes": (0.0, 0.6), "crashes": (0.6, 0.2), "kills": (0.8, 0.2)}  # begin and share of the time
     try:
-        with bar("crash-test", False) as tell:
-            report = run(seconds, seed, lambda part, share: tell(parts[part][0] + parts[part][1] * share))
+        with progress_bar("crash-test", False) as progress:
+            report = run(seconds, seed, lambda part, share: progress(parts[part][0] + parts[part][1] * share))
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     print(
@@ -126,7 +132,7 @@
         f"{report.crashes} crashes with {report.disk_errors} errors of the disk, "
         f"{report.kills} writers killed after {report.acknowledged} batches: {len(report.failures)} wrong"
     )
-    raise judged(report.failures)
+    raise exit_with(report.failures)
 
 
 app.command("torture", hidden=True)(crash_test)  # the name of earlier versions
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -89,31 +89,31 @@
     """
     settled_us = scenario.settle_s * 1e6
     requests = [request for request in records.typed(RequestFinished) if request.due_us >= settled_us]
-    made = Figures(requests=len(requests))
-    _count_outcomes(made, requests)
-    _measure_service(made, requests, scenario)
-    _measure_latency(made, requests)
-    made.attempts = sum(1 for _ in records.of("recv"))
+    results = Figures(requests=len(requests))
+    _count_outcomes(results, requests)
+    _measure_service(results, requests, scenario)
+    _measure_latency(results, requests)
+    results.attempts = sum(1 for _ in records.of("recv"))
     broken = Counter(violation.rule for violation in violations)
-    made.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
+    results.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
     late_arrivals = sum(1 for _ in records.typed(LateArrival))
-    made.late = late_arrivals > LATE_SHARE * max(1, made.requests)
-    _measure_advice(made, records)
-    made.jain_members, made.jain_clients = fairness(records, requests, scenario)
-    made.duplicate_executions = _count_duplicates(records, scenario)
-    _measure_dns(made, records, settled_us)
-    made.expect_missed = _missed_bounds(made, scenario.expect, _members_without_faults(scenario))
-    made.expect_held = not made.expect_missed
-    return made
+    results.late = late_arrivals > LATE_SHARE * max(1, results.requests)
+    _measure_advice(results, records)
+    results.jain_members, results.jain_clients = fairness(records, requests, scenario)
+    results.duplicate_executions = _count_duplicates(records, scenario)
+    _measure_dns(results, records, settled_us)
+    results.expect_missed = _missed_bounds(results, scenario.expect, _members_without_faults(scenario))
+    results.expect_held = not results.expect_missed
+    return results
 
 
-def _count_outcomes(made: Figures, requests: Iterable[RequestFinished]) -> None:
+def _count_outcomes(results: Figures, requests: Iterable[RequestFinished]) -> None:
     outcomes = Counter(request.outcome for request in requests)
-    made.served = outcomes["served"]
-    made.too_late = outcomes["late"]
-    made.refused = outcomes["refused"]
-    made.failed = outcomes["failed"]
-    made.unanswered = outcomes["unanswered"]
+    results.served = outcomes["served"]
+    results.too_late = outcomes["late"]
+    results.refused = outcomes["refused"]
+    results.failed = outcomes["failed"]
+    results.unanswered = outcomes["unanswered"]
 
 
 class _Group(NamedTuple):
@@ -144,7 +144,7 @@
         return [self.share(*group) for group in self._requested if group.kind == kind]
 
 
-def _measure_service(made: Figures, requests: Iterable[RequestFinished], scenario: Scenario) -> None:
+def _measure_service(results: Figures, requests: Iterable[RequestFinished], scenario: Scenario) -> None:
     tally = _ServiceTally()
     for request in requests:
         request_class = scenario.classes[request.class_index]
@@ -157,42 +157,42 @@
             _Group("window", request.due_us // (WINDOW_S * 1_000_000)),
         ):
             tally.add(group, request_class.worth, served)
-    made.service = tally.share("all", 0)
-    made.by_class = {
+    results.service = tally.share("all", 0)
+    results.by_class = {
         request_class.name: tally.share("class", number)
         for number, request_class in enumerate(scenario.classes)
     }
-    made.by_member = {
+    results.by_member = {
         member.name: tally.share("member", number) for number, member in enumerate(scenario.members)
     }
-    made.worst_window = min(tally.shares("window"), default=1.0)
+    results.worst_window = min(tally.shares("window"), default=1.0)
 
 
 def _latencies(finished: Iterable[RequestFinished | DnsQueryFinished]) -> HdrHistogram:
     """From when each was due, of those that were answered in time or late."""
     latencies = histogram()
-    for one in finished:
-        if one.outcome in ("served", "late"):
-            latencies.record_value(max(1, one.time_us - one.due_us))
+    for row in finished:
+        if row.outcome in ("served", "late"):
+            latencies.record_value(max(1, row.time_us - row.due_us))
     return latencies
 
 
-def _measure_latency(made: Figures, requests: Iterable[RequestFinished]) -> None:
-    if not made.served + made.too_late:
+def _measure_latency(results: Figures, requests: Iterable[RequestFinished]) -> None:
+    if not results.served + results.too_late:
         return
     latencies = _latencies(requests)
-    made.p50_ms = latencies.get_value_at_percentile(50) / 1000
-    made.p99_ms = latencies.get_value_at_percentile(99) / 1000
-    made.p999_ms = latencies.get_value_at_percentile(99.9) / 1000
+    results.p50_ms = latencies.get_value_at_percentile(50) / 1000
+    results.p99_ms = latencies.get_value_at_percentile(99) / 1000
+    results.p999_ms = latencies.get_value_at_percentile(99.9) / 1000
 
 
-def _measure_dns(made: Figures, records: Records, settled_us: float) -> None:
+def _measure_dns(results: Figures, records: Records, settled_us: float) -> None:
     queries = [query for query in records.typed(DnsQueryFinished) if query.due_us >= settled_us]
     if not queries:
         return
-    made.dns_queries = len(queries)
-    made.dns_service = sum(query.outcome == "served" for query in queries) / len(queries)
-    made.dns_p99_ms = _latencies(queries).get_value_at_percentile(99) / 1000
+    results.dns_queries = len(queries)
+    results.dns_service = sum(query.outcome == "served" for query in queries) / len(queries)
+    results.dns_p99_ms = _latencies(queries).get_value_at_percentile(99) / 1000
 
 
 def _count_duplicates(records: Records, scenario: Scenario) -> int:
@@ -210,14 +210,14 @@
     return duplicates
 
 
-def _measure_advice(made: Figures, records: Records) -> None:
+def _measure_advice(results: Figures, records: Records) -> None:
     """Of the calls that retried at the advised time, how many were served."""
     advice_by_request: dict[str, RetryAdvised] = {}
     first_verdicts: dict[str, str] = {}
     followed: list[str] = []
     for record in records.mixed(RetryAdvised, CallSent, CallAnswered):
         if isinstance(record, RetryAdvised):
-            made.advised += 1
+            results.advised += 1
             advice_by_request[record.request] = record
         elif isinstance(record, CallSent):
             advice = advice_by_request.pop(record.request, None)
@@ -227,7 +227,7 @@
             first_verdicts.setdefault(record.call, record.verdict)
     if followed:
         served = sum(first_verdicts.get(call) == "served" for call in followed)
-        made.advice_right = served / len(followed)
+        results.advice_right = served / len(followed)
 
 
 def _follows(retry: CallSent, advice: RetryAdvised) -> bool:
@@ -244,22 +244,22 @@
     return [member.name for member in scenario.members if member.name not in concerned]
 
 
-def _missed_bounds(made: Figures, expect: Expect, undisturbed: Sequence[str]) -> list[str]:
+def _missed_bounds(results: Figures, expect: Expect, undisturbed: Sequence[str]) -> list[str]:
     """The bounds that do not hold, in words that begin with the bound's key in the scenario."""
-    requests = max(1, made.requests)
-    worst_undisturbed = min((made.by_member[name] for name in undisturbed), default=1.0)
+    requests = max(1, results.requests)
+    worst_undisturbed = min((results.by_member[name] for name in undisturbed), default=1.0)
     least = {
-        "service_min": (made.service, expect.service_min),
-        "worst_member_min": (min(made.by_member.values(), default=1.0), expect.worst_member_min),
-        "worst_window_min": (made.worst_window, expect.worst_window_min),
+        "service_min": (results.service, expect.service_min),
+        "worst_member_min": (min(results.by_member.values(), default=1.0), expect.worst_member_min),
+        "worst_window_min": (results.worst_window, expect.worst_window_min),
         "others_min": (worst_undisturbed, expect.others_min),
-        "advice_right_min": (made.advice_right, expect.advice_right_min),
-        "dns_service_min": (made.dns_service, expect.dns_service_min),
+        "advice_right_min": (results.advice_right, expect.advice_right_min),
+        "dns_service_min": (results.dns_service, expect.dns_service_min),
     }
     most = {
-        "refused_max": (made.refused / requests, expect.refused_max),
-        "failed_max": ((made.failed + made.unanswered) / requests, expect.failed_max),
-        "p99_ms_max": (made.p99_ms, expect.p99_ms_max),
+        "refused_max": (results.refused / requests, expect.refused_max),
+        "failed_max": ((results.failed + results.unanswered) / requests, expect.failed_max),
+        "p99_ms_max": (results.p99_ms, expect.p99_ms_max),
     }
     missed = [(name, value, bound) for name, (value, bound) in least.items() if value < bound]
     missed += [(name, value, bound) for name, (value, bound) in most.items() if value > bound]
--- a/sagetrack/lab/analysis/records.py
+++ b/sagetrack/lab/analysis/records.py
@@ -27,7 +27,7 @@
     gateway: int
     class_index: int
     member: int
-    budget_us: int  # until the client stops waiting
+    budget_us: int  # until the client gives up
     key: int | None  # idempotency key
     request: str
     try_number: int  # from 1
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,15 @@
 from sagetrack.config.errors import FileError
 from sagetrack.lab.analysis.figures import figures
 from sagetrack.lab.analysis.judges import RULES, judge
-from sagetrack.lab.analysis.records import Record, Records, read
+from sagetrack.lab.analysis.records import (
+    TYPES,
+    CallAnswered,
+    CallSent,
+    Record,
+    Records,
+    ServerStarted,
+    read,
+)
 from sagetrack.lab.benchmarks import sweep as sweeps
 from sagetrack.lab.model.scenario import Choke, Fleet, Scenario, altered, load
 from sagetrack.lab.model.server import Job, Keys, Result, Server
@@ -177,6 +185,20 @@
     assert read(tmp_path / "cut").rows == records.rows[:-1]
 
 
+def test_records_have_named_fields_and_stay_the_same_tuples() -> None:
+    runs = [
+        play(SHORT, 1, sample_s=0.5),
+        *(play(load(SCENARIOS / f"{n}.toml"), 1) for n in ("flood", "rolling-deploy")),
+    ]
+    for records in runs:
+        assert all(TYPES[row[0]](*row) == row for row in records.rows)
+        assert list(records.typed(ServerStarted)) == list(records.of("start"))
+        assert list(records.mixed(CallSent, CallAnswered)) == list(records.of("ask", "answer"))
+        assert records.last_us() == max(row[1] for row in records.rows)
+    seen = {row[0] for records in runs for row in records.rows}
+    assert set(TYPES) - seen == {"dns", "late", "gone"}  # in real time only, and where clients give up
+
+
 @pytest.mark.parametrize("path", ["everyday", "rolling-deploy", "all-at-once", "partition"])
 def test_no_rule_is_broken_and_expectations_hold(path: str) -> None:
     scenario = load(SCENARIOS / f"{path}.toml")
