--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -9,25 +9,27 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, bar, fail
+from sagetrack.cli.lab_app import fail, measuring
 
+COLUMNS = ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size")
 
-def whole(option: str, text: str, least: int, most: int) -> int:
-    """A whole number within bounds; else exit 2 with one line, which typer's own checks would not keep to."""
+
+def integer_of(option: str, text: str, least: int, most: int) -> int:
+    """An integer within bounds; else exit 2 with one line, where typer's own checks would print several."""
     number = int(text) if text.isascii() and text.isdigit() and len(text) < 20 else -1
     if not least <= number <= most:
         raise fail(f"{option} {text}: a whole number from {least} to {most}")
     return number
 
 
-def writable(path: Path) -> None:
+def check_writable(path: Path) -> None:
     """Exit 2 now for a file that could not be written later."""
     if path.is_dir() or not path.resolve().parent.is_dir():
         raise fail(f"{path}: no file can be written there")
 
 
-def write_whole(path: Path, text: str) -> None:
-    """All of it or nothing."""
+def write_atomically(path: Path, text: str) -> None:
+    """Write all of the file or nothing of it; exit 2 with one line for an error."""
     fresh = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         fresh.write_text(text)
@@ -44,45 +46,49 @@
     services: Annotated[str, typer.Option(help="that these are in, from 4")] = "390",
     tenants: Annotated[str, typer.Option(help="members of all services, from 10")] = "39000",
     probe: Annotated[list[str] | None, typer.Option(help="this one alone; may be given again")] = None,
-    seed: Annotated[str, typer.Option(help="what the generated fleet follows from")] = "1",
+    seed: Annotated[str, typer.Option(help="the seed of the generated fleet")] = "1",
     quick: Annotated[bool, typer.Option("--quick", help="smaller fleets where they are slow")] = False,
     counts: Annotated[
         bool, typer.Option("--counts", help="no times: only what is the same on a busy machine")
     ] = False,
     file: Annotated[str, typer.Option("--json", help="write all figures here")] = "",
 ) -> None:
-    """Sweep each size of a large fleet over hollow gateways, beside a real one: what grows, and how fast."""
-    from sagetrack.lab.errors import LabError
-    from sagetrack.lab.scale.run import ScaleError, check_sizes, result_table, run_probes, select_probes
+    """Sweep each size of a large fleet over gateways without sockets and a real one: what grows, how fast."""
+    from sagetrack.lab.scale.run import ScaleError, check_sizes, run_probes, select_probes
     from sagetrack.lab.scale.target import Sizes
 
     sizes = Sizes(
-        whole("--gateways", gateways, 3, 65_535),
-        whole("--servers", servers, 25, 10_000_000),
-        whole("--services", services, 4, 10_000_000),
-        whole("--tenants", tenants, 10, 100_000_000),
+        integer_of("--gateways", gateways, 3, 65_535),
+        integer_of("--servers", servers, 25, 10_000_000),
+        integer_of("--services", services, 4, 10_000_000),
+        integer_of("--tenants", tenants, 10, 100_000_000),
     )
-    from_seed = whole("--seed", seed, 0, 2**63)
+    from_seed = integer_of("--seed", seed, 0, 2**63)
     if file:
-        writable(Path(file))
+        check_writable(Path(file))
     try:
         check_sizes(sizes)
         select_probes(probe or [])
-        with bar("scale", False) as tell:
-            found = run_probes(sizes, from_seed, probe or [], tell, quick=quick, times=not counts)
-    except (ScaleError, LabError) as error:
+        with measuring("scale", False) as progress:
+            results = run_probes(sizes, from_seed, probe or [], progress, quick=quick, times=not counts)
+    except ScaleError as error:
         raise fail(str(error)) from None
-    except KeyboardInterrupt:
-        raise typer.Exit(INTERRUPTED) from None
     if file:
-        write_whole(Path(file), json.dumps(found, indent=1) + "\n")
+        write_atomically(Path(file), json.dumps(results, indent=1) + "\n")
+    print_results(results, seed)
+
+
+def print_results(results: dict[str, Any], seed: str) -> None:
+    """The results as a table."""
     from rich.console import Console
     from rich.table import Table
 
-    shown = Table(title=f"{found['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
-    for name in ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size"):
+    from sagetrack.lab.scale.run import result_table
+
+    shown = Table(title=f"{results['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
+    for name in COLUMNS:
         shown.add_column(name)
-    for line in result_table(found):
+    for line in result_table(results):
         shown.add_row(*line)
     Console(width=190).print(shown)
 
@@ -90,7 +96,7 @@
 def scale_page(
     file: Annotated[str, typer.Argument(help="what `lab scale --json` wrote")],
     page: Annotated[str, typer.Option(help="whose table it fills")] = "docs/CAPACITY.md",
-    after: Annotated[str, typer.Option(help="the same after the mends")] = "",
+    after: Annotated[str, typer.Option(help="the same after improvements")] = "",
     check: Annotated[bool, typer.Option("--check", help="whether they agree; exit 1 if not")] = False,
 ) -> None:
     """Fill the measured part of docs/CAPACITY.md from figures, or see that it agrees with them."""
@@ -98,14 +104,14 @@
 
     def read(path: str) -> dict[str, Any]:
         try:
-            found = json.loads(Path(path).read_text())
+            results = json.loads(Path(path).read_text())
         except OSError as error:
             raise fail(f"{path}: {error.strerror}") from None
         except ValueError as error:
             raise fail(f"{path} is not JSON: {error}") from None
-        if not isinstance(found, dict) or "rows" not in found:
+        if not isinstance(results, dict) or "rows" not in results:
             raise fail(f"{path} is not what `lab scale --json` writes")
-        return found
+        return results
 
     before, later = read(file), read(after) if after else None
     try:
@@ -117,5 +123,5 @@
         raise fail(f"{page} cannot be filled from {file}: {error}") from None
     if check:
         raise typer.Exit(0 if fresh == text else 1)
-    write_whole(Path(page), fresh)
+    write_atomically(Path(page), fresh)
     print(page)
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -14,8 +14,9 @@
 
 from msgspec.structs import replace
 
-from sagetrack.lab.analysis.judges import Violation, judge
+from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
 from sagetrack.lab.repository import SCENARIOS
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from sagetrack.lab.analysis.judges import Violation, judge
+from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.benchmarks.slow_start_figures import SlowStartFigures, figures
 from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.endpoint_entry import EndpointEntry
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from sagetrack.lab.analysis.judges import cold_windows
 from sagetrack.lab.analysis.records import Records
+from sagetrack.lab.analysis.warm_up import warm_up_windows
 from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario
 
@@ -124,7 +124,7 @@
 
 
 def _add_windows(found: SlowStartFigures, records: Records, scenario: Scenario) -> None:
-    for window in cold_windows(records, scenario):
+    for window in warm_up_windows(records, scenario):
         found.windows += 1
         found.windows_over_budget += window.calls > window.budget
         found.most_requests = max(found.most_requests, window.calls / window.budget)
