--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings and events, and a driver that keeps what the balancer has done."""
+"""Settings, and a driver that feeds events to a load balancer and keeps the timers that it sets."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Driver:
-    """One balancer and its clock."""
+    """One load balancer with a clock that only the test moves."""
 
     def __init__(self, settings: Settings = SETTINGS, servers: int = 3, seed: int = 1) -> None:
         self.balancer = LoadBalancer(settings, seed)
@@ -69,16 +69,19 @@
             self.list_servers(*(ListedServer(n, group=n % 2) for n in range(servers)))
 
     def handle(self, event: Event) -> list[Action]:
+        """Handle an event now, and keep the timers among its actions."""
         actions = self.balancer.handle(self.now_us, event)
         self.timers += [action for action in actions if isinstance(action, SetTimer)]
         return actions
 
     def list_servers(self, *entries: ListedServer, kind: ListKind = ListKind.FULL) -> list[Action]:
+        """Deliver an endpoint list, or changes of it."""
         return self.handle(EndpointList(kind, entries))
 
     def arrive(
         self, class_index: int = 0, client_timeout_us: int = 400_000, **extra: int | bool
     ) -> tuple[str, list[Action]]:
+        """Let a request arrive; return its id and the actions that follow."""
         self.count += 1
         name = f"r{self.count}"
         event = RequestArrived(name, class_index, client_timeout_us)
@@ -92,24 +95,28 @@
         attempt: int = 0,
         latency_us: int = 20_000,
     ) -> list[Action]:
+        """End an attempt of a request; return the actions that follow."""
         finished = outcome is Outcome.OK
         return self.handle(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
 
 
 def sends(actions: list[Action]) -> list[SendAttempt]:
+    """Return the attempts that are to be sent."""
     return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 def finals(actions: list[Action]) -> list[Reject | Fail]:
+    """Return the final answers that the gateway gives itself."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def timers(actions: list[Action]) -> list[SetTimer]:
+    """Return the timers that are to be set."""
     return [action for action in actions if isinstance(action, SetTimer)]
 
 
 def trip(breaker: Breaker, now_us: int) -> None:
-    """Open a fresh breaker with the fewest failures that can."""
+    """Open a new circuit breaker with the smallest number of failures that opens it."""
     for _ in range(MIN_OUTCOMES_TO_OPEN):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is State.OPEN
--- a/tests/observations.py
+++ b/tests/observations.py
@@ -1,4 +1,4 @@
-"""Observations of servers, as a gateway would have them."""
+"""Observations of servers such as a gateway exchanges with its peers."""
 
 from __future__ import annotations
 
--- a/tests/test_ordered_keys.py
+++ b/tests/test_ordered_keys.py
@@ -1,4 +1,4 @@
-"""In-order classes: requests of a key run one at a time, in the order taken."""
+"""In-order classes: requests of a key run one at a time, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 ORDERED = replace(SETTINGS, classes=(replace(UNSAFE, in_order=True),), key_cooldown_us=50_000)
 
 
-BOUND = int(DEFAULT_MAX_CONCURRENCY)  # with one gateway
+MAX_PER_SERVER = int(DEFAULT_MAX_CONCURRENCY)  # with one gateway
 
 
-def test_requests_of_a_key_take_turns() -> None:
+def test_requests_of_an_ordered_key_run_one_at_a_time() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(key=7, client_timeout_us=900_000)
     server = sends(actions)[0].server
@@ -30,64 +30,64 @@
     third = driver.arrive(key=7, client_timeout_us=900_000)[0]
     driver.now_us += 10_000
     assert finals(driver.end(second, send.server, Outcome.RESET)) == [Fail(second)]
-    rest = driver.timers[-1]
-    assert rest.due_us == driver.now_us + 50_000
-    driver.now_us = rest.due_us
-    (send,) = sends(driver.handle(TimerFired(rest.token)))
+    cooldown_timer = driver.timers[-1]
+    assert cooldown_timer.due_us == driver.now_us + 50_000
+    driver.now_us = cooldown_timer.due_us
+    (send,) = sends(driver.handle(TimerFired(cooldown_timer.token)))
     assert send.request == third
     driver.end(third, send.server)
     assert 7 not in driver.balancer.ordered_keys
 
 
-def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
-    """The hopeless one was refused its place in line, then sent out of turn all the same."""
+def test_requests_of_a_hot_key_that_cannot_be_served_in_time_are_rejected() -> None:
+    """Guards against sending out of order a request that had been refused a place in the queue."""
     driver = Driver(ORDERED)
-    told = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
-    refused = [actions for actions in told if finals(actions)]
-    assert len(refused) > 20 and sum(len(sends(actions)) for actions in told) == 1
-    waiting = driver.timers[-1]
-    driver.now_us = waiting.due_us
-    assert finals(driver.handle(TimerFired(waiting.token)))
+    arrivals = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
+    rejected = [actions for actions in arrivals if finals(actions)]
+    assert len(rejected) > 20 and sum(len(sends(actions)) for actions in arrivals) == 1
+    queue_timer = driver.timers[-1]
+    driver.now_us = queue_timer.due_us
+    assert finals(driver.handle(TimerFired(queue_timer.token)))
 
 
-def test_requests_of_a_key_in_order_keep_their_line() -> None:
+def test_an_ordered_request_without_capacity_is_rejected_instead_of_waiting() -> None:
     in_order = RequestClass(
         latency_objective_us=200_000, request_timeout_us=400_000, effect=SAFE.effect, in_order=True
     )
     driver = Driver(replace(SETTINGS, classes=(in_order,)), servers=1)
-    for key in range(BOUND):
+    for key in range(MAX_PER_SERVER):
         driver.arrive(0, key=key)
     name, actions = driver.arrive(0, key=99)
     assert [final.request for final in finals(actions)] == [name]
 
 
-# The queues, by call
+# The queues by themselves
 
 
-def a_request(name: str, key: int | None = 7) -> Request:
+def make_request(name: str, key: int | None = 7) -> Request:
     return Request(name, 0, key, 1_000_000, 500_000, 1.0, True, 0.0)
 
 
-def test_the_first_of_a_key_runs_and_the_others_wait_in_order() -> None:
-    keys, first, second, third = OrderedKeys(), a_request("a"), a_request("b"), a_request("c")
+def test_the_first_request_of_a_key_runs_and_the_others_wait_in_order() -> None:
+    keys, first, second, third = OrderedKeys(), make_request("a"), make_request("b"), make_request("c")
     turns = [keys.join(request, 7, 0, 10.0, 1000) for request in (first, second, third)]
     assert turns == [Turn.NOW, Turn.WAITS, Turn.WAITS]
-    assert keys.join(a_request("d", 8), 8, 0, 10.0, 1000) is Turn.NOW  # another key
+    assert keys.join(make_request("d", 8), 8, 0, 10.0, 1000) is Turn.NOW  # another key
     assert keys.leave(first) is second and keys.leave(second) is third
     assert keys.leave(third) is None and 7 not in keys and len(keys) == 1
 
 
-def test_a_request_that_would_come_too_late_stays_out() -> None:
+def test_a_request_whose_turn_would_come_too_late_is_not_queued() -> None:
     keys = OrderedKeys()
-    keys.join(a_request("a"), 7, 0, 100.0, 1000)
-    keys.join(a_request("b"), 7, 0, 100.0, 1000)
-    late = a_request("c")
+    keys.join(make_request("a"), 7, 0, 100.0, 1000)
+    keys.join(make_request("b"), 7, 0, 100.0, 1000)
+    late = make_request("c")
     assert keys.join(late, 7, 801, 100.0, 1000) is Turn.TOO_LATE and not keys.is_queued(late)
     assert keys.join(late, 7, 800, 100.0, 1000) is Turn.WAITS and keys.is_queued(late)
 
 
-def test_one_that_leaves_before_its_turn_gives_nobody_a_turn() -> None:
-    keys, first, second, third = OrderedKeys(), a_request("a"), a_request("b"), a_request("c")
+def test_a_request_that_leaves_the_queue_before_its_turn_starts_no_other() -> None:
+    keys, first, second, third = OrderedKeys(), make_request("a"), make_request("b"), make_request("c")
     for request in (first, second, third):
         keys.join(request, 7, 0, 10.0, 1000)
     assert keys.leave(second) is None and keys.leave(first) is third
@@ -95,4 +95,4 @@
 
 def test_a_request_without_a_key_is_never_queued() -> None:
     keys = OrderedKeys()
-    assert not keys.is_queued(a_request("a", None)) and keys.leave(a_request("a", None)) is None
+    assert not keys.is_queued(make_request("a", None)) and keys.leave(make_request("a", None)) is None
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Which servers are eligible, the subset, and the weights of the draw."""
+"""Server selection: which servers are eligible, the subset of a gateway, and the weights of the choice."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 SECOND_US = 1_000_000
 
 
-MANY = replace(SETTINGS, gateway_count=20, max_retry_after_us=2_000_000)
+MANY_GATEWAYS = replace(SETTINGS, gateway_count=20, max_retry_after_us=2_000_000)
 
 
-def busy(driver: Driver, count: int) -> list[tuple[str, int]]:
-    """Arrivals, as long as they are sent at once."""
-    held = []
+def arrive_while_sent(driver: Driver, count: int) -> list[tuple[str, int]]:
+    """Up to `count` requests until one is not sent at once: the id and the server of each that was sent."""
+    in_flight = []
     for _ in range(count):
         name, actions = driver.arrive()
         if not (sent := sends(actions)):
             break
-        held.append((name, sent[0].server))
-    return held
+        in_flight.append((name, sent[0].server))
+    return in_flight
 
 
-def test_an_unsafe_request_is_no_trial() -> None:
+def test_an_unsafe_request_is_not_used_as_a_half_open_trial() -> None:
     driver = Driver(servers=2)
     breaker = driver.balancer.servers[0].breaker
     trip(breaker, driver.now_us)
@@ -40,95 +40,98 @@
         assert sends(driver.arrive(class_index=2)[1])[0].server == 1
 
 
-def test_a_silent_server_gets_nothing_more() -> None:
+def test_a_stalled_server_gets_no_further_requests() -> None:
     driver = Driver(servers=1)
     driver.arrive(class_index=2)
     driver.now_us += int(STALL_FACTOR * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(class_index=2)[1])
 
 
-def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
+def test_the_cross_zone_price_lowers_the_weight_of_servers_in_other_zones() -> None:
     driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
     driver.list_servers(ListedServer(1, zone=0), ListedServer(2, zone=1))
-    to_home = 0
+    to_own_zone = 0
     for _ in range(200):
         name, actions = driver.arrive()
-        to_home += sends(actions)[0].server == 1
+        to_own_zone += sends(actions)[0].server == 1
         driver.end(name, sends(actions)[0].server)
-    assert 130 < to_home < 190
+    assert 130 < to_own_zone < 190
 
 
-def test_a_keys_requests_go_home_while_it_has_room() -> None:
+def test_requests_of_a_key_prefer_its_home_server_while_that_has_capacity() -> None:
     driver = Driver(replace(SETTINGS, warm_keys=True), servers=8)
-    met: dict[int, int] = {}
+    requests_by_server: dict[int, int] = {}
     for _ in range(100):
         name, actions = driver.arrive(key=77)
         server = sends(actions)[0].server
-        met[server] = met.get(server, 0) + 1
+        requests_by_server[server] = requests_by_server.get(server, 0) + 1
         driver.end(name, server)
-    assert max(met.values()) > 50 and len(met) > 1
+    assert max(requests_by_server.values()) > 50 and len(requests_by_server) > 1
 
 
-def test_a_proxy_keeps_to_its_subset() -> None:
-    """With a server each, hundreds of gateways filled every connection table: 90% of attempts got none."""
-    met: set[int] = set()
+def test_a_gateway_uses_only_its_subset() -> None:
+    """Guards against full connection tables: hundreds of gateways each connected to every server.
+
+    In that state 90% of the attempts got no connection.
+    """
+    used: set[int] = set()
     driver = Driver(replace(SETTINGS, gateway_count=300, gateway_index=5), servers=60)
     for _ in range(300):
         name, actions = driver.arrive()
-        met.add(sends(actions)[0].server)
+        used.add(sends(actions)[0].server)
         driver.end(name, sends(actions)[0].server)
-    assert len(met) <= MIN_SUBSET + 1
+    assert len(used) <= MIN_SUBSET + 1
 
 
-def test_subsets_are_even_and_move_little() -> None:
-    used = [0] * 40
+def test_subsets_load_servers_evenly_and_change_little_when_one_leaves() -> None:
+    subsets_by_server = [0] * 40
     for gateway_index in range(400):
         ranks = sorted(range(40), key=lambda server: rendezvous(gateway_index, server, 1.0))
-        without = [server for server in ranks if server != 3]
-        assert [r for r in ranks[:4] if r != 3] == without[: 4 - (3 in ranks[:4])]
+        without_server_3 = [server for server in ranks if server != 3]
+        assert [server for server in ranks[:4] if server != 3] == without_server_3[: 4 - (3 in ranks[:4])]
         for server in ranks[:4]:
-            used[server] += 1
-    assert min(used) > 20 and max(used) < 65
+            subsets_by_server[server] += 1
+    assert min(subsets_by_server) > 20 and max(subsets_by_server) < 65
 
 
-def test_a_proxy_with_more_in_hand_reaches_further() -> None:
-    """One gateway with a fifth of all traffic would crush the few servers of a fixed subset."""
+def test_a_gateway_with_more_requests_in_flight_uses_more_servers() -> None:
+    """Guards against overload by a fixed subset when one gateway receives a large part of the traffic."""
     driver = Driver(replace(SETTINGS, gateway_count=3), servers=60)
-    met = {sends(driver.arrive(class_index=2)[1])[0].server for _ in range(40)}
-    assert len(met) > 3 * MIN_SUBSET
+    used = {sends(driver.arrive(class_index=2)[1])[0].server for _ in range(40)}
+    assert len(used) > 3 * MIN_SUBSET
 
 
-def test_one_of_many_proxies_with_more_than_its_part_to_do_reaches_further_by_and_by() -> None:
-    """The same where hundreds share: it has twelve times its part to do, and takes it while nothing waits."""
+def test_one_busy_gateway_of_many_enlarges_its_subset_gradually() -> None:
+    """With 300 gateways: one gets twelve times its share, and no server holds two of its requests."""
     driver = Driver(replace(SETTINGS, gateway_count=300, max_retry_after_us=2_000_000), servers=60)
-    held: list[tuple[int, str, int]] = []
-    met: set[int] = set()
-    asked = sent = most = 0
+    in_flight: list[tuple[int, str, int]] = []  # when it ends, request, server
+    used: set[int] = set()
+    arrived = sent = max_at_one_server = 0
 
-    def note(actions: list[Action]) -> None:
+    def record_sends(actions: list[Action]) -> None:
         nonlocal sent
         for send in sends(actions):
-            held.append((driver.now_us + 60_000, send.request, send.server))
-            sent += asked > 2_000
-            if asked > 2_000:
-                met.add(send.server)
+            in_flight.append((driver.now_us + 60_000, send.request, send.server))
+            sent += arrived > 2_000
+            if arrived > 2_000:
+                used.add(send.server)
 
-    for _ in range(4_000):  # a hundred a second, of 60 ms each
-        asked += 1
+    for _ in range(4_000):  # 100 requests per second of 60 ms each
+        arrived += 1
         driver.now_us += 10_000
-        for due, name, server in [entry for entry in held if entry[0] <= driver.now_us]:
-            held.remove((due, name, server))
-            note(driver.end(name, server, latency_us=60_000))
+        for due, name, server in [entry for entry in in_flight if entry[0] <= driver.now_us]:
+            in_flight.remove((due, name, server))
+            record_sends(driver.end(name, server, latency_us=60_000))
         for timer in [timer for timer in driver.timers if timer.due_us <= driver.now_us]:
             driver.timers.remove(timer)
-            note(driver.handle(TimerFired(timer.token)))
-        note(driver.arrive(class_index=2)[1])
-        by_server = Counter(server for _, _, server in held)
-        most = max([most, *by_server.values()])
-    assert sent > 0.98 * 2_000 and len(met) > MIN_SUBSET and most == 1
+            record_sends(driver.handle(TimerFired(timer.token)))
+        record_sends(driver.arrive(class_index=2)[1])
+        by_server = Counter(server for _, _, server in in_flight)
+        max_at_one_server = max([max_at_one_server, *by_server.values()])
+    assert sent > 0.98 * 2_000 and len(used) > MIN_SUBSET and max_at_one_server == 1
 
 
-def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
+def test_a_server_with_an_open_breaker_is_replaced_in_the_subset_by_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, gateway_count=300), servers=60)
     subset = driver.balancer.selector.subset(0)
     trip(subset[0].breaker, driver.now_us)
@@ -136,8 +139,11 @@
     assert subset[0] not in after and after[: len(subset) - 1] == subset[1:] and len(after) == len(subset)
 
 
-def test_the_home_of_a_key_mostly_lies_in_the_own_zone() -> None:
-    """Half of the keys had theirs in another zone, and a third of the attempts crossed."""
+def test_the_home_server_of_a_key_is_mostly_in_the_gateways_own_zone() -> None:
+    """Guards against home servers chosen without regard to zones.
+
+    Half of the keys then had their home in another zone, and a third of the attempts crossed zones.
+    """
     prices = Prices(cross_zone=0.08)
     driver = Driver(replace(SETTINGS, warm_keys=True, prices=prices), servers=0)
     driver.list_servers(*(ListedServer(n, zone=n % 2) for n in range(10)))
@@ -145,16 +151,16 @@
     crossed = 0
     for key in range(400):
         name, actions = driver.arrive(key=key * 7919)
-        (sent,) = sends(actions)
-        crossed += sent.server % 2
-        driver.end(name, sent.server)
+        (send,) = sends(actions)
+        crossed += send.server % 2
+        driver.end(name, send.server)
         driver.now_us += 10_000
         driver.balancer.subset_size.size = 10.0
     assert crossed < 50
 
 
-def test_an_unsafe_request_is_not_refused_while_closed_servers_lie_beyond_the_subset() -> None:
-    """Half-open servers, which it must not be a trial of, took up the places of those that may serve it."""
+def test_an_unsafe_request_is_sent_outside_the_subset_when_only_half_open_servers_are_inside() -> None:
+    """Guards against a subset full of half-open servers, which an unsafe request may not be a trial of."""
     driver = Driver(servers=10)
     for server in driver.balancer.ring.ranked[:MIN_SUBSET]:
         server.breaker.open(driver.now_us)
@@ -163,29 +169,30 @@
     assert sends(actions)
 
 
-def test_proxies_spread_evenly_over_the_servers() -> None:
-    met: dict[int, int] = {}
+def test_subsets_of_all_gateways_cover_the_servers_evenly() -> None:
+    subsets_by_server: dict[int, int] = {}
     for gateway_index in range(14):
         driver = Driver(
             replace(SETTINGS, gateway_count=14, gateway_index=gateway_index), servers=24, seed=gateway_index
         )
         for server in driver.balancer.ring.ranked[:6]:
-            met[server.entry.server] = met.get(server.entry.server, 0) + 1
-    assert len(met) == 24 and set(met.values()) <= {3, 4}
+            subsets_by_server[server.entry.server] = subsets_by_server.get(server.entry.server, 0) + 1
+    assert len(subsets_by_server) == 24 and set(subsets_by_server.values()) <= {3, 4}
 
 
-def test_many_reach_no_further_than_they_have_to() -> None:
-    """Each further server is one at which it meets more of the others, that it knows nothing of."""
-    wide, narrow = Driver(replace(MANY, gateway_count=2), servers=40), Driver(MANY, servers=40)
-    for driver in (wide, narrow):
-        held = busy(driver, 5)
+def test_the_subset_of_one_of_many_gateways_grows_no_larger_than_needed() -> None:
+    """Every further server is shared with more gateways, of whose requests this one knows nothing."""
+    one_of_two = Driver(replace(MANY_GATEWAYS, gateway_count=2), servers=40)
+    one_of_many = Driver(MANY_GATEWAYS, servers=40)
+    for driver in (one_of_two, one_of_many):
+        in_flight = arrive_while_sent(driver, 5)
         assert driver.balancer.subset_size.size == (
-            MIN_SUBSET + len(held) if driver is wide else max(MIN_SUBSET, 1 + len(held))
+            MIN_SUBSET + len(in_flight) if driver is one_of_two else max(MIN_SUBSET, 1 + len(in_flight))
         )
-        for name, server in held:
+        for name, server in in_flight:
             driver.end(name, server)
         for _ in range(20):
             driver.now_us += SECOND_US
             name, actions = driver.arrive()
             driver.end(name, sends(actions)[0].server)
-    assert narrow.balancer.subset_size.size < MIN_SUBSET + 0.1 < wide.balancer.subset_size.size
+    assert one_of_many.balancer.subset_size.size < MIN_SUBSET + 0.1 < one_of_two.balancer.subset_size.size
