--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the controller by itself, and the load balancer with it."""
+"""Admission control: the controller by itself, and in a load balancer."""
 
 from __future__ import annotations
 
@@ -33,16 +33,18 @@
 from sagetrack.policy.reservations import Requester, RetryTerms
 from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-def test_an_address_is_not_taken_for_one_client_that_retries_too_early() -> None:
+def test_an_address_shared_by_clients_is_not_treated_as_one_client_retrying_too_early() -> None:
     controller: AdmissionController[str] = AdmissionController(AdmissionSettings(), [1.0])
-    for client, key, repeat, early in ((-5, 0, False, False), (5, 0, False, True), (-5, 7, False, True)):
+    for client, key, is_retry, rejected in ((-5, 0, False, False), (5, 0, False, True), (-5, 7, False, True)):
         requester = Requester(0, client, key)
-        told = controller.retry_after_us(0, requester, 400_000.0, RetryTerms(0.0, 8 * SECOND, 8 * SECOND))
-        verdict = controller.check_arrival(told // 10, requester, 0, 1000.0, repeat)
-        assert (verdict != ADMITTED) == early, (client, verdict)
+        retry_after_us = controller.retry_after_us(
+            0, requester, 400_000.0, RetryTerms(0.0, 8 * SECOND_US, 8 * SECOND_US)
+        )
+        verdict = controller.check_arrival(retry_after_us // 10, requester, 0, 1000.0, is_retry)
+        assert (verdict != ADMITTED) == rejected, (client, verdict)
 
 
 @pytest.mark.parametrize(
@@ -53,16 +55,18 @@
         ({"memory_bytes": 1000}, "memory_bytes is 1000, allowed are 65536 and more"),
     ],
 )
-def test_settings_out_of_range_are_named_with_what_is_allowed(setting: dict[str, Any], message: str) -> None:
+def test_settings_out_of_range_are_reported_with_the_allowed_range(
+    setting: dict[str, Any], message: str
+) -> None:
     with pytest.raises(ValueError, match=message):
         AdmissionSettings(**setting)
 
 
 # The load balancer with admission control
 
-KINDS = (RequestClass(1_000_000, 4_000_000, late_priority_weight=0.5, effect=Effect.SAFE),)
+CLASSES = (RequestClass(1_000_000, 4_000_000, late_priority_weight=0.5, effect=Effect.SAFE),)
 BASE = Settings(
-    classes=KINDS,
+    classes=CLASSES,
     tenants=(Tenant(0.5), Tenant(0.5)),
     max_attempts=2,
     max_retry_after_us=4_000_000,
@@ -70,143 +74,152 @@
 )
 
 
-class Fleet:
-    """The module round servers that each take 100 ms and hold three."""
+class Simulation:
+    """A load balancer with simulated servers that take 100 ms a request, one after the other."""
 
     def __init__(self, settings: Settings = BASE, servers: int = 2) -> None:
         self.balancer = LoadBalancer(settings, 1)
-        self.now = SECOND
+        self.now_us = SECOND_US
         self.count = 0
-        self.due: list[tuple[int, int, Event]] = []
+        self.pending: list[tuple[int, int, Event]] = []
         self.sent: list[str] = []
-        self.refused: dict[str, int] = {}
-        self.free = [0] * servers
-        self.handle(EndpointList(ListKind.FULL, tuple(ListedServer(n) for n in range(servers))))
+        self.rejected: dict[str, int] = {}
+        self.free_at_us = [0] * servers
+        self.handle(EndpointList(ListKind.FULL, tuple(ListedServer(number) for number in range(servers))))
 
     def handle(self, event: Event) -> list[Action]:
-        actions = self.balancer.handle(self.now, event)
+        actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.count += 1
             if isinstance(action, SendAttempt):
                 self.sent.append(action.request)
-                self.free[action.server] = ends = max(self.now, self.free[action.server]) + 100_000
-                over = AttemptEnded(action.request, 0, action.server, Outcome.OK, ends - self.now, True)
-                self.due.append((ends, self.count, over))
+                self.free_at_us[action.server] = end_us = (
+                    max(self.now_us, self.free_at_us[action.server]) + 100_000
+                )
+                ended = AttemptEnded(action.request, 0, action.server, Outcome.OK, end_us - self.now_us, True)
+                self.pending.append((end_us, self.count, ended))
             elif isinstance(action, SetTimer):
-                self.due.append((action.due_us, self.count, TimerFired(action.token)))
+                self.pending.append((action.due_us, self.count, TimerFired(action.token)))
             elif isinstance(action, Reject):
-                assert action.request not in self.refused and action.request not in self.sent
-                self.refused[action.request] = action.retry_after_us
+                assert action.request not in self.rejected and action.request not in self.sent
+                self.rejected[action.request] = action.retry_after_us
         return actions
 
-    def ask(self, name: str, member: int, client: int = 1, key: int | None = None, **more: Any) -> None:
+    def arrive(self, name: str, tenant: int, client: int = 1, key: int | None = None, **extra: Any) -> None:
         key = key if key is not None else abs(hash(name)) % 2**40
-        self.handle(RequestArrived(name, 0, 4_000_000, key, tenant=member, client=client, **more))
+        self.handle(RequestArrived(name, 0, 4_000_000, key, tenant=tenant, client=client, **extra))
 
     def run_until(self, time_us: int) -> None:
-        while self.due and min(self.due)[0] <= time_us:
-            first = min(self.due)
-            self.due.remove(first)
-            self.now = max(self.now, first[0])
-            self.handle(first[2])
-        self.now = time_us
+        while self.pending and min(self.pending)[0] <= time_us:
+            next_event = min(self.pending)
+            self.pending.remove(next_event)
+            self.now_us = max(self.now_us, next_event[0])
+            self.handle(next_event[2])
+        self.now_us = time_us
 
-    def flood(self, seconds: float, rate: int, member: int = 0, clients: int = 5) -> None:
-        for n in range(int(seconds * rate)):
-            self.run_until(self.now + SECOND // rate)
-            self.ask(f"f{self.now}-{n}", member, n % clients + 1)
+    def flood(self, seconds: float, rate: int, tenant: int = 0, clients: int = 5) -> None:
+        for number in range(int(seconds * rate)):
+            self.run_until(self.now_us + SECOND_US // rate)
+            self.arrive(f"f{self.now_us}-{number}", tenant, number % clients + 1)
 
 
 def test_a_small_tenant_is_served_while_a_large_one_floods() -> None:
-    fleet = Fleet()
+    simulation = Simulation()
     for n in range(20):
-        fleet.flood(0.25, 80)
-        fleet.ask(f"small{n}", 1)
-    fleet.run_until(fleet.now + 5 * SECOND)
-    assert sum(name.startswith("small") for name in fleet.sent) == 20
-    assert len(fleet.refused) > 100 and not len(fleet.balancer.admission.queues)  # type: ignore[union-attr]
-    rows = fleet.balancer.admission.counters  # type: ignore[union-attr]
-    assert rows[1].served == rows[1].requested == 20 and rows[0].waiting == 0
-    assert rows[0].served + rows[0].rejected == rows[0].requested
-
-
-def test_a_retry_at_its_retry_after_is_admitted_and_an_immediate_one_is_not() -> None:
-    fleet = Fleet()
-    fleet.flood(2.0, 60)
-    told = {name: wait for name, wait in fleet.refused.items() if 300_000 < wait < 3_000_000}
-    name, wait = list(told.items())[-1]
+        simulation.flood(0.25, 80)
+        simulation.arrive(f"small{n}", 1)
+    simulation.run_until(simulation.now_us + 5 * SECOND_US)
+    assert sum(name.startswith("small") for name in simulation.sent) == 20
+    assert len(simulation.rejected) > 100 and not len(simulation.balancer.admission.queues)  # type: ignore[union-attr]
+    counters = simulation.balancer.admission.counters  # type: ignore[union-attr]
+    assert counters[1].served == counters[1].requested == 20 and counters[0].waiting == 0
+    assert counters[0].served + counters[0].rejected == counters[0].requested
+
+
+def test_a_retry_at_its_retry_after_is_admitted_and_an_immediate_one_is_rejected() -> None:
+    simulation = Simulation()
+    simulation.flood(2.0, 60)
+    waits = {
+        name: retry_after_us
+        for name, retry_after_us in simulation.rejected.items()
+        if 300_000 < retry_after_us < 3_000_000
+    }
+    name, retry_after_us = list(waits.items())[-1]
     client = int(name.partition("-")[2]) % 5 + 1
     key = abs(hash(name)) % 2**40
-    fleet.ask("early", 0, client, key)
-    assert fleet.refused["early"] == pytest.approx(wait, rel=0.35)
-    assert fleet.balancer.admission.reservations.ignored[0] == 1  # type: ignore[union-attr]
-    began = fleet.now
-    while fleet.now < began + wait:
-        fleet.flood(0.1, 60)
-    fleet.ask("kept", 0, client, key)
-    fleet.run_until(fleet.now + 2 * SECOND)
-    assert "kept" in fleet.sent
-
-
-def test_a_queued_request_without_a_chance_is_rejected_before_its_deadline() -> None:
-    fleet = Fleet(servers=1)
+    simulation.arrive("early", 0, client, key)
+    assert simulation.rejected["early"] == pytest.approx(retry_after_us, rel=0.35)
+    assert simulation.balancer.admission.reservations.ignored[0] == 1  # type: ignore[union-attr]
+    rejected_at_us = simulation.now_us
+    while simulation.now_us < rejected_at_us + retry_after_us:
+        simulation.flood(0.1, 60)
+    simulation.arrive("kept", 0, client, key)
+    simulation.run_until(simulation.now_us + 2 * SECOND_US)
+    assert "kept" in simulation.sent
+
+
+def test_a_queued_request_that_cannot_be_served_in_time_is_rejected_before_its_deadline() -> None:
+    simulation = Simulation(servers=1)
     for n in range(3):
-        fleet.ask(f"stuck{n}", 0, n)
-    fleet.due = [due for due in fleet.due if isinstance(due[2], TimerFired)]  # the server is dumb
-    fleet.ask("waits", 1)
-    assert "waits" not in fleet.refused
-    fleet.run_until(fleet.now + 600_000)
-    assert "waits" in fleet.refused
+        simulation.arrive(f"stuck{n}", 0, n)
+    # The server never answers: only timers are left.
+    simulation.pending = [event for event in simulation.pending if isinstance(event[2], TimerFired)]
+    simulation.arrive("waits", 1)
+    assert "waits" not in simulation.rejected
+    simulation.run_until(simulation.now_us + 600_000)
+    assert "waits" in simulation.rejected
 
 
 def test_ten_thousand_clients_stay_within_the_memory_bound_and_no_queued_request_is_dropped() -> None:
     bound = 256 * 1024
-    fleet = Fleet(replace(BASE, admission=AdmissionSettings(memory_bytes=bound, client_rate=Rate(5.0, 2.0))))
-    controller = fleet.balancer.admission
+    simulation = Simulation(
+        replace(BASE, admission=AdmissionSettings(memory_bytes=bound, client_rate=Rate(5.0, 2.0)))
+    )
+    controller = simulation.balancer.admission
     assert controller is not None
-    draw = random.Random(1)
+    rng = random.Random(1)
     for n in range(10_000):
         if n % 20 == 0:
-            fleet.run_until(fleet.now + 20_000)
-        fleet.ask(f"c{n}", 0, draw.getrandbits(60))
+            simulation.run_until(simulation.now_us + 20_000)
+        simulation.arrive(f"c{n}", 0, rng.getrandbits(60))
         assert controller.memory_used() <= bound
-    fleet.run_until(fleet.now + 10 * SECOND)
-    assert len(fleet.sent) + len(fleet.refused) == 10_000 and not fleet.balancer.requests
+    simulation.run_until(simulation.now_us + 10 * SECOND_US)
+    assert len(simulation.sent) + len(simulation.rejected) == 10_000 and not simulation.balancer.requests
 
 
-def test_a_rate_limit_holds_by_itself_and_its_retry_after_is_right() -> None:
-    fleet = Fleet(replace(BASE, admission=AdmissionSettings(client_rate=Rate(2.0, 1.0))))
-    fleet.ask("one", 0, 4)
-    fleet.ask("two", 0, 4)
-    fleet.ask("other", 0, 5)
-    assert fleet.sent == ["one", "other"] and 400_000 < fleet.refused["two"] <= 500_000
-    fleet.run_until(fleet.now + fleet.refused["two"])
-    fleet.ask("again", 0, 4)
-    assert "again" in fleet.sent
+def test_a_client_rate_limit_is_enforced_and_its_retry_after_is_accurate() -> None:
+    simulation = Simulation(replace(BASE, admission=AdmissionSettings(client_rate=Rate(2.0, 1.0))))
+    simulation.arrive("one", 0, 4)
+    simulation.arrive("two", 0, 4)
+    simulation.arrive("other", 0, 5)
+    assert simulation.sent == ["one", "other"] and 400_000 < simulation.rejected["two"] <= 500_000
+    simulation.run_until(simulation.now_us + simulation.rejected["two"])
+    simulation.arrive("again", 0, 4)
+    assert "again" in simulation.sent
 
 
-def test_shares_change_under_load_and_a_clock_jump_breaks_nothing() -> None:
-    fleet = Fleet()
+def test_tenant_shares_change_under_load_and_a_clock_jump_loses_no_request() -> None:
+    simulation = Simulation()
 
-    def both(seconds: float) -> float:
-        before = len(fleet.sent)
+    def share_of_first_tenant(seconds: float) -> float:
+        before = len(simulation.sent)
         for n in range(int(seconds * 30)):
-            fleet.run_until(fleet.now + SECOND // 30)
-            fleet.ask(f"a{fleet.now}", 0, n % 5)
-            fleet.ask(f"b{fleet.now}", 1, n % 5)
-        names = fleet.sent[before:]
+            simulation.run_until(simulation.now_us + SECOND_US // 30)
+            simulation.arrive(f"a{simulation.now_us}", 0, n % 5)
+            simulation.arrive(f"b{simulation.now_us}", 1, n % 5)
+        names = simulation.sent[before:]
         return sum(name[0] == "a" for name in names) / len(names)
 
-    even = both(6.0)
-    fleet.handle(TenantSharesChanged((0.9, 0.1)))
-    fleet.run_until(fleet.now + SECOND)
-    fleet.now += SECOND  # the clock goes on by a second at once
-    uneven = both(6.0)
-    assert even == pytest.approx(0.5, abs=0.06) and uneven > even + 0.15
-    fleet.handle(PeerDemands(3, (5e6, 0.0)))
-    fleet.handle(TenantSharesChanged((0.5,)))  # of another installation: passed over
-    fleet.run_until(fleet.now + 9 * SECOND)
-    assert not fleet.balancer.requests
+    share_before = share_of_first_tenant(6.0)
+    simulation.handle(TenantSharesChanged((0.9, 0.1)))
+    simulation.run_until(simulation.now_us + SECOND_US)
+    simulation.now_us += SECOND_US  # the clock jumps by a second
+    share_after = share_of_first_tenant(6.0)
+    assert share_before == pytest.approx(0.5, abs=0.06) and share_after > share_before + 0.15
+    simulation.handle(PeerDemands(3, (5e6, 0.0)))
+    simulation.handle(TenantSharesChanged((0.5,)))  # of another configuration: ignored
+    simulation.run_until(simulation.now_us + 9 * SECOND_US)
+    assert not simulation.balancer.requests
 
 
 def test_marked_retries_are_bounded_only_while_requests_are_queued() -> None:
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -1,4 +1,4 @@
-"""Observations of peers: how they merge, how much of them is believed; quotas of a fleet that shrinks."""
+"""Observations of peers: how they merge and how much they count; quotas of a fleet that shrinks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.helpers import START_US, Driver, sends
 
 NOW = 1_700_000_000_000_000
-SIGHTS = st.builds(
+OBSERVATIONS = st.builds(
     Observation,
     st.integers(1, 4),
     st.sampled_from([0, 5_000_000]),
@@ -46,8 +46,10 @@
 # Observations
 
 
-@given(st.lists(SIGHTS, max_size=8), st.lists(SIGHTS, max_size=8), st.lists(SIGHTS, max_size=8))
-def test_knowledge_merges_in_any_order_and_however_often(
+@given(
+    st.lists(OBSERVATIONS, max_size=8), st.lists(OBSERVATIONS, max_size=8), st.lists(OBSERVATIONS, max_size=8)
+)
+def test_merging_observations_is_commutative_associative_and_idempotent(
     a: list[Observation], b: list[Observation], c: list[Observation]
 ) -> None:
     assert merge_observations(a, b) == merge_observations(b, a)
@@ -57,56 +59,58 @@
     assert merge_observations(a, a, b, a) == merge_observations(a, b)
 
 
-@given(st.lists(SIGHTS, max_size=40))
-def test_hearsay_takes_a_bounded_part_out_of_use(sights: list[Observation]) -> None:
-    lives = {1: 0, 2: 0, 3: 5_000_000, 9: 0}
-    for most in range(4):
-        advice = weigh_observations(sights, lives, NOW, most)
-        assert sum(a.open_us >= 0 for a in advice) <= most
+@given(st.lists(OBSERVATIONS, max_size=40))
+def test_observations_of_peers_open_no_more_than_the_given_number_of_servers(
+    observations: list[Observation],
+) -> None:
+    started_us = {1: 0, 2: 0, 3: 5_000_000, 9: 0}
+    for max_open in range(4):
+        advice = weigh_observations(observations, started_us, NOW, max_open)
+        assert sum(a.open_us >= 0 for a in advice) <= max_open
     assert {a.server for a in advice} <= {1, 2, 3}
 
 
-def test_older_word_weighs_less_and_one_voice_of_three_opens_nothing() -> None:
+def test_older_observations_count_less_and_one_peer_of_three_opens_no_breaker() -> None:
     assert (
         confidence(0) == 1.0 > confidence(5_000_000) > confidence(20_000_000) > confidence(60_000_000) == 0.0
     )
-    lives = dict.fromkeys(range(1, 7), 0)
-    bad = Observation(1, 0, 0, NOW, OPEN, NOW + 500_000, 0.05)
-    good = [Observation(1, 0, by, NOW, CLOSED, 0, 1.0) for by in (1, 2)]
-    (alone,) = weigh_observations([bad], lives, NOW, 2)
-    (outvoted,) = weigh_observations([bad, *good], lives, NOW, 2)
+    started_us = dict.fromkeys(range(1, 7), 0)
+    unhealthy = Observation(1, 0, 0, NOW, OPEN, NOW + 500_000, 0.05)
+    healthy = [Observation(1, 0, by, NOW, CLOSED, 0, 1.0) for by in (1, 2)]
+    (alone,) = weigh_observations([unhealthy], started_us, NOW, 2)
+    (outvoted,) = weigh_observations([unhealthy, *healthy], started_us, NOW, 2)
     assert alone.open_us == 500_000 and outvoted.open_us == -1 and outvoted.weight > 0.6
 
 
-def test_a_start_believes_what_it_has_not_seen_itself() -> None:
+def test_a_started_gateway_adopts_observations_of_servers_it_has_not_used() -> None:
     driver = Driver(servers=6)
-    sights = tuple(
+    observations = tuple(
         Observation(n, 0, 2, START_US, OPEN if n == 3 else CLOSED, START_US + 700_000, 0.2) for n in (3, 4)
     )
-    driver.handle(ObservationsReceived(sights, (ClassLatency(0, 9_000.0, 8_000.0),)))
+    driver.handle(ObservationsReceived(observations, (ClassLatency(0, 9_000.0, 8_000.0),)))
     servers = driver.balancer.servers
     assert servers[3].breaker.state is State.OPEN and servers[3].breaker.open_until_us == START_US + 700_000
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
     assert driver.balancer.latency.smoothed_us[0] == 9_000.0
     driver.now_us += FIRST_COOLDOWN_US
-    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide, as ever
+    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide as after any cooldown
 
 
-def test_own_sight_outweighs_word_and_no_word_revives_who_drains_or_names_who_is_not_listed() -> None:
+def test_own_observations_outweigh_those_of_peers_which_cannot_revive_or_add_a_server() -> None:
     driver = Driver(servers=3)
     name, actions = driver.arrive()
     server = sends(actions)[0].server
     driver.end(name, server)
     driver.list_servers(ListedServer(1, ServerStatus.DRAINING), kind=ListKind.DELTA)
-    told = tuple(Observation(n, 0, 2, START_US, CLOSED, 0, 0.05) for n in (0, 1, 2, 77))
-    driver.handle(ObservationsReceived(told))
+    observations = tuple(Observation(n, 0, 2, START_US, CLOSED, 0, 0.05) for n in (0, 1, 2, 77))
+    driver.handle(ObservationsReceived(observations))
     assert driver.balancer.servers[server].weight > 0.9
     assert 77 not in driver.balancer.servers
     assert driver.balancer.servers[1].entry.status is ServerStatus.DRAINING
     assert all(s.entry.server != 1 for s in driver.balancer.ring.ranked)
 
 
-def test_a_peer_that_calls_all_servers_bad_leaves_most_of_them_in_use() -> None:
+def test_a_peer_that_reports_all_servers_as_failing_opens_only_a_third_of_them() -> None:
     driver = Driver(servers=9)
     driver.handle(
         ObservationsReceived(
@@ -118,12 +122,14 @@
     assert any(driver.arrive()[1])
 
 
-def test_word_that_comes_again_is_believed_once_and_opens_no_more_in_all() -> None:
+def test_a_repeated_observation_is_applied_once_and_the_bound_holds_over_all_messages() -> None:
     driver = Driver(servers=9)
     for first in (0, 3, 6, 0, 3, 6):
-        three = range(first, first + 3)
-        told = tuple(Observation(n, 0, 2, START_US, OPEN, START_US + 8_000_000, 0.05) for n in three)
-        driver.handle(ObservationsReceived(told))
+        numbers = range(first, first + 3)
+        observations = tuple(
+            Observation(n, 0, 2, START_US, OPEN, START_US + 8_000_000, 0.05) for n in numbers
+        )
+        driver.handle(ObservationsReceived(observations))
     servers = driver.balancer.servers.values()
     assert sum(s.breaker.state is State.OPEN for s in servers) == 3
     again = Driver(servers=9)
@@ -133,7 +139,7 @@
     assert again.balancer.servers[1].weight == 1.0
 
 
-def test_word_of_several_is_weighed_together_though_it_comes_one_by_one() -> None:
+def test_observations_of_several_peers_are_weighed_together_though_they_arrive_separately() -> None:
     driver = Driver(servers=9)
     for by, state in ((1, CLOSED), (2, CLOSED), (3, OPEN)):
         driver.handle(
@@ -142,7 +148,7 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_a_cooldown_that_is_over_opens_nothing() -> None:
+def test_an_observation_whose_cooldown_has_ended_opens_no_breaker() -> None:
     driver = Driver(servers=9)
     driver.handle(
         ObservationsReceived((Observation(1, 0, 2, START_US - 3_000_000, OPEN, START_US - 1, 0.05),))
@@ -150,7 +156,7 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_another_life_at_the_same_id_is_not_judged_by_the_earlier_one() -> None:
+def test_a_restarted_server_is_not_judged_by_observations_from_before_the_restart() -> None:
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(1, started_us=START_US))
     driver.handle(
@@ -161,39 +167,41 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_what_is_seen_is_told_and_taken_up_again() -> None:
-    one, other = Driver(servers=4), Driver(servers=4)
+def test_the_observations_of_one_gateway_can_be_adopted_by_another() -> None:
+    observer, receiver = Driver(servers=4), Driver(servers=4)
     for _ in range(6):
-        name, actions = one.arrive()
-        one.end(name, sends(actions)[0].server, Outcome.ERROR)
-    sights, _ = one.balancer.own_observations()
-    assert sights and all(sight.by == 0 for sight in sights)
-    other.handle(
+        name, actions = observer.arrive()
+        observer.end(name, sends(actions)[0].server, Outcome.ERROR)
+    observations, _ = observer.balancer.own_observations()
+    assert observations and all(observation.by == 0 for observation in observations)
+    receiver.handle(
         ObservationsReceived(
             tuple(
                 Observation(s.server, s.started_us, 1, s.seen_us, s.state, s.open_until_us, s.weight)
-                for s in sights
+                for s in observations
             )
         )
     )
-    for sight in sights:
-        assert other.balancer.servers[sight.server].weight == pytest.approx(sight.weight)
+    for observation in observations:
+        assert receiver.balancer.servers[observation.server].weight == pytest.approx(observation.weight)
 
 
 # Quotas
 
 
 @given(st.integers(1, 500), st.integers(0, 500))
-def test_shares_never_add_up_to_more_than_is_planned_for(all_: int, cut: int) -> None:
-    """Whoever is cut off or dead: both sides of the worst cut together stay within the whole."""
-    small = min(cut, all_ // 2)
-    total = (all_ - small) / sharing_gateways(all_ - small, all_) + (
-        small / sharing_gateways(small, all_) if small else 0.0
+def test_the_quotas_of_both_sides_of_a_partition_stay_within_the_whole(
+    configured: int, unreachable: int
+) -> None:
+    """Even in the worst partition the two sides together use no more than the planned total."""
+    minority = min(unreachable, configured // 2)
+    total = (configured - minority) / sharing_gateways(configured - minority, configured) + (
+        minority / sharing_gateways(minority, configured) if minority else 0.0
     )
     assert total * BUDGET_MARGIN <= 1.0
 
 
-def test_doubt_leaves_the_share_as_it_is() -> None:
+def test_uncertain_membership_leaves_the_quota_unchanged() -> None:
     assert sharing_gateways(3, 3) == sharing_gateways(2, 3) == sharing_gateways(1, 3) == 3
     assert sharing_gateways(7, 8) == 7 and sharing_gateways(5, 8) == 6 and sharing_gateways(4, 8) == 8
     driver = Driver(servers=3)
