--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,14 +1,15 @@
-"""Replays: the decisions of today's sizes are those of 9fea688, action by action.
+"""Replays: the load balancer decides as it did at commit 9fea688, action by action.
 
-A seeded day drives one balancer with lists, requests, outcomes, timers, deaths and what others saw; what it
-does goes into a digest. The digest is of numbers and identifiers alone, in an order that `digested` writes
-out by hand, so that no name of a class or a field is part of it. The day answers the module's own
-actions, so that from the first one that differs on everything does: the marks tell in which quarter that was.
+A day is a seeded sequence of endpoint lists, requests, outcomes, timers, server failures and observations of
+peers for one load balancer. Its actions are digested as numbers and identifiers in a fixed order, which
+`digest_form` defines, so that renaming a class or a field changes no digest. The events follow from the
+balancer's own actions: after the first action that differs everything differs, and the digest at the end of
+each quarter of a day shows in which quarter that was.
 
-No day holds a failed call to discovery or a list from disk, nor more than three gateways: what is decided
-there is changed on purpose elsewhere. Where another decision is changed on purpose, say so in the commit and
-print the digests anew: `python -m tests.test_replay`. For those of an older commit, copy this file into a
-worktree of it and run the same there.
+No day has a failed request to discovery, a list from disk or more than three gateways: decisions about
+those may change on purpose. Where another decision is changed on purpose, say so in the commit and print new
+digests with `python -m tests.test_replay`. For the digests of an older commit, copy this file into a worktree
+of that commit and run it there.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 from sagetrack.policy.settings import Effect, Goal, Prices, RequestClass, Scope, Settings, Tenant
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
-EVENTS = 6000  # of a day
+EVENTS = 6000  # per day
 QUARTERS = 4
 ZONE_KEYED = replace(KEYED, scope=Scope.ZONE, window_us=500_000)
 ALL_KEYED = replace(KEYED, scope=Scope.ALL, window_us=500_000)
@@ -73,9 +74,9 @@
 CLASSES = (SAFE, replace(KEYED, window_us=500_000), ZONE_KEYED, UNSAFE)
 TENANTS = tuple(Tenant(share) for share in (0.4, 0.3, 0.15, 0.1, 0.05))
 PLAIN = Settings(classes=CLASSES, hedging=True)
-TENANTED = replace(PLAIN, tenants=TENANTS, over_quota_priority=0.2)
-COLD = replace(
-    TENANTED,
+WITH_TENANTS = replace(PLAIN, tenants=TENANTS, over_quota_priority=0.2)
+WARMING_UP = replace(
+    WITH_TENANTS,
     start_capacity=0.1,
     warm_after_us=8_000_000,
     overload_multiple=2.0,
@@ -83,19 +84,22 @@
     prices=Prices(cross_zone=0.05),
     warm_keys=True,
 )
-DOOR = replace(COLD, admission=AdmissionSettings(), clients_mark_retries=True)
+WITH_ADMISSION_CONTROL = replace(WARMING_UP, admission=AdmissionSettings(), clients_mark_retries=True)
 DAYS: dict[str, tuple[Settings, int]] = {  # settings, servers
     "plain": (PLAIN, 12),
     "keyed": (
         replace(PLAIN, classes=(CLASSES[1], ZONE_KEYED, ALL_KEYED), gateway_count=3, gateway_index=1),
         40,
     ),
-    "tenants": (replace(TENANTED, gateway_count=2, gateway_index=1, goal=Goal(1.0, 0.5, 0.5)), 20),
-    "cold": (replace(COLD, gateway_count=3, gateway_index=2), 30),
-    "ordered": (replace(TENANTED, classes=(*CLASSES, ORDERED), key_cooldown_us=50_000), 9),
-    "formats": (replace(COLD, grpc_kinds=frozenset({1}), gateway_count=3, gateway_index=1, lossy=True), 24),
-    "door": (replace(DOOR, gateway_count=2, gateway_index=0), 16),
-    "small-door": (replace(DOOR, tenants=TENANTS[:2], max_concurrency=2.0), 6),
+    "tenants": (replace(WITH_TENANTS, gateway_count=2, gateway_index=1, goal=Goal(1.0, 0.5, 0.5)), 20),
+    "cold": (replace(WARMING_UP, gateway_count=3, gateway_index=2), 30),
+    "ordered": (replace(WITH_TENANTS, classes=(*CLASSES, ORDERED), key_cooldown_us=50_000), 9),
+    "formats": (
+        replace(WARMING_UP, grpc_kinds=frozenset({1}), gateway_count=3, gateway_index=1, lossy=True),
+        24,
+    ),
+    "door": (replace(WITH_ADMISSION_CONTROL, gateway_count=2, gateway_index=0), 16),
+    "small-door": (replace(WITH_ADMISSION_CONTROL, tenants=TENANTS[:2], max_concurrency=2.0), 6),
 }
 SEEDS = (1, 2, 3)
 REASONS = (
@@ -104,12 +108,12 @@
     RejectReason.QUEUE,
     RejectReason.ATTEMPTS_FAILED,
     RejectReason.OTHER,
-)  # a place never changes
-LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # what a log line says, whatever its other words
+)  # digested by position: never reorder
+LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # the values in a log line, without its wording
 
 
-def digested(action: Action) -> tuple[object, ...]:
-    """An action as the number of its kind and its values in a fixed order, all of plain types."""
+def digest_form(action: Action) -> tuple[object, ...]:
+    """Return an action as the number of its kind and its values in a fixed order, all of plain types."""
     if isinstance(action, SendAttempt):
         return 1, action.request, action.server, action.timeout_us, action.begin_by_us
     if isinstance(action, Reject):
@@ -128,7 +132,7 @@
 
 
 class Day:
-    """Events for one balancer, which follow from a seed and from what the balancer does."""
+    """Events for one load balancer, which follow from a seed and from its actions."""
 
     def __init__(self, settings: Settings, servers: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -136,20 +140,20 @@
         self.balancer = LoadBalancer(settings, seed)
         self.now_us = START_US
         self.entries: dict[int, ListedServer] = {}
-        self.most = servers
+        self.server_count = servers
         self.next_server = 0
         self.next_request = 0
-        self.out: list[tuple[SendAttempt, int, int]] = []  # what was sent, as which attempt, and when
-        self.attempts: dict[str, int] = {}  # of a request, until it has its final answer
+        self.in_flight: list[tuple[SendAttempt, int, int]] = []  # attempt, its number, when it was sent
+        self.attempts: dict[str, int] = {}  # by request, until its final answer
         self.timers: list[tuple[int, int]] = []
         self.slow_until_us = 0
-        self.bad: set[int] = set()  # servers that fail much
+        self.failing: set[int] = set()  # servers that fail often
         self.digest = hashlib.blake2b(digest_size=8)
         self.counts: dict[str, int] = {}
 
     def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_us, event):
-            self.digest.update(repr(digested(action)).encode())
+            self.digest.update(repr(digest_form(action)).encode())
             name = type(action).__name__
             self.counts[name] = self.counts.get(name, 0) + 1
             if isinstance(action, SendAttempt):
@@ -157,193 +161,200 @@
                 if number:
                     self.counts["further"] = self.counts.get("further", 0) + 1
                 self.attempts[action.request] = number + 1
-                self.out.append((action, number, self.now_us))
+                self.in_flight.append((action, number, self.now_us))
             elif isinstance(action, SetTimer):
                 heapq.heappush(self.timers, (action.due_us, action.token))
             elif isinstance(action, Reject | Fail):
                 self.attempts.pop(action.request, None)
             elif isinstance(action, Cancel):
-                for sent in self.out:
+                for sent in self.in_flight:
                     if sent[0].request == action.request and sent[1] == action.attempt:
                         self.end(sent, Outcome.CANCELLED)
                         break
 
     def end(self, sent: tuple[SendAttempt, int, int], outcome: Outcome) -> None:
-        self.out.remove(sent)
+        self.in_flight.remove(sent)
         send, number, sent_us = sent
-        good = outcome is Outcome.OK
-        if good:
+        is_ok = outcome is Outcome.OK
+        if is_ok:
             self.attempts.pop(send.request, None)
-        self.handle(AttemptEnded(send.request, number, send.server, outcome, self.now_us - sent_us, good))
+        self.handle(AttemptEnded(send.request, number, send.server, outcome, self.now_us - sent_us, is_ok))
 
-    # What may happen
+    # Events
 
     def arrive(self) -> None:
-        roll = self.random
-        class_index = roll.randrange(len(self.settings.classes))
-        asked = self.settings.classes[class_index]
-        repeat = roll.random() < 0.1
-        client_timeout_us = asked.request_timeout_us // (2 if repeat else 1)
+        rng = self.random
+        class_index = rng.randrange(len(self.settings.classes))
+        request_class = self.settings.classes[class_index]
+        is_retry = rng.random() < 0.1
+        client_timeout_us = request_class.request_timeout_us // (2 if is_retry else 1)
         self.next_request += 1
         name = f"r{self.next_request}"
-        tenant = min(roll.randrange(6), roll.randrange(6))
-        key = roll.randrange(12) if roll.random() < 0.6 else None
+        tenant = min(rng.randrange(6), rng.randrange(6))
+        key = rng.randrange(12) if rng.random() < 0.6 else None
         self.handle(
             RequestArrived(
                 name,
                 class_index,
                 client_timeout_us,
                 key,
-                int(roll.expovariate(1 / 8000)) or None,
-                repeat,
+                int(rng.expovariate(1 / 8000)) or None,
+                is_retry,
                 tenant,
-                uploading=roll.random() < 0.02,
-                client=roll.randrange(20),
-                mirror_target=roll.randrange(2) if self.settings.grpc_kinds and roll.random() < 0.05 else -1,
+                uploading=rng.random() < 0.02,
+                client=rng.randrange(20),
+                mirror_target=rng.randrange(2) if self.settings.grpc_kinds and rng.random() < 0.05 else -1,
             )
         )
 
-    def answer(self) -> None:
-        if not self.out:
+    def end_attempt(self) -> None:
+        if not self.in_flight:
             return
-        sent = self.random.choice(self.out[:4])
-        point, bad = self.random.random(), 0.6 if sent[0].server in self.bad else 0.06
+        sent = self.random.choice(self.in_flight[:4])
+        draw, failure_rate = self.random.random(), 0.6 if sent[0].server in self.failing else 0.06
         if sent[0].server not in self.entries:
             outcome = Outcome.CONNECT_FAILED
-        elif point < bad:
-            kinds = (Outcome.ERROR, Outcome.RESET, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-            outcome = self.random.choice(kinds)
+        elif draw < failure_rate:
+            failures = (
+                Outcome.ERROR,
+                Outcome.RESET,
+                Outcome.REJECTED,
+                Outcome.CONNECT_FAILED,
+                Outcome.NOT_SENT,
+            )
+            outcome = self.random.choice(failures)
         else:
             outcome = Outcome.OK
         self.end(sent, outcome)
 
-    def listed(self, number: int) -> ListedServer:
-        roll = self.random
-        cold = self.settings.warm_after_us and roll.random() < 0.5
-        started_us = self.now_us - roll.randrange(2_000_000) if cold else 0 * roll.randrange(2)  # long ago
+    def make_entry(self, number: int) -> ListedServer:
+        rng = self.random
+        is_warming_up = self.settings.warm_after_us and rng.random() < 0.5
+        # Zero is long ago; a random number is drawn in both cases.
+        started_us = self.now_us - rng.randrange(2_000_000) if is_warming_up else 0 * rng.randrange(2)
         return ListedServer(
             number,
-            weight=roll.choice((1.0, 1.0, 0.5, 2.0)),
-            zone=roll.randrange(3),
-            group=roll.randrange(4),
-            kind=roll.randrange(2),
+            weight=rng.choice((1.0, 1.0, 0.5, 2.0)),
+            zone=rng.randrange(3),
+            group=rng.randrange(4),
+            kind=rng.randrange(2),
             started_us=started_us,
         )
 
     def list_all(self) -> None:
-        while len(self.entries) < self.most:
-            self.entries[self.next_server] = self.listed(self.next_server)
+        while len(self.entries) < self.server_count:
+            self.entries[self.next_server] = self.make_entry(self.next_server)
             self.next_server += 1
         self.handle(EndpointList(ListKind.FULL, tuple(self.entries.values())))
 
     def change_list(self) -> None:
-        """One to three entries: a restart, another zone or weight, a drain, an end, a return, a new one."""
-        roll, changed = self.random, []
-        for _ in range(roll.randrange(1, 4)):
-            what = roll.randrange(6)
-            number = roll.choice(list(self.entries)) if self.entries else self.next_server
-            if what == 0 or number not in self.entries:
+        """Change one to three entries: restart, other zone or weight, draining, gone, ready again or new."""
+        rng, changed = self.random, []
+        for _ in range(rng.randrange(1, 4)):
+            choice = rng.randrange(6)
+            number = rng.choice(list(self.entries)) if self.entries else self.next_server
+            if choice == 0 or number not in self.entries:
                 number = self.next_server
                 self.next_server += 1
-            entry = self.listed(number)
-            if number in self.entries and what in (1, 2):
+            entry = self.make_entry(number)
+            if number in self.entries and choice in (1, 2):
                 entry = replace(entry, started_us=self.entries[number].started_us)
-            if what == 3:
+            if choice == 3:
                 entry = replace(self.entries[number], status=ServerStatus.DRAINING)
-            elif what == 4 and len(self.entries) > 3:
-                entry = ListedServer(number, ServerStatus.GONE)  # it says no more of it
-            elif what == 5:
+            elif choice == 4 and len(self.entries) > 3:
+                entry = ListedServer(number, ServerStatus.GONE)  # an entry that is gone has no other fields
+            elif choice == 5:
                 entry = replace(self.entries[number], status=ServerStatus.READY)
             if entry.status is ServerStatus.GONE:
                 del self.entries[number]
             else:
                 self.entries[number] = entry
             changed.append(entry)
-        if roll.random() < 0.1:
-            changed.append(ListedServer(10_000, ServerStatus.GONE))  # nobody had heard of it
+        if rng.random() < 0.1:
+            changed.append(ListedServer(10_000, ServerStatus.GONE))  # was never listed
         self.handle(EndpointList(ListKind.DELTA, tuple(changed)))
 
-    def learn(self) -> None:
-        roll, sights = self.random, []
-        for number in roll.sample(list(self.entries), min(5, len(self.entries))):
-            state = OPEN if roll.random() < 0.4 else CLOSED
-            by = roll.randrange(1, 4)
-            seen_us, left_us = self.now_us - roll.randrange(1_000_000), roll.randrange(1, 2_000_000)
-            sights.append(
+    def receive_observations(self) -> None:
+        rng, observations = self.random, []
+        for number in rng.sample(list(self.entries), min(5, len(self.entries))):
+            state = OPEN if rng.random() < 0.4 else CLOSED
+            by = rng.randrange(1, 4)
+            seen_us, cooldown_us = self.now_us - rng.randrange(1_000_000), rng.randrange(1, 2_000_000)
+            observations.append(
                 Observation(
                     number,
                     self.entries[number].started_us,
                     by,
                     seen_us,
                     state,
-                    self.now_us + left_us,
-                    roll.uniform(0.05, 1.0),
-                    roll.random() < 0.2,
+                    self.now_us + cooldown_us,
+                    rng.uniform(0.05, 1.0),
+                    rng.random() < 0.2,
                     0,
                 )
             )
-        self.handle(ObservationsReceived(tuple(sights), (ClassLatency(0, 9_000.0, 7_000.0),)))
+        self.handle(ObservationsReceived(tuple(observations), (ClassLatency(0, 9_000.0, 7_000.0),)))
 
-    def odd(self) -> None:
-        """What comes seldom."""
-        roll, what = self.random, self.random.randrange(9)
-        waits = [sent for sent in self.out if sent[0].request in self.attempts]
-        if what == 0 and self.attempts:
-            name = roll.choice(list(self.attempts))
+    def rare_event(self) -> None:
+        """Deliver one of the events that are rare."""
+        rng, choice = self.random, self.random.randrange(9)
+        unanswered = [sent for sent in self.in_flight if sent[0].request in self.attempts]
+        if choice == 0 and self.attempts:
+            name = rng.choice(list(self.attempts))
             self.attempts.pop(name)
             self.handle(RequestCancelled(name))
-        elif what == 1 and waits:
-            sent = roll.choice(waits)
+        elif choice == 1 and unanswered:
+            sent = rng.choice(unanswered)
             self.handle(StreamStarted(sent[0].request, sent[1]))
-        elif what == 2:
-            self.learn()
-        elif what == 3:
-            self.handle(FleetSizeChanged(roll.randrange(1, self.settings.gateway_count + 1)))
-        elif what == 4:
-            self.handle(ProcessCountChanged(roll.randrange(1, 3)))
-        elif what == 5:
-            self.bad = set(roll.sample(list(self.entries), min(3, len(self.entries))))
-        elif what == 6:
+        elif choice == 2:
+            self.receive_observations()
+        elif choice == 3:
+            self.handle(FleetSizeChanged(rng.randrange(1, self.settings.gateway_count + 1)))
+        elif choice == 4:
+            self.handle(ProcessCountChanged(rng.randrange(1, 3)))
+        elif choice == 5:
+            self.failing = set(rng.sample(list(self.entries), min(3, len(self.entries))))
+        elif choice == 6:
             self.slow_until_us = self.now_us + 1_000_000
-        elif what == 7 and self.settings.admission is not None:
-            shares = tuple(t.share * roll.uniform(0.5, 1.0) for t in self.settings.tenants)
+        elif choice == 7 and self.settings.admission is not None:
+            shares = tuple(t.share * rng.uniform(0.5, 1.0) for t in self.settings.tenants)
             self.handle(TenantSharesChanged(shares))
-            self.handle(PeerDemands(roll.randrange(3), tuple(roll.uniform(0, 9000) for _ in shares)))
-        elif what == 8 and self.settings.grpc_kinds:
+            self.handle(PeerDemands(rng.randrange(3), tuple(rng.uniform(0, 9000) for _ in shares)))
+        elif choice == 8 and self.settings.grpc_kinds:
             self.handle(TrafficShift({0: (0.5, 1.5)}, {1: (1.0, 0.0)}))
 
     def fire_timers(self) -> None:
-        """Timers that are due, and attempts whose time is over."""
+        """Fire the timers that are due, and time out attempts."""
         while self.timers and self.timers[0][0] <= self.now_us:
             self.handle(TimerFired(heapq.heappop(self.timers)[1]))
-        for sent in [s for s in self.out if s[2] + s[0].timeout_us <= self.now_us]:
-            if sent in self.out:
+        for sent in [s for s in self.in_flight if s[2] + s[0].timeout_us <= self.now_us]:
+            if sent in self.in_flight:
                 self.end(sent, Outcome.TIMEOUT)
 
     def draw_event(self, slow: bool) -> None:
-        point = self.random.random()
-        if point < 0.45:
+        draw = self.random.random()
+        if draw < 0.45:
             self.arrive()
-        elif point < (0.6 if slow else 0.96):
-            self.answer()
-        elif point < 0.975:
+        elif draw < (0.6 if slow else 0.96):
+            self.end_attempt()
+        elif draw < 0.975:
             self.change_list()
-        elif point > 0.998:
+        elif draw > 0.998:
             self.list_all()
-        elif point > 0.975:
-            self.odd()
+        elif draw > 0.975:
+            self.rare_event()
 
     def play(self) -> list[str]:
-        """A digest of all actions so far at the end of each quarter."""
-        roll, marks = self.random, []
+        """Play the day; return the digest of all actions so far at the end of each quarter."""
+        rng, marks = self.random, []
         self.list_all()
         for number in range(1, EVENTS + 1):
             slow = self.now_us < self.slow_until_us
-            self.now_us += int(roll.expovariate(1 / 3000))
+            self.now_us += int(rng.expovariate(1 / 3000))
             self.fire_timers()
             self.draw_event(slow)
-            for sent in self.out[:1]:
-                if roll.random() < 0.2:
+            for sent in self.in_flight[:1]:
+                if rng.random() < 0.2:
                     self.handle(AttemptSent(sent[0].request, sent[1]))
             if number == EVENTS:
                 self.handle(ShutdownStarted(self.now_us + 100_000))
@@ -382,14 +393,15 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("name", DAYS)
-def test_todays_sizes_are_decided_as_before(name: str, seed: int) -> None:
+def test_decisions_are_the_same_as_recorded(name: str, seed: int) -> None:
     day = Day(*DAYS[name], seed)
     assert day.play() == DIGESTS[f"{name} {seed}"], "the first mark that differs tells the quarter"
-    # An empty day would prove nothing.
+    # A day with hardly any actions would prove nothing.
     assert day.counts["SendAttempt"] > 500 and day.counts["Reject"] > 10 and day.counts["further"] > 20
 
 
 if __name__ == "__main__":
-    for which, (asked, fleet) in DAYS.items():
-        for number in SEEDS:
-            print(f'    "{which} {number}": {Day(asked, fleet, number).play()},'.replace("'", '"'))
+    for day_name, (day_settings, server_count) in DAYS.items():
+        for day_seed in SEEDS:
+            marks = Day(day_settings, server_count, day_seed).play()
+            print(f'    "{day_name} {day_seed}": {marks},'.replace("'", '"'))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of servers that warm up."""
+"""Slow start: the budget for sending to servers that are warming up."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from sagetrack.policy.subset_size import MIN_SUBSET, SubsetSize
 from tests.helpers import SAFE, SETTINGS, Driver, sends, trip
 
-COLD = replace(
+WARMING_UP = replace(
     SETTINGS,
     start_capacity=0.2,
     warm_after_us=20_000_000,
@@ -29,7 +29,7 @@
 SECOND_US = 1_000_000
 
 
-def cold_driver(gateway_count: int) -> Driver:
+def warming_up_driver(gateway_count: int) -> Driver:
     settings = replace(
         SETTINGS,
         gateway_count=gateway_count,
@@ -44,11 +44,11 @@
     return driver
 
 
-def test_cold_servers_are_kept_within_the_budget_by_all_proxies_together() -> None:
-    """Each gateway sent its one allowed request at the moment a server was listed, forty at once."""
+def test_all_gateways_together_keep_a_warming_up_server_within_its_budget() -> None:
+    """Guards against forty gateways that each send their first request as soon as a server is listed."""
     work_us = [0.0] * 20  # by windows of half a second
     for gateway_index in range(40):
-        driver = Driver(replace(COLD, gateway_index=gateway_index), servers=0, seed=gateway_index)
+        driver = Driver(replace(WARMING_UP, gateway_index=gateway_index), servers=0, seed=gateway_index)
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
         for step in range(1_000):
             name, actions = driver.arrive()
@@ -61,33 +61,35 @@
     assert sum(work_us) > 0
 
 
-def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
-    """When many step aside from failing servers, all would meet on the same cold one."""
-    driver = Driver(replace(COLD, gateway_count=300), servers=60)
-    last = driver.balancer.ring.ranked[-1].entry.server
+def test_a_warming_up_server_far_outside_the_subset_is_not_used() -> None:
+    """Guards against many gateways that avoid failing servers and all meet at the same warming-up one."""
+    driver = Driver(replace(WARMING_UP, gateway_count=300), servers=60)
+    last_in_rank = driver.balancer.ring.ranked[-1].entry.server
     for server in driver.balancer.ring.ranked[:-1]:
         trip(server.breaker, driver.now_us)
-    driver.list_servers(ListedServer(last, started_us=driver.now_us - 1), kind=ListKind.DELTA)
+    driver.list_servers(ListedServer(last_in_rank, started_us=driver.now_us - 1), kind=ListKind.DELTA)
     assert driver.balancer.selector.subset(0) == []
 
 
-def test_what_answers_teach_quickens_a_small_part_of_a_cold_servers_budget() -> None:
-    """A quarter of a long aim is no call's work: a gateway that knows better from answers sends sooner."""
-    driver = cold_driver(200)
+def test_learned_latency_speeds_up_a_small_slow_start_budget() -> None:
+    """Answers correct the first guess of the cost, which is too high where the latency objective is long."""
+    driver = warming_up_driver(200)
     server = driver.balancer.ring.ranked[0]
     name, _ = driver.arrive(client_timeout_us=8 * SECOND_US)
     request = next(iter(driver.balancer.requests), None)
     assert request is not None
-    paid_us, cost_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
-    assert cost_us == MAX_COST * SECOND_US  # a quarter of the aim
+    drained_us, cost_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
+    assert cost_us == MAX_COST * SECOND_US  # a quarter of the latency objective
     driver.balancer.latency.answers[0], driver.balancer.latency.answers_us[0] = 5, 500_000.0  # of 100 ms each
-    sooner_us, same_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
-    assert same_us == cost_us and sooner_us > 4 * paid_us
-    assert sooner_us <= cost_us  # one call in a window at the most
+    drained_after_learning_us, cost_after_learning_us = driver.balancer.slow_start.terms(
+        driver.now_us, server, request
+    )
+    assert cost_after_learning_us == cost_us and drained_after_learning_us > 4 * drained_us
+    assert drained_after_learning_us <= cost_us  # at most one request in a window
 
 
-def test_a_part_that_holds_a_call_is_as_before() -> None:
-    driver = cold_driver(2)
+def test_learned_latency_does_not_change_a_budget_that_holds_a_request() -> None:
+    driver = warming_up_driver(2)
     driver.arrive(client_timeout_us=8 * SECOND_US)
     request = next(iter(driver.balancer.requests))
     server = driver.balancer.ring.ranked[0]
@@ -102,8 +104,8 @@
     )
 
 
-def test_a_jam_of_the_warm_does_not_shut_out_the_cold() -> None:
-    """What a request costs a cold server is no more than somewhat above its unhindered time."""
+def test_overload_of_warm_servers_does_not_raise_the_slow_start_cost_of_a_request() -> None:
+    """A request is charged a bounded multiple of its baseline latency."""
     driver = Driver()
     name, _ = driver.arrive()
     request = driver.balancer.requests.get(name)
@@ -112,15 +114,15 @@
     assert driver.balancer.slow_start.cost_us(request) == MAX_COST * driver.balancer.latency.baseline_us[0]
 
 
-def test_servers_that_drain_take_no_place_from_new_ones() -> None:
-    """After a release most are cold: if drained ones kept their places, few could be used."""
+def test_draining_servers_take_no_place_in_the_subset_from_new_ones() -> None:
+    """Guards against few usable servers after a release, when draining servers kept their places."""
     driver = Driver(
         replace(SETTINGS, gateway_count=14, warm_after_us=60_000_000, start_capacity=0.9), servers=0
     )
     started = driver.now_us
-    old = [ListedServer(n, ServerStatus.DRAINING) for n in range(20)]
+    draining = [ListedServer(n, ServerStatus.DRAINING) for n in range(20)]
     new = [ListedServer(n, started_us=started) for n in range(20, 40)]
-    driver.list_servers(*old, *new)
+    driver.list_servers(*draining, *new)
     for _ in range(400):
         driver.now_us += 20_000
         name, actions = driver.arrive()
@@ -131,10 +133,10 @@
     assert len(used) >= MIN_SUBSET
 
 
-# The budget, by call
+# The budget by itself
 
 
-def a_budget(gateways: int = 1) -> tuple[SlowStart, FleetSize, SubsetSize, Server, Request]:
+def make_slow_start(gateways: int = 1) -> tuple[SlowStart, FleetSize, SubsetSize, Server, Request]:
     """The slow start of one gateway, with one server that has just started and a request for it."""
     settings = replace(
         SETTINGS,
@@ -153,13 +155,13 @@
 
 
 def test_capacity_ramps_up_from_the_start_share_to_all() -> None:
-    slow_start, _, _, server, _ = a_budget()
+    slow_start, _, _, server, _ = make_slow_start()
     shares = [slow_start.capacity_share(now_us, server) for now_us in (0, 4 * SECOND_US, 8 * SECOND_US)]
     assert shares == [0.25, 0.625, 1.0]
 
 
-def test_the_budget_is_used_up_by_what_is_sent_and_drains_by_half_a_share_in_a_window() -> None:
-    slow_start, _, _, server, request = a_budget()
+def test_the_budget_is_used_up_by_requests_and_drains_within_a_window() -> None:
+    slow_start, _, _, server, request = make_slow_start()
     drained_us, cost_us = slow_start.terms(0, server, request)
     assert drained_us == BUDGET_MARGIN * 2.0 * SECOND_US * 0.25 / 2 and cost_us < drained_us
     sent = 0
@@ -172,21 +174,21 @@
 
 
 def test_a_warm_server_uses_no_budget() -> None:
-    slow_start, _, _, server, request = a_budget()
+    slow_start, _, _, server, request = make_slow_start()
     slow_start.charge(8 * SECOND_US, server, request)
     assert server.slow_start_used_us == 0.0
 
 
 def test_gateways_and_processes_share_the_budget() -> None:
-    slow_start, fleet, _, _, _ = a_budget(gateways=3)
-    alone_us = a_budget()[0].window_budget_us()
+    slow_start, fleet, _, _, _ = make_slow_start(gateways=3)
+    alone_us = make_slow_start()[0].window_budget_us()
     assert slow_start.window_budget_us() == pytest.approx(alone_us / 3)
     fleet.set_processes(2)
     assert slow_start.window_budget_us() == pytest.approx(alone_us / 6)
 
 
-def test_what_was_used_before_a_restart_is_never_lowered() -> None:
-    slow_start, _, _, server, _ = a_budget()
+def test_restoring_the_used_budget_never_lowers_it() -> None:
+    slow_start, _, _, server, _ = make_slow_start()
     slow_start.start(server, 0, 500.0)
     slow_start.restore_used(server, 400.0)
     assert server.slow_start_used_us == 500.0
