--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: who is ready, restarts, and polling again after an error."""
+"""Endpoint lists: ready servers, restarts, and polling again after an error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.helpers import SETTINGS, Driver, sends, timers
 
 
-def test_a_draining_or_gone_server_gets_nothing_new() -> None:
+def test_a_draining_or_gone_server_gets_no_new_requests() -> None:
     driver = Driver(servers=3)
     driver.list_servers(
         ListedServer(0, ServerStatus.DRAINING), ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA
@@ -18,7 +18,7 @@
         assert sends(driver.arrive()[1])[0].server == 2
 
 
-def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
+def test_a_full_list_removes_unlisted_servers_and_a_restart_resets_the_breaker() -> None:
     driver = Driver(servers=3)
     driver.balancer.servers[1].breaker.record(0, True, 0, 0.0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us))
@@ -26,7 +26,7 @@
     assert driver.balancer.servers[1].breaker.failures == 0
 
 
-def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
+def test_the_endpoint_list_is_requested_and_requested_again_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, endpoints_are_pushed=False), servers=0)
     (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all gateways at once
@@ -40,7 +40,7 @@
     assert list(driver.balancer.servers) == [1]
 
 
-def test_a_newcomer_starts_at_the_mean_weight() -> None:
+def test_a_new_server_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
     driver.balancer.servers[0].weight = 0.2
     driver.balancer.servers[1].weight = 0.6
--- a/tests/test_event_context.py
+++ b/tests/test_event_context.py
@@ -1,4 +1,4 @@
-"""The clock and the log lines of events."""
+"""The event context: its clock and its log lines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
 
-def test_a_clock_that_steps_back_stands_still() -> None:
+def test_a_clock_step_backwards_does_not_move_time_back() -> None:
     driver = Driver()
     driver.balancer.handle(driver.now_us, RequestCancelled("none"))
     driver.balancer.handle(driver.now_us - 5_000_000, RequestCancelled("none"))
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests beside an attempt that stalls."""
+"""Hedged requests: a second attempt beside one that stalls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.helpers import SETTINGS, Driver, sends, timers
 
 
-def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
+def test_a_stalled_attempt_is_hedged_and_cancelled_when_the_hedge_answers() -> None:
     driver = Driver()
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
@@ -18,15 +18,15 @@
     (timer,) = timers(actions)
     assert timer.due_us == driver.now_us + int(STALL_FACTOR * 20_000)
     driver.now_us = timer.due_us
-    copy = sends(driver.handle(TimerFired(timer.token)))[0]
-    assert copy.server != first
-    assert driver.end(name, copy.server, attempt=1) == [Cancel(name, 0)]
+    hedge = sends(driver.handle(TimerFired(timer.token)))[0]
+    assert hedge.server != first
+    assert driver.end(name, hedge.server, attempt=1) == [Cancel(name, 0)]
     driver.end(name, first, Outcome.CANCELLED)
-    assert driver.balancer.servers[first].breaker.failures == 1  # overdue, so the silence counts
+    assert driver.balancer.servers[first].breaker.failures == 1  # it had stalled, which counts as a failure
     assert not driver.balancer.requests
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
+def test_nothing_is_hedged_where_the_settings_forbid_it() -> None:
     driver = Driver(replace(SETTINGS, hedging=False))
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to their one final answer, and that nothing is kept of them."""
+"""Requests from arrival to their one final answer; no state of them remains."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
 
 @pytest.mark.parametrize("client_timeout_us", [0, 1, 40])
 @pytest.mark.parametrize("class_index", [0, 1, 2])
-def test_a_request_with_hardly_any_patience_gets_one_answer(class_index: int, client_timeout_us: int) -> None:
+def test_a_request_with_a_tiny_client_timeout_gets_exactly_one_final_answer(
+    class_index: int, client_timeout_us: int
+) -> None:
     driver = Driver()
     name, actions = driver.arrive(class_index=class_index, client_timeout_us=client_timeout_us)
     answers = finals(actions)
@@ -31,13 +33,13 @@
     assert len(answers) == 1 and not driver.balancer.requests
 
 
-def test_without_servers_requests_are_refused() -> None:
+def test_without_servers_requests_are_rejected() -> None:
     driver = Driver(replace(SETTINGS, max_retry_after_us=0), servers=0)
     name, actions = driver.arrive(class_index=2)
     assert finals(actions) == [Reject(name)]
 
 
-def test_the_client_leaving_ends_the_request() -> None:
+def test_a_cancelled_request_ends_and_cancels_its_attempt() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     assert driver.handle(RequestCancelled(name)) == [Cancel(name, 0)]
@@ -45,7 +47,7 @@
     assert not driver.balancer.requests
 
 
-def test_a_stream_is_left_alone() -> None:
+def test_timers_do_nothing_once_a_response_is_streaming() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     driver.handle(StreamStarted(name, 0))
@@ -56,7 +58,7 @@
     assert not driver.balancer.requests
 
 
-def test_an_id_in_hand_is_not_taken_twice() -> None:
+def test_a_second_request_with_an_active_id_is_ignored() -> None:
     driver = Driver()
     driver.arrive()
     driver.count = 0
@@ -64,24 +66,24 @@
     assert not sends(actions) and not finals(actions)
 
 
-def test_an_unknown_class_is_failed() -> None:
+def test_a_request_of_an_unknown_class_fails() -> None:
     driver = Driver()
     name, actions = driver.arrive(class_index=7)
     assert finals(actions) == [Fail(name)]
 
 
-def test_nothing_is_kept_of_what_is_finished() -> None:
+def test_no_state_is_kept_of_finished_requests_and_removed_servers() -> None:
     driver = Driver(servers=4)
     for n in range(3_000):
         name, actions = driver.arrive(class_index=n % 3)
         for send in sends(actions):
             driver.end(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
-            driver.list_servers(*(ListedServer(n + i) for i in range(4)))
+            driver.list_servers(*(ListedServer(n + offset) for offset in range(4)))
         for request in [r.id for r in driver.balancer.requests]:
             driver.handle(RequestCancelled(request))
-            for i in range(3):
-                driver.end(request, 0, Outcome.CANCELLED, attempt=i)
+            for offset in range(3):
+                driver.end(request, 0, Outcome.CANCELLED, attempt=offset)
         driver.now_us += 10_000
     for timer in driver.timers:
         driver.handle(TimerFired(timer.token))
@@ -91,24 +93,24 @@
     assert len(balancer.ring.ranked) == 4 and balancer.in_flight.count == 0
 
 
-def test_what_is_worth_nothing_late_is_timed_out_at_the_aim() -> None:
-    """Attempts left until the client gave up filled every queue with work that no one wanted any more."""
+def test_an_attempt_without_late_priority_times_out_at_the_latency_objective() -> None:
+    """Guards against queues full of attempts whose answers would come too late to be of use."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_priority_weight=0.0), SAFE)))
     assert sends(driver.arrive(class_index=0)[1])[0].timeout_us < SAFE.latency_objective_us
     assert sends(driver.arrive(class_index=1)[1])[0].timeout_us > SAFE.latency_objective_us
 
 
-def test_a_timer_of_a_request_that_is_over_touches_no_other_one_of_the_same_id() -> None:
-    """A client sends once more under its id; the timer for a late attempt of the first is still on."""
+def test_a_timer_of_a_finished_request_does_not_affect_a_new_one_with_the_same_id() -> None:
+    """Guards against the timer of a finished request when its client sends another one under the same id."""
     driver = Driver()
-    (send,) = sends(first := driver.handle(RequestArrived("same", 0, 400_000)))
-    (overdue,) = timers(first)
+    (send,) = sends(first_actions := driver.handle(RequestArrived("same", 0, 400_000)))
+    (overdue,) = timers(first_actions)
     driver.end("same", send.server)
     driver.now_us += 1_000
-    (again,) = sends(driver.handle(RequestArrived("same", 0, 400_000)))
+    (second_send,) = sends(driver.handle(RequestArrived("same", 0, 400_000)))
     driver.now_us = overdue.due_us
     driver.handle(TimerFired(overdue.token))
     driver.now_us += 1_000
     assert "same" in driver.balancer.requests
-    left = driver.end("same", again.server, Outcome.ERROR)
-    assert sends(left) or finals(left)
+    after_error = driver.end("same", second_send.server, Outcome.ERROR)
+    assert sends(after_error) or finals(after_error)
--- a/tests/test_service_rate.py
+++ b/tests/test_service_rate.py
@@ -1,4 +1,4 @@
-"""The measured rate of service."""
+"""The measured service rate."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     assert rate.per_us == pytest.approx(1.0)
 
 
-def test_time_without_a_queue_is_not_measured_and_a_clock_jump_only_in_part() -> None:
+def test_time_without_a_queue_is_not_measured_and_a_long_gap_counts_only_in_part() -> None:
     rate = ServiceRate()
     for n in range(101):
         rate.record(1000.0, n * 1000, still_queueing=n < 100)
-    rate.record(1000.0, 60_000_000, still_queueing=True)  # nothing was queued in between
+    rate.record(1000.0, 60_000_000, still_queueing=True)  # no request was queued in between
     rate.pause()
     rate.record(1000.0, 90_000_000, still_queueing=True)
     assert rate.per_us == pytest.approx(1.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that no decision can be made from are rejected."""
+"""Invalid settings and classes are rejected with the name of the field."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"latency_objective_us": 0},
         {"request_timeout_us": -1},
@@ -22,13 +22,13 @@
         {"late_priority_weight": 1.5},
     ],
 )
-def test_classes_that_cannot_be_used_are_rejected(bad: dict[str, float]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        RequestClass(**{"latency_objective_us": 1, "request_timeout_us": 1, **bad})  # type: ignore[arg-type]
+def test_invalid_classes_are_rejected(invalid: dict[str, float]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        RequestClass(**{"latency_objective_us": 1, "request_timeout_us": 1, **invalid})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"classes": ()},
         {"gateway_count": 0},
@@ -41,10 +41,10 @@
         {"key_cooldown_us": -1},
     ],
 )
-def test_settings_that_cannot_be_used_are_rejected(bad: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        replace(SETTINGS, **bad)  # type: ignore[arg-type]
+def test_invalid_settings_are_rejected(invalid: dict[str, object]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        replace(SETTINGS, **invalid)  # type: ignore[arg-type]
 
 
-def test_unsafe_is_the_default_effect() -> None:
+def test_the_default_effect_is_unsafe() -> None:
     assert RequestClass(latency_objective_us=1, request_timeout_us=1).effect is UNSAFE.effect
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The wire: each line read and written, bad input named plainly, a scripted exchange with the adapter."""
+"""The simulator's wire: parsing, formatting, reports of invalid input, and scripted runs of the host."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     split_line,
 )
 
-LANES = [
+WIRE_CLASSES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
     {
         "aimUs": 100_000,
@@ -60,11 +60,13 @@
     },
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "single_shot"},
 ]
-BOOT = json.dumps({"lanes": LANES, "caps": {"maxAttempts": 4}, "newKey": [1], "membershipMode": "pushed"})
+BOOT_INFO = json.dumps(
+    {"lanes": WIRE_CLASSES, "caps": {"maxAttempts": 4}, "newKey": [1], "membershipMode": "pushed"}
+)
 START = [
     "begin_batch simTimeUs=1000",
     "instance i=gateway_0",
-    f"launch prng=5 bootInfo={BOOT}",
+    f"launch prng=5 bootInfo={BOOT_INFO}",
     "inventory table=0 members=2",
     "host campus=0 host=11 heft=1 group=0 status=Ready classOfHost=0",
     "host campus=0 host=12 heft=1 group=0 status=Ready classOfHost=0",
@@ -73,7 +75,7 @@
 ]
 
 
-def run(*lines: str) -> tuple[list[str], str]:
+def run_host(*lines: str) -> tuple[list[str], str]:
     sink, errors = io.StringIO(), io.StringIO()
     SimulatorHost(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
@@ -84,7 +86,7 @@
     return PARSERS[name](fields)
 
 
-def test_events_are_read() -> None:
+def test_event_lines_are_parsed() -> None:
     assert parse(
         "incoming requestId=t/a affinity=ff costUs=12 customer=2 graceUs=240 priority=1 retry=1 isWrite=1"
     ) == RequestArrived("t/a", 1, 240, 255, 12, True, 2)
@@ -102,18 +104,18 @@
     assert parse("reminder keyBack=77") == TimerFired(77)
 
 
-def test_every_outcome_code_is_known() -> None:
+def test_every_outcome_has_a_code() -> None:
     assert set(OUTCOMES.values()) == set(Outcome)
 
 
-def test_list_entries_are_read() -> None:
+def test_list_entry_lines_are_parsed() -> None:
     _, fields = split_line(
         "host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2"
     )
     assert parse_server(fields) == ListedServer(7, ServerStatus.DRAINING, 1.5, 1, 3, 2, 61)
 
 
-def test_actions_are_written() -> None:
+def test_actions_are_formatted_as_lines() -> None:
     assert format_action(SendAttempt("t/a", 7, 90)) == "pass_on requestId=t/a maxWaitUs=90 host=7"
     assert format_action(Reject("t/a", 5)) == "bounce requestId=t/a comeBackUs=5"
     assert format_action(Fail("t/a")) == "surrender requestId=t/a"
@@ -128,8 +130,8 @@
     assert format_action(Log("two words")) == "journal_line line=two words"
 
 
-def test_settings_have_defaults_and_ignore_the_unknown() -> None:
-    settings = parse_settings(BOOT)
+def test_settings_have_defaults_and_unknown_keys_are_ignored() -> None:
+    settings = parse_settings(BOOT_INFO)
     assert settings.max_attempts == 4
     assert settings.gateway_count == 1
     assert [c.effect for c in settings.classes] == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("boot", "word"),
+    ("boot_info", "expected_text"),
     [
         ("{}", "classes"),
         ("[]", "object"),
@@ -150,14 +152,14 @@
         ('{"lanes": [{"giveUpUs": 1}], "overShareWorth": 3}', "over_quota_priority"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(boot: str, word: str) -> None:
-    with pytest.raises(WireError, match=word):
-        parse_settings(boot)
-    replies, errors = run(
-        "begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={boot}", "go"
+def test_errors_name_the_invalid_setting(boot_info: str, expected_text: str) -> None:
+    with pytest.raises(WireError, match=expected_text):
+        parse_settings(boot_info)
+    replies, errors = run_host(
+        "begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={boot_info}", "go"
     )
     assert replies == ["next"]
-    assert "line 3" in errors and word in errors and "Traceback" not in errors
+    assert "line 3" in errors and expected_text in errors and "Traceback" not in errors
 
 
 @pytest.mark.parametrize(
@@ -173,8 +175,8 @@
         "dropped requestId",
     ],
 )
-def test_a_bad_line_is_named_and_the_rest_goes_on(line: str) -> None:
-    replies, errors = run(
+def test_an_invalid_line_is_reported_and_the_others_are_handled(line: str) -> None:
+    replies, errors = run_host(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
@@ -187,8 +189,8 @@
     assert any(reply.startswith("pass_on requestId=t/good") for reply in replies)
 
 
-def test_every_setting_that_a_decision_may_rest_on_is_passed_on() -> None:
-    boot = {
+def test_every_setting_that_affects_decisions_is_parsed() -> None:
+    boot_info = {
         "lanes": [{"giveUpUs": 9, "sequential": True, "aimStretch": 2.5}],
         "contract": {
             "fullUnproven": True,
@@ -203,7 +205,7 @@
         "caps": {"probes": True, "peers": True, "multiplex": 3, "keepaliveUs": 8, "connectTimeoutUs": 7},
         "report": {"how": "pull"},
     }
-    settings = parse_settings(json.dumps(boot))
+    settings = parse_settings(json.dumps(boot_info))
     assert settings.classes[0].in_order and settings.classes[0].latency_objective_stretch == 2.5
     assert settings.rejection_may_have_run and settings.key_cooldown_us == 70
     assert (settings.answer_slack_us, settings.stop_sending_within_us) == (5, 6)
@@ -215,16 +217,16 @@
     assert limits == (3, 8, 7)
 
 
-def test_an_unknown_instance_is_named() -> None:
-    replies, errors = run(
+def test_an_unknown_instance_is_reported() -> None:
+    replies, errors = run_host(
         "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
     )
     assert replies == ["next"]
     assert "gateway_8" in errors
 
 
-def test_things_finished_already_are_ignored() -> None:
-    replies, errors = run(
+def test_events_of_finished_requests_and_attempts_are_ignored() -> None:
+    replies, errors = run_host(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
@@ -239,13 +241,13 @@
     assert errors == ""
 
 
-def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
-    replies, errors = run(
+def test_a_destroyed_instance_can_be_launched_again() -> None:
+    replies, errors = run_host(
         *START,
         "begin_batch simTimeUs=2000",
         "instance i=gateway_0",
         "destroy",
-        f"launch prng=6 bootInfo={BOOT}",
+        f"launch prng=6 bootInfo={BOOT_INFO}",
         "registry index=1 how=disk table=0",
         "incoming requestId=t/new graceUs=300000",
         "go",
@@ -254,7 +256,7 @@
     assert replies[1] == "by i=gateway_0"
 
 
-def test_the_adapter_answers_a_script_the_same_way_twice() -> None:
+def test_the_host_answers_a_script_identically_twice() -> None:
     script = [*START]
     for n in range(40):
         script += [
@@ -281,22 +283,27 @@
     assert outputs[0].stderr == ""
 
 
-def played(instances: list[int], hash_seed: str) -> dict[str, list[str]]:
-    """Actions of each instance when these share one process under this hash seed."""
+def actions_by_instance(instances: list[int], hash_seed: str) -> dict[str, list[str]]:
+    """The actions of each instance when all share one process with this hash seed."""
     lines = []
     for step in range(60):
         lines.append(f"begin_batch simTimeUs={1_000_000 + step * 20_000}")
         if step == 0:
             lines.append("inventory table=0 members=6")
-            lines += [f"host host={n * 7919} group={n % 2} status=Ready" for n in range(6)]
-        for i in instances:
-            lines.append(f"instance i=gateway_{i}")
+            lines += [f"host host={server * 7919} group={server % 2} status=Ready" for server in range(6)]
+        for instance in instances:
+            lines.append(f"instance i=gateway_{instance}")
             if step == 0:
-                boot = BOOT.replace("{", f'{{"balancers": 3, "index": {i}, ', 1)
-                lines += [f"launch prng={i + 11} bootInfo={boot}", "registry index=1 how=disk table=0"]
-            lines.append(f"incoming requestId=t/{i}x{step} graceUs=300000 priority={step % 3} affinity=ab")
+                boot_info = BOOT_INFO.replace("{", f'{{"balancers": 3, "index": {instance}, ', 1)
+                lines += [
+                    f"launch prng={instance + 11} bootInfo={boot_info}",
+                    "registry index=1 how=disk table=0",
+                ]
+            lines.append(
+                f"incoming requestId=t/{instance}x{step} graceUs=300000 priority={step % 3} affinity=ab"
+            )
             if step % 5 == 4:
-                lines.append(f"dropped requestId=t/{i}x{step - 2}")
+                lines.append(f"dropped requestId=t/{instance}x{step - 2}")
         lines.append("go")
     result = subprocess.run(
         [sys.executable, "-B", "-m", "sagetrack.simulator.host"],
@@ -309,18 +316,21 @@
     )
     assert result.stderr == ""
     actions: dict[str, list[str]] = {}
-    speaker = ""
+    instance_line = ""
     for line in result.stdout.splitlines():
         if line.startswith("by "):
-            speaker = line
+            instance_line = line
         elif line != "next":
-            actions.setdefault(speaker, []).append(line)
+            actions.setdefault(instance_line, []).append(line)
     return actions
 
 
-def test_instances_act_alike_in_one_process_and_in_three_and_under_any_hash_seed() -> None:
-    together = played([0, 1, 2], "1")
-    apart = played([0], "2") | played([1], "3") | played([2], "4")
+def test_instances_act_alike_in_one_process_or_three_and_under_any_hash_seed() -> None:
+    together = actions_by_instance([0, 1, 2], "1")
+    apart = actions_by_instance([0], "2") | actions_by_instance([1], "3") | actions_by_instance([2], "4")
     assert together == apart
-    assert all(any(a.startswith("pass_on") for a in actions) for actions in together.values())
-    assert len({tuple(a.partition(" host=")[2] for a in actions) for actions in together.values()}) == 3
+    assert all(any(action.startswith("pass_on") for action in actions) for actions in together.values())
+    assert (
+        len({tuple(action.partition(" host=")[2] for action in actions) for actions in together.values()})
+        == 3
+    )
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers by token: each fires once, for what it was set for."""
+"""Timers by token: each fires once, with the purpose that it was set for."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN, TimerPurpose, Timers
 
 
-def test_tokens_count_up_and_each_fires_once() -> None:
+def test_timer_tokens_increase_and_each_fires_once() -> None:
     context = EventContext(1)
     timers = Timers(context)
     first = timers.set(10, TimerPurpose.REQUEST)
@@ -18,7 +18,7 @@
     assert timers.fire(second) is None and timers.fire(99) is None and list(timers.pending) == [first]
 
 
-def test_the_endpoint_lists_timer_may_fire_again_and_again() -> None:
+def test_the_timer_of_the_endpoint_list_may_fire_repeatedly() -> None:
     context = EventContext(1)
     timers = Timers(context)
     timers.set_for_endpoint_list(7)
