--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -88,6 +88,7 @@
         self.handle(EndpointList(ListKind.FULL, tuple(ListedServer(number) for number in range(servers))))
 
     def handle(self, event: Event) -> list[Action]:
+        """Handle an event; answer each attempt in turn, and keep timers and rejections."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.count += 1
@@ -106,10 +107,12 @@
         return actions
 
     def arrive(self, name: str, tenant: int, client: int = 1, key: int | None = None, **extra: Any) -> None:
+        """Let a request arrive, with a key that follows from its name unless one is given."""
         key = key if key is not None else abs(hash(name)) % 2**40
         self.handle(RequestArrived(name, 0, 4_000_000, key, tenant=tenant, client=client, **extra))
 
     def run_until(self, time_us: int) -> None:
+        """Handle all pending events up to a time."""
         while self.pending and min(self.pending)[0] <= time_us:
             next_event = min(self.pending)
             self.pending.remove(next_event)
@@ -118,6 +121,7 @@
         self.now_us = time_us
 
     def flood(self, seconds: float, rate: int, tenant: int = 0, clients: int = 5) -> None:
+        """Let requests of one tenant arrive at a constant rate, from a few clients in turn."""
         for number in range(int(seconds * rate)):
             self.run_until(self.now_us + SECOND_US // rate)
             self.arrive(f"f{self.now_us}-{number}", tenant, number % clients + 1)
@@ -202,6 +206,7 @@
     simulation = Simulation()
 
     def share_of_first_tenant(seconds: float) -> float:
+        """Load both tenants alike; return the first one's share of the attempts sent."""
         before = len(simulation.sent)
         for n in range(int(seconds * 30)):
             simulation.run_until(simulation.now_us + SECOND_US // 30)
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -10,6 +10,7 @@
 
 
 def dequeue_items(queues: FairQueues[str], count: int) -> list[str]:
+    """Dequeue a number of items in the order in which the queues offer them."""
     items = []
     for _ in range(count):
         item = queues.peek()
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -132,6 +132,7 @@
 
 
 def make_request(class_index: int = 0, deadline_us: int = 400_000, excess: float = 0.0) -> Request:
+    """A request of a class, with the given deadline and excess over its tenant's quota."""
     return Request("r", class_index, None, deadline_us, 200_000, 1.0, True, excess)
 
 
--- a/tests/test_ordered_keys.py
+++ b/tests/test_ordered_keys.py
@@ -65,6 +65,7 @@
 
 
 def make_request(name: str, key: int | None = 7) -> Request:
+    """A request with a key, and a deadline after one second."""
     return Request(name, 0, key, 1_000_000, 500_000, 1.0, True, 0.0)
 
 
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -11,6 +11,7 @@
     limiter = RateLimiter(Rate(10.0, 3.0), 100)
 
     def burst(now_us: int) -> int:
+        """Take as many tokens as are allowed now; return their number."""
         count = 0
         while not limiter.wait_us("k", now_us):
             limiter.take("k", now_us)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -152,6 +152,7 @@
         self.counts: dict[str, int] = {}
 
     def handle(self, event: Event) -> None:
+        """Give the balancer an event; digest its actions and keep what follows from them."""
         for action in self.balancer.handle(self.now_us, event):
             self.digest.update(repr(digest_form(action)).encode())
             name = type(action).__name__
@@ -173,6 +174,7 @@
                         break
 
     def end(self, sent: tuple[SendAttempt, int, int], outcome: Outcome) -> None:
+        """End an attempt with an outcome."""
         self.in_flight.remove(sent)
         send, number, sent_us = sent
         is_ok = outcome is Outcome.OK
@@ -183,6 +185,7 @@
     # Events
 
     def arrive(self) -> None:
+        """Let a random request arrive."""
         rng = self.random
         class_index = rng.randrange(len(self.settings.classes))
         request_class = self.settings.classes[class_index]
@@ -208,6 +211,7 @@
         )
 
     def end_attempt(self) -> None:
+        """End one of the oldest attempts, more often with a failure at a failing server."""
         if not self.in_flight:
             return
         sent = self.random.choice(self.in_flight[:4])
@@ -228,6 +232,7 @@
         self.end(sent, outcome)
 
     def make_entry(self, number: int) -> ListedServer:
+        """Return a random list entry of a server."""
         rng = self.random
         is_warming_up = self.settings.warm_after_us and rng.random() < 0.5
         # Zero is long ago; a random number is drawn in both cases.
@@ -242,6 +247,7 @@
         )
 
     def list_all(self) -> None:
+        """Deliver a full list, filled up with new servers."""
         while len(self.entries) < self.server_count:
             self.entries[self.next_server] = self.make_entry(self.next_server)
             self.next_server += 1
@@ -275,6 +281,7 @@
         self.handle(EndpointList(ListKind.DELTA, tuple(changed)))
 
     def receive_observations(self) -> None:
+        """Deliver observations of up to five servers by peers."""
         rng, observations = self.random, []
         for number in rng.sample(list(self.entries), min(5, len(self.entries))):
             state = OPEN if rng.random() < 0.4 else CLOSED
@@ -332,6 +339,7 @@
                 self.end(sent, Outcome.TIMEOUT)
 
     def draw_event(self, slow: bool) -> None:
+        """Deliver a random event."""
         draw = self.random.random()
         if draw < 0.45:
             self.arrive()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -78,10 +78,12 @@
         )
 
     def deliver(self, event: Event) -> None:
+        """Give the balancer an event and carry out its actions."""
         for action in self.balancer.handle(self.now_us, event):
             self.carry_out(action)
 
     def carry_out(self, action: Action) -> None:
+        """Check an action against the rules and record it."""
         if isinstance(action, SendAttempt):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
@@ -98,6 +100,7 @@
             assert action.attempt < len(self.requests[action.request].attempts)
 
     def check_send(self, action: SendAttempt) -> None:
+        """Check that an attempt may be sent, and record it."""
         record = self.requests[action.request]
         assert not record.finished, "sent after the final answer"
         assert self.status[action.server] is ServerStatus.READY
@@ -115,6 +118,7 @@
         record.attempts.append(Attempt(action.server, self.now_us, action.timeout_us))
 
     def may_have_run(self, attempt: Attempt) -> bool:
+        """Whether a server may have executed an attempt, as far as the gateway can know."""
         return attempt.outcome not in NEVER_RAN or (
             attempt.outcome is Outcome.REJECTED and self.settings.rejection_may_have_run
         )
@@ -140,6 +144,7 @@
             ), "the key had not rested"
 
     def check_reject(self, record: RequestRecord) -> None:
+        """Check that a request is rejected only if that cannot hide an execution."""
         request_class = self.settings.classes[record.class_index]
         possibly_run = [attempt for attempt in record.attempts if self.may_have_run(attempt)]
         if possibly_run:
@@ -147,12 +152,14 @@
             assert request_class.effect is Effect.SAFE or may_reject
 
     def arrive(self, class_index: int, client_timeout_us: int) -> None:
+        """Let a request arrive, with one of two keys or none."""
         name = f"r{len(self.requests)}"
         key = client_timeout_us % 3 or None
         self.requests[name] = RequestRecord(class_index, key, self.now_us + client_timeout_us)
         self.deliver(RequestArrived(name, class_index, client_timeout_us, key))
 
-    def finish(self, index: int, outcome: Outcome) -> None:
+    def finish_attempt(self, index: int, outcome: Outcome) -> None:
+        """End one of the attempts in flight."""
         in_flight = [
             (name, number)
             for name, record in self.requests.items()
@@ -160,9 +167,10 @@
             if attempt.outcome is None
         ]
         if in_flight:
-            self.end(*in_flight[index % len(in_flight)], outcome)
+            self.end_attempt(*in_flight[index % len(in_flight)], outcome)
 
-    def end(self, name: str, number: int, outcome: Outcome) -> None:
+    def end_attempt(self, name: str, number: int, outcome: Outcome) -> None:
+        """End an attempt with an outcome."""
         record = self.requests[name]
         attempt = record.attempts[number]
         attempt.outcome, attempt.ended_us = outcome, self.now_us
@@ -172,7 +180,8 @@
         )
         self.deliver(event)
 
-    def leave(self, index: int) -> None:
+    def cancel_request(self, index: int) -> None:
+        """Cancel one of the unfinished requests."""
         unfinished = [name for name, record in self.requests.items() if not record.finished]
         if unfinished:
             name = unfinished[index % len(unfinished)]
@@ -180,6 +189,7 @@
             self.deliver(RequestCancelled(name))
 
     def set_status(self, server: int, status: ServerStatus) -> None:
+        """Change the status of a server in the endpoint list."""
         self.status[server] = status
         self.deliver(EndpointList(ListKind.DELTA, (ListedServer(server, status, group=GROUP[server]),)))
 
@@ -200,7 +210,7 @@
             for name, record in self.requests.items():
                 for number, attempt in enumerate(record.attempts):
                     if attempt.outcome is None and attempt.sent_us + attempt.timeout_us <= self.now_us:
-                        self.end(name, number, Outcome.TIMEOUT)
+                        self.end_attempt(name, number, Outcome.TIMEOUT)
             fired = [token for due_at_us, token in self.timers if due_at_us <= self.now_us]
             self.timers = [(due_at_us, token) for due_at_us, token in self.timers if due_at_us > self.now_us]
             for token in fired:
@@ -230,11 +240,11 @@
         if step == "arrive":
             checker.arrive(first, second)
         elif step == "finish":
-            checker.finish(first, second)  # type: ignore[arg-type]
+            checker.finish_attempt(first, second)  # type: ignore[arg-type]
         elif step == "repeat":  # an outcome of an attempt that ended long ago or was never sent
             checker.deliver(AttemptEnded(f"r{first}", 9, 0, second, 1))  # type: ignore[arg-type]
         elif step == "leave":
-            checker.leave(first)
+            checker.cancel_request(first)
         elif step == "status":
             checker.set_status(first, second)  # type: ignore[arg-type]
         else:
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -76,12 +76,14 @@
 
 
 def run_host(*lines: str) -> tuple[list[str], str]:
+    """Run the host on lines of input; return its output lines and its error text."""
     sink, errors = io.StringIO(), io.StringIO()
     SimulatorHost(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
 def parse(line: str) -> object:
+    """Parse one line of input as an event."""
     name, fields = split_line(line)
     return PARSERS[name](fields)
 
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -151,6 +151,8 @@
 
 def test_a_full_list_with_few_changes_is_not_sorted_again() -> None:
     class CountingRank(float):
+        """A rank that counts how often it is compared."""
+
         comparisons = 0
 
         def __lt__(self, other: float) -> bool:
@@ -301,6 +303,8 @@
 
 
 def make_discovery_client(hot_restart: HotRestart) -> DiscoveryClient:
+    """A client whose changes go to the endpoint list file, and whose registry is unreachable."""
+
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
@@ -332,6 +336,7 @@
 def receive_changes(
     discovery: DiscoveryClient, version: int, *entries: dict[str, object], is_full: bool = False
 ) -> None:
+    """Let the client take in changed entries, or a full list."""
     discovery.version = version
     discovery.record_changes({"endpoints": list(entries)}, is_full)
 
