--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -108,17 +108,13 @@
     is_real_run = times and (not names or measurement.NAME in names)
     progress = Progress(len(probes) * POINTS + is_real_run * measurement.STEPS, report)
     began_s = time.monotonic()
-    rows = [_run_probe(probe, fleet, meter, quick, progress) for probe in probes]
-    real = _measure_real_gateway(fleet, quick, progress) if is_real_run else None
+    settings = {"seed": seed, "quick": quick, "times": times, "sizes": asdict(sizes)}
     return {
         "version": VERSION,
         **_environment(),
-        "seed": seed,
-        "quick": quick,
-        "times": times,
-        "sizes": asdict(sizes),
-        "rows": rows,
-        "real": real,
+        **settings,
+        "rows": [_run_probe(probe, fleet, meter, quick, progress) for probe in probes],
+        "real": _measure_real_gateway(fleet, quick, progress) if is_real_run else None,
         **_fleet_summary(fleet),
         "seconds": round(time.monotonic() - began_s, 1),
     }
