--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -104,7 +104,6 @@
     check_sizes(sizes)
     probes = select_probes(names)
     fleet = TargetFleet(sizes, seed)
-    meter = Meter(times)
     is_real_run = times and (not names or measurement.NAME in names)
     progress = Progress(len(probes) * POINTS + is_real_run * measurement.STEPS, report)
     began_s = time.monotonic()
@@ -113,7 +112,7 @@
         "version": VERSION,
         **_environment(),
         **settings,
-        "rows": [_run_probe(probe, fleet, meter, quick, progress) for probe in probes],
+        "rows": [_run_probe(probe, fleet, Meter(times), quick, progress) for probe in probes],
         "real": _measure_real_gateway(fleet, quick, progress) if is_real_run else None,
         **_fleet_summary(fleet),
         "seconds": round(time.monotonic() - began_s, 1),
