--- a/sagetrack/lab/virtual/faulty_gateways.py
+++ b/sagetrack/lab/virtual/faulty_gateways.py
@@ -265,7 +265,7 @@
     "three-for-granted": "most-jump",
     "forgets-spent": "restarts",
 }
-"""The case of `lab cold` that catches each of these at 30 gateways, by the rule `cold_sum`.
+"""The case of `lab slow-start` that catches each of these at 30 gateways, by the rule `cold_sum`.
 
 Three gateways have too few attempts in flight at a server to break it, whatever the fault.
 """
