--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -89,10 +89,10 @@
 
 
 def configuration(
-    *hosts: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object
+    *upstreams: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object
 ) -> dict[str, Any]:
     """A configuration for these hosts; no list is asked for unless `membershipMode` is changed."""
-    addresses = [host if isinstance(host, str) else host.address for host in hosts]
+    addresses = [host if isinstance(host, str) else host.address for host in upstreams]
     lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
     return {
         "name": "n0",
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -63,7 +63,11 @@
 @pytest.mark.parametrize("ending", [b"\n", b"\r\n"])
 @on_loop
 async def test_each_call_is_answered_on_a_connection_of_its_own(ending: bytes) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run, second_address(run) as port:
+    async with (
+        scripted_server() as upstream,
+        running(configuration(upstream)) as run,
+        second_address(run) as port,
+    ):
         for line, word, ready in (
             (b"status", b"SUCCESS", 200),
             (b"standby", b"SUCCESS", 503),
@@ -103,7 +107,11 @@
 
 @on_loop
 async def test_a_line_may_come_in_pieces_or_end_with_what_the_caller_says() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run, second_address(run) as port:
+    async with (
+        scripted_server() as upstream,
+        running(configuration(upstream)) as run,
+        second_address(run) as port,
+    ):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for byte in b"status":
             writer.write(bytes([byte]))
@@ -117,7 +125,11 @@
 
 @on_loop
 async def test_silent_callers_keep_nobody_out_and_are_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run, second_address(run) as port:
+    async with (
+        scripted_server() as upstream,
+        running(configuration(upstream)) as run,
+        second_address(run) as port,
+    ):
         silent_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
         assert (await call(port, b"status\n")).startswith(b"SUCCESS")
         ended = 0
@@ -138,17 +150,21 @@
 
 @on_loop
 async def test_the_figures_are_true() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run, second_address(run) as port:
+    async with (
+        scripted_server() as upstream,
+        running(configuration(upstream)) as run,
+        second_address(run) as port,
+    ):
         for _ in range(3):
             assert (await run.ask(request())).status == 200
-        host.script = silent
-        seen, client = len(host.exchanges), await run.connect()
+        upstream.script = silent
+        seen, client = len(upstream.exchanges), await run.connect()
         client.send(request("transfer"))
-        await until(lambda: len(host.exchanges) > seen)
-        waits = host.exchanges[-1]
-        host.script = answers(reply(500))
+        await until(lambda: len(upstream.exchanges) > seen)
+        waits = upstream.exchanges[-1]
+        upstream.script = answers(reply(500))
         assert (await run.ask(request("transfer"))).status == 502
-        host.script = answers(reply(503, b"", "X-Rejected: 1"))  # last: what follows may be shed
+        upstream.script = answers(reply(503, b"", "X-Rejected: 1"))  # last: what follows may be shed
         assert (await run.ask(request("hold"))).status == 503
         told = figures(await call(port, b"stats\n"))
         calls = {name for name in told if name.startswith("svc_discovery_calls_total")}
@@ -219,8 +235,8 @@
 @on_loop
 async def test_the_program_listens_there_and_a_drain_ends(tmp_path: Path) -> None:
     admin = free_port()
-    async with scripted_server() as host:
-        config = configuration(host) | {"admin": f"127.0.0.1:{admin}"}
+    async with scripted_server() as upstream:
+        config = configuration(upstream) | {"admin": f"127.0.0.1:{admin}"}
         async with program(tmp_path, config) as (process, port):
             kept = await connect(port)
             assert (await kept.ask(READY)).status == 200
@@ -243,21 +259,21 @@
 
 @on_loop
 async def test_a_second_address_in_use_is_one_line(tmp_path: Path) -> None:
-    async with scripted_server() as host:
+    async with scripted_server() as upstream:
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(configuration(host) | {"listen": f"127.0.0.1:{free_port()}"}))
-        process = await start({"LB_CONFIG": str(file), "LB_ADMIN": host.address})
+        file.write_text(json.dumps(configuration(upstream) | {"listen": f"127.0.0.1:{free_port()}"}))
+        process = await start({"LB_CONFIG": str(file), "LB_ADMIN": upstream.address})
         _, errors = await process.communicate()
         assert process.returncode == 1 and errors.count(b"\n") == 1
-        assert errors.startswith(f"sagetrack: cannot listen on {host.address}".encode())
+        assert errors.startswith(f"sagetrack: cannot listen on {upstream.address}".encode())
 
 
 @on_loop
 async def test_the_trace_tells_what_became_of_a_call() -> None:
     failing = answers(reply(500))
     async with (
-        scripted_server(failing) as host,
-        running(configuration(host)) as run,
+        scripted_server(failing) as upstream,
+        running(configuration(upstream)) as run,
         second_address(run) as port,
     ):
         assert (await run.ask(request("transfer", x_call_id="one-that-fails"))).status == 502
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -124,15 +124,15 @@
 
 @pytest.mark.parametrize("script", [answers(HEAD + LONG), in_chunks])
 @on_loop
-async def test_a_long_answer_passes_whole_and_both_connections_go_on(script: Script) -> None:
-    async with scripted_server(script) as host, running(configuration(host)) as run:
+async def test_a_long_response_is_streamed_completely_and_both_connections_are_kept(script: Script) -> None:
+    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         for _ in range(3):
             client.send(request())
             status, headers, body = await read_answer(client)
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
             await rested(run)
-        assert host.opened_connections == 1 and run.gateway.metrics.answered.by_class[0] == 3
+        assert upstream.opened_connections == 1 and run.gateway.metrics.answered.by_class[0] == 3
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
@@ -143,9 +143,9 @@
 
 @pytest.mark.parametrize("head", [HEAD, CHUNKED_HEAD])
 @on_loop
-async def test_the_first_bytes_pass_before_the_last_have_come(head: bytes) -> None:
+async def test_a_long_response_is_forwarded_before_it_is_complete(head: bytes) -> None:
     """A head that tells a length over the limit, and one that tells none: neither is held back."""
-    async with scripted_server(answers(b"")) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(b"")) as upstream, running(configuration(upstream)) as run:
         events: list[object] = []
         handle = run.gateway.balancer.handle
 
@@ -158,9 +158,9 @@
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         client = await run.connect()
         client.send(request())
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         framed = chunk if head is CHUNKED_HEAD else bytes
-        host.exchanges[0].answer(head + framed(LONG[:1000]))
+        upstream.exchanges[0].answer(head + framed(LONG[:1000]))
         await client.reader.readuntil(b"\r\n\r\n")
         if head is CHUNKED_HEAD:
             assert await client.reader.readexactly(1007) == chunk(LONG[:1000])
@@ -168,7 +168,7 @@
             assert await client.reader.readexactly(1000) == LONG[:1000]
         assert isinstance(events[-1], StreamStarted)
         assert run.gateway.metrics.answered.by_class[0] == 0  # it is served once it is whole
-        host.exchanges[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
+        upstream.exchanges[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
         await until(lambda: run.gateway.metrics.answered.by_class[0])
         assert isinstance(events[-1], AttemptEnded) and events[-1].outcome is Outcome.OK
         assert events[-1].finished
@@ -179,14 +179,14 @@
     "begun", [HEAD + LONG[:100_000], CHUNKED_HEAD + chunk(LONG[:100_000]), CHUNKED_HEAD + chunk(LONG) + b"zz"]
 )
 @on_loop
-async def test_an_answer_that_breaks_off_is_visibly_not_whole(begun: bytes) -> None:
-    async with scripted_server(answers(begun)) as host, running(configuration(host)) as run:
+async def test_the_client_can_tell_that_an_aborted_response_is_incomplete(begun: bytes) -> None:
+    async with scripted_server(answers(begun)) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
         await client.reader.read(1)
         if not begun.endswith(b"zz"):
-            host.exchanges[0].reset()
+            upstream.exchanges[0].reset()
         rest = b""
         try:
             while data := await client.reader.read(65536):
@@ -196,18 +196,21 @@
         assert b"\r\n0\r\n" not in rest and len(rest) < len(LONG) + 100
         await until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
-        assert len(host.exchanges) == 1  # what the client has begun to get is not asked for again
+        assert len(upstream.exchanges) == 1  # what the client has begun to get is not asked for again
         client.close()
 
 
 @on_loop
-async def test_a_client_that_leaves_in_the_middle_frees_the_host() -> None:
-    async with scripted_server(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
+async def test_a_disconnect_during_a_streamed_response_frees_the_server() -> None:
+    async with (
+        scripted_server(answers(HEAD + LONG[:100_000])) as upstream,
+        running(configuration(upstream)) as run,
+    ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
-        await until(lambda: host.closed_connections == 1)
+        await until(lambda: upstream.closed_connections == 1)
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
@@ -216,8 +219,11 @@
 
 
 @on_loop
-async def test_a_host_that_stalls_in_the_middle_is_given_up() -> None:
-    async with scripted_server(answers(HEAD + LONG[:100_000])) as host, running(configuration(host)) as run:
+async def test_a_server_that_stalls_during_a_streamed_response_is_given_up() -> None:
+    async with (
+        scripted_server(answers(HEAD + LONG[:100_000])) as upstream,
+        running(configuration(upstream)) as run,
+    ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
@@ -228,12 +234,12 @@
         pools.sweep()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await client.reader.readexactly(len(LONG))
-        await until(lambda: host.closed_connections == 1)
+        await until(lambda: upstream.closed_connections == 1)
         client.close()
 
 
 @on_loop
-async def test_a_long_body_passes_in_any_form() -> None:
+async def test_a_long_request_body_is_streamed_in_any_framing() -> None:
     async with sink() as host, running(configuration(host.address)) as run:
         client = await run.connect()
         known = request("transfer", LONG)
@@ -253,7 +259,7 @@
 
 
 @on_loop
-async def test_a_client_that_asks_first_is_told_to_go_on() -> None:
+async def test_a_client_that_expects_100_continue_gets_it() -> None:
     async with sink() as host, running(configuration(host.address)) as run:
         client = await run.connect()
         first = request("transfer", b"short", expect="100-continue")
@@ -272,7 +278,7 @@
 
 
 @on_loop
-async def test_the_time_of_a_long_request_counts_from_its_last_byte() -> None:
+async def test_the_timeout_of_a_streamed_request_starts_with_its_last_byte() -> None:
     async with sink() as host, running(configuration(host.address)) as run:
         client = await run.connect()
         data = request("transfer", LONG, budget_ms=200)
@@ -286,7 +292,7 @@
 
 
 @on_loop
-async def test_a_long_body_that_can_not_be_read_is_answered_and_reaches_no_host_whole() -> None:
+async def test_a_malformed_long_body_is_answered_and_never_forwarded_completely() -> None:
     async with sink() as host, running(configuration(host.address)) as run:
         client = await run.connect()
         head = request("transfer", content_length="", transfer_encoding="chunked")
@@ -301,7 +307,7 @@
 
 
 @on_loop
-async def test_a_body_without_end_is_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_body_over_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reader_module, "STREAMED_BODY_LIMIT", 200_000)
     async with sink() as host, running(configuration(host.address)) as run:
         head = request("transfer", content_length="", transfer_encoding="chunked")
@@ -311,7 +317,7 @@
 
 
 @on_loop
-async def test_a_refusal_waits_for_nobody_and_no_reset_overtakes_it() -> None:
+async def test_a_rejection_is_sent_at_once_and_not_overtaken_by_a_reset() -> None:
     """With no host the answer is there at once; a client that sends everything first still reads it."""
     async with running(configuration("127.0.0.1:1")) as run:
         early = await run.connect()
@@ -329,7 +335,7 @@
 
 
 @on_loop
-async def test_a_body_that_comes_too_slowly_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_body_below_the_minimum_rate_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_module, "BODY_GRACE_S", 0.05)
     monkeypatch.setattr(client_module, "MIN_BODY_RATE", 10_000_000)
     async with sink() as host, running(configuration(host.address)) as run:
@@ -343,7 +349,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_in_its_body_gives_the_attempt_up() -> None:
+async def test_a_disconnect_during_the_request_body_cancels_the_attempt() -> None:
     async with sink() as host, running(configuration(host.address)) as run:
         client = await run.connect()
         client.send(request("transfer", LONG)[:-10])
@@ -355,7 +361,7 @@
 
 
 @on_loop
-async def test_a_host_that_does_not_read_holds_its_client_back() -> None:
+async def test_backpressure_of_a_server_that_does_not_read_reaches_the_client() -> None:
     """The rest of a body waits where it is, and is not piled up here."""
     opened = asyncio.Event()
 
@@ -380,14 +386,14 @@
 
 
 @on_loop
-async def test_a_client_that_reads_slowly_holds_the_host_back_and_gets_it_all(
+async def test_backpressure_of_a_slow_client_reaches_the_server_and_nothing_is_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     body = bytes(24 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     # What limits short answers does not limit long ones.
     monkeypatch.setattr(client_module, "WRITE_TIMEOUT_S", 0.0)
-    async with scripted_server(answers(head + body)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(head + body)) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
@@ -409,7 +415,7 @@
 
 
 @on_loop
-async def test_many_long_bodies_at_once_take_little_memory(tmp_path: Path) -> None:
+async def test_many_long_bodies_at_once_use_bounded_memory(tmp_path: Path) -> None:
     """Sixteen bodies each way of 8 MB, 256 MB in all, through a program that may hold 64 MB."""
     long = bytes(8 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long)
@@ -438,7 +444,7 @@
                 assert high_water_mb(process.pid) < 64
 
 
-def test_bodies_share_what_all_may_hold() -> None:
+def test_streamed_bodies_share_one_memory_budget() -> None:
     body_budget = BodyMemoryBudget(memory_mb=8)
     streamed_bodies = [StreamedBody(None, body_budget) for _ in range(4)]
     assert body_budget.bytes_per_body == MAX_BUFFER_PER_BODY
@@ -463,7 +469,7 @@
     return name, send.server
 
 
-def test_a_server_is_not_judged_by_how_long_a_client_sends() -> None:
+def test_the_upload_time_of_a_client_does_not_count_against_the_server() -> None:
     driver = Driver(servers=1)
     name, server = uploading(driver)
     driver.now_us += 10_000_000
@@ -479,7 +485,7 @@
     assert name not in driver.balancer.requests and len(driver.balancer.servers[server].in_flight) == 1
 
 
-def test_a_body_that_has_gone_on_goes_nowhere_else() -> None:
+def test_a_request_whose_body_was_forwarded_is_not_retried() -> None:
     driver = Driver(SETTINGS, servers=3)
     for outcome, again in ((Outcome.CONNECT_FAILED, True), (Outcome.RESET, False), (Outcome.REJECTED, False)):
         name, server = uploading(driver)
@@ -489,7 +495,7 @@
         assert bool(sends(actions)) is again and bool(finals(actions)) is not again
 
 
-def test_a_stream_frees_its_server_and_counts_by_its_first_byte() -> None:
+def test_a_streamed_response_frees_its_server_and_counts_by_its_first_byte() -> None:
     driver = Driver(servers=1)
     name, actions = driver.arrive()
     (send,) = sends(actions)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -26,19 +26,19 @@
 
 
 @on_loop
-async def test_a_silent_client_and_a_kept_connection_are_let_go_and_a_busy_one_is_not(
+async def test_silent_and_idle_clients_are_closed_and_a_busy_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         busy, quiet, kept = [await run.connect() for _ in range(3)]
         busy.send(request("transfer"))
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         assert (await kept.ask(ready)).status == 200
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_MANY_CLIENTS_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
-        host.exchanges[0].answer(reply(200, b"late"))
+        upstream.exchanges[0].answer(reply(200, b"late"))
         assert (await busy.answer()).body == b"late"
         phases = run.server.context.phases
         for phase in (phases.awaiting_first_byte, phases.receiving_request, phases.idle, phases.closing):
@@ -62,13 +62,13 @@
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hurry(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         answer = await client.ask(begun)
         assert answer.status == 408 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
         await until(lambda: not run.server.connections)
-        assert not host.exchanges
+        assert not upstream.exchanges
         client.close()
 
 
@@ -76,11 +76,11 @@
 
 
 @on_loop
-async def test_silent_clients_crowd_out_neither_hosts_nor_other_clients(tmp_path: Path) -> None:
+async def test_silent_clients_displace_neither_upstream_connections_nor_other_clients(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that say nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
-    async with scripted_server() as host:
-        config["known"]["endpoints"][0]["address"] = host.address
+    async with scripted_server() as upstream:
+        config["known"]["endpoints"][0]["address"] = upstream.address
         async with program(tmp_path, config) as (process, port):
             client = await connect(port)
             assert (await client.ask(request("transfer"))).status == 200
@@ -104,7 +104,7 @@
         # The upstream connection has been kept: by the program's own count, and for every request that came.
         # Connections to this port are not counted: another process may still try whoever had it before.
         assert "PoolCounts(opened=1," in log, log
-        assert len({exchange.connection for exchange in host.exchanges}) == 1
+        assert len({exchange.connection for exchange in upstream.exchanges}) == 1
 
 
 @pytest.mark.parametrize(
@@ -141,22 +141,20 @@
     ],
 )
 @on_loop
-async def test_what_is_no_request_is_refused_and_nothing_of_it_reaches_a_host(
-    data: bytes, status: int
-) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_malformed_requests_are_rejected_and_not_forwarded(data: bytes, status: int) -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(data)
         answer = await client.answer()
         assert answer.status == status
         assert (await run.ask(request())).status == 200
-        assert len(host.exchanges) == 1 and "search" in host.exchanges[0].message.start_line
+        assert len(upstream.exchanges) == 1 and "search" in upstream.exchanges[0].message.start_line
         client.close()
 
 
 @on_loop
-async def test_hundreds_of_requests_at_once_wait_unparsed_and_are_all_answered() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_hundreds_of_pipelined_requests_wait_unparsed_and_are_all_answered() -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
         most = 0
@@ -168,21 +166,21 @@
 
 
 @on_loop
-async def test_a_time_beyond_the_class_is_cut_and_none_at_all_is_answered_at_once() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+async def test_a_budget_beyond_the_class_timeout_is_cut_and_a_budget_of_zero_fails_at_once() -> None:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer", budget_ms=10**14))
-        await until(lambda: host.exchanges)
-        assert int(host.exchanges[0].message.headers["x-budget-ms"]) <= 20_000
+        await until(lambda: upstream.exchanges)
+        assert int(upstream.exchanges[0].message.headers["x-budget-ms"]) <= 20_000
         assert (await run.ask(request("transfer", budget_ms=0))).status in (502, 503, 504)
         client.close()
 
 
 @on_loop
-async def test_who_never_finishes_a_request_yields_to_who_does(tmp_path: Path) -> None:
+async def test_clients_that_never_finish_a_request_are_closed_for_others(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that begin a request and never end it."""
-    async with scripted_server() as host:
-        config = configuration(host) | {"limits": {"sockets": 80}}
+    async with scripted_server() as upstream:
+        config = configuration(upstream) | {"limits": {"sockets": 80}}
         async with program(tmp_path, config) as (process, port):
             crowd = []
             for _ in range(3):
@@ -199,9 +197,9 @@
 
 
 @on_loop
-async def test_who_has_had_the_time_for_a_head_yields_first() -> None:
+async def test_clients_whose_time_for_a_head_is_over_are_closed_first() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         phases = run.server.context.phases
         overdue, kept, writing = [await run.connect() for _ in range(3)]
         overdue.send(TRANSFER)
@@ -220,17 +218,20 @@
 
 
 @on_loop
-async def test_who_never_finishes_a_request_does_not_keep_the_program(tmp_path: Path) -> None:
+async def test_an_unfinished_request_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     """It ends before a deadline of 20 s, or the 3.6 s that it may take, has to be waited out."""
     import signal
 
     from sagetrack.core.drain import SHUTDOWN_INCOMPLETE_WAIT_S
 
-    async with scripted_server(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with (
+        scripted_server(silent) as upstream,
+        program(tmp_path, configuration(upstream)) as (process, port),
+    ):
         begun, held = await connect(port), await connect(port)
         begun.send(TRANSFER)
         held.send(request("transfer"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         loop = asyncio.get_running_loop()
         since_s = loop.time()
         process.send_signal(signal.SIGTERM)
@@ -238,7 +239,7 @@
         assert turned_away.status == 503 and turned_away.headers["connection"] == "close"
         assert await begun.reader.read() == b""
         assert loop.time() - since_s >= SHUTDOWN_INCOMPLETE_WAIT_S
-        host.exchanges[0].answer(reply())
+        upstream.exchanges[0].answer(reply())
         assert (await held.answer()).status == 200
         assert await process.wait() == 0
         _, errors = await process.communicate()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -94,14 +94,14 @@
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each process begins its own line at its start, with the wall clock as it is then."""
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         overlap = HotRestart(str(tmp_path))
         overlap.join()
         old = HealthHandover(overlap, run.instance.config, run.gateway)
         client = await run.connect()
         client.send(request())
-        await until(lambda: host.exchanges)
-        host.exchanges[0].answer(reply())
+        await until(lambda: upstream.exchanges)
+        upstream.exchanges[0].answer(reply())
         await client.answer()
         old.save()
         learned: list[ObservationsReceived] = []
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -35,28 +35,28 @@
 
 @on_loop
 async def test_a_connection_is_used_again_and_only_by_one_at_a_time() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(2)]
-        await until(lambda: len(host.exchanges) == 2)
-        assert host.opened_connections == 2
-        for exchange in host.exchanges:
+        await until(lambda: len(upstream.exchanges) == 2)
+        assert upstream.opened_connections == 2
+        for exchange in upstream.exchanges:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
-        host.script = answers(reply())
+        upstream.script = answers(reply())
         for _ in range(3):
             await rested(run)
             assert (await run.ask(request())).status == 200
-        assert host.opened_connections == 2
-        last = [exchange.connection for exchange in host.exchanges[2:]]
+        assert upstream.opened_connections == 2
+        last = [exchange.connection for exchange in upstream.exchanges[2:]]
         assert len(set(last)) == 1  # the one used last, so that the other can age
 
 
 @on_loop
 async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.instance.pools, idle(run)[0]
-        host.exchanges[0].writer.close()
+        upstream.exchanges[0].writer.close()
         await until(lambda: not connection.is_usable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
@@ -71,7 +71,7 @@
             Attempt(pool.servers[host_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended)
         )
         await until(lambda: ended)
-        assert ended == [Outcome.OK] and host.opened_connections == 2
+        assert ended == [Outcome.OK] and upstream.opened_connections == 2
 
 
 @on_loop
@@ -98,21 +98,21 @@
 @on_loop
 async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
     async with (
-        scripted_server(answers(reply(200, b"", "Connection: close"))) as host,
-        running(configuration(host)) as run,
+        scripted_server(answers(reply(200, b"", "Connection: close"))) as upstream,
+        running(configuration(upstream)) as run,
     ):
         for opened in (1, 2):
             assert (await run.ask(request())).status == 200
-            assert host.opened_connections == opened
+            assert upstream.opened_connections == opened
         assert not idle(run)
 
 
 @on_loop
 async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(3)]
-        await until(lambda: len(host.exchanges) == 3)
-        for exchange in host.exchanges:
+        await until(lambda: len(upstream.exchanges) == 3)
+        for exchange in upstream.exchanges:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
         pools = run.instance.pools
@@ -122,24 +122,24 @@
         await until(lambda: pools.open == 1)
         idle(run)[0].idle_since_us -= 45_000_000
         pools.sweep()
-        await until(lambda: pools.open == 0 and host.closed_connections == 3)
+        await until(lambda: pools.open == 0 and upstream.closed_connections == 3)
 
 
 @on_loop
 async def test_a_drained_host_keeps_no_idle_connection_and_finishes_what_it_has() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         asking = asyncio.create_task(run.ask(request()))
-        await until(lambda: host.exchanges)
-        names = parse(configuration(host)).names
+        await until(lambda: upstream.exchanges)
+        names = parse(configuration(upstream)).names
         _, _, entries = parse_endpoint_list(
-            endpoint_list(8, endpoint("s-0", host.address, status="DRAINING")), names
+            endpoint_list(8, endpoint("s-0", upstream.address, status="DRAINING")), names
         )
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
-        host.exchanges[0].answer(reply(200, b"done"))
+        upstream.exchanges[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
-        await until(lambda: host.closed_connections == 1)
-        assert len(host.exchanges) == 1
+        await until(lambda: upstream.closed_connections == 1)
+        assert len(upstream.exchanges) == 1
 
 
 @on_loop
@@ -148,7 +148,7 @@
 
     The grace is no part of it: the word may have counted as told for as long before it came.
     """
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         pools, ended = run.instance.pools, list[Outcome]()
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
@@ -158,7 +158,7 @@
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         pools.drain(known)
         await until(lambda: ended)
-        assert ended == [Outcome.NOT_SENT] and not host.exchanges
+        assert ended == [Outcome.NOT_SENT] and not upstream.exchanges
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         assert ended == [Outcome.NOT_SENT] * 2
 
@@ -181,17 +181,17 @@
 
 @on_loop
 async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
-        names = parse(configuration(host)).names
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+        names = parse(configuration(upstream)).names
         assert (await run.ask(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
             _, _, entries = parse_endpoint_list(
-                endpoint_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names
+                endpoint_list(8, endpoint("s-0", upstream.address, since_ms=since_ms)), names
             )
             run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
-        assert host.opened_connections == 2
+        assert upstream.opened_connections == 2
 
 
 @on_loop
@@ -223,16 +223,16 @@
     def twice(exchange: Exchange) -> None:
         exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
 
-    async with scripted_server(twice) as host, running(configuration(host)) as run:
+    async with scripted_server(twice) as upstream, running(configuration(upstream)) as run:
         for opened in (1, 2):
             assert (await run.ask(request())).body == b"mine"
-            assert host.opened_connections == opened
+            assert upstream.opened_connections == opened
 
 
 @on_loop
 async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         pools = run.instance.pools
         connected = pools.attempts.on_connected
 
@@ -248,5 +248,5 @@
         await until(lambda: pools.counts.opened)
         await until(lambda: pools.open == 0)
         (known,) = pools.servers.values()
-        assert known.open == 0 and not known.idle and not host.exchanges
+        assert known.open == 0 and not known.idle and not upstream.exchanges
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -55,7 +55,7 @@
 
 
 @asynccontextmanager
-async def down_then_up(host: ScriptedServer) -> AsyncIterator[tuple[ScriptedServer, list[bool]]]:
+async def down_then_up(upstream: ScriptedServer) -> AsyncIterator[tuple[ScriptedServer, list[bool]]]:
     """A discovery that ends every call, until it is told to answer with this server."""
     up: list[bool] = []
 
@@ -66,7 +66,7 @@
             await asyncio.sleep(0.2)
             exchange.answer(list_reply(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", host.address)))
+            exchange.answer(list_reply(9, endpoint("s-0", upstream.address)))
 
     async with scripted_server(script) as discovery:
         yield discovery, up
@@ -109,19 +109,19 @@
 @on_loop
 async def test_a_full_process_makes_way_when_a_second_one_starts(sockets: int) -> None:
     """The limit is for both together: what asks nothing is closed by the next look, what is owed is not."""
-    async with scripted_server(silent) as host:
-        config = configuration(host) | {"limits": {"sockets": sockets}}
+    async with scripted_server(silent) as upstream:
+        config = configuration(upstream) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
             owed = await run.connect()
             owed.send(request("transfer"))
-            await until(lambda: host.exchanges)
+            await until(lambda: upstream.exchanges)
             crowd = await fill(run, run.server.descriptors.max_clients)
             assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
             run.server.siblings.others = 1
             run.server.sweep()
             await until(lambda: not any(c.is_closing for c in run.server.connections))
             assert within(run)
-            host.exchanges[0].answer(reply())
+            upstream.exchanges[0].answer(reply())
             assert (await owed.answer()).status == 200
             for client in (owed, *crowd):
                 client.close()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("fault", FAULTS)
 @on_loop
-async def test_after_five_failures_in_a_row_a_change_is_here_in_time(fault: str, mode: str) -> None:
+async def test_a_change_arrives_in_time_after_five_failures_in_a_row(fault: str, mode: str) -> None:
     async with scripted_server(FAULTS[fault]) as registry, running(asks(registry.address, mode)) as run:
         failed = begin(run, 5)
         await until(lambda: failed.told == 5)
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @on_loop
-async def test_after_five_refused_connections_a_change_is_here_in_time(mode: str) -> None:
+async def test_a_change_arrives_in_time_after_five_refused_connections(mode: str) -> None:
     async with scripted_server(answers(drains(9))) as registry:
         assert registry.server is not None
         place = registry.server.sockets[0].getsockname()
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("before", [0, 5])
 @on_loop
-async def test_a_call_that_hangs_when_discovery_returns_is_given_up_in_time(before: int, mode: str) -> None:
+async def test_a_call_that_hangs_when_discovery_recovers_times_out_in_time(before: int, mode: str) -> None:
     """The call under way has been lost and is waited for in vain; what comes after it is answered."""
     async with scripted_server(reset) as registry, running(asks(registry.address, mode)) as run:
         failed = begin(run, before + 1)  # the pause before the call that hangs is over at once
@@ -192,7 +192,7 @@
 
 
 @on_loop
-async def test_a_watch_that_falls_silent_misses_nothing_for_longer_than_six_seconds() -> None:
+async def test_changes_missed_by_a_silent_watch_arrive_within_six_seconds() -> None:
     """Silent from its first moment on, and all that was asked before was answered."""
     silent_on: list[Exchange] = []
 
@@ -215,7 +215,7 @@
 
 
 @on_loop
-async def test_an_address_that_is_moved_to_between_failures_is_heard_in_time() -> None:
+async def test_a_new_discovery_address_is_used_in_time_between_failures() -> None:
     """SIGHUP comes after five failures, and the first call at the new address is refused too."""
     refused = asyncio.Event()
 
@@ -238,7 +238,7 @@
 
 
 @on_loop
-async def test_a_new_process_asks_soon_however_long_the_rules_let_it_wait() -> None:
+async def test_a_new_process_polls_early_whatever_the_poll_interval() -> None:
     async with (
         scripted_server(answers(drains(9))) as registry,
         running(asks(registry.address, must_ask_us=10**12)) as run,
@@ -372,7 +372,7 @@
 @example(2_000_000, MINUTE_US, False, ["reset"], False, 1)
 @example(30_000_000, 10_000_000, False, ["hangs"], False, 1)
 @example(0, MINUTE_US, False, ["no connection"] * 9, True, 1)
-def test_no_settings_and_no_failures_keep_a_change_away_for_longer(
+def test_no_settings_and_failures_delay_a_change_beyond_the_limit(
     grace_us: int, must_ask_us: int, pushed: bool, faults: list[str], once_more: bool, seed: int
 ) -> None:
     """From the moment that the last call to fail begins; after several, one more may be refused, late.
@@ -397,7 +397,7 @@
 
 
 @given(grace_us=st.integers(0, 10**10), pushed=st.booleans())
-def test_the_sums_of_the_limits_leave_time_for_every_grace(grace_us: int, pushed: bool) -> None:
+def test_the_sums_of_the_limits_stay_below_every_grace(grace_us: int, pushed: bool) -> None:
     limits = discovery_timeouts(
         replace(SETTINGS, stop_sending_within_us=grace_us, endpoints_are_pushed=pushed)
     )
@@ -411,7 +411,7 @@
 
 @pytest.mark.parametrize("must_ask_us", [10_000_000, MINUTE_US])
 @pytest.mark.parametrize("failures", [1, 2, 5, 9])
-def test_hundreds_that_failed_together_do_not_ask_together(failures: int, must_ask_us: int) -> None:
+def test_gateways_that_failed_together_do_not_poll_together(failures: int, must_ask_us: int) -> None:
     """Of 400 gateways, so many in any fiftieth of the longest pause: their even share, thrice at the most."""
     rules = replace(SETTINGS, endpoints_are_pushed=False, max_poll_interval_us=must_ask_us)
     waits_us: list[int] = []
@@ -429,7 +429,7 @@
     assert max(together) <= 3 * 400 / 50
 
 
-def test_pauses_grow_with_failures_up_to_a_bound_that_no_setting_moves() -> None:
+def test_backoff_grows_with_failures_up_to_a_fixed_bound() -> None:
     longest: dict[int, list[int]] = {}
     for must_ask_us in (400_000, 10_000_000, MINUTE_US, 10**12):
         module = LoadBalancer(
@@ -445,7 +445,7 @@
     assert longest[400_000][0] == 20_000  # a setting that asks for haste is heard
 
 
-def test_a_service_that_refuses_again_and_again_is_asked_less_often() -> None:
+def test_a_discovery_service_that_rejects_repeatedly_is_polled_less_often() -> None:
     """Seen: 32 gateways that asked again within 1.4 s each kept a service of fixed capacity busy for good."""
     calls: dict[str, list[float]] = {}
 
@@ -471,7 +471,7 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_call_after_a_failure_waits_for_no_news(pushed: bool) -> None:
+def test_a_poll_after_a_failure_does_not_wait_for_a_change(pushed: bool) -> None:
     """It tells whether discovery is back: hanging, it would be waited for as long as a watch."""
     asked: list[bytes] = []
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -24,7 +24,7 @@
 async def test_the_module_is_told_what_the_headers_say() -> None:
     from sagetrack.policy.events import RequestArrived
 
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         told: list[RequestArrived] = []
         handle = run.gateway.balancer.handle
 
@@ -48,13 +48,13 @@
 @on_loop
 async def test_white_space_round_a_value_is_no_part_of_it() -> None:
     answer = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
-    async with scripted_server(answers(answer)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(answer)) as upstream, running(configuration(upstream)) as run:
         for before, after in ((b"", b" \t"), (b"\t ", b"")):
             first, *lines = request("hold", b"slip", expect="100-continue").split(b"\r\n")[:-2]
             lines = [line.replace(b": ", b":" + before) + after for line in lines]
             answer_to_it = await run.ask(b"\r\n".join([first, *lines]) + b"\r\n\r\nslip")
             assert (answer_to_it.status, answer_to_it.body) == (200, b"fine")
-        assert [e.message.body for e in host.exchanges] == [b"slip"] * 2
+        assert [e.message.body for e in upstream.exchanges] == [b"slip"] * 2
 
 
 @pytest.mark.parametrize(
@@ -84,18 +84,18 @@
 )
 @on_loop
 async def test_what_cannot_be_taken_is_answered_and_the_program_goes_on(data: bytes, status: int) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         answer = await run.ask(data)
         assert answer.status == status
         assert answer.status not in (429, 503)
         assert ("allow" in answer.headers) is (status == 405)
-        assert not host.exchanges and not run.gateway.in_flight
+        assert not upstream.exchanges and not run.gateway.in_flight
         assert (await run.ask(request())).status == 200
 
 
 @on_loop
 async def test_a_body_comes_in_pieces_or_chunks() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
         for at in range(len(data)):
@@ -106,37 +106,40 @@
         client.send(head + b"3\r\nabc\r\n")
         client.send(b"2\r\nde\r\n0\r\n\r\n")
         assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.exchanges] == [b"in many pieces", b"abcde"]
-        assert "transfer-encoding" not in host.exchanges[1].message.headers
+        assert [e.message.body for e in upstream.exchanges] == [b"in many pieces", b"abcde"]
+        assert "transfer-encoding" not in upstream.exchanges[1].message.headers
         client.close()
 
 
 @on_loop
 async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
     body = bytes(range(256)) * 256
-    async with scripted_server(answers(reply(200, body))) as host, running(configuration(host)) as run:
+    async with (
+        scripted_server(answers(reply(200, body))) as upstream,
+        running(configuration(upstream)) as run,
+    ):
         answer = await run.ask(request("transfer", body))
-        assert answer.body == body == host.exchanges[0].message.body
+        assert answer.body == body == upstream.exchanges[0].message.body
 
 
 @on_loop
 async def test_requests_on_one_connection_are_answered_in_turn() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
         for _ in range(40):
             assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.exchanges] == [b"%d" % n for n in range(40)]
+        assert [e.message.body for e in upstream.exchanges] == [b"%d" % n for n in range(40)]
         client.close()
 
 
 @on_loop
 async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
-        await until(lambda: host.exchanges)
-        host.exchanges[0].answer(reply())
+        await until(lambda: upstream.exchanges)
+        upstream.exchanges[0].answer(reply())
         assert (await client.answer()).status == 200
         answer = await client.answer()
         assert answer.status == 400 and answer.headers["connection"] == "close"
@@ -146,7 +149,7 @@
 
 @on_loop
 async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         answer = await client.ask(request(connection="close"))
         assert answer.status == 200 and answer.headers["connection"] == "close"
@@ -156,23 +159,23 @@
 
 @on_loop
 async def test_an_id_that_is_in_use_is_not_taken_twice() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         data = request("transfer")
         first = await run.connect()
         first.send(data)
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         assert (await run.ask(data)).status == 400
-        host.exchanges[0].answer(reply())
+        upstream.exchanges[0].answer(reply())
         assert (await first.answer()).status == 200
-        assert len(host.exchanges) == 1
+        assert len(upstream.exchanges) == 1
         first.close()
 
 
 @on_loop
 async def test_ready_means_that_requests_can_be_served() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-    async with scripted_server() as host:
-        async with running(configuration(host)) as run:
+    async with scripted_server() as upstream:
+        async with running(configuration(upstream)) as run:
             assert (await run.ask(ready)).status == 200
             assert run.server.standby()
             assert (await run.ask(ready)).status == 503
@@ -191,7 +194,7 @@
 @on_loop
 async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
     """It may bring what has crossed the end of an older connection, and that is sent only once more."""
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         run.server.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
         client = await run.connect()
         await until(lambda: run.server.connections)
@@ -216,7 +219,7 @@
     """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
     import socket
 
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -68,8 +68,8 @@
 @on_loop
 async def test_sockets_that_cannot_be_had_for_a_moment_are_asked_for_again(tmp_path: Path) -> None:
     async with (
-        scripted_server() as host,
-        failing(tmp_path, SystemCallFaults(socket_rate=1000), host.address) as (port, admin),
+        scripted_server() as upstream,
+        failing(tmp_path, SystemCallFaults(socket_rate=1000), upstream.address) as (port, admin),
     ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
@@ -82,8 +82,8 @@
     elsewhere.mkdir()
     here.mkdir()
     async with (
-        scripted_server() as host,
-        failing(here, SystemCallFaults(file_rate=1000), host.address, elsewhere) as (port, admin),
+        scripted_server() as upstream,
+        failing(here, SystemCallFaults(file_rate=1000), upstream.address, elsewhere) as (port, admin),
     ):
         await becomes_ready(port, admin)
 
@@ -91,8 +91,8 @@
 @on_loop
 async def test_a_configuration_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
     async with (
-        scripted_server() as host,
-        failing(tmp_path, SystemCallFaults(file_rate=1000), host.address) as (port, admin),
+        scripted_server() as upstream,
+        failing(tmp_path, SystemCallFaults(file_rate=1000), upstream.address) as (port, admin),
     ):
         await becomes_ready(port, admin)
         assert await ask(port, request()) == 200
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -34,7 +34,7 @@
 
 
 @asynccontextmanager
-async def returning_discovery(host: ScriptedServer, resets: int) -> AsyncIterator[ScriptedServer]:
+async def returning_discovery(upstream: ScriptedServer, resets: int) -> AsyncIterator[ScriptedServer]:
     """It resets its first calls, and then says that the server drains."""
     calls = 0
 
@@ -47,7 +47,7 @@
             await asyncio.sleep(0.2)
             exchange.answer(list_reply(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", host.address, status="DRAINING")))
+            exchange.answer(list_reply(9, endpoint("s-0", upstream.address, status="DRAINING")))
 
     async with scripted_server(script) as discovery:
         yield discovery
@@ -58,11 +58,11 @@
     """A full disk under standard error: discovery fails, which is told in the log, and is asked again."""
     full = os.open("/dev/full", os.O_WRONLY)
     kept = os.dup(sys.__stderr__.fileno())  # type: ignore[union-attr]
-    async with scripted_server() as host, returning_discovery(host, resets=2) as discovery:
+    async with scripted_server() as upstream, returning_discovery(upstream, resets=2) as discovery:
         os.dup2(full, 2)
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
-            async with running(configuration(host, discovery=discovery.address)) as run:
+            async with running(configuration(upstream, discovery=discovery.address)) as run:
                 hosts = run.instance.pools.servers
                 await until(lambda: hosts[host_id(0)].drained_us is not None)
         finally:
@@ -77,14 +77,14 @@
     tmp_path: Path,
 ) -> None:
     """An upgrade and a restart cross: neither may count on the other for new clients."""
-    async with scripted_server(silent) as host:
+    async with scripted_server(silent) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
-            old = await start(tmp_path, listener, configuration(host))
+            old = await start(tmp_path, listener, configuration(upstream))
             held = await connect(port)
             held.send(request("transfer", b"held"))
-            await until(lambda: host.exchanges)
-            new = await start(tmp_path, listener, configuration(host))
+            await until(lambda: upstream.exchanges)
+            new = await start(tmp_path, listener, configuration(upstream))
             await until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
             await until(lambda: old.pid not in marks(tmp_path, "serving"))
@@ -93,7 +93,7 @@
             async with asyncio.timeout(3.0):
                 for _ in range(4):
                     assert await ask(port, READY) == 503
-            host.exchanges[0].answer(reply(200, b"done"))
+            upstream.exchanges[0].answer(reply(200, b"done"))
             assert (await held.answer()).body == b"done"
             assert await old.wait() == 0 and await new.wait() == 0
             held.close()
@@ -101,7 +101,7 @@
 
 @on_loop
 async def test_a_mark_that_is_lost_in_the_folder_does_not_keep_a_process_from_serving(tmp_path: Path) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         overlap = HotRestart(str(tmp_path))
         overlap.join()
         for mark in tmp_path.iterdir():
@@ -133,7 +133,7 @@
 @on_loop
 async def test_an_accept_that_fails_costs_no_client_its_answer() -> None:
     """Neither who waits to be accepted nor who was accepted a moment ago and has not spoken yet."""
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert run.server.acceptor.listener is not None
         run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
@@ -157,9 +157,9 @@
 async def test_a_process_that_may_hold_fewer_descriptors_than_it_is_told_serves(tmp_path: Path) -> None:
     """The shell's limit is lower than the configuration's, and idle clients would use it up."""
     port = free_port()
-    async with scripted_server() as host:
+    async with scripted_server() as upstream:
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(configuration(host) | {"listen": f"127.0.0.1:{port}"}))
+        file.write_text(json.dumps(configuration(upstream) | {"listen": f"127.0.0.1:{port}"}))
         process = await asyncio.create_subprocess_shell(
             f"ulimit -n 64; exec {sys.executable} -m sagetrack",
             cwd=ROOT,
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -64,7 +64,7 @@
 
 
 @on_loop
-async def test_a_watch_goes_on_from_the_version_it_has() -> None:
+async def test_a_watch_continues_from_its_version() -> None:
     news = [
         list_reply(7, endpoint("s-0", "127.0.0.1:1")),
         list_reply(8, endpoint("s-1", "127.0.0.1:1"), snapshot=False),
@@ -91,7 +91,7 @@
 
 
 @on_loop
-async def test_a_watch_that_is_let_go_is_heard_no_more() -> None:
+async def test_a_stopped_watch_reports_nothing_more() -> None:
     async with (
         scripted_server(silent) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
@@ -105,7 +105,7 @@
 
 
 @on_loop
-async def test_the_whole_list_drops_what_it_does_not_name() -> None:
+async def test_a_complete_list_removes_what_it_does_not_name() -> None:
     listed = endpoint("s-1", "127.0.0.1:1", zone="b", group=3, since_ms=5, weight=2)
     async with scripted_server(answers(list_reply(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -140,7 +140,7 @@
     ],
 )
 @on_loop
-async def test_a_failed_call_is_told_and_made_again_when_the_module_says(script: Script) -> None:
+async def test_a_failed_call_is_reported_and_repeated_when_the_policy_says(script: Script) -> None:
     async with scripted_server(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
@@ -167,21 +167,21 @@
 
 
 @on_loop
-async def test_bad_entries_and_unknown_fields_are_survived() -> None:
-    async with scripted_server() as host:
-        good = endpoint("s-1", host.address, colour="red")
+async def test_invalid_entries_and_unknown_fields_are_tolerated() -> None:
+    async with scripted_server() as upstream:
+        good = endpoint("s-1", upstream.address, colour="red")
         bad: list[object] = [
             None,
             7,
             {},
-            endpoint("", host.address),
+            endpoint("", upstream.address),
             endpoint("s-2", "nowhere"),
             endpoint("s-2", "127.0.0.1:99999"),
-            endpoint("s-2", host.address, status="NAPPING"),
-            endpoint("s-2", host.address, weight="heavy"),
-            endpoint("s-2", host.address, weight=-1),
-            endpoint("s-2", host.address, since_ms="long ago"),
-            {**endpoint("s-2", host.address), "name": ["s-2"]},
+            endpoint("s-2", upstream.address, status="NAPPING"),
+            endpoint("s-2", upstream.address, weight="heavy"),
+            endpoint("s-2", upstream.address, weight=-1),
+            endpoint("s-2", upstream.address, since_ms="long ago"),
+            {**endpoint("s-2", upstream.address), "name": ["s-2"]},
         ]
         text = json.dumps({"index": 9, "snapshot": True, "more": {}, "endpoints": [*bad, good]})
         script = answers(reply(200, text.encode()))
@@ -196,7 +196,7 @@
 
 
 @on_loop
-async def test_a_list_known_from_before_that_cannot_be_used_is_as_none() -> None:
+async def test_an_unusable_known_list_is_ignored() -> None:
     async with scripted_server(silent) as registry:
         config = configuration(discovery=registry.address)
         config["known"] = {"index": "new", "endpoints": 3}
@@ -226,7 +226,7 @@
 
 @pytest.mark.parametrize("half", [b"", drains(9)[:40], drains(9)[:-20]])
 @on_loop
-async def test_a_watch_that_falls_silent_is_opened_anew_within_the_grace(half: bytes) -> None:
+async def test_a_silent_watch_is_reopened_within_the_grace(half: bytes) -> None:
     """Nothing comes, part of a head, or part of a list: the connection stays open and says no more."""
 
     def script(exchange: Exchange) -> None:
@@ -248,7 +248,7 @@
 
 
 @on_loop
-async def test_a_reset_watch_is_opened_anew_at_once_and_a_silent_service_is_asked_often() -> None:
+async def test_a_reset_watch_is_reopened_at_once_and_a_silent_service_is_polled_often() -> None:
     """However long the service was away, what it has at its return is here within the grace."""
     back = False
 
@@ -272,7 +272,7 @@
 
 
 @on_loop
-async def test_an_answer_that_another_has_overtaken_takes_nothing_back() -> None:
+async def test_an_overtaken_response_does_not_undo_a_newer_one() -> None:
     """A whole list asked for before a withdrawal, and answered after word of it, is asked for again."""
     async with scripted_server(silent) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -297,7 +297,7 @@
 
 
 @on_loop
-async def test_nobody_is_let_in_before_the_list_of_now_has_come() -> None:
+async def test_no_client_is_served_before_the_first_list() -> None:
     """What this process was told at its start is old: a server of it may have left meanwhile."""
     asked_for = asyncio.Event()
 
@@ -307,16 +307,16 @@
             exchange.answer(drains(9))
 
     async with (
-        scripted_server() as host,
+        scripted_server() as upstream,
         scripted_server(script) as registry,
-        running(configuration(host, discovery=registry.address)) as run,
+        running(configuration(upstream, discovery=registry.address)) as run,
     ):
         assert asked_for.is_set() and is_draining(run)
-        assert (await run.ask(request())).status == 503 and not host.exchanges
+        assert (await run.ask(request())).status == 503 and not upstream.exchanges
 
 
 @on_loop
-async def test_a_server_is_withdrawn_whatever_else_of_its_entry_can_be_read() -> None:
+async def test_a_withdrawal_counts_though_the_rest_of_the_entry_is_invalid() -> None:
     """A change that takes a server back counts, though the entry would be no use for sending there."""
     withdrawals: tuple[dict[str, object], ...] = (
         {"status": "DRAINING", "weight": 0.0},
@@ -326,17 +326,17 @@
         {"status": "PAUSED"},  # a status that is not known here is no word that it serves
     )
     for entry in withdrawals:
-        async with scripted_server() as host, running(configuration(host)) as run:
-            changes = endpoint_list(8, endpoint("s-0", host.address) | entry, snapshot=False)
+        async with scripted_server() as upstream, running(configuration(upstream)) as run:
+            changes = endpoint_list(8, endpoint("s-0", upstream.address) | entry, snapshot=False)
             run.gateway.on_endpoint_list(
                 ListKind.DELTA, parse_endpoint_list(changes, run.instance.config.names).endpoints
             )
             assert (await run.ask(request("transfer", b"x"))).status == 503, entry
-            assert not host.exchanges
+            assert not upstream.exchanges
 
 
 @on_loop
-async def test_a_failure_while_a_failed_call_is_told_does_not_end_the_watch() -> None:
+async def test_a_failure_while_a_failed_call_is_reported_does_not_end_the_watch() -> None:
     """Whoever hears of it may fail: the next call is set before."""
     async with (
         scripted_server(lambda exchange: exchange.reset()) as registry,
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -85,13 +85,13 @@
 )
 @on_loop
 async def test_what_comes_back_is_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
-    async with scripted_server(script) as host, running(configuration(host)) as run:
+    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         answer = await run.ask(request("transfer", b"42"))
         assert answer.status == status
         assert [event.outcome for event in told] == [outcome]
         assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
-        assert len(host.exchanges) == 1  # an unsafe request goes out once
+        assert len(upstream.exchanges) == 1  # an unsafe request goes out once
         assert not run.gateway.in_flight
 
 
@@ -127,22 +127,22 @@
 
 @on_loop
 async def test_a_time_out_closes_the_connection_and_fails_what_may_have_run() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
-        await until(lambda: host.closed_connections == 1)  # the host can tell that nobody waits
+        await until(lambda: upstream.closed_connections == 1)  # the host can tell that nobody waits
         assert run.instance.pools.open == 0 and not run.gateway.in_flight
 
 
 @on_loop
 async def test_a_late_answer_of_an_ended_attempt_is_dropped() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
         assert (await client.ask(request("transfer", budget_ms=60))).status == 504
-        host.exchanges[0].answer(reply(200, b"too late"))
-        host.script = answers(reply(200, b"in time"))
+        upstream.exchanges[0].answer(reply(200, b"too late"))
+        upstream.script = answers(reply(200, b"in time"))
         # After a time-out the module may refuse a few.
         while (answer := await client.ask(request())).status == 503:
             pass
@@ -217,14 +217,14 @@
     script = answers(
         reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
     )
-    async with scripted_server(script) as host, running(configuration(host)) as run:
+    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
         answer = await run.ask(data)
         assert answer.body == b"\x00\xff body"
         assert answer.headers["content-type"] == "text/x" and answer.headers["x-hit"] == "1"
         assert "x-load-report" not in answer.headers
-        message = host.exchanges[0].message
+        message = upstream.exchanges[0].message
         assert message.start_line == "POST /hold/7f3a9c21e0b4d655 HTTP/1.1" and message.body == b"slip"
         assert message.headers["x-call-id"] and message.headers["idempotency-key"]
         assert 0 < int(message.headers["x-budget-ms"]) <= 5_000
@@ -236,7 +236,7 @@
 @on_loop
 async def test_a_load_report_that_cannot_be_read_costs_nothing(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
-    async with scripted_server(answers(data)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request())).status == 200
 
 
@@ -244,22 +244,22 @@
 async def test_answers_in_chunks_and_interim_answers_are_read() -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-    async with scripted_server(answers(data)) as host, running(configuration(host)) as run:
+    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
         for _ in range(2):
             assert (await run.ask(request())).body == b"abc"
             await rested(run)
-        assert host.opened_connections == 1
+        assert upstream.opened_connections == 1
 
 
 @on_loop
 async def test_a_client_that_leaves_ends_the_attempt() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         client.close()
-        await until(lambda: host.closed_connections == 1)
+        await until(lambda: upstream.closed_connections == 1)
         await until(lambda: told)
         assert told[0].outcome is Outcome.CANCELLED and told[0].finished
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
@@ -267,7 +267,7 @@
 
 @on_loop
 async def test_an_error_of_the_module_fails_one_request_and_no_more() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
         assert (await run.ask(request("transfer"))).status == 502
@@ -279,14 +279,14 @@
 async def test_a_send_that_comes_too_late_is_moot() -> None:
     from sagetrack.policy.actions import SendAttempt
 
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
-        host.script = silent
+        upstream.script = silent
         data = request("transfer")
         client.send(data)
-        await until(lambda: host.exchanges)
-        id_ = host.exchanges[0].message.headers["x-call-id"]
+        await until(lambda: upstream.exchanges)
+        id_ = upstream.exchanges[0].message.headers["x-call-id"]
         run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
         assert [event.outcome for event in told] == [Outcome.NOT_SENT]
         client.close()
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -89,7 +89,7 @@
 
 @on_loop
 async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
-    async with scripted_server() as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server() as upstream, program(tmp_path, configuration(upstream)) as (process, port):
         assert await ask(port, request("transfer", b"x")) == 200
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
@@ -98,19 +98,22 @@
 
 @on_loop
 async def test_a_restart_finishes_what_is_held_and_still_takes_what_comes(tmp_path: Path) -> None:
-    async with scripted_server(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with (
+        scripted_server(silent) as upstream,
+        program(tmp_path, configuration(upstream)) as (process, port),
+    ):
         idle, busy = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
         busy.send(request("transfer", b"held"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""  # idle ones are closed, and so the signal has come
         process.send_signal(signal.SIGTERM)  # a second one changes nothing
         assert await ask(port, READY) == 503
         late = await connect(port)
         late.send(request("transfer", b"late"))
-        await until(lambda: len(host.exchanges) == 2)
-        for exchange in host.exchanges:
+        await until(lambda: len(upstream.exchanges) == 2)
+        for exchange in upstream.exchanges:
             exchange.answer(reply(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
             answer = await client.answer()
@@ -123,15 +126,18 @@
 
 @on_loop
 async def test_all_that_was_read_on_one_connection_is_answered_on_the_way_out(tmp_path: Path) -> None:
-    async with scripted_server(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with (
+        scripted_server(silent) as upstream,
+        program(tmp_path, configuration(upstream)) as (process, port),
+    ):
         idle, client = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
         client.send(request("transfer", b"1") + request("transfer", b"2"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        host.script = answers(reply(200, b"2"))
-        host.exchanges[0].answer(reply(200, b"1"))
+        upstream.script = answers(reply(200, b"2"))
+        upstream.exchanges[0].answer(reply(200, b"1"))
         assert [(await client.answer()).body for _ in range(2)] == [b"1", b"2"]
         assert await process.wait() == 0
         idle.close()
@@ -140,10 +146,13 @@
 
 @on_loop
 async def test_what_never_ends_is_given_up_in_words_before_a_kill(tmp_path: Path) -> None:
-    async with scripted_server(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with (
+        scripted_server(silent) as upstream,
+        program(tmp_path, configuration(upstream)) as (process, port),
+    ):
         client = await connect(port)
         client.send(request("transfer"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s, and there are 0.7 s more
             answer = await client.answer()
@@ -202,9 +211,9 @@
 
 @on_loop
 async def test_an_address_in_use_is_one_line(tmp_path: Path) -> None:
-    async with scripted_server() as host:
+    async with scripted_server() as upstream:
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(configuration(host) | {"listen": host.address}))
+        file.write_text(json.dumps(configuration(upstream) | {"listen": upstream.address}))
         process = await start({"LB_CONFIG": str(file)})
         _, errors = await process.communicate()
         assert process.returncode == 1 and errors.startswith(b"sagetrack: cannot listen on ")
@@ -222,7 +231,10 @@
         await asyncio.sleep(0.005)
         exchange.answer(reply(200, exchange.message.body))
 
-    async with scripted_server(slowly) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with (
+        scripted_server(slowly) as upstream,
+        program(tmp_path, configuration(upstream)) as (process, port),
+    ):
         loop = asyncio.get_running_loop()
         end_s: list[float] = []
         served, lost = 0, 0
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -84,10 +84,10 @@
 async def test_a_call_under_way_is_called_off_and_no_host_is_dropped(tmp_path: Path) -> None:
     """SIGHUP comes while a call is under way; it is called off, and calls at the new address fail."""
     async with (
-        scripted_server() as host,
+        scripted_server() as upstream,
         scripted_server(silent) as old,
         scripted_server(lambda exchange: exchange.reset()) as new,
-        program(tmp_path, configuration(host, discovery=old.address)) as (process, port),
+        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
     ):
         await until(lambda: old.exchanges)
         replace(tmp_path, discovery=new.address)
@@ -102,9 +102,9 @@
 @on_loop
 async def test_a_file_that_cannot_be_used_changes_nothing(tmp_path: Path, text: str | None) -> None:
     """No watch is overdue here: with so long a grace one may be silent for longer than the test takes."""
-    async with scripted_server() as host, scripted_server(silent) as registry:
-        registry.script = lists_once(endpoint("s-0", host.address))
-        config = configuration(host, discovery=registry.address)
+    async with scripted_server() as upstream, scripted_server(silent) as registry:
+        registry.script = lists_once(endpoint("s-0", upstream.address))
+        config = configuration(upstream, discovery=registry.address)
         config["settings"]["contract"]["stopSendingWithinUs"] = 200_000_000
         async with program(tmp_path, config) as (process, port):
             await until(lambda: len(registry.exchanges) == 2)
@@ -126,19 +126,19 @@
 @on_loop
 async def test_it_is_taken_on_the_way_out_and_before_the_loop_runs(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as host,
+        scripted_server(silent) as upstream,
         scripted_server(silent) as old,
         scripted_server(silent) as new,
-        program(tmp_path, configuration(host, discovery=old.address)) as (process, port),
+        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
     ):
         client = await connect(port)
         client.send(request("transfer"))
-        await until(lambda: host.exchanges)
+        await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         replace(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
         await until(lambda: new.exchanges)
-        host.exchanges[0].answer(reply(200, b"x"))
+        upstream.exchanges[0].answer(reply(200, b"x"))
         assert (await client.answer()).body == b"x"
         assert await process.wait() == 0
         client.close()
@@ -150,12 +150,12 @@
 
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)  # the program waits here for its configuration
-    async with scripted_server() as host, scripted_server(silent) as old, scripted_server(silent) as new:
+    async with scripted_server() as upstream, scripted_server(silent) as old, scripted_server(silent) as new:
         process = await start({"LB_CONFIG": str(pipe)})
         loop = asyncio.get_running_loop()
         end = await loop.run_in_executor(None, os.open, pipe, os.O_WRONLY)
         process.send_signal(signal.SIGHUP)
-        config = configuration(host, discovery=old.address)
+        config = configuration(upstream, discovery=old.address)
         replaced = tmp_path / "new.json"
         replaced.write_text(json.dumps(config | {"discovery": new.address}))
         os.replace(replaced, pipe)
@@ -170,10 +170,10 @@
 async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_again(tmp_path: Path) -> None:
     """Half written as the signal comes, or no descriptor to open it with: there is no second signal."""
     async with (
-        scripted_server() as host,
+        scripted_server() as upstream,
         scripted_server(silent) as old,
-        scripted_server(lists_once(endpoint("s-9", host.address))) as new,
-        program(tmp_path, configuration(host, discovery=old.address)) as (process, _),
+        scripted_server(lists_once(endpoint("s-9", upstream.address))) as new,
+        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, _),
     ):
         await until(lambda: old.exchanges)
         file = tmp_path / "config.json"
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -43,8 +43,8 @@
         seen.append(asked.headers["x-call-class"])
         connection.respond(asked, body=b"other")
 
-    async with grpc_upstream_rig(on_call=take) as rig, scripted_server() as host:
-        config = configuration(host, f"127.0.0.1:{rig.entry.address[1]}")
+    async with grpc_upstream_rig(on_call=take) as rig, scripted_server() as upstream:
+        config = configuration(upstream, f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][1]["type"] = "v2"
         async with running(config, load_operator(str(file))) as gateway:
             newer = gateway.instance.grpc_upstreams
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -65,16 +65,16 @@
 
 @on_loop
 async def test_a_second_process_takes_over_and_the_first_finishes_what_it_took(tmp_path: Path) -> None:
-    async with scripted_server(silent) as host:
+    async with scripted_server(silent) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
-            old = await start(tmp_path, listener, configuration(host))
+            old = await start(tmp_path, listener, configuration(upstream))
             held = await connect(port)  # waits in the queue until the process is up
             held.send(request("transfer", b"held"))
             kept = await connect(port)
             assert (await kept.ask(READY)).status == 200
-            await until(lambda: host.exchanges)
-            new = await start(tmp_path, listener, configuration(host))
+            await until(lambda: upstream.exchanges)
+            new = await start(tmp_path, listener, configuration(upstream))
             await until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
             # The kept connection is still served, and told that this is its last answer.
@@ -84,7 +84,7 @@
             # New connections are the new process's: the old one's way out does not shut the socket down.
             for _ in range(8):
                 assert await ask(port, READY) == 200
-            host.exchanges[0].answer(reply(200, b"done"))
+            upstream.exchanges[0].answer(reply(200, b"done"))
             assert (await held.answer()).body == b"done"
             assert await old.wait() == 0
             assert await ask(port, READY) == 200
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -40,7 +40,7 @@
     silent,
     until,
 )
-from tests.test_crossings import Late, outcomes
+from tests.test_races import Late, outcomes
 
 BEHIND = 3 * MAX_PIPELINED  # more than is read ahead: after so many, nothing is read from a client
 
@@ -85,10 +85,10 @@
 
 
 @on_loop
-async def test_a_request_and_its_clients_end_are_found_together() -> None:
+async def test_a_request_read_together_with_the_disconnect_is_not_sent() -> None:
     """As after a turn that took long: the client has given up in the queue of the listening socket."""
     arrived = 0
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
 
         def listen(now: int, event: object) -> object:
@@ -104,12 +104,12 @@
                 client.sendall(request(class_index))
         await until(lambda: arrived == 3 and not run.server.connections)
         await nothing_is_owed(run)
-        assert len(host.exchanges) == 1
+        assert len(upstream.exchanges) == 1
 
 
 @on_loop
-async def test_a_client_leaves_in_the_turn_in_which_the_connection_to_its_server_comes_up() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_a_disconnect_in_the_turn_in_which_the_upstream_connection_opens() -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         late = Late(run)
         client = await run.connect()
         client.send(request("transfer"))
@@ -118,15 +118,15 @@
         ends_between_turns(client.writer.transport, connection.poll)
         late.release()
         await nothing_is_owed(run)
-        assert not host.exchanges
+        assert not upstream.exchanges
 
 
 # What is not read from the client
 
 
 @on_loop
-async def test_a_first_try_waits_for_a_connection() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_a_disconnect_while_the_first_attempt_waits_for_a_connection() -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         unheard(run)
         late = Late(run)
         client, connection = await crowding(run)
@@ -134,12 +134,12 @@
         await leaves(client, connection)
         late.release()
         await nothing_is_owed(run)
-        assert not host.exchanges
+        assert not upstream.exchanges
 
 
 @on_loop
-async def test_a_first_try_waits_for_a_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_a_disconnect_while_the_first_attempt_waits_for_reuse(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         unheard(run)
         assert (await run.ask(request())).status == 200
         (kept,) = run.instance.pools.servers[host_id(0)].idle
@@ -150,11 +150,11 @@
         await leaves(client, connection)
         run.instance.pools.attempts.on_reusable(kept)
         await nothing_is_owed(run)
-        assert len(host.exchanges) == 1
+        assert len(upstream.exchanges) == 1
 
 
 @on_loop
-async def test_a_further_try_follows_a_refusal() -> None:
+async def test_a_disconnect_before_a_retry_after_a_rejection() -> None:
     async with (
         scripted_server(silent) as one,
         scripted_server(silent) as other,
@@ -199,7 +199,7 @@
 
 
 @on_loop
-async def test_a_second_copy_is_due() -> None:
+async def test_a_disconnect_before_a_hedged_attempt() -> None:
     async with scripted_server(silent) as one, scripted_server(silent) as other:
         config = configuration(one, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
@@ -220,45 +220,45 @@
 
 @pytest.mark.parametrize("what", ["its turn by key", "room"])
 @on_loop
-async def test_a_first_try_waits_for_what_another_call_has(what: str) -> None:
+async def test_a_disconnect_while_the_request_waits_for_another(what: str) -> None:
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = what == "its turn by key"
-    async with scripted_server(silent) as host:
-        config["known"] = configuration(host)["known"]
+    async with scripted_server(silent) as upstream:
+        config["known"] = configuration(upstream)["known"]
         async with running(config) as run:
             unheard(run)
             Timers(run)  # nobody stops waiting
             clients: list[Client] = []
             before = -1
-            while len(host.exchanges) != before:  # until one finds no room
-                before = len(host.exchanges)
+            while len(upstream.exchanges) != before:  # until one finds no room
+                before = len(upstream.exchanges)
                 clients.append(await run.connect())
                 clients[-1].send(request("transfer"))
                 await until(lambda: len(run.gateway.in_flight) == len(clients))
                 out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
-                await until(lambda out=out: len(host.exchanges) == out)  # type: ignore[misc]
+                await until(lambda out=out: len(upstream.exchanges) == out)  # type: ignore[misc]
             clients.pop().close()
             await until(lambda: len(run.gateway.in_flight) == len(clients))
-            assert len(host.exchanges) == len(clients)
+            assert len(upstream.exchanges) == len(clients)
             client, connection = await crowding(run)
             waiting = connection.exchange.request
             assert waiting is not None and run.gateway.in_flight[waiting.id].attempts_in_flight == 0
             await leaves(client, connection)
-            for exchange in list(host.exchanges):
+            for exchange in list(upstream.exchanges):
                 exchange.answer(reply())
             for other in clients:
                 assert (await other.answer()).status == 200
             await nothing_is_owed(run)
-            assert len(host.exchanges) == len(clients)
+            assert len(upstream.exchanges) == len(clients)
             for other in clients:
                 other.close()
 
 
 @on_loop
-async def test_a_body_still_comes() -> None:
+async def test_a_disconnect_while_the_body_is_received() -> None:
     """Nothing more of it is read before it has a server, and so the client's end is not either."""
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         unheard(run)
         late = Late(run)
         client = await run.connect()
@@ -270,9 +270,10 @@
         told = outcomes(run)
         late.release()
         await nothing_is_owed(run)
-        assert told == [Outcome.NOT_SENT] and host.opened_connections <= 1 and not host.exchanges
+        assert told == [Outcome.NOT_SENT] and upstream.opened_connections <= 1 and not upstream.exchanges
         await until(
-            lambda: run.instance.pools.open == 0 and host.closed_connections == host.opened_connections
+            lambda: run.instance.pools.open == 0
+            and upstream.closed_connections == upstream.opened_connections
         )
 
 
@@ -280,9 +281,9 @@
 
 
 @on_loop
-async def test_the_kernel_tells_of_a_client_on_which_nothing_is_read() -> None:
+async def test_the_kernel_reports_a_disconnect_while_reading_is_paused() -> None:
     """No sweep is waited for: the call ends where it is, and its attempt as far as may be."""
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         assert run.server.sweeper is not None
         run.server.sweeper.cancel()
         late = Late(run)
@@ -296,11 +297,11 @@
         assert told == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
         late.release()
         await until(lambda: run.instance.pools.open == 0)
-        assert not host.exchanges
+        assert not upstream.exchanges
 
 
 @on_loop
-async def test_clients_that_wait_cost_no_look_and_one_that_leaves_costs_one(
+async def test_only_a_disconnect_costs_a_poll_of_paused_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """However many wait: what a sweep looks at does not grow with them."""
@@ -311,7 +312,7 @@
         looks += 1
         return has_peer_closed(poll)
 
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         made = [await crowding(run) for _ in range(40)]
         await until(lambda: len(run.server.context.paused) == 40)
         monkeypatch.setattr(client_module, "has_peer_closed", counting)
@@ -356,8 +357,8 @@
 
 
 @on_loop
-async def test_a_stream_is_reset_while_its_call_waits_for_a_connection(tmp_path: Path) -> None:
-    async with scripted_server() as host, with_newer_clients(tmp_path, host) as (client, run, front):
+async def test_a_stream_reset_while_its_request_waits_for_a_connection(tmp_path: Path) -> None:
+    async with scripted_server() as upstream, with_newer_clients(tmp_path, upstream) as (client, run, front):
         late, told = Late(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await until(lambda: late.held)
@@ -367,15 +368,16 @@
         assert told == [Outcome.NOT_SENT]
         late.release()
         await until(
-            lambda: run.instance.pools.open == 0 and host.closed_connections == host.opened_connections
+            lambda: run.instance.pools.open == 0
+            and upstream.closed_connections == upstream.opened_connections
         )
-        assert not host.exchanges
+        assert not upstream.exchanges
 
 
 @on_loop
-async def test_a_connection_ends_with_100_streams(tmp_path: Path) -> None:
+async def test_a_connection_that_ends_with_100_streams_sends_nothing_more(tmp_path: Path) -> None:
     """Between two turns: some wait for a connection to a server, the others for room."""
-    async with scripted_server() as host, with_newer_clients(tmp_path, host) as (client, run, front):
+    async with scripted_server() as upstream, with_newer_clients(tmp_path, upstream) as (client, run, front):
         late = Late(run)
         send_request(client, request_head(0), b"x")
         await until(lambda: front.connections and client.connection.transport is not None)
@@ -389,5 +391,5 @@
         ends_between_turns(client.connection.transport, line.poll)
         late.release()
         await nothing_is_owed(run)
-        assert not host.exchanges
+        assert not upstream.exchanges
         await until(lambda: not front.connections)
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -16,7 +16,7 @@
     silent,
     until,
 )
-from tests.test_crossings import Late
+from tests.test_races import Late
 
 SLACK_MS = 150  # by which the deadline that is sent may exceed the time left
 
@@ -27,7 +27,7 @@
 
 @on_loop
 async def test_the_deadline_sent_to_a_server_is_reduced_by_a_late_connection() -> None:
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         late = Late(run)
         client = await run.connect()
         begun_us = now_us()
@@ -36,8 +36,8 @@
         await asyncio.sleep(0.4)
         late.release()
         left_ms = 1_000 - (now_us() - begun_us) / 1_000
-        await until(lambda: host.exchanges)
-        assert sent_budget_ms(host.exchanges[0]) <= left_ms + 5
+        await until(lambda: upstream.exchanges)
+        assert sent_budget_ms(upstream.exchanges[0]) <= left_ms + 5
         client.close()
 
 
@@ -47,7 +47,7 @@
         await asyncio.sleep(0.3)
         exchange.answer(reply())
 
-    async with scripted_server(slow) as host, running(configuration(host)) as run:
+    async with scripted_server(slow) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         begun_us = now_us()
         client.send(request(budget_ms=400) + request(budget_ms=400) + request(budget_ms=400))
@@ -55,5 +55,5 @@
         took_ms = (now_us() - begun_us) / 1_000
         assert statuses[0] == 200
         assert took_ms < 400 + 200, "the last one was answered that late"
-        assert all(sent_budget_ms(exchange) <= 400 - 300 + SLACK_MS for exchange in host.exchanges[1:])
+        assert all(sent_budget_ms(exchange) <= 400 - 300 + SLACK_MS for exchange in upstream.exchanges[1:])
         client.close()
--- a/tests/test_crossings.py
+++ b/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross, each crossing forced on real sockets. Their table: docs/design/races.md."""
+"""Races: two events that meet, each pair forced on real sockets. Their table: docs/design/races.md."""
 
 from __future__ import annotations
 
@@ -86,11 +86,13 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("taken_back", [True, False])
 @on_loop
-async def test_a_client_leaves_while_its_connection_comes_up(may_cancel: bool, taken_back: bool) -> None:
+async def test_nothing_is_sent_for_a_client_that_left_while_its_upstream_connection_opened(
+    may_cancel: bool, taken_back: bool
+) -> None:
     """Its call is taken back at once; and were that missed, the last look before the first byte sees it."""
     config = configuration(mayCancel=may_cancel)
-    async with scripted_server() as host:
-        config["known"] = configuration(host)["known"]
+    async with scripted_server() as upstream:
+        config["known"] = configuration(upstream)["known"]
         async with running(config) as run:
             late, told = Late(run), outcomes(run)
             if not taken_back:
@@ -106,14 +108,14 @@
                 assert told == [Outcome.NOT_SENT]
             late.release()
             await until(lambda: nothing_is_left(run))
-            assert told == [Outcome.NOT_SENT] and not host.exchanges
+            assert told == [Outcome.NOT_SENT] and not upstream.exchanges
 
 
 @on_loop
-async def test_a_second_copy_that_comes_up_late_is_taken_back_with_the_answer() -> None:
+async def test_a_hedged_attempt_still_connecting_is_withdrawn_with_the_response() -> None:
     """Where nothing may be cancelled too: it has not begun, so that there is nothing to cancel."""
-    async with scripted_server(silent) as host, scripted_server() as other:
-        config = configuration(host, other, mayCancel=False, secondCopies=True)
+    async with scripted_server(silent) as upstream, scripted_server() as other:
+        config = configuration(upstream, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
             for server in run.gateway.balancer.servers.values():
                 server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
@@ -121,8 +123,8 @@
             late = Late(run, host_id(1))
             client = await run.connect()
             client.send(request())
-            await until(lambda: host.exchanges and late.held)
-            host.exchanges[0].answer(reply(200, b"first"))
+            await until(lambda: upstream.exchanges and late.held)
+            upstream.exchanges[0].answer(reply(200, b"first"))
             assert (await client.answer()).body == b"first"
             late.release()
             await until(lambda: not run.gateway.in_flight)
@@ -132,21 +134,21 @@
 
 @pytest.mark.parametrize("over", [True, False])
 @on_loop
-async def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_begun(
+async def test_a_retry_connected_after_its_deduplication_window_is_not_sent(
     over: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was chosen within the window; servers drop a repeat of what ran only as long as that lasts."""
     async with (
-        scripted_server(lambda exchange: exchange.reset()) as host,
+        scripted_server(lambda exchange: exchange.reset()) as upstream,
         scripted_server() as other,
-        running(configuration(host, other)) as run,
+        running(configuration(upstream, other)) as run,
     ):
         for server in run.gateway.balancer.servers.values():
             server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
         late = Late(run, host_id(1))
         client = await run.connect()
         client.send(request("hold"))
-        await until(lambda: host.exchanges and late.held)
+        await until(lambda: upstream.exchanges and late.held)
         told = outcomes(run)
         window_us = run.gateway.settings.classes[1].window_us
         if over:
@@ -165,12 +167,12 @@
 
 @pytest.mark.parametrize("told", [True, False])
 @on_loop
-async def test_a_client_leaves_while_nothing_is_read_from_it(told: bool) -> None:
+async def test_a_disconnect_is_noticed_while_reading_from_the_client_is_paused(told: bool) -> None:
     """It has sent more than is read ahead: neither the call in work nor one behind it goes on without it."""
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(behind(5 * MAX_PIPELINED))
-        await until(lambda: run.server.context.paused and host.exchanges)
+        await until(lambda: run.server.context.paused and upstream.exchanges)
         (connection,) = run.server.connections
         if not told:  # it leaves just before its first answer comes
             run.server.context.hangups.forget(connection.descriptor)
@@ -178,9 +180,9 @@
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
             if not told:
-                host.exchanges[0].answer(reply())
+                upstream.exchanges[0].answer(reply())
             await until(lambda: not run.server.connections and not run.gateway.in_flight)
-        assert len(host.exchanges) == 1 and not run.server.context.paused
+        assert len(upstream.exchanges) == 1 and not run.server.context.paused
 
 
 # A server leaves, moves or starts anew
@@ -205,39 +207,39 @@
 
 @pytest.mark.parametrize("what", ["draining", "gone", "unnamed", "moved", "started anew"])
 @on_loop
-async def test_word_of_a_server_crosses_a_connection_that_comes_up(what: str) -> None:
+async def test_nothing_is_sent_on_a_connection_opened_before_its_server_changed(what: str) -> None:
     """What was chosen before the word is chosen anew, once: also of a class that is unsafe to repeat."""
     async with (
-        scripted_server() as host,
+        scripted_server() as upstream,
         scripted_server(answers(reply(200, b"other"))) as other,
-        running(configuration(host)) as run,
+        running(configuration(upstream)) as run,
     ):
         late, told = Late(run), outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: late.held)
-        kind, entries = word(what, host.address)
+        kind, entries = word(what, upstream.address)
         tell(run, ListKind.DELTA, endpoint("s-1", other.address))
         tell(run, kind, *[e if e["name"] == "s-0" else endpoint("s-1", other.address) for e in entries])
         late.release()
         assert (await client.answer()).body == b"other"
-        assert told == [Outcome.NOT_SENT, Outcome.OK] and not host.exchanges and len(other.exchanges) == 1
-        await until(lambda: host.closed_connections == host.opened_connections)
+        assert told == [Outcome.NOT_SENT, Outcome.OK] and not upstream.exchanges and len(other.exchanges) == 1
+        await until(lambda: upstream.closed_connections == upstream.opened_connections)
         client.close()
 
 
 @pytest.mark.parametrize("what", ["draining", "gone", "unnamed", "moved", "started anew"])
 @on_loop
-async def test_word_of_a_server_ends_its_kept_connections(what: str) -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_a_change_of_a_server_closes_its_idle_connections(what: str) -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request())).status == 200
-        kind, entries = word(what, host.address)
+        kind, entries = word(what, upstream.address)
         tell(run, kind, *entries)
-        await until(lambda: host.closed_connections == 1 and run.instance.pools.open == 0)
+        await until(lambda: upstream.closed_connections == 1 and run.instance.pools.open == 0)
 
 
 @on_loop
-async def test_a_server_returns_under_its_id_while_it_still_answers_for_its_earlier_life() -> None:
+async def test_a_response_of_an_earlier_incarnation_is_forwarded_and_its_connection_closed() -> None:
     """The answer passes, and its connection is not kept for the server of now."""
     async with (
         scripted_server(silent) as old,
@@ -260,63 +262,65 @@
 
 
 @on_loop
-async def test_a_second_answer_crosses_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_surplus_response_does_not_answer_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """It is on its way as the next request is: nobody takes it for that one's answer."""
     monkeypatch.setattr(
         "sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0
     )  # however busy this machine is
-    async with scripted_server(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
-        await until(lambda: host.exchanges)
-        host.exchanges[0].answer(reply(200, b"one"))
+        await until(lambda: upstream.exchanges)
+        upstream.exchanges[0].answer(reply(200, b"one"))
         assert (await client.answer()).body == b"one"
         (kept,) = run.instance.pools.servers[host_id(0)].idle
         kept.last_response_us = 120_000_000
         client.send(request())
-        await until(lambda: len(host.exchanges) == 2 or kept.waiting_attempt)
-        host.exchanges[0].answer(reply(200, b"one"))
-        await until(lambda: len(host.exchanges) == 2)
-        host.exchanges[1].answer(reply(200, b"two"))
+        await until(lambda: len(upstream.exchanges) == 2 or kept.waiting_attempt)
+        upstream.exchanges[0].answer(reply(200, b"one"))
+        await until(lambda: len(upstream.exchanges) == 2)
+        upstream.exchanges[1].answer(reply(200, b"two"))
         assert (await client.answer()).body == b"two"
-        await until(lambda: host.closed_connections == 1)  # what spoke unasked is of no more use
+        await until(lambda: upstream.closed_connections == 1)  # what spoke unasked is of no more use
         client.close()
 
 
 @on_loop
-async def test_the_next_request_waits_for_its_connections_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_next_attempt_waits_until_its_connection_may_be_reused(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 0.1)
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         for _ in range(3):
             assert (await client.ask(request())).status == 200
-            assert host.opened_connections == 1
+            assert upstream.opened_connections == 1
             for kept in run.instance.pools.servers[host_id(0)].idle:
                 kept.last_response_us = 1_000_000
         client.close()
 
 
 @on_loop
-async def test_no_request_waits_for_a_rest_of_a_server_that_answers_sooner_than_that() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+async def test_no_attempt_waits_for_reuse_at_a_server_that_responds_faster() -> None:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         for opened in (1, 2):
             assert (await client.ask(request())).status == 200
             for kept in run.instance.pools.servers[host_id(0)].idle:
                 kept.last_response_us, kept.idle_since_us = 1_000, now_us() + 10_000_000
-            assert host.opened_connections == opened
+            assert upstream.opened_connections == opened
         client.close()
 
 
 @pytest.mark.parametrize("what", ["draining", "gone", "moved", "left"])
 @on_loop
-async def test_word_crosses_an_attempt_that_waits_for_a_rest(
+async def test_an_attempt_waiting_for_reuse_is_withdrawn_when_its_server_or_client_goes(
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
-        scripted_server() as host,
+        scripted_server() as upstream,
         scripted_server(answers(reply(200, b"other"))) as other,
-        running(configuration(host, mayCancel=False)) as run,
+        running(configuration(upstream, mayCancel=False)) as run,
     ):
         client = await run.connect()
         assert (await client.ask(request())).status == 200
@@ -330,11 +334,11 @@
             client.close()
             await until(lambda: not run.gateway.in_flight)
         else:
-            kind, entries = word(what, host.address)
+            kind, entries = word(what, upstream.address)
             tell(run, kind, *entries)
             assert (await client.answer()).body == b"other"
-        assert len(host.exchanges) == 1 and len(other.exchanges) == (what != "left")
-        await until(lambda: host.closed_connections == 1)
+        assert len(upstream.exchanges) == 1 and len(other.exchanges) == (what != "left")
+        await until(lambda: upstream.closed_connections == 1)
         client.close()
 
 
@@ -342,9 +346,9 @@
 
 
 @on_loop
-async def test_the_end_of_listening_crosses_a_connection_for_which_there_is_no_room() -> None:
+async def test_listening_goes_on_for_a_connection_without_a_descriptor_at_shutdown() -> None:
     """It waits with the kernel until others have had their answers, and is not reset with the listener."""
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         server = run.server
         reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
@@ -354,7 +358,7 @@
         await until(
             lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
         )
-        assert server.is_listening and not host.exchanges
+        assert server.is_listening and not upstream.exchanges
         server.acceptor.reclaim = reclaim
         assert (await client.answer()).status == 200
         await leaving
@@ -362,21 +366,21 @@
 
 
 @on_loop
-async def test_a_kill_crosses_what_waits_without_an_attempt() -> None:
+async def test_requests_without_an_attempt_are_answered_before_the_kill() -> None:
     """A call in its key's line has its answer before the process may be killed, though its time goes on."""
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = True
-    async with scripted_server(silent) as host:
-        config["known"] = configuration(host)["known"]
+    async with scripted_server(silent) as upstream:
+        config["known"] = configuration(upstream)["known"]
         async with running(config) as run:
             clients = [await run.connect() for _ in range(2)]
             for client in clients:
                 client.send(request("transfer"))
-            await until(lambda: host.exchanges and len(run.gateway.in_flight) == 2)
+            await until(lambda: upstream.exchanges and len(run.gateway.in_flight) == 2)
             run.gateway.shut_down_within(0.1)
             told = sorted([(await client.answer()).status for client in clients])
-            assert told == [502, 503] and len(host.exchanges) == 1
+            assert told == [502, 503] and len(upstream.exchanges) == 1
             assert (await run.ask(request("transfer"))).status == 503  # what comes later is refused at once
             assert not [held for held in run.gateway.in_flight.values() if not held.is_finished]
             for client in clients:
@@ -387,10 +391,10 @@
 
 
 @on_loop
-async def test_nothing_of_one_request_shows_in_the_next_on_its_connection() -> None:
+async def test_requests_on_one_connection_share_no_state() -> None:
     """Sent together: the second names another member, the third none that there is, the last no class."""
     arrived: list[RequestArrived] = []
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
 
         def listen(now_us: int, event: object) -> object:
@@ -412,14 +416,14 @@
         assert [event.is_retry for event in arrived] == [True, False, False, False]
         assert [event.work_us for event in arrived] == [7, None, None, None]
         assert [event.client_timeout_us for event in arrived] == [900_000, 20_000_000, 20_000_000, 20_000_000]
-        said = [exchange.message for exchange in host.exchanges]
+        said = [exchange.message for exchange in upstream.exchanges]
         assert [message.body for message in said] == [b"x", b"y", b"", b""]
         assert [bool(message.headers.get("idempotency-key")) for message in said] == [True] + [False] * 3
         client.close()
 
 
 @on_loop
-async def test_a_second_answer_may_come_some_milliseconds_late() -> None:
+async def test_a_surplus_response_some_milliseconds_late_is_discarded() -> None:
     """Later than any that was seen before the soak, and after the next request has been due for a while.
 
     A round in which this machine was later than that shows nothing, and is played again.
@@ -436,7 +440,7 @@
         exchange.answer(answer)
         late_s.append(loop.time() - first_s)
 
-    async with scripted_server(twice) as host, running(configuration(host)) as run:
+    async with scripted_server(twice) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         judged = number = 0
         while judged < 12:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -45,8 +45,8 @@
 ) -> None:
     """What was known before is taken up when it can be read, and nothing is written over it meanwhile."""
     operator = load_operator(str(operator_with_store(tmp_path)))
-    async with scripted_server() as host:
-        config = configuration(host)
+    async with scripted_server() as upstream:
+        config = configuration(upstream)
         async with running(config, operator) as gateway:
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
@@ -84,8 +84,8 @@
     silent = await asyncio.start_server(hold, "127.0.0.1", 0)
     port = silent.sockets[0].getsockname()[1]
     try:
-        async with scripted_server() as host:
-            config = configuration(host, discovery=f"127.0.0.1:{port}")
+        async with scripted_server() as upstream:
+            config = configuration(upstream, discovery=f"127.0.0.1:{port}")
             config["settings"]["membershipMode"] = mode
             async with running(config) as gateway:
                 assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -151,7 +151,7 @@
 @on_loop
 async def test_a_request_without_a_response_is_failed_when_its_deadline_is_over() -> None:
     """Whatever the load balancer does: here it forgets every request."""
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = (  # type: ignore[method-assign]
             lambda now_us, event: [] if isinstance(event, RequestArrived) else handle(now_us, event)
@@ -165,7 +165,7 @@
 
 @on_loop
 async def test_an_event_that_fails_holds_up_none_behind_it() -> None:
-    async with scripted_server() as host, running(configuration(host)) as run:
+    async with scripted_server() as upstream, running(configuration(upstream)) as run:
 
         def broken() -> None:
             run.gateway.post(lambda: None)
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -26,8 +26,8 @@
 async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
-    async with scripted_server() as host:
-        config = configuration(host)
+    async with scripted_server() as upstream:
+        config = configuration(upstream)
         async with running(config, load_operator(str(file))) as gateway:
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
