--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -124,7 +124,7 @@
 
 
 @on_loop
-async def test_silent_callers_keep_nobody_out_and_are_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_admin_connections_block_no_one_and_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with (
         scripted_server() as upstream,
         running(configuration(upstream)) as run,
@@ -202,7 +202,7 @@
 
 
 @on_loop
-async def test_an_attempt_that_is_never_written_whole_is_no_send() -> None:
+async def test_an_attempt_not_written_completely_does_not_count_as_sent() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
         assert (await run.ask(request())).status == 503
         assert run.gateway.metrics.sends.by_class == [0, 0, 0]
@@ -210,7 +210,7 @@
         assert run.gateway.balancer.unhealthy_count() == 1
 
 
-def test_what_is_avoided_is_the_breakers_word_and_asking_changes_nothing() -> None:
+def test_unhealthy_servers_are_those_with_an_open_breaker_and_reading_changes_nothing() -> None:
     driver = Driver()
     balancer = driver.balancer
     assert balancer.unhealthy_count() == 0
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -143,7 +143,7 @@
 
 
 @on_loop
-async def test_nothing_starts_after_word_of_a_drain() -> None:
+async def test_no_attempt_starts_after_the_notice_of_a_drain() -> None:
     """A connection that comes up after it carries nothing, even if the attempt was begun before it.
 
     The grace is no part of it: the word may have counted as told for as long before it came.
@@ -230,7 +230,7 @@
 
 
 @on_loop
-async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
+async def test_an_attempt_cancelled_as_its_connection_opens_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         pools = run.instance.pools
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -26,7 +26,7 @@
     return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
 
 
-def test_a_list_is_parted_by_type_and_a_server_that_changes_leaves_its_old_side() -> None:
+def test_a_list_is_split_by_type_and_a_server_that_changes_type_leaves_the_other() -> None:
     split = EndpointsByProtocol({9: "dns"})
     parts = split.update(ListKind.FULL, [listed("a", "h:1"), listed("b", "h:2", 9)])
     assert [e.name for e in parts["http"]] == ["a"] and [e.name for e in parts["dns"]] == ["b"]
@@ -80,7 +80,7 @@
 
 
 @on_loop
-async def test_a_server_that_is_taken_off_the_list_gets_nothing_more() -> None:
+async def test_a_server_removed_from_the_list_gets_nothing_more() -> None:
     async with nameserver() as one, nameserver() as two, running_service(one, two) as (service, place):
         client = await UdpClient.to(place)
         service.list_upstreams([two.address])
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -5,7 +5,7 @@
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
 
 
-def test_access_goes_by_the_longest_prefix() -> None:
+def test_access_is_decided_by_the_longest_prefix() -> None:
     access = AccessRules(["10.0.0.0/8", "::1/128"], ["10.1.0.0/16"])
     assert access.allows("10.2.0.1") and access.allows("::1")
     assert not access.allows("10.1.0.1") and not access.allows("192.0.2.1")
--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -70,7 +70,9 @@
         (query(use_edns=0)[:-2] + b"\0\5\0\x0a\0\x09x", Rcode.FORMERR),
     ],
 )
-def test_what_cannot_be_answered_is_told_why(data: bytes, rcode: Rcode | None) -> None:
+def test_a_query_that_cannot_be_answered_gets_an_error_with_the_reason(
+    data: bytes, rcode: Rcode | None
+) -> None:
     with pytest.raises(MessageError) as caught:
         parse_query(data)
     assert caught.value.rcode == rcode
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -35,7 +35,7 @@
 
 
 @on_loop
-async def test_a_cut_answer_is_asked_for_over_tcp_and_counts_as_one_attempt() -> None:
+async def test_a_truncated_response_is_repeated_over_tcp_and_counts_as_one_attempt() -> None:
     async with (
         nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
         running_service(upstream) as (service, place),
@@ -134,7 +134,7 @@
 
 
 @on_loop
-async def test_who_may_not_ask_is_refused() -> None:
+async def test_a_client_without_access_gets_refused() -> None:
     async with (
         nameserver() as upstream,
         running_service(upstream, allowed_prefixes=["10.0.0.0/8"]) as (service, place),
@@ -147,7 +147,7 @@
 
 
 @on_loop
-async def test_two_processes_share_the_address_at_an_upgrade_and_the_second_goes_on() -> None:
+async def test_two_processes_share_the_address_at_a_hot_restart_and_the_second_goes_on() -> None:
     async with nameserver() as upstream:
         plan = DnsConfig([("127.0.0.1", 0)], [upstream.address])
         old = DnsService(plan, 1)
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -75,7 +75,7 @@
         assert message.flags & dns.flags.AA
 
 
-def test_the_serial_rises_with_the_list_alone_and_who_leaves_is_gone() -> None:
+def test_the_serial_rises_only_with_the_list_and_removed_servers_are_gone() -> None:
     zones = installation_zones(serial=2**32 - 1)
     first = zones.serial
     assert not zones.update(list(reversed(SERVERS))) and zones.serial == first
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -21,7 +21,7 @@
 
 
 @on_loop
-async def test_the_module_is_told_what_the_headers_say() -> None:
+async def test_headers_become_fields_of_the_request() -> None:
     from sagetrack.policy.events import RequestArrived
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
@@ -83,7 +83,7 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_taken_is_answered_and_the_program_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_requests_are_answered_and_the_gateway_goes_on(data: bytes, status: int) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         answer = await run.ask(data)
         assert answer.status == status
@@ -158,7 +158,7 @@
 
 
 @on_loop
-async def test_an_id_that_is_in_use_is_not_taken_twice() -> None:
+async def test_an_id_in_flight_is_rejected() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -184,7 +184,7 @@
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back_where_the_module_says_so() -> None:
+async def test_a_rejection_carries_the_retry_after_of_the_policy() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
         answer = await run.ask(request())
         assert answer.status == 503
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -84,7 +84,7 @@
     ],
 )
 @on_loop
-async def test_what_comes_back_is_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
+async def test_the_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
     async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         answer = await run.ask(request("transfer", b"42"))
@@ -104,7 +104,7 @@
 
 
 @on_loop
-async def test_a_connection_that_never_comes_up_is_given_up_in_the_time_of_the_settings() -> None:
+async def test_a_connection_that_never_opens_times_out_as_configured() -> None:
     import socket
 
     with socket.socket() as full:
@@ -126,7 +126,7 @@
 
 
 @on_loop
-async def test_a_time_out_closes_the_connection_and_fails_what_may_have_run() -> None:
+async def test_a_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
@@ -136,7 +136,7 @@
 
 
 @on_loop
-async def test_a_late_answer_of_an_ended_attempt_is_dropped() -> None:
+async def test_a_late_response_of_an_ended_attempt_is_dropped() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -153,7 +153,9 @@
 
 @pytest.mark.parametrize(("class_name", "again"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
-async def test_after_a_reset_only_what_may_run_twice_goes_out_again(class_name: str, again: bool) -> None:
+async def test_after_a_reset_only_requests_that_may_run_twice_are_retried(
+    class_name: str, again: bool
+) -> None:
     first: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -177,7 +179,7 @@
 
 @pytest.mark.parametrize("class_name", ["search", "hold", "transfer"])
 @on_loop
-async def test_every_class_goes_elsewhere_when_a_host_is_full(class_name: str) -> None:
+async def test_every_class_is_retried_elsewhere_after_a_rejection_by_a_server(class_name: str) -> None:
     turned_away: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -213,7 +215,7 @@
 
 
 @on_loop
-async def test_what_the_host_says_passes_back_and_what_the_client_says_passes_on() -> None:
+async def test_end_to_end_headers_are_forwarded_in_both_directions() -> None:
     script = answers(
         reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
     )
@@ -234,14 +236,14 @@
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
 @on_loop
-async def test_a_load_report_that_cannot_be_read_costs_nothing(report: str) -> None:
+async def test_an_invalid_load_report_is_ignored(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
     async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request())).status == 200
 
 
 @on_loop
-async def test_answers_in_chunks_and_interim_answers_are_read() -> None:
+async def test_chunked_and_interim_responses_are_read() -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
@@ -252,7 +254,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_ends_the_attempt() -> None:
+async def test_a_disconnect_cancels_the_attempt() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -266,7 +268,7 @@
 
 
 @on_loop
-async def test_an_error_of_the_module_fails_one_request_and_no_more() -> None:
+async def test_an_error_in_the_policy_fails_one_request_only() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
@@ -276,7 +278,7 @@
 
 
 @on_loop
-async def test_a_send_that_comes_too_late_is_moot() -> None:
+async def test_an_attempt_past_its_deadline_is_not_sent() -> None:
     from sagetrack.policy.actions import SendAttempt
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -97,7 +97,7 @@
 
 
 @on_loop
-async def test_a_restart_finishes_what_is_held_and_still_takes_what_comes(tmp_path: Path) -> None:
+async def test_a_shutdown_finishes_requests_in_flight_and_serves_new_ones(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
@@ -125,7 +125,7 @@
 
 
 @on_loop
-async def test_all_that_was_read_on_one_connection_is_answered_on_the_way_out(tmp_path: Path) -> None:
+async def test_all_requests_read_on_a_connection_are_answered_at_shutdown(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
@@ -145,7 +145,7 @@
 
 
 @on_loop
-async def test_what_never_ends_is_given_up_in_words_before_a_kill(tmp_path: Path) -> None:
+async def test_a_request_that_never_ends_is_answered_before_the_kill(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -42,7 +42,7 @@
 
 
 @on_loop
-async def test_a_long_body_of_a_new_client_passes_through_and_one_that_is_cut_is_never_whole(
+async def test_a_long_body_of_a_grpc_client_is_streamed_and_an_aborted_one_never_completes(
     tmp_path: Path,
 ) -> None:
     whole: list[bytes] = []
@@ -76,7 +76,7 @@
 
 
 @on_loop
-async def test_a_refusal_says_when_to_come_back_and_a_drain_moves_clients_on(tmp_path: Path) -> None:
+async def test_a_rejection_has_a_retry_after_and_a_drain_sends_goaway(tmp_path: Path) -> None:
     async with gateway_with_grpc_listener(
         tmp_path, on_call=lambda c, a: c.trailers_only(a, 8, x_rejected="1")
     ) as made:
--- a/tests/test_grpc_messages.py
+++ b/tests/test_grpc_messages.py
@@ -18,6 +18,6 @@
 
 
 @pytest.mark.parametrize("data", [b"\1\0\0\0\1x", b"\0" + (MAX_MESSAGE_BYTES + 1).to_bytes(4)])
-def test_compressed_and_oversized_messages_are_not_held(data: bytes) -> None:
+def test_compressed_and_oversized_messages_are_not_buffered(data: bytes) -> None:
     with pytest.raises(MessageError):
         list(Unpacker().feed(data))
--- a/tests/test_grpc_outcomes.py
+++ b/tests/test_grpc_outcomes.py
@@ -7,7 +7,7 @@
 from sagetrack.policy.events import Outcome
 
 
-def test_the_table_of_outcomes() -> None:
+def test_outcomes_by_how_a_stream_ends() -> None:
     for status in [*Status, None, 99]:
         for whole in (True, False):
             for rejected in (True, False):
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -21,7 +21,9 @@
 
 
 @on_loop
-async def test_an_old_client_is_served_by_a_new_server_and_told_what_cannot_pass(tmp_path: Path) -> None:
+async def test_an_http1_client_is_served_by_a_grpc_server_and_rejected_for_what_grpc_cannot_carry(
+    tmp_path: Path,
+) -> None:
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\ntypes = ["v2"]\n')
     seen: list[GrpcRequest] = []
@@ -42,7 +44,7 @@
             assert "svc_new_streams_total 1\n" in gateway.server.stats()
 
 
-def test_a_server_that_changes_its_format_leaves_the_side_that_it_was_on() -> None:
+def test_a_server_that_changes_its_protocol_leaves_the_other_pool() -> None:
     async def play() -> None:
         old, new = ConnectionPools(SETTINGS), GrpcConnectionPools(SETTINGS)
         mixed = ProtocolRouter(old, new, [7], Migration(None), lambda: None)
--- a/tests/test_grpc_traffic_shift.py
+++ b/tests/test_grpc_traffic_shift.py
@@ -25,7 +25,7 @@
 )
 
 
-def test_a_share_moves_by_weight_and_goes_back_when_the_newer_format_fails() -> None:
+def test_traffic_shifts_by_weight_and_falls_back_when_grpc_servers_fail() -> None:
     move, now = Migration(0.25), 1_000_000
     old, new = move.weight_factors(now, 6.0, 2.0)
     assert 2.0 * new / (6.0 * old + 2.0 * new) == pytest.approx(0.25)
--- a/tests/test_grpc_translate.py
+++ b/tests/test_grpc_translate.py
@@ -32,7 +32,7 @@
     st.binary(min_size=1, max_size=255).map(lambda v: bytes(33 + b % 94 for b in v)),
     st.text("abc/%20?=&~", max_size=40),
 )
-def test_any_call_comes_through_both_ways_as_it_was(
+def test_any_request_and_response_survive_translation_unchanged(
     fields: list[tuple[bytes, bytes]], body: bytes, key: bytes, tail: str
 ) -> None:
     lines = [*fields, (b"Idempotency-KEY", key)]
@@ -68,6 +68,6 @@
     "message",
     [b"\xff\xff", response_to_grpc([(b"bad name", b"x")], b""), response_to_grpc([(b"a", b"x\r\n")], b"")],
 )
-def test_an_answer_without_counterpart_is_refused(message: bytes) -> None:
+def test_a_response_without_counterpart_is_rejected(message: bytes) -> None:
     with pytest.raises(TranslationError):
         response_to_http1(message)
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -52,7 +52,7 @@
 
 
 @on_loop
-async def test_each_way_a_stream_can_end_is_told_and_the_others_go_on() -> None:
+async def test_each_end_of_a_stream_has_its_outcome_and_other_streams_go_on() -> None:
     async with grpc_upstream_rig() as rig:
         ways: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
             (lambda c, a: c.reset(a, Reset.REFUSED_STREAM), Outcome.REJECTED),
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -167,7 +167,7 @@
     assert EndpointListFile(tmp_path).newest(DISCOVERY, known) is known
 
 
-def test_a_list_is_handed_on_whole(tmp_path: Path) -> None:
+def test_the_complete_list_is_passed_to_the_successor(tmp_path: Path) -> None:
     file = EndpointListFile(tmp_path)
     assert file.newest(DISCOVERY, {}) == {}
     file.write(DISCOVERY, {"index": 9, "snapshot": True, "endpoints": [{"name": "s"}]})
@@ -179,7 +179,7 @@
 
 
 @on_loop
-async def test_what_discovery_has_told_is_kept_as_it_stands() -> None:
+async def test_entries_are_stored_as_discovery_sent_them() -> None:
     news = [
         list_reply(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
         list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_a_death_is_known_to_all_and_nobody_else_is_taken_for_dead(loss: float) -> None:
+def test_a_death_is_known_to_all_and_no_living_member_counts_as_dead(loss: float) -> None:
     made = death(8, 1, loss, 40.0)
     assert made.missed == 0 and made.false_deaths == 0 and made.p99_s < 20.0
 
@@ -34,7 +34,7 @@
     assert 0 <= partition(8, 1, 0.05).healed_s < 30
 
 
-def test_who_comes_back_overrules_word_of_its_death() -> None:
+def test_a_member_that_returns_overrides_its_death() -> None:
     fleet = Fleet(5, 1, 0.0, MembershipSettings())
     fleet.run(3_000_000)
     fleet.dead = {4}
@@ -73,7 +73,7 @@
     assert views[0] == views[1]
 
 
-def test_word_of_our_own_death_is_refuted() -> None:
+def test_a_member_refutes_its_own_death() -> None:
     sent: list[Datagram] = []
     member = Membership(0, 3, MembershipSettings(), 1, 0, lambda target, datagram: sent.append(datagram), 5)
     member.handle(0, Datagram(1, 1, [Update(0, 2, 5, 1), Ping(1, 0)]))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -144,7 +144,7 @@
     assert before == {name: bytes(body.data) for name, body in directory.files.items()}
 
 
-def test_at_the_bound_the_oldest_of_what_may_go_makes_room_and_the_rest_is_refused() -> None:
+def test_at_the_size_limit_the_oldest_droppable_records_go_and_others_are_rejected() -> None:
     spaces = {"notes": SpacePolicy(evictable=True), "brief": SpacePolicy(max_age_ms=1000)}
     store = Store(FaultyDirectory(), StoreOptions(4000, 40_000, spaces))
     store.open()
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -44,7 +44,7 @@
     assert limits.eviction_cutoffs() == {"notes": 60_000}
 
 
-def test_the_queue_is_bounded_and_refuses_batches_once_it_closes() -> None:
+def test_the_queue_is_bounded_and_rejects_batches_once_it_closes() -> None:
     queue = BatchQueue()
     large = QueuedBatch([Record("s", b"", bytes(MAX_QUEUED_BYTES - 64))], None)
     small = QueuedBatch([Record("s", b"", b"x")], None)
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -42,7 +42,7 @@
         super().append(name, data)
 
 
-def test_a_slow_or_failing_disk_holds_nobody_up_and_is_told_once() -> None:
+def test_a_slow_or_failing_disk_blocks_no_one_and_is_logged_once() -> None:
     files, lines, lasting = Slow(), list[str](), list[bool]()
     keeper = BackgroundWriter(lambda: files, SMALL_STORE, lines.append, sync_policy="batch")
     keeper.open()
