--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -99,7 +99,7 @@
 
 def test_a_negative_answer_is_kept_by_its_soa_and_a_failure_not_at_all() -> None:
     asked = parse_query(query())
-    negative = parse_answer(response_to(encode_upstream_query(asked, 1), ttl=30, negative=True), asked, 1)
+    negative = parse_answer(response_to(encode_upstream_query(asked, 1), ttl=30, is_nxdomain=True), asked, 1)
     failed = parse_answer(response_to(encode_upstream_query(asked, 1), rcode=2), asked, 1)
     assert negative is not None and negative.ttl == 30 and negative.rcode == Rcode.NXDOMAIN
     assert failed is not None and failed.ttl == 0
