--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -10,7 +10,7 @@
 
 SAME_TIMEOUT_TOLERANCE = 0.02  # relative: timeouts that differ by less are the same
 REGULAR_SHARE = 0.5  # share of the tries with the usual timeout: with fewer, another one marks no retry
-SMOOTHING = 0.05  # share of the newest try in `regular`
+SMOOTHING = 0.05  # share of the newest try in `usual_fraction`
 
 
 @dataclass(slots=True, eq=False)
@@ -19,7 +19,7 @@
 
     usual_us: int
     votes: int = 0  # for `usual_us`: majority vote of Boyer and Moore
-    regular: float = 1.0  # share of the recent tries that came with it
+    usual_fraction: float = 1.0  # share of the recent tries that came with it
 
 
 class ClientTimeouts:
@@ -38,9 +38,9 @@
             self._estimates[class_index, tenant] = estimate
         return estimate
 
-    def is_irregular(self, class_index: int, tenant: int) -> bool:
+    def has_varying_timeouts(self, class_index: int, tenant: int) -> bool:
         """Whether these clients give each try a timeout of its own."""
-        return self.estimate(class_index, tenant).regular < REGULAR_SHARE
+        return self.estimate(class_index, tenant).usual_fraction < REGULAR_SHARE
 
     def used_us(self, event: RequestArrived) -> int:
         """How much of its time a request's earlier tries have used; 0 for a first try.
@@ -53,8 +53,8 @@
         tolerance_us = SAME_TIMEOUT_TOLERANCE * estimate.usual_us
         same = abs(event.client_timeout_us - estimate.usual_us) <= tolerance_us
         if not event.is_retry:
-            was_regular = estimate.regular >= REGULAR_SHARE
-            estimate.regular += SMOOTHING * (same - estimate.regular)
+            was_regular = estimate.usual_fraction >= REGULAR_SHARE
+            estimate.usual_fraction += SMOOTHING * (same - estimate.usual_fraction)
             estimate.votes += 1 if same else -1
             same = same or estimate.votes < 0 or self._clients_mark_retries or not was_regular
             if estimate.votes < 0:
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -134,13 +134,13 @@
         A change that is pushed tells of what has just happened; a complete list may hold what was missed.
         """
         now_us = self._context.now_us
-        unheard_us = event.unheard_us
-        if unheard_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
-            unheard_us = 0
-        elif unheard_us is None and self._listed_at_us is not None:
-            unheard_us = now_us - self._listed_at_us
+        staleness_us = event.staleness_us
+        if staleness_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
+            staleness_us = 0
+        elif staleness_us is None and self._listed_at_us is not None:
+            staleness_us = now_us - self._listed_at_us
         wall_us = event.wall_us or now_us
-        began_us = self._incarnations.began_us(entry.server, entry.started_us, now_us, wall_us, unheard_us)
+        began_us = self._incarnations.began_us(entry.server, entry.started_us, now_us, wall_us, staleness_us)
         return began_us + self._settings.warm_after_us
 
     def _zone_factor(self, entry: ListedServer) -> float:
--- a/sagetrack/policy/events.py
+++ b/sagetrack/policy/events.py
@@ -70,7 +70,7 @@
     kind: ListKind
     servers: tuple[ListedServer, ...] = ()
     wall_us: int = 0  # the present time on the clock of `ListedServer.started_us`; 0: as the event's time
-    unheard_us: int | None = None  # how long before it the list was not known to be current; None: not known
+    staleness_us: int | None = None  # time since the list was last known to be current; None: unknown
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -21,7 +21,9 @@
     def __init__(self) -> None:
         self.began: OrderedDict[Incarnation, int] = OrderedDict()
 
-    def began_us(self, server: int, stamp_us: int, now_us: int, wall_us: int, unheard_us: int | None) -> int:
+    def began_us(
+        self, server: int, stamp_us: int, now_us: int, wall_us: int, staleness_us: int | None
+    ) -> int:
         """When an incarnation began, at most now.
 
         Args:
@@ -29,13 +31,13 @@
             stamp_us: When it started by the clock of service discovery.
             now_us: The present time on this gateway's clock.
             wall_us: Unix time here as the stamp was read.
-            unheard_us: For how long before now the list, which lacked this incarnation, was not heard of;
+            staleness_us: For how long before now the list, which lacked this incarnation, was not heard of;
                 None where it was never heard.
         """
         incarnation = server, stamp_us
         began_us = self.began.get(incarnation)
         if began_us is None:
-            began_us = now_us - _age_us(wall_us - stamp_us, unheard_us)
+            began_us = now_us - _age_us(wall_us - stamp_us, staleness_us)
             self.began[incarnation] = began_us
             if len(self.began) > MAX_INCARNATIONS:
                 self.began.popitem(last=False)
@@ -44,7 +46,7 @@
         return began_us
 
 
-def _age_us(told_us: int, unheard_us: int | None) -> int:
+def _age_us(told_us: int, staleness_us: int | None) -> int:
     """The age by the stamp, or 0 where that cannot be.
 
     A stamp that is behind would give a server that has just started its full load, one that is ahead hours of
@@ -52,6 +54,6 @@
     """
     if told_us < 0:
         return 0
-    if unheard_us is not None and told_us > unheard_us + LISTING_LAG_US:
+    if staleness_us is not None and told_us > staleness_us + LISTING_LAG_US:
         return 0
     return told_us
--- a/sagetrack/policy/load_shedding.py
+++ b/sagetrack/policy/load_shedding.py
@@ -65,7 +65,7 @@
         if request_class.late_priority_weight <= 0.0 and now_us >= request.objective_at_us:
             return True
         useful_us = MIN_USEFUL_SHARE * self._latency.baseline_us[request.class_index] * request.relative_work
-        irregular = self._client_timeouts.is_irregular(request.class_index, request.tenant)
+        irregular = self._client_timeouts.has_varying_timeouts(request.class_index, request.tenant)
         return irregular and request.deadline_us - now_us < useful_us
 
     def should_reject(self, context: EventContext, request: Request) -> bool:
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -69,7 +69,7 @@
             return True
         if outcome is not Outcome.TIMEOUT or event.latency_us >= SLOW_FACTOR * expected_us:
             return False
-        return self._client_timeouts.is_irregular(request.class_index, request.tenant)
+        return self._client_timeouts.has_varying_timeouts(request.class_index, request.tenant)
 
     def _judge_class(self, class_index: int, attempt: Attempt, failed: bool) -> None:
         server = attempt.server
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -102,7 +102,7 @@
         admission = gateway.balancer.admission
         if admission is not None:
             tenants = [name.decode() for name in config.names.tenants]
-            gateway.metrics.extra_figures.append(lambda: admission.figures(tenants))
+            gateway.metrics.extra_figures.append(lambda: admission.metrics(tenants))
         return gateway
 
     def _class_names(self) -> list[str]:
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -88,7 +88,7 @@
     driver = Driver(servers=1)
     for _ in range(MIN_OUTCOMES_TO_OPEN * 3):
         # As if clients gave every attempt a different timeout.
-        driver.balancer.client_timeouts.estimate(0, 0).regular = 0.0
+        driver.balancer.client_timeouts.estimate(0, 0).usual_fraction = 0.0
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
     assert (
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -63,7 +63,7 @@
     entries = [entry(1), entry(2, ServerStatus.GONE)]
     event = servers.apply(ListKind.DELTA, entries)
     assert isinstance(event, EndpointList) and event.kind is ListKind.DELTA
-    assert event.servers == tuple(one.listed for one in entries) and event.unheard_us == 7
+    assert event.servers == tuple(one.listed for one in entries) and event.staleness_us == 7
 
 
 def test_only_lists_with_a_server_that_is_not_ready_are_traced_and_all_are_recorded() -> None:
