--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -15,7 +15,7 @@
 from sagetrack.policy.concurrency_limit import ConcurrencyLimit
 from sagetrack.policy.fair_queue import FairQueues
 from sagetrack.policy.rate_limit import Rate, RateLimiter
-from sagetrack.policy.reservations import Requester, Reservations, RetryTerms
+from sagetrack.policy.reservations import Requester, Reservations, RetryAfterLimits
 from sagetrack.policy.service_rate import ServiceRate
 from sagetrack.policy.tenant_demand import TenantDemand
 from sagetrack.policy.work_estimate import WorkEstimator
@@ -70,7 +70,7 @@
     WAIT_TOO_LONG = "late"  # it could not be served in time
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """What is decided of a request on its arrival."""
 
     denial: AdmissionDenial | None = None  # None: it may be queued
@@ -78,8 +78,8 @@
     reserved: bool = False  # whether it has used up a reservation, and so has priority
 
 
-ADMITTED = Verdict()
-RESERVED = Verdict(reserved=True)
+ADMITTED = AdmissionDecision()
+RESERVED = AdmissionDecision(reserved=True)
 
 
 @dataclass(slots=True)
@@ -106,8 +106,8 @@
             shares: The platform's shares by tenant; if all are 0, tenants are equal.
         """
         self.settings = settings
-        given = settings.shares if len(settings.shares) == len(shares) else shares
-        self.shares = list(given) if any(share > 0 for share in given) else [1.0] * len(given)
+        configured = settings.shares if len(settings.shares) == len(shares) else shares
+        self.shares = list(configured) if any(share > 0 for share in configured) else [1.0] * len(configured)
         count = len(self.shares)
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
@@ -135,7 +135,7 @@
 
     def check_arrival(
         self, now_us: int, requester: Requester, class_index: int, work_us: float, is_retry: bool
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Record the demand and decide what can be decided at once.
 
         In this order: reservations, rate limits, the memory bound, the retry budget.
@@ -155,16 +155,16 @@
             # Its client's flow is charged for it, and the reservation stands.
             self.reservations.record_ignored(tenant)
             self.queues.charge(tenant, client, work_us)
-            return Verdict(AdmissionDenial.BEFORE_RETRY_AFTER, remaining_us)
+            return AdmissionDecision(AdmissionDenial.BEFORE_RETRY_AFTER, remaining_us)
         limiters = self._rate_limiters(tenant, client, class_index) if self.has_rate_limits else []
         wait_us = max((limiter.wait_us(key, now_us) for limiter, key in limiters), default=0)
         if wait_us > 0:
-            return Verdict(AdmissionDenial.RATE_LIMIT, wait_us)
+            return AdmissionDecision(AdmissionDenial.RATE_LIMIT, wait_us)
         free_bytes -= QUEUE_ENTRY_BYTES + len(limiters) * RATE_ENTRY_BYTES
         if free_bytes < 0 or (free_bytes < self.reserve_bytes and self._is_costly(tenant, work_us)):
-            return Verdict(AdmissionDenial.MEMORY_LIMIT)
+            return AdmissionDecision(AdmissionDenial.MEMORY_LIMIT)
         if not self._spend_retry_budget(tenant, is_retry, is_loaded):
-            return Verdict(AdmissionDenial.RETRY_BUDGET)
+            return AdmissionDecision(AdmissionDenial.RETRY_BUDGET)
         for limiter, key in limiters:
             limiter.take(key, now_us)
         return ADMITTED
@@ -178,9 +178,9 @@
             found.append((self.tenant_rate, tenant))
         if self.client_rate is not None:
             found.append((self.client_rate, (tenant, client)))
-        of_class = self.class_rates[class_index] if class_index < len(self.class_rates) else None
-        if of_class is not None:
-            found.append((of_class, tenant))
+        class_limiter = self.class_rates[class_index] if class_index < len(self.class_rates) else None
+        if class_limiter is not None:
+            found.append((class_limiter, tenant))
         return found
 
     def _is_costly(self, tenant: int, work_us: float) -> bool:
@@ -303,15 +303,17 @@
         """Count a tenant's request that was answered."""
         self.counters[tenant].served += 1
 
-    def retry_after_us(self, now_us: int, requester: Requester, work_us: float, terms: RetryTerms) -> int:
+    def retry_after_us(
+        self, now_us: int, requester: Requester, work_us: float, limits: RetryAfterLimits
+    ) -> int:
         """Choose when a rejected request may come back, in microseconds, and reserve service for it then."""
         tenant = requester.tenant
         rate = self.service_rate.per_us * self.queues.service_fraction(tenant)
         backlog_us = self.queues.work_us_of(tenant) / rate
         service_us = work_us / rate
         if self.memory_used() + RESERVATION_BYTES > self.settings.memory_bytes:
-            terms = terms._replace(client_timeout_us=0)  # no further reservation
-        return self.reservations.reserve(now_us, requester, backlog_us, service_us, terms)
+            limits = limits._replace(client_timeout_us=0)  # no further reservation
+        return self.reservations.reserve(now_us, requester, backlog_us, service_us, limits)
 
     # Shares and figures
 
--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -81,11 +81,11 @@
         """Rate limits, memory and reservations."""
         requester = Requester(request.admission_tenant, request.client, request.key or 0)
         now_us, class_index = self._context.now_us, request.class_index
-        verdict = self._admission.check_arrival(now_us, requester, class_index, work_us, is_retry)
-        if verdict.denial is not None:
-            request.retry_after_us = verdict.retry_after_us or -1
-            return verdict.denial
-        request.has_reservation = verdict.reserved
+        decision = self._admission.check_arrival(now_us, requester, class_index, work_us, is_retry)
+        if decision.denial is not None:
+            request.retry_after_us = decision.retry_after_us or -1
+            return decision.denial
+        request.has_reservation = decision.reserved
         return None
 
     def _queue(self, request: Request, work_us: float) -> AdmissionDenial | None:
@@ -94,7 +94,7 @@
         late, max_wait_us = self._max_wait_us(request)
         if not self._selector.any_eligible(request.class_index):
             return AdmissionDenial.NO_SERVER
-        self._set_bounds()
+        self._set_minimums()
         requester = Requester(request.admission_tenant, request.client, request.key or 0)
         wait_us = admission.wait_us(requester.tenant, requester.client) if admission.queued else 0.0
         if wait_us > max_wait_us and not request.has_reservation:
@@ -120,7 +120,7 @@
         slack_us = left_us if late else min(request.objective_at_us - now_us - needed_us, left_us)
         return late, self._admission.settings.max_wait_fraction * slack_us
 
-    def _set_bounds(self) -> None:
+    def _set_minimums(self) -> None:
         """Pass admission control the least that the servers can serve.
 
         Requests that servers hold at once are, by Little's law, the latencies served in a unit of time.
@@ -140,10 +140,10 @@
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
         """Learn what a request costs from the end of an attempt. To be called while it counts in flight."""
         if event.outcome in COST_OUTCOMES:
-            good, rejected = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
+            succeeded, rejected = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
             in_flight, size = self._in_flight.count, request.relative_work
             self._admission.record_completion(
-                request.class_index, event.latency_us, size, in_flight, good, rejected
+                request.class_index, event.latency_us, size, in_flight, succeeded, rejected
             )
 
     def count_served(self, request: Request) -> None:
--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -44,7 +44,7 @@
         self._capacity_wait = capacity_wait
         self._timers = shared.timers
 
-    def arrive(self, event: RequestArrived) -> None:
+    def handle_arrival(self, event: RequestArrived) -> None:
         """Take a new request."""
         context, requests = self._context, self._requests
         if event.request in requests:
@@ -63,23 +63,23 @@
             if denial is not None:
                 self._deny(self._gate, request, denial)
         elif self._shedder.should_reject(context, request):
-            requests.answer_unserved(request, RejectReason.SHED)
+            requests.reject_or_fail(request, RejectReason.SHED)
         elif not (
             self._waits_its_turn(request)
             or self._sender.try_send(request)
             or self._capacity_wait.join(request)
         ):
-            requests.answer_unserved(request, RejectReason.NO_CAPACITY)
+            requests.reject_or_fail(request, RejectReason.NO_CAPACITY)
 
     def _admit_mirrored(self, request: Request) -> None:
         """Send a mirrored request if there is spare capacity, and drop it otherwise."""
         queued = len(self._capacity_wait) > 0 or (self._gate is not None and self._gate.has_queue)
         if self._shedder.is_active or queued or not self._sender.try_send(request):
-            self._requests.answer_unserved(request)
+            self._requests.reject_or_fail(request)
 
     def _deny(self, gate: AdmissionGate, request: Request, reason: AdmissionDenial) -> None:
         gate.count_denial(reason)
-        self._requests.answer_unserved(request, RejectReason.QUEUE)
+        self._requests.reject_or_fail(request, RejectReason.QUEUE)
 
     def _waits_its_turn(self, request: Request) -> bool:
         """Queue a request of an in-order class behind others of its key, or reject it as too late.
@@ -90,12 +90,12 @@
         if request.key is None or not request_class.in_order:
             return False
         expected_us = self._latency.expected_us(request.class_index, request.relative_work)
-        last_us = attempt_deadline_us(request, request_class, now_us) - int(expected_us)
-        turn = self._ordered_keys.join(request, request.key, now_us, expected_us, last_us)
+        latest_send_us = attempt_deadline_us(request, request_class, now_us) - int(expected_us)
+        turn = self._ordered_keys.join(request, request.key, now_us, expected_us, latest_send_us)
         if turn is Turn.TOO_LATE:
-            self._requests.answer_unserved(request)
+            self._requests.reject_or_fail(request)
         elif turn is Turn.WAITS:
-            self._timers.set(last_us, TimerPurpose.REQUEST, request)
+            self._timers.set(latest_send_us, TimerPurpose.REQUEST, request)
         return turn is not Turn.NOW
 
     def serve_waiting(self) -> None:
@@ -109,4 +109,4 @@
         if self._gate is not None and self._gate.is_queued(request):
             self._deny(self._gate, request, AdmissionDenial.WAIT_TOO_LONG)
         elif request in self._capacity_wait:
-            self._requests.answer_unserved(request, RejectReason.NO_CAPACITY)
+            self._requests.reject_or_fail(request, RejectReason.NO_CAPACITY)
--- a/sagetrack/policy/attempts.py
+++ b/sagetrack/policy/attempts.py
@@ -57,12 +57,14 @@
         if server is None:
             return False
         request_class = self._settings.classes[request.class_index]
-        ran = [a for a in request.attempts if a.may_have_run] if request_class.effect is Effect.KEYED else []
+        possibly_run = (
+            [a for a in request.attempts if a.may_have_run] if request_class.effect is Effect.KEYED else []
+        )
         # The connection may come up late, after the window in which servers deduplicate.
-        begin_by_us = ran[0].sent_at_us + request_class.window_us if ran else 0
+        begin_by_us = possibly_run[0].sent_at_us + request_class.window_us if possibly_run else 0
         self._add_attempt(request, server)
-        left_us = max(1, attempt_deadline_us(request, request_class, now_us) - now_us)
-        self._context.actions.append(SendAttempt(request.id, server.entry.server, left_us, begin_by_us))
+        timeout_us = max(1, attempt_deadline_us(request, request_class, now_us) - now_us)
+        self._context.actions.append(SendAttempt(request.id, server.entry.server, timeout_us, begin_by_us))
         if request_class.effect is not Effect.UNSAFE and not request.single_use_body:
             expected_us = self._latency.expected_us(request.class_index, request.relative_work)
             stalled_at_us = now_us + int(STALL_FACTOR * expected_us)
@@ -90,8 +92,8 @@
         """
         now_us = self._context.now_us
         request.uploading = False
-        late_us = now_us - attempt.sent_at_us
-        request.deadline_us += late_us
-        request.objective_at_us += late_us
+        upload_us = now_us - attempt.sent_at_us
+        request.deadline_us += upload_us
+        request.objective_at_us += upload_us
         attempt.sent_at_us = now_us
         self._in_flight.add(attempt)
--- a/sagetrack/policy/class_priorities.py
+++ b/sagetrack/policy/class_priorities.py
@@ -5,7 +5,7 @@
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.settings import Settings
 
-MEMORY = 500  # first tries after which the counts of first tries and served requests are halved
+HALVE_AFTER_TRIES = 500  # first tries after which the counts of first tries and served requests are halved
 
 
 class ClassPriorities:
@@ -22,7 +22,7 @@
     def count_first_try(self, class_index: int) -> None:
         """Count a first try."""
         self.first_tries[class_index] += 1
-        if sum(self.first_tries) > MEMORY:
+        if sum(self.first_tries) > HALVE_AFTER_TRIES:
             self.first_tries = [count / 2 for count in self.first_tries]
             self.served = [count / 2 for count in self.served]
 
--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -9,8 +9,8 @@
 from sagetrack.policy.settings import RequestClass
 
 SAME_TIMEOUT_TOLERANCE = 0.02  # relative: timeouts that differ by less are the same
-REGULAR_SHARE = 0.5  # share of the tries with the usual timeout: with fewer, another one marks no retry
-SMOOTHING = 0.05  # share of the newest try in `usual_fraction`
+MIN_USUAL_FRACTION = 0.5  # share of the tries with the usual timeout: with fewer, another one marks no retry
+USUAL_FRACTION_SMOOTHING = 0.05  # share of the newest try in `usual_fraction`
 
 
 @dataclass(slots=True, eq=False)
@@ -40,9 +40,9 @@
 
     def has_varying_timeouts(self, class_index: int, tenant: int) -> bool:
         """Whether these clients give each try a timeout of its own."""
-        return self.estimate(class_index, tenant).usual_fraction < REGULAR_SHARE
+        return self.estimate(class_index, tenant).usual_fraction < MIN_USUAL_FRACTION
 
-    def used_us(self, event: RequestArrived) -> int:
+    def time_used_us(self, event: RequestArrived) -> int:
         """How much of its time a request's earlier tries have used; 0 for a first try.
 
         First tries of a class by one tenant all come with the same timeout, found by majority vote; another
@@ -51,14 +51,14 @@
         """
         estimate = self.estimate(event.class_index, event.tenant)
         tolerance_us = SAME_TIMEOUT_TOLERANCE * estimate.usual_us
-        same = abs(event.client_timeout_us - estimate.usual_us) <= tolerance_us
+        is_usual = abs(event.client_timeout_us - estimate.usual_us) <= tolerance_us
         if not event.is_retry:
-            was_regular = estimate.usual_fraction >= REGULAR_SHARE
-            estimate.usual_fraction += SMOOTHING * (same - estimate.usual_fraction)
-            estimate.votes += 1 if same else -1
-            same = same or estimate.votes < 0 or self._clients_mark_retries or not was_regular
+            was_usual = estimate.usual_fraction >= MIN_USUAL_FRACTION
+            estimate.usual_fraction += USUAL_FRACTION_SMOOTHING * (is_usual - estimate.usual_fraction)
+            estimate.votes += 1 if is_usual else -1
+            is_usual = is_usual or estimate.votes < 0 or self._clients_mark_retries or not was_usual
             if estimate.votes < 0:
                 estimate.usual_us, estimate.votes = event.client_timeout_us, 1
-        if same:
+        if is_usual:
             return 0
         return max(0, self._classes[event.class_index].request_timeout_us - event.client_timeout_us)
--- a/sagetrack/policy/event_context.py
+++ b/sagetrack/policy/event_context.py
@@ -6,7 +6,7 @@
 
 from sagetrack.policy.actions import Action, Log
 
-LOG_GAP_US = 100_000  # between two log lines
+MIN_LOG_INTERVAL_US = 100_000  # between two log lines
 
 
 class EventContext:
@@ -21,7 +21,7 @@
         self.random = random.Random(seed)
         self.now_us = 0
         self.actions: list[Action] = []
-        self._logged_us = -LOG_GAP_US
+        self._logged_us = -MIN_LOG_INTERVAL_US
 
     def begin(self, now_us: int) -> None:
         """Start an event. Where the clock steps back, time stands still instead."""
@@ -30,7 +30,7 @@
         self.actions = []
 
     def log(self, line: str, server: int | None = None) -> None:
-        """Log a line, unless one was logged less than `LOG_GAP_US` ago: a wide failure repeats itself."""
-        if self.now_us - self._logged_us >= LOG_GAP_US:
+        """Log a line, unless one was logged less than `MIN_LOG_INTERVAL_US` ago."""
+        if self.now_us - self._logged_us >= MIN_LOG_INTERVAL_US:
             self._logged_us = self.now_us
             self.actions.append(Log(line if server is None else f"server {server}: {line}", server))
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -236,15 +236,19 @@
         """
         queue = self.tenants[tenant]
         flow = queue.flows.get(self.flow_index(tenant, client))
-        mine = flow.work_us if flow is not None else 0.0
-        turn = queue.work_us / max(1, queue.count)
-        inside = min(queue.work_us, mine + (mine + turn) * max(0, queue.backlogged - (mine > 0)))
-        tag = (
+        own_work_us = flow.work_us if flow is not None else 0.0
+        mean_work_us = queue.work_us / max(1, queue.count)
+        tenant_work_us = min(
+            queue.work_us,
+            own_work_us + (own_work_us + mean_work_us) * max(0, queue.backlogged - (own_work_us > 0)),
+        )
+        tenant_start_tag = (
             queue.start_tag if queue.in_heap else max(queue.start_tag, self.virtual_time - self.max_catch_up)
         )
-        begins = tag + inside / queue.share
+        item_start_tag = tenant_start_tag + tenant_work_us / queue.share
         return min(
-            self.work_us, max(0.0, begins - self.virtual_time) * queue.share / self.service_fraction(tenant)
+            self.work_us,
+            max(0.0, item_start_tag - self.virtual_time) * queue.share / self.service_fraction(tenant),
         )
 
 
@@ -257,13 +261,13 @@
     Returns:
         What each demand is granted, in their order.
     """
-    parts = [0.0] * len(demands)
-    left = capacity
+    grants = [0.0] * len(demands)
+    remaining = capacity
     order = sorted(range(len(demands)), key=lambda n: demands[n] / max(shares[n], MIN_SHARE))
     weight = sum(max(shares[n], MIN_SHARE) for n in order)
     for n in order:
         share = max(shares[n], MIN_SHARE)
-        parts[n] = min(demands[n], max(0.0, left) * share / weight if weight > 0 else 0.0)
-        left -= parts[n]
+        grants[n] = min(demands[n], max(0.0, remaining) * share / weight if weight > 0 else 0.0)
+        remaining -= grants[n]
         weight -= share
-    return parts
+    return grants
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -24,7 +24,7 @@
         self.count = 0
         self.timer_token = NO_TIMER  # the timer that ends a wait for this gateway's share
 
-    def pass_time(self, now_us: int) -> None:
+    def advance_time(self, now_us: int) -> None:
         """Account for what was in flight until now. To be called before anything else of an event."""
         if self._fleet.is_concurrency_scarce():
             self._share.pass_time(now_us, self.count)
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -163,7 +163,7 @@
         """What takes each kind of event; all others are ignored."""
         handlers: dict[type, Callable[[Any], None]] = {
             AttemptEnded: self._on_attempt_ended,
-            RequestArrived: self.arrivals.arrive,
+            RequestArrived: self.arrivals.handle_arrival,
             TimerFired: self._on_timer,
             RequestCancelled: self._on_cancelled,
             EndpointList: self._on_endpoint_list,
@@ -184,7 +184,7 @@
         """Take one event; returns what to do, in order."""
         context = self.context
         context.begin(now_us)
-        self.in_flight.pass_time(context.now_us)
+        self.in_flight.advance_time(context.now_us)
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
@@ -242,9 +242,9 @@
             if request.in_flight == 0:
                 self.requests.release(request)
         elif request.in_flight == 0:
-            self.requests.answer_unserved(request, RejectReason.QUEUE)  # its turn has not come
+            self.requests.reject_or_fail(request, RejectReason.QUEUE)  # its turn has not come
         else:
-            self.outcomes.stalled(request)
+            self.outcomes.handle_stall(request)
 
     # The endpoint list and tenants
 
--- a/sagetrack/policy/load_shedding.py
+++ b/sagetrack/policy/load_shedding.py
@@ -19,12 +19,12 @@
 LOW_PRIORITY = (
     0.5  # of the mean gain for work: classes below are shed for queueing, the rest only for lateness
 )
-NOTICED_SHARE = 0.05  # of the slack under the objective: queueing for less is never an overload
+MIN_OVERLOAD_SHARE = 0.05  # of the slack under the objective: queueing for less is never an overload
 OVERLOAD_FACTOR = 4.0  # times the baseline latency: answers of overloaded servers, whatever the objective
 SHED_STEP = 0.1  # of the requested work: more or less is shed by this after one answer at the usual pace
 MIN_SHED_STEP, SHED_STEP_PER_S = 0.02, 4.0  # with many answers: at the least, and by the time since the last
-SLOW_SHED_STEP_PER_S = 0.4  # the same with few answers, where it makes the step larger than SHED_STEP
-MAX_ANSWER_GAP_US = 500_000  # one answer speaks for no longer: a single late one on a quiet day is chance
+SPARSE_SHED_STEP_PER_S = 0.4  # the same with few answers, where it makes the step larger than SHED_STEP
+MAX_OUTCOME_GAP_US = 500_000  # one answer speaks for no longer: a single late one on a quiet day is chance
 MAX_SHED = 0.95  # the outcomes of the rest show when to shed less
 MIN_USEFUL_SHARE = 0.5  # of the baseline latency: a request with less time left is not sent
 LOAD_OUTCOMES = frozenset(
@@ -57,7 +57,7 @@
         """Whether anything is shed at all."""
         return self.shed_fraction > 0.0 or self.shed_fraction_high_priority > 0.0
 
-    def is_hopeless(self, now_us: int, request: Request) -> bool:
+    def is_too_late(self, now_us: int, request: Request) -> bool:
         """Whether an answer would come too late to be of any use."""
         if now_us >= request.deadline_us:
             return True
@@ -65,12 +65,12 @@
         if request_class.late_priority_weight <= 0.0 and now_us >= request.objective_at_us:
             return True
         useful_us = MIN_USEFUL_SHARE * self._latency.baseline_us[request.class_index] * request.relative_work
-        irregular = self._client_timeouts.has_varying_timeouts(request.class_index, request.tenant)
-        return irregular and request.deadline_us - now_us < useful_us
+        varying_timeouts = self._client_timeouts.has_varying_timeouts(request.class_index, request.tenant)
+        return varying_timeouts and request.deadline_us - now_us < useful_us
 
     def should_reject(self, context: EventContext, request: Request) -> bool:
         """Whether to reject a request: a hopeless one, or one of those that gain least while load is shed."""
-        if self.is_hopeless(context.now_us, request):
+        if self.is_too_late(context.now_us, request):
             return True
         if self.shed_fraction <= 0.0 and self.shed_fraction_high_priority <= 0.0:
             return False
@@ -106,29 +106,29 @@
         failed = outcome is not Outcome.OK
         step = self._step(now_us)
         late = failed or queued_us > MAX_QUEUED_SHARE * slack_us
-        self.shed_fraction = _moved(self.shed_fraction, step if late else -step)
-        least_us = max(
-            (OVERLOAD_FACTOR - 1.0) * baseline_us * request.relative_work, NOTICED_SHARE * slack_us
+        self.shed_fraction = _adjusted(self.shed_fraction, step if late else -step)
+        overload_threshold_us = max(
+            (OVERLOAD_FACTOR - 1.0) * baseline_us * request.relative_work, MIN_OVERLOAD_SHARE * slack_us
         )
-        overloaded = failed or queued_us > least_us
-        usual_us = STALL_FACTOR * self._latency.expected_us(request.class_index, request.relative_work)
-        if outcome is Outcome.TIMEOUT and request_class.late_priority_weight <= 0.0 and latency_us < usual_us:
-            move = step / 4  # cut short at the objective: as likely a lost connection as an overload
+        overloaded = failed or queued_us > overload_threshold_us
+        stall_us = STALL_FACTOR * self._latency.expected_us(request.class_index, request.relative_work)
+        if outcome is Outcome.TIMEOUT and request_class.late_priority_weight <= 0.0 and latency_us < stall_us:
+            change = step / 4  # cut short at the objective: as likely a lost connection as an overload
         else:
-            move = step if overloaded else -step
-        self.shed_fraction_high_priority = _moved(self.shed_fraction_high_priority, move)
+            change = step if overloaded else -step
+        self.shed_fraction_high_priority = _adjusted(self.shed_fraction_high_priority, change)
 
     def _step(self, now_us: int) -> float:
-        """How much to move by, from the time since the last answer.
+        """How much to change by, from the time since the last answer.
 
         With few answers an overload must be noticed as soon as with many; with many, a handful that waits
         for new connections must not shed nearly everything.
         """
-        gap_s = min(now_us - self.adjusted_at_us, MAX_ANSWER_GAP_US) / 1e6
+        gap_s = min(now_us - self.adjusted_at_us, MAX_OUTCOME_GAP_US) / 1e6
         self.adjusted_at_us = now_us
-        return max(MIN_SHED_STEP, min(SHED_STEP, SHED_STEP_PER_S * gap_s), SLOW_SHED_STEP_PER_S * gap_s)
+        return max(MIN_SHED_STEP, min(SHED_STEP, SHED_STEP_PER_S * gap_s), SPARSE_SHED_STEP_PER_S * gap_s)
 
 
-def _moved(fraction: float, move: float) -> float:
-    """A fraction after a move, within 0 and `MAX_SHED`."""
-    return min(MAX_SHED, max(0.0, fraction + move))
+def _adjusted(fraction: float, change: float) -> float:
+    """A fraction after a change, within 0 and `MAX_SHED`."""
+    return min(MAX_SHED, max(0.0, fraction + change))
--- a/sagetrack/policy/migration.py
+++ b/sagetrack/policy/migration.py
@@ -40,28 +40,28 @@
 class DecayedOutcomes:
     """Outcomes of one protocol's servers, decaying with time."""
 
-    good: float = 0.0
-    bad: float = 0.0
+    successes: float = 0.0
+    failures: float = 0.0
     at_us: int = 0
 
     def add(self, failed: bool, now_us: int) -> None:
         """Count an outcome."""
         decay = math.exp((self.at_us - now_us) / DECAY_TIME_US)
-        self.good, self.bad, self.at_us = self.good * decay, self.bad * decay, now_us
+        self.successes, self.failures, self.at_us = self.successes * decay, self.failures * decay, now_us
         if failed:
-            self.bad += 1.0
+            self.failures += 1.0
         else:
-            self.good += 1.0
+            self.successes += 1.0
 
     @property
     def count(self) -> float:
         """How many outcomes, as they have decayed by the last one."""
-        return self.good + self.bad
+        return self.successes + self.failures
 
     @property
     def failure_rate(self) -> float:
         """Fraction of the outcomes that are failures; 0 without any."""
-        return self.bad / self.count if self.count else 0.0
+        return self.failures / self.count if self.count else 0.0
 
     @property
     def variance(self) -> float:
--- a/sagetrack/policy/ordered_keys.py
+++ b/sagetrack/policy/ordered_keys.py
@@ -29,7 +29,7 @@
         """Whether any request of a key runs or waits."""
         return key in self._queues
 
-    def join(self, request: Request, key: int, now_us: int, expected_us: float, last_us: int) -> Turn:
+    def join(self, request: Request, key: int, now_us: int, expected_us: float, latest_send_us: int) -> Turn:
         """Put a request into its key's queue.
 
         A queue grows no longer than can be served: a request that would come too late stays out.
@@ -39,13 +39,13 @@
             key: Its key.
             now_us: The present time.
             expected_us: How long each request of the queue usually takes.
-            last_us: When it has to be sent at the latest.
+            latest_send_us: When it has to be sent at the latest.
         """
         queue = self._queues.get(key)
         if queue is None:
             self._queues[key] = deque((request,))
             return Turn.NOW
-        if now_us + len(queue) * expected_us > last_us:
+        if now_us + len(queue) * expected_us > latest_send_us:
             return Turn.TOO_LATE
         queue.append(request)
         return Turn.WAITS
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -79,7 +79,7 @@
             return False
         self._end_attempt(request, attempt, event)
         if self._outliers.judge(request, attempt, event) and event.outcome in LOAD_OUTCOMES:
-            self._learn_load(request, event)
+            self._record_load(request, event)
         if request.answered:
             if request.in_flight == 0:
                 self._requests.release(request)
@@ -102,7 +102,7 @@
             self._gate.attempt_ended(request, event)
         self._in_flight.remove(attempt)
 
-    def _learn_load(self, request: Request, event: AttemptEnded) -> None:
+    def _record_load(self, request: Request, event: AttemptEnded) -> None:
         """Move what is shed and this gateway's share of concurrency by how long an answer has queued."""
         baseline_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         if event.outcome is Outcome.OK:
@@ -124,11 +124,11 @@
         """After the last attempt in flight has failed: another one, or the final answer."""
         may_retry = self._retry_policy.may_retry(self._context, request, outcome)
         if may_retry and self._sender.try_send(request):
-            self._retry_policy.pay_retry(request, outcome)
+            self._retry_policy.charge_retry(request, outcome)
         else:
-            self._requests.answer_unserved(request, RejectReason.ATTEMPTS_FAILED)
+            self._requests.reject_or_fail(request, RejectReason.ATTEMPTS_FAILED)
 
-    def stalled(self, request: Request) -> None:
+    def handle_stall(self, request: Request) -> None:
         """An attempt should have been answered by now: where the class allows, hedge the request."""
         stalled = [attempt for attempt in request.attempts if not attempt.ended]
         for attempt in stalled:
@@ -136,4 +136,4 @@
         if not stalled or request.streaming or not self._retry_policy.may_hedge(request):
             return
         if self._sender.try_send(request):
-            self._retry_policy.pay_hedge()
+            self._retry_policy.charge_hedge()
--- a/sagetrack/policy/rate_limit.py
+++ b/sagetrack/policy/rate_limit.py
@@ -63,11 +63,11 @@
     def wait_us(self, key: Hashable, now_us: int) -> int:
         """How long until the key's next request conforms; 0: now. Changes nothing."""
         gap_us = 1e6 / self.rate.per_s
-        due = self.table.get(key, float(now_us))
-        return max(0, math.ceil(due - now_us - gap_us * (self.rate.burst - 1.0)))
+        arrival_us = self.table.get(key, float(now_us))
+        return max(0, math.ceil(arrival_us - now_us - gap_us * (self.rate.burst - 1.0)))
 
     def take(self, key: Hashable, now_us: int) -> None:
         """Count a request. A key that the table has no space for goes uncounted; other limits still apply."""
         gap_us = 1e6 / self.rate.per_s
-        due = max(self.table.get(key, 0.0), float(now_us)) + gap_us
-        self.table.put(key, due, float(now_us))
+        arrival_us = max(self.table.get(key, 0.0), float(now_us)) + gap_us
+        self.table.put(key, arrival_us, float(now_us))
--- a/sagetrack/policy/request_factory.py
+++ b/sagetrack/policy/request_factory.py
@@ -38,8 +38,8 @@
         """The request of an arrival, whose answer is due by `latest_us` in any case."""
         request_class = self._classes[event.class_index]
         mirrored = event.mirror_target >= 0
-        used_us = self._client_timeouts.used_us(event)
-        is_first_try = not event.is_retry and used_us == 0
+        time_used_us = self._client_timeouts.time_used_us(event)
+        is_first_try = not event.is_retry and time_used_us == 0
         relative_work = self._relative_work(event)
         if is_first_try:
             self._retry_budget.add_first_try()
@@ -49,7 +49,7 @@
             event.class_index,
             event.key,
             min(now_us + event.client_timeout_us - event.waited_us, latest_us),
-            now_us + max(0, request_class.latency_objective_us - used_us - event.waited_us),
+            now_us + max(0, request_class.latency_objective_us - time_used_us - event.waited_us),
             relative_work,
             is_first_try,
             self._tenant_quota.excess(event.tenant),
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -55,7 +55,7 @@
         """Keep a new request until it is over."""
         self._requests[request.id] = request
 
-    def answer_unserved(self, request: Request, reason: RejectReason = RejectReason.OTHER) -> None:
+    def reject_or_fail(self, request: Request, reason: RejectReason = RejectReason.OTHER) -> None:
         """The final answer when no attempt is in flight and none is to come, if there was no answer yet.
 
         A rejection says that to try again is harmless; where that is not known the request fails.
@@ -63,9 +63,9 @@
         if request.answered:
             return
         request_class = self._settings.classes[request.class_index]
-        ran = any(attempt.may_have_run for attempt in request.attempts)
-        dropped_anywhere = request_class.effect is Effect.KEYED and request_class.scope is Scope.ALL
-        if not ran or request_class.effect is Effect.SAFE or dropped_anywhere:
+        may_have_run = any(attempt.may_have_run for attempt in request.attempts)
+        deduplicated_everywhere = request_class.effect is Effect.KEYED and request_class.scope is Scope.ALL
+        if not may_have_run or request_class.effect is Effect.SAFE or deduplicated_everywhere:
             self._context.actions.append(Reject(request.id, self._retry_after.wait_us(request), reason))
             if self._admission is not None and request.mirror_target < 0:
                 self._admission.record_rejected(request.admission_tenant)
@@ -104,7 +104,7 @@
             return
         following = self._ordered_keys.leave(request)
         if following is not None and not following.answered and not self._sender.try_send(following):
-            self.answer_unserved(following)
+            self.reject_or_fail(following)
 
     def shut_down(self, at_us: int) -> None:
         """No request waits past the end; the process itself ends the attempts that are in flight then."""
--- a/sagetrack/policy/reservations.py
+++ b/sagetrack/policy/reservations.py
@@ -23,10 +23,10 @@
     key: int  # the request's affinity key; 0: none
 
 
-class RetryTerms(NamedTuple):
+class RetryAfterLimits(NamedTuple):
     """What bounds the Retry-After of a rejected request."""
 
-    draw: float  # even between 0 and 1, for the jitter
+    jitter_draw: float  # even between 0 and 1, for the jitter
     max_wait_us: int  # no longer Retry-After is ever sent
     client_timeout_us: int  # until the client gives up; nothing is reserved beyond it
 
@@ -53,7 +53,12 @@
         return max(0.0, self.booked_until_us[tenant] - now_us)
 
     def reserve(
-        self, now_us: int, requester: Requester, backlog_us: float, service_us: float, terms: RetryTerms
+        self,
+        now_us: int,
+        requester: Requester,
+        backlog_us: float,
+        service_us: float,
+        limits: RetryAfterLimits,
     ) -> int:
         """Choose the Retry-After of a rejected request and reserve service for it where possible.
 
@@ -65,26 +70,26 @@
             requester: Whose request it is.
             backlog_us: How long the tenant's share of the service takes for what is queued already.
             service_us: How long it takes for this request.
-            terms: Bounds of the wait.
+            limits: Bounds of the wait.
 
         Returns:
             The Retry-After in microseconds.
         """
         tenant, client, _ = requester
-        due = max(self.booked_until_us[tenant], now_us + backlog_us)
-        wait_us = max(float(MIN_RETRY_AFTER_US), due - now_us) * (1.0 + JITTER * terms.draw)
+        start_us = max(self.booked_until_us[tenant], now_us + backlog_us)
+        wait_us = max(float(MIN_RETRY_AFTER_US), start_us - now_us) * (1.0 + JITTER * limits.jitter_draw)
         self.issued[tenant] += 1
-        of_client = self.count_by_client.get((tenant, client), 0)
-        full = self.count >= self.capacity or of_client >= MAX_RESERVATIONS_PER_CLIENT
-        if wait_us > min(terms.max_wait_us, terms.client_timeout_us) or full:
-            return min(int(wait_us), terms.max_wait_us)
-        self.booked_until_us[tenant] = due + service_us
-        dues = self.table.setdefault(requester, [])
-        dues.append((now_us + int(wait_us), now_us + int((1.0 - EARLY_FRACTION) * wait_us)))
+        client_count = self.count_by_client.get((tenant, client), 0)
+        at_capacity = self.count >= self.capacity or client_count >= MAX_RESERVATIONS_PER_CLIENT
+        if wait_us > min(limits.max_wait_us, limits.client_timeout_us) or at_capacity:
+            return min(int(wait_us), limits.max_wait_us)
+        self.booked_until_us[tenant] = start_us + service_us
+        slots = self.table.setdefault(requester, [])
+        slots.append((now_us + int(wait_us), now_us + int((1.0 - EARLY_FRACTION) * wait_us)))
         self.table.move_to_end(requester)
         self.count += 1
         if client:
-            self.count_by_client[tenant, client] = of_client + 1
+            self.count_by_client[tenant, client] = client_count + 1
         return int(wait_us)
 
     def claim(self, requester: Requester, now_us: int) -> int | None:
@@ -95,16 +100,16 @@
             microseconds, if it is too early; None if there is no reservation.
         """
         self._expire(now_us)
-        dues = self.table.get(requester)
-        if not dues:
+        slots = self.table.get(requester)
+        if not slots:
             return None
-        due, from_us = min(dues)
-        if now_us < from_us:
-            return due - now_us
-        dues.remove((due, from_us))
+        start_us, earliest_us = min(slots)
+        if now_us < earliest_us:
+            return start_us - now_us
+        slots.remove((start_us, earliest_us))
         self._release(requester, 1)
         self.honored[requester.tenant] += 1
-        if not dues:
+        if not slots:
             del self.table[requester]
         return 0
 
--- a/sagetrack/policy/retry.py
+++ b/sagetrack/policy/retry.py
@@ -62,13 +62,13 @@
         else:
             shed = self._shedder.should_reject(context, request)
         affordable = self._budget.can_spend(_cost(outcome)) and not shed
-        ran = any(attempt.may_have_run for attempt in request.attempts)
-        allowed = not ran or (request_class.effect is not Effect.UNSAFE and affordable)
-        another = len(request.attempts) < self._settings.max_attempts
+        may_have_run = any(attempt.may_have_run for attempt in request.attempts)
+        allowed = not may_have_run or (request_class.effect is not Effect.UNSAFE and affordable)
+        attempts_left = len(request.attempts) < self._settings.max_attempts
         has_body = not request.single_use_body or outcome in BODY_NOT_BEGUN
-        return allowed and in_time and another and has_body
+        return allowed and in_time and attempts_left and has_body
 
-    def pay_retry(self, request: Request, outcome: Outcome) -> None:
+    def charge_retry(self, request: Request, outcome: Outcome) -> None:
         """Pay for a retry that was sent; free where no earlier attempt may have run."""
         if any(attempt.may_have_run for attempt in request.attempts[:-1]):
             self._budget.spend(_cost(outcome))
@@ -81,7 +81,7 @@
             return False
         return len(request.attempts) < self._settings.max_attempts
 
-    def pay_hedge(self) -> None:
+    def charge_hedge(self) -> None:
         """Pay for a hedged request that was sent."""
         self._budget.spend(1.0)
 
--- a/sagetrack/policy/retry_after.py
+++ b/sagetrack/policy/retry_after.py
@@ -5,11 +5,11 @@
 from sagetrack.policy.admission import AdmissionController
 from sagetrack.policy.endpoints import Endpoints
 from sagetrack.policy.event_context import EventContext
-from sagetrack.policy.reservations import Requester, RetryTerms
+from sagetrack.policy.reservations import Requester, RetryAfterLimits
 from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request
 
-COME_BACK_SHARE = 0.25  # of the class's latency objective: by then an overload has thinned out
+DEFAULT_RETRY_AFTER_SHARE = 0.25  # of the class's latency objective: by then an overload has thinned out
 
 
 class RetryAfter:
@@ -33,23 +33,25 @@
         With admission control it is what that advises. A client that comes back at once would meet what it
         was rejected for.
         """
-        most_us, now_us = self._settings.max_retry_after_us, self._context.now_us
+        max_wait_us, now_us = self._settings.max_retry_after_us, self._context.now_us
         closes_at_us = self._endpoints.earliest_close_us()
         if self._admission is not None and request.retry_after_us >= 0:
-            return min(request.retry_after_us, most_us)
+            return min(request.retry_after_us, max_wait_us)
         if self._admission is not None and closes_at_us is None and self._endpoints.servers:
-            return self._advised_us(self._admission, request, most_us)
+            return self._reserve_us(self._admission, request, max_wait_us)
         if closes_at_us is not None:
             wait_us = closes_at_us - now_us
         else:
-            wait_us = int(COME_BACK_SHARE * self._settings.classes[request.class_index].latency_objective_us)
-        return max(0, min(wait_us, most_us))
+            wait_us = int(
+                DEFAULT_RETRY_AFTER_SHARE * self._settings.classes[request.class_index].latency_objective_us
+            )
+        return max(0, min(wait_us, max_wait_us))
 
-    def _advised_us(self, admission: AdmissionController[Request], request: Request, most_us: int) -> int:
-        now_us, draw = self._context.now_us, self._context.random.random()
+    def _reserve_us(self, admission: AdmissionController[Request], request: Request, max_wait_us: int) -> int:
+        now_us, jitter_draw = self._context.now_us, self._context.random.random()
         work_us = admission.estimated_work_us(request.class_index, request.relative_work)
-        worthless_late = self._settings.classes[request.class_index].late_priority_weight <= 0.0
-        left_us = (request.objective_at_us if worthless_late else request.deadline_us) - now_us
+        late_is_worthless = self._settings.classes[request.class_index].late_priority_weight <= 0.0
+        client_timeout_us = (request.objective_at_us if late_is_worthless else request.deadline_us) - now_us
         requester = Requester(request.admission_tenant, request.client, request.key or 0)
-        terms = RetryTerms(draw, most_us, left_us)
-        return admission.retry_after_us(now_us, requester, work_us, terms)
+        limits = RetryAfterLimits(jitter_draw, max_wait_us, client_timeout_us)
+        return admission.retry_after_us(now_us, requester, work_us, limits)
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -14,7 +14,7 @@
 from sagetrack.policy.state import Request, Server, rendezvous
 from sagetrack.policy.subset_size import SubsetSize
 
-KEY_HOME_FACTOR = 20.0  # on the weight of a key's home server: most of its requests, not all
+HOME_SERVER_WEIGHT_FACTOR = 20.0  # on the weight of a key's home server: most of its requests, not all
 
 Weights = list[tuple[float, Server]]  # in the draw, all above 0
 
@@ -51,7 +51,7 @@
         if not weights:
             return None
         if self._settings.warm_keys and request.key is not None:
-            total += _favour_home(request.key, weights)
+            total += _boost_home_server(request.key, weights)
         point = self._context.random.random() * total
         for weight, server in weights:
             point -= weight
@@ -113,15 +113,15 @@
         """Servers that a retry may go to without running the request twice."""
         tried = [attempt.server for attempt in request.attempts]
         request_class = self._settings.classes[request.class_index]
-        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         servers = [s for s in self.subset(request.class_index) if s not in tried]
-        if ran and request_class.effect is Effect.UNSAFE:
+        if possibly_run and request_class.effect is Effect.UNSAFE:
             return []
-        if ran and request_class.effect is Effect.KEYED:
+        if possibly_run and request_class.effect is Effect.KEYED:
             now_us = self._context.now_us
-            if now_us - ran[0].sent_at_us >= request_class.window_us:
+            if now_us - possibly_run[0].sent_at_us >= request_class.window_us:
                 return []
-            in_scope = self._in_scope(request_class.scope, [attempt.server.entry for attempt in ran])
+            in_scope = self._in_scope(request_class.scope, [attempt.server.entry for attempt in possibly_run])
             servers = [s for s in in_scope if s not in tried and self.is_eligible(s, request.class_index)]
             subset = self._ring.ranked[: math.ceil(self._subset_size.size)]
             share = self._slow_start.capacity_share
@@ -175,10 +175,10 @@
         return [(weight * factors[s.entry.kind in grpc], s) for weight, s in weights]
 
 
-def _favour_home(key: int, weights: Weights) -> float:
+def _boost_home_server(key: int, weights: Weights) -> float:
     """Raise the weight of the key's home among the candidates, in place; returns by how much."""
     ranks = [rendezvous(key, s.entry.server, s.zone_factor) for _, s in weights]
     home = ranks.index(min(ranks))
-    raised = weights[home][0] * (KEY_HOME_FACTOR - 1.0)
+    raised = weights[home][0] * (HOME_SERVER_WEIGHT_FACTOR - 1.0)
     weights[home] = (weights[home][0] + raised, weights[home][1])
     return raised
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,9 +12,9 @@
 from sagetrack.policy.admission import (
     ADMITTED,
     AdmissionController,
+    AdmissionDecision,
     AdmissionDenial,
     AdmissionSettings,
-    Verdict,
 )
 from sagetrack.policy.events import (
     AttemptEnded,
@@ -30,7 +30,7 @@
 )
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.rate_limit import Rate
-from sagetrack.policy.reservations import Requester, RetryTerms
+from sagetrack.policy.reservations import Requester, RetryAfterLimits
 from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
 SECOND_US = 1_000_000
@@ -41,10 +41,10 @@
     for client, key, is_retry, rejected in ((-5, 0, False, False), (5, 0, False, True), (-5, 7, False, True)):
         requester = Requester(0, client, key)
         retry_after_us = controller.retry_after_us(
-            0, requester, 400_000.0, RetryTerms(0.0, 8 * SECOND_US, 8 * SECOND_US)
+            0, requester, 400_000.0, RetryAfterLimits(0.0, 8 * SECOND_US, 8 * SECOND_US)
         )
-        verdict = controller.check_arrival(retry_after_us // 10, requester, 0, 1000.0, is_retry)
-        assert (verdict != ADMITTED) == rejected, (client, verdict)
+        decision = controller.check_arrival(retry_after_us // 10, requester, 0, 1000.0, is_retry)
+        assert (decision != ADMITTED) == rejected, (client, decision)
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,8 @@
     controller: AdmissionController[str] = AdmissionController(AdmissionSettings(retry_ratio=0.0), [1.0])
     assert all(controller.check_arrival(0, Requester(0, n, n), 0, 1.0, True) == ADMITTED for n in range(50))
     controller.enqueue("waits", Requester(0, 1, 0), 1.0, 1.0, 9)
-    verdicts = [controller.check_arrival(0, Requester(0, n, n), 0, 1.0, True) for n in range(100, 150)]
+    decisions = [controller.check_arrival(0, Requester(0, n, n), 0, 1.0, True) for n in range(100, 150)]
     assert (
-        verdicts[-1] == Verdict(AdmissionDenial.RETRY_BUDGET) and sum(v == ADMITTED for v in verdicts) <= 20
+        decisions[-1] == AdmissionDecision(AdmissionDenial.RETRY_BUDGET)
+        and sum(v == ADMITTED for v in decisions) <= 20
     )
--- a/tests/test_capacity_wait.py
+++ b/tests/test_capacity_wait.py
@@ -8,7 +8,7 @@
 from sagetrack.policy.capacity_wait import MAX_WAIT_SHARE
 from sagetrack.policy.events import Outcome, RequestCancelled, TimerFired
 from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
-from sagetrack.policy.retry_after import COME_BACK_SHARE
+from sagetrack.policy.retry_after import DEFAULT_RETRY_AFTER_SHARE
 from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
 
 MAX_PER_SERVER = int(DEFAULT_MAX_CONCURRENCY)  # with one gateway
@@ -75,7 +75,7 @@
     assert 0 < timer.due_us - driver.now_us <= MAX_WAIT_SHARE * 400_000
     driver.now_us = timer.due_us
     (rejected,) = driver.handle(TimerFired(timer.token))
-    assert rejected == Reject(name, int(COME_BACK_SHARE * SAFE.latency_objective_us))
+    assert rejected == Reject(name, int(DEFAULT_RETRY_AFTER_SHARE * SAFE.latency_objective_us))
     assert name not in driver.balancer.requests and not driver.balancer.capacity_wait
 
 
--- a/tests/test_event_context.py
+++ b/tests/test_event_context.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrack.policy.actions import Log
-from sagetrack.policy.event_context import LOG_GAP_US
+from sagetrack.policy.event_context import MIN_LOG_INTERVAL_US
 from sagetrack.policy.events import RequestCancelled
 from tests.helpers import Driver
 
@@ -11,7 +11,7 @@
 def test_log_lines_are_rate_limited() -> None:
     driver = Driver()
     first, second = driver.arrive(class_index=7)[1], driver.arrive(class_index=7)[1]
-    driver.now_us += LOG_GAP_US
+    driver.now_us += MIN_LOG_INTERVAL_US
     third = driver.arrive(class_index=7)[1]
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -144,7 +144,7 @@
 
 def test_a_request_past_its_deadline_is_hopeless_and_rejected() -> None:
     shedder, _, context = make_shedder()
-    assert shedder.is_hopeless(400_000, make_request()) and not shedder.is_hopeless(399_999, make_request())
+    assert shedder.is_too_late(400_000, make_request()) and not shedder.is_too_late(399_999, make_request())
     context.begin(400_000)
     assert shedder.should_reject(context, make_request())
 
