--- a/sagetrack/policy/__init__.py
+++ b/sagetrack/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load-balancing gateway: pure, no clock, no I/O."""
+"""The decision logic of a load-balancing gateway: deterministic, without a clock and without I/O."""
 
 from sagetrack.policy.actions import (
     Action,
--- a/sagetrack/policy/actions.py
+++ b/sagetrack/policy/actions.py
@@ -1,7 +1,7 @@
-"""Actions that the load balancer decides on, for the rest of the gateway to carry out in order.
+"""Actions returned by the load balancer, which the rest of the gateway carries out in order.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration.
+Times are whole microseconds. Absolute times are readings of the caller's monotonic clock; all other times are
+durations.
 """
 
 from __future__ import annotations
@@ -12,43 +12,43 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send an attempt of a request; the attempts of one request are numbered from 0 in the order sent."""
+    """Send an attempt of a request to a server. The attempts of a request are numbered from 0 in order."""
 
     request: str
     server: int
-    timeout_us: int  # after which it ends with Outcome.TIMEOUT
-    begin_by_us: int = field(default=0, repr=False)  # from this time on it may not be sent; 0: no limit
+    timeout_us: int  # the attempt ends with Outcome.TIMEOUT after this
+    begin_by_us: int = field(default=0, repr=False)  # must not be sent at or after this time; 0: no limit
 
 
 class RejectReason(Enum):
-    """Why a request is rejected. The values are exported."""
+    """Why a request is rejected. The values are exported in metrics and the event trace."""
 
-    SHED = "shed"  # load is shed, and its priority is the lowest
-    NO_CAPACITY = "no_room"  # no server has capacity for it, or none in time
-    QUEUE = "turn"  # admission control rejects it, or the requests before it in its order take too long
-    ATTEMPTS_FAILED = "unserved"  # its attempts have failed, and no other may be made
+    SHED = "shed"  # load shedding rejects it for its low priority
+    NO_CAPACITY = "no_room"  # no server has capacity for it in time
+    QUEUE = "turn"  # denied by admission control, or queued too long behind requests with its key
+    ATTEMPTS_FAILED = "unserved"  # its attempts failed and no further attempt is allowed
     OTHER = "other"
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final response: the request had no effect, and a retry is harmless."""
+    """Send a final response that says that the client may safely retry the request."""
 
     request: str
-    retry_after_us: int = 0  # Retry-After; 0: none is given
+    retry_after_us: int = 0  # value of Retry-After; 0: none
     reason: RejectReason = field(default=RejectReason.OTHER, compare=False, repr=False)
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final response: the request failed, and may have had its effect or not."""
+    """Send a final response that says that the request failed and may or may not have taken effect."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Cancel an attempt in flight; its AttemptEnded still comes."""
+    """Cancel an attempt in flight. Its AttemptEnded event still follows."""
 
     request: str
     attempt: int
@@ -56,15 +56,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Send a TimerFired with this token when the time has come."""
+    """Send a TimerFired event with this token at the given time."""
 
-    due_us: int  # by the caller's clock
+    due_us: int  # on the caller's clock
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Watch the endpoint list for changes, or stop watching it."""
+    """Start or stop watching the endpoint list for changes."""
 
     on: bool = True
 
@@ -76,24 +76,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a server for its load report; the result comes as Probed."""
+    """Request a load report from a server. The result arrives as a Probed event."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close the idle connections of this gateway to a server."""
+    """Close this gateway's idle connections to a server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendToPeers:
-    """Send a message to other gateways, unreliably."""
+    """Send a message to other gateways, without guaranteed delivery."""
 
-    payload: bytes  # 256 bytes at most
-    peer: int = -1  # -1: all
+    payload: bytes  # at most 256 bytes
+    peer: int = -1  # index of the receiving gateway; -1: all
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,7 +101,7 @@
     """Write a line to the log."""
 
     line: str
-    server: int | None = None  # the server that it is about
+    server: int | None = None  # the server that the line concerns
 
 
 Action = (
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -1,7 +1,8 @@
-"""Admission control: which requests are admitted, in which order, and when rejected ones may come back.
+"""Admission control: decides which requests are admitted, in which order, and when rejected ones may retry.
 
-Combines fair queues, rate and concurrency limits, a retry budget and reservations. It knows nothing of
-servers: the load balancer asks here before it selects one. The caller supplies the time and all random draws.
+It combines fair queues, rate and concurrency limits, a retry budget and reservations. It is independent of
+servers; the load balancer consults it before it selects a server. The caller supplies the time and all random
+numbers.
 """
 
 from __future__ import annotations
@@ -21,28 +22,32 @@
 from sagetrack.policy.work_estimate import WorkEstimator
 
 Item = TypeVar("Item", bound=Hashable)
-# Memory of one entry of each kind of table, in bytes, as measured (docs/operators/fairness.md)
+# Measured memory per entry of each kind of table, in bytes (docs/operators/fairness.md)
 QUEUE_ENTRY_BYTES, FLOW_BYTES, RESERVATION_BYTES, RATE_ENTRY_BYTES = 3500, 700, 420, 240
 MIN_MEMORY_BYTES = 64 * 1024
-MAX_WAIT_FRACTION = 0.5  # upper bound of the setting max_wait_fraction
-MAX_CATCH_UP_US = 1_000_000  # a tenant may catch up on the service that it could have had within this
-RESERVATION_PRIORITY = 1e9  # above any class's: a client that honors its Retry-After goes first in its flow
+MAX_WAIT_FRACTION = 0.5  # upper bound of `AdmissionSettings.max_wait_fraction`
+MAX_CATCH_UP_US = 1_000_000  # a tenant can catch up on unused service from at most this long ago
+RESERVATION_PRIORITY = (
+    1e9  # exceeds any class's priority: a client that honors its Retry-After is first in its flow
+)
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionSettings:
-    """Fair queues and limits, as the operator configures them.
+    """The operator's settings of the fair queues and limits.
 
     Raises:
         ValueError: A value is out of its range.
     """
 
-    shares: tuple[float, ...] = ()  # by tenant; empty: the tenants' shares of the platform's settings
-    flows: int = 256  # that the clients of a tenant are hashed to
-    max_wait_fraction: float = 0.5  # of the slack until its latency objective that a request may be queued
-    memory_bytes: int = 16 * 1024 * 1024  # bound of all tables and queues together
-    adaptive: bool = True  # whether latency limits the requests in flight
-    retry_ratio: float = 0.2  # clients' retries that a first attempt pays for, while capacity is short
+    shares: tuple[float, ...] = ()  # by tenant; empty: the shares from the platform's settings
+    flows: int = 256  # number of flows per tenant; clients are hashed to flows
+    max_wait_fraction: float = (
+        0.5  # maximum queueing time, as a part of the slack until the latency objective
+    )
+    memory_bytes: int = 16 * 1024 * 1024  # bound for all tables and queues together
+    adaptive: bool = True  # whether an adaptive concurrency limit applies
+    retry_ratio: float = 0.2  # client retries allowed per first attempt while capacity is short
     tenant_rate: Rate | None = None
     client_rate: Rate | None = None
     class_rates: tuple[Rate | None, ...] = ()
@@ -50,32 +55,32 @@
     def __post_init__(self) -> None:
         if not 0.0 <= self.max_wait_fraction <= MAX_WAIT_FRACTION:
             raise ValueError(
-                f"max_wait_fraction is {self.max_wait_fraction:g}, allowed are 0 to {MAX_WAIT_FRACTION:g}"
+                f"max_wait_fraction is {self.max_wait_fraction:g}, must be from 0 to {MAX_WAIT_FRACTION:g}"
             )
         if self.flows < 1:
-            raise ValueError(f"flows is {self.flows}, allowed are 1 and more")
+            raise ValueError(f"flows is {self.flows}, must be at least 1")
         if self.memory_bytes < MIN_MEMORY_BYTES:
-            raise ValueError(f"memory_bytes is {self.memory_bytes}, allowed are {MIN_MEMORY_BYTES} and more")
+            raise ValueError(f"memory_bytes is {self.memory_bytes}, must be at least {MIN_MEMORY_BYTES}")
 
 
 class AdmissionDenial(Enum):
-    """Why admission control rejects a request. The values are exported in names of figures."""
+    """Why admission control denies a request. The values are part of metric names."""
 
-    BEFORE_RETRY_AFTER = "early"  # its client came back before its Retry-After was over
-    RATE_LIMIT = "rate"  # of its tenant, client or class
-    MEMORY_LIMIT = "memory"  # the tables are at their bound in bytes
-    RETRY_BUDGET = "repeat"  # a client's retry beyond the retry budget
-    OVER_QUOTA = "share"  # load is shed, and its tenant or client exceeds its share
-    NO_SERVER = "servers"  # no server is usable now
-    WAIT_TOO_LONG = "late"  # it could not be served in time
+    BEFORE_RETRY_AFTER = "early"  # the client retried before its Retry-After had passed
+    RATE_LIMIT = "rate"  # the rate limit of its tenant, client or class is exceeded
+    MEMORY_LIMIT = "memory"  # the tables and queues have reached their memory bound
+    RETRY_BUDGET = "repeat"  # a client's retry that exceeds the retry budget
+    OVER_QUOTA = "share"  # rejected by load shedding: too late, or its tenant or client exceeds its share
+    NO_SERVER = "servers"  # no server is eligible at present
+    WAIT_TOO_LONG = "late"  # it cannot be served in time
 
 
 class AdmissionDecision(NamedTuple):
-    """What is decided of a request on its arrival."""
+    """The decision on a request at its arrival."""
 
-    denial: AdmissionDenial | None = None  # None: it may be queued
-    retry_after_us: int = 0  # for a denial; 0: to be chosen by `AdmissionController.retry_after_us`
-    reserved: bool = False  # whether it has used up a reservation, and so has priority
+    denial: AdmissionDenial | None = None  # None: admitted, it may be queued
+    retry_after_us: int = 0  # with a denial; 0: call `AdmissionController.retry_after_us`
+    reserved: bool = False  # whether it has claimed a reservation, which gives it priority
 
 
 ADMITTED = AdmissionDecision()
@@ -84,26 +89,26 @@
 
 @dataclass(slots=True)
 class TenantCounters:
-    """What became of one tenant's requests."""
+    """Counts of the requests of one tenant."""
 
     requested: int = 0
     served: int = 0
     rejected: int = 0
-    waiting: int = 0  # now
+    waiting: int = 0  # currently queued
 
 
 class AdmissionController(Generic[Item]):
     """Admission control of one gateway.
 
-    The cost of each operation depends on the numbers of tenants, classes and flows, not of clients.
+    The cost of each operation depends on the numbers of tenants, classes and flows, but not of clients.
     """
 
     def __init__(self, settings: AdmissionSettings, shares: Sequence[float]) -> None:
-        """Start with empty queues.
+        """Create empty queues and tables.
 
         Args:
-            settings: The operator's settings; their shares apply if there are as many as tenants.
-            shares: The platform's shares by tenant; if all are 0, tenants are equal.
+            settings: The operator's settings; their shares apply if there is one for each tenant.
+            shares: The platform's shares by tenant; if all are 0, all tenants have equal shares.
         """
         self.settings = settings
         configured = settings.shares if len(settings.shares) == len(shares) else shares
@@ -112,7 +117,7 @@
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
         self.demand = TenantDemand(self.shares)
-        table_bytes = settings.memory_bytes // 4  # a quarter for each kind of table; a quarter for the queues
+        table_bytes = settings.memory_bytes // 4  # for reservations; as much for rate limits and for queues
         self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
         self.retry_budget = ClientRetryBudget(count, settings.retry_ratio)
         entries = table_bytes // (2 * RATE_ENTRY_BYTES)
@@ -130,17 +135,16 @@
     # Arrival
 
     def tenant_index(self, tenant: int) -> int:
-        """The tenant itself, or 0 for one that the settings do not have."""
+        """Return the index of a tenant, or 0 for a tenant that is not in the settings."""
         return tenant if 0 <= tenant < len(self.counters) else 0
 
     def check_arrival(
         self, now_us: int, requester: Requester, class_index: int, work_us: float, is_retry: bool
     ) -> AdmissionDecision:
-        """Record the demand and decide what can be decided at once.
+        """Record the demand of an arriving request and check it against the limits.
 
-        In this order: reservations, rate limits, the memory bound, the retry budget.
-
-        A request with a reservation has passed the limits before and is not subject to them again.
+        The checks are, in this order: reservations, rate limits, the memory bound and the retry budget. A
+        request that claims a reservation skips the remaining checks.
         """
         tenant, client, _ = requester
         self.counters[tenant].requested += 1
@@ -152,7 +156,7 @@
             return RESERVED
         is_loaded = bool(len(self.queues)) or self.reservations.wait_us(tenant, now_us) > 0
         if remaining_us is not None and is_loaded and _is_same_client(requester, is_retry):
-            # Its client's flow is charged for it, and the reservation stands.
+            # The client's flow is charged for the early retry; the reservation remains valid.
             self.reservations.record_ignored(tenant)
             self.queues.charge(tenant, client, work_us)
             return AdmissionDecision(AdmissionDenial.BEFORE_RETRY_AFTER, remaining_us)
@@ -172,7 +176,7 @@
     def _rate_limiters(
         self, tenant: int, client: int, class_index: int
     ) -> list[tuple[RateLimiter, Hashable]]:
-        """The rate limiters that a request is subject to, each with the key that it counts by."""
+        """Return the rate limiters that apply to a request, each with the key of its count."""
         found: list[tuple[RateLimiter, Hashable]] = []
         if self.tenant_rate is not None:
             found.append((self.tenant_rate, tenant))
@@ -184,9 +188,11 @@
         return found
 
     def _is_costly(self, tenant: int, work_us: float) -> bool:
-        """Near the memory bound: whether its tenant has requests queued, or it costs more than their mean.
+        """Return whether a request is denied when memory is nearly used up.
 
-        What is queued is never dropped; the remaining memory is for tenants that have nothing queued.
+        That is the case if its tenant has queued requests, or if it costs more than the mean of the queued
+        requests. Queued requests are never dropped, so the rest of the memory is reserved for tenants that
+        have none queued.
         """
         return self.queues.count_of(tenant) > 0 or work_us > self._mean_queued_work_us()
 
@@ -194,7 +200,7 @@
         return self.queues.work_us / max(1, len(self.queues))
 
     def _spend_retry_budget(self, tenant: int, is_retry: bool, is_loaded: bool) -> bool:
-        """Whether the retry budget admits the request; retries are bounded only while capacity is short."""
+        """Return whether the retry budget allows a request; it limits retries only under load."""
         if not is_retry:
             self.retry_budget.record_first_attempt(tenant)
             return True
@@ -203,49 +209,49 @@
     def rejection_fraction(
         self, now_us: int, tenant: int, client: int, reject_fraction: float, high_priority: bool
     ) -> float:
-        """Which fraction of a client's requests to reject, so that `reject_fraction` of all work is."""
+        """Return the fraction of a client's requests to reject so that `reject_fraction` of all work is."""
         flow = self.queues.flow_index(tenant, client)
         return self.demand.rejection_fraction(tenant, flow, reject_fraction, now_us, high_priority)
 
-    # The queue
+    # Queue
 
     @property
     def queued(self) -> int:
-        """How many requests are queued."""
+        """The number of queued requests."""
         return len(self.queues)
 
     def is_queued(self, item: Item) -> bool:
-        """Whether a request is in the queue."""
+        """Return whether a request is queued."""
         return item in self.queues
 
     def wait_us(self, tenant: int, client: int) -> float:
-        """How long a new request of a client would be queued."""
+        """Return how long a new request of a client would be queued, in microseconds."""
         return self.queues.work_ahead_us(tenant, client) / self.service_rate.per_us
 
     def enqueue(
         self, item: Item, requester: Requester, work_us: float, priority_weight: float, due_us: int
     ) -> None:
-        """Queue a request; within its flow, by priority weight and then by due time."""
+        """Queue a request; its flow is ordered by priority weight and then by due time."""
         self.queues.max_catch_up = self.service_rate.per_us * MAX_CATCH_UP_US / sum(self.shares)
         self.queues.enqueue(item, requester.tenant, requester.client, work_us, priority_weight, due_us)
         self.counters[requester.tenant].waiting += 1
 
     def has_capacity(self, in_flight: int) -> bool:
-        """Whether the concurrency limit allows one more request in flight."""
+        """Return whether the concurrency limit allows one more request in flight."""
         return not self.settings.adaptive or self.concurrency_limit.has_capacity(in_flight)
 
     def peek(self, in_flight: int) -> Item | None:
-        """The request whose turn it is, if the concurrency limit allows one more; it stays in the queue."""
+        """Return the next request without removing it, or None if there is none or no capacity for it."""
         return self.queues.peek() if self.has_capacity(in_flight) else None
 
     def dequeue(self, item: Item, now_us: int) -> None:
-        """Take the request that `peek` gave out of the queue: it is being served."""
+        """Remove the request that `peek` returned from the queue, because it has been sent."""
         entry = self.queues.dequeue(item)
         self.counters[entry.tenant].waiting -= 1
         self.service_rate.record(entry.work_us, now_us, len(self.queues) > 0)
 
     def remove(self, item: Item) -> None:
-        """Take a request out of the queue that will not be served; nothing happens if it is not in there."""
+        """Remove a request that will not be served from the queue, if it is queued."""
         entry = self.queues.remove(item)
         if entry is not None:
             self.counters[entry.tenant].waiting -= 1
@@ -255,11 +261,11 @@
     # Feedback
 
     def set_assumed_service_rate(self, rate: float) -> None:
-        """Set the work a microsecond that is taken for the service rate until one has been measured."""
+        """Set the service rate, in work per microsecond, to assume until a measurement is available."""
         self.service_rate.assumed = rate
 
     def set_minimum_concurrency(self, requests: float) -> None:
-        """Set what the concurrency limit never falls below."""
+        """Set the lower bound of the concurrency limit."""
         self.concurrency_limit.minimum = requests
 
     def record_completion(
@@ -271,15 +277,15 @@
         succeeded: bool,
         rejected: bool,
     ) -> None:
-        """Learn from an attempt that ended.
+        """Update the concurrency limit and the work estimates with an attempt that has ended.
 
         Args:
-            class_index: Its class.
-            latency_us: How long it took.
-            size: Its work relative to the mean of its class.
-            in_flight: How many attempts are in flight, itself excluded.
-            succeeded: Whether it had a successful response.
-            rejected: Whether its server rejected it.
+            class_index: Class of the request.
+            latency_us: Latency of the attempt.
+            size: Work of the request relative to the mean of its class.
+            in_flight: Number of other attempts in flight.
+            succeeded: Whether the attempt had a successful response.
+            rejected: Whether the server rejected the attempt.
         """
         if self.settings.adaptive and self.work.is_reliable(class_index):
             baseline_us = self.work.estimate_us(class_index, size)
@@ -288,57 +294,60 @@
             self.work.learn(class_index, latency_us, size, len(self.queues) > 0)
 
     def estimated_work_us(self, class_index: int, size: float) -> float:
-        """Work of a request in microseconds, where `size` is its work relative to the mean of its class."""
+        """Return the estimated work in microseconds; `size` is relative to the mean of the class."""
         return self.work.estimate_us(class_index, size)
 
     def record_denial(self, denial: AdmissionDenial) -> None:
-        """Count a request that admission control rejects, by reason."""
+        """Count a denial by admission control."""
         self.denials[denial] += 1
 
     def record_rejected(self, tenant: int) -> None:
-        """Count a tenant's request that was rejected, for whatever reason."""
+        """Count a rejected request of a tenant, whatever the reason."""
         self.counters[tenant].rejected += 1
 
     def record_served(self, tenant: int) -> None:
-        """Count a tenant's request that was answered."""
+        """Count a request of a tenant that was served."""
         self.counters[tenant].served += 1
 
     def retry_after_us(
         self, now_us: int, requester: Requester, work_us: float, limits: RetryAfterLimits
     ) -> int:
-        """Choose when a rejected request may come back, in microseconds, and reserve service for it then."""
+        """Return the Retry-After of a rejected request in microseconds, and reserve service for the retry."""
         tenant = requester.tenant
         rate = self.service_rate.per_us * self.queues.service_fraction(tenant)
         backlog_us = self.queues.work_us_of(tenant) / rate
         service_us = work_us / rate
         if self.memory_used() + RESERVATION_BYTES > self.settings.memory_bytes:
-            limits = limits._replace(client_timeout_us=0)  # no further reservation
+            limits = limits._replace(client_timeout_us=0)  # out of memory: make no reservation
         return self.reservations.reserve(now_us, requester, backlog_us, service_us, limits)
 
-    # Shares and figures
+    # Shares and metrics
 
     def local_demands(self, now_us: int) -> list[float]:
-        """This gateway's demand by tenant, in microseconds of work a second, for its peers."""
+        """Return this gateway's demand by tenant for its peers, in microseconds of work per second."""
         return self.demand.local_demands(now_us)
 
     def record_peer_demands(self, gateway: int, demands: list[float], now_us: int, gateways: int) -> None:
-        """Take the demand that another gateway reports: shares are to hold for all gateways together."""
+        """Record the demand of another gateway, and adapt the local shares.
+
+        The configured shares apply to the service of all gateways together.
+        """
         self.demand.record_peer_demands(gateway, demands, now_us)
         self.queues.set_shares(self.demand.local_shares(now_us, gateways))
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """Apply new shares from now on; ignored if there are not as many as tenants."""
+        """Apply new shares from now on; ignored unless there is one for each tenant."""
         if len(shares) == len(self.shares):
             self.shares[:] = shares
             self.queues.set_shares(shares)
 
     @property
     def open_reservations(self) -> int:
-        """How many reservations have not been claimed yet."""
+        """The number of unclaimed reservations."""
         return self.reservations.count
 
     def memory_used(self) -> int:
-        """Bytes of all tables and queues, from their sizes and the measured memory of an entry."""
+        """Return the estimated memory of all tables and queues in bytes, from the measured entry sizes."""
         limiters = (self.tenant_rate, self.client_rate)
         rate_entries = sum(len(limiter.table) for limiter in limiters if limiter is not None)
         queued = len(self.queues) * QUEUE_ENTRY_BYTES
@@ -346,7 +355,7 @@
         return queued + flows + self.reservations.count * RESERVATION_BYTES + rate_entries * RATE_ENTRY_BYTES
 
     def metrics(self, names: Sequence[str]) -> dict[str, float]:
-        """Exported figures by name; `names` are the tenants', in order."""
+        """Return the exported metrics by name; `names` are the names of the tenants in order."""
         found: dict[str, float] = {
             "door_limit": round(self.concurrency_limit.limit, 1),
             "door_waiting": len(self.queues),
@@ -371,8 +380,8 @@
 
 
 def _is_same_client(requester: Requester, is_retry: bool) -> bool:
-    """Whether a request surely comes from the client that a reservation was made for.
+    """Return whether a request certainly comes from the client that holds the reservation.
 
-    An address alone may be that of many clients; a key, a marked retry or a client's own id is not.
+    Several clients may share an address. A key, a retry mark or the client's own id identifies the client.
     """
     return is_retry or requester.key != 0 or requester.client > 0
--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -1,4 +1,4 @@
-"""Admission of a request where admission control is on: fair queues, limits, and when to come back."""
+"""Connects admission control to the load balancer: limits, fair queues, and sending of queued requests."""
 
 from __future__ import annotations
 
@@ -15,13 +15,12 @@
 from sagetrack.policy.state import Request, Server
 from sagetrack.policy.timers import TimerPurpose
 
-COST_OUTCOMES = frozenset(
-    {Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT}
-)  # outcomes that admission learns from
+# Outcomes that update the work estimates and the concurrency limit
+COST_OUTCOMES = frozenset({Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT})
 
 
 class AdmissionGate:
-    """Puts the admission controller in front of the load balancer's own decisions."""
+    """Applies the admission controller to requests before they are sent."""
 
     def __init__(
         self,
@@ -49,21 +48,24 @@
 
     @property
     def has_queue(self) -> bool:
-        """Whether any request waits for its turn."""
+        """True if any request is queued."""
         return self._admission.queued > 0
 
     def is_queued(self, request: Request) -> bool:
-        """Whether a request waits for its turn."""
+        """Return whether a request is queued."""
         return self._admission.is_queued(request)
 
     def count_denial(self, reason: AdmissionDenial) -> None:
-        """Count a denial for the stats."""
+        """Count a denial for the metrics."""
         self._admission.record_denial(reason)
 
     def admit(self, request: Request, is_retry: bool) -> AdmissionDenial | None:
-        """Send a request or queue it; or say why it is denied.
+        """Send a request or queue it.
 
-        One that could not be served in time is denied here, and not when its time is over.
+        A request that cannot be served in time is denied now instead of after its maximum wait.
+
+        Returns:
+            The reason if the request is denied, else None.
         """
         admission = self._admission
         work_us = admission.estimated_work_us(request.class_index, request.relative_work)
@@ -74,11 +76,11 @@
             return AdmissionDenial.OVER_QUOTA
         idle = not admission.queued and admission.has_capacity(self._in_flight.count)
         if idle and self._sender.try_send(request):
-            return None  # no request is overtaken: queueing has a cost only while there is a queue
+            return None  # nothing is queued, so it overtakes no other request
         return self._queue(request, work_us)
 
     def _check_limits(self, request: Request, work_us: float, is_retry: bool) -> AdmissionDenial | None:
-        """Rate limits, memory and reservations."""
+        """Check reservations, rate limits, the memory bound and the retry budget."""
         requester = Requester(request.admission_tenant, request.client, request.key or 0)
         now_us, class_index = self._context.now_us, request.class_index
         decision = self._admission.check_arrival(now_us, requester, class_index, work_us, is_retry)
@@ -89,7 +91,7 @@
         return None
 
     def _queue(self, request: Request, work_us: float) -> AdmissionDenial | None:
-        """Queue a request; it may be sent at once."""
+        """Queue a request and send it at once if it is next; return the reason if it is denied."""
         admission, now_us = self._admission, self._context.now_us
         late, max_wait_us = self._max_wait_us(request)
         if not self._selector.any_eligible(request.class_index):
@@ -111,7 +113,7 @@
         return None
 
     def _max_wait_us(self, request: Request) -> tuple[bool, float]:
-        """Whether only a late answer is to be had, and how long the request may wait for its turn."""
+        """Return whether the request can only be served late, and how long it may be queued."""
         now_us = self._context.now_us
         needed_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         left_us = request.deadline_us - now_us - needed_us
@@ -121,16 +123,16 @@
         return late, self._admission.settings.max_wait_fraction * slack_us
 
     def _set_minimums(self) -> None:
-        """Pass admission control the least that the servers can serve.
+        """Set the assumed service rate and the minimum concurrency from the number of servers.
 
-        Requests that servers hold at once are, by Little's law, the latencies served in a unit of time.
+        By Little's law, the number of requests in flight equals the latency served per unit of time.
         """
         servers = len(self._ring.ranked)
         self._admission.set_assumed_service_rate(float(servers * self._fleet.max_in_flight_per_server()))
         self._admission.set_minimum_concurrency(max(1.0, servers / self._fleet.gateways))
 
     def serve(self) -> None:
-        """Send the requests whose turn it is, while there is capacity."""
+        """Send queued requests in order while there is capacity."""
         admission = self._admission
         while (request := admission.peek(self._in_flight.count)) is not None:
             if not self._sender.try_send(request):
@@ -138,7 +140,10 @@
             admission.dequeue(request, self._context.now_us)
 
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
-        """Learn what a request costs from the end of an attempt. To be called while it counts in flight."""
+        """Update the concurrency limit and the work estimates at the end of an attempt.
+
+        Must be called before the attempt is removed from the attempts in flight.
+        """
         if event.outcome in COST_OUTCOMES:
             succeeded, rejected = event.outcome is Outcome.OK, event.outcome is Outcome.REJECTED
             in_flight, size = self._in_flight.count, request.relative_work
@@ -147,6 +152,6 @@
             )
 
     def count_served(self, request: Request) -> None:
-        """Count a request that was served for the stats."""
+        """Count a served request for the metrics."""
         if request.mirror_target < 0:
             self._admission.record_served(request.admission_tenant)
--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals: each request is sent, queued or rejected."""
+"""Handles arriving requests: each is sent, queued or rejected."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Arrivals:
-    """Takes requests in, and sends those that wait when there is capacity."""
+    """Handles arriving requests, and sends queued ones when capacity becomes available."""
 
     def __init__(
         self,
@@ -45,13 +45,15 @@
         self._timers = shared.timers
 
     def handle_arrival(self, event: RequestArrived) -> None:
-        """Take a new request."""
+        """Handle the arrival of a request."""
         context, requests = self._context, self._requests
         if event.request in requests:
-            context.log(f"request {event.request} came twice; the second is ignored")
+            context.log(
+                f"request {event.request} arrived again while still in progress; the duplicate is ignored"
+            )
             return
         if not 0 <= event.class_index < len(self._settings.classes):
-            context.log(f"request {event.request} is of unknown class {event.class_index}")
+            context.log(f"request {event.request} has unknown class {event.class_index}")
             context.actions.append(Fail(event.request))
             return
         request = self._factory.make(event, context.now_us, self._sender.stops_at_us)
@@ -72,7 +74,7 @@
             requests.reject_or_fail(request, RejectReason.NO_CAPACITY)
 
     def _admit_mirrored(self, request: Request) -> None:
-        """Send a mirrored request if there is spare capacity, and drop it otherwise."""
+        """Send a mirrored request if there is spare capacity, otherwise drop it."""
         queued = len(self._capacity_wait) > 0 or (self._gate is not None and self._gate.has_queue)
         if self._shedder.is_active or queued or not self._sender.try_send(request):
             self._requests.reject_or_fail(request)
@@ -82,9 +84,10 @@
         self._requests.reject_or_fail(request, RejectReason.QUEUE)
 
     def _waits_its_turn(self, request: Request) -> bool:
-        """Queue a request of an in-order class behind others of its key, or reject it as too late.
+        """Queue a request of an in-order class behind others with its key, or reject it as too late.
 
-        False where it may be sent now.
+        Returns:
+            False if the request may be sent now.
         """
         request_class, now_us = self._settings.classes[request.class_index], self._context.now_us
         if request.key is None or not request_class.in_order:
@@ -99,13 +102,13 @@
         return turn is not Turn.NOW
 
     def serve_waiting(self) -> None:
-        """Send what waits for capacity, as far as there is any."""
+        """Send queued requests while there is capacity."""
         if self._gate is not None:
             self._gate.serve()
         self._capacity_wait.serve()
 
     def queue_wait_expired(self, request: Request) -> None:
-        """A request has waited for as long as it may: deny or reject it, if it still waits."""
+        """Reject a request that has reached its maximum wait, if it is still queued."""
         if self._gate is not None and self._gate.is_queued(request):
             self._deny(self._gate, request, AdmissionDenial.WAIT_TOO_LONG)
         elif request in self._capacity_wait:
--- a/sagetrack/policy/attempts.py
+++ b/sagetrack/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Sending attempts: to a selected server, within the gateway's quota, with a timer for a stall."""
+"""Sends attempts to selected servers within the gateway's concurrency quota, and detects stalls by timer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptSender:
-    """Sends attempts until the gateway shuts down."""
+    """Sends attempts until the end of a graceful shutdown."""
 
     def __init__(
         self,
@@ -40,14 +40,17 @@
         self._in_flight = in_flight
         self._latency = shared.latency
         self._timers = shared.timers
-        self.stops_at_us = NEVER_US  # at a shutdown: when the last answer is due
+        self.stops_at_us = NEVER_US  # end of the graceful shutdown
 
     def stop_at(self, at_us: int) -> None:
-        """Send nothing from then on."""
+        """Send no attempts from the given time on."""
         self.stops_at_us = at_us
 
     def try_send(self, request: Request) -> bool:
-        """Send an attempt, if a server may take one now. A retry needs no further quota."""
+        """Send an attempt if a server can take one now; return whether it was sent.
+
+        Only the first attempt of a request needs concurrency quota.
+        """
         now_us = self._context.now_us
         if now_us >= self.stops_at_us:
             return False
@@ -60,7 +63,7 @@
         possibly_run = (
             [a for a in request.attempts if a.may_have_run] if request_class.effect is Effect.KEYED else []
         )
-        # The connection may come up late, after the window in which servers deduplicate.
+        # Connecting may take until after the window in which servers deduplicate.
         begin_by_us = possibly_run[0].sent_at_us + request_class.window_us if possibly_run else 0
         self._add_attempt(request, server)
         timeout_us = max(1, attempt_deadline_us(request, request_class, now_us) - now_us)
@@ -73,7 +76,7 @@
         return True
 
     def _add_attempt(self, request: Request, server: Server) -> None:
-        """Account for an attempt at the server's breakers, in flight, in the subset and the slow start."""
+        """Record an attempt in the breakers, the attempts in flight, the subset size and the slow start."""
         now_us = self._context.now_us
         class_trial_of = server.class_health(request.class_index).breaker.take_trial()
         attempt = Attempt(server, now_us, server.breaker.take_trial(), class_trial_of)
@@ -86,9 +89,10 @@
             self._slow_start.charge(now_us, server, request)
 
     def body_sent(self, request: Request, attempt: Attempt) -> None:
-        """A long body is complete at its server: only now the work and the client's time begin.
+        """Restart the times of an attempt whose request body has now been sent to its server completely.
 
-        A server is not judged by the time that a client takes to send.
+        The time that the client took to upload the body does not count as latency of the server, nor against
+        the request's deadline.
         """
         now_us = self._context.now_us
         request.uploading = False
--- a/sagetrack/policy/capacity_wait.py
+++ b/sagetrack/policy/capacity_wait.py
@@ -1,4 +1,4 @@
-"""A short queue of requests that found every eligible server at its concurrency limit."""
+"""A short queue for requests that arrive while all eligible servers are at their concurrency limits."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from sagetrack.policy.state import Request
 from sagetrack.policy.timers import TimerPurpose
 
-MAX_WAIT_SHARE = 0.25  # of the slack under the latency objective: the longest wait for capacity
+MAX_WAIT_SHARE = 0.25  # maximum wait, as a part of the slack until the latency objective
 
 
 class CapacityWait:
-    """The requests that wait, in the order of their arrival."""
+    """The requests that wait for capacity."""
 
     def __init__(
         self,
@@ -38,10 +38,15 @@
         return request in self._waiting
 
     def join(self, request: Request) -> bool:
-        """Queue a request; False where no server could take it, or its deadline leaves no time for that.
+        """Queue a request until capacity becomes available or its maximum wait is over.
 
-        This bridges a short burst and is not meant to delay a rejection: the wait is a small part of the
-        request's time. A request of an in-order class does not wait here, as its key's order would be lost.
+        The queue absorbs short bursts. The maximum wait is a small part of the request's time, so that the
+        queue hardly delays rejections. Requests of in-order classes are not queued here, because that would
+        break the order of their key.
+
+        Returns:
+            False if the request is not queued: its class is in order, no server is eligible, or there is no
+            time to wait.
         """
         if self._settings.classes[request.class_index].in_order:
             return False
@@ -58,11 +63,11 @@
         return True
 
     def leave(self, request: Request) -> None:
-        """Take a request out of the queue, if it is in it."""
+        """Remove a request from the queue if it is queued."""
         self._waiting.pop(request, None)
 
     def serve(self) -> None:
-        """Send queued requests while there is capacity, those of the highest priority first."""
+        """Send queued requests while there is capacity, highest priority first."""
         while self._waiting:
             gains = self._priorities.gains()
             request = max(
--- a/sagetrack/policy/class_priorities.py
+++ b/sagetrack/policy/class_priorities.py
@@ -1,15 +1,20 @@
-"""Priority of each request class: what the operator's goal gains from a unit of server time spent on it."""
+"""Priority of each request class: the gain for the operator's goal per unit of server time spent on it."""
 
 from __future__ import annotations
 
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.settings import Settings
 
-HALVE_AFTER_TRIES = 500  # first tries after which the counts of first tries and served requests are halved
+HALVE_AFTER_TRIES = (
+    500  # the counts are halved when there are more first tries than this, to favor recent ones
+)
 
 
 class ClassPriorities:
-    """Counts first tries by class, and those served in time; derives priorities from them."""
+    """Derives class priorities from the numbers of first tries and of those served in time.
+
+    A first try is a client's request that is not a retry by the client.
+    """
 
     def __init__(self, settings: Settings, latency: LatencyEstimator) -> None:
         self._classes = settings.classes
@@ -20,18 +25,18 @@
         self.served = [0.0] * len(settings.classes)
 
     def count_first_try(self, class_index: int) -> None:
-        """Count a first try."""
+        """Count a first try of a class."""
         self.first_tries[class_index] += 1
         if sum(self.first_tries) > HALVE_AFTER_TRIES:
             self.first_tries = [count / 2 for count in self.first_tries]
             self.served = [count / 2 for count in self.served]
 
     def count_served(self, class_index: int) -> None:
-        """Count a first try that was answered within its latency objective."""
+        """Count a first try whose response met the latency objective."""
         self.served[class_index] += 1
 
     def gains(self) -> list[float]:
-        """What the goal gains from each unit of server time, by class."""
+        """Return the gain for the goal per unit of server time, by class."""
         goal, classes = self._goal, self._classes
         total = sum(self.first_tries) or 1.0
         weights = [request_class.priority_weight for request_class in classes]
@@ -50,5 +55,5 @@
         return gains
 
     def work(self) -> list[float]:
-        """Server time that recent first tries need, by class."""
+        """Return the server time that recent first tries need, by class."""
         return [tries * us for tries, us in zip(self.first_tries, self._latency.baseline_us, strict=True)]
--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -1,4 +1,4 @@
-"""Which arrivals are clients' retries, and how much of their time is used, by the timeout they come with."""
+"""Detects unmarked retries by their client timeouts, and estimates how much time earlier tries used."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from sagetrack.policy.events import RequestArrived
 from sagetrack.policy.settings import RequestClass
 
-SAME_TIMEOUT_TOLERANCE = 0.02  # relative: timeouts that differ by less are the same
-MIN_USUAL_FRACTION = 0.5  # share of the tries with the usual timeout: with fewer, another one marks no retry
-USUAL_FRACTION_SMOOTHING = 0.05  # share of the newest try in `usual_fraction`
+SAME_TIMEOUT_TOLERANCE = 0.02  # relative difference up to which two timeouts count as equal
+MIN_USUAL_FRACTION = 0.5  # below this, a different timeout is not taken as a sign of a retry
+USUAL_FRACTION_SMOOTHING = 0.05  # weight of the newest request in `usual_fraction`
 
 
 @dataclass(slots=True, eq=False)
 class ClientTimeoutEstimate:
-    """The timeout that one tenant's clients give their first tries of one class."""
+    """Estimate of the timeout that the clients of one tenant give first tries of one class."""
 
     usual_us: int
-    votes: int = 0  # for `usual_us`: majority vote of Boyer and Moore
-    usual_fraction: float = 1.0  # share of the recent tries that came with it
+    votes: int = 0  # for `usual_us`: counter of the Boyer-Moore majority vote
+    usual_fraction: float = 1.0  # smoothed fraction of recent requests with the usual timeout
 
 
 class ClientTimeouts:
-    """The usual client timeout by class and tenant."""
+    """Tracks the usual client timeout by class and tenant."""
 
     def __init__(self, classes: Sequence[RequestClass], clients_mark_retries: bool) -> None:
         self._classes = classes
@@ -31,7 +31,7 @@
         self._estimates: dict[tuple[int, int], ClientTimeoutEstimate] = {}
 
     def estimate(self, class_index: int, tenant: int) -> ClientTimeoutEstimate:
-        """The estimate for one tenant's requests of a class; the class's own timeout to begin with."""
+        """Return the estimate for a class and tenant; initially the configured timeout of the class."""
         estimate = self._estimates.get((class_index, tenant))
         if estimate is None:
             estimate = ClientTimeoutEstimate(self._classes[class_index].request_timeout_us)
@@ -39,15 +39,16 @@
         return estimate
 
     def has_varying_timeouts(self, class_index: int, tenant: int) -> bool:
-        """Whether these clients give each try a timeout of its own."""
+        """Return whether the timeouts of these clients vary too much to tell retries by."""
         return self.estimate(class_index, tenant).usual_fraction < MIN_USUAL_FRACTION
 
     def time_used_us(self, event: RequestArrived) -> int:
-        """How much of its time a request's earlier tries have used; 0 for a first try.
+        """Return how much of a request's timeout earlier tries have used; 0 for a first try.
 
-        First tries of a class by one tenant all come with the same timeout, found by majority vote; another
-        one marks a retry. First tries that are given less than the last are not taken for late retries, and
-        where clients give each try a timeout of its own, nothing is taken for one.
+        First tries of one class and tenant usually have the same timeout, which is found by majority vote; a
+        different timeout indicates a retry. Unmarked requests count as first tries if clients mark their
+        retries, or if their timeouts vary widely. The majority vote also keeps first tries from being taken
+        for late retries where clients give their last try a longer timeout.
         """
         estimate = self.estimate(event.class_index, event.tenant)
         tolerance_us = SAME_TIMEOUT_TOLERANCE * estimate.usual_us
--- a/sagetrack/policy/concurrency_limit.py
+++ b/sagetrack/policy/concurrency_limit.py
@@ -1,25 +1,25 @@
-"""An adaptive limit on the requests in flight, from measured latency."""
+"""An adaptive limit on requests in flight, based on measured latency."""
 
 from __future__ import annotations
 
 import math
 
-TOLERANCE = 2.0  # times the baseline latency that is no sign of queueing
-MIN_GRADIENT = 0.5  # the most that one adjustment takes away
-LIMIT_SMOOTHING = 0.2  # weight of the newest value
-LATENCY_SMOOTHING = 0.1
+TOLERANCE = 2.0  # latency up to this multiple of the baseline does not indicate queueing
+MIN_GRADIENT = 0.5  # lower bound of the factor of one adjustment
+LIMIT_SMOOTHING = 0.2  # weight of the newest target
+LATENCY_SMOOTHING = 0.1  # weight of the newest latency ratio
 MIN_LIMIT = 1.0
-MAX_RATIO = 2 * TOLERANCE  # one request counts for no more: a slow server among many is no overload
+MAX_RATIO = 2 * TOLERANCE  # bound on the ratio of one request: one slow server among many is not an overload
 
 
 class ConcurrencyLimit:
-    """A limit on requests in flight that follows latency relative to the baseline.
+    """A limit on requests in flight that adapts to latency relative to the baseline.
 
-    The gradient method of Netflix's concurrency limits (2018, public description), close to TCP Vegas
-    (Brakmo, Peterson, 1995): the limit is multiplied by the ratio of baseline to measured latency, and gains
-    the square root of itself as headroom. It grows only while it is used. It never falls below `minimum`,
-    which its owner sets to what the servers hold without queueing: else requests that hang at a few servers
-    would keep all other servers idle.
+    It uses the gradient algorithm of Netflix's concurrency limits (2018, public description), which resembles
+    TCP Vegas (Brakmo, Peterson, 1995): the limit is multiplied by the ratio of baseline to measured latency,
+    plus the square root of the limit as headroom. The limit grows only while it is used. It never falls below
+    `minimum`, which the owner sets to the number of requests that the servers process without queueing;
+    otherwise requests that hang at a few servers would keep all other servers idle.
     """
 
     __slots__ = ("limit", "maximum", "minimum", "ratio")
@@ -27,12 +27,12 @@
     def __init__(self, initial: float = 20.0, maximum: float = 10_000.0) -> None:
         self.limit, self.maximum = initial, maximum
         self.minimum = MIN_LIMIT
-        self.ratio = 1.0  # smoothed latency over the baseline
+        self.ratio = 1.0  # smoothed ratio of latency to baseline
 
     def update(
         self, latency_us: float, baseline_latency_us: float, in_flight: int, rejected: bool = False
     ) -> None:
-        """Take the latency of one request that has ended, or that an overloaded server rejected it."""
+        """Update the limit with the latency of a request that has ended or was rejected by its server."""
         ratio = latency_us / max(1.0, baseline_latency_us)
         self.ratio += LATENCY_SMOOTHING * (min(ratio, MAX_RATIO) - self.ratio)
         gradient = MIN_GRADIENT if rejected else min(1.0, TOLERANCE / max(self.ratio, 1e-9))
@@ -42,11 +42,11 @@
         target = self.limit * gradient + math.sqrt(self.limit)
         if rejected:
             target = self.limit * gradient
-        # Many requests end within one latency: each moves the limit by its part.
+        # Many requests end within one latency period, so each contributes its part of the change.
         weight = LIMIT_SMOOTHING / max(1.0, min(self.limit, in_flight))
         self.limit += weight * (target - self.limit)
         self.limit = min(self.maximum, max(self.minimum, self.limit))
 
     def has_capacity(self, in_flight: int) -> bool:
-        """Whether one more request may be in flight."""
+        """Return whether the limit allows one more request in flight."""
         return in_flight < max(self.minimum, self.limit)
--- a/sagetrack/policy/event_context.py
+++ b/sagetrack/policy/event_context.py
@@ -1,4 +1,4 @@
-"""What all components share while one event is handled: the time, the random draws and the actions so far."""
+"""State shared by all components while an event is handled: time, random numbers and resulting actions."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from sagetrack.policy.actions import Action, Log
 
-MIN_LOG_INTERVAL_US = 100_000  # between two log lines
+MIN_LOG_INTERVAL_US = 100_000  # minimum time between two log lines
 
 
 class EventContext:
-    """The present event's time and actions, and the gateway's seeded random numbers.
+    """The time and actions of the current event, and the gateway's seeded random number generator.
 
-    One object serves all events in turn; `begin` starts the next. Components are given it when they are made.
+    One instance is reused for all events; `begin` resets it for the next event. Components receive it on
+    construction.
     """
 
     __slots__ = ("_logged_us", "actions", "now_us", "random")
@@ -24,13 +25,16 @@
         self._logged_us = -MIN_LOG_INTERVAL_US
 
     def begin(self, now_us: int) -> None:
-        """Start an event. Where the clock steps back, time stands still instead."""
+        """Start handling an event. If the clock has stepped back, `now_us` keeps its value."""
         if now_us > self.now_us:
             self.now_us = now_us
         self.actions = []
 
     def log(self, line: str, server: int | None = None) -> None:
-        """Log a line, unless one was logged less than `MIN_LOG_INTERVAL_US` ago."""
+        """Log a line, unless another was logged less than `MIN_LOG_INTERVAL_US` ago.
+
+        The limit prevents a flood of equal lines when many servers fail at once.
+        """
         if self.now_us - self._logged_us >= MIN_LOG_INTERVAL_US:
             self._logged_us = self.now_us
             self.actions.append(Log(line if server is None else f"server {server}: {line}", server))
--- a/sagetrack/policy/events.py
+++ b/sagetrack/policy/events.py
@@ -1,8 +1,7 @@
-"""Events that the load balancer decides on, sent by the rest of the gateway.
+"""Events that the rest of the gateway sends to the load balancer.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration. Servers, requests, classes and zones are plain identifiers that are compared
-and never interpreted.
+Times are whole microseconds. Absolute times are readings of the caller's monotonic clock; all other times are
+durations. Identifiers of servers, requests, classes and zones are only compared, never interpreted.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class ServerStatus(Enum):
-    """The state of an endpoint in service discovery."""
+    """The status of a server in service discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,25 +22,27 @@
 
 
 class ListKind(Enum):
-    """How an EndpointList event is to be read."""
+    """What the server entries of an EndpointList event represent."""
 
-    DELTA = "delta"  # changed servers only
-    FULL = "full"  # every server; one that is missing is gone
-    DISK = "disk"  # every server as last stored by this gateway, possibly stale
-    ERROR = "error"  # a fetch failed or the watch was lost; the old list stands
+    DELTA = "delta"  # only the servers that changed
+    FULL = "full"  # all servers; a server that is not listed is gone
+    DISK = "disk"  # all servers as last stored by this gateway; may be stale
+    ERROR = "error"  # a fetch failed or the watch was lost; the previous list stays in use
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # an error response; may have run
-    REJECTED = "full"  # by the server; never ran, unless `Settings.rejection_may_have_run`
-    TIMEOUT = "timeout"  # may have run
-    CONNECT_FAILED = "connect_failed"  # never ran
-    RESET = "reset"  # connection lost with the attempt in flight; may have run
-    CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "moot"  # never sent
+    ERROR = "error"  # error response; the request may have run
+    REJECTED = (
+        "full"  # the server refused it; it did not run, unless `Settings.rejection_may_have_run` is set
+    )
+    TIMEOUT = "timeout"  # the request may have run
+    CONNECT_FAILED = "connect_failed"  # no connection; the request did not run
+    RESET = "reset"  # the connection was lost while the attempt was in flight; the request may have run
+    CANCELLED = "cancelled"  # the request may have run
+    NOT_SENT = "moot"  # the attempt was not sent
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
@@ -49,27 +50,27 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
-    """One server, as service discovery lists it."""
+    """A server as listed by service discovery."""
 
     server: int
     status: ServerStatus = ServerStatus.READY
-    weight: float = 1.0  # a factor in weighted selection
+    weight: float = 1.0  # factor of the selection weight
     zone: int = 0
     group: int = 0
     kind: int = 0
-    started_us: int = 0  # when this incarnation started, by the caller's clock; 0: long ago
+    started_us: int = 0  # when this incarnation started, on the clock of `EndpointList.wall_us`; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """Service discovery has sent a list or a change of it, or could not be reached.
+    """Service discovery has sent a list or changes to it, or could not be reached.
 
-    Sent by the discovery client; also once at the start, with the list as it was stored.
+    Sent by the discovery client, and once at startup with the stored list.
     """
 
     kind: ListKind
     servers: tuple[ListedServer, ...] = ()
-    wall_us: int = 0  # the present time on the clock of `ListedServer.started_us`; 0: as the event's time
+    wall_us: int = 0  # current time on the clock of `ListedServer.started_us`; 0: the time of the event
     staleness_us: int | None = None  # time since the list was last known to be current; None: unknown
 
 
@@ -77,61 +78,65 @@
 class RequestArrived:
     """A client has sent a request. Sent by the listener of its protocol.
 
-    Unless the client cancels it, it ends with one final action, Reject or Fail, or with an AttemptEnded
-    that is OK or `finished`.
+    Unless the client cancels it, the request ends either with one final action, Reject or Fail, or with an
+    AttemptEnded event that has outcome OK or `finished` set.
     """
 
     request: str
-    class_index: int  # its place in the settings
-    client_timeout_us: int  # until the client abandons this attempt of its own
-    key: int | None = None  # affinity key; for classes in order, the key of that order
-    work_us: int | None = None  # expected work on a standard core
-    is_retry: bool = False  # the client marks it as a retry
-    tenant: int = 0  # its place in the settings
-    uploading: bool = False  # its body is still being received, for one server only: see AttemptSent
-    client: int = 0  # within the tenant; 0: not known; below 0: an address that several clients may share
-    mirror_target: int = -1  # a mirrored request: 1 for gRPC servers only, 0 for all others; -1: not mirrored
-    waited_us: int = 0  # how much of its timeout was over already, as it waited behind others
+    class_index: int  # index in `Settings.classes`
+    client_timeout_us: int  # timeout of this client attempt, which may be a retry of an earlier one
+    key: int | None = None  # affinity key; for in-order classes, the key whose requests run in order
+    work_us: int | None = None  # expected work in microseconds of a standard core
+    is_retry: bool = False  # the client marked the request as a retry
+    tenant: int = 0  # index in `Settings.tenants`
+    uploading: bool = (
+        False  # the body is still being received, so it can go to one server only: see AttemptSent
+    )
+    client: int = (
+        0  # client number within the tenant; 0: unknown; negative: an address that clients may share
+    )
+    mirror_target: int = -1  # -1: not mirrored; mirrored to: 1: gRPC servers only, 0: other servers only
+    waited_us: int = 0  # part of the timeout that has passed, waiting behind other requests
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a server reports of its load, late and noisy; None where it does not report it.
+    """Load figures reported by a server; delayed and noisy. None: not reported.
 
     The field names are keys of the report on the wire.
     """
 
     inflight: float | None = None  # requests in flight
     queue: float | None = None  # requests queued
-    util: float | None = None  # utilization of its cores
+    util: float | None = None  # CPU utilization
     latency_ms: float | None = None
-    qps: float | None = None  # requests a second
-    eps: float | None = None  # errors a second
+    qps: float | None = None  # requests per second
+    eps: float | None = None  # errors per second
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt has ended, in whatever way. Sent by the upstream, exactly once for each SendAttempt."""
+    """An attempt has ended with any outcome. Sent by the upstream exactly once for each SendAttempt."""
 
     request: str
-    attempt: int  # its number within the request, from 0
+    attempt: int  # number within the request, from 0
     server: int
     outcome: Outcome
-    latency_us: int  # since SendAttempt
-    finished: bool = False  # the request has had its final response
+    latency_us: int  # time since SendAttempt
+    finished: bool = False  # the client has received the final response
     load: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RequestCancelled:
-    """The client has cancelled its request or disconnected: no response is due. Sent by the listener."""
+    """The client cancelled its request or disconnected, so no response is needed. Sent by the listener."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A streamed response has begun: from now on no deadline applies to the attempt. Sent by the upstream."""
+    """A streamed response has begun; the attempt has no deadline from now on. Sent by the upstream."""
 
     request: str
     attempt: int
@@ -139,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptSent:
-    """A request that was `uploading` has been sent completely: its latency counts from now on."""
+    """The body of an `uploading` request has been sent completely; its latency is measured from now on."""
 
     request: str
     attempt: int
@@ -147,14 +152,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The timer of a SetTimer is due."""
+    """A timer set by a SetTimer action has fired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """The result of a Probe, sent by the upstream."""
+    """The result of a Probe action. Sent by the upstream."""
 
     server: int
     outcome: Outcome
@@ -164,29 +169,29 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message that another gateway sent by SendToPeers."""
+    """A message from another gateway's SendToPeers action."""
 
-    sender: int  # its number among the gateways
+    sender: int  # index of the sending gateway
     payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessCountChanged:
-    """How many processes are this gateway now: two during a hot restart. They share its quotas."""
+    """The number of processes of this gateway, which share its quotas, has changed. Hot restart has two."""
 
     processes: int
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """Graceful shutdown has started: requests, also those yet to come, are answered by its end."""
+    """Graceful shutdown has started: every request, including later ones, must be answered by its end."""
 
-    at_us: int  # when the shutdown ends, by the caller's clock
+    at_us: int  # when the shutdown ends, on the caller's clock
 
 
 @dataclass(slots=True, frozen=True)
 class ObservationsReceived:
-    """Health observations of other gateways, or of this one before it was restarted."""
+    """Health observations from other gateways, or from this gateway before its restart."""
 
     observations: tuple[Observation, ...]
     latencies: tuple[ClassLatency, ...] = ()
@@ -194,16 +199,17 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSizeChanged:
-    """How many gateways, this one included, are not known to be dead. Sent by the membership protocol."""
+    """The number of gateways not known to be dead, including this one. Sent by the membership protocol."""
 
     alive: int
 
 
 @dataclass(slots=True, frozen=True)
 class TrafficShift:
-    """Classes and tenants with a share of gRPC traffic of their own; a tenant's overrides a class's.
+    """The classes and tenants whose share of gRPC traffic differs from the default.
 
-    By number: factors on the weights of servers of the old protocol and of gRPC servers, for their requests.
+    Each index maps to two factors that apply to the selection weights of its requests: one for servers of the
+    old protocol, one for gRPC servers. The factors of a tenant take precedence over those of a class.
     """
 
     classes: Mapping[int, tuple[float, float]]
@@ -212,14 +218,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSharesChanged:
-    """The operator has changed the tenants' shares; in the order of the settings."""
+    """The operator has changed the shares of the tenants."""
 
-    shares: tuple[float, ...]
+    shares: tuple[float, ...]  # in the order of `Settings.tenants`
 
 
 @dataclass(slots=True, frozen=True)
 class PeerDemands:
-    """Demand at another gateway by tenant, in microseconds of work a second. Sent by demand gossip."""
+    """Demand by tenant at another gateway, in microseconds of work per second. Sent by demand gossip."""
 
     gateway_index: int
     demands: tuple[float, ...]
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -1,13 +1,15 @@
-"""Fair queues: which request is served next when demand exceeds capacity.
-
-Start-time fair queueing (Goyal, Vin, Cheng: Start-time Fair Queuing, 1996) by tenant, weighted by share, and
-within a tenant by client, all counted in work and not in requests. Clients are many and come and go, so they
-are hashed to a bounded number of flows, and the hash changes whenever a tenant's queue is empty (McKenney:
-Stochastic Fairness Queueing, 1990): two clients that collide do not do so for long. Within a flow the highest
-priority weight goes first, and of equal weights the earliest due.
-
-Work is in microseconds of an idle server, shares are plain weights. Each operation costs the logarithm of the
-number of backlogged flows, whatever the number of clients. There is no clock and no randomness in here.
+"""Fair queues: decide which request is served next when demand exceeds capacity.
+
+The algorithm is start-time fair queueing (Goyal, Vin, Cheng: Start-time Fair Queuing, 1996): between tenants
+weighted by their shares, and between the clients of a tenant with equal weights. It counts work, not
+requests. Because there are many short-lived clients, they are hashed to a bounded number of flows. The hash
+changes when a tenant's queue is empty, so that two clients do not collide for long (McKenney: Stochastic
+Fairness Queueing, 1990). Within a flow, requests are ordered by priority weight, highest first, and then by
+due time.
+
+Work is in microseconds of an idle server; shares are relative weights. Each operation takes time logarithmic
+in the number of backlogged flows, regardless of the number of clients. The module uses no clock and no random
+numbers.
 """
 
 from __future__ import annotations
@@ -18,37 +20,33 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item", bound=Hashable)
-HASH_MULTIPLIER, HASH_MASK = (
-    0x9E3779B97F4A7C15,
-    2**64 - 1,
-)  # golden ratio in 64 bits: spreads close numbers apart
-MIN_SHARE = 1e-9  # a share of 0 would never be served
-COMPACTION_SIZE, COMPACTION_RATIO = (
-    16,
-    4,
-)  # a flow's heap is rebuilt beyond this size, at this ratio to its entries
+# Multiplicative hashing by the golden ratio in 64 bits, which spreads close numbers apart
+HASH_MULTIPLIER, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1
+MIN_SHARE = 1e-9  # replaces smaller shares: a share of 0 would never be served
+# A flow's heap is rebuilt if it has more rows than this size and than this ratio times its queued entries.
+COMPACTION_SIZE, COMPACTION_RATIO = 16, 4
 
 
 @dataclass(slots=True, eq=False)
 class Entry(Generic[Item]):
-    """One queued item."""
+    """A queued item."""
 
     item: Item
     tenant: int
     flow: int
     work_us: float
-    removed: bool = False  # still in its flow's heap, to be skipped
+    removed: bool = False  # removed, but still in its flow's heap until it is skipped
 
 
 @dataclass(slots=True, eq=False)
 class Flow(Generic[Item]):
-    """The queue of the clients that hash to one number."""
+    """The queue of all clients of a tenant that hash to the same flow number."""
 
     heap: list[tuple[float, int, int, Entry[Item]]] = field(default_factory=list)
-    start_tag: float = 0.0  # virtual time at which its next work begins
+    start_tag: float = 0.0  # virtual start time of its next item
     work_us: float = 0.0
     count: int = 0
-    in_heap: bool = False  # whether it is in its tenant's heap
+    in_heap: bool = False  # whether the flow is in its tenant's heap
 
 
 @dataclass(slots=True, eq=False)
@@ -57,28 +55,30 @@
 
     share: float
     flows: dict[int, Flow[Item]] = field(default_factory=dict)
-    heap: list[tuple[float, int, int]] = field(default_factory=list)  # start tag, order, flow
-    virtual_time: float = 0.0  # within the tenant
+    heap: list[tuple[float, int, int]] = field(
+        default_factory=list
+    )  # start tag, insertion order, flow number
+    virtual_time: float = 0.0  # virtual time within the tenant
     start_tag: float = 0.0
     work_us: float = 0.0
     count: int = 0
-    in_heap: bool = False  # whether it is in the heap of all tenants
-    backlogged: int = 0  # flows that are not empty
-    salt: int = 1  # of the hash of clients to flows
+    in_heap: bool = False  # whether the tenant is in the heap of tenants
+    backlogged: int = 0  # number of flows that are not empty
+    salt: int = 1  # salt of the hash that maps clients to flows
 
 
 class FairQueues(Generic[Item]):
-    """Everything that is queued at one gateway, of all tenants."""
+    """The queued items of all tenants at one gateway."""
 
     def __init__(self, shares: Sequence[float], flows: int = 256) -> None:
         self.max_flows = flows
         self.tenants: list[TenantQueue[Item]] = [TenantQueue(max(share, MIN_SHARE)) for share in shares]
-        self.heap: list[tuple[float, int, int]] = []  # start tag, order, tenant
-        self.virtual_time = 0.0  # work over share
-        self.max_catch_up = 0.0  # virtual time that a tenant which had less service may catch up
+        self.heap: list[tuple[float, int, int]] = []  # start tag, insertion order, tenant
+        self.virtual_time = 0.0  # in units of work divided by share
+        self.max_catch_up = 0.0  # maximum virtual time by which an idle tenant's start tag may lag behind
         self.order = 0
         self.flow_count = 0
-        self.backlogged_share = 0.0  # of the tenants that are not empty
+        self.backlogged_share = 0.0  # sum of the shares of tenants with queued items
         self.entries: dict[Item, Entry[Item]] = {}
         self.work_us = 0.0
 
@@ -89,28 +89,28 @@
         return item in self.entries
 
     def count_of(self, tenant: int) -> int:
-        """How many items of a tenant are queued."""
+        """Return the number of queued items of a tenant."""
         return self.tenants[tenant].count
 
     def work_us_of(self, tenant: int) -> float:
-        """Work of the queued items of a tenant."""
+        """Return the work of the queued items of a tenant, in microseconds."""
         return self.tenants[tenant].work_us
 
     def set_shares(self, shares: Sequence[float]) -> None:
-        """Apply new shares to what is served from now on; past service stays charged as it was."""
+        """Apply new shares to items served from now on; charges for past service do not change."""
         for queue, share in zip(self.tenants, shares, strict=True):
             queue.share = max(share, MIN_SHARE)
         self.backlogged_share = sum(queue.share for queue in self.tenants if queue.count)
 
     def flow_index(self, tenant: int, client: int) -> int:
-        """The number of the flow that a client is hashed to."""
+        """Return the number of the flow that a client is hashed to."""
         mixed = (client ^ self.tenants[tenant].salt * HASH_MULTIPLIER) * HASH_MULTIPLIER & HASH_MASK
         return (mixed >> 32) % self.max_flows
 
     def enqueue(
         self, item: Item, tenant: int, client: int, work_us: float, priority_weight: float, due_us: int
     ) -> None:
-        """Queue an item. Of one flow the highest priority weight is served first, then the earliest due."""
+        """Queue an item; its flow is ordered by priority weight, highest first, then by due time."""
         queue = self.tenants[tenant]
         number = self.flow_index(tenant, client)
         flow = queue.flows.get(number)
@@ -138,7 +138,7 @@
             heapq.heappush(self.heap, (queue.start_tag, self.order, tenant))
 
     def remove(self, item: Item) -> Entry[Item] | None:
-        """Take out an item that shall not be served; returns its entry, None if it is not queued."""
+        """Remove an item that will not be served; return its entry, or None if it is not queued."""
         entry = self.entries.pop(item, None)
         if entry is not None:
             self._unlink(entry)
@@ -154,12 +154,12 @@
         queue.backlogged -= not flow.count
         self.backlogged_share -= 0.0 if queue.count else queue.share
         if len(flow.heap) > COMPACTION_SIZE and len(flow.heap) > COMPACTION_RATIO * flow.count:
-            # For the memory bound: a removed entry would otherwise stay until its turn had come.
+            # Bounds memory: removed entries would otherwise stay until they reach the top of the heap.
             flow.heap = [row for row in flow.heap if not row[3].removed]
             heapq.heapify(flow.heap)
 
     def peek(self) -> Item | None:
-        """The item whose turn it is, or None; it stays queued until `dequeue` or `remove`."""
+        """Return the next item without removing it, or None if nothing is queued."""
         while self.heap:
             _, _, tenant = self.heap[0]
             queue = self.tenants[tenant]
@@ -186,10 +186,10 @@
         return None
 
     def _reset(self, queue: TenantQueue[Item]) -> None:
-        """Drop the flows of an empty tenant that are not ahead, and change the hash if that was all of them.
+        """Drop the flows of an empty tenant that are not ahead, and change the hash salt if none is left.
 
-        A flow that is not ahead of the tenant's virtual time owes no service. While any is ahead the hash
-        stays, as another hash would pass its debt to other clients.
+        A flow whose start tag is ahead of the tenant's virtual time has had more than its share of service.
+        While there is such a flow the salt stays, because a new hash would charge other clients for it.
         """
         before = len(queue.flows)
         queue.flows = {n: flow for n, flow in queue.flows.items() if flow.start_tag > queue.virtual_time}
@@ -198,7 +198,7 @@
             queue.salt = (queue.salt * HASH_MULTIPLIER + 1) & HASH_MASK
 
     def dequeue(self, item: Item) -> Entry[Item]:
-        """Take out the item that `peek` gave, and charge its work to its tenant and its flow."""
+        """Remove the item that `peek` returned, and charge its work to its tenant and flow."""
         entry = self.entries.pop(item)
         queue = self.tenants[entry.tenant]
         flow = queue.flows[entry.flow]
@@ -216,23 +216,24 @@
         return entry
 
     def charge(self, tenant: int, client: int, work_us: float) -> None:
-        """Charge a client for work that was not queued, such as a retry that came too early."""
+        """Charge a client for work that was not queued, such as a retry before its Retry-After."""
         queue = self.tenants[tenant]
         flow = queue.flows.get(self.flow_index(tenant, client))
         if flow is not None:
             flow.start_tag = max(flow.start_tag, queue.virtual_time) + work_us
 
     def service_fraction(self, tenant: int) -> float:
-        """Fraction of the service that a tenant gets now: its share among the backlogged, itself included."""
+        """Return the fraction of the service for a tenant: its share among it and the backlogged tenants."""
         queue = self.tenants[tenant]
         others = self.backlogged_share - (queue.share if queue.count else 0.0)
         return queue.share / (queue.share + max(0.0, others))
 
     def work_ahead_us(self, tenant: int, client: int) -> float:
-        """Work that is served before a new item of a client, if the tenant's flows take equal turns.
+        """Estimate the work that is served before a new item of a client, in microseconds.
 
-        That of its own flow, as much of each other flow of its tenant, and the other tenants' fractions
-        meanwhile: until virtual time reaches the new item's start.
+        Assumes that the tenant's flows get equal service: ahead of the item are its own flow's work, as much
+        of each other flow of the tenant, and the service that other tenants get until virtual time reaches
+        the item's start tag.
         """
         queue = self.tenants[tenant]
         flow = queue.flows.get(self.flow_index(tenant, client))
@@ -255,11 +256,11 @@
 def max_min_fair_shares(demands: Sequence[float], shares: Sequence[float], capacity: float) -> list[float]:
     """Weighted max-min fair allocation of a capacity (Bertsekas, Gallager: Data Networks, 6.5.2).
 
-    A demand below its share is met in full; the rest of that share goes to the others, by their shares. Costs
-    n log n for n demands.
+    Demands below their share are met in full; what they leave is divided among the others by their shares.
+    Takes O(n log n) time for n demands.
 
     Returns:
-        What each demand is granted, in their order.
+        The capacity granted to each demand, in the order of `demands`.
     """
     grants = [0.0] * len(demands)
     remaining = capacity
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -1,4 +1,4 @@
-"""This gateway's attempts in flight, and its share of the concurrency of all servers."""
+"""Counts this gateway's attempts in flight, and limits them to its share of the servers' concurrency."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 from sagetrack.policy.state import Attempt
 from sagetrack.policy.timers import TimerPurpose
 
-PLANNED_CONCURRENCY = 0.85  # of the servers' limits, in the mean: gateways don't see each other's attempts
+PLANNED_CONCURRENCY = (
+    0.85  # mean fraction of the servers' limits to use; below 1, as gateways don't see each other's attempts
+)
 
 NO_TIMER = -1
 
 
 class InFlightAttempts:
-    """Counts attempts in flight; where concurrency is scarce, says when one more may be sent."""
+    """Counts attempts in flight; if concurrency is scarce, decides whether one more may be sent."""
 
     def __init__(self, shared: PolicyContext) -> None:
         self._context = shared.event
@@ -22,27 +24,28 @@
         self._share = ConcurrencyShare()
         self._planned_per_server = PLANNED_CONCURRENCY * shared.fleet.max_concurrency
         self.count = 0
-        self.timer_token = NO_TIMER  # the timer that ends a wait for this gateway's share
+        self.timer_token = NO_TIMER  # timer for the time when quota becomes available
 
     def advance_time(self, now_us: int) -> None:
-        """Account for what was in flight until now. To be called before anything else of an event."""
+        """Account for the attempts in flight until now. Must be called before an event is handled."""
         if self._fleet.is_concurrency_scarce():
             self._share.pass_time(now_us, self.count)
 
     def add(self, attempt: Attempt) -> None:
-        """Count an attempt as in flight at its server from now on."""
+        """Record an attempt as in flight at its server from now on."""
         attempt.server.in_flight[attempt] = self._context.now_us
         self.count += 1
 
     def remove(self, attempt: Attempt) -> None:
-        """Count an attempt as in flight no longer."""
+        """Remove an attempt from those in flight, if it is one of them."""
         if attempt.server.in_flight.pop(attempt, None) is not None:
             self.count -= 1
 
     def has_quota(self, now_us: int, usable_servers: int) -> bool:
-        """Return whether one more may be sent now; where it may be at a known time later, set a timer.
+        """Return whether one more attempt may be sent; if not, set a timer if it may be sent at a known time.
 
-        Hundreds of gateways with one attempt in flight at each server would overload the servers.
+        The quota is needed in large fleets: hundreds of gateways with just one attempt in flight at each
+        server would overload the servers.
         """
         fleet = self._fleet
         if not fleet.is_concurrency_scarce():
@@ -56,9 +59,13 @@
         return False
 
     def timer_fired(self) -> None:
-        """Forget the timer that ended a wait for this gateway's share."""
+        """Clear the token of the quota timer after it has fired."""
         self.timer_token = NO_TIMER
 
     def learn(self, queued: float) -> None:
-        """Learn from a response that queued for so many times its baseline latency; inf if it was lost."""
+        """Adapt the concurrency share to the queueing delay of an attempt.
+
+        Args:
+            queued: The delay as a multiple of the baseline latency; infinity if there was no response.
+        """
         self._share.learn(queued)
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -1,8 +1,8 @@
-"""The load balancer of one gateway: hands events to the components that decide.
+"""The load balancer of one gateway: dispatches events to the components that make the decisions.
 
-The usual path of a request: it arrives, a weighted random draw selects among the servers whose circuit
-breaker lets it through, and its outcome moves the server's breaker and weight. docs/design.md says which
-rules there are and when exactly they act.
+In the usual case a request arrives, weighted random selection picks a server whose circuit breaker allows the
+request, and the outcome of the attempt updates the server's breaker and weight. docs/design.md describes the
+rules and when each of them applies.
 """
 
 from __future__ import annotations
@@ -62,10 +62,20 @@
 
 
 class LoadBalancer:
-    """Decides for one gateway. Feed it events in order; carry out the actions that each returns."""
+    """Makes the load-balancing decisions of one gateway.
+
+    The caller passes events to `handle` in the order in which they occur, and carries out the actions that
+    each call returns.
+    """
 
     def __init__(self, settings: Settings, seed: int, fleet: FleetSize | None = None) -> None:
-        """Make all components; `fleet` replaces what follows from the settings."""
+        """Create all components.
+
+        Args:
+            settings: The settings of the load balancer.
+            seed: Seed of the random number generator.
+            fleet: The size of the fleet; None to derive it from the settings.
+        """
         self.settings = settings
         self.context = EventContext(seed)
         self.fleet = fleet or FleetSize(settings)
@@ -84,9 +94,9 @@
         self._handlers = self._event_handlers()
 
     def _make_servers(self) -> None:
-        """Make what knows the servers, selects among them and sends to them."""
+        """Create the components that track servers, select servers and send attempts."""
         shared, settings = self.shared, self.settings
-        # The ring holds the servers that are ready.
+        # Holds the servers whose status is READY.
         self.ring = Ring[Server](settings.gateway_index, settings.gateway_count)
         self.subset_size = SubsetSize()
         self.slow_start = SlowStart(settings, self.fleet, self.latency, self.subset_size, self.ring)
@@ -100,7 +110,7 @@
         )
 
     def _make_requests(self) -> None:
-        """Make what keeps requests, and decides on their retries."""
+        """Create the components that track requests and decide on retries."""
         shared, settings = self.shared, self.settings
         self.capacity_wait = CapacityWait(shared, self.priorities, self.selector, self.sender)
         self.ordered_keys = OrderedKeys()
@@ -121,7 +131,7 @@
         )
 
     def _make_entry_points(self) -> None:
-        """Make what takes arrivals and the outcomes of attempts."""
+        """Create the components that handle arriving requests and the outcomes of attempts."""
         gate = self._admission_gate()
         self.arrivals = Arrivals(
             self.shared,
@@ -160,7 +170,7 @@
         )
 
     def _event_handlers(self) -> Mapping[type, Callable[[Any], None]]:
-        """What takes each kind of event; all others are ignored."""
+        """Return the handler of each event type; events of other types are ignored."""
         handlers: dict[type, Callable[[Any], None]] = {
             AttemptEnded: self._on_attempt_ended,
             RequestArrived: self.arrivals.handle_arrival,
@@ -181,7 +191,7 @@
         return handlers
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; returns what to do, in order."""
+        """Handle one event and return the resulting actions in the order to carry them out."""
         context = self.context
         context.begin(now_us)
         self.in_flight.advance_time(context.now_us)
@@ -190,15 +200,15 @@
             handler(event)
         return context.actions
 
-    # Queries, which change nothing
+    # Read-only queries
 
     @property
     def servers(self) -> Mapping[int, Server]:
-        """The listed servers by number."""
+        """The servers of the endpoint list, by server number."""
         return self.endpoints.servers
 
     def unhealthy_count(self) -> int:
-        """How many listed servers get nothing, as their breaker is open."""
+        """Return the number of listed servers whose circuit breaker is open."""
         return self.endpoints.open_count()
 
     def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
@@ -242,11 +252,11 @@
             if request.in_flight == 0:
                 self.requests.release(request)
         elif request.in_flight == 0:
-            self.requests.reject_or_fail(request, RejectReason.QUEUE)  # its turn has not come
+            self.requests.reject_or_fail(request, RejectReason.QUEUE)  # still queued behind its key
         else:
             self.outcomes.handle_stall(request)
 
-    # The endpoint list and tenants
+    # Endpoint list and tenants
 
     def _on_endpoint_list(self, event: EndpointList) -> None:
         if self.endpoints.update(event):
@@ -265,7 +275,10 @@
 
 
 def _admission(settings: Settings) -> AdmissionController[Request] | None:
-    """Admission control, where it is on; without tenants there is one with all of the service."""
+    """Return the admission controller, or None if admission control is off.
+
+    Without configured tenants, all requests belong to one tenant that has the whole capacity.
+    """
     if settings.admission is None:
         return None
     shares = [tenant.share for tenant in settings.tenants] or [1.0]
--- a/sagetrack/policy/load_shedding.py
+++ b/sagetrack/policy/load_shedding.py
@@ -1,7 +1,7 @@
-"""Load shedding: which requests to reject before they cost a server anything.
+"""Load shedding: decides which requests to reject before they use capacity of a server.
 
-Two fractions of the requested work are shed: of the low-priority classes, and of all others. Both are moved
-by feedback: up with each response that queued for too long, down with a prompt one.
+There are two fractions of the requested work to shed, one for low-priority classes and one for all others.
+Both follow feedback: each response that queued for too long raises them, each prompt response lowers them.
 """
 
 from __future__ import annotations
@@ -15,25 +15,27 @@
 from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request
 
-MAX_QUEUED_SHARE = 0.5  # of the slack under the latency objective: an answer that queued longer is late
-LOW_PRIORITY = (
-    0.5  # of the mean gain for work: classes below are shed for queueing, the rest only for lateness
+MAX_QUEUED_SHARE = 0.5  # of the slack until the latency objective: a response that queued longer is late
+# Fraction of the mean gain per unit of work below which a class has low priority. Late responses shed
+# low-priority classes; only overload sheds the others.
+LOW_PRIORITY = 0.5
+MIN_OVERLOAD_SHARE = (
+    0.05  # of the slack until the objective: a shorter queueing delay does not indicate overload
 )
-MIN_OVERLOAD_SHARE = 0.05  # of the slack under the objective: queueing for less is never an overload
-OVERLOAD_FACTOR = 4.0  # times the baseline latency: answers of overloaded servers, whatever the objective
-SHED_STEP = 0.1  # of the requested work: more or less is shed by this after one answer at the usual pace
-MIN_SHED_STEP, SHED_STEP_PER_S = 0.02, 4.0  # with many answers: at the least, and by the time since the last
-SPARSE_SHED_STEP_PER_S = 0.4  # the same with few answers, where it makes the step larger than SHED_STEP
-MAX_OUTCOME_GAP_US = 500_000  # one answer speaks for no longer: a single late one on a quiet day is chance
-MAX_SHED = 0.95  # the outcomes of the rest show when to shed less
-MIN_USEFUL_SHARE = 0.5  # of the baseline latency: a request with less time left is not sent
-LOAD_OUTCOMES = frozenset(
-    {Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED}
-)  # outcomes that show whether requests queue
+OVERLOAD_FACTOR = 4.0  # latency in multiples of the baseline that indicates overload, whatever the objective
+SHED_STEP = 0.1  # change of the shed fraction after one response, at the usual rate of responses
+# At a high rate of responses: the minimum step, and the step per second since the previous response
+MIN_SHED_STEP, SHED_STEP_PER_S = 0.02, 4.0
+SPARSE_SHED_STEP_PER_S = 0.4  # the same at a low rate, if that makes the step larger than SHED_STEP
+MAX_OUTCOME_GAP_US = 500_000  # longer gaps count as this: a single late response at low load is chance
+MAX_SHED = 0.95  # the remaining requests are needed to detect when to shed less
+MIN_USEFUL_SHARE = 0.5  # of the baseline latency: a request with less time left is rejected
+# Outcomes that show whether requests queue at the servers
+LOAD_OUTCOMES = frozenset({Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED})
 
 
 class LoadShedder:
-    """Owns the fractions that are shed, and decides which requests are."""
+    """Maintains the shed fractions and decides which requests are shed."""
 
     def __init__(
         self,
@@ -54,11 +56,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether anything is shed at all."""
+        """True if either shed fraction is above 0."""
         return self.shed_fraction > 0.0 or self.shed_fraction_high_priority > 0.0
 
     def is_too_late(self, now_us: int, request: Request) -> bool:
-        """Whether an answer would come too late to be of any use."""
+        """Return whether a response would come too late to be of use."""
         if now_us >= request.deadline_us:
             return True
         request_class = self._classes[request.class_index]
@@ -69,7 +71,7 @@
         return varying_timeouts and request.deadline_us - now_us < useful_us
 
     def should_reject(self, context: EventContext, request: Request) -> bool:
-        """Whether to reject a request: a hopeless one, or one of those that gain least while load is shed."""
+        """Return whether to reject a request, because it is too late or because it is shed."""
         if self.is_too_late(context.now_us, request):
             return True
         if self.shed_fraction <= 0.0 and self.shed_fraction_high_priority <= 0.0:
@@ -81,7 +83,11 @@
         return self._is_shed(context, request)
 
     def _is_shed(self, context: EventContext, request: Request) -> bool:
-        """Draw a point in the request's class's part of all work, in order of gain; the lowest are shed."""
+        """Decide at random whether a request is shed, so that the work of the lowest gain is shed first.
+
+        All work is ordered by the gain of its class and scaled to the range 0 to 1. The request gets a random
+        position within the part of its class, and is shed if the position is below the shed fraction.
+        """
         gains = self._priorities.gains()
         gain = gains[request.class_index]
         work = self._priorities.work()
@@ -91,14 +97,17 @@
         mean = sum(w * g for w, g in zip(work, gains, strict=True)) / total
         high = gain >= LOW_PRIORITY * mean
         shed = self.shed_fraction_high_priority if high else self.shed_fraction
-        if self._admission is not None:  # a client within its fair share is not shed
+        if self._admission is not None:  # rejects only clients that exceed their fair share
             shed = self._admission.rejection_fraction(
                 context.now_us, request.admission_tenant, request.client, shed, high
             )
         return point < shed
 
     def adjust(self, now_us: int, request: Request, outcome: Outcome, latency_us: int) -> None:
-        """Shed more after an outcome of `TELL_LOAD` that queued for too long, less after a prompt one."""
+        """Raise the shed fractions after an outcome that queued too long; lower them after a prompt one.
+
+        The outcome must be one of `LOAD_OUTCOMES`.
+        """
         request_class = self._classes[request.class_index]
         baseline_us = self._latency.baseline_us[request.class_index]
         slack_us = request_class.latency_objective_us - baseline_us
@@ -113,16 +122,16 @@
         overloaded = failed or queued_us > overload_threshold_us
         stall_us = STALL_FACTOR * self._latency.expected_us(request.class_index, request.relative_work)
         if outcome is Outcome.TIMEOUT and request_class.late_priority_weight <= 0.0 and latency_us < stall_us:
-            change = step / 4  # cut short at the objective: as likely a lost connection as an overload
+            change = step / 4  # ended at the objective: may be a lost connection instead of overload
         else:
             change = step if overloaded else -step
         self.shed_fraction_high_priority = _adjusted(self.shed_fraction_high_priority, change)
 
     def _step(self, now_us: int) -> float:
-        """How much to change by, from the time since the last answer.
+        """Return the step of the shed fractions, from the time since the previous outcome.
 
-        With few answers an overload must be noticed as soon as with many; with many, a handful that waits
-        for new connections must not shed nearly everything.
+        With few responses, an overload must be detected as fast as with many. With many responses, a few that
+        wait for new connections must not cause nearly all requests to be shed.
         """
         gap_s = min(now_us - self.adjusted_at_us, MAX_OUTCOME_GAP_US) / 1e6
         self.adjusted_at_us = now_us
@@ -130,5 +139,5 @@
 
 
 def _adjusted(fraction: float, change: float) -> float:
-    """A fraction after a change, within 0 and `MAX_SHED`."""
+    """Return a fraction after a change, limited to the range from 0 to `MAX_SHED`."""
     return min(MAX_SHED, max(0.0, fraction + change))
--- a/sagetrack/policy/migration.py
+++ b/sagetrack/policy/migration.py
@@ -1,8 +1,8 @@
-"""Migration of a share of the traffic from one protocol's servers to another's, with automatic fallback.
+"""Migrates a share of the traffic to the servers of another protocol, with automatic fallback.
 
-The operator sets a target share; the servers' listed weights are multiplied so that weighted selection gives
-the new protocol's servers that share. Where these fail more often than the old ones, beyond chance, all
-traffic falls back to the old protocol, and ramps up again in steps after a while.
+The operator sets a target share, and the listed weights of servers are multiplied by factors so that the
+servers of the new protocol get that share. If these fail significantly more often than the old ones, all
+traffic falls back to the old protocol; later the share ramps up again in steps.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_EXCESS_FAILURE_RATE = 0.05  # above the old servers' failure rate; more causes a fallback
-SIGNIFICANCE = 2.6  # standard errors of the difference: chance alone exceeds it in one check of two hundred
-MIN_OUTCOMES = 30  # of the new servers before they are judged
-DECAY_TIME_US = 10_000_000  # outcomes count by 1/e after this
-FALLBACK_US = 15_000_000  # the first fallback lasts so long, each further one twice as long as the last
+MAX_EXCESS_FAILURE_RATE = 0.05  # a larger excess over the old servers' failure rate may cause a fallback
+SIGNIFICANCE = 2.6  # in standard errors of the difference; chance exceeds it in one of 200 checks
+MIN_OUTCOMES = 30  # outcomes of new servers needed before a fallback
+DECAY_TIME_US = 10_000_000  # the weight of an outcome falls to 1/e in this time
+FALLBACK_US = 15_000_000  # duration of the first fallback; it doubles with each further one
 MAX_FALLBACK_US = 300_000_000
-RAMP_STEPS = (0.1, 0.3, 0.6, 1.0)  # of the target share, after a fallback
-RAMP_STEP_US = 5_000_000
-NEGLIGIBLE_WEIGHT = 1e-6  # factor for servers that are selected only when there are no others
+RAMP_STEPS = (0.1, 0.3, 0.6, 1.0)  # fractions of the target share after a fallback
+RAMP_STEP_US = 5_000_000  # duration of each step
+NEGLIGIBLE_WEIGHT = 1e-6  # factor for servers to be selected only if there are no others
 
 
 class WeightFactors(NamedTuple):
-    """What the listed weights of the old and of the new servers are multiplied by."""
+    """Factors on the listed weights of old and new servers."""
 
     old: float
     new: float
 
 
 class OverrideFactors(NamedTuple):
-    """By number: factors, old and new, of classes and tenants whose share differs from the target share."""
+    """Factors (old, new) by index, for classes and tenants whose share differs from the target share."""
 
     classes: dict[int, tuple[float, float]]
     tenants: dict[int, tuple[float, float]]
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class DecayedOutcomes:
-    """Outcomes of one protocol's servers, decaying with time."""
+    """Exponentially decaying counts of the outcomes of one protocol's servers."""
 
     successes: float = 0.0
     failures: float = 0.0
     at_us: int = 0
 
     def add(self, failed: bool, now_us: int) -> None:
-        """Count an outcome."""
+        """Count an outcome after decaying the earlier ones."""
         decay = math.exp((self.at_us - now_us) / DECAY_TIME_US)
         self.successes, self.failures, self.at_us = self.successes * decay, self.failures * decay, now_us
         if failed:
@@ -55,17 +55,17 @@
 
     @property
     def count(self) -> float:
-        """How many outcomes, as they have decayed by the last one."""
+        """Decayed number of outcomes at the time of the latest one."""
         return self.successes + self.failures
 
     @property
     def failure_rate(self) -> float:
-        """Fraction of the outcomes that are failures; 0 without any."""
+        """Fraction of failures among the outcomes; 0 without outcomes."""
         return self.failures / self.count if self.count else 0.0
 
     @property
     def variance(self) -> float:
-        """Squared standard error of the failure rate; 0 without any outcome."""
+        """Squared standard error of the failure rate; 0 without outcomes."""
         return self.failure_rate * (1 - self.failure_rate) / self.count if self.count else 0.0
 
 
@@ -73,20 +73,24 @@
 class Migration:
     """The state of one migration."""
 
-    target_share: float | None = None  # of the traffic for the new servers; None: as weights are listed
-    class_shares: dict[int, float] = field(default_factory=dict)  # by class: shares that differ from it
-    tenant_shares: dict[int, float] = field(default_factory=dict)  # by tenant; these override a class's
+    target_share: float | None = None  # share of the new servers; None: unchanged listed weights
+    class_shares: dict[int, float] = field(
+        default_factory=dict
+    )  # by class: shares that differ from the target
+    tenant_shares: dict[int, float] = field(
+        default_factory=dict
+    )  # by tenant; take precedence over class shares
     old: DecayedOutcomes = field(default_factory=DecayedOutcomes)
     new: DecayedOutcomes = field(default_factory=DecayedOutcomes)
     fallback_until_us: int = 0
-    fallback_us: int = FALLBACK_US  # how long the next fallback lasts
+    fallback_us: int = FALLBACK_US  # duration of the next fallback
     fallbacks: int = 0
 
     def record(self, is_new: bool, failed: bool, now_us: int) -> bool:
         """Count an outcome of an old or a new server.
 
         Returns:
-            True if it starts a fallback: the caller applies the weight factors anew.
+            True if it starts a fallback; the caller must then apply the weight factors again.
         """
         (self.new if is_new else self.old).add(failed, now_us)
         if not is_new or not failed or now_us < self.fallback_until_us or self.new.count < MIN_OUTCOMES:
@@ -102,7 +106,7 @@
         return True
 
     def ramp_fraction(self, now_us: int) -> float:
-        """Fraction of the target share that applies now: 0 during a fallback."""
+        """Return the fraction of the target share that applies now; 0 during a fallback."""
         if now_us < self.fallback_until_us:
             return 0.0
         if not self.fallbacks:
@@ -110,16 +114,16 @@
         return RAMP_STEPS[min(len(RAMP_STEPS) - 1, (now_us - self.fallback_until_us) // RAMP_STEP_US)]
 
     def weight_factors(self, now_us: int, old_weight: float, new_weight: float) -> WeightFactors:
-        """The factors on listed weights, given the sums of these over old and over new servers.
+        """Return the factors on listed weights, given the sums of the listed weights of old and new servers.
 
-        With servers of one protocol alone they are 1: a server that may fail is better than none.
+        Both are 1 if there are servers of one protocol only: a server that may fail is better than none.
         """
         return _weight_factors(self.target_share, self.ramp_fraction(now_us), old_weight, new_weight)
 
     def override_factors(self, now_us: int, old_weight: float, new_weight: float) -> OverrideFactors:
-        """The further factors of classes and tenants with a share of their own.
+        """Return additional factors for classes and tenants whose share differs from the target share.
 
-        They apply to weights that have been multiplied by `weight_factors` already.
+        They apply on top of the factors from `weight_factors`.
         """
         ramp = self.ramp_fraction(now_us)
         default = _weight_factors(self.target_share, ramp, old_weight, new_weight)
@@ -135,7 +139,7 @@
 
 
 def _weight_factors(share: float | None, ramp: float, old_weight: float, new_weight: float) -> WeightFactors:
-    """The factors by which the new servers get the ramped fraction of a share."""
+    """Return the factors that give the new servers the fraction `ramp` of a share."""
     if old_weight <= 0 or new_weight <= 0:
         return WeightFactors(1.0, 1.0)
     if share is None:
--- a/sagetrack/policy/ordered_keys.py
+++ b/sagetrack/policy/ordered_keys.py
@@ -1,4 +1,4 @@
-"""Requests of in-order classes: those with one key run one at a time, in the order taken."""
+"""Queues requests of in-order classes: requests with the same key run one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Turn(Enum):
-    """Where a request stands in its key's queue."""
+    """The result of adding a request to the queue of its key."""
 
-    NOW = "now"
-    WAITS = "waits"
-    TOO_LATE = "too late"
+    NOW = "now"  # may be sent at once
+    WAITS = "waits"  # is queued behind others
+    TOO_LATE = "too late"  # is not queued
 
 
 class OrderedKeys:
-    """A queue of requests for each key that has any; the first is the one whose turn it is."""
+    """A queue of requests for each active key. The first request of a queue is the running one."""
 
     def __init__(self) -> None:
         self._queues: dict[int, deque[Request]] = {}
@@ -26,20 +26,18 @@
         return len(self._queues)
 
     def __contains__(self, key: int) -> bool:
-        """Whether any request of a key runs or waits."""
+        """Return whether any request of a key runs or waits."""
         return key in self._queues
 
     def join(self, request: Request, key: int, now_us: int, expected_us: float, latest_send_us: int) -> Turn:
-        """Put a request into its key's queue.
-
-        A queue grows no longer than can be served: a request that would come too late stays out.
+        """Add a request to the queue of its key, unless it would be sent too late.
 
         Args:
             request: The request.
-            key: Its key.
-            now_us: The present time.
-            expected_us: How long each request of the queue usually takes.
-            latest_send_us: When it has to be sent at the latest.
+            key: Key of the request.
+            now_us: Current time.
+            expected_us: Expected duration of each request in the queue.
+            latest_send_us: Latest time at which the request may be sent.
         """
         queue = self._queues.get(key)
         if queue is None:
@@ -51,12 +49,12 @@
         return Turn.WAITS
 
     def is_queued(self, request: Request) -> bool:
-        """Whether a request is in its key's queue."""
+        """Return whether a request is in the queue of its key."""
         queue = self._queues.get(request.key) if request.key is not None else None
         return queue is not None and request in queue
 
     def leave(self, request: Request) -> Request | None:
-        """Take a request out of its queue; returns the one whose turn it becomes by that, if any."""
+        """Remove a request from its queue; return the request that may be sent as a result, if any."""
         if request.key is None or (queue := self._queues.get(request.key)) is None:
             return None
         had_turn = queue[0] is request
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: their outcomes, streams, uploads and stalls, and the retries that follow."""
+"""Handles events of attempts: outcomes, started streams, completed uploads and stalls; and sends retries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AttemptOutcomes:
-    """Takes the outcomes of attempts, and passes them to the components that learn from them."""
+    """Handles events of attempts and passes their outcomes to the components that adapt to them."""
 
     def __init__(
         self,
@@ -53,26 +53,30 @@
         return request.attempts[number]
 
     def stream_started(self, event: StreamStarted) -> bool:
-        """The response has begun; False if that changes nothing."""
+        """Handle the start of a streamed response; return False if the event has no effect."""
         request = self._requests.get(event.request)
         attempt = self._attempt(request, event.attempt)
         if request is None or attempt is None or request.answered:
             return False
         request.streaming = True
         request.response_began_us = self._context.now_us
-        self._in_flight.remove(attempt)  # its server has done the work
+        self._in_flight.remove(attempt)  # the server has finished the work of the request
         self._requests.cancel_attempts(request, except_for=event.attempt)
         return True
 
     def body_sent(self, event: AttemptSent) -> None:
-        """A body that was uploading is complete at its server."""
+        """Handle the completion of a request body that was uploading."""
         request = self._requests.get(event.request)
         attempt = self._attempt(request, event.attempt)
         if request is not None and request.uploading and attempt is not None and not attempt.ended:
             self._sender.body_sent(request, attempt)
 
     def attempt_ended(self, event: AttemptEnded) -> bool:
-        """Judge an attempt's outcome and answer or retry its request; False for an attempt not in flight."""
+        """Evaluate an attempt's outcome, then finish or retry its request.
+
+        Returns:
+            False if the attempt was not in flight.
+        """
         request = self._requests.get(event.request)
         attempt = self._attempt(request, event.attempt)
         if request is None or attempt is None or attempt.ended:
@@ -90,7 +94,7 @@
         return True
 
     def _end_attempt(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Note the end of an attempt, whatever it says of its server."""
+        """Record the end of an attempt, whether or not its outcome says anything about the server."""
         outcome = event.outcome
         attempt.ended = True
         rejection_may_have_run = outcome is Outcome.REJECTED and self._settings.rejection_may_have_run
@@ -103,7 +107,7 @@
         self._in_flight.remove(attempt)
 
     def _record_load(self, request: Request, event: AttemptEnded) -> None:
-        """Move what is shed and this gateway's share of concurrency by how long an answer has queued."""
+        """Adjust load shedding and the concurrency share by how long the attempt queued at its server."""
         baseline_us = self._latency.expected_baseline_us(request.class_index, request.relative_work)
         if event.outcome is Outcome.OK:
             self._in_flight.learn((event.latency_us - baseline_us) / max(1.0, baseline_us))
@@ -121,7 +125,7 @@
         self._requests.finish(request)
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
-        """After the last attempt in flight has failed: another one, or the final answer."""
+        """Retry a request whose last attempt in flight has failed, or end it if it may not be retried."""
         may_retry = self._retry_policy.may_retry(self._context, request, outcome)
         if may_retry and self._sender.try_send(request):
             self._retry_policy.charge_retry(request, outcome)
@@ -129,7 +133,7 @@
             self._requests.reject_or_fail(request, RejectReason.ATTEMPTS_FAILED)
 
     def handle_stall(self, request: Request) -> None:
-        """An attempt should have been answered by now: where the class allows, hedge the request."""
+        """Mark the attempts in flight as stalled, and hedge the request if that is allowed."""
         stalled = [attempt for attempt in request.attempts if not attempt.ended]
         for attempt in stalled:
             attempt.stalled = True
--- a/sagetrack/policy/policy_context.py
+++ b/sagetrack/policy/policy_context.py
@@ -1,4 +1,4 @@
-"""What the components of one load balancer share."""
+"""Objects shared by the components of one load balancer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PolicyContext:
-    """Collaborators that most components need; a component keeps those that it uses."""
+    """Bundles the objects that most components need; each component keeps references to those it uses."""
 
     __slots__ = ("event", "fleet", "latency", "settings", "timers")
 
@@ -22,13 +22,13 @@
         fleet: FleetSize,
         latency: LatencyEstimator,
     ) -> None:
-        """Hold the collaborators of one load balancer.
+        """Store references to the shared objects of one load balancer.
 
         Args:
             settings: The settings of the load balancer.
-            event: The event that is being handled: its time, its actions, the random generator.
-            timers: Timers that are set, by what they are for.
-            fleet: How many gateways and processes share the servers.
+            event: The time and actions of the current event, and the random number generator.
+            timers: Pending timers and their purposes.
+            fleet: The numbers of gateways and processes that share the servers.
             latency: Latency estimates by request class.
         """
         self.settings = settings
--- a/sagetrack/policy/rate_limit.py
+++ b/sagetrack/policy/rate_limit.py
@@ -1,4 +1,4 @@
-"""Request rate limits with bursts, by key, in bounded memory."""
+"""Rate limits by key that allow bursts and use bounded memory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BoundedTable:
-    """Numbers by key. When it is full, the least recently updated key is evicted."""
+    """Maps keys to numbers. When it is full, the least recently updated key is evicted."""
 
     __slots__ = ("capacity", "rows")
 
@@ -18,15 +18,15 @@
         self.rows: OrderedDict[Hashable, float] = OrderedDict()
 
     def get(self, key: Hashable, default: float) -> float:
-        """The number of a key, or `default` for a key that is not in the table."""
+        """Return the number of a key, or `default` if the key is not in the table."""
         return self.rows.get(key, default)
 
     def put(self, key: Hashable, value: float, evictable_below: float = math.inf) -> bool:
-        """Enter or update a number.
+        """Insert or update the number of a key.
 
         Returns:
-            False if the table is full and its least recently updated number is not below
-            `evictable_below`; then nothing is changed.
+            False, without a change, if the table is full and its least recently updated number is not below
+            `evictable_below`.
         """
         if key not in self.rows and len(self.rows) >= self.capacity:
             oldest = next(iter(self.rows), None)
@@ -43,31 +43,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Rate:
-    """A rate limit: requests per second, and how many may come at once after a pause."""
+    """A rate limit: requests per second, and the number of requests allowed at once after a pause."""
 
     per_s: float
     burst: float = 1.0
 
 
 class RateLimiter:
-    """Rate limits by key, as the generic cell rate algorithm (ITU-T I.371) has them: one number a key.
+    """Limits rates by key with the generic cell rate algorithm (ITU-T I.371).
 
-    The number is the theoretical arrival time of the key's next request, in microseconds.
+    It stores one number per key: the theoretical arrival time of the next request, in microseconds.
     """
 
     def __init__(self, rate: Rate, capacity: int) -> None:
-        """Start without history; `capacity` bounds the keys that are tracked at once."""
+        """Create an empty limiter that tracks at most `capacity` keys at once."""
         self.rate = rate
         self.table = BoundedTable(capacity)
 
     def wait_us(self, key: Hashable, now_us: int) -> int:
-        """How long until the key's next request conforms; 0: now. Changes nothing."""
+        """Return the time until the next request of a key conforms, 0 for now, without counting one."""
         gap_us = 1e6 / self.rate.per_s
         arrival_us = self.table.get(key, float(now_us))
         return max(0, math.ceil(arrival_us - now_us - gap_us * (self.rate.burst - 1.0)))
 
     def take(self, key: Hashable, now_us: int) -> None:
-        """Count a request. A key that the table has no space for goes uncounted; other limits still apply."""
+        """Count a request, unless the table has no space for its key; other limits still apply."""
         gap_us = 1e6 / self.rate.per_s
         arrival_us = max(self.table.get(key, 0.0), float(now_us)) + gap_us
         self.table.put(key, arrival_us, float(now_us))
--- a/sagetrack/policy/request_factory.py
+++ b/sagetrack/policy/request_factory.py
@@ -1,4 +1,4 @@
-"""What an arrival makes of the counts by class, tenant and client, and the request that follows from it."""
+"""Creates request state for arriving requests, and counts them by class and tenant."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from sagetrack.policy.state import Request
 from sagetrack.policy.tenant_quota import TenantQuota
 
-WORK_SMOOTHING = 0.05  # share of the newest request in the mean expected work of a class
+WORK_SMOOTHING = 0.05  # weight of the newest request in the mean expected work of a class
 
 
 class RequestFactory:
-    """Counts arrivals and makes requests of them; keeps the mean of the expected work by class."""
+    """Creates and counts requests; maintains the mean expected work of each class."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._mean_work_us = [0.0] * len(settings.classes)
 
     def make(self, event: RequestArrived, now_us: int, latest_us: int) -> Request:
-        """The request of an arrival, whose answer is due by `latest_us` in any case."""
+        """Create the request of an arrival event. Its deadline is at most `latest_us`."""
         request_class = self._classes[event.class_index]
         mirrored = event.mirror_target >= 0
         time_used_us = self._client_timeouts.time_used_us(event)
@@ -63,7 +63,7 @@
         )
 
     def _relative_work(self, event: RequestArrived) -> float:
-        """Expected work over the mean of the class, the newest request included; 1 where none is given."""
+        """Return the expected work relative to the updated mean of the class; 1 if the event has none."""
         if not event.work_us:
             return 1.0
         mean_us = self._mean_work_us[event.class_index] or float(event.work_us)
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their arrival to their final answer, and until nothing is kept of them."""
+"""Tracks requests from their arrival until their final response and the end of their last attempt."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestLifecycle:
-    """All requests that are not over, by id."""
+    """The unfinished requests by id: those without a final response or with an attempt in flight."""
 
     def __init__(
         self,
@@ -48,17 +48,17 @@
         return iter(self._requests.values())
 
     def get(self, request_id: str) -> Request | None:
-        """A request that is not over."""
+        """Return the unfinished request with an id, or None."""
         return self._requests.get(request_id)
 
     def add(self, request: Request) -> None:
-        """Keep a new request until it is over."""
+        """Track a new request until `release` removes it."""
         self._requests[request.id] = request
 
     def reject_or_fail(self, request: Request, reason: RejectReason = RejectReason.OTHER) -> None:
-        """The final answer when no attempt is in flight and none is to come, if there was no answer yet.
+        """End a request that has no attempt in flight and gets no further one, unless it has been answered.
 
-        A rejection says that to try again is harmless; where that is not known the request fails.
+        The request is rejected if a retry by the client is known to be harmless, and fails otherwise.
         """
         if request.answered:
             return
@@ -74,7 +74,7 @@
         self.finish(request)
 
     def finish(self, request: Request) -> None:
-        """A request has its final answer, or needs none: cancel what is in flight."""
+        """Mark a request as answered or as needing no response, and cancel its attempts in flight."""
         request.answered = True
         self._capacity_wait.leave(request)
         if self._admission is not None:
@@ -85,15 +85,16 @@
             self.cancel_attempts(request)
 
     def cancel_attempts(self, request: Request, except_for: int | None = None) -> None:
-        """Cancel the attempts that are still in flight, except for one."""
+        """Cancel the attempts of a request that are in flight, except the one with number `except_for`."""
         for number, attempt in enumerate(request.attempts if self._settings.may_cancel else ()):
             if not attempt.ended and number != except_for:
                 self._context.actions.append(Cancel(request.id, number))
 
     def release(self, request: Request) -> None:
-        """Forget a request that is over; in order, the next of its key is sent after the key's cooldown.
+        """Stop tracking a finished request, and send the next queued request of its key, if it is in order.
 
-        Its id may be another's by now: timers outlast the request that they were set for.
+        That request is sent only after the key's cooldown. The id is removed only if it still belongs to this
+        request: a timer may fire after the request's end, when a new request has the same id.
         """
         if self._requests.get(request.id) is request:
             del self._requests[request.id]
@@ -107,7 +108,11 @@
             self.reject_or_fail(following)
 
     def shut_down(self, at_us: int) -> None:
-        """No request waits past the end; the process itself ends the attempts that are in flight then."""
+        """Limit all deadlines to the end of the shutdown.
+
+        Requests without an attempt in flight get a timer; the process itself ends the attempts that are still
+        in flight at that time.
+        """
         self._sender.stop_at(at_us)
         for request in self._requests.values():
             request.deadline_us = min(request.deadline_us, at_us)
--- a/sagetrack/policy/reservations.py
+++ b/sagetrack/policy/reservations.py
@@ -1,6 +1,6 @@
-"""Reservations behind Retry-After: when a rejected client may come back and is admitted ahead of others.
+"""Reservations for rejected clients: a client that retries at its Retry-After is admitted ahead of others.
 
-All times are readings of the caller's clock in whole microseconds.
+Times are readings of the caller's clock in whole microseconds.
 """
 
 from __future__ import annotations
@@ -8,48 +8,48 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-EARLY_FRACTION = 0.2  # of a Retry-After: a client that comes back sooner than the rest of it has ignored it
-EXPIRY_US = 3_000_000  # an unclaimed reservation is void this long after its time
-JITTER = 0.1  # of a Retry-After, added at random: clients rejected together come back apart
-MAX_RESERVATIONS_PER_CLIENT = 64  # one client's many requests do not lengthen the schedule for others
-MIN_RETRY_AFTER_US = 10_000  # a shorter wait is not worth another round trip
+EARLY_FRACTION = 0.2  # a client may retry early by this part of its Retry-After; earlier, it has ignored it
+EXPIRY_US = 3_000_000  # an unclaimed reservation expires this long after its time
+JITTER = 0.1  # maximum random addition, as a part of the Retry-After; spreads clients rejected together
+MAX_RESERVATIONS_PER_CLIENT = 64  # keeps one client from lengthening the schedule for others
+MIN_RETRY_AFTER_US = 10_000  # a shorter wait does not justify another round trip
 
 
 class Requester(NamedTuple):
-    """Who sends a request, as far as the gateway knows."""
+    """Identifies the sender of a request as far as the gateway knows it."""
 
-    tenant: int  # its place in the settings
-    client: int  # 0: not known; below 0: an address that several clients may share
-    key: int  # the request's affinity key; 0: none
+    tenant: int  # index in `Settings.tenants`
+    client: int  # 0: unknown; negative: an address that several clients may share
+    key: int  # affinity key of the request; 0: none
 
 
 class RetryAfterLimits(NamedTuple):
-    """What bounds the Retry-After of a rejected request."""
+    """Limits and jitter of the Retry-After of a rejected request."""
 
-    jitter_draw: float  # even between 0 and 1, for the jitter
-    max_wait_us: int  # no longer Retry-After is ever sent
-    client_timeout_us: int  # until the client gives up; nothing is reserved beyond it
+    jitter_draw: float  # uniform random number in [0, 1) for the jitter
+    max_wait_us: int  # maximum Retry-After
+    client_timeout_us: int  # time until the client gives up; nothing is reserved beyond it
 
 
 class Reservations:
-    """Reserved times by client, and how many clients came back at theirs.
+    """Reservations by requester, and the numbers of issued, honored and ignored Retry-Afters by tenant.
 
-    Each tenant has a schedule: a rejected request is due when the tenant's share of the service has done all
-    work that was reserved before it. A client that comes back at its time is admitted ahead of new requests,
-    whose own wait counts the work that is still reserved.
+    Each tenant has a schedule: a rejected request is scheduled for when the tenant's share of the service has
+    completed all work reserved before it. A client that retries at that time is admitted ahead of new
+    requests, whose waits take the reserved work into account.
     """
 
     def __init__(self, tenants: int, capacity: int) -> None:
-        """Start empty; `capacity` bounds the reservations that are open at once."""
-        # By requester: when each of its requests is due, and the earliest time at which it may come.
+        """Create an empty schedule with at most `capacity` unclaimed reservations at once."""
+        # By requester: the scheduled time of each reservation, and the earliest time to claim it
         self.table: OrderedDict[Requester, list[tuple[int, int]]] = OrderedDict()
         self.capacity, self.count = capacity, 0
-        self.count_by_client: dict[tuple[int, int], int] = {}  # by tenant and client, where that is known
+        self.count_by_client: dict[tuple[int, int], int] = {}  # by tenant and client, for known clients
         self.booked_until_us = [0.0] * tenants
         self.issued, self.honored, self.ignored = [0] * tenants, [0] * tenants, [0] * tenants
 
     def wait_us(self, tenant: int, now_us: int) -> float:
-        """For how long the tenant's share of the service is reserved already."""
+        """Return how long the tenant's share of the service is already reserved from now on."""
         return max(0.0, self.booked_until_us[tenant] - now_us)
 
     def reserve(
@@ -60,17 +60,17 @@
         service_us: float,
         limits: RetryAfterLimits,
     ) -> int:
-        """Choose the Retry-After of a rejected request and reserve service for it where possible.
+        """Choose the Retry-After of a rejected request and, if possible, reserve service for the retry.
 
-        A wait beyond the maximum or beyond the client's timeout is returned without a reservation, so that a
-        client that will not come back does not lengthen the schedule.
+        Nothing is reserved if the wait exceeds the maximum or the client's timeout, so that clients that will
+        not retry do not lengthen the schedule; nor if there are too many reservations.
 
         Args:
-            now_us: The time.
-            requester: Whose request it is.
-            backlog_us: How long the tenant's share of the service takes for what is queued already.
-            service_us: How long it takes for this request.
-            limits: Bounds of the wait.
+            now_us: Current time.
+            requester: Sender of the request.
+            backlog_us: Time that the tenant's share of the service needs for its queued requests.
+            service_us: Time that it needs for this request.
+            limits: Limits and jitter of the wait.
 
         Returns:
             The Retry-After in microseconds.
@@ -93,11 +93,11 @@
         return int(wait_us)
 
     def claim(self, requester: Requester, now_us: int) -> int | None:
-        """Use the reservation of a client that retries.
+        """Claim the earliest reservation of a client that retries.
 
         Returns:
-            0 if one is due about now and has been used up; how long the client still has to wait, in
-            microseconds, if it is too early; None if there is no reservation.
+            0 if the reservation has been claimed; the remaining wait in microseconds if it is too early; None
+            if there is no reservation.
         """
         self._expire(now_us)
         slots = self.table.get(requester)
@@ -114,7 +114,7 @@
         return 0
 
     def record_ignored(self, tenant: int) -> None:
-        """Count a client that came back before its Retry-After was over."""
+        """Count a retry that arrived before its Retry-After had passed."""
         self.ignored[tenant] += 1
 
     def _release(self, requester: Requester, count: int) -> None:
@@ -126,7 +126,7 @@
                 del self.count_by_client[tenant, client]
 
     def _expire(self, now_us: int) -> None:
-        """Drop unclaimed reservations: those of the two oldest requesters at the most."""
+        """Drop expired reservations, of at most two requesters per call, oldest first."""
         for _ in range(2):
             requester = next(iter(self.table), None)
             if requester is None or max(self.table[requester])[0] > now_us - EXPIRY_US:
--- a/sagetrack/policy/retry.py
+++ b/sagetrack/policy/retry.py
@@ -1,7 +1,8 @@
-"""Retries and hedged requests: whether another attempt is allowed, and a budget that bounds them.
+"""Retries and hedged requests: the policy that allows them and the budget that bounds them.
 
-The budget is a token bucket that first tries fill (as in gRPC's and Finagle's retry budgets), so that retries
-stay a share of the first tries and an overload does not feed itself.
+The budget is a token bucket that is filled by first tries, as the retry budgets of gRPC and Finagle are. It
+bounds retries to a fraction of the first tries, so that retries do not amplify an overload. A first try is a
+client's request that is not a retry by the client.
 """
 
 from __future__ import annotations
@@ -14,14 +15,17 @@
 from sagetrack.policy.settings import Effect, Settings
 from sagetrack.policy.state import Request
 
-RETRIES_PER_FIRST_TRY = 0.2  # that a first try pays for
-CHEAP_RETRY = 0.5  # tokens for one after anything but a timeout: no sign of an overload
-MAX_TOKENS = 2.0  # saved up at the most: hundreds of gateways spend theirs together
-BODY_NOT_BEGUN = frozenset({Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # the complete body may still be sent
+RETRIES_PER_FIRST_TRY = 0.2  # tokens added by each first try
+CHEAP_RETRY = (
+    0.5  # tokens for a retry after an outcome other than a timeout, which does not indicate overload
+)
+MAX_TOKENS = 2.0  # kept low, because hundreds of gateways may spend their tokens at the same time
+# Outcomes after which the complete body can still be sent
+BODY_NOT_BEGUN = frozenset({Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 class RetryBudget:
-    """Tokens for retries and hedged requests."""
+    """A token bucket for retries and hedged requests."""
 
     __slots__ = ("tokens",)
 
@@ -29,20 +33,20 @@
         self.tokens = MAX_TOKENS
 
     def add_first_try(self) -> None:
-        """A first try pays for a share of a retry."""
+        """Add the tokens of a first try."""
         self.tokens = min(self.tokens + RETRIES_PER_FIRST_TRY, MAX_TOKENS)
 
     def can_spend(self, cost: float) -> bool:
-        """Whether there are so many tokens."""
+        """Return whether there are at least `cost` tokens."""
         return self.tokens >= cost
 
     def spend(self, cost: float) -> None:
-        """Take tokens out."""
+        """Remove `cost` tokens."""
         self.tokens -= cost
 
 
 class RetryPolicy:
-    """Whether a request may have another attempt, after a failed one or beside a stalled one."""
+    """Decides whether a request may have another attempt, after a failed one or beside a stalled one."""
 
     def __init__(
         self, settings: Settings, budget: RetryBudget, latency: LatencyEstimator, shedder: LoadShedder
@@ -53,7 +57,7 @@
         self._shedder = shedder
 
     def may_retry(self, context: EventContext, request: Request, outcome: Outcome) -> bool:
-        """Whether to try again after the last attempt in flight has failed."""
+        """Return whether to retry a request after its last attempt in flight has failed."""
         request_class = self._settings.classes[request.class_index]
         left_us = attempt_deadline_us(request, request_class, context.now_us) - context.now_us
         in_time = left_us > self._latency.expected_baseline_us(request.class_index, request.relative_work)
@@ -69,12 +73,12 @@
         return allowed and in_time and attempts_left and has_body
 
     def charge_retry(self, request: Request, outcome: Outcome) -> None:
-        """Pay for a retry that was sent; free where no earlier attempt may have run."""
+        """Charge the budget for a sent retry; it is free if no earlier attempt may have run."""
         if any(attempt.may_have_run for attempt in request.attempts[:-1]):
             self._budget.spend(_cost(outcome))
 
     def may_hedge(self, request: Request) -> bool:
-        """Whether to send a hedged request beside one that stalls; never while load is shed."""
+        """Return whether to hedge a stalled request; never while load is shed."""
         if not self._settings.hedging or not self._budget.can_spend(1.0):
             return False
         if self._shedder.shed_fraction > 0.0:
@@ -82,7 +86,7 @@
         return len(request.attempts) < self._settings.max_attempts
 
     def charge_hedge(self) -> None:
-        """Pay for a hedged request that was sent."""
+        """Charge the budget for a sent hedge."""
         self._budget.spend(1.0)
 
 
--- a/sagetrack/policy/retry_after.py
+++ b/sagetrack/policy/retry_after.py
@@ -1,4 +1,4 @@
-"""When a client whose request is rejected may come back: Retry-After."""
+"""Calculates the Retry-After of rejected requests."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 from sagetrack.policy.settings import Settings
 from sagetrack.policy.state import Request
 
-DEFAULT_RETRY_AFTER_SHARE = 0.25  # of the class's latency objective: by then an overload has thinned out
+DEFAULT_RETRY_AFTER_SHARE = (
+    0.25  # part of the class's latency objective in which an overload is expected to subside
+)
 
 
 class RetryAfter:
-    """Works out the Retry-After of a rejection."""
+    """Calculates the Retry-After of rejected requests."""
 
     def __init__(
         self,
@@ -28,10 +30,12 @@
         self._admission = admission
 
     def wait_us(self, request: Request) -> int:
-        """The shortest cooldown left where every server is open, else the time in which load thins out.
+        """Return the Retry-After of a rejected request, in microseconds.
 
-        With admission control it is what that advises. A client that comes back at once would meet what it
-        was rejected for.
+        The wait keeps the client from retrying while the reason of the rejection persists. A value that
+        admission control has already set takes precedence. If the breakers of all servers are open, it is the
+        shortest remaining cooldown. Otherwise admission control chooses it, or, without admission control or
+        without servers, it is a part of the latency objective.
         """
         max_wait_us, now_us = self._settings.max_retry_after_us, self._context.now_us
         closes_at_us = self._endpoints.earliest_close_us()
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which server an attempt goes to: eligible servers, the subset of them, and a weighted random draw."""
+"""Selects the server of an attempt: eligible servers, this gateway's subset and weighted random selection."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 from sagetrack.policy.state import Request, Server, rendezvous
 from sagetrack.policy.subset_size import SubsetSize
 
-HOME_SERVER_WEIGHT_FACTOR = 20.0  # on the weight of a key's home server: most of its requests, not all
+HOME_SERVER_WEIGHT_FACTOR = (
+    20.0  # raises the weight of a key's home server: it gets most of the key's requests, not all
+)
 
-Weights = list[tuple[float, Server]]  # in the draw, all above 0
+Weights = list[tuple[float, Server]]  # selection weights, all above 0
 
 
 class ServerSelector:
-    """Selects a server for an attempt; knows the traffic shift between protocols that holds now."""
+    """Selects a server for each attempt, following the current traffic shift between protocols."""
 
     def __init__(
         self,
@@ -39,11 +41,11 @@
         self._traffic_shift = TrafficShift({}, {})
 
     def shift_traffic(self, shift: TrafficShift) -> None:
-        """Take the tenants' and classes' shares of the servers that speak gRPC, from now on."""
+        """Apply new gRPC traffic shares of tenants and classes."""
         self._traffic_shift = shift
 
     def select(self, request: Request) -> Server | None:
-        """Draw a server at random, by weight, of those that may take this request now, if any may."""
+        """Select a server by weighted random choice, or None if no server may take the request now."""
         weights, total = self._draw_weights(self._candidates(request), request)
         if self._settings.grpc_kinds:
             weights = self._by_protocol(request, weights)
@@ -60,16 +62,16 @@
         return weights[-1][1]
 
     def any_eligible(self, class_index: int) -> bool:
-        """Whether any server could take a request of a class, its concurrency limit aside."""
+        """Return whether any server is eligible for a class, regardless of its concurrency limit."""
         return any(self.is_eligible(server, class_index) for server in self._ring.ranked)
 
     def is_eligible(self, server: Server, class_index: int) -> bool:
-        """Whether a server is ready, its breakers let a request of a class through, and it does not stall."""
+        """Return whether a server is ready, does not stall, and its breakers allow a request of a class."""
         if server.entry.status is not ServerStatus.READY:
             return False
         now_us = self._context.now_us
         if server.breaker.state is not State.CLOSED:
-            # A trial may fail: a request that could not be retried is not used for one.
+            # A half-open trial may fail, so requests that cannot be retried are not used as trials.
             if self._settings.classes[class_index].effect is Effect.UNSAFE:
                 return False
             if not server.breaker.allows_request(now_us):
@@ -80,17 +82,18 @@
         if not server.in_flight:
             return True
         oldest_us = next(iter(server.in_flight.values()))
-        # Where one attempt may be lost by itself, an answer since then proves that the server is there.
+        # If a single attempt may be lost in transit, a later success proves that the server responds.
         if self._settings.lossy and server.last_success_us > oldest_us:
             return True
         return now_us - oldest_us <= self._latency.stall_timeout_us
 
     def subset(self, class_index: int) -> list[Server]:
-        """The servers that this gateway spreads over: the first in rank that are eligible.
+        """Return the servers that this gateway distributes requests over: the eligible ones of lowest rank.
 
-        Spreading over all servers would mean full connection tables, a handshake for each request and few
-        outcomes to judge a server by. A server whose breaker is open, or that stalls, is replaced by the next
-        in rank. One that is warming up is no such replacement: many gateways at once could choose it.
+        Using all servers would fill the connection tables, need a handshake for each request and leave few
+        outcomes per server to judge it by. A server that stalls or whose breaker is open is replaced by the
+        next in rank. A server that is warming up is not used as a replacement, because many gateways could
+        choose it at the same time.
         """
         size, now_us = self._subset_size.size, self._context.now_us
         is_eligible = self.is_eligible
@@ -110,7 +113,7 @@
         return self.subset(request.class_index)
 
     def _retry_candidates(self, request: Request) -> list[Server]:
-        """Servers that a retry may go to without running the request twice."""
+        """Return the servers that a retry may go to without the risk of running the request twice."""
         tried = [attempt.server for attempt in request.attempts]
         request_class = self._settings.classes[request.class_index]
         possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -129,17 +132,17 @@
         return servers
 
     def _in_scope(self, scope: Scope, entries: list[ListedServer]) -> Iterable[Server]:
-        """By rank, the servers that deduplicate a request which may have run at all of these."""
+        """Return, by rank, the servers that deduplicate a request that may have run at all `entries`."""
         if scope is Scope.ALL:
             return self._ring.ranked
         scope_ids = {entry.zone if scope is Scope.ZONE else entry.group for entry in entries}
         return self._ring.within((scope, scope_ids.pop())) if len(scope_ids) == 1 else ()
 
     def _draw_weights(self, candidates: Iterable[Server], request: Request) -> tuple[Weights, float]:
-        """The candidates with a weight in the draw, and its sum.
+        """Return the candidates with their selection weights, and the sum of the weights.
 
-        A weight is the listed one times the controller's for the server and the class, less for another
-        zone, for what is in flight there and while the server warms up.
+        The weight is the listed weight times the feedback controller's weights of the server and of the class
+        at that server. It is reduced for servers in other zones, by attempts in flight and during warm-up.
         """
         max_in_flight = self._fleet.max_in_flight_per_server()
         class_index = request.class_index
@@ -163,7 +166,7 @@
         return weights, total
 
     def _by_protocol(self, request: Request, weights: Weights) -> Weights:
-        """Weights multiplied for the share of gRPC servers that the request's tenant or class has."""
+        """Return the weights adjusted for mirroring or the gRPC share of the request's tenant or class."""
         grpc = self._settings.grpc_kinds
         if request.mirror_target >= 0:
             wants_grpc = bool(request.mirror_target)
@@ -176,7 +179,7 @@
 
 
 def _boost_home_server(key: int, weights: Weights) -> float:
-    """Raise the weight of the key's home among the candidates, in place; returns by how much."""
+    """Raise the weight of the key's home server among the candidates in place; return the increase."""
     ranks = [rendezvous(key, s.entry.server, s.zone_factor) for _, s in weights]
     home = ranks.index(min(ranks))
     raised = weights[home][0] * (HOME_SERVER_WEIGHT_FACTOR - 1.0)
--- a/sagetrack/policy/timers.py
+++ b/sagetrack/policy/timers.py
@@ -1,4 +1,4 @@
-"""Timers by token: what each was set for."""
+"""Tracks pending timers and their purposes by token."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from sagetrack.policy.event_context import EventContext
 from sagetrack.policy.state import Request
 
-ENDPOINT_LIST_TOKEN = 0  # of the one timer that is set again and again; all others count up from it
+ENDPOINT_LIST_TOKEN = 0  # token of the recurring endpoint list timer; all other tokens count up from it
 
 
 class TimerPurpose(Enum):
-    """What is due when a timer fires."""
+    """What to do when a timer fires."""
 
-    ENDPOINT_LIST = "endpoint list"  # to watch the endpoint list again
-    CONCURRENCY_SHARE = "concurrency share"  # this gateway's quota has room again
-    QUEUE_WAIT = "queue wait"  # a request has waited for capacity, or for its turn at admission, long enough
-    REQUEST = "request"  # a request's stall, turn or end: by the state that it is in then
+    ENDPOINT_LIST = "endpoint list"  # restart the watch of the endpoint list
+    CONCURRENCY_SHARE = "concurrency share"  # send queued requests, as concurrency quota is available again
+    QUEUE_WAIT = "queue wait"  # reject a request that has reached its maximum wait for capacity or admission
+    REQUEST = "request"  # handle a stall, the end of a wait or a cooldown, depending on the request's state
 
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """One timer that is set."""
+    """A pending timer."""
 
     purpose: TimerPurpose
     request: Request | None = None
@@ -33,7 +33,7 @@
 
 
 class Timers:
-    """Timers that are set and have not fired. They outlast the requests that they were set for."""
+    """The pending timers. A timer may outlast the request that it was set for."""
 
     def __init__(self, context: EventContext) -> None:
         self._context = context
@@ -41,7 +41,7 @@
         self.pending: dict[int, Timer] = {}
 
     def set(self, due_us: int, purpose: TimerPurpose, request: Request | None = None) -> int:
-        """Set a timer; returns its token."""
+        """Set a timer and return its token."""
         token = self._next_token
         self._next_token = token + 1
         self.pending[token] = Timer(purpose, request)
@@ -49,11 +49,11 @@
         return token
 
     def set_for_endpoint_list(self, due_us: int) -> None:
-        """Set the timer of the endpoint list."""
+        """Set the endpoint list timer."""
         self._context.actions.append(SetTimer(due_us, ENDPOINT_LIST_TOKEN))
 
     def fire(self, token: int) -> Timer | None:
-        """What a timer that fires was set for; None for one that is not set."""
+        """Return the timer that has fired and remove it from the pending ones; None for an unknown token."""
         if token == ENDPOINT_LIST_TOKEN:
             return ENDPOINT_LIST_TIMER
         return self.pending.pop(token, None)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -50,9 +50,9 @@
 @pytest.mark.parametrize(
     ("setting", "message"),
     [
-        ({"max_wait_fraction": 0.6}, "max_wait_fraction is 0.6, allowed are 0 to 0.5"),
-        ({"flows": 0}, "flows is 0, allowed are 1 and more"),
-        ({"memory_bytes": 1000}, "memory_bytes is 1000, allowed are 65536 and more"),
+        ({"max_wait_fraction": 0.6}, "max_wait_fraction is 0.6, must be from 0 to 0.5"),
+        ({"flows": 0}, "flows is 0, must be at least 1"),
+        ({"memory_bytes": 1000}, "memory_bytes is 1000, must be at least 65536"),
     ],
 )
 def test_settings_out_of_range_are_reported_with_the_allowed_range(
