--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -200,7 +200,7 @@
     def _spend_retry_budget(self, tenant: int, is_retry: bool, is_loaded: bool) -> bool:
         """Return whether the retry budget allows a request; it limits retries only under load."""
         if not is_retry:
-            self.retry_budget.record_first_attempt(tenant)
+            self.retry_budget.record_first_try(tenant)
             return True
         return not is_loaded or self.retry_budget.try_retry(tenant)
 
--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -25,7 +25,7 @@
     def __init__(
         self,
         admission: AdmissionController[Request],
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         ring: Ring[Server],
         priorities: ClassPriorities,
         shedder: LoadShedder,
@@ -34,17 +34,17 @@
         in_flight: InFlightAttempts,
     ) -> None:
         self._admission = admission
-        self._context = shared.event
-        self._settings = shared.settings
-        self._fleet = shared.fleet
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
+        self._fleet = policy_context.fleet
         self._ring = ring
-        self._latency = shared.latency
+        self._latency = policy_context.latency
         self._priorities = priorities
         self._shedder = shedder
         self._selector = selector
         self._sender = sender
         self._in_flight = in_flight
-        self._timers = shared.timers
+        self._timers = policy_context.timers
 
     @property
     def has_queue(self) -> bool:
--- a/sagetrack/policy/arrivals.py
+++ b/sagetrack/policy/arrivals.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         factory: RequestFactory,
         requests: RequestLifecycle,
         gate: AdmissionGate | None,
@@ -32,17 +32,17 @@
         ordered_keys: OrderedKeys,
         capacity_wait: CapacityWait,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
         self._factory = factory
         self._requests = requests
         self._gate = gate
         self._shedder = shedder
         self._sender = sender
-        self._latency = shared.latency
+        self._latency = policy_context.latency
         self._ordered_keys = ordered_keys
         self._capacity_wait = capacity_wait
-        self._timers = shared.timers
+        self._timers = policy_context.timers
 
     def handle_arrival(self, event: RequestArrived) -> None:
         """Handle the arrival of a request."""
--- a/sagetrack/policy/attempts.py
+++ b/sagetrack/policy/attempts.py
@@ -23,23 +23,23 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         endpoints: Endpoints,
         selector: ServerSelector,
         slow_start: SlowStart,
         subset_size: SubsetSize,
         in_flight: InFlightAttempts,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
-        self._fleet = shared.fleet
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
+        self._fleet = policy_context.fleet
         self._endpoints = endpoints
         self._selector = selector
         self._slow_start = slow_start
         self._subset_size = subset_size
         self._in_flight = in_flight
-        self._latency = shared.latency
-        self._timers = shared.timers
+        self._latency = policy_context.latency
+        self._timers = policy_context.timers
         self.stops_at_us = NEVER_US  # end of the graceful shutdown
 
     def stop_at(self, at_us: int) -> None:
--- a/sagetrack/policy/capacity_wait.py
+++ b/sagetrack/policy/capacity_wait.py
@@ -17,18 +17,18 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         priorities: ClassPriorities,
         selector: ServerSelector,
         sender: AttemptSender,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
-        self._latency = shared.latency
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
+        self._latency = policy_context.latency
         self._priorities = priorities
         self._selector = selector
         self._sender = sender
-        self._timers = shared.timers
+        self._timers = policy_context.timers
         self._waiting: dict[Request, None] = {}
 
     def __len__(self) -> int:
--- a/sagetrack/policy/client_retry_budget.py
+++ b/sagetrack/policy/client_retry_budget.py
@@ -45,7 +45,7 @@
         self.tenants = [TokenBucket(burst, burst) for _ in range(tenants)]
         self.total = TokenBucket(2 * burst, 2 * burst)
 
-    def record_first_attempt(self, tenant: int) -> None:
+    def record_first_try(self, tenant: int) -> None:
         """Add the tokens of a first attempt to both buckets."""
         self.tenants[tenant].add(self.ratio)
         self.total.add(self.ratio)
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -20,15 +20,15 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         ring: Ring[Server],
         slow_start: SlowStart,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
         self._ring = ring  # those that are ready
         self._slow_start = slow_start
-        self._timers = shared.timers
+        self._timers = policy_context.timers
         self.servers: dict[int, Server] = {}
         self.tripped: set[Server] = set()  # ready ones whose breaker is not closed
         self._incarnations = Incarnations()
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -30,16 +30,16 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         endpoints: Endpoints,
         ring: Ring[Server],
         slow_start: SlowStart,
     ) -> None:
-        self._context = shared.event
-        self._gateway = shared.settings.gateway_index
+        self._context = policy_context.event_context
+        self._gateway = policy_context.settings.gateway_index
         self._endpoints = endpoints
         self._ranked = ring.ranked
-        self._latency = shared.latency
+        self._latency = policy_context.latency
         self._slow_start = slow_start
         self.received: dict[tuple[int, int], Observation] = {}  # by server and gateway
 
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -17,12 +17,12 @@
 class InFlightAttempts:
     """Counts attempts in flight; if concurrency is scarce, decides whether one more may be sent."""
 
-    def __init__(self, shared: PolicyContext) -> None:
-        self._context = shared.event
-        self._fleet = shared.fleet
-        self._timers = shared.timers
+    def __init__(self, policy_context: PolicyContext) -> None:
+        self._context = policy_context.event_context
+        self._fleet = policy_context.fleet
+        self._timers = policy_context.timers
         self._share = ConcurrencyShare()
-        self._planned_per_server = PLANNED_CONCURRENCY * shared.fleet.max_concurrency
+        self._planned_per_server = PLANNED_CONCURRENCY * policy_context.fleet.max_concurrency
         self.count = 0
         self.timer_token = NO_TIMER  # timer for the time when quota becomes available
 
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -81,7 +81,7 @@
         self.fleet = fleet or FleetSize(settings)
         self.timers = Timers(self.context)
         self.latency = LatencyEstimator(settings.classes)
-        self.shared = PolicyContext(settings, self.context, self.timers, self.fleet, self.latency)
+        self.policy_context = PolicyContext(settings, self.context, self.timers, self.fleet, self.latency)
         self.admission = _admission(settings)
         self.client_timeouts = ClientTimeouts(settings.classes, settings.clients_mark_retries)
         self.priorities = ClassPriorities(settings, self.latency)
@@ -95,28 +95,28 @@
 
     def _make_servers(self) -> None:
         """Create the components that track servers, select servers and send attempts."""
-        shared, settings = self.shared, self.settings
+        policy_context, settings = self.policy_context, self.settings
         # Holds the servers whose status is READY.
         self.ring = Ring[Server](settings.gateway_index, settings.gateway_count)
         self.subset_size = SubsetSize()
         self.slow_start = SlowStart(settings, self.fleet, self.latency, self.subset_size, self.ring)
-        self.endpoints = Endpoints(shared, self.ring, self.slow_start)
+        self.endpoints = Endpoints(policy_context, self.ring, self.slow_start)
         self.outliers = OutlierDetector(self.context, self.endpoints, self.latency, self.client_timeouts)
-        self.gossip = HealthGossip(shared, self.endpoints, self.ring, self.slow_start)
-        self.in_flight = InFlightAttempts(shared)
-        self.selector = ServerSelector(shared, self.ring, self.slow_start, self.subset_size)
+        self.gossip = HealthGossip(policy_context, self.endpoints, self.ring, self.slow_start)
+        self.in_flight = InFlightAttempts(policy_context)
+        self.selector = ServerSelector(policy_context, self.ring, self.slow_start, self.subset_size)
         self.sender = AttemptSender(
-            shared, self.endpoints, self.selector, self.slow_start, self.subset_size, self.in_flight
+            policy_context, self.endpoints, self.selector, self.slow_start, self.subset_size, self.in_flight
         )
 
     def _make_requests(self) -> None:
         """Create the components that track requests and decide on retries."""
-        shared, settings = self.shared, self.settings
-        self.capacity_wait = CapacityWait(shared, self.priorities, self.selector, self.sender)
+        policy_context, settings = self.policy_context, self.settings
+        self.capacity_wait = CapacityWait(policy_context, self.priorities, self.selector, self.sender)
         self.ordered_keys = OrderedKeys()
         retry_after = RetryAfter(self.context, settings, self.endpoints, self.admission)
         self.requests = RequestLifecycle(
-            shared, self.admission, self.ordered_keys, self.capacity_wait, retry_after, self.sender
+            policy_context, self.admission, self.ordered_keys, self.capacity_wait, retry_after, self.sender
         )
         self.retry_budget = RetryBudget()
         self.retry_policy = RetryPolicy(settings, self.retry_budget, self.latency, self.shedder)
@@ -134,7 +134,7 @@
         """Create the components that handle arriving requests and the outcomes of attempts."""
         gate = self._admission_gate()
         self.arrivals = Arrivals(
-            self.shared,
+            self.policy_context,
             self.factory,
             self.requests,
             gate,
@@ -144,7 +144,7 @@
             self.capacity_wait,
         )
         self.outcomes = AttemptOutcomes(
-            self.shared,
+            self.policy_context,
             self.requests,
             gate,
             self.sender,
@@ -160,7 +160,7 @@
             return None
         return AdmissionGate(
             self.admission,
-            self.shared,
+            self.policy_context,
             self.ring,
             self.priorities,
             self.shedder,
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         requests: RequestLifecycle,
         gate: AdmissionGate | None,
         sender: AttemptSender,
@@ -35,13 +35,13 @@
         outliers: OutlierDetector,
         retry_policy: RetryPolicy,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
         self._requests = requests
         self._gate = gate
         self._sender = sender
         self._in_flight = in_flight
-        self._latency = shared.latency
+        self._latency = policy_context.latency
         self._shedder = shedder
         self._priorities = priorities
         self._outliers = outliers
--- a/sagetrack/policy/policy_context.py
+++ b/sagetrack/policy/policy_context.py
@@ -12,12 +12,12 @@
 class PolicyContext:
     """Bundles the objects that most components need; each component keeps references to those it uses."""
 
-    __slots__ = ("event", "fleet", "latency", "settings", "timers")
+    __slots__ = ("event_context", "fleet", "latency", "settings", "timers")
 
     def __init__(
         self,
         settings: Settings,
-        event: EventContext,
+        event_context: EventContext,
         timers: Timers,
         fleet: FleetSize,
         latency: LatencyEstimator,
@@ -26,13 +26,13 @@
 
         Args:
             settings: The settings of the load balancer.
-            event: The time and actions of the current event, and the random number generator.
+            event_context: The time and actions of the current event, and the random number generator.
             timers: Pending timers and their purposes.
             fleet: The numbers of gateways and processes that share the servers.
             latency: Latency estimates by request class.
         """
         self.settings = settings
-        self.event = event
+        self.event_context = event_context
         self.timers = timers
         self.fleet = fleet
         self.latency = latency
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -21,21 +21,21 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         admission: AdmissionController[Request] | None,
         ordered_keys: OrderedKeys,
         capacity_wait: CapacityWait,
         retry_after: RetryAfter,
         sender: AttemptSender,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
         self._admission = admission
         self._ordered_keys = ordered_keys
         self._capacity_wait = capacity_wait
         self._retry_after = retry_after
         self._sender = sender
-        self._timers = shared.timers
+        self._timers = policy_context.timers
         self._requests: dict[str, Request] = {}
 
     def __contains__(self, request_id: str) -> bool:
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -25,16 +25,16 @@
 
     def __init__(
         self,
-        shared: PolicyContext,
+        policy_context: PolicyContext,
         ring: Ring[Server],
         slow_start: SlowStart,
         subset_size: SubsetSize,
     ) -> None:
-        self._context = shared.event
-        self._settings = shared.settings
-        self._fleet = shared.fleet
+        self._context = policy_context.event_context
+        self._settings = policy_context.settings
+        self._fleet = policy_context.fleet
         self._ring = ring
-        self._latency = shared.latency
+        self._latency = policy_context.latency
         self._slow_start = slow_start
         self._subset_size = subset_size
         self._traffic_shift = TrafficShift({}, {})
--- a/tests/test_client_retry_budget.py
+++ b/tests/test_client_retry_budget.py
@@ -10,5 +10,5 @@
     assert [budget.try_retry(0) for _ in range(6)] == [True] * 4 + [False] * 2
     assert budget.try_retry(1)
     for _ in range(2):
-        budget.record_first_attempt(0)
+        budget.record_first_try(0)
     assert budget.try_retry(0) and not budget.try_retry(0)
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -8,7 +8,7 @@
 from tests.helpers import SAFE, SETTINGS, Driver, sends
 
 
-def test_a_longer_timeout_of_last_attempts_does_not_make_first_attempts_late() -> None:
+def test_a_longer_timeout_of_last_tries_does_not_make_first_tries_late() -> None:
     """Guards against rejecting first attempts as late if clients give the last one a longer timeout."""
     no_late_weight = replace(SAFE, late_priority_weight=0.0)
     for clients_mark in (True, False):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -109,7 +109,7 @@
 # Retry budget by itself
 
 
-def test_first_attempts_earn_a_share_of_a_retry() -> None:
+def test_first_tries_earn_a_share_of_a_retry() -> None:
     budget = RetryBudget()
     budget.spend(MAX_TOKENS)
     for _ in range(4):
