--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -45,7 +45,7 @@
     max_wait_fraction: float = 0.5
     memory_bytes: int = 16 * 1024 * 1024  # bound for all tables and queues together
     adaptive: bool = True  # whether an adaptive concurrency limit applies
-    retry_ratio: float = 0.2  # client retries allowed per first attempt while capacity is short
+    retry_ratio: float = 0.2  # client retries allowed per first try while capacity is short
     tenant_rate: Rate | None = None
     client_rate: Rate | None = None
     class_rates: tuple[Rate | None, ...] = ()
@@ -115,7 +115,9 @@
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
         self.demand = TenantDemand(self.shares)
-        table_bytes = settings.memory_bytes // 4  # a quarter of the memory for each kind of table
+        table_bytes = (
+            settings.memory_bytes // 4
+        )  # a quarter of the memory per kind of table; a quarter for queues
         self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
         self.retry_budget = ClientRetryBudget(count, settings.retry_ratio)
         entries = table_bytes // (2 * RATE_ENTRY_BYTES)
@@ -142,7 +144,7 @@
         """Record the demand of an arriving request and check it against the limits.
 
         The checks are, in this order: reservations, rate limits, the memory bound and the retry budget. A
-        request that claims a reservation skips the remaining checks.
+        request that claims a reservation skips the other checks, because it passed them before.
         """
         tenant, client, _ = requester
         self.counters[tenant].requested += 1
@@ -189,8 +191,8 @@
         """Return whether a request is denied when memory is nearly used up.
 
         That is the case if its tenant has queued requests, or if it costs more than the mean of the queued
-        requests. Queued requests are never dropped, so the rest of the memory is reserved for tenants that
-        have none queued.
+        requests. Queued requests are never dropped, so the remaining memory is reserved for tenants that
+        have none.
         """
         return self.queues.count_of(tenant) > 0 or work_us > self._mean_queued_work_us()
 
@@ -207,7 +209,7 @@
     def rejection_fraction(
         self, now_us: int, tenant: int, client: int, reject_fraction: float, high_priority: bool
     ) -> float:
-        """Return the fraction of a client's requests to reject so that `reject_fraction` of all work is."""
+        """Return which fraction of a client's requests to reject to shed `reject_fraction` of all work."""
         flow = self.queues.flow_index(tenant, client)
         return self.demand.rejection_fraction(tenant, flow, reject_fraction, now_us, high_priority)
 
--- a/sagetrack/policy/client_retry_budget.py
+++ b/sagetrack/policy/client_retry_budget.py
@@ -1,9 +1,9 @@
 """A retry budget for clients, with one token bucket for each tenant and one for all tenants together.
 
 It bounds the retries that clients send; retries made by this gateway have a separate budget (see `retry`).
-Each first attempt of a client adds a fraction of a token and each retry takes one, as in Finagle's retry
-budget. Retries amplify an overload; the buckets by tenant prevent that the retries of one tenant spend the
-tokens that the first attempts of other tenants have added.
+Each first try of a client adds a fraction of a token and each retry takes one, as in Finagle's retry budget.
+Because retries amplify an overload, the bucket of each tenant keeps its retries from spending the tokens that
+the first tries of other tenants have added.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
         Args:
             tenants: Number of tenants.
-            ratio: Tokens added by each first attempt.
+            ratio: Tokens added by each first try.
             burst: Maximum number of tokens of one tenant; the bucket of all tenants holds twice as many.
         """
         self.ratio = ratio
@@ -46,7 +46,7 @@
         self.total = TokenBucket(2 * burst, 2 * burst)
 
     def record_first_try(self, tenant: int) -> None:
-        """Add the tokens of a first attempt to both buckets."""
+        """Add the tokens of a first try to both buckets."""
         self.tenants[tenant].add(self.ratio)
         self.total.add(self.ratio)
 
--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -40,7 +40,7 @@
         return estimate
 
     def has_varying_timeouts(self, class_index: int, tenant: int) -> bool:
-        """Return whether the timeouts of these clients vary too much to tell retries by."""
+        """Return whether the timeouts of these clients vary too much to detect retries."""
         return self.estimate(class_index, tenant).usual_fraction < MIN_USUAL_FRACTION
 
     def time_used_us(self, event: RequestArrived) -> int:
--- a/sagetrack/policy/events.py
+++ b/sagetrack/policy/events.py
@@ -84,7 +84,7 @@
 
     request: str
     class_index: int  # index in `Settings.classes`
-    client_timeout_us: int  # timeout of this client attempt, which may be a retry of an earlier one
+    client_timeout_us: int  # timeout of this try of the client, which may be a retry
     key: int | None = None  # affinity key; in-order classes run requests with the same key in order
     work_us: int | None = None  # expected work in microseconds of a standard core
     is_retry: bool = False  # the client marked the request as a retry
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -17,6 +17,7 @@
 from sagetrack.policy.server_health import OutlierDetector
 from sagetrack.policy.state import Attempt, Request
 
+# Outcomes after which the server may still be running the request
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
 
 
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -9,7 +9,7 @@
 
 
 def test_a_longer_timeout_of_last_tries_does_not_make_first_tries_late() -> None:
-    """Guards against rejecting first attempts as late if clients give the last one a longer timeout."""
+    """Guards against rejecting first tries as late if clients give the last one a longer timeout."""
     no_late_weight = replace(SAFE, late_priority_weight=0.0)
     for clients_mark in (True, False):
         driver = Driver(replace(SETTINGS, classes=(no_late_weight,), clients_mark_retries=clients_mark))
@@ -25,7 +25,7 @@
 
 
 def test_a_short_timeout_does_not_mark_a_retry_where_every_request_has_a_different_one() -> None:
-    """Guards against rejecting first attempts with short timeouts as retries past the latency objective."""
+    """Guards against rejecting first tries with short timeouts as retries past the latency objective."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_priority_weight=0.0),)), servers=5)
     driver.balancer.latency.baseline_us[0] = driver.balancer.latency.smoothed_us[0] = 10_000.0
     sent = 0
