--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -37,7 +37,7 @@
         self.handling = RequestHandling(config, gateway, lambda: self.is_ready)
         self.context = ClientContext(self.handling, self.drain)
         self.descriptors = DescriptorBudget(
-            config, pools, self.context.phases, self.count_clients, lambda: 1 + self.siblings.others
+            config, pools, self.context.phases, self.count_clients, lambda: 1 + self.siblings.sibling_count
         )
         self.acceptor = Acceptor(
             self.descriptors.reclaim_for_client,
@@ -52,7 +52,7 @@
 
     def prepare(self, source: EndpointSource) -> None:
         """Get servers from this source: no request is admitted before there is a list of them."""
-        self.gateway.set_process_count(1 + self.siblings.others)
+        self.gateway.set_process_count(1 + self.siblings.sibling_count)
         self.gateway.start(source)
 
     def start(self, listener: socket.socket) -> None:
@@ -92,10 +92,10 @@
     def sweep(self) -> None:
         """Close connections whose time limit has passed, and follow the number of processes side by side."""
         loop = asyncio.get_running_loop()
-        others = self.siblings.others
+        others = self.siblings.sibling_count
         self.siblings.refresh()
-        if self.siblings.others != others:
-            self.gateway.set_process_count(1 + self.siblings.others)
+        if self.siblings.sibling_count != others:
+            self.gateway.set_process_count(1 + self.siblings.sibling_count)
         self.descriptors.shrink_to_limit()
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
         self.context.phases.close_expired(loop.time(), self.descriptors.has_many_clients)
@@ -146,7 +146,7 @@
         self.gateway.shut_down_within(self.drain.answer_cutoff_s - loop.time())
         self.siblings.mark_draining()
         self.siblings.refresh()
-        if self.siblings.serving:
+        if self.siblings.serving_sibling_count:
             self.stop_listening()  # another process accepts what waits and what comes
         self.close_idle()
         while self.is_listening or self.connections or self.acceptor.pending:
@@ -163,7 +163,7 @@
         Where no other process serves on it, waiting connections are accepted first, as far as descriptors
         allow; if they do not, the socket stays open until others have had their responses.
         """
-        if self.is_listening and (self.siblings.serving or self.acceptor.accept(BACKLOG)):
+        if self.is_listening and (self.siblings.serving_sibling_count or self.acceptor.accept(BACKLOG)):
             self.acceptor.stop()
 
     def close_idle(self) -> None:
--- a/sagetrack/server/endpoint_list_file.py
+++ b/sagetrack/server/endpoint_list_file.py
@@ -85,7 +85,7 @@
         except OSError as error:
             log(f"endpoint list not passed to the successor process: {error.strerror}")
 
-    def newest(
+    def select_newest(
         self,
         discovery: Address,
         configured: dict[str, Any],
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -78,11 +78,11 @@
         self.tls_keys = load_tls_keys(operator)
         router = build_protocol_router(config, operator, self.pools, self.tls_keys)
         self.gateway = self._build_gateway(self.pools if router is None else router)
-        self.server = HttpListener(config, self.gateway, self.pools)
+        self.http_listener = HttpListener(config, self.gateway, self.pools)
         self.hot_restart = HotRestart(config.folder if config.accept_fd is not None else None)
-        self.server.siblings = self.hot_restart
+        self.http_listener.siblings = self.hot_restart
         self.observations = ObservationExchange(config, operator, self.gateway)
-        self.listeners = ProtocolListeners(config, operator, self.gateway)
+        self.protocol_listeners = ProtocolListeners(config, operator, self.gateway)
         self.split = self._build_protocol_split()
         self.grpc_upstreams = self._build_grpc_upstreams(router) if router is not None else None
         self._on_http_list = (
@@ -121,9 +121,9 @@
         upstreams = GrpcUpstreams(router, self.gateway)
         if self.operator is not None and self.operator.newer.compare_per_s:
             upstreams.start_mirroring(
-                self.operator.newer, self._class_names(), lambda: not self.server.drain.is_draining
+                self.operator.newer, self._class_names(), lambda: not self.http_listener.drain.is_draining
             )
-        self.server.check_heads(untranslatable_reason)
+        self.http_listener.check_heads(untranslatable_reason)
         self._publish(upstreams.figures)
         return upstreams
 
@@ -156,20 +156,20 @@
         phase_done("store")
         self._join_siblings()
         listener = await self._listening_socket()
-        self.server.prepare(self.discovery)
+        self.http_listener.prepare(self.discovery)
         phase_done("list")
         await self.discovery.wait_for_first_call()
         phase_done("first call")
         if self.persistence is not None:
             await self.persistence.wait_until_read()
             phase_done("store")
-        self.server.start(listener)
+        self.http_listener.start(listener)
         if self.persistence is not None:
             self.persistence.restore()
-        self.observations.start(self.server, self.hot_restart)
+        self.observations.start(self.http_listener, self.hot_restart)
         phase_done("peers")
-        await self.listeners.start_dns(self.server, self.pools, self._listed_dns_servers())
-        await self.listeners.start_grpc(self.server, self.tls_keys)
+        await self.protocol_listeners.start_dns(self.http_listener, self.pools, self._listed_dns_servers())
+        await self.protocol_listeners.start_grpc(self.http_listener, self.tls_keys)
         phase_done("other fronts")
 
     def start_persistence(self) -> None:
@@ -184,7 +184,7 @@
         config = self.config
         endpoint_list = self.hot_restart.endpoint_list
         self.hot_restart.join()
-        self.gateway.known_endpoints = endpoint_list.newest(
+        self.gateway.known_endpoints = endpoint_list.select_newest(
             config.discovery,
             self.gateway.known_endpoints,
             lambda raw: bool(parse_endpoint_list(raw, config.names).endpoints),
@@ -205,7 +205,7 @@
         assert self.split is not None
         by_protocol = self.split.update(kind, endpoints)
         self._on_http_list(kind, by_protocol[HTTP])
-        self.listeners.on_dns_list(kind, by_protocol[DNS])
+        self.protocol_listeners.on_dns_list(kind, by_protocol[DNS])
 
     def apply_operator(self, config: Config, operator: Operator) -> None:
         """Apply what may change in the operator's file while requests go on: traffic and tenant shares.
@@ -235,9 +235,11 @@
         the process.
         """
         self.observations.close()
-        http_drained = asyncio.get_running_loop().create_task(self.server.leave())
+        http_drained = asyncio.get_running_loop().create_task(self.http_listener.leave())
         await asyncio.sleep(0)  # `leave` has begun now, and it is known when the last answers are due
-        others_drained = self.listeners.begin_drain(self.server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2)
+        others_drained = self.protocol_listeners.begin_drain(
+            self.http_listener.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
+        )
         # No time limit here: what is unanswered at an end by the clock would be lost.
         await http_drained
         for drained in others_drained:
@@ -252,11 +254,11 @@
 
     def close(self) -> None:
         """Close everything at once; requests in flight are lost."""
-        self.server.close()
+        self.http_listener.close()
         self.observations.close()
         if self.persistence is not None:
             self.persistence.close()
         if self.grpc_upstreams is not None:
             self.grpc_upstreams.close()
-        self.listeners.close()
+        self.protocol_listeners.close()
         self.gateway.close()
--- a/sagetrack/server/health_handover.py
+++ b/sagetrack/server/health_handover.py
@@ -38,7 +38,7 @@
         self.config = config
         self.gateway = gateway
         self._loop = asyncio.get_running_loop()
-        self._is_successor = hot_restart.serving > 0
+        self._is_successor = hot_restart.serving_sibling_count > 0
         self._read_until_s = self._loop.time() + READING_PERIOD_S
         self._restored_at_us = 0  # when the newest observations that were taken over had been written
         self._restored = 0  # observations
@@ -48,9 +48,9 @@
         self._timer = self._loop.call_later(EXCHANGE_INTERVAL_S, self._exchange)
         if self._is_successor and self._loop.time() < self._read_until_s:
             self.restore()
-            if self.hot_restart.others:
+            if self.hot_restart.sibling_count:
                 return
-        if self.hot_restart.others:
+        if self.hot_restart.sibling_count:
             self.save()
 
     def restore(self) -> None:
--- a/sagetrack/server/lifecycle.py
+++ b/sagetrack/server/lifecycle.py
@@ -68,7 +68,7 @@
         try:
             assembly = self._assemble()
             reloader = self._handle_reload_signal(assembly)
-            admin = AdminServer(assembly.server)
+            admin = AdminServer(assembly.http_listener)
             await self._listen(assembly, admin)
         except _StartFailedError as error:
             return error.status
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -134,7 +134,7 @@
         file = tmp_path / "operator.toml"
         file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
         async with running(config, load_operator(str(file))) as gateway:
-            listener = gateway.instance.listeners.grpc
+            listener = gateway.instance.protocol_listeners.grpc
             assert listener is not None
             place = listener.servers[0].sockets[0].getsockname()
             async with grpc_upstream_rig() as client:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -173,7 +173,7 @@
     parsed = parse(config)
     instance = GatewayAssembly(parsed, operator)
     await instance.start()
-    server = instance.server
+    server = instance.http_listener
     listener = server.acceptor.listener
     assert listener is not None
     try:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -124,7 +124,7 @@
     (tmp_path / "sagetrack-x.serving").write_text("")
     overlap = HotRestart(str(tmp_path))
     overlap.join()
-    assert (overlap.others, overlap.serving) == (0, 0)
+    assert (overlap.sibling_count, overlap.serving_sibling_count) == (0, 0)
     assert sorted(os.listdir(tmp_path)) == [f"sagetrack-{os.getpid()}.starting", "sagetrack-x.serving"]
     overlap.mark_serving()
     assert marks(tmp_path, "serving") == {os.getpid()}
@@ -136,7 +136,7 @@
 async def test_descriptors_are_shared_by_the_processes() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
         assert run.server.descriptors.limit == 1024
-        run.server.siblings.others = 1
+        run.server.siblings.sibling_count = 1
         assert run.server.descriptors.limit == 512
         await asyncio.sleep(0)  # the watch that the start has begun runs once
 
@@ -164,18 +164,18 @@
 def test_a_list_that_is_stale_foreign_or_half_written_is_not_used(tmp_path: Path, left: bytes) -> None:
     (tmp_path / FILE_NAME).write_bytes(left)
     known = {"index": 7}
-    assert EndpointListFile(tmp_path).newest(DISCOVERY, known) is known
+    assert EndpointListFile(tmp_path).select_newest(DISCOVERY, known) is known
 
 
 def test_the_complete_list_is_passed_to_the_successor(tmp_path: Path) -> None:
     file = EndpointListFile(tmp_path)
-    assert file.newest(DISCOVERY, {}) == {}
+    assert file.select_newest(DISCOVERY, {}) == {}
     file.write(DISCOVERY, {"index": 9, "snapshot": True, "endpoints": [{"name": "s"}]})
     assert os.listdir(tmp_path) == [FILE_NAME]
-    assert file.newest(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
+    assert file.select_newest(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
     known = {"index": 8}
-    assert file.newest(DISCOVERY, known, lambda endpoints: False) is known  # no entry can be read
-    assert EndpointListFile(None).newest(DISCOVERY, {"index": 8}) == {"index": 8}
+    assert file.select_newest(DISCOVERY, known, lambda endpoints: False) is known  # no entry can be read
+    assert EndpointListFile(None).select_newest(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
 @on_loop
@@ -236,5 +236,5 @@
     overlap.refresh()
     overlap.endpoint_list.write(DISCOVERY, {"index": 1})
     overlap.release()
-    assert (overlap.others, overlap.serving) == (0, 0)
+    assert (overlap.sibling_count, overlap.serving_sibling_count) == (0, 0)
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -349,7 +349,7 @@
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
-        front = run.instance.listeners.grpc
+        front = run.instance.protocol_listeners.grpc
         assert front is not None
         place = front.servers[0].sockets[0].getsockname()
         client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -277,9 +277,9 @@
 
 def test_a_list_that_was_handed_on_is_read_as_it_was_meant() -> None:
     file = EndpointListFile(TMPDIR)
-    assert file.newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
-    assert file.newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
-    assert file.newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
+    assert file.select_newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
+    assert file.select_newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
+    assert file.select_newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
 
 
 def test_marks_of_processes_have_the_same_names(tmp_path: Path) -> None:
@@ -297,7 +297,7 @@
             fcntl.flock(one, fcntl.LOCK_EX)
             fcntl.flock(two, fcntl.LOCK_EX)
             overlap.refresh()
-            assert (overlap.others, overlap.serving) == (2, 1)
+            assert (overlap.sibling_count, overlap.serving_sibling_count) == (2, 1)
     finally:
         overlap.release()
 
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -361,7 +361,7 @@
     assert (writes.lists, writes.entries) == (2, 551)  # and the last ones at the latest on exit
     draining = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     expected = endpoint_list(204, *draining, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
-    assert hot_restart.endpoint_list.newest(REGISTRY, {}) == expected
+    assert hot_restart.endpoint_list.select_newest(REGISTRY, {}) == expected
 
 
 @on_loop
@@ -374,7 +374,7 @@
     for version in range(1, 20):
         receive_changes(discovery, version, endpoint(f"s-{version}", "127.0.0.1:1"))
     await until(lambda: writes.lists == 2)
-    assert len(hot_restart.endpoint_list.newest(REGISTRY, {})["endpoints"]) == 19
+    assert len(hot_restart.endpoint_list.select_newest(REGISTRY, {})["endpoints"]) == 19
     # Nothing is scheduled while nothing changes.
     await until(lambda: not hot_restart.endpoint_list.is_rate_limited)
     receive_changes(discovery, 20, endpoint("s-20", "127.0.0.1:1"))
@@ -388,9 +388,11 @@
     receive_changes(discovery, 1, endpoint("s-1", "127.0.0.1:1"), is_full=True)
     receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # not written yet: rate limited
     successor.endpoint_list.write(REGISTRY, endpoint_list(3, endpoint("s-3", "127.0.0.1:1")))
-    hot_restart.serving = 1
+    hot_restart.serving_sibling_count = 1
     hot_restart.release()
-    assert successor.endpoint_list.newest(REGISTRY, {}) == endpoint_list(3, endpoint("s-3", "127.0.0.1:1"))
+    assert successor.endpoint_list.select_newest(REGISTRY, {}) == endpoint_list(
+        3, endpoint("s-3", "127.0.0.1:1")
+    )
 
 
 @on_loop
@@ -400,5 +402,5 @@
     receive_changes(
         make_discovery_client(hot_restart), 1, unencodable, endpoint("s-1", "127.0.0.1:1"), is_full=True
     )
-    handed_over = hot_restart.endpoint_list.newest(REGISTRY, {})["endpoints"]
+    handed_over = hot_restart.endpoint_list.select_newest(REGISTRY, {})["endpoints"]
     assert repr(handed_over) == repr([unencodable, endpoint("s-1", "127.0.0.1:1")])
