--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -27,7 +27,7 @@
     Returns:
         The store and what was recovered; if it cannot be opened, exit 2 with one line.
     """
-    from sagetrack.store.directory import Disk, DryRunDirectory
+    from sagetrack.store.directory import DiskDirectory, DryRunDirectory
     from sagetrack.store.engine import Store
     from sagetrack.store.errors import CorruptionError, NewerFormatError
     from sagetrack.store.options import StoreOptions
@@ -35,7 +35,7 @@
     if not folder.is_dir():
         raise fail(f"{folder}: no directory")
     try:
-        files = Disk(folder, create=False) if writes else DryRunDirectory(folder)
+        files = DiskDirectory(folder, create=False) if writes else DryRunDirectory(folder)
         stack.callback(files.close)
         store = Store(files, StoreOptions(max_bytes=2**50), lambda line: print(line, file=sys.stderr))
         return store, store.open()
--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -102,4 +102,4 @@
         fields = {} if action.server is None else {"server": action.server}
         log(action.line, "info", "module", **fields)
         if self._context.recorder is not None:
-            self._context.recorder.event(action.line)
+            self._context.recorder.record_event(action.line)
--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -118,7 +118,9 @@
             detail = f"{self._number} at server {attempt.server}: {outcome.value} after {latency_us} us"
             context.trace.note(Step.ATTEMPT_FAILED, id_, detail)
         if context.recorder is not None:
-            context.recorder.attempt(in_flight.request.class_index, outcome.value, latency_us, succeeded)
+            context.recorder.record_attempt(
+                in_flight.request.class_index, outcome.value, latency_us, succeeded
+            )
         in_flight.timed_out = outcome is Outcome.TIMEOUT
         if not in_flight.is_finished:
             self._respond(attempt, response if succeeded else None)
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -113,10 +113,10 @@
 class Recorder(Protocol):
     """Records what happens in the durable store, where the operator has one."""
 
-    def attempt(self, class_index: int, outcome: str, latency_us: int, good: bool) -> None:
+    def record_attempt(self, class_index: int, outcome: str, latency_us: int, succeeded: bool) -> None:
         """Record the end of an attempt."""
         ...
 
-    def event(self, line: str) -> None:
+    def record_event(self, line: str) -> None:
         """Record a line about the gateway or its servers."""
         ...
--- a/sagetrack/core/server_list.py
+++ b/sagetrack/core/server_list.py
@@ -52,7 +52,7 @@
         if any(entry.listed.status is not ServerStatus.READY for entry in entries):
             context.trace.note(Step.STATE_CHANGED, "list", summary(entries))
         if context.recorder is not None:
-            context.recorder.event(f"list {kind.value}: {summary(entries)}")
+            context.recorder.record_event(f"list {kind.value}: {summary(entries)}")
         listed = tuple(entry.listed for entry in entries)
         source = context.endpoint_source
         return EndpointList(
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -29,7 +29,7 @@
 from sagetrack.lab.processes.gateway_process import GatewayProcess
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
 from sagetrack.lab.stand_ins.discovery_agent import DiscoveryAgent, DiscoveryConnection
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
@@ -117,7 +117,7 @@
 
 def fill(folder: Path, values: int) -> None:
     """Write a store of so many values, as the process before left it."""
-    store = Store(Disk(folder), StoreOptions())
+    store = Store(DiskDirectory(folder), StoreOptions())
     store.open()
     at_ms = int(time.time() * 1000)
     for first in range(0, values, STORE_BATCH):
--- a/sagetrack/lab/fault_injection/crash_test.py
+++ b/sagetrack/lab/fault_injection/crash_test.py
@@ -27,7 +27,7 @@
     state_of,
 )
 from sagetrack.lab.fault_injection.writer_process import LARGE_STORE, newest_values, write_and_kill
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import CorruptionError, WriteRejectedError
 from sagetrack.store.format import Record
@@ -179,7 +179,7 @@
     acknowledged = write_and_kill(folder, draw, before)
     report.kills += 1
     report.acknowledged += max(0, acknowledged - before)
-    store = Store(Disk(folder), LARGE_STORE)
+    store = Store(DiskDirectory(folder), LARGE_STORE)
     try:
         sequence = store.open().sequence
         if sequence < acknowledged:
--- a/sagetrack/lab/fault_injection/faulty_filesystem.py
+++ b/sagetrack/lab/fault_injection/faulty_filesystem.py
@@ -103,10 +103,10 @@
         """Size of a file in bytes."""
         return len(self._file(name).data)
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         """Read bytes from an offset; fewer at the end of the file."""
-        self.largest_read = max(self.largest_read, count)
-        return bytes(self._file(name).data[at : at + count])
+        self.largest_read = max(self.largest_read, length)
+        return bytes(self._file(name).data[offset : offset + length])
 
     def create(self, name: str) -> None:
         """Create an empty file, in place of one that is there."""
@@ -144,9 +144,9 @@
         file.durable = bytes(file.data)
         file.truncated_to = None
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Truncate a file to a size in bytes."""
-        self._call("cut")
+        self._call("truncate")
         file = self._file(name)
         del file.data[size:]
         file.truncated_to = size if file.truncated_to is None else min(size, file.truncated_to)
--- a/sagetrack/lab/fault_injection/writer_process.py
+++ b/sagetrack/lab/fault_injection/writer_process.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from sagetrack.lab.fault_injection.store_states import Batch, State, state_after
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
@@ -29,7 +29,7 @@
 
 def write_until_killed(folder: str) -> None:
     """Write batch after batch; print a batch's number to standard output once it is durable."""
-    store = Store(Disk(folder), LARGE_STORE)
+    store = Store(DiskDirectory(folder), LARGE_STORE)
     sequence = store.open().sequence
     while True:
         sequence += 1
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -15,9 +15,9 @@
 from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
 from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.peers.codec import Datagram, encode
-from sagetrack.peers.demand_gossip import FANOUT, demand_message, demands_from
+from sagetrack.peers.demand_gossip import FANOUT, decode_demands, demand_message
 from sagetrack.peers.settings import MembershipSettings
-from sagetrack.peers.warm_start import PEERS_ASKED, divide_response
+from sagetrack.peers.warm_start import INITIAL_PEERS, divide_response
 from sagetrack.policy.events import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
@@ -61,7 +61,7 @@
     assert message is not None
     data = encode(Datagram(0, 1, [message]))
     values = meter.measure_event(
-        lambda: (demand_message(demands), demands_from(message, size)), step_samples=1
+        lambda: (demand_message(demands), decode_demands(message, size)), step_samples=1
     )
     return values | {
         "bytes": float(len(data)),
@@ -80,7 +80,7 @@
     length = sum(len(encode(Datagram(0, 1, [part]))) for part in parts)
     return values | {
         "messages": float(len(parts)),
-        "bytes": float(length * PEERS_ASKED),
+        "bytes": float(length * INITIAL_PEERS),
         "entries": float(entries),
     }
 
--- a/sagetrack/lab/virtual/peer_node.py
+++ b/sagetrack/lab/virtual/peer_node.py
@@ -16,9 +16,9 @@
     decode,
     encode,
 )
-from sagetrack.peers.demand_gossip import DemandGossipSchedule, demand_message, demands_from
+from sagetrack.peers.demand_gossip import DemandGossipSchedule, decode_demands, demand_message
 from sagetrack.peers.membership import Membership
-from sagetrack.peers.observation_codec import latencies_from
+from sagetrack.peers.observation_codec import decode_latencies
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
 from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
@@ -84,7 +84,7 @@
     def _serve_warm_start(self, sender: int, request: WarmStartRequest) -> None:
         now = self._clock.now_us() + GATEWAY_EPOCH_US
         observations, latencies = self._balancer.own_observations()
-        for part in self._warm_start_server.answer(now, request, observations, latencies):
+        for part in self._warm_start_server.respond(now, request, observations, latencies):
             self._send_message(sender, part)
 
     def _take_warm_start(self, sender: int, response: WarmStartResponse) -> None:
@@ -93,12 +93,12 @@
         now = self._clock.now_us() + GATEWAY_EPOCH_US
         started_us = {number: server.entry.started_us for number, server in self._balancer.servers.items()}
         observations = self._warm_start_client.handle(now, sender, response, started_us)
-        self._handle(ObservationsReceived(tuple(observations), latencies_from(response.classes)))
+        self._handle(ObservationsReceived(tuple(observations), decode_latencies(response.classes)))
 
     def _take_demands(self, sender: int, message: DemandGossip) -> None:
         admission = self._balancer.admission
         if admission is not None:
-            self._handle(PeerDemands(sender, demands_from(message, len(admission.shares))))
+            self._handle(PeerDemands(sender, decode_demands(message, len(admission.shares))))
 
     def _send(self, target: int, datagram: Datagram) -> None:
         if self._stopped:
--- a/sagetrack/peers/codec.py
+++ b/sagetrack/peers/codec.py
@@ -22,37 +22,37 @@
 CHECKSUM_BYTES = 4
 HEADER_BYTES = VERSION_BYTES + CHECKSUM_BYTES
 ENVELOPE_BYTES = 16  # at most, of sender, incarnation and the beginnings of arrays
-Member = Annotated[int, Meta(ge=0, le=65_535)]
-Number = Annotated[int, Meta(ge=0, le=2**62)]
-Small = Annotated[int, Meta(ge=0, le=255)]
+MemberId = Annotated[int, Meta(ge=0, le=65_535)]
+NonNegative = Annotated[int, Meta(ge=0, le=2**62)]
+UInt8 = Annotated[int, Meta(ge=0, le=255)]
 
 
 class Ping(msgspec.Struct, tag=1, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Asks `target` for an acknowledgement; a member that has another's address does not answer for it."""
 
-    sequence: Number
-    target: Member
+    sequence: NonNegative
+    target: MemberId
 
 
 class Ack(msgspec.Struct, tag=2, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Acknowledges the ping of `target` with this sequence number."""
 
-    sequence: Number
-    target: Member
+    sequence: NonNegative
+    target: MemberId
 
 
 class PingRequest(msgspec.Struct, tag=3, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Asks the receiver for an indirect ping of `target` (SWIM's ping-req)."""
 
-    sequence: Number
-    target: Member
+    sequence: NonNegative
+    target: MemberId
 
 
 class Nack(msgspec.Struct, tag=4, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Says that an indirect ping of `target` has not been acknowledged yet (Lifeguard)."""
 
-    sequence: Number
-    target: Member
+    sequence: NonNegative
+    target: MemberId
 
 
 class Update(msgspec.Struct, tag=5, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -65,19 +65,19 @@
         reporter: The member that suspects it, or has declared it dead.
     """
 
-    member: Member
+    member: MemberId
     state: Annotated[int, Meta(ge=0, le=2)]
-    incarnation: Number
-    reporter: Member
+    incarnation: NonNegative
+    reporter: MemberId
 
 
 class WarmStartRequest(msgspec.Struct, tag=6, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Asks for what the receiver has observed of servers, as the sender has just started."""
 
-    request_id: Number
+    request_id: NonNegative
 
 
-class ServerFact(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class ServerEntry(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The sender's own observation of one server, in units that keep it under 20 bytes.
 
     Attributes:
@@ -96,12 +96,12 @@
     state: Annotated[int, Meta(ge=0, le=2)]
     overloaded: bool
     weight: Annotated[int, Meta(ge=0, le=100)]
-    cooldown: Small
+    cooldown: UInt8
     age: Annotated[int, Meta(ge=0, le=65_535)]
     slow_start_used: Annotated[int, Meta(ge=0, le=65_535)] = 0
 
 
-class ClassFact(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class LatencyEntry(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Latencies of one request class, in tenths of a millisecond.
 
     Attributes:
@@ -110,7 +110,7 @@
         baseline: Latency without queueing.
     """
 
-    class_index: Small
+    class_index: UInt8
     smoothed: Annotated[int, Meta(ge=1, lt=2**32)]
     baseline: Annotated[int, Meta(ge=1, lt=2**32)]
 
@@ -126,11 +126,11 @@
         servers: Observations of servers.
     """
 
-    request_id: Number
-    part: Small
+    request_id: NonNegative
+    part: UInt8
     parts: Annotated[int, Meta(ge=1, le=255)]
-    classes: Annotated[list[ClassFact], Meta(max_length=64)]
-    servers: Annotated[list[ServerFact], Meta(max_length=64)]
+    classes: Annotated[list[LatencyEntry], Meta(max_length=64)]
+    servers: Annotated[list[ServerEntry], Meta(max_length=64)]
 
 
 class DemandGossip(msgspec.Struct, tag=8, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -140,7 +140,7 @@
         demands: A tenant's index, and milliseconds of work for a second.
     """
 
-    demands: Annotated[list[tuple[Member, Annotated[int, Meta(ge=0, lt=2**32)]]], Meta(max_length=24)]
+    demands: Annotated[list[tuple[MemberId, Annotated[int, Meta(ge=0, lt=2**32)]]], Meta(max_length=24)]
 
 
 Message = Ping | Ack | PingRequest | Nack | Update | WarmStartRequest | WarmStartResponse | DemandGossip
@@ -155,8 +155,8 @@
         messages: What it says.
     """
 
-    sender: Member
-    incarnation: Number
+    sender: MemberId
+    incarnation: NonNegative
     messages: Annotated[list[Message], Meta(max_length=64)]
 
 
@@ -182,9 +182,9 @@
     return HEADER_BYTES + ENVELOPE_BYTES + sum(len(_encoder.encode(message)) for message in messages)
 
 
-def encoded_fact_size(fact: ClassFact | ServerFact) -> int:
-    """Return how many bytes of a datagram a fact takes."""
-    return len(_encoder.encode(fact))
+def encoded_entry_size(entry: LatencyEntry | ServerEntry) -> int:
+    """Return how many bytes of a datagram an entry takes."""
+    return len(_encoder.encode(entry))
 
 
 def decode(data: bytes) -> Datagram:
--- a/sagetrack/peers/demand_gossip.py
+++ b/sagetrack/peers/demand_gossip.py
@@ -29,7 +29,7 @@
     return DemandGossip([(tenant, ms) for ms, tenant in highest]) if highest else None
 
 
-def demands_from(message: DemandGossip, tenants: int) -> tuple[float, ...]:
+def decode_demands(message: DemandGossip, tenants: int) -> tuple[float, ...]:
     """Return a message's demands, in microseconds by tenant; unknown tenants are ignored.
 
     Args:
--- a/sagetrack/peers/failure_detector.py
+++ b/sagetrack/peers/failure_detector.py
@@ -40,7 +40,7 @@
         self,
         table: MemberTable,
         settings: MembershipSettings,
-        draw: random.Random,
+        rng: random.Random,
         now_us: int,
         send: SendMessage,
         current_update: Callable[[int], Update],
@@ -51,7 +51,7 @@
         Args:
             table: What is believed of the other members.
             settings: Parameters of membership.
-            draw: The source of randomness.
+            rng: The source of randomness.
             now_us: The time.
             send: Sends a message.
             current_update: Returns the update that says what is believed of a member.
@@ -60,12 +60,12 @@
         self.health = LocalHealth()
         self._table = table
         self._settings = settings
-        self._random = draw
+        self._rng = rng
         self._send = send
         self._current_update = current_update
         self._on_unanswered = on_unanswered
-        self._sequence = draw.getrandbits(SEQUENCE_BITS)
-        self._next_ping_us = now_us + int(draw.random() * settings.period_us)
+        self._sequence = rng.getrandbits(SEQUENCE_BITS)
+        self._next_ping_us = now_us + int(rng.random() * settings.period_us)
         self._probe: Probe | None = None
         self._relayed: dict[int, RelayedPing] = {}  # by our sequence number
         self._round: list[int] = []  # members that are still to be pinged in this round
@@ -87,7 +87,7 @@
         if probe is not None:
             self._continue_probe(now_us, probe)
         if now_us >= self._next_ping_us:
-            self._next_ping_us = now_us + self.health.stretch(self._settings.period_us)
+            self._next_ping_us = now_us + self.health.scale(self._settings.period_us)
             self._begin_period(now_us)
 
     def on_ack(self, now_us: int, sender: int, ack: Ack) -> None:
@@ -103,7 +103,7 @@
     def on_nack(self, sender: int, nack: Nack) -> None:
         """Take in that a helper was not answered either; as it reaches us, our own receiving is well."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
-            self._probe.silent_helpers.discard(sender)
+            self._probe.unresponsive_helpers.discard(sender)
 
     def on_ping_request(self, now_us: int, requester: int, request: PingRequest) -> None:
         """Make an indirect ping for another member; beyond `MAX_RELAYED_PINGS` the request is ignored."""
@@ -119,7 +119,7 @@
         """Ping all dead members soon: after a partition has healed, the others have returned too."""
         if not self._maybe_returned:
             self._maybe_returned = self._table.members(MemberState.DEAD)
-            self._random.shuffle(self._maybe_returned)
+            self._rng.shuffle(self._maybe_returned)
 
     def _next_sequence(self) -> int:
         self._sequence += 1
@@ -148,13 +148,13 @@
     def _request_indirect_pings(self, now_us: int, probe: Probe) -> None:
         probe.is_indirect = True
         others = [member for member in self._table.members(MemberState.ALIVE) if member != probe.target]
-        for helper in self._random.sample(others, min(self._settings.indirect_pings, len(others))):
-            probe.silent_helpers.add(helper)
+        for helper in self._rng.sample(others, min(self._settings.indirect_pings, len(others))):
+            probe.unresponsive_helpers.add(helper)
             self._send(now_us, helper, PingRequest(probe.sequence, probe.target))
 
     def _fail_probe(self, now_us: int, probe: Probe) -> None:
         self._probe = None
-        if probe.silent_helpers or not probe.is_indirect:
+        if probe.unresponsive_helpers or not probe.is_indirect:
             self.health.worsen()
         self._on_unanswered(now_us, probe.target)
 
@@ -172,13 +172,13 @@
     def _begin_probe(self, now_us: int, target: int) -> None:
         """Ping a member: once more after half the timeout, indirectly after all of it."""
         sequence = self._next_sequence()
-        timeout_us = self.health.stretch(self._settings.timeout_us)
+        timeout_us = self.health.scale(self._settings.timeout_us)
         self._probe = Probe(
             sequence,
             target,
             retry_us=now_us + timeout_us // 2,
             indirect_us=now_us + timeout_us,
-            deadline_us=now_us + self.health.stretch(self._settings.period_us) * 9 // 10,
+            deadline_us=now_us + self.health.scale(self._settings.period_us) * 9 // 10,
         )
         self._send(now_us, target, Ping(sequence, target))
 
@@ -187,7 +187,7 @@
         while True:
             if not self._round:
                 self._round = list(self._table.peers)
-                self._random.shuffle(self._round)
+                self._rng.shuffle(self._round)
             target = self._round.pop()
             if self._table.peers[target].state is not MemberState.DEAD:
                 return target
@@ -203,7 +203,7 @@
                 self._ping_dead(now_us, target)
             del self._maybe_returned[:RETURNED_PINGS]
         elif dead and (self._periods % self._settings.dead_ping_periods == 0 or not any_alive):
-            self._ping_dead(now_us, self._random.choice(dead))
+            self._ping_dead(now_us, self._rng.choice(dead))
 
     def _ping_dead(self, now_us: int, target: int) -> None:
         """Ping with the update of its death ahead: one that was only cut off refutes it in its answer."""
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -20,7 +20,7 @@
 from sagetrack.peers.stored_observations import HandoverRecord, decode_record, encode_record
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
-FILE = "sagetrack-knowledge.bin"
+FILE_NAME = "sagetrack-knowledge.bin"
 MAGIC = b"SGTK2"  # SGTK1 had times of the writer's own clock
 CHECKSUM_BYTES = 4
 HEADER_BYTES = len(MAGIC) + CHECKSUM_BYTES
@@ -29,10 +29,10 @@
 STALE_US = 60_000_000
 
 
-def shift_times(observations: Iterable[Observation], by_us: int) -> list[Observation]:
+def shift_times(observations: Iterable[Observation], offset_us: int) -> list[Observation]:
     """Return the observations with their times on another clock, which is so far ahead."""
     return [
-        replace(one, seen_us=one.seen_us + by_us, open_until_us=one.open_until_us + by_us)
+        replace(one, seen_us=one.seen_us + offset_us, open_until_us=one.open_until_us + offset_us)
         for one in observations
     ]
 
@@ -61,10 +61,10 @@
     if len(body) > MAX_BODY_BYTES:
         log(f"health hand-over not written: {len(body)} bytes, at most {MAX_BODY_BYTES} are allowed")
         return False
-    fresh = folder / f"{FILE}.{os.getpid()}"
+    temporary_path = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
-        fresh.write_bytes(MAGIC + zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body)
-        os.replace(fresh, folder / FILE)
+        temporary_path.write_bytes(MAGIC + zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body)
+        os.replace(temporary_path, folder / FILE_NAME)
     except OSError as error:
         log(f"health hand-over not written: {error.strerror}")
         return False
@@ -90,7 +90,7 @@
 def read(folder: Path, gateway: str, now_us: int) -> HandoverRecord | None:
     """Return the record that a predecessor has left in this folder, if it can be used."""
     try:
-        with open(folder / FILE, "rb") as file:
+        with open(folder / FILE_NAME, "rb") as file:
             return parse(file.read(READ_BYTES), gateway, now_us)
     except OSError:
         return None
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -36,8 +36,8 @@
 
 
 @dataclass(slots=True)
-class Counts:
-    """Counts since the start.
+class MembershipCounters:
+    """MembershipCounters since the start.
 
     Attributes:
         sent: Datagrams sent.
@@ -71,7 +71,7 @@
     Attributes:
         own_number: This member's number.
         incarnation: This member's incarnation.
-        counts: Counts since the start.
+        counts: MembershipCounters since the start.
         on_change: Called with a member and its state, whenever the state changes.
     """
 
@@ -98,7 +98,7 @@
         """
         self.own_number = own_number
         self.incarnation = incarnation
-        self.counts = Counts()
+        self.counts = MembershipCounters()
         self.on_change: Callable[[int, MemberState], None] = lambda member, state: None
         self._settings = settings
         self._send_datagram = send
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -22,11 +22,11 @@
     decode,
     encode,
 )
-from sagetrack.peers.demand_gossip import DemandGossipSchedule, demand_message, demands_from
+from sagetrack.peers.demand_gossip import DemandGossipSchedule, decode_demands, demand_message
 from sagetrack.peers.errors import CodecError
 from sagetrack.peers.member_table import MemberState
-from sagetrack.peers.membership import Counts, Membership
-from sagetrack.peers.observation_codec import latencies_from
+from sagetrack.peers.membership import Membership, MembershipCounters
+from sagetrack.peers.observation_codec import decode_latencies
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.status_report import describe_datagrams, describe_warm_start
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
@@ -41,7 +41,7 @@
 ObservationSource = Callable[[], tuple[list[Observation], list[ClassLatency]]]
 
 
-class Node(asyncio.DatagramProtocol):
+class PeerNode(asyncio.DatagramProtocol):
     """This gateway's socket among the others.
 
     Made on a running loop; `start` binds, and retries while another process has the address.
@@ -104,7 +104,7 @@
         self._closed = False
 
     @property
-    def counts(self) -> Counts:
+    def counts(self) -> MembershipCounters:
         """Datagrams and what became of them."""
         return self.membership.counts
 
@@ -226,12 +226,12 @@
             if self.warm_start_client is not None:
                 self._learn(now, sender, message, self.warm_start_client)
         elif isinstance(message, DemandGossip) and self._demands is not None:
-            demands = demands_from(message, len(self._demands()))
+            demands = decode_demands(message, len(self._demands()))
             self._post(PeerDemands(sender, demands))
 
     def _answer(self, now: int, requester: int, request: WarmStartRequest) -> None:
         observations, latencies = self._observations()
-        for part in self._warm_start_server.answer(now, request, observations, latencies):
+        for part in self._warm_start_server.respond(now, request, observations, latencies):
             self._send_message(requester, part)
 
     def _learn(self, now: int, sender: int, response: WarmStartResponse, client: WarmStartClient) -> None:
@@ -239,7 +239,7 @@
             self.counts.rejected += 1
             return
         observations = client.handle(now, sender, response, self._start_times())
-        self._post(ObservationsReceived(tuple(observations), latencies_from(response.classes)))
+        self._post(ObservationsReceived(tuple(observations), decode_latencies(response.classes)))
 
     def _on_change(self, member: int, state: MemberState) -> None:
         log(f"peer {member}: {state.name.lower()}", kind="peer")
@@ -261,7 +261,7 @@
         lines.append(describe_warm_start(warm_start))
         return lines
 
-    def figures(self) -> dict[str, int]:
+    def metric_values(self) -> dict[str, int]:
         """Return the exported metrics."""
         counts = self.counts
         membership = self.membership
--- a/sagetrack/peers/observation_codec.py
+++ b/sagetrack/peers/observation_codec.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from sagetrack.peers.codec import ClassFact, ServerFact
+from sagetrack.peers.codec import LatencyEntry, ServerEntry
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 START_IDS = 2**24
@@ -24,19 +24,19 @@
     return started_us // 1000 % START_IDS
 
 
-def class_fact(latency: ClassLatency) -> ClassFact:
+def encode_latency(latency: ClassLatency) -> LatencyEntry:
     """Return latencies in a datagram's units; at least one unit."""
 
     def units(time_us: float) -> int:
         return min(MAX_LATENCY_UNITS, max(1, round(time_us / LATENCY_UNIT_US)))
 
-    return ClassFact(latency.class_index, units(latency.smoothed_us), units(latency.baseline_us))
+    return LatencyEntry(latency.class_index, units(latency.smoothed_us), units(latency.baseline_us))
 
 
-def server_fact(observation: Observation, now_us: int) -> ServerFact:
+def encode_observation(observation: Observation, now_us: int) -> ServerEntry:
     """Return an observation in a datagram's units; a cooldown is rounded up, an age down."""
     cooldown = -(-max(0, observation.open_until_us - now_us) // COOLDOWN_UNIT_US)
-    return ServerFact(
+    return ServerEntry(
         observation.server,
         start_id(observation.started_us),
         observation.state,
@@ -48,41 +48,42 @@
     )
 
 
-def observations_from(
-    by: int, facts: Iterable[ServerFact], start_times: dict[int, int], now_us: int
+def decode_observations(
+    reporter: int, entries: Iterable[ServerEntry], start_times: dict[int, int], now_us: int
 ) -> list[Observation]:
     """Return a peer's observations of servers that this gateway lists in the same incarnation.
 
     Args:
-        by: The peer.
-        facts: As received.
+        reporter: The peer.
+        entries: As received.
         start_times: When each listed server started, in microseconds, by its id.
         now_us: The time; ages are taken as they were sent, without the time on the way.
     """
     found = []
-    for fact in facts:
-        started_us = start_times.get(fact.server)
-        if started_us is None or start_id(started_us) != fact.start_id:
+    for entry in entries:
+        started_us = start_times.get(entry.server)
+        if started_us is None or start_id(started_us) != entry.start_id:
             continue
         found.append(
             Observation(
-                fact.server,
+                entry.server,
                 started_us,
-                by,
-                now_us - fact.age * AGE_UNIT_US,
-                fact.state,
-                now_us + fact.cooldown * COOLDOWN_UNIT_US,
-                fact.weight / WEIGHT_UNITS,
-                fact.overloaded,
-                fact.slow_start_used * WORK_UNIT_US,
+                reporter,
+                now_us - entry.age * AGE_UNIT_US,
+                entry.state,
+                now_us + entry.cooldown * COOLDOWN_UNIT_US,
+                entry.weight / WEIGHT_UNITS,
+                entry.overloaded,
+                entry.slow_start_used * WORK_UNIT_US,
             )
         )
     return found
 
 
-def latencies_from(facts: Iterable[ClassFact]) -> tuple[ClassLatency, ...]:
+def decode_latencies(entries: Iterable[LatencyEntry]) -> tuple[ClassLatency, ...]:
     """Return the latencies by request class that a peer has sent."""
     unit_us = float(LATENCY_UNIT_US)
     return tuple(
-        ClassLatency(fact.class_index, fact.smoothed * unit_us, fact.baseline * unit_us) for fact in facts
+        ClassLatency(entry.class_index, entry.smoothed * unit_us, entry.baseline * unit_us)
+        for entry in entries
     )
--- a/sagetrack/peers/probes.py
+++ b/sagetrack/peers/probes.py
@@ -21,7 +21,7 @@
         """An acknowledgement was received."""
         self._score = max(0, self._score - 1)
 
-    def stretch(self, time_us: int) -> int:
+    def scale(self, time_us: int) -> int:
         """Return a period or timeout, longer the worse the health."""
         return time_us * (self._score + 1)
 
@@ -38,7 +38,7 @@
         deadline_us: When it counts as not acknowledged.
         was_retried: Whether it was pinged once more.
         is_indirect: Whether others were asked.
-        silent_helpers: Others that were asked and have not answered at all.
+        unresponsive_helpers: Others that were asked and have not answered at all.
     """
 
     sequence: int
@@ -48,7 +48,7 @@
     deadline_us: int
     was_retried: bool = False
     is_indirect: bool = False
-    silent_helpers: set[int] = field(default_factory=set)
+    unresponsive_helpers: set[int] = field(default_factory=set)
 
     @property
     def next_us(self) -> int:
--- a/sagetrack/peers/status_report.py
+++ b/sagetrack/peers/status_report.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from sagetrack.peers.membership import Counts
+from sagetrack.peers.membership import MembershipCounters
 from sagetrack.peers.warm_start import WarmStartResult
 
 
-def describe_datagrams(counts: Counts, responses_rate_limited: int) -> str:
+def describe_datagrams(counts: MembershipCounters, responses_rate_limited: int) -> str:
     """Describe what was sent and received.
 
     Args:
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -13,22 +13,22 @@
 
 from sagetrack.peers.codec import (
     DATAGRAM_LIMIT,
-    ClassFact,
-    ServerFact,
+    LatencyEntry,
+    ServerEntry,
     WarmStartRequest,
     WarmStartResponse,
-    encoded_fact_size,
+    encoded_entry_size,
     encoded_size,
 )
-from sagetrack.peers.observation_codec import class_fact, observations_from, server_fact
+from sagetrack.peers.observation_codec import decode_observations, encode_latency, encode_observation
 from sagetrack.peers.token_bucket import TokenBucket
 from sagetrack.policy.peer_observations import CLOSED, ClassLatency, Observation
 
-PEERS_ASKED = 3
+INITIAL_PEERS = 3
 MAX_ATTEMPTS = 5
-ATTEMPTS_AT_ONE_PEER = 2  # after so many in vain, another peer is asked in its place
-FIRST_BACKOFF_US = 200_000  # doubles with each attempt
-SHORTEST_JITTER, LONGEST_JITTER = 0.5, 1.5  # times the backoff
+ATTEMPTS_PER_PEER = 2  # after so many in vain, another peer is asked in its place
+INITIAL_BACKOFF_US = 200_000  # doubles with each attempt
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the backoff
 REQUEST_ID_BITS = 40
 MAX_PARTS = 32  # of one response: about 350 servers, the worst first
 MAX_CLASSES = 16  # of one response
@@ -62,7 +62,7 @@
 
     Attributes:
         requests: The peer that each request goes to, by the request's id.
-        complete: Ids of requests whose response is complete.
+        completed: Ids of requests whose response is complete.
         due_us: When to call `tick`.
         result: What was received.
     """
@@ -85,9 +85,9 @@
         self._random = random.Random(seed)
         self._send = send
         self._start_us = now_us
-        chosen = self._random.sample(list(peers), min(PEERS_ASKED, len(peers)))
+        chosen = self._random.sample(list(peers), min(INITIAL_PEERS, len(peers)))
         self.requests = {self._random.getrandbits(REQUEST_ID_BITS): peer for peer in chosen}
-        self.complete: set[int] = set()
+        self.completed: set[int] = set()
         self.due_us = now_us
         self.result = WarmStartResult()
         self._others = [peer for peer in peers if peer not in chosen]
@@ -97,22 +97,22 @@
     @property
     def is_finished(self) -> bool:
         """Whether no more is asked: all responses are complete, or there were attempts enough."""
-        return len(self.complete) == len(self.requests) or self._attempts >= MAX_ATTEMPTS
+        return len(self.completed) == len(self.requests) or self._attempts >= MAX_ATTEMPTS
 
     def tick(self, now_us: int) -> None:
         """Repeat requests whose response is not complete, if it is time to."""
         if self.is_finished or now_us < self.due_us:
             return
         for request_id in list(self.requests):
-            if request_id not in self.complete:
+            if request_id not in self.completed:
                 self._send(self._peer_for(request_id), WarmStartRequest(request_id))
-        backoff_us = FIRST_BACKOFF_US * 2**self._attempts
-        self.due_us = now_us + int(backoff_us * self._random.uniform(SHORTEST_JITTER, LONGEST_JITTER))
+        backoff_us = INITIAL_BACKOFF_US * 2**self._attempts
+        self.due_us = now_us + int(backoff_us * self._random.uniform(MIN_JITTER, MAX_JITTER))
         self._attempts += 1
 
     def _peer_for(self, request_id: int) -> int:
         """Return whom to ask: another peer in place of one that has not answered at all for long."""
-        silent = self._attempts >= ATTEMPTS_AT_ONE_PEER and not self._parts[request_id]
+        silent = self._attempts >= ATTEMPTS_PER_PEER and not self._parts[request_id]
         if silent and self._others:
             self.requests[request_id] = self._others.pop(self._random.randrange(len(self._others)))
         return self.requests[request_id]
@@ -134,7 +134,7 @@
         if self.requests.get(response.request_id) != sender:
             return []
         self._count_part(now_us, response)
-        observations = observations_from(sender, response.servers, start_times, now_us)
+        observations = decode_observations(sender, response.servers, start_times, now_us)
         result = self.result
         result.observations += len(observations)
         for observation in observations:
@@ -149,8 +149,8 @@
             return
         received.add(response.part)
         self.result.parts += 1
-        if len(received) >= response.parts and response.request_id not in self.complete:
-            self.complete.add(response.request_id)
+        if len(received) >= response.parts and response.request_id not in self.completed:
+            self.completed.add(response.request_id)
             self.result.peers += 1
             self.result.completed_us = now_us - self._start_us
 
@@ -166,7 +166,7 @@
         self.rate_limited = 0
         self._bucket = TokenBucket(RESPONSES_PER_S, RESPONSE_BURST, now_us)
 
-    def answer(
+    def respond(
         self,
         now_us: int,
         request: WarmStartRequest,
@@ -190,22 +190,24 @@
     weights.
     """
     order = sorted(observations, key=lambda o: (o.state == CLOSED and not o.overloaded, o.weight, o.server))
-    facts: list[ClassFact | ServerFact] = [class_fact(latency) for latency in latencies[:MAX_CLASSES]]
-    facts += [server_fact(observation, now_us) for observation in order]
+    entries: list[LatencyEntry | ServerEntry] = [
+        encode_latency(latency) for latency in latencies[:MAX_CLASSES]
+    ]
+    entries += [encode_observation(observation, now_us) for observation in order]
     empty = WarmStartResponse(request_id, 255, 255, [], [])
     capacity = DATAGRAM_LIMIT - encoded_size([empty]) - ARRAY_BYTES
-    groups: list[tuple[list[ClassFact], list[ServerFact]]] = [([], [])]
+    groups: list[tuple[list[LatencyEntry], list[ServerEntry]]] = [([], [])]
     used = 0
-    for fact in facts:
-        length = encoded_fact_size(fact)
+    for entry in entries:
+        length = encoded_entry_size(entry)
         if used + length > capacity:
             groups.append(([], []))
             used = 0
         used += length
         classes, servers = groups[-1]
-        if isinstance(fact, ClassFact):
-            classes.append(fact)
+        if isinstance(entry, LatencyEntry):
+            classes.append(entry)
         else:
-            servers.append(fact)
+            servers.append(entry)
     groups = groups[:MAX_PARTS]
     return [WarmStartResponse(request_id, part, len(groups), *group) for part, group in enumerate(groups)]
--- a/sagetrack/server/observation_exchange.py
+++ b/sagetrack/server/observation_exchange.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.peers.node import Node
+    from sagetrack.peers.node import PeerNode
 
 
 class ObservationExchange:
@@ -30,7 +30,7 @@
         self.config = config
         self.operator = operator
         self.gateway = gateway
-        self.peer_node: Node | None = None
+        self.peer_node: PeerNode | None = None
         self.health_handover: HealthHandover | None = None
 
     def start(self, http: HttpListener, hot_restart: HotRestart) -> None:
@@ -45,7 +45,7 @@
         """
         self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
         if self.peer_node is not None:
-            self.gateway.metrics.extra_figures.append(self.peer_node.figures)
+            self.gateway.metrics.extra_figures.append(self.peer_node.metric_values)
             http.describe_peers = self.peer_node.describe
             self.peer_node.start()
         if hot_restart.folder is not None:
--- a/sagetrack/server/peer_node.py
+++ b/sagetrack/server/peer_node.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
-    from sagetrack.peers.node import Node
+    from sagetrack.peers.node import PeerNode
 
 MIN_GATEWAYS = 2  # with fewer there is nobody to exchange messages with
 
@@ -53,7 +53,7 @@
     return PeerAddresses(own_number, listen, gateways)
 
 
-def build_peer_node(config: Config, operator: Operator | None, gateway: Gateway) -> Node | None:
+def build_peer_node(config: Config, operator: Operator | None, gateway: Gateway) -> PeerNode | None:
     """The node, not yet started; None where messages between gateways are off.
 
     Raises:
@@ -62,7 +62,7 @@
     addresses = peer_addresses(config, operator)
     if addresses is None:
         return None
-    from sagetrack.peers.node import Node
+    from sagetrack.peers.node import PeerNode
     from sagetrack.peers.settings import MembershipSettings
 
     settings = MembershipSettings()
@@ -71,7 +71,7 @@
         peers = operator.peers
         settings = MembershipSettings(period_us=peers.period_ms * 1000, timeout_us=peers.timeout_ms * 1000)
         warm_start = peers.warm_start
-    return Node(
+    return PeerNode(
         addresses.own_number,
         addresses.listen,
         addresses.all_gateways,
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -17,10 +17,10 @@
 from sagetrack.core.log import log
 from sagetrack.peers.stored_observations import HandoverRecord, decode_record, encode_record
 from sagetrack.policy.events import ObservationsReceived
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.errors import CorruptionError, StoreOpenError
 from sagetrack.store.format import Record
-from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.options import RetentionPolicy, StoreOptions
 from sagetrack.store.recorder import Recorder
 from sagetrack.store.writer import BackgroundWriter
 
@@ -53,11 +53,11 @@
         max_age_ms = int(settings.keep_hours * 3_600_000)
         options = StoreOptions(
             max_bytes=int(settings.most_mb * 1_000_000),
-            spaces={RECORDER_SPACE: SpacePolicy(max_age_ms, evictable=True)},
+            spaces={RECORDER_SPACE: RetentionPolicy(max_age_ms, evictable=True)},
         )
         self.folder = Path(settings.folder.replace("{gateway}", config.name))
         self.writer = BackgroundWriter(
-            partial(Disk, self.folder),
+            partial(DiskDirectory, self.folder),
             options,
             lambda line: log(line, "warning"),
             settings.sync,
--- a/sagetrack/store/compaction.py
+++ b/sagetrack/store/compaction.py
@@ -23,7 +23,7 @@
 )
 from sagetrack.store.log_index import Key, LogIndex, read_located
 from sagetrack.store.options import StoreOptions
-from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.space_limits import Retention
 from sagetrack.store.write_ahead_log import WriteAheadLog
 
 MAX_LOG_KEYS = 50_000  # keys in the log since the newest checkpoint, from which on compaction is due
@@ -89,7 +89,7 @@
 class Compactor:
     """Decides when compaction is due, and does it."""
 
-    __slots__ = ("_checkpoints", "_directory", "_disk_space", "_index", "_limits", "_log", "_options")
+    __slots__ = ("_checkpoints", "_directory", "_disk_space", "_index", "_log", "_options", "_retention")
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         log: WriteAheadLog,
         index: LogIndex,
         checkpoints: Checkpoints,
-        limits: SpaceLimits,
+        retention: Retention,
         disk_space: DiskSpace,
     ) -> None:
         self._directory = directory
@@ -106,7 +106,7 @@
         self._log = log
         self._index = index
         self._checkpoints = checkpoints
-        self._limits = limits
+        self._retention = retention
         self._disk_space = disk_space
 
     @property
@@ -137,13 +137,13 @@
         self._log.close_segment()  # the checkpoint contains whole segments: the next batch begins one
         self._index.freeze()
         writer = CheckpointWriter(self._directory, self._log.sequence)
-        cutoffs = self._limits.eviction_cutoffs()
-        before = self._limits.begin_recount()
+        cutoffs = self._retention.eviction_cutoffs()
+        before = self._retention.begin_recount()
         try:
             yield from self._write(writer, cutoffs, now_ms)
         except BaseException:
             self._index.unfreeze()
-            self._limits.restore(before)
+            self._retention.restore(before)
             writer.discard()
             raise
         self._adopt(writer)
@@ -154,10 +154,10 @@
         writer.begin()
         runs = yield from self._sorted_runs()
         for count, record in enumerate(self._merged(iter(heapq.merge(*runs)))):
-            visible = self._limits.visible_value(record, now_ms) is not None
+            visible = self._retention.visible_value(record, now_ms) is not None
             if visible and record.at_ms >= cutoffs.get(record.space, 0):
                 size = writer.add(record)
-                self._limits.count(record.space, record.at_ms, size)
+                self._retention.count(record.space, record.at_ms, size)
             writer.flush_if_full()
             if count % STEP_RECORDS == 0:
                 yield
--- a/sagetrack/store/directory.py
+++ b/sagetrack/store/directory.py
@@ -23,7 +23,7 @@
         """Size of a file in bytes."""
         ...
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         """Read bytes from an offset; fewer at the end of the file."""
         ...
 
@@ -39,7 +39,7 @@
         """Make what was appended durable."""
         ...
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Truncate a file to a size in bytes."""
         ...
 
@@ -60,26 +60,26 @@
         ...
 
 
-class Disk:
+class DiskDirectory:
     """A directory on disk that one process has to itself.
 
     Args:
         folder: The directory.
         create: Create it if it is missing.
-        writes: Lock it and open files for writing; else nothing is locked and files are opened for reading.
+        writable: Lock it and open files for writing; else nothing is locked and files are opened for reading.
 
     Raises:
         BlockingIOError: Another process has it.
         OSError: It cannot be used.
     """
 
-    def __init__(self, folder: Path | str, create: bool = True, writes: bool = True) -> None:
+    def __init__(self, folder: Path | str, create: bool = True, writable: bool = True) -> None:
         self.folder = Path(folder)
         if create:
             self.folder.mkdir(parents=True, exist_ok=True)
         self._descriptors: dict[str, int] = {}
         self._lock = -1
-        if writes:
+        if writable:
             self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             try:
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -110,9 +110,9 @@
         """Size of a file in bytes."""
         return os.fstat(self._descriptor(name)).st_size
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         """Read bytes from an offset; fewer at the end of the file."""
-        return os.pread(self._descriptor(name), count, at)
+        return os.pread(self._descriptor(name), length, offset)
 
     def create(self, name: str) -> None:
         """Create an empty file, in place of one that is there."""
@@ -131,7 +131,7 @@
         """Make what was appended durable."""
         os.fdatasync(self._descriptor(name))
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Truncate a file to a size in bytes."""
         os.ftruncate(self._descriptor(name), size)
 
@@ -172,7 +172,7 @@
     """
 
     def __init__(self, folder: Path | str) -> None:
-        self._disk = Disk(folder, create=False, writes=False)
+        self._disk = DiskDirectory(folder, create=False, writable=False)
         self._names_on_disk: dict[str, str] = {name: name for name in self._disk.names()}
         self._truncated: dict[str, int] = {}
 
@@ -186,12 +186,12 @@
         size = self._disk.size(on_disk) if on_disk else 0
         return min(self._truncated.get(name, size), size)
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         """Read bytes from an offset; fewer at the end of the file."""
         on_disk = self._names_on_disk[name]
         if not on_disk:
             return b""
-        return self._disk.read(on_disk, at, max(0, min(count, self.size(name) - at)))
+        return self._disk.read(on_disk, offset, max(0, min(length, self.size(name) - offset)))
 
     def create(self, name: str) -> None:
         """Enter an empty file."""
@@ -203,7 +203,7 @@
     def sync(self, name: str) -> None:
         """Do nothing."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Pretend that a file has this size."""
         self._truncated[name] = size
 
--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -17,7 +17,7 @@
 from sagetrack.store.options import StoreOptions
 from sagetrack.store.recovery import Recovery, RecoveryReport
 from sagetrack.store.snapshot import Snapshot, find_record
-from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.space_limits import Retention
 from sagetrack.store.write_ahead_log import WriteAheadLog
 
 
@@ -34,9 +34,9 @@
         "_directory",
         "_disk_space",
         "_index",
-        "_limits",
         "_options",
         "_report",
+        "_retention",
         "log",
     )
 
@@ -50,12 +50,12 @@
         self._options = options
         self._report = report
         self._disk_space = DiskSpace(directory, options.max_bytes)
-        self._limits = SpaceLimits(options)
+        self._retention = Retention(options)
         self._index = LogIndex()
         self._checkpoints = Checkpoints()
         self.log = WriteAheadLog(directory, options.segment_bytes, self._index, self._disk_space)
         self._compactor = Compactor(
-            directory, options, self.log, self._index, self._checkpoints, self._limits, self._disk_space
+            directory, options, self.log, self._index, self._checkpoints, self._retention, self._disk_space
         )
 
     def open(self) -> RecoveryReport:
@@ -65,7 +65,7 @@
             NewerFormatError: A later version wrote the store; nothing was changed.
             OSError: It cannot be read.
         """
-        recovery = Recovery(self._directory, self._options, self._report, self._index, self._limits)
+        recovery = Recovery(self._directory, self._options, self._report, self._index, self._retention)
         recovered = recovery.run()
         self._checkpoints.restore(recovered.checkpoints)
         self.log.resume(recovered.segments, recovered.last_segment_number, recovered.report.sequence)
@@ -82,13 +82,13 @@
         tables = self._index.tables()
         newest = self._checkpoints.newest
         record = find_record(self._directory, tables, newest, space, key)
-        return None if record is None else self._limits.visible_value(record, now_ms)
+        return None if record is None else self._retention.visible_value(record, now_ms)
 
     def snapshot(self) -> Snapshot:
         """All of it as it is now, to be read while writing goes on. Close it."""
         self._disk_space.pin()
         newest, table = self._checkpoints.newest, self._index.merged()
-        return Snapshot(self._directory, newest, table, self._limits, self._disk_space.unpin)
+        return Snapshot(self._directory, newest, table, self._retention, self._disk_space.unpin)
 
     def write(self, batches: Sequence[Sequence[Record]]) -> int:
         """Append batches, each of which is atomic. They are durable once synced.
@@ -108,7 +108,7 @@
         self.log.append(batches, frames, data)
         for records in batches:
             for record in records:
-                self._limits.count(record.space, record.at_ms, len(record.value or b""))
+                self._retention.count(record.space, record.at_ms, len(record.value or b""))
         return self.log.sequence
 
     def sync(self) -> int:
--- a/sagetrack/store/file_names.py
+++ b/sagetrack/store/file_names.py
@@ -48,6 +48,6 @@
     return f"aside-{name}" if offset is None else f"aside-{name}-{offset}"
 
 
-def is_own(name: str) -> bool:
+def is_store_file(name: str) -> bool:
     """Whether the store writes files of this name."""
     return _OWN.fullmatch(name) is not None
--- a/sagetrack/store/options.py
+++ b/sagetrack/store/options.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SpacePolicy:
+class RetentionPolicy:
     """Retention of one key space.
 
     Attributes:
@@ -31,7 +31,7 @@
 
     segment_bytes: int = 8 * 1024 * 1024
     max_bytes: int = 256 * 1024 * 1024
-    spaces: dict[str, SpacePolicy] = field(default_factory=dict)
+    spaces: dict[str, RetentionPolicy] = field(default_factory=dict)
     verify: bool = True
 
     @property
--- a/sagetrack/store/recorder.py
+++ b/sagetrack/store/recorder.py
@@ -63,10 +63,10 @@
     """Gathers what happens in one second after the other.
 
     Attributes:
-        classes: How many request classes there are.
+        class_count: Number of request classes.
     """
 
-    classes: int
+    class_count: int
     _outcomes: dict[str, int] = field(default_factory=dict, init=False)
     _latencies: list[dict[int, int]] = field(default_factory=list, init=False)
     _events: list[str] = field(default_factory=list, init=False)
@@ -74,17 +74,17 @@
     _totals_before: list[list[int]] = field(default_factory=list, init=False)
 
     def __post_init__(self) -> None:
-        self._latencies = [{} for _ in range(self.classes)]
-        self._totals_before = [[0] * self.classes for _ in range(COUNTERS)]
+        self._latencies = [{} for _ in range(self.class_count)]
+        self._totals_before = [[0] * self.class_count for _ in range(COUNTERS)]
 
-    def attempt(self, class_index: int, outcome: str, latency_us: int, good: bool) -> None:
-        """Record the end of an attempt; its latency counts if it was good."""
+    def record_attempt(self, class_index: int, outcome: str, latency_us: int, succeeded: bool) -> None:
+        """Record the end of an attempt; its latency counts if it succeeded."""
         self._outcomes[outcome] = self._outcomes.get(outcome, 0) + 1
-        if good:
+        if succeeded:
             histogram, bucket = self._latencies[class_index], latency_bucket(latency_us)
             histogram[bucket] = histogram.get(bucket, 0) + 1
 
-    def event(self, line: str) -> None:
+    def record_event(self, line: str) -> None:
         """Record an event; beyond `MAX_EVENTS` it is only counted."""
         if len(self._events) < MAX_EVENTS:
             self._events.append(line)
@@ -122,7 +122,7 @@
         self._outcomes = {}
         self._events = []
         self._dropped_events = 0
-        self._latencies = [{} for _ in range(self.classes)]
+        self._latencies = [{} for _ in range(self.class_count)]
         return msgspec.msgpack.encode(record)
 
 
--- a/sagetrack/store/recovery.py
+++ b/sagetrack/store/recovery.py
@@ -17,7 +17,7 @@
     UNFINISHED_SUFFIX,
     checkpoint_name,
     checkpoint_sequence,
-    is_own,
+    is_store_file,
     quarantine_name,
     segment_number,
 )
@@ -34,7 +34,7 @@
 from sagetrack.store.frames import READ_BYTES, Frame, read_frames
 from sagetrack.store.log_index import LogIndex
 from sagetrack.store.options import StoreOptions
-from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.space_limits import Retention
 from sagetrack.store.write_ahead_log import Segment
 
 MAX_MANIFEST_BYTES = 4096
@@ -80,7 +80,16 @@
 class Recovery:
     """Opens the files of one store; enters the log's records into the index and counts their bytes."""
 
-    __slots__ = ("_directory", "_found", "_index", "_limits", "_options", "_report", "_segments", "_sequence")
+    __slots__ = (
+        "_directory",
+        "_found",
+        "_index",
+        "_options",
+        "_report",
+        "_retention",
+        "_segments",
+        "_sequence",
+    )
 
     def __init__(
         self,
@@ -88,13 +97,13 @@
         options: StoreOptions,
         report: Callable[[str], None],
         index: LogIndex,
-        limits: SpaceLimits,
+        retention: Retention,
     ) -> None:
         self._directory = directory
         self._options = options
         self._report = report
         self._index = index
-        self._limits = limits
+        self._retention = retention
         self._found = RecoveryReport()
         self._segments: list[Segment] = []
         self._sequence = 0
@@ -138,9 +147,9 @@
 
     def _remove_unfinished(self, names: list[str]) -> None:
         for name in names:
-            if name.endswith(UNFINISHED_SUFFIX) and is_own(name):
+            if name.endswith(UNFINISHED_SUFFIX) and is_store_file(name):
                 self._directory.remove(name)
-            elif not is_own(name):
+            elif not is_store_file(name):
                 self._report(f"{name}: not a file of the store, left alone")
 
     def _open_segment(self, name: str) -> Segment | None:
@@ -185,7 +194,7 @@
         return valid
 
     def _count(self, record: Record, size: int) -> None:
-        self._limits.count(record.space, record.at_ms, size)
+        self._retention.count(record.space, record.at_ms, size)
 
     def _replay(self, segments: list[Segment]) -> None:
         """Replay the batches after the checkpoint, as far as they are valid and consecutive."""
@@ -263,6 +272,6 @@
         for offset in range(valid_end, segment.size, READ_BYTES):
             size = min(READ_BYTES, segment.size - offset)
             self._directory.append(aside, self._directory.read(name, offset, size))
-        self._directory.cut(name, valid_end)
+        self._directory.truncate(name, valid_end)
         self._directory.sync(name)
         segment.size = valid_end
--- a/sagetrack/store/snapshot.py
+++ b/sagetrack/store/snapshot.py
@@ -8,7 +8,7 @@
 from sagetrack.store.directory import StoreDirectory
 from sagetrack.store.format import Record, decode_record
 from sagetrack.store.log_index import Key, RecordLocation, read_located
-from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.space_limits import Retention
 
 
 def find_record(
@@ -41,20 +41,20 @@
 class Snapshot:
     """The store as it was when the snapshot was taken. Close it: until then no file is removed."""
 
-    __slots__ = ("_checkpoint", "_directory", "_limits", "_on_close", "_table")
+    __slots__ = ("_checkpoint", "_directory", "_on_close", "_retention", "_table")
 
     def __init__(
         self,
         directory: StoreDirectory,
         checkpoint: Checkpoint | None,
         table: Mapping[Key, RecordLocation],
-        limits: SpaceLimits,
+        retention: Retention,
         on_close: Callable[[], None],
     ) -> None:
         self._directory = directory
         self._checkpoint = None if checkpoint is None else checkpoint.pinned()
         self._table = table
-        self._limits = limits
+        self._retention = retention
         self._on_close = on_close
 
     def get(self, space: str, key: bytes, now_ms: int = 0) -> bytes | None:
@@ -65,7 +65,7 @@
             OSError: It cannot be read.
         """
         record = find_record(self._directory, (self._table,), self._checkpoint, space, key)
-        return None if record is None else self._limits.visible_value(record, now_ms)
+        return None if record is None else self._retention.visible_value(record, now_ms)
 
     def items(self, space: str | None = None, now_ms: int = 0) -> Iterator[Record]:
         """All live records, or those of one space, in unspecified order.
@@ -79,12 +79,12 @@
                 record = decode_record(frame.payload)
                 replaced = (record.space, record.key) in self._table
                 wanted = not replaced and space in (None, record.space)
-                if wanted and self._limits.visible_value(record, now_ms) is not None:
+                if wanted and self._retention.visible_value(record, now_ms) is not None:
                     yield record
         for (record_space, _), location in self._table.items():
             if space is None or record_space == space:
                 record = read_located(self._directory, location)
-                if self._limits.visible_value(record, now_ms) is not None:
+                if self._retention.visible_value(record, now_ms) is not None:
                     yield record
 
     def close(self) -> None:
--- a/sagetrack/store/space_limits.py
+++ b/sagetrack/store/space_limits.py
@@ -23,7 +23,7 @@
     retained: int = 0
 
 
-class SpaceLimits:
+class Retention:
     """Decides which records expire and which are evicted, and counts the bytes for that."""
 
     __slots__ = ("_live", "_options")
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -85,18 +85,18 @@
     for helper in helpers[:nacks]:
         alone.detector.on_nack(helper, Nack(sequence, target))
     alone.step()
-    assert alone.unanswered == [target] and alone.detector.health.stretch(10) == 10 * times
+    assert alone.unanswered == [target] and alone.detector.health.scale(10) == 10 * times
 
 
 def test_local_health_is_bounded_on_both_sides() -> None:
     health = LocalHealth()
     health.improve()
-    assert health.stretch(10) == 10
+    assert health.scale(10) == 10
     for _ in range(MAX_LOCAL_HEALTH + 5):
         health.worsen()
-    assert health.stretch(10) == 10 * (MAX_LOCAL_HEALTH + 1)
+    assert health.scale(10) == 10 * (MAX_LOCAL_HEALTH + 1)
     health.improve()
-    assert health.stretch(10) == 10 * MAX_LOCAL_HEALTH
+    assert health.scale(10) == 10 * MAX_LOCAL_HEALTH
 
 
 def test_an_indirect_ping_is_acknowledged_to_who_asked_for_it() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,10 +17,10 @@
     assert handover.read(tmp_path, "g2", NOW + 1) is None
     assert handover.read(tmp_path, "g1", NOW + handover.STALE_US + 1) is None
     assert handover.read(tmp_path, "g1", NOW - 1) is None
-    data = (tmp_path / handover.FILE).read_bytes()
+    data = (tmp_path / handover.FILE_NAME).read_bytes()
     for cut in range(len(data)):
         assert handover.parse(data[:cut], "g1", NOW) is None
         wrong = data[:cut] + bytes([data[cut] ^ 0x40]) + data[cut + 1 :]
         assert handover.parse(wrong, "g1", NOW) is None
-    assert [path.name for path in tmp_path.iterdir()] == [handover.FILE]
+    assert [path.name for path in tmp_path.iterdir()] == [handover.FILE_NAME]
     assert not handover.write(tmp_path / "none", "g1", NOW, sights, latencies)
--- a/tests/test_observation_codec.py
+++ b/tests/test_observation_codec.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sagetrack.peers.codec import ClassFact, Datagram, WarmStartResponse, decode, encode
+from sagetrack.peers.codec import Datagram, LatencyEntry, WarmStartResponse, decode, encode
 from sagetrack.peers.observation_codec import (
     AGE_UNIT_US,
     COOLDOWN_UNIT_US,
@@ -13,10 +13,10 @@
     MAX_COOLDOWN_UNITS,
     MAX_WORK_UNITS,
     START_IDS,
-    class_fact,
-    latencies_from,
-    observations_from,
-    server_fact,
+    decode_latencies,
+    decode_observations,
+    encode_latency,
+    encode_observation,
     start_id,
 )
 from sagetrack.policy.peer_observations import OPEN, ClassLatency, Observation
@@ -34,9 +34,9 @@
     age_us: int, cooldown_us: int, weight: float, overloaded: bool, work_us: int
 ) -> None:
     sent = Observation(7, STARTED, 1, NOW - age_us, OPEN, NOW + cooldown_us, weight, overloaded, work_us)
-    fact = server_fact(sent, NOW)
+    fact = encode_observation(sent, NOW)
     assert decode(encode(Datagram(1, 1, [WarmStartResponse(1, 0, 1, [], [fact])]))).messages
-    (received,) = observations_from(1, [fact], {7: STARTED}, NOW)
+    (received,) = decode_observations(1, [fact], {7: STARTED}, NOW)
     expected_us = min(max(0, cooldown_us), MAX_COOLDOWN_UNITS * COOLDOWN_UNIT_US)
     assert 0 <= received.open_until_us - NOW - expected_us < COOLDOWN_UNIT_US
     expected_us = min(max(0, age_us), MAX_AGE_UNITS * AGE_UNIT_US)
@@ -50,15 +50,15 @@
 
 
 def test_an_observation_of_another_incarnation_or_server_is_dropped() -> None:
-    fact = server_fact(Observation(7, STARTED, 1, NOW), NOW)
-    assert not observations_from(1, [fact], {7: STARTED + 1000}, NOW)
-    assert not observations_from(1, [fact], {8: STARTED}, NOW)
-    assert observations_from(1, [fact], {7: STARTED + 1}, NOW)  # told apart by milliseconds
+    fact = encode_observation(Observation(7, STARTED, 1, NOW), NOW)
+    assert not decode_observations(1, [fact], {7: STARTED + 1000}, NOW)
+    assert not decode_observations(1, [fact], {8: STARTED}, NOW)
+    assert decode_observations(1, [fact], {7: STARTED + 1}, NOW)  # told apart by milliseconds
     assert start_id(STARTED) == start_id(STARTED + START_IDS * 1000) < START_IDS
 
 
 def test_latencies_are_at_least_one_unit_and_bounded() -> None:
-    assert class_fact(ClassLatency(3, 0.0, 1e15)) == ClassFact(3, 1, 2**32 - 1)
-    assert latencies_from([class_fact(ClassLatency(3, 20_049.0, 100.0))]) == (
+    assert encode_latency(ClassLatency(3, 0.0, 1e15)) == LatencyEntry(3, 1, 2**32 - 1)
+    assert decode_latencies([encode_latency(ClassLatency(3, 20_049.0, 100.0))]) == (
         ClassLatency(3, 20_000.0, 100.0),
     )
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -9,7 +9,7 @@
     Update,
     encode,
 )
-from sagetrack.peers.node import Node
+from sagetrack.peers.node import PeerNode
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.policy.peer_observations import Observation
 from tests.observations import STARTED, observations
@@ -28,8 +28,8 @@
     await asyncio.sleep(0)
     lives = {n: STARTED for n in range(1, 4)}
 
-    def node(me: int, sights: list[Observation]) -> Node:
-        return Node(
+    def node(me: int, sights: list[Observation]) -> PeerNode:
+        return PeerNode(
             me,
             addresses[me],
             addresses,
@@ -59,7 +59,7 @@
         nodes[1].close()
         await until(lambda: nodes[0].membership.alive == 1)
         assert any("dead" in line for line in nodes[0].describe())
-        assert nodes[0].figures()["peers_dead"] == 1
+        assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
         for each in nodes:
             each.close()
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -15,22 +15,22 @@
 
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from tests.sockets import configuration, on_loop, request, running, scripted_server
 
 ROOT = Path(__file__).parent.parent
 
 
-class StandingDisk(Disk):
+class StandingDisk(DiskDirectory):
     """A disk that lets nothing be read until it is let go."""
 
     go: threading.Event
     asked: threading.Event
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         self.asked.set()
         assert self.go.wait(60)
-        return super().read(name, at, count)
+        return super().read(name, offset, length)
 
 
 def operator_with_store(folder: Path) -> Path:
@@ -53,7 +53,7 @@
             before = {sight.server for sight in gateway.gateway.balancer.own_observations()[0]}
         assert before
         StandingDisk.go, StandingDisk.asked = threading.Event(), threading.Event()
-        monkeypatch.setattr("sagetrack.server.persistence.Disk", StandingDisk)
+        monkeypatch.setattr("sagetrack.server.persistence.DiskDirectory", StandingDisk)
         try:
             async with running(config, operator) as gateway:
                 persistence = gateway.instance.persistence
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -18,10 +18,10 @@
     recorder = Recorder(2)
     for latency_us in (1, 64, 100, 5_000, 10**9):
         assert bucket_lower_bound_us(latency_bucket(latency_us)) <= max(64, latency_us)
-    recorder.attempt(1, "ok", 5_000, True)
-    recorder.attempt(1, "reset", 9, False)
+    recorder.record_attempt(1, "ok", 5_000, True)
+    recorder.record_attempt(1, "reset", 9, False)
     for n in range(MAX_EVENTS + 3):
-        recorder.event(f"breaker {n}")
+        recorder.record_event(f"breaker {n}")
     value = recorder.end_second(7, [[1, 2], [0, 0], [0, 1], [1, 3]])
     assert value is not None and recorder.end_second(8, [[1, 2], [0, 0], [0, 1], [1, 3]]) is None
     made = decode_second(value)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -25,7 +25,7 @@
 from sagetrack.store.engine import Store
 from sagetrack.store.errors import NewerFormatError, StoreFullError
 from sagetrack.store.format import LOG_MAGIC, Record, encode_file_header, encode_frame
-from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.options import RetentionPolicy, StoreOptions
 
 
 def test_whatever_byte_is_cut_or_flipped_an_earlier_state_is_found() -> None:
@@ -145,7 +145,7 @@
 
 
 def test_at_the_size_limit_the_oldest_droppable_records_go_and_others_are_rejected() -> None:
-    spaces = {"notes": SpacePolicy(evictable=True), "brief": SpacePolicy(max_age_ms=1000)}
+    spaces = {"notes": RetentionPolicy(evictable=True), "brief": RetentionPolicy(max_age_ms=1000)}
     store = Store(FaultyDirectory(), StoreOptions(4000, 40_000, spaces))
     store.open()
     store.write([[Record("brief", b"b", b"x", 0), Record("kept", b"k", b"stays", 0)]])
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sagetrack.lab.fault_injection.store_states import SMALL_STORE
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.format import FILE_HEADER, Record
 
@@ -19,7 +19,7 @@
 
 def test_the_commands_tell_and_mend_what_is_damaged(tmp_path: Path) -> None:
     folder = tmp_path / "store"
-    store = Store(Disk(folder), SMALL_STORE)
+    store = Store(DiskDirectory(folder), SMALL_STORE)
     store.open()
     for n in range(5):
         store.write([[Record("s", b"k%d" % n, msgspec.msgpack.encode({"n": n}), 7)]])
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -9,39 +9,39 @@
 from sagetrack.store.file_names import (
     checkpoint_name,
     checkpoint_sequence,
-    is_own,
+    is_store_file,
     quarantine_name,
     segment_name,
     segment_number,
     unfinished_name,
 )
 from sagetrack.store.format import Record
-from sagetrack.store.options import SpacePolicy, StoreOptions
+from sagetrack.store.options import RetentionPolicy, StoreOptions
 from sagetrack.store.outage import Outage
-from sagetrack.store.space_limits import SpaceLimits
+from sagetrack.store.space_limits import Retention
 
 
 def test_records_expire_at_their_maximum_age_and_tombstones_have_no_value() -> None:
-    limits = SpaceLimits(StoreOptions(spaces={"brief": SpacePolicy(max_age_ms=1000)}))
+    retention = Retention(StoreOptions(spaces={"brief": RetentionPolicy(max_age_ms=1000)}))
     record = Record("brief", b"k", b"v", 5000)
-    assert limits.visible_value(record, 5999) == b"v"
-    assert limits.visible_value(record, 6000) is None
-    assert limits.visible_value(Record("other", b"k", b"v", 0), 2**60) == b"v"
-    assert limits.visible_value(Record("other", b"k", None, 0), 0) is None
+    assert retention.visible_value(record, 5999) == b"v"
+    assert retention.visible_value(record, 6000) is None
+    assert retention.visible_value(Record("other", b"k", b"v", 0), 2**60) == b"v"
+    assert retention.visible_value(Record("other", b"k", None, 0), 0) is None
 
 
 def test_eviction_spares_retained_spaces_and_takes_the_oldest_of_evictable_ones() -> None:
-    limits = SpaceLimits(StoreOptions(max_bytes=4000, spaces={"notes": SpacePolicy(evictable=True)}))
-    limits.count("kept", 0, 400)
+    retention = Retention(StoreOptions(max_bytes=4000, spaces={"notes": RetentionPolicy(evictable=True)}))
+    retention.count("kept", 0, 400)
     for minute in range(6):
-        limits.count("notes", minute * 60_000, 100)
-    assert limits.eviction_cutoffs() == {}
-    limits.count("notes", 6 * 60_000, 100)
-    assert limits.eviction_cutoffs() == {"notes": 60_000}
-    before = limits.begin_recount()
-    assert limits.eviction_cutoffs() == {}
-    limits.restore(before)
-    assert limits.eviction_cutoffs() == {"notes": 60_000}
+        retention.count("notes", minute * 60_000, 100)
+    assert retention.eviction_cutoffs() == {}
+    retention.count("notes", 6 * 60_000, 100)
+    assert retention.eviction_cutoffs() == {"notes": 60_000}
+    before = retention.begin_recount()
+    assert retention.eviction_cutoffs() == {}
+    retention.restore(before)
+    assert retention.eviction_cutoffs() == {"notes": 60_000}
 
 
 def test_the_queue_is_bounded_and_rejects_batches_once_it_closes() -> None:
@@ -69,7 +69,7 @@
     assert segment_number(segment) == number and checkpoint_sequence(checkpoint) == number
     assert segment_number(checkpoint) is None and checkpoint_sequence(segment) is None
     names = [segment, checkpoint, unfinished_name(checkpoint), quarantine_name(segment, 5)]
-    assert all(is_own(name) for name in names) and not is_own("strange.txt")
+    assert all(is_store_file(name) for name in names) and not is_store_file("strange.txt")
 
 
 def test_errors_of_the_store_have_one_base() -> None:
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -11,21 +11,21 @@
 
 from sagetrack.lab.fault_injection.faulty_filesystem import FaultyDirectory
 from sagetrack.lab.fault_injection.store_states import SMALL_STORE
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from sagetrack.store.errors import StoreOpenError
 from sagetrack.store.format import Record
 from sagetrack.store.writer import BackgroundWriter
 
 
 def test_another_process_is_kept_out(tmp_path: Path) -> None:
-    first = Disk(tmp_path)
+    first = DiskDirectory(tmp_path)
     with pytest.raises(BlockingIOError):
-        Disk(tmp_path)
-    keeper = BackgroundWriter(lambda: Disk(tmp_path), SMALL_STORE, lambda line: None)
+        DiskDirectory(tmp_path)
+    keeper = BackgroundWriter(lambda: DiskDirectory(tmp_path), SMALL_STORE, lambda line: None)
     with pytest.raises(StoreOpenError, match="another process has it"):
         keeper.open()
     first.close()
-    Disk(tmp_path).close()
+    DiskDirectory(tmp_path).close()
 
 
 class Slow(FaultyDirectory):
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -22,16 +22,16 @@
 from sagetrack.config.platform import parse, stable_id
 from sagetrack.peers import handover
 from sagetrack.peers.codec import DemandGossip, Message, WarmStartResponse, decode, encode
-from sagetrack.peers.demand_gossip import demands_from
+from sagetrack.peers.demand_gossip import decode_demands
 from sagetrack.peers.handover import STALE_US
-from sagetrack.peers.observation_codec import latencies_from, observations_from
+from sagetrack.peers.observation_codec import decode_latencies, decode_observations
 from sagetrack.peers.stored_observations import HandoverRecord, decode_record
 from sagetrack.policy.peer_observations import CLOSED, HALF_OPEN, OPEN, ClassLatency, Observation
 from sagetrack.server.endpoint_list_file import EndpointListFile
 from sagetrack.server.gateway_assembly import GatewayAssembly
 from sagetrack.server.hot_restart import HotRestart
 from sagetrack.server.persistence import OBSERVATIONS_SPACE, RECORDER_SPACE
-from sagetrack.store.directory import Disk, DryRunDirectory
+from sagetrack.store.directory import DiskDirectory, DryRunDirectory
 from sagetrack.store.engine import Store
 from sagetrack.store.format import (
     CHECKPOINT_MAGIC,
@@ -160,13 +160,13 @@
     [tell] = decode(SENT["tell-of-knowledge"]).messages
     assert isinstance(tell, WarmStartResponse)
     assert (tell.request_id, tell.part, tell.parts) == (2**30, 0, 1)
-    assert latencies_from(tell.classes) == (
+    assert decode_latencies(tell.classes) == (
         ClassLatency(class_index=0, smoothed_us=20_000.0, baseline_us=15_500.0),
         ClassLatency(class_index=2, smoothed_us=100.0, baseline_us=1e9),
     )
     lives = {sight.server: sight.started_us for sight in SIGHTS}
     heard_us = NOW_US + 100
-    told = observations_from(by=10, facts=tell.servers, start_times=lives, now_us=heard_us)
+    told = decode_observations(reporter=10, entries=tell.servers, start_times=lives, now_us=heard_us)
     assert sorted(told, key=lambda sight: sight.server) == [
         Observation(
             server=7,
@@ -218,7 +218,7 @@
 def test_demands_in_a_datagram_keep_their_units() -> None:
     [message] = decode(SENT["wanted-of-demands"]).messages
     assert isinstance(message, DemandGossip)
-    assert demands_from(message, tenants=6) == (1_500_000.0, 0.0, 20_000.0, 0.0, 1000.0, 0.0)
+    assert decode_demands(message, tenants=6) == (1_500_000.0, 0.0, 20_000.0, 0.0, 1000.0, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -334,7 +334,7 @@
 
 def test_a_store_without_its_newest_base_is_read_from_the_older_one(store_copy: Path) -> None:
     (store_copy / "base-0000000000000004").unlink()
-    with closing(Store(Disk(store_copy), OPTIONS)) as store:
+    with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         found = store.open()
         assert (found.sequence, found.batches, found.records) == (6, 3, 3)
         assert found.quarantined == ["base-0000000000000004: gone"]
@@ -343,12 +343,12 @@
 
 def test_a_store_is_written_on(store_copy: Path) -> None:
     added = Record(space=OBSERVATIONS_SPACE, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
-    with closing(Store(Disk(store_copy), OPTIONS)) as store:
+    with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         store.open()
         assert store.write([[added]]) == 7
         for _ in store.compact(NOW_MS):
             pass
-    with closing(Store(Disk(store_copy), OPTIONS)) as store:
+    with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         found = store.open()
         assert (found.sequence, found.batches, found.records, found.quarantined) == (7, 0, 6, [])
         assert content(store) == [*live()[:2], added, *live()[2:]]
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -16,7 +16,7 @@
     WarmStartResponse,
     encode,
 )
-from sagetrack.peers.observation_codec import observations_from
+from sagetrack.peers.observation_codec import decode_observations
 from sagetrack.peers.warm_start import (
     MAX_ATTEMPTS,
     MAX_PARTS,
@@ -35,7 +35,7 @@
     for part in parts:
         assert len(encode(Datagram(65_535, 2**40, [part]))) <= DATAGRAM_LIMIT
     lives = {n: STARTED for n in range(1, count + 1)}
-    found = [sight for part in parts for sight in observations_from(1, part.servers, lives, NOW)]
+    found = [sight for part in parts for sight in decode_observations(1, part.servers, lives, NOW)]
     assert len(found) == min(count, len(found)) and (count > 300 or len(found) == count)
     assert all(
         abs(s.seen_us - (NOW - 1_000_000)) <= 10_000 and s.open_until_us >= NOW + 300_000 for s in found
@@ -51,14 +51,14 @@
     peer, ask = asked[0]
     parts = divide_response(ask.request_id, observations(100), [], NOW)
     got = [s for part in parts[:0:-1] for s in warm_start_client.handle(NOW, peer, part, lives)]
-    assert len(parts) > 2 and not warm_start_client.complete and got
+    assert len(parts) > 2 and not warm_start_client.completed and got
     warm_start_client.handle(NOW, peer, parts[1], lives)  # doubled
     assert not warm_start_client.handle(NOW, 3 - peer, parts[0], lives)  # not asked of that peer
     assert not warm_start_client.handle(
         NOW, peer, WarmStartResponse(99, 0, 1, [], parts[0].servers), lives
     )  # nobody asked
     warm_start_client.handle(NOW + 5_000_000, peer, parts[0], lives)
-    assert warm_start_client.complete == {ask.request_id} and warm_start_client.result.peers == 1
+    assert warm_start_client.completed == {ask.request_id} and warm_start_client.result.peers == 1
     now = NOW
     while not warm_start_client.is_finished:
         now = warm_start_client.due_us
@@ -69,10 +69,10 @@
 def test_answers_are_bounded_whoever_asks() -> None:
     warm_start_server = WarmStartServer(NOW)
     parts = [
-        len(warm_start_server.answer(NOW, WarmStartRequest(n), observations(100), [])) for n in range(200)
+        len(warm_start_server.respond(NOW, WarmStartRequest(n), observations(100), [])) for n in range(200)
     ]
     assert 0 < sum(parts) <= 120 and warm_start_server.rate_limited > 0
-    assert warm_start_server.answer(NOW + 2_000_000, WarmStartRequest(1), observations(100), [])
+    assert warm_start_server.respond(NOW + 2_000_000, WarmStartRequest(1), observations(100), [])
 
 
 def test_a_restart_with_help_loses_little_and_breaks_no_rule() -> None:
