--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -31,7 +31,7 @@
     context: Any = SimpleNamespace(
         upstream=upstream,
         trace=trace,
-        recorder=SimpleNamespace(event=recorded.append),
+        recorder=SimpleNamespace(record_event=recorded.append),
         endpoint_source=SimpleNamespace(time_without_contact_us=7),
     )
     return ServerList(context), upstream, trace, recorded
