--- a/sagetrack/policy/actions.py
+++ b/sagetrack/policy/actions.py
@@ -23,7 +23,7 @@
 class RejectReason(Enum):
     """Why a request is rejected. The values are exported in metrics and the event trace."""
 
-    SHED = "shed"  # load shedding rejects it for its low priority
+    SHED = "shed"  # rejected by load shedding, or too late to be of use
     NO_CAPACITY = "no_room"  # no server has capacity for it in time
     QUEUE = "turn"  # denied by admission control, or queued too long behind requests with its key
     ATTEMPTS_FAILED = "unserved"  # its attempts failed and no further attempt is allowed
--- a/sagetrack/policy/ordered_keys.py
+++ b/sagetrack/policy/ordered_keys.py
@@ -17,7 +17,7 @@
 
 
 class OrderedKeys:
-    """A queue of requests for each active key. The first request of a queue is the running one."""
+    """A queue of requests for each active key. Its first request is running or next to be sent."""
 
     def __init__(self) -> None:
         self._queues: dict[int, deque[Request]] = {}
