--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -9,7 +9,7 @@
 from sagetrack.core.attempt_starter import AttemptStarter
 from sagetrack.core.clock import now_us
 from sagetrack.core.context import GatewayContext
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.log import log
 from sagetrack.policy.actions import (
     Action,
@@ -63,19 +63,21 @@
 
     def _reject(self, action: Reject) -> None:
         context = self._context
-        in_flight = context.in_flight.finish_unanswered(action.request)
+        in_flight = context.in_flight.finish_if_pending(action.request)
         if in_flight is not None:
             in_flight.count_in(context.metrics.deferred)
             context.rejections.add(action.reason.value)
-            context.trace.note(Step.REJECTED, action.request, action.reason.value)
+            context.trace.record(TraceEventKind.REJECTED, action.request, action.reason.value)
             in_flight.request.client.on_rejected(in_flight.request, action.retry_after_us)
 
     def _fail(self, action: Fail) -> None:
         context = self._context
-        in_flight = context.in_flight.finish_unanswered(action.request)
+        in_flight = context.in_flight.finish_if_pending(action.request)
         if in_flight is not None:
             in_flight.count_in(context.metrics.errored)
-            context.trace.note(Step.FAILED, action.request, "timed out" if in_flight.timed_out else "")
+            context.trace.record(
+                TraceEventKind.FAILED, action.request, "timed out" if in_flight.timed_out else ""
+            )
             in_flight.request.client.on_failed(in_flight.request, in_flight.timed_out)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
--- a/sagetrack/core/answer_watchdog.py
+++ b/sagetrack/core/answer_watchdog.py
@@ -15,7 +15,7 @@
 MAX_LATENESS_US = 50_000  # past its deadline, after which a request counts as overdue
 
 
-class AnswerWatchdog:
+class ResponseDeadlineWatchdog:
     """Fails requests that are overdue, whatever the reason: none is left without a response.
 
     A request has to be overdue at two checks in a row: where the process was suspended, the timers of the
@@ -53,6 +53,6 @@
                 in_flight.was_overdue = True
                 continue
             detail = f"{-remaining_us / 1000:.0f} ms past its time"
-            context.violations.note(Invariant.ANSWERED_IN_TIME, id_, detail)
+            context.violations.record(Invariant.RESPONSE_BY_DEADLINE, id_, detail)
             self._executor.execute(Fail(id_))
             context.post(lambda id_=id_: RequestCancelled(id_))  # type: ignore[misc]
--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -4,10 +4,10 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.context import GatewayContext
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.in_flight import InFlightRequest
 from sagetrack.core.interfaces import AnyResponse, Attempt
-from sagetrack.core.requests import Source
+from sagetrack.core.requests import ResponseSource
 from sagetrack.core.send_rules import DenialReason, ServerState, may_retry, may_send
 from sagetrack.policy.events import AttemptEnded, AttemptSent, Event, LoadReport, Outcome, StreamStarted
 
@@ -46,12 +46,15 @@
         in_flight = self._in_flight
         context = self._context
         denial = self._retry_denial() or may_send(
-            in_flight.is_finished, in_flight.remaining_us(now_us()), server, in_flight.request.has_gone
+            in_flight.is_finished,
+            in_flight.remaining_us(now_us()),
+            server,
+            in_flight.request.has_disconnected,
         )
         if denial is None:
             return True
-        context.note_denial(in_flight.request.id, denial)
-        if denial is DenialReason.CLIENT_GONE:
+        context.record_denial(in_flight.request.id, denial)
+        if denial is DenialReason.CLIENT_DISCONNECTED:
             context.in_flight.cancel(in_flight.request.id)
         return False
 
@@ -69,7 +72,7 @@
 
     def on_first_byte(self) -> None:
         """Record that the first byte of the request is sent in this turn of the event loop."""
-        self._in_flight.attempt_records[self._number].begun_us = now_us()
+        self._in_flight.attempt_records[self._number].first_byte_us = now_us()
 
     def on_request_sent(self) -> None:
         """Count the attempt as sent, and inform the load balancer where the body was streamed."""
@@ -78,7 +81,7 @@
         if request.streamed_body is not None:
             self._context.post(lambda: AttemptSent(request.id, self._number))
 
-    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
         """Queue the start of a streamed response."""
         self._context.post(lambda: self._start_response(attempt, head, source))
 
@@ -94,7 +97,7 @@
         """Queue the end of the attempt."""
         self._context.post(lambda: self._end(attempt, outcome, response, load))
 
-    def _start_response(self, attempt: Attempt, head: AnyResponse, source: Source) -> Event | None:
+    def _start_response(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> Event | None:
         in_flight = self._in_flight
         if in_flight.is_finished or in_flight.streaming_attempt is not None:
             self._context.upstream.cancel(attempt)
@@ -116,7 +119,7 @@
         succeeded = outcome is Outcome.OK
         if not succeeded:
             detail = f"{self._number} at server {attempt.server}: {outcome.value} after {latency_us} us"
-            context.trace.note(Step.ATTEMPT_FAILED, id_, detail)
+            context.trace.record(TraceEventKind.ATTEMPT_FAILED, id_, detail)
         if context.recorder is not None:
             context.recorder.attempt(in_flight.request.class_index, outcome.value, latency_us, succeeded)
         in_flight.timed_out = outcome is Outcome.TIMEOUT
--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -32,7 +32,7 @@
         number = in_flight.add_attempt(self._servers.new_attempt_record(action.server))
         denial = self._denial(in_flight, action.server, number, wait_us)
         if denial is not None:
-            context.note_denial(action.request, denial)
+            context.record_denial(action.request, denial)
             context.post(lambda: self._not_sent(action, number))
             return
         in_flight.attempts_in_flight += 1
@@ -69,7 +69,7 @@
         denial = may_retry(settings, request_class, records[number], records, now_us())
         if denial is not None:
             detail = f"{denial.value} at server {server}"
-            context.violations.note(Invariant.RETRIES_ARE_SAFE, in_flight.request.id, detail)
+            context.violations.record(Invariant.RETRIES_ARE_SAFE, in_flight.request.id, detail)
         return denial
 
     def _not_sent(self, action: SendAttempt, number: int) -> Event:
--- a/sagetrack/core/clock.py
+++ b/sagetrack/core/clock.py
@@ -21,6 +21,6 @@
     return time.time_ns() // 1000
 
 
-def machine_us() -> int:
+def system_monotonic_us() -> int:
     """Return monotonic time that all processes share until the machine is rebooted, in microseconds."""
     return time.monotonic_ns() // 1000
--- a/sagetrack/core/context.py
+++ b/sagetrack/core/context.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.endpoints import EndpointSource
 from sagetrack.core.event_dispatcher import PostEvent
-from sagetrack.core.event_trace import EventTrace, Step
+from sagetrack.core.event_trace import EventTrace, TraceEventKind
 from sagetrack.core.in_flight import InFlightRequests
 from sagetrack.core.interfaces import Recorder, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
@@ -47,7 +47,7 @@
     endpoint_source: EndpointSource | None = None
     recorder: Recorder | None = None
 
-    def note_denial(self, id_: str, denial: DenialReason) -> None:
+    def record_denial(self, id_: str, denial: DenialReason) -> None:
         """Count and trace an attempt that was chosen and is not sent."""
         self.denials.add(denial.value)
-        self.trace.note(Step.ATTEMPT_DENIED, id_, denial.value)
+        self.trace.record(TraceEventKind.ATTEMPT_DENIED, id_, denial.value)
--- a/sagetrack/core/drain.py
+++ b/sagetrack/core/drain.py
@@ -11,7 +11,7 @@
 
 from sagetrack.core.send_rules import FIRST_REQUEST_TIMEOUT_S
 
-LONGEST_DRAIN_DEADLINE_S = 3.0  # at a shutdown a longer request deadline counts as this
+MAX_DRAIN_DEADLINE_S = 3.0  # at a shutdown a longer request deadline counts as this
 KILL_GRACE_S = 0.7  # what the platform allows on top of that before it kills the process
 EXIT_MARGIN_S = 0.2  # of it, reserved for the last responses to go out and for the exit itself
 SHUTDOWN_ACCEPT_S = 0.7  # after SIGTERM: new connections go on coming for 0.4 s
@@ -34,12 +34,12 @@
     """The state machine: ACTIVE and STANDBY change into each other and into SHUTTING_DOWN, which is final.
 
     Attributes:
-        longest_deadline_s: The longest deadline of a request.
+        max_request_deadline_s: The longest deadline of a request.
         phase: The phase it is in.
         since_s: When that began; 0 for the phase at the start.
     """
 
-    longest_deadline_s: float
+    max_request_deadline_s: float
     phase: DrainPhase = DrainPhase.ACTIVE
     since_s: float = 0.0
 
@@ -93,12 +93,12 @@
         """
         return now_s - self.since_s < SHUTDOWN_INCOMPLETE_WAIT_S
 
-    def is_past_answer_cutoff(self, now_s: float) -> bool:
-        """Return whether the process is shutting down and past `answer_cutoff_s`."""
-        return self.phase is DrainPhase.SHUTTING_DOWN and now_s >= self.answer_cutoff_s
+    def is_past_response_cutoff(self, now_s: float) -> bool:
+        """Return whether the process is shutting down and past `response_cutoff_s`."""
+        return self.phase is DrainPhase.SHUTTING_DOWN and now_s >= self.response_cutoff_s
 
     @property
-    def answer_cutoff_s(self) -> float:
+    def response_cutoff_s(self) -> float:
         """When a shutdown gives up requests that are unanswered: soon after it the process may be killed."""
-        deadline_s = min(self.longest_deadline_s, LONGEST_DRAIN_DEADLINE_S)
+        deadline_s = min(self.max_request_deadline_s, MAX_DRAIN_DEADLINE_S)
         return self.since_s + deadline_s + KILL_GRACE_S - EXIT_MARGIN_S
--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -68,7 +68,7 @@
         try:
             return event()
         except Exception:  # noqa: BLE001 the events queued behind this one would wait until the next post
-            self._violations.note(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
+            self._violations.record(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
             return None
 
     def _dispatch(self, event: Event) -> None:
@@ -77,11 +77,11 @@
             actions = self._balancer.handle(now_us(), event)
         except Exception:  # noqa: BLE001 one faulty decision must not end the process with all its requests
             detail = f"{event!r}\n{traceback.format_exc()}"
-            self._violations.note(Invariant.NO_HANDLER_ERROR, "module", detail)
+            self._violations.record(Invariant.NO_HANDLER_ERROR, "module", detail)
             actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
         for action in actions:
             try:
                 self._executor.execute(action)
             except Exception:  # noqa: BLE001 it would end the connection of the client that is being handled
                 detail = f"{action!r}\n{traceback.format_exc()}"
-                self._violations.note(Invariant.NO_HANDLER_ERROR, "action", detail)
+                self._violations.record(Invariant.NO_HANDLER_ERROR, "action", detail)
--- a/sagetrack/core/event_trace.py
+++ b/sagetrack/core/event_trace.py
@@ -14,14 +14,14 @@
 MAX_ENTRIES = 512
 
 
-class Step(Enum):
+class TraceEventKind(Enum):
     """What has happened. The values are part of the output of the admin address."""
 
     ATTEMPT_FAILED = "attempt_failed"
     ATTEMPT_DENIED = "attempt_withheld"
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_GONE = "client_left"
+    CLIENT_DISCONNECTED = "client_left"
     CONNECTION_CLOSED = "closed"  # a client's connection, by this process
     VIOLATION = "violation"
     STATE_CHANGED = "state"  # of this process, of a server or of discovery
@@ -33,14 +33,14 @@
 
     Attributes:
         at_us: When it happened, by `now_us`.
-        step: What has happened.
-        about: The id of the request, or the name of what else has changed.
+        kind: What has happened.
+        subject: The id of the request, or the name of what else has changed.
         detail: Free text.
     """
 
     at_us: int
-    step: Step
-    about: str
+    kind: TraceEventKind
+    subject: str
     detail: str
 
     def line(self, wall_offset_us: int) -> str:
@@ -50,8 +50,8 @@
             wall_offset_us: How far the wall clock is ahead of `now_us` at the moment.
         """
         return (
-            f"{(self.at_us + wall_offset_us) / 1e6:.3f} {self.step.value} {self.about} {self.detail}".rstrip()
-        )
+            f"{(self.at_us + wall_offset_us) / 1e6:.3f} {self.kind.value} " f"{self.subject} {self.detail}"
+        ).rstrip()
 
 
 class EventTrace:
@@ -60,9 +60,9 @@
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
         self.entries: deque[TraceEntry] = deque(maxlen=max_entries)
 
-    def note(self, step: Step, about: str, detail: str = "") -> None:
+    def record(self, kind: TraceEventKind, subject: str, detail: str = "") -> None:
         """Add an entry; the oldest is dropped where there are too many."""
-        self.entries.append(TraceEntry(now_us(), step, about, detail))
+        self.entries.append(TraceEntry(now_us(), kind, subject, detail))
 
     def lines(self) -> list[str]:
         """Return the entries as text, oldest first."""
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sagetrack.core.action_executor import TIMER_ROUNDING_S, ActionExecutor
-from sagetrack.core.answer_watchdog import AnswerWatchdog
+from sagetrack.core.answer_watchdog import ResponseDeadlineWatchdog
 from sagetrack.core.attempt_starter import AttemptStarter
 from sagetrack.core.clock import now_us
 from sagetrack.core.context import GatewayContext
@@ -78,12 +78,12 @@
         attempts = AttemptStarter(self._context, self._servers)
         self.executor = ActionExecutor(self._context, attempts, self._loop)
         self._dispatcher.start(self.executor)
-        self._watchdog = AnswerWatchdog(self._context, self.executor, self._loop)
+        self._watchdog = ResponseDeadlineWatchdog(self._context, self.executor, self._loop)
 
     def _gauges(self) -> Gauges:
         """Return what computes the metrics of the present state, by their names."""
         return {
-            "current": self.in_flight.current_count,
+            "current": self.in_flight.awaiting_response_count,
             "cluster_size": lambda: len(self._upstream.listed),
             "cluster_unhealthy": lambda: self.balancer.unhealthy_count(),
         }
@@ -103,7 +103,7 @@
             rejections=ReasonCounter("refused_total", "reason", ()),
         )
         for counts in (self.violations, context.denials, context.outcomes, context.rejections):
-            self.metrics.extra_figures.append(counts.figures)
+            self.metrics.metric_sources.append(counts.metric_values)
         return context
 
     def start(self, endpoint_source: EndpointSource) -> None:
@@ -180,7 +180,7 @@
         """
         end_us = now_us() + int(wait_s * 1e6)
         self.post(lambda: ShutdownStarted(end_us))
-        self._loop.call_later(wait_s + TIMER_ROUNDING_S, self.in_flight.cancel_unanswered_attempts)
+        self._loop.call_later(wait_s + TIMER_ROUNDING_S, self.in_flight.cancel_attempts_without_response)
 
     def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Queue an endpoint list; it is applied when its turn comes."""
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sagetrack.core.event_dispatcher import PostEvent
-from sagetrack.core.event_trace import EventTrace, Step
+from sagetrack.core.event_trace import EventTrace, TraceEventKind
 from sagetrack.core.interfaces import Attempt, UpstreamPool
 from sagetrack.core.metrics import Counter
 from sagetrack.core.requests import Request
@@ -49,7 +49,7 @@
         return since_us + self.request.client_timeout_us - now_us
 
     @property
-    def is_current(self) -> bool:
+    def awaits_response(self) -> bool:
         """Whether it is a client's, has come completely and awaits its final response."""
         return (
             not self.is_finished
@@ -91,7 +91,7 @@
         for attempt in in_flight.started_attempts():
             self._upstream.cancel_unsent(attempt)
 
-    def finish_unanswered(self, id_: str) -> InFlightRequest | None:
+    def finish_if_pending(self, id_: str) -> InFlightRequest | None:
         """Finish a request and return it, for the caller to respond; None if it is finished already."""
         in_flight = self.get(id_)
         if in_flight is None or in_flight.is_finished:
@@ -104,7 +104,7 @@
         in_flight = self.get(id_)
         if in_flight is None or in_flight.is_finished:
             return
-        self._trace.note(Step.CLIENT_GONE, id_)
+        self._trace.record(TraceEventKind.CLIENT_DISCONNECTED, id_)
         self.finish(in_flight)
         self._post(lambda: RequestCancelled(id_))
         if in_flight.streaming_attempt is not None or in_flight.request.streamed_body is not None:
@@ -112,7 +112,7 @@
             for attempt in in_flight.started_attempts():
                 self._upstream.cancel(attempt)
 
-    def cancel_unanswered_attempts(self) -> None:
+    def cancel_attempts_without_response(self) -> None:
         """Cancel all attempts whose response has not started; the load balancer decides what follows."""
         for in_flight in list(self.values()):
             if in_flight.is_finished or in_flight.streaming_attempt is not None:
@@ -120,6 +120,6 @@
             for attempt in in_flight.started_attempts():
                 self._upstream.cancel(attempt)
 
-    def current_count(self) -> int:
+    def awaiting_response_count(self) -> int:
         """Return how many clients' requests have come completely and await their final response."""
-        return sum(in_flight.is_current for in_flight in self.values())
+        return sum(in_flight.awaits_response for in_flight in self.values())
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.events import LoadReport, Outcome
 
@@ -45,7 +45,7 @@
         """Record that the last byte of the request was handed to the kernel."""
         ...
 
-    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
         """Take the head of a response that is too long to be buffered and is streamed from here on."""
         ...
 
--- a/sagetrack/core/invariants.py
+++ b/sagetrack/core/invariants.py
@@ -7,7 +7,7 @@
 
 from enum import Enum
 
-from sagetrack.core.event_trace import EventTrace, Step
+from sagetrack.core.event_trace import EventTrace, TraceEventKind
 from sagetrack.core.log import log
 
 
@@ -16,7 +16,7 @@
 
     RETRIES_ARE_SAFE = "repeat"  # violated by choosing an attempt that may run twice; it was not sent
     NO_SEND_TO_WITHDRAWN = "withdrawn"  # by choosing a server that may get nothing; nothing was sent
-    ANSWERED_IN_TIME = "unanswered"  # by a request past its deadline without a response; it was failed then
+    RESPONSE_BY_DEADLINE = "unanswered"  # by a request past its deadline without a response
     NO_CLOSE_BEFORE_RESPONSE = "closed_unanswered"  # by closing a connection that awaited a response
     NO_HANDLER_ERROR = "handling"  # by an event or an action whose handling raised an exception
 
@@ -28,18 +28,18 @@
         self._trace = trace
         self.counts = dict.fromkeys(Invariant, 0)
 
-    def note(self, rule: Invariant, about: str, detail: str) -> None:
+    def record(self, rule: Invariant, subject: str, detail: str) -> None:
         """Count a violation, add it to the trace and log it.
 
         Args:
             rule: What was violated.
-            about: The id of the request, or what was being handled.
+            subject: The id of the request, or what was being handled.
             detail: What happened.
         """
         self.counts[rule] += 1
-        self._trace.note(Step.VIOLATION, about, f"{rule.value}: {detail}")
-        log(f"invariant violated: {rule.value}: {detail}", "error", f"violation {rule.value}", call=about)
+        self._trace.record(TraceEventKind.VIOLATION, subject, f"{rule.value}: {detail}")
+        log(f"invariant violated: {rule.value}: {detail}", "error", f"violation {rule.value}", call=subject)
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Return the counts by metric name and labels."""
         return {f'violations_total{{rule="{rule.value}"}}': count for rule, count in self.counts.items()}
--- a/sagetrack/core/log.py
+++ b/sagetrack/core/log.py
@@ -17,11 +17,11 @@
 Sink = Callable[[str, str, dict[str, object]], None]  # level, event, fields
 
 LEVELS = ("debug", "info", "warning", "error")
-BURST = 20.0  # lines of one event at once
-RATE = 5.0  # lines of one event a second, in the long run
-LINE_LIMIT = 3_000  # characters of an event: what a pipe takes at once if it takes anything
-EVENTS = 256  # events with a limit of their own; all others share one
-EVENT_NAME_LIMIT = 40  # characters by which events are told apart
+DEFAULT_BURST_LINES = 20.0  # lines of one event at once
+DEFAULT_LINES_PER_S = 5.0  # lines of one event a second, in the long run
+MAX_EVENT_LENGTH = 3_000  # characters of an event: what a pipe takes at once if it takes anything
+MAX_RATE_LIMITED_EVENTS = 256  # events with a limit of their own; all others share one
+MAX_EVENT_NAME_LENGTH = 40  # characters by which events are told apart
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
 
     __slots__ = ("buckets", "burst", "rate")
 
-    def __init__(self, burst: float = BURST, rate: float = RATE) -> None:
+    def __init__(self, burst: float = DEFAULT_BURST_LINES, rate: float = DEFAULT_LINES_PER_S) -> None:
         """Allow `burst` lines of an event at once, and `rate` lines a second in the long run."""
         self.burst = burst
         self.rate = rate
@@ -57,7 +57,7 @@
         """Return how many lines of this event were suppressed since the last one; -1 if this one is, too."""
         bucket = self.buckets.get(event)
         if bucket is None:
-            if len(self.buckets) >= EVENTS:
+            if len(self.buckets) >= MAX_RATE_LIMITED_EVENTS:
                 event = ""
             bucket = self.buckets.setdefault(event, _Bucket(self.burst, now_s))
         bucket.tokens = min(self.burst, bucket.tokens + (now_s - bucket.refilled_s) * self.rate)
@@ -117,16 +117,18 @@
     _rate_limit = rate_limit or LogRateLimit()
 
 
-def log(event: str, level: str = "info", kind: str | None = None, **fields: object) -> None:
+def log(event: str, level: str = "info", rate_limit_key: str | None = None, **fields: object) -> None:
     """Log an event.
 
     Args:
         event: The text, which begins with the event's name and a colon, or is the name.
         level: One of `LEVELS`.
-        kind: Names the events that share one rate limit with it; by default, the event's name.
+        rate_limit_key: Names the events that share one rate limit with it; by default, the event's name.
         fields: Fields with fixed names: `gateway`, `server`, `call`, `class` and `member`.
     """
-    suppressed = _rate_limit.admit(kind or event.partition(":")[0][:EVENT_NAME_LIMIT], monotonic())
+    suppressed = _rate_limit.admit(
+        rate_limit_key or event.partition(":")[0][:MAX_EVENT_NAME_LENGTH], monotonic()
+    )
     if suppressed < 0:
         return
     if suppressed:
@@ -142,7 +144,7 @@
     try:
         if not is_writable(sys.stderr):
             raise BlockingIOError
-        _sink(level, event[:LINE_LIMIT], fields)
+        _sink(level, event[:MAX_EVENT_LENGTH], fields)
         _unwritten = 0
     except (OSError, ValueError):  # ValueError: the stream is closed
         _unwritten += 1
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -45,7 +45,7 @@
         """Count one more; a reason that was not listed at the start is added."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Return the counts by metric name and label."""
         return {f'{self.name}{{{self.label}="{reason}"}}': count for reason, count in self.counts.items()}
 
@@ -56,7 +56,7 @@
     Attributes:
         classes: The names of the request classes.
         gauges: Functions that compute a value, by metric name.
-        extra_figures: Functions of optional parts that return values by metric name, in order of export.
+        metric_sources: Functions of optional parts that return values by metric name, in order of export.
         answered: Requests with a complete response.
         deferred: Requests that were rejected.
         errored: Requests that have failed.
@@ -66,7 +66,7 @@
     def __init__(self, classes: Sequence[str], gauges: Gauges) -> None:
         self.classes = list(classes)
         self.gauges = gauges
-        self.extra_figures: list[Callable[[], Mapping[str, float]]] = []
+        self.metric_sources: list[Callable[[], Mapping[str, float]]] = []
         self.answered = Counter(len(classes))
         self.deferred = Counter(len(classes))
         self.errored = Counter(len(classes))
@@ -87,7 +87,7 @@
         ]
         lines += [f"{PREFIX}{name} {gauge()}" for name, gauge in self.gauges.items()]
         lines += [
-            f"{PREFIX}{name} {value}" for figures in self.extra_figures for name, value in figures().items()
+            f"{PREFIX}{name} {value}" for source in self.metric_sources for name, value in source().items()
         ]
         return "".join(f"{line}\n" for line in lines)
 
--- a/sagetrack/core/peer_close.py
+++ b/sagetrack/core/peer_close.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's bits have the same values
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's bits have the same values
 
 
 def has_peer_closed(poll: select.poll) -> bool:
@@ -26,7 +26,7 @@
     Args:
         poll: Has the socket of that connection registered, and no other.
     """
-    return any(event & GONE for _, event in poll.poll(0))
+    return any(event & HANGUP_EVENTS for _, event in poll.poll(0))
 
 
 class PeerCloseWatcher:
@@ -48,23 +48,23 @@
         """
         if self.loop is None:
             self.loop = asyncio.get_running_loop()
-            self.loop.add_reader(self.epoll.fileno(), self.call_back)
+            self.loop.add_reader(self.epoll.fileno(), self.dispatch_hangups)
         if descriptor not in self.watched:
             with suppress(OSError):
                 self.epoll.register(descriptor, select.EPOLLRDHUP)
                 self.watched[descriptor] = on_hangup
 
-    def forget(self, descriptor: int) -> None:
+    def unwatch(self, descriptor: int) -> None:
         """Stop watching; to be called before it is closed, as its number may then be another socket's."""
         if self.watched.pop(descriptor, None) is not None:
             with suppress(OSError):  # a failed write has closed it already
                 self.epoll.unregister(descriptor)
 
-    def call_back(self) -> None:
+    def dispatch_hangups(self) -> None:
         """Call back for every watched connection whose peer has closed; the loop calls this."""
         for descriptor, _ in self.epoll.poll(0):
             on_hangup = self.watched.get(descriptor)
-            self.forget(descriptor)
+            self.unwatch(descriptor)
             if on_hangup is not None:
                 on_hangup()
 
--- a/sagetrack/core/processes.py
+++ b/sagetrack/core/processes.py
@@ -9,12 +9,12 @@
     """Other processes of the same gateway on this machine.
 
     Attributes:
-        others: How many of them run.
-        serving: How many of those accept clients.
+        running_count: How many of them run.
+        serving_count: How many of those accept clients.
     """
 
-    others: int
-    serving: int
+    running_count: int
+    serving_count: int
 
     def refresh(self) -> None:
         """Count the other processes again."""
@@ -36,8 +36,8 @@
 class NoSiblings:
     """The implementation for a gateway whose processes never overlap: there is no other process."""
 
-    others = 0
-    serving = 0
+    running_count = 0
+    serving_count = 0
 
     def refresh(self) -> None:
         """Do nothing: the counts stay 0."""
--- a/sagetrack/core/requests.py
+++ b/sagetrack/core/requests.py
@@ -9,7 +9,7 @@
 from sagetrack.core.bodies import StreamedBody
 
 
-class Source(Protocol):
+class ResponseSource(Protocol):
     """The upstream end of a streamed response, for backpressure."""
 
     def pause(self) -> None:
@@ -33,7 +33,7 @@
         """Take a complete response."""
         ...
 
-    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Take the head of a streamed response."""
         ...
 
@@ -58,7 +58,7 @@
         ...
 
 
-def never_gone() -> bool:
+def never_disconnected() -> bool:
     """Return False: the default for requests whose client cannot disconnect."""
     return False
 
@@ -82,7 +82,8 @@
         mirror_target: -1 for a client's request; else it is a mirrored one, and this names the protocol that
             its servers speak: see `RequestArrived`.
         received_us: When its last byte was read; 0 stands for now.
-        has_gone: Asks whether its client has disconnected, also where the event loop has not seen it yet.
+        has_disconnected: Asks whether its client has disconnected, also where the event loop has not seen it
+            yet.
     """
 
     id: str
@@ -98,4 +99,4 @@
     client_id: int = 0
     mirror_target: int = -1
     received_us: int = 0
-    has_gone: Callable[[], bool] = never_gone
+    has_disconnected: Callable[[], bool] = never_disconnected
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -23,9 +23,9 @@
     """Why something may not be done now. The values are labels of an exported metric."""
 
     # Sending
-    ANSWERED = "answered"  # the request has had its final response
-    CLIENT_GONE = "client_gone"  # its client has disconnected
-    OUT_OF_TIME = "out_of_time"  # its client's timeout is over
+    ALREADY_RESPONDED = "answered"  # the request has had its final response
+    CLIENT_DISCONNECTED = "client_gone"  # its client has disconnected
+    DEADLINE_EXCEEDED = "out_of_time"  # its client's timeout is over
     SERVER_WITHDRAWN = "server_withdrawn"  # the server drains or is gone
     SERVER_RESTARTED = "server_restarted"  # another incarnation than the one that was chosen
     NOT_LISTED = "not_listed"  # the server is not in the endpoint list
@@ -73,18 +73,18 @@
     Attributes:
         zone: The zone of its server; -1 if the server is not listed.
         group: The group of its server; -1 if the server is not listed.
-        begun_us: When its first byte was sent, None if it was not.
+        first_byte_us: When its first byte was sent, None if it was not.
         outcome: How it has ended, None if it has not.
     """
 
     zone: int
     group: int
-    begun_us: int | None = None
+    first_byte_us: int | None = None
     outcome: Outcome | None = None
 
     def may_have_run(self, settings: Settings) -> bool:
         """Return whether its server may have executed it, or may yet."""
-        if self.begun_us is None:
+        if self.first_byte_us is None:
             return False
         if self.outcome is Outcome.REJECTED and settings.rejection_may_have_run:
             return True
@@ -93,11 +93,11 @@
     @property
     def is_in_flight(self) -> bool:
         """Whether it was sent and has not ended."""
-        return self.begun_us is not None and self.outcome is None
+        return self.first_byte_us is not None and self.outcome is None
 
 
 def may_send(
-    answered: bool, remaining_us: int, server: ServerState, has_gone: Callable[[], bool]
+    answered: bool, remaining_us: int, server: ServerState, has_disconnected: Callable[[], bool]
 ) -> DenialReason | None:
     """Return why the first byte of an attempt may not be sent now; None if it may.
 
@@ -105,16 +105,16 @@
         answered: Whether the request has had its final response.
         remaining_us: What is left of its client's timeout.
         server: The server, compared with the one that was chosen.
-        has_gone: Asks the kernel whether the client has disconnected. It is called last, so that nothing
-            comes between its answer and the first byte.
+        has_disconnected: Asks the kernel whether the client has disconnected. It is called last, so that
+            nothing comes between its answer and the first byte.
     """
     if answered:
-        return DenialReason.ANSWERED
+        return DenialReason.ALREADY_RESPONDED
     if remaining_us <= 0:
-        return DenialReason.OUT_OF_TIME
+        return DenialReason.DEADLINE_EXCEEDED
     if (denial := _DENIAL_BY_STATE[server]) is not None:
         return denial
-    return DenialReason.CLIENT_GONE if has_gone() else None
+    return DenialReason.CLIENT_DISCONNECTED if has_disconnected() else None
 
 
 def may_retry(
@@ -136,13 +136,13 @@
     for other in others:
         if other is attempt or not other.may_have_run(settings):
             continue
-        denial = _denial_beside(settings, request_class, attempt, other, now_us)
+        denial = _denial_given_other(settings, request_class, attempt, other, now_us)
         if denial is not None:
             return denial
     return None
 
 
-def _denial_beside(
+def _denial_given_other(
     settings: Settings, request_class: RequestClass, attempt: AttemptRecord, other: AttemptRecord, now_us: int
 ) -> DenialReason | None:
     """Return why an attempt may not be sent in addition to another one that may have run."""
@@ -153,8 +153,8 @@
     if request_class.effect is Effect.KEYED:
         if not _recognises_key(request_class.scope, attempt, other):
             return DenialReason.OUT_OF_SCOPE
-        assert other.begun_us is not None
-        if now_us - other.begun_us >= request_class.window_us:
+        assert other.first_byte_us is not None
+        if now_us - other.first_byte_us >= request_class.window_us:
             return DenialReason.WINDOW_OVER
     return None
 
@@ -193,7 +193,7 @@
     has_unread_data: Callable[[], bool]
 
 
-def may_close(client: ClientConnectionState, purpose: CloseReason) -> DenialReason | None:
+def may_close(client: ClientConnectionState, reason: CloseReason) -> DenialReason | None:
     """Return why a client's connection may not be closed without a response; None if it may.
 
     A request that crosses the close of a reused connection is sent again by its client. One on a new
@@ -201,16 +201,16 @@
     """
     if client.response_pending:
         return DenialReason.RESPONSE_PENDING
-    if purpose is not CloseReason.DESCRIPTORS_EXHAUSTED:
+    if reason is not CloseReason.DESCRIPTORS_EXHAUSTED:
         is_in_time = client.age_s < REQUEST_HEAD_TIMEOUT_S
-        if client.request_incomplete and (purpose is CloseReason.IDLE or is_in_time):
+        if client.request_incomplete and (reason is CloseReason.IDLE or is_in_time):
             return DenialReason.INCOMPLETE_REQUEST
         if not client.has_sent_data and client.age_s < FIRST_REQUEST_TIMEOUT_S:
             return DenialReason.AWAITS_FIRST_REQUEST
     return DenialReason.UNREAD_DATA if client.has_unread_data() else None
 
 
-def may_take_clients(draining: bool, listening: bool, has_servers: bool) -> DenialReason | None:
+def may_accept_clients(draining: bool, listening: bool, has_servers: bool) -> DenialReason | None:
     """Return why this process may not announce that it accepts clients; None if it may."""
     if draining:
         return DenialReason.SHUTTING_DOWN
--- a/sagetrack/core/server_list.py
+++ b/sagetrack/core/server_list.py
@@ -7,7 +7,7 @@
 from sagetrack.core.clock import wall_us
 from sagetrack.core.context import GatewayContext
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import EndpointList, Event, ListedServer, ListKind, ServerStatus
 
@@ -50,7 +50,7 @@
                 context.upstream.put(entry)
                 self._listed[entry.listed.server] = entry.listed
         if any(entry.listed.status is not ServerStatus.READY for entry in entries):
-            context.trace.note(Step.STATE_CHANGED, "list", summary(entries))
+            context.trace.record(TraceEventKind.STATE_CHANGED, "list", summary(entries))
         if context.recorder is not None:
             context.recorder.event(f"list {kind.value}: {summary(entries)}")
         listed = tuple(entry.listed for entry in entries)
--- a/sagetrack/core/structured.py
+++ b/sagetrack/core/structured.py
@@ -13,11 +13,11 @@
 PYTHON_FIELD, CLASS_FIELD = "class_", "class"  # the field's name in calls of `log` and in lines
 
 
-def sink(form: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
+def sink(output_format: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
     """Return a sink that renders events, each with the gateway's name and a UTC time.
 
     Args:
-        form: `json` or `console`.
+        output_format: `json` or `console`.
         level: The lowest level that is written, one of `LEVELS`.
         gateway: The gateway's name.
         stream: Where lines are written; standard error by default.
@@ -25,7 +25,7 @@
     out = stream or sys.stderr
     renderer: Callable[..., Any] = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if output_format == "json"
         else structlog.dev.ConsoleRenderer(colors=out.isatty())
     )
     logger = structlog.wrap_logger(
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -55,7 +55,7 @@
         self._call = call
         self._end_s = time.monotonic() + RETRY_TIMEOUT_S
 
-    def has_succeeded(self) -> bool:
+    def try_once(self) -> bool:
         """Make the call; False after a transient error, while there is time for a retry.
 
         Raises:
@@ -77,7 +77,7 @@
         OSError: An error that is not transient, or the last one after `RETRY_TIMEOUT_S`.
     """
     retries = _Retries(call)
-    while not retries.has_succeeded():
+    while not retries.try_once():
         await asyncio.sleep(RETRY_DELAY_S)
     return retries.result
 
@@ -89,6 +89,6 @@
         OSError: As `retry_while_transient`.
     """
     retries = _Retries(call)
-    while not retries.has_succeeded():
+    while not retries.try_once():
         time.sleep(RETRY_DELAY_S)
     return retries.result
--- a/sagetrack/core/upstream_server.py
+++ b/sagetrack/core/upstream_server.py
@@ -20,30 +20,30 @@
         name: Its name at service discovery.
         address: Host and port to connect to.
         started_us: When it started, as discovery reports it.
-        drained_us: Since when it is listed as draining or gone; None while it is ready.
+        withdrawn_since_us: Since when it is listed as draining or gone; None while it is ready.
     """
 
     id: int
     name: str
     address: Address
     started_us: int = 0
-    drained_us: int | None = None
+    withdrawn_since_us: int | None = None
 
     @classmethod
-    def of(cls, entry: Endpoint) -> UpstreamServerRecord:
+    def from_endpoint(cls, entry: Endpoint) -> UpstreamServerRecord:
         """Make the record of a server that is listed for the first time."""
         return cls(entry.listed.server, entry.name, entry.address, entry.listed.started_us)
 
     @property
     def state(self) -> ServerState:
         """What the send rules have to know of it."""
-        return ServerState.SERVING if self.drained_us is None else ServerState.WITHDRAWN
+        return ServerState.SERVING if self.withdrawn_since_us is None else ServerState.WITHDRAWN
 
     def is_same_incarnation(self, entry: Endpoint) -> bool:
         """Return whether the server still has its address and start time, so that it was not restarted."""
         return self.address == entry.address and self.started_us == entry.listed.started_us
 
-    def restart(self, entry: Endpoint) -> None:
+    def update_incarnation(self, entry: Endpoint) -> None:
         """Take over the address and start time of another incarnation."""
         self.address = entry.address
         self.started_us = entry.listed.started_us
@@ -51,10 +51,10 @@
     def update_status(self, status: ServerStatus) -> None:
         """Take over the status in the endpoint list; the first time of a drain counts."""
         if status is ServerStatus.READY:
-            self.drained_us = None
-        elif self.drained_us is None:
-            self.drained_us = now_us()
+            self.withdrawn_since_us = None
+        elif self.withdrawn_since_us is None:
+            self.withdrawn_since_us = now_us()
 
-    def withdraw(self) -> None:
+    def mark_withdrawn(self) -> None:
         """Note that the server is not listed any more."""
-        self.drained_us = self.drained_us or now_us()
+        self.withdrawn_since_us = self.withdrawn_since_us or now_us()
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -13,7 +13,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.dns.answer import Answer, encode_reply
 from sagetrack.dns.cache import STALE_TTL_S, AnswerCache, CacheKey
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
@@ -293,7 +293,7 @@
 
     # Never called: DNS responses are not streamed
 
-    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -219,7 +219,7 @@
         """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
         return self.listener.shut_down(until_s)
 
-    def figures(self) -> dict[str, int]:
+    def metric_values(self) -> dict[str, int]:
         """Values for the exported metrics."""
         queries = self.handler.counts
         cache = self.cache
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -131,7 +131,7 @@
             known.close_idle()
             known = None
         if known is None:
-            server = UpstreamServerRecord.of(entry)
+            server = UpstreamServerRecord.from_endpoint(entry)
             known = DnsServerSockets(self.loop, server, self.counts, self.retry_over_tcp)
             self.servers[listed.server] = known
         known.server.update_status(listed.status)
@@ -140,7 +140,7 @@
         """Drop a server; queries that wait there end as they would."""
         known = self.servers.pop(server, None)
         if known is not None:
-            known.server.withdraw()
+            known.server.mark_withdrawn()
             known.retire_udp()
 
     def close_idle(self, server: int) -> None:
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -118,10 +118,10 @@
         """Add a server, or take over its new address, start time or status."""
         listed = entry.listed
         if listed.server not in self.pools:
-            self.add_server(UpstreamServerRecord.of(entry))
+            self.add_server(UpstreamServerRecord.from_endpoint(entry))
         server = self.pools[listed.server].server
         if not server.is_same_incarnation(entry):
-            server.restart(entry)
+            server.update_incarnation(entry)
             self.close_idle(server.id)
         server.update_status(listed.status)
 
@@ -134,7 +134,7 @@
         """Drop a server; requests in flight there end as they would."""
         pool = self.pools.pop(server, None)
         if pool is not None:
-            pool.server.withdraw()
+            pool.server.mark_withdrawn()
             pool.drain()
 
     def close_idle(self, server: int) -> None:
@@ -252,7 +252,7 @@
         for pool in list(self.pools.values()):
             pool.sweep(now)
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Values for the exported metrics."""
         counts = self.counts
         connections = [connection for pool in self.pools.values() for connection in pool.connections]
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -220,7 +220,7 @@
 
     # Ends
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed the connection, even if the event loop has not seen it yet.
 
         Asked before anything is sent for its requests.
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -8,7 +8,7 @@
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.responses import Response
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import Unpacker, pack
@@ -40,7 +40,7 @@
     def reopen_window(self, stream: DownstreamStream) -> None:
         """Let the client send more of the stream's body."""
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed the connection."""
 
 
@@ -61,7 +61,7 @@
     request: Request | None = None
     pending: bytearray = field(default_factory=bytearray)  # framed messages that are still to be sent
     trailers: list[tuple[str, str]] | None = None
-    source: Source | None = None
+    source: ResponseSource | None = None
     source_paused: bool = False
     headers_sent: bool = False
     closed: bool = False
@@ -94,7 +94,7 @@
         """Hand the request to the gateway; False if its id is in use."""
         self.messages.clear()
         self.request = request
-        request.has_gone = self.connection.has_gone
+        request.has_disconnected = self.connection.has_disconnected
         self.record_progress()
         if self.gateway.submit(request):
             return True
@@ -114,7 +114,7 @@
         self.pending += pack(response_to_grpc(reply.headers, reply.body))
         self.finish([("grpc-status", "0")])
 
-    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Head of a streamed response."""
         reply: Response = head
         first = Answer.FromString(response_to_grpc(reply.headers, b""))
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -111,7 +111,7 @@
             await asyncio.sleep(DRAIN_POLL_S)
         self.close()
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Values for the exported metrics."""
         counts = self.intake.counts
         return {
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -15,7 +15,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.responses import Header, Response
 from sagetrack.policy.rate_limit import Rate, RateLimiter
 from sagetrack.policy.settings import Effect
@@ -153,7 +153,7 @@
                 "warning",
             )
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Values for the exported metrics."""
         report = self.report
         values: dict[str, float] = {
@@ -181,7 +181,7 @@
         """Compare the response."""
         self.mirror.compare(request, self.original, answer, self.original_from_grpc)
 
-    def on_response_started(self, request: Request, head: Any, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Cancel the request: its response is too long to be buffered."""
         self.mirror.report.too_long += 1
         self.mirror.gateway.cancel_request(request.id)
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -8,7 +8,7 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.interfaces import AnyResponse, Attempt, AttemptObserver, UpstreamPool
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
@@ -47,7 +47,7 @@
         """The last byte of the request went out."""
         self.observer.on_request_sent()
 
-    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: Source) -> None:
+    def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
         """The response is streamed."""
         self.streaming = True
         self.observer.on_response_started(attempt, head, source)
--- a/sagetrack/grpc/tls.py
+++ b/sagetrack/grpc/tls.py
@@ -89,7 +89,7 @@
         self.context, self.expires_s = self.load_client_context()
         self.load_server_files()  # the same files, which have just been checked
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Values for the exported metrics: days until the own certificate expires."""
         if not self.certificate:
             return {}
--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -9,7 +9,7 @@
 
 from sagetrack.core.bodies import StreamedBody, do_nothing
 from sagetrack.core.clock import now_us
-from sagetrack.core.requests import Source
+from sagetrack.core.requests import ResponseSource
 from sagetrack.core.responses import Response
 from sagetrack.core.send_rules import ServerState
 from sagetrack.http1.upstream_server import UpstreamServer
@@ -25,7 +25,7 @@
     """Drop a part of a response that nobody streams."""
 
 
-class AttemptConnection(Source, Protocol):
+class AttemptConnection(ResponseSource, Protocol):
     """What an attempt's end needs of the connection that it is on, or waits for."""
 
     @property
@@ -81,7 +81,7 @@
     may_send: Callable[[ServerState], bool] = is_serving
     on_first_byte: Callable[[], None] = do_nothing
     on_request_sent: Callable[[], None] = do_nothing
-    on_response_started: Callable[[Attempt, Response, Source], None] | None = None
+    on_response_started: Callable[[Attempt, Response, ResponseSource], None] | None = None
     on_response_data: Callable[[bytes], None] = ignore_data
     streamed_body: StreamedBody | None = None
     written: bool = False
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.invariants import Invariant
 from sagetrack.core.metrics import ReasonCounter
@@ -31,7 +31,11 @@
         self.counts = ReasonCounter("client_closes_total", "reason", ())
 
     def note(
-        self, reason: str, request: Request | None, awaits_response: bool, has_gone: Callable[[], bool]
+        self,
+        reason: str,
+        request: Request | None,
+        awaits_response: bool,
+        has_disconnected: Callable[[], bool],
     ) -> None:
         """Count a close by this process; with a response due it is a violated invariant.
 
@@ -39,14 +43,14 @@
             reason: Why the connection is closed.
             request: Its request that is in progress.
             awaits_response: Whether nothing of the response to that is written, and the client reads.
-            has_gone: Asks the kernel whether the client has closed.
+            has_disconnected: Asks the kernel whether the client has closed.
         """
         if reason == CLIENT_LEFT:
             return
         self.counts.add(reason)
         if reason not in NOT_TRACED:
-            self._gateway.trace.note(
-                Step.CONNECTION_CLOSED, request.id if request is not None else "", reason
+            self._gateway.trace.record(
+                TraceEventKind.CONNECTION_CLOSED, request.id if request is not None else "", reason
             )
-        if awaits_response and request is not None and not has_gone():
-            self._gateway.violations.note(Invariant.NO_CLOSE_BEFORE_RESPONSE, request.id, reason)
+        if awaits_response and request is not None and not has_disconnected():
+            self._gateway.violations.record(Invariant.NO_CLOSE_BEFORE_RESPONSE, request.id, reason)
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -63,7 +63,7 @@
         """Stop watching a connection, which is read again or has ended."""
         if connection in self.paused:
             self.paused.discard(connection)
-            self.hangups.forget(connection.descriptor)
+            self.hangups.unwatch(connection.descriptor)
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -135,7 +135,7 @@
         self.abort(CLIENT_LEFT)
         self.cancel_requests()
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed, also where the loop has not seen it yet."""
         return self.transport is None or self.transport.is_closing() or has_peer_closed(self.poll)
 
@@ -215,7 +215,7 @@
         """Count why this process closes the connection, unless it does so already."""
         if self.transport is not None and not self.transport.is_closing():
             awaits_response = self.exchange.awaits_response and not self.write_blocked
-            self.context.closes.note(reason, self.exchange.request, awaits_response, self.has_gone)
+            self.context.closes.note(reason, self.exchange.request, awaits_response, self.has_disconnected)
 
     def _linger(self) -> None:
         """Close after a response that the client does not expect yet, once it has had `LINGER_S` to read it.
@@ -319,7 +319,7 @@
             return False
         # Requests that were read get their responses, also in a shutdown, but not without end.
         has_more = bool(self.reader.requests) or self.reader.has_partial_request
-        return not has_more or drain.is_past_answer_cutoff(asyncio.get_running_loop().time())
+        return not has_more or drain.is_past_response_cutoff(asyncio.get_running_loop().time())
 
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
         """Go on with the next request, or close the connection after its last response."""
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -9,7 +9,7 @@
 
 from sagetrack.config.platform import Config, stable_id
 from sagetrack.core.gateway import Gateway
-from sagetrack.core.requests import Request, Source
+from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.responses import Header, Response
 from sagetrack.http1.codec import end_to_end
 from sagetrack.http1.requests import HttpRequest, RequestError, read_request
@@ -53,7 +53,7 @@
 class ExchangeOwner(Protocol):
     """What an exchange needs of its connection."""
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the client has closed the connection."""
 
     def is_last(self, message: HttpRequest) -> bool:
@@ -90,7 +90,7 @@
         self.transport: asyncio.Transport | None = None
         self.message: HttpRequest | None = None  # in progress, as it was read
         self.request: Request | None = None  # the same, as the gateway has it
-        self.source: Source | None = None  # where a streamed response comes from
+        self.source: ResponseSource | None = None  # where a streamed response comes from
         self.chunked = False  # whether a streamed response is sent in chunks
         self.ends_connection = False  # whether the connection ends with a streamed response
         self.has_responded = False  # whether any request on the connection has had its response
@@ -122,7 +122,7 @@
         if rejection is not None:
             raise RequestError(400, rejection)
         self.request = request
-        request.has_gone = self.owner.has_gone
+        request.has_disconnected = self.owner.has_disconnected
         if not request.client_id and handling.config.settings.admission is not None:
             request.client_id = self._address_id()
         if not handling.gateway.submit(request):
@@ -213,7 +213,7 @@
 
     # Responses that are streamed
 
-    def on_response_started(self, request: Request, head: Response, source: Source) -> None:
+    def on_response_started(self, request: Request, head: Response, source: ResponseSource) -> None:
         """Write the head of a response that is too long to be buffered."""
         message = self.message
         transport = self.transport
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -10,10 +10,10 @@
 from sagetrack.core.bodies import BodyMemoryBudget
 from sagetrack.core.drain import SHUTDOWN_ACCEPT_S, Drain
 from sagetrack.core.endpoints import EndpointSource
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.processes import NoSiblings, SiblingProcesses
-from sagetrack.core.send_rules import CloseReason, may_take_clients
+from sagetrack.core.send_rules import CloseReason, may_accept_clients
 from sagetrack.http1.acceptor import BACKLOG, Acceptor
 from sagetrack.http1.client_closes import DRAINED
 from sagetrack.http1.connection_pool import ConnectionPools
@@ -37,7 +37,7 @@
         self.handling = RequestHandling(config, gateway, lambda: self.is_ready)
         self.context = ClientContext(self.handling, self.drain)
         self.descriptors = DescriptorBudget(
-            config, pools, self.context.phases, self.count_clients, lambda: 1 + self.siblings.others
+            config, pools, self.context.phases, self.count_clients, lambda: 1 + self.siblings.running_count
         )
         self.acceptor = Acceptor(
             self.descriptors.reclaim_for_client,
@@ -47,12 +47,15 @@
         self.describe_peers: Callable[[], list[str]] = lambda: ["messages between gateways are off"]
         self.sweeper: asyncio.TimerHandle | None = None
         self.drainer: asyncio.TimerHandle | None = None
-        gateway.metrics.extra_figures += [self.acceptor.errors.figures, self.context.closes.counts.figures]
+        gateway.metrics.metric_sources += [
+            self.acceptor.errors.metric_values,
+            self.context.closes.counts.metric_values,
+        ]
         pools.on_descriptor_needed(self.descriptors.reclaim_for_upstream)
 
     def prepare(self, source: EndpointSource) -> None:
         """Get servers from this source: no request is admitted before there is a list of them."""
-        self.gateway.set_process_count(1 + self.siblings.others)
+        self.gateway.set_process_count(1 + self.siblings.running_count)
         self.gateway.start(source)
 
     def start(self, listener: socket.socket) -> None:
@@ -68,7 +71,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this process accepts clients and can serve them."""
-        return may_take_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
+        return may_accept_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
 
     @property
     def is_listening(self) -> bool:
@@ -92,10 +95,10 @@
     def sweep(self) -> None:
         """Close connections whose time limit has passed, and follow the number of processes side by side."""
         loop = asyncio.get_running_loop()
-        others = self.siblings.others
+        others = self.siblings.running_count
         self.siblings.refresh()
-        if self.siblings.others != others:
-            self.gateway.set_process_count(1 + self.siblings.others)
+        if self.siblings.running_count != others:
+            self.gateway.set_process_count(1 + self.siblings.running_count)
         self.descriptors.shrink_to_limit()
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
         self.context.phases.close_expired(loop.time(), self.descriptors.has_many_clients)
@@ -121,7 +124,7 @@
     def standby(self) -> bool:
         """Begin a drain, which lasts until `active`; False during a shutdown."""
         begun = self.drain.begin_standby(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         if begun and self.drainer is None:
             self.close_idle()
         return begun
@@ -129,7 +132,7 @@
     def active(self) -> bool:
         """End a drain; False during a shutdown."""
         ended = self.drain.end_standby(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         return ended
 
     # Shutdown
@@ -142,11 +145,11 @@
         """
         loop = asyncio.get_running_loop()
         self.drain.begin_shutdown(loop.time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
-        self.gateway.shut_down_within(self.drain.answer_cutoff_s - loop.time())
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.shut_down_within(self.drain.response_cutoff_s - loop.time())
         self.siblings.mark_draining()
         self.siblings.refresh()
-        if self.siblings.serving:
+        if self.siblings.serving_count:
             self.stop_listening()  # another process accepts what waits and what comes
         self.close_idle()
         while self.is_listening or self.connections or self.acceptor.pending:
@@ -163,7 +166,7 @@
         Where no other process serves on it, waiting connections are accepted first, as far as descriptors
         allow; if they do not, the socket stays open until others have had their responses.
         """
-        if self.is_listening and (self.siblings.serving or self.acceptor.accept(BACKLOG)):
+        if self.is_listening and (self.siblings.serving_count or self.acceptor.accept(BACKLOG)):
             self.acceptor.stop()
 
     def close_idle(self) -> None:
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -2,8 +2,8 @@
 
 The file is written under another name and renamed, so that no reader finds a part of it, and has a checksum;
 one that is damaged, stale, of another version or of another gateway is ignored. Times are readings of the
-machine's monotonic clock (`clock.machine_us`), which both processes share and no step of the wall clock
-moves.
+machine's monotonic clock (`clock.system_monotonic_us`), which both processes share and no step of the wall
+clock moves.
 """
 
 from __future__ import annotations
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -242,7 +242,7 @@
         self._post(ObservationsReceived(tuple(observations), latencies_from(response.classes)))
 
     def _on_change(self, member: int, state: MemberState) -> None:
-        log(f"peer {member}: {state.name.lower()}", kind="peer")
+        log(f"peer {member}: {state.name.lower()}", rate_limit_key="peer")
         self._post(FleetSizeChanged(self.membership.alive))
 
     # For operators
@@ -261,7 +261,7 @@
         lines.append(describe_warm_start(warm_start))
         return lines
 
-    def figures(self) -> dict[str, int]:
+    def metric_values(self) -> dict[str, int]:
         """Return the exported metrics."""
         counts = self.counts
         membership = self.membership
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -343,7 +343,7 @@
         flows = (self.queues.flow_count + self.demand.flow_count) * FLOW_BYTES
         return queued + flows + self.reservations.count * RESERVATION_BYTES + rate_entries * RATE_ENTRY_BYTES
 
-    def figures(self, names: Sequence[str]) -> dict[str, float]:
+    def metric_values(self, names: Sequence[str]) -> dict[str, float]:
         """Exported figures by name; `names` are the tenants', in order."""
         found: dict[str, float] = {
             "door_limit": round(self.concurrency_limit.limit, 1),
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -75,9 +75,9 @@
         """Take a change of the DNS servers in the endpoint list."""
         self.service.on_list(kind, endpoints)
 
-    def figures(self) -> Mapping[str, float]:
+    def metric_values(self) -> Mapping[str, float]:
         """Metrics of the DNS service."""
-        return self.service.figures()
+        return self.service.metric_values()
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -89,12 +89,12 @@
             self.gateway.on_endpoint_list if self.grpc_upstreams is None else self.grpc_upstreams.on_list
         )
         if self.tls_keys is not None:
-            self._publish(self.tls_keys.figures)
+            self._publish(self.tls_keys.metric_values)
         self.discovery = self._build_discovery()
 
     def _publish(self, figures: Callable[[], Mapping[str, float]]) -> None:
         """Show the metrics of a component at the admin address, after those published before it."""
-        self.gateway.metrics.extra_figures.append(figures)
+        self.gateway.metrics.metric_sources.append(figures)
 
     def _build_gateway(self, upstreams: UpstreamPool) -> Gateway:
         config = self.config
@@ -102,7 +102,7 @@
         admission = gateway.balancer.admission
         if admission is not None:
             tenants = [name.decode() for name in config.names.tenants]
-            gateway.metrics.extra_figures.append(lambda: admission.figures(tenants))
+            gateway.metrics.metric_sources.append(lambda: admission.metric_values(tenants))
         return gateway
 
     def _class_names(self) -> list[str]:
@@ -124,7 +124,7 @@
                 self.operator.newer, self._class_names(), lambda: not self.server.drain.is_draining
             )
         self.server.check_heads(untranslatable_reason)
-        self._publish(upstreams.figures)
+        self._publish(upstreams.metric_values)
         return upstreams
 
     def _build_discovery(self) -> DiscoveryClient:
@@ -137,7 +137,7 @@
             _connect_to_discovery,
             discovery_timeouts(config.settings),
         )
-        self._publish(discovery.history.counts.figures)
+        self._publish(discovery.history.counts.metric_values)
         return discovery
 
     async def start(self) -> None:
@@ -237,7 +237,7 @@
         self.observations.close()
         http_drained = asyncio.get_running_loop().create_task(self.server.leave())
         await asyncio.sleep(0)  # `leave` has begun now, and it is known when the last answers are due
-        others_drained = self.listeners.begin_drain(self.server.drain.answer_cutoff_s + EXIT_MARGIN_S / 2)
+        others_drained = self.listeners.begin_drain(self.server.drain.response_cutoff_s + EXIT_MARGIN_S / 2)
         # No time limit here: what is unanswered at an end by the clock would be lost.
         await http_drained
         for drained in others_drained:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -120,13 +120,13 @@
             log(f"gRPC traffic share changed: {share}")
             self._refresh_weights()
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Metrics of mirroring, of the gRPC pool and of the migration."""
         migration = self.router.migration
-        mirroring = self.mirror.figures() if self.mirror is not None else {}
+        mirroring = self.mirror.metric_values() if self.mirror is not None else {}
         return (
             mirroring
-            | self.router.grpc.figures()
+            | self.router.grpc.metric_values()
             | {
                 "new_failing": round(migration.new.failure_rate, 4),
                 "old_failing": round(migration.old.failure_rate, 4),
--- a/sagetrack/server/health_handover.py
+++ b/sagetrack/server/health_handover.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from sagetrack.config.platform import Config
-from sagetrack.core.clock import machine_us, now_us
+from sagetrack.core.clock import now_us, system_monotonic_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.log import log
 from sagetrack.policy.events import ObservationsReceived
@@ -38,7 +38,7 @@
         self.config = config
         self.gateway = gateway
         self._loop = asyncio.get_running_loop()
-        self._is_successor = hot_restart.serving > 0
+        self._is_successor = hot_restart.serving_count > 0
         self._read_until_s = self._loop.time() + READING_PERIOD_S
         self._restored_at_us = 0  # when the newest observations that were taken over had been written
         self._restored = 0  # observations
@@ -48,23 +48,23 @@
         self._timer = self._loop.call_later(EXCHANGE_INTERVAL_S, self._exchange)
         if self._is_successor and self._loop.time() < self._read_until_s:
             self.restore()
-            if self.hot_restart.others:
+            if self.hot_restart.running_count:
                 return
-        if self.hot_restart.others:
+        if self.hot_restart.running_count:
             self.save()
 
     def restore(self) -> None:
         """Take over the predecessor's observations, if there are newer ones than at the last call."""
         from sagetrack.peers.handover import read, shift_times
 
-        note = read(self.folder, self.config.name, machine_us())
+        note = read(self.folder, self.config.name, system_monotonic_us())
         if note is None or note.written_us <= self._restored_at_us:
             return
         self._restored_at_us = note.written_us
         if not self._restored:
             log(f"restored health of {len(note.observations)} servers from the previous process")
         self._restored += len(note.observations)
-        observations = shift_times(note.observations, now_us() - machine_us())
+        observations = shift_times(note.observations, now_us() - system_monotonic_us())
         event = ObservationsReceived(tuple(observations), tuple(note.latencies))
         self.gateway.post(lambda: event)
 
@@ -73,8 +73,8 @@
         from sagetrack.peers.handover import shift_times, write
 
         observations, latencies = self.gateway.balancer.own_observations()
-        on_shared_clock = shift_times(observations, machine_us() - now_us())
-        write(self.folder, self.config.name, machine_us(), on_shared_clock, latencies)
+        on_shared_clock = shift_times(observations, system_monotonic_us() - now_us())
+        write(self.folder, self.config.name, system_monotonic_us(), on_shared_clock, latencies)
 
     def close(self) -> None:
         """Read and write no longer."""
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -27,8 +27,8 @@
     def __init__(self, folder: str | None) -> None:
         self.folder = Path(folder) if folder else None
         self.endpoint_list = EndpointListFile(self.folder)
-        self.others = 0  # sibling processes that run
-        self.serving = 0  # those of them that accept connections
+        self.running_count = 0  # sibling processes that run
+        self.serving_count = 0  # those of them that accept connections
         self._descriptor: int | None = None
         self._marker: Path | None = None
 
@@ -97,8 +97,8 @@
             if self._is_locked(self.folder / name):
                 others += 1
                 serving += marker[2] == SERVING
-        self.others = others
-        self.serving = serving
+        self.running_count = others
+        self.serving_count = serving
 
     @staticmethod
     def _is_locked(path: Path) -> bool:
@@ -122,7 +122,7 @@
     def release(self) -> None:
         """Write a held-back endpoint list, unless a sibling serves, and remove this process's marker."""
         self.endpoint_list.close(
-            write_pending=not self.serving
+            write_pending=not self.serving_count
         )  # a serving sibling writes its own, newer one
         if self._descriptor is not None and self._marker is not None:
             with suppress(OSError):  # a marker that stays has no lock, and the next process removes it
--- a/sagetrack/server/observation_exchange.py
+++ b/sagetrack/server/observation_exchange.py
@@ -45,7 +45,7 @@
         """
         self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
         if self.peer_node is not None:
-            self.gateway.metrics.extra_figures.append(self.peer_node.figures)
+            self.gateway.metrics.metric_sources.append(self.peer_node.metric_values)
             http.describe_peers = self.peer_node.describe
             self.peer_node.start()
         if hot_restart.folder is not None:
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -68,7 +68,7 @@
         self.stored: HandoverRecord | None = None  # what the store had when it was opened
         self._has_endpoint_list = False
         self.writer.start(self._loop, self._open)
-        gateway.metrics.extra_figures.append(self.writer.metric_values)
+        gateway.metrics.metric_sources.append(self.writer.metric_values)
         self._recorder: Recorder | None = None
         if settings.recorder:
             self._recorder = gateway.recorder = Recorder(len(config.settings.classes))
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -57,7 +57,7 @@
         drain = http.drain
         self.dns = DnsAssembly(self.config, settings, self.gateway, pools, lambda: drain.is_draining, listed)
         await self.dns.start()
-        self.gateway.metrics.extra_figures.append(self.dns.figures)
+        self.gateway.metrics.metric_sources.append(self.dns.metric_values)
 
     async def start_grpc(self, http: HttpListener, tls_keys: TlsCredentials | None) -> None:
         """Accept gRPC clients where the operator switches that on.
@@ -87,7 +87,7 @@
             where = ", ".join(settings.listen)
             raise ConfigError(f"newer.listen {where}: {error.strerror or error}") from None
         self.grpc = listener
-        self.gateway.metrics.extra_figures.append(listener.figures)
+        self.gateway.metrics.metric_sources.append(listener.metric_values)
 
     def on_dns_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         """Take a change of the DNS servers in the endpoint list."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -80,7 +80,7 @@
     async with scripted_server(silent) as old, scripted_server() as new, down_then_up(new) as (discovery, up):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
-            run.server.siblings.others = others
+            run.server.siblings.running_count = others
             owed = await run.connect()
             owed.send(request("transfer"))
             await until(lambda: old.exchanges)
@@ -117,7 +117,7 @@
             await until(lambda: upstream.exchanges)
             crowd = await fill(run, run.server.descriptors.max_clients)
             assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
-            run.server.siblings.others = 1
+            run.server.siblings.running_count = 1
             run.server.sweep()
             await until(lambda: not any(c.is_closing for c in run.server.connections))
             assert within(run)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -49,7 +49,9 @@
     for longest_s, kill_s in ((0.4, 1.1), (1.67, 2.37), (5.0, 3.7)):
         drain = Drain(longest_s)
         drain.begin_shutdown(10.0)
-        assert kill_s - 0.2 <= drain.answer_cutoff_s - 10.0 + 1e-9 and drain.answer_cutoff_s - 10.0 < kill_s
-        assert not drain.is_past_answer_cutoff(drain.answer_cutoff_s - 0.001) and drain.is_past_answer_cutoff(
-            drain.answer_cutoff_s
+        assert (
+            kill_s - 0.2 <= drain.response_cutoff_s - 10.0 + 1e-9 and drain.response_cutoff_s - 10.0 < kill_s
         )
+        assert not drain.is_past_response_cutoff(
+            drain.response_cutoff_s - 0.001
+        ) and drain.is_past_response_cutoff(drain.response_cutoff_s)
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -33,7 +33,7 @@
     authority.issue_cert("127.0.0.1").configure_cert(server)
     authority.configure_trust(server)
     keys = TlsCredentials(paths["ca"], paths["cert"], paths["key"])
-    assert keys.figures()["new_certificate_days"] > 1
+    assert keys.metric_values()["new_certificate_days"] > 1
     async with grpc_upstream_rig(keys=(server, lambda: keys.context)) as rig:
         await warm_up(rig)
         Path(paths["key"]).write_text("no key")
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -124,7 +124,7 @@
     (tmp_path / "sagetrack-x.serving").write_text("")
     overlap = HotRestart(str(tmp_path))
     overlap.join()
-    assert (overlap.others, overlap.serving) == (0, 0)
+    assert (overlap.running_count, overlap.serving_count) == (0, 0)
     assert sorted(os.listdir(tmp_path)) == [f"sagetrack-{os.getpid()}.starting", "sagetrack-x.serving"]
     overlap.mark_serving()
     assert marks(tmp_path, "serving") == {os.getpid()}
@@ -136,7 +136,7 @@
 async def test_descriptors_are_shared_by_the_processes() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
         assert run.server.descriptors.limit == 1024
-        run.server.siblings.others = 1
+        run.server.siblings.running_count = 1
         assert run.server.descriptors.limit == 512
         await asyncio.sleep(0)  # the watch that the start has begun runs once
 
@@ -236,5 +236,5 @@
     overlap.refresh()
     overlap.endpoint_list.write(DISCOVERY, {"index": 1})
     overlap.release()
-    assert (overlap.others, overlap.serving) == (0, 0)
+    assert (overlap.running_count, overlap.serving_count) == (0, 0)
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -71,22 +71,22 @@
     body = StreamedBody(None, BodyMemoryBudget(64))
     streamed, table = in_flight(body), Table()
     table.add(streamed)
-    assert table.requests.current_count() == 0
+    assert table.requests.awaiting_response_count() == 0
     body.complete()
-    assert table.requests.current_count() == 1
+    assert table.requests.awaiting_response_count() == 1
     streamed.is_finished = True
-    assert table.requests.current_count() == 0
-    assert not in_flight(mirror_target=1).is_current
+    assert table.requests.awaiting_response_count() == 0
+    assert not in_flight(mirror_target=1).awaits_response
 
 
 def test_a_finished_request_stays_until_its_last_attempt_has_ended() -> None:
     table = Table()
     table.add(in_flight())
-    assert table.requests.finish_unanswered("a") is not None and not table.requests
+    assert table.requests.finish_if_pending("a") is not None and not table.requests
     attempts = table.add(in_flight(), attempts=2)
-    assert table.requests.finish_unanswered("a") is table.requests["a"]
+    assert table.requests.finish_if_pending("a") is table.requests["a"]
     assert table.upstream.cancelled_unsent == attempts and not table.upstream.cancelled
-    assert table.requests.finish_unanswered("a") is None  # it has had its final response
+    assert table.requests.finish_if_pending("a") is None  # it has had its final response
 
 
 def test_a_client_that_disconnects_is_reported_once_and_ends_a_streamed_response() -> None:
@@ -105,8 +105,8 @@
     table, one = Table(), in_flight()
     attempts = table.add(one, attempts=2)
     one.streaming_attempt = attempts[0]
-    table.requests.cancel_unanswered_attempts()
+    table.requests.cancel_attempts_without_response()
     assert not table.upstream.cancelled
     one.streaming_attempt = None
-    table.requests.cancel_unanswered_attempts()
+    table.requests.cancel_attempts_without_response()
     assert table.upstream.cancelled == attempts
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -318,7 +318,7 @@
         monkeypatch.setattr(client_module, "has_peer_closed", counting)
         asked = 0
         hangups = run.server.context.hangups
-        look = hangups.call_back
+        look = hangups.dispatch_hangups
 
         def counted() -> None:
             nonlocal asked
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -32,7 +32,10 @@
 def test_events_without_a_limit_of_their_own_share_one() -> None:
     rate_limit = LogRateLimit(burst=1, rate=0.001)
     passed = sum(rate_limit.admit(f"event {number}", 0.0) >= 0 for number in range(10_000))
-    assert passed <= log_module.EVENTS + 1 and len(rate_limit.buckets) <= log_module.EVENTS + 1
+    assert (
+        passed <= log_module.MAX_RATE_LIMITED_EVENTS + 1
+        and len(rate_limit.buckets) <= log_module.MAX_RATE_LIMITED_EVENTS + 1
+    )
 
 
 def test_json_lines_carry_the_fields_by_their_names() -> None:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -59,7 +59,7 @@
         nodes[1].close()
         await until(lambda: nodes[0].membership.alive == 1)
         assert any("dead" in line for line in nodes[0].describe())
-        assert nodes[0].figures()["peers_dead"] == 1
+        assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
         for each in nodes:
             each.close()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -175,7 +175,7 @@
         await until(lambda: run.server.context.paused and upstream.exchanges)
         (connection,) = run.server.connections
         if not told:  # it leaves just before its first answer comes
-            run.server.context.hangups.forget(connection.descriptor)
+            run.server.context.hangups.unwatch(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -16,10 +16,10 @@
     CloseReason,
     DenialReason,
     ServerState,
+    may_accept_clients,
     may_close,
     may_retry,
     may_send,
-    may_take_clients,
 )
 from sagetrack.policy.actions import SendAttempt
 from sagetrack.policy.events import Outcome, RequestArrived
@@ -51,12 +51,12 @@
 def test_nothing_is_sent_for_a_finished_request_or_to_a_server_that_is_not_serving() -> None:
     serving = ServerState.SERVING
     assert may_send(False, 1, serving, lambda: False) is None
-    assert may_send(True, 1, serving, lambda: False) is DenialReason.ANSWERED
-    assert may_send(False, 0, serving, lambda: False) is DenialReason.OUT_OF_TIME
+    assert may_send(True, 1, serving, lambda: False) is DenialReason.ALREADY_RESPONDED
+    assert may_send(False, 0, serving, lambda: False) is DenialReason.DEADLINE_EXCEEDED
     assert may_send(False, 1, ServerState.WITHDRAWN, lambda: False) is DenialReason.SERVER_WITHDRAWN
     assert may_send(False, 1, ServerState.RESTARTED, lambda: False) is DenialReason.SERVER_RESTARTED
     assert may_send(False, 1, ServerState.NOT_LISTED, lambda: False) is DenialReason.NOT_LISTED
-    assert may_send(False, 1, serving, lambda: True) is DenialReason.CLIENT_GONE
+    assert may_send(False, 1, serving, lambda: True) is DenialReason.CLIENT_DISCONNECTED
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,11 @@
 
 
 def test_no_connection_is_closed_under_a_request() -> None:
-    for purpose in CloseReason:
+    for reason in CloseReason:
         _, client = closable_client()
-        assert may_close(client, purpose) is None
-        assert may_close(replace(client, response_pending=True), purpose) is DenialReason.RESPONSE_PENDING
-        assert may_close(replace(client, has_unread_data=lambda: True), purpose) is DenialReason.UNREAD_DATA
+        assert may_close(client, reason) is None
+        assert may_close(replace(client, response_pending=True), reason) is DenialReason.RESPONSE_PENDING
+        assert may_close(replace(client, has_unread_data=lambda: True), reason) is DenialReason.UNREAD_DATA
     _, client = closable_client()
     begun = replace(client, request_incomplete=True)
     assert may_close(begun, CloseReason.IDLE) is DenialReason.INCOMPLETE_REQUEST
@@ -123,10 +123,10 @@
 
 
 def test_clients_are_accepted_only_where_they_can_be_served() -> None:
-    assert may_take_clients(False, True, True) is None
-    assert may_take_clients(True, True, True) is DenialReason.SHUTTING_DOWN
-    assert may_take_clients(False, False, True) is DenialReason.NOT_LISTENING
-    assert may_take_clients(False, True, False) is DenialReason.NO_SERVERS
+    assert may_accept_clients(False, True, True) is None
+    assert may_accept_clients(True, True, True) is DenialReason.SHUTTING_DOWN
+    assert may_accept_clients(False, False, True) is DenialReason.NOT_LISTENING
+    assert may_accept_clients(False, True, False) is DenialReason.NO_SERVERS
 
 
 @on_loop
@@ -159,7 +159,7 @@
         begun_s = asyncio.get_running_loop().time()
         assert (await run.ask(request(budget_ms=200))).status == 502
         assert asyncio.get_running_loop().time() - begun_s < 0.2 + 0.5
-        assert run.gateway.violations.counts[Invariant.ANSWERED_IN_TIME] == 1
+        assert run.gateway.violations.counts[Invariant.RESPONSE_BY_DEADLINE] == 1
         assert not run.gateway.in_flight
 
 
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -297,7 +297,7 @@
             fcntl.flock(one, fcntl.LOCK_EX)
             fcntl.flock(two, fcntl.LOCK_EX)
             overlap.refresh()
-            assert (overlap.others, overlap.serving) == (2, 1)
+            assert (overlap.running_count, overlap.serving_count) == (2, 1)
     finally:
         overlap.release()
 
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -388,7 +388,7 @@
     receive_changes(discovery, 1, endpoint("s-1", "127.0.0.1:1"), is_full=True)
     receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # not written yet: rate limited
     successor.endpoint_list.write(REGISTRY, endpoint_list(3, endpoint("s-3", "127.0.0.1:1")))
-    hot_restart.serving = 1
+    hot_restart.serving_count = 1
     hot_restart.release()
     assert successor.endpoint_list.newest(REGISTRY, {}) == endpoint_list(3, endpoint("s-3", "127.0.0.1:1"))
 
