--- a/sagetrack/core/__init__.py
+++ b/sagetrack/core/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway without a protocol: requests, events in and actions out, drain, metrics, clocks and log."""
+"""Protocol-independent parts of the gateway: request handling, send rules, draining, metrics and logging."""
--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -26,11 +26,12 @@
 )
 from sagetrack.policy.events import LoadReport, Outcome, Probed, TimerFired
 
-TIMER_ROUNDING_S = 0.001  # the event loop rounds to milliseconds, and no timer may fire before it is due
+# Added to each timer: the event loop rounds to milliseconds, and no timer may fire before it is due.
+TIMER_ROUNDING_S = 0.001
 
 
 class ActionExecutor:
-    """Executes actions one at a time, each with one method."""
+    """Executes actions one at a time, with one handler method per action type."""
 
     def __init__(self, context: GatewayContext, attempts: AttemptStarter, loop: AbstractEventLoop) -> None:
         self._context = context
@@ -49,7 +50,7 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Execute an action; one that this gateway does not support is logged."""
+        """Execute an action; an unsupported action is logged and ignored."""
         handler = self._handlers.get(type(action))
         if handler is None:
             log(f"unsupported action ignored: {action!r}")
--- a/sagetrack/core/answer_watchdog.py
+++ b/sagetrack/core/answer_watchdog.py
@@ -1,4 +1,4 @@
-"""A watchdog for the rule that every request has its final response by its client's deadline."""
+"""A watchdog that enforces a final response to every request by the client's deadline."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from sagetrack.policy.events import RequestCancelled
 
 CHECK_INTERVAL_S = 0.15
-MAX_LATENESS_US = 50_000  # past its deadline, after which a request counts as overdue
+MAX_LATENESS_US = 50_000  # a request this long past its deadline counts as overdue
 
 
 class ResponseDeadlineWatchdog:
-    """Fails requests that are overdue, whatever the reason: none is left without a response.
+    """Fails overdue requests, whatever the reason, so that no request is left without a response.
 
-    A request has to be overdue at two checks in a row: where the process was suspended, the timers of the
-    load balancer are due as well, and run in between.
+    A request must be overdue at two consecutive checks. After the process was suspended, the load balancer's
+    own timers are due too, and can run between the two checks.
     """
 
     def __init__(self, context: GatewayContext, executor: Executor, loop: asyncio.AbstractEventLoop) -> None:
@@ -33,7 +33,7 @@
         self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
     def close(self) -> None:
-        """Make no further check."""
+        """Cancel the next check."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -52,7 +52,7 @@
             if not in_flight.was_overdue:
                 in_flight.was_overdue = True
                 continue
-            detail = f"{-remaining_us / 1000:.0f} ms past its time"
+            detail = f"{-remaining_us / 1000:.0f} ms past the deadline"
             context.violations.record(Invariant.RESPONSE_BY_DEADLINE, id_, detail)
             self._executor.execute(Fail(id_))
             context.post(lambda id_=id_: RequestCancelled(id_))  # type: ignore[misc]
--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: the last check before it is sent, and what becomes of it."""
+"""Observer of one attempt: makes the last check before sending, and reports the attempt's progress."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class GatewayAttemptObserver:
-    """Observes one attempt for the gateway: informs the load balancer and the client.
+    """Reports the progress of one attempt to the load balancer and the client.
 
-    What an upstream pool reports is queued, and takes effect when its turn comes.
+    The start of a streamed response and the end of the attempt are queued as events, and take effect when
+    they are dequeued.
     """
 
     __slots__ = ("_begin_by_us", "_context", "_in_flight", "_number")
@@ -23,13 +24,13 @@
     def __init__(
         self, context: GatewayContext, in_flight: InFlightRequest, number: int, begin_by_us: int
     ) -> None:
-        """Observe an attempt.
+        """Create the observer of an attempt.
 
         Args:
-            context: What the parts of the gateway share.
-            in_flight: The request it is an attempt of.
-            number: Its place in the request's `attempts`.
-            begin_by_us: From this time on nothing of it may be sent; 0 for no such limit.
+            context: The context shared by the gateway's components.
+            in_flight: The request that the attempt belongs to.
+            number: The index of the attempt in the request's `attempts`.
+            begin_by_us: Time from which the attempt may no longer begin; 0 for no limit.
         """
         self._context = context
         self._in_flight = in_flight
@@ -37,11 +38,11 @@
         self._begin_by_us = begin_by_us
 
     def may_begin(self, server: ServerState) -> bool:
-        """Return whether the request may be sent now to the server in this state.
+        """Return whether the request may be sent now to a server in this state.
 
-        The kernel is asked here whether the client has disconnected, with nothing between its answer and the
-        first byte: the event loop may not know of it yet, as nothing is being read from that client, or as
-        the loop was busy and finds the request and its cancellation together.
+        This asks the kernel whether the client has disconnected, immediately before the first byte is sent.
+        The event loop may not know of a disconnect yet: reading from that client may be paused, or the loop
+        was busy and finds the request and its cancellation at the same time.
         """
         in_flight = self._in_flight
         context = self._context
@@ -59,7 +60,10 @@
         return False
 
     def _retry_denial(self) -> DenialReason | None:
-        """Return why a retry may no longer be sent: its connection may have come up late."""
+        """Return the reason why a retry may no longer be sent; None if it may.
+
+        The state is checked again because opening the connection may have taken long.
+        """
         in_flight = self._in_flight
         settings = self._context.settings
         now = now_us()
@@ -75,18 +79,18 @@
         self._in_flight.attempt_records[self._number].first_byte_us = now_us()
 
     def on_request_sent(self) -> None:
-        """Count the attempt as sent, and inform the load balancer where the body was streamed."""
+        """Count the attempt as sent, and notify the load balancer if the request body was streamed."""
         request = self._in_flight.request
         self._context.metrics.sends.add(request.class_index)
         if request.streamed_body is not None:
             self._context.post(lambda: AttemptSent(request.id, self._number))
 
     def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
-        """Queue the start of a streamed response."""
+        """Queue the start of a streamed response as an event."""
         self._context.post(lambda: self._start_response(attempt, head, source))
 
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
-        """Pass bytes of a streamed response on to the client, if it is receiving this attempt's."""
+        """Forward response data to the client, if the client is receiving the response of this attempt."""
         in_flight = self._in_flight
         if in_flight.streaming_attempt is attempt and not in_flight.is_finished:
             in_flight.request.client.on_response_data(in_flight.request, data)
@@ -94,7 +98,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
-        """Queue the end of the attempt."""
+        """Queue the end of the attempt as an event."""
         self._context.post(lambda: self._end(attempt, outcome, response, load))
 
     def _start_response(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> Event | None:
@@ -132,7 +136,7 @@
         )
 
     def _respond(self, attempt: Attempt, response: AnyResponse | None) -> None:
-        """Give the client its final response, if the end of this attempt brings it about."""
+        """Send the final response to the client, if this attempt was streaming it or has succeeded."""
         in_flight = self._in_flight
         context = self._context
         request = in_flight.request
--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Starts the attempts that the load balancer chooses, unless a rule forbids it."""
+"""Starts the attempts that the load balancer chooses, unless a send rule forbids it."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         self._servers = servers
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt; one that a rule forbids is reported to the load balancer as not sent."""
+        """Start an attempt; if a send rule forbids it, report it to the load balancer as not sent."""
         context = self._context
         in_flight = context.in_flight.get(action.request)
         if in_flight is None:
             return
         remaining_us = in_flight.remaining_us(now_us())
         wait_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
-        # Added first: the attempt may end before `begin` returns.
+        # The attempt is added before it is started, because it may end before `begin` returns.
         number = in_flight.add_attempt(self._servers.new_attempt_record(action.server))
         denial = self._denial(in_flight, action.server, number, wait_us)
         if denial is not None:
@@ -52,7 +52,10 @@
     def _denial(
         self, in_flight: InFlightRequest, server: int, number: int, wait_us: int
     ) -> DenialReason | None:
-        """Return why an attempt may not be started; an unsafe retry is noted as a violation."""
+        """Return the reason why an attempt may not be started; None if it may.
+
+        An unsafe retry is recorded as an invariant violation.
+        """
         context = self._context
         settings = context.settings
         if number >= settings.max_attempts:
--- a/sagetrack/core/bodies.py
+++ b/sagetrack/core/bodies.py
@@ -1,7 +1,7 @@
-"""Streamed request bodies, with flow control and a memory budget for all of them together.
+"""Streamed request bodies, with flow control and a shared memory budget.
 
-A short body is buffered completely, so that it can be sent again. A longer one is streamed: it moves no
-faster than its slower side, and cannot be sent again once part of it was forwarded.
+A short body is buffered completely, so that it can be sent again in a retry. A longer one is streamed at the
+speed of the slower side, and cannot be sent again once part of it was forwarded.
 """
 
 from __future__ import annotations
@@ -11,58 +11,58 @@
 
 from sagetrack.core.clock import now_us
 
-STREAMED_BODY_LIMIT = 32 * 1024 * 1024  # bytes of a streamed body, of a request or a response
-MAX_BUFFER_PER_BODY = 64 * 1024  # bytes buffered of one body before its sender is paused
-MIN_BUFFER_PER_BODY = 8 * 1024  # the same where very many bodies are streamed at once
-BUFFER_MEMORY_SHARE = 0.125  # of the memory limit, for the buffers of all streamed bodies together
-BODY_STALL_TIMEOUT_S = 10.0  # without a byte moved, after which the transfer is given up
+STREAMED_BODY_LIMIT = 32 * 1024 * 1024  # largest streamed body of a request or response, in bytes
+MAX_BUFFER_PER_BODY = 64 * 1024  # bytes buffered per body before its sender is paused
+MIN_BUFFER_PER_BODY = 8 * 1024  # lower bound of that limit when very many bodies are streamed at once
+BUFFER_MEMORY_SHARE = 0.125  # share of the memory limit used for the buffers of all streamed bodies
+BODY_STALL_TIMEOUT_S = 10.0  # a transfer is aborted after this time without progress
 
 
 def do_nothing() -> None:
-    """Do nothing: the callback where none is set."""
+    """Do nothing; the default callback."""
 
 
 class BodyMemoryBudget:
-    """The memory that all streamed bodies share: the more there are, the less each may buffer.
+    """The buffer memory shared by all streamed bodies; the more there are, the less each may buffer.
 
     Attributes:
-        total_bytes: The budget of all bodies together.
-        active_bodies: How many bodies are being streamed.
+        total_bytes: The budget of all bodies together, in bytes.
+        active_bodies: Number of bodies being streamed.
     """
 
     __slots__ = ("active_bodies", "total_bytes")
 
     def __init__(self, memory_mb: int) -> None:
-        """Make a budget that is a fixed share of the memory limit, in MiB."""
+        """Create a budget of a fixed share of the memory limit, which is given in MiB."""
         self.total_bytes = int(memory_mb * 1024 * 1024 * BUFFER_MEMORY_SHARE)
         self.active_bodies = 0
 
     @property
     def bytes_per_body(self) -> int:
-        """How many bytes one body may buffer now."""
+        """Number of bytes that each body may buffer at present."""
         share = self.total_bytes // max(1, self.active_bodies)
         return max(MIN_BUFFER_PER_BODY, min(MAX_BUFFER_PER_BODY, share))
 
 
 class StreamedBody:
-    """A request's body between the client that sends it and the server that receives it.
+    """A request body in transit from the client to the upstream server.
 
-    The downstream side calls `feed`, `complete` and `abort`, the upstream side `take`.
+    The downstream side calls `feed`, `complete` and `abort`; the upstream side calls `take`.
 
     Attributes:
         length: The announced length in bytes; None if the body is chunked.
-        body_budget: The memory it shares with other bodies.
-        chunks: What is buffered, in order.
-        buffered: Bytes in `chunks`.
-        received: Bytes that have come from the client so far.
-        is_complete: Whether its last byte has come.
-        completed_us: When that was.
-        is_aborted: Whether its last byte will never come.
-        forwarding_started: Whether some of it was taken: no other server can receive all of it.
-        discarding: Whether what is left of it is dropped.
-        on_data: Called when there is more to take, and at the end.
-        on_capacity: Called when the sender may go on.
-        on_complete: Called when the last byte has come.
+        body_budget: The memory budget shared with other bodies.
+        chunks: The buffered chunks, in order.
+        buffered: Number of bytes in `chunks`.
+        received: Number of bytes received from the client so far.
+        is_complete: True once the last byte was received.
+        completed_us: Time at which the last byte was received; 0 before that.
+        is_aborted: True if the rest of the body will never arrive.
+        forwarding_started: True once part of the body was taken, so that no other server can get all of it.
+        discarding: True if all remaining data is dropped.
+        on_data: Called when there is more data to take, and when the body is complete.
+        on_capacity: Called when the sender may continue.
+        on_complete: Called when the last byte was received.
     """
 
     __slots__ = (
@@ -82,7 +82,7 @@
     )
 
     def __init__(self, length: int | None, body_budget: BodyMemoryBudget) -> None:
-        """Make an empty body that takes its part of the budget until it is finished."""
+        """Create an empty body, which counts against the budget until it is finished."""
         self.length = length
         self.body_budget = body_budget
         body_budget.active_bodies += 1
@@ -100,16 +100,16 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether its sender has to wait."""
+        """True if the buffer is full and the sender has to pause."""
         return not self.discarding and self.buffered >= self.body_budget.bytes_per_body
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more will come of it."""
+        """True if no more data will arrive."""
         return self.is_complete or self.is_aborted
 
     def feed(self, data: bytes) -> None:
-        """Buffer bytes that have come from the client, and notify the receiver."""
+        """Buffer data received from the client, and notify the upstream side."""
         self.received += len(data)
         if self.discarding:
             return
@@ -118,7 +118,7 @@
         self.on_data()
 
     def take(self) -> bytes:
-        """Return the next chunk; its sender may go on once there is capacity. `chunks` must not be empty."""
+        """Return the next chunk, and resume the sender once there is capacity; `chunks` must not be empty."""
         was_full = self.is_full
         chunk = self.chunks.popleft()
         self.forwarding_started = True
@@ -128,7 +128,7 @@
         return chunk
 
     def complete(self) -> None:
-        """Record that the last byte has come, and notify the receiver. A second call does nothing."""
+        """Mark the body as complete, and notify the upstream side; a second call does nothing."""
         if not self.is_finished:
             self.is_complete = True
             self.completed_us = now_us()
@@ -137,14 +137,14 @@
             self.on_data()
 
     def abort(self) -> None:
-        """Record that the rest will not come, unless it is complete, and drop what is buffered."""
+        """Mark the body as aborted unless it is complete, and drop the buffered data."""
         if not self.is_finished:
             self.is_aborted = True
             self.body_budget.active_bodies -= 1
         self.discard()
 
     def discard(self) -> None:
-        """Drop what is buffered and what still comes; the receiver is not notified any more."""
+        """Drop buffered and future data, and stop notifying the upstream side."""
         self.discarding = True
         self.on_data = do_nothing
         self.on_complete = do_nothing
--- a/sagetrack/core/clock.py
+++ b/sagetrack/core/clock.py
@@ -1,7 +1,7 @@
-"""The clocks: a monotonic one for all differences, and the wall clock for the stamps of others.
+"""Clocks: a monotonic clock for time differences, and the wall clock for timestamps from other machines.
 
-Deadlines, windows, waits and ages are differences of `now_us`, which no step of the wall clock moves. A stamp
-in Unix time is compared with `wall_us` at the moment it is read, and with nothing else.
+Deadlines, windows, waits and ages are differences of `now_us`, which steps of the wall clock do not affect.
+A timestamp in Unix time is compared only with `wall_us`, at the moment it is read.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def now_us() -> int:
-    """Return the process's monotonic time in microseconds; at the start of the process it is Unix time."""
+    """Return monotonic time in microseconds, which equals Unix time when the process starts."""
     return (_OFFSET_NS + time.monotonic_ns()) // 1000
 
 
 def wall_us() -> int:
-    """Return Unix time as the machine has it now, in microseconds: it may step either way."""
+    """Return the machine's current Unix time in microseconds, which may step forwards or backwards."""
     return time.time_ns() // 1000
 
 
 def system_monotonic_us() -> int:
-    """Return monotonic time that all processes share until the machine is rebooted, in microseconds."""
+    """Return monotonic time in microseconds, shared by all processes until the machine is rebooted."""
     return time.monotonic_ns() // 1000
--- a/sagetrack/core/context.py
+++ b/sagetrack/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""The context shared by the components of one gateway."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @dataclass(slots=True, eq=False)
 class GatewayContext:
-    """The collaborators that the parts of one gateway have in common.
+    """The dependencies shared by the components of one gateway.
 
     Attributes:
         settings: The settings of the load balancer.
-        upstream: The servers' side of the protocol.
+        upstream: The upstream pool of the protocol.
         in_flight: The requests in flight.
-        post: Queues an event for the load balancer: see `EventDispatcher.post`.
+        post: Queues an event for the load balancer; see `EventDispatcher.post`.
         metrics: The exported metrics.
-        trace: The flight recorder.
-        violations: Counts of violated invariants.
-        denials: Attempts that were chosen and not sent, by `DenialReason`.
-        outcomes: Attempts that have ended, by `Outcome`.
-        rejections: Rejected requests, by `RejectReason`.
-        endpoint_source: Service discovery, from the start of the gateway on.
-        recorder: Records into the durable store, where the operator has one.
+        trace: Keeps the most recent unusual events in memory for operators.
+        violations: Counts invariant violations.
+        denials: Counts attempts that were chosen but not sent, by `DenialReason`.
+        outcomes: Counts attempts that have ended, by `Outcome`.
+        rejections: Counts rejected requests, by `RejectReason`.
+        endpoint_source: Service discovery; set when the gateway starts.
+        recorder: Recorder of attempts and events in the durable store; None if no store is configured.
     """
 
     settings: Settings
@@ -48,6 +48,6 @@
     recorder: Recorder | None = None
 
     def record_denial(self, id_: str, denial: DenialReason) -> None:
-        """Count and trace an attempt that was chosen and is not sent."""
+        """Count and trace an attempt that was chosen but may not be sent."""
         self.denials.add(denial.value)
         self.trace.record(TraceEventKind.ATTEMPT_DENIED, id_, denial.value)
--- a/sagetrack/core/drain.py
+++ b/sagetrack/core/drain.py
@@ -1,7 +1,7 @@
-"""The phases of a process: active, on standby, or shutting down. The one place that knows them.
+"""Drain state of a process: active, on standby, or shutting down.
 
-Readiness, the calls of the admin address and SIGTERM all read or change this one state. It is independent of
-the protocol. Times are readings of the caller's clock, in seconds.
+Readiness checks, admin commands and SIGTERM all read or change this state, which is independent of the
+protocol. Times are in seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -11,32 +11,34 @@
 
 from sagetrack.core.send_rules import FIRST_REQUEST_TIMEOUT_S
 
-MAX_DRAIN_DEADLINE_S = 3.0  # at a shutdown a longer request deadline counts as this
-KILL_GRACE_S = 0.7  # what the platform allows on top of that before it kills the process
-EXIT_MARGIN_S = 0.2  # of it, reserved for the last responses to go out and for the exit itself
-SHUTDOWN_ACCEPT_S = 0.7  # after SIGTERM: new connections go on coming for 0.4 s
-SHUTDOWN_INCOMPLETE_WAIT_S = 1.0  # after SIGTERM, for requests of which a part has come
-# Until then a connection is closed only after a response that announces it:
-SHUTDOWN_IDLE_DELAY_S = 0.5  # after SIGTERM
-STANDBY_IDLE_DELAY_S = 1.2  # after `standby`: a connection that is idle by then is hardly in use
+MAX_DRAIN_DEADLINE_S = 3.0  # during shutdown, longer request deadlines are reduced to this
+KILL_GRACE_S = 0.7  # time after that deadline at which the platform kills the process
+EXIT_MARGIN_S = 0.2  # part of the kill grace reserved for sending the last responses and exiting
+SHUTDOWN_ACCEPT_S = 0.7  # accept connections this long after SIGTERM; new ones arrive for up to 0.4 s
+SHUTDOWN_INCOMPLETE_WAIT_S = 1.0  # wait this long after SIGTERM for partially received requests to complete
+# For the following delays, connections are closed only after a response that announces the close.
+SHUTDOWN_IDLE_DELAY_S = 0.5  # delay after SIGTERM
+STANDBY_IDLE_DELAY_S = 1.2  # delay after the `standby` command; a connection still idle then is hardly in use
 
 
 class DrainPhase(Enum):
-    """What the process does for clients. The values are part of the trace of the admin address."""
+    """Phase of the process. The values appear in the event trace on the admin address."""
 
     ACTIVE = "active"
-    STANDBY = "standby"  # until `end_standby`
-    SHUTTING_DOWN = "leaving"  # for good
+    STANDBY = "standby"  # drains until `end_standby`
+    SHUTTING_DOWN = "leaving"  # drains and then exits
 
 
 @dataclass(slots=True)
 class Drain:
-    """The state machine: ACTIVE and STANDBY change into each other and into SHUTTING_DOWN, which is final.
+    """State machine of the drain phases.
+
+    ACTIVE and STANDBY can change into each other and into SHUTTING_DOWN, which is final.
 
     Attributes:
-        max_request_deadline_s: The longest deadline of a request.
-        phase: The phase it is in.
-        since_s: When that began; 0 for the phase at the start.
+        max_request_deadline_s: The longest request deadline in the settings.
+        phase: The current phase.
+        since_s: Time at which the current phase began; 0 for the initial phase.
     """
 
     max_request_deadline_s: float
@@ -44,19 +46,19 @@
     since_s: float = 0.0
 
     def begin_standby(self, now_s: float) -> bool:
-        """Begin to drain, or go on draining; False if the process is shutting down."""
+        """Enter standby, or stay in it; returns False if the process is shutting down."""
         if self.phase is DrainPhase.ACTIVE:
             self._enter(DrainPhase.STANDBY, now_s)
         return self.phase is DrainPhase.STANDBY
 
     def end_standby(self, now_s: float) -> bool:
-        """Become active again, or stay so; False if the process is shutting down."""
+        """Become active again, or stay active; returns False if the process is shutting down."""
         if self.phase is DrainPhase.STANDBY:
             self._enter(DrainPhase.ACTIVE, now_s)
         return self.phase is DrainPhase.ACTIVE
 
     def begin_shutdown(self, now_s: float) -> None:
-        """Begin to shut down; a second call changes nothing."""
+        """Begin to shut down; further calls have no effect."""
         if self.phase is not DrainPhase.SHUTTING_DOWN:
             self._enter(DrainPhase.SHUTTING_DOWN, now_s)
 
@@ -66,19 +68,20 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether no new client should come, and each response is the last on its connection."""
+        """True if new clients should go elsewhere, and each connection closes after its next response."""
         return self.phase is not DrainPhase.ACTIVE
 
     def may_close_idle(self, now_s: float, opened_s: float, used: bool) -> bool:
-        """Return whether an idle connection may be closed by now.
+        """Return whether an idle connection may be closed now.
 
-        It is not closed at once: a close that crosses a request makes the client send it again, while a
-        response that announces the close does not. A new connection has time for its first request.
+        It is not closed immediately: a close that crosses a request in transit makes the client send it
+        again, while a response that announces the close does not. A new connection is given time for its
+        first request.
 
         Args:
-            now_s: The time now.
-            opened_s: When the connection was opened.
-            used: Whether it has carried a request.
+            now_s: The current time.
+            opened_s: Time at which the connection was opened.
+            used: True if the connection has carried a request.
         """
         if not self.is_draining or (not used and now_s - opened_s < FIRST_REQUEST_TIMEOUT_S):
             return False
@@ -87,18 +90,18 @@
         return now_s - self.since_s >= delay_s
 
     def awaits_incomplete_requests(self, now_s: float) -> bool:
-        """Return whether a shutdown still waits for requests of which only a part has come.
+        """Return whether a shutdown still waits for partially received requests.
 
-        The wait is bounded, as there may be connections that never complete one.
+        The wait is bounded, because some clients may never complete their request.
         """
         return now_s - self.since_s < SHUTDOWN_INCOMPLETE_WAIT_S
 
     def is_past_response_cutoff(self, now_s: float) -> bool:
-        """Return whether the process is shutting down and past `response_cutoff_s`."""
+        """Return whether the process is shutting down and `response_cutoff_s` has passed."""
         return self.phase is DrainPhase.SHUTTING_DOWN and now_s >= self.response_cutoff_s
 
     @property
     def response_cutoff_s(self) -> float:
-        """When a shutdown gives up requests that are unanswered: soon after it the process may be killed."""
+        """Time at which a shutdown gives up pending requests, shortly before the process may be killed."""
         deadline_s = min(self.max_request_deadline_s, MAX_DRAIN_DEADLINE_S)
         return self.since_s + deadline_s + KILL_GRACE_S - EXIT_MARGIN_S
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints, and the source that discovers them."""
+"""Endpoints, and the interface of the service discovery that delivers them."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     """One server of an endpoint list.
 
     Attributes:
-        name: Its name at service discovery.
+        name: The name of the server in service discovery.
         address: Host and port to connect to.
-        listed: What the load balancer knows of it.
+        listed: The properties of the server that the load balancer uses.
     """
 
     __slots__ = ("address", "listed", "name")
@@ -30,15 +30,15 @@
 
 
 class EndpointSource(Protocol):
-    """Service discovery: tells an `OnEndpointList` callback which endpoints there are."""
+    """Service discovery, which delivers endpoint lists to an `OnEndpointList` callback."""
 
     @property
     def time_without_contact_us(self) -> int | None:
-        """Time since the source was last heard before the list now being delivered; None if never before."""
+        """Time between the list being delivered and the last contact before it; None if it is the first."""
         ...
 
     def restore_known_endpoints(self, raw: dict[str, Any]) -> None:
-        """Deliver the list that was known before the start, as service discovery encodes it."""
+        """Deliver the initial endpoint list, which is in the encoding of service discovery."""
         ...
 
     def watch(self, on: bool) -> None:
@@ -46,9 +46,9 @@
         ...
 
     def fetch(self) -> None:
-        """Poll the complete list once."""
+        """Fetch the complete list once."""
         ...
 
     def close(self) -> None:
-        """Stop for good; no list is delivered afterwards."""
+        """Stop permanently; no list is delivered afterwards."""
         ...
--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to the load balancer and its actions back, strictly one event after the other."""
+"""Dispatches events to the load balancer and executes the resulting actions, strictly one event at a time."""
 
 from __future__ import annotations
 
@@ -13,10 +13,8 @@
 from sagetrack.policy.events import AttemptEnded, Event, RequestArrived
 from sagetrack.policy.load_balancer import LoadBalancer
 
-LazyEvent = Callable[
-    [], Event | None
-]  # makes the event when its turn comes; None if there is nothing to report by then
-PostEvent = Callable[[LazyEvent], None]  # queues an event: see `EventDispatcher.post`
+LazyEvent = Callable[[], Event | None]  # makes an event when it is dequeued; None if it no longer applies
+PostEvent = Callable[[LazyEvent], None]  # queues an event; see `EventDispatcher.post`
 
 
 class Executor(Protocol):
@@ -28,10 +26,10 @@
 
 
 class EventDispatcher:
-    """A queue of events. The actions of one are executed before the next is handled.
+    """A queue of events; all actions of an event are executed before the next event is handled.
 
-    Events are queued as functions that make them when their turn comes: an event describes the state as it is
-    then, and None stands for one that no longer applies.
+    The queue holds functions that make the events when they are dequeued. An event thus describes the state
+    at that time; a function returns None if its event no longer applies.
     """
 
     def __init__(self, balancer: LoadBalancer, violations: InvariantViolations) -> None:
@@ -43,15 +41,15 @@
         self._is_closed = False
 
     def start(self, executor: Executor) -> None:
-        """Set who executes the actions. To be called before the first `post`."""
+        """Set the executor of the actions; must be called before the first `post`."""
         self._executor = executor
 
     def close(self) -> None:
-        """Stop: events that are queued or posted from now on are not handled."""
+        """Stop the dispatcher; events in the queue and events posted later are not handled."""
         self._is_closed = True
 
     def post(self, event: LazyEvent) -> None:
-        """Queue an event, and handle the queue unless that is under way already, further up the stack."""
+        """Queue an event, and process the queue unless a caller further up the stack already does so."""
         self._queue.append(event)
         if self._is_dispatching:
             return
@@ -67,7 +65,7 @@
     def _make(self, event: LazyEvent) -> Event | None:
         try:
             return event()
-        except Exception:  # noqa: BLE001 the events queued behind this one would wait until the next post
+        except Exception:  # noqa: BLE001 events queued after it would be delayed until the next post
             self._violations.record(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
             return None
 
@@ -75,13 +73,13 @@
         assert self._executor is not None
         try:
             actions = self._balancer.handle(now_us(), event)
-        except Exception:  # noqa: BLE001 one faulty decision must not end the process with all its requests
+        except Exception:  # noqa: BLE001 one faulty decision must not terminate the process and all requests
             detail = f"{event!r}\n{traceback.format_exc()}"
             self._violations.record(Invariant.NO_HANDLER_ERROR, "module", detail)
             actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
         for action in actions:
             try:
                 self._executor.execute(action)
-            except Exception:  # noqa: BLE001 it would end the connection of the client that is being handled
+            except Exception:  # noqa: BLE001 it would abort the client connection that is being served
                 detail = f"{action!r}\n{traceback.format_exc()}"
                 self._violations.record(Invariant.NO_HANDLER_ERROR, "action", detail)
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -1,7 +1,7 @@
-"""A gateway without its protocol: requests come in, the load balancer decides, and attempts go out.
+"""The protocol-independent gateway: passes requests to the load balancer and executes its decisions.
 
-Nothing is chosen here. One event is handled and its actions are executed before the next; what happens
-meanwhile is queued.
+This module makes no load-balancing decisions. Events are handled strictly one at a time: all actions of an
+event are executed before the next event is handled, and events that occur meanwhile are queued.
 """
 
 from __future__ import annotations
@@ -31,17 +31,19 @@
 
 
 class Gateway:
-    """The requests of one protocol: one load balancer, one upstream pool. Made on a running event loop.
+    """Serves requests with one load balancer and one upstream pool.
+
+    An instance must be created while an event loop is running.
 
     Attributes:
         settings: The settings of the load balancer.
         balancer: The load balancer.
-        known_endpoints: The endpoint list that was known before the start, as service discovery encodes it.
+        known_endpoints: The endpoint list supplied at startup, in the encoding of service discovery.
         in_flight: The requests in flight, by id.
-        post: Queues an event for the load balancer: see `EventDispatcher.post`.
+        post: Queues an event for the load balancer; see `EventDispatcher.post`.
         executor: Executes the actions of the load balancer.
-        trace: The flight recorder.
-        violations: Counts of violated invariants.
+        trace: Keeps the most recent unusual events in memory for operators.
+        violations: Counts invariant violations.
         metrics: The exported metrics.
     """
 
@@ -53,14 +55,14 @@
         upstream: UpstreamPool,
         known_endpoints: dict[str, Any],
     ) -> None:
-        """Make a gateway that serves nothing before `start`.
+        """Create a gateway, which has no servers until `start` is called.
 
         Args:
             settings: The settings of the load balancer.
-            seed: Of the load balancer's random generator.
+            seed: The seed of the load balancer's random number generator.
             classes: The names of the request classes, in the order of the settings.
-            upstream: The servers' side of the protocol; closed with the gateway.
-            known_endpoints: The endpoint list that was known before the start.
+            upstream: The upstream pool of the protocol, which `close` closes too.
+            known_endpoints: The initial endpoint list, in the encoding of service discovery.
         """
         self._loop = asyncio.get_running_loop()
         self.settings = settings
@@ -81,7 +83,7 @@
         self._watchdog = ResponseDeadlineWatchdog(self._context, self.executor, self._loop)
 
     def _gauges(self) -> Gauges:
-        """Return what computes the metrics of the present state, by their names."""
+        """Return the functions that compute the gauge metrics, by metric name."""
         return {
             "current": self.in_flight.awaiting_response_count,
             "cluster_size": lambda: len(self._upstream.listed),
@@ -89,7 +91,7 @@
         }
 
     def _make_context(self) -> GatewayContext:
-        """Make what the parts share, and export its counters."""
+        """Create the context shared by the gateway's components, and export its counters."""
         context = GatewayContext(
             settings=self.settings,
             upstream=self._upstream,
@@ -107,14 +109,17 @@
         return context
 
     def start(self, endpoint_source: EndpointSource) -> None:
-        """Begin with the endpoints known before; newer ones are requested when the load balancer decides."""
+        """Apply the initial endpoint list and start checking response deadlines.
+
+        Newer lists are fetched when the load balancer requests them.
+        """
         self._context.endpoint_source = endpoint_source
         endpoint_source.restore_known_endpoints(self.known_endpoints)
         self._watchdog.start()
 
     @property
     def recorder(self) -> Recorder | None:
-        """Records attempts and events into the durable store, where the operator has one."""
+        """Recorder of attempts and events in the durable store; None if no store is configured."""
         return self._context.recorder
 
     @recorder.setter
@@ -122,20 +127,20 @@
         self._context.recorder = recorder
 
     def set_process_count(self, processes: int) -> None:
-        """Inform the load balancer how many processes of this gateway run side by side now."""
+        """Tell the load balancer how many processes of this gateway are running, such as in a hot restart."""
         self.post(lambda: ProcessCountChanged(processes))
 
     def server_start_times(self) -> dict[int, int]:
-        """Return when each listed server started, in microseconds: it tells incarnations apart."""
+        """Return the start time in microseconds of each listed server; it identifies the incarnation."""
         return self._upstream.server_start_times()
 
     @property
     def can_serve(self) -> bool:
-        """Whether there is any server to send to."""
+        """True if at least one server is listed."""
         return bool(self._upstream.listed)
 
     def close(self) -> None:
-        """Stop at once: no event is handled any more, and all upstream connections are closed."""
+        """Stop immediately: handle no further events and close all upstream connections."""
         self._dispatcher.close()
         self._watchdog.close()
         if self._context.endpoint_source is not None:
@@ -143,10 +148,10 @@
         self._upstream.close()
 
     def submit(self, request: Request) -> bool:
-        """Take a request, which will have exactly one final response unless it is cancelled.
+        """Accept a request, whose client receives exactly one final response unless it is cancelled.
 
         Returns:
-            Whether it was taken: False if a request with its id is in flight already.
+            True if the request was accepted; False if a request with the same id is already in flight.
         """
         if request.id in self.in_flight:
             return False
@@ -170,18 +175,19 @@
         return True
 
     def cancel_request(self, id_: str) -> None:
-        """Drop a request whose client has disconnected: no response is sent."""
+        """Cancel a request whose client has disconnected; no response is sent."""
         self.in_flight.cancel(id_)
 
     def shut_down_within(self, wait_s: float) -> None:
-        """Answer everything in flight, and what is still submitted, within this time.
+        """Respond to all requests in flight, and to those still submitted, within `wait_s` seconds.
 
-        What is unanswered at its end is cancelled then; the process may be killed soon after.
+        When that time is over, attempts whose response has not started are cancelled, because the process
+        may be killed soon afterwards.
         """
         end_us = now_us() + int(wait_s * 1e6)
         self.post(lambda: ShutdownStarted(end_us))
         self._loop.call_later(wait_s + TIMER_ROUNDING_S, self.in_flight.cancel_attempts_without_response)
 
     def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Queue an endpoint list; it is applied when its turn comes."""
+        """Queue an endpoint list, which is applied after the events that are already queued."""
         self.post(lambda: self._servers.apply(kind, entries))
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: the state of each from its arrival until its last attempt has ended."""
+"""Requests in flight: the state of each request from its arrival until its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that awaits its final response, or whose attempts have not all ended.
+    """A request that awaits its final response, or that has attempts in flight.
 
     Attributes:
         request: The request.
-        deadline_us: When its client stops waiting, unless its body is streamed.
-        attempts: Its attempts in the order of their choice; None for one that was never started.
-        attempt_records: The same attempts, as far as retries depend on them.
-        attempts_in_flight: How many of them have been started and have not ended.
-        streaming_attempt: The one whose response its client is receiving.
-        is_finished: Whether it has had its final response, or its client has gone.
-        timed_out: Whether the attempt that ended last took too long.
-        was_overdue: Whether it was found unanswered past its deadline before.
+        deadline_us: Time at which the client stops waiting; not used if the body is streamed.
+        attempts: The attempts in the order in which they were chosen; None for one that was never started.
+        attempt_records: The properties of the same attempts that determine whether a retry is allowed.
+        attempts_in_flight: Number of attempts that were started and have not ended.
+        streaming_attempt: The attempt whose response is being streamed to the client, if any.
+        is_finished: True once the final response was sent or the client has disconnected.
+        timed_out: True if the most recently ended attempt timed out.
+        was_overdue: True if an earlier watchdog check found the request past its deadline.
     """
 
     request: Request
@@ -41,7 +41,10 @@
     was_overdue: bool = False
 
     def remaining_us(self, now_us: int) -> int:
-        """Return what is left of its client's timeout, which runs from the last byte of the request on."""
+        """Return the time left until the client's deadline.
+
+        The client's timeout starts when the last byte of the request is received.
+        """
         body = self.request.streamed_body
         if body is None:
             return self.deadline_us - now_us
@@ -50,7 +53,7 @@
 
     @property
     def awaits_response(self) -> bool:
-        """Whether it is a client's, has come completely and awaits its final response."""
+        """True if the request is complete, not mirrored, and awaits its final response."""
         return (
             not self.is_finished
             and self.request.mirror_target < 0
@@ -58,23 +61,26 @@
         )
 
     def add_attempt(self, record: AttemptRecord) -> int:
-        """Add an attempt that is not started yet, and return its number."""
+        """Add an attempt that is not started yet, and return its index."""
         self.attempts.append(None)
         self.attempt_records.append(record)
         return len(self.attempts) - 1
 
     def started_attempts(self) -> Iterator[Attempt]:
-        """Yield the attempts that were started, also those added meanwhile."""
+        """Yield the attempts that were started, including any added during the iteration."""
         return (attempt for attempt in self.attempts if attempt is not None)
 
     def count_in(self, counter: Counter) -> None:
-        """Count it by its class, unless it is a mirrored request, which no client awaits."""
+        """Increment the counter for the request's class, unless the request is mirrored and has no client."""
         if self.request.mirror_target < 0:
             counter.add(self.request.class_index)
 
 
 class InFlightRequests(dict[str, InFlightRequest]):
-    """All requests in flight, by id. A request stays until it is finished and its last attempt has ended."""
+    """All requests in flight, by id.
+
+    A request is removed when it is finished and its last attempt has ended.
+    """
 
     def __init__(self, upstream: UpstreamPool, trace: EventTrace, post: PostEvent) -> None:
         super().__init__()
@@ -83,7 +89,7 @@
         self._post = post
 
     def finish(self, in_flight: InFlightRequest) -> None:
-        """Mark a request as finished, and cancel its attempts of which nothing was sent yet."""
+        """Mark a request as finished, and cancel its attempts that have not sent anything yet."""
         in_flight.is_finished = True
         if in_flight.attempts_in_flight == 0:
             del self[in_flight.request.id]
@@ -92,7 +98,7 @@
             self._upstream.cancel_unsent(attempt)
 
     def finish_if_pending(self, id_: str) -> InFlightRequest | None:
-        """Finish a request and return it, for the caller to respond; None if it is finished already."""
+        """Finish a request and return it, so that the caller can respond; None if already finished."""
         in_flight = self.get(id_)
         if in_flight is None or in_flight.is_finished:
             return None
@@ -100,7 +106,7 @@
         return in_flight
 
     def cancel(self, id_: str) -> None:
-        """Finish a request whose client has disconnected: no response is sent."""
+        """Finish a request whose client has disconnected; no response is sent."""
         in_flight = self.get(id_)
         if in_flight is None or in_flight.is_finished:
             return
@@ -108,12 +114,15 @@
         self.finish(in_flight)
         self._post(lambda: RequestCancelled(id_))
         if in_flight.streaming_attempt is not None or in_flight.request.streamed_body is not None:
-            # What is streamed through such an attempt has lost its downstream end.
+            # A body or response that is being streamed cannot continue without the client.
             for attempt in in_flight.started_attempts():
                 self._upstream.cancel(attempt)
 
     def cancel_attempts_without_response(self) -> None:
-        """Cancel all attempts whose response has not started; the load balancer decides what follows."""
+        """Cancel the attempts of all requests whose response has not started.
+
+        The load balancer decides how those requests continue.
+        """
         for in_flight in list(self.values()):
             if in_flight.is_finished or in_flight.streaming_attempt is not None:
                 continue
@@ -121,5 +130,5 @@
                 self._upstream.cancel(attempt)
 
     def awaiting_response_count(self) -> int:
-        """Return how many clients' requests have come completely and await their final response."""
+        """Return the number of complete client requests that await their final response."""
         return sum(in_flight.awaits_response for in_flight in self.values())
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -1,4 +1,4 @@
-"""The interfaces between the gateway and the upstream side of a protocol, and to the durable store."""
+"""Interfaces between the gateway, the upstream side of a protocol, and the durable store."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.policy.events import LoadReport, Outcome
 
-AnyResponse = Any  # a response of the protocol: its upstream side makes it, its downstream side reads it
+AnyResponse = Any  # a protocol-specific response, made by the upstream side and read by the downstream side
 
 
 class Attempt(Protocol):
-    """One attempt of a request at one server, as the protocol's upstream pool holds it."""
+    """One attempt of a request at one server, managed by the protocol's upstream pool."""
 
     @property
     def server(self) -> int:
-        """The id of the server it was sent to."""
+        """The id of the server that was chosen for the attempt."""
         ...
 
     @property
     def latency_us(self) -> int:
-        """Time from its start to its end, in microseconds."""
+        """Time from the start of the attempt to its end, in microseconds."""
         ...
 
 
 class AttemptObserver(Protocol):
-    """Receives what becomes of one attempt, which ends exactly once, with `on_attempt_ended`."""
+    """Receives the progress of one attempt, which ends with exactly one call of `on_attempt_ended`."""
 
     def may_begin(self, server: ServerState) -> bool:
-        """Return whether the request may be sent now to the server in this state.
+        """Return whether the request may be sent now to a server in this state.
 
-        The upstream pool asks right before the first byte, with nothing awaited in between.
+        The upstream pool calls this immediately before sending the first byte, with nothing awaited between.
         """
         ...
 
     def on_first_byte(self) -> None:
-        """Record that the first byte of the request is sent in this turn of the event loop."""
+        """Record that the first byte of the request is sent in this iteration of the event loop."""
         ...
 
     def on_request_sent(self) -> None:
@@ -46,50 +46,50 @@
         ...
 
     def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
-        """Take the head of a response that is too long to be buffered and is streamed from here on."""
+        """Handle the head of a response that is too long to be buffered, and is streamed instead."""
         ...
 
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
-        """Take the next bytes of a streamed response."""
+        """Handle the next bytes of a streamed response."""
         ...
 
     def on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
-        """Take the outcome, the response if there is one, and the server's load report if it sent one."""
+        """Handle the end of the attempt: its outcome, and the response and load report if received."""
         ...
 
 
 class UpstreamPool(Protocol):
-    """The servers of a protocol: those that are listed, and the attempts at them."""
+    """The upstream servers of a protocol, and the attempts in flight to them."""
 
     def put(self, entry: Endpoint) -> None:
-        """Add a server, or update its address, its start time or whether it drains."""
+        """Add a server, or update its address, start time and status."""
         ...
 
     def remove(self, server: int) -> None:
-        """Take a server out; nothing new is sent to it."""
+        """Remove a server; no new attempt is sent to it."""
         ...
 
     @property
     def listed(self) -> Collection[int]:
-        """The ids of the servers that are listed."""
+        """The ids of the listed servers."""
         ...
 
     def server_start_times(self) -> dict[int, int]:
-        """Return when each listed server started, in microseconds: it tells incarnations apart."""
+        """Return the start time in microseconds of each listed server; it identifies the incarnation."""
         ...
 
     def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Start an attempt that may take `wait_us`; None if the server is not listed."""
+        """Start an attempt that times out after `wait_us`; returns None if the server is not listed."""
         ...
 
     def cancel(self, attempt: Any) -> None:
-        """Stop waiting for an attempt and close its connection or stream, so that the server can tell."""
+        """Cancel an attempt and close its connection or stream, so that the server notices."""
         ...
 
     def cancel_unsent(self, attempt: Any) -> None:
-        """Cancel an attempt if nothing of it was sent yet: every class allows that, as it has not run."""
+        """Cancel an attempt if nothing was sent yet; it cannot have run, so every class allows this."""
         ...
 
     def close_idle(self, server: int) -> None:
@@ -97,24 +97,24 @@
         ...
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Poll a server for its load, where the settings allow it.
+        """Send a server a probe that asks for its load, if the settings allow it.
 
         Args:
             server: The id of the server.
-            on_result: Called once with the outcome, the latency in microseconds and the load report.
+            on_result: Called once with the outcome, the latency in microseconds, and the load report if any.
         """
         ...
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         ...
 
 
 class Recorder(Protocol):
-    """Records what happens in the durable store, where the operator has one."""
+    """Records attempts and events in the durable store, if one is configured."""
 
     def attempt(self, class_index: int, outcome: str, latency_us: int, good: bool) -> None:
-        """Record the end of an attempt."""
+        """Record an attempt that has ended."""
         ...
 
     def event(self, line: str) -> None:
--- a/sagetrack/core/invariants.py
+++ b/sagetrack/core/invariants.py
@@ -1,6 +1,6 @@
-"""Invariants checked while the program runs: each violation is counted, traced and logged with its request.
+"""Invariants checked at run time; each violation is counted, traced and logged with the request id.
 
-A count that is not 0 is a fault of this program, whatever its clients and servers do.
+A count above 0 indicates a bug in this program, whatever its clients and servers do.
 """
 
 from __future__ import annotations
@@ -12,34 +12,39 @@
 
 
 class Invariant(Enum):
-    """What always has to hold. The values are labels of an exported metric."""
+    """A condition that always has to hold. The values are label values of an exported metric."""
 
-    RETRIES_ARE_SAFE = "repeat"  # violated by choosing an attempt that may run twice; it was not sent
-    NO_SEND_TO_WITHDRAWN = "withdrawn"  # by choosing a server that may get nothing; nothing was sent
-    RESPONSE_BY_DEADLINE = "unanswered"  # by a request past its deadline without a response
-    NO_CLOSE_BEFORE_RESPONSE = "closed_unanswered"  # by closing a connection that awaited a response
-    NO_HANDLER_ERROR = "handling"  # by an event or an action whose handling raised an exception
+    # Violated if the load balancer chose a retry that might run the request twice; the retry is not sent.
+    RETRIES_ARE_SAFE = "repeat"
+    # Violated if a server was chosen that must not receive requests; nothing is sent.
+    NO_SEND_TO_WITHDRAWN = "withdrawn"
+    # Violated if a request had no response past its deadline; the request is then failed.
+    RESPONSE_BY_DEADLINE = "unanswered"
+    # Violated if this process closed a connection that awaited a response.
+    NO_CLOSE_BEFORE_RESPONSE = "closed_unanswered"
+    # Violated if handling an event or an action raised an exception.
+    NO_HANDLER_ERROR = "handling"
 
 
 class InvariantViolations:
-    """Counts of violations in one process, by invariant."""
+    """Counts the violations in one process, by invariant."""
 
     def __init__(self, trace: EventTrace) -> None:
         self._trace = trace
         self.counts = dict.fromkeys(Invariant, 0)
 
     def record(self, rule: Invariant, subject: str, detail: str) -> None:
-        """Count a violation, add it to the trace and log it.
+        """Count a violation, add it to the trace, and log it.
 
         Args:
-            rule: What was violated.
-            subject: The id of the request, or what was being handled.
-            detail: What happened.
+            rule: The violated invariant.
+            subject: The id of the request, or the component that failed.
+            detail: A description of the violation.
         """
         self.counts[rule] += 1
         self._trace.record(TraceEventKind.VIOLATION, subject, f"{rule.value}: {detail}")
         log(f"invariant violated: {rule.value}: {detail}", "error", f"violation {rule.value}", call=subject)
 
     def metric_values(self) -> dict[str, float]:
-        """Return the counts by metric name and labels."""
+        """Return the counts by metric name, including the label."""
         return {f'violations_total{{rule="{rule.value}"}}': count for rule, count in self.counts.items()}
--- a/sagetrack/core/log.py
+++ b/sagetrack/core/log.py
@@ -1,7 +1,7 @@
-"""The program's log: events with fields, limited in rate for each event; where lines go is set once.
+"""The program's log: events with fields, with a rate limit per event.
 
-Until `use_sink` is called, an event is one plain line on standard error. The operator's file may ask for
-another sink. Nothing is logged for each request.
+By default an event is written as one plain line to standard error. The operator's configuration may select
+another sink, which `use_sink` installs. Nothing is logged per request.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 Sink = Callable[[str, str, dict[str, object]], None]  # level, event, fields
 
 LEVELS = ("debug", "info", "warning", "error")
-DEFAULT_BURST_LINES = 20.0  # lines of one event at once
-DEFAULT_LINES_PER_S = 5.0  # lines of one event a second, in the long run
-MAX_EVENT_LENGTH = 3_000  # characters of an event: what a pipe takes at once if it takes anything
-MAX_RATE_LIMITED_EVENTS = 256  # events with a limit of their own; all others share one
-MAX_EVENT_NAME_LENGTH = 40  # characters by which events are told apart
+DEFAULT_BURST_LINES = 20.0  # burst size per event
+DEFAULT_LINES_PER_S = 5.0  # sustained rate per event
+# Longer events are cut to this many characters, which a writable pipe accepts in one write without blocking.
+MAX_EVENT_LENGTH = 3_000
+MAX_RATE_LIMITED_EVENTS = 256  # events with a token bucket of their own; all others share one bucket
+MAX_EVENT_NAME_LENGTH = 40  # characters of an event name that the rate limit compares
 
 
 @dataclass(slots=True)
@@ -29,9 +30,9 @@
     """The token bucket of one event.
 
     Attributes:
-        tokens: Lines that may be written at once.
-        refilled_s: When that was computed.
-        suppressed: Lines that were suppressed since the last one that was written.
+        tokens: Number of lines that may be written now.
+        refilled_s: Time at which `tokens` was last updated.
+        suppressed: Number of lines suppressed since the last written one.
     """
 
     tokens: float
@@ -40,21 +41,26 @@
 
 
 class LogRateLimit:
-    """A token bucket for each event: a flood of one event neither hides others nor costs the program.
+    """Rate limit with one token bucket per event, so that a flood of one event does not hide others.
 
-    Suppressed lines are counted, and reported with the next line of that event that is written.
+    Suppressed lines are counted, and the count is added to the next line written for that event.
     """
 
     __slots__ = ("buckets", "burst", "rate")
 
     def __init__(self, burst: float = DEFAULT_BURST_LINES, rate: float = DEFAULT_LINES_PER_S) -> None:
-        """Allow `burst` lines of an event at once, and `rate` lines a second in the long run."""
+        """Allow bursts of `burst` lines per event, and a sustained rate of `rate` lines per second."""
         self.burst = burst
         self.rate = rate
         self.buckets: dict[str, _Bucket] = {}
 
     def admit(self, event: str, now_s: float) -> int:
-        """Return how many lines of this event were suppressed since the last one; -1 if this one is, too."""
+        """Check the rate limit for one line.
+
+        Returns:
+            The number of lines of this event suppressed since the last written one, or -1 if this line is
+            suppressed too.
+        """
         bucket = self.buckets.get(event)
         if bucket is None:
             if len(self.buckets) >= MAX_RATE_LIMITED_EVENTS:
@@ -72,7 +78,7 @@
 
 
 def with_minimum_level(level: str, sink: Sink) -> Sink:
-    """Return a sink that passes events of this level and above on, and drops the others."""
+    """Return a sink that forwards events of at least this level to `sink`, and drops the others."""
     admitted = LEVELS[LEVELS.index(level) :]
 
     def write(level: str, event: str, fields: dict[str, object]) -> None:
@@ -83,23 +89,23 @@
 
 
 def plain_sink(level: str, event: str, fields: dict[str, object]) -> None:
-    """Write an event and its fields, but for `server`, as one line on standard error."""
+    """Write an event and its fields, except `server`, as one line to standard error."""
     named = "".join(f" {name}={value}" for name, value in fields.items() if name != "server")
     print(f"sagetrack: {event}{named}", file=sys.stderr, flush=True)
 
 
 def unbuffered_stderr() -> TextIO:
-    """Return standard error without a buffer: a line that cannot be written is dropped, not kept."""
+    """Return an unbuffered stream to standard error, so that a line that cannot be written is dropped."""
     raw = io.FileIO(sys.__stderr__.fileno() if sys.__stderr__ else 2, "w", closefd=False)
     return io.TextIOWrapper(cast(BinaryIO, raw), "utf-8", "backslashreplace", write_through=True)
 
 
 def is_writable(stream: TextIO) -> bool:
-    """Return whether a line can be written there without blocking: not to a full pipe that nobody reads."""
+    """Return whether a line can be written without blocking, as opposed to a full pipe without a reader."""
     try:
         descriptor = stream.fileno()
     except (OSError, ValueError):
-        return True  # it is in memory
+        return True  # an in-memory stream has no descriptor
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
     return any(event & (select.POLLOUT | select.POLLERR) for _, event in poll.poll(0))
@@ -107,11 +113,11 @@
 
 _sink: Sink = plain_sink
 _rate_limit = LogRateLimit()
-_unwritten = 0  # lines since the last one that was written
+_unwritten = 0  # number of lines that could not be written since the last successful write
 
 
 def use_sink(sink: Sink, rate_limit: LogRateLimit | None = None) -> None:
-    """Write events to another sink from now on, under another rate limit or a new one of default size."""
+    """Replace the sink, and the rate limit too; by default a new rate limit with default parameters."""
     global _sink, _rate_limit
     _sink = sink
     _rate_limit = rate_limit or LogRateLimit()
@@ -121,10 +127,10 @@
     """Log an event.
 
     Args:
-        event: The text, which begins with the event's name and a colon, or is the name.
+        event: The event's name, optionally followed by a colon and further text.
         level: One of `LEVELS`.
-        rate_limit_key: Names the events that share one rate limit with it; by default, the event's name.
-        fields: Fields with fixed names: `gateway`, `server`, `call`, `class` and `member`.
+        rate_limit_key: Events with the same key share one rate limit; by default the event's name.
+        fields: Additional fields; the names in use are `gateway`, `server`, `call`, `class` and `member`.
     """
     suppressed = _rate_limit.admit(
         rate_limit_key or event.partition(":")[0][:MAX_EVENT_NAME_LENGTH], monotonic()
@@ -137,7 +143,7 @@
 
 
 def _write(level: str, event: str, fields: dict[str, object]) -> None:
-    """Write a line, or count it as unwritten: a full disk or a blocked pipe must not stop the callers."""
+    """Write a line, or count it as unwritten, so that a full disk or blocked pipe never stops the caller."""
     global _unwritten
     if _unwritten:
         fields["unwritten"] = _unwritten
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -1,7 +1,7 @@
-"""Exported metrics: counters by request class, gauges computed on demand, and their text form.
+"""Exported metrics: counters by request class, gauges computed on demand, and the text format.
 
-A counter is raised by whoever brings about what it counts, at the one place where that happens. Metrics are
-independent of the protocol that a request came by.
+Each counter is incremented in exactly one place, by the code that causes the counted event. Metrics do not
+depend on the protocol of a request.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Counter:
-    """One count for each request class since the start of the process."""
+    """A counter per request class, starting at 0 when the process starts."""
 
     __slots__ = ("by_class",)
 
@@ -21,17 +21,17 @@
         self.by_class = [0] * classes
 
     def add(self, class_index: int) -> None:
-        """Count one more of this class."""
+        """Increment the count of this class."""
         self.by_class[class_index] += 1
 
 
 class ReasonCounter:
-    """A count for each value of one label, such as the reason of a denial.
+    """A counter per value of one label, such as the reason for a denial.
 
     Attributes:
-        name: The metric's name, without prefix.
-        label: The label's name.
-        counts: The counts by label value, in the order in which they are exported.
+        name: The metric name without the common prefix.
+        label: The label name.
+        counts: The counts by label value, in the order of export.
     """
 
     __slots__ = ("counts", "label", "name")
@@ -42,11 +42,11 @@
         self.counts = dict.fromkeys(reasons, 0)
 
     def add(self, reason: str) -> None:
-        """Count one more; a reason that was not listed at the start is added."""
+        """Increment the count of this label value, which is added if it is new."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def metric_values(self) -> dict[str, float]:
-        """Return the counts by metric name and label."""
+        """Return the counts by metric name, including the label."""
         return {f'{self.name}{{{self.label}="{reason}"}}': count for reason, count in self.counts.items()}
 
 
@@ -55,12 +55,12 @@
 
     Attributes:
         classes: The names of the request classes.
-        gauges: Functions that compute a value, by metric name.
-        metric_sources: Functions of optional parts that return values by metric name, in order of export.
-        answered: Requests with a complete response.
-        deferred: Requests that were rejected.
-        errored: Requests that have failed.
-        sends: Attempts of which the whole request was sent.
+        gauges: Functions that compute the gauge values, by metric name.
+        metric_sources: Functions that return further values by metric name, in the order of export.
+        answered: Counts requests that received a complete response.
+        deferred: Counts requests that were rejected.
+        errored: Counts requests that failed.
+        sends: Counts attempts whose request was sent completely.
     """
 
     def __init__(self, classes: Sequence[str], gauges: Gauges) -> None:
@@ -73,7 +73,7 @@
         self.sends = Counter(len(classes))
 
     def render(self) -> str:
-        """Return one line for each metric."""
+        """Return the metrics as text, one line per value."""
         counters = {
             "answered_total": self.answered,
             "deferred_total": self.deferred,
--- a/sagetrack/core/processes.py
+++ b/sagetrack/core/processes.py
@@ -1,4 +1,4 @@
-"""Processes of one gateway that run side by side, as they do during a hot restart."""
+"""Processes of the same gateway that run concurrently, as during a hot restart."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class SiblingProcesses(Protocol):
-    """Other processes of the same gateway on this machine.
+    """The other processes of the same gateway on this machine.
 
     Attributes:
-        running_count: How many of them run.
-        serving_count: How many of those accept clients.
+        running_count: Number of other processes that are running.
+        serving_count: Number of those that accept clients.
     """
 
     running_count: int
     serving_count: int
 
     def refresh(self) -> None:
-        """Count the other processes again."""
+        """Update the counts of the other processes."""
         ...
 
     def mark_serving(self) -> None:
@@ -29,24 +29,24 @@
         ...
 
     def release(self) -> None:
-        """Announce that this process ends."""
+        """Announce that this process is exiting."""
         ...
 
 
 class NoSiblings:
-    """The implementation for a gateway whose processes never overlap: there is no other process."""
+    """Implementation for a gateway without hot restart, where no other process exists."""
 
     running_count = 0
     serving_count = 0
 
     def refresh(self) -> None:
-        """Do nothing: the counts stay 0."""
+        """Do nothing; the counts are always 0."""
 
     def mark_serving(self) -> None:
-        """Do nothing: no other process reads the mark."""
+        """Do nothing; there is no other process to inform."""
 
     def mark_draining(self) -> None:
-        """Do nothing: no other process reads the mark."""
+        """Do nothing; there is no other process to inform."""
 
     def release(self) -> None:
-        """Do nothing: there is no mark to remove."""
+        """Do nothing; there is no marker to remove."""
--- a/sagetrack/core/requests.py
+++ b/sagetrack/core/requests.py
@@ -1,4 +1,4 @@
-"""A client's request as the gateway takes it from any protocol, and the client that awaits the response."""
+"""A client request, independent of its protocol, and the interface of the client that awaits the response."""
 
 from __future__ import annotations
 
@@ -10,80 +10,80 @@
 
 
 class ResponseSource(Protocol):
-    """The upstream end of a streamed response, for backpressure."""
+    """The upstream end of a streamed response, which can be paused for backpressure."""
 
     def pause(self) -> None:
-        """Stop reading from the server: the client is slower."""
+        """Stop reading from the server, because the client reads more slowly."""
         ...
 
     def resume(self) -> None:
-        """Read on after `pause`."""
+        """Resume reading after `pause`."""
         ...
 
 
 class Client(Protocol):
     """The downstream side of a request, which receives exactly one final response.
 
-    That is one of `on_response`, `on_rejected` and `on_failed`, or a streamed response: one
-    `on_response_started`, any number of `on_response_data`, and one of `on_response_ended` and
-    `on_response_aborted`.
+    A final response is one call of `on_response`, `on_rejected` or `on_failed`, or a streamed response: one
+    call of `on_response_started`, any number of calls of `on_response_data`, and one call of
+    `on_response_ended` or `on_response_aborted`.
     """
 
     def on_response(self, request: Request, response: Any) -> None:
-        """Take a complete response."""
+        """Handle a complete response."""
         ...
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
-        """Take the head of a streamed response."""
+        """Handle the head of a streamed response."""
         ...
 
     def on_response_data(self, request: Request, data: bytes) -> None:
-        """Take the next bytes of a streamed response."""
+        """Handle the next bytes of a streamed response."""
         ...
 
     def on_response_ended(self, request: Request, response: Any) -> None:
-        """Take the end of a streamed response, which is complete."""
+        """Handle the end of a complete streamed response."""
         ...
 
     def on_response_aborted(self, request: Request) -> None:
-        """Learn that the rest of a streamed response will not come."""
+        """Handle a streamed response whose remaining data will never arrive."""
         ...
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
-        """Learn that the request is rejected; a retry has a chance after `retry_after_us`."""
+        """Handle the rejection of the request; a retry may succeed after `retry_after_us`."""
         ...
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
-        """Learn that the request has failed; `timed_out` if its last attempt took too long."""
+        """Handle the failure of the request; `timed_out` is True if its last attempt timed out."""
         ...
 
 
 def never_disconnected() -> bool:
-    """Return False: the default for requests whose client cannot disconnect."""
+    """Return False; the default for requests whose client cannot disconnect."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request, as the gateway takes it from any protocol.
+    """A client request, independent of the protocol it arrived by.
 
     Attributes:
         id: The request id, unique among the requests in flight.
-        class_index: The index of its request class in the settings.
-        client_timeout_us: How long its client waits, from the last byte of the request on.
-        key: The hash of its ordering or idempotency key, None without one.
-        work_us: The work it announces, None if it does not.
-        is_retry: Whether its client has sent it before.
-        tenant: The index of its tenant.
-        message: The request for the upstream side of its protocol, which alone reads it.
+        class_index: The index of the request class in the settings.
+        client_timeout_us: How long the client waits, counted from the last byte of the request.
+        key: The hash of the ordering or idempotency key; None if there is none.
+        work_us: The work that the request announces, in microseconds; None if it announces none.
+        is_retry: True if the client has sent the request before.
+        tenant: The index of the tenant.
+        message: The protocol-specific request, read only by the upstream side of the protocol.
         client: Receives the final response.
         streamed_body: The body, if it is too long to be buffered.
-        client_id: The client within its tenant, 0 where it is not known.
-        mirror_target: -1 for a client's request; else it is a mirrored one, and this names the protocol that
-            its servers speak: see `RequestArrived`.
-        received_us: When its last byte was read; 0 stands for now.
-        has_disconnected: Asks whether its client has disconnected, also where the event loop has not seen it
-            yet.
+        client_id: Identifies the client within its tenant; 0 if unknown.
+        mirror_target: -1 for a client's request. Any other value marks a mirrored request, and identifies the
+            protocol of its upstream servers; see `RequestArrived`.
+        received_us: Time at which the last byte was read; 0 means now.
+        has_disconnected: Returns whether the client has disconnected, even if the event loop does not know
+            it yet.
     """
 
     id: str
--- a/sagetrack/core/responses.py
+++ b/sagetrack/core/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses as they pass between the protocols, independent of the connection they came on."""
+"""HTTP responses, independent of the connection on which they were received."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Response:
-    """One complete response, or the head of one whose body is streamed.
+    """A complete response, or the head of a response whose body is streamed.
 
     Attributes:
         status: The status code.
-        headers: Name and value of each field, in the order they came.
-        body: The body; empty where it is streamed.
-        keep_alive: Whether the connection may carry another request afterwards.
-        length: The announced length of the body in bytes, None where none was announced.
+        headers: The header fields as pairs of name and value, in the order received.
+        body: The body; empty if it is streamed.
+        keep_alive: True if the connection may carry another request afterwards.
+        length: The announced length of the body in bytes; None if none was announced.
     """
 
     __slots__ = ("body", "headers", "keep_alive", "length", "status")
--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -1,9 +1,10 @@
-"""The rules for what may be sent, retried, closed or accepted at this moment: the one place that decides it.
+"""Rules that decide whether an attempt may be sent or retried, or a connection closed or accepted.
 
-The load balancer chooses; whoever is about to act on a choice states the facts as they are at that moment
-and asks here, with nothing awaited between the answer and the act. A denial right after the choice means that
-the choice itself was wrong, and is counted as a violation; one at the last moment means that something has
-changed since, and is counted by its reason.
+All such checks are made here. The load balancer makes a decision; the code that is about to carry it out
+calls these functions with the current state, and nothing is awaited between the check and the action. If the
+check fails immediately after the decision, the decision itself was wrong; an unsafe retry is then counted as an
+invariant violation. If it fails just before sending, the state has changed since the decision. Every denied
+attempt is counted by its reason.
 """
 
 from __future__ import annotations
@@ -15,46 +16,47 @@
 from sagetrack.policy.events import NEVER_RAN, Outcome
 from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings
 
-FIRST_REQUEST_TIMEOUT_S = 0.5  # for the first request on a new connection, which is not closed before
-REQUEST_HEAD_TIMEOUT_S = 2.0  # for a client to send a complete head, or its first byte
+FIRST_REQUEST_TIMEOUT_S = 0.5  # a new connection is kept open at least this long for its first request
+REQUEST_HEAD_TIMEOUT_S = 2.0  # time allowed for a client to send a complete request head, or its first byte
 
 
 class DenialReason(Enum):
-    """Why something may not be done now. The values are labels of an exported metric."""
-
-    # Sending
-    ALREADY_RESPONDED = "answered"  # the request has had its final response
-    CLIENT_DISCONNECTED = "client_gone"  # its client has disconnected
-    DEADLINE_EXCEEDED = "out_of_time"  # its client's timeout is over
-    SERVER_WITHDRAWN = "server_withdrawn"  # the server drains or is gone
-    SERVER_RESTARTED = "server_restarted"  # another incarnation than the one that was chosen
+    """Reason why an action is not allowed. The values are label values of an exported metric."""
+
+    # Sending an attempt
+    ALREADY_RESPONDED = "answered"  # the final response was already sent
+    CLIENT_DISCONNECTED = "client_gone"
+    DEADLINE_EXCEEDED = "out_of_time"  # the client's timeout has expired
+    SERVER_WITHDRAWN = "server_withdrawn"  # the server is draining or gone
+    SERVER_RESTARTED = "server_restarted"  # the server is another incarnation than the chosen one
     NOT_LISTED = "not_listed"  # the server is not in the endpoint list
-    BODY_CONSUMED = "body_spent"  # some of the body has gone to another server, or will never come
-    TOO_MANY_ATTEMPTS = "too_many_attempts"  # the request has had as many as the settings allow
+    # Part of the body was forwarded to another server, or the rest of it will never arrive.
+    BODY_CONSUMED = "body_spent"
+    TOO_MANY_ATTEMPTS = "too_many_attempts"  # the request has reached the configured maximum of attempts
     # Retrying
     MAY_HAVE_RUN = "may_have_run"  # an earlier attempt may have run, and the request is not idempotent
-    OUT_OF_SCOPE = "out_of_scope"  # this server does not recognise the key of an attempt that may have run
-    WINDOW_OVER = "window_over"  # the servers do not recognise the key any more
-    ATTEMPT_IN_FLIGHT = "still_out"  # another attempt is in flight, and hedging is off
-    # Closing
-    RESPONSE_PENDING = "answer_owed"  # a request was read, and its response is not written
-    UNREAD_DATA = "unread"  # data has come that was not read yet
-    INCOMPLETE_REQUEST = "unfinished"  # part of a request has come, and its client is in time
-    AWAITS_FIRST_REQUEST = (
-        "not_heard"  # the connection is new: its first request may be on its way, and would be lost
-    )
+    # An earlier attempt may have run, and this server does not recognise its idempotency key.
+    OUT_OF_SCOPE = "out_of_scope"
+    WINDOW_OVER = "window_over"  # the servers no longer recognise the idempotency key
+    ATTEMPT_IN_FLIGHT = "still_out"  # another attempt is in flight, and hedging is disabled
+    # Closing a client connection
+    RESPONSE_PENDING = "answer_owed"  # a request was read, and its response is not written yet
+    UNREAD_DATA = "unread"  # the client has sent data that was not read yet
+    INCOMPLETE_REQUEST = "unfinished"  # part of a request was received, and its time limit has not expired
+    # The connection is new: a first request may be in transit, and would be lost.
+    AWAITS_FIRST_REQUEST = "not_heard"
     # Accepting clients
-    SHUTTING_DOWN = "leaving"  # the process drains or shuts down
+    SHUTTING_DOWN = "leaving"  # the process is draining or shutting down
     NO_SERVERS = "no_servers"  # no server is listed
-    NOT_LISTENING = "not_listening"  # the listener is not open yet, or closed
+    NOT_LISTENING = "not_listening"  # the listener is not open yet, or already closed
 
 
 class ServerState(Enum):
-    """A server as its upstream pool knows it, compared with the server that was chosen."""
+    """State of a server in its upstream pool, compared with the server that was chosen."""
 
     SERVING = "serving"
-    WITHDRAWN = "withdrawn"  # it drains or is gone
-    RESTARTED = "restarted"  # it is another incarnation
+    WITHDRAWN = "withdrawn"  # draining or gone
+    RESTARTED = "restarted"  # another incarnation than the chosen one
     NOT_LISTED = "not listed"
 
 
@@ -68,13 +70,13 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt of a request, as far as its retries depend on it.
+    """The properties of an attempt that determine whether the request may be retried.
 
     Attributes:
-        zone: The zone of its server; -1 if the server is not listed.
-        group: The group of its server; -1 if the server is not listed.
-        first_byte_us: When its first byte was sent, None if it was not.
-        outcome: How it has ended, None if it has not.
+        zone: The zone of the server; -1 if the server is not listed.
+        group: The group of the server; -1 if the server is not listed.
+        first_byte_us: Time at which the first byte of the request was sent; None if nothing was sent.
+        outcome: The outcome of the attempt; None until it has ended.
     """
 
     zone: int
@@ -83,7 +85,7 @@
     outcome: Outcome | None = None
 
     def may_have_run(self, settings: Settings) -> bool:
-        """Return whether its server may have executed it, or may yet."""
+        """Return whether the server may have executed the request, or may still execute it."""
         if self.first_byte_us is None:
             return False
         if self.outcome is Outcome.REJECTED and settings.rejection_may_have_run:
@@ -92,23 +94,23 @@
 
     @property
     def is_in_flight(self) -> bool:
-        """Whether it was sent and has not ended."""
+        """True if the first byte was sent and the attempt has not ended."""
         return self.first_byte_us is not None and self.outcome is None
 
 
 def may_send(
-    answered: bool, remaining_us: int, server: ServerState, has_disconnected: Callable[[], bool]
+    responded: bool, remaining_us: int, server: ServerState, has_disconnected: Callable[[], bool]
 ) -> DenialReason | None:
-    """Return why the first byte of an attempt may not be sent now; None if it may.
+    """Return the reason why the first byte of an attempt may not be sent now; None if it may.
 
     Args:
-        answered: Whether the request has had its final response.
-        remaining_us: What is left of its client's timeout.
-        server: The server, compared with the one that was chosen.
-        has_disconnected: Asks the kernel whether the client has disconnected. It is called last, so that
-            nothing comes between its answer and the first byte.
+        responded: True if the final response was already sent.
+        remaining_us: Time left until the client's deadline.
+        server: The state of the server, compared with the one that was chosen.
+        has_disconnected: Asks the kernel whether the client has disconnected. It is called last, immediately
+            before the first byte is sent.
     """
-    if answered:
+    if responded:
         return DenialReason.ALREADY_RESPONDED
     if remaining_us <= 0:
         return DenialReason.DEADLINE_EXCEEDED
@@ -124,14 +126,14 @@
     others: Iterable[AttemptRecord],
     now_us: int,
 ) -> DenialReason | None:
-    """Return why an attempt may not be sent in addition to those that were sent; None if it may.
+    """Return the reason why an attempt may not be sent in addition to earlier attempts; None if it may.
 
     Args:
         settings: The settings of the load balancer.
         request_class: The class of the request.
-        attempt: The attempt in question.
-        others: All attempts of the request; `attempt` may be among them.
-        now_us: The time now.
+        attempt: The attempt to be sent.
+        others: The attempts of the request; `attempt` itself may be among them.
+        now_us: The current time.
     """
     for other in others:
         if other is attempt or not other.may_have_run(settings):
@@ -145,7 +147,7 @@
 def _denial_given_other(
     settings: Settings, request_class: RequestClass, attempt: AttemptRecord, other: AttemptRecord, now_us: int
 ) -> DenialReason | None:
-    """Return why an attempt may not be sent in addition to another one that may have run."""
+    """Return the reason why an attempt may not be sent after `other`, which may have run; None if it may."""
     if request_class.effect is Effect.UNSAFE:
         return DenialReason.MAY_HAVE_RUN
     if other.is_in_flight and not settings.hedging:
@@ -160,30 +162,31 @@
 
 
 def _recognises_key(scope: Scope, attempt: AttemptRecord, other: AttemptRecord) -> bool:
-    """Return whether the server of `attempt` drops a duplicate of what the server of `other` may have run."""
+    """Return whether the server of `attempt` recognises the key of a request that `other` may have run."""
     if scope is Scope.ALL:
         return True
     return attempt.zone == other.zone if scope is Scope.ZONE else attempt.group == other.group
 
 
 class CloseReason(Enum):
-    """Why a client's connection is to be closed."""
+    """Reason for closing a client connection."""
 
-    IDLE = "idle"  # it has not changed for too long, or this process shuts down
-    RECLAIM_DESCRIPTOR = "room"  # its descriptor is needed
-    DESCRIPTORS_EXHAUSTED = "exhausted"  # its descriptor is needed, and no other connection has one to give
+    IDLE = "idle"  # the connection was idle for too long, or the process is shutting down
+    RECLAIM_DESCRIPTOR = "room"  # its file descriptor is needed elsewhere
+    # Its file descriptor is needed elsewhere, and none can be reclaimed from another connection.
+    DESCRIPTORS_EXHAUSTED = "exhausted"
 
 
 @dataclass(slots=True)
 class ClientConnectionState:
-    """A client's connection, as far as closing it depends on it.
+    """The properties of a client connection that determine whether it may be closed.
 
     Attributes:
-        response_pending: Whether a request was read and its response is not written.
-        request_incomplete: Whether part of a request has come.
-        has_sent_data: Whether anything was ever received on it.
-        age_s: Time since it was accepted, or since it last changed.
-        has_unread_data: Asks the kernel whether there is data that was not read.
+        response_pending: True if a request was read and its response is not written yet.
+        request_incomplete: True if only part of a request was received.
+        has_sent_data: True if the client has ever sent data on this connection.
+        age_s: Seconds since the connection was accepted, or since its state last changed.
+        has_unread_data: Asks the kernel whether received data is waiting to be read.
     """
 
     response_pending: bool
@@ -194,10 +197,10 @@
 
 
 def may_close(client: ClientConnectionState, reason: CloseReason) -> DenialReason | None:
-    """Return why a client's connection may not be closed without a response; None if it may.
+    """Return the reason why a client connection may not be closed without a response; None if it may.
 
-    A request that crosses the close of a reused connection is sent again by its client. One on a new
-    connection is not: it is lost.
+    If a close crosses a request in transit on a reused connection, the client sends the request again. On a
+    new connection it does not, and the request is lost.
     """
     if client.response_pending:
         return DenialReason.RESPONSE_PENDING
@@ -211,7 +214,7 @@
 
 
 def may_accept_clients(draining: bool, listening: bool, has_servers: bool) -> DenialReason | None:
-    """Return why this process may not announce that it accepts clients; None if it may."""
+    """Return the reason why this process may not report itself ready for clients; None if it may."""
     if draining:
         return DenialReason.SHUTTING_DOWN
     if not listening:
--- a/sagetrack/core/server_list.py
+++ b/sagetrack/core/server_list.py
@@ -1,4 +1,4 @@
-"""The listed servers: endpoint lists are applied to the upstream pool and passed on to the load balancer."""
+"""Applies endpoint lists to the upstream pool and passes them on to the load balancer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def summary(entries: Sequence[Endpoint]) -> str:
-    """Return how many servers a list has by status, and the names of the first that are not ready."""
+    """Return the number of servers by status, and the names of the first servers that are not ready."""
     count_by_status: dict[str, int] = {}
     for entry in entries:
         status = entry.listed.status.value
@@ -26,17 +26,17 @@
 
 
 class ServerList:
-    """The servers that are listed now, by id."""
+    """The servers that are currently listed, by id."""
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
         self._listed: dict[int, ListedServer] = {}
 
     def apply(self, kind: ListKind, entries: list[Endpoint]) -> Event:
-        """Apply a list to the upstream pool, and return the event that tells the load balancer.
+        """Apply a list to the upstream pool, and return the event that informs the load balancer.
 
-        Servers that a complete list does not name are removed; a DELTA names only those that have changed,
-        and an ERROR none.
+        Servers missing from a complete list are removed. A DELTA names only changed servers, and an ERROR
+        names none, so neither removes servers that it does not name.
         """
         context = self._context
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
@@ -64,6 +64,6 @@
         self._listed.pop(server, None)
 
     def new_attempt_record(self, server: int) -> AttemptRecord:
-        """Return the record of an attempt at a server, with the zone and group it has now."""
+        """Return the record of a new attempt at a server, with the server's current zone and group."""
         listed = self._listed.get(server)
         return AttemptRecord(listed.zone, listed.group) if listed is not None else AttemptRecord(-1, -1)
--- a/sagetrack/core/structured.py
+++ b/sagetrack/core/structured.py
@@ -1,4 +1,4 @@
-"""Structured logging with `structlog`, as JSON lines or for a console; imported only on demand."""
+"""Structured logging with `structlog`, as JSON lines or console text; imported only if configured."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 from sagetrack.core.log import LEVELS, Sink
 
-PYTHON_FIELD, CLASS_FIELD = "class_", "class"  # the field's name in calls of `log` and in lines
+# `class` is a Python keyword, so that calls of `log` pass it as `class_`.
+PYTHON_FIELD, CLASS_FIELD = "class_", "class"
 
 
 def sink(output_format: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
-    """Return a sink that renders events, each with the gateway's name and a UTC time.
+    """Return a sink that writes each event with the gateway's name and a UTC timestamp.
 
     Args:
         output_format: `json` or `console`.
-        level: The lowest level that is written, one of `LEVELS`.
+        level: The minimum level that is written, one of `LEVELS`.
         gateway: The gateway's name.
-        stream: Where lines are written; standard error by default.
+        stream: The stream to write to; standard error by default.
     """
     out = stream or sys.stderr
     renderer: Callable[..., Any] = (
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operating system that may pass within moments, and retries of the calls that met them."""
+"""Operating system errors that are usually transient, and retries of calls that failed with them."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
         errno.EIO,
     }
 )
-RETRY_TIMEOUT_S = 6.0  # of all retries of one call at the start, by whose end the process has to be ready
-RETRY_DELAY_S = 0.05  # between two attempts
+# Total time for all retries of one call. They are made at startup, and the process has to be ready by then.
+RETRY_TIMEOUT_S = 6.0
+RETRY_DELAY_S = 0.05  # delay between two tries
 
 Result = TypeVar("Result")
 
@@ -32,10 +33,10 @@
 
 
 def require_sockets(server: asyncio.Server) -> asyncio.Server:
-    """Return the server if it listens.
+    """Return the server if it has a listening socket.
 
     Raises:
-        OSError: It has no socket, as asyncio skips every address for which it cannot open one.
+        OSError: The server has no socket. asyncio skips every address for which it cannot open a socket.
     """
     if not server.sockets:
         raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
@@ -43,10 +44,10 @@
 
 
 class _Retries(Generic[Result]):
-    """A call that may be made several times, until `RETRY_TIMEOUT_S` after the first.
+    """A call that may be retried for `RETRY_TIMEOUT_S`, counted from the creation of the instance.
 
     Attributes:
-        result: What it has returned, once it has succeeded.
+        result: The return value of the call; set when it has succeeded.
     """
 
     result: Result
@@ -56,10 +57,10 @@
         self._end_s = time.monotonic() + RETRY_TIMEOUT_S
 
     def try_once(self) -> bool:
-        """Make the call; False after a transient error, while there is time for a retry.
+        """Make the call; returns False after a transient error if there is time for another try.
 
         Raises:
-            OSError: Any other error of the call.
+            OSError: The call failed with an error that is not transient, or the time for retries is over.
         """
         try:
             self.result = self._call()
@@ -71,10 +72,10 @@
 
 
 async def retry_while_transient(call: Callable[[], Result]) -> Result:
-    """Return the result of a call, retried while its errors are transient.
+    """Make a call, retry it while it fails with transient errors, and return its result.
 
     Raises:
-        OSError: An error that is not transient, or the last one after `RETRY_TIMEOUT_S`.
+        OSError: The call failed with an error that is not transient, or still failed after `RETRY_TIMEOUT_S`.
     """
     retries = _Retries(call)
     while not retries.try_once():
@@ -83,10 +84,10 @@
 
 
 def retry_while_transient_blocking(call: Callable[[], Result]) -> Result:
-    """Do the same as `retry_while_transient` where no event loop runs yet; blocks between attempts.
+    """Do the same as `retry_while_transient` before an event loop runs; sleeps between tries.
 
     Raises:
-        OSError: As `retry_while_transient`.
+        OSError: The call failed with an error that is not transient, or still failed after `RETRY_TIMEOUT_S`.
     """
     retries = _Retries(call)
     while not retries.try_once():
--- a/sagetrack/core/upstream_server.py
+++ b/sagetrack/core/upstream_server.py
@@ -1,4 +1,4 @@
-"""What an upstream side of a protocol knows of one listed server."""
+"""The record that the upstream side of a protocol keeps of a listed server."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamServerRecord:
-    """One server as discovery lists it.
+    """A server from the endpoint list.
 
     Attributes:
         id: The id of the server.
-        name: Its name at service discovery.
+        name: The name of the server in service discovery.
         address: Host and port to connect to.
-        started_us: When it started, as discovery reports it.
-        withdrawn_since_us: Since when it is listed as draining or gone; None while it is ready.
+        started_us: Start time of the server, as reported by service discovery.
+        withdrawn_since_us: Time since which the server is draining or gone; None while it is ready.
     """
 
     id: int
@@ -31,30 +31,30 @@
 
     @classmethod
     def from_endpoint(cls, entry: Endpoint) -> UpstreamServerRecord:
-        """Make the record of a server that is listed for the first time."""
+        """Create the record of a server that is listed for the first time."""
         return cls(entry.listed.server, entry.name, entry.address, entry.listed.started_us)
 
     @property
     def state(self) -> ServerState:
-        """What the send rules have to know of it."""
+        """The server's state for the send rules."""
         return ServerState.SERVING if self.withdrawn_since_us is None else ServerState.WITHDRAWN
 
     def is_same_incarnation(self, entry: Endpoint) -> bool:
-        """Return whether the server still has its address and start time, so that it was not restarted."""
+        """Return whether address and start time are unchanged, so that the server was not restarted."""
         return self.address == entry.address and self.started_us == entry.listed.started_us
 
     def update_incarnation(self, entry: Endpoint) -> None:
-        """Take over the address and start time of another incarnation."""
+        """Set the address and start time of a new incarnation."""
         self.address = entry.address
         self.started_us = entry.listed.started_us
 
     def update_status(self, status: ServerStatus) -> None:
-        """Take over the status in the endpoint list; the first time of a drain counts."""
+        """Update the status from the endpoint list; a drain keeps the time at which it began."""
         if status is ServerStatus.READY:
             self.withdrawn_since_us = None
         elif self.withdrawn_since_us is None:
             self.withdrawn_since_us = now_us()
 
     def mark_withdrawn(self) -> None:
-        """Note that the server is not listed any more."""
+        """Mark the server as removed from the endpoint list."""
         self.withdrawn_since_us = self.withdrawn_since_us or now_us()
