--- a/sagetrack/core/send_rules.py
+++ b/sagetrack/core/send_rules.py
@@ -1,10 +1,11 @@
 """Rules that decide whether an attempt may be sent or retried, or a connection closed or accepted.
 
 All such checks are made here. The load balancer makes a decision; the code that is about to carry it out
-calls these functions with the current state, and nothing is awaited between the check and the action. If the
-check fails immediately after the decision, the decision itself was wrong; an unsafe retry is then counted as an
-invariant violation. If it fails just before sending, the state has changed since the decision. Every denied
-attempt is counted by its reason.
+calls these functions with the current state, and nothing is awaited between the check and the action.
+
+If the check fails immediately after the decision, the decision itself was wrong; an unsafe retry is then
+counted as an invariant violation. If it fails just before sending, the state has changed since the decision.
+Every denied attempt is counted by its reason.
 """
 
 from __future__ import annotations
