--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""The phases of a process: active, on standby, shutting down."""
+"""Drain phases of a process: active, on standby, and shutting down."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     drain = Drain(1.0)
     assert not drain.is_draining and drain.end_standby(0.0)
     assert drain.begin_standby(1.0) and drain.begin_standby(2.0)
-    assert drain.is_draining and drain.since_s == 1.0  # a second call does not put off the end
+    assert drain.is_draining and drain.since_s == 1.0  # a second call does not extend the drain
     assert drain.end_standby(3.0) and drain.end_standby(4.0)
     assert not drain.is_draining
 
--- a/tests/test_event_dispatcher.py
+++ b/tests/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events are handled one after the other, each made when its turn comes, whatever fails in between."""
+"""The dispatcher handles events one at a time, makes each when it is dequeued, and survives exceptions."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.helpers import SETTINGS
 
 
-class Recorded:
-    """A dispatcher over a load balancer and an executor that record what reaches them."""
+class RecordingDispatcher:
+    """A dispatcher with a load balancer and an executor that record the events and actions they receive."""
 
     def __init__(self) -> None:
         self.log: list[object] = []
@@ -39,76 +39,76 @@
         return self.violations.counts[Invariant.NO_HANDLER_ERROR]
 
 
-def test_what_is_posted_while_an_event_is_handled_waits_for_all_its_actions() -> None:
-    recorded = Recorded()
+def test_an_event_posted_during_another_waits_for_all_its_actions() -> None:
+    recording = RecordingDispatcher()
     first, second = TimerFired(1), TimerFired(2)
-    recorded.on_handle = lambda event: [Fail("a"), Fail("b")] if event == first else []
+    recording.on_handle = lambda event: [Fail("a"), Fail("b")] if event == first else []
 
     def post_second(action: Action) -> None:
         if action == Fail("a"):
-            recorded.dispatcher.post(lambda: second)
+            recording.dispatcher.post(lambda: second)
 
-    recorded.on_execute = post_second
-    recorded.dispatcher.post(lambda: first)
-    assert recorded.log == [first, Fail("a"), Fail("b"), second]
+    recording.on_execute = post_second
+    recording.dispatcher.post(lambda: first)
+    assert recording.log == [first, Fail("a"), Fail("b"), second]
 
 
-def test_a_queued_event_is_made_when_its_turn_comes_and_may_be_void_by_then() -> None:
-    recorded = Recorded()
+def test_a_queued_event_is_made_when_dequeued_and_may_no_longer_apply() -> None:
+    recording = RecordingDispatcher()
     state = "before"
 
     def change(action: Action) -> None:
         nonlocal state
-        recorded.dispatcher.post(lambda: RequestCancelled(state))
-        recorded.dispatcher.post(lambda: None if state == "after" else TimerFired(9))
+        recording.dispatcher.post(lambda: RequestCancelled(state))
+        recording.dispatcher.post(lambda: None if state == "after" else TimerFired(9))
         state = "after"
 
-    recorded.on_handle = lambda event: [Fail("a")] if event == TimerFired(1) else []
-    recorded.on_execute = change
-    recorded.dispatcher.post(lambda: TimerFired(1))
-    assert recorded.log == [TimerFired(1), Fail("a"), RequestCancelled("after")]
+    recording.on_handle = lambda event: [Fail("a")] if event == TimerFired(1) else []
+    recording.on_execute = change
+    recording.dispatcher.post(lambda: TimerFired(1))
+    assert recording.log == [TimerFired(1), Fail("a"), RequestCancelled("after")]
 
 
-def test_an_event_that_cannot_be_made_is_counted_and_stops_none_behind_it() -> None:
-    recorded = Recorded()
+def test_an_event_that_cannot_be_made_is_counted_and_does_not_stop_later_events() -> None:
+    recording = RecordingDispatcher()
 
-    def broken() -> Event:
-        recorded.dispatcher.post(lambda: TimerFired(2))
-        raise RuntimeError("a planted fault")
+    def fail() -> Event:
+        recording.dispatcher.post(lambda: TimerFired(2))
+        raise RuntimeError("injected fault")
 
-    recorded.dispatcher.post(broken)
-    assert recorded.log == [TimerFired(2)] and recorded.errors == 1
+    recording.dispatcher.post(fail)
+    assert recording.log == [TimerFired(2)] and recording.errors == 1
 
 
 def test_a_request_whose_handling_fails_is_failed_and_other_events_have_no_actions() -> None:
-    recorded = Recorded()
+    recording = RecordingDispatcher()
 
-    def broken(event: Event) -> list[Action]:
-        raise RuntimeError("a planted fault")
+    def fail(event: Event) -> list[Action]:
+        raise RuntimeError("injected fault")
 
-    recorded.on_handle = broken
+    recording.on_handle = fail
     arrived = RequestArrived("r", 0, 1_000)
-    recorded.dispatcher.post(lambda: arrived)
-    recorded.dispatcher.post(lambda: TimerFired(1))
-    assert recorded.log == [arrived, Fail("r"), TimerFired(1)] and recorded.errors == 2
+    recording.dispatcher.post(lambda: arrived)
+    recording.dispatcher.post(lambda: TimerFired(1))
+    assert recording.log == [arrived, Fail("r"), TimerFired(1)] and recording.errors == 2
 
 
-def test_an_action_that_fails_stops_none_behind_it() -> None:
-    recorded = Recorded()
-    recorded.on_handle = lambda event: [Fail("a"), Fail("b")]
+def test_an_action_that_fails_does_not_stop_later_actions() -> None:
+    recording = RecordingDispatcher()
+    recording.on_handle = lambda event: [Fail("a"), Fail("b")]
 
-    def broken(action: Action) -> None:
-        raise RuntimeError("a planted fault")
+    def fail(action: Action) -> None:
+        raise RuntimeError("injected fault")
 
-    recorded.on_execute = broken
-    recorded.dispatcher.post(lambda: TimerFired(1))
-    assert recorded.log == [TimerFired(1), Fail("a"), Fail("b")] and recorded.errors == 2
+    recording.on_execute = fail
+    recording.dispatcher.post(lambda: TimerFired(1))
+    assert recording.log == [TimerFired(1), Fail("a"), Fail("b")] and recording.errors == 2
 
 
-def test_after_the_close_nothing_is_handled() -> None:
-    recorded = Recorded()
-    recorded.on_handle = lambda event: [Fail("a")]
-    recorded.on_execute = lambda action: recorded.dispatcher.close()
-    recorded.dispatcher.post(lambda: TimerFired(1))
-    recorded.dispatcher.post(lambda: TimerFired(2))
-    assert recorded.log == [TimerFired(1), Fail("a")]
+def test_no_event_is_handled_after_close() -> None:
+    recording = RecordingDispatcher()
+    recording.on_handle = lambda event: [Fail("a")]
+    recording.on_execute = lambda action: recording.dispatcher.close()
+    recording.dispatcher.post(lambda: TimerFired(1))
+    recording.dispatcher.post(lambda: TimerFired(2))
+    assert recording.log == [TimerFired(1), Fail("a")]
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -1,4 +1,4 @@
-"""Each outcome of an attempt, and what each class of request may do after it, end to end."""
+"""End-to-end tests of each attempt outcome, and of whether each request class is retried after it."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
 
 
 def outcomes(run: Running) -> list[AttemptEnded]:
-    """What the module is told of attempts from now on."""
-    told: list[AttemptEnded] = []
+    """Return a list that collects the ended attempts reported to the load balancer from now on."""
+    ended: list[AttemptEnded] = []
     handle = run.gateway.balancer.handle
 
-    def listen(now_us: int, event: object) -> object:
+    def record_event(now_us: int, event: object) -> object:
         if isinstance(event, AttemptEnded):
-            told.append(event)
+            ended.append(event)
         return handle(now_us, event)  # type: ignore[arg-type]
 
-    run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
-    return told
+    run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
+    return ended
 
 
 def reset(exchange: Exchange) -> None:
     exchange.reset()
 
 
-def half_an_answer(exchange: Exchange) -> None:
+def truncated_response(exchange: Exchange) -> None:
     exchange.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     exchange.writer.close()
 
 
 CLOSED_PORT = "127.0.0.1:1"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-FULL = reply(503, b"", "X-Rejected: 1")
+REJECTED_RESPONSE = reply(503, b"", "X-Rejected: 1")
 
 
 @pytest.mark.parametrize(
@@ -60,14 +60,14 @@
     [
         (answers(reply(200, b"a book")), Outcome.OK, 200),
         (answers(reply(500)), Outcome.ERROR, 502),
-        (answers(reply(503)), Outcome.ERROR, 502),  # without the mark nothing is known
+        (answers(reply(503)), Outcome.ERROR, 502),  # without X-Rejected, the request may have run
         (answers(reply(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
         (answers(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(FULL), Outcome.REJECTED, 503),
+        (answers(REJECTED_RESPONSE), Outcome.REJECTED, 503),
         (answers(reply(504, b"", "X-Rejected: 1")), Outcome.REJECTED, 503),
         (reset, Outcome.RESET, 502),
-        (half_an_answer, Outcome.RESET, 502),  # a 200 must be whole
-        # What can't be an answer is judged by what has come; the rest is not waited for.
+        (truncated_response, Outcome.RESET, 502),  # a response must be complete
+        # An invalid response is an error as soon as that is known; the gateway does not wait for the rest.
         (answers(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
         (answers(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
         (answers(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
@@ -86,81 +86,81 @@
 @on_loop
 async def test_the_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
     async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
-        answer = await run.ask(request("transfer", b"42"))
-        assert answer.status == status
-        assert [event.outcome for event in told] == [outcome]
-        assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
-        assert len(upstream.exchanges) == 1  # an unsafe request goes out once
+        ended = outcomes(run)
+        response = await run.ask(request("transfer", b"42"))
+        assert response.status == status
+        assert [event.outcome for event in ended] == [outcome]
+        assert ended[0].server == host_id(0) and ended[0].finished is (outcome is Outcome.OK)
+        assert len(upstream.exchanges) == 1  # an unsafe request is sent only once
         assert not run.gateway.in_flight
 
 
 @on_loop
 async def test_a_refused_connection_never_ran() -> None:
     async with running(configuration(CLOSED_PORT)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         assert (await run.ask(request("transfer"))).status == 503
-        assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
+        assert [event.outcome for event in ended] == [Outcome.CONNECT_FAILED]
 
 
 @on_loop
 async def test_a_connection_that_never_opens_times_out_as_configured() -> None:
     import socket
 
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        address = full.getsockname()
-        fill = [socket.socket() for _ in range(4)]
-        for one in fill:  # a backlog that is full lets nothing more come up
-            one.setblocking(False)
-            one.connect_ex(address)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        address = listener.getsockname()
+        backlog = [socket.socket() for _ in range(4)]
+        for client_socket in backlog:  # with a full backlog, no further connection opens
+            client_socket.setblocking(False)
+            client_socket.connect_ex(address)
         config = configuration(f"127.0.0.1:{address[1]}", connectTimeoutUs=50_000)
         async with running(config) as run:
-            told = outcomes(run)
+            ended = outcomes(run)
             assert (await run.ask(request("transfer"))).status == 503
-            assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
+            assert [event.outcome for event in ended] == [Outcome.CONNECT_FAILED]
             assert run.instance.pools.open == 0
-        for one in fill:
-            one.close()
+        for client_socket in backlog:
+            client_socket.close()
 
 
 @on_loop
 async def test_a_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
-        assert [event.outcome for event in told] == [Outcome.TIMEOUT]
-        await until(lambda: upstream.closed_connections == 1)  # the host can tell that nobody waits
+        assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
+        await until(lambda: upstream.closed_connections == 1)  # the server can notice that no client waits
         assert run.instance.pools.open == 0 and not run.gateway.in_flight
 
 
 @on_loop
 async def test_a_late_response_of_an_ended_attempt_is_dropped() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         client = await run.connect()
         assert (await client.ask(request("transfer", budget_ms=60))).status == 504
         upstream.exchanges[0].answer(reply(200, b"too late"))
         upstream.script = answers(reply(200, b"in time"))
-        # After a time-out the module may refuse a few.
-        while (answer := await client.ask(request())).status == 503:
+        # After a timeout the load balancer may reject a few requests.
+        while (response := await client.ask(request())).status == 503:
             pass
-        assert answer.body == b"in time"
-        assert [event.outcome for event in told] == [Outcome.TIMEOUT, Outcome.OK]
+        assert response.body == b"in time"
+        assert [event.outcome for event in ended] == [Outcome.TIMEOUT, Outcome.OK]
         client.close()
 
 
-@pytest.mark.parametrize(("class_name", "again"), [("search", True), ("hold", True), ("transfer", False)])
+@pytest.mark.parametrize(("class_name", "retried"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
 async def test_after_a_reset_only_requests_that_may_run_twice_are_retried(
-    class_name: str, again: bool
+    class_name: str, retried: bool
 ) -> None:
-    first: list[Exchange] = []
+    received: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
-        first.append(exchange)
-        if len(first) == 1:
+        received.append(exchange)
+        if len(received) == 1:
             exchange.reset()
         else:
             exchange.answer(reply())
@@ -170,24 +170,24 @@
         scripted_server(script) as two,
         running(configuration(one, two)) as run,
     ):
-        answer = await run.ask(request(class_name))
-        assert answer.status == (200 if again else 502)
-        assert len(first) == (2 if again else 1)
-        keys = {exchange.message.headers.get("idempotency-key") for exchange in first}
-        assert len(keys) == 1  # the repeat carries the key of the first
+        response = await run.ask(request(class_name))
+        assert response.status == (200 if retried else 502)
+        assert len(received) == (2 if retried else 1)
+        keys = {exchange.message.headers.get("idempotency-key") for exchange in received}
+        assert len(keys) == 1  # the retry carries the same key
 
 
 @pytest.mark.parametrize("class_name", ["search", "hold", "transfer"])
 @on_loop
 async def test_every_class_is_retried_elsewhere_after_a_rejection_by_a_server(class_name: str) -> None:
-    turned_away: list[Exchange] = []
+    rejected: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
-        if turned_away:
+        if rejected:
             exchange.answer(reply())
         else:
-            turned_away.append(exchange)
-            exchange.answer(FULL)
+            rejected.append(exchange)
+            exchange.answer(REJECTED_RESPONSE)
 
     async with (
         scripted_server(script) as one,
@@ -209,9 +209,9 @@
         async with running(config) as run:
             statuses = [(await run.ask(request("hold"))).status for _ in range(8)]
             assert one.exchanges and set(statuses) == {200, 502}
-            # What was reset at one host has not gone to the other group.
-            lost = {e.message.headers["x-call-id"] for e in one.exchanges}
-            assert lost.isdisjoint(e.message.headers["x-call-id"] for e in other.exchanges)
+            # A request that was reset at one server was not retried in the other group.
+            reset_ids = {e.message.headers["x-call-id"] for e in one.exchanges}
+            assert reset_ids.isdisjoint(e.message.headers["x-call-id"] for e in other.exchanges)
 
 
 @on_loop
@@ -220,18 +220,18 @@
         reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
     )
     async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
-        answer = await run.ask(data)
-        assert answer.body == b"\x00\xff body"
-        assert answer.headers["content-type"] == "text/x" and answer.headers["x-hit"] == "1"
-        assert "x-load-report" not in answer.headers
+        response = await run.ask(data)
+        assert response.body == b"\x00\xff body"
+        assert response.headers["content-type"] == "text/x" and response.headers["x-hit"] == "1"
+        assert "x-load-report" not in response.headers
         message = upstream.exchanges[0].message
         assert message.start_line == "POST /hold/7f3a9c21e0b4d655 HTTP/1.1" and message.body == b"slip"
         assert message.headers["x-call-id"] and message.headers["idempotency-key"]
         assert 0 < int(message.headers["x-budget-ms"]) <= 5_000
         assert "x-hop" not in message.headers
-        assert told[0].load is not None and told[0].load.queue == 2
+        assert ended[0].load is not None and ended[0].load.queue == 2
 
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
@@ -256,14 +256,14 @@
 @on_loop
 async def test_a_disconnect_cancels_the_attempt() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: upstream.exchanges)
         client.close()
         await until(lambda: upstream.closed_connections == 1)
-        await until(lambda: told)
-        assert told[0].outcome is Outcome.CANCELLED and told[0].finished
+        await until(lambda: ended)
+        assert ended[0].outcome is Outcome.CANCELLED and ended[0].finished
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
@@ -282,14 +282,14 @@
     from sagetrack.policy.actions import SendAttempt
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        told = outcomes(run)
+        ended = outcomes(run)
         client = await run.connect()
         upstream.script = silent
         data = request("transfer")
         client.send(data)
         await until(lambda: upstream.exchanges)
         id_ = upstream.exchanges[0].message.headers["x-call-id"]
-        run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
-        assert [event.outcome for event in told] == [Outcome.NOT_SENT]
+        run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a server that is not listed
+        assert [event.outcome for event in ended] == [Outcome.NOT_SENT]
         client.close()
         await asyncio.sleep(0)
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: the time that is left, which of them are current, and how long they are kept."""
+"""Requests in flight: the remaining time, which requests await a response, and when they are removed."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from sagetrack.policy.events import Event, RequestCancelled
 
 
-class Started:
-    """An attempt."""
+class StartedAttempt:
+    """A stand-in for an attempt that was started."""
 
     server, latency_us = 1, 0
 
 
-class Upstream:
-    """Records which attempts are cancelled, and how."""
+class RecordingUpstream:
+    """An upstream pool that records which attempts are cancelled, and by which call."""
 
     def __init__(self) -> None:
         self.cancelled: list[Any] = []
@@ -32,20 +32,20 @@
         self.cancelled_unsent.append(attempt)
 
 
-class Table:
-    """A table of requests with what it does to others."""
+class RecordingTable:
+    """The requests in flight, with the cancelled attempts and posted events recorded."""
 
     def __init__(self) -> None:
-        self.upstream, self.posted = Upstream(), list[Event | None]()
+        self.upstream, self.posted = RecordingUpstream(), list[Event | None]()
         self.requests = InFlightRequests(
             self.upstream,  # type: ignore[arg-type]
             EventTrace(),
             lambda event: self.posted.append(event()),
         )
 
-    def add(self, in_flight: InFlightRequest, attempts: int = 0) -> list[Started]:
+    def add(self, in_flight: InFlightRequest, attempts: int = 0) -> list[StartedAttempt]:
         self.requests[in_flight.request.id] = in_flight
-        started = [Started() for _ in range(attempts)]
+        started = [StartedAttempt() for _ in range(attempts)]
         for attempt in started:
             in_flight.attempts[in_flight.add_attempt(AttemptRecord(0, 0))] = attempt
         in_flight.attempts_in_flight = attempts
@@ -67,9 +67,9 @@
     assert streamed.remaining_us(body.completed_us + 300) == 700
 
 
-def test_a_request_is_current_once_it_is_complete_and_until_it_is_finished() -> None:
+def test_a_request_awaits_a_response_once_it_is_complete_and_until_it_is_finished() -> None:
     body = StreamedBody(None, BodyMemoryBudget(64))
-    streamed, table = in_flight(body), Table()
+    streamed, table = in_flight(body), RecordingTable()
     table.add(streamed)
     assert table.requests.awaiting_response_count() == 0
     body.complete()
@@ -80,33 +80,33 @@
 
 
 def test_a_finished_request_stays_until_its_last_attempt_has_ended() -> None:
-    table = Table()
+    table = RecordingTable()
     table.add(in_flight())
     assert table.requests.finish_if_pending("a") is not None and not table.requests
     attempts = table.add(in_flight(), attempts=2)
     assert table.requests.finish_if_pending("a") is table.requests["a"]
     assert table.upstream.cancelled_unsent == attempts and not table.upstream.cancelled
-    assert table.requests.finish_if_pending("a") is None  # it has had its final response
+    assert table.requests.finish_if_pending("a") is None  # it already has a final response
 
 
 def test_a_client_that_disconnects_is_reported_once_and_ends_a_streamed_response() -> None:
-    table, one = Table(), in_flight()
-    attempts = table.add(one, attempts=1)
+    table, pending = RecordingTable(), in_flight()
+    attempts = table.add(pending, attempts=1)
     table.requests.cancel("a")
     assert table.posted == [RequestCancelled("a")] and not table.upstream.cancelled
     table.requests.cancel("a")
     assert table.posted == [RequestCancelled("a")]
-    one.is_finished, one.streaming_attempt = False, attempts[0]
+    pending.is_finished, pending.streaming_attempt = False, attempts[0]
     table.requests.cancel("a")
     assert table.upstream.cancelled == attempts
 
 
 def test_only_attempts_without_a_response_are_cancelled_at_the_end_of_a_shutdown() -> None:
-    table, one = Table(), in_flight()
-    attempts = table.add(one, attempts=2)
-    one.streaming_attempt = attempts[0]
+    table, pending = RecordingTable(), in_flight()
+    attempts = table.add(pending, attempts=2)
+    pending.streaming_attempt = attempts[0]
     table.requests.cancel_attempts_without_response()
     assert not table.upstream.cancelled
-    one.streaming_attempt = None
+    pending.streaming_attempt = None
     table.requests.cancel_attempts_without_response()
     assert table.upstream.cancelled == attempts
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,8 @@
-"""A client that has closed or cancelled has gone: nothing is begun for it, whatever its call waits for.
+"""No attempt begins for a client that has disconnected or cancelled, whatever its request was waiting for.
 
-Each crossing is forced where the loop has had no turn since the client left, or does not read from it: only
-the look before the first byte can see it. The rule allows 0.1 s; here it is the same turn.
+The tests disconnect the client while the event loop has had no iteration since then, or while reading from
+the client is paused, so that only the check before the first byte can notice. The requirement allows 0.1 s;
+these tests require the same iteration of the loop.
 """
 
 from __future__ import annotations
@@ -42,114 +43,114 @@
 )
 from tests.test_races import Late, outcomes
 
-BEHIND = 3 * MAX_PIPELINED  # more than is read ahead: after so many, nothing is read from a client
+PIPELINED_REQUESTS = 3 * MAX_PIPELINED  # exceeds the pipelining limit, so that reading is paused
 
 
-def unheard(run: Running) -> None:
-    """Let the loop not be told of the end of clients on which nothing is read."""
+def disable_hangup_watch(run: Running) -> None:
+    """Disable the watch that reports disconnects of clients whose reading is paused."""
     run.server.context.hangups.watch = lambda descriptor, on_hangup: None  # type: ignore[method-assign]
 
 
-async def crowding(run: Running, class_name: str = "transfer") -> tuple[Client, ClientConnection]:
-    """A client that has sent more than is read ahead, and the gateway's end of its connection."""
+async def pipelining_client(run: Running, class_name: str = "transfer") -> tuple[Client, ClientConnection]:
+    """Return a client whose reading is paused by pipelining, and the gateway's end of its connection."""
     before = set(run.server.connections)
     client = await run.connect()
-    client.send(b"".join(request(class_name) for _ in range(BEHIND)))
+    client.send(b"".join(request(class_name) for _ in range(PIPELINED_REQUESTS)))
     await until(lambda: run.server.context.paused - before)
     (connection,) = run.server.context.paused - before
     await until(lambda: connection.exchange.request is not None)
     return client, connection
 
 
-async def leaves(client: Client, connection: ClientConnection) -> None:
-    """It closes, and the kernel of the gateway's machine knows."""
+async def disconnect(client: Client, connection: ClientConnection) -> None:
+    """Close the client, and wait until the gateway's kernel has received the close."""
     client.close()
     await until(lambda: has_peer_closed(connection.poll))
 
 
-def ends_between_turns(transport: asyncio.BaseTransport | None, poll: select.poll) -> None:
-    """Its client hangs up, and the kernel of the gateway's machine knows before the loop has a turn."""
+def shut_down_before_next_iteration(transport: asyncio.BaseTransport | None, poll: select.poll) -> None:
+    """Shut down the socket so that the kernel knows of it before the event loop runs again."""
     assert transport is not None
-    bare = transport.get_extra_info("socket")
-    with socket.socket(fileno=os.dup(bare.fileno())) as same:
-        same.shutdown(socket.SHUT_RDWR)
-    poll.poll(5_000)  # ms: it comes at once on this machine
+    raw_socket = transport.get_extra_info("socket")
+    with socket.socket(fileno=os.dup(raw_socket.fileno())) as duplicate:
+        duplicate.shutdown(socket.SHUT_RDWR)
+    poll.poll(5_000)  # upper bound in milliseconds; on this machine the close arrives immediately
     assert has_peer_closed(poll)
 
 
-async def nothing_is_owed(run: Running) -> None:
+async def wait_until_idle(run: Running) -> None:
     await until(lambda: not run.gateway.in_flight)
 
 
-# What the loop has not seen
+# Disconnects that the event loop has not processed yet
 
 
 @on_loop
 async def test_a_request_read_together_with_the_disconnect_is_not_sent() -> None:
-    """As after a turn that took long: the client has given up in the queue of the listening socket."""
+    """The client disconnects while its connection is still in the listen queue, as in a slow iteration."""
     arrived = 0
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
 
-        def listen(now: int, event: object) -> object:
+        def record_event(now: int, event: object) -> object:
             nonlocal arrived
             arrived += isinstance(event, RequestArrived)
             return handle(now, event)  # type: ignore[arg-type]
 
-        run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
+        run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         assert (await run.ask(request())).status == 200
-        await rested(run)  # a connection to the server is there: nothing would hold the request up
+        await rested(run)  # an idle upstream connection exists, so that nothing would delay a request
         for class_index in ("search", "transfer"):
             with socket.create_connection(("127.0.0.1", run.port)) as client:
                 client.sendall(request(class_index))
         await until(lambda: arrived == 3 and not run.server.connections)
-        await nothing_is_owed(run)
+        await wait_until_idle(run)
         assert len(upstream.exchanges) == 1
 
 
 @on_loop
 async def test_a_disconnect_in_the_turn_in_which_the_upstream_connection_opens() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        late = Late(run)
+        delayed = Late(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: late.held)
+        await until(lambda: delayed.held)
         (connection,) = run.server.connections
-        ends_between_turns(client.writer.transport, connection.poll)
-        late.release()
-        await nothing_is_owed(run)
+        shut_down_before_next_iteration(client.writer.transport, connection.poll)
+        delayed.release()
+        await wait_until_idle(run)
         assert not upstream.exchanges
 
 
-# What is not read from the client
+# Disconnects of clients whose reading is paused
 
 
 @on_loop
 async def test_a_disconnect_while_the_first_attempt_waits_for_a_connection() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        unheard(run)
-        late = Late(run)
-        client, connection = await crowding(run)
-        await until(lambda: late.held)
-        await leaves(client, connection)
-        late.release()
-        await nothing_is_owed(run)
+        disable_hangup_watch(run)
+        delayed = Late(run)
+        client, connection = await pipelining_client(run)
+        await until(lambda: delayed.held)
+        await disconnect(client, connection)
+        delayed.release()
+        await wait_until_idle(run)
         assert not upstream.exchanges
 
 
 @on_loop
 async def test_a_disconnect_while_the_first_attempt_waits_for_reuse(monkeypatch: pytest.MonkeyPatch) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        unheard(run)
+        disable_hangup_watch(run)
         assert (await run.ask(request())).status == 200
-        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        (idle_connection,) = run.instance.pools.servers[host_id(0)].idle
         monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0)
-        kept.idle_since_us, kept.last_response_us = now_us(), 200_000_000
-        client, connection = await crowding(run)
-        await until(lambda: kept.waiting_attempt)
-        await leaves(client, connection)
-        run.instance.pools.attempts.on_reusable(kept)
-        await nothing_is_owed(run)
+        idle_connection.idle_since_us, idle_connection.last_response_us = now_us(), 200_000_000
+        client, connection = await pipelining_client(run)
+        await until(lambda: idle_connection.waiting_attempt)
+        await disconnect(client, connection)
+        run.instance.pools.attempts.on_reusable(idle_connection)
+        await wait_until_idle(run)
         assert len(upstream.exchanges) == 1
 
 
@@ -160,34 +161,34 @@
         scripted_server(silent) as other,
         running(configuration(one, other)) as run,
     ):
-        unheard(run)
-        client, connection = await crowding(run)
+        disable_hangup_watch(run)
+        client, connection = await pipelining_client(run)
         await until(lambda: one.exchanges or other.exchanges)
         (first,) = one.exchanges + other.exchanges
-        await leaves(client, connection)
-        told = outcomes(run)
+        await disconnect(client, connection)
+        reported = outcomes(run)
         first.answer(reply(503, b"", "X-Rejected: 1"))
-        await nothing_is_owed(run)
-        assert told[0] is Outcome.REJECTED and set(told[1:]) <= {Outcome.NOT_SENT}
+        await wait_until_idle(run)
+        assert reported[0] is Outcome.REJECTED and set(reported[1:]) <= {Outcome.NOT_SENT}
         assert len(one.exchanges + other.exchanges) == 1
 
 
 class Timers:
-    """The module's timers, held until they are fired."""
+    """Holds back the load balancer's timers until they are fired explicitly."""
 
     def __init__(self, run: Running) -> None:
-        self.run, self.carry_out = run, run.gateway.executor.execute
+        self.run, self.execute = run, run.gateway.executor.execute
         self.held: list[SetTimer] = []
-        run.gateway.executor.execute = self.take  # type: ignore[method-assign]
+        run.gateway.executor.execute = self.execute_or_hold  # type: ignore[method-assign]
 
-    def take(self, action: Action) -> None:
+    def execute_or_hold(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.held.append(action)
         else:
-            self.carry_out(action)
+            self.execute(action)
 
-    async def fire(self) -> None:
-        """Those up to the first that comes to something."""
+    async def fire_until_second_attempt(self) -> None:
+        """Fire the held timers in order of time, until one of them causes a second attempt."""
         while self.held:
             timer = min(self.held, key=lambda timer: timer.due_us)
             self.held.remove(timer)
@@ -203,53 +204,53 @@
     async with scripted_server(silent) as one, scripted_server(silent) as other:
         config = configuration(one, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
-            unheard(run)
-            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a copy after 4 ms
+            disable_hangup_watch(run)
+            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a hedged attempt follows after 4 ms
             timers = Timers(run)
-            client, connection = await crowding(run, "search")
+            client, connection = await pipelining_client(run, "search")
             await until(lambda: one.exchanges or other.exchanges)
             (first,) = one.exchanges + other.exchanges
             (held,) = run.gateway.in_flight.values()
-            await leaves(client, connection)
-            await timers.fire()
+            await disconnect(client, connection)
+            await timers.fire_until_second_attempt()
             assert len(held.attempts) == 2 and held.is_finished
             first.answer(reply())
-            await nothing_is_owed(run)
+            await wait_until_idle(run)
             assert len(one.exchanges + other.exchanges) == 1
 
 
-@pytest.mark.parametrize("what", ["its turn by key", "room"])
+@pytest.mark.parametrize("waits_for", ["sequential key", "capacity"])
 @on_loop
-async def test_a_disconnect_while_the_request_waits_for_another(what: str) -> None:
+async def test_a_disconnect_while_the_request_waits_for_another(waits_for: str) -> None:
     config = configuration()
     for lane in config["settings"]["lanes"]:
-        lane["sequential"] = what == "its turn by key"
+        lane["sequential"] = waits_for == "sequential key"
     async with scripted_server(silent) as upstream:
         config["known"] = configuration(upstream)["known"]
         async with running(config) as run:
-            unheard(run)
-            Timers(run)  # nobody stops waiting
+            disable_hangup_watch(run)
+            Timers(run)  # no request stops waiting
             clients: list[Client] = []
             before = -1
-            while len(upstream.exchanges) != before:  # until one finds no room
+            while len(upstream.exchanges) != before:  # until a request has to wait
                 before = len(upstream.exchanges)
                 clients.append(await run.connect())
                 clients[-1].send(request("transfer"))
                 await until(lambda: len(run.gateway.in_flight) == len(clients))
-                out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
-                await until(lambda out=out: len(upstream.exchanges) == out)  # type: ignore[misc]
+                started = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
+                await until(lambda started=started: len(upstream.exchanges) == started)  # type: ignore[misc]
             clients.pop().close()
             await until(lambda: len(run.gateway.in_flight) == len(clients))
             assert len(upstream.exchanges) == len(clients)
-            client, connection = await crowding(run)
+            client, connection = await pipelining_client(run)
             waiting = connection.exchange.request
             assert waiting is not None and run.gateway.in_flight[waiting.id].attempts_in_flight == 0
-            await leaves(client, connection)
+            await disconnect(client, connection)
             for exchange in list(upstream.exchanges):
                 exchange.answer(reply())
             for other in clients:
                 assert (await other.answer()).status == 200
-            await nothing_is_owed(run)
+            await wait_until_idle(run)
             assert len(upstream.exchanges) == len(clients)
             for other in clients:
                 other.close()
@@ -257,45 +258,45 @@
 
 @on_loop
 async def test_a_disconnect_while_the_body_is_received() -> None:
-    """Nothing more of it is read before it has a server, and so the client's end is not either."""
+    """Reading is paused until the body has a server, so that the disconnect is not read either."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        unheard(run)
-        late = Late(run)
+        disable_hangup_watch(run)
+        delayed = Late(run)
         client = await run.connect()
         client.send(request("transfer", content_length="1000000") + bytes(140_000))
-        await until(lambda: run.server.context.paused and late.held)
+        await until(lambda: run.server.context.paused and delayed.held)
         await until(lambda: not client.writer.transport.get_write_buffer_size())
         (connection,) = run.server.connections
-        await leaves(client, connection)
-        told = outcomes(run)
-        late.release()
-        await nothing_is_owed(run)
-        assert told == [Outcome.NOT_SENT] and upstream.opened_connections <= 1 and not upstream.exchanges
+        await disconnect(client, connection)
+        reported = outcomes(run)
+        delayed.release()
+        await wait_until_idle(run)
+        assert reported == [Outcome.NOT_SENT] and upstream.opened_connections <= 1 and not upstream.exchanges
         await until(
             lambda: run.instance.pools.open == 0
             and upstream.closed_connections == upstream.opened_connections
         )
 
 
-# The loop is told of it, though nothing is read
+# Disconnects reported by the kernel while reading is paused
 
 
 @on_loop
 async def test_the_kernel_reports_a_disconnect_while_reading_is_paused() -> None:
-    """No sweep is waited for: the call ends where it is, and its attempt as far as may be."""
+    """The request ends without a periodic sweep, and so does its attempt."""
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         assert run.server.sweeper is not None
         run.server.sweeper.cancel()
-        late = Late(run)
-        told = outcomes(run)
-        client, connection = await crowding(run)
-        await until(lambda: late.held)
+        delayed = Late(run)
+        reported = outcomes(run)
+        client, connection = await pipelining_client(run)
+        await until(lambda: delayed.held)
         client.close()
         await until(lambda: not run.server.connections)
-        await nothing_is_owed(run)
+        await wait_until_idle(run)
         context = run.server.context
-        assert told == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
-        late.release()
+        assert reported == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
+        delayed.release()
         await until(lambda: run.instance.pools.open == 0)
         assert not upstream.exchanges
 
@@ -304,69 +305,72 @@
 async def test_only_a_disconnect_costs_a_poll_of_paused_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However many wait: what a sweep looks at does not grow with them."""
-    looks = 0
+    """The cost of a sweep does not grow with the number of paused clients."""
+    check_count = 0
 
-    def counting(poll: Any) -> bool:
-        nonlocal looks
-        looks += 1
+    def counted_check(poll: Any) -> bool:
+        nonlocal check_count
+        check_count += 1
         return has_peer_closed(poll)
 
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        made = [await crowding(run) for _ in range(40)]
+        paused_clients = [await pipelining_client(run) for _ in range(40)]
         await until(lambda: len(run.server.context.paused) == 40)
-        monkeypatch.setattr(client_module, "has_peer_closed", counting)
-        asked = 0
+        monkeypatch.setattr(client_module, "has_peer_closed", counted_check)
+        dispatch_count = 0
         hangups = run.server.context.hangups
-        look = hangups.dispatch_hangups
+        dispatch = hangups.dispatch_hangups
 
-        def counted() -> None:
-            nonlocal asked
-            asked += 1
-            look()
+        def counted_dispatch() -> None:
+            nonlocal dispatch_count
+            dispatch_count += 1
+            dispatch()
 
         hangups.loop.remove_reader(hangups.epoll.fileno())  # type: ignore[union-attr]
-        asyncio.get_running_loop().add_reader(hangups.epoll.fileno(), counted)
+        asyncio.get_running_loop().add_reader(hangups.epoll.fileno(), counted_dispatch)
         for _ in range(10):
             run.server.sweep()
-        assert (looks, asked) == (0, 0)
-        made[0][0].close()
+        assert (check_count, dispatch_count) == (0, 0)
+        paused_clients[0][0].close()
         await until(lambda: len(run.server.connections) == 39)
-        assert asked == 1 and len(hangups.watched) == 39
-        for client, _ in made:
+        assert dispatch_count == 1 and len(hangups.watched) == 39
+        for client, _ in paused_clients:
             client.close()
         await until(lambda: not run.server.connections)
 
 
-# The newer format
+# gRPC clients
 
 
 @asynccontextmanager
-async def with_newer_clients(
+async def gateway_with_grpc_client(
     tmp_path: Path, run_on: Any
 ) -> AsyncIterator[tuple[GrpcUpstreamRig, Running, Any]]:
-    """A gateway with a front of the newer format and servers of the older one."""
+    """Run a gateway that accepts gRPC and has HTTP/1.1 servers, and a gRPC client of it."""
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
-        front = run.instance.listeners.grpc
-        assert front is not None
-        place = front.servers[0].sockets[0].getsockname()
-        client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
-        yield client, run, front
+        listener = run.instance.listeners.grpc
+        assert listener is not None
+        address = listener.servers[0].sockets[0].getsockname()
+        client.pools.put(Endpoint("g", ("127.0.0.1", address[1]), ListedServer(1, started_us=1)))
+        yield client, run, listener
 
 
 @on_loop
 async def test_a_stream_reset_while_its_request_waits_for_a_connection(tmp_path: Path) -> None:
-    async with scripted_server() as upstream, with_newer_clients(tmp_path, upstream) as (client, run, front):
-        late, told = Late(run), outcomes(run)
+    async with (
+        scripted_server() as upstream,
+        gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
+    ):
+        delayed, reported = Late(run), outcomes(run)
         send_request(client, request_head(1), b"x")
-        await until(lambda: late.held)
+        await until(lambda: delayed.held)
         (attempt,) = client.connection.attempts.on_open_streams()
         client.pools.cancel(attempt)
-        await nothing_is_owed(run)
-        assert told == [Outcome.NOT_SENT]
-        late.release()
+        await wait_until_idle(run)
+        assert reported == [Outcome.NOT_SENT]
+        delayed.release()
         await until(
             lambda: run.instance.pools.open == 0
             and upstream.closed_connections == upstream.opened_connections
@@ -376,20 +380,23 @@
 
 @on_loop
 async def test_a_connection_that_ends_with_100_streams_sends_nothing_more(tmp_path: Path) -> None:
-    """Between two turns: some wait for a connection to a server, the others for room."""
-    async with scripted_server() as upstream, with_newer_clients(tmp_path, upstream) as (client, run, front):
-        late = Late(run)
+    """The connection ends between two iterations: some requests await a connection, others capacity."""
+    async with (
+        scripted_server() as upstream,
+        gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
+    ):
+        delayed = Late(run)
         send_request(client, request_head(0), b"x")
-        await until(lambda: front.connections and client.connection.transport is not None)
+        await until(lambda: listener.connections and client.connection.transport is not None)
         for n in range(1, 100):
             send_request(client, request_head(n), b"x")
-        await until(lambda: len(run.gateway.in_flight) == 100 and late.held)
-        out = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
-        await until(lambda: len(late.held) == out)
-        (line,) = front.connections
-        assert len(line.streams) == 100
-        ends_between_turns(client.connection.transport, line.poll)
-        late.release()
-        await nothing_is_owed(run)
+        await until(lambda: len(run.gateway.in_flight) == 100 and delayed.held)
+        started = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
+        await until(lambda: len(delayed.held) == started)
+        (connection,) = listener.connections
+        assert len(connection.streams) == 100
+        shut_down_before_next_iteration(client.connection.transport, connection.poll)
+        delayed.release()
+        await wait_until_idle(run)
         assert not upstream.exchanges
-        await until(lambda: not front.connections)
+        await until(lambda: not listener.connections)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: one plain line, or structured ones; each event limited in rate."""
+"""The log: plain and structured lines, and the rate limit per event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture(autouse=True)
-def restored() -> Iterator[None]:
+def default_sink() -> Iterator[None]:
     use_sink(log_module.plain_sink)
     yield
     use_sink(log_module.plain_sink)
@@ -69,12 +69,12 @@
     assert capsys.readouterr().err == "sagetrack: ends; connections to hosts: 3\n"
 
 
-def test_a_full_pipe_blocks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_logging_to_a_full_pipe_does_not_block(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
     with open(writer, "w") as stream, open(reader) as lines:
         monkeypatch.setattr(sys, "stderr", stream)
         use_sink(log_module.plain_sink, LogRateLimit(10_000, 10_000))
-        for number in range(2_000):  # more than a pipe holds
+        for number in range(2_000):  # more than the pipe buffer holds
             log(f"line {number}: {'x' * 100}")
         assert log_module._unwritten > 0
         os.set_blocking(reader, False)
@@ -83,8 +83,8 @@
         assert lines.read().startswith("sagetrack: read again unwritten=")
 
 
-def test_a_stream_that_is_closed_is_no_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_logging_to_a_closed_stream_is_not_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     stream = io.StringIO()
     stream.close()
     monkeypatch.setattr(sys, "stderr", stream)
-    log("nobody hears this")
+    log("written to a closed stream")
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline that a server receives is the time its client has left, whatever has delayed the attempt."""
+"""The deadline sent to a server is the time left to the client, whatever has delayed the attempt."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from tests.test_races import Late
 
-SLACK_MS = 150  # by which the deadline that is sent may exceed the time left
+SLACK_MS = 150  # tolerance by which the deadline sent may exceed the time left
 
 
 def sent_budget_ms(exchange: Exchange) -> int:
@@ -28,14 +28,14 @@
 @on_loop
 async def test_the_deadline_sent_to_a_server_is_reduced_by_a_late_connection() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        late = Late(run)
+        delayed = Late(run)
         client = await run.connect()
-        begun_us = now_us()
+        started_us = now_us()
         client.send(request(budget_ms=1_000))
-        await until(lambda: late.held)
+        await until(lambda: delayed.held)
         await asyncio.sleep(0.4)
-        late.release()
-        left_ms = 1_000 - (now_us() - begun_us) / 1_000
+        delayed.release()
+        left_ms = 1_000 - (now_us() - started_us) / 1_000
         await until(lambda: upstream.exchanges)
         assert sent_budget_ms(upstream.exchanges[0]) <= left_ms + 5
         client.close()
@@ -43,17 +43,17 @@
 
 @on_loop
 async def test_the_timeout_of_a_pipelined_request_runs_from_its_arrival() -> None:
-    async def slow(exchange: Exchange) -> None:
+    async def respond_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.3)
         exchange.answer(reply())
 
-    async with scripted_server(slow) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(respond_slowly) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        begun_us = now_us()
+        started_us = now_us()
         client.send(request(budget_ms=400) + request(budget_ms=400) + request(budget_ms=400))
         statuses = [(await client.answer()).status for _ in range(3)]
-        took_ms = (now_us() - begun_us) / 1_000
+        elapsed_ms = (now_us() - started_us) / 1_000
         assert statuses[0] == 200
-        assert took_ms < 400 + 200, "the last one was answered that late"
+        assert elapsed_ms < 400 + 200, "the last response was too late"
         assert all(sent_budget_ms(exchange) <= 400 - 300 + SLACK_MS for exchange in upstream.exchanges[1:])
         client.close()
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The rules for what may be sent, retried, closed or accepted."""
+"""Rules that decide whether an attempt may be sent or retried, or a connection closed or accepted."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
 from tests.sockets import configuration, on_loop, request, running, scripted_server, silent, until
 
-HERE = AttemptRecord(zone=0, group=1)
-ONE_AT_A_TIME = replace(SETTINGS, hedging=False)
+NEXT_ATTEMPT = AttemptRecord(zone=0, group=1)
+WITHOUT_HEDGING = replace(SETTINGS, hedging=False)
 
 
-def closable_client(gone: bool = False) -> tuple[list[bool], ClientConnectionState]:
-    """A client that may be closed, and the kernel_checks at what it has sent."""
+def closable_client(has_unread: bool = False) -> tuple[list[bool], ClientConnectionState]:
+    """Return a connection that may be closed, and a list that grows with each check for unread data."""
     kernel_checks: list[bool] = []
 
-    def unread() -> bool:
+    def check_unread_data() -> bool:
         kernel_checks.append(True)
-        return gone
+        return has_unread
 
     return kernel_checks, ClientConnectionState(
         response_pending=False,
         request_incomplete=False,
         has_sent_data=True,
         age_s=0.0,
-        has_unread_data=unread,
+        has_unread_data=check_unread_data,
     )
 
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("request_class", "other", "at_us", "denial"),
     [
-        (UNSAFE, AttemptRecord(0, 1), 1, None),  # never begun
+        (UNSAFE, AttemptRecord(0, 1), 1, None),  # nothing was sent
         (UNSAFE, AttemptRecord(0, 1, 0, Outcome.REJECTED), 1, None),
         (UNSAFE, AttemptRecord(0, 1, 0, Outcome.CONNECT_FAILED), 1, None),
         (UNSAFE, AttemptRecord(0, 1, 0), 1, DenialReason.MAY_HAVE_RUN),
@@ -77,33 +77,35 @@
 def test_a_retry_is_sent_only_where_it_cannot_run_twice(
     request_class: RequestClass, other: AttemptRecord, at_us: int, denial: DenialReason | None
 ) -> None:
-    assert may_retry(SETTINGS, request_class, HERE, [HERE, other], at_us) is denial
+    assert may_retry(SETTINGS, request_class, NEXT_ATTEMPT, [NEXT_ATTEMPT, other], at_us) is denial
 
 
 def test_without_hedging_a_second_attempt_waits_for_the_end_of_the_first() -> None:
-    out, over = AttemptRecord(0, 1, 0), AttemptRecord(0, 1, 0, Outcome.RESET)
-    assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [out], 1) is DenialReason.ATTEMPT_IN_FLIGHT
-    assert may_retry(ONE_AT_A_TIME, SAFE, HERE, [over], 1) is None
+    in_flight, ended = AttemptRecord(0, 1, 0), AttemptRecord(0, 1, 0, Outcome.RESET)
+    assert may_retry(WITHOUT_HEDGING, SAFE, NEXT_ATTEMPT, [in_flight], 1) is DenialReason.ATTEMPT_IN_FLIGHT
+    assert may_retry(WITHOUT_HEDGING, SAFE, NEXT_ATTEMPT, [ended], 1) is None
 
 
-def test_a_rejection_proves_nothing_where_the_settings_say_so() -> None:
-    full = AttemptRecord(0, 1, 0, Outcome.REJECTED)
-    unproven = replace(SETTINGS, rejection_may_have_run=True)
-    assert may_retry(unproven, UNSAFE, HERE, [full], 1) is DenialReason.MAY_HAVE_RUN
+def test_a_rejected_attempt_may_have_run_if_the_settings_say_so() -> None:
+    rejected = AttemptRecord(0, 1, 0, Outcome.REJECTED)
+    strict = replace(SETTINGS, rejection_may_have_run=True)
+    assert may_retry(strict, UNSAFE, NEXT_ATTEMPT, [rejected], 1) is DenialReason.MAY_HAVE_RUN
 
 
-def test_no_connection_is_closed_under_a_request() -> None:
+def test_no_connection_with_a_pending_request_is_closed() -> None:
     for reason in CloseReason:
         _, client = closable_client()
         assert may_close(client, reason) is None
         assert may_close(replace(client, response_pending=True), reason) is DenialReason.RESPONSE_PENDING
         assert may_close(replace(client, has_unread_data=lambda: True), reason) is DenialReason.UNREAD_DATA
     _, client = closable_client()
-    begun = replace(client, request_incomplete=True)
-    assert may_close(begun, CloseReason.IDLE) is DenialReason.INCOMPLETE_REQUEST
-    assert may_close(begun, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.INCOMPLETE_REQUEST
-    assert may_close(replace(begun, age_s=REQUEST_HEAD_TIMEOUT_S), CloseReason.RECLAIM_DESCRIPTOR) is None
-    assert may_close(begun, CloseReason.DESCRIPTORS_EXHAUSTED) is None
+    incomplete = replace(client, request_incomplete=True)
+    assert may_close(incomplete, CloseReason.IDLE) is DenialReason.INCOMPLETE_REQUEST
+    assert may_close(incomplete, CloseReason.RECLAIM_DESCRIPTOR) is DenialReason.INCOMPLETE_REQUEST
+    assert (
+        may_close(replace(incomplete, age_s=REQUEST_HEAD_TIMEOUT_S), CloseReason.RECLAIM_DESCRIPTOR) is None
+    )
+    assert may_close(incomplete, CloseReason.DESCRIPTORS_EXHAUSTED) is None
 
 
 def test_a_new_connection_has_time_for_its_first_request() -> None:
@@ -139,9 +141,9 @@
         client = await run.connect()
         client.send(request("transfer", b"x"))
         await until(lambda: first.exchanges or second.exchanges)
-        (held,) = run.gateway.in_flight.values()
+        (pending,) = run.gateway.in_flight.values()
         for server in run.instance.pools.servers:
-            run.gateway.executor.execute(SendAttempt(held.request.id, server, 1_000_000))
+            run.gateway.executor.execute(SendAttempt(pending.request.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.exchanges) + len(second.exchanges) == 1
         assert run.gateway.violations.counts[Invariant.RETRIES_ARE_SAFE] == 2
@@ -150,27 +152,27 @@
 
 @on_loop
 async def test_a_request_without_a_response_is_failed_when_its_deadline_is_over() -> None:
-    """Whatever the load balancer does: here it forgets every request."""
+    """The watchdog fails the request even if the load balancer ignores it, as it does here."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = (  # type: ignore[method-assign]
             lambda now_us, event: [] if isinstance(event, RequestArrived) else handle(now_us, event)
         )
-        begun_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         assert (await run.ask(request(budget_ms=200))).status == 502
-        assert asyncio.get_running_loop().time() - begun_s < 0.2 + 0.5
+        assert asyncio.get_running_loop().time() - started_s < 0.2 + 0.5
         assert run.gateway.violations.counts[Invariant.RESPONSE_BY_DEADLINE] == 1
         assert not run.gateway.in_flight
 
 
 @on_loop
-async def test_an_event_that_fails_holds_up_none_behind_it() -> None:
+async def test_an_event_that_cannot_be_made_does_not_block_later_events() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
 
-        def broken() -> None:
+        def fail() -> None:
             run.gateway.post(lambda: None)
-            raise RuntimeError("a planted fault")
+            raise RuntimeError("injected fault")
 
-        run.gateway.post(broken)
+        run.gateway.post(fail)
         assert run.gateway.violations.counts[Invariant.NO_HANDLER_ERROR] == 1
         assert (await run.ask(request())).status == 200
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists are applied to the upstream pool as their kind says, and passed on to the load balancer."""
+"""Endpoint lists are applied to the upstream pool according to their kind, and reported to the balancer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 
 
-class Upstream:
+class StubUpstream:
     def __init__(self) -> None:
         self.listed: dict[int, Endpoint] = {}
 
@@ -26,8 +26,8 @@
     return Endpoint(f"s{server}", ("h", server), ListedServer(server, status, zone=zone, group=group))
 
 
-def applied() -> tuple[ServerList, Upstream, EventTrace, list[str]]:
-    upstream, trace, recorded = Upstream(), EventTrace(), list[str]()
+def recording_server_list() -> tuple[ServerList, StubUpstream, EventTrace, list[str]]:
+    upstream, trace, recorded = StubUpstream(), EventTrace(), list[str]()
     context: Any = SimpleNamespace(
         upstream=upstream,
         trace=trace,
@@ -37,8 +37,8 @@
     return ServerList(context), upstream, trace, recorded
 
 
-def test_a_complete_list_removes_what_it_does_not_name_and_a_delta_does_not() -> None:
-    servers, upstream, _, _ = applied()
+def test_a_complete_list_removes_servers_that_it_does_not_name_and_a_delta_does_not() -> None:
+    servers, upstream, _, _ = recording_server_list()
     servers.apply(ListKind.FULL, [entry(1), entry(2)])
     servers.apply(ListKind.DELTA, [entry(3)])
     assert set(upstream.listed) == {1, 2, 3}
@@ -49,7 +49,7 @@
 
 
 def test_a_server_that_is_gone_is_removed_and_its_attempts_have_no_zone() -> None:
-    servers, upstream, _, _ = applied()
+    servers, upstream, _, _ = recording_server_list()
     servers.apply(ListKind.FULL, [entry(1, zone=4, group=5)])
     record = servers.new_attempt_record(1)
     assert (record.zone, record.group) == (4, 5)
@@ -59,19 +59,19 @@
 
 
 def test_the_load_balancer_has_every_entry_and_the_time_without_contact() -> None:
-    servers, _, _, _ = applied()
+    servers, _, _, _ = recording_server_list()
     entries = [entry(1), entry(2, ServerStatus.GONE)]
     event = servers.apply(ListKind.DELTA, entries)
     assert isinstance(event, EndpointList) and event.kind is ListKind.DELTA
-    assert event.servers == tuple(one.listed for one in entries) and event.unheard_us == 7
+    assert event.servers == tuple(item.listed for item in entries) and event.unheard_us == 7
 
 
 def test_only_lists_with_a_server_that_is_not_ready_are_traced_and_all_are_recorded() -> None:
-    servers, _, trace, recorded = applied()
+    servers, _, trace, recorded = recording_server_list()
     servers.apply(ListKind.FULL, [entry(1)])
     assert not trace.entries
     servers.apply(ListKind.DELTA, [entry(1, ServerStatus.DRAINING)])
-    assert [one.detail for one in trace.entries] == [summary([entry(1, ServerStatus.DRAINING)])]
+    assert [item.detail for item in trace.entries] == [summary([entry(1, ServerStatus.DRAINING)])]
     assert len(recorded) == 2
 
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -1,4 +1,4 @@
-"""Calls are retried while their errors are transient, and no longer than a start may take."""
+"""Calls are retried while their errors are transient, up to the time limit for startup."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """Time that passes only while it is slept."""
+    """A clock that advances only in `sleep`."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -37,39 +37,39 @@
     return clock
 
 
-def failing(times: int, number: int) -> Callable[[], str]:
-    left = times
+def failing_call(failures: int, error_number: int) -> Callable[[], str]:
+    remaining_failures = failures
 
     def call() -> str:
-        nonlocal left
-        if left:
-            left -= 1
-            raise OSError(number, "planted")
+        nonlocal remaining_failures
+        if remaining_failures:
+            remaining_failures -= 1
+            raise OSError(error_number, "injected")
         return "made"
 
     return call
 
 
 def test_a_transient_error_is_retried_until_the_call_succeeds(clock: Clock) -> None:
-    assert retry_while_transient_blocking(failing(3, errno.EMFILE)) == "made"
+    assert retry_while_transient_blocking(failing_call(3, errno.EMFILE)) == "made"
     assert clock.now_s == pytest.approx(100.0 + 3 * RETRY_DELAY_S)
 
 
-def test_another_error_is_raised_at_once(clock: Clock) -> None:
-    assert not is_transient(OSError(errno.EACCES, "planted"))
-    with pytest.raises(OSError, match="planted"):
-        retry_while_transient_blocking(failing(1, errno.EACCES))
+def test_an_error_that_is_not_transient_is_raised_immediately(clock: Clock) -> None:
+    assert not is_transient(OSError(errno.EACCES, "injected"))
+    with pytest.raises(OSError, match="injected"):
+        retry_while_transient_blocking(failing_call(1, errno.EACCES))
     assert clock.now_s == 100.0
 
 
-def test_a_transient_error_that_stays_is_raised_in_the_end(clock: Clock) -> None:
-    with pytest.raises(OSError, match="planted"):
-        retry_while_transient_blocking(failing(10_000, errno.EMFILE))
+def test_a_persistent_transient_error_is_raised_after_the_time_limit(clock: Clock) -> None:
+    with pytest.raises(OSError, match="injected"):
+        retry_while_transient_blocking(failing_call(10_000, errno.EMFILE))
     assert RETRY_TIMEOUT_S <= clock.now_s - 100.0 <= RETRY_TIMEOUT_S + 2 * RETRY_DELAY_S
 
 
 @on_loop
-async def test_on_an_event_loop_the_same_rule_holds() -> None:
-    assert await transient_errors.retry_while_transient(failing(2, errno.EMFILE)) == "made"
-    with pytest.raises(OSError, match="planted"):
-        await transient_errors.retry_while_transient(failing(1, errno.EACCES))
+async def test_the_asynchronous_retry_follows_the_same_rules() -> None:
+    assert await transient_errors.retry_while_transient(failing_call(2, errno.EMFILE)) == "made"
+    with pytest.raises(OSError, match="injected"):
+        await transient_errors.retry_while_transient(failing_call(1, errno.EACCES))
