--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -27,10 +27,10 @@
         if in_flight is None:
             return
         remaining_us = in_flight.remaining_us(now_us())
-        wait_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
+        timeout_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
         # The attempt is added before it is started, because it may end before `begin` returns.
         number = in_flight.add_attempt(self._servers.new_attempt_record(action.server))
-        denial = self._denial(in_flight, action.server, number, wait_us)
+        denial = self._denial(in_flight, action.server, number, timeout_us)
         if denial is not None:
             context.record_denial(action.request, denial)
             context.post(lambda: self._not_sent(action, number))
@@ -38,7 +38,7 @@
         in_flight.attempts_in_flight += 1
         observer = GatewayAttemptObserver(context, in_flight, number, action.begin_by_us)
         in_flight.attempts[number] = context.upstream.begin(
-            in_flight.request, action.server, wait_us, observer
+            in_flight.request, action.server, timeout_us, observer
         )
 
     def cancel(self, action: Cancel) -> None:
@@ -50,7 +50,7 @@
                 self._context.upstream.cancel(attempt)
 
     def _denial(
-        self, in_flight: InFlightRequest, server: int, number: int, wait_us: int
+        self, in_flight: InFlightRequest, server: int, number: int, timeout_us: int
     ) -> DenialReason | None:
         """Return the reason why an attempt may not be started; None if it may.
 
@@ -64,7 +64,7 @@
         if body is not None and (body.forwarding_started or body.is_aborted):
             return DenialReason.BODY_CONSUMED
         state = ServerState.SERVING if server in context.upstream.listed else ServerState.NOT_LISTED
-        denial = may_send(in_flight.is_finished, wait_us, state, lambda: False)
+        denial = may_send(in_flight.is_finished, timeout_us, state, lambda: False)
         if denial is not None:
             return denial
         request_class = settings.classes[in_flight.request.class_index]
--- a/sagetrack/core/context.py
+++ b/sagetrack/core/context.py
@@ -10,7 +10,7 @@
 from sagetrack.core.in_flight import InFlightRequests
 from sagetrack.core.interfaces import Recorder, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
-from sagetrack.core.metrics import Metrics, ReasonCounter
+from sagetrack.core.metrics import LabeledCounter, Metrics
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.policy.settings import Settings
 
@@ -41,9 +41,9 @@
     metrics: Metrics
     trace: EventTrace
     violations: InvariantViolations
-    denials: ReasonCounter
-    outcomes: ReasonCounter
-    rejections: ReasonCounter
+    denials: LabeledCounter
+    outcomes: LabeledCounter
+    rejections: LabeledCounter
     endpoint_source: EndpointSource | None = None
     recorder: Recorder | None = None
 
--- a/sagetrack/core/endpoints.py
+++ b/sagetrack/core/endpoints.py
@@ -41,7 +41,7 @@
         """Deliver the initial endpoint list, which is in the encoding of service discovery."""
         ...
 
-    def watch(self, on: bool) -> None:
+    def watch(self, enabled: bool) -> None:
         """Start or stop watching for changes."""
         ...
 
--- a/sagetrack/core/event_dispatcher.py
+++ b/sagetrack/core/event_dispatcher.py
@@ -48,23 +48,23 @@
         """Stop the dispatcher; events in the queue and events posted later are not handled."""
         self._is_closed = True
 
-    def post(self, event: LazyEvent) -> None:
+    def post(self, make_event: LazyEvent) -> None:
         """Queue an event, and process the queue unless a caller further up the stack already does so."""
-        self._queue.append(event)
+        self._queue.append(make_event)
         if self._is_dispatching:
             return
         self._is_dispatching = True
         try:
             while self._queue and not self._is_closed:
-                made = self._make(self._queue.popleft())
-                if made is not None:
-                    self._dispatch(made)
+                event = self._make_event(self._queue.popleft())
+                if event is not None:
+                    self._dispatch(event)
         finally:
             self._is_dispatching = False
 
-    def _make(self, event: LazyEvent) -> Event | None:
+    def _make_event(self, make_event: LazyEvent) -> Event | None:
         try:
-            return event()
+            return make_event()
         except Exception:  # noqa: BLE001 events queued after it would be delayed until the next post
             self._violations.record(Invariant.NO_HANDLER_ERROR, "event", traceback.format_exc())
             return None
--- a/sagetrack/core/gateway.py
+++ b/sagetrack/core/gateway.py
@@ -21,7 +21,7 @@
 from sagetrack.core.in_flight import InFlightRequest, InFlightRequests
 from sagetrack.core.interfaces import Recorder, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
-from sagetrack.core.metrics import Gauges, Metrics, ReasonCounter
+from sagetrack.core.metrics import Gauges, LabeledCounter, Metrics
 from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.core.server_list import ServerList
@@ -100,9 +100,9 @@
             metrics=self.metrics,
             trace=self.trace,
             violations=self.violations,
-            denials=ReasonCounter("withheld_total", "reason", (denial.value for denial in DenialReason)),
-            outcomes=ReasonCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome)),
-            rejections=ReasonCounter("refused_total", "reason", ()),
+            denials=LabeledCounter("withheld_total", "reason", (denial.value for denial in DenialReason)),
+            outcomes=LabeledCounter("attempts_total", "outcome", (outcome.value for outcome in Outcome)),
+            rejections=LabeledCounter("refused_total", "reason", ()),
         )
         for counts in (self.violations, context.denials, context.outcomes, context.rejections):
             self.metrics.metric_sources.append(counts.metric_values)
--- a/sagetrack/core/in_flight.py
+++ b/sagetrack/core/in_flight.py
@@ -8,7 +8,7 @@
 from sagetrack.core.event_dispatcher import PostEvent
 from sagetrack.core.event_trace import EventTrace, TraceEventKind
 from sagetrack.core.interfaces import Attempt, UpstreamPool
-from sagetrack.core.metrics import Counter
+from sagetrack.core.metrics import ClassCounter
 from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import AttemptRecord
 from sagetrack.policy.events import RequestCancelled
@@ -70,7 +70,7 @@
         """Yield the attempts that were started, including any added during the iteration."""
         return (attempt for attempt in self.attempts if attempt is not None)
 
-    def count_in(self, counter: Counter) -> None:
+    def count_in(self, counter: ClassCounter) -> None:
         """Increment the counter for the request's class, unless the request is mirrored and has no client."""
         if self.request.mirror_target < 0:
             counter.add(self.request.class_index)
--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -80,8 +80,10 @@
         """Return the start time in microseconds of each listed server; it identifies the incarnation."""
         ...
 
-    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Start an attempt that times out after `wait_us`; returns None if the server is not listed."""
+    def begin(
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
+    ) -> Attempt | None:
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         ...
 
     def cancel(self, attempt: Any) -> None:
--- a/sagetrack/core/invariants.py
+++ b/sagetrack/core/invariants.py
@@ -33,18 +33,25 @@
         self._trace = trace
         self.counts = dict.fromkeys(Invariant, 0)
 
-    def record(self, rule: Invariant, subject: str, detail: str) -> None:
+    def record(self, invariant: Invariant, subject: str, detail: str) -> None:
         """Count a violation, add it to the trace, and log it.
 
         Args:
-            rule: The violated invariant.
+            invariant: The violated invariant.
             subject: The id of the request, or the component that failed.
             detail: A description of the violation.
         """
-        self.counts[rule] += 1
-        self._trace.record(TraceEventKind.VIOLATION, subject, f"{rule.value}: {detail}")
-        log(f"invariant violated: {rule.value}: {detail}", "error", f"violation {rule.value}", call=subject)
+        self.counts[invariant] += 1
+        self._trace.record(TraceEventKind.VIOLATION, subject, f"{invariant.value}: {detail}")
+        log(
+            f"invariant violated: {invariant.value}: {detail}",
+            "error",
+            f"violation {invariant.value}",
+            call=subject,
+        )
 
     def metric_values(self) -> dict[str, float]:
         """Return the counts by metric name, including the label."""
-        return {f'violations_total{{rule="{rule.value}"}}': count for rule, count in self.counts.items()}
+        return {
+            f'violations_total{{rule="{invariant.value}"}}': count for invariant, count in self.counts.items()
+        }
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -12,7 +12,7 @@
 Gauges = Mapping[str, Callable[[], int]]
 
 
-class Counter:
+class ClassCounter:
     """A counter per request class, starting at 0 when the process starts."""
 
     __slots__ = ("by_class",)
@@ -25,7 +25,7 @@
         self.by_class[class_index] += 1
 
 
-class ReasonCounter:
+class LabeledCounter:
     """A counter per value of one label, such as the reason for a denial.
 
     Attributes:
@@ -36,18 +36,21 @@
 
     __slots__ = ("counts", "label", "name")
 
-    def __init__(self, name: str, label: str, reasons: Iterable[str]) -> None:
+    def __init__(self, name: str, label: str, label_values: Iterable[str]) -> None:
         self.name = name
         self.label = label
-        self.counts = dict.fromkeys(reasons, 0)
+        self.counts = dict.fromkeys(label_values, 0)
 
-    def add(self, reason: str) -> None:
+    def add(self, label_value: str) -> None:
         """Increment the count of this label value, which is added if it is new."""
-        self.counts[reason] = self.counts.get(reason, 0) + 1
+        self.counts[label_value] = self.counts.get(label_value, 0) + 1
 
     def metric_values(self) -> dict[str, float]:
         """Return the counts by metric name, including the label."""
-        return {f'{self.name}{{{self.label}="{reason}"}}': count for reason, count in self.counts.items()}
+        return {
+            f'{self.name}{{{self.label}="{label_value}"}}': count
+            for label_value, count in self.counts.items()
+        }
 
 
 class Metrics:
@@ -67,10 +70,10 @@
         self.classes = list(classes)
         self.gauges = gauges
         self.metric_sources: list[Callable[[], Mapping[str, float]]] = []
-        self.answered = Counter(len(classes))
-        self.deferred = Counter(len(classes))
-        self.errored = Counter(len(classes))
-        self.sends = Counter(len(classes))
+        self.answered = ClassCounter(len(classes))
+        self.deferred = ClassCounter(len(classes))
+        self.errored = ClassCounter(len(classes))
+        self.sends = ClassCounter(len(classes))
 
     def render(self) -> str:
         """Return the metrics as text, one line per value."""
--- a/sagetrack/core/transient_errors.py
+++ b/sagetrack/core/transient_errors.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-TRANSIENT = frozenset(
+TRANSIENT_ERRNOS = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -29,7 +29,7 @@
 
 def is_transient(error: OSError) -> bool:
     """Return whether the same call may succeed a moment later."""
-    return error.errno in TRANSIENT
+    return error.errno in TRANSIENT_ERRNOS
 
 
 def require_sockets(server: asyncio.Server) -> asyncio.Server:
--- a/sagetrack/discovery/call_history.py
+++ b/sagetrack/discovery/call_history.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.log import log
-from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.metrics import LabeledCounter
 from sagetrack.discovery.endpoint_parsing import EndpointListUpdate
 
 OVERLOAD_STATUSES = (429, 503)  # discovery can be reached, and has too many calls
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self.counts = ReasonCounter("discovery_calls_total", "outcome", ())
+        self.counts = LabeledCounter("discovery_calls_total", "outcome", ())
         self.last_failed = False
         self.no_list_since_failure = True
         self._failing_since_us: int | None = None  # the first of the calls in a row that have failed
--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from sagetrack.core.log import log
-from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.metrics import LabeledCounter
 
 BACKLOG = 1024  # connections that may wait to be accepted
 ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
@@ -34,7 +34,7 @@
         self.listener: socket.socket | None = None
         self.pending: set[asyncio.Task[object]] = set()  # accepted, not yet connections
         self.exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
-        self.errors = ReasonCounter("accept_errors_total", "error", ())
+        self.errors = LabeledCounter("accept_errors_total", "error", ())
 
     def start(self, listener: socket.socket) -> None:
         """Accept connections on this socket, which listens."""
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -7,7 +7,7 @@
 from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.invariants import Invariant
-from sagetrack.core.metrics import ReasonCounter
+from sagetrack.core.metrics import LabeledCounter
 from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import CloseReason
 
@@ -28,7 +28,7 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
-        self.counts = ReasonCounter("client_closes_total", "reason", ())
+        self.counts = LabeledCounter("client_closes_total", "reason", ())
 
     def note(
         self,
