--- a/sagetrack/core/drain.py
+++ b/sagetrack/core/drain.py
@@ -16,7 +16,7 @@
 EXIT_MARGIN_S = 0.2  # part of the kill grace reserved for sending the last responses and exiting
 SHUTDOWN_ACCEPT_S = 0.7  # accept connections this long after SIGTERM; new ones arrive for up to 0.4 s
 SHUTDOWN_INCOMPLETE_WAIT_S = 1.0  # wait this long after SIGTERM for partially received requests to complete
-# For the following delays, connections are closed only after a response that announces the close.
+# Until these delays have passed, a connection is closed only after a response that announces the close.
 SHUTDOWN_IDLE_DELAY_S = 0.5  # delay after SIGTERM
 STANDBY_IDLE_DELAY_S = 1.2  # delay after the `standby` command; a connection still idle then is hardly in use
 
