--- a/sagetrack/core/interfaces.py
+++ b/sagetrack/core/interfaces.py
@@ -115,10 +115,10 @@
 class Recorder(Protocol):
     """Records attempts and events in the durable store, if one is configured."""
 
-    def attempt(self, class_index: int, outcome: str, latency_us: int, good: bool) -> None:
+    def record_attempt(self, class_index: int, outcome: str, latency_us: int, succeeded: bool) -> None:
         """Record an attempt that has ended."""
         ...
 
-    def event(self, line: str) -> None:
+    def record_event(self, line: str) -> None:
         """Record a line about the gateway or its servers."""
         ...
--- a/sagetrack/core/processes.py
+++ b/sagetrack/core/processes.py
@@ -9,12 +9,12 @@
     """The other processes of the same gateway on this machine.
 
     Attributes:
-        running_count: Number of other processes that are running.
-        serving_count: Number of those that accept clients.
+        sibling_count: Number of other processes that are running.
+        serving_sibling_count: Number of those that accept clients.
     """
 
-    running_count: int
-    serving_count: int
+    sibling_count: int
+    serving_sibling_count: int
 
     def refresh(self) -> None:
         """Update the counts of the other processes."""
@@ -36,8 +36,8 @@
 class NoSiblings:
     """Implementation for a gateway without hot restart, where no other process exists."""
 
-    running_count = 0
-    serving_count = 0
+    sibling_count = 0
+    serving_sibling_count = 0
 
     def refresh(self) -> None:
         """Do nothing; the counts are always 0."""
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -350,7 +350,7 @@
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
-        listener = run.instance.listeners.grpc
+        listener = run.instance.protocol_listeners.grpc
         assert listener is not None
         address = listener.servers[0].sockets[0].getsockname()
         client.pools.put(Endpoint("g", ("127.0.0.1", address[1]), ListedServer(1, started_us=1)))
