--- a/sagetrack/core/attempt_observer.py
+++ b/sagetrack/core/attempt_observer.py
@@ -75,7 +75,7 @@
         )
 
     def on_first_byte(self) -> None:
-        """Record that the first byte of the request is sent in this turn of the event loop."""
+        """Record that the first byte of the request is sent in this iteration of the event loop."""
         self._in_flight.attempt_records[self._number].first_byte_us = now_us()
 
     def on_request_sent(self) -> None:
--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -1,6 +1,6 @@
 """Service discovery time limits, derived from the grace period that the settings specify.
 
-Nothing here reads a clock.
+This module does not read a clock; it supplies the limits that other modules enforce.
 
 Derivation of the time limits
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -32,7 +32,7 @@
     assert drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S, 0.0, True)
     assert (
         STANDBY_IDLE_DELAY_S + FIRST_REQUEST_TIMEOUT_S < 2.0
-    )  # what comes on one is 2 s old when 4 s are over
+    )  # a request on such a connection arrives by then, and is at least 2 s old 4 s after `standby`
     drain.begin_shutdown(200.0)
     assert not drain.may_close_idle(200.0, 0.0, True)
     assert drain.may_close_idle(200.0 + SHUTDOWN_IDLE_DELAY_S, 0.0, True)
@@ -45,7 +45,7 @@
     assert drain.may_close_idle(101.0, 101.0 - FIRST_REQUEST_TIMEOUT_S, False)
 
 
-def test_the_answer_cutoff_is_before_the_kill_and_follows_the_settings() -> None:
+def test_the_response_cutoff_precedes_the_kill_and_follows_the_settings() -> None:
     for longest_s, kill_s in ((0.4, 1.1), (1.67, 2.37), (5.0, 3.7)):
         drain = Drain(longest_s)
         drain.begin_shutdown(10.0)
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -96,7 +96,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_never_ran() -> None:
+async def test_a_refused_connection_is_reported_as_a_connect_failure() -> None:
     async with running(configuration(CLOSED_PORT)) as run:
         ended = outcomes(run)
         assert (await run.ask(request("transfer"))).status == 503
@@ -278,7 +278,7 @@
 
 
 @on_loop
-async def test_an_attempt_past_its_deadline_is_not_sent() -> None:
+async def test_an_attempt_at_an_unlisted_server_is_not_sent() -> None:
     from sagetrack.policy.actions import SendAttempt
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -100,16 +100,16 @@
         run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         assert (await run.ask(request())).status == 200
         await rested(run)  # an idle upstream connection exists, so that nothing would delay a request
-        for class_index in ("search", "transfer"):
+        for class_name in ("search", "transfer"):
             with socket.create_connection(("127.0.0.1", run.port)) as client:
-                client.sendall(request(class_index))
+                client.sendall(request(class_name))
         await until(lambda: arrived == 3 and not run.server.connections)
         await wait_until_idle(run)
         assert len(upstream.exchanges) == 1
 
 
 @on_loop
-async def test_a_disconnect_in_the_turn_in_which_the_upstream_connection_opens() -> None:
+async def test_a_disconnect_in_the_iteration_in_which_the_upstream_connection_opens() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         delayed = Late(run)
         client = await run.connect()
@@ -210,10 +210,10 @@
             client, connection = await pipelining_client(run, "search")
             await until(lambda: one.exchanges or other.exchanges)
             (first,) = one.exchanges + other.exchanges
-            (held,) = run.gateway.in_flight.values()
+            (pending,) = run.gateway.in_flight.values()
             await disconnect(client, connection)
             await timers.fire_until_second_attempt()
-            assert len(held.attempts) == 2 and held.is_finished
+            assert len(pending.attempts) == 2 and pending.is_finished
             first.answer(reply())
             await wait_until_idle(run)
             assert len(one.exchanges + other.exchanges) == 1
@@ -237,7 +237,7 @@
                 clients.append(await run.connect())
                 clients[-1].send(request("transfer"))
                 await until(lambda: len(run.gateway.in_flight) == len(clients))
-                started = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
+                started = sum(pending.attempts_in_flight for pending in run.gateway.in_flight.values())
                 await until(lambda started=started: len(upstream.exchanges) == started)  # type: ignore[misc]
             clients.pop().close()
             await until(lambda: len(run.gateway.in_flight) == len(clients))
@@ -391,7 +391,7 @@
         for n in range(1, 100):
             send_request(client, request_head(n), b"x")
         await until(lambda: len(run.gateway.in_flight) == 100 and delayed.held)
-        started = sum(held.attempts_in_flight for held in run.gateway.in_flight.values())
+        started = sum(pending.attempts_in_flight for pending in run.gateway.in_flight.values())
         await until(lambda: len(delayed.held) == started)
         (connection,) = listener.connections
         assert len(connection.streams) == 100
