--- a/sagetrack/core/attempt_starter.py
+++ b/sagetrack/core/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Starts the attempts that the load balancer chooses, unless a rule forbids it."""
+"""Starts the attempts that the load balancer chooses, unless a send rule forbids it."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
         self._servers = servers
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt; one that a rule forbids is reported to the load balancer as not sent."""
+        """Start an attempt; if a send rule forbids it, report it to the load balancer as not sent."""
         context = self._context
         in_flight = context.in_flight.get(action.request)
         if in_flight is None:
             return
         remaining_us = in_flight.remaining_us(now_us())
-        wait_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
-        # Added first: the attempt may end before `begin` returns.
+        timeout_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
+        # The attempt is added before it is started, because it may end before `begin` returns.
         number = in_flight.add_attempt(self._servers.new_attempt_record(action.server))
-        denial = self._denial(in_flight, action.server, number, wait_us)
+        denial = self._denial(in_flight, action.server, number, timeout_us)
         if denial is not None:
-            context.note_denial(action.request, denial)
+            context.record_denial(action.request, denial)
             context.post(lambda: self._not_sent(action, number))
             return
         in_flight.attempts_in_flight += 1
         observer = GatewayAttemptObserver(context, in_flight, number, action.begin_by_us)
         in_flight.attempts[number] = context.upstream.begin(
-            in_flight.request, action.server, wait_us, observer
+            in_flight.request, action.server, timeout_us, observer
         )
 
     def cancel(self, action: Cancel) -> None:
@@ -50,9 +50,12 @@
                 self._context.upstream.cancel(attempt)
 
     def _denial(
-        self, in_flight: InFlightRequest, server: int, number: int, wait_us: int
+        self, in_flight: InFlightRequest, server: int, number: int, timeout_us: int
     ) -> DenialReason | None:
-        """Return why an attempt may not be started; an unsafe retry is noted as a violation."""
+        """Return the reason why an attempt may not be started; None if it may.
+
+        An unsafe retry is recorded as an invariant violation.
+        """
         context = self._context
         settings = context.settings
         if number >= settings.max_attempts:
@@ -61,7 +64,7 @@
         if body is not None and (body.forwarding_started or body.is_aborted):
             return DenialReason.BODY_CONSUMED
         state = ServerState.SERVING if server in context.upstream.listed else ServerState.NOT_LISTED
-        denial = may_send(in_flight.is_finished, wait_us, state, lambda: False)
+        denial = may_send(in_flight.is_finished, timeout_us, state, lambda: False)
         if denial is not None:
             return denial
         request_class = settings.classes[in_flight.request.class_index]
@@ -69,7 +72,7 @@
         denial = may_retry(settings, request_class, records[number], records, now_us())
         if denial is not None:
             detail = f"{denial.value} at server {server}"
-            context.violations.note(Invariant.RETRIES_ARE_SAFE, in_flight.request.id, detail)
+            context.violations.record(Invariant.RETRIES_ARE_SAFE, in_flight.request.id, detail)
         return denial
 
     def _not_sent(self, action: SendAttempt, number: int) -> Event:
--- a/sagetrack/core/metrics.py
+++ b/sagetrack/core/metrics.py
@@ -1,7 +1,7 @@
-"""Exported metrics: counters by request class, gauges computed on demand, and their text form.
+"""Exported metrics: counters by request class, gauges computed on demand, and the text format.
 
-A counter is raised by whoever brings about what it counts, at the one place where that happens. Metrics are
-independent of the protocol that a request came by.
+Each counter is incremented in exactly one place, by the code that causes the counted event. Metrics do not
+depend on the protocol of a request.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 Gauges = Mapping[str, Callable[[], int]]
 
 
-class Counter:
-    """One count for each request class since the start of the process."""
+class ClassCounter:
+    """A counter per request class, starting at 0 when the process starts."""
 
     __slots__ = ("by_class",)
 
@@ -21,33 +21,36 @@
         self.by_class = [0] * classes
 
     def add(self, class_index: int) -> None:
-        """Count one more of this class."""
+        """Increment the count of this class."""
         self.by_class[class_index] += 1
 
 
-class ReasonCounter:
-    """A count for each value of one label, such as the reason of a denial.
+class LabeledCounter:
+    """A counter per value of one label, such as the reason for a denial.
 
     Attributes:
-        name: The metric's name, without prefix.
-        label: The label's name.
-        counts: The counts by label value, in the order in which they are exported.
+        name: The metric name without the common prefix.
+        label: The label name.
+        counts: The counts by label value, in the order of export.
     """
 
     __slots__ = ("counts", "label", "name")
 
-    def __init__(self, name: str, label: str, reasons: Iterable[str]) -> None:
+    def __init__(self, name: str, label: str, label_values: Iterable[str]) -> None:
         self.name = name
         self.label = label
-        self.counts = dict.fromkeys(reasons, 0)
+        self.counts = dict.fromkeys(label_values, 0)
 
-    def add(self, reason: str) -> None:
-        """Count one more; a reason that was not listed at the start is added."""
-        self.counts[reason] = self.counts.get(reason, 0) + 1
+    def add(self, label_value: str) -> None:
+        """Increment the count of this label value, which is added if it is new."""
+        self.counts[label_value] = self.counts.get(label_value, 0) + 1
 
-    def figures(self) -> dict[str, float]:
-        """Return the counts by metric name and label."""
-        return {f'{self.name}{{{self.label}="{reason}"}}': count for reason, count in self.counts.items()}
+    def metric_values(self) -> dict[str, float]:
+        """Return the counts by metric name, including the label."""
+        return {
+            f'{self.name}{{{self.label}="{label_value}"}}': count
+            for label_value, count in self.counts.items()
+        }
 
 
 class Metrics:
@@ -55,25 +58,25 @@
 
     Attributes:
         classes: The names of the request classes.
-        gauges: Functions that compute a value, by metric name.
-        extra_figures: Functions of optional parts that return values by metric name, in order of export.
-        answered: Requests with a complete response.
-        deferred: Requests that were rejected.
-        errored: Requests that have failed.
-        sends: Attempts of which the whole request was sent.
+        gauges: Functions that compute the gauge values, by metric name.
+        metric_sources: Functions that return further values by metric name, in the order of export.
+        answered: Counts requests that received a complete response.
+        deferred: Counts requests that were rejected.
+        errored: Counts requests that failed.
+        sends: Counts attempts whose request was sent completely.
     """
 
     def __init__(self, classes: Sequence[str], gauges: Gauges) -> None:
         self.classes = list(classes)
         self.gauges = gauges
-        self.extra_figures: list[Callable[[], Mapping[str, float]]] = []
-        self.answered = Counter(len(classes))
-        self.deferred = Counter(len(classes))
-        self.errored = Counter(len(classes))
-        self.sends = Counter(len(classes))
+        self.metric_sources: list[Callable[[], Mapping[str, float]]] = []
+        self.answered = ClassCounter(len(classes))
+        self.deferred = ClassCounter(len(classes))
+        self.errored = ClassCounter(len(classes))
+        self.sends = ClassCounter(len(classes))
 
     def render(self) -> str:
-        """Return one line for each metric."""
+        """Return the metrics as text, one line per value."""
         counters = {
             "answered_total": self.answered,
             "deferred_total": self.deferred,
@@ -87,7 +90,7 @@
         ]
         lines += [f"{PREFIX}{name} {gauge()}" for name, gauge in self.gauges.items()]
         lines += [
-            f"{PREFIX}{name} {value}" for figures in self.extra_figures for name, value in figures().items()
+            f"{PREFIX}{name} {value}" for source in self.metric_sources for name, value in source().items()
         ]
         return "".join(f"{line}\n" for line in lines)
 
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -10,10 +10,10 @@
 from sagetrack.core.bodies import BodyMemoryBudget
 from sagetrack.core.drain import SHUTDOWN_ACCEPT_S, Drain
 from sagetrack.core.endpoints import EndpointSource
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.processes import NoSiblings, SiblingProcesses
-from sagetrack.core.send_rules import CloseReason, may_take_clients
+from sagetrack.core.send_rules import CloseReason, may_accept_clients
 from sagetrack.http1.acceptor import BACKLOG, Acceptor
 from sagetrack.http1.client_closes import DRAINED
 from sagetrack.http1.connection_pool import ConnectionPools
@@ -47,7 +47,10 @@
         self.describe_peers: Callable[[], list[str]] = lambda: ["messages between gateways are off"]
         self.sweeper: asyncio.TimerHandle | None = None
         self.drainer: asyncio.TimerHandle | None = None
-        gateway.metrics.extra_figures += [self.acceptor.errors.figures, self.context.closes.counts.figures]
+        gateway.metrics.metric_sources += [
+            self.acceptor.errors.metric_values,
+            self.context.closes.counts.metric_values,
+        ]
         pools.on_descriptor_needed(self.descriptors.reclaim_for_upstream)
 
     def prepare(self, source: EndpointSource) -> None:
@@ -68,7 +71,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this process accepts clients and can serve them."""
-        return may_take_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
+        return may_accept_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
 
     @property
     def is_listening(self) -> bool:
@@ -121,7 +124,7 @@
     def standby(self) -> bool:
         """Begin a drain, which lasts until `active`; False during a shutdown."""
         begun = self.drain.begin_standby(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         if begun and self.drainer is None:
             self.close_idle()
         return begun
@@ -129,7 +132,7 @@
     def active(self) -> bool:
         """End a drain; False during a shutdown."""
         ended = self.drain.end_standby(asyncio.get_running_loop().time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         return ended
 
     # Shutdown
@@ -142,8 +145,8 @@
         """
         loop = asyncio.get_running_loop()
         self.drain.begin_shutdown(loop.time())
-        self.gateway.trace.note(Step.STATE_CHANGED, "process", self.drain.phase.value)
-        self.gateway.shut_down_within(self.drain.answer_cutoff_s - loop.time())
+        self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
+        self.gateway.shut_down_within(self.drain.response_cutoff_s - loop.time())
         self.siblings.mark_draining()
         self.siblings.refresh()
         if self.siblings.serving_sibling_count:
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -242,7 +242,7 @@
         self._post(ObservationsReceived(tuple(observations), decode_latencies(response.classes)))
 
     def _on_change(self, member: int, state: MemberState) -> None:
-        log(f"peer {member}: {state.name.lower()}", kind="peer")
+        log(f"peer {member}: {state.name.lower()}", rate_limit_key="peer")
         self._post(FleetSizeChanged(self.membership.alive))
 
     # For operators
