--- a/sagetrack/peers/__init__.py
+++ b/sagetrack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between gateways: membership, gossip of demand, warm starts, and the hand-over at a restart."""
+"""Communication between gateways: membership, demand gossip, warm start, hand-over at a hot restart."""
--- a/sagetrack/peers/codec.py
+++ b/sagetrack/peers/codec.py
@@ -1,8 +1,9 @@
-"""Datagrams between gateways: at most 256 bytes, with a version and a checksum; unreadable ones are rejected.
+"""Encoding of the UDP datagrams that gateways exchange.
 
-A datagram is one byte of version, four of CRC-32 (as in ISO 3309, by zlib) over what follows it, and a
-MessagePack array: sender, its incarnation, and messages. Each message is an array that begins with its type's
-number. Names are not on the wire: the order of fields and the tags are the format.
+A datagram has at most 256 bytes: one byte of version, a CRC-32 of the body (as in ISO 3309, by zlib) in four
+bytes, and the body, a MessagePack array of the sender, its incarnation and a list of messages. Each message
+is an array that begins with the tag of its type. Field names are not on the wire: the order of the fields and
+the tags define the format. A datagram that cannot be decoded is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -21,14 +22,17 @@
 VERSION_BYTES = 1
 CHECKSUM_BYTES = 4
 HEADER_BYTES = VERSION_BYTES + CHECKSUM_BYTES
-ENVELOPE_BYTES = 16  # at most, of sender, incarnation and the beginnings of arrays
+ENVELOPE_BYTES = 16  # upper bound for the sender, the incarnation and the array headers
 MemberId = Annotated[int, Meta(ge=0, le=65_535)]
 NonNegative = Annotated[int, Meta(ge=0, le=2**62)]
 UInt8 = Annotated[int, Meta(ge=0, le=255)]
 
 
 class Ping(msgspec.Struct, tag=1, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Asks `target` for an acknowledgement; a member that has another's address does not answer for it."""
+    """Requests an acknowledgement from `target`.
+
+    A process that runs at the address of another member does not acknowledge a ping of that member.
+    """
 
     sequence: NonNegative
     target: MemberId
@@ -42,27 +46,27 @@
 
 
 class PingRequest(msgspec.Struct, tag=3, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Asks the receiver for an indirect ping of `target` (SWIM's ping-req)."""
+    """Asks the receiver to ping `target` on behalf of the sender (SWIM's ping-req)."""
 
     sequence: NonNegative
     target: MemberId
 
 
 class Nack(msgspec.Struct, tag=4, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Says that an indirect ping of `target` has not been acknowledged yet (Lifeguard)."""
+    """Reports that an indirect ping of `target` has not been acknowledged yet (Lifeguard)."""
 
     sequence: NonNegative
     target: MemberId
 
 
 class Update(msgspec.Struct, tag=5, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Says that a member is alive (0), suspected (1) or dead (2) in an incarnation.
+    """Announces the state of a member in one of its incarnations.
 
     Attributes:
-        member: The member that it is about.
-        state: A `MemberState`.
-        incarnation: The incarnation that it is about.
-        reporter: The member that suspects it, or has declared it dead.
+        member: The member whose state is announced.
+        state: The `MemberState`: alive (0), suspected (1) or dead (2).
+        incarnation: The incarnation of the member to which the state applies.
+        reporter: The member that suspects `member` or has declared it dead.
     """
 
     member: MemberId
@@ -72,23 +76,23 @@
 
 
 class WarmStartRequest(msgspec.Struct, tag=6, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Asks for what the receiver has observed of servers, as the sender has just started."""
+    """Requests the receiver's observations of servers; sent by a gateway that has just started."""
 
     request_id: NonNegative
 
 
 class ServerEntry(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The sender's own observation of one server, in units that keep it under 20 bytes.
+    """The sender's own observation of one server, in units that keep the entry under 20 bytes.
 
     Attributes:
-        server: The server's id.
-        start_id: The lowest 24 bits of its start, in milliseconds and distinguishes its incarnations.
-        state: Of its circuit breaker: closed, open, half-open.
-        overloaded: Whether it is.
-        weight: In hundredths.
-        cooldown: Left of its circuit breaker's, in tenths of a second.
-        age: Since it was observed, in hundredths of a second.
-        slow_start_used: Work done while it is warming up, in milliseconds.
+        server: Id of the server.
+        start_id: Start time of the server in milliseconds, modulo 2**24; distinguishes its incarnations.
+        state: State of the circuit breaker for the server: closed, open or half-open.
+        overloaded: Whether the server is overloaded.
+        weight: Load-balancing weight of the server, in hundredths.
+        cooldown: Time until the circuit breaker leaves the open state, in tenths of a second.
+        age: Time since the observation was made, in hundredths of a second.
+        slow_start_used: Work that the server has done during its slow start, in milliseconds.
     """
 
     server: Annotated[int, Meta(ge=0, le=2**62)]
@@ -105,7 +109,7 @@
     """Latencies of one request class, in tenths of a millisecond.
 
     Attributes:
-        class_index: The class's number.
+        class_index: Index of the request class.
         smoothed: Smoothed latency.
         baseline: Latency without queueing.
     """
@@ -116,13 +120,13 @@
 
 
 class WarmStartResponse(msgspec.Struct, tag=7, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One part of the response to a `WarmStartRequest`; of use without the others.
+    """One part of the response to a `WarmStartRequest`; each part can be used without the others.
 
     Attributes:
-        request_id: The request's.
-        part: Which part this is, from 0.
-        parts: How many there are.
-        classes: Latencies by request class.
+        request_id: Id of the request.
+        part: Index of this part, from 0.
+        parts: Number of parts of the response.
+        classes: Latencies of request classes.
         servers: Observations of servers.
     """
 
@@ -134,10 +138,10 @@
 
 
 class DemandGossip(msgspec.Struct, tag=8, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The demand of tenants at the sender of late.
+    """The recent demand of tenants at the sender.
 
     Attributes:
-        demands: A tenant's index, and milliseconds of work for a second.
+        demands: Pairs of the index of a tenant and its demand, in milliseconds of work per second.
     """
 
     demands: Annotated[list[tuple[MemberId, Annotated[int, Meta(ge=0, lt=2**32)]]], Meta(max_length=24)]
@@ -150,9 +154,9 @@
     """The content of one datagram.
 
     Attributes:
-        sender: The member that sends it.
-        incarnation: The sender's incarnation.
-        messages: What it says.
+        sender: Number of the member that sends the datagram.
+        incarnation: Incarnation of the sender.
+        messages: Messages to the receiver.
     """
 
     sender: MemberId
@@ -165,42 +169,42 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """Return the bytes of a datagram.
+    """Encode a datagram.
 
     Raises:
-        CodecError: They are more than `DATAGRAM_LIMIT`.
+        CodecError: The encoded datagram is larger than `DATAGRAM_LIMIT`.
     """
     body = _encoder.encode(datagram)
     if len(body) + HEADER_BYTES > DATAGRAM_LIMIT:
         size = len(body) + HEADER_BYTES
-        raise CodecError(f"datagram of {size} bytes; at most {DATAGRAM_LIMIT} are allowed")
+        raise CodecError(f"datagram too large: {size} bytes, at most {DATAGRAM_LIMIT} are allowed")
     return bytes((VERSION,)) + zlib.crc32(body).to_bytes(CHECKSUM_BYTES) + body
 
 
 def encoded_size(messages: Iterable[Message]) -> int:
-    """Return how many bytes a datagram with these messages has at the most."""
+    """Return an upper bound for the size in bytes of a datagram with these messages."""
     return HEADER_BYTES + ENVELOPE_BYTES + sum(len(_encoder.encode(message)) for message in messages)
 
 
 def encoded_entry_size(entry: LatencyEntry | ServerEntry) -> int:
-    """Return how many bytes of a datagram an entry takes."""
+    """Return the size in bytes of an entry within a datagram."""
     return len(_encoder.encode(entry))
 
 
 def decode(data: bytes) -> Datagram:
-    """Read a datagram.
+    """Decode a datagram; any sequence of bytes may be passed.
 
     Raises:
-        CodecError: These bytes, whatever they are, are no complete datagram of this version.
+        CodecError: The bytes are not a complete and valid datagram of this version.
     """
     if not HEADER_BYTES < len(data) <= DATAGRAM_LIMIT:
-        raise CodecError(f"datagram of {len(data)} bytes; {HEADER_BYTES + 1} to {DATAGRAM_LIMIT} are allowed")
+        raise CodecError(f"datagram of {len(data)} bytes, {HEADER_BYTES + 1} to {DATAGRAM_LIMIT} are allowed")
     if data[0] != VERSION:
-        raise CodecError(f"datagram of version {data[0]}; {VERSION} is read here")
+        raise CodecError(f"datagram version {data[0]} is not supported, expected {VERSION}")
     body = data[HEADER_BYTES:]
     if zlib.crc32(body) != int.from_bytes(data[VERSION_BYTES:HEADER_BYTES]):
-        raise CodecError("datagram with a wrong checksum")
+        raise CodecError("datagram checksum mismatch")
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise CodecError(f"datagram of unknown content: {error}") from None
+        raise CodecError(f"datagram body is malformed: {error}") from None
--- a/sagetrack/peers/demand_gossip.py
+++ b/sagetrack/peers/demand_gossip.py
@@ -1,8 +1,7 @@
-"""The demand of tenants at this gateway, gossiped to a few others each second.
+"""Gossip of tenant demand: each gateway sends its own demand to a few random peers every second.
 
-Quotas are to hold for all gateways together: each sends its tenants' demand to a few others drawn at random,
-and extrapolates from what it receives to all. So a gateway sends the same few datagrams in a fleet of any
-size.
+Tenant quotas apply to all gateways together. Each gateway extrapolates from the demand that it receives to
+the whole fleet, so the number of datagrams that it sends does not depend on the size of the fleet.
 """
 
 from __future__ import annotations
@@ -13,28 +12,31 @@
 from sagetrack.peers.codec import DemandGossip
 
 INTERVAL_US = 1_000_000
-FANOUT = 6  # gateways that it is sent to each time
-MAX_DEMANDS = 24  # tenants that fit into a datagram, those of the highest demand
-LEAST_DEMAND_US = 1000  # of work for a second; less is not sent
+FANOUT = 6  # gateways that receive the demand in each interval
+MAX_DEMANDS = 24  # tenants per datagram; those with the highest demand are sent
+MIN_DEMAND_US = 1000  # work per second; lower demand is not sent
 
 
 def demand_message(demands: Sequence[float]) -> DemandGossip | None:
-    """Return the message, or None if there is no demand.
+    """Return the message that carries the highest demands, or None if no tenant has demand.
 
     Args:
-        demands: Microseconds of work for a second, by tenant.
+        demands: Demand by tenant index, in microseconds of work per second.
     """
-    in_ms = ((int(us / 1000), tenant) for tenant, us in enumerate(demands) if us >= LEAST_DEMAND_US)
+    in_ms = ((int(us / 1000), tenant) for tenant, us in enumerate(demands) if us >= MIN_DEMAND_US)
     highest = sorted(in_ms, reverse=True)[:MAX_DEMANDS]
     return DemandGossip([(tenant, ms) for ms, tenant in highest]) if highest else None
 
 
 def decode_demands(message: DemandGossip, tenants: int) -> tuple[float, ...]:
-    """Return a message's demands, in microseconds by tenant; unknown tenants are ignored.
+    """Return the demands in a message by tenant index; tenants that are not configured here are ignored.
 
     Args:
-        message: As received.
-        tenants: How many tenants the settings have.
+        message: The message of a peer.
+        tenants: Number of tenants in the settings.
+
+    Returns:
+        Demand in microseconds of work per second.
     """
     demands = [0.0] * tenants
     for tenant, ms in message.demands:
@@ -44,28 +46,28 @@
 
 
 class DemandGossipSchedule:
-    """When to send the demand, and to whom.
+    """Schedules the transmissions of the demand and selects their targets.
 
     Attributes:
-        due_us: When it is to be sent next.
+        due_us: Time of the next transmission.
     """
 
-    def __init__(self, me: int, count: int, seed: int, now_us: int) -> None:
-        """Begin at a random time within the first interval.
+    def __init__(self, own_number: int, member_count: int, seed: int, now_us: int) -> None:
+        """Schedule the first transmission at a random time within the first interval.
 
         Args:
-            me: This gateway's number.
-            count: Gateways in all.
-            seed: Of the randomness.
-            now_us: The time.
+            own_number: Number of this gateway.
+            member_count: Number of gateways, including this one.
+            seed: Seed of the random number generator.
+            now_us: Current time.
         """
-        self._others = [number for number in range(count) if number != me]
+        self._others = [number for number in range(member_count) if number != own_number]
         self._random = random.Random(seed)
-        # Not all at the same time: a restart of many must not make their datagrams coincide.
+        # Spreads the datagrams of gateways that are restarted at the same time.
         self.due_us = now_us + int(self._random.random() * INTERVAL_US)
 
     def targets(self, now_us: int) -> list[int]:
-        """Return the gateways to send to now, none before it is due; the next interval begins."""
+        """Return the gateways to send to; empty before `due_us`, otherwise the next interval begins."""
         if now_us < self.due_us:
             return []
         self.due_us = now_us + INTERVAL_US
--- a/sagetrack/peers/dissemination.py
+++ b/sagetrack/peers/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of membership updates, piggybacked on pings and acknowledgements as in SWIM (section 4.1)."""
+"""Dissemination of membership updates, piggybacked on other membership messages as in SWIM (section 4.1)."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 
 class UpdateQueue:
-    """Members of which there is an update to pass on, with the transmissions of each so far."""
+    """Members with a pending update, and the number of transmissions of each update so far."""
 
     def __init__(self, current_update: Callable[[int], Update]) -> None:
-        """Begin empty.
+        """Create an empty queue.
 
         Args:
-            current_update: Returns what is believed of a member at the time of a transmission.
+            current_update: Returns the current update about a member; called at each transmission.
         """
         self._current_update = current_update
         self._transmissions: dict[int, int] = {}
 
     def enqueue(self, member: int) -> None:
-        """Pass on what is believed of this member, from now on as if it were new."""
+        """Queue an update about a member, or restart the count of its transmissions."""
         self._transmissions[member] = 0
 
     def piggyback(self, target: int, used: int, max_transmissions: int) -> Iterator[Update]:
         """Yield the updates that fit into a datagram, and count them as transmitted.
 
-        What concerns the target comes first, so that it can refute a suspicion soon (Lifeguard's buddy
-        system); then what was transmitted the fewest times.
+        An update about the target comes first, so that the target can refute a suspicion early (Lifeguard's
+        buddy system). The others follow in ascending order of their transmissions.
 
         Args:
-            target: The member that the datagram goes to.
-            used: Bytes of the datagram that are used already.
-            max_transmissions: An update is dropped after so many.
+            target: Receiver of the datagram.
+            used: Bytes of the datagram that are already in use.
+            max_transmissions: Number of transmissions after which an update leaves the queue.
         """
         transmissions = self._transmissions
-        waiting = sorted(transmissions, key=lambda member: (member != target, transmissions[member], member))
-        for member in waiting:
+        pending = sorted(transmissions, key=lambda member: (member != target, transmissions[member], member))
+        for member in pending:
             update = self._current_update(member)
             used += encoded_size([update]) - encoded_size([])
             if used > DATAGRAM_LIMIT:
@@ -49,5 +49,5 @@
 
 
 def max_transmissions(multiplier: float, log_size: float) -> int:
-    """Return how often an update is transmitted so that all members very likely receive it."""
+    """Return the number of transmissions after which very likely all members have received an update."""
     return math.ceil(multiplier * log_size)
--- a/sagetrack/peers/errors.py
+++ b/sagetrack/peers/errors.py
@@ -1,11 +1,11 @@
-"""Errors of this package."""
+"""Exceptions that this package raises."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """Base class of what goes wrong between gateways."""
+    """Base class for errors in the communication between gateways."""
 
 
 class CodecError(PeerError, ValueError):
-    """Bytes that are no datagram of this version, or messages that do not fit into one."""
+    """Received bytes are not a valid datagram, or messages do not fit into one datagram."""
--- a/sagetrack/peers/failure_detector.py
+++ b/sagetrack/peers/failure_detector.py
@@ -1,9 +1,10 @@
-"""SWIM's failure detector: pings, indirect pings and what follows from their outcome, without I/O.
+"""SWIM's failure detector: direct and indirect pings, without I/O.
 
-In each protocol period a member pings one other, in a shuffled round (SWIM, section 4.3). Without an
-acknowledgement it pings once more, then asks a few others for an indirect ping, and in the end reports that
-the target does not answer. From Lifeguard: a member that is asked and hears nothing says so (nack), and one
-that receives fewer acknowledgements and nacks than it should slows its own pings (local health, LHA-Probe).
+In each protocol period a member pings one other member, in the order of a shuffled list (SWIM, section 4.3).
+Without an acknowledgement it sends the ping once more, then asks a few other members for an indirect ping,
+and finally reports that the target is unresponsive. Two refinements are Lifeguard's: a helper whose indirect
+ping is not acknowledged sends a nack, and a member that receives fewer acknowledgements and nacks than
+expected lengthens its own timeouts and periods (local health, LHA-Probe).
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 from sagetrack.peers.probes import LocalHealth, Probe, RelayedPing
 from sagetrack.peers.settings import MembershipSettings
 
-RETURNED_PINGS = 4  # dead members that are pinged in a period once one has come back
-MAX_RELAYED_PINGS = 64  # pings for other members that are under way at a time
-SEQUENCE_BITS = 40  # of the first sequence number, which is random
+RETURNED_PINGS = 4  # dead members pinged per period after a dead member has returned
+MAX_RELAYED_PINGS = 64  # concurrent indirect pings on behalf of other members
+SEQUENCE_BITS = 40  # bits of the initial sequence number, which is random
 
 
 class SendMessage(Protocol):
-    """Sends a message, with updates piggybacked, unless the limit on datagrams forbids it."""
+    """Sends a message with piggybacked updates, unless the datagram rate limit is exceeded."""
 
     def __call__(self, now_us: int, target: int, message: Message, first: Message | None = None) -> None:
-        """Send `first`, if any, and then `message` to the target."""
+        """Send `message` to the target in one datagram, preceded by `first` if it is given."""
 
 
 class FailureDetector:
-    """Pings members in turn. Call `tick` no later than `next_us`, and hand in the answers.
+    """Pings members in turn. The caller calls `tick` at `next_us` and passes in the messages received.
 
     Attributes:
-        health: This member's local health.
+        health: Local health of this member.
     """
 
     def __init__(
@@ -46,16 +47,16 @@
         current_update: Callable[[int], Update],
         on_unanswered: Callable[[int, int], None],
     ) -> None:
-        """Begin with a ping at a random time within the first period.
+        """Schedule the first ping at a random time within the first period.
 
         Args:
-            table: What is believed of the other members.
-            settings: Parameters of membership.
-            rng: The source of randomness.
-            now_us: The time.
+            table: States of the other members.
+            settings: Parameters of the protocol.
+            rng: Random number generator.
+            now_us: Current time.
             send: Sends a message.
-            current_update: Returns the update that says what is believed of a member.
-            on_unanswered: Called with the time and a member that has not acknowledged in time.
+            current_update: Returns the update with the current state of a member.
+            on_unanswered: Called with the time and the member when a probe fails.
         """
         self.health = LocalHealth()
         self._table = table
@@ -67,13 +68,13 @@
         self._sequence = rng.getrandbits(SEQUENCE_BITS)
         self._next_ping_us = now_us + int(rng.random() * settings.period_us)
         self._probe: Probe | None = None
-        self._relayed: dict[int, RelayedPing] = {}  # by our sequence number
-        self._round: list[int] = []  # members that are still to be pinged in this round
-        self._maybe_returned: list[int] = []  # dead members that are pinged soon
+        self._relayed: dict[int, RelayedPing] = {}  # key: the sequence number of this member's ping
+        self._round: list[int] = []  # members not yet pinged in this round
+        self._maybe_returned: list[int] = []  # dead members to be pinged in the next periods
         self._periods = 0
 
     def next_us(self) -> int:
-        """Return when something is due."""
+        """Return the time at which `tick` is due."""
         due = [self._next_ping_us]
         if self._probe is not None:
             due.append(self._probe.next_us)
@@ -81,7 +82,7 @@
         return min(due)
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._expire_relayed(now_us)
         probe = self._probe
         if probe is not None:
@@ -91,7 +92,7 @@
             self._begin_period(now_us)
 
     def on_ack(self, now_us: int, sender: int, ack: Ack) -> None:
-        """Take in an acknowledgement, and pass it on if the ping was made for another member."""
+        """Process an acknowledgement, and forward it if the ping was sent on behalf of another member."""
         probe = self._probe
         if probe is not None and probe.sequence == ack.sequence and probe.target == ack.target:
             self._probe = None
@@ -101,12 +102,12 @@
             self._send(now_us, relayed.requester, Ack(relayed.requester_sequence, relayed.target))
 
     def on_nack(self, sender: int, nack: Nack) -> None:
-        """Take in that a helper was not answered either; as it reaches us, our own receiving is well."""
+        """Process a nack: the helper is reachable, so its silence does not count against the local health."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.unresponsive_helpers.discard(sender)
 
     def on_ping_request(self, now_us: int, requester: int, request: PingRequest) -> None:
-        """Make an indirect ping for another member; beyond `MAX_RELAYED_PINGS` the request is ignored."""
+        """Ping a member on behalf of another; the request is ignored beyond `MAX_RELAYED_PINGS`."""
         target = request.target
         if target not in self._table.peers or target == requester or len(self._relayed) >= MAX_RELAYED_PINGS:
             return
@@ -116,7 +117,7 @@
         self._send(now_us, target, Ping(sequence, target))
 
     def on_member_returned(self) -> None:
-        """Ping all dead members soon: after a partition has healed, the others have returned too."""
+        """Schedule pings of all dead members: after a partition, many may be reachable again."""
         if not self._maybe_returned:
             self._maybe_returned = self._table.members(MemberState.DEAD)
             self._rng.shuffle(self._maybe_returned)
@@ -138,7 +139,7 @@
 
     def _continue_probe(self, now_us: int, probe: Probe) -> None:
         if not probe.was_retried and now_us >= probe.retry_us:
-            probe.was_retried = True  # a lost datagram is likelier than a death
+            probe.was_retried = True  # a lost datagram is more likely than a failed member
             self._send(now_us, probe.target, Ping(probe.sequence, probe.target))
         if not probe.is_indirect and now_us >= probe.indirect_us:
             self._request_indirect_pings(now_us, probe)
@@ -170,7 +171,7 @@
         self._begin_probe(now_us, self._next_target())
 
     def _begin_probe(self, now_us: int, target: int) -> None:
-        """Ping a member: once more after half the timeout, indirectly after all of it."""
+        """Ping a member; the ping is repeated after half the timeout, and is indirect after the timeout."""
         sequence = self._next_sequence()
         timeout_us = self.health.scale(self._settings.timeout_us)
         self._probe = Probe(
@@ -183,7 +184,7 @@
         self._send(now_us, target, Ping(sequence, target))
 
     def _next_target(self) -> int:
-        """Return the next member of the round that is not dead; there has to be one."""
+        """Return the next member of the round that is not dead; at least one such member must exist."""
         while True:
             if not self._round:
                 self._round = list(self._table.peers)
@@ -193,7 +194,7 @@
                 return target
 
     def _ping_dead_members(self, now_us: int, dead: list[int], any_alive: bool) -> None:
-        """Ping a dead member now and then, for good: so a partition heals, and one that returns is found."""
+        """Ping dead members at a low rate, without end, to detect returned members and healed partitions."""
         peers = self._table.peers
         self._maybe_returned = [
             member for member in self._maybe_returned if peers[member].state is MemberState.DEAD
@@ -206,6 +207,6 @@
             self._ping_dead(now_us, self._rng.choice(dead))
 
     def _ping_dead(self, now_us: int, target: int) -> None:
-        """Ping with the update of its death ahead: one that was only cut off refutes it in its answer."""
+        """Ping a dead member, with the update of its death first: if it is alive, it refutes the update."""
         ping = Ping(self._next_sequence(), target)
         self._send(now_us, target, ping, first=self._current_update(target))
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -1,9 +1,9 @@
-"""The observations that a process leaves for its successor on the same machine: one file in $TMPDIR.
+"""Hand-over of observations to the successor process at a hot restart, by a file in $TMPDIR.
 
-The file is written under another name and renamed, so that no reader finds a part of it, and has a checksum;
-one that is damaged, stale, of another version or of another gateway is ignored. Times are readings of the
-machine's monotonic clock (`clock.machine_us`), which both processes share and no step of the wall clock
-moves.
+The file has a checksum. It is written under a temporary name and then renamed, so that a reader never sees an
+incomplete file. A file that is damaged, stale, of another version or of another gateway is ignored. Times are
+readings of the machine's monotonic clock (`clock.machine_us`), which both processes share and which steps of
+the wall clock do not affect.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
 FILE_NAME = "sagetrack-knowledge.bin"
-MAGIC = b"SGTK2"  # SGTK1 had times of the writer's own clock
+MAGIC = b"SGTK2"  # SGTK1 had times of the writing process's own clock
 CHECKSUM_BYTES = 4
 HEADER_BYTES = len(MAGIC) + CHECKSUM_BYTES
-MAX_BODY_BYTES = 1024 * 1024  # files count as memory
-READ_BYTES = MAX_BODY_BYTES + 64  # enough to see that a file is too long
+MAX_BODY_BYTES = 1024 * 1024  # limited because a file in a tmpfs counts as memory
+READ_BYTES = MAX_BODY_BYTES + 64  # more than a valid file has, so that a longer one is detected
 STALE_US = 60_000_000
 
 
 def shift_times(observations: Iterable[Observation], offset_us: int) -> list[Observation]:
-    """Return the observations with their times on another clock, which is so far ahead."""
+    """Return the observations with their times converted to a clock that is ahead by `offset_us`."""
     return [
-        replace(one, seen_us=one.seen_us + offset_us, open_until_us=one.open_until_us + offset_us)
-        for one in observations
+        replace(seen, seen_us=seen.seen_us + offset_us, open_until_us=seen.open_until_us + offset_us)
+        for seen in observations
     ]
 
 
@@ -44,17 +44,17 @@
     observations: Iterable[Observation],
     latencies: Iterable[ClassLatency],
 ) -> bool:
-    """Write the file; until it is complete an older one stays.
+    """Write the file, atomically replacing an older one.
 
     Args:
-        folder: Where the successor looks for it.
-        gateway: The gateway's name.
-        now_us: The time on the machine's clock.
-        observations: Of servers, with times on that clock.
-        latencies: By request class.
+        folder: Directory of the file, known to the successor.
+        gateway: Name of this gateway.
+        now_us: Current time of the machine's monotonic clock.
+        observations: Observations of servers, with times of the same clock.
+        latencies: Latencies of request classes.
 
     Returns:
-        Whether it was written; if not, there is a log line.
+        Whether the file was written; a failure is logged.
     """
     record = HandoverRecord(gateway, now_us, list(observations), list(latencies))
     body = encode_record(record)
@@ -72,7 +72,7 @@
 
 
 def parse(data: bytes, gateway: str, now_us: int) -> HandoverRecord | None:
-    """Return the record in a file's bytes; None unless it is complete, fresh and this gateway's."""
+    """Decode the content of a file; None if it is damaged, stale or of another gateway."""
     body = data[HEADER_BYTES:]
     if len(data) > MAX_BODY_BYTES + HEADER_BYTES or data[: len(MAGIC)] != MAGIC:
         return None
@@ -88,7 +88,7 @@
 
 
 def read(folder: Path, gateway: str, now_us: int) -> HandoverRecord | None:
-    """Return the record that a predecessor has left in this folder, if it can be used."""
+    """Return the record that the predecessor has written; None if there is no usable one."""
     try:
         with open(folder / FILE_NAME, "rb") as file:
             return parse(file.read(READ_BYTES), gateway, now_us)
--- a/sagetrack/peers/member_table.py
+++ b/sagetrack/peers/member_table.py
@@ -1,9 +1,9 @@
-"""What one member believes of each other one: alive, suspected or dead, and in which incarnation.
+"""The state of every other member, as one member sees it: alive, suspected or dead, and the incarnation.
 
-The rules by which one belief overrides another are SWIM's (Das, Gupta, Motivala 2002, section 4.2): a higher
-incarnation overrides a lower one; within one, dead overrides suspected and suspected overrides alive. So all
-members arrive at the same view, in whatever order updates come. The duration of a suspicion is Lifeguard's
-(Dadgar, Phillips, Currey 2018): the shorter, the more members have confirmed it.
+The precedence of updates is SWIM's (Das, Gupta, Motivala 2002, section 4.2): a higher incarnation overrides a
+lower one; within an incarnation, dead overrides suspected and suspected overrides alive. Therefore all
+members converge to the same view, in whatever order updates arrive. The duration of a suspicion follows
+Lifeguard (Dadgar, Phillips, Currey 2018): each independent confirmation shortens it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; within an incarnation the higher one overrides."""
+    """State of a member; within an incarnation, a higher value overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What is believed of one member.
+    """The local view of one member.
 
     Attributes:
-        state: Its state.
-        incarnation: The incarnation that the state is about.
-        since_us: When the state began.
-        suspicion_deadline_us: When it is declared dead, if it is suspected then.
-        confirmations: Members that suspect it.
+        state: State of the member.
+        incarnation: Incarnation to which the state applies.
+        since_us: Time at which the state began.
+        suspicion_deadline_us: Time at which the member is declared dead, if it is still suspected.
+        confirmations: Members that suspect this member.
     """
 
     state: MemberState = MemberState.ALIVE
@@ -43,7 +43,7 @@
 
     @property
     def precedence(self) -> tuple[int, MemberState]:
-        """A belief overrides one of lower precedence."""
+        """Precedence of the state: an update applies only if its precedence is higher."""
         return self.incarnation, self.state
 
 
@@ -51,73 +51,73 @@
     """All other members, as one member sees them.
 
     Attributes:
-        peers: The records, by member; the members themselves are fixed.
+        peers: Records by member number; the set of members is fixed.
     """
 
-    def __init__(self, own_number: int, count: int, settings: MembershipSettings, now_us: int) -> None:
-        """Begin with all members alive.
+    def __init__(self, own_number: int, member_count: int, settings: MembershipSettings, now_us: int) -> None:
+        """Create a table in which all members are alive.
 
         Args:
-            own_number: The member whose view this is.
-            count: Members in all.
-            settings: Parameters of suspicion.
-            now_us: The time.
+            own_number: Number of the member whose view this is.
+            member_count: Number of members, including this one.
+            settings: Parameters of the protocol.
+            now_us: Current time.
         """
         self.peers = {
-            number: MemberRecord(since_us=now_us) for number in range(count) if number != own_number
+            number: MemberRecord(since_us=now_us) for number in range(member_count) if number != own_number
         }
         self._own_number = own_number
         self._settings = settings
 
     @property
     def alive(self) -> int:
-        """Members that count as alive: this one, and all that are not dead. A suspected one is alive."""
+        """Number of members that are not dead, including this one; suspected members count as alive."""
         return 1 + sum(peer.state is not MemberState.DEAD for peer in self.peers.values())
 
     @property
     def log_size(self) -> float:
-        """The logarithm of the fleet's size, by which durations and retransmissions scale; at least 1."""
+        """Decimal logarithm of the fleet size, at least 1; suspicions and retransmissions scale with it."""
         return max(1.0, math.log10(len(self.peers) + 2))
 
     def members(self, *states: MemberState) -> list[int]:
-        """Return the members in these states, in a fixed order."""
+        """Return the numbers of the other members in these states, in ascending order."""
         return [number for number, peer in self.peers.items() if peer.state in states]
 
     def suspicion_deadlines_us(self) -> list[int]:
-        """Return when suspicions end."""
+        """Return the times at which the suspected members are declared dead."""
         suspects = (peer for peer in self.peers.values() if peer.state is MemberState.SUSPECT)
         return [peer.suspicion_deadline_us for peer in suspects]
 
     def expired_suspects(self, now_us: int) -> list[int]:
-        """Return the suspected members that are to be declared dead."""
+        """Return the members whose suspicion has ended and that are to be declared dead."""
         suspects = self.members(MemberState.SUSPECT)
         return [member for member in suspects if now_us >= self.peers[member].suspicion_deadline_us]
 
     def set_state(
         self, now_us: int, member: int, state: MemberState, incarnation: int, reporter: int
     ) -> MemberState:
-        """Take over a belief that overrides the present one.
+        """Set the state of a member; the caller has checked that it overrides the current state.
 
         Returns:
-            The state before.
+            The previous state.
         """
         peer = self.peers[member]
-        before = peer.state
+        previous = peer.state
         peer.state = state
         peer.incarnation = incarnation
         if state is MemberState.SUSPECT:
             peer.confirmations = {reporter}
             peer.since_us = now_us
             peer.suspicion_deadline_us = now_us + self.suspicion_us(0)
-        elif before is not state:
+        elif previous is not state:
             peer.since_us = now_us
-        return before
+        return previous
 
     def confirm_suspicion(self, member: int, reporter: int) -> bool:
-        """Let one more member suspect a suspected one, which shortens the suspicion.
+        """Add a member's confirmation of a suspicion, which shortens the suspicion.
 
         Returns:
-            Whether that is new, and still counts.
+            Whether the confirmation is new and the limit of confirmations was not reached before.
         """
         peer = self.peers[member]
         if reporter in peer.confirmations or len(peer.confirmations) > self._settings.confirmations:
@@ -127,19 +127,19 @@
         return True
 
     def reporter(self, member: int) -> int:
-        """Return in whose name the state of a member is passed on: its own view, or one that suspects it."""
+        """Return the reporter to name in updates about a member: this member or one that suspects it."""
         peer = self.peers[member]
         if peer.state is MemberState.SUSPECT and self._own_number not in peer.confirmations:
             return min(peer.confirmations)
         return self._own_number
 
     def suspicion_us(self, confirmations: int) -> int:
-        """Return how long a suspicion lasts with so many confirmations (Lifeguard's LHA-Suspicion)."""
+        """Return the duration of a suspicion by its number of confirmations (Lifeguard's LHA-Suspicion)."""
         settings = self._settings
         shortest = settings.suspicion_multiplier * self.log_size * settings.period_us
         longest = shortest * settings.max_suspicion_multiplier
         expected = min(settings.confirmations, max(0, len(self.peers) - 1))
         if expected < 1:
             return int(shortest)
-        part = math.log(confirmations + 1) / math.log(expected + 1)
-        return int(max(shortest, longest - (longest - shortest) * part))
+        fraction = math.log(confirmations + 1) / math.log(expected + 1)
+        return int(max(shortest, longest - (longest - shortest) * fraction))
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -1,15 +1,16 @@
-"""Which gateways are alive: SWIM with Lifeguard's refinements, as a state machine without I/O.
+"""Membership of the gateways: SWIM with Lifeguard's refinements, as a state machine without I/O.
 
 SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol", 2002) has two parts: a failure detector (`failure_detector`) and the dissemination of updates,
-which are piggybacked on the detector's messages (`dissemination`). A member that does not answer is suspected
-first, and refutes that with a higher incarnation. Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local
-Health Awareness for More Accurate Failure Detection", 2018) adds local health, suspicions that are the
-shorter the more members confirm them, and the buddy system: a suspected member is notified first.
-
-The members are a fixed list of addresses. Dead ones are pinged now and then for good, so that a partition
-heals and a member that returns is found. An incarnation begins at the start's Unix time, so that a gateway
-that has died and returned overrides the updates of its death.
+which are piggybacked on the detector's messages (`dissemination`). An unresponsive member is suspected before
+it is declared dead, and it can refute the suspicion with a higher incarnation. Lifeguard (Dadgar, Phillips,
+Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018) adds local health,
+suspicions that become shorter with each confirmation, and the buddy system: a suspected member is notified
+first.
+
+The members are a fixed list of addresses. Dead members are pinged at a low rate without end, so that
+partitions heal and returned members are detected. The incarnation of a member starts at the Unix time of its
+start in seconds, so that a gateway that has died and returned overrides the updates about its death.
 """
 
 from __future__ import annotations
@@ -37,18 +38,18 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """MembershipCounters since the start.
+    """Counters since the start of the process.
 
     Attributes:
         sent: Datagrams sent.
-        sent_bytes: Their bytes.
+        sent_bytes: Bytes of the datagrams sent.
         received: Datagrams received.
-        received_bytes: Their bytes.
-        rejected: Datagrams that could not be read, or came from no member.
-        unanswered: Pings that were not acknowledged, a sign of losses.
-        rate_limited: Datagrams that the limit on sending held back.
-        refuted: Updates of our own suspicion or death.
-        deaths: Members that were declared dead, here or by an update.
+        received_bytes: Bytes of the datagrams received.
+        rejected: Datagrams that were malformed or not from a member, and unrequested warm start responses.
+        unanswered: Failed probes, which indicate packet loss or failed members.
+        rate_limited: Datagrams that were not sent because of the rate limit.
+        refuted: Refutations of updates that declared this member suspected or dead.
+        deaths: Transitions of members to the dead state, by a local timeout or by an update.
     """
 
     sent: int = 0
@@ -66,35 +67,35 @@
 
 
 class Membership:
-    """One member's view. Call `handle` with each datagram received, and `tick` no later than `next_us`.
+    """The view of one member. The caller passes received datagrams to `handle` and calls `tick` at `next_us`.
 
     Attributes:
-        own_number: This member's number.
-        incarnation: This member's incarnation.
-        counts: MembershipCounters since the start.
-        on_change: Called with a member and its state, whenever the state changes.
+        own_number: Number of this member.
+        incarnation: Incarnation of this member.
+        counts: Counters since the start.
+        on_change: Called with a member and its new state whenever the state changes.
     """
 
     def __init__(
         self,
         own_number: int,
-        count: int,
+        member_count: int,
         settings: MembershipSettings,
         seed: int,
         now_us: int,
         send: Send,
         incarnation: int = 1,
     ) -> None:
-        """Begin with all members alive.
+        """Create a view in which all members are alive.
 
         Args:
-            own_number: This member's number.
-            count: Members in all, numbered from 0.
-            settings: Parameters of SWIM.
-            seed: Of the randomness.
-            now_us: The time.
+            own_number: Number of this member.
+            member_count: Number of members, including this one; members are numbered from 0.
+            settings: Parameters of the protocol.
+            seed: Seed of the random number generator.
+            now_us: Current time.
             send: Sends a datagram to a member.
-            incarnation: This member's incarnation; higher than any that it had before.
+            incarnation: Initial incarnation of this member; must be higher than its previous ones.
         """
         self.own_number = own_number
         self.incarnation = incarnation
@@ -102,7 +103,7 @@
         self.on_change: Callable[[int, MemberState], None] = lambda member, state: None
         self._settings = settings
         self._send_datagram = send
-        self._table = MemberTable(own_number, count, settings, now_us)
+        self._table = MemberTable(own_number, member_count, settings, now_us)
         self._updates = UpdateQueue(self._current_update)
         self._bucket = TokenBucket(settings.datagrams_per_s, settings.burst, now_us)
         self._detector = FailureDetector(
@@ -117,33 +118,34 @@
 
     @property
     def peers(self) -> dict[int, MemberRecord]:
-        """What is believed of the other members; for reading alone."""
+        """Records of the other members by number; read-only for callers."""
         return self._table.peers
 
     @property
     def alive(self) -> int:
-        """Members that count as alive: this one, and all that are not dead. A suspected one is alive."""
+        """Number of members that are not dead, including this one; suspected members count as alive."""
         return self._table.alive
 
     def members(self, *states: MemberState) -> list[int]:
-        """Return the other members in these states, in a fixed order."""
+        """Return the numbers of the other members in these states, in ascending order."""
         return self._table.members(*states)
 
     def next_us(self) -> int:
-        """Return when something is due."""
+        """Return the time at which `tick` is due."""
         return min([self._detector.next_us(), *self._table.suspicion_deadlines_us()])
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         for member in self._table.expired_suspects(now_us):
             incarnation = self._table.peers[member].incarnation
             self._change(now_us, member, MemberState.DEAD, incarnation, self.own_number)
         self._detector.tick(now_us)
 
     def handle(self, now_us: int, datagram: Datagram) -> None:
-        """Take in a datagram.
+        """Process a received datagram.
 
-        A sender is alive, but only its own incarnation says so: a datagram may be older than its death.
+        The datagram shows that its sender was alive in the incarnation that it names. It may have been sent
+        before the sender died, so it does not override a death in the same incarnation.
         """
         sender = datagram.sender
         if sender == self.own_number or sender not in self._table.peers:
@@ -151,7 +153,7 @@
             return
         self.apply_update(now_us, Update(sender, MemberState.ALIVE, datagram.incarnation, sender))
         if self._table.peers[sender].state is not MemberState.ALIVE:
-            # The sender does not know yet: it is to refute this (Lifeguard's buddy system).
+            # Notifies the sender, so that it can refute the suspicion or death (Lifeguard's buddy system).
             self._updates.enqueue(sender)
         for message in datagram.messages:
             self._handle_message(now_us, sender, message)
@@ -171,7 +173,7 @@
                 self.apply_update(now_us, message)
 
     def apply_update(self, now_us: int, update: Update) -> None:
-        """Take in an update: one that overrides what is believed is believed and passed on."""
+        """Process an update; it is applied and disseminated if it overrides the current state."""
         member, state = update.member, MemberState(update.state)
         if member == self.own_number:
             if state is not MemberState.ALIVE and update.incarnation >= self.incarnation:
@@ -192,7 +194,7 @@
         self._updates.enqueue(self.own_number)
 
     def _suspect(self, now_us: int, member: int) -> None:
-        """A ping of this member was not acknowledged."""
+        """Suspect a member whose probe has failed, or confirm an existing suspicion."""
         self.counts.unanswered += 1
         peer = self._table.peers[member]
         if peer.state is MemberState.ALIVE:
@@ -205,27 +207,27 @@
             self._updates.enqueue(member)
 
     def _change(self, now_us: int, member: int, state: MemberState, incarnation: int, reporter: int) -> None:
-        before = self._table.set_state(now_us, member, state, incarnation, reporter)
+        previous = self._table.set_state(now_us, member, state, incarnation, reporter)
         self._updates.enqueue(member)
-        if before is MemberState.DEAD and state is MemberState.ALIVE:
+        if previous is MemberState.DEAD and state is MemberState.ALIVE:
             self._detector.on_member_returned()
-        if before is not state:
+        if previous is not state:
             self.counts.deaths += state is MemberState.DEAD
             self.on_change(member, state)
 
     def _current_update(self, member: int) -> Update:
-        """Return what is believed of a member at present."""
+        """Return the update with the current state of a member."""
         if member == self.own_number:
             return Update(self.own_number, MemberState.ALIVE, self.incarnation, self.own_number)
         peer = self._table.peers[member]
         return Update(member, peer.state, peer.incarnation, self._table.reporter(member))
 
     def _send(self, now_us: int, target: int, message: Message, first: Message | None = None) -> None:
-        """Send messages with updates piggybacked, within the limit, which is the same in any fleet."""
+        """Send messages with piggybacked updates; the rate limit does not depend on the fleet size."""
         if not self._bucket.take(now_us, 1):
             self.counts.rate_limited += 1
             return
         messages: list[Message] = [message] if first is None else [first, message]
-        most = max_transmissions(self._settings.retransmit_multiplier, self._table.log_size)
-        messages += self._updates.piggyback(target, encoded_size(messages), most)
+        transmission_limit = max_transmissions(self._settings.retransmit_multiplier, self._table.log_size)
+        messages += self._updates.piggyback(target, encoded_size(messages), transmission_limit)
         self._send_datagram(target, Datagram(self.own_number, self.incarnation, messages))
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -1,6 +1,6 @@
-"""This gateway among the others: the socket and the timer of the state machines.
+"""The UDP socket and the timer that drive membership, warm start and demand gossip.
 
-Those are membership, warm start and demand gossip; each has a module of its own that does no I/O.
+Each of these is a state machine without I/O, in a module of its own.
 """
 
 from __future__ import annotations
@@ -33,34 +33,36 @@
 from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
-BIND_RETRY_S = 0.5  # while an older process of this gateway has the address
-LEAST_WAIT_S = 0.005  # between two calls of the timer
-WARM_START_SEED = 0x5A5A  # sets the seeds of the state machines apart, as does the next
+BIND_RETRY_S = 0.5  # at a hot restart, the previous process still holds the address
+MIN_TIMER_DELAY_S = 0.005
+# Combined with the seed by XOR, so that each state machine has its own random sequence.
+WARM_START_SEED = 0x5A5A
 DEMAND_SEED = 0xA5
 
 ObservationSource = Callable[[], tuple[list[Observation], list[ClassLatency]]]
 
 
 class PeerNode(asyncio.DatagramProtocol):
-    """This gateway's socket among the others.
+    """Communication of this gateway with its peers, over one UDP socket.
 
-    Made on a running loop; `start` binds, and retries while another process has the address.
+    It must be created on a running event loop. `start` binds the socket, and retries while another process
+    holds the address.
 
     Attributes:
-        membership: Which gateways are alive.
-        warm_start_client: Asks for observations at the start; None if that is off.
+        membership: The states of all gateways.
+        warm_start_client: Requests observations from peers at the start; None if warm start is off.
 
     Args:
-        own_number: This gateway's number.
-        listen: The address to bind.
-        peers: All gateways' addresses, by number.
+        own_number: Number of this gateway.
+        listen: Address to bind.
+        peers: Addresses of all gateways, by number.
         settings: Parameters of membership.
-        seed: Of the randomness.
-        post: Hands an event to the load balancer.
-        observations: Returns this gateway's own observations and latencies.
-        start_times: Returns when each listed server started, in microseconds, by its id.
-        use_warm_start: Whether to ask the others for observations at the start.
-        demands: Returns the demand by tenant; None where fair queues are off.
+        seed: Seed of the random number generators.
+        post: Passes an event to the load balancer.
+        observations: Returns the observations and latencies of this gateway.
+        start_times: Returns the start time in microseconds of each listed server, by server id.
+        use_warm_start: Whether to request observations from peers at the start.
+        demands: Returns the demand by tenant; None if fair queuing is off.
     """
 
     def __init__(
@@ -85,19 +87,19 @@
         self._start_times = start_times
         self._demands = demands
         now = now_us()
-        count = len(self._peers)
+        member_count = len(self._peers)
         self.membership = Membership(
-            own_number, count, settings, seed, now, self._send, incarnation=now // 1_000_000
+            own_number, member_count, settings, seed, now, self._send, incarnation=now // 1_000_000
         )
         self.membership.on_change = self._on_change
-        others = [number for number in range(count) if number != own_number]
+        others = [number for number in range(member_count) if number != own_number]
         self.warm_start_client: WarmStartClient | None = None
         if use_warm_start and others:
             self.warm_start_client = WarmStartClient(others, seed ^ WARM_START_SEED, now, self._send_message)
         self._warm_start_server = WarmStartServer(now)
         self._demand_schedule: DemandGossipSchedule | None = None
         if demands is not None:
-            self._demand_schedule = DemandGossipSchedule(own_number, count, seed ^ DEMAND_SEED, now)
+            self._demand_schedule = DemandGossipSchedule(own_number, member_count, seed ^ DEMAND_SEED, now)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._binding: asyncio.Task[None] | None = None
@@ -105,13 +107,13 @@
 
     @property
     def counts(self) -> MembershipCounters:
-        """Datagrams and what became of them."""
+        """Counters of datagrams and membership."""
         return self.membership.counts
 
     # Socket
 
     def start(self) -> None:
-        """Begin to bind the address."""
+        """Start a task that binds the address."""
         self._binding = self._loop.create_task(self._bind())
 
     async def _bind(self) -> None:
@@ -130,18 +132,18 @@
                 await asyncio.sleep(BIND_RETRY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket that is bound."""
+        """Keep the transport of the bound socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port is closed: the datagram is lost, which the state machines notice."""
+        """Ignore an error such as a closed port of a peer: the state machines handle lost datagrams."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Send no more: the socket is closed."""
+        """Stop sending: the socket is closed."""
         self._transport = None
 
     def close(self) -> None:
-        """Close the socket, and free the address."""
+        """Close the socket and release the address."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -153,7 +155,7 @@
     # Timer
 
     def _wake(self) -> None:
-        """Do what is due, and set the timer for what is due next."""
+        """Run the state machines, and set the timer to their next due time."""
         if self._closed or self._transport is None:
             return
         if self._timer is not None:
@@ -168,7 +170,7 @@
         if self._demand_schedule is not None:
             self._gossip_demand(self._demand_schedule.targets(now))
             due_us = min(due_us, self._demand_schedule.due_us)
-        self._timer = self._loop.call_later(max(LEAST_WAIT_S, (due_us - now) / 1e6), self._wake)
+        self._timer = self._loop.call_later(max(MIN_TIMER_DELAY_S, (due_us - now) / 1e6), self._wake)
 
     def _gossip_demand(self, targets: list[int]) -> None:
         if not targets or self._demands is None:
@@ -192,7 +194,7 @@
         self._send(target, Datagram(self._own_number, self.membership.incarnation, [message]))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a datagram; one that is unreadable or not from its sender's own address is rejected."""
+        """Process a datagram; reject it if it is malformed or not sent from its sender's address."""
         self.counts.received += 1
         self.counts.received_bytes += len(data)
         try:
@@ -207,34 +209,36 @@
         now = now_us()
         self.membership.handle(now, datagram)
         for message in datagram.messages:
-            self._handle(now, sender, message)
+            self._handle_message(now, sender, message)
         self._wake()
 
     def _is_from(self, sender: int, address: tuple[str, int]) -> bool:
-        """Whether a datagram is from another member, and from that member's own address.
+        """Check that the sender is another member and that the datagram came from its configured address.
 
-        No member may speak for another by writing its number.
+        A member thus cannot impersonate another one by using its number.
         """
         if sender >= len(self._peers) or sender == self._own_number:
             return False
         return self._peers[sender] == (address[0], address[1])
 
-    def _handle(self, now: int, sender: int, message: Message) -> None:
+    def _handle_message(self, now: int, sender: int, message: Message) -> None:
         if isinstance(message, WarmStartRequest):
-            self._answer(now, sender, message)
+            self._respond(now, sender, message)
         elif isinstance(message, WarmStartResponse):
             if self.warm_start_client is not None:
-                self._learn(now, sender, message, self.warm_start_client)
+                self._on_warm_start_response(now, sender, message, self.warm_start_client)
         elif isinstance(message, DemandGossip) and self._demands is not None:
             demands = decode_demands(message, len(self._demands()))
             self._post(PeerDemands(sender, demands))
 
-    def _answer(self, now: int, requester: int, request: WarmStartRequest) -> None:
+    def _respond(self, now: int, requester: int, request: WarmStartRequest) -> None:
         observations, latencies = self._observations()
         for part in self._warm_start_server.respond(now, request, observations, latencies):
             self._send_message(requester, part)
 
-    def _learn(self, now: int, sender: int, response: WarmStartResponse, client: WarmStartClient) -> None:
+    def _on_warm_start_response(
+        self, now: int, sender: int, response: WarmStartResponse, client: WarmStartClient
+    ) -> None:
         if response.request_id not in client.requests:
             self.counts.rejected += 1
             return
@@ -245,10 +249,10 @@
         log(f"peer {member}: {state.name.lower()}", kind="peer")
         self._post(FleetSizeChanged(self.membership.alive))
 
-    # For operators
+    # Status and metrics
 
     def describe(self) -> list[str]:
-        """Return a line for each member, then lines of what was sent and of the warm start."""
+        """Return a status line for each member, then one for datagrams and one for the warm start."""
         now = now_us()
         host, port = self._peers[self._own_number]
         lines = [f"member {self._own_number} {host}:{port} self"]
@@ -262,7 +266,7 @@
         return lines
 
     def metric_values(self) -> dict[str, int]:
-        """Return the exported metrics."""
+        """Return the current values of the exported metrics by name."""
         counts = self.counts
         membership = self.membership
         client = self.warm_start_client
--- a/sagetrack/peers/observation_codec.py
+++ b/sagetrack/peers/observation_codec.py
@@ -1,4 +1,4 @@
-"""Observations and latencies in the units of a datagram, and back."""
+"""Conversion of observations and latencies to and from the entries of a datagram."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from sagetrack.peers.codec import LatencyEntry, ServerEntry
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 
-START_IDS = 2**24
+START_IDS = 2**24  # number of distinct start ids
 LATENCY_UNIT_US = 100
 MAX_LATENCY_UNITS = 2**32 - 1
 COOLDOWN_UNIT_US = 100_000
@@ -16,16 +16,16 @@
 MAX_AGE_UNITS = 65_535
 WORK_UNIT_US = 1000
 MAX_WORK_UNITS = 65_535
-WEIGHT_UNITS = 100  # of a weight of 1
+WEIGHT_UNITS = 100  # encoded value of weight 1.0
 
 
 def start_id(started_us: int) -> int:
-    """Return what distinguishes a server's incarnations in a datagram."""
+    """Return the number that identifies an incarnation of a server in a datagram, by its start time."""
     return started_us // 1000 % START_IDS
 
 
 def encode_latency(latency: ClassLatency) -> LatencyEntry:
-    """Return latencies in a datagram's units; at least one unit."""
+    """Encode the latencies of a request class; each is at least one unit."""
 
     def units(time_us: float) -> int:
         return min(MAX_LATENCY_UNITS, max(1, round(time_us / LATENCY_UNIT_US)))
@@ -34,7 +34,7 @@
 
 
 def encode_observation(observation: Observation, now_us: int) -> ServerEntry:
-    """Return an observation in a datagram's units; a cooldown is rounded up, an age down."""
+    """Encode an observation; the remaining cooldown is rounded up, the age down."""
     cooldown = -(-max(0, observation.open_until_us - now_us) // COOLDOWN_UNIT_US)
     return ServerEntry(
         observation.server,
@@ -51,20 +51,20 @@
 def decode_observations(
     reporter: int, entries: Iterable[ServerEntry], start_times: dict[int, int], now_us: int
 ) -> list[Observation]:
-    """Return a peer's observations of servers that this gateway lists in the same incarnation.
+    """Decode a peer's observations; drop those of servers or incarnations that are not listed here.
 
     Args:
-        reporter: The peer.
-        entries: As received.
-        start_times: When each listed server started, in microseconds, by its id.
-        now_us: The time; ages are taken as they were sent, without the time on the way.
+        reporter: Number of the peer.
+        entries: Received entries.
+        start_times: Start time in microseconds of each listed server, by server id.
+        now_us: Current time; the transit time of the datagram is not added to the ages.
     """
-    found = []
+    observations = []
     for entry in entries:
         started_us = start_times.get(entry.server)
         if started_us is None or start_id(started_us) != entry.start_id:
             continue
-        found.append(
+        observations.append(
             Observation(
                 entry.server,
                 started_us,
@@ -77,11 +77,11 @@
                 entry.slow_start_used * WORK_UNIT_US,
             )
         )
-    return found
+    return observations
 
 
 def decode_latencies(entries: Iterable[LatencyEntry]) -> tuple[ClassLatency, ...]:
-    """Return the latencies by request class that a peer has sent."""
+    """Decode the latencies of request classes from a peer."""
     unit_us = float(LATENCY_UNIT_US)
     return tuple(
         ClassLatency(entry.class_index, entry.smoothed * unit_us, entry.baseline * unit_us)
--- a/sagetrack/peers/probes.py
+++ b/sagetrack/peers/probes.py
@@ -1,44 +1,47 @@
-"""What the failure detector keeps of its pings: probes, pings for other members and the local health."""
+"""State of the failure detector: the current probe, relayed pings, and the local health."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_LOCAL_HEALTH = 8  # the period and timeout are at most this much longer, plus one
+MAX_LOCAL_HEALTH = 8  # periods and timeouts grow at most by this factor plus one
 
 
 class LocalHealth:
-    """How badly this member seems to receive others (Lifeguard's local health multiplier); 0 is well."""
+    """Lifeguard's local health multiplier: a score of 0 is healthy.
+
+    A higher score means that this member probably receives or processes messages too slowly.
+    """
 
     def __init__(self) -> None:
         self._score = 0
 
     def worsen(self) -> None:
-        """An acknowledgement or nack was missed, or this member itself was suspected."""
+        """Raise the score: an acknowledgement or nack was missed, or others suspected this member."""
         self._score = min(MAX_LOCAL_HEALTH, self._score + 1)
 
     def improve(self) -> None:
-        """An acknowledgement was received."""
+        """Lower the score: an acknowledgement was received in time."""
         self._score = max(0, self._score - 1)
 
     def scale(self, time_us: int) -> int:
-        """Return a period or timeout, longer the worse the health."""
+        """Return a period or timeout, multiplied by the score plus one."""
         return time_us * (self._score + 1)
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping of which the outcome is awaited.
+    """A ping that has not been acknowledged yet.
 
     Attributes:
-        sequence: Its sequence number.
+        sequence: Sequence number of the ping.
         target: The member that is pinged.
-        retry_us: When it is pinged once more.
-        indirect_us: When others are asked for an indirect ping.
-        deadline_us: When it counts as not acknowledged.
-        was_retried: Whether it was pinged once more.
-        is_indirect: Whether others were asked.
-        unresponsive_helpers: Others that were asked and have not answered at all.
+        retry_us: Time at which the ping is sent once more.
+        indirect_us: Time at which other members are asked for an indirect ping.
+        deadline_us: Time at which the probe fails.
+        was_retried: Whether the ping was sent once more.
+        is_indirect: Whether other members were asked for an indirect ping.
+        unresponsive_helpers: Members that were asked for an indirect ping and have not sent a nack.
     """
 
     sequence: int
@@ -52,7 +55,7 @@
 
     @property
     def next_us(self) -> int:
-        """When something is due."""
+        """Time of the next step of the probe."""
         if self.is_indirect:
             return self.deadline_us
         return self.indirect_us if self.was_retried else self.retry_us
@@ -60,13 +63,13 @@
 
 @dataclass(slots=True)
 class RelayedPing:
-    """An indirect ping that is made for another member.
+    """An indirect ping on behalf of another member.
 
     Attributes:
-        requester: The member that asked for it.
-        requester_sequence: The sequence number that it asked with.
+        requester: The member that requested the ping.
+        requester_sequence: Sequence number of the request.
         target: The member that is pinged.
-        due_us: When the nack is sent, and after that when the ping is forgotten.
+        due_us: Time at which the nack is sent; after that, the time at which the ping is discarded.
         was_nacked: Whether the nack was sent.
     """
 
--- a/sagetrack/peers/settings.py
+++ b/sagetrack/peers/settings.py
@@ -1,4 +1,4 @@
-"""Parameters of membership, as SWIM and Lifeguard name them."""
+"""Parameters of the membership protocol, named as in SWIM and Lifeguard."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipSettings:
-    """Parameters of membership; times in microseconds.
+    """Parameters of the membership protocol; times are in microseconds.
 
     Attributes:
-        period_us: SWIM's protocol period, between pings.
-        timeout_us: Until an acknowledgement; then others are asked for an indirect ping.
-        indirect_pings: SWIM's k: members that are asked for an indirect ping.
-        suspicion_multiplier: The shortest suspicion, in periods times the logarithm of the fleet's size.
-        max_suspicion_multiplier: The longest suspicion, with no confirmation, in shortest ones.
-        confirmations: Independent suspicions of a member after which its suspicion is at its shortest.
-        retransmit_multiplier: Transmissions of an update, times the logarithm of the fleet's size.
-        dead_ping_periods: Periods between pings of dead members.
-        datagrams_per_s: Limit of datagrams sent, in the long run.
-        burst: Datagrams that may be sent at once.
+        period_us: SWIM's protocol period: the interval between probes.
+        timeout_us: Time to wait for an acknowledgement before indirect pings are requested.
+        indirect_pings: Number of members that are asked for an indirect ping (SWIM's k).
+        suspicion_multiplier: Minimum duration of a suspicion in periods, per decimal logarithm of the fleet
+            size.
+        max_suspicion_multiplier: Ratio of the longest suspicion, without confirmations, to the shortest.
+        confirmations: Number of confirmations at which a suspicion reaches its minimum duration.
+        retransmit_multiplier: Transmissions of each update per decimal logarithm of the fleet size.
+        dead_ping_periods: Number of periods between pings of dead members.
+        datagrams_per_s: Sustained rate limit of membership datagrams.
+        burst: Number of datagrams that may be sent at once.
     """
 
     period_us: int = 1_000_000
--- a/sagetrack/peers/status_report.py
+++ b/sagetrack/peers/status_report.py
@@ -1,6 +1,7 @@
-"""The lines about datagrams and the warm start that an operator sees at the admin address.
+"""Status lines about datagrams and the warm start for the admin endpoint.
 
-docs/operators/peers.md has their texts, which stay as they are, also where the code has other terms by now.
+The operators' manual (docs/operators/peers.md) documents the texts, so they keep their wording where the code
+uses other terms.
 """
 
 from __future__ import annotations
@@ -10,23 +11,23 @@
 
 
 def describe_datagrams(counts: MembershipCounters, responses_rate_limited: int) -> str:
-    """Describe what was sent and received.
+    """Return the line about the datagrams of this gateway.
 
     Args:
-        counts: Datagrams of this gateway.
-        responses_rate_limited: Parts of warm start responses that the limit on them held back.
+        counts: Counters of membership.
+        responses_rate_limited: Parts of warm start responses that were not sent because of their rate limit.
     """
-    held_back = counts.rate_limited + responses_rate_limited
+    rate_limited = counts.rate_limited + responses_rate_limited
     return (
         f"datagrams sent {counts.sent} ({counts.sent_bytes} bytes), "
         f"received {counts.received} ({counts.received_bytes} bytes), "
-        f"rejected {counts.rejected}, held back {held_back}, "
+        f"rejected {counts.rejected}, held back {rate_limited}, "
         f"pings unanswered {counts.unanswered}, refuted {counts.refuted}"
     )
 
 
 def describe_warm_start(result: WarmStartResult | None) -> str:
-    """Describe what was taken over from other gateways at the start; None where that is off."""
+    """Return the line about the warm start; `result` is None if warm start is off."""
     if result is None or not result.observations:
         return "taken over at the start: nothing"
     return (
--- a/sagetrack/peers/stored_observations.py
+++ b/sagetrack/peers/stored_observations.py
@@ -1,7 +1,7 @@
-"""The form in which observations of server health are stored: in the hand-over file and in the durable store.
+"""Storage format of observations of server health, in the hand-over file and in the durable store.
 
-A record is an array, and an observation in it a map. The keys of the maps are older than the names in the
-code and stay as they are, so that every version reads what the others wrote.
+A record is a MessagePack array, and each observation in it a map. Some keys of the maps differ from the field
+names in the code; they must not change, so that all versions can read each other's records.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True, frozen=True)
 class HandoverRecord:
-    """What a process has observed, for one that comes after it.
+    """The observations of a process, to be read by a later process of the same gateway.
 
     Attributes:
-        gateway: The gateway's name.
-        written_us: When it was written.
-        observations: Of servers.
-        latencies: By request class.
+        gateway: Name of the gateway.
+        written_us: Time at which the record was written.
+        observations: Observations of servers.
+        latencies: Latencies of request classes.
     """
 
     gateway: str
@@ -35,7 +35,7 @@
 
 
 class StoredObservation(msgspec.Struct, frozen=True, rename=STORED_OBSERVATION_KEYS):
-    """An `Observation` as it is stored; the order of the fields is that of the bytes."""
+    """Stored form of an `Observation`; the order of the fields is the order of the encoded keys."""
 
     server: int
     started_us: int
@@ -49,7 +49,7 @@
 
 
 class StoredClassLatency(msgspec.Struct, frozen=True, rename=STORED_LATENCY_KEYS):
-    """A `ClassLatency` as it is stored."""
+    """Stored form of a `ClassLatency`."""
 
     class_index: int
     smoothed_us: float
@@ -57,7 +57,7 @@
 
 
 class StoredRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A `HandoverRecord` as it is stored; the order of the fields is its format."""
+    """Stored form of a `HandoverRecord`; the order of the fields defines the format."""
 
     gateway: str
     written_us: int
@@ -69,28 +69,34 @@
 
 
 def encode_record(record: HandoverRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a record."""
     stored = StoredRecord(
         record.gateway,
         record.written_us,
-        [_stored_observation(one) for one in record.observations],
-        [StoredClassLatency(one.class_index, one.smoothed_us, one.baseline_us) for one in record.latencies],
+        [_stored_observation(observation) for observation in record.observations],
+        [
+            StoredClassLatency(latency.class_index, latency.smoothed_us, latency.baseline_us)
+            for latency in record.latencies
+        ],
     )
     return msgspec.msgpack.encode(stored)
 
 
 def decode_record(data: bytes) -> HandoverRecord:
-    """Return the record in these bytes.
+    """Decode a record.
 
     Raises:
-        msgspec.DecodeError: They hold none.
+        msgspec.DecodeError: The bytes are not a valid record.
     """
     stored = _decoder.decode(data)
     return HandoverRecord(
         stored.gateway,
         stored.written_us,
-        [_observation(one) for one in stored.observations],
-        [ClassLatency(one.class_index, one.smoothed_us, one.baseline_us) for one in stored.latencies],
+        [_observation(observation) for observation in stored.observations],
+        [
+            ClassLatency(latency.class_index, latency.smoothed_us, latency.baseline_us)
+            for latency in stored.latencies
+        ],
     )
 
 
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -1,8 +1,8 @@
-"""Warm start: a gateway that starts asks others for their observations, and takes them in as they come.
+"""Warm start: a gateway requests observations of servers from a few peers when it starts.
 
-It serves without waiting for them. It asks a few; a request that is not answered completely is repeated, with
-an exponential backoff and jitter, since many may start at once. A response is divided over datagrams that are
-of use without each other.
+It serves requests of clients without waiting for the responses. A request without a complete response is
+repeated with exponential backoff and jitter, since many gateways may start at once. A response is split into
+datagrams, each of which can be used without the others.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 
 INITIAL_PEERS = 3
 MAX_ATTEMPTS = 5
-ATTEMPTS_PER_PEER = 2  # after so many in vain, another peer is asked in its place
-INITIAL_BACKOFF_US = 200_000  # doubles with each attempt
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the backoff
+ATTEMPTS_PER_PEER = 2  # without any response, the next attempt goes to another peer
+INITIAL_BACKOFF_US = 200_000  # doubled after each attempt
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # bounds of the factor applied to the backoff
 REQUEST_ID_BITS = 40
-MAX_PARTS = 32  # of one response: about 350 servers, the worst first
-MAX_CLASSES = 16  # of one response
-ARRAY_BYTES = 8  # at most, that the two arrays of a response grow by
-RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # datagrams, to all peers together
+MAX_PARTS = 32  # parts of one response: about 350 servers, the least healthy first
+MAX_CLASSES = 16  # request classes in one response
+ARRAY_BYTES = 8  # upper bound for the larger headers of the two arrays when they are filled
+RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # in datagrams, shared by all peers
 
 
 @dataclass(slots=True)
 class WarmStartResult:
-    """What was received in response.
+    """Totals of the received responses.
 
     Attributes:
-        parts: Parts of responses, each counted once.
-        observations: Observations in them.
-        peers: Peers whose response is complete.
-        youngest_us: Age of the youngest observation when it came; -1: there was none.
-        oldest_us: Age of the oldest one.
-        completed_us: When the last response was complete, after the start.
+        parts: Number of parts of responses, without duplicates.
+        observations: Number of observations in the parts.
+        peers: Number of complete responses.
+        youngest_us: Age of the most recent observation at its receipt; -1 if there is none.
+        oldest_us: Age of the oldest observation at its receipt; -1 if there is none.
+        completed_us: Time from the start until the last response was complete.
     """
 
     parts: int = 0
@@ -58,13 +58,13 @@
 
 
 class WarmStartClient:
-    """Asks for observations on behalf of a gateway that has just started.
+    """Requests observations from peers for a gateway that has just started.
 
     Attributes:
-        requests: The peer that each request goes to, by the request's id.
-        completed: Ids of requests whose response is complete.
-        due_us: When to call `tick`.
-        result: What was received.
+        requests: The peer that receives each request, by request id.
+        completed: Ids of the requests whose response is complete.
+        due_us: Time at which `tick` is due.
+        result: Totals of the received responses.
     """
 
     def __init__(
@@ -74,12 +74,12 @@
         now_us: int,
         send: Callable[[int, WarmStartRequest], None],
     ) -> None:
-        """Choose the peers that are asked at first.
+        """Select the first peers at random.
 
         Args:
-            peers: The other gateways.
-            seed: Of the randomness.
-            now_us: The time.
+            peers: Numbers of the other gateways.
+            seed: Seed of the random number generator.
+            now_us: Current time.
             send: Sends a request to a peer.
         """
         self._random = random.Random(seed)
@@ -96,11 +96,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether no more is asked: all responses are complete, or there were attempts enough."""
+        """Whether all responses are complete or the limit of attempts is reached."""
         return len(self.completed) == len(self.requests) or self._attempts >= MAX_ATTEMPTS
 
     def tick(self, now_us: int) -> None:
-        """Repeat requests whose response is not complete, if it is time to."""
+        """Send the requests without a complete response, if the next attempt is due."""
         if self.is_finished or now_us < self.due_us:
             return
         for request_id in list(self.requests):
@@ -111,25 +111,25 @@
         self._attempts += 1
 
     def _peer_for(self, request_id: int) -> int:
-        """Return whom to ask: another peer in place of one that has not answered at all for long."""
-        silent = self._attempts >= ATTEMPTS_PER_PEER and not self._parts[request_id]
-        if silent and self._others:
+        """Return the target of a request; a peer that has not responded at all is replaced by another one."""
+        unresponsive = self._attempts >= ATTEMPTS_PER_PEER and not self._parts[request_id]
+        if unresponsive and self._others:
             self.requests[request_id] = self._others.pop(self._random.randrange(len(self._others)))
         return self.requests[request_id]
 
     def handle(
         self, now_us: int, sender: int, response: WarmStartResponse, start_times: dict[int, int]
     ) -> list[Observation]:
-        """Take in one part of a response; duplicates do no harm.
+        """Process one part of a response; duplicates are harmless.
 
         Args:
-            now_us: The time.
-            sender: The peer that it comes from.
+            now_us: Current time.
+            sender: The peer that sent the part.
             response: The part.
-            start_times: When each listed server started, in microseconds, by its id.
+            start_times: Start time in microseconds of each listed server, by server id.
 
         Returns:
-            The observations in it; none if it was not asked of this peer.
+            The observations in the part; empty if the request was not sent to this peer.
         """
         if self.requests.get(response.request_id) != sender:
             return []
@@ -156,10 +156,10 @@
 
 
 class WarmStartServer:
-    """Answers requests, within a limit for all peers together.
+    """Responds to requests, within a rate limit shared by all peers.
 
     Attributes:
-        rate_limited: Datagrams that the limit held back.
+        rate_limited: Number of parts that were not sent because of the rate limit.
     """
 
     def __init__(self, now_us: int) -> None:
@@ -173,7 +173,7 @@
         observations: Iterable[Observation],
         latencies: Sequence[ClassLatency],
     ) -> list[WarmStartResponse]:
-        """Return the parts of a response; none if they exceed the limit."""
+        """Return the parts of a response; empty if they exceed the rate limit."""
         parts = divide_response(request.request_id, observations, latencies, now_us)
         if not self._bucket.take(now_us, len(parts)):
             self.rate_limited += len(parts)
@@ -184,10 +184,10 @@
 def divide_response(
     request_id: int, observations: Iterable[Observation], latencies: Sequence[ClassLatency], now_us: int
 ) -> list[WarmStartResponse]:
-    """Return a response in parts that each fit a datagram; what matters most comes first.
+    """Split a response into parts that each fit into a datagram, the most important entries first.
 
-    Latencies come before observations, and of these the servers that are not in order, with the lowest
-    weights.
+    Latencies come first, then servers that are overloaded or whose breaker is not closed, then the other
+    servers; both groups are sorted by ascending weight.
     """
     order = sorted(observations, key=lambda o: (o.state == CLOSED and not o.overloaded, o.weight, o.server))
     entries: list[LatencyEntry | ServerEntry] = [
--- a/tests/observations.py
+++ b/tests/observations.py
@@ -1,4 +1,4 @@
-"""Observations of servers such as a gateway exchanges with its peers."""
+"""Sample observations of servers for tests."""
 
 from __future__ import annotations
 
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Parts of membership without a fleet: pings, indirect pings, local health, suspicion and dissemination."""
+"""Parts of membership, each alone: failure detector, local health, suspicion, dissemination, rate limit."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 SETTINGS = MembershipSettings()
 
 
-class Alone:
-    """Member 0 of some, and all that it sends and reports."""
+class DetectorHarness:
+    """A failure detector of member 0; records the messages that it sends and the members that it reports."""
 
     def __init__(self, count: int = 5) -> None:
         self.sent: list[tuple[int, Message]] = []
@@ -35,57 +35,57 @@
         )
 
     def send(self, now_us: int, target: int, message: Message, first: Message | None = None) -> None:
-        self.sent += [(target, each) for each in (first, message) if each is not None]
+        self.sent += [(target, sent) for sent in (first, message) if sent is not None]
 
     def step(self) -> int:
-        """Go on to what is due next."""
+        """Advance to the next due time and run the detector."""
         now_us = self.detector.next_us()
         self.detector.tick(now_us)
         return now_us
 
-    def pinged(self) -> tuple[int, int]:
-        """Begin a period, and return the target and the sequence number."""
+    def begin_probe(self) -> tuple[int, int]:
+        """Begin a period; return the target and the sequence number of its ping."""
         self.step()
         target, ping = self.sent[-1]
         assert isinstance(ping, Ping) and ping.target == target
         return target, ping.sequence
 
 
-def test_a_ping_is_repeated_then_made_by_others_then_reported() -> None:
-    alone = Alone()
-    target, sequence = alone.pinged()
-    alone.step()
-    assert alone.sent[1:] == [(target, Ping(sequence, target))] and not alone.unanswered
-    alone.step()
-    asked = alone.sent[2:]
-    assert len(asked) == SETTINGS.indirect_pings == len({helper for helper, _ in asked})
-    assert all(request == PingRequest(sequence, target) for _, request in asked)
-    assert target not in {helper for helper, _ in asked} and not alone.unanswered
-    alone.step()
-    assert alone.unanswered == [target]
-
-
-def test_an_acknowledgement_ends_a_ping() -> None:
-    alone = Alone()
-    target, sequence = alone.pinged()
-    alone.detector.on_ack(0, target, Ack(sequence, target % 4 + 1))  # of another target
-    alone.detector.on_ack(0, target, Ack(sequence + 1, target))  # of another ping
-    alone.detector.on_ack(0, target, Ack(sequence, target))
-    following = alone.pinged()
-    assert following[0] != target and following[1] == sequence + 1 and not alone.unanswered
-
-
-@pytest.mark.parametrize(("nacks", "times"), [(3, 1), (2, 2), (0, 2)])
-def test_local_health_worsens_only_where_helpers_are_silent_too(nacks: int, times: int) -> None:
-    alone = Alone()
-    target, sequence = alone.pinged()
-    alone.step()
-    alone.step()
-    helpers = [member for member, message in alone.sent if isinstance(message, PingRequest)]
+def test_a_probe_pings_twice_then_requests_indirect_pings_then_reports_the_target() -> None:
+    harness = DetectorHarness()
+    target, sequence = harness.begin_probe()
+    harness.step()
+    assert harness.sent[1:] == [(target, Ping(sequence, target))] and not harness.unanswered
+    harness.step()
+    requests = harness.sent[2:]
+    assert len(requests) == SETTINGS.indirect_pings == len({helper for helper, _ in requests})
+    assert all(request == PingRequest(sequence, target) for _, request in requests)
+    assert target not in {helper for helper, _ in requests} and not harness.unanswered
+    harness.step()
+    assert harness.unanswered == [target]
+
+
+def test_only_the_matching_acknowledgement_ends_a_probe() -> None:
+    harness = DetectorHarness()
+    target, sequence = harness.begin_probe()
+    harness.detector.on_ack(0, target, Ack(sequence, target % 4 + 1))  # wrong target
+    harness.detector.on_ack(0, target, Ack(sequence + 1, target))  # wrong sequence number
+    harness.detector.on_ack(0, target, Ack(sequence, target))
+    following = harness.begin_probe()
+    assert following[0] != target and following[1] == sequence + 1 and not harness.unanswered
+
+
+@pytest.mark.parametrize(("nacks", "factor"), [(3, 1), (2, 2), (0, 2)])
+def test_local_health_worsens_only_if_a_helper_sends_no_nack(nacks: int, factor: int) -> None:
+    harness = DetectorHarness()
+    target, sequence = harness.begin_probe()
+    harness.step()
+    harness.step()
+    helpers = [member for member, message in harness.sent if isinstance(message, PingRequest)]
     for helper in helpers[:nacks]:
-        alone.detector.on_nack(helper, Nack(sequence, target))
-    alone.step()
-    assert alone.unanswered == [target] and alone.detector.health.scale(10) == 10 * times
+        harness.detector.on_nack(helper, Nack(sequence, target))
+    harness.step()
+    assert harness.unanswered == [target] and harness.detector.health.scale(10) == 10 * factor
 
 
 def test_local_health_is_bounded_on_both_sides() -> None:
@@ -99,79 +99,79 @@
     assert health.scale(10) == 10 * MAX_LOCAL_HEALTH
 
 
-def test_an_indirect_ping_is_acknowledged_to_who_asked_for_it() -> None:
-    alone = Alone()
-    alone.detector.on_ping_request(0, 1, PingRequest(77, 2))
-    ((target, ping),) = alone.sent
+def test_the_acknowledgement_of_an_indirect_ping_is_forwarded_to_the_requester_once() -> None:
+    harness = DetectorHarness()
+    harness.detector.on_ping_request(0, 1, PingRequest(77, 2))
+    ((target, ping),) = harness.sent
     assert target == 2 and isinstance(ping, Ping)
-    alone.detector.on_ack(1, 2, Ack(ping.sequence, 2))
-    assert alone.sent[1:] == [(1, Ack(77, 2))]
-    alone.detector.on_ack(2, 2, Ack(ping.sequence, 2))  # again
-    assert len(alone.sent) == 2
+    harness.detector.on_ack(1, 2, Ack(ping.sequence, 2))
+    assert harness.sent[1:] == [(1, Ack(77, 2))]
+    harness.detector.on_ack(2, 2, Ack(ping.sequence, 2))  # duplicate
+    assert len(harness.sent) == 2
 
 
-def test_an_indirect_ping_without_an_answer_is_nacked_once() -> None:
-    alone = Alone()
-    alone.detector.on_ping_request(0, 1, PingRequest(77, 2))
+def test_an_unacknowledged_indirect_ping_is_nacked_once() -> None:
+    harness = DetectorHarness()
+    harness.detector.on_ping_request(0, 1, PingRequest(77, 2))
     for now_us in (SETTINGS.timeout_us - 1, SETTINGS.timeout_us, SETTINGS.timeout_us + SETTINGS.period_us):
-        alone.detector.tick(now_us)
-    assert [sent for sent in alone.sent if isinstance(sent[1], Nack)] == [(1, Nack(77, 2))]
+        harness.detector.tick(now_us)
+    assert [sent for sent in harness.sent if isinstance(sent[1], Nack)] == [(1, Nack(77, 2))]
 
 
-def test_requests_for_indirect_pings_are_bounded_and_checked() -> None:
-    alone = Alone()
-    for target in (0, 1, 9):  # itself, who asks, nobody
-        alone.detector.on_ping_request(0, 1, PingRequest(1, target))
-    assert not alone.sent
+def test_requests_for_indirect_pings_are_limited_and_validated() -> None:
+    harness = DetectorHarness()
+    for target in (0, 1, 9):  # this member, the requester, an unknown member
+        harness.detector.on_ping_request(0, 1, PingRequest(1, target))
+    assert not harness.sent
     for sequence in range(MAX_RELAYED_PINGS + 9):
-        alone.detector.on_ping_request(0, 1, PingRequest(sequence, 2))
-    assert len(alone.sent) == MAX_RELAYED_PINGS
+        harness.detector.on_ping_request(0, 1, PingRequest(sequence, 2))
+    assert len(harness.sent) == MAX_RELAYED_PINGS
 
 
 def test_each_round_pings_every_member_that_is_not_dead_once() -> None:
-    alone = Alone(6)
-    alone.table.set_state(0, 3, MemberState.DEAD, 0, 0)
+    harness = DetectorHarness(6)
+    harness.table.set_state(0, 3, MemberState.DEAD, 0, 0)
     for _ in range(3):
         targets = []
         for _ in range(4):
             while True:
-                alone.step()
-                message = alone.sent[-1][1]
+                harness.step()
+                message = harness.sent[-1][1]
                 if isinstance(message, Ping) and message.target != 3:
                     break
             targets.append(message.target)
-            alone.detector.on_ack(0, message.target, Ack(message.sequence, message.target))
+            harness.detector.on_ack(0, message.target, Ack(message.sequence, message.target))
         assert sorted(targets) == [1, 2, 4, 5]
 
 
-def test_a_dead_member_is_pinged_now_and_then_with_the_update_ahead() -> None:
-    alone = Alone(2)
-    alone.table.set_state(0, 1, MemberState.DEAD, 0, 0)
-    alone.step()
-    update, ping = (message for _, message in alone.sent)
+def test_the_ping_of_a_dead_member_is_preceded_by_the_update_of_its_death() -> None:
+    harness = DetectorHarness(2)
+    harness.table.set_state(0, 1, MemberState.DEAD, 0, 0)
+    harness.step()
+    update, ping = (message for _, message in harness.sent)
     assert update == Update(1, MemberState.DEAD, 1, 0) and isinstance(ping, Ping)
 
 
 # Suspicion
 
 
-def test_a_suspicion_is_the_shorter_the_more_confirm_it() -> None:
+def test_each_confirmation_shortens_a_suspicion() -> None:
     table = MemberTable(0, 10, SETTINGS, 0)
-    spans = [table.suspicion_us(confirmations) for confirmations in range(5)]
+    durations = [table.suspicion_us(confirmations) for confirmations in range(5)]
     shortest = int(SETTINGS.suspicion_multiplier * table.log_size * SETTINGS.period_us)
-    assert spans[0] == int(shortest * SETTINGS.max_suspicion_multiplier)
-    assert spans == sorted(spans, reverse=True)
-    assert spans[SETTINGS.confirmations] == spans[SETTINGS.confirmations + 1] == shortest
-    assert MemberTable(0, 2, SETTINGS, 0).suspicion_us(0) > 0  # nobody is there to confirm it
+    assert durations[0] == int(shortest * SETTINGS.max_suspicion_multiplier)
+    assert durations == sorted(durations, reverse=True)
+    assert durations[SETTINGS.confirmations] == durations[SETTINGS.confirmations + 1] == shortest
+    assert MemberTable(0, 2, SETTINGS, 0).suspicion_us(0) > 0  # no other member can confirm it
 
 
-def test_a_confirmation_counts_once_and_no_more_than_are_needed() -> None:
+def test_a_confirmation_counts_once_and_confirmations_are_limited() -> None:
     table = MemberTable(0, 10, SETTINGS, 0)
     table.set_state(5, 1, MemberState.SUSPECT, 0, 2)
-    before = table.suspicion_deadlines_us()
-    assert not table.confirm_suspicion(1, 2) and table.suspicion_deadlines_us() == before
-    assert [table.confirm_suspicion(1, by) for by in (3, 4, 5, 6)] == [True, True, True, False]
-    assert table.suspicion_deadlines_us() < before
+    previous = table.suspicion_deadlines_us()
+    assert not table.confirm_suspicion(1, 2) and table.suspicion_deadlines_us() == previous
+    assert [table.confirm_suspicion(1, reporter) for reporter in (3, 4, 5, 6)] == [True, True, True, False]
+    assert table.suspicion_deadlines_us() < previous
     (deadline_us,) = table.suspicion_deadlines_us()
     assert table.expired_suspects(deadline_us - 1) == [] and table.expired_suspects(deadline_us) == [1]
 
@@ -179,43 +179,45 @@
 # Dissemination
 
 
-def queue(*members: int) -> UpdateQueue:
-    made = UpdateQueue(lambda member: Update(member, MemberState.SUSPECT, 2**40, 0))
+def queue_updates(*members: int) -> UpdateQueue:
+    updates = UpdateQueue(lambda member: Update(member, MemberState.SUSPECT, 2**40, 0))
     for member in members:
-        made.enqueue(member)
-    return made
+        updates.enqueue(member)
+    return updates
 
 
-def test_what_concerns_the_target_comes_first_then_what_was_sent_least() -> None:
-    updates = queue(1, 2, 3)
-    assert [u.member for u in updates.piggyback(2, 0, 9)] == [2, 1, 3]
+def test_updates_about_the_target_come_first_then_the_least_transmitted() -> None:
+    updates = queue_updates(1, 2, 3)
+    assert [update.member for update in updates.piggyback(2, 0, 9)] == [2, 1, 3]
     updates.enqueue(3)
-    assert [u.member for u in updates.piggyback(9, 0, 9)] == [3, 1, 2]
+    assert [update.member for update in updates.piggyback(9, 0, 9)] == [3, 1, 2]
 
 
-def test_an_update_is_dropped_after_so_many_transmissions() -> None:
-    updates = queue(1)
+def test_an_update_is_dropped_after_the_maximum_of_transmissions() -> None:
+    updates = queue_updates(1)
     assert [len(list(updates.piggyback(9, 0, 3))) for _ in range(5)] == [1, 1, 1, 0, 0]
     updates.enqueue(1)
     assert len(list(updates.piggyback(9, 0, 3))) == 1
     assert max_transmissions(3.0, 1.0) == 3 and max_transmissions(3.0, 1.1) == 4
 
 
-def test_updates_fill_a_datagram_and_no_more() -> None:
-    updates = queue(*range(100))
+def test_piggybacked_updates_fill_a_datagram_without_exceeding_its_limit() -> None:
+    updates = queue_updates(*range(100))
     first = list(updates.piggyback(999, encoded_size([]), 9))
     assert 0 < len(first) < 100 and encoded_size(first) <= DATAGRAM_LIMIT
     assert encoded_size([*first, first[0]]) > DATAGRAM_LIMIT
-    assert not {u.member for u in first} & {u.member for u in updates.piggyback(999, encoded_size([]), 9)}
+    assert not {update.member for update in first} & {
+        update.member for update in updates.piggyback(999, encoded_size([]), 9)
+    }
     assert not list(updates.piggyback(999, DATAGRAM_LIMIT, 9))
 
 
-# The limit
+# Rate limit
 
 
 def test_a_bucket_permits_a_burst_and_then_the_rate() -> None:
     bucket = TokenBucket(10.0, 3.0, 0)
     assert [bucket.take(0, 1) for _ in range(4)] == [True, True, True, False]
     assert not bucket.take(99_000, 1) and bucket.take(100_000, 1)
-    assert not bucket.take(10_000_000, 4)  # all or none, and never above the burst
+    assert not bucket.take(10_000_000, 4)  # all or none; the bucket never holds more than the burst
     assert bucket.take(10_000_000, 3)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: deaths are noticed, partitions heal, and all members arrive at one view."""
+"""Membership: failed members are detected, partitions heal, and the views of all members converge."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_a_death_is_known_to_all_and_no_living_member_counts_as_dead(loss: float) -> None:
-    made = death(8, 1, loss, 40.0)
-    assert made.missed == 0 and made.false_deaths == 0 and made.p99_s < 20.0
+def test_a_death_is_detected_by_all_members_without_false_positives(loss: float) -> None:
+    result = death(8, 1, loss, 40.0)
+    assert result.missed == 0 and result.false_deaths == 0 and result.p99_s < 20.0
 
 
-def test_what_one_member_sends_does_not_grow_with_the_fleet() -> None:
+def test_the_message_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
     small, large = death(4, 1, 0.0, 20.0), death(60, 1, 0.0, 20.0)
     assert large.most_per_s < 1.5 * small.most_per_s + 1.0
 
@@ -34,7 +34,7 @@
     assert 0 <= partition(8, 1, 0.05).healed_s < 30
 
 
-def test_a_member_that_returns_overrides_its_death() -> None:
+def test_a_member_that_restarts_overrides_the_updates_of_its_death() -> None:
     fleet = Fleet(5, 1, 0.0, MembershipSettings())
     fleet.run(3_000_000)
     fleet.dead = {4}
@@ -45,29 +45,29 @@
     assert fleet.views_equal()
 
 
-def test_addresses_that_are_dead_for_good_cost_little() -> None:
+def test_permanently_dead_members_cause_few_messages() -> None:
     fleet = Fleet(10, 1, 0.0, MembershipSettings())
     fleet.dead = set(range(1, 10))
     fleet.run(60_000_000)
     member = fleet.members[0]
     assert member.alive == 1 and member.counts.sent < 60 * 6
-    before = member.counts.sent
+    sent_before = member.counts.sent
     fleet.run(120_000_000)
-    assert member.counts.sent - before <= 60
+    assert member.counts.sent - sent_before <= 60
 
 
 @settings(max_examples=50)
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2), st.integers(0, 3)), max_size=12), st.randoms()
 )
-def test_updates_come_to_the_same_view_in_any_order(
+def test_the_view_does_not_depend_on_the_order_of_updates(
     updates: list[tuple[int, int, int]], shuffle: random.Random
 ) -> None:
     views = []
     for _ in range(2):
         member = Membership(9, 10, MembershipSettings(), 1, 0, lambda target, datagram: None)
-        for of, state, incarnation in updates:
-            member.apply_update(0, Update(of, state, incarnation, 5))
+        for subject, state, incarnation in updates:
+            member.apply_update(0, Update(subject, state, incarnation, 5))
         views.append({number: peer.precedence for number, peer in member.peers.items()})
         shuffle.shuffle(updates)
     assert views[0] == views[1]
--- a/tests/test_observation_codec.py
+++ b/tests/test_observation_codec.py
@@ -1,4 +1,4 @@
-"""Observations in a datagram's units: rounded to the safe side, bounded, and of one incarnation alone."""
+"""Observations in datagrams: rounding, bounds, and the check of the server's incarnation."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
     st.booleans(),
     st.integers(-5, 10**9),
 )
-def test_an_observation_comes_back_rounded_to_the_safe_side(
+def test_cooldowns_round_up_and_ages_and_work_round_down(
     age_us: int, cooldown_us: int, weight: float, overloaded: bool, work_us: int
 ) -> None:
     sent = Observation(7, STARTED, 1, NOW - age_us, OPEN, NOW + cooldown_us, weight, overloaded, work_us)
-    fact = encode_observation(sent, NOW)
-    assert decode(encode(Datagram(1, 1, [WarmStartResponse(1, 0, 1, [], [fact])]))).messages
-    (received,) = decode_observations(1, [fact], {7: STARTED}, NOW)
+    entry = encode_observation(sent, NOW)
+    assert decode(encode(Datagram(1, 1, [WarmStartResponse(1, 0, 1, [], [entry])]))).messages
+    (received,) = decode_observations(1, [entry], {7: STARTED}, NOW)
     expected_us = min(max(0, cooldown_us), MAX_COOLDOWN_UNITS * COOLDOWN_UNIT_US)
     assert 0 <= received.open_until_us - NOW - expected_us < COOLDOWN_UNIT_US
     expected_us = min(max(0, age_us), MAX_AGE_UNITS * AGE_UNIT_US)
@@ -49,11 +49,11 @@
     )
 
 
-def test_an_observation_of_another_incarnation_or_server_is_dropped() -> None:
-    fact = encode_observation(Observation(7, STARTED, 1, NOW), NOW)
-    assert not decode_observations(1, [fact], {7: STARTED + 1000}, NOW)
-    assert not decode_observations(1, [fact], {8: STARTED}, NOW)
-    assert decode_observations(1, [fact], {7: STARTED + 1}, NOW)  # told apart by milliseconds
+def test_an_observation_of_an_unknown_incarnation_or_server_is_dropped() -> None:
+    entry = encode_observation(Observation(7, STARTED, 1, NOW), NOW)
+    assert not decode_observations(1, [entry], {7: STARTED + 1000}, NOW)
+    assert not decode_observations(1, [entry], {8: STARTED}, NOW)
+    assert decode_observations(1, [entry], {7: STARTED + 1}, NOW)  # start ids have a resolution of 1 ms
     assert start_id(STARTED) == start_id(STARTED + START_IDS * 1000) < START_IDS
 
 
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: what is written is read, and nothing else is."""
+"""Datagrams between gateways: encoding round trips, and damaged datagrams are rejected."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_break_the_codec(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected_or_round_trip(data: bytes) -> None:
     with contextlib.suppress(CodecError):
         assert encode(decode(data)) == data
 
 
-def test_a_datagram_with_one_bit_wrong_is_rejected() -> None:
+def test_a_datagram_with_one_flipped_bit_is_rejected() -> None:
     data = encode(Datagram(1, 7, [Ping(5, 2), Update(3, 1, 9, 1)]))
     assert decode(data).messages == [Ping(5, 2), Update(3, 1, 9, 1)]
     for bit in range(8 * len(data)):
-        wrong = bytearray(data)
-        wrong[bit // 8] ^= 1 << bit % 8
+        damaged = bytearray(data)
+        damaged[bit // 8] ^= 1 << bit % 8
         with pytest.raises(CodecError):
-            decode(bytes(wrong))
+            decode(bytes(damaged))
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -1,4 +1,4 @@
-"""Nodes on sockets: they find each other, learn from each other and reject strangers."""
+"""Peer nodes on real sockets: membership, warm start, and rejection of foreign datagrams."""
 
 from __future__ import annotations
 
@@ -17,49 +17,49 @@
 
 
 @on_loop
-async def test_nodes_find_each_other_learn_and_reject_strangers() -> None:
+async def test_nodes_exchange_observations_and_reject_datagrams_of_non_members() -> None:
     loop = asyncio.get_running_loop()
-    learned: list[object] = []
+    events: list[object] = []
     addresses = []
     for _ in range(2):
         probe, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
         addresses.append(probe.get_extra_info("sockname"))
         probe.close()
     await asyncio.sleep(0)
-    lives = {n: STARTED for n in range(1, 4)}
+    start_times = {n: STARTED for n in range(1, 4)}
 
-    def node(me: int, sights: list[Observation]) -> PeerNode:
+    def node(number: int, seen: list[Observation]) -> PeerNode:
         return PeerNode(
-            me,
-            addresses[me],
+            number,
+            addresses[number],
             addresses,
             MembershipSettings(period_us=20_000, timeout_us=10_000),
-            me,
-            learned.append,
-            lambda: (sights, []),
-            lambda: lives,
-            use_warm_start=me == 0,
+            number,
+            events.append,
+            lambda: (seen, []),
+            lambda: start_times,
+            use_warm_start=number == 0,
         )
 
     nodes = [node(0, []), node(1, observations(3))]
-    for each in nodes:
-        each.start()
+    for one_node in nodes:
+        one_node.start()
     try:
         await until(
             lambda: nodes[0].warm_start_client is not None
             and nodes[0].warm_start_client.result.observations == 3
         )
-        stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
-        before = nodes[1].counts.rejected
+        non_member, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
+        rejected_before = nodes[1].counts.rejected
         for data in (b"", b"nonsense", encode(Datagram(0, 9, [Update(1, 2, 2**40, 0)]))):
-            stranger.sendto(data or b"x", addresses[1])
-        await until(lambda: nodes[1].counts.rejected == before + 3)
-        stranger.close()
+            non_member.sendto(data or b"x", addresses[1])
+        await until(lambda: nodes[1].counts.rejected == rejected_before + 3)
+        non_member.close()
         assert nodes[1].membership.incarnation < 2**40
         nodes[1].close()
         await until(lambda: nodes[0].membership.alive == 1)
         assert any("dead" in line for line in nodes[0].describe())
         assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
-        for each in nodes:
-            each.close()
+        for one_node in nodes:
+            one_node.close()
