--- a/sagetrack/store/batch_queue.py
+++ b/sagetrack/store/batch_queue.py
@@ -1,4 +1,4 @@
-"""The queue between the threads that submit batches and the writer's thread."""
+"""The bounded queue between threads that submit batches and the writer thread."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from sagetrack.store.format import Record
 
-OnDurable = Callable[[bool], None]  # called with whether the batch is durable
+OnDurable = Callable[[bool], None]  # called with True if the batch is durable, with False if it was dropped
 
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
-RECORD_OVERHEAD_BYTES = 64  # counted for a queued record besides its key and value
+RECORD_OVERHEAD_BYTES = 64  # estimated size of a queued record without its key and value
 
 
 class QueuedBatch(NamedTuple):
-    """A submitted batch and who is notified of its fate."""
+    """A submitted batch and the callback for its outcome."""
 
     records: Sequence[Record]
     on_durable: OnDurable | None
 
 
 class BatchQueue:
-    """Submitted batches in bounded memory, from any thread to the writer's."""
+    """Batches on their way from any thread to the writer thread, in bounded memory."""
 
     __slots__ = ("_batches", "_closing", "_condition", "queued_bytes")
 
@@ -33,7 +33,7 @@
         self.queued_bytes = 0
 
     def offer(self, batch: QueuedBatch) -> bool:
-        """Queue a batch; False if the bound is reached or the queue is closing."""
+        """Queue a batch; return False if the size limit is reached or the queue is closing."""
         size = sum(
             len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES for record in batch.records
         )
@@ -47,13 +47,13 @@
         return True
 
     def take(self, wait_s: Callable[[], float]) -> tuple[list[QueuedBatch], bool]:
-        """Take all that is queued, waiting once if that is nothing.
+        """Take all queued batches; if there are none, wait once for a batch.
 
         Args:
-            wait_s: How long to wait, in seconds; asked only if there is nothing.
+            wait_s: Returns the maximum time to wait, in seconds; called only if the queue is empty.
 
         Returns:
-            The batches in order, and whether the queue is closing.
+            The batches in order of submission, and whether the queue is closing.
         """
         with self._condition:
             if not self._batches and not self._closing:
@@ -64,7 +64,7 @@
             return taken, self._closing
 
     def close(self) -> None:
-        """Refuse further batches, and wake the writer."""
+        """Reject further batches and wake the writer thread."""
         with self._condition:
             self._closing = True
             self._condition.notify()
--- a/sagetrack/store/checkpoint.py
+++ b/sagetrack/store/checkpoint.py
@@ -1,7 +1,8 @@
-"""Checkpoints: the state as of one sequence number, one value for each key, sorted by key hash.
+"""Checkpoints: files with the whole state as of one sequence number, one record per key, sorted by key hash.
 
-A checkpoint is valid as a whole or not at all. The newest two are kept, and the log segments since the older
-one, so that damage to the newest costs nothing: the older one and the log give the same state.
+A checkpoint with any damage found at loading is rejected as a whole. The newest two checkpoints are kept,
+together with the log segments since the older one. If the newest is damaged, the older one and the log
+therefore restore the same state.
 """
 
 from __future__ import annotations
@@ -30,16 +31,16 @@
 
 
 def chain_checksum(checksum: int, chained: int) -> int:
-    """Add one record's checksum to that of all before it."""
+    """Extend the running checksum of a checkpoint by the checksum of the next record."""
     return crc32c(checksum.to_bytes(4, "little"), chained)
 
 
 class Checkpoint:
-    """One checkpoint file, and where each of its records is.
+    """One checkpoint file, and an in-memory index of its records.
 
     Attributes:
-        sequence: Sequence number of the last batch that it contains.
-        size: Bytes of its file.
+        sequence: Sequence number of the last batch that the checkpoint contains.
+        size: Size of the file in bytes.
     """
 
     __slots__ = ("_directory", "_hashes", "_offsets", "sequence", "size")
@@ -56,25 +57,25 @@
 
     @property
     def name(self) -> str:
-        """Its file's name."""
+        """Name of the file."""
         return checkpoint_name(self.sequence)
 
     def load(self, verify: bool, on_record: Callable[[Record, int], None]) -> None:
-        """Read the index from the file.
+        """Build the index from the file.
 
         Args:
-            verify: Read and verify all records too.
-            on_record: Called with each record and the size of its payload; with `verify` alone.
+            verify: Also read and verify the payloads of all records.
+            on_record: Called with each record and the size of its payload, if `verify` is set.
 
         Raises:
-            CorruptionError: The file is not as it was written.
-            OSError: It cannot be read.
+            CorruptionError: The file is damaged or incomplete.
+            OSError: The file cannot be read.
         """
         self.size = self._directory.size(self.name)
         header = self._directory.read(self.name, 0, FILE_HEADER.size)
         _, sequence = decode_file_header(header, CHECKPOINT_MAGIC)
         if sequence != self.sequence:
-            raise CorruptionError("its name is that of another")
+            raise CorruptionError("sequence number in the header differs from the file name")
         chained = 0
         last_hash = -1
         for frame in read_frames(self._directory, self.name, FILE_HEADER.size, self.size, verify):
@@ -82,32 +83,32 @@
                 self._verify_end(frame, chained)
                 return
             if frame.number < last_hash:
-                raise CorruptionError("records are out of order")
+                raise CorruptionError("records are not sorted by key hash")
             self.add(frame.number, frame.offset)
             if frame.payload:
                 on_record(decode_record(frame.payload), len(frame.payload))
             chained = chain_checksum(frame.checksum, chained)
             last_hash = frame.number
-        raise CorruptionError("it has no end")
+        raise CorruptionError("end record is missing")
 
     def _verify_end(self, frame: Frame, chained: int) -> None:
         payload = read_payload(self._directory, self.name, frame.offset)
         if decode_end_record(payload) != (len(self), chained):
-            raise CorruptionError("records are missing")
+            raise CorruptionError("number or checksum of records differs from the end record")
         if frame.offset + FRAME_HEADER.size + len(payload) != self.size:
-            raise CorruptionError("something follows the end")
+            raise CorruptionError("unexpected data after the end record")
 
     def add(self, number: int, offset: int) -> None:
-        """Enter the record with the next key hash, at an offset of the file."""
+        """Add a record to the index; records are added in ascending order of their key hashes."""
         self._hashes.append(number)
         self._offsets.append(offset)
 
     def release_index(self) -> None:
-        """Free the memory of the index; pinned copies keep theirs."""
+        """Free the memory of the index; copies made by `pinned` keep theirs."""
         self._hashes, self._offsets = array("Q"), array("Q")
 
     def pinned(self) -> Checkpoint:
-        """A copy whose index outlives `release_index`."""
+        """Return a copy that keeps the index when this checkpoint releases it."""
         copy = Checkpoint(self._directory, self.sequence)
         copy._hashes = self._hashes
         copy._offsets = self._offsets
@@ -115,11 +116,11 @@
         return copy
 
     def find(self, space: str, key: bytes) -> Record | None:
-        """Read the record of a key; None if there is none.
+        """Read the record of a key; return None if the checkpoint does not contain the key.
 
         Raises:
             CorruptionError: The record is damaged.
-            OSError: It cannot be read.
+            OSError: The record cannot be read.
         """
         number = key_hash(space, key)
         position = bisect_left(self._hashes, number)
@@ -131,10 +132,10 @@
         return None
 
     def frames(self) -> Iterator[Frame]:
-        """Read all records' frames in order of their key hashes, verified.
+        """Read and verify the frames of all records, in ascending order of their key hashes.
 
         Raises:
-            CorruptionError: At the first that is damaged.
+            CorruptionError: At the first damaged frame.
             OSError: The file cannot be read.
         """
         for frame in read_frames(self._directory, self.name, FILE_HEADER.size, self.size):
@@ -144,7 +145,7 @@
 
 
 class Checkpoints:
-    """The newest checkpoint, which is read, and the one before, which is kept in case that one is damaged."""
+    """The newest checkpoint, which serves reads, and the previous one, which is a fallback for recovery."""
 
     __slots__ = ("_previous", "newest")
 
@@ -154,18 +155,18 @@
 
     @property
     def newest_sequence(self) -> int:
-        """Sequence number of the newest checkpoint; 0 if there is none."""
+        """Sequence number of the newest checkpoint; 0 without a checkpoint."""
         return 0 if self.newest is None else self.newest.sequence
 
     def restore(self, valid: list[Checkpoint]) -> None:
-        """Take up the valid checkpoints that recovery found, the newest first."""
+        """Adopt the valid checkpoints that recovery found, ordered from the newest."""
         self.newest = valid[0] if valid else None
         self._previous = valid[1] if len(valid) > 1 else None
         if self._previous is not None:
             self._previous.release_index()
 
     def install(self, checkpoint: Checkpoint) -> Checkpoint | None:
-        """Make a checkpoint the newest; returns the one that is not needed any more."""
+        """Make a checkpoint the newest, and return the one that has become obsolete, if any."""
         obsolete = self._previous
         self._previous = self.newest
         self.newest = checkpoint
--- a/sagetrack/store/compaction.py
+++ b/sagetrack/store/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: the newest checkpoint and the log since are merged into a new checkpoint, in steps."""
+"""Compaction: merges the newest checkpoint and the log after it into a new checkpoint, in small steps."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from sagetrack.store.space_limits import Retention
 from sagetrack.store.write_ahead_log import WriteAheadLog
 
-MAX_LOG_KEYS = 50_000  # keys in the log since the newest checkpoint, from which on compaction is due
-STEP_RECORDS = 200  # records between two yields
-SORT_KEYS = 4_000  # keys that are sorted at once
-WRITE_BYTES = 64 * 1024  # gathered before an append
+MAX_LOG_KEYS = 50_000  # number of keys in the log at which compaction is due
+STEP_RECORDS = 200  # records that are processed in one step
+SORT_KEYS = 4_000  # keys per sorted run; bounds the duration of one sort
+WRITE_BYTES = 64 * 1024  # buffered before each append
 
 HashedKey = tuple[int, Key]
 
 
 class CheckpointWriter:
-    """Writes the records of one checkpoint to its unfinished file."""
+    """Writes a checkpoint to a file with a temporary name."""
 
     __slots__ = ("_buffer", "_chained_checksum", "_directory", "_name", "_written", "checkpoint")
 
@@ -48,12 +48,12 @@
         self._chained_checksum = 0
 
     def begin(self) -> None:
-        """Create the file."""
+        """Create the file and buffer its header."""
         self._directory.create(self._name)
         self._buffer += encode_file_header(CHECKPOINT_MAGIC, self.checkpoint.sequence)
 
     def add(self, record: Record) -> int:
-        """Add the record with the next key hash; returns the size of its payload."""
+        """Append a record, in ascending order of key hashes, and return the size of its payload."""
         frame = encode_record(record)
         _, checksum, number = decode_frame_header(frame)
         self.checkpoint.add(number, self._written + len(self._buffer))
@@ -62,32 +62,32 @@
         return len(frame) - FRAME_HEADER.size
 
     def flush_if_full(self) -> None:
-        """Append what has been gathered if it is enough for one write."""
+        """Write the buffered bytes to the file if there are at least `WRITE_BYTES`."""
         if len(self._buffer) >= WRITE_BYTES:
             self._directory.append(self._name, bytes(self._buffer))
             self._written += len(self._buffer)
             self._buffer.clear()
 
     def finish(self) -> None:
-        """Append the end record and make the file's content durable."""
+        """Write the remaining bytes and the end record, and sync the file."""
         self._buffer += encode_end_record(len(self.checkpoint), self._chained_checksum)
         self._directory.append(self._name, bytes(self._buffer))
         self.checkpoint.size = self._written + len(self._buffer)
         self._directory.sync(self._name)
 
     def discard(self) -> None:
-        """Remove the unfinished file."""
+        """Remove the temporary file if it exists."""
         if self._name in self._directory.names():
             self._directory.remove(self._name)
 
     def publish(self) -> None:
-        """Rename the finished file into place, durably."""
+        """Rename the finished file to its final name, and make the rename durable."""
         self._directory.rename(self._name, self.checkpoint.name)
         self._directory.sync_names()
 
 
 class Compactor:
-    """Decides when compaction is due, and does it."""
+    """Determines when compaction is due, and performs it."""
 
     __slots__ = ("_checkpoints", "_directory", "_disk_space", "_index", "_log", "_options", "_retention")
 
@@ -111,7 +111,7 @@
 
     @property
     def due(self) -> bool:
-        """Whether the log has grown, or the disk filled, so far that compaction should begin."""
+        """Whether the size of the log or of all files requires a compaction."""
         newest = self._checkpoints.newest
         log_bytes = self._log.size_after(None if newest is None else newest.sequence)
         checkpoint_bytes = 0 if newest is None else newest.size
@@ -120,30 +120,30 @@
         return len(self._index) > 0 and (nearly_full or log_large or len(self._index) >= MAX_LOG_KEYS)
 
     def run(self, now_ms: int) -> Generator[None, None, None]:
-        """Write a new checkpoint and adopt it, a step for each `next`; writes may go on between steps.
+        """Write and adopt a new checkpoint; each `next` performs one step, and writes may occur in between.
 
         Args:
-            now_ms: Unix time in milliseconds, from which on records are expired.
+            now_ms: Current Unix time in milliseconds; records that have expired by then are left out.
 
         Raises:
-            OSError: The disk failed; the state is as before.
-            CorruptionError: A record to be merged is damaged; the state is as before.
+            OSError: A file operation failed; the state of the store is unchanged.
+            CorruptionError: A record to be merged is damaged; the state of the store is unchanged.
         """
         if self._log.has_unsynced or self._log.current_segment is not None:
             self._log.sync()
         newest = self._checkpoints.newest
         if newest is not None and newest.sequence == self._log.sequence:
             return
-        self._log.close_segment()  # the checkpoint contains whole segments: the next batch begins one
+        self._log.close_segment()  # the next batch starts a new segment: a checkpoint covers whole segments
         self._index.freeze()
         writer = CheckpointWriter(self._directory, self._log.sequence)
         cutoffs = self._retention.eviction_cutoffs()
-        before = self._retention.begin_recount()
+        previous_counts = self._retention.begin_recount()
         try:
             yield from self._write(writer, cutoffs, now_ms)
         except BaseException:
             self._index.unfreeze()
-            self._retention.restore(before)
+            self._retention.restore(previous_counts)
             writer.discard()
             raise
         self._adopt(writer)
@@ -164,7 +164,7 @@
         writer.finish()
 
     def _sorted_runs(self) -> Generator[None, None, list[list[HashedKey]]]:
-        """Sort the frozen keys by hash in runs of bounded length, a step at a time; returns the runs."""
+        """Sort the frozen keys by hash into runs of bounded length, in steps, and return the runs."""
         runs: list[list[HashedKey]] = []
         run: list[HashedKey] = []
         for key in self._index.frozen_keys():
@@ -181,7 +181,7 @@
         return runs
 
     def _merged(self, fresh: Iterator[HashedKey]) -> Iterator[Record]:
-        """The newest record of each key in the checkpoint and the log, in order of their hashes."""
+        """Yield the newest record of each key in the checkpoint and the log, in order of the key hashes."""
         pending = next(fresh, None)
         if self._checkpoints.newest is not None:
             for frame in self._checkpoints.newest.frames():
@@ -199,7 +199,7 @@
         return read_located(self._directory, self._index.frozen_location(key))
 
     def _adopt(self, writer: CheckpointWriter) -> None:
-        """Make a finished checkpoint the newest, and retire what neither it nor the one before needs."""
+        """Make a finished checkpoint the newest, and retire files that no kept checkpoint needs."""
         writer.publish()
         kept_sequence = self._checkpoints.newest_sequence
         self._write_manifest(writer.checkpoint, kept_sequence)
--- a/sagetrack/store/directory.py
+++ b/sagetrack/store/directory.py
@@ -1,4 +1,4 @@
-"""The directory of a store: the few file operations that it needs, so that tests can take a disk's place."""
+"""File operations of a store within its directory, behind a protocol that tests can implement."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class StoreDirectory(Protocol):
-    """File operations within one directory. Any of them may raise OSError."""
+    """File operations within one directory; each of them may raise OSError."""
 
     def names(self) -> list[str]:
-        """Names of all files, sorted."""
+        """Return the names of all files, sorted."""
         ...
 
     def size(self, name: str) -> int:
-        """Size of a file in bytes."""
+        """Return the size of a file in bytes."""
         ...
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Read bytes from an offset; fewer at the end of the file."""
+        """Read up to `length` bytes from an offset; fewer are returned at the end of the file."""
         ...
 
     def create(self, name: str) -> None:
-        """Create an empty file, in place of one that is there."""
+        """Create an empty file, replacing an existing one."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Append all of the bytes; after OSError some of them may be there."""
+        """Append bytes; after an OSError, a part of them may have been written."""
         ...
 
     def sync(self, name: str) -> None:
-        """Make what was appended durable."""
+        """Make the appended bytes of a file durable."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
@@ -44,7 +44,7 @@
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically, in place of one of the new name."""
+        """Rename a file atomically, replacing an existing file with the new name."""
         ...
 
     def remove(self, name: str) -> None:
@@ -52,25 +52,25 @@
         ...
 
     def sync_names(self) -> None:
-        """Make creations, renames and removals durable."""
+        """Make the creation, renaming and removal of files durable."""
         ...
 
     def close(self) -> None:
-        """Release the directory."""
+        """Release the resources of the directory."""
         ...
 
 
 class DiskDirectory:
-    """A directory on disk that one process has to itself.
+    """A directory on disk, locked for exclusive use by one process.
 
     Args:
-        folder: The directory.
-        create: Create it if it is missing.
-        writable: Lock it and open files for writing; else nothing is locked and files are opened for reading.
+        folder: Path of the directory.
+        create: Create the directory if it does not exist.
+        writable: Lock the directory and open files for writing; otherwise open it read-only without a lock.
 
     Raises:
-        BlockingIOError: Another process has it.
-        OSError: It cannot be used.
+        BlockingIOError: Another process holds the lock.
+        OSError: The directory cannot be opened.
     """
 
     def __init__(self, folder: Path | str, create: bool = True, writable: bool = True) -> None:
@@ -88,7 +88,7 @@
                 raise BlockingIOError(errno.EWOULDBLOCK, "another process has it", str(folder)) from None
 
     def _descriptor(self, name: str, flags: int = os.O_RDWR) -> int:
-        """The descriptor of an open file; opens it if it is not."""
+        """Return the descriptor of a file, opening the file if necessary."""
         descriptor = self._descriptors.get(name)
         if descriptor is None:
             if self._lock < 0:
@@ -103,24 +103,24 @@
             os.close(descriptor)
 
     def names(self) -> list[str]:
-        """Names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(entry.name for entry in self.folder.iterdir() if entry.is_file())
 
     def size(self, name: str) -> int:
-        """Size of a file in bytes."""
+        """Return the size of a file in bytes."""
         return os.fstat(self._descriptor(name)).st_size
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Read bytes from an offset; fewer at the end of the file."""
+        """Read up to `length` bytes from an offset; fewer are returned at the end of the file."""
         return os.pread(self._descriptor(name), length, offset)
 
     def create(self, name: str) -> None:
-        """Create an empty file, in place of one that is there."""
+        """Create an empty file, replacing an existing one."""
         self._close_file(name)
         self._descriptor(name, os.O_RDWR | os.O_CREAT | os.O_TRUNC)
 
     def append(self, name: str, data: bytes) -> None:
-        """Append all of the bytes; after OSError some of them may be there."""
+        """Append bytes; after an OSError, a part of them may have been written."""
         descriptor = self._descriptor(name)
         os.lseek(descriptor, 0, os.SEEK_END)
         view = memoryview(data)
@@ -128,7 +128,7 @@
             view = view[os.write(descriptor, view) :]
 
     def sync(self, name: str) -> None:
-        """Make what was appended durable."""
+        """Make the appended bytes of a file durable."""
         os.fdatasync(self._descriptor(name))
 
     def truncate(self, name: str, size: int) -> None:
@@ -136,7 +136,7 @@
         os.ftruncate(self._descriptor(name), size)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically, in place of one of the new name."""
+        """Rename a file atomically, replacing an existing file with the new name."""
         self._close_file(new)
         os.rename(self.folder / old, self.folder / new)
         if old in self._descriptors:
@@ -148,7 +148,7 @@
         os.unlink(self.folder / name)
 
     def sync_names(self) -> None:
-        """Make creations, renames and removals durable."""
+        """Make the creation, renaming and removal of files durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -156,7 +156,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Close all files and unlock the directory."""
+        """Close all files and release the lock."""
         for name in list(self._descriptors):
             with suppress(OSError):
                 self._close_file(name)
@@ -166,9 +166,10 @@
 
 
 class DryRunDirectory:
-    """A directory on disk that is read without a lock and never changed.
+    """A read-only view of a directory on disk, for recovery without changes and without a lock.
 
-    Changes are made in memory alone, as far as recovery needs them: names and sizes, not content.
+    Changes of file names and sizes are simulated in memory, as recovery needs them; appended bytes are
+    discarded.
     """
 
     def __init__(self, folder: Path | str) -> None:
@@ -177,24 +178,24 @@
         self._truncated: dict[str, int] = {}
 
     def names(self) -> list[str]:
-        """Names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(self._names_on_disk)
 
     def size(self, name: str) -> int:
-        """Size of a file in bytes."""
+        """Return the size of a file in bytes."""
         on_disk = self._names_on_disk[name]
         size = self._disk.size(on_disk) if on_disk else 0
         return min(self._truncated.get(name, size), size)
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Read bytes from an offset; fewer at the end of the file."""
+        """Read up to `length` bytes from an offset; fewer are returned at the end of the file."""
         on_disk = self._names_on_disk[name]
         if not on_disk:
             return b""
         return self._disk.read(on_disk, offset, max(0, min(length, self.size(name) - offset)))
 
     def create(self, name: str) -> None:
-        """Enter an empty file."""
+        """Simulate the creation of an empty file."""
         self._names_on_disk[name] = ""
 
     def append(self, name: str, data: bytes) -> None:
@@ -204,15 +205,15 @@
         """Do nothing."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Pretend that a file has this size."""
+        """Simulate the truncation of a file."""
         self._truncated[name] = size
 
     def rename(self, old: str, new: str) -> None:
-        """Pretend that a file has another name."""
+        """Simulate the renaming of a file."""
         self._names_on_disk[new] = self._names_on_disk.pop(old)
 
     def remove(self, name: str) -> None:
-        """Pretend that a file is gone."""
+        """Simulate the removal of a file."""
         del self._names_on_disk[name]
 
     def sync_names(self) -> None:
--- a/sagetrack/store/disk_space.py
+++ b/sagetrack/store/disk_space.py
@@ -1,4 +1,4 @@
-"""Bytes in use on disk, and removal of files that nothing needs any more."""
+"""Accounting of disk space, and removal of obsolete files."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DiskSpace:
-    """Counts the bytes of all files, and removes obsolete files once no snapshot is open."""
+    """Counts the bytes of all files, and removes obsolete files when no snapshot is open."""
 
     __slots__ = ("_directory", "_max_bytes", "_obsolete", "_snapshots", "bytes_used")
 
@@ -22,34 +22,34 @@
         self.bytes_used = 0
 
     def require(self, size: int) -> None:
-        """Check that so many bytes more are within the limit.
+        """Check that `size` more bytes are within the limit of the store.
 
         Raises:
-            StoreFullError: They are not.
+            StoreFullError: The limit would be exceeded.
         """
         if self.bytes_used + size > self._max_bytes:
-            raise StoreFullError(f"{self.bytes_used} of {self._max_bytes} bytes are in use")
+            raise StoreFullError(f"store is full, {self.bytes_used} of {self._max_bytes} bytes are in use")
 
     def add(self, size: int) -> None:
-        """Count bytes that were appended."""
+        """Count appended bytes."""
         self.bytes_used += size
 
     def recount(self) -> None:
-        """Count the bytes of the files that are there."""
+        """Recompute the count from the sizes of the existing files."""
         names = [name for name in self._directory.names() if name != LOCK]
         self.bytes_used = sum(self._directory.size(name) for name in names)
 
     def pin(self) -> None:
-        """Keep all files for a snapshot until `unpin`."""
+        """Keep all files for a snapshot until `unpin` is called."""
         self._snapshots += 1
 
     def unpin(self) -> None:
-        """Release the files that a snapshot kept."""
+        """Release the files of a snapshot; obsolete ones are removed after the last snapshot is closed."""
         self._snapshots -= 1
         self._reclaim()
 
     def retire(self, names: Iterable[str]) -> None:
-        """Remove obsolete files, now or when the last snapshot is closed."""
+        """Remove obsolete files, immediately or when the last snapshot is closed."""
         self._obsolete += names
         self._reclaim()
 
--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -1,7 +1,7 @@
-"""The storage engine: a write-ahead log and its index, checkpoints, recovery. No thread or clock.
+"""The storage engine, which combines write-ahead log, log index, checkpoints, compaction and recovery.
 
-The state is what the newest checkpoint holds, changed by the batches of the log after it. Each concern has a
-module and owns its state; `Store` puts them together.
+The state consists of the newest checkpoint and the batches of the log after it. The engine starts no thread
+and reads no clock; callers pass in the time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Store:
-    """One open store. Not thread-safe.
+    """A store. It is not thread-safe.
 
     Attributes:
         log: The write-ahead log.
@@ -34,8 +34,8 @@
         "_directory",
         "_disk_space",
         "_index",
+        "_log_line",
         "_options",
-        "_report",
         "_retention",
         "log",
     )
@@ -44,11 +44,11 @@
         self,
         directory: StoreDirectory,
         options: StoreOptions,
-        report: Callable[[str], None] = lambda line: None,
+        log_line: Callable[[str], None] = lambda line: None,
     ) -> None:
         self._directory = directory
         self._options = options
-        self._report = report
+        self._log_line = log_line
         self._disk_space = DiskSpace(directory, options.max_bytes)
         self._retention = Retention(options)
         self._index = LogIndex()
@@ -59,13 +59,13 @@
         )
 
     def open(self) -> RecoveryReport:
-        """Recover the newest state; call once, before anything else.
+        """Recover the newest consistent state; it must be called once, before any other method.
 
         Raises:
-            NewerFormatError: A later version wrote the store; nothing was changed.
-            OSError: It cannot be read.
+            NewerFormatError: A later version of the program wrote the store; no file was changed.
+            OSError: A file operation failed.
         """
-        recovery = Recovery(self._directory, self._options, self._report, self._index, self._retention)
+        recovery = Recovery(self._directory, self._options, self._log_line, self._index, self._retention)
         recovered = recovery.run()
         self._checkpoints.restore(recovered.checkpoints)
         self.log.resume(recovered.segments, recovered.last_segment_number, recovered.report.sequence)
@@ -73,11 +73,16 @@
         return recovered.report
 
     def get(self, space: str, key: bytes, now_ms: int = 0) -> bytes | None:
-        """The newest value of a key; None if there is none or it is expired at a Unix time in milliseconds.
+        """Return the newest value of a key; None if the key is missing, deleted or expired.
+
+        Args:
+            space: Key space of the key.
+            key: The key.
+            now_ms: Unix time in milliseconds at which expiry is evaluated.
 
         Raises:
             CorruptionError: The record is damaged on disk.
-            OSError: It cannot be read.
+            OSError: The record cannot be read.
         """
         tables = self._index.tables()
         newest = self._checkpoints.newest
@@ -85,13 +90,13 @@
         return None if record is None else self._retention.visible_value(record, now_ms)
 
     def snapshot(self) -> Snapshot:
-        """All of it as it is now, to be read while writing goes on. Close it."""
+        """Take a snapshot of the state, which can be read during later writes; the caller must close it."""
         self._disk_space.pin()
         newest, table = self._checkpoints.newest, self._index.merged()
         return Snapshot(self._directory, newest, table, self._retention, self._disk_space.unpin)
 
     def write(self, batches: Sequence[Sequence[Record]]) -> int:
-        """Append batches, each of which is atomic. They are durable once synced.
+        """Append batches, each of which is atomic; `sync` makes them durable.
 
         Returns:
             The sequence number of the last batch.
@@ -99,8 +104,8 @@
         Raises:
             BatchTooLargeError: One of the batches is too large.
             StoreFullError: The limit on disk space is reached.
-            OSError: None of it counts; but after a crash before the next write some of the first batches may
-                be found.
+            OSError: The write failed and no batch was applied. If the process crashes before the next write,
+                recovery may nevertheless find some of the first batches.
         """
         frames = self.log.encode(batches)
         data = b"".join(frames)
@@ -112,7 +117,7 @@
         return self.log.sequence
 
     def sync(self) -> int:
-        """Make all that was written durable; see `WriteAheadLog.sync`.
+        """Make all written batches durable; see `WriteAheadLog.sync`.
 
         Returns:
             The sequence number up to which all batches are durable.
@@ -121,30 +126,30 @@
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether a batch that was written is not durable yet."""
+        """Whether some written batches are not durable yet."""
         return self.log.has_unsynced
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of all files of the store."""
+        """Total size of the files of the store, in bytes."""
         return self._disk_space.bytes_used
 
     @property
     def uncompacted_keys(self) -> int:
-        """Keys in the log that the next compaction merges into a checkpoint."""
+        """Number of keys in the log that the next compaction merges into a checkpoint."""
         return len(self._index)
 
     @property
     def compaction_due(self) -> bool:
-        """Whether a compaction should begin now, if none is under way."""
+        """Whether a compaction should start, if none is running."""
         return self._compactor.due
 
     def compact(self, now_ms: int) -> Generator[None, None, None]:
-        """Merge the log into a new checkpoint, a step for each `next`; see `Compactor.run`."""
+        """Merge the log into a new checkpoint, one step per `next`; see `Compactor.run`."""
         return self._compactor.run(now_ms)
 
     def close(self) -> None:
-        """Make all durable and close the directory, even if the first fails."""
+        """Sync the log and close the directory; the directory is closed even if the sync fails."""
         try:
             self.sync()
         finally:
--- a/sagetrack/store/errors.py
+++ b/sagetrack/store/errors.py
@@ -1,31 +1,31 @@
-"""Errors of the store. All of them have `StoreError` as their base class."""
+"""Exceptions of the store; `StoreError` is their base class."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base class of the errors that the store raises itself; failures of the disk stay `OSError`."""
+    """Base class of the store's own exceptions; failures of file operations raise OSError."""
 
 
 class StoreOpenError(StoreError):
-    """The store cannot be opened; the message is one plain line."""
+    """The store cannot be opened; the message is a single line."""
 
 
 class WriteRejectedError(StoreError):
-    """The store does not accept a write; nothing of it was written."""
+    """The store rejected a write; no part of it was written."""
 
 
 class BatchTooLargeError(WriteRejectedError):
-    """A batch is larger than a frame may be."""
+    """The encoded batch exceeds the maximum size of a frame."""
 
 
 class StoreFullError(WriteRejectedError):
-    """The limit on disk space is reached."""
+    """The write would exceed the limit on disk space."""
 
 
 class CorruptionError(StoreError, ValueError):
-    """Bytes on disk are not what was written."""
+    """Data on disk is damaged: it differs from what was written."""
 
 
 class NewerFormatError(StoreError, ValueError):
-    """A later version of the program wrote this; it must be left unchanged."""
+    """A later version of the program wrote the file; it must not be changed."""
--- a/sagetrack/store/file_names.py
+++ b/sagetrack/store/file_names.py
@@ -1,7 +1,8 @@
-"""Names of the store's files, as they are on disk.
+"""Names of the store's files on disk.
 
-A log segment is `log-NUMBER`, a checkpoint `base-SEQUENCE`, both in 16 hexadecimal digits. What is being
-written ends in `.new` until it is renamed into place; damaged files and parts of files are kept as `aside-…`.
+A log segment is `log-NUMBER` and a checkpoint `base-SEQUENCE`, with 16 hexadecimal digits each. A checkpoint
+or manifest has the suffix `.new` until it is complete and renamed. Damaged files and damaged parts of files
+are quarantined as `aside-…`.
 """
 
 from __future__ import annotations
@@ -13,41 +14,41 @@
 UNFINISHED_SUFFIX = ".new"
 _SEGMENT = re.compile(r"log-([0-9a-f]{16})")
 _CHECKPOINT = re.compile(r"base-([0-9a-f]{16})")
-_OWN = re.compile(r"(?:log|base)-[0-9a-f]{16}|MANIFEST|(?:base|MANIFEST)[-0-9a-f]*\.new|aside-.*|LOCK")
+_STORE_FILE = re.compile(r"(?:log|base)-[0-9a-f]{16}|MANIFEST|(?:base|MANIFEST)[-0-9a-f]*\.new|aside-.*|LOCK")
 
 
 def segment_name(number: int) -> str:
-    """Name of a log segment."""
+    """Return the file name of a log segment."""
     return f"log-{number:016x}"
 
 
 def segment_number(name: str) -> int | None:
-    """Number of a log segment; None if the name is not that of one."""
+    """Return the number of a log segment by its file name; None if the file is not a log segment."""
     match = _SEGMENT.fullmatch(name)
     return None if match is None else int(match[1], 16)
 
 
 def checkpoint_name(sequence: int) -> str:
-    """Name of the checkpoint as of a sequence number."""
+    """Return the file name of the checkpoint as of a sequence number."""
     return f"base-{sequence:016x}"
 
 
 def checkpoint_sequence(name: str) -> int | None:
-    """Sequence number of a checkpoint; None if the name is not that of one."""
+    """Return the sequence number of a checkpoint by its file name; None if it is not a checkpoint."""
     match = _CHECKPOINT.fullmatch(name)
     return None if match is None else int(match[1], 16)
 
 
 def unfinished_name(name: str) -> str:
-    """Name of a file while it is being written."""
+    """Return the temporary name of a file that is being written."""
     return name + UNFINISHED_SUFFIX
 
 
 def quarantine_name(name: str, offset: int | None = None) -> str:
-    """Name under which a damaged file, or its part from an offset on, is kept."""
+    """Return the quarantine name of a damaged file, or of its part from an offset on."""
     return f"aside-{name}" if offset is None else f"aside-{name}-{offset}"
 
 
 def is_store_file(name: str) -> bool:
-    """Whether the store writes files of this name."""
-    return _OWN.fullmatch(name) is not None
+    """Whether the name has the form of one of the store's own files."""
+    return _STORE_FILE.fullmatch(name) is not None
--- a/sagetrack/store/frames.py
+++ b/sagetrack/store/frames.py
@@ -1,4 +1,4 @@
-"""Reading frames from the files of a store."""
+"""Readers of the frames in a file of the store."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from sagetrack.store.errors import CorruptionError
 from sagetrack.store.format import FRAME_HEADER, decode_frame_header, verify_frame
 
-READ_BYTES = 256 * 1024  # read at once
+READ_BYTES = 256 * 1024  # block size of sequential reads
 
 
 class Frame(NamedTuple):
     """One frame of a file.
 
     Attributes:
-        offset: Where it begins in the file.
-        number: The sequence number of a batch, or the key hash of a checkpoint's record.
-        payload: Its verified payload; empty where frames are read without verification.
-        checksum: As its header has it.
+        offset: Offset of the frame in the file.
+        number: Sequence number of a batch, or key hash of a record of a checkpoint.
+        payload: Verified payload; empty if frames are read without verification.
+        checksum: Checksum in the header of the frame.
     """
 
     offset: int
@@ -32,8 +32,8 @@
     """Read and verify the payload of the frame at an offset.
 
     Raises:
-        CorruptionError: It is damaged.
-        OSError: It cannot be read.
+        CorruptionError: The frame is damaged.
+        OSError: The file cannot be read.
     """
     length, checksum, number = decode_frame_header(directory.read(name, offset, FRAME_HEADER.size))
     payload = directory.read(name, offset + FRAME_HEADER.size, length)
@@ -44,17 +44,17 @@
 def read_frames(
     directory: StoreDirectory, name: str, offset: int, end: int, verify: bool = True
 ) -> Iterator[Frame]:
-    """Read the frames of a file in order, in large blocks.
+    """Read the frames of a file in order, using large blocks.
 
     Args:
-        directory: Where the file is.
-        name: The file.
-        offset: Where the first frame begins.
-        end: Where the last one ends.
-        verify: Read and verify payloads; else only headers are read.
+        directory: Directory of the file.
+        name: Name of the file.
+        offset: Offset of the first frame.
+        end: End offset of the last frame.
+        verify: Verify payloads and return them; otherwise only the headers are checked.
 
     Raises:
-        CorruptionError: At the first frame that is damaged or incomplete.
+        CorruptionError: At the first damaged or incomplete frame.
         OSError: The file cannot be read.
     """
     block = b""
@@ -74,7 +74,7 @@
             verify_frame(length, checksum, number, payload)
         else:
             if offset + size > end:
-                raise CorruptionError("a frame is cut off")
+                raise CorruptionError("frame is truncated")
             payload = b""
         yield Frame(offset, number, payload, checksum)
         offset += size
--- a/sagetrack/store/log_index.py
+++ b/sagetrack/store/log_index.py
@@ -1,7 +1,7 @@
-"""Where the newest record of each key is in the log: an in-memory index as Bitcask's keydir.
+"""In-memory index of the newest record of each key in the log, similar to Bitcask's keydir.
 
-The index has two generations, as the memtables of a log-structured merge tree do: the active one takes new
-records; a compaction freezes it and merges the frozen one into the next checkpoint.
+The index has two generations, like the memtables of a log-structured merge tree. New records enter the active
+generation. A compaction freezes it and merges the records of the frozen generation into a new checkpoint.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class RecordLocation(NamedTuple):
-    """Where a record is in the log.
+    """Location of a record in the log.
 
     Attributes:
-        segment: Name of the log segment.
-        offset: Where the frame of its batch begins.
-        position: Which record of the batch it is.
+        segment: File name of the log segment.
+        offset: Offset of the frame that contains the batch of the record.
+        position: Index of the record within its batch.
         version: Format version of the segment.
     """
 
@@ -36,15 +36,15 @@
     """Read a record from the log.
 
     Raises:
-        CorruptionError: Its batch is damaged.
-        OSError: It cannot be read.
+        CorruptionError: The batch of the record is damaged.
+        OSError: The segment cannot be read.
     """
     payload = read_payload(directory, location.segment, location.offset)
     return decode_batch(payload, location.version)[location.position]
 
 
 class LogIndex:
-    """Location of the newest record of each key in the log since the newest checkpoint."""
+    """Locations of the newest record of each key that was written after the newest checkpoint."""
 
     __slots__ = ("_active", "_frozen")
 
@@ -56,40 +56,40 @@
         return len(self._active)
 
     def put_batch(self, records: Sequence[Record], segment: str, offset: int, version: int) -> None:
-        """Enter the records of a batch; none that is already there may be newer."""
+        """Add the records of a batch; batches must be added in the order of their sequence numbers."""
         for position, record in enumerate(records):
             self._active[record.space, record.key] = RecordLocation(segment, offset, position, version)
 
     def tables(self) -> tuple[Mapping[Key, RecordLocation], ...]:
-        """The generations to look a key up in, the newer first."""
+        """Return the generations in the order of lookup, the active one first."""
         return self._active, self._frozen
 
     def merged(self) -> dict[Key, RecordLocation]:
-        """A copy of both generations as one table."""
+        """Return a copy of both generations, merged into one table."""
         return {**self._frozen, **self._active}
 
     def freeze(self) -> None:
-        """Freeze what is active, on top of what an unfinished compaction has left frozen."""
+        """Move the active entries into the frozen generation, where they override older entries."""
         self._frozen = self.merged()
         self._active = {}
 
     def unfreeze(self) -> None:
-        """Make all active again after a compaction that failed."""
+        """Move all entries back into the active generation after a failed compaction."""
         self._active = self.merged()
         self._frozen = {}
 
     def drop_frozen(self) -> None:
-        """Forget what the newest checkpoint contains."""
+        """Drop the frozen entries, which the newest checkpoint now contains."""
         self._frozen = {}
 
     def frozen_keys(self) -> Iterator[Key]:
-        """The frozen keys, in the order in which they were first entered."""
+        """Iterate over the frozen keys, in order of insertion."""
         return iter(self._frozen)
 
     def is_frozen(self, key: Key) -> bool:
-        """Whether the frozen generation has this key."""
+        """Whether the frozen generation contains the key."""
         return key in self._frozen
 
     def frozen_location(self, key: Key) -> RecordLocation:
-        """Location of the newest frozen record of a key that is frozen."""
+        """Return the location of the frozen record of a key; the key must be frozen."""
         return self._frozen[key]
--- a/sagetrack/store/options.py
+++ b/sagetrack/store/options.py
@@ -1,4 +1,4 @@
-"""Sizes and rules that a store is opened with."""
+"""Options of a store: size limits and retention policies."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     """Retention of one key space.
 
     Attributes:
-        max_age_ms: Age at which a record expires; 0 means never.
-        evictable: Whether its oldest records may be evicted when the store reaches its limit.
+        max_age_ms: Age at which a record expires, in milliseconds; 0 means never.
+        evictable: Whether the oldest records of the space may be evicted when the store reaches its limit.
     """
 
     max_age_ms: int = 0
@@ -20,13 +20,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreOptions:
-    """Sizes in bytes, and the policies of key spaces.
+    """Size limits in bytes, and retention policies of key spaces.
 
     Attributes:
-        segment_bytes: Size at which a log segment is closed and the next one begun.
-        max_bytes: Limit of all files together.
-        spaces: Policy by key space; a space without one keeps its records for ever.
-        verify: Read all of a checkpoint on opening; else its records are verified when they are read.
+        segment_bytes: Size at which the log moves on to a new segment.
+        max_bytes: Limit on the total size of all files.
+        spaces: Retention policy by key space; records of other spaces are kept until they are deleted.
+        verify: Verify all records of the checkpoints on opening; otherwise each is verified when it is read.
     """
 
     segment_bytes: int = 8 * 1024 * 1024
@@ -36,5 +36,5 @@
 
     @property
     def max_live_bytes(self) -> int:
-        """Limit of live records: two checkpoints, a third being written, and the log have to fit."""
+        """Limit on live records: two checkpoints, a third one being written, and the log must fit on disk."""
         return self.max_bytes // 4
--- a/sagetrack/store/outage.py
+++ b/sagetrack/store/outage.py
@@ -1,14 +1,14 @@
-"""Whether the store fails now, and when it is tried again."""
+"""Tracking of an outage of the store, and of the time of the next retry."""
 
 from __future__ import annotations
 
 import time
 
-RETRY_S = 5.0  # after a failure
+RETRY_S = 5.0  # time from a failure to the next attempt
 
 
 class Outage:
-    """Whether the store fails now, and when it is tried again."""
+    """State of an outage: it begins with a failed operation and ends with the next successful sync."""
 
     __slots__ = ("_retry_at_s", "active")
 
@@ -18,18 +18,18 @@
 
     @property
     def backing_off(self) -> bool:
-        """Whether it is too early for a retry."""
+        """Whether an outage is active and the retry is not due yet."""
         return self.active and time.monotonic() < self._retry_at_s
 
     def begin(self) -> bool:
-        """Note a failure and put off the next try; returns whether it is the first of this outage."""
+        """Record a failure and postpone the retry; return whether the failure starts an outage."""
         self._retry_at_s = time.monotonic() + RETRY_S
         is_first = not self.active
         self.active = True
         return is_first
 
     def end(self) -> bool:
-        """Note a success; returns whether it ends an outage."""
+        """Record a success; return whether it ends an outage."""
         was_active = self.active
         self.active = False
         return was_active
--- a/sagetrack/store/recovery.py
+++ b/sagetrack/store/recovery.py
@@ -1,6 +1,6 @@
-"""Recovery: the longest run of valid batches from a valid checkpoint on.
+"""Recovery: restores the newest valid checkpoint and all valid, consecutive batches of the log after it.
 
-What does not count, such as a torn write at the end of the log, is quarantined, named in the report, and
+Invalid data, such as a torn write at the end of the log, is quarantined and listed in the report, and it is
 never read again.
 """
 
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class RecoveryReport:
-    """What was found on opening.
+    """Result of a recovery, for logs and commands.
 
     Attributes:
         sequence: Sequence number of the last valid batch.
-        batches: How many were read from the log.
-        records: How many the newest checkpoint has.
-        quarantined: What does not count, and why, a line each.
-        lost_bytes: Bytes of that.
+        batches: Number of batches replayed from the log.
+        records: Number of records in the newest checkpoint.
+        quarantined: One line for each damaged or missing file or part of a file, with the reason.
+        lost_bytes: Number of quarantined bytes.
     """
 
     sequence: int = 0
@@ -62,13 +62,13 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """The state to go on from.
+    """The recovered state of a store.
 
     Attributes:
-        checkpoints: The valid ones that are kept, the newest first.
-        segments: The log segments that are kept, in order.
-        last_segment_number: The highest number that any segment has, valid or not.
-        report: What was found.
+        checkpoints: Valid checkpoints that are kept, the newest first.
+        segments: Log segments that are kept, in ascending order of their numbers.
+        last_segment_number: Highest segment number found, including invalid segments.
+        report: Report of the recovery.
     """
 
     checkpoints: list[Checkpoint]
@@ -78,12 +78,12 @@
 
 
 class Recovery:
-    """Opens the files of one store; enters the log's records into the index and counts their bytes."""
+    """Recovers a store: loads checkpoints, and replays the log into the log index and the byte counts."""
 
     __slots__ = (
         "_directory",
-        "_found",
         "_index",
+        "_log_line",
         "_options",
         "_report",
         "_retention",
@@ -95,28 +95,28 @@
         self,
         directory: StoreDirectory,
         options: StoreOptions,
-        report: Callable[[str], None],
+        log_line: Callable[[str], None],
         index: LogIndex,
         retention: Retention,
     ) -> None:
         self._directory = directory
         self._options = options
-        self._report = report
+        self._log_line = log_line
         self._index = index
         self._retention = retention
-        self._found = RecoveryReport()
+        self._report = RecoveryReport()
         self._segments: list[Segment] = []
         self._sequence = 0
 
     def run(self) -> RecoveredState:
-        """Recover the newest state.
+        """Recover the newest consistent state.
 
         Raises:
-            NewerFormatError: A later version wrote the store; nothing was changed.
-            OSError: It cannot be read.
+            NewerFormatError: A later version of the program wrote the store; no file was changed.
+            OSError: A file operation failed.
         """
         names = self._directory.names()
-        self._refuse_newer_formats(names)
+        self._reject_newer_formats(names)
         self._remove_unfinished(names)
         numbers = [number for name in names if (number := segment_number(name)) is not None]
         segments = [segment for name in names if (segment := self._open_segment(name)) is not None]
@@ -126,12 +126,12 @@
         checkpoints = self._load_checkpoints(sequences)
         if checkpoints:
             self._sequence = checkpoints[0].sequence
-            self._found.records = len(checkpoints[0])
+            self._report.records = len(checkpoints[0])
         self._replay(segments)
-        self._found.sequence = self._sequence
-        return RecoveredState(checkpoints, self._segments, max(numbers, default=0), self._found)
+        self._report.sequence = self._sequence
+        return RecoveredState(checkpoints, self._segments, max(numbers, default=0), self._report)
 
-    def _refuse_newer_formats(self, names: list[str]) -> None:
+    def _reject_newer_formats(self, names: list[str]) -> None:
         for name in names:
             try:
                 if name == MANIFEST:
@@ -143,14 +143,14 @@
             except NewerFormatError as error:
                 raise NewerFormatError(f"{name}: {error}; nothing was changed") from None
             except CorruptionError:
-                pass  # quarantined later, once no file is known to be of a newer format
+                pass  # quarantined later; no file is changed before all are checked for newer formats
 
     def _remove_unfinished(self, names: list[str]) -> None:
         for name in names:
             if name.endswith(UNFINISHED_SUFFIX) and is_store_file(name):
                 self._directory.remove(name)
             elif not is_store_file(name):
-                self._report(f"{name}: not a file of the store, left alone")
+                self._log_line(f"{name}: not a file of the store, ignored")
 
     def _open_segment(self, name: str) -> Segment | None:
         number = segment_number(name)
@@ -165,21 +165,21 @@
         return Segment(number, first_sequence, version, self._directory.size(name))
 
     def _check_manifest(self, names: list[str], sequences: list[int]) -> None:
-        """Report a newest checkpoint that has disappeared; all else the files tell without the manifest."""
+        """Report a newest checkpoint that is missing; the manifest serves no other purpose in recovery."""
         if MANIFEST not in names:
             return
         try:
             expected, _ = decode_manifest(self._directory.read(MANIFEST, 0, MAX_MANIFEST_BYTES))
         except CorruptionError as error:
-            self._quarantine(MANIFEST, f"{error}; the files themselves tell enough")
+            self._quarantine(MANIFEST, f"{error}; recovery does not depend on it")
             return
         if expected and expected[0] not in sequences:
             name = checkpoint_name(expected[0])
-            self._found.quarantined.append(f"{name}: gone")
-            self._report(f"{name}: the manifest names it, and it is gone")
+            self._report.quarantined.append(f"{name}: gone")
+            self._log_line(f"{name}: listed in the manifest, but the file is missing")
 
     def _load_checkpoints(self, sequences: list[int]) -> list[Checkpoint]:
-        """Load the newest valid checkpoints; those that are damaged on the way are quarantined."""
+        """Load the newest two valid checkpoints; damaged ones found before these are quarantined."""
         valid: list[Checkpoint] = []
         for sequence in sequences:
             checkpoint = Checkpoint(self._directory, sequence)
@@ -197,36 +197,37 @@
         self._retention.count(record.space, record.at_ms, size)
 
     def _replay(self, segments: list[Segment]) -> None:
-        """Replay the batches after the checkpoint, as far as they are valid and consecutive."""
+        """Replay the batches after the checkpoint until the first one that is damaged or missing."""
         segments.sort(key=lambda segment: segment.number)
         begin = 0
         for position, segment in enumerate(segments):
             if segment.first_sequence <= self._sequence + 1:
                 begin = position
-        self._segments += segments[:begin]  # the older checkpoint needs them
+        self._segments += segments[:begin]  # kept for the older checkpoint
         stopped = ""
         for position, segment in enumerate(segments[begin:], begin):
             if stopped or segment.first_sequence > self._sequence + 1:
-                why = stopped or f"batches from {self._sequence + 1} on are missing before it"
-                self._quarantine(segment.name, why)
-                stopped = stopped or "it follows what is missing"
+                reason = stopped or f"preceding batches from {self._sequence + 1} on are missing"
+                self._quarantine(segment.name, reason)
+                stopped = stopped or "preceding batches are missing"
                 continue
             following = segments[position + 1].first_sequence if position + 1 < len(segments) else None
-            valid_end, why = self._replay_segment(segment, following)
+            valid_end, reason = self._replay_segment(segment, following)
             self._segments.append(segment)
-            if why and (following is None or self._sequence + 1 < following):
-                stopped = "it follows what is damaged"
-                self._truncate(segment, valid_end, why)
+            if reason and (following is None or self._sequence + 1 < following):
+                stopped = "a preceding segment is damaged"
+                self._truncate(segment, valid_end, reason)
 
     def _replay_segment(self, segment: Segment, following: int | None) -> tuple[int, str]:
         """Replay one segment.
 
         Args:
             segment: The segment.
-            following: First sequence number of the next one, which has the newer copy from there on.
+            following: First sequence number of the next segment, which supersedes batches from there on;
+                None for the last segment.
 
         Returns:
-            Up to which byte the segment is valid, and why not further.
+            End offset of the valid part, and the reason why the rest is invalid; empty if there is none.
         """
         valid_end = FILE_HEADER.size
         try:
@@ -248,30 +249,32 @@
         for record in records:
             self._count(record, len(record.value or b""))
         self._sequence = frame.number
-        self._found.batches += 1
+        self._report.batches += 1
 
-    def _quarantine(self, name: str, why: str) -> None:
-        """Keep a damaged file under another name."""
+    def _quarantine(self, name: str, reason: str) -> None:
+        """Rename a damaged file to its quarantine name, and report it."""
         size = self._directory.size(name)
-        self._found.quarantined.append(f"{name}: {why}, {size} bytes")
-        self._found.lost_bytes += size
-        self._report(f"{name}: {why}; put aside")
+        self._report.quarantined.append(f"{name}: {reason}, {size} bytes")
+        self._report.lost_bytes += size
+        self._log_line(f"{name}: {reason}; quarantined")
         self._directory.rename(name, quarantine_name(name))
 
-    def _truncate(self, segment: Segment, valid_end: int, why: str) -> None:
-        """Cut a segment to its valid part, and keep the rest in a file of its own."""
+    def _truncate(self, segment: Segment, valid_end: int, reason: str) -> None:
+        """Truncate a segment to its valid part, and copy the rest into a quarantine file."""
         lost = segment.size - valid_end
         if lost <= 0:
             return
         name = segment.name
-        self._found.quarantined.append(f"{name}: {why} at byte {valid_end}, {lost} bytes")
-        self._found.lost_bytes += lost
-        aside = quarantine_name(name, valid_end)
-        self._report(f"{name}: {why} at byte {valid_end}; the last {lost} bytes are put aside in {aside}")
-        self._directory.create(aside)
+        self._report.quarantined.append(f"{name}: {reason} at byte {valid_end}, {lost} bytes")
+        self._report.lost_bytes += lost
+        quarantine = quarantine_name(name, valid_end)
+        self._log_line(
+            f"{name}: {reason} at byte {valid_end}; the last {lost} bytes are quarantined in {quarantine}"
+        )
+        self._directory.create(quarantine)
         for offset in range(valid_end, segment.size, READ_BYTES):
             size = min(READ_BYTES, segment.size - offset)
-            self._directory.append(aside, self._directory.read(name, offset, size))
+            self._directory.append(quarantine, self._directory.read(name, offset, size))
         self._directory.truncate(name, valid_end)
         self._directory.sync(name)
         segment.size = valid_end
--- a/sagetrack/store/snapshot.py
+++ b/sagetrack/store/snapshot.py
@@ -1,4 +1,4 @@
-"""A consistent view of the store as of one moment, to be read while writing goes on."""
+"""Snapshots: consistent views of the store as of one moment, which can be read during later writes."""
 
 from __future__ import annotations
 
@@ -18,18 +18,21 @@
     space: str,
     key: bytes,
 ) -> Record | None:
-    """Read the newest record of a key, which may be a tombstone.
+    """Read the newest record of a key; it may be a tombstone.
 
     Args:
-        directory: The store's files.
-        tables: Locations in the log, the newer first.
-        checkpoint: What to look in last.
-        space: The key space.
+        directory: Directory of the store.
+        tables: Generations of the log index, in the order of lookup.
+        checkpoint: Checkpoint to search if the key is not in the log.
+        space: Key space of the key.
         key: The key.
 
+    Returns:
+        The record; None if the store does not contain the key.
+
     Raises:
         CorruptionError: The record is damaged on disk.
-        OSError: It cannot be read.
+        OSError: The record cannot be read.
     """
     for table in tables:
         location = table.get((space, key))
@@ -39,7 +42,7 @@
 
 
 class Snapshot:
-    """The store as it was when the snapshot was taken. Close it: until then no file is removed."""
+    """The state of the store when the snapshot was taken. No file is removed until `close` is called."""
 
     __slots__ = ("_checkpoint", "_directory", "_on_close", "_retention", "_table")
 
@@ -58,17 +61,26 @@
         self._on_close = on_close
 
     def get(self, space: str, key: bytes, now_ms: int = 0) -> bytes | None:
-        """The value of a key; None if there is none or it is expired at a Unix time in milliseconds.
+        """Return the value of a key; None if the key is missing, deleted or expired.
+
+        Args:
+            space: Key space of the key.
+            key: The key.
+            now_ms: Unix time in milliseconds at which expiry is evaluated.
 
         Raises:
             CorruptionError: The record is damaged on disk.
-            OSError: It cannot be read.
+            OSError: The record cannot be read.
         """
         record = find_record(self._directory, (self._table,), self._checkpoint, space, key)
         return None if record is None else self._retention.visible_value(record, now_ms)
 
     def items(self, space: str | None = None, now_ms: int = 0) -> Iterator[Record]:
-        """All live records, or those of one space, in unspecified order.
+        """Iterate over the live records, in unspecified order.
+
+        Args:
+            space: Key space to which the records are restricted; None for all.
+            now_ms: Unix time in milliseconds at which expiry is evaluated.
 
         Raises:
             CorruptionError: At the first record that is damaged on disk.
@@ -77,9 +89,9 @@
         if self._checkpoint is not None:
             for frame in self._checkpoint.frames():
                 record = decode_record(frame.payload)
-                replaced = (record.space, record.key) in self._table
-                wanted = not replaced and space in (None, record.space)
-                if wanted and self._retention.visible_value(record, now_ms) is not None:
+                is_overridden = (record.space, record.key) in self._table
+                is_selected = not is_overridden and space in (None, record.space)
+                if is_selected and self._retention.visible_value(record, now_ms) is not None:
                     yield record
         for (record_space, _), location in self._table.items():
             if space is None or record_space == space:
@@ -88,5 +100,5 @@
                     yield record
 
     def close(self) -> None:
-        """Let the store remove files that only this snapshot needed."""
+        """Release the snapshot, so that the store can remove obsolete files."""
         self._on_close()
--- a/sagetrack/store/write_ahead_log.py
+++ b/sagetrack/store/write_ahead_log.py
@@ -1,7 +1,8 @@
-"""The write-ahead log: append, sync, rotation of segments, and rewriting after an error of the disk.
+"""The write-ahead log: append, sync, rotation of segments, and rewriting of batches after a disk error.
 
-Segments are named by number and begin with the sequence number of their first batch. Batches in a segment
-from the first sequence number of the next segment on were never acknowledged and do not count.
+The name of a segment contains its number; the header contains the sequence number of its first batch. If a
+segment contains batches with sequence numbers at or above the first one of the next segment, these batches
+were never acknowledged as durable and are invalid.
 """
 
 from __future__ import annotations
@@ -33,10 +34,10 @@
     """One file of the log.
 
     Attributes:
-        number: Its place among the segments; numbers are never used again.
-        first_sequence: Sequence number of its first batch.
+        number: Number of the segment, which determines the order; numbers are never reused.
+        first_sequence: Sequence number of the first batch.
         version: Format version.
-        size: Bytes that count.
+        size: Size of the valid part in bytes.
     """
 
     number: int
@@ -46,16 +47,16 @@
 
     @property
     def name(self) -> str:
-        """Its file's name."""
+        """Name of the file."""
         return segment_name(self.number)
 
 
 class UnsyncedBatch(NamedTuple):
-    """A batch that was appended and is not durable yet.
+    """An appended batch that is not durable yet.
 
     Attributes:
-        sequence: Its sequence number.
-        frame: Its encoded frame.
+        sequence: Sequence number of the batch.
+        frame: Encoded frame of the batch.
     """
 
     sequence: int
@@ -63,12 +64,12 @@
 
 
 class WriteAheadLog:
-    """The segments of the log, the last of which is appended to.
+    """The segments of the log; batches are appended to the last one.
 
     Attributes:
-        sequence: Sequence number of the last batch that was appended.
+        sequence: Sequence number of the last appended batch.
         durable_sequence: Sequence number up to which all batches are durable.
-        current_segment: What is appended to; None if the next append begins a segment.
+        current_segment: Segment that is open for appends; None if the next append starts a new segment.
     """
 
     __slots__ = (
@@ -92,14 +93,14 @@
         self._index = index
         self._disk_space = disk_space
         self._segments: list[Segment] = []
-        self._last_number = 0  # the highest that a segment ever had
+        self._last_number = 0  # highest segment number ever used
         self._unsynced: list[UnsyncedBatch] = []
         self.sequence = 0
         self.durable_sequence = 0
         self.current_segment: Segment | None = None
 
     def resume(self, segments: list[Segment], last_number: int, sequence: int) -> None:
-        """Go on after recovery; all that it found is durable."""
+        """Continue after a recovery; all recovered batches are durable."""
         self._segments = segments
         self._last_number = last_number
         self.sequence = sequence
@@ -107,19 +108,19 @@
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether a batch is not durable yet."""
+        """Whether some appended batches are not durable yet."""
         return bool(self._unsynced)
 
     def size_after(self, sequence: int | None) -> int:
-        """Bytes of the segments that begin after a sequence number, or of all."""
+        """Return the total size of segments that begin after a sequence number; None selects all segments."""
         return sum(s.size for s in self._segments if sequence is None or s.first_sequence > sequence)
 
     def segments_after(self, sequence: int) -> list[Segment]:
-        """The segments that begin after a sequence number."""
+        """Return the segments that begin after a sequence number."""
         return [segment for segment in self._segments if segment.first_sequence > sequence]
 
     def drop_segments_through(self, sequence: int) -> list[str]:
-        """Forget the segments that do not begin after a sequence number; returns their files' names."""
+        """Drop the segments that begin at or before a sequence number; return the names of their files."""
         obsolete = [segment.name for segment in self._segments if segment.first_sequence <= sequence]
         self._segments = self.segments_after(sequence)
         return obsolete
@@ -128,22 +129,29 @@
         """Encode the next batches as frames.
 
         Raises:
-            BatchTooLargeError: One of them is too large for a frame.
+            BatchTooLargeError: One of the batches is too large for a frame.
         """
         frames: list[bytes] = []
         for records in batches:
             payload = encode_batch(records)
             if len(payload) > MAX_PAYLOAD_BYTES:
-                raise BatchTooLargeError(f"a batch of {len(payload)} bytes; {MAX_PAYLOAD_BYTES} is the most")
+                raise BatchTooLargeError(
+                    f"batch too large: {len(payload)} bytes, at most {MAX_PAYLOAD_BYTES} are allowed"
+                )
             frames.append(encode_frame(payload, self.sequence + 1 + len(frames)))
         return frames
 
     def append(self, batches: Sequence[Sequence[Record]], frames: Sequence[bytes], data: bytes) -> None:
-        """Append batches, each with its frame from `encode`, by one write of the joined frames.
+        """Append batches by a single write.
+
+        Args:
+            batches: The batches.
+            frames: Frames of the batches, as returned by `encode`.
+            data: The concatenated frames.
 
         Raises:
-            OSError: Nothing was appended; after a crash before the next append some of the first batches may
-                be found all the same.
+            OSError: The write failed and no batch was added. If the process crashes before the next append,
+                recovery may nevertheless find some of the first batches.
         """
         if self.current_segment is None and self._unsynced:
             self._rewrite_unsynced()
@@ -161,14 +169,14 @@
         segment.size = offset
 
     def sync(self) -> int:
-        """Make all that was appended durable.
+        """Make all appended batches durable.
 
         Returns:
             The sequence number up to which all batches are durable.
 
         Raises:
-            OSError: What was not durable is written again, into a new segment, by the next append or sync:
-                what a failed `fsync` leaves behind cannot be trusted, whatever the next one reports
+            OSError: The sync failed. The next append or sync writes all batches that are not durable into a
+                new segment, because after a failed `fsync` the data may be lost even if the next one succeeds
                 (Rebello et al., Can Applications Recover from fsync Failures?, ATC 2020).
         """
         if self._unsynced and self.current_segment is None:
@@ -184,9 +192,9 @@
         return self.durable_sequence
 
     def close_segment(self) -> None:
-        """Append no more to the current segment.
+        """Close the current segment, so that the next append starts a new one.
 
-        The first sequence number of the next one invalidates what is not durable in it.
+        The first sequence number of the new segment invalidates batches of the old one that are not durable.
         """
         self.current_segment = None
 
@@ -198,10 +206,10 @@
             raise
 
     def _rotate(self) -> Segment:
-        """Begin a segment with the next batch."""
+        """Start a new segment, whose first batch is the next one."""
         if self.current_segment is not None:
             self.sync()
-        self._last_number += 1  # also if the last attempt failed: its file may be there
+        self._last_number += 1  # also after a failed attempt, whose file may exist
         segment = Segment(self._last_number, self.sequence + 1, FORMAT_VERSION)
         header = encode_file_header(LOG_MAGIC, segment.first_sequence)
         self._directory.create(segment.name)
@@ -215,7 +223,7 @@
         return segment
 
     def _rewrite_unsynced(self) -> None:
-        """Write what is not durable into a new segment, whose first sequence number voids the old copy."""
+        """Write all batches that are not durable into a new segment, which invalidates the old copies."""
         pending = self._unsynced
         sequence = self.sequence
         self.sequence = pending[0].sequence - 1
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -1,8 +1,8 @@
-"""The background writer: commits batches in groups and compacts in steps, on a thread of its own.
+"""The background writer: commits batches in groups and compacts in small steps, on a thread of its own.
 
-An event loop never waits for a disk. Submitted batches wait in bounded memory; at the bound new ones are
-dropped and counted. A disk that is full, slow, read-only or failing is logged once, and again when it has
-recovered; meanwhile it is retried every few seconds.
+The event loop never waits for the disk. Submitted batches are queued in bounded memory; if the queue is full,
+new batches are dropped and counted. If the disk is full, read-only or failing, the writer logs the start of
+the outage and the recovery once each, and retries every few seconds.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 SyncPolicy = Literal["batch", "every", "never"]
 
-COMPACTION_STEP_S = 0.002  # of compaction at once: other threads get the interpreter in between
-REST_FACTOR = 2.0  # the thread rests this many times as long as the step took
+COMPACTION_STEP_S = 0.002  # compaction time between rests, in which other threads can run
+REST_FACTOR = 2.0  # ratio of the rest to the duration of the compaction step
 MAX_REST_S = 0.05
-CLOSE_TIMEOUT_S = 2.0  # how long `close` waits for the disk
-IDLE_WAIT_S = 1.0  # between looks at what is due when nothing is submitted
+CLOSE_TIMEOUT_S = 2.0  # maximum time that `close` waits for the disk
+IDLE_WAIT_S = 1.0  # interval between checks for due work while no batches are submitted
 
 
 @dataclass(slots=True)
@@ -43,12 +43,12 @@
     """Totals since the start.
 
     Attributes:
-        batches: Batches that were written.
-        syncs: Syncs that succeeded.
-        dropped: Batches for which there was no capacity, in memory or on disk, or whose write failed.
-        failures: Operations that failed.
-        checkpoints: Compactions that were completed.
-        slowest_commit_ms: The longest that one group took.
+        batches: Written batches.
+        syncs: Successful syncs.
+        dropped: Batches that were dropped because the queue or the disk was full or a write failed.
+        failures: Failed operations.
+        checkpoints: Completed compactions.
+        slowest_commit_ms: Longest duration of the commit of one group of batches, in milliseconds.
     """
 
     batches: int = 0
@@ -60,14 +60,14 @@
 
 
 class BackgroundWriter:
-    """One store and its thread.
+    """A store and the thread that writes to it.
 
-    Batches may be submitted between `start` and `close`. `open` is called before `start`, or on the thread by
-    what `start` is given.
+    Batches may be submitted between `start` and `close`. `open` may be called before `start`, or by the
+    `on_start` callback on the writer thread.
 
     Attributes:
-        store: The store once it is open.
-        counters: What was done since the start.
+        store: The store; None until it is open.
+        counters: Totals since the start.
     """
 
     def __init__(
@@ -78,14 +78,14 @@
         sync_policy: SyncPolicy = "every",
         sync_interval_s: float = 0.1,
     ) -> None:
-        """Prepare a writer; nothing is opened yet.
+        """Create a writer; this does not open the store.
 
         Args:
             open_directory: Opens the directory; may raise OSError.
-            options: Of the store.
-            log: Takes a line of the log; called on either thread.
-            sync_policy: Whether to sync each group of batches, at intervals, or never.
-            sync_interval_s: The interval in seconds.
+            options: Options of the store.
+            log: Writes a line to the log; called on the calling thread or the writer thread.
+            sync_policy: Sync after each group of batches ("batch"), at intervals ("every") or not at all.
+            sync_interval_s: Interval between syncs in seconds.
         """
         self._open_directory = open_directory
         self._options = options
@@ -106,12 +106,12 @@
     def start(
         self, loop: asyncio.AbstractEventLoop | None = None, on_start: Callable[[], None] = lambda: None
     ) -> None:
-        """Start the thread; a store that is not open yet is retried every few seconds.
+        """Start the thread, which opens the store if necessary and retries every few seconds on failure.
 
         Args:
-            loop: The event loop on which `on_durable` callbacks run; without one they run on the thread.
-            on_start: What the thread does before anything else: the place to open a store that may be
-                large, or on a disk that hangs.
+            loop: Event loop on which `on_durable` callbacks run; without one they run on the writer thread.
+            on_start: Called first on the writer thread. It should open the store if this may take long,
+                because the store is large or the disk may hang.
         """
         self._loop = loop
         self._on_start = on_start
@@ -122,7 +122,7 @@
         """Open the store on the calling thread.
 
         Raises:
-            StoreOpenError: With one plain line, if the store cannot be opened.
+            StoreOpenError: The store cannot be opened; the message is a single line.
         """
         directory: StoreDirectory | None = None
         try:
@@ -132,7 +132,7 @@
         except (OSError, NewerFormatError, CorruptionError) as error:
             if directory is not None:
                 directory.close()
-            raise StoreOpenError(f"the store cannot be opened: {_reason(error)}") from None
+            raise StoreOpenError(f"the store cannot be opened: {_error_text(error)}") from None
         self.store = store
         return report
 
@@ -140,11 +140,11 @@
         """Submit a batch without waiting for the disk.
 
         Args:
-            records: The batch.
-            on_durable: Called with whether the batch is durable.
+            records: Records of the batch.
+            on_durable: Called with True once the batch is durable, or with False if it is dropped.
 
         Returns:
-            Whether the batch was queued; else it is dropped.
+            Whether the batch was queued; otherwise it was dropped.
         """
         queued = self._queue.offer(QueuedBatch(records, on_durable))
         if not queued:
@@ -154,20 +154,20 @@
         return queued
 
     def close(self) -> None:
-        """Write what is queued, and end. Waits for the disk, but not for one that hangs."""
+        """Write the queued batches and stop the thread; wait for it at most `CLOSE_TIMEOUT_S`."""
         self._queue.close()
         if self._thread is not None:
             self._thread.join(CLOSE_TIMEOUT_S)
             self._thread = None
 
-    def record_failure(self, why: str) -> None:
-        """Count a failure, put off the next try, and log the first failure of an outage."""
+    def record_failure(self, reason: str) -> None:
+        """Count a failure, postpone the next attempt, and log the failure if it starts an outage."""
         self.counters.failures += 1
         if self._outage.begin():
-            self._log(f"store writes failing, records are dropped until it recovers: {why}")
+            self._log(f"store writes failing, records are dropped until it recovers: {reason}")
 
     def metric_values(self) -> dict[str, float]:
-        """Values by exported metric name."""
+        """Return the current values of the exported metrics by name."""
         counters = self.counters
         store = self.store
         return {
@@ -182,7 +182,7 @@
             "store_bytes": store.bytes_used if store is not None else 0,
         }
 
-    # Everything below runs on the writer's thread.
+    # The methods below run on the writer thread, except that `submit` also calls `_notify`.
 
     def _run(self) -> None:
         self._on_start()
@@ -202,10 +202,10 @@
         try:
             self.store.close()
         except OSError as error:
-            self._log(f"store close failed: {_reason(error)}")
+            self._log(f"store close failed: {_error_text(error)}")
 
     def _wait_s(self) -> float:
-        """How long to wait for batches: there may be something to sync or to compact."""
+        """Return the maximum time to wait for batches, until the next sync or compaction step."""
         if self._compaction is not None:
             return 0.0
         if self._awaiting_sync and self._sync_policy == "every":
@@ -213,9 +213,9 @@
         return IDLE_WAIT_S
 
     def _commit(self, taken: list[QueuedBatch]) -> None:
-        """Write a group by one append, and sync it if the policy is to sync each."""
+        """Write a group of batches by a single append, and sync it if the sync policy is "batch"."""
         callbacks = [batch.on_durable for batch in taken if batch.on_durable is not None]
-        began = time.monotonic()
+        started_s = time.monotonic()
         store = self._usable_store()
         if store is None:
             self._drop(len(taken), callbacks)
@@ -234,12 +234,12 @@
             self._log(f"store rejected a write: {error}")
         except OSError as error:
             self._drop(len(taken), callbacks)
-            self.record_failure(_reason(error))
-        took_ms = (time.monotonic() - began) * 1000
-        self.counters.slowest_commit_ms = max(self.counters.slowest_commit_ms, took_ms)
+            self.record_failure(_error_text(error))
+        elapsed_ms = (time.monotonic() - started_s) * 1000
+        self.counters.slowest_commit_ms = max(self.counters.slowest_commit_ms, elapsed_ms)
 
     def _usable_store(self) -> Store | None:
-        """The store if it may be written to now; opens one that is not open when a retry is due."""
+        """Return the store if it can be written to; open it if necessary and if a retry is due."""
         if self.store is None and not self._outage.backing_off:
             try:
                 self.open()
@@ -262,7 +262,7 @@
         try:
             self._sync(store)
         except OSError as error:
-            self.record_failure(_reason(error))
+            self.record_failure(_error_text(error))
 
     def _sync(self, store: Store) -> None:
         store.sync()
@@ -284,28 +284,28 @@
             self._loop.call_soon_threadsafe(lambda: [callback(durable) for callback in callbacks])
 
     def _step_compaction(self) -> None:
-        """Do a part of a compaction, and rest, so that neither writes nor the event loop wait for it."""
+        """Run one step of a compaction, then rest, so that writes and the event loop are not delayed."""
         store = self.store
         if store is None or self._outage.backing_off:
             return
-        began = time.monotonic()
+        started_s = time.monotonic()
         try:
             if self._compaction is None and store.compaction_due:
                 self._compaction = store.compact(int(time.time() * 1000))
             if self._compaction is None:
                 return
-            if self._is_finished_within_step(self._compaction, began):
+            if self._is_finished_within_step(self._compaction, started_s):
                 self._compaction = None
                 self.counters.checkpoints += 1
         except (OSError, CorruptionError) as error:
             self._compaction = None
-            self.record_failure(_reason(error))
-        time.sleep(min(MAX_REST_S, REST_FACTOR * (time.monotonic() - began)))
+            self.record_failure(_error_text(error))
+        time.sleep(min(MAX_REST_S, REST_FACTOR * (time.monotonic() - started_s)))
 
     @staticmethod
-    def _is_finished_within_step(compaction: Generator[None, None, None], began_s: float) -> bool:
-        """Go on with a compaction until COMPACTION_STEP_S after `began_s`; whether it is complete."""
-        while time.monotonic() - began_s < COMPACTION_STEP_S:
+    def _is_finished_within_step(compaction: Generator[None, None, None], step_started_s: float) -> bool:
+        """Run a compaction for `COMPACTION_STEP_S` at the most; return whether it is complete."""
+        while time.monotonic() - step_started_s < COMPACTION_STEP_S:
             try:
                 next(compaction)
             except StopIteration:
@@ -313,6 +313,6 @@
         return False
 
 
-def _reason(error: Exception) -> str:
-    """What an error says without its number and file."""
+def _error_text(error: Exception) -> str:
+    """Return the text of an error; for an OSError without its number and file name."""
     return getattr(error, "strerror", None) or str(error)
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""The flight recorder's record of one second."""
+"""The flight recorder: records of one second, and the latency histogram."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_a_second_is_recorded_and_read_again() -> None:
+def test_the_record_of_a_second_round_trips_and_newer_versions_are_rejected() -> None:
     recorder = Recorder(2)
     for latency_us in (1, 64, 100, 5_000, 10**9):
         assert bucket_lower_bound_us(latency_bucket(latency_us)) <= max(64, latency_us)
@@ -24,8 +24,12 @@
         recorder.record_event(f"breaker {n}")
     value = recorder.end_second(7, [[1, 2], [0, 0], [0, 1], [1, 3]])
     assert value is not None and recorder.end_second(8, [[1, 2], [0, 0], [0, 1], [1, 3]]) is None
-    made = decode_second(value)
-    assert made.answered == [1, 2] and made.outcomes == {"ok": 1, "reset": 1} and made.dropped_events == 3
-    assert made.latencies == [{}, {latency_bucket(5_000): 1}] and len(made.events) == MAX_EVENTS
+    decoded = decode_second(value)
+    assert (
+        decoded.answered == [1, 2]
+        and decoded.outcomes == {"ok": 1, "reset": 1}
+        and decoded.dropped_events == 3
+    )
+    assert decoded.latencies == [{}, {latency_bucket(5_000): 1}] and len(decoded.events) == MAX_EVENTS
     with pytest.raises(ValueError, match="version 9"):
-        decode_second(msgspec.msgpack.encode(msgspec.structs.replace(made, version=9)))
+        decode_second(msgspec.msgpack.encode(msgspec.structs.replace(decoded, version=9)))
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `sagetrack store`, on a store that is damaged."""
+"""The commands of `sagetrack store` on a damaged store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_the_commands_tell_and_mend_what_is_damaged(tmp_path: Path) -> None:
+def test_verify_reports_damage_and_repair_quarantines_it(tmp_path: Path) -> None:
     folder = tmp_path / "store"
     store = Store(DiskDirectory(folder), SMALL_STORE)
     store.open()
@@ -32,16 +32,16 @@
         line = [sys.executable, "-m", "sagetrack", "store", *words]
         return subprocess.run(line, cwd=ROOT, text=True, capture_output=True, timeout=60)
 
-    bad = command("verify", str(folder))
-    assert bad.returncode == 1 and "batch 4 is the last; 4 values" in bad.stdout
+    damaged = command("verify", str(folder))
+    assert damaged.returncode == 1 and "batch 4 is the last; 4 values" in damaged.stdout
     rows = [json.loads(line) for line in command("dump", str(folder)).stdout.splitlines()]
     assert {"space": "s", "key": "k2", "at_ms": 7, "value": {"n": 2}} in rows and len(rows) == 4
     size = log.stat().st_size
-    dry = command("repair", str(folder), "--dry-run")
-    assert dry.returncode == 0 and log.stat().st_size == size and "would be put aside" in dry.stdout
+    dry_run = command("repair", str(folder), "--dry-run")
+    assert dry_run.returncode == 0 and log.stat().st_size == size and "would be put aside" in dry_run.stdout
     assert command("repair", str(folder)).returncode == 0 and log.stat().st_size < size
     assert command("verify", str(folder)).returncode == 0
     assert command("compact", str(folder)).returncode == 0
-    none = command("verify", str(tmp_path / "none"))
-    assert none.returncode == 2 and none.stderr.count("\n") == 1
+    missing = command("verify", str(tmp_path / "none"))
+    assert missing.returncode == 2 and missing.stderr.count("\n") == 1
     assert (folder / "strange.txt").read_text() == "not ours" and FILE_HEADER.size == 22
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the store that need no disk: expiry and eviction, the writer's queue, outages, file names."""
+"""Parts of the store without a disk: retention, the batch queue, outages, file names and exceptions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert retention.visible_value(Record("other", b"k", None, 0), 0) is None
 
 
-def test_eviction_spares_retained_spaces_and_takes_the_oldest_of_evictable_ones() -> None:
+def test_eviction_removes_the_oldest_records_of_evictable_spaces_only() -> None:
     retention = Retention(StoreOptions(max_bytes=4000, spaces={"notes": RetentionPolicy(evictable=True)}))
     retention.count("kept", 0, 400)
     for minute in range(6):
@@ -38,13 +38,13 @@
     assert retention.eviction_cutoffs() == {}
     retention.count("notes", 6 * 60_000, 100)
     assert retention.eviction_cutoffs() == {"notes": 60_000}
-    before = retention.begin_recount()
+    previous = retention.begin_recount()
     assert retention.eviction_cutoffs() == {}
-    retention.restore(before)
+    retention.restore(previous)
     assert retention.eviction_cutoffs() == {"notes": 60_000}
 
 
-def test_the_queue_is_bounded_and_rejects_batches_once_it_closes() -> None:
+def test_the_queue_is_bounded_and_rejects_batches_after_closing() -> None:
     queue = BatchQueue()
     large = QueuedBatch([Record("s", b"", bytes(MAX_QUEUED_BYTES - 64))], None)
     small = QueuedBatch([Record("s", b"", b"x")], None)
@@ -56,7 +56,7 @@
     assert queue.take(lambda: 0.0) == ([small], True) and queue.take(lambda: 0.0) == ([], True)
 
 
-def test_an_outage_begins_and_ends_once() -> None:
+def test_an_outage_reports_its_begin_and_its_end_once() -> None:
     outage = Outage()
     assert not outage.backing_off and not outage.end()
     assert outage.begin() and not outage.begin() and outage.backing_off
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("number", [0, 1, 0xFF, 2**64 - 1])
-def test_names_of_files_are_read_again(number: int) -> None:
+def test_file_names_round_trip(number: int) -> None:
     segment, checkpoint = segment_name(number), checkpoint_name(number)
     assert segment_number(segment) == number and checkpoint_sequence(checkpoint) == number
     assert segment_number(checkpoint) is None and checkpoint_sequence(segment) is None
@@ -72,6 +72,6 @@
     assert all(is_store_file(name) for name in names) and not is_store_file("strange.txt")
 
 
-def test_errors_of_the_store_have_one_base() -> None:
+def test_store_exceptions_have_a_common_base_class() -> None:
     assert issubclass(StoreFullError, WriteRejectedError) and issubclass(StoreOpenError, StoreError)
     assert issubclass(WriteRejectedError, StoreError) and not issubclass(StoreError, OSError)
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps in its store and has again after a restart."""
+"""A gateway restores its observations from the store after a restart, and records its traffic there."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @on_loop
-async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
+async def test_a_restarted_gateway_restores_observations_and_recorded_seconds(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
     async with scripted_server() as upstream:
@@ -33,37 +33,38 @@
                 assert (await gateway.ask(request())).status == 200
             before = {s.server: s.weight for s in gateway.gateway.balancer.own_observations()[0]}
             assert gateway.instance.persistence is not None and before
-            async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
+            # Both run at once, as during a hot restart: only the first has the store.
+            async with running(config, load_operator(str(file))) as successor:
                 assert (await successor.ask(request())).status == 200
                 assert "svc_store_failing 1" in successor.server.stats()
         async with running(config, load_operator(str(file))) as gateway:
-            heard = gateway.gateway.balancer.gossip.received
-            assert {server for server, _ in heard} == set(before)
+            received = gateway.gateway.balancer.gossip.received
+            assert {server for server, _ in received} == set(before)
             assert "svc_store_failing 0" in gateway.server.stats()
             store = gateway.instance.persistence.writer.store  # type: ignore[union-attr]
             assert store is not None
-            rows = [decode_second(op.value or b"") for op in store.snapshot().items("seconds")]
+            rows = [decode_second(record.value or b"") for record in store.snapshot().items("seconds")]
         assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
     file.write_text("[store]\nmost_mb = 5.0\n")
     with pytest.raises(FileError, match="store needs folder"):
         load_operator(str(file))
 
 
-def test_gateways_of_the_lab_take_up_what_they_kept_when_all_were_killed(
+def test_simulated_gateways_restore_observations_after_all_were_killed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nobody is left to ask: what they hear after the death is what they knew before."""
+    """No peer has survived, so all observations that the gateways receive come from their stores."""
     scenario = load(ROOT / "scenarios" / "all-killed.toml")
-    heard: dict[bool, int] = {True: 0, False: 0}
+    received: dict[bool, int] = {True: 0, False: 0}
     handle = VirtualGateway.handle
 
-    def watched(gateway: VirtualGateway, event: Event) -> None:
+    def counting_handle(gateway: VirtualGateway, event: Event) -> None:
         if isinstance(event, ObservationsReceived):
-            heard[use] += len(event.observations)
+            received[use] += len(event.observations)
         handle(gateway, event)
 
-    monkeypatch.setattr(VirtualGateway, "handle", watched)
-    for use in heard:
+    monkeypatch.setattr(VirtualGateway, "handle", counting_handle)
+    for use in received:
         played = altered(scenario, {"store.use": use, "seconds": 13.0})
         assert not judge(play(played, 1), played)
-    assert heard[True] >= 12 and not heard[False]
+    assert received[True] >= 12 and not received[False]
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -1,4 +1,4 @@
-"""The store's background writer: a disk that is slow or fails, and one that another process has."""
+"""The background writer of the store: slow and failing disks, and a store locked by another process."""
 
 from __future__ import annotations
 
@@ -17,51 +17,55 @@
 from sagetrack.store.writer import BackgroundWriter
 
 
-def test_another_process_is_kept_out(tmp_path: Path) -> None:
+def test_a_store_is_locked_against_other_processes(tmp_path: Path) -> None:
     first = DiskDirectory(tmp_path)
     with pytest.raises(BlockingIOError):
         DiskDirectory(tmp_path)
-    keeper = BackgroundWriter(lambda: DiskDirectory(tmp_path), SMALL_STORE, lambda line: None)
+    writer = BackgroundWriter(lambda: DiskDirectory(tmp_path), SMALL_STORE, lambda line: None)
     with pytest.raises(StoreOpenError, match="another process has it"):
-        keeper.open()
+        writer.open()
     first.close()
     DiskDirectory(tmp_path).close()
 
 
-class Slow(FaultyDirectory):
-    """A disk that stands still until it is let go."""
+class BlockingDirectory(FaultyDirectory):
+    """A disk whose appends block until `go` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.go = threading.Event()
-        self.stands_still = threading.Event()
+        self.is_blocked = threading.Event()
 
     def append(self, name: str, data: bytes) -> None:
-        self.stands_still.set()
+        self.is_blocked.set()
         self.go.wait(10)
         super().append(name, data)
 
 
-def test_a_slow_or_failing_disk_blocks_no_one_and_is_logged_once() -> None:
-    files, lines, lasting = Slow(), list[str](), list[bool]()
-    keeper = BackgroundWriter(lambda: files, SMALL_STORE, lines.append, sync_policy="batch")
-    keeper.open()
-    keeper.start()
-    began = time.monotonic()
+def test_a_slow_or_failing_disk_does_not_block_submitters_and_is_logged_once() -> None:
+    files, lines, outcomes = BlockingDirectory(), list[str](), list[bool]()
+    writer = BackgroundWriter(lambda: files, SMALL_STORE, lines.append, sync_policy="batch")
+    writer.open()
+    writer.start()
+    started_s = time.monotonic()
     for n in range(200):
-        assert keeper.submit([Record("s", b"%d" % n, bytes(30), 1)], lasting.append)
-        assert files.stands_still.wait(5)  # the thread holds the first: what comes next has to wait
-    while keeper.submit([Record("s", b"big", bytes(100_000), 1)]):
-        pass  # the disk stands still: memory is bounded
-    assert time.monotonic() - began < 5 and keeper.counters.dropped == 1 and not lasting
+        assert writer.submit([Record("s", b"%d" % n, bytes(30), 1)], outcomes.append)
+        assert files.is_blocked.wait(5)  # the first append blocks, so later batches are queued
+    while writer.submit([Record("s", b"big", bytes(100_000), 1)]):
+        pass  # fills the queue until it rejects a batch
+    assert time.monotonic() - started_s < 5 and writer.counters.dropped == 1 and not outcomes
     files.failing = {"sync": errno.EIO, "append": errno.ENOSPC}
     files.go.set()
-    keeper.close()
+    writer.close()
     assert len([line for line in lines if "store writes failing" in line]) == 1
-    assert lasting.count(False) == 200 and keeper.metric_values()["store_failing"] == 1
-    good = BackgroundWriter(FaultyDirectory, SMALL_STORE, lines.append, sync_policy="batch")
-    good.open()
-    good.start()
-    good.submit([Record("s", b"k", b"v", 1)], lasting.append)
-    good.close()
-    assert lasting[-1] is True and good.store is not None and good.store.get("s", b"k") == b"v"
+    assert outcomes.count(False) == 200 and writer.metric_values()["store_failing"] == 1
+    second_writer = BackgroundWriter(FaultyDirectory, SMALL_STORE, lines.append, sync_policy="batch")
+    second_writer.open()
+    second_writer.start()
+    second_writer.submit([Record("s", b"k", b"v", 1)], outcomes.append)
+    second_writer.close()
+    assert (
+        outcomes[-1] is True
+        and second_writer.store is not None
+        and second_writer.store.get("s", b"k") == b"v"
+    )
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -1,8 +1,9 @@
-"""What earlier versions stored and sent is read as it was meant, and written again byte for byte.
+"""Compatibility of stored files and datagrams with earlier versions.
 
 The files in `tests/fixtures/before_2026_12_02` were written by the version of that day with
-`tests/fixtures/generate_before.py`. They stay as they are: where a format changes on purpose, the new one has
-a version of its own, and these files are still to be read.
+`tests/fixtures/generate_before.py`. This version must read them correctly and write them byte for byte.
+They must not be changed: an intended change of a format gets a new format version, and these files must
+remain readable.
 """
 
 from __future__ import annotations
@@ -47,28 +48,28 @@
     DATAGRAMS_FILE,
     DISCOVERY,
     GATEWAY,
+    HANDOVER_RECORD,
     IDS,
     IDS_FILE,
     KNOWN_LIST,
     LATENCIES,
-    NOTE,
     NOW_MS,
     NOW_US,
+    OBSERVATIONS,
     OPTIONS,
-    OTHER_NOTE,
+    OTHER_HANDOVER_RECORD,
     SECONDS_AGE_MS,
-    SIGHTS,
     STORE_FOLDER,
     TMPDIR_FOLDER,
     generate,
-    live,
+    live_records,
     seconds_key,
 )
 from tests.sockets import configuration, on_loop
 
 STORE = BEFORE / STORE_FOLDER
 TMPDIR = BEFORE / TMPDIR_FOLDER
-SENT: dict[str, bytes] = {
+ENCODED: dict[str, bytes] = {
     name: bytes.fromhex(data)
     for name, data in (line.split(" ") for line in (BEFORE / DATAGRAMS_FILE).read_text().splitlines())
 }
@@ -93,7 +94,7 @@
 
 @pytest.fixture(scope="module")
 def written_now(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The same files, as this version writes them."""
+    """The directory of the same files, written by this version."""
     folder = tmp_path_factory.mktemp("stored") / "now"
     generate(folder)
     return folder
@@ -105,8 +106,8 @@
 
 
 @pytest.fixture
-def looked_at() -> Iterator[Store]:
-    """The store of the earlier version, opened without changing it."""
+def old_store() -> Iterator[Store]:
+    """The store of the earlier version, opened by a dry run."""
     with closing(Store(DryRunDirectory(STORE), OPTIONS)) as store:
         found = store.open()
         assert (found.sequence, found.batches, found.records) == (6, 2, 3)
@@ -115,13 +116,13 @@
 
 
 def content(store: Store, now_ms: int = 0) -> list[Record]:
-    return sorted(store.snapshot().items(now_ms=now_ms), key=lambda op: (op.space, op.key))
+    return sorted(store.snapshot().items(now_ms=now_ms), key=lambda record: (record.space, record.key))
 
 
 # All files
 
 
-def test_the_same_files_are_written(written_now: Path) -> None:
+def test_the_set_of_written_files_is_unchanged(written_now: Path) -> None:
     assert files_in(BEFORE) == FILES
     assert files_in(written_now) == FILES
 
@@ -134,47 +135,49 @@
 # Datagrams
 
 
-def test_each_kind_of_message_has_a_datagram() -> None:
-    assert list(SENT) == list(DATAGRAMS)
+def test_the_datagrams_cover_every_message_type() -> None:
+    assert list(ENCODED) == list(DATAGRAMS)
     kinds = {type(message) for datagram in DATAGRAMS.values() for message in datagram.messages}
     assert kinds == set(Message.__args__)
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
-def test_a_datagram_is_read_as_it_was_meant(name: str) -> None:
-    datagram, expected = decode(SENT[name]), DATAGRAMS[name]
+def test_a_datagram_is_decoded_correctly(name: str) -> None:
+    datagram, expected = decode(ENCODED[name]), DATAGRAMS[name]
     assert datagram.sender == expected.sender
     assert datagram.incarnation == expected.incarnation
     assert [type(message) for message in datagram.messages] == [type(m) for m in expected.messages]
-    for message, wanted in zip(datagram.messages, expected.messages, strict=True):
-        assert msgspec.structs.asdict(message) == msgspec.structs.asdict(wanted)
+    for message, expected_message in zip(datagram.messages, expected.messages, strict=True):
+        assert msgspec.structs.asdict(message) == msgspec.structs.asdict(expected_message)
     assert datagram == expected
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
 def test_a_datagram_is_encoded_byte_for_byte_as_before(name: str) -> None:
-    assert encode(DATAGRAMS[name]) == SENT[name]
+    assert encode(DATAGRAMS[name]) == ENCODED[name]
 
 
-def test_knowledge_in_a_datagram_keeps_its_units() -> None:
-    [tell] = decode(SENT["tell-of-knowledge"]).messages
-    assert isinstance(tell, WarmStartResponse)
-    assert (tell.request_id, tell.part, tell.parts) == (2**30, 0, 1)
-    assert decode_latencies(tell.classes) == (
+def test_observations_in_a_datagram_keep_their_units() -> None:
+    [response] = decode(ENCODED["tell-of-knowledge"]).messages
+    assert isinstance(response, WarmStartResponse)
+    assert (response.request_id, response.part, response.parts) == (2**30, 0, 1)
+    assert decode_latencies(response.classes) == (
         ClassLatency(class_index=0, smoothed_us=20_000.0, baseline_us=15_500.0),
         ClassLatency(class_index=2, smoothed_us=100.0, baseline_us=1e9),
     )
-    lives = {sight.server: sight.started_us for sight in SIGHTS}
-    heard_us = NOW_US + 100
-    told = decode_observations(reporter=10, entries=tell.servers, start_times=lives, now_us=heard_us)
-    assert sorted(told, key=lambda sight: sight.server) == [
+    start_times = {observation.server: observation.started_us for observation in OBSERVATIONS}
+    received_us = NOW_US + 100
+    observations = decode_observations(
+        reporter=10, entries=response.servers, start_times=start_times, now_us=received_us
+    )
+    assert sorted(observations, key=lambda observation: observation.server) == [
         Observation(
             server=7,
             started_us=0,
             by=10,
-            seen_us=heard_us,
+            seen_us=received_us,
             state=HALF_OPEN,
-            open_until_us=heard_us,
+            open_until_us=received_us,
             weight=0.62,
             overloaded=False,
             slow_start_used_us=65_535_000,
@@ -183,9 +186,9 @@
             server=8,
             started_us=NOW_US - 5_000_000,
             by=10,
-            seen_us=heard_us - 59_000_000,
+            seen_us=received_us - 59_000_000,
             state=CLOSED,
-            open_until_us=heard_us,
+            open_until_us=received_us,
             weight=0.33,
             overloaded=True,
             slow_start_used_us=0,
@@ -194,9 +197,9 @@
             server=0x1A2B3C4D,
             started_us=NOW_US - 3_600_000_000,
             by=10,
-            seen_us=heard_us - 250_000,
+            seen_us=received_us - 250_000,
             state=CLOSED,
-            open_until_us=heard_us,
+            open_until_us=received_us,
             weight=1.0,
             overloaded=False,
             slow_start_used_us=0,
@@ -205,9 +208,9 @@
             server=0xFFFFFFFF,
             started_us=NOW_US - 90_000_123,
             by=10,
-            seen_us=heard_us - 1_000_000,
+            seen_us=received_us - 1_000_000,
             state=OPEN,
-            open_until_us=heard_us + 4_000_000,
+            open_until_us=received_us + 4_000_000,
             weight=0.05,
             overloaded=True,
             slow_start_used_us=12_000,
@@ -216,7 +219,7 @@
 
 
 def test_demands_in_a_datagram_keep_their_units() -> None:
-    [message] = decode(SENT["wanted-of-demands"]).messages
+    [message] = decode(ENCODED["wanted-of-demands"]).messages
     assert isinstance(message, DemandGossip)
     assert decode_demands(message, tenants=6) == (1_500_000.0, 0.0, 20_000.0, 0.0, 1000.0, 0.0)
 
@@ -224,45 +227,45 @@
 @pytest.mark.parametrize(
     "line", (BEFORE / IDS_FILE).read_text("utf-8").splitlines(), ids=lambda line: repr(line)
 )
-def test_a_name_has_the_same_number_as_before(line: str) -> None:
-    """Sights and datagrams name a server by this number."""
+def test_stable_ids_of_names_are_unchanged(line: str) -> None:
+    """Stored observations and datagrams identify a server by this number."""
     number, size, name = line.split(" ")
     assert (name, int(size)) in IDS
     assert stable_id(name, int(size)) == int(number)
 
 
-# What a process leaves for the next one
+# Files for the successor process
 
 
-def check_note(note: HandoverRecord | None, expected: HandoverRecord) -> None:
-    assert note is not None
-    assert note.gateway == expected.gateway
-    assert note.written_us == expected.written_us
-    assert note.observations == expected.observations
-    assert note.latencies == expected.latencies
-    assert note == expected
+def check_record(record: HandoverRecord | None, expected: HandoverRecord) -> None:
+    assert record is not None
+    assert record.gateway == expected.gateway
+    assert record.written_us == expected.written_us
+    assert record.observations == expected.observations
+    assert record.latencies == expected.latencies
+    assert record == expected
 
 
 @pytest.mark.parametrize("age_us", [0, STALE_US])
-def test_a_hand_over_file_is_read_as_it_was_meant(age_us: int) -> None:
-    note = handover.read(folder=TMPDIR, gateway=GATEWAY, now_us=NOW_US + age_us)
-    check_note(note, NOTE)
-
-
-def test_fields_of_knowledge_that_was_handed_over() -> None:
-    """In full for one sight and one latency: a field that is not found would be given its default."""
-    note = handover.read(folder=TMPDIR, gateway="n0", now_us=NOW_US)
-    assert note is not None and len(note.observations) == 4 and len(note.latencies) == 2
-    sight, latency = note.observations[1], note.latencies[0]
-    assert sight.server == 4_294_967_295
-    assert sight.started_us == 1_764_633_509_999_877
-    assert sight.by == 3
-    assert sight.seen_us == 1_764_633_598_999_999
-    assert sight.state == 1
-    assert sight.open_until_us == 1_764_633_604_000_000
-    assert sight.weight == 0.05
-    assert sight.overloaded is True
-    assert sight.slow_start_used_us == 12_345
+def test_a_hand_over_file_is_read_correctly(age_us: int) -> None:
+    record = handover.read(folder=TMPDIR, gateway=GATEWAY, now_us=NOW_US + age_us)
+    check_record(record, HANDOVER_RECORD)
+
+
+def test_every_field_of_a_hand_over_file_is_read() -> None:
+    """Checks every field of one record: a field with an unknown key would silently get its default."""
+    record = handover.read(folder=TMPDIR, gateway="n0", now_us=NOW_US)
+    assert record is not None and len(record.observations) == 4 and len(record.latencies) == 2
+    observation, latency = record.observations[1], record.latencies[0]
+    assert observation.server == 4_294_967_295
+    assert observation.started_us == 1_764_633_509_999_877
+    assert observation.by == 3
+    assert observation.seen_us == 1_764_633_598_999_999
+    assert observation.state == 1
+    assert observation.open_until_us == 1_764_633_604_000_000
+    assert observation.weight == 0.05
+    assert observation.overloaded is True
+    assert observation.slow_start_used_us == 12_345
     assert latency.class_index == 0
     assert latency.smoothed_us == 20_000.0
     assert latency.baseline_us == 15_500.25
@@ -271,24 +274,24 @@
 @pytest.mark.parametrize(
     ("gateway", "now_us"), [("n1", NOW_US), (GATEWAY, NOW_US - 1), (GATEWAY, NOW_US + STALE_US + 1)]
 )
-def test_a_hand_over_file_of_another_gateway_or_time_is_passed_over(gateway: str, now_us: int) -> None:
+def test_a_hand_over_file_of_another_gateway_or_time_is_ignored(gateway: str, now_us: int) -> None:
     assert handover.read(folder=TMPDIR, gateway=gateway, now_us=now_us) is None
 
 
-def test_a_list_that_was_handed_on_is_read_as_it_was_meant() -> None:
+def test_a_saved_endpoint_list_is_read_correctly() -> None:
     file = EndpointListFile(TMPDIR)
     assert file.newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
     assert file.newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
     assert file.newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
 
 
-def test_marks_of_processes_have_the_same_names(tmp_path: Path) -> None:
-    """Processes of two versions count each other by these."""
-    overlap = HotRestart(str(tmp_path))
-    overlap.join()
+def test_hot_restart_markers_have_the_same_names(tmp_path: Path) -> None:
+    """Processes of different versions detect each other by these files."""
+    hot_restart = HotRestart(str(tmp_path))
+    hot_restart.join()
     try:
         assert files_in(tmp_path) == [f"sagetrack-{os.getpid()}.starting"]
-        overlap.mark_serving()
+        hot_restart.mark_serving()
         assert files_in(tmp_path) == [f"sagetrack-{os.getpid()}.serving"]
         with (
             open(tmp_path / "sagetrack-1.serving", "w") as one,
@@ -296,34 +299,34 @@
         ):
             fcntl.flock(one, fcntl.LOCK_EX)
             fcntl.flock(two, fcntl.LOCK_EX)
-            overlap.refresh()
-            assert (overlap.others, overlap.serving) == (2, 1)
+            hot_restart.refresh()
+            assert (hot_restart.others, hot_restart.serving) == (2, 1)
     finally:
-        overlap.release()
+        hot_restart.release()
 
 
 # The store
 
 
-def test_a_store_is_read_as_it_was_meant(looked_at: Store) -> None:
-    found = content(looked_at)
-    for op, expected in zip(found, live(), strict=True):
-        assert (op.space, op.key) == (expected.space, expected.key)
-        assert op.value == expected.value
-        assert op.at_ms == expected.at_ms
-        assert looked_at.get(op.space, op.key) == expected.value
-    assert [op.space for op in found] == ["known", "known", "other", "seconds", "seconds"]
-    assert looked_at.get("known", b"gone") is None
+def test_the_records_of_a_store_are_read_correctly(old_store: Store) -> None:
+    found = content(old_store)
+    for record, expected in zip(found, live_records(), strict=True):
+        assert (record.space, record.key) == (expected.space, expected.key)
+        assert record.value == expected.value
+        assert record.at_ms == expected.at_ms
+        assert old_store.get(record.space, record.key) == expected.value
+    assert [record.space for record in found] == ["known", "known", "other", "seconds", "seconds"]
+    assert old_store.get("known", b"gone") is None
 
 
-def test_ages_of_a_store_are_read_as_they_were_meant(looked_at: Store) -> None:
-    """The first record of the recorder is gone an hour after it was made, the second one a second later."""
-    assert content(looked_at, now_ms=NOW_MS + SECONDS_AGE_MS - 1) == live()
-    assert content(looked_at, now_ms=NOW_MS + SECONDS_AGE_MS) == live()[:3] + live()[4:]
-    assert content(looked_at, now_ms=NOW_MS + SECONDS_AGE_MS + 1000) == live()[:3]
+def test_records_of_a_store_expire_at_the_right_age(old_store: Store) -> None:
+    """The first record of the flight recorder expires after one hour, the second one a second later."""
+    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS - 1) == live_records()
+    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS) == live_records()[:3] + live_records()[4:]
+    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS + 1000) == live_records()[:3]
 
 
-def test_heads_of_a_stores_files_are_read_as_they_were_meant() -> None:
+def test_headers_and_manifest_of_a_store_are_read_correctly() -> None:
     def numbers(pattern: str, magic: bytes) -> list[tuple[int, int]]:
         return [decode_file_header(path.read_bytes(), magic) for path in sorted(STORE.glob(pattern))]
 
@@ -332,16 +335,16 @@
     assert decode_manifest((STORE / "MANIFEST").read_bytes()) == ([4, 3], 2)
 
 
-def test_a_store_without_its_newest_base_is_read_from_the_older_one(store_copy: Path) -> None:
+def test_a_store_without_its_newest_checkpoint_is_recovered_from_the_older_one(store_copy: Path) -> None:
     (store_copy / "base-0000000000000004").unlink()
     with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         found = store.open()
         assert (found.sequence, found.batches, found.records) == (6, 3, 3)
         assert found.quarantined == ["base-0000000000000004: gone"]
-        assert content(store) == live()
+        assert content(store) == live_records()
 
 
-def test_a_store_is_written_on(store_copy: Path) -> None:
+def test_a_store_accepts_new_writes_and_a_compaction(store_copy: Path) -> None:
     added = Record(space=OBSERVATIONS_SPACE, key=b"zz", value=b"added", at_ms=NOW_MS + 2000)
     with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         store.open()
@@ -351,18 +354,18 @@
     with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
         found = store.open()
         assert (found.sequence, found.batches, found.records, found.quarantined) == (7, 0, 6, [])
-        assert content(store) == [*live()[:2], added, *live()[2:]]
+        assert content(store) == [*live_records()[:2], added, *live_records()[2:]]
 
 
-def test_knowledge_in_a_store_is_read_as_it_was_meant(looked_at: Store) -> None:
-    for gateway, expected in (("n0", NOTE), ("n1", OTHER_NOTE)):
-        value = looked_at.get(OBSERVATIONS_SPACE, gateway.encode())
+def test_observations_in_a_store_are_read_correctly(old_store: Store) -> None:
+    for gateway, expected in (("n0", HANDOVER_RECORD), ("n1", OTHER_HANDOVER_RECORD)):
+        value = old_store.get(OBSERVATIONS_SPACE, gateway.encode())
         assert value is not None
-        check_note(decode_record(value), expected)
+        check_record(decode_record(value), expected)
 
 
-def test_seconds_in_a_store_are_read_as_they_were_meant(looked_at: Store) -> None:
-    values = [looked_at.get(RECORDER_SPACE, seconds_key(at_ms)) for at_ms in (NOW_MS, NOW_MS + 1000)]
+def test_recorded_seconds_in_a_store_are_read_correctly(old_store: Store) -> None:
+    values = [old_store.get(RECORDER_SPACE, seconds_key(at_ms)) for at_ms in (NOW_MS, NOW_MS + 1000)]
     assert values[0] is not None and values[1] is not None
     first, second = decode_second(values[0]), decode_second(values[1])
     assert first.version == 1
@@ -388,7 +391,7 @@
 
 
 @on_loop
-async def test_a_gateway_takes_up_the_knowledge_in_a_store(tmp_path: Path) -> None:
+async def test_a_gateway_restores_the_observations_in_a_store(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(STORE, tmp_path / "n0"))
     settings = StoreSettings(folder=str(folder.parent / "{gateway}"), recorder=False)
     instance = GatewayAssembly(parse(configuration()), Operator(store=settings))
@@ -397,7 +400,7 @@
     assert persistence is not None
     try:
         await asyncio.wait_for(persistence.was_read.wait(), 30)
-        check_note(persistence.stored, NOTE)
+        check_record(persistence.stored, HANDOVER_RECORD)
         assert persistence.stored is not None and persistence.stored.latencies == LATENCIES
     finally:
         persistence.close()
