--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -24,7 +24,7 @@
 MAGIC = b"SGTK2"  # SGTK1 had times of the writing process's own clock
 CHECKSUM_BYTES = 4
 HEADER_BYTES = len(MAGIC) + CHECKSUM_BYTES
-MAX_BODY_BYTES = 1024 * 1024  # limited because a file in a tmpfs counts as memory
+MAX_BODY_BYTES = 1024 * 1024  # limited because files in $TMPDIR count as memory
 READ_BYTES = MAX_BODY_BYTES + 64  # more than a valid file has, so that a longer one is detected
 STALE_US = 60_000_000
 
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -102,7 +102,7 @@
             self._demand_schedule = DemandGossipSchedule(own_number, member_count, seed ^ DEMAND_SEED, now)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._binding: asyncio.Task[None] | None = None
+        self._bind_task: asyncio.Task[None] | None = None
         self._closed = False
 
     @property
@@ -114,7 +114,7 @@
 
     def start(self) -> None:
         """Start a task that binds the address."""
-        self._binding = self._loop.create_task(self._bind())
+        self._bind_task = self._loop.create_task(self._bind())
 
     async def _bind(self) -> None:
         was_logged = False
@@ -147,8 +147,8 @@
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._binding is not None:
-            self._binding.cancel()
+        if self._bind_task is not None:
+            self._bind_task.cancel()
         if self._transport is not None:
             self._transport.close()
 
--- a/sagetrack/peers/probes.py
+++ b/sagetrack/peers/probes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-MAX_LOCAL_HEALTH = 8  # periods and timeouts grow at most by this factor plus one
+MAX_LOCAL_HEALTH = 8  # maximum score; periods and timeouts are multiplied by the score plus one
 
 
 class LocalHealth:
--- a/sagetrack/store/batch_queue.py
+++ b/sagetrack/store/batch_queue.py
@@ -58,10 +58,10 @@
         with self._condition:
             if not self._batches and not self._closing:
                 self._condition.wait(wait_s())
-            taken = self._batches
+            batches = self._batches
             self._batches = []
             self.queued_bytes = 0
-            return taken, self._closing
+            return batches, self._closing
 
     def close(self) -> None:
         """Reject further batches and wake the writer thread."""
--- a/sagetrack/store/checkpoint.py
+++ b/sagetrack/store/checkpoint.py
@@ -98,9 +98,9 @@
         if frame.offset + FRAME_HEADER.size + len(payload) != self.size:
             raise CorruptionError("unexpected data after the end record")
 
-    def add(self, number: int, offset: int) -> None:
+    def add(self, hashed_key: int, offset: int) -> None:
         """Add a record to the index; records are added in ascending order of their key hashes."""
-        self._hashes.append(number)
+        self._hashes.append(hashed_key)
         self._offsets.append(offset)
 
     def release_index(self) -> None:
@@ -122,9 +122,9 @@
             CorruptionError: The record is damaged.
             OSError: The record cannot be read.
         """
-        number = key_hash(space, key)
-        position = bisect_left(self._hashes, number)
-        while position < len(self._hashes) and self._hashes[position] == number:
+        hashed_key = key_hash(space, key)
+        position = bisect_left(self._hashes, hashed_key)
+        while position < len(self._hashes) and self._hashes[position] == hashed_key:
             record = decode_record(read_payload(self._directory, self.name, self._offsets[position]))
             if (record.space, record.key) == (space, key):
                 return record
--- a/sagetrack/store/compaction.py
+++ b/sagetrack/store/compaction.py
@@ -21,7 +21,7 @@
     encode_record,
     key_hash,
 )
-from sagetrack.store.log_index import Key, LogIndex, read_located
+from sagetrack.store.log_index import Key, LogIndex, read_record_at
 from sagetrack.store.options import StoreOptions
 from sagetrack.store.space_limits import Retention
 from sagetrack.store.write_ahead_log import WriteAheadLog
@@ -180,23 +180,23 @@
         yield
         return runs
 
-    def _merged(self, fresh: Iterator[HashedKey]) -> Iterator[Record]:
+    def _merged(self, log_keys: Iterator[HashedKey]) -> Iterator[Record]:
         """Yield the newest record of each key in the checkpoint and the log, in order of the key hashes."""
-        pending = next(fresh, None)
+        pending = next(log_keys, None)
         if self._checkpoints.newest is not None:
             for frame in self._checkpoints.newest.frames():
                 while pending is not None and pending[0] < frame.number:
                     yield self._frozen_record(pending[1])
-                    pending = next(fresh, None)
+                    pending = next(log_keys, None)
                 record = decode_record(frame.payload)
                 if not self._index.is_frozen((record.space, record.key)):
                     yield record
         while pending is not None:
             yield self._frozen_record(pending[1])
-            pending = next(fresh, None)
+            pending = next(log_keys, None)
 
     def _frozen_record(self, key: Key) -> Record:
-        return read_located(self._directory, self._index.frozen_location(key))
+        return read_record_at(self._directory, self._index.frozen_location(key))
 
     def _adopt(self, writer: CheckpointWriter) -> None:
         """Make a finished checkpoint the newest, and retire files that no kept checkpoint needs."""
--- a/sagetrack/store/directory.py
+++ b/sagetrack/store/directory.py
@@ -85,7 +85,7 @@
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(self._lock)
-                raise BlockingIOError(errno.EWOULDBLOCK, "another process has it", str(folder)) from None
+                raise BlockingIOError(errno.EWOULDBLOCK, "locked by another process", str(folder)) from None
 
     def _descriptor(self, name: str, flags: int = os.O_RDWR) -> int:
         """Return the descriptor of a file, opening the file if necessary."""
--- a/sagetrack/store/format.py
+++ b/sagetrack/store/format.py
@@ -85,8 +85,8 @@
     """
     if len(data) < FILE_HEADER.size:
         raise CorruptionError("file header is truncated")
-    found, version, number, checksum = FILE_HEADER.unpack_from(data)
-    if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM_BYTES]) or found != magic:
+    actual_magic, version, number, checksum = FILE_HEADER.unpack_from(data)
+    if checksum != crc32c(data[: FILE_HEADER.size - CHECKSUM_BYTES]) or actual_magic != magic:
         raise CorruptionError("file header is damaged")
     if version > FORMAT_VERSION:
         raise NewerFormatError(
--- a/sagetrack/store/log_index.py
+++ b/sagetrack/store/log_index.py
@@ -32,7 +32,7 @@
     version: int
 
 
-def read_located(directory: StoreDirectory, location: RecordLocation) -> Record:
+def read_record_at(directory: StoreDirectory, location: RecordLocation) -> Record:
     """Read a record from the log.
 
     Raises:
--- a/sagetrack/store/outage.py
+++ b/sagetrack/store/outage.py
@@ -8,7 +8,7 @@
 
 
 class Outage:
-    """State of an outage: it begins with a failed operation and ends with the next successful sync."""
+    """State of an outage, which begins with a failed operation and ends with a successful one."""
 
     __slots__ = ("_retry_at_s", "active")
 
--- a/sagetrack/store/recovery.py
+++ b/sagetrack/store/recovery.py
@@ -199,32 +199,34 @@
     def _replay(self, segments: list[Segment]) -> None:
         """Replay the batches after the checkpoint until the first one that is damaged or missing."""
         segments.sort(key=lambda segment: segment.number)
-        begin = 0
+        first_replayed = 0
         for position, segment in enumerate(segments):
             if segment.first_sequence <= self._sequence + 1:
-                begin = position
-        self._segments += segments[:begin]  # kept for the older checkpoint
-        stopped = ""
-        for position, segment in enumerate(segments[begin:], begin):
-            if stopped or segment.first_sequence > self._sequence + 1:
-                reason = stopped or f"preceding batches from {self._sequence + 1} on are missing"
+                first_replayed = position
+        self._segments += segments[:first_replayed]  # kept for the older checkpoint
+        stop_reason = ""
+        for position, segment in enumerate(segments[first_replayed:], first_replayed):
+            if stop_reason or segment.first_sequence > self._sequence + 1:
+                reason = stop_reason or f"preceding batches from {self._sequence + 1} on are missing"
                 self._quarantine(segment.name, reason)
-                stopped = stopped or "preceding batches are missing"
+                stop_reason = stop_reason or "preceding batches are missing"
                 continue
-            following = segments[position + 1].first_sequence if position + 1 < len(segments) else None
-            valid_end, reason = self._replay_segment(segment, following)
+            next_first_sequence = (
+                segments[position + 1].first_sequence if position + 1 < len(segments) else None
+            )
+            valid_end, reason = self._replay_segment(segment, next_first_sequence)
             self._segments.append(segment)
-            if reason and (following is None or self._sequence + 1 < following):
-                stopped = "a preceding segment is damaged"
+            if reason and (next_first_sequence is None or self._sequence + 1 < next_first_sequence):
+                stop_reason = "a preceding segment is damaged"
                 self._truncate(segment, valid_end, reason)
 
-    def _replay_segment(self, segment: Segment, following: int | None) -> tuple[int, str]:
+    def _replay_segment(self, segment: Segment, next_first_sequence: int | None) -> tuple[int, str]:
         """Replay one segment.
 
         Args:
             segment: The segment.
-            following: First sequence number of the next segment, which supersedes batches from there on;
-                None for the last segment.
+            next_first_sequence: First sequence number of the next segment, which supersedes this segment's
+                batches from there on; None for the last segment.
 
         Returns:
             End offset of the valid part, and the reason why the rest is invalid; empty if there is none.
@@ -232,7 +234,7 @@
         valid_end = FILE_HEADER.size
         try:
             for frame in read_frames(self._directory, segment.name, FILE_HEADER.size, segment.size):
-                if following is not None and frame.number >= following:
+                if next_first_sequence is not None and frame.number >= next_first_sequence:
                     return valid_end, ""
                 if frame.number > self._sequence:
                     if frame.number != self._sequence + 1:
--- a/sagetrack/store/snapshot.py
+++ b/sagetrack/store/snapshot.py
@@ -7,7 +7,7 @@
 from sagetrack.store.checkpoint import Checkpoint
 from sagetrack.store.directory import StoreDirectory
 from sagetrack.store.format import Record, decode_record
-from sagetrack.store.log_index import Key, RecordLocation, read_located
+from sagetrack.store.log_index import Key, RecordLocation, read_record_at
 from sagetrack.store.space_limits import Retention
 
 
@@ -37,7 +37,7 @@
     for table in tables:
         location = table.get((space, key))
         if location is not None:
-            return read_located(directory, location)
+            return read_record_at(directory, location)
     return None if checkpoint is None else checkpoint.find(space, key)
 
 
@@ -95,7 +95,7 @@
                     yield record
         for (record_space, _), location in self._table.items():
             if space is None or record_space == space:
-                record = read_located(self._directory, location)
+                record = read_record_at(self._directory, location)
                 if self._retention.visible_value(record, now_ms) is not None:
                     yield record
 
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -187,11 +187,11 @@
     def _run(self) -> None:
         self._on_start()
         while True:
-            taken, closing = self._queue.take(self._wait_s)
-            if taken:
-                self._commit(taken)
+            batches, closing = self._queue.take(self._wait_s)
+            if batches:
+                self._commit(batches)
             self._sync_if_due(closing)
-            if closing and not taken:
+            if closing and not batches:
                 break
             self._step_compaction()
         self._close_store()
@@ -212,28 +212,28 @@
             return max(0.0, self._synced_at_s + self._sync_interval_s - time.monotonic())
         return IDLE_WAIT_S
 
-    def _commit(self, taken: list[QueuedBatch]) -> None:
+    def _commit(self, batches: list[QueuedBatch]) -> None:
         """Write a group of batches by a single append, and sync it if the sync policy is "batch"."""
-        callbacks = [batch.on_durable for batch in taken if batch.on_durable is not None]
+        callbacks = [batch.on_durable for batch in batches if batch.on_durable is not None]
         started_s = time.monotonic()
         store = self._usable_store()
         if store is None:
-            self._drop(len(taken), callbacks)
+            self._drop(len(batches), callbacks)
             return
         try:
-            store.write([batch.records for batch in taken])
-            self.counters.batches += len(taken)
+            store.write([batch.records for batch in batches])
+            self.counters.batches += len(batches)
             self._awaiting_sync += callbacks
             if self._sync_policy == "batch":
                 self._sync(store)
         except StoreFullError as error:
-            self._drop(len(taken), callbacks)
+            self._drop(len(batches), callbacks)
             self.record_failure(str(error))
         except WriteRejectedError as error:
-            self._drop(len(taken), callbacks)
+            self._drop(len(batches), callbacks)
             self._log(f"store rejected a write: {error}")
         except OSError as error:
-            self._drop(len(taken), callbacks)
+            self._drop(len(batches), callbacks)
             self.record_failure(_error_text(error))
         elapsed_ms = (time.monotonic() - started_s) * 1000
         self.counters.slowest_commit_ms = max(self.counters.slowest_commit_ms, elapsed_ms)
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -22,7 +22,7 @@
     with pytest.raises(BlockingIOError):
         DiskDirectory(tmp_path)
     writer = BackgroundWriter(lambda: DiskDirectory(tmp_path), SMALL_STORE, lambda line: None)
-    with pytest.raises(StoreOpenError, match="another process has it"):
+    with pytest.raises(StoreOpenError, match="locked by another process"):
         writer.open()
     first.close()
     DiskDirectory(tmp_path).close()
