--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -280,9 +280,9 @@
 
 def test_a_saved_endpoint_list_is_read_correctly() -> None:
     file = EndpointListFile(TMPDIR)
-    assert file.newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
-    assert file.newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
-    assert file.newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
+    assert file.select_newest(discovery=DISCOVERY, configured={"index": 41}) == KNOWN_LIST
+    assert file.select_newest(discovery=DISCOVERY, configured={"index": 42}) == {"index": 42}
+    assert file.select_newest(discovery=("10.0.0.9", 1), configured={"index": 41}) == {"index": 41}
 
 
 def test_hot_restart_markers_have_the_same_names(tmp_path: Path) -> None:
@@ -300,7 +300,7 @@
             fcntl.flock(one, fcntl.LOCK_EX)
             fcntl.flock(two, fcntl.LOCK_EX)
             hot_restart.refresh()
-            assert (hot_restart.others, hot_restart.serving) == (2, 1)
+            assert (hot_restart.sibling_count, hot_restart.serving_sibling_count) == (2, 1)
     finally:
         hot_restart.release()
 
