--- a/sagetrack/__main__.py
+++ b/sagetrack/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sagetrack` starts the gateway that `$LB_CONFIG` describes; with a command, the command line."""
+"""Entry point of `python -m sagetrack`: the gateway configured by `$LB_CONFIG`, or a command line command."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """Run the gateway, or a command if one is given; returns the exit status."""
+    """Run the given command, or the gateway if there is none, and return the exit status."""
     if len(sys.argv) > 1:
-        from sagetrack.cli.app import main as command_line  # late: the platform's path needs none of it
+        from sagetrack.cli.app import main as command_line  # imported here, as the gateway does not need it
 
         return command_line()
     from sagetrack.server.process import main as gateway
--- a/sagetrack/server/__init__.py
+++ b/sagetrack/server/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway as a process: start, configuration reload, hot restart, admin address, shutdown."""
+"""The gateway process: start, configuration reload, hot restart, admin interface and shutdown."""
--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -1,7 +1,7 @@
-"""The admin address: one connection, one line, one answer.
+"""Line protocol of the admin address: each connection carries one command line and one response.
 
-This module is the line protocol; what a call does is behind `Operations`. The length of a line, the number of
-connections and the time for a call are bounded. Where there are too many connections the oldest is closed.
+`AdminOperations` is the interface to the commands. The length of a line, the number of connections and the
+time to send a line are limited. If there are too many connections, the oldest one is closed.
 """
 
 from __future__ import annotations
@@ -16,65 +16,65 @@
 
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 12
-CALL_TIMEOUT_S = 5.0  # for the line to arrive
-LINGER_S = 1.0  # for the client to read its answer and close
+CALL_TIMEOUT_S = 5.0  # for the client to send its line
+LINGER_S = 1.0  # for the client to read the response and close the connection
 BACKLOG = 64
 
 
-class Operations(Protocol):
-    """What operators can ask of a gateway."""
+class AdminOperations(Protocol):
+    """The operations that the admin interface offers."""
 
     def status(self) -> bool:
-        """Whether this process accepts clients."""
+        """Return whether this process accepts clients."""
         ...
 
     def stats(self) -> str:
-        """The metrics, a line each."""
+        """Return the metrics, one per line."""
         ...
 
     def peers(self) -> str:
-        """Other gateways as this one sees them, a line each."""
+        """Return the other gateways and their state as seen by this one, one per line."""
         ...
 
     def trace(self) -> str:
-        """The last events out of the ordinary, a line each, the oldest first."""
+        """Return the latest notable events, such as failed attempts, one per line, oldest first."""
         ...
 
     def standby(self) -> bool:
-        """Drain; False while the process shuts down."""
+        """Start to drain; returns False if the process is shutting down."""
         ...
 
     def active(self) -> bool:
-        """End the drain; False while the process shuts down."""
+        """Stop draining; returns False if the process is shutting down."""
         ...
 
 
 class AdminServer:
-    """Listens at the admin address and answers calls."""
+    """Listens at the admin address and handles the commands of operators."""
 
-    def __init__(self, operations: Operations) -> None:
+    def __init__(self, operations: AdminOperations) -> None:
         self.server: asyncio.Server | None = None
-        self._connections: dict[AdminConnection, None] = {}  # the oldest first
+        self._connections: dict[AdminConnection, None] = {}  # oldest first
         self._calls: dict[str, Callable[[], str]] = {
-            "status": lambda: _outcome(operations.status(), "takes clients", "takes no clients"),
+            "status": lambda: _format_outcome(operations.status(), "takes clients", "takes no clients"),
             "stats": lambda: f"SUCCESS\n{operations.stats()}EOT\n",
-            "standby": lambda: _outcome(operations.standby(), "drains", "is on its way out"),
+            "standby": lambda: _format_outcome(operations.standby(), "drains", "is on its way out"),
             "peers": lambda: f"SUCCESS\n{operations.peers()}EOT\n",
             "trace": lambda: f"SUCCESS\n{operations.trace()}EOT\n",
-            "active": lambda: _outcome(operations.active(), "takes clients", "is on its way out"),
+            "active": lambda: _format_outcome(operations.active(), "takes clients", "is on its way out"),
         }
 
     async def start(self, address: Address) -> None:
-        """Listen there; the last OSError if that cannot be, and goes on to fail for a while.
+        """Bind the address and listen; retries for a while and then raises the last OSError.
 
-        The socket is bound here, as asyncio returns a server without a socket where one cannot be made.
+        The socket is bound here because asyncio returns a server without a socket if it cannot create one.
         """
         loop = asyncio.get_running_loop()
         listener = await retry_while_transient(lambda: bind(address, BACKLOG))
         self.server = await loop.create_server(lambda: AdminConnection(self), sock=listener, backlog=BACKLOG)
 
-    def answer(self, line: bytes) -> bytes:
-        """Carry out the call that a line names; FAILURE if it names none."""
+    def handle_line(self, line: bytes) -> bytes:
+        """Run the command in a line and return the response, which is FAILURE for an unknown command."""
         try:
             call = self._calls.get(line.decode("ascii").strip())
         except UnicodeDecodeError:
@@ -82,83 +82,83 @@
         return call().encode() if call is not None else b"FAILURE unknown call\n"
 
     def register(self, connection: AdminConnection) -> None:
-        """Count a new connection; the oldest is dropped where there are MAX_CONNECTIONS already."""
+        """Add a new connection; if there are already MAX_CONNECTIONS, the oldest is closed."""
         if len(self._connections) >= MAX_CONNECTIONS:
             next(iter(self._connections)).drop()
         self._connections[connection] = None
 
     def unregister(self, connection: AdminConnection) -> None:
-        """Count a connection no longer."""
+        """Remove a connection that is closed."""
         self._connections.pop(connection, None)
 
     def close(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self._connections):
             connection.drop()
 
 
-def _outcome(succeeded: bool, state: str, reason: str) -> str:
+def _format_outcome(succeeded: bool, state: str, reason: str) -> str:
     return f"SUCCESS {state}\n" if succeeded else f"FAILURE {reason}\n"
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of an operator."""
+    """One client connection to the admin address."""
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._received = b""
-        self._answered = False
+        self._has_responded = False
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a line."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Register the connection and wait for a line, up to CALL_TIMEOUT_S."""
+        self._transport = cast(asyncio.Transport, transport)  # the transport of uvloop is not a subclass
         self._server.register(self)
         self._set_timer(CALL_TIMEOUT_S, self._on_call_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self._server.unregister(self)
         self._cancel_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Answer once the line is complete or too long."""
-        if self._answered:
-            return  # a connection carries one line; the rest is read so that a reset overtakes no answer
+        """Respond once the line is complete or too long."""
+        if self._has_responded:
+            return  # more data is read and ignored: closing with unread data may lose the response
         self._received += data
         line, end, _ = self._received.partition(b"\n")
         if len(line) > MAX_LINE_BYTES:
-            self._answer(b"FAILURE overlong\n")
+            self._respond(b"FAILURE overlong\n")
         elif end:
-            self._answer(self._server.answer(line))
+            self._respond(self._server.handle_line(line))
 
     def eof_received(self) -> bool:
-        """The end of the stream ends a line too; True while the answer is still to be read."""
-        if self._answered or not self._received:
+        """Treat the end of the stream as the end of a line; returns True to keep the connection open."""
+        if self._has_responded or not self._received:
             return False
-        self._answer(self._server.answer(self._received))
+        self._respond(self._server.handle_line(self._received))
         return True
 
     def drop(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self._server.unregister(self)
         if self._transport is not None:
             self._transport.abort()
 
-    def _answer(self, answer: bytes) -> None:
+    def _respond(self, response: bytes) -> None:
         assert self._transport is not None
-        self._answered = True
+        self._has_responded = True
         self._received = b""
-        self._transport.write(answer)
+        self._transport.write(response)
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._set_timer(LINGER_S, self.drop)
 
     def _on_call_timeout(self) -> None:
-        self._answer(b"FAILURE no call came\n")
+        self._respond(b"FAILURE no call came\n")
 
     def _set_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -1,4 +1,4 @@
-"""Admission control from the operator's file: fair queues, rate limits, and tenant shares."""
+"""Admission control settings from the operator's file: fair queues, rate limits and tenant shares."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 def with_admission(config: Config, operator: Operator | None) -> Config:
-    """The configuration with admission control, where the operator switches it on.
+    """Return the configuration with admission control added if the operator's file enables it.
 
     Raises:
-        ConfigError: the file names a class or tenant that the configuration does not have.
+        ConfigError: the operator's file names a class or tenant that is not in the configuration.
     """
     if operator is None or not operator.queues.use:
         return config
     queues = operator.queues
-    _check_class_names(config, operator)
+    _validate_class_names(config, operator)
     settings = replace(config.settings, admission=_admission_settings(config, operator))
     header = queues.client_header.lower().encode()
     return replace(config, settings=settings, client_header=header, whole_seconds=queues.whole_seconds)
 
 
-def _check_class_names(config: Config, operator: Operator) -> None:
+def _validate_class_names(config: Config, operator: Operator) -> None:
     classes = {name.decode() for name in config.names.classes}
     for name in operator.limits.class_per_s:
         if name not in classes:
-            known = ", ".join(sorted(classes))
-            raise ConfigError(f"limits.class_per_s: no class {name!r}; there are {known}")
+            class_list = ", ".join(sorted(classes))
+            raise ConfigError(f"limits.class_per_s: no class {name!r}; there are {class_list}")
 
 
 def _admission_settings(config: Config, operator: Operator) -> AdmissionSettings:
@@ -46,25 +46,25 @@
         memory_bytes=int(queues.memory_mb * 1024 * 1024),
         adaptive=limits.adaptive,
         retry_ratio=limits.repeats,
-        tenant_rate=_rate(limits.member_per_s, limits.member_burst),
-        client_rate=_rate(limits.client_per_s, limits.client_burst),
+        tenant_rate=_rate_limit(limits.member_per_s, limits.member_burst),
+        client_rate=_rate_limit(limits.client_per_s, limits.client_burst),
         class_rates=tuple(
-            _rate(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
+            _rate_limit(limits.class_per_s.get(name.decode(), 0.0), limits.class_burst)
             for name in config.names.classes
         ),
     )
 
 
-def _rate(per_s: float, burst: float) -> Rate | None:
-    """A rate limit; None for a rate of 0, which is no limit."""
+def _rate_limit(per_s: float, burst: float) -> Rate | None:
+    """Return a rate limit, or None for a rate of 0, which means unlimited."""
     return Rate(per_s, max(1.0, burst)) if per_s > 0 else None
 
 
 def tenant_shares(config: Config, operator: Operator) -> tuple[float, ...]:
-    """The tenants' shares in the order of their numbers; one that the operator does not name keeps its own.
+    """Return the share of each tenant, in the order of tenant numbers; tenants not in the file keep theirs.
 
     Raises:
-        ConfigError: the file names a tenant that the configuration does not have.
+        ConfigError: the operator's file names a tenant that is not in the configuration.
     """
     shares_by_name = operator.queues.shares
     tenants = {name.decode(): number for name, number in config.names.tenants.items()}
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -1,4 +1,4 @@
-"""The DNS service of a gateway: made from the operator's settings, fed with the endpoint list."""
+"""Builds the DNS service of a gateway from the operator's settings and updates it from the endpoint list."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.policy.events import ListKind
 
-ZONE_REFRESH_S = 1.0  # between updates of our own zone from the endpoint list
-SEED_MASK = 0xD5  # so that DNS draws other random numbers than HTTP from the same seed
+ZONE_REFRESH_S = 1.0  # interval between updates of the authoritative zone from the endpoint list
+SEED_MASK = 0xD5  # gives DNS a sequence of random numbers different from that of HTTP
 
 
 class DnsAssembly:
-    """Answers DNS queries; its own zone lists the HTTP servers in the order of their weights."""
+    """The DNS service, whose authoritative zone lists the HTTP servers ordered by weight."""
 
     def __init__(
         self,
@@ -32,37 +32,37 @@
         is_draining: Callable[[], bool],
         listed: Iterable[Endpoint],
     ) -> None:
-        """Nothing is listened to before `start`.
+        """Build the service; it listens only after `start`.
 
         Args:
             config: the platform's configuration.
-            settings: the operator's `dns` table, with at least one address to listen at.
-            gateway: the gateway whose servers our own zone lists.
+            settings: the operator's `dns` table, with at least one listening address.
+            gateway: the gateway whose servers the zone lists.
             pools: the connection pools of these servers.
-            is_draining: whether this process drains.
-            listed: DNS servers of the endpoint list, as far as they are known.
+            is_draining: returns whether this process is draining.
+            listed: DNS servers known so far from the endpoint list.
 
         Raises:
-            ConfigError: an address or a zone cannot be used.
+            ConfigError: an address or a zone is invalid.
         """
         self.config = config
         self.settings = settings
         self.gateway = gateway
         self.pools = pools
         self._zone_timer: asyncio.TimerHandle | None = None
-        plan = _service_plan(config, settings)
-        self._has_zone = plan.zone is not None
+        dns_config = _dns_config(config, settings)
+        self._has_zone = dns_config.zone is not None
         try:
             serial = now_us() // 1_000_000
             self.service = DnsService(
-                plan, config.seed ^ SEED_MASK, self._server_weights, serial, listed=listed
+                dns_config, config.seed ^ SEED_MASK, self._server_weights, serial, listed=listed
             )
-        except ValueError as error:  # a zone that cannot be read
+        except ValueError as error:  # an invalid zone
             raise ConfigError(f"dns.zone: {error}") from None
         self.service.stand_by_while(is_draining)
 
     async def start(self) -> None:
-        """Listen and keep our own zone up to date; ConfigError if an address cannot be had."""
+        """Listen and keep the zone up to date; raises ConfigError if an address cannot be bound."""
         try:
             await self.service.start(shared=self.config.accept_fd is not None)
         except OSError as error:
@@ -72,43 +72,45 @@
             self._refresh_zone()
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Take a change of the DNS servers in the endpoint list."""
+        """Apply a change of the DNS servers in the endpoint list."""
         self.service.on_list(kind, endpoints)
 
     def figures(self) -> Mapping[str, float]:
-        """Metrics of the DNS service."""
+        """Return the metrics of the DNS service."""
         return self.service.figures()
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
-        """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
+        """Finish the queries in flight, at the latest at `until_s` on the clock of the event loop."""
         return self.service.drain(until_s)
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close the service immediately."""
         if self._zone_timer is not None:
             self._zone_timer.cancel()
         self.service.close()
 
     def _server_weights(self) -> dict[str, float]:
-        """The load balancer's weight of each HTTP server, by name."""
+        """Return the load balancer's current weight of each HTTP server, by server name."""
         servers = self.gateway.balancer.servers
         hosts = self.pools.servers.items()
         return {host.name: servers[number].weight for number, host in hosts if number in servers}
 
     def _refresh_zone(self) -> None:
-        """List the servers that are not drained in our own zone, and order them by weight."""
+        """Update the zone with the servers that are not draining, ordered by weight."""
         self._zone_timer = asyncio.get_running_loop().call_later(ZONE_REFRESH_S, self._refresh_zone)
-        ready = [host for host in self.pools.servers.values() if host.drained_us is None]
+        candidates = [host for host in self.pools.servers.values() if host.drained_us is None]
         servers = self.gateway.balancer.servers
         self.service.list_servers(
-            (host.name, host.address, servers[host.id].entry.weight) for host in ready if host.id in servers
+            (host.name, host.address, servers[host.id].entry.weight)
+            for host in candidates
+            if host.id in servers
         )
         self.service.draw_zone_orders()
 
 
-def _service_plan(config: Config, settings: DnsSettings) -> DnsConfig:
-    """The operator's settings in the DNS service's terms; ConfigError for an address that cannot be used."""
-    zone = _zone_plan(settings)
+def _dns_config(config: Config, settings: DnsSettings) -> DnsConfig:
+    """Convert the operator's settings; raises ConfigError for an invalid address."""
+    zone = _zone_config(settings)
     balancing = config.settings
     return DnsConfig(
         [parse_address(address, "dns.listen") for address in settings.listen],
@@ -137,9 +139,9 @@
     )
 
 
-def _zone_plan(settings: DnsSettings) -> ZoneConfig | None:
-    own = settings.zone
-    if not own.origin and not own.files:
+def _zone_config(settings: DnsSettings) -> ZoneConfig | None:
+    zone = settings.zone
+    if not zone.origin and not zone.files:
         return None
-    gateways = [(name, parse_address(at, "dns.zone.gateways")) for name, at in own.gateways.items()]
-    return ZoneConfig(own.origin, own.ttl_s, gateways, list(own.files.items()))
+    gateways = [(name, parse_address(at, "dns.zone.gateways")) for name, at in zone.gateways.items()]
+    return ZoneConfig(zone.origin, zone.ttl_s, gateways, list(zone.files.items()))
--- a/sagetrack/server/endpoint_list_file.py
+++ b/sagetrack/server/endpoint_list_file.py
@@ -1,7 +1,7 @@
-"""The endpoint list that a process leaves in $TMPDIR for its successor.
+"""A file in $TMPDIR in which a process leaves its endpoint list for its successor.
 
-The successor starts with it where it is newer than the one in the platform's configuration. The file is
-written under another name and renamed, so that a reader finds a complete list or none.
+The successor starts with this list if it is newer than the one in the platform's configuration. The file is
+written under a temporary name and then renamed, so that readers never see an incomplete list.
 """
 
 from __future__ import annotations
@@ -18,40 +18,39 @@
 from sagetrack.discovery.endpoint_list_json import encode_endpoint_list
 
 FILE_NAME = "sagetrack-list.json"
-MAX_BYTES = 1024 * 1024  # files in $TMPDIR count as memory
-WRITE_INTERVAL_S = 1.0  # the least time between two writes: 200 entries may change within a second
+MAX_BYTES = 1024 * 1024  # files in $TMPDIR count towards the memory limit
+WRITE_INTERVAL_S = 1.0  # minimum interval between writes: 200 entries may change within a second
 
-EndpointListSource = Callable[
-    [], dict[str, Any]
-]  # the list as it stands when it is called, in discovery's form
+# Returns the list as it is at the time of the call, in the format of discovery.
+EndpointListSource = Callable[[], dict[str, Any]]
 
 
 class EndpointListFile:
-    """Writes the endpoint list at a limited rate, and reads what a predecessor left.
+    """Writes the endpoint list at a limited rate, and reads the list of the predecessor.
 
-    Does nothing without a folder. `schedule_write` needs a running loop; the other methods do not.
+    Without a folder, all methods do nothing. Only `schedule_write` requires a running event loop.
     """
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
         self._pending: tuple[Address, EndpointListSource] | None = None
-        self._rate_limit_timer: asyncio.TimerHandle | None = None  # while it is set, nothing is written
+        self._rate_limit_timer: asyncio.TimerHandle | None = None  # no write is made while it is set
 
     @property
     def is_rate_limited(self) -> bool:
-        """Whether a change is written only later, as a write was made less than WRITE_INTERVAL_S ago."""
+        """True if the last write was less than WRITE_INTERVAL_S ago, so that a change has to wait."""
         return self._rate_limit_timer is not None
 
     def disable(self) -> None:
-        """Neither read nor write from here on: the folder cannot be used."""
+        """Stop reading and writing, as the folder is not usable."""
         self.folder = None
 
     def schedule_write(self, discovery: Address, source: EndpointListSource) -> None:
-        """Write the changed list: at once, or once WRITE_INTERVAL_S have passed since the last write.
+        """Write the changed list, but not before WRITE_INTERVAL_S have passed since the last write.
 
         Args:
-            discovery: the address of the discovery service that the list is from.
-            source: called at the time of the write, so that several changes are written together.
+            discovery: address of the discovery service that the list comes from.
+            source: called at the time of the write, so that one write covers several changes.
         """
         if self.folder is None:
             return
@@ -69,7 +68,7 @@
             self.write(discovery, source())
 
     def write(self, discovery: Address, endpoints: dict[str, Any]) -> None:
-        """Write a list now; one over MAX_BYTES is not written, and an error of the disk is logged."""
+        """Write a list immediately, unless it exceeds MAX_BYTES; file system errors are logged."""
         if self.folder is None:
             return
         data = b'{"discovery":%s,"known":%s}' % (
@@ -91,16 +90,16 @@
         configured: dict[str, Any],
         is_usable: Callable[[dict[str, Any]], bool] = lambda endpoints: True,
     ) -> dict[str, Any]:
-        """The predecessor's list or the configured one, whichever is newer.
+        """Return the list of the predecessor or the configured one, whichever is newer.
 
         Args:
-            discovery: the discovery service; a list from another one is not used.
+            discovery: address of the discovery service; a list from another service is ignored.
             configured: the list in the platform's configuration.
-            is_usable: whether at least one entry of the predecessor's list can be read.
+            is_usable: returns whether at least one entry of the predecessor's list can be parsed.
 
         Returns:
-            The predecessor's list if it is complete, usable, of the same discovery service and of a higher
-            index; `configured` otherwise. A file that cannot be used is logged.
+            The predecessor's list if it is complete, usable, from the same discovery service and has a
+            higher index; `configured` otherwise. An unusable file is logged.
         """
         if self.folder is None:
             return configured
@@ -110,7 +109,7 @@
             inherited: dict[str, Any] = content["known"]
             is_same_service = content["discovery"] == list(discovery)
             if not is_usable(inherited):
-                raise ValueError("none of its entries can be read")
+                raise ValueError("none of its entries can be parsed")
             is_newer = is_same_service and int(inherited["index"]) > int(configured.get("index", -1))
             return inherited if is_newer else configured
         except FileNotFoundError:
@@ -123,7 +122,7 @@
         """Stop writing.
 
         Args:
-            write_pending: whether a change that is held back by the rate limit is written first.
+            write_pending: True to write a change first that is delayed by the rate limit.
         """
         if self._rate_limit_timer is not None:
             self._rate_limit_timer.cancel()
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -1,4 +1,4 @@
-"""One gateway in this process, assembled from its components."""
+"""Builds a gateway from its components, and starts, drains and closes them in order."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     from sagetrack.grpc.protocol_router import ProtocolRouter
     from sagetrack.server.persistence import Persistence
 
-DNS = "dns"  # the protocol of endpoints whose type is the operator's `dns.type`
+DNS = "dns"  # the protocol of servers whose type is `dns.type` in the operator's file
 
 
 async def _connect_to_discovery(address: tuple[str, int]) -> DiscoveryConnection:
@@ -49,23 +49,24 @@
 
 
 class GatewayAssembly:
-    """The components of a gateway, wired to each other.
+    """The components of a gateway and the connections between them.
 
-    Life cycle: `start`, then `drain` and `close_drained`, or `close` at any time.
+    Life cycle: `start`, then `drain` and `close_drained`; or `close` at any time.
     """
 
     def __init__(
         self, config: Config, operator: Operator | None = None, timing: StartupTiming | None = None
     ) -> None:
-        """Build the components; nothing is listened to before `start`.
+        """Build the components; no address is bound before `start`.
 
         Args:
             config: the platform's configuration.
-            operator: the operator's file; without it all that it switches on is off.
-            timing: where the phases of the start are recorded.
+            operator: the operator's file; without it, all optional features are off.
+            timing: records how long the phases of the start take.
 
         Raises:
-            ConfigError: the operator's file names what the platform's configuration does not have.
+            ConfigError: the operator's file names a class or tenant that is not in the configuration, or TLS
+                keys that cannot be used.
             RuntimeError: no event loop is running.
         """
         asyncio.get_running_loop()
@@ -81,19 +82,19 @@
         self.http_listener = HttpListener(config, self.gateway, self.pools)
         self.hot_restart = HotRestart(config.folder if config.accept_fd is not None else None)
         self.http_listener.siblings = self.hot_restart
-        self.observations = ObservationExchange(config, operator, self.gateway)
+        self.observation_exchange = ObservationExchange(config, operator, self.gateway)
         self.protocol_listeners = ProtocolListeners(config, operator, self.gateway)
-        self.split = self._build_protocol_split()
+        self.endpoints_by_protocol = self._build_endpoints_by_protocol()
         self.grpc_upstreams = self._build_grpc_upstreams(router) if router is not None else None
         self._on_http_list = (
             self.gateway.on_endpoint_list if self.grpc_upstreams is None else self.grpc_upstreams.on_list
         )
         if self.tls_keys is not None:
-            self._publish(self.tls_keys.figures)
+            self._export_metrics(self.tls_keys.figures)
         self.discovery = self._build_discovery()
 
-    def _publish(self, figures: Callable[[], Mapping[str, float]]) -> None:
-        """Show the metrics of a component at the admin address, after those published before it."""
+    def _export_metrics(self, figures: Callable[[], Mapping[str, float]]) -> None:
+        """Add the metrics of a component to those at the admin address, after the existing ones."""
         self.gateway.metrics.extra_figures.append(figures)
 
     def _build_gateway(self, upstreams: UpstreamPool) -> Gateway:
@@ -108,8 +109,8 @@
     def _class_names(self) -> list[str]:
         return [name.decode() for name in self.config.names.classes]
 
-    def _build_protocol_split(self) -> EndpointsByProtocol | None:
-        """What tells DNS servers in the endpoint list from HTTP ones; None if the list has no DNS servers."""
+    def _build_endpoints_by_protocol(self) -> EndpointsByProtocol | None:
+        """Create the division of the endpoint list by protocol; None if it contains no DNS servers."""
         settings = self.operator.dns if self.operator is not None else None
         if settings is None or not settings.listen or not settings.type:
             return None
@@ -124,7 +125,7 @@
                 self.operator.newer, self._class_names(), lambda: not self.http_listener.drain.is_draining
             )
         self.http_listener.check_heads(untranslatable_reason)
-        self._publish(upstreams.figures)
+        self._export_metrics(upstreams.figures)
         return upstreams
 
     def _build_discovery(self) -> DiscoveryClient:
@@ -132,55 +133,55 @@
         discovery = DiscoveryClient(
             config.discovery,
             config.names,
-            self._on_http_list if self.split is None else self._on_list,
+            self._on_http_list if self.endpoints_by_protocol is None else self._on_list,
             config.settings.endpoints_are_pushed,
             _connect_to_discovery,
             discovery_timeouts(config.settings),
         )
-        self._publish(discovery.history.counts.figures)
+        self._export_metrics(discovery.history.counts.figures)
         return discovery
 
     async def start(self) -> None:
-        """Accept clients.
+        """Start to accept clients.
 
-        Clients wait for the first answer of discovery and for the store, both at once and for a bounded time,
-        and for nothing else.
+        Before that, the first response of discovery and the store are awaited, concurrently and for a limited
+        time; clients wait for nothing else.
 
         Raises:
-            OSError: the platform's listening address cannot be had.
-            ConfigError: the inherited socket, or an address of the operator's file, cannot be used.
+            OSError: the listening address of the platform's configuration cannot be bound.
+            ConfigError: the inherited socket or an address in the operator's file cannot be used.
         """
-        phase_done = self.timing.done
-        phase_done("decisions")
+        end_phase = self.timing.end_phase
+        end_phase("decisions")
         self.start_persistence()
-        phase_done("store")
+        end_phase("store")
         self._join_siblings()
         listener = await self._listening_socket()
         self.http_listener.prepare(self.discovery)
-        phase_done("list")
+        end_phase("list")
         await self.discovery.wait_for_first_call()
-        phase_done("first call")
+        end_phase("first call")
         if self.persistence is not None:
             await self.persistence.wait_until_read()
-            phase_done("store")
+            end_phase("store")
         self.http_listener.start(listener)
         if self.persistence is not None:
             self.persistence.restore()
-        self.observations.start(self.http_listener, self.hot_restart)
-        phase_done("peers")
+        self.observation_exchange.start(self.http_listener, self.hot_restart)
+        end_phase("peers")
         await self.protocol_listeners.start_dns(self.http_listener, self.pools, self._listed_dns_servers())
         await self.protocol_listeners.start_grpc(self.http_listener, self.tls_keys)
-        phase_done("other fronts")
+        end_phase("other fronts")
 
     def start_persistence(self) -> None:
-        """Open the store, where the operator has one."""
+        """Open the store if the operator has configured one."""
         if self.operator is not None and self.operator.store.folder:
             from sagetrack.server.persistence import Persistence
 
             self.persistence = Persistence(self.config, self.operator.store, self.gateway)
 
     def _join_siblings(self) -> None:
-        """Find other processes of this gateway, and begin with the newest endpoint list at hand."""
+        """Detect other processes of this gateway, and select the newest available endpoint list."""
         config = self.config
         endpoint_list = self.hot_restart.endpoint_list
         self.hot_restart.join()
@@ -198,24 +199,28 @@
         return await retry_while_transient(lambda: bind(self.config.listen))
 
     def _listed_dns_servers(self) -> Iterable[Endpoint]:
-        return self.split.endpoints[DNS].values() if self.split is not None else ()
+        return (
+            self.endpoints_by_protocol.endpoints[DNS].values()
+            if self.endpoints_by_protocol is not None
+            else ()
+        )
 
     def _on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Pass each protocol its own endpoints."""
-        assert self.split is not None
-        by_protocol = self.split.update(kind, endpoints)
+        """Pass the endpoints of each protocol to the component that uses them."""
+        assert self.endpoints_by_protocol is not None
+        by_protocol = self.endpoints_by_protocol.update(kind, endpoints)
         self._on_http_list(kind, by_protocol[HTTP])
         self.protocol_listeners.on_dns_list(kind, by_protocol[DNS])
 
     def apply_operator(self, config: Config, operator: Operator) -> None:
-        """Apply what may change in the operator's file while requests go on: traffic and tenant shares.
+        """Apply the settings of the operator's file that can change at run time: traffic and tenant shares.
 
         Args:
-            config: the platform's configuration as read again; its names are those that the file may use.
-            operator: the operator's file as read again.
+            config: the reloaded platform configuration, which defines the class and tenant names.
+            operator: the reloaded operator's file.
 
         Raises:
-            ConfigError: the file names a class or tenant that the platform's configuration does not have.
+            ConfigError: the operator's file names a class or tenant that is not in the configuration.
         """
         shares = tenant_shares(config, operator)
         if self.grpc_upstreams is not None:
@@ -224,38 +229,38 @@
             self.gateway.post(lambda: TenantSharesChanged(shares))
 
     def reload_tls_keys(self) -> None:
-        """Read the TLS keys again; the previous ones stay where these cannot be used."""
+        """Reload the TLS keys; the previous ones stay in use if the new ones are unusable."""
         if self.tls_keys is not None:
             reload_keys(self.tls_keys)
 
     async def drain(self) -> None:
-        """Shut down gracefully: every request that was accepted is answered first, however long that takes.
+        """Shut down gracefully: wait without a time limit until all accepted HTTP requests have a response.
 
-        Returns when no request is in flight. DNS and gRPC answer until shortly before the platform may kill
-        the process.
+        Returns when no request is in flight. DNS and gRPC are closed shortly before the time at which the
+        platform may kill the process.
         """
-        self.observations.close()
-        http_drained = asyncio.get_running_loop().create_task(self.http_listener.leave())
-        await asyncio.sleep(0)  # `leave` has begun now, and it is known when the last answers are due
-        others_drained = self.protocol_listeners.begin_drain(
+        self.observation_exchange.close()
+        http_drain_task = asyncio.get_running_loop().create_task(self.http_listener.leave())
+        await asyncio.sleep(0)  # lets `leave` begin, which sets `answer_cutoff_s`
+        other_drain_tasks = self.protocol_listeners.begin_drain(
             self.http_listener.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
         )
-        # No time limit here: what is unanswered at an end by the clock would be lost.
-        await http_drained
-        for drained in others_drained:
-            await drained
+        # No time limit: requests without a response at that time would be lost.
+        await http_drain_task
+        for drain_task in other_drain_tasks:
+            await drain_task
 
     def close_drained(self) -> None:
-        """Write what is to be kept, and close what `drain` left open."""
+        """Save state, and close the components that are still open after `drain`."""
         if self.persistence is not None:
             self.persistence.close()
         self.hot_restart.release()
         self.gateway.close()
 
     def close(self) -> None:
-        """Close everything at once; requests in flight are lost."""
+        """Close all components immediately; requests in flight are lost."""
         self.http_listener.close()
-        self.observations.close()
+        self.observation_exchange.close()
         if self.persistence is not None:
             self.persistence.close()
         if self.grpc_upstreams is not None:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -1,6 +1,6 @@
-"""gRPC upstream servers beside HTTP/1.1 ones: traffic shares, mirroring and TLS keys.
+"""gRPC upstream servers in addition to HTTP/1.1 ones: traffic shares, mirroring and TLS keys.
 
-The operator's file calls them the `newer` servers; docs/protocol-2.md has the protocol.
+The operator's file configures them in the table `newer`; docs/protocol-2.md describes the protocol.
 """
 
 from __future__ import annotations
@@ -31,16 +31,15 @@
     from sagetrack.grpc.request_intake import RequestReader
     from sagetrack.grpc.tls import TlsCredentials
 
-WEIGHT_REFRESH_S = 1.0  # between updates of the listed weights from the traffic share
+WEIGHT_REFRESH_S = 1.0  # interval between updates of the server weights from the traffic share
 MICROSECONDS_PER_MS = 1000
-NOT_FOUND = 404  # HTTP status of a request for a path that no class has
+NOT_FOUND = 404  # HTTP status for a path that no class handles
 
 
-def request_reader(config: Config) -> RequestReader:
-    """What reads a gRPC request as an HTTP/1.1 one is read, so that one set of rules holds for both.
+def create_request_reader(config: Config) -> RequestReader:
+    """Return a function that converts a gRPC request with the parser and the rules of HTTP/1.1 requests.
 
-    The function that is returned raises `sagetrack.grpc.errors.RequestReadError` for a request that is
-    rejected.
+    The function raises `sagetrack.grpc.errors.RequestReadError` if the request is rejected.
     """
     from sagetrack.grpc.errors import RequestReadError
     from sagetrack.grpc.outcomes import Status
@@ -72,38 +71,38 @@
 
 
 class GrpcUpstreams:
-    """The traffic shares of HTTP/1.1 and gRPC servers, and the mirroring between them."""
+    """Controls the traffic shares of HTTP/1.1 and gRPC servers, and mirroring between them."""
 
     def __init__(self, router: ProtocolRouter, gateway: Gateway) -> None:
-        """Begin to refresh the weights; made on a running loop.
+        """Start to refresh the weights; requires a running event loop.
 
         Args:
-            router: routes attempts to the pool of a server's protocol.
-            gateway: is given the endpoint list with weights that lead to the traffic shares.
+            router: routes each attempt to the connection pool of the server's protocol.
+            gateway: receives the endpoint list with weights adjusted to the traffic shares.
         """
         self.router = router
         self.gateway = gateway
-        self._publish = gateway.on_endpoint_list
+        self._send_endpoint_list = gateway.on_endpoint_list
         self.mirror: ResponseMirror | None = None
         self._loop = asyncio.get_running_loop()
         router.on_fallback = self._on_rollback
         router.on_exceptions = self._on_traffic_shift
-        self._timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
+        self._refresh_timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Pass a change of the endpoint list on, with weights adjusted to the traffic share."""
-        self._publish(kind, self.router.on_list(kind, endpoints))
+        """Forward a change of the endpoint list with weights adjusted to the traffic shares."""
+        self._send_endpoint_list(kind, self.router.on_list(kind, endpoints))
         self._refresh_weights()
 
     def start_mirroring(
         self, settings: GrpcSettings, class_names: list[str], is_active: Callable[[], bool]
     ) -> None:
-        """Mirror some requests to a server of the other protocol, and compare the answers.
+        """Mirror some requests to a server of the other protocol, and compare the responses.
 
         Args:
-            settings: how many a second, and which headers may differ.
-            class_names: the classes in the order of their numbers.
-            is_active: whether requests may be mirrored now.
+            settings: the rate of mirrored requests and the headers that are not compared.
+            class_names: the names of the classes, in the order of class numbers.
+            is_active: returns whether requests may be mirrored now.
         """
         from sagetrack.grpc.mirroring import ResponseMirror
 
@@ -113,7 +112,7 @@
         self.router.on_response = self.mirror.on_response
 
     def set_shares(self, config: Config, settings: GrpcSettings) -> None:
-        """Change the traffic shares; ConfigError for a class or tenant that is not known."""
+        """Change the traffic shares; raises ConfigError for an unknown class or tenant."""
         by_class, by_tenant = traffic_shares(config, settings)
         if self.router.set_shares(settings.share, by_class, by_tenant):
             share = "by listed weights" if settings.share is None else settings.share
@@ -121,7 +120,7 @@
             self._refresh_weights()
 
     def figures(self) -> dict[str, float]:
-        """Metrics of mirroring, of the gRPC pool and of the migration."""
+        """Return the metrics of mirroring, of the gRPC pool and of the migration."""
         migration = self.router.migration
         mirroring = self.mirror.figures() if self.mirror is not None else {}
         return (
@@ -135,31 +134,31 @@
         )
 
     def close(self) -> None:
-        """Refresh the weights no longer."""
-        self._timer.cancel()
+        """Stop refreshing the weights."""
+        self._refresh_timer.cancel()
 
     def _refresh_periodically(self) -> None:
-        self._timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
+        self._refresh_timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
         self._refresh_weights()
 
     def _refresh_weights(self) -> None:
         changed = self.router.update_weights()
         if changed:
-            self._publish(ListKind.DELTA, changed)
+            self._send_endpoint_list(ListKind.DELTA, changed)
 
     def _on_traffic_shift(self, by_class: WeightFactors, by_tenant: WeightFactors) -> None:
         shift = TrafficShift(by_class, by_tenant)
         self.gateway.post(lambda: shift)
 
     def _on_rollback(self) -> None:
-        """Refresh the weights soon: gRPC servers fail more than the others, and get no share for a while."""
+        """Log the rollback, caused by failures of gRPC servers, and refresh the weights soon."""
         fallback_s = (self.router.migration.fallback_until_us - now_us()) / 1e6
         log(f"gRPC traffic share rolled back for {fallback_s:.0f} s: gRPC servers fail more than the others")
         self._loop.call_soon(self._refresh_weights)
 
 
 def load_tls_keys(operator: Operator | None) -> TlsCredentials | None:
-    """The TLS keys of the gRPC side; None where it has no TLS, ConfigError for keys that cannot be used."""
+    """Load the TLS keys for gRPC, or None without TLS; raises ConfigError for unusable keys."""
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.tls:
         return None
@@ -172,7 +171,7 @@
 
 
 def reload_keys(keys: TlsCredentials) -> None:
-    """Read the key files again; where they cannot be used that is logged, and the previous keys stay."""
+    """Reload the key files; if they are unusable, this is logged and the previous keys stay in use."""
     from sagetrack.grpc.tls import TlsFilesError
 
     try:
@@ -184,16 +183,16 @@
 def build_protocol_router(
     config: Config, operator: Operator | None, http_pools: UpstreamPool, keys: TlsCredentials | None
 ) -> ProtocolRouter | None:
-    """The pool of both protocols; None where the operator has no gRPC servers.
+    """Create the router for both protocols, or None if no gRPC servers are configured.
 
     Args:
         config: the platform's configuration.
-        operator: the operator's file; its `newer.types` are those of gRPC servers.
-        http_pools: the pools of HTTP/1.1 servers.
+        operator: the operator's file; `newer.types` lists the server types that speak gRPC.
+        http_pools: the connection pools of HTTP/1.1 servers.
         keys: the TLS keys; None for connections without TLS.
 
     Raises:
-        ConfigError: a traffic share is given for a class or tenant that is not known.
+        ConfigError: a traffic share is configured for an unknown class or tenant.
     """
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.types:
@@ -208,7 +207,7 @@
 
 
 def with_grpc(config: Config, operator: Operator | None) -> Config:
-    """The configuration in which the load-balancing policy knows which server types speak gRPC."""
+    """Return the configuration with the server types that speak gRPC added to the policy settings."""
     if operator is None or not operator.newer.types:
         return config
     kinds = frozenset(index_of_name(name, config.names.kinds) for name in operator.newer.types)
@@ -216,17 +215,17 @@
 
 
 def traffic_shares(config: Config, settings: GrpcSettings) -> tuple[dict[int, float], dict[int, float]]:
-    """The gRPC share of the traffic by class number and by tenant number; ConfigError for unknown names."""
+    """Return the gRPC traffic shares by class and by tenant number; ConfigError for unknown names."""
     return (
-        _numbered("class", settings.share_by_class, config.names.classes),
-        _numbered("member", settings.share_by_member, config.names.tenants),
+        _shares_by_number("class", settings.share_by_class, config.names.classes),
+        _shares_by_number("member", settings.share_by_member, config.names.tenants),
     )
 
 
-def _numbered(what: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
+def _shares_by_number(kind: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
     numbers = {name.decode(): number for name, number in known.items()}
     for name in shares:
         if name not in numbers:
-            there = ", ".join(numbers)
-            raise ConfigError(f"newer.share_by_{what}: no {what} {name!r}; there are {there}")
+            known_names = ", ".join(numbers)
+            raise ConfigError(f"newer.share_by_{kind}: no {kind} {name!r}; there are {known_names}")
     return {numbers[name]: share for name, share in shares.items()}
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -1,8 +1,8 @@
-"""Hot restart: the processes of one gateway that run side by side find each other in $TMPDIR.
+"""Hot restart: processes of the same gateway that run concurrently find each other in $TMPDIR.
 
-Each process holds an exclusive lock on a marker file of its own. The kernel releases the lock however the
-process ends, so a marker without a lock is stale. A marker is empty, so that it cannot be half written: its
-name tells the state.
+Each process holds an exclusive lock on its own marker file. The kernel releases the lock when the process
+ends for whatever reason, so a marker without a lock is stale. The name of the file contains the state of the
+process; the file is empty and so can never be partially written.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 
 MARKER_NAME = re.compile(r"sagetrack-(\d+)\.(starting|serving)")
 SERVING = "serving"  # accepts connections
-NOT_SERVING = "starting"  # starts or drains; the file name is fixed by releases that are in service
+NOT_SERVING = "starting"  # starting or draining; deployed releases use this file name
 
 
 class HotRestart:
-    """This process's marker, the markers of its siblings, and the endpoint list that passes between them."""
+    """The marker of this process, those of its siblings, and the endpoint list passed between them."""
 
     def __init__(self, folder: str | None) -> None:
         self.folder = Path(folder) if folder else None
         self.endpoint_list = EndpointListFile(self.folder)
-        self.sibling_count = 0  # sibling processes that run
-        self.serving_sibling_count = 0  # those of them that accept connections
+        self.sibling_count = 0  # running sibling processes
+        self.serving_sibling_count = 0  # sibling processes that accept connections
         self._descriptor: int | None = None
         self._marker: Path | None = None
 
     def join(self) -> None:
-        """Create this process's marker and count the siblings.
+        """Create the marker of this process and count the siblings.
 
-        The marker is locked before it gets its name, so that no sibling sees it unlocked and removes it.
-        Where the folder cannot be used, that is logged and the process runs as if it were the only one.
+        The marker is locked before it is renamed to its final name, so that no sibling sees it unlocked and
+        removes it. If the folder is not usable, this is logged and the process runs without siblings.
         """
         if self.folder is None:
             return
-        unnamed = self.folder / f"sagetrack-{os.getpid()}.new"
+        temporary = self.folder / f"sagetrack-{os.getpid()}.new"
         try:
-            self._descriptor = os.open(unnamed, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+            self._descriptor = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self._rename(unnamed, NOT_SERVING)
+            self._rename(temporary, NOT_SERVING)
         except OSError as error:
             log(f"hot restart disabled, TMPDIR {self.folder} cannot be used: {error.strerror}")
             self.folder = None
@@ -57,14 +57,14 @@
         self._mark(SERVING)
 
     def mark_draining(self) -> None:
-        """Mark this process as draining: a sibling that drains too must not rely on it.
+        """Mark this process as draining, so that a sibling that drains as well does not rely on it.
 
-        It still counts as a running process, and shares the limits, until `leave`.
+        It counts as a running process and shares the limits with its siblings until `release`.
         """
         self._mark(NOT_SERVING)
 
     def _mark(self, state: str) -> None:
-        """Change the state that siblings see; where the folder fails they see the previous one for longer."""
+        """Change the state that siblings see; if that fails, they continue to see the previous one."""
         if self._marker is None:
             return
         try:
@@ -78,14 +78,14 @@
         self._marker = new
 
     def refresh(self) -> None:
-        """Count the siblings again, and remove stale markers.
+        """Count the siblings and remove stale markers.
 
-        The counts stay as they were where the folder cannot be read, as when no descriptor is left.
+        The counts do not change if the folder cannot be read, for example because no descriptor is left.
         """
         if self.folder is None or self._marker is None:
             return
-        others = 0
-        serving = 0
+        sibling_count = 0
+        serving_count = 0
         try:
             names = os.listdir(self.folder)
         except OSError:
@@ -95,14 +95,14 @@
             if marker is None or name == self._marker.name:
                 continue
             if self._is_locked(self.folder / name):
-                others += 1
-                serving += marker[2] == SERVING
-        self.sibling_count = others
-        self.serving_sibling_count = serving
+                sibling_count += 1
+                serving_count += marker[2] == SERVING
+        self.sibling_count = sibling_count
+        self.serving_sibling_count = serving_count
 
     @staticmethod
     def _is_locked(path: Path) -> bool:
-        """Whether a process holds this marker, which is assumed where it cannot be tested; else remove it."""
+        """Return whether a process holds this marker, or might; a stale marker is removed."""
         try:
             descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
@@ -120,12 +120,12 @@
         return False
 
     def release(self) -> None:
-        """Write a held-back endpoint list, unless a sibling serves, and remove this process's marker."""
+        """Write a pending endpoint list, unless a sibling is serving, and remove this process's marker."""
         self.endpoint_list.close(
             write_pending=not self.serving_sibling_count
-        )  # a serving sibling writes its own, newer one
+        )  # a serving sibling writes its own list, which is newer
         if self._descriptor is not None and self._marker is not None:
-            with suppress(OSError):  # a marker that stays has no lock, and the next process removes it
+            with suppress(OSError):  # the next process removes a marker that remains, as it has no lock
                 self._marker.unlink(missing_ok=True)
             os.close(self._descriptor)
             self._descriptor = None
--- a/sagetrack/server/lifecycle.py
+++ b/sagetrack/server/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process on its event loop: bind, assemble, serve, drain, shut down."""
+"""Life cycle of the gateway process on its event loop: assemble, bind, serve, drain, shut down."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 def run_on_event_loop(process: GatewayProcess) -> int:
-    """Run the process to its end on a uvloop event loop; returns its exit status."""
+    """Run the process on a uvloop event loop until it ends, and return its exit status."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(process.run())
 
 
 class _StartFailedError(Exception):
-    """The start was given up and logged; `status` is the exit status."""
+    """The start failed and the reason has been logged; `status` is the exit status."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"the start failed, exit status {status}")
+        super().__init__(f"start failed with exit status {status}")
         self.status = status
 
 
 class GatewayProcess:
-    """One gateway, its signals and its admin address."""
+    """A gateway with its signal handlers and its admin address."""
 
     def __init__(
         self,
@@ -47,14 +47,14 @@
         timing: StartupTiming,
         early_reloads: list[int],
     ) -> None:
-        """Nothing is opened here.
+        """Store the arguments; `run` opens sockets and files.
 
         Args:
             config: the platform's configuration.
             operator: the content of the operator's file, if there is one.
-            operator_path: its path, to read it again on SIGHUP.
-            timing: the record of this start.
-            early_reloads: a list that is not empty if SIGHUP came before `run` handles it.
+            operator_path: its path, from which it is reloaded on SIGHUP.
+            timing: records how long the phases of the start take.
+            early_reloads: contains an element for each SIGHUP that arrived before `run` handles the signal.
         """
         self.config = config
         self.operator = operator
@@ -63,7 +63,7 @@
         self.early_reloads = early_reloads
 
     async def run(self) -> int:
-        """Serve until SIGTERM or SIGINT, then drain and shut down; returns the exit status."""
+        """Serve until SIGTERM or SIGINT, then drain and shut down, and return the exit status."""
         stop_requested = self._handle_stop_signals()
         try:
             assembly = self._assemble()
@@ -76,7 +76,7 @@
         if self.early_reloads:
             reloader.request()
         gc.collect()
-        gc.freeze()  # what the start has made is never garbage
+        gc.freeze()  # objects created by the start live until the process ends
         await stop_requested.wait()
         await assembly.drain()
         log(f"shutdown complete; upstream connections: {assembly.pools.counts}")
@@ -86,7 +86,7 @@
 
     @staticmethod
     def _handle_stop_signals() -> asyncio.Event:
-        """An event that is set by SIGTERM and SIGINT; a second signal changes nothing."""
+        """Return an event that SIGTERM and SIGINT set; a second signal has no effect."""
         loop = asyncio.get_running_loop()
         stop_requested = asyncio.Event()
         for signum in (signal.SIGTERM, signal.SIGINT):
@@ -101,16 +101,18 @@
             raise _StartFailedError(CONFIGURATION_UNUSABLE) from None
 
     def _handle_reload_signal(self, assembly: GatewayAssembly) -> ConfigReloader:
-        """Read the configuration again on SIGHUP."""
-        on_keys = assembly.reload_tls_keys if assembly.tls_keys is not None else None
-        reloader = ConfigReloader(assembly.discovery, self.operator_path, assembly.apply_operator, on_keys)
+        """Reload the configuration on SIGHUP."""
+        reload_tls_keys = assembly.reload_tls_keys if assembly.tls_keys is not None else None
+        reloader = ConfigReloader(
+            assembly.discovery, self.operator_path, assembly.apply_operator, reload_tls_keys
+        )
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader.request)
         return reloader
 
     async def _listen(self, assembly: GatewayAssembly, admin: AdminServer) -> None:
-        """Listen at the admin address, then start the gateway.
+        """Listen on the admin address, then start the gateway.
 
-        The admin address answers first, and says that no clients are accepted until the gateway is up.
+        The admin address responds first; until the start ends, it reports that no clients are accepted.
         """
         address: Address | None = self.config.admin
         try:
--- a/sagetrack/server/listen.py
+++ b/sagetrack/server/listen.py
@@ -1,4 +1,4 @@
-"""Listening sockets: bound here, or inherited from the platform and shared with other processes."""
+"""Creates listening sockets, or takes one that is inherited from the platform and shared by processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def bind(address: Address, backlog: int = BACKLOG) -> socket.socket:
-    """A non-blocking socket that listens at this address and no other; OSError if it cannot be had."""
+    """Return a non-blocking socket that listens only on this address; OSError if it cannot be bound."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=backlog)
     listener.setblocking(False)
@@ -18,12 +18,12 @@
 
 
 def inherit(descriptor: int) -> socket.socket:
-    """The listening socket that the platform holds and that every process of this gateway inherits.
+    """Return the listening socket that the platform holds and all processes of this gateway inherit.
 
-    It must only be closed, never shut down: a shutdown would end it for the other processes too.
+    It must be closed, never shut down: a shutdown would affect the other processes as well.
 
     Raises:
-        ConfigError: the descriptor is no TCP socket that listens.
+        ConfigError: the descriptor is not a listening TCP socket.
     """
     try:
         os.set_inheritable(descriptor, False)
@@ -35,7 +35,7 @@
     except OSError:
         listens = 0
     if listener.type != socket.SOCK_STREAM or not listens:
-        listener.detach()  # this process does not own the descriptor, and must not close it
-        raise ConfigError(f"LB_ACCEPT_FD {descriptor} is no listening socket")
+        listener.detach()  # this process does not own the descriptor and must not close it
+        raise ConfigError(f"LB_ACCEPT_FD {descriptor} is not a listening TCP socket")
     listener.setblocking(False)
     return listener
--- a/sagetrack/server/observation_exchange.py
+++ b/sagetrack/server/observation_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of server health with other gateways, and with the sibling process of a hot restart."""
+"""Exchange of server health with other gateways, and with sibling processes during a hot restart."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class ObservationExchange:
-    """The peer node and the handover to a sibling process; each is None where it is off."""
+    """The peer node and the handover to a successor process; each is None if it is disabled."""
 
     def __init__(self, config: Config, operator: Operator | None, gateway: Gateway) -> None:
-        """Nothing is exchanged before `start`.
+        """Store the arguments; the exchange begins with `start`.
 
         Args:
             config: the platform's configuration.
-            operator: the operator's file, which may switch messages between gateways on or off.
-            gateway: where observations are from, and where received ones go.
+            operator: the operator's file, which may enable or disable messages between gateways.
+            gateway: provides observations and receives those of others.
         """
         self.config = config
         self.operator = operator
@@ -34,14 +34,14 @@
         self.health_handover: HealthHandover | None = None
 
     def start(self, http: HttpListener, hot_restart: HotRestart) -> None:
-        """Begin to exchange observations; made on a running loop.
+        """Start to exchange observations; requires a running event loop.
 
         Args:
-            http: shows the state of the peers at its admin address.
-            hot_restart: the processes of this gateway.
+            http: reports the state of the peers through the admin interface.
+            hot_restart: the other processes of this gateway.
 
         Raises:
-            ConfigError: the operator asks for messages between gateways, and the addresses do not suffice.
+            ConfigError: the operator enables messages between gateways, but addresses are missing.
         """
         self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
         if self.peer_node is not None:
@@ -52,7 +52,7 @@
             self.health_handover = HealthHandover(hot_restart, self.config, self.gateway)
 
     def close(self) -> None:
-        """Exchange no more observations, and free the address for a successor."""
+        """Stop the exchange and release the address for a successor process."""
         if self.peer_node is not None:
             self.peer_node.close()
         if self.health_handover is not None:
--- a/sagetrack/server/peer_node.py
+++ b/sagetrack/server/peer_node.py
@@ -1,4 +1,4 @@
-"""This gateway as a node among other gateways: its address, theirs, and what it may exchange with them."""
+"""Creates the node that exchanges messages with other gateways, from the configured addresses."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     from sagetrack.config.operator import Operator
     from sagetrack.peers.node import Node
 
-MIN_GATEWAYS = 2  # with fewer there is nobody to exchange messages with
+MIN_GATEWAYS = 2  # including this one; with fewer there are no peers
 
 
 @dataclass(slots=True, frozen=True)
 class PeerAddresses:
-    """Where the gateways of the fleet exchange messages."""
+    """The addresses at which the gateways of a fleet exchange messages."""
 
-    own_number: int  # this gateway's, in `all_gateways`
+    own_number: int  # the index of this gateway in `all_gateways`
     listen: Address
     all_gateways: list[Address]
 
 
 def peer_addresses(config: Config, operator: Operator | None) -> PeerAddresses | None:
-    """The addresses to exchange messages at; None where that is off.
+    """Return the addresses for messages between gateways, or None if these are disabled.
 
     Raises:
-        ConfigError: the operator asks for messages, and the addresses do not suffice.
+        ConfigError: the operator enables messages between gateways, but addresses are missing or invalid.
     """
     settings = operator.peers if operator is not None else None
     use = settings.use if settings is not None else "platform"
@@ -54,10 +54,10 @@
 
 
 def build_peer_node(config: Config, operator: Operator | None, gateway: Gateway) -> Node | None:
-    """The node, not yet started; None where messages between gateways are off.
+    """Create the node without starting it, or return None if messages between gateways are disabled.
 
     Raises:
-        ConfigError: the operator asks for messages, and the addresses do not suffice.
+        ConfigError: the operator enables messages between gateways, but addresses are missing or invalid.
     """
     addresses = peer_addresses(config, operator)
     if addresses is None:
@@ -86,6 +86,6 @@
 
 
 def demand_source(gateway: Gateway) -> Callable[[], list[float]] | None:
-    """What returns the tenants' demand here, for other gateways; None where fair queues are off."""
+    """Return a function that returns the local demand of each tenant, or None without fair queues."""
     admission = gateway.balancer.admission
     return None if admission is None else lambda: admission.local_demands(now_us())
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps in its store: observations of server health, and a record of each second."""
+"""Saves observations of server health and per-second traffic records, and restores the observations."""
 
 from __future__ import annotations
 
@@ -27,25 +27,26 @@
 if TYPE_CHECKING:
     from sagetrack.config.operator import StoreSettings
 
-OBSERVATIONS_SPACE = "known"  # names of the store's spaces, which are stored
+OBSERVATIONS_SPACE = "known"  # the names of the spaces are part of the stored data
 RECORDER_SPACE = "seconds"
-MAX_READ_WAIT_S = 0.25  # how long clients wait for the store; from a longer one observations come later
-MAX_CLOCK_AHEAD_US = 1_000_000  # an observation that is further ahead is of a clock that was set back
+MAX_READ_WAIT_S = 0.25  # clients wait no longer; a slower store is restored later
+MAX_CLOCK_AHEAD_US = 1_000_000  # observations further ahead are ignored: the clock was set back
 SAVE_INTERVAL_S = 1.0
 
 
 class Persistence:
-    """The store of one gateway: restored once at the start, written once a second."""
+    """The store of a gateway: read once at the start, written once a second."""
 
     def __init__(self, config: Config, settings: StoreSettings, gateway: Gateway) -> None:
-        """Begin to read the store in its thread; made on a running loop.
+        """Start to read the store in the thread of the writer; requires a running event loop.
 
-        A store that cannot be opened, as the previous process holds it or its disk fails, is tried again.
+        If the store cannot be opened, because the previous process holds its lock or the disk fails, the
+        writer tries again.
 
         Args:
             config: the platform's configuration.
-            settings: the operator's `store` table, with a folder.
-            gateway: where observations are from, and where restored ones go.
+            settings: the operator's `store` table, in which a folder is set.
+            gateway: provides observations and receives the restored ones.
         """
         self.config = config
         self.settings = settings
@@ -64,8 +65,8 @@
             settings.every_s,
         )
         self._loop = asyncio.get_running_loop()
-        self.was_read = asyncio.Event()
-        self.stored: HandoverRecord | None = None  # what the store had when it was opened
+        self.read_finished = asyncio.Event()
+        self.stored: HandoverRecord | None = None  # the content of the store at the start
         self._has_endpoint_list = False
         self.writer.start(self._loop, self._open)
         gateway.metrics.extra_figures.append(self.writer.metric_values)
@@ -75,7 +76,7 @@
         self._timer = self._loop.call_later(SAVE_INTERVAL_S, self._save_periodically)
 
     def _open(self) -> None:
-        """Open the store and read its observations, in its thread and before anything is written to it."""
+        """Open the store and read its observations, in the thread of the writer and before any write."""
         stored = None
         try:
             for line in self.writer.open().quarantined:
@@ -84,8 +85,8 @@
         except StoreOpenError as error:
             self.writer.record_failure(f"store.folder {self.folder}: {error}")
         finally:
-            with suppress(RuntimeError):  # the loop may have been closed
-                self._loop.call_soon_threadsafe(self._on_read, stored)
+            with suppress(RuntimeError):  # the event loop may be closed already
+                self._loop.call_soon_threadsafe(self._on_read_finished, stored)
 
     def _read_observations(self) -> HandoverRecord | None:
         store = self.writer.store
@@ -98,29 +99,29 @@
             log(f"stored health of servers cannot be read: {error}", "warning")
             return None
 
-    def _on_read(self, stored: HandoverRecord | None) -> None:
+    def _on_read_finished(self, stored: HandoverRecord | None) -> None:
         self.stored = stored
-        self.was_read.set()
+        self.read_finished.set()
         if self._has_endpoint_list:
             self.restore()
 
     async def wait_until_read(self) -> None:
-        """Wait until the store has been read, for MAX_READ_WAIT_S at the most."""
+        """Wait until the store has been read, up to MAX_READ_WAIT_S."""
         with suppress(TimeoutError):
             async with asyncio.timeout(MAX_READ_WAIT_S):
-                await self.was_read.wait()
+                await self.read_finished.wait()
 
     def restore(self) -> None:
-        """Give the gateway the stored observations, at once or when they have been read.
+        """Pass the stored observations to the gateway, immediately or once they have been read.
 
-        Called once there is an endpoint list. The policy trusts an observation by its age.
+        Called when there is an endpoint list. The load-balancing policy weights observations by their age.
         """
         self._has_endpoint_list = True
         stored = self.stored
         if stored is None:
             return
         now = now_us()
-        observations = tuple(seen for seen in stored.observations if seen.seen_us <= now + MAX_CLOCK_AHEAD_US)
+        observations = tuple(o for o in stored.observations if o.seen_us <= now + MAX_CLOCK_AHEAD_US)
         age_s = (now - stored.written_us) / 1e6
         log(f"restored health of {len(observations)} servers, stored {age_s:.1f} s ago")
         event = ObservationsReceived(observations, tuple(stored.latencies))
@@ -131,23 +132,24 @@
         self.save()
 
     def save(self) -> None:
-        """Hand the writer the current observations and the record of the last second."""
-        at_ms = int(time.time() * 1000)
-        ops = []
-        if self.settings.knowledge and self.was_read.is_set():  # stored observations are read before
-            ops.append(self._observations(at_ms))
-        second = self._record_of_second(at_ms)
+        """Pass the current observations and the record of the last second to the writer."""
+        now_ms = int(time.time() * 1000)
+        records = []
+        # Stored observations must not be overwritten before they have been read.
+        if self.settings.knowledge and self.read_finished.is_set():
+            records.append(self._observations_record(now_ms))
+        second = self._recorder_record(now_ms)
         if second is not None:
-            ops.append(second)
-        if ops:
-            self.writer.submit(ops)
+            records.append(second)
+        if records:
+            self.writer.submit(records)
 
-    def _observations(self, at_ms: int) -> Record:
+    def _observations_record(self, now_ms: int) -> Record:
         observations, latencies = self.gateway.balancer.own_observations()
-        note = HandoverRecord(self.config.name, now_us(), observations, latencies)
-        return Record(OBSERVATIONS_SPACE, self.config.name.encode(), encode_record(note), at_ms)
+        record = HandoverRecord(self.config.name, now_us(), observations, latencies)
+        return Record(OBSERVATIONS_SPACE, self.config.name.encode(), encode_record(record), now_ms)
 
-    def _record_of_second(self, at_ms: int) -> Record | None:
+    def _recorder_record(self, now_ms: int) -> Record | None:
         if self._recorder is None:
             return None
         metrics = self.gateway.metrics
@@ -157,14 +159,14 @@
             metrics.errored.by_class,
             metrics.sends.by_class,
         )
-        record = self._recorder.end_second(at_ms // 1000, counters)
+        record = self._recorder.end_second(now_ms // 1000, counters)
         if record is None:
             return None
-        key = f"{at_ms:015d} {self.config.name}".encode()
-        return Record(RECORDER_SPACE, key, record, at_ms)
+        key = f"{now_ms:015d} {self.config.name}".encode()
+        return Record(RECORDER_SPACE, key, record, now_ms)
 
     def close(self) -> None:
-        """Write the current state and close the store; blocks until the disk has it."""
+        """Save the current state and close the store; blocks until the data is on disk."""
         self._timer.cancel()
         self.save()
         self.writer.close()
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -1,7 +1,7 @@
-"""Entry point of a gateway process: signal handlers of the start, configuration, exit status.
+"""Entry point of the gateway process: signal handlers during the start, configuration and exit status.
 
-Modules are imported in functions here, so that a signal during the imports of a start finds its handler, and
-so that a file that cannot be used is reported before the rest is loaded.
+Modules are imported inside functions, so that signal handlers are installed before the imports run, and an
+unusable configuration is reported before the other modules are loaded.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class StartupError(Exception):
-    """The configuration cannot be used; `lines` has one plain line for each fault."""
+    """The configuration cannot be used; `lines` has one line of text for each fault."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("; ".join(lines))
@@ -27,10 +27,10 @@
 
 
 def main() -> int:
-    """Run one gateway as the environment says.
+    """Run a gateway as configured by environment variables.
 
     Returns:
-        The exit status: 0 after a graceful shutdown, 1 if an address cannot be listened on, 2 if the
+        The exit status: 0 after a graceful shutdown, 1 if a listening address cannot be bound, 2 if the
         configuration cannot be used.
     """
     early_reloads = _install_startup_signal_handlers()
@@ -48,48 +48,48 @@
         return CONFIGURATION_UNUSABLE
     from sagetrack.server.lifecycle import GatewayProcess, run_on_event_loop
 
-    timing.done("imports")
+    timing.end_phase("imports")
     return run_on_event_loop(GatewayProcess(config, operator, operator_path, timing, early_reloads))
 
 
 def _install_startup_signal_handlers() -> list[int]:
-    """Exit at once on SIGTERM and SIGINT, as nothing is in flight yet.
+    """Exit immediately on SIGTERM and SIGINT, as no request is in flight yet; collect SIGHUP.
 
     Returns:
-        A list to which each SIGHUP is added until the event loop handles it: the configuration may have been
-        read before the signal came.
+        A list to which each SIGHUP is added until the event loop handles the signal. If there was one, the
+        configuration has to be reloaded, as it may have been read before the signal.
     """
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda signum, frame: early_reloads.append(signum))
     for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, _exit_at_once)
+        signal.signal(signum, _exit_immediately)
     return early_reloads
 
 
-def _exit_at_once(signum: int, frame: object) -> None:
+def _exit_immediately(signum: int, frame: object) -> None:
     os._exit(0)
 
 
 def _print_fault(line: str) -> None:
-    """Print one plain line on standard error, if it can be written."""
+    """Print a line on standard error; errors of writing are ignored."""
     with suppress(OSError):
         print(f"sagetrack: {line}", file=sys.stderr)
 
 
 def _read_configuration(timing: StartupTiming) -> tuple[Config, str | None, Operator | None]:
-    """Read the platform's configuration and the operator's file, and log as the latter says.
+    """Read the platform's configuration and the operator's file, and configure logging from the latter.
 
     Returns:
         The platform's configuration, the path of the operator's file and its content; the last two are None
-        where LB_OPERATOR is not set.
+        if LB_OPERATOR is not set.
 
     Raises:
-        StartupError: one of the files cannot be used.
+        StartupError: one of the files is missing or invalid.
     """
     from sagetrack.config.platform import ConfigError, load, read_file
     from sagetrack.core.transient_errors import retry_while_transient_blocking
 
-    timing.done("imports")
+    timing.end_phase("imports")
     try:
         config = load(read=lambda path: retry_while_transient_blocking(lambda: read_file(path)))
     except ConfigError as error:
@@ -99,12 +99,12 @@
     if operator_path is not None:
         operator = _read_operator(operator_path)
         _configure_logging(operator.log, config.name)
-    timing.done("configuration")
+    timing.end_phase("configuration")
     return config, operator_path, operator
 
 
 def _read_operator(path: str) -> Operator:
-    """Read the operator's file, again for a while where the disk fails; StartupError if it cannot be used."""
+    """Read the operator's file, retrying disk errors for a while; StartupError if it is unusable."""
     from sagetrack.config.errors import FileError, UnreadableError
     from sagetrack.config.operator import load
     from sagetrack.core.transient_errors import retry_while_transient_blocking
@@ -113,7 +113,7 @@
         try:
             return load(path)
         except UnreadableError as error:
-            raise error.error from None  # `retry_while_transient_blocking` repeats on an OSError
+            raise error.error from None  # `retry_while_transient_blocking` retries after an OSError
 
     try:
         return retry_while_transient_blocking(read)
@@ -124,7 +124,7 @@
 
 
 def _configure_logging(settings: LogSettings, gateway: str) -> None:
-    """Log in the operator's format, from the operator's level, at the operator's rate."""
+    """Set the log format, the minimum level and the rate limit from the operator's settings."""
     from sagetrack.core.log import LogRateLimit, plain_sink, use_sink, with_minimum_level
 
     if settings.format == "plain":
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -1,4 +1,4 @@
-"""The listeners beside the HTTP/1.1 one that the operator may switch on: DNS and gRPC."""
+"""The optional DNS and gRPC listeners, which the operator can enable in addition to HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.listener import HttpListener
 from sagetrack.policy.events import ListKind
-from sagetrack.server.grpc_upstreams import request_reader
+from sagetrack.server.grpc_upstreams import create_request_reader
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -22,15 +22,15 @@
 
 
 class ProtocolListeners:
-    """The DNS service and the gRPC listener of one gateway; each is None where it is off."""
+    """The DNS service and the gRPC listener of a gateway; each is None if it is disabled."""
 
     def __init__(self, config: Config, operator: Operator | None, gateway: Gateway) -> None:
-        """Nothing is listened to before `start_dns` and `start_grpc`.
+        """Open no listener; `start_dns` and `start_grpc` do so.
 
         Args:
             config: the platform's configuration.
-            operator: the operator's file, which says which listeners are on.
-            gateway: where requests go, and where the metrics are registered.
+            operator: the operator's file, which enables the listeners.
+            gateway: handles the requests and exports the metrics.
         """
         self.config = config
         self.operator = operator
@@ -39,15 +39,15 @@
         self.grpc: GrpcListener | None = None
 
     async def start_dns(self, http: HttpListener, pools: ConnectionPools, listed: Iterable[Endpoint]) -> None:
-        """Answer DNS queries where the operator switches that on.
+        """Start the DNS service if the operator has enabled it.
 
         Args:
-            http: the HTTP listener; while it drains, DNS connections close once they are answered.
-            pools: connection pools of the servers that our own zone lists.
-            listed: the DNS servers of the endpoint list, as far as they are known.
+            http: the HTTP listener; while it is draining, DNS connections are closed after a response.
+            pools: connection pools of the servers that the authoritative zone lists.
+            listed: DNS servers known so far from the endpoint list.
 
         Raises:
-            ConfigError: an address or a zone cannot be used.
+            ConfigError: an address or a zone is invalid, or an address cannot be bound.
         """
         settings = self.operator.dns if self.operator is not None else None
         if settings is None or not settings.listen:
@@ -60,15 +60,15 @@
         self.gateway.metrics.extra_figures.append(self.dns.figures)
 
     async def start_grpc(self, http: HttpListener, tls_keys: TlsCredentials | None) -> None:
-        """Accept gRPC clients where the operator switches that on.
+        """Start the gRPC listener if the operator has enabled it.
 
         Args:
-            http: the HTTP listener; while it drains, so do gRPC connections, and both share the memory for
-                streamed bodies.
-            tls_keys: the keys of the listener; without them it has no TLS.
+            http: the HTTP listener; gRPC connections drain while it is draining, and both share the memory
+                limit for streamed bodies.
+            tls_keys: the TLS keys of the listener; None for a listener without TLS.
 
         Raises:
-            ConfigError: an address cannot be used.
+            ConfigError: an address is invalid or cannot be bound.
         """
         settings = self.operator.newer if self.operator is not None else None
         if settings is None or not settings.listen:
@@ -77,7 +77,7 @@
 
         drain = http.drain
         listener = GrpcListener(
-            self.gateway, request_reader(self.config), lambda: drain.is_draining, http.body_budget
+            self.gateway, create_request_reader(self.config), lambda: drain.is_draining, http.body_budget
         )
         tls_context = tls_keys.create_server_context() if tls_keys is not None else None
         addresses = [parse_address(address, "newer.listen") for address in settings.listen]
@@ -90,29 +90,29 @@
         self.gateway.metrics.extra_figures.append(listener.figures)
 
     def on_dns_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Take a change of the DNS servers in the endpoint list."""
+        """Apply a change of the DNS servers in the endpoint list."""
         if self.dns is not None:
             self.dns.on_list(kind, endpoints)
 
     def begin_drain(self, until_s: float) -> list[asyncio.Task[None]]:
-        """Begin to shut down gracefully.
+        """Start to shut down gracefully.
 
         Args:
-            until_s: when both close at the latest, by the clock of the event loop.
+            until_s: the latest time at which both close, on the clock of the event loop.
 
         Returns:
-            The tasks that end when the requests in flight are answered.
+            Tasks that end when no request is in flight.
         """
         loop = asyncio.get_running_loop()
-        draining: list[asyncio.Task[None]] = []
+        tasks: list[asyncio.Task[None]] = []
         if self.dns is not None:
-            draining.append(loop.create_task(self.dns.drain(until_s)))
+            tasks.append(loop.create_task(self.dns.drain(until_s)))
         if self.grpc is not None:
-            draining.append(loop.create_task(self.grpc.shut_down(until_s)))
-        return draining
+            tasks.append(loop.create_task(self.grpc.shut_down(until_s)))
+        return tasks
 
     def close(self) -> None:
-        """Close both at once; requests in flight are lost."""
+        """Close both immediately; requests in flight are lost."""
         if self.grpc is not None:
             self.grpc.close()
         if self.dns is not None:
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -1,7 +1,7 @@
-"""Configuration reload on SIGHUP, while requests go on.
+"""Configuration reload on SIGHUP, without interrupting requests.
 
-Of the platform's configuration the discovery address may change, of the operator's file traffic and tenant
-shares, and the TLS keys are read again. What else has changed waits for the next start.
+A reload applies the discovery address of the platform's configuration, the traffic and tenant shares of the
+operator's file, and the TLS keys. All other changes take effect at the next start.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
 
-MAX_ATTEMPTS = 8  # for one signal, of files that cannot be used
-BACKOFF_STEP_S = 0.1  # the backoff after the n-th failure is n times this: 2.8 s in all
+MAX_ATTEMPTS = 8  # per signal, while the files are unusable
+BACKOFF_STEP_S = 0.1  # the backoff after the n-th failure is n times this, 2.8 s in total
 
-OnOperator = Callable[[Config, "Operator"], None]
+ApplyOperator = Callable[[Config, "Operator"], None]
 
 
 def read_operator(path: str) -> Operator:
-    """The operator's file as it is now; ConfigError with its first fault if it cannot be used."""
+    """Read the operator's file; raises ConfigError with the first fault if it is invalid."""
     from sagetrack.config.errors import FileError
     from sagetrack.config.operator import load as load_operator
 
@@ -35,79 +35,79 @@
 
 
 class ConfigReloader:
-    """Reads the configuration once for each request, or once for several that come while it reads."""
+    """Reloads the configuration on request; several requests during a reload cause only one more reload."""
 
     def __init__(
         self,
         discovery: DiscoveryClient,
         operator_path: str | None,
-        on_operator: OnOperator,
-        on_keys: Callable[[], None] | None,
+        apply_operator: ApplyOperator,
+        reload_tls_keys: Callable[[], None] | None,
     ) -> None:
-        """Nothing is read before `request`.
+        """Create a reloader that reads nothing before `request`.
 
         Args:
-            discovery: is moved to the address in the platform's configuration.
-            operator_path: the operator's file; None if there is none.
-            on_operator: called with both files as read again; it may raise ConfigError.
-            on_keys: called to read the TLS keys again; None where there are none.
+            discovery: the discovery client, whose address is updated from the platform's configuration.
+            operator_path: path of the operator's file; None if there is none.
+            apply_operator: applies the content of both files; it may raise ConfigError.
+            reload_tls_keys: reloads the TLS keys; None if there are none.
         """
         self.discovery = discovery
         self.operator_path = operator_path
-        self.on_operator = on_operator
-        self.on_keys = on_keys
+        self.apply_operator = apply_operator
+        self.reload_tls_keys = reload_tls_keys
         self._is_requested = False
-        self._reading: asyncio.Task[None] | None = None
-        self._failures = 0  # in a row
+        self._read_task: asyncio.Task[None] | None = None
+        self._failure_count = 0  # number of consecutive failures
         self._retry_timer: asyncio.TimerHandle | None = None
 
     def request(self) -> None:
-        """Reload: the configuration may have changed. Call it on the event loop."""
-        self._failures = 0
-        self._begin()
+        """Reload the configuration; has to be called on the event loop."""
+        self._failure_count = 0
+        self._start_reading()
 
-    def _begin(self) -> None:
+    def _start_reading(self) -> None:
         self._is_requested = True
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._retry_timer = None
-        if self._reading is None:
-            self._reading = asyncio.get_running_loop().create_task(self._read())
+        if self._read_task is None:
+            self._read_task = asyncio.get_running_loop().create_task(self._read())
 
     async def _read(self) -> None:
         try:
             while self._is_requested:
                 self._is_requested = False
-                # In a thread: the disk may be slow, and the file long.
+                # Read in a thread, as the disk may be slow and the file long.
                 config = await asyncio.to_thread(load)
-                self._apply(config)
-                if self.on_keys is not None:
-                    self.on_keys()
+                self._apply_discovery_address(config)
+                if self.reload_tls_keys is not None:
+                    self.reload_tls_keys()
                 if self.operator_path is not None:
-                    self.on_operator(config, await asyncio.to_thread(read_operator, self.operator_path))
-                self._failures = 0
-        except (ConfigError, OSError, RuntimeError) as error:  # RuntimeError: no thread can be started
-            self._retry_later(error)
+                    self.apply_operator(config, await asyncio.to_thread(read_operator, self.operator_path))
+                self._failure_count = 0
+        except (ConfigError, OSError, RuntimeError) as error:  # RuntimeError: the thread cannot be started
+            self._schedule_retry(error)
         finally:
-            self._reading = None
+            self._read_task = None
             if self._is_requested:
-                self._begin()
+                self._start_reading()
 
-    def _retry_later(self, error: Exception) -> None:
-        """Read again after a backoff, MAX_ATTEMPTS times in all.
+    def _schedule_retry(self, error: Exception) -> None:
+        """Schedule another attempt after a backoff, up to MAX_ATTEMPTS in total.
 
-        The signal may have come before the file was complete, and a disk, a descriptor or a thread may be
-        wanting for a moment: a change of the discovery address must not be missed for that. Only the first
-        failure is logged.
+        The signal may arrive before the file is complete, and there may be a temporary disk error or lack of
+        descriptors or threads. A change of the discovery address must not be missed because of that. Only the
+        first failure is logged.
         """
-        if not self._failures:
+        if not self._failure_count:
             log(f"configuration reload failed, keeping the previous one: {error}")
-        self._failures += 1
-        if self._failures < MAX_ATTEMPTS and not self._is_requested:
+        self._failure_count += 1
+        if self._failure_count < MAX_ATTEMPTS and not self._is_requested:
             loop = asyncio.get_running_loop()
-            self._retry_timer = loop.call_later(BACKOFF_STEP_S * self._failures, self._begin)
+            self._retry_timer = loop.call_later(BACKOFF_STEP_S * self._failure_count, self._start_reading)
 
-    def _apply(self, config: Config) -> None:
+    def _apply_discovery_address(self, config: Config) -> None:
         if config.discovery != self.discovery.address:
             log(f"discovery address changed to {config.discovery[0]}:{config.discovery[1]}")
             self.discovery.change_address(config.discovery)
--- a/sagetrack/server/startup_timing.py
+++ b/sagetrack/server/startup_timing.py
@@ -1,4 +1,4 @@
-"""Where the time of a start goes, by phase: milliseconds of CPU and elapsed."""
+"""Measures CPU time and elapsed time of each phase of the start."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class StartupTiming:
-    """The phases of one start, in order; a phase that comes again is added up."""
+    """The phases of a start, in order; the times of a repeated phase are added up."""
 
     def __init__(self) -> None:
-        """Begin with the phase `interpreter`: its CPU time is known here, its elapsed time is not."""
+        """Record the phase `interpreter`, whose CPU time is known here; its elapsed time is not."""
         self.cpu_s, self.now_s = process_time(), monotonic()
         self.phases: dict[str, tuple[float, float]] = {"interpreter": (self.cpu_s, 0.0)}
 
-    def done(self, phase: str) -> None:
-        """Count the time since the last call as this phase's."""
+    def end_phase(self, phase: str) -> None:
+        """Attribute the time since the last call to this phase."""
         cpu_s, now_s = process_time(), monotonic()
         cpu, elapsed = self.phases.get(phase, (0.0, 0.0))
         self.phases[phase] = cpu + cpu_s - self.cpu_s, elapsed + now_s - self.now_s
@@ -27,7 +27,7 @@
         self.now_s = now_s
 
     def log(self) -> None:
-        """Log the phases where SAGETRACK_STARTUP is set; `sagetrack lab readiness` parses this line."""
+        """Log the phases if SAGETRACK_STARTUP is set; `sagetrack lab readiness` parses this line."""
         if not os.environ.get(VARIABLE):
             return
         phases = ", ".join(
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -60,10 +60,10 @@
                 assert persistence is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
                 assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
                 assert (await gateway.ask(request())).status == 200
-                assert not gateway.gateway.balancer.gossip.received and not persistence.was_read.is_set()
+                assert not gateway.gateway.balancer.gossip.received and not persistence.read_finished.is_set()
                 persistence.save()
                 StandingDisk.go.set()
-                await persistence.was_read.wait()
+                await persistence.read_finished.wait()
                 assert {server for server, _ in gateway.gateway.balancer.gossip.received} == before
         finally:
             StandingDisk.go.set()
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -396,7 +396,7 @@
     persistence = instance.persistence
     assert persistence is not None
     try:
-        await asyncio.wait_for(persistence.was_read.wait(), 30)
+        await asyncio.wait_for(persistence.read_finished.wait(), 30)
         check_note(persistence.stored, NOTE)
         assert persistence.stored is not None and persistence.stored.latencies == LATENCIES
     finally:
