--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: its calls, its figures, and callers that mean no good."""
+"""The admin address: commands, metrics, and clients that send invalid data or nothing."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     silent,
     until,
 )
-from tests.test_gateway_process import READY, ask, connect, free_port, program, start
+from tests.test_gateway_process import READY, connect, fetch_status, free_port, gateway_process, start
 
 
 @asynccontextmanager
-async def second_address(run: Running) -> AsyncIterator[int]:
+async def running_admin_server(run: Running) -> AsyncIterator[int]:
     admin = AdminServer(run.server)
     await admin.start(("127.0.0.1", 0))
     assert admin.server is not None
@@ -43,8 +43,8 @@
         admin.close()
 
 
-async def call(port: int, data: bytes, eof: bool = False) -> bytes:
-    """Everything that is answered, to the end of the connection."""
+async def send_command(port: int, data: bytes, eof: bool = False) -> bytes:
+    """Return the complete response, up to the end of the connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     if eof:
@@ -54,7 +54,7 @@
     return answer
 
 
-def figures(answer: bytes) -> dict[str, int]:
+def parse_metrics(answer: bytes) -> dict[str, int]:
     first, *lines, last = answer.decode().splitlines()
     assert first.startswith("SUCCESS") and last == "EOT"
     return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
@@ -62,13 +62,13 @@
 
 @pytest.mark.parametrize("ending", [b"\n", b"\r\n"])
 @on_loop
-async def test_each_call_is_answered_on_a_connection_of_its_own(ending: bytes) -> None:
+async def test_each_command_gets_a_response_on_its_own_connection(ending: bytes) -> None:
     async with (
         scripted_server() as upstream,
         running(configuration(upstream)) as run,
-        second_address(run) as port,
+        running_admin_server(run) as port,
     ):
-        for line, word, ready in (
+        for line, expected_result, ready in (
             (b"status", b"SUCCESS", 200),
             (b"standby", b"SUCCESS", 503),
             (b"standby", b"SUCCESS", 503),
@@ -77,12 +77,12 @@
             (b"active", b"SUCCESS", 200),
             (b"status", b"SUCCESS", 200),
         ):
-            answer = await call(port, line + ending)
-            assert answer.startswith(word) and answer.count(b"\n") == 1
+            answer = await send_command(port, line + ending)
+            assert answer.startswith(expected_result) and answer.count(b"\n") == 1
             assert (await run.ask(READY)).status == ready
         run.server.drain.begin_shutdown(0.0)
         for line in (b"status", b"standby", b"active"):
-            assert (await call(port, line + ending)).startswith(b"FAILURE")
+            assert (await send_command(port, line + ending)).startswith(b"FAILURE")
 
 
 @pytest.mark.parametrize(
@@ -99,61 +99,65 @@
     ],
 )
 @on_loop
-async def test_what_is_no_call_gets_failure(data: bytes) -> None:
-    async with running(configuration("127.0.0.1:1")) as run, second_address(run) as port:
-        answer = await call(port, data)
+async def test_an_invalid_command_gets_failure(data: bytes) -> None:
+    async with running(configuration("127.0.0.1:1")) as run, running_admin_server(run) as port:
+        answer = await send_command(port, data)
         assert answer.startswith(b"FAILURE") and answer.count(b"\n") == 1
 
 
 @on_loop
-async def test_a_line_may_come_in_pieces_or_end_with_what_the_caller_says() -> None:
+async def test_a_line_may_arrive_in_pieces_or_end_with_the_stream() -> None:
     async with (
         scripted_server() as upstream,
         running(configuration(upstream)) as run,
-        second_address(run) as port,
+        running_admin_server(run) as port,
     ):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for byte in b"status":
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
-        writer.write(b"\nstandby\n")  # a connection carries one line: this is none
+        writer.write(b"\nstandby\n")  # the second line is ignored: a connection carries one line
         assert (await reader.read()).startswith(b"SUCCESS")
         writer.close()
-        assert (await call(port, b"status", eof=True)).startswith(b"SUCCESS")
-        assert await call(port, b"", eof=True) == b""
+        assert (await send_command(port, b"status", eof=True)).startswith(b"SUCCESS")
+        assert await send_command(port, b"", eof=True) == b""
 
 
 @on_loop
-async def test_silent_admin_connections_block_no_one_and_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_admin_connections_do_not_block_others_and_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with (
         scripted_server() as upstream,
         running(configuration(upstream)) as run,
-        second_address(run) as port,
+        running_admin_server(run) as port,
     ):
-        silent_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
-        assert (await call(port, b"status\n")).startswith(b"SUCCESS")
+        silent_clients = [
+            await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)
+        ]
+        assert (await send_command(port, b"status\n")).startswith(b"SUCCESS")
         ended = 0
-        for reader, _ in silent_ones[: 2 * MAX_CONNECTIONS]:
+        for reader, _ in silent_clients[: 2 * MAX_CONNECTIONS]:
             try:
                 ended += await reader.read() == b""
             except ConnectionError:
                 ended += 1
-        assert ended == 2 * MAX_CONNECTIONS  # the oldest have yielded
+        assert ended == 2 * MAX_CONNECTIONS  # the oldest connections were closed
         monkeypatch.setattr(admin_module, "CALL_TIMEOUT_S", 0.05)
-        assert (await call(port, b"stat")).startswith(b"FAILURE")
-        for _, writer in silent_ones:
+        assert (await send_command(port, b"stat")).startswith(b"FAILURE")
+        for _, writer in silent_clients:
             writer.close()
 
 
-BY_REASON = {"svc_attempts_total", "svc_withheld_total", "svc_refused_total", "svc_violations_total"}
+METRICS_BY_REASON = {"svc_attempts_total", "svc_withheld_total", "svc_refused_total", "svc_violations_total"}
 
 
 @on_loop
-async def test_the_figures_are_true() -> None:
+async def test_the_metrics_match_the_requests() -> None:
     async with (
         scripted_server() as upstream,
         running(configuration(upstream)) as run,
-        second_address(run) as port,
+        running_admin_server(run) as port,
     ):
         for _ in range(3):
             assert (await run.ask(request())).status == 200
@@ -161,24 +165,28 @@
         seen, client = len(upstream.exchanges), await run.connect()
         client.send(request("transfer"))
         await until(lambda: len(upstream.exchanges) > seen)
-        waits = upstream.exchanges[-1]
+        pending = upstream.exchanges[-1]
         upstream.script = answers(reply(500))
         assert (await run.ask(request("transfer"))).status == 502
-        upstream.script = answers(reply(503, b"", "X-Rejected: 1"))  # last: what follows may be shed
+        # The rejection comes last, as later requests may be shed.
+        upstream.script = answers(reply(503, b"", "X-Rejected: 1"))
         assert (await run.ask(request("hold"))).status == 503
-        told = figures(await call(port, b"stats\n"))
-        calls = {name for name in told if name.startswith("svc_discovery_calls_total")}
-        assert calls <= {'svc_discovery_calls_total{outcome="failed"}'}  # nobody answers there
-        told = {name: count for name, count in told.items() if name not in calls}
-        reasons = {name: told.pop(name) for name in list(told) if name.partition("{")[0] in BY_REASON}
-        assert {name: count for name, count in reasons.items() if count} == {
+        metrics = parse_metrics(await send_command(port, b"stats\n"))
+        calls = {name for name in metrics if name.startswith("svc_discovery_calls_total")}
+        assert calls <= {'svc_discovery_calls_total{outcome="failed"}'}  # no discovery service is running
+        metrics = {name: count for name, count in metrics.items() if name not in calls}
+        by_reason = {
+            name: metrics.pop(name) for name in list(metrics) if name.partition("{")[0] in METRICS_BY_REASON
+        }
+        assert {name: count for name, count in by_reason.items() if count} == {
             'svc_attempts_total{outcome="ok"}': 3,
             'svc_attempts_total{outcome="error"}': 1,
             'svc_attempts_total{outcome="full"}': 1,
             'svc_refused_total{reason="unserved"}': 1,
         }
-        assert {name.partition("{")[0] for name in reasons} == BY_REASON  # also those of 0
-        assert told == {
+        # Series whose value is 0 are included.
+        assert {name.partition("{")[0] for name in by_reason} == METRICS_BY_REASON
+        assert metrics == {
             'svc_answered_total{group="search"}': 3,
             'svc_answered_total{group="hold"}': 0,
             'svc_answered_total{group="transfer"}': 0,
@@ -195,9 +203,9 @@
             "svc_cluster_size": 1,
             "svc_cluster_unhealthy": 0,
         }
-        waits.answer(reply())
+        pending.answer(reply())
         assert (await client.answer()).status == 200
-        assert figures(await call(port, b"stats\n"))["svc_current"] == 0
+        assert parse_metrics(await send_command(port, b"stats\n"))["svc_current"] == 0
         client.close()
 
 
@@ -210,7 +218,7 @@
         assert run.gateway.balancer.unhealthy_count() == 1
 
 
-def test_unhealthy_servers_are_those_with_an_open_breaker_and_reading_changes_nothing() -> None:
+def test_servers_with_an_open_breaker_are_unhealthy_and_counting_them_has_no_side_effect() -> None:
     driver = Driver()
     balancer = driver.balancer
     assert balancer.unhealthy_count() == 0
@@ -218,7 +226,7 @@
     trip(breaker, driver.now_us)
     until_us, state = breaker.open_until_us, breaker.state
     driver.now_us = until_us + 1
-    assert balancer.unhealthy_count() == 1  # until a trial has closed it
+    assert balancer.unhealthy_count() == 1  # until a trial request has closed the breaker
     assert breaker.state is state and breaker.episode == 0
     for _ in range(100):
         name, actions = driver.arrive()
@@ -227,38 +235,41 @@
     assert balancer.unhealthy_count() == 0
 
 
-def test_a_label_cannot_break_its_line() -> None:
+def test_special_characters_in_a_label_are_escaped() -> None:
     text = Metrics(['a"b\n\\'], {}).render()
     assert text.splitlines()[0] == 'svc_answered_total{group="a\\"b\\n\\\\"} 0'
 
 
 @on_loop
-async def test_the_program_listens_there_and_a_drain_ends(tmp_path: Path) -> None:
+async def test_a_gateway_process_can_be_drained_and_reactivated_at_the_admin_address(tmp_path: Path) -> None:
     admin = free_port()
     async with scripted_server() as upstream:
         config = configuration(upstream) | {"admin": f"127.0.0.1:{admin}"}
-        async with program(tmp_path, config) as (process, port):
-            kept = await connect(port)
-            assert (await kept.ask(READY)).status == 200
-            assert (await call(admin, b"standby\n")).startswith(b"SUCCESS")
-            # A request on a kept connection, and one on a late one, are served and told of the end.
+        async with gateway_process(tmp_path, config) as (process, port):
+            persistent = await connect(port)
+            assert (await persistent.ask(READY)).status == 200
+            assert (await send_command(admin, b"standby\n")).startswith(b"SUCCESS")
+            # Requests on existing and on new connections are served, and the response announces the close.
             late = await connect(port)
-            for client in (kept, late):
+            for client in (persistent, late):
                 answer = await client.ask(request())
                 assert answer.status == 200 and answer.headers["connection"] == "close"
                 client.close()
             idle = await connect(port)
             assert await idle.reader.read() == b""
             idle.close()
-            assert (await call(admin, b"active\n")).startswith(b"SUCCESS")
-            assert await ask(port, READY) == 200
-            assert figures(await call(admin, b"stats\n"))['svc_answered_total{group="search"}'] == 2
+            assert (await send_command(admin, b"active\n")).startswith(b"SUCCESS")
+            assert await fetch_status(port, READY) == 200
+            assert (
+                parse_metrics(await send_command(admin, b"stats\n"))['svc_answered_total{group="search"}']
+                == 2
+            )
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
 
 @on_loop
-async def test_a_second_address_in_use_is_one_line(tmp_path: Path) -> None:
+async def test_an_admin_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(upstream) | {"listen": f"127.0.0.1:{free_port()}"}))
@@ -269,16 +280,16 @@
 
 
 @on_loop
-async def test_the_trace_tells_what_became_of_a_call() -> None:
+async def test_the_trace_shows_the_outcome_of_a_request() -> None:
     failing = answers(reply(500))
     async with (
         scripted_server(failing) as upstream,
         running(configuration(upstream)) as run,
-        second_address(run) as port,
+        running_admin_server(run) as port,
     ):
         assert (await run.ask(request("transfer", x_call_id="one-that-fails"))).status == 502
         run.server.standby()
-        lines = (await call(port, b"trace\n")).decode().splitlines()
+        lines = (await send_command(port, b"trace\n")).decode().splitlines()
     assert lines[0] == "SUCCESS" and lines[-1] == "EOT"
     assert any("attempt_failed one-that-fails 0 at server" in line and "error" in line for line in lines)
     assert any(line.endswith("failed one-that-fails") for line in lines)
--- a/tests/test_admission_gateway.py
+++ b/tests/test_admission_gateway.py
@@ -1,4 +1,4 @@
-"""Admission control in virtual time, in the operator's file and in a running gateway."""
+"""Admission control: in a simulation, in the operator's file and in a running gateway."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 SCENARIOS = Path(__file__).resolve().parent.parent / "scenarios"
 
 
-def test_in_virtual_time_a_flood_leaves_other_tenants_their_share_and_retry_after_is_kept() -> None:
+def test_admission_control_keeps_tenant_shares_and_accurate_retry_after_in_a_simulated_flood() -> None:
     scenario = altered(load(SCENARIOS / "flood.toml"), {"seconds": 14})
     results = {}
     for use_admission in (True, False):
-        played = altered(scenario, {"door.use": use_admission})
-        records = play(played, 2)
-        results[use_admission] = figures(records, played, judge(records, played))
+        variant = altered(scenario, {"door.use": use_admission})
+        records = play(variant, 2)
+        results[use_admission] = figures(records, variant, judge(records, variant))
         assert not results[use_admission].rules_broken
     assert results[True].expect_held and not results[False].expect_held
     assert results[True].advice_right > 0.8 > results[False].advice_right
@@ -73,6 +73,6 @@
             retry_after.append(
                 [value for key, value in response.headers.items() if key.lower() == "retry-after"]
             )
-        assert retry_after[1] in (["1"], ["2"])  # 1 to 1.43 s, rounded up
+        assert retry_after[1] in (["1"], ["2"])  # a delay from 1 to 1.43 s, rounded up
         metrics = gateway.server.stats()
         assert "svc_member_acme_asked_total 3\n" in metrics and "svc_door_refused_rate_total 1\n" in metrics
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -40,7 +40,7 @@
     scripted_server,
     until,
 )
-from tests.test_gateway_process import connect, program
+from tests.test_gateway_process import connect, gateway_process
 
 MEGABYTE = 1024 * 1024
 LONG = bytes(range(251)) * 1000  # 251,000 bytes; no two places of it look alike to an off-by-one
@@ -428,7 +428,7 @@
             each["settings"]["balancers"] = 1
             folder = tmp_path / str(number)
             folder.mkdir()
-            async with program(folder, json.loads(json.dumps(each))) as (process, port):
+            async with gateway_process(folder, json.loads(json.dumps(each))) as (process, port):
 
                 async def one(port: int = port, class_name: str = class_name, body: bytes = body) -> int:
                     client = await connect(port)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -12,7 +12,7 @@
 from sagetrack.http1 import connection_phases as phases_module
 from sagetrack.http1 import downstream as client_module
 from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
-from tests.test_gateway_process import connect, program
+from tests.test_gateway_process import connect, gateway_process
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
 HIDDEN = b"0\r\n\r\n" + request("transfer")
@@ -81,7 +81,7 @@
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
     async with scripted_server() as upstream:
         config["known"]["endpoints"][0]["address"] = upstream.address
-        async with program(tmp_path, config) as (process, port):
+        async with gateway_process(tmp_path, config) as (process, port):
             client = await connect(port)
             assert (await client.ask(request("transfer"))).status == 200
             crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
@@ -181,7 +181,7 @@
     """The real program at 80 descriptors, and 300 connections that begin a request and never end it."""
     async with scripted_server() as upstream:
         config = configuration(upstream) | {"limits": {"sockets": 80}}
-        async with program(tmp_path, config) as (process, port):
+        async with gateway_process(tmp_path, config) as (process, port):
             crowd = []
             for _ in range(3):
                 crowd += await asyncio.gather(*(connect(port) for _ in range(100)))
@@ -226,7 +226,7 @@
 
     async with (
         scripted_server(silent) as upstream,
-        program(tmp_path, configuration(upstream)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         begun, held = await connect(port), await connect(port)
         begun.send(TRANSFER)
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -1,4 +1,4 @@
-"""A start on a machine that fails for a moment: the process waits for it, and serves."""
+"""Temporary system call failures during the start: the process retries and then serves."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.soak.shim import NO_FAULTS, FaultControl, SystemCallFaults, build_library
 from tests.sockets import configuration, on_loop, request, scripted_server, until
-from tests.test_gateway_process import READY, ROOT, ask
+from tests.test_gateway_process import READY, ROOT, fetch_status
 
-MOMENT_S = 0.6
+FAULT_DURATION_S = 0.6
 
 
 @asynccontextmanager
-async def failing(
-    folder: Path, faults: SystemCallFaults, address: str, elsewhere: Path | None = None
+async def faulty_process(
+    folder: Path, faults: SystemCallFaults, address: str, config_folder: Path | None = None
 ) -> AsyncIterator[tuple[int, int]]:
-    """A process whose system calls fail from its first one on, for a moment; its two ports.
+    """Start a process whose system calls fail for FAULT_DURATION_S, and return its two ports.
 
-    Files in the folder fail; the configuration may lie elsewhere.
+    Faults of files apply to those in `folder`; the configuration may be in another folder.
     """
     control = FaultControl(folder / "control", 1)
     control.set(faults)
     port, admin = free_port(), free_port()
-    file = (elsewhere or folder) / "config.json"
+    file = (config_folder or folder) / "config.json"
     file.write_text(json.dumps(configuration(address) | {"listen": f"127.0.0.1:{port}"}))
     operator = folder / "operator.toml"
     operator.write_text('[log]\nlevel = "warning"\n')
@@ -46,7 +46,7 @@
     )
     try:
         await until(lambda: control.failed_calls or process.returncode is not None)
-        await asyncio.sleep(MOMENT_S)
+        await asyncio.sleep(FAULT_DURATION_S)
         control.set(NO_FAULTS)
         yield port, admin
     finally:
@@ -55,9 +55,9 @@
         await process.wait()
 
 
-async def becomes_ready(port: int, admin: int) -> None:
+async def wait_until_ready(port: int, admin: int) -> None:
     async with asyncio.timeout(8.0):
-        while await ask(port, READY) != 200:
+        while await fetch_status(port, READY) != 200:
             await asyncio.sleep(0.05)
         reader, writer = await asyncio.open_connection("127.0.0.1", admin)
         writer.write(b"status\n")
@@ -66,40 +66,45 @@
 
 
 @on_loop
-async def test_sockets_that_cannot_be_had_for_a_moment_are_asked_for_again(tmp_path: Path) -> None:
+async def test_failures_to_create_sockets_are_retried(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
-        failing(tmp_path, SystemCallFaults(socket_rate=1000), upstream.address) as (port, admin),
+        faulty_process(tmp_path, SystemCallFaults(socket_rate=1000), upstream.address) as (port, admin),
     ):
-        await becomes_ready(port, admin)
-        assert await ask(port, request()) == 200
+        await wait_until_ready(port, admin)
+        assert await fetch_status(port, request()) == 200
 
 
 @on_loop
-async def test_an_operators_file_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
-    """The configuration can: it comes from where nothing fails."""
-    elsewhere, here = tmp_path / "elsewhere", tmp_path / "here"
-    elsewhere.mkdir()
-    here.mkdir()
+async def test_failures_to_open_the_operators_file_are_retried(tmp_path: Path) -> None:
+    """The configuration is in a folder in which no faults occur."""
+    config_folder, failing_folder = tmp_path / "elsewhere", tmp_path / "here"
+    config_folder.mkdir()
+    failing_folder.mkdir()
     async with (
         scripted_server() as upstream,
-        failing(here, SystemCallFaults(file_rate=1000), upstream.address, elsewhere) as (port, admin),
+        faulty_process(failing_folder, SystemCallFaults(file_rate=1000), upstream.address, config_folder) as (
+            port,
+            admin,
+        ),
     ):
-        await becomes_ready(port, admin)
+        await wait_until_ready(port, admin)
 
 
 @on_loop
-async def test_a_configuration_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
+async def test_failures_to_open_the_configuration_are_retried(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
-        failing(tmp_path, SystemCallFaults(file_rate=1000), upstream.address) as (port, admin),
+        faulty_process(tmp_path, SystemCallFaults(file_rate=1000), upstream.address) as (port, admin),
     ):
-        await becomes_ready(port, admin)
-        assert await ask(port, request()) == 200
+        await wait_until_ready(port, admin)
+        assert await fetch_status(port, request()) == 200
 
 
 @on_loop
-async def test_a_bad_configuration_ends_with_2_though_nobody_can_be_told(tmp_path: Path) -> None:
+async def test_an_invalid_configuration_exits_with_2_although_standard_error_cannot_be_written(
+    tmp_path: Path,
+) -> None:
     file = tmp_path / "config.json"
     file.write_text("no JSON")
     with open("/dev/full", "w") as full:
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -1,4 +1,4 @@
-"""What a failing machine does to one process: its log, its folder, its descriptors, its configuration."""
+"""System failures at run time: unwritable log, lost hot restart marker, accept errors, few descriptors."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     silent,
     until,
 )
-from tests.test_gateway_process import READY, ROOT, ask, connect, free_port
-from tests.test_hot_restart import marks, start
+from tests.test_gateway_process import READY, ROOT, connect, fetch_status, free_port
+from tests.test_hot_restart import marker_pids, start
 
 
 @asynccontextmanager
-async def returning_discovery(upstream: ScriptedServer, resets: int) -> AsyncIterator[ScriptedServer]:
-    """It resets its first calls, and then says that the server drains."""
+async def recovering_discovery(upstream: ScriptedServer, resets: int) -> AsyncIterator[ScriptedServer]:
+    """A discovery service that resets its first calls and then reports the server as draining."""
     calls = 0
 
     async def script(exchange: Exchange) -> None:
@@ -54,11 +54,11 @@
 
 
 @on_loop
-async def test_a_log_that_cannot_be_written_costs_nothing_else() -> None:
-    """A full disk under standard error: discovery fails, which is told in the log, and is asked again."""
+async def test_an_unwritable_log_has_no_other_effect() -> None:
+    """Standard error is on a full disk; failed discovery calls are logged and still repeated."""
     full = os.open("/dev/full", os.O_WRONLY)
     kept = os.dup(sys.__stderr__.fileno())  # type: ignore[union-attr]
-    async with scripted_server() as upstream, returning_discovery(upstream, resets=2) as discovery:
+    async with scripted_server() as upstream, recovering_discovery(upstream, resets=2) as discovery:
         os.dup2(full, 2)
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
@@ -73,48 +73,49 @@
 
 
 @on_loop
-async def test_a_process_told_to_end_while_the_one_before_still_leaves_takes_what_comes(
+async def test_a_process_stopped_while_its_predecessor_still_drains_accepts_new_clients(
     tmp_path: Path,
 ) -> None:
-    """An upgrade and a restart cross: neither may count on the other for new clients."""
+    """A restart during an upgrade: neither draining process may rely on the other to accept clients."""
     async with scripted_server(silent) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
-            held = await connect(port)
-            held.send(request("transfer", b"held"))
+            pending = await connect(port)
+            pending.send(request("transfer", b"held"))
             await until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marks(tmp_path, "serving"))
+            await until(lambda: new.pid in marker_pids(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
-            await until(lambda: old.pid not in marks(tmp_path, "serving"))
+            await until(lambda: old.pid not in marker_pids(tmp_path, "serving"))
             new.send_signal(signal.SIGTERM)
-            await until(lambda: new.pid not in marks(tmp_path, "serving"))  # the signal has come
+            # Once the process is no longer marked as serving, the signal has been handled.
+            await until(lambda: new.pid not in marker_pids(tmp_path, "serving"))
             async with asyncio.timeout(3.0):
                 for _ in range(4):
-                    assert await ask(port, READY) == 503
+                    assert await fetch_status(port, READY) == 503
             upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await held.answer()).body == b"done"
+            assert (await pending.answer()).body == b"done"
             assert await old.wait() == 0 and await new.wait() == 0
-            held.close()
+            pending.close()
 
 
 @on_loop
-async def test_a_mark_that_is_lost_in_the_folder_does_not_keep_a_process_from_serving(tmp_path: Path) -> None:
+async def test_a_process_whose_marker_was_deleted_still_serves(tmp_path: Path) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        overlap = HotRestart(str(tmp_path))
-        overlap.join()
-        for mark in tmp_path.iterdir():
-            mark.unlink()
-        overlap.mark_serving()  # as the process does once it takes clients
-        overlap.refresh()
-        overlap.release()
-        run.server.siblings = overlap
+        hot_restart = HotRestart(str(tmp_path))
+        hot_restart.join()
+        for marker in tmp_path.iterdir():
+            marker.unlink()
+        hot_restart.mark_serving()  # as the process does once it accepts clients
+        hot_restart.refresh()
+        hot_restart.release()
+        run.server.siblings = hot_restart
         assert (await run.ask(request())).status == 200
 
 
 class FailingListener:
-    """A listening socket on which every second call fails, each time with another error."""
+    """A listening socket on which every second accept fails, with a different error each time."""
 
     def __init__(self, listener: socket.socket) -> None:
         self.listener, self.calls = listener, 0
@@ -131,31 +132,31 @@
 
 
 @on_loop
-async def test_an_accept_that_fails_costs_no_client_its_answer() -> None:
-    """Neither who waits to be accepted nor who was accepted a moment ago and has not spoken yet."""
+async def test_accept_errors_do_not_affect_clients() -> None:
+    """Clients waiting to be accepted are unaffected, as are accepted ones that have sent nothing yet."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert run.server.acceptor.listener is not None
         run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
         assert (await kept.ask(request())).status == 200
 
-        async def one(number: int) -> int:
+        async def send_request(number: int) -> int:
             await asyncio.sleep(number * 0.005)
             client = await run.connect()
-            await asyncio.sleep(0.05)  # others are accepted meanwhile, or fail to be
+            await asyncio.sleep(0.05)  # meanwhile, accepting other clients succeeds or fails
             status = (await client.ask(request())).status
             client.close()
             return status
 
-        statuses = await asyncio.gather(*(one(number) for number in range(40)))
+        statuses = await asyncio.gather(*(send_request(number) for number in range(40)))
         assert statuses == [200] * 40
         assert (await kept.ask(request())).status == 200
         kept.close()
 
 
 @on_loop
-async def test_a_process_that_may_hold_fewer_descriptors_than_it_is_told_serves(tmp_path: Path) -> None:
-    """The shell's limit is lower than the configuration's, and idle clients would use it up."""
+async def test_a_process_with_fewer_descriptors_than_configured_serves(tmp_path: Path) -> None:
+    """The limit of the shell is below the configured one, and idle clients would exhaust it."""
     port = free_port()
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
@@ -167,11 +168,11 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            while await ask(port, READY) != 200:
+            while await fetch_status(port, READY) != 200:
                 assert process.returncode is None
                 await asyncio.sleep(0.02)
             idle = [await connect(port) for _ in range(100)]
-            assert [await ask(port, request()) for _ in range(10)] == [200] * 10
+            assert [await fetch_status(port, request()) for _ in range(10)] == [200] * 10
             for client in idle:
                 client.close()
         finally:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process: start, configuration, signals, exit."""
+"""The gateway as a separate process: start, configuration, signals and exit."""
 
 from __future__ import annotations
 
@@ -54,16 +54,16 @@
 
 
 @asynccontextmanager
-async def program(
+async def gateway_process(
     folder: Path, config: dict[str, Any]
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program, once it is ready, and its port."""
+    """Start a gateway process, wait until it is ready, and return it with its port."""
     port = free_port()
     file = folder / "config.json"
     file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
     process = await start({"LB_CONFIG": str(file)})
     try:
-        while (await ask(port, READY)) != 200:
+        while (await fetch_status(port, READY)) != 200:
             assert process.returncode is None
             await asyncio.sleep(0.01)
         yield process, port
@@ -77,7 +77,7 @@
     return Client(*await asyncio.open_connection("127.0.0.1", port))
 
 
-async def ask(port: int, data: bytes) -> int:
+async def fetch_status(port: int, data: bytes) -> int:
     try:
         client = await connect(port)
         status = (await client.ask(data)).status
@@ -88,9 +88,12 @@
 
 
 @on_loop
-async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
-    async with scripted_server() as upstream, program(tmp_path, configuration(upstream)) as (process, port):
-        assert await ask(port, request("transfer", b"x")) == 200
+async def test_a_process_serves_and_exits_with_0_after_sigterm(tmp_path: Path) -> None:
+    async with (
+        scripted_server() as upstream,
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
+    ):
+        assert await fetch_status(port, request("transfer", b"x")) == 200
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0 and b"Traceback" not in errors
@@ -100,16 +103,16 @@
 async def test_a_shutdown_finishes_requests_in_flight_and_serves_new_ones(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
-        program(tmp_path, configuration(upstream)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, busy = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
         busy.send(request("transfer", b"held"))
         await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
-        assert await idle.reader.read() == b""  # idle ones are closed, and so the signal has come
-        process.send_signal(signal.SIGTERM)  # a second one changes nothing
-        assert await ask(port, READY) == 503
+        assert await idle.reader.read() == b""  # idle connections are closed once the signal has been handled
+        process.send_signal(signal.SIGTERM)  # a second signal has no effect
+        assert await fetch_status(port, READY) == 503
         late = await connect(port)
         late.send(request("transfer", b"late"))
         await until(lambda: len(upstream.exchanges) == 2)
@@ -128,7 +131,7 @@
 async def test_all_requests_read_on_a_connection_are_answered_at_shutdown(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
-        program(tmp_path, configuration(upstream)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, client = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
@@ -145,16 +148,16 @@
 
 
 @on_loop
-async def test_a_request_that_never_ends_is_answered_before_the_kill(tmp_path: Path) -> None:
+async def test_a_request_that_never_ends_gets_a_response_before_the_kill(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
-        program(tmp_path, configuration(upstream)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         client = await connect(port)
         client.send(request("transfer"))
         await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s, and there are 0.7 s more
+        async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s at shutdown, plus 0.7 s
             answer = await client.answer()
             assert answer.status == 502 and answer.headers["connection"] == "close"
             assert await process.wait() == 0
@@ -162,9 +165,9 @@
 
 
 @on_loop
-async def test_a_signal_during_the_start_ends_it_with_0(tmp_path: Path) -> None:
+async def test_a_signal_during_the_start_ends_the_process_with_0(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
-    os.mkfifo(pipe)  # the program waits here for its configuration
+    os.mkfifo(pipe)  # the process blocks here until the configuration is written
     process = await start({"LB_CONFIG": str(pipe)})
     end = await asyncio.get_running_loop().run_in_executor(None, os.open, pipe, os.O_WRONLY)
     process.send_signal(signal.SIGTERM)
@@ -172,7 +175,7 @@
     os.close(end)
 
 
-BAD: list[tuple[str | None, str]] = [
+INVALID_CONFIGURATIONS: list[tuple[str | None, str]] = [
     (None, "No such file"),
     ("", "not JSON"),
     ("[]", "not an object"),
@@ -188,10 +191,10 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "why"), BAD)
+@pytest.mark.parametrize(("text", "reason"), INVALID_CONFIGURATIONS)
 @on_loop
-async def test_a_configuration_that_cannot_be_used_is_one_line_and_2(
-    tmp_path: Path, text: str | None, why: str
+async def test_an_unusable_configuration_causes_one_error_line_and_exit_status_2(
+    tmp_path: Path, text: str | None, reason: str
 ) -> None:
     file = tmp_path / "config.json"
     if text is not None:
@@ -199,18 +202,18 @@
     process = await start({"LB_CONFIG": str(file)})
     output, errors = await process.communicate()
     assert process.returncode == 2 and not output
-    assert errors.count(b"\n") == 1 and why in errors.decode()
+    assert errors.count(b"\n") == 1 and reason in errors.decode()
 
 
 @on_loop
-async def test_no_configuration_is_one_line_and_2() -> None:
+async def test_a_missing_configuration_causes_one_error_line_and_exit_status_2() -> None:
     process = await start({"LB_CONFIG": ""})
     _, errors = await process.communicate()
     assert process.returncode == 2 and errors == b"sagetrack: LB_CONFIG is not set\n"
 
 
 @on_loop
-async def test_an_address_in_use_is_one_line(tmp_path: Path) -> None:
+async def test_an_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(upstream) | {"listen": upstream.address}))
@@ -221,19 +224,19 @@
 
 
 @on_loop
-async def test_no_request_is_lost_at_a_restart_under_way(tmp_path: Path) -> None:
-    """Clients keep sending, and connect anew, for as long as the front lets them after the signal.
+async def test_no_request_is_lost_during_a_shutdown(tmp_path: Path) -> None:
+    """Clients continue to send and to reconnect after the signal, as long as connections are accepted.
 
-    A connection that ends between requests may have crossed one: that is sent once more, on a new one.
+    A connection may be closed while the client sends a request on it: the request is repeated on a new one.
     """
 
-    async def slowly(exchange: Exchange) -> None:
+    async def slow_response(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
         exchange.answer(reply(200, exchange.message.body))
 
     async with (
-        scripted_server(slowly) as upstream,
-        program(tmp_path, configuration(upstream)) as (process, port),
+        scripted_server(slow_response) as upstream,
+        gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         loop = asyncio.get_running_loop()
         end_s: list[float] = []
@@ -241,18 +244,18 @@
 
         async def client(number: int) -> None:
             nonlocal served, lost
-            open_: Client | None = None
+            connection: Client | None = None
             while not end_s or loop.time() < end_s[0]:
                 data = request("transfer", b"%d" % number)
                 for again in (False, True):
-                    used = open_ is not None
+                    used = connection is not None
                     try:
-                        open_ = open_ or await connect(port)
-                        answer = await open_.ask(data)
+                        connection = connection or await connect(port)
+                        answer = await connection.ask(data)
                     except (OSError, asyncio.IncompleteReadError):
-                        if open_ is not None:
-                            open_.close()
-                        open_ = None
+                        if connection is not None:
+                            connection.close()
+                        connection = None
                         if again or not used:
                             lost += 1
                             break
@@ -260,11 +263,11 @@
                     assert answer.status in (200, 503)
                     served += 1
                     if answer.headers.get("connection") == "close":
-                        open_.close()
-                        open_ = None
+                        connection.close()
+                        connection = None
                     break
-            if open_ is not None:
-                open_.close()
+            if connection is not None:
+                connection.close()
 
         clients = [asyncio.create_task(client(number)) for number in range(12)]
         await until(lambda: served > 50)
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP with the real program: discovery moves, and nothing else is disturbed."""
+"""Reload on SIGHUP in a gateway process: the discovery address changes without affecting requests."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     silent,
     until,
 )
-from tests.test_gateway_process import ask, connect, program
+from tests.test_gateway_process import connect, fetch_status, gateway_process
 
 
-def replace(folder: Path, **changes: Any) -> None:
-    """As the platform does it: the new file takes the old one's place at once."""
+def replace_configuration(folder: Path, **changes: Any) -> None:
+    """Replace the configuration file atomically, as the platform does."""
     file, new = folder / "config.json", folder / "new.json"
     new.write_text(json.dumps(json.loads(file.read_text()) | changes))
     os.replace(new, file)
 
 
-def lists_once(*endpoints: dict[str, object]) -> Any:
-    """Answer the call for the whole list; a watch hears nothing."""
+def complete_list_only(*endpoints: dict[str, object]) -> Any:
+    """Respond to calls for the complete list, but not to a watch."""
 
     def script(exchange: Exchange) -> None:
         if "from=" not in exchange.message.start_line:
@@ -44,69 +44,69 @@
     return script
 
 
-def asked(registry: ScriptedServer) -> list[str]:
+def request_targets(registry: ScriptedServer) -> list[str]:
     return [exchange.message.start_line.split(" ")[1] for exchange in registry.exchanges]
 
 
 @on_loop
-async def test_discovery_moves_at_once_while_requests_go_on(tmp_path: Path) -> None:
+async def test_a_new_discovery_address_is_used_immediately_while_requests_continue(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as old_host,
         scripted_server() as new_host,
         scripted_server(silent) as old,
-        scripted_server(lists_once(endpoint("s-9", new_host.address))) as new,
-        program(tmp_path, configuration(old_host, discovery=old.address)) as (process, port),
+        scripted_server(complete_list_only(endpoint("s-9", new_host.address))) as new,
+        gateway_process(tmp_path, configuration(old_host, discovery=old.address)) as (process, port),
     ):
         await until(lambda: old.exchanges)
         client = await connect(port)
         client.send(request("transfer", b"held"))
         await until(lambda: old_host.exchanges)
-        replace(tmp_path, discovery=new.address)
+        replace_configuration(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(new.exchanges) == 2)
-        # The whole list, then a watch from its version, on one connection; the old one is let go.
-        assert asked(new) == ["/registry/instances", "/registry/instances?from=3&hold_ms=250"]
+        # The complete list, then a watch from its version, on one connection; the old connection is closed.
+        assert request_targets(new) == ["/registry/instances", "/registry/instances?from=3&hold_ms=250"]
         await until(lambda: old.closed_connections == old.opened_connections)
         old_host.exchanges[0].answer(reply(200, b"held"))
         assert (await client.answer()).body == b"held"
         assert (await client.ask(request("transfer"))).status == 200
         assert len(new_host.exchanges) == 1 and len(old_host.exchanges) == 1
-        # And back, with a second signal while the first is looked at.
-        replace(tmp_path, discovery=old.address)
+        # The address changes back, with a second signal while the first is being handled.
+        replace_configuration(tmp_path, discovery=old.address)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(old.exchanges) == 2)
-        assert asked(old)[-1] == "/registry/instances"
+        assert request_targets(old)[-1] == "/registry/instances"
         client.close()
 
 
 @on_loop
-async def test_a_call_under_way_is_called_off_and_no_host_is_dropped(tmp_path: Path) -> None:
-    """SIGHUP comes while a call is under way; it is called off, and calls at the new address fail."""
+async def test_a_running_call_is_cancelled_and_no_server_is_removed(tmp_path: Path) -> None:
+    """SIGHUP arrives during a call, which is cancelled; calls to the new address fail."""
     async with (
         scripted_server() as upstream,
         scripted_server(silent) as old,
         scripted_server(lambda exchange: exchange.reset()) as new,
-        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
     ):
         await until(lambda: old.exchanges)
-        replace(tmp_path, discovery=new.address)
+        replace_configuration(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(new.exchanges) >= 2)  # a failed call is made again
+        await until(lambda: len(new.exchanges) >= 2)  # a failed call is repeated
         await until(lambda: old.closed_connections)
-        assert await ask(port, request("transfer")) == 200  # the list that was known stands
+        assert await fetch_status(port, request("transfer")) == 200  # the previous list stays in use
         new.script = silent
 
 
 @pytest.mark.parametrize("text", ["", "{}", '{"discovery":"127.0.0.1:1"}', None])
 @on_loop
-async def test_a_file_that_cannot_be_used_changes_nothing(tmp_path: Path, text: str | None) -> None:
-    """No watch is overdue here: with so long a grace one may be silent for longer than the test takes."""
+async def test_an_unusable_file_changes_nothing(tmp_path: Path, text: str | None) -> None:
+    """The grace period is so long that no watch times out during the test."""
     async with scripted_server() as upstream, scripted_server(silent) as registry:
-        registry.script = lists_once(endpoint("s-0", upstream.address))
+        registry.script = complete_list_only(endpoint("s-0", upstream.address))
         config = configuration(upstream, discovery=registry.address)
         config["settings"]["contract"]["stopSendingWithinUs"] = 200_000_000
-        async with program(tmp_path, config) as (process, port):
+        async with gateway_process(tmp_path, config) as (process, port):
             await until(lambda: len(registry.exchanges) == 2)
             if text is None:
                 os.remove(tmp_path / "config.json")
@@ -116,26 +116,26 @@
             assert process.stderr is not None
             line = await process.stderr.readline()
             assert b"configuration reload failed, keeping the previous one: " in line
-            assert await ask(port, request("transfer")) == 200
+            assert await fetch_status(port, request("transfer")) == 200
             assert registry.closed_connections == 0
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
-            assert process.returncode == 0 and errors.count(b"\n") == 1  # the line of the end
+            assert process.returncode == 0 and errors.count(b"\n") == 1  # the shutdown line
 
 
 @on_loop
-async def test_it_is_taken_on_the_way_out_and_before_the_loop_runs(tmp_path: Path) -> None:
+async def test_a_reload_is_applied_during_shutdown(tmp_path: Path) -> None:
     async with (
         scripted_server(silent) as upstream,
         scripted_server(silent) as old,
         scripted_server(silent) as new,
-        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
+        gateway_process(tmp_path, configuration(upstream, discovery=old.address)) as (process, port),
     ):
         client = await connect(port)
         client.send(request("transfer"))
         await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
-        replace(tmp_path, discovery=new.address)
+        replace_configuration(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
         await until(lambda: new.exchanges)
         upstream.exchanges[0].answer(reply(200, b"x"))
@@ -145,11 +145,11 @@
 
 
 @on_loop
-async def test_a_signal_while_the_file_is_first_read_is_kept(tmp_path: Path) -> None:
+async def test_a_signal_during_the_first_read_of_the_file_causes_a_reload(tmp_path: Path) -> None:
     from tests.test_gateway_process import start
 
     pipe = tmp_path / "config.json"
-    os.mkfifo(pipe)  # the program waits here for its configuration
+    os.mkfifo(pipe)  # the process blocks here until the configuration is written
     async with scripted_server() as upstream, scripted_server(silent) as old, scripted_server(silent) as new:
         process = await start({"LB_CONFIG": str(pipe)})
         loop = asyncio.get_running_loop()
@@ -167,13 +167,16 @@
 
 
 @on_loop
-async def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_again(tmp_path: Path) -> None:
-    """Half written as the signal comes, or no descriptor to open it with: there is no second signal."""
+async def test_a_temporarily_unreadable_configuration_is_read_again(tmp_path: Path) -> None:
+    """The file is incomplete when the signal arrives, and there is no second signal.
+
+    A lack of descriptors to open the file would have the same effect.
+    """
     async with (
         scripted_server() as upstream,
         scripted_server(silent) as old,
-        scripted_server(lists_once(endpoint("s-9", upstream.address))) as new,
-        program(tmp_path, configuration(upstream, discovery=old.address)) as (process, _),
+        scripted_server(complete_list_only(endpoint("s-9", upstream.address))) as new,
+        gateway_process(tmp_path, configuration(upstream, discovery=old.address)) as (process, _),
     ):
         await until(lambda: old.exchanges)
         file = tmp_path / "config.json"
@@ -182,5 +185,5 @@
         process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.3)
         file.write_text(whole)
-        async with asyncio.timeout(4.0):  # what it has to tell counts then
+        async with asyncio.timeout(4.0):  # after this time a gateway is considered informed of changes
             await until(lambda: new.exchanges)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A second process beside the first: one listening socket, one $TMPDIR, no request lost."""
+"""Hot restart: two processes share a listening socket and $TMPDIR, and no request is lost."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     silent,
     until,
 )
-from tests.test_gateway_process import READY, ROOT, ask, connect
+from tests.test_gateway_process import READY, ROOT, connect, fetch_status
 
 
 async def start(
     folder: Path, listener: socket.socket, config: dict[str, object]
 ) -> asyncio.subprocess.Process:
-    """The program, with the listening socket under a number that the environment names."""
+    """Start a gateway process that inherits the listening socket through LB_ACCEPT_FD."""
     file = folder / "config.json"
     port = listener.getsockname()[1]
     file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
@@ -52,52 +52,54 @@
     )
 
 
-def as_written(known: dict[str, object]) -> dict[str, object]:
-    """The list as the next process reads it."""
+def decode_list(known: dict[str, object]) -> dict[str, object]:
+    """Return the list as the successor process reads it."""
     read: dict[str, object] = json.loads(encode_endpoint_list(known))
     return read
 
 
-def marks(folder: Path, state: str) -> set[int]:
-    names = [mark.name for mark in folder.glob(f"sagetrack-[0-9]*.{state}")]
+def marker_pids(folder: Path, state: str) -> set[int]:
+    names = [marker.name for marker in folder.glob(f"sagetrack-[0-9]*.{state}")]
     return {int(name.split("-")[1].split(".")[0]) for name in names}
 
 
 @on_loop
-async def test_a_second_process_takes_over_and_the_first_finishes_what_it_took(tmp_path: Path) -> None:
+async def test_a_second_process_takes_over_and_the_first_finishes_its_requests(tmp_path: Path) -> None:
     async with scripted_server(silent) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
-            held = await connect(port)  # waits in the queue until the process is up
-            held.send(request("transfer", b"held"))
-            kept = await connect(port)
-            assert (await kept.ask(READY)).status == 200
+            pending = await connect(port)  # waits in the accept queue until the process has started
+            pending.send(request("transfer", b"held"))
+            persistent = await connect(port)
+            assert (await persistent.ask(READY)).status == 200
             await until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marks(tmp_path, "serving"))
+            await until(lambda: new.pid in marker_pids(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
-            # The kept connection is still served, and told that this is its last answer.
-            while (answer := await kept.ask(READY)).status == 200:
+            # The persistent connection is served until a response announces its close.
+            while (answer := await persistent.ask(READY)).status == 200:
                 pass
             assert answer.headers["connection"] == "close"
-            # New connections are the new process's: the old one's way out does not shut the socket down.
+            # New connections go to the new process: the old one closes the socket without a shutdown.
             for _ in range(8):
-                assert await ask(port, READY) == 200
+                assert await fetch_status(port, READY) == 200
             upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await held.answer()).body == b"done"
+            assert (await pending.answer()).body == b"done"
             assert await old.wait() == 0
-            assert await ask(port, READY) == 200
-            assert marks(tmp_path, "*") == {new.pid}
+            assert await fetch_status(port, READY) == 200
+            assert marker_pids(tmp_path, "*") == {new.pid}
             new.send_signal(signal.SIGTERM)
             assert await new.wait() == 0
-            for client in (held, kept):
+            for client in (pending, persistent):
                 client.close()
 
 
 @pytest.mark.parametrize("value", ["x", "-1", "99", "file", "unbound"])
 @on_loop
-async def test_a_descriptor_that_cannot_be_used_is_one_line_and_2(tmp_path: Path, value: str) -> None:
+async def test_an_unusable_descriptor_causes_one_error_line_and_exit_status_2(
+    tmp_path: Path, value: str
+) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration("127.0.0.1:1")))
     with socket.socket() as unbound, file.open() as plain:
@@ -118,35 +120,35 @@
     assert errors.count(b"\n") == 1 and errors.startswith(b"sagetrack: LB_ACCEPT_FD ")
 
 
-def test_what_is_left_in_the_folder_says_nothing(tmp_path: Path) -> None:
-    """Marks that nobody holds are cleared away, and other files are nobody's mark."""
+def test_stale_markers_and_other_files_do_not_count_as_siblings(tmp_path: Path) -> None:
+    """Markers without a lock are removed, and other files are ignored."""
     (tmp_path / "sagetrack-1.serving").write_text("")
     (tmp_path / "sagetrack-x.serving").write_text("")
-    overlap = HotRestart(str(tmp_path))
-    overlap.join()
-    assert (overlap.sibling_count, overlap.serving_sibling_count) == (0, 0)
+    hot_restart = HotRestart(str(tmp_path))
+    hot_restart.join()
+    assert (hot_restart.sibling_count, hot_restart.serving_sibling_count) == (0, 0)
     assert sorted(os.listdir(tmp_path)) == [f"sagetrack-{os.getpid()}.starting", "sagetrack-x.serving"]
-    overlap.mark_serving()
-    assert marks(tmp_path, "serving") == {os.getpid()}
-    overlap.release()
+    hot_restart.mark_serving()
+    assert marker_pids(tmp_path, "serving") == {os.getpid()}
+    hot_restart.release()
     assert os.listdir(tmp_path) == ["sagetrack-x.serving"]
 
 
 @on_loop
-async def test_descriptors_are_shared_by_the_processes() -> None:
+async def test_sibling_processes_share_the_descriptor_limit() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
         assert run.server.descriptors.limit == 1024
         run.server.siblings.sibling_count = 1
         assert run.server.descriptors.limit == 512
-        await asyncio.sleep(0)  # the watch that the start has begun runs once
+        await asyncio.sleep(0)  # lets the watch task begin before it is cancelled
 
 
 DISCOVERY = ("127.0.0.1", 8500)
-NEWS = {"discovery": list(DISCOVERY), "known": {"index": 9, "snapshot": True, "endpoints": []}}
+NEWER_LIST = {"discovery": list(DISCOVERY), "known": {"index": 9, "snapshot": True, "endpoints": []}}
 
 
 @pytest.mark.parametrize(
-    "left",
+    "content",
     [
         b"",
         b"{",
@@ -155,14 +157,16 @@
         b"\xff",
         b'{"known":{"index":9}}',
         b'{"discovery":["127.0.0.1",8500],"known":[]}',
-        json.dumps(NEWS).encode()[:-5],
-        json.dumps(NEWS | {"discovery": ["127.0.0.1", 8501]}).encode(),
-        json.dumps(NEWS | {"known": {"index": 7}}).encode(),
-        json.dumps(NEWS | {"known": {"index": "new"}}).encode(),
+        json.dumps(NEWER_LIST).encode()[:-5],
+        json.dumps(NEWER_LIST | {"discovery": ["127.0.0.1", 8501]}).encode(),
+        json.dumps(NEWER_LIST | {"known": {"index": 7}}).encode(),
+        json.dumps(NEWER_LIST | {"known": {"index": "new"}}).encode(),
     ],
 )
-def test_a_list_that_is_stale_foreign_or_half_written_is_not_used(tmp_path: Path, left: bytes) -> None:
-    (tmp_path / FILE_NAME).write_bytes(left)
+def test_a_list_that_is_stale_incomplete_or_from_another_service_is_ignored(
+    tmp_path: Path, content: bytes
+) -> None:
+    (tmp_path / FILE_NAME).write_bytes(content)
     known = {"index": 7}
     assert EndpointListFile(tmp_path).select_newest(DISCOVERY, known) is known
 
@@ -174,67 +178,71 @@
     assert os.listdir(tmp_path) == [FILE_NAME]
     assert file.select_newest(DISCOVERY, {"index": 8})["endpoints"] == [{"name": "s"}]
     known = {"index": 8}
-    assert file.select_newest(DISCOVERY, known, lambda endpoints: False) is known  # no entry can be read
+    assert file.select_newest(DISCOVERY, known, lambda endpoints: False) is known  # no entry can be parsed
     assert EndpointListFile(None).select_newest(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
 @on_loop
 async def test_entries_are_stored_as_discovery_sent_them() -> None:
-    news = [
+    responses = [
         list_reply(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
         list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
-    async with scripted_server(lambda exchange: exchange.answer(news.pop(0)) if news else None) as registry:
+    async with scripted_server(
+        lambda exchange: exchange.answer(responses.pop(0)) if responses else None
+    ) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"
         async with running(config) as run:
-            kept: list[dict[str, object]] = []
-            run.instance.discovery.on_list_changed = lambda address, known: kept.append(as_written(known()))
+            saved: list[dict[str, object]] = []
+            run.instance.discovery.on_list_changed = lambda address, get_fields: saved.append(
+                decode_list(get_fields())
+            )
             run.instance.discovery.watch(True)
-            await until(lambda: len(kept) == 2)
-            assert kept[0] == endpoint_list(
+            await until(lambda: len(saved) == 2)
+            assert saved[0] == endpoint_list(
                 8, endpoint("s-0", "127.0.0.1:1"), endpoint("s-1", "127.0.0.1:1", status="DRAINING")
             )
-            assert kept[1] == endpoint_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
+            assert saved[1] == endpoint_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
 
 
 @on_loop
-async def test_the_next_process_begins_with_what_the_last_one_heard(tmp_path: Path) -> None:
-    """The platform's list still names a host that has gone; the processes' own one has its successor."""
-    async with scripted_server() as gone, scripted_server() as successor:
-        config = configuration(gone)
+async def test_the_next_process_starts_with_the_list_of_the_previous_one(tmp_path: Path) -> None:
+    """The configured list has a withdrawn server; the list of the previous process has its replacement."""
+    async with scripted_server() as withdrawn, scripted_server() as successor:
+        config = configuration(withdrawn)
         EndpointListFile(tmp_path).write(
             ("127.0.0.1", 9), endpoint_list(8, endpoint("s-5", successor.address))
         )
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             process = await start(tmp_path, listener, config)
-            assert await ask(port, request("transfer")) == 200
-            assert len(successor.exchanges) == 1 and not gone.exchanges
+            assert await fetch_status(port, request("transfer")) == 200
+            assert len(successor.exchanges) == 1 and not withdrawn.exchanges
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
 
-def test_cold_servers_get_from_two_processes_what_one_may_send() -> None:
+def test_two_processes_share_the_slow_start_budget_of_one() -> None:
     from sagetrack.policy.events import ProcessCountChanged
     from tests.helpers import Driver
 
     driver = Driver()
-    whole = driver.balancer.slow_start.window_budget_us()
+    full_budget_us = driver.balancer.slow_start.window_budget_us()
     driver.handle(ProcessCountChanged(2))
-    assert driver.balancer.slow_start.window_budget_us() == whole / 2
+    assert driver.balancer.slow_start.window_budget_us() == full_budget_us / 2
     driver.handle(ProcessCountChanged(1))
-    assert driver.balancer.slow_start.window_budget_us() == whole
+    assert driver.balancer.slow_start.window_budget_us() == full_budget_us
 
 
-def test_a_folder_that_cannot_be_used_is_said_and_does_no_harm(
+def test_an_unusable_folder_is_logged_and_has_no_other_effect(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    overlap = HotRestart(str(tmp_path / "missing"))
-    overlap.join()
-    overlap.mark_serving()
-    overlap.refresh()
-    overlap.endpoint_list.write(DISCOVERY, {"index": 1})
-    overlap.release()
-    assert (overlap.sibling_count, overlap.serving_sibling_count) == (0, 0)
+    hot_restart = HotRestart(str(tmp_path / "missing"))
+    hot_restart.join()
+    hot_restart.mark_serving()
+    hot_restart.refresh()
+    hot_restart.endpoint_list.write(DISCOVERY, {"index": 1})
+    hot_restart.release()
+    assert (hot_restart.sibling_count, hot_restart.serving_sibling_count) == (0, 0)
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""A gateway's start: what it waits for, and what it loads. Bounds are events and counts, not times."""
+"""The start of a gateway: what it waits for and which modules it loads; tests wait for events, not times."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 ROOT = Path(__file__).parent.parent
 
 
-class StandingDisk(Disk):
-    """A disk that lets nothing be read until it is let go."""
+class BlockedDisk(Disk):
+    """A disk whose reads block until `unblocked` is set."""
 
-    go: threading.Event
-    asked: threading.Event
+    unblocked: threading.Event
+    read_started: threading.Event
 
     def read(self, name: str, at: int, count: int) -> bytes:
-        self.asked.set()
-        assert self.go.wait(60)
+        self.read_started.set()
+        assert self.unblocked.wait(60)
         return super().read(name, at, count)
 
 
@@ -40,44 +40,44 @@
 
 
 @on_loop
-async def test_clients_are_taken_while_the_stores_disk_stands_still(
+async def test_clients_are_accepted_while_the_disk_of_the_store_blocks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What was known before is taken up when it can be read, and nothing is written over it meanwhile."""
+    """Stored observations are restored once they can be read, and are not overwritten before that."""
     operator = load_operator(str(operator_with_store(tmp_path)))
     async with scripted_server() as upstream:
         config = configuration(upstream)
         async with running(config, operator) as gateway:
             for _ in range(8):
                 assert (await gateway.ask(request())).status == 200
-            before = {sight.server for sight in gateway.gateway.balancer.own_observations()[0]}
+            before = {observation.server for observation in gateway.gateway.balancer.own_observations()[0]}
         assert before
-        StandingDisk.go, StandingDisk.asked = threading.Event(), threading.Event()
-        monkeypatch.setattr("sagetrack.server.persistence.Disk", StandingDisk)
+        BlockedDisk.unblocked, BlockedDisk.read_started = threading.Event(), threading.Event()
+        monkeypatch.setattr("sagetrack.server.persistence.Disk", BlockedDisk)
         try:
             async with running(config, operator) as gateway:
                 persistence = gateway.instance.persistence
-                assert persistence is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
+                assert persistence is not None and await asyncio.to_thread(BlockedDisk.read_started.wait, 60)
                 assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
                 assert (await gateway.ask(request())).status == 200
                 assert not gateway.gateway.balancer.gossip.received and not persistence.read_finished.is_set()
                 persistence.save()
-                StandingDisk.go.set()
+                BlockedDisk.unblocked.set()
                 await persistence.read_finished.wait()
                 assert {server for server, _ in gateway.gateway.balancer.gossip.received} == before
         finally:
-            StandingDisk.go.set()
+            BlockedDisk.unblocked.set()
 
 
 @pytest.mark.parametrize("mode", ["pushed", "asked"])
 @on_loop
 async def test_a_gateway_with_a_list_is_ready_while_discovery_is_silent(mode: str) -> None:
-    """It is connected to, it hears the call, and it says nothing."""
+    """Discovery accepts the connection and the call, but never responds."""
     called = asyncio.Event()
-    held: list[asyncio.StreamWriter] = []
+    writers: list[asyncio.StreamWriter] = []
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        held.append(writer)
+        writers.append(writer)
         await reader.readline()
         called.set()
 
@@ -93,24 +93,24 @@
                 if mode == "pushed":
                     await called.wait()
     finally:
-        for writer in held:
+        for writer in writers:
             writer.close()
         silent.close()
 
 
-def test_a_start_loads_only_what_it_was_asked_for_and_tells_its_parts(tmp_path: Path) -> None:
-    """Without an operator's file: no store, no peers, no DNS, no newer format, no lab."""
+def test_a_start_loads_only_required_modules_and_logs_its_phases(tmp_path: Path) -> None:
+    """Without an operator's file, the optional packages (store, peers, DNS, gRPC, lab) are not loaded."""
     config, script = tmp_path / "c.json", tmp_path / "start.py"
     config.write_text(json.dumps(configuration("127.0.0.1:9")))
     script.write_text(
         "import os, signal, sys\n"
         "import sagetrack.server.startup_timing as startup\n"
-        "told = startup.StartupTiming.log\n"
-        "def tell(self):\n"
-        "    told(self)\n"
+        "original_log = startup.StartupTiming.log\n"
+        "def log_and_stop(self):\n"
+        "    original_log(self)\n"
         "    print(*sorted(sys.modules))\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n"
-        "startup.StartupTiming.log = tell\n"
+        "startup.StartupTiming.log = log_and_stop\n"
         "from sagetrack.__main__ import main\n"
         "sys.exit(main())\n"
     )
@@ -127,17 +127,19 @@
     assert done.returncode == 0, done.stderr
     loaded = set(done.stdout.split())
     assert "sagetrack.server.gateway_assembly" in loaded
-    unasked = ("store", "peers", "dns", "grpc", "lab", "cli", "simulator")
-    ours = {name for name in loaded if re.match(rf"sagetrack\.({'|'.join(unasked)})\b", name)}
-    assert ours == set()
+    optional_packages = ("store", "peers", "dns", "grpc", "lab", "cli", "simulator")
+    loaded_optional = {
+        name for name in loaded if re.match(rf"sagetrack\.({'|'.join(optional_packages)})\b", name)
+    }
+    assert loaded_optional == set()
     assert loaded.isdisjoint({"msgspec", "structlog", "typer", "rich", "numpy", "tomllib", "cryptography"})
     (line,) = [line for line in done.stderr.splitlines() if "started; ms of CPU/elapsed: " in line]
-    parts = re.findall(r"(?:: |, )([a-z ]+) \d+/\d+", line)
-    wanted = ["interpreter", "imports", "configuration", "decisions", "list", "first call", "peers"]
-    assert [part for part in parts if part in wanted] == wanted
+    phases = re.findall(r"(?:: |, )([a-z ]+) \d+/\d+", line)
+    expected = ["interpreter", "imports", "configuration", "decisions", "list", "first call", "peers"]
+    assert [phase for phase in phases if phase in expected] == expected
 
 
-def test_the_probe_counts_nine_in_ten_and_fills_a_store(tmp_path: Path) -> None:
+def test_the_readiness_benchmark_computes_p90_and_fills_a_store(tmp_path: Path) -> None:
     assert nine_in_ten([1.0]) == 1.0 and nine_in_ten([float(n) for n in range(1, 21)]) == 18.0
     assert Case("x").stored_values == 0
     fill(tmp_path / "store", 2_500)
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -1,10 +1,10 @@
-"""Hot restart from one checkout of this project to another, and back, with requests in flight.
+"""Hot restart from one checkout of this project to another and back, with requests in flight.
 
     python -m tests.upgrade_between_versions OLD_ROOT NEW_ROOT [--clients 20] [--seconds 3]
 
-Real processes of both checkouts share a listening socket and a folder for temporary files, as
-docs/on-call.md describes an upgrade. Closed-loop clients send requests all the while. Every request has to
-get one complete answer; the exit status is 1 if one does not, or if a process does not end with 0.
+Processes of both checkouts share a listening socket and a folder for temporary files, as in the upgrade that
+docs/on-call.md describes. Closed-loop clients send requests throughout. Every request has to get a complete
+response. The exit status is 1 if one does not, or if a process exits with a status other than 0.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 SERVICE_TIME_S = 0.03
 START_TIMEOUT_S = 30.0
-CLASSES = ("search", "transfer")  # one that is safe to repeat and one that is not
+CLASSES = ("search", "transfer")  # one whose requests are safe to repeat and one whose requests are not
 
 
-async def slow_answer(exchange: Exchange) -> None:
-    """Answer after the service time, so that requests are in flight at any moment."""
+async def delayed_response(exchange: Exchange) -> None:
+    """Respond after the service time, so that there are always requests in flight."""
     await asyncio.sleep(SERVICE_TIME_S)
     exchange.answer(reply(200, b"done"))
 
 
 @dataclass
 class Load:
-    """Closed-loop clients, and what became of their requests."""
+    """Closed-loop clients and the outcomes of their requests."""
 
     port: int
     statuses: Counter[int] = field(default_factory=Counter)
@@ -45,7 +45,7 @@
     stopped: bool = False
 
     async def run_client(self, number: int) -> None:
-        """Send one request after the other; a connection ends where an answer says so."""
+        """Send one request after the other, and reconnect after a response with `Connection: close`."""
         while not self.stopped:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             try:
@@ -69,7 +69,7 @@
 
 
 async def start(root: Path, folder: Path, listener: socket.socket) -> asyncio.subprocess.Process:
-    """A gateway of this checkout on the shared listening socket, once it takes clients."""
+    """Start a gateway of this checkout on the shared listening socket, and wait until it accepts clients."""
     environment = os.environ | {
         "LB_CONFIG": str(folder / "config.json"),
         "LB_ACCEPT_FD": str(listener.fileno()),
@@ -86,19 +86,19 @@
             pass_fds=[listener.fileno()],
             stderr=log,
         )
-    mark = folder / f"sagetrack-{process.pid}.serving"
+    marker = folder / f"sagetrack-{process.pid}.serving"
     async with asyncio.timeout(START_TIMEOUT_S):
-        while not mark.exists():
+        while not marker.exists():
             await asyncio.sleep(0.01)
     return process
 
 
 async def upgrade(roots: list[Path], clients: int, seconds: float) -> int:
-    """Replace a gateway by the next of `roots`, one after the other, under load."""
+    """Replace the gateway by one from the next checkout in `roots`, one after the other, under load."""
     failed = 0
     with tempfile.TemporaryDirectory() as name, socket.create_server(("127.0.0.1", 0)) as listener:
         folder = Path(name)
-        async with scripted_server(slow_answer) as first, scripted_server(slow_answer) as second:
+        async with scripted_server(delayed_response) as first, scripted_server(delayed_response) as second:
             config = configuration(first, second) | {"listen": f"127.0.0.1:{listener.getsockname()[1]}"}
             (folder / "config.json").write_text(json.dumps(config))
             current = await start(roots[0], folder, listener)
@@ -121,15 +121,15 @@
 
 
 def main() -> int:
-    """Play an upgrade from the first checkout to the second, and back to the first."""
+    """Upgrade from the first checkout to the second and back to the first."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("old", type=Path)
     parser.add_argument("new", type=Path)
     parser.add_argument("--clients", type=int, default=20)
     parser.add_argument("--seconds", type=float, default=3.0)
-    given = parser.parse_args()
-    old, new = given.old.resolve(), given.new.resolve()
-    return asyncio.run(upgrade([old, new, old], given.clients, given.seconds))
+    arguments = parser.parse_args()
+    old, new = arguments.old.resolve(), arguments.new.resolve()
+    return asyncio.run(upgrade([old, new, old], arguments.clients, arguments.seconds))
 
 
 if __name__ == "__main__":
