--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -15,22 +15,22 @@
 
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
-from sagetrack.store.directory import Disk
+from sagetrack.store.directory import DiskDirectory
 from tests.sockets import configuration, on_loop, request, running, scripted_server
 
 ROOT = Path(__file__).parent.parent
 
 
-class BlockedDisk(Disk):
+class BlockedDisk(DiskDirectory):
     """A disk whose reads block until `unblocked` is set."""
 
     unblocked: threading.Event
     read_started: threading.Event
 
-    def read(self, name: str, at: int, count: int) -> bytes:
+    def read(self, name: str, offset: int, length: int) -> bytes:
         self.read_started.set()
         assert self.unblocked.wait(60)
-        return super().read(name, at, count)
+        return super().read(name, offset, length)
 
 
 def operator_with_store(folder: Path) -> Path:
@@ -53,7 +53,7 @@
             before = {observation.server for observation in gateway.gateway.balancer.own_observations()[0]}
         assert before
         BlockedDisk.unblocked, BlockedDisk.read_started = threading.Event(), threading.Event()
-        monkeypatch.setattr("sagetrack.server.persistence.Disk", BlockedDisk)
+        monkeypatch.setattr("sagetrack.server.persistence.DiskDirectory", BlockedDisk)
         try:
             async with running(config, operator) as gateway:
                 persistence = gateway.instance.persistence
