--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -399,7 +399,7 @@
     persistence = instance.persistence
     assert persistence is not None
     try:
-        await asyncio.wait_for(persistence.was_read.wait(), 30)
+        await asyncio.wait_for(persistence.read_finished.wait(), 30)
         check_record(persistence.stored, HANDOVER_RECORD)
         assert persistence.stored is not None and persistence.stored.latencies == LATENCIES
     finally:
