--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -2,8 +2,8 @@
 
 The file has a checksum. It is written under a temporary name and then renamed, so that a reader never sees an
 incomplete file. A file that is damaged, stale, of another version or of another gateway is ignored. Times are
-readings of the machine's monotonic clock (`clock.system_monotonic_us`), which both processes share and which steps of
-the wall clock do not affect.
+readings of the machine's monotonic clock (`clock.system_monotonic_us`), which both processes share and which
+steps of the wall clock do not affect.
 """
 
 from __future__ import annotations
