--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -21,7 +21,7 @@
     print(
         f"{report.sent} forged answers, {report.sent / report.seconds:.0f} a second: "
         f"{report.accepted} accepted; "
-        f"{report.true_answers} of {report.queries} queries answered truly"
+        f"{report.genuine_responses} of {report.queries} queries answered truly"
     )
     raise typer.Exit(1 if report.accepted else 0)
 
@@ -55,7 +55,7 @@
         report = fuzz(messages, seed, progress)
     print(
         f"{report.messages} messages: {report.queries_parsed} read as queries, "
-        f"{report.answers_accepted} taken as answers, {len(report.failures)} wrong, "
+        f"{report.responses_accepted} taken as answers, {len(report.failures)} wrong, "
         f"slowest {report.slowest_ms:.2f} ms"
     )
     raise exit_with(report.failures)
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -128,9 +128,10 @@
         raise typer.Exit(INTERRUPTED) from None
     print(
         f"{report.truncations} cuts and {report.flipped_bits} flipped bits "
-        f"({report.complete} of them lost nothing), "
+        f"({report.lossless_recoveries} of them lost nothing), "
         f"{report.crashes} crashes with {report.disk_errors} errors of the disk, "
-        f"{report.kills} writers killed after {report.acknowledged} batches: {len(report.failures)} wrong"
+        f"{report.kills} writers killed after {report.acknowledged_batches} batches: "
+        f"{len(report.failures)} wrong"
     )
     raise exit_with(report.failures)
 
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -41,7 +41,7 @@
         self.tcp: list[asyncio.Server] = []
         self.connections: dict[DownstreamTcpConnection, None] = {}  # the oldest first
         self.shutting_down = False
-        self.stands_by: Callable[[], bool] = lambda: False
+        self.is_on_standby: Callable[[], bool] = lambda: False
 
     async def start(self, addresses: list[Address], shared: bool = False) -> list[Address]:
         """Listen over UDP and TCP at each address, with `SO_REUSEPORT` if `shared`.
@@ -91,7 +91,7 @@
 
     def is_draining(self) -> bool:
         """Whether connections should close once their queries are answered."""
-        return self.shutting_down or self.stands_by()
+        return self.shutting_down or self.is_on_standby()
 
     # Shutdown
 
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -53,7 +53,7 @@
 
     listen: Sequence[Address]
     upstreams: Sequence[Address]
-    listed: bool = False  # the endpoint list has further ones
+    uses_endpoint_list: bool = False  # the endpoint list has further ones
     latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
     cache_bytes: int = 32 * 1024 * 1024
@@ -63,8 +63,8 @@
     responses_per_s: float = 0.0  # to one prefix over UDP; 0: no limit
     limits: ClientLimits = field(default_factory=ClientLimits)
     max_concurrency: int = 1000  # attempts in flight at one upstream server
-    gateways: int = 1
-    gateway: int = 0  # its number among them
+    gateway_count: int = 1
+    gateway_index: int = 0  # its number among them
     slow_start: SlowStartSettings = field(default_factory=SlowStartSettings)
     zone: ZoneConfig | None = None
 
@@ -76,8 +76,8 @@
     )
     return Settings(
         classes=(query,),
-        gateway_count=config.gateways,
-        gateway_index=config.gateway,
+        gateway_count=config.gateway_count,
+        gateway_index=config.gateway_index,
         max_attempts=4,
         hedging=True,
         max_concurrency=config.max_concurrency,
@@ -100,7 +100,7 @@
         seed: Of the load balancer's and the zones' random draws.
         weights: Current weights of the installation's servers, by name.
         serial: First serial of the installation's zone.
-        listed: Upstream servers of the endpoint list, as far as they are known.
+        listed_upstreams: Upstream servers of the endpoint list, as far as they are known.
 
     Raises:
         ZoneError: A zone cannot be used.
@@ -112,13 +112,13 @@
         seed: int,
         weights: Callable[[], Mapping[str, float]] = dict,
         serial: int = 1,
-        listed: Iterable[Endpoint] = (),
+        listed_upstreams: Iterable[Endpoint] = (),
     ) -> None:
         self.config = config
         self.zones = self._build_zones(seed, weights, serial)
         self.freeze_timer: asyncio.TimerHandle | None = None
         self.configured: list[Endpoint] = []  # upstream servers of the operator's file
-        self.listed = list(listed)  # upstream servers of the endpoint list, as it was last complete
+        self.listed = list(listed_upstreams)  # upstream servers of the endpoint list, as it was last complete
         self.frozen_entries = 0  # cache entries that the garbage collector no longer scans
         settings = load_balancer_settings(config)
         self.upstreams = DnsUpstreams(settings)
@@ -133,7 +133,7 @@
             QueriesInFlight(limits.queries_per_client, limits.queries),
             config.deadline_us,
             self.zones.answer if self.zones is not None else lambda query: None,
-            bool(config.upstreams) or config.listed,
+            bool(config.upstreams) or config.uses_endpoint_list,
         )
         self.listener = DnsListener(self.handler, limits)
 
@@ -199,21 +199,21 @@
             entries = [*self.configured, *entries]
         self.gateway.on_endpoint_list(kind, entries)
 
-    def list_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
+    def set_zone_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
         """Take over the ready servers (name, address, listed weight) for the installation's zone."""
         if self.zones is not None:
             from sagetrack.dns.zone_records import ZoneMember
 
             self.zones.update(ZoneMember(name, *address, weight) for name, address, weight in servers)
 
-    def draw_zone_orders(self) -> None:
+    def reorder_zone_servers(self) -> None:
         """Order the servers of the installation's zone anew, by their current weights."""
         if self.zones is not None:
             self.zones.draw_orders()
 
-    def stand_by_while(self, is_draining: Callable[[], bool]) -> None:
+    def set_standby_check(self, is_draining: Callable[[], bool]) -> None:
         """Let client connections close once they are answered, while `is_draining` returns true."""
-        self.listener.stands_by = is_draining
+        self.listener.is_on_standby = is_draining
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
--- a/sagetrack/lab/fault_injection/crash_test.py
+++ b/sagetrack/lab/fault_injection/crash_test.py
@@ -43,11 +43,11 @@
 
     truncations: int = 0  # bytes at which a file was cut
     flipped_bits: int = 0
-    complete: int = 0  # of these: nothing was lost
+    lossless_recoveries: int = 0  # of these: nothing was lost
     crashes: int = 0
     disk_errors: int = 0  # injected
     kills: int = 0
-    acknowledged: int = 0  # batches of the writer that was killed
+    acknowledged_batches: int = 0  # batches of the writer that was killed
     failures: list[str] = field(default_factory=list)
 
 
@@ -80,7 +80,7 @@
         if not 0 <= sequence < len(states) or states[sequence] != state:
             report.failures.append(f"{damage}: not the state after batch {sequence}")
             return
-        report.complete += sequence == len(states) - 1
+        report.lossless_recoveries += sequence == len(states) - 1
         with ErrorsAsFailures(report.failures, lambda error: f"{damage}, written again: {error!r}"):
             store.write([[Record("a", b"again", b"x")]])
             store.sync()
@@ -122,7 +122,7 @@
     expected = ExpectedStates()
     for _ in range(CRASHES):
         store = Store(directory, SMALL_STORE)
-        directory.failing = {}
+        directory.errors_by_call = {}
         directory.free_bytes = None
         try:
             failure = expected.check_recovered(store.open().sequence, state_of(store))
@@ -131,7 +131,7 @@
         if failure is not None:
             report.failures.append(f"seed {seed}: {failure}")
             return
-        directory.crash_at = directory.calls + draw.randint(1, 60)
+        directory.crash_at_call = directory.calls + draw.randint(1, 60)
         try:
             while True:
                 change_disk_fault(directory, draw, report)
@@ -146,13 +146,13 @@
     """At random, the disk begins to fail, or to be full, or works again, or stays as it is."""
     choice = draw.random()
     if choice < 0.1:
-        directory.failing = {draw.choice(FAILING_CALLS): errno.EIO}
+        directory.errors_by_call = {draw.choice(FAILING_CALLS): errno.EIO}
         report.disk_errors += 1
     elif choice < 0.15:
         directory.free_bytes = draw.randrange(200)
         report.disk_errors += 1
     elif choice < 0.6:
-        directory.failing = {}
+        directory.errors_by_call = {}
         directory.free_bytes = None
 
 
@@ -178,7 +178,7 @@
     """Kill a writing process, and check the store that it leaves; returns the last batch that is there."""
     acknowledged = write_and_kill(folder, draw, before)
     report.kills += 1
-    report.acknowledged += max(0, acknowledged - before)
+    report.acknowledged_batches += max(0, acknowledged - before)
     store = Store(DiskDirectory(folder), LARGE_STORE)
     try:
         sequence = store.open().sequence
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -49,12 +49,12 @@
 
     messages: int = 0
     queries_parsed: int = 0
-    answers_accepted: int = 0
+    responses_accepted: int = 0
     failures: list[str] = field(default_factory=list)
     slowest_ms: float = 0.0
 
 
-def valid_answers() -> list[Sample]:
+def valid_responses() -> list[Sample]:
     """Valid answers to begin with."""
     samples = []
     for number, (kind, behaviour) in enumerate(
@@ -103,7 +103,7 @@
 def mutated_messages(count: int, seed: int) -> Iterator[Sample]:
     """So many mutated messages, four tenths of them queries; the same for the same seed."""
     draw = random.Random(seed)
-    samples = valid_answers()
+    samples = valid_responses()
     for _ in range(count):
         wire, query, query_id = draw.choice(samples)
         if draw.random() < 0.4:
@@ -143,7 +143,7 @@
         return
     if answer is None:
         return
-    report.answers_accepted += 1
+    report.responses_accepted += 1
     end = HEADER_BYTES + len(query.question)
     same_name = data[HEADER_BYTES : end - 4].lower() == query.name
     same_type = data[end - 4 : end] == query.question[-4:]
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -38,7 +38,7 @@
     sent: int = 0  # spoofed answers
     seconds: float = 0.0
     queries: int = 0
-    true_answers: int = 0
+    genuine_responses: int = 0
     accepted: int = 0  # spoofed answers that a client was given
 
 
@@ -82,7 +82,7 @@
         self.report = report
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.report.true_answers += data[-4:] == TRUE_ADDRESS
+        self.report.genuine_responses += data[-4:] == TRUE_ADDRESS
         self.report.accepted += SPOOFED_ADDRESS in data
 
 
--- a/sagetrack/lab/fault_injection/faulty_filesystem.py
+++ b/sagetrack/lab/fault_injection/faulty_filesystem.py
@@ -65,8 +65,8 @@
     Attributes:
         files: The files by name, as a program sees them now.
         calls: How many calls that change something were made.
-        crash_at: The call from which on each raises SimulatedCrash; not positive for never.
-        failing: By name of a call the error number that it fails with, until it is taken out.
+        crash_at_call: The call from which on each raises SimulatedCrash; not positive for never.
+        errors_by_call: By name of a call the error number that it fails with, until it is taken out.
         free_bytes: How many bytes may still be appended; None for any number.
         largest_read: The most bytes that one read requested.
     """
@@ -74,8 +74,8 @@
     def __init__(self, files: dict[str, FaultyFile] | None = None) -> None:
         self.files = files or {}
         self.calls = 0
-        self.crash_at = -1
-        self.failing: dict[str, int] = {}
+        self.crash_at_call = -1
+        self.errors_by_call: dict[str, int] = {}
         self.free_bytes: int | None = None
         self.largest_read = 0
         self._durable_files = dict(self.files)
@@ -83,9 +83,9 @@
 
     def _call(self, name: str) -> None:
         self.calls += 1
-        if 0 < self.crash_at <= self.calls:
+        if 0 < self.crash_at_call <= self.calls:
             raise SimulatedCrash  # and so does each call after it
-        code = self.failing.get(name)
+        code = self.errors_by_call.get(name)
         if code is not None:
             raise OSError(code, os.strerror(code))
 
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -55,11 +55,11 @@
         try:
             serial = now_us() // 1_000_000
             self.service = DnsService(
-                dns_config, config.seed ^ SEED_MASK, self._server_weights, serial, listed=listed
+                dns_config, config.seed ^ SEED_MASK, self._server_weights, serial, listed_upstreams=listed
             )
         except ValueError as error:  # an invalid zone
             raise ConfigError(f"dns.zone: {error}") from None
-        self.service.stand_by_while(is_draining)
+        self.service.set_standby_check(is_draining)
 
     async def start(self) -> None:
         """Listen and keep the zone up to date; raises ConfigError if an address cannot be bound."""
@@ -100,12 +100,12 @@
         self._zone_timer = asyncio.get_running_loop().call_later(ZONE_REFRESH_S, self._refresh_zone)
         candidates = [host for host in self.pools.servers.values() if host.drained_us is None]
         servers = self.gateway.balancer.servers
-        self.service.list_servers(
+        self.service.set_zone_servers(
             (host.name, host.address, servers[host.id].entry.weight)
             for host in candidates
             if host.id in servers
         )
-        self.service.draw_zone_orders()
+        self.service.reorder_zone_servers()
 
 
 def _dns_config(config: Config, settings: DnsSettings) -> DnsConfig:
@@ -115,7 +115,7 @@
     return DnsConfig(
         [parse_address(address, "dns.listen") for address in settings.listen],
         [parse_address(address, "dns.upstreams") for address in settings.upstreams],
-        listed=bool(settings.type),
+        uses_endpoint_list=bool(settings.type),
         latency_objective_us=settings.aim_ms * 1000,
         deadline_us=settings.deadline_ms * 1000,
         cache_bytes=int(settings.cache_mb * 1024 * 1024),
@@ -127,8 +127,8 @@
             settings.queries_each, settings.queries, settings.connections, settings.connections_each
         ),
         max_concurrency=settings.crowd,
-        gateways=balancing.gateway_count,
-        gateway=balancing.gateway_index,
+        gateway_count=balancing.gateway_count,
+        gateway_index=balancing.gateway_index,
         zone=zone,
         slow_start=SlowStartSettings(
             balancing.start_capacity,
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -41,7 +41,11 @@
 
 @on_loop
 async def test_the_list_of_servers_names_upstream_servers_and_drains_them() -> None:
-    async with nameserver() as one, nameserver() as two, running_service(listed=True) as (service, place):
+    async with (
+        nameserver() as one,
+        nameserver() as two,
+        running_service(uses_endpoint_list=True) as (service, place),
+    ):
         client = await UdpClient.to(place)
         first, second = (listed(n, f"{s.host}:{s.port}", 9) for n, s in (("one", one), ("two", two)))
         service.on_list(ListKind.FULL, [first])
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -113,7 +113,7 @@
 async def test_our_zone_and_the_others_are_answered_by_one_front() -> None:
     plan = {"zone": ZoneConfig("sur.example.")}
     async with nameserver() as upstream, running_service(upstream, **plan) as (service, place):
-        service.list_servers([("s-1", ("192.0.2.7", 80), 1.0)])
+        service.set_zone_servers([("s-1", ("192.0.2.7", 80), 1.0)])
         client = await UdpClient.to(place)
         own = await client.ask(query("servers.sur.example."))
         other = await client.ask(query("else.example."))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -41,7 +41,7 @@
             check_recovery(damaged, states, report, f"{name} bit flipped at {offset}")
     assert not report.failures, report.failures[:3]
     # If only the newest checkpoint is damaged, the older one and the log restore the newest state.
-    assert report.complete > 300
+    assert report.lossless_recoveries > 300
 
 
 def test_crashes_and_disk_errors_lose_no_acknowledged_batch() -> None:
@@ -61,7 +61,7 @@
         self.reopen()
 
     def reopen(self) -> None:
-        self.files.failing = {}
+        self.files.errors_by_call = {}
         self.store = Store(self.files, SMALL_STORE)
         assert self.expected.check_recovered(self.store.open().sequence, state_of(self.store)) is None
 
@@ -88,17 +88,17 @@
 
     @rule(call=st.sampled_from(["append", "sync", "create", "rename", "sync_names"]))
     def fail(self, call: str) -> None:
-        self.files.failing = {call: errno.EIO}
+        self.files.errors_by_call = {call: errno.EIO}
 
-    @precondition(lambda self: self.files.failing)
+    @precondition(lambda self: self.files.errors_by_call)
     @rule()
     def repair_disk(self) -> None:
-        self.files.failing = {}
+        self.files.errors_by_call = {}
 
     @rule(seed=st.integers(0, 99), calls=st.integers(1, 9))
     def crash(self, seed: int, calls: int) -> None:
-        self.files.failing = {}
-        self.files.crash_at = self.files.calls + calls
+        self.files.errors_by_call = {}
+        self.files.crash_at_call = self.files.calls + calls
         with suppress(SimulatedCrash):
             for _ in range(9):
                 self.sync()
@@ -109,7 +109,7 @@
 
     @invariant()
     def reads_what_was_written(self) -> None:
-        if not self.files.failing and self.store.log.current_segment is not None:
+        if not self.files.errors_by_call and self.store.log.current_segment is not None:
             assert state_of(self.store) == self.expected.newest
 
 
@@ -121,7 +121,7 @@
     report, last, rng = CrashTestReport(), 0, random.Random(1)
     for _ in range(3):
         last = kill_writer(tmp_path, rng, last, report)
-    assert not report.failures and report.acknowledged > 0
+    assert not report.failures and report.acknowledged_batches > 0
 
 
 def test_an_older_format_is_migrated_and_a_newer_one_is_left_unchanged() -> None:
