--- a/sagetrack/dns/answer.py
+++ b/sagetrack/dns/answer.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class DnsResponse:
     """A response as it came from upstream, and where its TTLs stand."""
 
     data: bytes
@@ -57,7 +57,7 @@
         return len(self.data)
 
 
-def parse_answer(data: bytes, query: Query, id_: int) -> Answer | None:
+def parse_response(data: bytes, query: Query, id_: int) -> DnsResponse | None:
     """Read a response to a query; None if it is not a response to it.
 
     It needs the id that was sent and the same question, the name in any letter case: who forges one has to
@@ -68,8 +68,8 @@
     """
     if len(data) < HEADER_BYTES:
         return None
-    id_received, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
-    if id_received != id_ or not flags & QR or flags & OPCODE_MASK:
+    received_id, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
+    if received_id != id_ or not flags & QR or flags & OPCODE_MASK:
         return None
     end = HEADER_BYTES + len(query.question)
     if (
@@ -81,96 +81,94 @@
     return read_records(data, flags, end, answers, authorities, additional)
 
 
-def read_record_header(data: bytes, at: int) -> tuple[int, int, int]:
-    """Type, TTL and length of the data of the record whose name ends at `at`.
+def read_record_header(data: bytes, offset: int) -> tuple[int, int, int]:
+    """Type, TTL and length of the data of the record whose name ends at `offset`.
 
     Raises:
         MessageError: The record is incomplete.
     """
-    if at + RECORD_HEADER_BYTES > len(data):
+    if offset + RECORD_HEADER_BYTES > len(data):
         raise MessageError("a record is incomplete")
-    kind, _, ttl, length = struct.unpack_from("!HHIH", data, at)
-    if at + RECORD_HEADER_BYTES + length > len(data):
+    rdtype, _, ttl, length = struct.unpack_from("!HHIH", data, offset)
+    if offset + RECORD_HEADER_BYTES + length > len(data):
         raise MessageError("a record is incomplete")
-    return kind, ttl, length
+    return rdtype, ttl, length
 
 
-def read_records(data: bytes, flags: int, at: int, answers: int, authorities: int, additional: int) -> Answer:
-    """Walk over the records of a response, from the end of its question.
-
-    Raises:
-        MessageError: A record is incomplete.
-    """
+def read_records(
+    data: bytes, flags: int, offset: int, answers: int, authorities: int, additional: int
+) -> DnsResponse:
+    """Parse the records from `offset`, the end of the question; raises MessageError if one is incomplete."""
     rcode = flags & RCODE_MASK
     truncated = bool(flags & TC)
     ttl_offsets: list[int] = []
     min_ttl = MAX_TTL_S
     soa_ttl = -1
     opt_offset = -1
-    records_end = at
+    records_end = offset
     for number in range(answers + authorities + additional):
-        record = at
-        at = skip_name(data, at)
-        kind, ttl, length = read_record_header(data, at)
-        if kind == OPT:
-            opt_offset = record
+        record_start = offset
+        offset = skip_name(data, offset)
+        rdtype, ttl, length = read_record_header(data, offset)
+        if rdtype == OPT:
+            opt_offset = record_start
             rcode |= (ttl >> 24) << 4
         else:
             ttl = 0 if ttl >= 2**31 else ttl  # RFC 2181, section 8
-            ttl_offsets.append(at + TTL_OFFSET)
+            ttl_offsets.append(offset + TTL_OFFSET)
             min_ttl = min(min_ttl, ttl)
-            if kind == SOA and answers <= number < answers + authorities and length >= MIN_SOA_BYTES:
+            if rdtype == SOA and answers <= number < answers + authorities and length >= MIN_SOA_BYTES:
                 minimum = int.from_bytes(
-                    data[at + RECORD_HEADER_BYTES + length - 4 : at + RECORD_HEADER_BYTES + length]
+                    data[offset + RECORD_HEADER_BYTES + length - 4 : offset + RECORD_HEADER_BYTES + length]
                 )
                 soa_ttl = min(ttl, minimum)
-        at += RECORD_HEADER_BYTES + length
-        if kind != OPT:
-            records_end = at
+        offset += RECORD_HEADER_BYTES + length
+        if rdtype != OPT:
+            records_end = offset
     if 0 <= opt_offset < records_end:
-        records_end = at  # the OPT stands between others, and stays
+        records_end = offset  # the OPT stands between others, and stays
     # A negative answer is cached by its SOA (RFC 2308, section 5).
     ttl = min_ttl if ttl_offsets and answers else soa_ttl
     is_cacheable = rcode in CACHEABLE_RCODES and not truncated and ttl > 0
-    return Answer(
+    return DnsResponse(
         data, rcode, truncated, tuple(ttl_offsets), ttl if is_cacheable else 0, opt_offset, records_end
     )
 
 
-def encode_reply(
+def encode_response(
     query: Query,
-    answer: Answer,
-    limit: int,
+    response: DnsResponse,
+    max_bytes: int,
     age_s: int = 0,
     stale_ttl: int | None = None,
-    extended: ExtendedError | None = None,
+    extended_error: ExtendedError | None = None,
 ) -> bytes:
     """Encode a response for a client: its id, its question in its letter case, and an OPT of this gateway.
 
     Args:
         query: The client's query.
-        answer: The response from upstream or the cache.
-        limit: Bytes that the client takes; a longer response is cut to its question with TC set.
+        response: The response from upstream or the cache.
+        max_bytes: Bytes that the client takes; a longer response is cut to its question with TC set.
         age_s: Subtracted from each TTL.
         stale_ttl: In place of each TTL.
-        extended: Extended error for the OPT.
+        extended_error: Extended error for the OPT.
     """
-    _, flags, questions, answers, authorities, additional = HEADER.unpack_from(answer.data)
+    _, flags, questions, answers, authorities, additional = HEADER.unpack_from(response.data)
     flags = (flags & ~RD) | QR | RA | (query.flags & RD)
-    strips_opt = answer.opt_offset >= 0 and answer.opt_offset >= answer.records_end
+    strips_opt = response.opt_offset >= 0 and response.opt_offset >= response.records_end
     if strips_opt:
         additional -= 1
-    has_no_opt = strips_opt or answer.opt_offset < 0
-    body = bytearray(answer.data[: answer.records_end] if has_no_opt else answer.data)
+    has_no_opt = strips_opt or response.opt_offset < 0
+    body = bytearray(response.data[: response.records_end] if has_no_opt else response.data)
     body[HEADER_BYTES : HEADER_BYTES + len(query.question)] = query.question
     if age_s or stale_ttl is not None:
-        for at in answer.ttl_offsets:
-            left = stale_ttl if stale_ttl is not None else int.from_bytes(body[at : at + 4]) - age_s
-            body[at : at + 4] = max(0, left).to_bytes(4)
-    if query.edns and has_no_opt:
-        body += encode_opt(answer.rcode, query.dnssec, extended)
+        for offset in response.ttl_offsets:
+            ttl = stale_ttl if stale_ttl is not None else int.from_bytes(body[offset : offset + 4]) - age_s
+            body[offset : offset + 4] = max(0, ttl).to_bytes(4)
+    if query.has_edns and has_no_opt:
+        body += encode_opt(response.rcode, query.dnssec_ok, extended_error)
         additional += 1
     body[:HEADER_BYTES] = HEADER.pack(query.id, flags, 1, answers, authorities, additional)
-    if len(body) <= limit:
+    if len(body) <= max_bytes:
         return bytes(body)
     return encode_error(query, Rcode.NOERROR, flags=(flags & (AA | AD)) | TC)
--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sagetrack.dns.answer import Answer
+from sagetrack.dns.answer import DnsResponse
 
 ENTRY_OVERHEAD_BYTES = 700  # beside the message: resident memory measured over 100,000 names
 TTL_OVERHEAD_BYTES = 36  # for each TTL offset
@@ -21,10 +21,10 @@
 
 
 @dataclass(slots=True)
-class CachedAnswer:
+class CachedResponse:
     """One answer with its times."""
 
-    answer: Answer
+    response: DnsResponse
     cached_us: int
     expires_us: int
     hits: int = 0
@@ -35,7 +35,7 @@
 class CacheHit:
     """A cached answer that was found."""
 
-    answer: Answer
+    response: DnsResponse
     age_s: int
     stale: bool = False
     should_prefetch: bool = False  # the caller should refresh it now
@@ -52,25 +52,30 @@
     evicted: int = 0
 
 
-class AnswerCache:
+class ResponseCache:
     """Cache of answers; times are microseconds of the caller's clock.
 
     Args:
-        limit: Bytes that it may hold.
+        max_bytes: Bytes that it may hold.
         stale_s: For how long an expired answer may still be served when no upstream server answers.
         max_ttl_s: Longer TTLs count as this.
     """
 
-    def __init__(self, limit: int, stale_s: float = 86_400.0, max_ttl_s: int = 86_400) -> None:
-        self.limit, self.stale_us, self.max_ttl_s = limit, int(stale_s * 1e6), max_ttl_s
-        self.entries: OrderedDict[CacheKey, CachedAnswer] = OrderedDict()
-        self.bytes = 0
+    def __init__(self, max_bytes: int, stale_s: float = 86_400.0, max_ttl_s: int = 86_400) -> None:
+        self.max_bytes, self.stale_us, self.max_ttl_s = max_bytes, int(stale_s * 1e6), max_ttl_s
+        self.entries: OrderedDict[CacheKey, CachedResponse] = OrderedDict()
+        self.size_bytes = 0
         self.counts = CacheCounts()
 
     @staticmethod
-    def cost(key: CacheKey, answer: Answer) -> int:
+    def cost(key: CacheKey, response: DnsResponse) -> int:
         """Bytes that an entry counts."""
-        return ENTRY_OVERHEAD_BYTES + len(key[0]) + answer.size + TTL_OVERHEAD_BYTES * len(answer.ttl_offsets)
+        return (
+            ENTRY_OVERHEAD_BYTES
+            + len(key[0])
+            + response.size
+            + TTL_OVERHEAD_BYTES * len(response.ttl_offsets)
+        )
 
     def get(self, key: CacheKey, now_us: int) -> CacheHit | None:
         """A fresh answer; None if there is none."""
@@ -91,7 +96,7 @@
             entry.refreshing = True
             self.counts.prefetched += 1
         return CacheHit(
-            entry.answer, (now_us - entry.cached_us) // 1_000_000, should_prefetch=should_prefetch
+            entry.response, (now_us - entry.cached_us) // 1_000_000, should_prefetch=should_prefetch
         )
 
     def get_stale(self, key: CacheKey, now_us: int) -> CacheHit | None:
@@ -100,21 +105,21 @@
         if entry is None or now_us >= entry.expires_us + self.stale_us:
             return None
         self.counts.stale += 1
-        return CacheHit(entry.answer, 0, stale=True)
+        return CacheHit(entry.response, 0, stale=True)
 
-    def put(self, key: CacheKey, answer: Answer, now_us: int) -> None:
+    def put(self, key: CacheKey, response: DnsResponse, now_us: int) -> None:
         """Cache an answer for its TTL; one that may not be cached replaces nothing."""
-        if answer.ttl <= 0:
+        if response.ttl <= 0:
             return
-        cost = self.cost(key, answer)
-        if cost > self.limit:
+        cost = self.cost(key, response)
+        if cost > self.max_bytes:
             return
-        self.drop(key)
-        ttl = min(answer.ttl, self.max_ttl_s)
-        self.entries[key] = CachedAnswer(answer, now_us, now_us + ttl * 1_000_000)
-        self.bytes += cost
-        while self.bytes > self.limit:
-            self.drop(next(iter(self.entries)))
+        self.remove(key)
+        ttl = min(response.ttl, self.max_ttl_s)
+        self.entries[key] = CachedResponse(response, now_us, now_us + ttl * 1_000_000)
+        self.size_bytes += cost
+        while self.size_bytes > self.max_bytes:
+            self.remove(next(iter(self.entries)))
             self.counts.evicted += 1
 
     def prefetch_failed(self, key: CacheKey) -> None:
@@ -123,8 +128,8 @@
         if entry is not None:
             entry.refreshing = False
 
-    def drop(self, key: CacheKey) -> None:
+    def remove(self, key: CacheKey) -> None:
         """Remove an answer."""
         entry = self.entries.pop(key, None)
         if entry is not None:
-            self.bytes -= self.cost(key, entry.answer)
+            self.size_bytes -= self.cost(key, entry.response)
--- a/sagetrack/dns/downstream_connection.py
+++ b/sagetrack/dns/downstream_connection.py
@@ -66,7 +66,7 @@
         self.queries_in_flight = 0
         self.read_paused = False
         self.write_paused = False
-        self.timer: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, or abort it if there are too many."""
@@ -81,9 +81,9 @@
 
     def set_timeout(self, timeout_s: float | None) -> None:
         """Abort the connection after a time; None: not at all."""
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = None if timeout_s is None else self.loop.call_later(timeout_s, self.abort)
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
+        self.timeout_timer = None if timeout_s is None else self.loop.call_later(timeout_s, self.abort)
 
     def data_received(self, data: bytes) -> None:
         """Handle the messages that are complete."""
@@ -122,21 +122,21 @@
     def handle_message(self, message: bytes) -> None:
         """Handle one message."""
         self.queries_in_flight += 1
-        is_answered = False
+        has_responded = False
 
         def write(response: bytes) -> None:
-            nonlocal is_answered
-            is_answered = True
+            nonlocal has_responded
+            has_responded = True
             self.queries_in_flight -= 1
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.write(len(response).to_bytes(2) + response)
-                self.loop.call_soon(self.read_on)
+                self.loop.call_soon(self.continue_reading)
 
-        will_answer = self.handler.handle(message, self.host, self, False, write)
-        if not will_answer and not is_answered:
+        will_respond = self.handler.handle(message, self.host, self, False, write)
+        if not will_respond and not has_responded:
             self.queries_in_flight -= 1  # a repeat, whose response is due, or nothing that can be answered
 
-    def read_on(self) -> None:
+    def continue_reading(self) -> None:
         """Go on after a response; a draining connection closes after its last one."""
         if self.transport is not None and not self.transport.is_closing():
             if self.registry.is_draining() and not self.queries_in_flight:
--- a/sagetrack/dns/limits.py
+++ b/sagetrack/dns/limits.py
@@ -16,10 +16,10 @@
 IPV4_PREFIX_BITS, IPV6_PREFIX_BITS = 24, 56  # that share a rate
 
 
-class RateVerdict(Enum):
+class RateLimitAction(Enum):
     """What becomes of a response."""
 
-    ANSWER = "answer"
+    SEND = "answer"
     TRUNCATE = "cut"  # only the question, with TC
     DROP = "drop"
 
@@ -40,16 +40,21 @@
 
     def allows(self, host: str) -> bool:
         """Whether a host may ask."""
-        found = self.by_host.get(host)
-        if found is None:
+        is_allowed = self.by_host.get(host)
+        if is_allowed is None:
             address = ipaddress.ip_address(host.partition("%")[0])
-            found = next(
-                (may for net, may in self.rules if net.version == address.version and address in net), False
+            is_allowed = next(
+                (
+                    allowed
+                    for network, allowed in self.rules
+                    if network.version == address.version and address in network
+                ),
+                False,
             )
-            self.by_host[host] = found
+            self.by_host[host] = is_allowed
             if len(self.by_host) > MAX_TABLE_ENTRIES:
                 self.by_host.popitem(last=False)
-        return found
+        return is_allowed
 
 
 @dataclass(slots=True)
@@ -65,13 +70,13 @@
     """Limits responses to one prefix over UDP.
 
     Args:
-        per_s: Responses a second; 0: no limit.
+        responses_per_s: Responses a second; 0: no limit.
         burst: Responses at once; twice those of a second if not given.
     """
 
-    def __init__(self, per_s: float, burst: float | None = None) -> None:
-        self.per_s = per_s
-        self.burst = burst if burst is not None else 2 * per_s
+    def __init__(self, responses_per_s: float, burst: float | None = None) -> None:
+        self.responses_per_s = responses_per_s
+        self.burst = burst if burst is not None else 2 * responses_per_s
         self.buckets: OrderedDict[bytes, RateBucket] = OrderedDict()
         self.truncated = 0
         self.dropped = 0
@@ -82,10 +87,10 @@
         address = ipaddress.ip_address(host.partition("%")[0])
         return address.packed[: (IPV4_PREFIX_BITS if address.version == 4 else IPV6_PREFIX_BITS) // 8]
 
-    def judge(self, host: str, now_us: int) -> RateVerdict:
+    def decide(self, host: str, now_us: int) -> RateLimitAction:
         """What to do with one response to this host."""
-        if self.per_s <= 0:
-            return RateVerdict.ANSWER
+        if self.responses_per_s <= 0:
+            return RateLimitAction.SEND
         key = self.prefix(host)
         bucket = self.buckets.get(key)
         if bucket is None:
@@ -94,17 +99,19 @@
                 self.buckets.popitem(last=False)
         else:
             self.buckets.move_to_end(key)
-        bucket.tokens = min(self.burst, bucket.tokens + (now_us - bucket.updated_us) / 1e6 * self.per_s)
+        bucket.tokens = min(
+            self.burst, bucket.tokens + (now_us - bucket.updated_us) / 1e6 * self.responses_per_s
+        )
         bucket.updated_us = now_us
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
-            return RateVerdict.ANSWER
+            return RateLimitAction.SEND
         bucket.limited += 1
         if bucket.limited % 2:
             self.truncated += 1
-            return RateVerdict.TRUNCATE
+            return RateLimitAction.TRUNCATE
         self.dropped += 1
-        return RateVerdict.DROP
+        return RateLimitAction.DROP
 
 
 class QueriesInFlight:
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -19,10 +19,10 @@
 class ClientLimits:
     """What clients may use."""
 
-    queries_per_client: int = 256  # in flight
-    queries: int = 10_000
-    connections: int = 256
-    connections_per_client: int = 16
+    max_queries_per_client: int = 256  # in flight
+    max_queries: int = 10_000
+    max_connections: int = 256
+    max_connections_per_client: int = 16
 
 
 class DnsListener:
@@ -37,8 +37,8 @@
         self.handler = handler
         self.limits = limits
         self.loop = asyncio.get_running_loop()
-        self.udp: list[asyncio.DatagramTransport] = []
-        self.tcp: list[asyncio.Server] = []
+        self.udp_transports: list[asyncio.DatagramTransport] = []
+        self.tcp_servers: list[asyncio.Server] = []
         self.connections: dict[DownstreamTcpConnection, None] = {}  # the oldest first
         self.shutting_down = False
         self.is_on_standby: Callable[[], bool] = lambda: False
@@ -61,12 +61,12 @@
                 backlog=LISTEN_BACKLOG,
                 reuse_port=shared,
             )
-            self.tcp.append(require_sockets(tcp))
+            self.tcp_servers.append(require_sockets(tcp))
             port = tcp.sockets[0].getsockname()[1]
             udp, _ = await self.loop.create_datagram_endpoint(
                 lambda: UdpListener(self.handler), (host, port), reuse_port=shared
             )
-            self.udp.append(udp)
+            self.udp_transports.append(udp)
             bound.append((host, port))
         return bound
 
@@ -75,9 +75,11 @@
     def admit(self, connection: DownstreamTcpConnection) -> bool:
         """Register a connection; where there are too many, the oldest without queries in flight is closed."""
         from_host = sum(other.host == connection.host for other in self.connections)
-        if from_host >= self.limits.connections_per_client or not self.handler.access.allows(connection.host):
+        if from_host >= self.limits.max_connections_per_client or not self.handler.access.allows(
+            connection.host
+        ):
             return False
-        if len(self.connections) >= self.limits.connections:
+        if len(self.connections) >= self.limits.max_connections:
             idle = next((other for other in self.connections if not other.queries_in_flight), None)
             if idle is None:
                 return False
@@ -102,7 +104,7 @@
             until_s: When to close in any case, by the clock of the event loop.
         """
         self.shutting_down = True
-        for server in self.tcp:
+        for server in self.tcp_servers:
             server.close()
         while self.handler.waiting and self.loop.time() < until_s:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -110,9 +112,9 @@
 
     def close(self) -> None:
         """Close all sockets at once."""
-        for server in self.tcp:
+        for server in self.tcp_servers:
             server.close()
-        for transport in self.udp:
+        for transport in self.udp_transports:
             transport.close()
         for connection in list(self.connections):
             connection.abort()
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -92,14 +92,14 @@
     name: bytes  # in lower case, in wire form
     type: int
     query_class: int
-    edns: bool = False
-    size: int = MIN_UDP_PAYLOAD_BYTES  # of a UDP response that the sender takes
-    dnssec: bool = False  # the DO bit
+    has_edns: bool = False
+    udp_payload_bytes: int = MIN_UDP_PAYLOAD_BYTES  # of a UDP response that the sender takes
+    dnssec_ok: bool = False  # the DO bit
 
     @property
     def cache_key(self) -> tuple[bytes, int, int, int]:
         """Equal for queries that have the same answer."""
-        return self.name, self.type, self.query_class, (self.flags & (RD | CD)) | self.dnssec
+        return self.name, self.type, self.query_class, (self.flags & (RD | CD)) | self.dnssec_ok
 
 
 class Edns(NamedTuple):
@@ -113,31 +113,31 @@
 
     is_present: bool
     udp_payload_bytes: int
-    dnssec: bool
+    dnssec_ok: bool
 
 
 NO_EDNS = Edns(False, MIN_UDP_PAYLOAD_BYTES, False)
 
 
-def skip_name(data: bytes, at: int) -> int:
+def skip_name(data: bytes, offset: int) -> int:
     """Offset behind a name that may be compressed (RFC 1035, 4.1.4).
 
     Raises:
         MessageError: The name runs out of the message, or has a label of unknown kind.
     """
     while True:
-        if at >= len(data):
+        if offset >= len(data):
             raise MessageError("a name runs out of the message")
-        length = data[at]
+        length = data[offset]
         if length >= COMPRESSION_POINTER:
-            if at + 2 > len(data):
+            if offset + 2 > len(data):
                 raise MessageError("a pointer runs out of the message")
-            return at + 2
+            return offset + 2
         if length > MAX_LABEL_BYTES:
             raise MessageError("a label of unknown kind")
-        at += 1 + length
+        offset += 1 + length
         if length == 0:
-            return at
+            return offset
 
 
 def parse_query(data: bytes) -> Query:
@@ -157,17 +157,25 @@
         raise MessageError(f"{questions} questions", Rcode.FORMERR)
     try:
         name_end = skip_question_name(data)
-        type_, query_class = struct.unpack_from("!HH", data, name_end)
+        rdtype, query_class = struct.unpack_from("!HH", data, name_end)
     except (IndexError, struct.error):
         raise MessageError("the question is incomplete", Rcode.FORMERR) from None
     end = name_end + 4
     question = data[HEADER_BYTES:end]
     name = lower_case(data[HEADER_BYTES:name_end])
     edns = parse_edns(data, end, additional) if additional else NO_EDNS
-    if type_ in (AXFR, IXFR):
+    if rdtype in (AXFR, IXFR):
         raise MessageError("zone transfers are not made here", Rcode.NOTIMP)
     return Query(
-        id_, flags, question, name, type_, query_class, edns.is_present, edns.udp_payload_bytes, edns.dnssec
+        id_,
+        flags,
+        question,
+        name,
+        rdtype,
+        query_class,
+        edns.is_present,
+        edns.udp_payload_bytes,
+        edns.dnssec_ok,
     )
 
 
@@ -178,22 +186,22 @@
         MessageError: The name is compressed or too long.
         IndexError: The name runs out of the message.
     """
-    at = HEADER_BYTES
-    while (length := data[at]) != 0:
+    offset = HEADER_BYTES
+    while (length := data[offset]) != 0:
         if length > MAX_LABEL_BYTES:
             raise MessageError("a question's name is compressed", Rcode.FORMERR)
-        at += 1 + length
-        if at - HEADER_BYTES >= MAX_NAME_BYTES:
+        offset += 1 + length
+        if offset - HEADER_BYTES >= MAX_NAME_BYTES:
             raise MessageError("a name is too long", Rcode.FORMERR)
-    return at + 1
+    return offset + 1
 
 
-def parse_edns(data: bytes, at: int, additional: int) -> Edns:
+def parse_edns(data: bytes, offset: int, additional: int) -> Edns:
     """Read a query's additional section.
 
     Args:
         data: The message.
-        at: Where the section begins.
+        offset: Where the section begins.
         additional: How many records it has.
 
     Raises:
@@ -202,23 +210,23 @@
     edns = NO_EDNS
     for _ in range(additional):
         try:
-            at = skip_name(data, at)
-            kind, payload_bytes, ttl, length = struct.unpack_from("!HHIH", data, at)
+            offset = skip_name(data, offset)
+            rdtype, payload_bytes, ttl, length = struct.unpack_from("!HHIH", data, offset)
         except (MessageError, struct.error):
             raise MessageError("the additional section is incomplete", Rcode.FORMERR) from None
-        options_at = at + RECORD_HEADER_BYTES
-        end = options_at + length
+        options_start = offset + RECORD_HEADER_BYTES
+        end = options_start + length
         if end > len(data):
             raise MessageError("the additional section is incomplete", Rcode.FORMERR)
-        if kind == OPT:
-            if edns.is_present or data[at - 1] != 0:
+        if rdtype == OPT:
+            if edns.is_present or data[offset - 1] != 0:
                 raise MessageError("more than one OPT, or one with a name", Rcode.FORMERR)
             edns = Edns(True, max(MIN_UDP_PAYLOAD_BYTES, payload_bytes), bool(ttl & DO_FLAG))
             if ttl >> 16 & 0xFF:
                 raise MessageError("an unknown version of EDNS", Rcode.BADVERS)
-            if not are_options_complete(data[options_at:end]):
+            if not are_options_complete(data[options_start:end]):
                 raise MessageError("an EDNS option is incomplete", Rcode.FORMERR)
-        at = end
+        offset = end
     return edns
 
 
@@ -229,31 +237,37 @@
 
 def are_options_complete(data: bytes) -> bool:
     """Whether the EDNS options fill their record exactly."""
-    at = 0
-    while at < len(data):
-        if at + 4 > len(data):
+    offset = 0
+    while offset < len(data):
+        if offset + 4 > len(data):
             return False
-        at += 4 + int.from_bytes(data[at + 2 : at + 4])
-    return at == len(data)
+        offset += 4 + int.from_bytes(data[offset + 2 : offset + 4])
+    return offset == len(data)
 
 
-def encode_opt(rcode: int, dnssec: bool, extended: ExtendedError | None = None, text: str = "") -> bytes:
+def encode_opt(
+    rcode: int, dnssec_ok: bool, extended_error: ExtendedError | None = None, extra_text: str = ""
+) -> bytes:
     """Encode an OPT record (RFC 6891, 6.1), with an extended error (RFC 8914) if one is given."""
     options = b""
-    if extended is not None:
-        extra_text = text.encode()[:MAX_EXTRA_TEXT_BYTES]
-        options = struct.pack("!HHH", EDE_OPTION, 2 + len(extra_text), extended) + extra_text
-    ttl = (rcode >> 4) << 24 | (DO_FLAG if dnssec else 0)
+    if extended_error is not None:
+        encoded_text = extra_text.encode()[:MAX_EXTRA_TEXT_BYTES]
+        options = struct.pack("!HHH", EDE_OPTION, 2 + len(encoded_text), extended_error) + encoded_text
+    ttl = (rcode >> 4) << 24 | (DO_FLAG if dnssec_ok else 0)
     return b"\0" + struct.pack("!HHIH", OPT, EDNS_UDP_PAYLOAD_BYTES, ttl, len(options)) + options
 
 
 def encode_error(
-    query: Query, rcode: Rcode, extended: ExtendedError | None = None, text: str = "", flags: int = 0
+    query: Query,
+    rcode: Rcode,
+    extended_error: ExtendedError | None = None,
+    extra_text: str = "",
+    flags: int = 0,
 ) -> bytes:
     """Encode a response without records."""
     flags |= QR | RA | (query.flags & (RD | CD | OPCODE_MASK)) | (rcode & RCODE_MASK)
-    tail = encode_opt(rcode, query.dnssec, extended, text) if query.edns else b""
-    return HEADER.pack(query.id, flags, 1, 0, 0, int(query.edns)) + query.question + tail
+    tail = encode_opt(rcode, query.dnssec_ok, extended_error, extra_text) if query.has_edns else b""
+    return HEADER.pack(query.id, flags, 1, 0, 0, int(query.has_edns)) + query.question + tail
 
 
 def encode_error_for_unreadable(data: bytes, rcode: Rcode) -> bytes | None:
@@ -273,4 +287,4 @@
     The client's EDNS options are not forwarded: they are for one hop (RFC 6891, 6.2.6).
     """
     flags = query.flags & (RD | CD | AD)
-    return HEADER.pack(id_, flags, 1, 0, 0, 1) + query.question + encode_opt(0, query.dnssec)
+    return HEADER.pack(id_, flags, 1, 0, 0, 1) + query.question + encode_opt(0, query.dnssec_ok)
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -14,9 +14,9 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.requests import Request, ResponseSource
-from sagetrack.dns.answer import Answer, encode_reply
-from sagetrack.dns.cache import STALE_TTL_S, AnswerCache, CacheKey
-from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateVerdict, ResponseRateLimiter
+from sagetrack.dns.answer import DnsResponse, encode_response
+from sagetrack.dns.cache import STALE_TTL_S, CacheKey, ResponseCache
+from sagetrack.dns.limits import AccessRules, QueriesInFlight, RateLimitAction, ResponseRateLimiter
 from sagetrack.dns.message import (
     EDNS_UDP_PAYLOAD_BYTES,
     MAX_MESSAGE_BYTES,
@@ -32,7 +32,7 @@
 )
 
 WriteResponse = Callable[[bytes], None]
-LocalAnswers = Callable[[Query], Answer | None]
+LocalResolver = Callable[[Query], DnsResponse | None]
 """The answer of a zone of the installation; None if the question is about no such zone."""
 
 
@@ -58,7 +58,7 @@
     query: Query
     host: str
     key: tuple[Any, ...]  # client, message id and question
-    limit: int  # bytes of its response
+    max_bytes: int  # bytes of its response
     write: WriteResponse
     is_udp: bool
 
@@ -81,20 +81,20 @@
         rate_limiter: Limits responses over UDP.
         in_flight: Limits queries in flight.
         client_timeout_us: How long clients are expected to wait.
-        local_answers: Zones of the installation.
-        forwards: Whether there are upstream servers at all.
+        resolve_locally: Zones of the installation.
+        has_upstreams: Whether there are upstream servers at all.
     """
 
     def __init__(
         self,
         gateway: Gateway,
-        cache: AnswerCache,
+        cache: ResponseCache,
         access: AccessRules,
         rate_limiter: ResponseRateLimiter,
         in_flight: QueriesInFlight,
         client_timeout_us: int,
-        local_answers: LocalAnswers = lambda query: None,
-        forwards: bool = True,
+        resolve_locally: LocalResolver = lambda query: None,
+        has_upstreams: bool = True,
     ) -> None:
         self.gateway = gateway
         self.cache = cache
@@ -102,13 +102,13 @@
         self.rate_limiter = rate_limiter
         self.in_flight = in_flight
         self.client_timeout_us = client_timeout_us
-        self.local_answers = local_answers
-        self.forwards = forwards
+        self.resolve_locally = resolve_locally
+        self.has_upstreams = has_upstreams
         self.counts = QueryCounts()
         self.waiting: dict[tuple[Any, ...], WaitingQuery] = {}
-        self.shared: dict[CacheKey, SharedRequest] = {}
-        self.requests: dict[str, SharedRequest] = {}  # by id of the request
-        self.last_number = 0
+        self.shared_by_question: dict[CacheKey, SharedRequest] = {}
+        self.shared_by_request_id: dict[str, SharedRequest] = {}  # by id of the request
+        self.last_request_number = 0
 
     # Queries
 
@@ -127,54 +127,52 @@
         """
         if not self.access.allows(host):
             self.counts.denied += 1
-            self.answer_denied(data, host, is_udp, write)
+            self.refuse(data, host, is_udp, write)
             return False
         try:
             query = parse_query(data)
         except MessageError as error:
             self.counts.unreadable += 1
             if error.rcode is not None:
-                self.answer_unreadable(encode_error_for_unreadable(data, error.rcode), host, is_udp, write)
+                self.send_error(encode_error_for_unreadable(data, error.rcode), host, is_udp, write)
             return False
         key = (client, query.id, query.question)
         if key in self.waiting:
             self.counts.joined += 1  # a repeat by the client: the response to the first is due
             return False
         self.counts.queries += 1
-        limit = MAX_MESSAGE_BYTES
+        max_bytes = MAX_MESSAGE_BYTES
         if is_udp:
-            limit = min(max(query.size, MIN_UDP_PAYLOAD_BYTES), EDNS_UDP_PAYLOAD_BYTES)
-        waiting = WaitingQuery(query, host, key, limit, write, is_udp)
-        if not self.answer_at_once(waiting):
+            max_bytes = min(max(query.udp_payload_bytes, MIN_UDP_PAYLOAD_BYTES), EDNS_UDP_PAYLOAD_BYTES)
+        waiting = WaitingQuery(query, host, key, max_bytes, write, is_udp)
+        if not self.try_answer_locally(waiting):
             self.forward(waiting)
         return True
 
-    def answer_denied(self, data: bytes, host: str, is_udp: bool, write: WriteResponse) -> None:
+    def refuse(self, data: bytes, host: str, is_udp: bool, write: WriteResponse) -> None:
         """Refuse a message of a client that may not ask."""
         try:
             response: bytes | None = encode_error(parse_query(data), Rcode.REFUSED, ExtendedError.PROHIBITED)
         except MessageError:
             response = encode_error_for_unreadable(data, Rcode.REFUSED)
-        self.answer_unreadable(response, host, is_udp, write)
+        self.send_error(response, host, is_udp, write)
 
-    def answer_unreadable(
-        self, response: bytes | None, host: str, is_udp: bool, write: WriteResponse
-    ) -> None:
+    def send_error(self, response: bytes | None, host: str, is_udp: bool, write: WriteResponse) -> None:
         """Send an error that counts as no answer to a query, if the rate limit allows it."""
-        if response is not None and self.judge_rate(host, is_udp) is RateVerdict.ANSWER:
+        if response is not None and self.check_rate_limit(host, is_udp) is RateLimitAction.SEND:
             write(response)
 
-    def answer_at_once(self, waiting: WaitingQuery) -> bool:
+    def try_answer_locally(self, waiting: WaitingQuery) -> bool:
         """Answer a query from a local zone or the cache, or refuse it while not serving.
 
         Returns:
             False if it has to be forwarded.
         """
         query = waiting.query
-        local = self.local_answers(query)
+        local = self.resolve_locally(query)
         if local is not None:
             self.counts.answered += 1
-            self.respond(waiting, encode_reply(query, local, waiting.limit))
+            self.respond(waiting, encode_response(query, local, waiting.max_bytes))
             return True
         if not self.gateway.can_serve:
             self.counts.refused += 1
@@ -184,14 +182,14 @@
         if hit is None:
             return False
         self.counts.answered += 1
-        self.respond(waiting, encode_reply(query, hit.answer, waiting.limit, hit.age_s))
+        self.respond(waiting, encode_response(query, hit.response, waiting.max_bytes, hit.age_s))
         if hit.should_prefetch:
             self.start_request(query)
         return True
 
     def encode_not_serving(self, query: Query) -> bytes:
         """Encode the error for a query that only an upstream server could answer, while there is none."""
-        if self.forwards:
+        if self.has_upstreams:
             return encode_error(query, Rcode.SERVFAIL, ExtendedError.NOT_READY)
         return encode_error(query, Rcode.REFUSED, ExtendedError.NOT_AUTHORITATIVE)
 
@@ -204,7 +202,7 @@
             self.respond(waiting, encode_error(query, Rcode.SERVFAIL, ExtendedError.OTHER, text))
             return
         self.waiting[waiting.key] = waiting
-        shared = self.shared.get(query.cache_key)
+        shared = self.shared_by_question.get(query.cache_key)
         if shared is not None:
             self.counts.shared += 1
             shared.queries.append(waiting)
@@ -214,10 +212,10 @@
     def start_request(self, query: Query, waiting: WaitingQuery | None = None) -> None:
         """Send a question upstream; without a waiting query it only refreshes the cache."""
         shared = SharedRequest(query.cache_key, [waiting] if waiting else [])
-        self.shared[query.cache_key] = shared
-        self.last_number += 1
+        self.shared_by_question[query.cache_key] = shared
+        self.last_request_number += 1
         request = Request(
-            id=f"q{self.last_number:x}",
+            id=f"q{self.last_request_number:x}",
             class_index=0,
             client_timeout_us=self.client_timeout_us,
             key=None,
@@ -227,16 +225,16 @@
             message=query,
             client=self,
         )
-        self.requests[request.id] = shared
+        self.shared_by_request_id[request.id] = shared
         self.gateway.submit(request)
 
     def end_request(self, request: Request) -> list[WaitingQuery]:
         """Forget a request that has ended; the queries that are to be answered now."""
-        shared = self.requests.pop(request.id, None)
+        shared = self.shared_by_request_id.pop(request.id, None)
         if shared is None:
             return []
-        if self.shared.get(shared.cache_key) is shared:
-            del self.shared[shared.cache_key]
+        if self.shared_by_question.get(shared.cache_key) is shared:
+            del self.shared_by_question[shared.cache_key]
         for waiting in shared.queries:
             self.in_flight.remove(waiting.host)
             self.waiting.pop(waiting.key, None)
@@ -244,24 +242,24 @@
 
     # The response, as the gateway gives it
 
-    def on_response(self, request: Request, answer: Answer) -> None:
+    def on_response(self, request: Request, response: DnsResponse) -> None:
         """Response from upstream."""
-        self.cache.put(request.message.cache_key, answer, now_us())
+        self.cache.put(request.message.cache_key, response, now_us())
         for waiting in self.end_request(request):
             self.counts.answered += 1
-            self.respond(waiting, encode_reply(waiting.query, answer, waiting.limit))
+            self.respond(waiting, encode_response(waiting.query, response, waiting.max_bytes))
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """The request is rejected."""
         text = f"come back in {retry_after_us / 1e6:.1f} s" if retry_after_us else "busy"
-        self.answer_failure(request, ExtendedError.NOT_READY, text, rejected=True)
+        self.respond_with_failure(request, ExtendedError.NOT_READY, text, rejected=True)
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
         """The request failed, or its deadline has passed."""
         code = ExtendedError.NO_REACHABLE_AUTHORITY if timed_out else ExtendedError.NETWORK_ERROR
-        self.answer_failure(request, code, "", rejected=False)
+        self.respond_with_failure(request, code, "", rejected=False)
 
-    def answer_failure(self, request: Request, code: ExtendedError, text: str, rejected: bool) -> None:
+    def respond_with_failure(self, request: Request, code: ExtendedError, text: str, rejected: bool) -> None:
         """Answer the queries of a request without response, from a stale answer if there is one."""
         key = request.message.cache_key
         self.cache.prefetch_failed(key)
@@ -269,7 +267,7 @@
         for waiting in self.end_request(request):
             if stale is not None:
                 self.counts.answered += 1
-                self.respond(waiting, encode_stale_reply(waiting, stale.answer))
+                self.respond(waiting, encode_stale_response(waiting, stale.response))
                 continue
             if rejected:
                 self.counts.refused += 1
@@ -277,16 +275,16 @@
                 self.counts.failed += 1
             self.respond(waiting, encode_error(waiting.query, Rcode.SERVFAIL, code, text))
 
-    def judge_rate(self, host: str, is_udp: bool) -> RateVerdict:
+    def check_rate_limit(self, host: str, is_udp: bool) -> RateLimitAction:
         """What the rate limit says to one response; over TCP there is none."""
-        return self.rate_limiter.judge(host, now_us()) if is_udp else RateVerdict.ANSWER
+        return self.rate_limiter.decide(host, now_us()) if is_udp else RateLimitAction.SEND
 
     def respond(self, waiting: WaitingQuery, data: bytes) -> None:
         """Send the one response to a query, or what the rate limit leaves of it."""
-        verdict = self.judge_rate(waiting.host, waiting.is_udp)
-        if verdict is RateVerdict.DROP:
+        action = self.check_rate_limit(waiting.host, waiting.is_udp)
+        if action is RateLimitAction.DROP:
             return
-        if verdict is RateVerdict.TRUNCATE:
+        if action is RateLimitAction.TRUNCATE:
             data = encode_error(waiting.query, Rcode.NOERROR, flags=TC)
         self.counts.truncated += waiting.is_udp and bool(data[2] & 0x02)
         waiting.write(data)
@@ -301,7 +299,7 @@
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
-    def on_response_ended(self, request: Request, answer: Any) -> None:
+    def on_response_ended(self, request: Request, response: Any) -> None:
         """Never called."""
         raise AssertionError("DNS responses are not streamed")
 
@@ -310,8 +308,8 @@
         raise AssertionError("DNS responses are not streamed")
 
 
-def encode_stale_reply(waiting: WaitingQuery, answer: Answer) -> bytes:
+def encode_stale_response(waiting: WaitingQuery, response: DnsResponse) -> bytes:
     """Encode a stale answer, marked as such (RFC 8914, 4.4 and 4.20)."""
-    is_negative = answer.rcode == Rcode.NXDOMAIN
-    extended = ExtendedError.STALE_NXDOMAIN if is_negative else ExtendedError.STALE_ANSWER
-    return encode_reply(waiting.query, answer, waiting.limit, 0, STALE_TTL_S, extended)
+    is_negative = response.rcode == Rcode.NXDOMAIN
+    extended_error = ExtendedError.STALE_NXDOMAIN if is_negative else ExtendedError.STALE_ANSWER
+    return encode_response(waiting.query, response, waiting.max_bytes, 0, STALE_TTL_S, extended_error)
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -11,7 +11,7 @@
 from sagetrack.config.platform import Address, stable_id
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
-from sagetrack.dns.cache import AnswerCache
+from sagetrack.dns.cache import ResponseCache
 from sagetrack.dns.limits import AccessRules, QueriesInFlight, ResponseRateLimiter
 from sagetrack.dns.listener import ClientLimits, DnsListener
 from sagetrack.dns.query_handler import QueryHandler
@@ -117,22 +117,22 @@
         self.config = config
         self.zones = self._build_zones(seed, weights, serial)
         self.freeze_timer: asyncio.TimerHandle | None = None
-        self.configured: list[Endpoint] = []  # upstream servers of the operator's file
-        self.listed = list(listed_upstreams)  # upstream servers of the endpoint list, as it was last complete
+        self.configured_upstreams: list[Endpoint] = []  # of the operator's file
+        self.listed_upstreams = list(listed_upstreams)  # of the last complete endpoint list
         self.frozen_entries = 0  # cache entries that the garbage collector no longer scans
         settings = load_balancer_settings(config)
         self.upstreams = DnsUpstreams(settings)
         self.gateway = Gateway(settings, seed, [CLASS_NAME], self.upstreams, {})
-        self.cache = AnswerCache(config.cache_bytes, config.stale_s)
+        self.cache = ResponseCache(config.cache_bytes, config.stale_s)
         limits = config.limits
         self.handler = QueryHandler(
             self.gateway,
             self.cache,
             AccessRules(config.allowed_prefixes, config.denied_prefixes),
             ResponseRateLimiter(config.responses_per_s),
-            QueriesInFlight(limits.queries_per_client, limits.queries),
+            QueriesInFlight(limits.max_queries_per_client, limits.max_queries),
             config.deadline_us,
-            self.zones.answer if self.zones is not None else lambda query: None,
+            self.zones.resolve if self.zones is not None else lambda query: None,
             bool(config.upstreams) or config.uses_endpoint_list,
         )
         self.listener = DnsListener(self.handler, limits)
@@ -141,19 +141,19 @@
         self, seed: int, weights: Callable[[], Mapping[str, float]], serial: int
     ) -> LocalZones | None:
         """The zones that the gateway answers itself; None if there are none."""
-        plan = self.config.zone
-        if plan is None:
+        zone_config = self.config.zone
+        if zone_config is None:
             return None
         from sagetrack.dns.zone import LocalZones  # loads dnspython, which only zones need
         from sagetrack.dns.zone_records import ZoneMember
 
         return LocalZones(
-            plan.origin,
+            zone_config.origin,
             seed,
-            ttl_s=plan.ttl_s,
-            negative_ttl_s=plan.ttl_s,
-            gateways=[ZoneMember(name, *address) for name, address in plan.gateways],
-            files=plan.files,
+            ttl_s=zone_config.ttl_s,
+            negative_ttl_s=zone_config.ttl_s,
+            gateways=[ZoneMember(name, *address) for name, address in zone_config.gateways],
+            files=zone_config.files,
             serial=serial,
             weights=weights,
         )
@@ -184,19 +184,19 @@
 
     def list_upstreams(self, addresses: Sequence[Address]) -> None:
         """Replace the upstream servers of the operator's file."""
-        self.configured = []
+        self.configured_upstreams = []
         for host, port in addresses:
             name = f"{host}:{port}"
-            self.configured.append(Endpoint(name, (host, port), ListedServer(stable_id(name, 4))))
-        self.on_list(ListKind.FULL, self.listed)
+            self.configured_upstreams.append(Endpoint(name, (host, port), ListedServer(stable_id(name, 4))))
+        self.on_list(ListKind.FULL, self.listed_upstreams)
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Take over upstream servers of the endpoint list; those of the operator's file stay beside them."""
         if kind is ListKind.ERROR:
             return
         if kind is not ListKind.DELTA:
-            self.listed = entries
-            entries = [*self.configured, *entries]
+            self.listed_upstreams = entries
+            entries = [*self.configured_upstreams, *entries]
         self.gateway.on_endpoint_list(kind, entries)
 
     def set_zone_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
@@ -209,7 +209,7 @@
     def reorder_zone_servers(self) -> None:
         """Order the servers of the installation's zone anew, by their current weights."""
         if self.zones is not None:
-            self.zones.draw_orders()
+            self.zones.reshuffle()
 
     def set_standby_check(self, is_draining: Callable[[], bool]) -> None:
         """Let client connections close once they are answered, while `is_draining` returns true."""
@@ -238,9 +238,9 @@
             "dns_cache_stale_total": cache.counts.stale,
             "dns_cache_evicted_total": cache.counts.evicted,
             "dns_cache_entries": len(cache.entries),
-            "dns_cache_bytes": cache.bytes,
-            "dns_upstream_attempts_total": upstreams.udp,
-            "dns_upstream_tcp_total": upstreams.tcp,
+            "dns_cache_bytes": cache.size_bytes,
+            "dns_upstream_attempts_total": upstreams.udp_attempts,
+            "dns_upstream_tcp_total": upstreams.tcp_retries,
             "dns_upstream_unmatched_total": upstreams.unmatched,
             "dns_upstream_unhealthy": self.gateway.balancer.unhealthy_count(),
             "dns_current": len(self.handler.waiting),
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from sagetrack.core.upstream_server import UpstreamServerRecord
-from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.answer import parse_response
 from sagetrack.dns.message import HEADER_BYTES, MessageError, encode_upstream_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
@@ -95,14 +95,14 @@
                 self.close()  # the server does not speak DNS, or the framing is lost
             return
         try:
-            answer = parse_answer(data, attempt.query, attempt.id)
+            response = parse_response(data, attempt.query, attempt.id)
         except MessageError:
-            answer = None
-        if answer is None:
+            response = None
+        if response is None:
             self.counts.malformed += 1
             attempt.finish(Outcome.ERROR)
         else:
-            attempt.complete(answer)
+            attempt.complete(response)
 
     def forget(self, attempt: DnsAttempt) -> None:
         """Drop an attempt; with the last one the idle timeout begins."""
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -12,7 +12,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.clock import now_us
-from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.answer import parse_response
 from sagetrack.dns.message import HEADER_BYTES, MAX_MESSAGE_BYTES, MessageError, encode_upstream_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
@@ -100,18 +100,18 @@
             self.counts.unmatched += 1
             return
         try:
-            answer = parse_answer(data, attempt.query, attempt.id)
+            response = parse_response(data, attempt.query, attempt.id)
         except MessageError:
             self.counts.malformed += 1
             attempt.finish(Outcome.ERROR)
             return
-        if answer is None:
+        if response is None:
             self.counts.unmatched += 1
-        elif answer.truncated:
+        elif response.truncated:
             self.forget(attempt)
             self.on_truncated(attempt)
         else:
-            attempt.complete(answer)
+            attempt.complete(response)
 
     def forget(self, attempt: DnsAttempt) -> None:
         """Drop an attempt; a retired socket is closed with its last one."""
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -40,9 +40,9 @@
         self.server = server
         self.counts = counts
         self.retry_over_tcp = retry_over_tcp
-        self.udp: list[UdpSocket] = []
-        self.tcp: UpstreamTcpConnection | None = None
-        self.last_index = 0
+        self.udp_sockets: list[UdpSocket] = []
+        self.tcp_connection: UpstreamTcpConnection | None = None
+        self.last_socket_index = 0
 
     def next_udp_socket(self, now: int) -> UdpSocket:
         """The next socket in turn; one that is used up is replaced by one with another port.
@@ -50,14 +50,14 @@
         Raises:
             OSError: A new socket cannot be made or connected.
         """
-        self.last_index = (self.last_index + 1) % SOCKETS_PER_SERVER
-        if self.last_index >= len(self.udp):
-            self.udp.append(self.open_udp_socket())
-            return self.udp[-1]
-        udp = self.udp[self.last_index]
+        self.last_socket_index = (self.last_socket_index + 1) % SOCKETS_PER_SERVER
+        if self.last_socket_index >= len(self.udp_sockets):
+            self.udp_sockets.append(self.open_udp_socket())
+            return self.udp_sockets[-1]
+        udp = self.udp_sockets[self.last_socket_index]
         if udp.is_used_up(now):
             udp.retire()
-            udp = self.udp[self.last_index] = self.open_udp_socket()
+            udp = self.udp_sockets[self.last_socket_index] = self.open_udp_socket()
         return udp
 
     def open_udp_socket(self) -> UdpSocket:
@@ -70,32 +70,32 @@
 
     def new_tcp_connection(self) -> UpstreamTcpConnection:
         """Make a connection that is still to be connected."""
-        self.tcp = UpstreamTcpConnection(self.loop, self.server, self.counts, self.discard)
-        return self.tcp
+        self.tcp_connection = UpstreamTcpConnection(self.loop, self.server, self.counts, self.discard)
+        return self.tcp_connection
 
     def discard(self, connection: UpstreamTcpConnection) -> None:
         """Forget a connection that has closed."""
-        if self.tcp is connection:
-            self.tcp = None
+        if self.tcp_connection is connection:
+            self.tcp_connection = None
 
     def retire_udp(self) -> None:
         """Send nothing more over today's UDP sockets; each closes when nothing waits on it."""
-        for udp in self.udp:
+        for udp in self.udp_sockets:
             udp.retire()
-        self.udp.clear()
+        self.udp_sockets.clear()
 
     def close_idle(self) -> None:
         """Retire the UDP sockets, and close the TCP connection unless a response is due on it."""
         self.retire_udp()
-        if self.tcp is not None and not self.tcp.waiting:
-            self.tcp.close()
+        if self.tcp_connection is not None and not self.tcp_connection.waiting:
+            self.tcp_connection.close()
 
     def close(self) -> None:
         """Close all at once."""
-        for udp in self.udp:
+        for udp in self.udp_sockets:
             udp.close()
-        if self.tcp is not None:
-            self.tcp.close()
+        if self.tcp_connection is not None:
+            self.tcp_connection.close()
 
 
 class DnsUpstreams:
@@ -126,28 +126,28 @@
     def put(self, entry: Endpoint) -> None:
         """Add a server, or take over its new address, start time or status."""
         listed = entry.listed
-        known = self.servers.get(listed.server)
-        if known is not None and not known.server.is_same_incarnation(entry):
-            known.close_idle()
-            known = None
-        if known is None:
+        sockets = self.servers.get(listed.server)
+        if sockets is not None and not sockets.server.is_same_incarnation(entry):
+            sockets.close_idle()
+            sockets = None
+        if sockets is None:
             server = UpstreamServerRecord.from_endpoint(entry)
-            known = DnsServerSockets(self.loop, server, self.counts, self.retry_over_tcp)
-            self.servers[listed.server] = known
-        known.server.update_status(listed.status)
+            sockets = DnsServerSockets(self.loop, server, self.counts, self.retry_over_tcp)
+            self.servers[listed.server] = sockets
+        sockets.server.update_status(listed.status)
 
     def remove(self, server: int) -> None:
         """Drop a server; queries that wait there end as they would."""
-        known = self.servers.pop(server, None)
-        if known is not None:
-            known.server.mark_withdrawn()
-            known.retire_udp()
+        sockets = self.servers.pop(server, None)
+        if sockets is not None:
+            sockets.server.mark_withdrawn()
+            sockets.retire_udp()
 
     def close_idle(self, server: int) -> None:
         """Close the sockets to a server's earlier incarnation, as they become idle."""
-        known = self.servers.get(server)
-        if known is not None:
-            known.close_idle()
+        sockets = self.servers.get(server)
+        if sockets is not None:
+            sockets.close_idle()
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Do nothing: upstream DNS servers are never probed."""
@@ -155,7 +155,7 @@
     # Attempts
 
     def begin(
-        self, request: Request, server: int, wait_us: int, observer: AttemptObserver
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
     ) -> DnsAttempt | None:
         """Send a query to a server and wait `wait_us` for its response; None if it is not listed."""
         sockets = self.servers.get(server)
@@ -166,7 +166,7 @@
         if not observer.may_begin(sockets.server.state):
             attempt.finish(Outcome.NOT_SENT)
             return attempt
-        attempt.start_timeout(self.loop.call_later(wait_us / 1e6, attempt.finish, Outcome.TIMEOUT))
+        attempt.start_timeout(self.loop.call_later(timeout_us / 1e6, attempt.finish, Outcome.TIMEOUT))
         observer.on_first_byte()
         try:
             sent = sockets.next_udp_socket(now).send(attempt)
@@ -175,14 +175,14 @@
         if not sent:
             attempt.finish(Outcome.CONNECT_FAILED)
             return attempt
-        self.counts.udp += 1
+        self.counts.udp_attempts += 1
         attempt.on_request_sent()
         return attempt
 
     def retry_over_tcp(self, sockets: DnsServerSockets, attempt: DnsAttempt) -> None:
         """Repeat a query over TCP, as part of the same attempt and within its timeout."""
-        self.counts.tcp += 1
-        connection = sockets.tcp
+        self.counts.tcp_retries += 1
+        connection = sockets.tcp_connection
         if connection is None or connection.closed:
             connection = sockets.new_tcp_connection()
             task: asyncio.Task[object] = self.loop.create_task(self.connect(connection))
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -11,19 +11,19 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.interfaces import AttemptObserver
 from sagetrack.core.upstream_server import UpstreamServerRecord
-from sagetrack.dns.answer import Answer
+from sagetrack.dns.answer import DnsResponse
 from sagetrack.dns.message import Query, Rcode
 from sagetrack.policy.events import Outcome
 
-SUCCESSFUL = frozenset({Rcode.NOERROR, Rcode.NXDOMAIN})
+SUCCESSFUL_RCODES = frozenset({Rcode.NOERROR, Rcode.NXDOMAIN})
 
 
 @dataclass(slots=True)
 class UpstreamCounts:
     """Totals since the start."""
 
-    udp: int = 0
-    tcp: int = 0  # attempts that were repeated over TCP
+    udp_attempts: int = 0
+    tcp_retries: int = 0  # attempts that were repeated over TCP
     unmatched: int = 0  # late, forged or duplicate responses
     malformed: int = 0
 
@@ -72,12 +72,12 @@
         self.request_sent = True
         self.observer.on_request_sent()
 
-    def complete(self, answer: Answer) -> None:
+    def complete(self, response: DnsResponse) -> None:
         """End with a response; any rcode but NOERROR and NXDOMAIN is an error of the server."""
-        successful = answer.rcode in SUCCESSFUL
-        self.finish(Outcome.OK if successful else Outcome.ERROR, answer if successful else None)
+        successful = response.rcode in SUCCESSFUL_RCODES
+        self.finish(Outcome.OK if successful else Outcome.ERROR, response if successful else None)
 
-    def finish(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def finish(self, outcome: Outcome, response: DnsResponse | None = None) -> None:
         """End the attempt and tell its observer; any call after the first has no effect."""
         if self.ended:
             return
@@ -87,7 +87,7 @@
             self.timer.cancel()
         if self.carrier is not None:
             self.carrier.forget(self)
-        self.observer.on_attempt_ended(self, outcome, answer, None)
+        self.observer.on_attempt_ended(self, outcome, response, None)
 
 
 def unused_message_id(used: Container[int]) -> int:
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -19,7 +19,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from sagetrack.dns.answer import Answer, parse_answer
+from sagetrack.dns.answer import DnsResponse, parse_response
 from sagetrack.dns.message import MAX_MESSAGE_BYTES, Query
 from sagetrack.dns.zone_records import (
     IN,
@@ -32,8 +32,8 @@
     weighted_order,
 )
 
-ORDERS = 8  # of the servers' records, drawn by weight; each response has the next
-MAX_RENDERED = 4096  # responses that are kept rendered
+ORDER_COUNT = 8  # of the servers' records, drawn by weight; each response has the next
+MAX_RENDERED_RESPONSES = 4096  # responses that are kept rendered
 SERIAL_MODULUS = 2**32  # RFC 1982
 
 
@@ -65,17 +65,17 @@
         serial: int = 1,
         weights: Callable[[], Mapping[str, float]] = dict,
     ) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.ttl_s = ttl_s
         self.negative_ttl_s = negative_ttl_s
         self.weights = weights
         self.gateways = list(gateways)
         self.serial = serial % SERIAL_MODULUS
         self.members: list[ZoneMember] = []
-        self.rendered: dict[tuple[bytes, int, int], Answer | None] = {}
+        self.rendered: dict[tuple[bytes, int, int], DnsResponse | None] = {}
         self.order_index = 0
         self.orders: list[list[ZoneMember]] = []
-        self.reverse: dict[dns.name.Name, dns.name.Name] = {}
+        self.reverse_names: dict[dns.name.Name, dns.name.Name] = {}
         self.zones: dict[dns.name.Name, Zone] = {}
         self.origin: dns.name.Name | None = None
         if origin:
@@ -92,15 +92,15 @@
 
     def update(self, members: Iterable[ZoneMember]) -> bool:
         """Take over the servers that are ready now; False if nothing has changed."""
-        fresh = sorted(members, key=lambda member: member.name)
-        if fresh == self.members:
+        sorted_members = sorted(members, key=lambda member: member.name)
+        if sorted_members == self.members:
             return False
-        self.members = fresh
+        self.members = sorted_members
         self.serial = (self.serial + 1) % SERIAL_MODULUS or 1
         self.rebuild()
         return True
 
-    def draw_orders(self) -> None:
+    def reshuffle(self) -> None:
         """Draw new orders by the current weights."""
         if self.rendered:
             self.rebuild()
@@ -111,44 +111,44 @@
         if self.origin is None:
             return
         weights = self.weights()
-        self.orders = [weighted_order(self.members, weights, self.draw) for _ in range(ORDERS)]
+        self.orders = [weighted_order(self.members, weights, self.rng) for _ in range(ORDER_COUNT)]
         zone = InstallationZone(self.origin, self.ttl_s, self.negative_ttl_s)
         self.zones[self.origin] = zone.build(self.gateways, self.members, self.serial)
-        self.reverse = zone.reverse
+        self.reverse_names = zone.reverse_names
 
     # Answers
 
-    def answer(self, query: Query) -> Answer | None:
+    def resolve(self, query: Query) -> DnsResponse | None:
         """The answer to a question; None if it is about none of these zones."""
-        self.order_index = (self.order_index + 1) % ORDERS
+        self.order_index = (self.order_index + 1) % ORDER_COUNT
         if query.query_class != IN:
             return None
         key = (query.name, query.type, self.order_index)
         if key not in self.rendered:
-            if len(self.rendered) >= MAX_RENDERED:
+            if len(self.rendered) >= MAX_RENDERED_RESPONSES:
                 self.rendered.clear()
             self.rendered[key] = self.render(query)
         return self.rendered[key]
 
-    def render(self, query: Query) -> Answer | None:
+    def render(self, query: Query) -> DnsResponse | None:
         """Render the response to a question in class IN; None if it is about none of these zones."""
         name, _ = dns.name.from_wire(query.name, 0)
         reply = dns.message.QueryMessage(id=0)
         reply.flags = dns.flags.QR | dns.flags.AA
         reply.question.append(dns.rrset.RRset(name, IN, dns.rdatatype.RdataType.make(query.type)))
-        server_name = self.reverse.get(name)
+        server_name = self.reverse_names.get(name)
         if server_name is not None and query.type == dns.rdatatype.PTR:
             rdata = dns.rdata.from_text(IN, dns.rdatatype.PTR, server_name.to_text())
             reply.answer.append(dns.rrset.from_rdata_list(name, self.ttl_s, [rdata]))
         else:
-            zone = self.zone_of(name)
+            zone = self.find_zone(name)
             if zone is None:
                 return None
-            self.fill(reply, zone, name, query.type)
+            self.add_records(reply, zone, name, query.type)
         wire = reply.to_wire(max_size=MAX_MESSAGE_BYTES, want_shuffle=False)  # type: ignore[arg-type]
-        return parse_answer(wire, query, 0)
+        return parse_response(wire, query, 0)
 
-    def zone_of(self, name: dns.name.Name) -> Zone | None:
+    def find_zone(self, name: dns.name.Name) -> Zone | None:
         """The zone of a name: the one with the longest origin."""
         while True:
             zone = self.zones.get(name)
@@ -156,29 +156,31 @@
                 return zone
             name = name.parent()
 
-    def fill(self, reply: dns.message.Message, zone: Zone, name: dns.name.Name, type_: int) -> None:
+    def add_records(self, reply: dns.message.Message, zone: Zone, name: dns.name.Name, rdtype: int) -> None:
         """Add the records, or the denial, that answer a question (RFC 1034, 4.3.2)."""
-        found = zone.records.get(name)
+        records = zone.records.get(name)
         ttl = zone.soa.ttl
-        alias = found.get(dns.rdatatype.CNAME) if found is not None else None
-        if found is not None and type_ in found:
-            reply.answer.append(dns.rrset.from_rdata_list(name, ttl, self.ordered(zone, name, found[type_])))
-        elif alias is not None:
-            reply.answer.append(dns.rrset.from_rdata_list(name, ttl, alias))
-            target = alias[0].target  # type: ignore[attr-defined]
-            inside = zone.records.get(target, {})
-            if type_ in inside:
-                reply.answer.append(dns.rrset.from_rdata_list(target, ttl, inside[type_]))
+        cname = records.get(dns.rdatatype.CNAME) if records is not None else None
+        if records is not None and rdtype in records:
+            reply.answer.append(
+                dns.rrset.from_rdata_list(name, ttl, self.in_current_order(zone, name, records[rdtype]))
+            )
+        elif cname is not None:
+            reply.answer.append(dns.rrset.from_rdata_list(name, ttl, cname))
+            target = cname[0].target  # type: ignore[attr-defined]
+            target_records = zone.records.get(target, {})
+            if rdtype in target_records:
+                reply.answer.append(dns.rrset.from_rdata_list(target, ttl, target_records[rdtype]))
         else:
-            if found is None and name not in zone.empty_non_terminals:
+            if records is None and name not in zone.empty_non_terminals:
                 reply.set_rcode(dns.rcode.NXDOMAIN)
             reply.authority.append(zone.soa)
 
-    def ordered(
+    def in_current_order(
         self, zone: Zone, name: dns.name.Name, rdatas: list[dns.rdata.Rdata]
     ) -> list[dns.rdata.Rdata]:
         """Records in the current order, where they are the addresses of all servers."""
         if zone.origin != self.origin or name != name_below("servers", zone.origin) or len(rdatas) < 2:
             return rdatas
-        place = {member.host: number for number, member in enumerate(self.orders[self.order_index])}
-        return sorted(rdatas, key=lambda rdata: place.get(rdata.to_text(), len(place)))
+        positions = {member.host: number for number, member in enumerate(self.orders[self.order_index])}
+        return sorted(rdatas, key=lambda rdata: positions.get(rdata.to_text(), len(positions)))
--- a/sagetrack/dns/zone_records.py
+++ b/sagetrack/dns/zone_records.py
@@ -65,7 +65,7 @@
 
 
 def weighted_order(
-    members: list[ZoneMember], weights: Mapping[str, float], draw: random.Random
+    members: list[ZoneMember], weights: Mapping[str, float], rng: random.Random
 ) -> list[ZoneMember]:
     """The members in a random order in which the heavier ones tend to come first.
 
@@ -74,7 +74,7 @@
 
     def key(member: ZoneMember) -> float:
         weight = max(MIN_WEIGHT, member.weight * weights.get(member.name, 1.0))
-        return float(draw.random() ** (1.0 / weight))
+        return float(rng.random() ** (1.0 / weight))
 
     return sorted(members, key=key, reverse=True)
 
@@ -93,7 +93,7 @@
         self.ttl_s = ttl_s
         self.negative_ttl_s = negative_ttl_s
         self.records: Records = {}
-        self.reverse: dict[dns.name.Name, dns.name.Name] = {}  # by reverse name: the server's name
+        self.reverse_names: dict[dns.name.Name, dns.name.Name] = {}  # by reverse name: the server's name
 
     def build(self, gateways: list[ZoneMember], servers: list[ZoneMember], serial: int) -> Zone:
         """Build the zone with these members."""
@@ -120,7 +120,7 @@
         weight = max(1, min(MAX_SRV_WEIGHT, round(SRV_WEIGHT_SCALE * member.weight)))
         service = name_below("_http._tcp.servers", self.origin)
         self.add(service, "SRV", f"0 {weight} {member.port} {name}")
-        self.reverse.setdefault(dns.reversename.from_address(member.host), name)
+        self.reverse_names.setdefault(dns.reversename.from_address(member.host), name)
 
     def add_address(self, text: str, host: str) -> dns.name.Name:
         """Add an address record for a name below the origin; the name."""
@@ -128,11 +128,11 @@
         self.add(name, "AAAA" if ":" in host else "A", host)
         return name
 
-    def add(self, name: dns.name.Name, kind: str, text: str) -> None:
+    def add(self, name: dns.name.Name, record_type: str, text: str) -> None:
         """Add a record."""
-        type_ = dns.rdatatype.from_text(kind)
-        rdata = dns.rdata.from_text(IN, type_, text, self.origin, relativize=False)
-        self.records.setdefault(name, {}).setdefault(type_, []).append(rdata)
+        rdtype = dns.rdatatype.from_text(record_type)
+        rdata = dns.rdata.from_text(IN, rdtype, text, self.origin, relativize=False)
+        self.records.setdefault(name, {}).setdefault(rdtype, []).append(rdata)
 
 
 def name_below(text: str, origin: dns.name.Name) -> dns.name.Name:
--- a/sagetrack/lab/fault_injection/crash_test.py
+++ b/sagetrack/lab/fault_injection/crash_test.py
@@ -32,9 +32,9 @@
 from sagetrack.store.errors import CorruptionError, WriteRejectedError
 from sagetrack.store.format import Record
 
-CRASHES = 4  # of one store
-BYTES_SHARE = 0.6  # of the time, at most, for `damage_every_byte`
-FAILING_CALLS = ("sync", "append", "sync_names", "create")
+CRASHES_PER_STORE = 4  # of one store
+DAMAGE_TIME_SHARE = 0.6  # of the time, at most, for `damage_every_byte`
+CALLS_THAT_MAY_FAIL = ("sync", "append", "sync_names", "create")
 
 
 @dataclass(slots=True)
@@ -53,17 +53,17 @@
 
 def sample_store(seed: int, batches: int = 40, checkpoints: int = 2) -> tuple[FaultyDirectory, list[State]]:
     """A store with several logs and checkpoints, and its state after each batch."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     directory = FaultyDirectory()
     store = Store(directory, SMALL_STORE)
     states: list[State] = [{}]
     store.open()
-    for number in range(1, batches + 1):
-        batch = random_batch(draw)
+    for batch_number in range(1, batches + 1):
+        batch = random_batch(rng)
         store.write([batch])
         store.sync()
         states.append(state_after(states[-1], batch))
-        if number % (batches // (checkpoints + 1)) == 0 and number < batches:
+        if batch_number % (batches // (checkpoints + 1)) == 0 and batch_number < batches:
             for _ in store.compact(0):
                 pass
     return directory, states
@@ -84,13 +84,13 @@
         with ErrorsAsFailures(report.failures, lambda error: f"{damage}, written again: {error!r}"):
             store.write([[Record("a", b"again", b"x")]])
             store.sync()
-            again = Store(directory, SMALL_STORE)
-            if again.open().sequence != sequence + 1 or again.get("a", b"again") != b"x":
+            reopened = Store(directory, SMALL_STORE)
+            if reopened.open().sequence != sequence + 1 or reopened.get("a", b"again") != b"x":
                 report.failures.append(f"{damage}: what was written after it is not there")
 
 
 def damage_every_byte(
-    report: CrashTestReport, until_s: float, progress: Callable[[float], None], seed: int = 1
+    report: CrashTestReport, deadline_s: float, progress: Callable[[float], None], seed: int = 1
 ) -> bool:
     """Truncate each file at each byte, flip each bit; False if the time ended first."""
     directory, states = sample_store(seed)
@@ -98,17 +98,17 @@
     total = sum(directory.size(name) for name in names)
     done = 0
     for name in names:
-        for at in range(directory.size(name)):
-            if time.monotonic() > until_s:
+        for offset in range(directory.size(name)):
+            if time.monotonic() > deadline_s:
                 return False
             damaged = directory.copy()
-            del damaged.files[name].data[at:]
-            check_recovery(damaged, states, report, f"{name} cut at {at}")
+            del damaged.files[name].data[offset:]
+            check_recovery(damaged, states, report, f"{name} cut at {offset}")
             report.truncations += 1
             for bit in range(8):
                 damaged = directory.copy()
-                damaged.files[name].data[at] ^= 1 << bit
-                check_recovery(damaged, states, report, f"{name}, byte {at}, bit {bit} flipped")
+                damaged.files[name].data[offset] ^= 1 << bit
+                check_recovery(damaged, states, report, f"{name}, byte {offset}, bit {bit} flipped")
                 report.flipped_bits += 1
             done += 1
             progress(done / total)
@@ -117,10 +117,10 @@
 
 def crash_repeatedly(seed: int, report: CrashTestReport) -> None:
     """Write to one store through crashes and errors of its disk, and check it after each crash."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     directory = FaultyDirectory()
     expected = ExpectedStates()
-    for _ in range(CRASHES):
+    for _ in range(CRASHES_PER_STORE):
         store = Store(directory, SMALL_STORE)
         directory.errors_by_call = {}
         directory.free_bytes = None
@@ -131,40 +131,40 @@
         if failure is not None:
             report.failures.append(f"seed {seed}: {failure}")
             return
-        directory.crash_at_call = directory.calls + draw.randint(1, 60)
+        directory.crash_at_call = directory.calls + rng.randint(1, 60)
         try:
             while True:
-                change_disk_fault(directory, draw, report)
+                change_disk_fault(directory, rng, report)
                 with suppress(OSError, WriteRejectedError):
-                    _write_randomly(store, expected, draw)
+                    _write_randomly(store, expected, rng)
         except SimulatedCrash:
             report.crashes += 1
-            directory = directory.after_crash(draw)
+            directory = directory.after_crash(rng)
 
 
-def change_disk_fault(directory: FaultyDirectory, draw: random.Random, report: CrashTestReport) -> None:
+def change_disk_fault(directory: FaultyDirectory, rng: random.Random, report: CrashTestReport) -> None:
     """At random, the disk begins to fail, or to be full, or works again, or stays as it is."""
-    choice = draw.random()
+    choice = rng.random()
     if choice < 0.1:
-        directory.errors_by_call = {draw.choice(FAILING_CALLS): errno.EIO}
+        directory.errors_by_call = {rng.choice(CALLS_THAT_MAY_FAIL): errno.EIO}
         report.disk_errors += 1
     elif choice < 0.15:
-        directory.free_bytes = draw.randrange(200)
+        directory.free_bytes = rng.randrange(200)
         report.disk_errors += 1
     elif choice < 0.6:
         directory.errors_by_call = {}
         directory.free_bytes = None
 
 
-def _write_randomly(store: Store, expected: ExpectedStates, draw: random.Random) -> None:
+def _write_randomly(store: Store, expected: ExpectedStates, rng: random.Random) -> None:
     """Some batches; now and then a compaction before them, more often a sync after them."""
-    if draw.random() < 0.08:
+    if rng.random() < 0.08:
         with closing(store.compact(0)) as compaction:
             for _ in compaction:
-                if draw.random() < 0.1:
-                    _write(store, expected, [random_batch(draw)])
-    _write(store, expected, [random_batch(draw) for _ in range(draw.randint(1, 3))])
-    if draw.random() < 0.6:
+                if rng.random() < 0.1:
+                    _write(store, expected, [random_batch(rng)])
+    _write(store, expected, [random_batch(rng) for _ in range(rng.randint(1, 3))])
+    if rng.random() < 0.6:
         expected.acknowledge(store.sync())
 
 
@@ -174,11 +174,11 @@
     expected.end_write(batches)
 
 
-def kill_writer(folder: Path, draw: random.Random, before: int, report: CrashTestReport) -> int:
+def kill_writer(folder: Path, rng: random.Random, last_batch: int, report: CrashTestReport) -> int:
     """Kill a writing process, and check the store that it leaves; returns the last batch that is there."""
-    acknowledged = write_and_kill(folder, draw, before)
+    acknowledged = write_and_kill(folder, rng, last_batch)
     report.kills += 1
-    report.acknowledged_batches += max(0, acknowledged - before)
+    report.acknowledged_batches += max(0, acknowledged - last_batch)
     store = Store(DiskDirectory(folder), LARGE_STORE)
     try:
         sequence = store.open().sequence
@@ -204,8 +204,8 @@
     """
     report = CrashTestReport()
     start_s = time.monotonic()
-    until_s = start_s + seconds * BYTES_SHARE
-    if not damage_every_byte(report, until_s, lambda share: progress("bytes", share), seed):
+    deadline_s = start_s + seconds * DAMAGE_TIME_SHARE
+    if not damage_every_byte(report, deadline_s, lambda share: progress("bytes", share), seed):
         progress("bytes", 1.0)
     part_s = (start_s + seconds - time.monotonic()) / 2
     part_start_s = time.monotonic()
@@ -214,11 +214,11 @@
         crash_repeatedly(crash_seed, report)
         crash_seed += 1
         progress("crashes", (time.monotonic() - part_start_s) / part_s)
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     part_start_s = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="sagetrack-store-") as folder:
         sequence = 0
         while time.monotonic() < part_start_s + part_s:
-            sequence = kill_writer(Path(folder), draw, sequence, report)
+            sequence = kill_writer(Path(folder), rng, sequence, report)
             progress("kills", (time.monotonic() - part_start_s) / part_s)
     return report
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -14,14 +14,14 @@
 
 import dns.message
 
-from sagetrack.dns.answer import encode_reply, parse_answer
+from sagetrack.dns.answer import encode_response, parse_response
 from sagetrack.dns.message import MessageError, Query, Rcode, encode_error, encode_upstream_query, parse_query
 from sagetrack.lab.fault_injection.failures import ErrorsAsFailures
 from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
 
 HEADER_BYTES = 12
 FIRST_ID = 1000
-MOST_UDP_BYTES = 512
+MAX_UDP_BYTES = 512
 PROGRESS_EVERY = 10_000  # messages
 HOSTILE_BYTES = (  # pointers, lengths and types that parsers have fallen for
     b"\xc0\x0c",
@@ -70,45 +70,45 @@
         wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
         query = parse_query(wire)
         query_id = FIRST_ID + number
-        answers = Nameserver(behaviour).responses(encode_upstream_query(query, query_id), True)
-        samples.append(Sample(answers[-1], query, query_id))
+        responses = Nameserver(behaviour).responses(encode_upstream_query(query, query_id), True)
+        samples.append(Sample(responses[-1], query, query_id))
     return samples
 
 
-def mutate(data: bytes, draw: random.Random) -> bytes:
+def mutate(data: bytes, rng: random.Random) -> bytes:
     """The message with one to four random changes."""
     mutated = bytearray(data)
-    for _ in range(draw.randint(1, 4)):
-        at = draw.randrange(max(1, len(mutated)))
-        match draw.randrange(7):
+    for _ in range(rng.randint(1, 4)):
+        offset = rng.randrange(max(1, len(mutated)))
+        match rng.randrange(7):
             case 0:
-                mutated[at : at + 1] = bytes([draw.randrange(256)])
+                mutated[offset : offset + 1] = bytes([rng.randrange(256)])
             case 1:
-                del mutated[at:]
+                del mutated[offset:]
             case 2:
-                mutated[at:at] = mutated[at : at + draw.randrange(40)]
+                mutated[offset:offset] = mutated[offset : offset + rng.randrange(40)]
             case 3:
-                piece = draw.choice(HOSTILE_BYTES)
-                mutated[at : at + len(piece)] = piece
+                hostile = rng.choice(HOSTILE_BYTES)
+                mutated[offset : offset + len(hostile)] = hostile
             case 4:
-                count_at = 4 + 2 * draw.randrange(4)  # one of the header's four counts
-                mutated[count_at : count_at + 2] = draw.choice((0, 1, 2, 255, 65_535)).to_bytes(2)
+                count_offset = 4 + 2 * rng.randrange(4)  # one of the header's four counts
+                mutated[count_offset : count_offset + 2] = rng.choice((0, 1, 2, 255, 65_535)).to_bytes(2)
             case 5:
-                mutated += draw.randbytes(draw.randrange(20))
+                mutated += rng.randbytes(rng.randrange(20))
             case _:
-                del mutated[at : at + draw.randrange(1, 9)]
+                del mutated[offset : offset + rng.randrange(1, 9)]
     return bytes(mutated)
 
 
 def mutated_messages(count: int, seed: int) -> Iterator[Sample]:
     """So many mutated messages, four tenths of them queries; the same for the same seed."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     samples = valid_responses()
     for _ in range(count):
-        wire, query, query_id = draw.choice(samples)
-        if draw.random() < 0.4:
+        wire, query, query_id = rng.choice(samples)
+        if rng.random() < 0.4:
             wire = encode_upstream_query(query, query_id)
-        yield Sample(mutate(wire, draw), query, query_id)
+        yield Sample(mutate(wire, rng), query, query_id)
 
 
 def check_message(sample: Sample, report: DnsFuzzReport) -> None:
@@ -117,12 +117,12 @@
     Raises:
         Exception: whatever the parser raises, but for MessageError, by which it rejects a message.
     """
-    began = time.perf_counter()
+    start_s = time.perf_counter()
     report.messages += 1
     _check_as_query(sample.data, report)
-    _check_as_answer(sample, report)
-    took_s = time.perf_counter() - began
-    report.slowest_ms = max(report.slowest_ms, took_s * 1000)
+    _check_as_response(sample, report)
+    duration_s = time.perf_counter() - start_s
+    report.slowest_ms = max(report.slowest_ms, duration_s * 1000)
 
 
 def _check_as_query(data: bytes, report: DnsFuzzReport) -> None:
@@ -135,23 +135,23 @@
         pass
 
 
-def _check_as_answer(sample: Sample, report: DnsFuzzReport) -> None:
+def _check_as_response(sample: Sample, report: DnsFuzzReport) -> None:
     data, query, query_id = sample
     try:
-        answer = parse_answer(data, query, query_id)
+        response = parse_response(data, query, query_id)
     except MessageError:
         return
-    if answer is None:
+    if response is None:
         return
     report.responses_accepted += 1
-    end = HEADER_BYTES + len(query.question)
-    same_name = data[HEADER_BYTES : end - 4].lower() == query.name
-    same_type = data[end - 4 : end] == query.question[-4:]
+    question_end = HEADER_BYTES + len(query.question)
+    same_name = data[HEADER_BYTES : question_end - 4].lower() == query.name
+    same_type = data[question_end - 4 : question_end] == query.question[-4:]
     if int.from_bytes(data[:2]) != query_id or not same_name or not same_type:
         report.failures.append(f"took an answer to another question: {data.hex()}")
-    if len(encode_reply(query, answer, MOST_UDP_BYTES)) > MOST_UDP_BYTES:
+    if len(encode_response(query, response, MAX_UDP_BYTES)) > MAX_UDP_BYTES:
         report.failures.append(f"an answer over its limit: {data.hex()}")
-    encode_reply(query, answer, 65_535, 10)
+    encode_response(query, response, 65_535, 10)
 
 
 def fuzz(count: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> DnsFuzzReport:
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -24,11 +24,11 @@
 from sagetrack.lab.repository import ROOT
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
-TRUE_ADDRESS = answer_to(wire_query("a.example", 0))[-4:]
+GENUINE_ADDRESS = answer_to(wire_query("a.example", 0))[-4:]
 SPOOFED_ADDRESS = b"\xc6\x33\x64\x42"  # 198.51.100.66
 QUERIES_PER_S = 100
-STEP_S = 0.005  # between checks whether a query is due
-LAST_ANSWERS_S = 0.5  # for those on their way at the end
+SEND_INTERVAL_S = 0.005  # between checks whether a query is due
+LAST_RESPONSES_WAIT_S = 0.5  # for those on their way at the end
 
 
 @dataclass(slots=True)
@@ -55,9 +55,9 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        true_answer = answer_to(data)
+        genuine_response = answer_to(data)
         for number in range(self.spoofed_per_query):
-            spoofed = bytearray(true_answer[:-4] + SPOOFED_ADDRESS)
+            spoofed = bytearray(genuine_response[:-4] + SPOOFED_ADDRESS)
             match number % 3:
                 case 0:
                     other_id = int.from_bytes(data[:2]) + 1 + number & 0xFFFF
@@ -69,7 +69,7 @@
                 case _:
                     self.other_address.sendto(bytes(spoofed), addr)  # wrong in its source address alone
             self.report.sent += 1
-        self.transport.sendto(true_answer, addr)
+        self.transport.sendto(genuine_response, addr)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.other_address.close()
@@ -82,7 +82,7 @@
         self.report = report
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.report.genuine_responses += data[-4:] == TRUE_ADDRESS
+        self.report.genuine_responses += data[-4:] == GENUINE_ADDRESS
         self.report.accepted += SPOOFED_ADDRESS in data
 
 
@@ -125,7 +125,7 @@
 
 
 def spoof(
-    per_s: int, seconds: float, progress: Callable[[float], None] = lambda share: None
+    spoofed_per_s: int, seconds: float, progress: Callable[[float], None] = lambda share: None
 ) -> SpoofingReport:
     """Send so many spoofed answers a second to a gateway of its own, for so long.
 
@@ -135,19 +135,19 @@
     report = SpoofingReport()
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         gateway = _GatewayUnderTest(Path(folder), free_port())
-        uvloop.run(_spoof(gateway, per_s, seconds, report, progress))
+        uvloop.run(_spoof(gateway, spoofed_per_s, seconds, report, progress))
     return report
 
 
 async def _spoof(
     gateway: _GatewayUnderTest,
-    per_s: int,
+    spoofed_per_s: int,
     seconds: float,
     report: SpoofingReport,
     progress: Callable[[float], None],
 ) -> None:
     loop = asyncio.get_running_loop()
-    spoofed_per_query = max(1, round(per_s / QUERIES_PER_S))
+    spoofed_per_query = max(1, round(spoofed_per_s / QUERIES_PER_S))
     upstream, _ = await loop.create_datagram_endpoint(
         lambda: _SpoofingUpstream(spoofed_per_query, report), ("127.0.0.1", 0)
     )
@@ -159,7 +159,7 @@
             await asyncio.to_thread(await_dns_answer, gateway.dns_port, process)
             report.sent = 0
             await _send_queries(client, seconds, report, progress)
-            await asyncio.sleep(LAST_ANSWERS_S)
+            await asyncio.sleep(LAST_RESPONSES_WAIT_S)
     finally:
         upstream.close()
         client.close()
@@ -179,5 +179,5 @@
             report.queries += 1
             client.sendto(wire_query(f"n{report.queries}.example", report.queries % 65_536))
         progress(elapsed_s / seconds)
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(SEND_INTERVAL_S)
     report.seconds = loop.time() - start
--- a/sagetrack/lab/fault_injection/faulty_filesystem.py
+++ b/sagetrack/lab/fault_injection/faulty_filesystem.py
@@ -28,21 +28,21 @@
     durable: bytes = b""  # as of the last sync
     truncated_to: int | None = None  # the least size that it was truncated to since
 
-    def bytes_after_crash(self, draw: random.Random) -> bytes:
+    def bytes_after_crash(self, rng: random.Random) -> bytes:
         """What a crash may leave of it."""
         durable = self.durable
-        if self.truncated_to is not None and draw.random() < 0.5:
+        if self.truncated_to is not None and rng.random() < 0.5:
             durable = durable[: self.truncated_to]
         if bytes(self.data[: len(durable)]) != durable:
             return durable  # truncated and written again, none of it synced
-        left = bytearray(durable)
-        end = draw.randint(len(durable), max(len(durable), len(self.data)))
-        at = len(durable)
-        while at < end:
-            size = min(SECTOR_BYTES - at % SECTOR_BYTES, end - at)
-            left += self.data[at : at + size] if draw.random() < 0.7 else bytes(size)
-            at += size
-        return bytes(left)
+        recovered = bytearray(durable)
+        end = rng.randint(len(durable), max(len(durable), len(self.data)))
+        offset = len(durable)
+        while offset < end:
+            size = min(SECTOR_BYTES - offset % SECTOR_BYTES, end - offset)
+            recovered += self.data[offset : offset + size] if rng.random() < 0.7 else bytes(size)
+            offset += size
+        return bytes(recovered)
 
 
 class _NameChange(NamedTuple):
@@ -85,9 +85,9 @@
         self.calls += 1
         if 0 < self.crash_at_call <= self.calls:
             raise SimulatedCrash  # and so does each call after it
-        code = self.errors_by_call.get(name)
-        if code is not None:
-            raise OSError(code, os.strerror(code))
+        error_number = self.errors_by_call.get(name)
+        if error_number is not None:
+            raise OSError(error_number, os.strerror(error_number))
 
     def _file(self, name: str) -> FaultyFile:
         file = self.files.get(name)
@@ -175,16 +175,16 @@
     def close(self) -> None:
         """Release the directory: there is nothing to release."""
 
-    def after_crash(self, draw: random.Random) -> FaultyDirectory:
+    def after_crash(self, rng: random.Random) -> FaultyDirectory:
         """The directory as it is found when the machine is up again."""
         files = dict(self._durable_files)
-        for change in self._pending_changes[: draw.randint(0, len(self._pending_changes))]:
+        for change in self._pending_changes[: rng.randint(0, len(self._pending_changes))]:
             change.apply(files)
-        found = {}
+        recovered_files = {}
         for name, file in files.items():
-            data = file.bytes_after_crash(draw)
-            found[name] = FaultyFile(bytearray(data), data)
-        return FaultyDirectory(found)
+            data = file.bytes_after_crash(rng)
+            recovered_files[name] = FaultyFile(bytearray(data), data)
+        return FaultyDirectory(recovered_files)
 
     def copy(self) -> FaultyDirectory:
         """The directory as it is, all of it durable."""
--- a/sagetrack/lab/fault_injection/store_states.py
+++ b/sagetrack/lab/fault_injection/store_states.py
@@ -29,21 +29,21 @@
 
 def state_after(state: State, batch: Batch) -> State:
     """A copy of a state with a batch applied to it."""
-    after = dict(state)
+    new_state = dict(state)
     for record in batch:
         if record.value is None:
-            after.pop((record.space, record.key), None)
+            new_state.pop((record.space, record.key), None)
         else:
-            after[record.space, record.key] = record.value
-    return after
+            new_state[record.space, record.key] = record.value
+    return new_state
 
 
-def random_batch(draw: random.Random, keys: int = 12) -> Batch:
+def random_batch(rng: random.Random, keys: int = 12) -> Batch:
     """One to three changes, a fifth of them deletions, of so many keys in two spaces."""
     batch = []
-    for _ in range(draw.randint(1, 3)):
-        value = None if draw.random() < 0.2 else draw.randbytes(draw.randint(0, 20))
-        batch.append(Record(draw.choice("ab"), b"k%d" % draw.randrange(keys), value, 5))
+    for _ in range(rng.randint(1, 3)):
+        value = None if rng.random() < 0.2 else rng.randbytes(rng.randint(0, 20))
+        batch.append(Record(rng.choice("ab"), b"k%d" % rng.randrange(keys), value, 5))
     return batch
 
 
@@ -66,35 +66,35 @@
     def begin_write(self, batches: list[Batch]) -> None:
         """Batches are about to be written: from now on they may be found."""
         state = self.newest
-        for number, batch in enumerate(batches, len(self._written)):
+        for batch_number, batch in enumerate(batches, len(self._written)):
             state = state_after(state, batch)
-            self._possible.setdefault(number, []).append(state)
+            self._possible.setdefault(batch_number, []).append(state)
 
     def end_write(self, batches: list[Batch]) -> None:
         """Those batches were written without an error."""
         for batch in batches:
             self._written.append(state_after(self.newest, batch))
 
-    def acknowledge(self, number: int) -> None:
+    def acknowledge(self, batch_number: int) -> None:
         """All batches up to this number are durable: they must be found."""
-        self._acknowledged = number
-        self._possible = {later: states for later, states in self._possible.items() if later > number}
+        self._acknowledged = batch_number
+        self._possible = {later: states for later, states in self._possible.items() if later > batch_number}
 
-    def check_recovered(self, number: int, state: State) -> str | None:
+    def check_recovered(self, batch_number: int, state: State) -> str | None:
         """Compare what a store recovered to, and go on from it.
 
         Returns:
             What is wrong with it; None if it is allowed.
         """
-        if number < self._acknowledged:
-            return f"{self._acknowledged} was acknowledged, {number} is there"
-        allowed = list(self._possible.get(number, []))
-        if number < len(self._written):
-            allowed.append(self._written[number])
+        if batch_number < self._acknowledged:
+            return f"{self._acknowledged} was acknowledged, {batch_number} is there"
+        allowed = list(self._possible.get(batch_number, []))
+        if batch_number < len(self._written):
+            allowed.append(self._written[batch_number])
         if state not in allowed:
-            return f"not the state after batch {number}"
-        known = self._written[:number]
-        self._written = [*known, *[state] * (number + 1 - len(known))]
+            return f"not the state after batch {batch_number}"
+        known = self._written[:batch_number]
+        self._written = [*known, *[state] * (batch_number + 1 - len(known))]
         self._possible.clear()
-        self._acknowledged = number
+        self._acknowledged = batch_number
         return None
--- a/sagetrack/lab/fault_injection/writer_process.py
+++ b/sagetrack/lab/fault_injection/writer_process.py
@@ -21,10 +21,10 @@
 from sagetrack.store.options import StoreOptions
 
 LARGE_STORE = StoreOptions(segment_bytes=64 * 1024, max_bytes=64_000_000)
-COMPACT_EVERY = 200  # batches
-OVERWRITTEN_AFTER = 400  # batches: by then each key was most likely written again
-START_S = 10.0  # for the first batch
-MOST_WRITING_S = 0.1  # after the first batch
+COMPACT_EVERY_BATCHES = 200  # batches
+OVERWRITTEN_AFTER_BATCHES = 400  # batches: by then each key was most likely written again
+FIRST_BATCH_TIMEOUT_S = 10.0  # for the first batch
+MAX_WRITING_S = 0.1  # after the first batch
 
 
 def write_until_killed(folder: str) -> None:
@@ -36,32 +36,32 @@
         store.write([numbered_batch(sequence)])
         store.sync()
         os.write(1, b"%d\n" % sequence)
-        if store.compaction_due or sequence % COMPACT_EVERY == 0:
+        if store.compaction_due or sequence % COMPACT_EVERY_BATCHES == 0:
             for _ in store.compact(0):
                 pass
 
 
 def numbered_batch(sequence: int) -> Batch:
     """Batch n: eight of fifty keys, with values that follow from n."""
-    draw = random.Random(sequence)
-    return [Record("w", b"%d" % draw.randrange(50), b"%d:" % sequence + draw.randbytes(40)) for _ in range(8)]
+    rng = random.Random(sequence)
+    return [Record("w", b"%d" % rng.randrange(50), b"%d:" % sequence + rng.randbytes(40)) for _ in range(8)]
 
 
 def newest_values(sequence: int) -> State:
     """What the last batches up to this number left; keys that were written long ago are missing."""
     state: State = {}
-    for number in range(max(1, sequence - OVERWRITTEN_AFTER), sequence + 1):
-        state = state_after(state, numbered_batch(number))
+    for batch_number in range(max(1, sequence - OVERWRITTEN_AFTER_BATCHES), sequence + 1):
+        state = state_after(state, numbered_batch(batch_number))
     return state
 
 
-def write_and_kill(folder: Path, draw: random.Random, before: int) -> int:
+def write_and_kill(folder: Path, rng: random.Random, last_batch: int) -> int:
     """Let a process write for a moment, and kill it.
 
     Args:
         folder: The directory of the store.
-        draw: Decides how long the process may write after its first batch.
-        before: The last batch that was there before.
+        rng: Decides how long the process may write after its first batch.
+        last_batch: The last batch that was there before.
 
     Returns:
         The number of the last batch that the process reported to be durable.
@@ -72,17 +72,17 @@
     assert process.stdout is not None
     os.set_blocking(process.stdout.fileno(), False)
     output = b""
-    end: float | None = None
-    while end is None or time.monotonic() < end:
-        left = START_S if end is None else max(0.0, end - time.monotonic())
-        if not select.select([process.stdout], [], [], left)[0]:
+    kill_at_s: float | None = None
+    while kill_at_s is None or time.monotonic() < kill_at_s:
+        timeout_s = FIRST_BATCH_TIMEOUT_S if kill_at_s is None else max(0.0, kill_at_s - time.monotonic())
+        if not select.select([process.stdout], [], [], timeout_s)[0]:
             break
         output += process.stdout.read() or b""
-        if end is None:
-            end = time.monotonic() + draw.random() * MOST_WRITING_S
+        if kill_at_s is None:
+            kill_at_s = time.monotonic() + rng.random() * MAX_WRITING_S
     process.send_signal(signal.SIGKILL)
     process.wait()
     output += process.stdout.read() or b""
     process.stdout.close()
     lines = output.split(b"\n")[:-1]
-    return int(lines[-1]) if lines else before
+    return int(lines[-1]) if lines else last_batch
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -18,8 +18,8 @@
 from tests.sockets import until
 
 
-def query(name: str = "a.example.", kind: str = "A", **options: Any) -> bytes:
-    return dns.message.make_query(name, kind, **options).to_wire()
+def query(name: str = "a.example.", rdtype: str = "A", **options: Any) -> bytes:
+    return dns.message.make_query(name, rdtype, **options).to_wire()
 
 
 def response_to(data: bytes, ttl: int = 60, **behaviour: Any) -> bytes:
@@ -28,12 +28,14 @@
 
 @asynccontextmanager
 async def running_service(
-    *servers: Nameserver, **plan: Any
+    *upstreams: Nameserver, **options: Any
 ) -> AsyncIterator[tuple[DnsService, tuple[str, int]]]:
-    service = DnsService(DnsConfig([("127.0.0.1", 0)], [server.address for server in servers], **plan), 1)
-    (place,) = await service.start()
+    service = DnsService(
+        DnsConfig([("127.0.0.1", 0)], [upstream.address for upstream in upstreams], **options), 1
+    )
+    (address,) = await service.start()
     try:
-        yield service, place
+        yield service, address
     finally:
         service.close()
 
@@ -42,25 +44,25 @@
     """Asks over UDP."""
 
     def __init__(self) -> None:
-        self.got: list[dns.message.Message] = []
+        self.responses: list[dns.message.Message] = []
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.got.append(dns.message.from_wire(data))
+        self.responses.append(dns.message.from_wire(data))
 
     @classmethod
-    async def to(cls, place: tuple[str, int]) -> UdpClient:
+    async def to(cls, address: tuple[str, int]) -> UdpClient:
         loop = asyncio.get_running_loop()
-        transport, client = await loop.create_datagram_endpoint(cls, remote_addr=place)
+        transport, client = await loop.create_datagram_endpoint(cls, remote_addr=address)
         client.transport = transport
         return client
 
     transport: asyncio.DatagramTransport
 
-    async def ask(self, data: bytes) -> dns.message.Message:
-        had = len(self.got)
+    async def exchange(self, data: bytes) -> dns.message.Message:
+        count_before = len(self.responses)
         self.transport.sendto(data)
-        await until(lambda: len(self.got) > had)
-        return self.got[-1]
+        await until(lambda: len(self.responses) > count_before)
+        return self.responses[-1]
 
 
 def extended_errors(message: dns.message.Message) -> list[int]:
@@ -68,8 +70,8 @@
 
 
 async def read_tcp_responses(reader: asyncio.StreamReader, count: int) -> list[dns.message.Message]:
-    found = []
+    messages = []
     for _ in range(count):
         length = int.from_bytes(await reader.readexactly(2))
-        found.append(dns.message.from_wire(await reader.readexactly(length)))
-    return found
+        messages.append(dns.message.from_wire(await reader.readexactly(length)))
+    return messages
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -21,45 +21,48 @@
 from tests.sockets import configuration, on_loop, running
 
 
-def listed(name: str, place: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
-    host, port = place.rsplit(":", 1)
+def endpoint(name: str, address: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
+    host, port = address.rsplit(":", 1)
     return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
 
 
-def test_a_list_is_split_by_type_and_a_server_that_changes_type_leaves_the_other() -> None:
+def test_endpoint_list_is_split_by_protocol_and_a_server_can_change_protocol() -> None:
     split = EndpointsByProtocol({9: "dns"})
-    parts = split.update(ListKind.FULL, [listed("a", "h:1"), listed("b", "h:2", 9)])
+    parts = split.update(ListKind.FULL, [endpoint("a", "h:1"), endpoint("b", "h:2", 9)])
     assert [e.name for e in parts["http"]] == ["a"] and [e.name for e in parts["dns"]] == ["b"]
-    parts = split.update(ListKind.DELTA, [listed("a", "h:1", 9)])
+    parts = split.update(ListKind.DELTA, [endpoint("a", "h:1", 9)])
     assert [e.listed.status for e in parts["http"]] == [ServerStatus.GONE]
     assert [e.listed.status for e in parts["dns"]] == [ServerStatus.READY]
     assert {e.name for e in split.endpoints["dns"].values()} == {"a", "b"} and not split.endpoints["http"]
     assert not any(split.update(ListKind.ERROR, []).values()) and len(split.endpoints["dns"]) == 2
-    assert [e.name for e in split.update(ListKind.FULL, [listed("c", "h:3")])["http"]] == ["c"]
+    assert [e.name for e in split.update(ListKind.FULL, [endpoint("c", "h:3")])["http"]] == ["c"]
     assert not split.endpoints["dns"]
 
 
 @on_loop
-async def test_the_list_of_servers_names_upstream_servers_and_drains_them() -> None:
+async def test_endpoint_list_adds_and_drains_upstream_servers() -> None:
     async with (
-        nameserver() as one,
-        nameserver() as two,
-        running_service(uses_endpoint_list=True) as (service, place),
+        nameserver() as first_upstream,
+        nameserver() as second_upstream,
+        running_service(uses_endpoint_list=True) as (service, address),
     ):
-        client = await UdpClient.to(place)
-        first, second = (listed(n, f"{s.host}:{s.port}", 9) for n, s in (("one", one), ("two", two)))
+        client = await UdpClient.to(address)
+        first, second = (
+            endpoint(n, f"{s.host}:{s.port}", 9)
+            for n, s in (("one", first_upstream), ("two", second_upstream))
+        )
         service.on_list(ListKind.FULL, [first])
-        await client.ask(query("a.example."))
+        await client.exchange(query("a.example."))
         draining = ListedServer(first.listed.server, ServerStatus.DRAINING)
-        service.on_list(ListKind.DELTA, [Endpoint("one", one.address, draining), second])
+        service.on_list(ListKind.DELTA, [Endpoint("one", first_upstream.address, draining), second])
         for number in range(20):
-            await client.ask(query(f"n{number}.example."))
-        assert (one.udp_queries, two.udp_queries) == (1, 20)
+            await client.exchange(query(f"n{number}.example."))
+        assert (first_upstream.udp_queries, second_upstream.udp_queries) == (1, 20)
         client.transport.close()
 
 
 @on_loop
-async def test_a_gateway_keeps_servers_of_the_dns_type_from_http(tmp_path: Path) -> None:
+async def test_gateway_does_not_use_dns_servers_for_http(tmp_path: Path) -> None:
     async with nameserver() as upstream:
         config = configuration("127.0.0.1:9")
         config["known"]["endpoints"].append(
@@ -73,7 +76,7 @@
         async with running(config, load_operator(str(file))) as gateway:
             assert [host.name for host in gateway.instance.pools.servers.values()] == ["s-0"]
             client = await UdpClient.to(("127.0.0.1", port))
-            assert (await client.ask(query())).answer[0][0].to_text() == "192.0.2.1"
+            assert (await client.exchange(query())).answer[0][0].to_text() == "192.0.2.1"
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             gateway.server.standby()
             writer.write(len(query()).to_bytes(2) + query())
@@ -84,12 +87,16 @@
 
 
 @on_loop
-async def test_a_server_removed_from_the_list_gets_nothing_more() -> None:
-    async with nameserver() as one, nameserver() as two, running_service(one, two) as (service, place):
-        client = await UdpClient.to(place)
-        service.list_upstreams([two.address])
-        before = one.udp_queries
+async def test_removed_server_receives_no_queries() -> None:
+    async with (
+        nameserver() as first_upstream,
+        nameserver() as second_upstream,
+        running_service(first_upstream, second_upstream) as (service, address),
+    ):
+        client = await UdpClient.to(address)
+        service.list_upstreams([second_upstream.address])
+        before = first_upstream.udp_queries
         for number in range(20):
-            await client.ask(query(f"n{number}.example."))
-        assert one.udp_queries == before and two.udp_queries == 20
+            await client.exchange(query(f"n{number}.example."))
+        assert first_upstream.udp_queries == before and second_upstream.udp_queries == 20
         client.transport.close()
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -8,7 +8,7 @@
 
 from sagetrack.core.send_rules import ServerState
 from sagetrack.core.upstream_server import UpstreamServerRecord
-from sagetrack.dns.answer import parse_answer
+from sagetrack.dns.answer import parse_response
 from sagetrack.dns.errors import DnsError
 from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, unused_message_id
@@ -23,11 +23,11 @@
     def __init__(self) -> None:
         self.ends: list[tuple[Outcome, bool]] = []
 
-    def on_attempt_ended(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
-        self.ends.append((outcome, answer is not None))
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome, response: Any, load: Any) -> None:
+        self.ends.append((outcome, response is not None))
 
 
-def test_a_message_id_is_none_that_waits() -> None:
+def test_message_id_is_not_one_in_use() -> None:
     free = 40_000
     assert unused_message_id(set(range(65_536)) - {free}) == free
 
@@ -41,18 +41,20 @@
         (Rcode.REFUSED, (Outcome.ERROR, False)),
     ],
 )
-def test_an_attempt_ends_once_by_its_rcode(rcode: Rcode, end: tuple[Outcome, bool]) -> None:
-    asked = parse_query(query())
-    answer = parse_answer(response_to(encode_upstream_query(asked, 1), rcode=int(rcode)), asked, 1)
-    assert answer is not None
+def test_attempt_ends_once_with_the_outcome_of_its_rcode(rcode: Rcode, end: tuple[Outcome, bool]) -> None:
+    parsed_query = parse_query(query())
+    response = parse_response(
+        response_to(encode_upstream_query(parsed_query, 1), rcode=int(rcode)), parsed_query, 1
+    )
+    assert response is not None
     observer: Any = Observer()
-    attempt = DnsAttempt(UpstreamServerRecord(1, "n", ("127.0.0.1", 53)), asked, observer, 0)
-    attempt.complete(answer)
+    attempt = DnsAttempt(UpstreamServerRecord(1, "n", ("127.0.0.1", 53)), parsed_query, observer, 0)
+    attempt.complete(response)
     attempt.finish(Outcome.TIMEOUT)
     assert observer.ends == [end]
 
 
-def test_a_server_is_withdrawn_from_when_it_drains() -> None:
+def test_draining_server_is_withdrawn() -> None:
     states = [
         UpstreamServerRecord(1, "n", ("127.0.0.1", 53), 0, drained_us).state for drained_us in (None, 0)
     ]
@@ -62,9 +64,9 @@
 @pytest.mark.parametrize(
     ("name", "expected"), [("S_2", "s-2"), ("-a.b-", "a-b"), ("\u00e9", "server"), ("x" * 70, "x" * 63)]
 )
-def test_a_label_has_letters_digits_and_hyphens(name: str, expected: str) -> None:
+def test_label_has_only_letters_digits_and_hyphens(name: str, expected: str) -> None:
     assert label(name) == expected
 
 
-def test_errors_have_one_base_class() -> None:
+def test_errors_share_a_base_class() -> None:
     assert issubclass(MessageError, DnsError) and issubclass(ZoneError, DnsError)
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -23,11 +23,11 @@
 
 
 @on_loop
-async def test_a_query_is_forwarded_kept_and_answered_in_the_clients_case() -> None:
-    async with nameserver() as upstream, running_service(upstream) as (service, place):
-        client = await UdpClient.to(place)
-        first = await client.ask(query("One.Example."))
-        second = await client.ask(query("oNE.example."))
+async def test_response_is_cached_and_sent_in_the_letter_case_of_each_query() -> None:
+    async with nameserver() as upstream, running_service(upstream) as (service, address):
+        client = await UdpClient.to(address)
+        first = await client.exchange(query("One.Example."))
+        second = await client.exchange(query("oNE.example."))
         assert first.answer[0][0].to_text() == second.answer[0][0].to_text() == "192.0.2.1"
         assert second.question[0].name.to_text() == "oNE.example."
         assert upstream.udp_queries == 1 and service.cache.counts.hits == 1
@@ -35,14 +35,14 @@
 
 
 @on_loop
-async def test_a_truncated_response_is_repeated_over_tcp_and_counts_as_one_attempt() -> None:
+async def test_truncated_response_is_retried_over_tcp_within_one_attempt() -> None:
     async with (
         nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
-        running_service(upstream) as (service, place),
+        running_service(upstream) as (service, address),
     ):
-        client = await UdpClient.to(place)
-        said = await client.ask(query(use_edns=0, payload=4096))
-        assert len(said.answer[0]) == 60 and upstream.tcp_queries == 1
+        client = await UdpClient.to(address)
+        response = await client.exchange(query(use_edns=0, payload=4096))
+        assert len(response.answer[0]) == 60 and upstream.tcp_queries == 1
         gateway = service.gateway
         assert gateway.metrics.sends.by_class == [1] and gateway.metrics.answered.by_class == [1]
         assert gateway.balancer.servers[next(iter(gateway.balancer.servers))].breaker.failures == 0
@@ -50,31 +50,31 @@
 
 
 @on_loop
-async def test_equal_questions_share_a_call_and_a_repeat_joins_it() -> None:
+async def test_equal_questions_share_a_request_and_a_repeated_query_is_ignored() -> None:
     async with (
         nameserver(NameserverBehaviour(delay_s=0.1)) as upstream,
-        running_service(upstream) as (service, place),
+        running_service(upstream) as (service, address),
     ):
-        one, other = await UdpClient.to(place), await UdpClient.to(place)
+        client_a, client_b = await UdpClient.to(address), await UdpClient.to(address)
         data = query()
-        one.transport.sendto(data)
-        one.transport.sendto(data)
-        other.transport.sendto(query())
-        await until(lambda: one.got and other.got)
-        assert upstream.udp_queries == 1 and len(one.got) == 1
+        client_a.transport.sendto(data)
+        client_a.transport.sendto(data)
+        client_b.transport.sendto(query())
+        await until(lambda: client_a.responses and client_b.responses)
+        assert upstream.udp_queries == 1 and len(client_a.responses) == 1
         assert service.handler.counts.joined == 1 and service.handler.counts.shared == 1
-        for client in (one, other):
+        for client in (client_a, client_b):
             client.transport.close()
 
 
 @on_loop
-async def test_forged_answers_are_passed_over() -> None:
+async def test_spoofed_responses_are_ignored() -> None:
     forger = NameserverBehaviour(forgeries=50, spoofs_source=True)
-    async with nameserver(forger) as upstream, running_service(upstream) as (service, place):
-        client = await UdpClient.to(place)
+    async with nameserver(forger) as upstream, running_service(upstream) as (service, address):
+        client = await UdpClient.to(address)
         for number in range(20):
-            said = await client.ask(query(f"n{number}.example."))
-            assert [r.to_text() for r in said.answer[0]] == ["192.0.2.1"]
+            response = await client.exchange(query(f"n{number}.example."))
+            assert [r.to_text() for r in response.answer[0]] == ["192.0.2.1"]
         assert service.upstreams.counts.unmatched == 20 * 50
         ports = {port for _, _, port in upstream.seen}
         assert len(ports) > 1 and len({id_ for _, id_, _ in upstream.seen}) > 10
@@ -82,83 +82,87 @@
 
 
 @on_loop
-async def test_a_failing_fleet_is_answered_at_once_or_from_what_is_stale() -> None:
-    plan = {"deadline_us": 400_000}
+async def test_upstream_failure_gives_a_stale_response_or_servfail() -> None:
+    options = {"deadline_us": 400_000}
     async with (
         nameserver(NameserverBehaviour(ttl=1)) as upstream,
-        running_service(upstream, **plan) as (service, place),
+        running_service(upstream, **options) as (service, address),
     ):
-        client = await UdpClient.to(place)
-        await client.ask(query("kept.example."))
+        client = await UdpClient.to(address)
+        await client.exchange(query("kept.example."))
         upstream.behaviour.rcode = 2
         for kept in service.cache.entries.values():
             kept.expires_us = 0
             kept.expires_us = kept.cached_us
-        stale = await client.ask(query("kept.example.", use_edns=0))
+        stale = await client.exchange(query("kept.example.", use_edns=0))
         assert stale.answer[0].ttl == 30 and extended_errors(stale) == [3]
-        failed = await client.ask(query("other.example.", use_edns=0))
+        failed = await client.exchange(query("other.example.", use_edns=0))
         assert failed.rcode() == dns.rcode.SERVFAIL and extended_errors(failed) in ([14], [22], [23])
         upstream.behaviour = NameserverBehaviour(is_silent=True)
-        late = await client.ask(query("silent.example.", use_edns=0))
+        late = await client.exchange(query("silent.example.", use_edns=0))
         assert late.rcode() == dns.rcode.SERVFAIL
         client.transport.close()
 
 
 @on_loop
-async def test_a_slow_server_does_not_stall_the_others() -> None:
-    slow, good = NameserverBehaviour(delay_s=5.0), NameserverBehaviour(address="192.0.2.9")
-    async with nameserver(slow) as one, nameserver(good) as two, running_service(one, two) as (_, place):
-        client = await UdpClient.to(place)
-        said = [await client.ask(query(f"n{number}.example.")) for number in range(100)]
-        good_ones = sum(message.rcode() == dns.rcode.NOERROR for message in said)
+async def test_slow_server_does_not_delay_the_others() -> None:
+    slow, prompt = NameserverBehaviour(delay_s=5.0), NameserverBehaviour(address="192.0.2.9")
+    async with (
+        nameserver(slow) as first_upstream,
+        nameserver(prompt) as second_upstream,
+        running_service(first_upstream, second_upstream) as (_, address),
+    ):
+        client = await UdpClient.to(address)
+        responses = [await client.exchange(query(f"n{number}.example.")) for number in range(100)]
+        successful = sum(message.rcode() == dns.rcode.NOERROR for message in responses)
         # Some are refused in the first moments: after a time-out the module sheds until answers are prompt.
-        assert good_ones >= 90 and two.udp_queries >= 90 and one.udp_queries < 10
+        assert successful >= 90 and second_upstream.udp_queries >= 90 and first_upstream.udp_queries < 10
         client.transport.close()
 
 
 @on_loop
-async def test_a_lost_datagram_takes_no_server_out_of_use() -> None:
+async def test_lost_datagrams_do_not_eject_a_server() -> None:
     async with (
         nameserver(NameserverBehaviour(loss=0.02, delay_s=0.001)) as upstream,
-        running_service(upstream) as (_, place),
+        running_service(upstream) as (_, address),
     ):
-        client = await UdpClient.to(place)
+        client = await UdpClient.to(address)
         for number in range(300):
             client.transport.sendto(query(f"n{number}.example."))
             if number % 10 == 9:
                 await asyncio.sleep(0)
-        await until(lambda: len(client.got) >= 300)
-        good = sum(message.rcode() == dns.rcode.NOERROR for message in client.got)
-        assert good >= 270, (good, upstream.udp_queries)
+        await until(lambda: len(client.responses) >= 300)
+        successful_count = sum(message.rcode() == dns.rcode.NOERROR for message in client.responses)
+        assert successful_count >= 270, (successful_count, upstream.udp_queries)
         client.transport.close()
 
 
 @on_loop
-async def test_a_client_without_access_gets_refused() -> None:
+async def test_denied_client_is_refused() -> None:
     async with (
         nameserver() as upstream,
-        running_service(upstream, allowed_prefixes=["10.0.0.0/8"]) as (service, place),
+        running_service(upstream, allowed_prefixes=["10.0.0.0/8"]) as (service, address),
     ):
-        client = await UdpClient.to(place)
-        said = await client.ask(query(use_edns=0))
-        assert said.rcode() == dns.rcode.REFUSED and extended_errors(said) == [18]
+        client = await UdpClient.to(address)
+        response = await client.exchange(query(use_edns=0))
+        assert response.rcode() == dns.rcode.REFUSED and extended_errors(response) == [18]
         assert not upstream.udp_queries and service.handler.counts.denied == 1
         client.transport.close()
 
 
 @on_loop
-async def test_two_processes_share_the_address_at_a_hot_restart_and_the_second_goes_on() -> None:
+async def test_new_process_serves_the_shared_address_after_hot_restart() -> None:
     async with nameserver() as upstream:
-        plan = DnsConfig([("127.0.0.1", 0)], [upstream.address])
-        old = DnsService(plan, 1)
-        (place,) = await old.start(shared=True)
-        new = DnsService(replace(plan, listen=[place]), 2)
+        config = DnsConfig([("127.0.0.1", 0)], [upstream.address])
+        old = DnsService(config, 1)
+        (address,) = await old.start(shared=True)
+        new = DnsService(replace(config, listen=[address]), 2)
         await new.start(shared=True)
         try:
             await old.listener.shut_down(asyncio.get_running_loop().time() + 1.0)
-            client = await UdpClient.to(place)
+            client = await UdpClient.to(address)
             for number in range(10):
-                await client.ask(query(f"n{number}.example."))
+                await client.exchange(query(f"n{number}.example."))
             assert new.handler.counts.answered == 10
             client.transport.close()
         finally:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,7 +8,7 @@
 from sagetrack.lab.fault_injection.faulty_filesystem import SimulatedCrash
 
 
-def test_an_error_is_described_and_ends_the_context_alone() -> None:
+def test_error_is_recorded_and_suppressed() -> None:
     failures: list[str] = []
     reached = []
     with ErrorsAsFailures(failures, lambda error: f"part 1: {error!r}"):
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("error", [SimulatedCrash, KeyboardInterrupt])
-def test_a_crash_and_an_interrupt_pass_through(error: type[BaseException]) -> None:
+def test_crash_and_interrupt_propagate(error: type[BaseException]) -> None:
     failures: list[str] = []
     with pytest.raises(error), ErrorsAsFailures(failures, repr):
         raise error
