--- a/sagetrack/dns/__init__.py
+++ b/sagetrack/dns/__init__.py
@@ -1,1 +1,1 @@
-"""DNS over UDP and TCP: downstream and upstream, a cache, and zones that the gateway answers itself."""
+"""DNS over UDP and TCP: listener, upstream servers, response cache, and zones that are served locally."""
--- a/sagetrack/dns/answer.py
+++ b/sagetrack/dns/answer.py
@@ -1,7 +1,8 @@
-"""DNS responses with records: their TTLs and OPT are found, the rest is forwarded as it is.
+"""Parsing of upstream DNS responses, and their encoding for clients.
 
-RFC 1035 (messages), RFC 2181 (TTLs), RFC 2308 (negative answers). A response is forwarded as bytes under the
-client's id, question and letter case, as parsing it would cost the hot path.
+Only the TTLs and the OPT record are located; all other records are forwarded as bytes, as parsing them would
+slow down the hot path. The response to a client has the client's id and its question in the client's letter
+case. Implements RFC 1035 (messages), RFC 2181 (TTLs) and RFC 2308 (negative responses).
 """
 
 from __future__ import annotations
@@ -33,38 +34,41 @@
     skip_name,
 )
 
-MAX_TTL_S = 86_400 * 7  # longer TTLs count as this
-TTL_OFFSET = 4  # of a record's TTL, behind its name
-MIN_SOA_BYTES = 20  # of the data of an SOA record: its five numbers, of which MINIMUM is the last
+MAX_TTL_S = 86_400 * 7  # upper limit on the time that a response may be cached
+TTL_OFFSET = 4  # offset of the TTL in a record header, after type and class
+MIN_SOA_BYTES = 20  # an SOA record ends in five 32-bit numbers, of which MINIMUM is the last
 CACHEABLE_RCODES = (Rcode.NOERROR, Rcode.NXDOMAIN)
 
 
 @dataclass(slots=True, frozen=True)
 class DnsResponse:
-    """A response as it came from upstream, and where its TTLs stand."""
+    """A response as received from upstream, with the offsets of its TTLs and its OPT record."""
 
     data: bytes
     rcode: int
     truncated: bool
     ttl_offsets: tuple[int, ...]
-    ttl: int  # for how long it may be cached, in seconds; 0: not at all
-    opt_offset: int  # -1: it has no OPT record
-    records_end: int  # of its records, without the OPT if that is the last
+    ttl: int  # time in seconds that the response may be cached; 0 if it must not be cached
+    opt_offset: int  # -1 if there is no OPT record
+    records_end: int  # end of the records, excluding the OPT record if it is the last
 
     @property
     def size(self) -> int:
-        """Bytes of the message."""
+        """Size of the message in bytes."""
         return len(self.data)
 
 
 def parse_response(data: bytes, query: Query, id_: int) -> DnsResponse | None:
-    """Read a response to a query; None if it is not a response to it.
+    """Parse a response to a query.
 
-    It needs the id that was sent and the same question, the name in any letter case: who forges one has to
-    guess both, and the port.
+    A response matches if it has the id that was sent and the same question, with the name in any letter
+    case. An off-path attacker has to guess both, and the source port, to spoof one.
+
+    Returns:
+        The response; None if it does not match the query.
 
     Raises:
-        MessageError: It is malformed.
+        MessageError: The response matches but is malformed.
     """
     if len(data) < HEADER_BYTES:
         return None
@@ -82,16 +86,16 @@
 
 
 def read_record_header(data: bytes, offset: int) -> tuple[int, int, int]:
-    """Type, TTL and length of the data of the record whose name ends at `offset`.
+    """Return type, TTL and data length of the record whose name ends at `offset`.
 
     Raises:
-        MessageError: The record is incomplete.
+        MessageError: The record extends past the end of the message.
     """
     if offset + RECORD_HEADER_BYTES > len(data):
-        raise MessageError("a record is incomplete")
+        raise MessageError("record header extends past the end of the message")
     rdtype, _, ttl, length = struct.unpack_from("!HHIH", data, offset)
     if offset + RECORD_HEADER_BYTES + length > len(data):
-        raise MessageError("a record is incomplete")
+        raise MessageError("record data extends past the end of the message")
     return rdtype, ttl, length
 
 
@@ -114,7 +118,7 @@
             opt_offset = record_start
             rcode |= (ttl >> 24) << 4
         else:
-            ttl = 0 if ttl >= 2**31 else ttl  # RFC 2181, section 8
+            ttl = 0 if ttl >= 2**31 else ttl  # a TTL with the top bit set counts as 0 (RFC 2181, section 8)
             ttl_offsets.append(offset + TTL_OFFSET)
             min_ttl = min(min_ttl, ttl)
             if rdtype == SOA and answers <= number < answers + authorities and length >= MIN_SOA_BYTES:
@@ -126,8 +130,8 @@
         if rdtype != OPT:
             records_end = offset
     if 0 <= opt_offset < records_end:
-        records_end = offset  # the OPT stands between others, and stays
-    # A negative answer is cached by its SOA (RFC 2308, section 5).
+        records_end = offset  # the OPT record is not the last record, and cannot be cut off
+    # A negative response is cached for the TTL that follows from its SOA record (RFC 2308, section 5).
     ttl = min_ttl if ttl_offsets and answers else soa_ttl
     is_cacheable = rcode in CACHEABLE_RCODES and not truncated and ttl > 0
     return DnsResponse(
@@ -143,15 +147,16 @@
     stale_ttl: int | None = None,
     extended_error: ExtendedError | None = None,
 ) -> bytes:
-    """Encode a response for a client: its id, its question in its letter case, and an OPT of this gateway.
+    """Encode a response for a client, with the id and question of its query and this gateway's OPT record.
 
     Args:
         query: The client's query.
-        response: The response from upstream or the cache.
-        max_bytes: Bytes that the client takes; a longer response is cut to its question with TC set.
-        age_s: Subtracted from each TTL.
-        stale_ttl: In place of each TTL.
-        extended_error: Extended error for the OPT.
+        response: The response from upstream or from the cache.
+        max_bytes: Largest response that the client accepts; a longer one is truncated to the question, with
+            TC set.
+        age_s: Time in the cache, which is subtracted from each TTL.
+        stale_ttl: Replaces each TTL, if given.
+        extended_error: Extended error for the OPT record.
     """
     _, flags, questions, answers, authorities, additional = HEADER.unpack_from(response.data)
     flags = (flags & ~RD) | QR | RA | (query.flags & RD)
--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -1,7 +1,7 @@
-"""Answers cached for their TTL, and beyond it for when all upstream servers fail.
+"""A cache of responses, which are served for their TTL, and longer if the upstream servers fail.
 
-TTLs as in RFC 2181, negative answers as in RFC 2308, stale ones as in RFC 8767. The cache is limited in
-bytes; at the limit the least recently used answer is evicted.
+Follows RFC 2181 (TTLs), RFC 2308 (negative responses) and RFC 8767 (stale responses). The cache is limited in
+bytes; at the limit, the least recently used response is evicted.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 
 from sagetrack.dns.answer import DnsResponse
 
-ENTRY_OVERHEAD_BYTES = 700  # beside the message: resident memory measured over 100,000 names
-TTL_OVERHEAD_BYTES = 36  # for each TTL offset
-STALE_TTL_S = 30  # of a stale answer, as clients see it (RFC 8767, section 4)
-PREFETCH_FRACTION = 0.1  # of its TTL remaining_us: a popular answer is refreshed before it expires
-PREFETCH_MIN_HITS = 3  # that make an answer popular
+ENTRY_OVERHEAD_BYTES = 700  # resident memory per entry besides the message, measured over 100,000 names
+TTL_OVERHEAD_BYTES = 36  # memory per TTL offset
+STALE_TTL_S = 30  # TTL that clients see in a stale response (RFC 8767, section 4)
+# A popular response is refreshed once this fraction of its TTL remains, so that it does not expire.
+PREFETCH_FRACTION = 0.1
+PREFETCH_MIN_HITS = 3  # a response with this many hits is popular
 CacheKey = tuple[Any, ...]
 
 
 @dataclass(slots=True)
 class CachedResponse:
-    """One answer with its times."""
+    """A cached response with its times."""
 
     response: DnsResponse
     cached_us: int
@@ -33,12 +34,12 @@
 
 @dataclass(slots=True)
 class CacheHit:
-    """A cached answer that was found."""
+    """A response found in the cache."""
 
     response: DnsResponse
     age_s: int
     stale: bool = False
-    should_prefetch: bool = False  # the caller should refresh it now
+    should_prefetch: bool = False  # if set, the caller should refresh the response now
 
 
 @dataclass(slots=True)
@@ -53,12 +54,12 @@
 
 
 class ResponseCache:
-    """Cache of answers; times are microseconds of the caller's clock.
+    """A cache of responses by cache key; times are microseconds of the caller's clock.
 
     Args:
-        max_bytes: Bytes that it may hold.
-        stale_s: For how long an expired answer may still be served when no upstream server answers.
-        max_ttl_s: Longer TTLs count as this.
+        max_bytes: Limit on the size of all entries.
+        stale_s: Time after expiry for which a response may still be served if no upstream server responds.
+        max_ttl_s: Upper limit on the time for which a response is cached.
     """
 
     def __init__(self, max_bytes: int, stale_s: float = 86_400.0, max_ttl_s: int = 86_400) -> None:
@@ -69,7 +70,7 @@
 
     @staticmethod
     def cost(key: CacheKey, response: DnsResponse) -> int:
-        """Bytes that an entry counts."""
+        """Return the estimated memory in bytes of an entry."""
         return (
             ENTRY_OVERHEAD_BYTES
             + len(key[0])
@@ -78,7 +79,7 @@
         )
 
     def get(self, key: CacheKey, now_us: int) -> CacheHit | None:
-        """A fresh answer; None if there is none."""
+        """Return the cached response, or None if there is none or it has expired."""
         entry = self.entries.get(key)
         if entry is None or now_us >= entry.expires_us:
             self.counts.misses += 1
@@ -100,7 +101,10 @@
         )
 
     def get_stale(self, key: CacheKey, now_us: int) -> CacheHit | None:
-        """An answer that may have expired, for when no upstream server answers; None if there is none."""
+        """Return the cached response even if it has expired, or None if there is none or it is too old.
+
+        For use when no upstream server responds.
+        """
         entry = self.entries.get(key)
         if entry is None or now_us >= entry.expires_us + self.stale_us:
             return None
@@ -108,7 +112,7 @@
         return CacheHit(entry.response, 0, stale=True)
 
     def put(self, key: CacheKey, response: DnsResponse, now_us: int) -> None:
-        """Cache an answer for its TTL; one that may not be cached replaces nothing."""
+        """Cache a response for its TTL; a response that must not be cached or is too large is ignored."""
         if response.ttl <= 0:
             return
         cost = self.cost(key, response)
@@ -123,13 +127,13 @@
             self.counts.evicted += 1
 
     def prefetch_failed(self, key: CacheKey) -> None:
-        """Let the next hit try again to refresh an answer."""
+        """Allow the next hit to trigger another refresh of the response."""
         entry = self.entries.get(key)
         if entry is not None:
             entry.refreshing = False
 
     def remove(self, key: CacheKey) -> None:
-        """Remove an answer."""
+        """Remove an entry, if it exists."""
         entry = self.entries.pop(key, None)
         if entry is not None:
             self.size_bytes -= self.cost(key, entry.response)
--- a/sagetrack/dns/errors.py
+++ b/sagetrack/dns/errors.py
@@ -1,7 +1,7 @@
-"""Errors of this package."""
+"""Base class of the DNS errors."""
 
 from __future__ import annotations
 
 
 class DnsError(ValueError):
-    """Base class of the package's errors."""
+    """Base class of all errors that this package raises."""
--- a/sagetrack/dns/limits.py
+++ b/sagetrack/dns/limits.py
@@ -1,7 +1,8 @@
-"""Limits on clients: access by prefix, response rate, and queries in flight.
+"""Limits on clients: access by address prefix, response rate, and queries in flight.
 
-Response rate limiting protects third parties: a spoofed source gets few responses, and every other one of the
-rest is truncated, which a real client repeats over TCP (as BIND and NSD describe it). All tables are bounded.
+Response rate limiting protects third parties whose addresses are spoofed as the source of queries. Of the
+responses over the limit, every other one is sent truncated, so that a real client retries over TCP, and the
+rest is dropped (as BIND and NSD describe it). All tables are bounded.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_TABLE_ENTRIES = 20_000  # hosts or prefixes that are remembered; the oldest is forgotten first
-IPV4_PREFIX_BITS, IPV6_PREFIX_BITS = 24, 56  # that share a rate
+MAX_TABLE_ENTRIES = 20_000  # limit on hosts or prefixes in a table; the oldest is evicted first
+IPV4_PREFIX_BITS, IPV6_PREFIX_BITS = 24, 56  # clients with equal prefixes of this length share a rate limit
 
 
 class RateLimitAction(Enum):
-    """What becomes of a response."""
+    """What the rate limiter does with a response."""
 
     SEND = "answer"
-    TRUNCATE = "cut"  # only the question, with TC
+    TRUNCATE = "cut"  # send only the question, with TC set
     DROP = "drop"
 
 
 class AccessRules:
-    """Prefixes that may ask; the longest match decides, and a host without match may not.
+    """Allows or denies clients by address prefix; the longest match decides, without a match it is denied.
 
     Args:
-        allowed: Prefixes in CIDR notation.
-        denied: Prefixes in CIDR notation.
+        allowed: Allowed prefixes in CIDR notation.
+        denied: Denied prefixes in CIDR notation.
     """
 
     def __init__(self, allowed: Iterable[str], denied: Iterable[str] = ()) -> None:
@@ -39,7 +40,7 @@
         self.by_host: OrderedDict[str, bool] = OrderedDict()
 
     def allows(self, host: str) -> bool:
-        """Whether a host may ask."""
+        """Return whether a host may send queries."""
         is_allowed = self.by_host.get(host)
         if is_allowed is None:
             address = ipaddress.ip_address(host.partition("%")[0])
@@ -59,19 +60,19 @@
 
 @dataclass(slots=True)
 class RateBucket:
-    """Token bucket of one prefix."""
+    """Token bucket of an address prefix."""
 
     tokens: float
     updated_us: int
-    limited: int = 0  # responses over the rate
+    limited: int = 0  # number of responses over the limit
 
 
 class ResponseRateLimiter:
-    """Limits responses to one prefix over UDP.
+    """Limits the rate of responses over UDP to each address prefix.
 
     Args:
-        responses_per_s: Responses a second; 0: no limit.
-        burst: Responses at once; twice those of a second if not given.
+        responses_per_s: Limit in responses per second; 0 for no limit.
+        burst: Size of the token bucket; defaults to the responses of two seconds.
     """
 
     def __init__(self, responses_per_s: float, burst: float | None = None) -> None:
@@ -83,12 +84,12 @@
 
     @staticmethod
     def prefix(host: str) -> bytes:
-        """The prefix whose hosts share a rate."""
+        """Return the prefix of a host's address, whose hosts share a rate limit."""
         address = ipaddress.ip_address(host.partition("%")[0])
         return address.packed[: (IPV4_PREFIX_BITS if address.version == 4 else IPV6_PREFIX_BITS) // 8]
 
     def decide(self, host: str, now_us: int) -> RateLimitAction:
-        """What to do with one response to this host."""
+        """Count a response to this host, and decide what to do with it."""
         if self.responses_per_s <= 0:
             return RateLimitAction.SEND
         key = self.prefix(host)
@@ -115,11 +116,11 @@
 
 
 class QueriesInFlight:
-    """Queries in flight, limited for each client and in total.
+    """Counts and limits the queries in flight, per client and in total.
 
     Args:
         per_client: Limit for each client.
-        total: Limit for all together.
+        total: Limit for all clients together.
     """
 
     def __init__(self, per_client: int, total: int) -> None:
@@ -129,7 +130,7 @@
         self.count = 0
 
     def try_add(self, host: str) -> bool:
-        """Count one more; False if that exceeds a limit."""
+        """Count one more query of a host; return False without counting it if that exceeds a limit."""
         if self.count >= self.total or self.by_host.get(host, 0) >= self.per_client:
             return False
         self.by_host[host] = self.by_host.get(host, 0) + 1
@@ -137,7 +138,7 @@
         return True
 
     def remove(self, host: str) -> None:
-        """Count one less."""
+        """Count one query less for a host."""
         remaining = self.by_host[host] - 1
         self.count -= 1
         if remaining:
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -1,6 +1,7 @@
-"""DNS queries and errors on the wire: header, question and EDNS(0).
+"""Parsing of DNS queries, and encoding of queries and of responses without records.
 
-RFC 1035 (messages, names), RFC 6891 (EDNS), RFC 8914 (extended errors). `answer` has responses with records.
+Implements RFC 1035 (messages and names), RFC 6891 (EDNS) and RFC 8914 (extended errors). The module `answer`
+handles responses with records.
 """
 
 from __future__ import annotations
@@ -17,20 +18,20 @@
 MAX_MESSAGE_BYTES = 65_535
 MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
-MAX_EXTRA_TEXT_BYTES = 64  # of an extended error that this gateway sends
-EDE_OPTION = 15  # RFC 8914, section 2
-MIN_UDP_PAYLOAD_BYTES = 512  # of a UDP response without EDNS (RFC 1035, 4.2.1)
-EDNS_UDP_PAYLOAD_BYTES = 1232  # of a UDP response that is offered to be taken (DNS Flag Day 2020)
+MAX_EXTRA_TEXT_BYTES = 64  # limit on the text of extended errors that this gateway sends
+EDE_OPTION = 15  # option code of an extended DNS error (RFC 8914, section 2)
+MIN_UDP_PAYLOAD_BYTES = 512  # largest UDP response if the query has no EDNS (RFC 1035, 4.2.1)
+EDNS_UDP_PAYLOAD_BYTES = 1232  # UDP payload size that this gateway advertises (DNS Flag Day 2020)
 
-# Types of records
+# Record types
 SOA = 6
 OPT = 41
 IXFR = 251
 AXFR = 252
 
-# Flags of a header (RFC 1035, 4.1.1; RFC 4035, 3.1.6 and 3.2.2)
-QR = 0x8000  # a response
-AA = 0x0400  # authoritative
+# Header flags (RFC 1035, 4.1.1; RFC 4035, 3.1.6 and 3.2.2)
+QR = 0x8000  # set in responses, clear in queries
+AA = 0x0400  # authoritative answer
 TC = 0x0200  # truncated
 RD = 0x0100  # recursion desired
 RA = 0x0080  # recursion available
@@ -40,8 +41,8 @@
 RCODE_MASK = 0xF
 
 DO_FLAG = 0x8000  # DNSSEC OK, in the TTL field of an OPT record (RFC 6891, 6.1.3)
-RECORD_HEADER_BYTES = 10  # of a record behind its name: type, class, TTL and length of the data
-COMPRESSION_POINTER = 0xC0
+RECORD_HEADER_BYTES = 10  # type, class, TTL and data length, which follow the name of a record
+COMPRESSION_POINTER = 0xC0  # a length byte of at least this value starts a compression pointer
 
 
 class Rcode(IntEnum):
@@ -57,7 +58,7 @@
 
 
 class ExtendedError(IntEnum):
-    """Info codes of extended errors (RFC 8914)."""
+    """Info codes of extended DNS errors (RFC 8914)."""
 
     OTHER = 0
     STALE_ANSWER = 3
@@ -70,11 +71,11 @@
 
 
 class MessageError(DnsError):
-    """A message that cannot be used.
+    """Raised for a malformed or unsupported message.
 
     Args:
-        reason: What is wrong with it.
-        rcode: For the response to its sender; None if there is to be none.
+        reason: Describes the fault.
+        rcode: The response code to send back; None if no response is sent.
     """
 
     def __init__(self, reason: str, rcode: Rcode | None = None) -> None:
@@ -84,31 +85,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """One question of a client."""
+    """A parsed query of a client."""
 
     id: int
     flags: int
-    question: bytes  # as it came: name in the sender's letter case, type and class
-    name: bytes  # in lower case, in wire form
+    question: bytes  # name in the sender's letter case, type and class, as received
+    name: bytes  # the queried name in wire format and lower case
     type: int
     query_class: int
     has_edns: bool = False
-    udp_payload_bytes: int = MIN_UDP_PAYLOAD_BYTES  # of a UDP response that the sender takes
+    udp_payload_bytes: int = MIN_UDP_PAYLOAD_BYTES  # largest UDP response that the sender accepts
     dnssec_ok: bool = False  # the DO bit
 
     @property
     def cache_key(self) -> tuple[bytes, int, int, int]:
-        """Equal for queries that have the same answer."""
+        """A key that is equal for queries that can share a response."""
         return self.name, self.type, self.query_class, (self.flags & (RD | CD)) | self.dnssec_ok
 
 
 class Edns(NamedTuple):
-    """What a query says by EDNS (RFC 6891).
+    """EDNS parameters of a query (RFC 6891).
 
     Attributes:
         is_present: Whether the query has an OPT record.
-        udp_payload_bytes: Of a UDP response that the sender takes.
-        dnssec: The DO bit.
+        udp_payload_bytes: The size of the largest UDP response that the sender accepts.
+        dnssec_ok: The DO bit.
     """
 
     is_present: bool
@@ -120,52 +121,57 @@
 
 
 def skip_name(data: bytes, offset: int) -> int:
-    """Offset behind a name that may be compressed (RFC 1035, 4.1.4).
+    """Return the offset after a name, which may be compressed (RFC 1035, 4.1.4).
+
+    Compression pointers are not followed.
 
     Raises:
-        MessageError: The name runs out of the message, or has a label of unknown kind.
+        MessageError: The name extends past the end of the message, or has a label of an unknown type.
     """
     while True:
         if offset >= len(data):
-            raise MessageError("a name runs out of the message")
+            raise MessageError("name extends past the end of the message")
         length = data[offset]
         if length >= COMPRESSION_POINTER:
             if offset + 2 > len(data):
-                raise MessageError("a pointer runs out of the message")
+                raise MessageError("compression pointer extends past the end of the message")
             return offset + 2
         if length > MAX_LABEL_BYTES:
-            raise MessageError("a label of unknown kind")
+            raise MessageError("unknown label type in a name")
         offset += 1 + length
         if length == 0:
             return offset
 
 
 def parse_query(data: bytes) -> Query:
-    """Read a query.
+    """Parse a query.
 
     Raises:
-        MessageError: It is none that can be answered; no other error is raised for any bytes.
+        MessageError: The message is malformed or unsupported; `data` can cause no other exception.
     """
     if len(data) < HEADER_BYTES:
-        raise MessageError("shorter than a header")
+        raise MessageError("message shorter than a DNS header")
     id_, flags, questions, answers, authorities, additional = HEADER.unpack_from(data)
     if flags & QR:
-        raise MessageError("an answer, not a query")
+        raise MessageError("message is a response, not a query")
     if flags & OPCODE_MASK:
-        raise MessageError("another operation than QUERY", Rcode.NOTIMP)
+        raise MessageError("unsupported opcode, only QUERY is supported", Rcode.NOTIMP)
     if questions != 1 or answers or authorities:
-        raise MessageError(f"{questions} questions", Rcode.FORMERR)
+        raise MessageError(
+            f"query with {questions} questions; exactly one, and no answer or authority record, is allowed",
+            Rcode.FORMERR,
+        )
     try:
         name_end = skip_question_name(data)
         rdtype, query_class = struct.unpack_from("!HH", data, name_end)
     except (IndexError, struct.error):
-        raise MessageError("the question is incomplete", Rcode.FORMERR) from None
+        raise MessageError("question extends past the end of the message", Rcode.FORMERR) from None
     end = name_end + 4
     question = data[HEADER_BYTES:end]
     name = lower_case(data[HEADER_BYTES:name_end])
     edns = parse_edns(data, end, additional) if additional else NO_EDNS
     if rdtype in (AXFR, IXFR):
-        raise MessageError("zone transfers are not made here", Rcode.NOTIMP)
+        raise MessageError("zone transfers are not supported", Rcode.NOTIMP)
     return Query(
         id_,
         flags,
@@ -180,32 +186,34 @@
 
 
 def skip_question_name(data: bytes) -> int:
-    """Offset behind the question's name, which is not compressed: there is nothing before it to point to.
+    """Return the offset after the name of the question.
+
+    The name cannot be compressed, as no name precedes it that a pointer could refer to.
 
     Raises:
         MessageError: The name is compressed or too long.
-        IndexError: The name runs out of the message.
+        IndexError: The name extends past the end of the message.
     """
     offset = HEADER_BYTES
     while (length := data[offset]) != 0:
         if length > MAX_LABEL_BYTES:
-            raise MessageError("a question's name is compressed", Rcode.FORMERR)
+            raise MessageError("compressed name in the question", Rcode.FORMERR)
         offset += 1 + length
         if offset - HEADER_BYTES >= MAX_NAME_BYTES:
-            raise MessageError("a name is too long", Rcode.FORMERR)
+            raise MessageError("name in the question is longer than 255 bytes", Rcode.FORMERR)
     return offset + 1
 
 
 def parse_edns(data: bytes, offset: int, additional: int) -> Edns:
-    """Read a query's additional section.
+    """Parse the additional section of a query.
 
     Args:
         data: The message.
-        offset: Where the section begins.
-        additional: How many records it has.
+        offset: Start of the section.
+        additional: Number of records in the section.
 
     Raises:
-        MessageError: The section is malformed, or the version of EDNS unknown.
+        MessageError: The section is malformed, or the EDNS version is unsupported.
     """
     edns = NO_EDNS
     for _ in range(additional):
@@ -213,30 +221,33 @@
             offset = skip_name(data, offset)
             rdtype, payload_bytes, ttl, length = struct.unpack_from("!HHIH", data, offset)
         except (MessageError, struct.error):
-            raise MessageError("the additional section is incomplete", Rcode.FORMERR) from None
+            raise MessageError("truncated record in the additional section", Rcode.FORMERR) from None
         options_start = offset + RECORD_HEADER_BYTES
         end = options_start + length
         if end > len(data):
-            raise MessageError("the additional section is incomplete", Rcode.FORMERR)
+            raise MessageError("truncated record in the additional section", Rcode.FORMERR)
         if rdtype == OPT:
             if edns.is_present or data[offset - 1] != 0:
-                raise MessageError("more than one OPT, or one with a name", Rcode.FORMERR)
+                raise MessageError("more than one OPT record, or one with a name", Rcode.FORMERR)
             edns = Edns(True, max(MIN_UDP_PAYLOAD_BYTES, payload_bytes), bool(ttl & DO_FLAG))
             if ttl >> 16 & 0xFF:
-                raise MessageError("an unknown version of EDNS", Rcode.BADVERS)
+                raise MessageError("unsupported EDNS version, only 0 is supported", Rcode.BADVERS)
             if not are_options_complete(data[options_start:end]):
-                raise MessageError("an EDNS option is incomplete", Rcode.FORMERR)
+                raise MessageError("truncated EDNS option", Rcode.FORMERR)
         offset = end
     return edns
 
 
 def lower_case(name: bytes) -> bytes:
-    """A name for comparison. Lengths of labels are below 64, and so none is taken for a capital letter."""
+    """Return a name in wire format in lower case, for comparison.
+
+    The length bytes of labels are unchanged: they are below 64, and capital letters start at 65.
+    """
     return name.lower()
 
 
 def are_options_complete(data: bytes) -> bool:
-    """Whether the EDNS options fill their record exactly."""
+    """Return whether the EDNS options fill the data of their record exactly."""
     offset = 0
     while offset < len(data):
         if offset + 4 > len(data):
@@ -248,7 +259,7 @@
 def encode_opt(
     rcode: int, dnssec_ok: bool, extended_error: ExtendedError | None = None, extra_text: str = ""
 ) -> bytes:
-    """Encode an OPT record (RFC 6891, 6.1), with an extended error (RFC 8914) if one is given."""
+    """Encode an OPT record (RFC 6891, 6.1), with an extended DNS error (RFC 8914) if one is given."""
     options = b""
     if extended_error is not None:
         encoded_text = extra_text.encode()[:MAX_EXTRA_TEXT_BYTES]
@@ -264,14 +275,18 @@
     extra_text: str = "",
     flags: int = 0,
 ) -> bytes:
-    """Encode a response without records."""
+    """Encode a response to a query that has no records besides OPT."""
     flags |= QR | RA | (query.flags & (RD | CD | OPCODE_MASK)) | (rcode & RCODE_MASK)
     tail = encode_opt(rcode, query.dnssec_ok, extended_error, extra_text) if query.has_edns else b""
     return HEADER.pack(query.id, flags, 1, 0, 0, int(query.has_edns)) + query.question + tail
 
 
 def encode_error_for_unreadable(data: bytes, rcode: Rcode) -> bytes | None:
-    """Encode the response to a message of which only the header is readable; None if not even that is."""
+    """Encode a response to a message of which only the header can be parsed.
+
+    Returns:
+        The response; None if the message is shorter than a header or is itself a response.
+    """
     if len(data) < HEADER_BYTES or data[2] & 0x80:
         return None
     id_, flags = struct.unpack_from("!HH", data)
@@ -282,9 +297,9 @@
 
 
 def encode_upstream_query(query: Query, id_: int) -> bytes:
-    """Encode the query for an upstream server.
+    """Encode a query for an upstream server.
 
-    The client's EDNS options are not forwarded: they are for one hop (RFC 6891, 6.2.6).
+    The client's EDNS options are not forwarded, as they apply to one hop only (RFC 6891, 6.2.6).
     """
     flags = query.flags & (RD | CD | AD)
     return HEADER.pack(id_, flags, 1, 0, 0, 1) + query.question + encode_opt(0, query.dnssec_ok)
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -1,8 +1,8 @@
-"""Answers queries: from zones of the installation, from the cache, or from an upstream server.
+"""Handles client queries: responds from local zones, from the cache, or from an upstream server.
 
-Each query is answered once at most. Equal questions in flight share one request. A request that is rejected
-or fails is answered at once, from a stale answer (RFC 8767) if there is one, else with SERVFAIL and an
-extended error (RFC 8914), so that no client waits for its timeout.
+Each query gets at most one response. Queries with equal questions share one upstream request. If a request
+is rejected or fails, its queries get a response immediately, so that no client has to wait for its timeout:
+a stale response (RFC 8767) if one is cached, otherwise SERVFAIL with an extended error (RFC 8914).
 """
 
 from __future__ import annotations
@@ -33,56 +33,59 @@
 
 WriteResponse = Callable[[bytes], None]
 LocalResolver = Callable[[Query], DnsResponse | None]
-"""The answer of a zone of the installation; None if the question is about no such zone."""
+"""Returns the response from a local zone; None if the queried name is in no local zone."""
 
 
 @dataclass(slots=True)
 class QueryCounts:
-    """Totals since the start. Every query taken ends as just one of answered, refused and failed."""
+    """Totals since the start.
+
+    Every query in `queries` ends in exactly one of `answered`, `refused` and `failed`.
+    """
 
     queries: int = 0
     answered: int = 0
     refused: int = 0
     failed: int = 0
-    joined: int = 0  # repeats of a query in flight
-    shared: int = 0  # that had the same question as another
-    denied: int = 0
-    unreadable: int = 0
-    truncated: int = 0  # to fit a datagram
+    joined: int = 0  # retransmissions of a query in flight
+    shared: int = 0  # queries that joined the upstream request of another query
+    denied: int = 0  # messages of clients that the access rules deny
+    unreadable: int = 0  # malformed or unsupported messages
+    truncated: int = 0  # UDP responses sent with TC set
 
 
 @dataclass(slots=True, eq=False)
 class WaitingQuery:
-    """One query of one client."""
+    """A query that waits for its response."""
 
     query: Query
     host: str
     key: tuple[Any, ...]  # client, message id and question
-    max_bytes: int  # bytes of its response
+    max_bytes: int  # size limit of the response
     write: WriteResponse
     is_udp: bool
 
 
 @dataclass(slots=True, eq=False)
 class SharedRequest:
-    """One question on its way upstream, and the queries that wait for it."""
+    """An upstream request, and the queries that wait for its response."""
 
     cache_key: CacheKey
     queries: list[WaitingQuery] = field(default_factory=list)
 
 
 class QueryHandler:
-    """Takes the queries of all clients, and is the `Client` of the requests that they lead to.
+    """Handles the queries of all clients, and implements the `Client` interface for the upstream requests.
 
     Args:
         gateway: Sends requests upstream.
-        cache: Answers from before.
-        access: Who may ask.
-        rate_limiter: Limits responses over UDP.
-        in_flight: Limits queries in flight.
-        client_timeout_us: How long clients are expected to wait.
-        resolve_locally: Zones of the installation.
-        has_upstreams: Whether there are upstream servers at all.
+        cache: The response cache.
+        access: Decides which clients may send queries.
+        rate_limiter: Limits the rate of responses over UDP.
+        in_flight: Limits the number of queries in flight.
+        client_timeout_us: Time for which clients are expected to wait for a response.
+        resolve_locally: Resolves queries from the local zones.
+        has_upstreams: Whether the configuration has any source of upstream servers.
     """
 
     def __init__(
@@ -107,23 +110,23 @@
         self.counts = QueryCounts()
         self.waiting: dict[tuple[Any, ...], WaitingQuery] = {}
         self.shared_by_question: dict[CacheKey, SharedRequest] = {}
-        self.shared_by_request_id: dict[str, SharedRequest] = {}  # by id of the request
+        self.shared_by_request_id: dict[str, SharedRequest] = {}
         self.last_request_number = 0
 
     # Queries
 
     def handle(self, data: bytes, host: str, client: Any, is_udp: bool, write: WriteResponse) -> bool:
-        """Take one message of a client.
+        """Handle a message of a client.
 
         Args:
             data: The message.
-            host: Address of the client.
-            client: Tells clients apart: address and port, or the connection.
-            is_udp: Whether it came over UDP.
-            write: Called once at most with the response.
+            host: IP address of the client.
+            client: Identifies the client: its address and port, or its connection.
+            is_udp: Whether the message was received over UDP.
+            write: Sends the response; called at most once.
 
         Returns:
-            Whether it is a query that is answered, now or later.
+            Whether the message is a new valid query, which is answered now or later.
         """
         if not self.access.allows(host):
             self.counts.denied += 1
@@ -138,7 +141,7 @@
             return False
         key = (client, query.id, query.question)
         if key in self.waiting:
-            self.counts.joined += 1  # a repeat by the client: the response to the first is due
+            self.counts.joined += 1  # a retransmission; the response to the first one also answers it
             return False
         self.counts.queries += 1
         max_bytes = MAX_MESSAGE_BYTES
@@ -150,7 +153,7 @@
         return True
 
     def refuse(self, data: bytes, host: str, is_udp: bool, write: WriteResponse) -> None:
-        """Refuse a message of a client that may not ask."""
+        """Send REFUSED to a client that the access rules deny."""
         try:
             response: bytes | None = encode_error(parse_query(data), Rcode.REFUSED, ExtendedError.PROHIBITED)
         except MessageError:
@@ -158,15 +161,18 @@
         self.send_error(response, host, is_udp, write)
 
     def send_error(self, response: bytes | None, host: str, is_udp: bool, write: WriteResponse) -> None:
-        """Send an error that counts as no answer to a query, if the rate limit allows it."""
+        """Send an error response, if there is one and the rate limit allows it.
+
+        It is not counted as the response to a query.
+        """
         if response is not None and self.check_rate_limit(host, is_udp) is RateLimitAction.SEND:
             write(response)
 
     def try_answer_locally(self, waiting: WaitingQuery) -> bool:
-        """Answer a query from a local zone or the cache, or refuse it while not serving.
+        """Respond from a local zone or the cache, or with an error if the gateway cannot serve.
 
         Returns:
-            False if it has to be forwarded.
+            Whether a response was sent; if not, the query has to be forwarded.
         """
         query = waiting.query
         local = self.resolve_locally(query)
@@ -188,13 +194,16 @@
         return True
 
     def encode_not_serving(self, query: Query) -> bytes:
-        """Encode the error for a query that only an upstream server could answer, while there is none."""
+        """Encode the error for a query that needs an upstream server while none is available."""
         if self.has_upstreams:
             return encode_error(query, Rcode.SERVFAIL, ExtendedError.NOT_READY)
         return encode_error(query, Rcode.REFUSED, ExtendedError.NOT_AUTHORITATIVE)
 
     def forward(self, waiting: WaitingQuery) -> None:
-        """Wait for an upstream server, together with equal questions, unless too many queries do."""
+        """Forward a query upstream, or add it to the request in flight that has the same question.
+
+        If too many queries are in flight, it is refused with SERVFAIL.
+        """
         query = waiting.query
         if not self.in_flight.try_add(waiting.host):
             self.counts.refused += 1
@@ -210,7 +219,7 @@
         self.start_request(query, waiting)
 
     def start_request(self, query: Query, waiting: WaitingQuery | None = None) -> None:
-        """Send a question upstream; without a waiting query it only refreshes the cache."""
+        """Send a request upstream; if no query waits for it, its response only refreshes the cache."""
         shared = SharedRequest(query.cache_key, [waiting] if waiting else [])
         self.shared_by_question[query.cache_key] = shared
         self.last_request_number += 1
@@ -229,7 +238,7 @@
         self.gateway.submit(request)
 
     def end_request(self, request: Request) -> list[WaitingQuery]:
-        """Forget a request that has ended; the queries that are to be answered now."""
+        """Remove a request that has ended, and return the queries that waited for it."""
         shared = self.shared_by_request_id.pop(request.id, None)
         if shared is None:
             return []
@@ -240,27 +249,27 @@
             self.waiting.pop(waiting.key, None)
         return shared.queries
 
-    # The response, as the gateway gives it
+    # Implementation of the gateway's `Client` interface
 
     def on_response(self, request: Request, response: DnsResponse) -> None:
-        """Response from upstream."""
+        """Cache a response from upstream, and send it to the waiting clients."""
         self.cache.put(request.message.cache_key, response, now_us())
         for waiting in self.end_request(request):
             self.counts.answered += 1
             self.respond(waiting, encode_response(waiting.query, response, waiting.max_bytes))
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
-        """The request is rejected."""
+        """Respond to the waiting clients after the gateway rejected the request."""
         text = f"come back in {retry_after_us / 1e6:.1f} s" if retry_after_us else "busy"
         self.respond_with_failure(request, ExtendedError.NOT_READY, text, rejected=True)
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
-        """The request failed, or its deadline has passed."""
+        """Respond to the waiting clients after the request failed or exceeded its deadline."""
         code = ExtendedError.NO_REACHABLE_AUTHORITY if timed_out else ExtendedError.NETWORK_ERROR
         self.respond_with_failure(request, code, "", rejected=False)
 
     def respond_with_failure(self, request: Request, code: ExtendedError, text: str, rejected: bool) -> None:
-        """Answer the queries of a request without response, from a stale answer if there is one."""
+        """Respond to the queries of a request that got no response: stale if possible, else SERVFAIL."""
         key = request.message.cache_key
         self.cache.prefetch_failed(key)
         stale = self.cache.get_stale(key, now_us())
@@ -276,11 +285,11 @@
             self.respond(waiting, encode_error(waiting.query, Rcode.SERVFAIL, code, text))
 
     def check_rate_limit(self, host: str, is_udp: bool) -> RateLimitAction:
-        """What the rate limit says to one response; over TCP there is none."""
+        """Apply the rate limit to a response; responses over TCP are not limited."""
         return self.rate_limiter.decide(host, now_us()) if is_udp else RateLimitAction.SEND
 
     def respond(self, waiting: WaitingQuery, data: bytes) -> None:
-        """Send the one response to a query, or what the rate limit leaves of it."""
+        """Send the response to a query, unless the rate limit drops or truncates it."""
         action = self.check_rate_limit(waiting.host, waiting.is_udp)
         if action is RateLimitAction.DROP:
             return
@@ -289,7 +298,7 @@
         self.counts.truncated += waiting.is_udp and bool(data[2] & 0x02)
         waiting.write(data)
 
-    # Never called: DNS responses are not streamed
+    # The rest of the interface is for streamed responses. DNS responses are never streamed.
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Never called."""
@@ -309,7 +318,7 @@
 
 
 def encode_stale_response(waiting: WaitingQuery, response: DnsResponse) -> bytes:
-    """Encode a stale answer, marked as such (RFC 8914, 4.4 and 4.20)."""
+    """Encode a stale response with the extended error that marks it as stale (RFC 8914, 4.4 and 4.20)."""
     is_negative = response.rcode == Rcode.NXDOMAIN
     extended_error = ExtendedError.STALE_NXDOMAIN if is_negative else ExtendedError.STALE_ANSWER
     return encode_response(waiting.query, response, waiting.max_bytes, 0, STALE_TTL_S, extended_error)
