--- a/sagetrack/dns/downstream_connection.py
+++ b/sagetrack/dns/downstream_connection.py
@@ -1,4 +1,4 @@
-"""Sockets of DNS clients: datagrams, and TCP connections with two-byte lengths (RFC 7766)."""
+"""Client-side protocols: UDP datagrams, and TCP connections with length-prefixed messages (RFC 7766)."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 from sagetrack.dns.message import HEADER_BYTES
 from sagetrack.dns.query_handler import QueryHandler
 
-MAX_PIPELINED_QUERIES = 64  # in flight on one TCP connection
+MAX_PIPELINED_QUERIES = 64  # limit on the queries in flight on one TCP connection
 IDLE_TIMEOUT_S = 10.0
-UNREAD_TIMEOUT_S = 3.0  # for a client that does not read its responses
-MAX_UNREAD_BYTES = 128 * 1024  # of responses; nothing more is read from the client until there are fewer
+UNREAD_TIMEOUT_S = 3.0  # a client that does not read its responses for this time is disconnected
+MAX_UNREAD_BYTES = 128 * 1024  # above this size of unsent responses, no more queries are read
 
 
 class UdpListener(asyncio.DatagramProtocol):
-    """One address over UDP."""
+    """A UDP socket that receives queries of all clients."""
 
     def __init__(self, handler: QueryHandler) -> None:
         self.handler = handler
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is ready."""
+        """Keep the transport, which sends the responses."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Handle one message."""
+        """Handle a message of a client."""
         transport = self.transport
         if transport is not None:
             self.handler.handle(data, addr[0], addr, True, lambda response: transport.sendto(response, addr))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: a client has gone, and nobody waits for the response."""
+        """Ignore the error: the client has closed its socket and no longer waits for the response."""
 
 
 class ConnectionRegistry(Protocol):
-    """What a connection asks of the listener that accepted it."""
+    """Tracks client connections; implemented by the listener that accepts them."""
 
     def admit(self, connection: DownstreamTcpConnection) -> bool:
-        """Register a connection; False if there are too many."""
+        """Register a connection; returns False if it is denied or there are too many."""
 
     def discard(self, connection: DownstreamTcpConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
 
     def is_draining(self) -> bool:
-        """Whether connections should close once their queries are answered."""
+        """Return whether connections should close once their queries are answered."""
 
 
 class DownstreamTcpConnection(asyncio.Protocol):
-    """One TCP connection of a client; queries are answered in any order.
+    """A TCP connection of a client; its queries are answered in any order.
 
     Args:
-        handler: Where queries go.
+        handler: Handles the queries.
         registry: The listener that accepted the connection.
     """
 
@@ -69,7 +69,7 @@
         self.timeout_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection, or abort it if there are too many."""
+        """Register the connection, or abort it if the registry does not admit it."""
         self.transport = cast(asyncio.Transport, transport)
         peer = transport.get_extra_info("peername")
         self.host = peer[0] if peer else ""
@@ -80,24 +80,24 @@
         self.set_timeout(IDLE_TIMEOUT_S)
 
     def set_timeout(self, timeout_s: float | None) -> None:
-        """Abort the connection after a time; None: not at all."""
+        """Abort the connection after this time, in place of any earlier timeout; None for no timeout."""
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
         self.timeout_timer = None if timeout_s is None else self.loop.call_later(timeout_s, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Handle the messages that are complete."""
+        """Buffer the received bytes, and handle the complete messages."""
         self.buffer += data
         self.read_messages()
 
     def read_messages(self) -> None:
-        """Handle buffered messages, as many as may be in flight at once; pause reading beyond that."""
+        """Handle complete messages up to the limit on queries in flight; pause reading at the limit."""
         while (
             len(self.buffer) >= 2 and self.queries_in_flight < MAX_PIPELINED_QUERIES and not self.write_paused
         ):
             length = int.from_bytes(self.buffer[:2])
             if length < HEADER_BYTES:
-                self.abort()  # no message is shorter: this is no DNS
+                self.abort()  # no DNS message is this short, so the peer does not speak DNS
                 return
             if len(self.buffer) < 2 + length:
                 break
@@ -109,7 +109,7 @@
             self.set_timeout(None if self.queries_in_flight else IDLE_TIMEOUT_S)
 
     def update_reading(self) -> None:
-        """Pause or resume reading from the client."""
+        """Pause reading from the client at a limit, and resume it below."""
         should_pause = self.queries_in_flight >= MAX_PIPELINED_QUERIES or self.write_paused
         if self.transport is None or should_pause == self.read_paused or self.transport.is_closing():
             return
@@ -120,7 +120,7 @@
             self.transport.resume_reading()
 
     def handle_message(self, message: bytes) -> None:
-        """Handle one message."""
+        """Handle a message of the client."""
         self.queries_in_flight += 1
         has_responded = False
 
@@ -134,10 +134,10 @@
 
         will_respond = self.handler.handle(message, self.host, self, False, write)
         if not will_respond and not has_responded:
-            self.queries_in_flight -= 1  # a repeat, whose response is due, or nothing that can be answered
+            self.queries_in_flight -= 1  # a retransmission or an invalid message, which gets no response
 
     def continue_reading(self) -> None:
-        """Go on after a response; a draining connection closes after its last one."""
+        """Read more queries after a response; if draining, close the connection after the last response."""
         if self.transport is not None and not self.transport.is_closing():
             if self.registry.is_draining() and not self.queries_in_flight:
                 self.transport.close()
@@ -145,18 +145,18 @@
                 self.read_messages()
 
     def pause_writing(self) -> None:
-        """The client does not read: take no more queries, and abort the connection unless it reads soon."""
+        """Stop reading queries from a client that does not read, and abort the connection on timeout."""
         self.write_paused = True
         self.read_messages()
         self.set_timeout(UNREAD_TIMEOUT_S)
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Read queries again, as the client has read enough responses."""
         self.write_paused = False
         self.read_messages()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is gone."""
+        """Release the connection."""
         self.transport = None
         self.registry.discard(self)
         self.set_timeout(None)
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -1,4 +1,4 @@
-"""Listens for DNS clients over UDP and TCP, limits their connections and drains them at shutdown."""
+"""Listens for DNS clients over UDP and TCP, limits their connections, and drains them at shutdown."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """What clients may use."""
+    """Limits on the queries in flight and the TCP connections, per client and in total."""
 
-    max_queries_per_client: int = 256  # in flight
+    max_queries_per_client: int = 256
     max_queries: int = 10_000
     max_connections: int = 256
     max_connections_per_client: int = 16
 
 
 class DnsListener:
-    """All sockets of DNS clients.
+    """The listening sockets and the TCP connections of DNS clients.
 
     Args:
-        handler: Where queries go.
-        limits: What clients may use.
+        handler: Handles the queries.
+        limits: Limits on the number of connections.
     """
 
     def __init__(self, handler: QueryHandler, limits: ClientLimits) -> None:
@@ -39,18 +39,18 @@
         self.loop = asyncio.get_running_loop()
         self.udp_transports: list[asyncio.DatagramTransport] = []
         self.tcp_servers: list[asyncio.Server] = []
-        self.connections: dict[DownstreamTcpConnection, None] = {}  # the oldest first
+        self.connections: dict[DownstreamTcpConnection, None] = {}  # an ordered set, oldest first
         self.shutting_down = False
         self.is_on_standby: Callable[[], bool] = lambda: False
 
     async def start(self, addresses: list[Address], shared: bool = False) -> list[Address]:
-        """Listen over UDP and TCP at each address, with `SO_REUSEPORT` if `shared`.
+        """Listen over UDP and TCP on each address, with `SO_REUSEPORT` if `shared`.
 
         Returns:
-            The addresses with the ports that the system chose for port 0.
+            The bound addresses; port 0 is replaced by the port that the system chose.
 
         Raises:
-            OSError: An address cannot be listened on.
+            OSError: An address cannot be bound.
         """
         bound = []
         for host, port in addresses:
@@ -70,10 +70,17 @@
             bound.append((host, port))
         return bound
 
-    # As the registry of its connections
+    # Implementation of ConnectionRegistry
 
     def admit(self, connection: DownstreamTcpConnection) -> bool:
-        """Register a connection; where there are too many, the oldest without queries in flight is closed."""
+        """Register a connection, unless its client is denied or has too many.
+
+        At the total limit, the oldest connection without queries in flight is closed to make room; if there
+        is none, the new connection is rejected.
+
+        Returns:
+            Whether the connection was registered.
+        """
         from_host = sum(other.host == connection.host for other in self.connections)
         if from_host >= self.limits.max_connections_per_client or not self.handler.access.allows(
             connection.host
@@ -88,20 +95,20 @@
         return True
 
     def discard(self, connection: DownstreamTcpConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         self.connections.pop(connection, None)
 
     def is_draining(self) -> bool:
-        """Whether connections should close once their queries are answered."""
+        """Return whether connections should close once their queries are answered."""
         return self.shutting_down or self.is_on_standby()
 
     # Shutdown
 
     async def shut_down(self, until_s: float) -> None:
-        """Shut down gracefully: accept no connections, then wait for the queries in flight.
+        """Shut down gracefully: accept no more connections, and wait for the queries in flight.
 
         Args:
-            until_s: When to close in any case, by the clock of the event loop.
+            until_s: Time on the clock of the event loop at which all sockets are closed in any case.
         """
         self.shutting_down = True
         for server in self.tcp_servers:
@@ -111,7 +118,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close all sockets at once."""
+        """Close all sockets immediately."""
         for server in self.tcp_servers:
             server.close()
         for transport in self.udp_transports:
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -1,4 +1,4 @@
-"""DNS service of a gateway: a load balancer of its own, upstream servers, cache and listener."""
+"""The DNS service of a gateway, with a load balancer, upstream pool, cache and listener of its own."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 if TYPE_CHECKING:
     from sagetrack.dns.zone import LocalZones
 
-CLASS_NAME = "query"
+CLASS_NAME = "query"  # the only class of requests
 GC_FREEZE_INTERVAL_S = 0.25
-GC_FREEZE_ENTRIES = 1000  # new cache entries that are worth a freeze
+GC_FREEZE_ENTRIES = 1000  # minimum number of new cache entries for another freeze
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneConfig:
-    """Zones that the gateway answers itself."""
+    """Configuration of the zones that the gateway serves itself."""
 
-    origin: str = ""
+    origin: str = ""  # origin of the installation's zone; empty if it has none
     ttl_s: int = 5
-    gateways: Sequence[tuple[str, Address]] = ()
-    files: Sequence[tuple[str, str]] = ()  # origin and path
+    gateways: Sequence[tuple[str, Address]] = ()  # name and address of each gateway of the installation
+    files: Sequence[tuple[str, str]] = ()  # origin and path of each zone file
 
 
 @dataclass(slots=True, frozen=True)
 class SlowStartSettings:
-    """Slow start of upstream servers, with the fields of `Settings`."""
+    """Slow start of upstream servers; the fields are those of the same name in `Settings`."""
 
     start_capacity: float = 1.0
     warm_after_us: int = 0
@@ -53,24 +53,24 @@
 
     listen: Sequence[Address]
     upstreams: Sequence[Address]
-    uses_endpoint_list: bool = False  # the endpoint list has further ones
+    uses_endpoint_list: bool = False  # whether the endpoint list adds to `upstreams`
     latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
     cache_bytes: int = 32 * 1024 * 1024
     stale_s: float = 86_400.0
     allowed_prefixes: Sequence[str] = ("127.0.0.0/8", "::1/128")
     denied_prefixes: Sequence[str] = ()
-    responses_per_s: float = 0.0  # to one prefix over UDP; 0: no limit
+    responses_per_s: float = 0.0  # limit for each address prefix over UDP; 0 for no limit
     limits: ClientLimits = field(default_factory=ClientLimits)
-    max_concurrency: int = 1000  # attempts in flight at one upstream server
+    max_concurrency: int = 1000  # limit on the attempts in flight to one upstream server
     gateway_count: int = 1
-    gateway_index: int = 0  # its number among them
+    gateway_index: int = 0  # number of this gateway among the gateways
     slow_start: SlowStartSettings = field(default_factory=SlowStartSettings)
     zone: ZoneConfig | None = None
 
 
 def load_balancer_settings(config: DnsConfig) -> Settings:
-    """Settings of the load balancer: one class of requests, which are safe to retry."""
+    """Return the load balancer's settings, which have a single class of requests that are safe to retry."""
     query = RequestClass(
         config.latency_objective_us, config.deadline_us, late_priority_weight=0.5, effect=Effect.SAFE
     )
@@ -93,17 +93,17 @@
 
 
 class DnsService:
-    """The DNS service. Needs a running event loop.
+    """The DNS service; it can be created only while an event loop is running.
 
     Args:
-        config: Its configuration.
-        seed: Of the load balancer's and the zones' random draws.
-        weights: Current weights of the installation's servers, by name.
-        serial: First serial of the installation's zone.
-        listed_upstreams: Upstream servers of the endpoint list, as far as they are known.
+        config: The configuration.
+        seed: Seed of the random numbers of the load balancer and the zones.
+        weights: Returns the current weights of the installation's servers, by name.
+        serial: First serial number of the installation's zone.
+        listed_upstreams: Upstream servers that are already known from the endpoint list.
 
     Raises:
-        ZoneError: A zone cannot be used.
+        ZoneError: A zone is invalid.
     """
 
     def __init__(
@@ -140,7 +140,7 @@
     def _build_zones(
         self, seed: int, weights: Callable[[], Mapping[str, float]], serial: int
     ) -> LocalZones | None:
-        """The zones that the gateway answers itself; None if there are none."""
+        """Create the zones that the gateway serves itself; returns None if none is configured."""
         zone_config = self.config.zone
         if zone_config is None:
             return None
@@ -159,31 +159,34 @@
         )
 
     async def start(self, shared: bool = False) -> list[Address]:
-        """Listen, with `SO_REUSEPORT` if `shared`, as during a hot restart.
+        """Start listening, with `SO_REUSEPORT` if `shared`, as during a hot restart.
+
+        Returns:
+            The bound addresses.
 
         Raises:
-            OSError: An address cannot be listened on.
+            OSError: An address cannot be bound.
         """
         self.list_upstreams(self.config.upstreams)
         self.freeze_cache()
         return await self.listener.start(list(self.config.listen), shared)
 
     def freeze_cache(self) -> None:
-        """Exclude cached answers from garbage collection, periodically.
+        """Exclude cached responses from garbage collection, and do so again periodically.
 
-        Scanning them all would pause the process for tens of milliseconds. None of them is in a reference
-        cycle, so that they are freed without the collector.
+        Scanning them all would pause the process for tens of milliseconds. They need no collection, as none
+        of them is part of a reference cycle.
         """
         self.freeze_timer = asyncio.get_running_loop().call_later(GC_FREEZE_INTERVAL_S, self.freeze_cache)
         entries = len(self.cache.entries)
         if entries - self.frozen_entries >= GC_FREEZE_ENTRIES:
             self.frozen_entries = entries
-            gc.collect(1)  # what is garbage by now would stay for good
+            gc.collect(1)  # a freeze would keep current garbage forever
             gc.freeze()
         self.frozen_entries = min(self.frozen_entries, entries)
 
     def list_upstreams(self, addresses: Sequence[Address]) -> None:
-        """Replace the upstream servers of the operator's file."""
+        """Replace the upstream servers that are configured in the operator's file."""
         self.configured_upstreams = []
         for host, port in addresses:
             name = f"{host}:{port}"
@@ -191,7 +194,7 @@
         self.on_list(ListKind.FULL, self.listed_upstreams)
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Take over upstream servers of the endpoint list; those of the operator's file stay beside them."""
+        """Apply a change of the endpoint list; upstream servers from the operator's file are kept."""
         if kind is ListKind.ERROR:
             return
         if kind is not ListKind.DELTA:
@@ -200,27 +203,27 @@
         self.gateway.on_endpoint_list(kind, entries)
 
     def set_zone_servers(self, servers: Iterable[tuple[str, Address, float]]) -> None:
-        """Take over the ready servers (name, address, listed weight) for the installation's zone."""
+        """Set the ready servers of the installation's zone, each as name, address and listed weight."""
         if self.zones is not None:
             from sagetrack.dns.zone_records import ZoneMember
 
             self.zones.update(ZoneMember(name, *address, weight) for name, address, weight in servers)
 
     def reorder_zone_servers(self) -> None:
-        """Order the servers of the installation's zone anew, by their current weights."""
+        """Draw new random orders of the servers in the installation's zone, by their current weights."""
         if self.zones is not None:
             self.zones.reshuffle()
 
     def set_standby_check(self, is_draining: Callable[[], bool]) -> None:
-        """Let client connections close once they are answered, while `is_draining` returns true."""
+        """Set the check for standby: while it returns true, client connections close once answered."""
         self.listener.is_on_standby = is_draining
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
-        """Answer what is in flight, until `until_s` on the loop's clock at the latest."""
+        """Wait for the queries in flight, until `until_s` on the loop's clock at the latest, then close."""
         return self.listener.shut_down(until_s)
 
     def metric_values(self) -> dict[str, int]:
-        """Values for the exported metrics."""
+        """Return the values of the exported metrics, by name."""
         queries = self.handler.counts
         cache = self.cache
         upstreams = self.upstreams.counts
@@ -247,7 +250,7 @@
         }
 
     def close(self) -> None:
-        """Close all sockets at once."""
+        """Close all sockets immediately."""
         if self.freeze_timer is not None:
             self.freeze_timer.cancel()
         self.listener.close()
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection to an upstream server: many queries at once, answered in any order (RFC 7766)."""
+"""A TCP connection to an upstream server, with pipelined queries answered in any order (RFC 7766)."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class UpstreamTcpConnection(asyncio.Protocol):
-    """One connection.
+    """A TCP connection to an upstream server.
 
     Args:
         loop: The running event loop.
         server: The server.
-        counts: Where its events are counted.
-        on_closed: Called when it can carry no further queries.
+        counts: Counters of upstream events.
+        on_closed: Called when the connection can carry no more queries.
     """
 
     def __init__(
@@ -45,17 +45,17 @@
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the queries that waited for the connection."""
+        """Send the queries that wait for the connection to be established."""
         self.transport = cast(asyncio.Transport, transport)
         while self.awaiting_connect:
             attempt = self.awaiting_connect.popleft()
             if attempt.observer.may_begin(self.server.state):
                 self.write(attempt)
             else:
-                attempt.finish(Outcome.CANCELLED)  # it has run over UDP
+                attempt.finish(Outcome.CANCELLED)  # not NOT_SENT: the server executed the query over UDP
 
     def send(self, attempt: DnsAttempt) -> None:
-        """Send a query, now or once the connection is up."""
+        """Send a query, now or once the connection is established."""
         attempt.assign(self)
         if self.transport is None:
             self.awaiting_connect.append(attempt)
@@ -63,7 +63,7 @@
             self.write(attempt)
 
     def write(self, attempt: DnsAttempt) -> None:
-        """Write a query with its two-byte length (RFC 1035, 4.2.2)."""
+        """Write a query with its two-byte length prefix (RFC 1035, 4.2.2)."""
         assert self.transport is not None
         if attempt.ended:
             return
@@ -76,7 +76,7 @@
             self.idle_timer = None
 
     def data_received(self, data: bytes) -> None:
-        """Split what has arrived into messages."""
+        """Split the received bytes into messages."""
         self.buffer += data
         while len(self.buffer) >= 2 and not self.closed:
             length = int.from_bytes(self.buffer[:2])
@@ -87,12 +87,12 @@
             self.on_message(message)
 
     def on_message(self, data: bytes) -> None:
-        """Match a response with its query."""
+        """Match a response with the attempt that waits for it."""
         attempt = self.waiting.get(int.from_bytes(data[:2])) if len(data) >= HEADER_BYTES else None
         if attempt is None:
             self.counts.unmatched += 1
             if len(data) < HEADER_BYTES:
-                self.close()  # the server does not speak DNS, or the framing is lost
+                self.close()  # the peer does not speak DNS, or the message boundaries are lost
             return
         try:
             response = parse_response(data, attempt.query, attempt.id)
@@ -105,7 +105,7 @@
             attempt.complete(response)
 
     def forget(self, attempt: DnsAttempt) -> None:
-        """Drop an attempt; with the last one the idle timeout begins."""
+        """Remove an attempt; after the last one, the idle timeout starts."""
         if self.waiting.get(attempt.id) is attempt:
             del self.waiting[attempt.id]
         if attempt in self.awaiting_connect:
@@ -114,11 +114,11 @@
             self.idle_timer = self.loop.call_later(IDLE_TIMEOUT_S, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is gone."""
+        """End all attempts, as the connection is closed."""
         self.fail(Outcome.RESET)
 
     def fail(self, outcome: Outcome) -> None:
-        """End all its attempts with an outcome."""
+        """Mark the connection as closed, and end all its attempts with an outcome."""
         self.closed = True
         if self.idle_timer is not None:
             self.idle_timer.cancel()
@@ -127,7 +127,7 @@
             attempt.finish(outcome)
 
     def close(self) -> None:
-        """Abort the connection; its attempts end when the socket is gone."""
+        """Abort the connection; its attempts end in `connection_lost`."""
         self.on_closed(self)
         if self.transport is not None:
             self.transport.abort()
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -1,7 +1,8 @@
-"""A connected UDP socket to an upstream server; several queries wait on it, told apart by id and question.
+"""A connected UDP socket to an upstream server, on which several queries can wait for their responses.
 
-The kernel chooses a random source port, and a connected socket takes responses from its server's address
-alone. A response that matches no query is counted and ignored while the query goes on waiting (RFC 5452).
+Against spoofing (RFC 5452), the kernel chooses a random source port, and the connected socket receives
+datagrams from the server's address only. Responses are matched by message id and question; one that matches
+no query is counted and ignored, and the query keeps waiting.
 """
 
 from __future__ import annotations
@@ -17,22 +18,22 @@
 from sagetrack.dns.upstream_attempt import DnsAttempt, UpstreamCounts, unused_message_id
 from sagetrack.policy.events import Outcome
 
-MAX_QUERIES_PER_SOCKET = 256  # then another port takes its place
-MAX_SOCKET_AGE_US = 5_000_000
-MAX_DATAGRAMS_PER_TURN = 64  # of the event loop
+MAX_QUERIES_PER_SOCKET = 256  # after this many queries, a socket with another port replaces this one
+MAX_SOCKET_AGE_US = 5_000_000  # after this time, a socket with another port replaces this one
+MAX_DATAGRAMS_PER_TURN = 64  # limit on datagrams read in one iteration of the event loop
 
 
 class UdpSocket:
-    """One socket.
+    """A UDP socket to an upstream server.
 
     Args:
         loop: The running event loop.
-        address: Of the server.
-        counts: Where its events are counted.
-        on_truncated: Takes an attempt whose response was cut short; it no longer waits here.
+        address: Address of the server.
+        counts: Counters of upstream events.
+        on_truncated: Called with an attempt whose response was truncated, after the socket dropped it.
 
     Raises:
-        OSError: The socket cannot be made or connected.
+        OSError: The socket cannot be created or connected.
     """
 
     def __init__(
@@ -61,11 +62,11 @@
         loop.add_reader(self.socket.fileno(), self.on_readable)
 
     def is_used_up(self, now: int) -> bool:
-        """Whether another socket, with another port, should take its place."""
+        """Return whether a new socket with another port should replace this one."""
         return self.closed or self.query_count >= MAX_QUERIES_PER_SOCKET or now >= self.expires_us
 
     def send(self, attempt: DnsAttempt) -> bool:
-        """Send a query; False if that fails."""
+        """Send a query; returns whether that succeeded."""
         self.query_count += 1
         id_ = unused_message_id(self.waiting)
         try:
@@ -78,7 +79,7 @@
         return True
 
     def on_readable(self) -> None:
-        """Read a bounded number of datagrams."""
+        """Read up to `MAX_DATAGRAMS_PER_TURN` datagrams."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self.closed:
                 return
@@ -87,14 +88,14 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # An ICMP error: the port is closed there, so nothing that waits here has run.
+                # An ICMP error: the server's port is closed, so none of the waiting queries was executed.
                 for attempt in list(self.waiting.values()):
                     attempt.finish(Outcome.CONNECT_FAILED)
                 return
             self.on_datagram(data)
 
     def on_datagram(self, data: bytes) -> None:
-        """Match a response with its query."""
+        """Match a response with the attempt that waits for it."""
         attempt = self.waiting.get(int.from_bytes(data[:2])) if len(data) >= HEADER_BYTES else None
         if attempt is None:
             self.counts.unmatched += 1
@@ -114,20 +115,20 @@
             attempt.complete(response)
 
     def forget(self, attempt: DnsAttempt) -> None:
-        """Drop an attempt; a retired socket is closed with its last one."""
+        """Remove an attempt; a retired socket closes after its last one."""
         if self.waiting.get(attempt.id) is attempt:
             del self.waiting[attempt.id]
         if self.retired and not self.waiting:
             self.close()
 
     def retire(self) -> None:
-        """Close it once nothing waits on it; its owner sends nothing more."""
+        """Close the socket once no attempt waits on it; the owner sends no more queries over it."""
         self.retired = True
         if not self.waiting:
             self.close()
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the socket immediately."""
         if not self.closed:
             self.closed = True
             self.loop.remove_reader(self.socket.fileno())
--- a/sagetrack/dns/upstream.py
+++ b/sagetrack/dns/upstream.py
@@ -1,4 +1,4 @@
-"""Upstream DNS servers: attempts over UDP, and over TCP where the response was cut short (RFC 7766)."""
+"""Upstream DNS servers: attempts over UDP, repeated over TCP if the response is truncated (RFC 7766)."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class DnsServerSockets:
-    """The sockets to one server.
+    """The UDP sockets and the TCP connection to one server.
 
     Args:
         loop: The running event loop.
         server: The server.
-        counts: Where events are counted.
-        retry_over_tcp: Takes an attempt whose response over UDP was cut short.
+        counts: Counters of upstream events.
+        retry_over_tcp: Called with an attempt whose response over UDP was truncated.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         self.last_socket_index = 0
 
     def next_udp_socket(self, now: int) -> UdpSocket:
-        """The next socket in turn; one that is used up is replaced by one with another port.
+        """Return the next socket in turn; a used-up one is first replaced by a new one with another port.
 
         Raises:
-            OSError: A new socket cannot be made or connected.
+            OSError: A new socket cannot be created or connected.
         """
         self.last_socket_index = (self.last_socket_index + 1) % SOCKETS_PER_SERVER
         if self.last_socket_index >= len(self.udp_sockets):
@@ -61,37 +61,37 @@
         return udp
 
     def open_udp_socket(self) -> UdpSocket:
-        """Open a socket with a random source port."""
+        """Open a UDP socket with a random source port."""
         return UdpSocket(self.loop, self.server.address, self.counts, self.on_truncated)
 
     def on_truncated(self, attempt: DnsAttempt) -> None:
-        """A response over UDP was cut short."""
+        """Repeat an attempt over TCP after a truncated response over UDP."""
         self.retry_over_tcp(self, attempt)
 
     def new_tcp_connection(self) -> UpstreamTcpConnection:
-        """Make a connection that is still to be connected."""
+        """Create a TCP connection object, which the caller has yet to connect."""
         self.tcp_connection = UpstreamTcpConnection(self.loop, self.server, self.counts, self.discard)
         return self.tcp_connection
 
     def discard(self, connection: UpstreamTcpConnection) -> None:
-        """Forget a connection that has closed."""
+        """Drop a TCP connection that has closed."""
         if self.tcp_connection is connection:
             self.tcp_connection = None
 
     def retire_udp(self) -> None:
-        """Send nothing more over today's UDP sockets; each closes when nothing waits on it."""
+        """Send no more queries over the current UDP sockets; each closes once no attempt waits on it."""
         for udp in self.udp_sockets:
             udp.retire()
         self.udp_sockets.clear()
 
     def close_idle(self) -> None:
-        """Retire the UDP sockets, and close the TCP connection unless a response is due on it."""
+        """Retire the UDP sockets, and close the TCP connection if no attempt waits on it."""
         self.retire_udp()
         if self.tcp_connection is not None and not self.tcp_connection.waiting:
             self.tcp_connection.close()
 
     def close(self) -> None:
-        """Close all at once."""
+        """Close all sockets immediately."""
         for udp in self.udp_sockets:
             udp.close()
         if self.tcp_connection is not None:
@@ -99,10 +99,12 @@
 
 
 class DnsUpstreams:
-    """The upstream servers. Every attempt ends once, by its observer's `on_attempt_ended`.
+    """The pool of upstream DNS servers.
+
+    Every attempt ends with exactly one call of its observer's `on_attempt_ended`.
 
     Args:
-        settings: Timeouts.
+        settings: Settings of the load balancer, for the connect timeout.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -116,15 +118,15 @@
 
     @property
     def listed(self) -> Collection[int]:
-        """Numbers of the listed servers."""
+        """The ids of the listed servers."""
         return self.servers.keys()
 
     def server_start_times(self) -> dict[int, int]:
-        """When each listed server started."""
+        """Return the start time in microseconds of each listed server."""
         return {number: sockets.server.started_us for number, sockets in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
-        """Add a server, or take over its new address, start time or status."""
+        """Add a server, or update its address, start time and status."""
         listed = entry.listed
         sockets = self.servers.get(listed.server)
         if sockets is not None and not sockets.server.is_same_incarnation(entry):
@@ -137,14 +139,14 @@
         sockets.server.update_status(listed.status)
 
     def remove(self, server: int) -> None:
-        """Drop a server; queries that wait there end as they would."""
+        """Remove a server; queries in flight to it can still complete."""
         sockets = self.servers.pop(server, None)
         if sockets is not None:
             sockets.server.mark_withdrawn()
             sockets.retire_udp()
 
     def close_idle(self, server: int) -> None:
-        """Close the sockets to a server's earlier incarnation, as they become idle."""
+        """Close the sockets to an earlier incarnation of a server; UDP sockets in use close once idle."""
         sockets = self.servers.get(server)
         if sockets is not None:
             sockets.close_idle()
@@ -157,7 +159,7 @@
     def begin(
         self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
     ) -> DnsAttempt | None:
-        """Send a query to a server and wait `wait_us` for its response; None if it is not listed."""
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         sockets = self.servers.get(server)
         if sockets is None:
             return None
@@ -180,7 +182,7 @@
         return attempt
 
     def retry_over_tcp(self, sockets: DnsServerSockets, attempt: DnsAttempt) -> None:
-        """Repeat a query over TCP, as part of the same attempt and within its timeout."""
+        """Repeat a query over TCP, within the same attempt and its timeout."""
         self.counts.tcp_retries += 1
         connection = sockets.tcp_connection
         if connection is None or connection.closed:
@@ -191,25 +193,25 @@
         connection.send(attempt)
 
     async def connect(self, connection: UpstreamTcpConnection) -> None:
-        """Connect within the connect timeout, or fail the connection."""
+        """Connect a TCP connection; on failure or timeout, end its attempts with an error."""
         try:
             async with asyncio.timeout(self.settings.connect_timeout_us / 1e6):
                 await self.loop.create_connection(lambda: connection, *connection.server.address)
         except (OSError, TimeoutError):
-            connection.fail(Outcome.ERROR)  # the query has run over UDP
+            connection.fail(Outcome.ERROR)  # not CONNECT_FAILED: the server has executed the query over UDP
 
     def cancel(self, attempt: DnsAttempt) -> None:
-        """Stop waiting for a response."""
+        """Cancel an attempt."""
         attempt.finish(Outcome.CANCELLED)
 
     def cancel_unsent(self, attempt: DnsAttempt) -> None:
-        """End an attempt that waits for a TCP connection; over UDP all else has been sent."""
+        """Cancel an attempt that waits for a TCP connection; all others have been sent over UDP or TCP."""
         carrier = attempt.carrier
         if isinstance(carrier, UpstreamTcpConnection) and attempt in carrier.awaiting_connect:
-            attempt.finish(Outcome.CANCELLED)  # it has run over UDP
+            attempt.finish(Outcome.CANCELLED)  # not NOT_SENT: the server has executed the query over UDP
 
     def close(self) -> None:
-        """Close all sockets at once."""
+        """Close all sockets immediately."""
         for task in self.connecting:
             task.cancel()
         for sockets in self.servers.values():
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a query at an upstream DNS server, from its sending to its one outcome."""
+"""An attempt to get a response to a query from an upstream DNS server."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
     """Totals since the start."""
 
     udp_attempts: int = 0
-    tcp_retries: int = 0  # attempts that were repeated over TCP
-    unmatched: int = 0  # late, forged or duplicate responses
-    malformed: int = 0
+    tcp_retries: int = 0  # attempts repeated over TCP
+    unmatched: int = 0  # responses that match no attempt: late, spoofed or duplicate ones
+    malformed: int = 0  # responses that match an attempt but cannot be parsed
 
 
 class AttemptCarrier(Protocol):
-    """The socket or connection on which an attempt waits."""
+    """The UDP socket or TCP connection on which an attempt waits for its response."""
 
     def forget(self, attempt: DnsAttempt) -> None:
-        """Drop an attempt that has ended."""
+        """Remove an attempt that has ended."""
 
 
 @dataclass(slots=True, eq=False)
 class DnsAttempt:
-    """One attempt. It ends exactly once, by `finish`, which tells its observer."""
+    """An attempt, which ends with the first call of `finish`."""
 
     upstream: UpstreamServerRecord
     query: Query
@@ -47,38 +47,38 @@
     ended: bool = False
     timer: asyncio.TimerHandle | None = None
     carrier: AttemptCarrier | None = None
-    id: int = 0  # message id
+    id: int = 0  # id of the DNS message
     request_sent: bool = False
 
     @property
     def server(self) -> int:
-        """Number of the server."""
+        """The id of the server."""
         return self.upstream.id
 
     def start_timeout(self, timer: asyncio.TimerHandle) -> None:
-        """Take the timer that ends the attempt; it is cancelled where the attempt ends before."""
+        """Set the running timer that ends the attempt; it is cancelled if the attempt ends earlier."""
         self.timer = timer
 
     def assign(self, carrier: AttemptCarrier) -> None:
-        """Take the socket or connection that carries the attempt."""
+        """Set the socket or connection that carries the attempt."""
         self.carrier = carrier
 
     def use_message_id(self, message_id: int) -> None:
-        """Take the message id that the query is sent with."""
+        """Set the message id with which the query is sent."""
         self.id = message_id
 
     def on_request_sent(self) -> None:
-        """Note that the query has been sent."""
+        """Record that the query has been sent."""
         self.request_sent = True
         self.observer.on_request_sent()
 
     def complete(self, response: DnsResponse) -> None:
-        """End with a response; any rcode but NOERROR and NXDOMAIN is an error of the server."""
+        """End the attempt with a response; any rcode except NOERROR and NXDOMAIN is a server error."""
         successful = response.rcode in SUCCESSFUL_RCODES
         self.finish(Outcome.OK if successful else Outcome.ERROR, response if successful else None)
 
     def finish(self, outcome: Outcome, response: DnsResponse | None = None) -> None:
-        """End the attempt and tell its observer; any call after the first has no effect."""
+        """End the attempt and notify its observer; calls after the first have no effect."""
         if self.ended:
             return
         self.ended = True
@@ -91,7 +91,7 @@
 
 
 def unused_message_id(used: Container[int]) -> int:
-    """Draw a random message id that no waiting query has (RFC 5452, section 9.2)."""
+    """Return a random message id that no query in flight uses (RFC 5452, section 9.2)."""
     id_ = secrets.randbits(16)
     while id_ in used:
         id_ = secrets.randbits(16)
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -1,8 +1,9 @@
-"""Zones that the gateway answers itself: its installation's gateways and servers, and static zone files.
+"""Zones that the gateway serves itself: the zone of its installation, and static zone files.
 
-The installation's zone follows discovery: it has the servers that are ready, its serial rises with each
-change (RFC 1982), and a name or type that does not exist is answered with the SOA (RFC 2308). Responses are
-rendered by `dnspython` once for each name, type and order, and are then sent like any other answer.
+The installation's zone lists the gateways and the ready servers. It follows service discovery, and its serial
+increases with each change (RFC 1982). A query for a name or type that does not exist gets a negative response
+with the SOA (RFC 2308). `dnspython` renders each response once per name, type and order of the servers; the
+rendered responses are then sent like those from upstream servers.
 """
 
 from __future__ import annotations
@@ -32,26 +33,26 @@
     weighted_order,
 )
 
-ORDER_COUNT = 8  # of the servers' records, drawn by weight; each response has the next
-MAX_RENDERED_RESPONSES = 4096  # responses that are kept rendered
+ORDER_COUNT = 8  # number of random orders of the servers, weighted; responses use them in turn
+MAX_RENDERED_RESPONSES = 4096  # limit on the responses that are kept rendered
 SERIAL_MODULUS = 2**32  # RFC 1982
 
 
 class LocalZones:
-    """All zones that the gateway answers itself.
+    """All zones that the gateway serves itself.
 
     Args:
-        origin: Of the installation's zone; empty if it has none.
-        seed: Of the orders that are drawn.
-        ttl_s: Of the installation's records.
-        negative_ttl_s: For how long a missing name may be cached.
-        gateways: Of the installation.
+        origin: Origin of the installation's zone; empty if there is no such zone.
+        seed: Seed of the random orders of the servers.
+        ttl_s: TTL of the records in the installation's zone.
+        negative_ttl_s: Time for which clients may cache a negative response.
+        gateways: The gateways of the installation.
         files: Origin and path of each zone file.
-        serial: First serial of the installation's zone.
-        weights: Current weights of the servers, by name.
+        serial: First serial number of the installation's zone.
+        weights: Returns the current weights of the servers, by name.
 
     Raises:
-        ZoneError: An origin or a file cannot be used.
+        ZoneError: An origin or a zone file is invalid.
     """
 
     def __init__(
@@ -82,16 +83,16 @@
             try:
                 self.origin = dns.name.from_text(origin)
             except dns.exception.DNSException as error:
-                raise ZoneError(f"zone {origin}: {error}") from None
+                raise ZoneError(f"invalid zone origin {origin}: {error}") from None
         for name, path in files:
             zone = read_zone_file(name, path)
             self.zones[zone.origin] = zone
         self.rebuild()
 
-    # The installation's zone
+    # Installation zone
 
     def update(self, members: Iterable[ZoneMember]) -> bool:
-        """Take over the servers that are ready now; False if nothing has changed."""
+        """Set the ready servers of the installation's zone; returns whether they have changed."""
         sorted_members = sorted(members, key=lambda member: member.name)
         if sorted_members == self.members:
             return False
@@ -101,12 +102,12 @@
         return True
 
     def reshuffle(self) -> None:
-        """Draw new orders by the current weights."""
+        """Draw new random orders of the servers by their current weights."""
         if self.rendered:
             self.rebuild()
 
     def rebuild(self) -> None:
-        """Build the installation's zone anew; rendered responses are dropped."""
+        """Rebuild the installation's zone, and discard the rendered responses."""
         self.rendered = {}
         if self.origin is None:
             return
@@ -116,10 +117,10 @@
         self.zones[self.origin] = zone.build(self.gateways, self.members, self.serial)
         self.reverse_names = zone.reverse_names
 
-    # Answers
+    # Responses
 
     def resolve(self, query: Query) -> DnsResponse | None:
-        """The answer to a question; None if it is about none of these zones."""
+        """Return the response to a query, or None if the name is in no local zone."""
         self.order_index = (self.order_index + 1) % ORDER_COUNT
         if query.query_class != IN:
             return None
@@ -131,7 +132,7 @@
         return self.rendered[key]
 
     def render(self, query: Query) -> DnsResponse | None:
-        """Render the response to a question in class IN; None if it is about none of these zones."""
+        """Render the response to a query of class IN; returns None if the name is in no local zone."""
         name, _ = dns.name.from_wire(query.name, 0)
         reply = dns.message.QueryMessage(id=0)
         reply.flags = dns.flags.QR | dns.flags.AA
@@ -149,7 +150,7 @@
         return parse_response(wire, query, 0)
 
     def find_zone(self, name: dns.name.Name) -> Zone | None:
-        """The zone of a name: the one with the longest origin."""
+        """Return the zone that contains a name: the one with the longest matching origin."""
         while True:
             zone = self.zones.get(name)
             if zone is not None or name == dns.name.root:
@@ -157,7 +158,7 @@
             name = name.parent()
 
     def add_records(self, reply: dns.message.Message, zone: Zone, name: dns.name.Name, rdtype: int) -> None:
-        """Add the records, or the denial, that answer a question (RFC 1034, 4.3.2)."""
+        """Add the records that answer the question, or else NXDOMAIN or no data (RFC 1034, 4.3.2)."""
         records = zone.records.get(name)
         ttl = zone.soa.ttl
         cname = records.get(dns.rdatatype.CNAME) if records is not None else None
@@ -179,7 +180,7 @@
     def in_current_order(
         self, zone: Zone, name: dns.name.Name, rdatas: list[dns.rdata.Rdata]
     ) -> list[dns.rdata.Rdata]:
-        """Records in the current order, where they are the addresses of all servers."""
+        """Return the records, in the current random order if they are the addresses of all servers."""
         if zone.origin != self.origin or name != name_below("servers", zone.origin) or len(rdatas) < 2:
             return rdatas
         positions = {member.host: number for number, member in enumerate(self.orders[self.order_index])}
--- a/sagetrack/dns/zone_records.py
+++ b/sagetrack/dns/zone_records.py
@@ -1,4 +1,4 @@
-"""The records of a zone: built from the servers of the installation, or read from a zone file."""
+"""The records of a zone, which are built from the servers of the installation or read from a zone file."""
 
 from __future__ import annotations
 
@@ -21,34 +21,35 @@
 
 MIN_WEIGHT = 1e-6
 MAX_SRV_WEIGHT = 65_535
-SRV_WEIGHT_SCALE = 100  # of a server's weight, as SRV records have whole numbers
-DEFAULT_TTL_S = 3600  # of a zone file, until its SOA is read
+SRV_WEIGHT_SCALE = 100  # factor for server weights, as the weights in SRV records are integers
+DEFAULT_TTL_S = 3600  # initial TTL of a zone file, until its SOA record is read
 IN = dns.rdataclass.IN
 Records = dict[dns.name.Name, dict[int, list[dns.rdata.Rdata]]]
 
 
 class ZoneError(DnsError):
-    """A zone that cannot be used; the message says in one line which and why."""
+    """Raised for an invalid zone; the message names the zone or file and the fault in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneMember:
-    """A server or a gateway of the installation's zone."""
+    """A server or a gateway in the installation's zone."""
 
     name: str
     host: str
     port: int
-    weight: float = 1.0  # as it is listed
+    weight: float = 1.0  # the weight in the endpoint list
 
 
 @dataclass(slots=True)
 class Zone:
-    """Records of one origin."""
+    """The records of a zone."""
 
     origin: dns.name.Name
     records: Records
     soa: dns.rrset.RRset
-    empty_non_terminals: set[dns.name.Name] = field(default_factory=set)  # names with names below (RFC 8499)
+    # All names that have names below them; these exist even if they have no records (RFC 8499).
+    empty_non_terminals: set[dns.name.Name] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         for name in self.records:
@@ -59,7 +60,7 @@
 
 
 def label(name: str) -> str:
-    """A label of letters, digits and hyphens (RFC 1123, 2.1) for a server's name."""
+    """Convert a server's name to a label of letters, digits and hyphens (RFC 1123, 2.1)."""
     characters = (c if c.isascii() and (c.isalnum() or c == "-") else "-" for c in name.lower())
     return "".join(characters).strip("-")[:MAX_LABEL_BYTES] or "server"
 
@@ -67,9 +68,9 @@
 def weighted_order(
     members: list[ZoneMember], weights: Mapping[str, float], rng: random.Random
 ) -> list[ZoneMember]:
-    """The members in a random order in which the heavier ones tend to come first.
+    """Return the members in a weighted random order, in which heavier ones tend to come first.
 
-    Each gets the key u ** (1 / weight), the largest first (Efraimidis and Spirakis 2006).
+    Members are sorted by descending u ** (1 / weight), with u random (Efraimidis and Spirakis 2006).
     """
 
     def key(member: ZoneMember) -> float:
@@ -83,9 +84,9 @@
     """Builds the zone of the installation, and the reverse names of its servers.
 
     Args:
-        origin: Of the zone.
-        ttl_s: Of its records.
-        negative_ttl_s: For how long a missing name may be cached.
+        origin: Origin of the zone.
+        ttl_s: TTL of its SOA record, which applies to all its records.
+        negative_ttl_s: Time for which clients may cache a negative response.
     """
 
     def __init__(self, origin: dns.name.Name, ttl_s: int, negative_ttl_s: int) -> None:
@@ -93,10 +94,10 @@
         self.ttl_s = ttl_s
         self.negative_ttl_s = negative_ttl_s
         self.records: Records = {}
-        self.reverse_names: dict[dns.name.Name, dns.name.Name] = {}  # by reverse name: the server's name
+        self.reverse_names: dict[dns.name.Name, dns.name.Name] = {}  # server names by reverse name
 
     def build(self, gateways: list[ZoneMember], servers: list[ZoneMember], serial: int) -> Zone:
-        """Build the zone with these members."""
+        """Build the zone with these gateways and servers."""
         self.add(self.origin, "NS", f"ns.{self.origin}")
         for member in gateways:
             self.add_gateway(member)
@@ -108,13 +109,13 @@
         return Zone(self.origin, self.records, soa)
 
     def add_gateway(self, member: ZoneMember) -> None:
-        """Add a gateway, which is a name server too."""
+        """Add the address records of a gateway, which is also a name server of the zone."""
         self.add_address(f"{label(member.name)}.gateways", member.host)
         self.add_address("gateways", member.host)
         self.add_address("ns", member.host)
 
     def add_server(self, member: ZoneMember) -> None:
-        """Add a server: addresses, a service record (RFC 2782) and its reverse name."""
+        """Add the address records, the SRV record (RFC 2782) and the reverse name of a server."""
         name = self.add_address(f"{label(member.name)}.servers", member.host)
         self.add_address("servers", member.host)
         weight = max(1, min(MAX_SRV_WEIGHT, round(SRV_WEIGHT_SCALE * member.weight)))
@@ -123,20 +124,20 @@
         self.reverse_names.setdefault(dns.reversename.from_address(member.host), name)
 
     def add_address(self, text: str, host: str) -> dns.name.Name:
-        """Add an address record for a name below the origin; the name."""
+        """Add an A or AAAA record for a name relative to the origin, and return the full name."""
         name = name_below(text, self.origin)
         self.add(name, "AAAA" if ":" in host else "A", host)
         return name
 
     def add(self, name: dns.name.Name, record_type: str, text: str) -> None:
-        """Add a record."""
+        """Parse the data of a record, and add the record."""
         rdtype = dns.rdatatype.from_text(record_type)
         rdata = dns.rdata.from_text(IN, rdtype, text, self.origin, relativize=False)
         self.records.setdefault(name, {}).setdefault(rdtype, []).append(rdata)
 
 
 def name_below(text: str, origin: dns.name.Name) -> dns.name.Name:
-    """A relative name, below an origin."""
+    """Return the full name of a name that is relative to an origin."""
     return dns.name.from_text(text, origin)
 
 
@@ -144,14 +145,14 @@
     """Read a zone file (RFC 1035, section 5).
 
     Raises:
-        ZoneError: It cannot be used; the message has file and line.
+        ZoneError: The file cannot be read or is invalid; the message has the path and, if known, the line.
     """
     try:
         read = dns.zone.from_text(Path(path).read_text(encoding="utf-8"), origin=name, relativize=False)
     except OSError as error:
-        raise ZoneError(f"{path}: {error.strerror}") from None
+        raise ZoneError(f"cannot read zone file {path}: {error.strerror}") from None
     except (dns.exception.DNSException, ValueError) as error:
-        raise ZoneError(f"{path}: {str(error) or type(error).__name__}") from None
+        raise ZoneError(f"invalid zone file {path}: {str(error) or type(error).__name__}") from None
     records: Records = {}
     ttl = DEFAULT_TTL_S
     for owner, rdataset in read.iterate_rdatasets():
