--- a/sagetrack/peers/failure_detector.py
+++ b/sagetrack/peers/failure_detector.py
@@ -102,7 +102,7 @@
             self._send(now_us, relayed.requester, Ack(relayed.requester_sequence, relayed.target))
 
     def on_nack(self, sender: int, nack: Nack) -> None:
-        """Process a nack: the helper is reachable, so its silence does not count against the local health."""
+        """Process a nack; its arrival shows that this member can receive messages."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.unresponsive_helpers.discard(sender)
 
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -28,7 +28,7 @@
     await asyncio.sleep(0)
     start_times = {n: STARTED for n in range(1, 4)}
 
-    def node(number: int, seen: list[Observation]) -> PeerNode:
+    def make_node(number: int, own_observations: list[Observation]) -> PeerNode:
         return PeerNode(
             number,
             addresses[number],
@@ -36,14 +36,14 @@
             MembershipSettings(period_us=20_000, timeout_us=10_000),
             number,
             events.append,
-            lambda: (seen, []),
+            lambda: (own_observations, []),
             lambda: start_times,
             use_warm_start=number == 0,
         )
 
-    nodes = [node(0, []), node(1, observations(3))]
-    for one_node in nodes:
-        one_node.start()
+    nodes = [make_node(0, []), make_node(1, observations(3))]
+    for node in nodes:
+        node.start()
     try:
         await until(
             lambda: nodes[0].warm_start_client is not None
@@ -61,5 +61,5 @@
         assert any("dead" in line for line in nodes[0].describe())
         assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
-        for one_node in nodes:
-            one_node.close()
+        for node in nodes:
+            node.close()
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -93,7 +93,7 @@
 
 
 @pytest.fixture(scope="module")
-def written_now(tmp_path_factory: pytest.TempPathFactory) -> Path:
+def written_files(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """The directory of the same files, written by this version."""
     folder = tmp_path_factory.mktemp("stored") / "now"
     generate(folder)
@@ -109,27 +109,27 @@
 def old_store() -> Iterator[Store]:
     """The store of the earlier version, opened by a dry run."""
     with closing(Store(DryRunDirectory(STORE), OPTIONS)) as store:
-        found = store.open()
-        assert (found.sequence, found.batches, found.records) == (6, 2, 3)
-        assert (found.quarantined, found.lost_bytes) == ([], 0)
+        report = store.open()
+        assert (report.sequence, report.batches, report.records) == (6, 2, 3)
+        assert (report.quarantined, report.lost_bytes) == ([], 0)
         yield store
 
 
-def content(store: Store, now_ms: int = 0) -> list[Record]:
+def sorted_records(store: Store, now_ms: int = 0) -> list[Record]:
     return sorted(store.snapshot().items(now_ms=now_ms), key=lambda record: (record.space, record.key))
 
 
 # All files
 
 
-def test_the_set_of_written_files_is_unchanged(written_now: Path) -> None:
+def test_the_set_of_written_files_is_unchanged(written_files: Path) -> None:
     assert files_in(BEFORE) == FILES
-    assert files_in(written_now) == FILES
+    assert files_in(written_files) == FILES
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_a_file_is_written_byte_for_byte_as_before(name: str, written_now: Path) -> None:
-    assert (written_now / name).read_bytes() == (BEFORE / name).read_bytes()
+def test_a_file_is_written_byte_for_byte_as_before(name: str, written_files: Path) -> None:
+    assert (written_files / name).read_bytes() == (BEFORE / name).read_bytes()
 
 
 # Datagrams
@@ -137,8 +137,8 @@
 
 def test_the_datagrams_cover_every_message_type() -> None:
     assert list(ENCODED) == list(DATAGRAMS)
-    kinds = {type(message) for datagram in DATAGRAMS.values() for message in datagram.messages}
-    assert kinds == set(Message.__args__)
+    types = {type(message) for datagram in DATAGRAMS.values() for message in datagram.messages}
+    assert types == set(Message.__args__)
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
@@ -309,21 +309,23 @@
 
 
 def test_the_records_of_a_store_are_read_correctly(old_store: Store) -> None:
-    found = content(old_store)
-    for record, expected in zip(found, live_records(), strict=True):
+    records = sorted_records(old_store)
+    for record, expected in zip(records, live_records(), strict=True):
         assert (record.space, record.key) == (expected.space, expected.key)
         assert record.value == expected.value
         assert record.at_ms == expected.at_ms
         assert old_store.get(record.space, record.key) == expected.value
-    assert [record.space for record in found] == ["known", "known", "other", "seconds", "seconds"]
+    assert [record.space for record in records] == ["known", "known", "other", "seconds", "seconds"]
     assert old_store.get("known", b"gone") is None
 
 
 def test_records_of_a_store_expire_at_the_right_age(old_store: Store) -> None:
     """The first record of the flight recorder expires after one hour, the second one a second later."""
-    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS - 1) == live_records()
-    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS) == live_records()[:3] + live_records()[4:]
-    assert content(old_store, now_ms=NOW_MS + SECONDS_AGE_MS + 1000) == live_records()[:3]
+    assert sorted_records(old_store, now_ms=NOW_MS + SECONDS_AGE_MS - 1) == live_records()
+    assert (
+        sorted_records(old_store, now_ms=NOW_MS + SECONDS_AGE_MS) == live_records()[:3] + live_records()[4:]
+    )
+    assert sorted_records(old_store, now_ms=NOW_MS + SECONDS_AGE_MS + 1000) == live_records()[:3]
 
 
 def test_headers_and_manifest_of_a_store_are_read_correctly() -> None:
@@ -338,10 +340,10 @@
 def test_a_store_without_its_newest_checkpoint_is_recovered_from_the_older_one(store_copy: Path) -> None:
     (store_copy / "base-0000000000000004").unlink()
     with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
-        found = store.open()
-        assert (found.sequence, found.batches, found.records) == (6, 3, 3)
-        assert found.quarantined == ["base-0000000000000004: gone"]
-        assert content(store) == live_records()
+        report = store.open()
+        assert (report.sequence, report.batches, report.records) == (6, 3, 3)
+        assert report.quarantined == ["base-0000000000000004: gone"]
+        assert sorted_records(store) == live_records()
 
 
 def test_a_store_accepts_new_writes_and_a_compaction(store_copy: Path) -> None:
@@ -352,9 +354,9 @@
         for _ in store.compact(NOW_MS):
             pass
     with closing(Store(DiskDirectory(store_copy), OPTIONS)) as store:
-        found = store.open()
-        assert (found.sequence, found.batches, found.records, found.quarantined) == (7, 0, 6, [])
-        assert content(store) == [*live_records()[:2], added, *live_records()[2:]]
+        report = store.open()
+        assert (report.sequence, report.batches, report.records, report.quarantined) == (7, 0, 6, [])
+        assert sorted_records(store) == [*live_records()[:2], added, *live_records()[2:]]
 
 
 def test_observations_in_a_store_are_read_correctly(old_store: Store) -> None:
