--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -12,7 +12,7 @@
 
 from sagetrack.config.platform import Address
 from sagetrack.core.transient_errors import retry_while_transient
-from sagetrack.server.listen import bind
+from sagetrack.server.listen import bind_listener
 
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 12
@@ -70,7 +70,7 @@
         The socket is bound here because asyncio returns a server without a socket if it cannot create one.
         """
         loop = asyncio.get_running_loop()
-        listener = await retry_while_transient(lambda: bind(address, BACKLOG))
+        listener = await retry_while_transient(lambda: bind_listener(address, BACKLOG))
         self.server = await loop.create_server(lambda: AdminConnection(self), sock=listener, backlog=BACKLOG)
 
     def handle_line(self, line: bytes) -> bytes:
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -75,7 +75,7 @@
         """Apply a change of the DNS servers in the endpoint list."""
         self.service.on_list(kind, endpoints)
 
-    def figures(self) -> Mapping[str, float]:
+    def metric_values(self) -> Mapping[str, float]:
         """Return the metrics of the DNS service."""
         return self.service.figures()
 
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -31,7 +31,7 @@
     with_grpc,
 )
 from sagetrack.server.hot_restart import HotRestart
-from sagetrack.server.listen import bind, inherit
+from sagetrack.server.listen import bind_listener, inherit_listener
 from sagetrack.server.observation_exchange import ObservationExchange
 from sagetrack.server.protocol_listeners import ProtocolListeners
 from sagetrack.server.startup_timing import StartupTiming
@@ -125,7 +125,7 @@
                 self.operator.newer, self._class_names(), lambda: not self.http_listener.drain.is_draining
             )
         self.http_listener.check_heads(untranslatable_reason)
-        self._export_metrics(upstreams.figures)
+        self._export_metrics(upstreams.metric_values)
         return upstreams
 
     def _build_discovery(self) -> DiscoveryClient:
@@ -195,8 +195,8 @@
     async def _listening_socket(self) -> socket.socket:
         descriptor = self.config.accept_fd
         if descriptor is not None:
-            return inherit(descriptor)
-        return await retry_while_transient(lambda: bind(self.config.listen))
+            return inherit_listener(descriptor)
+        return await retry_while_transient(lambda: bind_listener(self.config.listen))
 
     def _listed_dns_servers(self) -> Iterable[Endpoint]:
         return (
@@ -245,7 +245,7 @@
         other_drain_tasks = self.protocol_listeners.begin_drain(
             self.http_listener.drain.answer_cutoff_s + EXIT_MARGIN_S / 2
         )
-        # No time limit: requests without a response at that time would be lost.
+        # No time limit: it would lose the requests that are still in flight.
         await http_drain_task
         for drain_task in other_drain_tasks:
             await drain_task
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -119,7 +119,7 @@
             log(f"gRPC traffic share changed: {share}")
             self._refresh_weights()
 
-    def figures(self) -> dict[str, float]:
+    def metric_values(self) -> dict[str, float]:
         """Return the metrics of mirroring, of the gRPC pool and of the migration."""
         migration = self.router.migration
         mirroring = self.mirror.figures() if self.mirror is not None else {}
--- a/sagetrack/server/hot_restart.py
+++ b/sagetrack/server/hot_restart.py
@@ -121,9 +121,8 @@
 
     def release(self) -> None:
         """Write a pending endpoint list, unless a sibling is serving, and remove this process's marker."""
-        self.endpoint_list.close(
-            write_pending=not self.serving_sibling_count
-        )  # a serving sibling writes its own list, which is newer
+        # A serving sibling writes its own list, which is newer.
+        self.endpoint_list.close(write_pending=not self.serving_sibling_count)
         if self._descriptor is not None and self._marker is not None:
             with suppress(OSError):  # the next process removes a marker that remains, as it has no lock
                 self._marker.unlink(missing_ok=True)
--- a/sagetrack/server/listen.py
+++ b/sagetrack/server/listen.py
@@ -9,7 +9,7 @@
 from sagetrack.http1.acceptor import BACKLOG
 
 
-def bind(address: Address, backlog: int = BACKLOG) -> socket.socket:
+def bind_listener(address: Address, backlog: int = BACKLOG) -> socket.socket:
     """Return a non-blocking socket that listens only on this address; OSError if it cannot be bound."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=backlog)
@@ -17,7 +17,7 @@
     return listener
 
 
-def inherit(descriptor: int) -> socket.socket:
+def inherit_listener(descriptor: int) -> socket.socket:
     """Return the listening socket that the platform holds and all processes of this gateway inherit.
 
     It must be closed, never shut down: a shutdown would affect the other processes as well.
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -57,7 +57,7 @@
         drain = http.drain
         self.dns = DnsAssembly(self.config, settings, self.gateway, pools, lambda: drain.is_draining, listed)
         await self.dns.start()
-        self.gateway.metrics.extra_figures.append(self.dns.figures)
+        self.gateway.metrics.extra_figures.append(self.dns.metric_values)
 
     async def start_grpc(self, http: HttpListener, tls_keys: TlsCredentials | None) -> None:
         """Start the gRPC listener if the operator has enabled it.
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -49,13 +49,13 @@
     writer.write(data)
     if eof:
         writer.write_eof()
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
-def parse_metrics(answer: bytes) -> dict[str, int]:
-    first, *lines, last = answer.decode().splitlines()
+def parse_metrics(response: bytes) -> dict[str, int]:
+    first, *lines, last = response.decode().splitlines()
     assert first.startswith("SUCCESS") and last == "EOT"
     return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
@@ -77,8 +77,8 @@
             (b"active", b"SUCCESS", 200),
             (b"status", b"SUCCESS", 200),
         ):
-            answer = await send_command(port, line + ending)
-            assert answer.startswith(expected_result) and answer.count(b"\n") == 1
+            response = await send_command(port, line + ending)
+            assert response.startswith(expected_result) and response.count(b"\n") == 1
             assert (await run.ask(READY)).status == ready
         run.server.drain.begin_shutdown(0.0)
         for line in (b"status", b"standby", b"active"):
@@ -101,8 +101,8 @@
 @on_loop
 async def test_an_invalid_command_gets_failure(data: bytes) -> None:
     async with running(configuration("127.0.0.1:1")) as run, running_admin_server(run) as port:
-        answer = await send_command(port, data)
-        assert answer.startswith(b"FAILURE") and answer.count(b"\n") == 1
+        response = await send_command(port, data)
+        assert response.startswith(b"FAILURE") and response.count(b"\n") == 1
 
 
 @on_loop
@@ -252,8 +252,8 @@
             # Requests on existing and on new connections are served, and the response announces the close.
             late = await connect(port)
             for client in (persistent, late):
-                answer = await client.ask(request())
-                assert answer.status == 200 and answer.headers["connection"] == "close"
+                response = await client.ask(request())
+                assert response.status == 200 and response.headers["connection"] == "close"
                 client.close()
             idle = await connect(port)
             assert await idle.reader.read() == b""
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -150,9 +150,8 @@
     ):
         failed = start_watch(run, 5)
         await until(lambda: failed.reported == 5)
-        registry.script = answers(
-            draining_list(9)
-        )  # discovery has recovered, and has had the change all the time
+        # Discovery recovers, and has had the change all the time.
+        registry.script = answers(draining_list(9))
         assert not is_draining(run)
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
             await until(lambda: is_draining(run))
@@ -476,9 +475,8 @@
     for fault in ("busy", "refused"):
         run_in_virtual_time(lambda fault=fault: play(fault))  # type: ignore[misc]
     gaps = {fault: [b - a for a, b in pairwise(times)][4:] for fault, times in calls.items()}
-    assert (
-        min(gaps["busy"]) >= 2.0 and max(gaps["busy"]) <= 4.1
-    )  # between half of 1.4 s + 2.6 s and all of it
+    # The wait is between half of 1.4 s + 2.6 s and all of it.
+    assert min(gaps["busy"]) >= 2.0 and max(gaps["busy"]) <= 4.1
     assert max(gaps["refused"]) <= 1.41  # refused connections cost the service nothing
 
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -119,9 +119,9 @@
         for exchange in upstream.exchanges:
             exchange.answer(reply(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
-            answer = await client.answer()
-            assert (answer.status, answer.body) == (200, body)
-            assert answer.headers["connection"] == "close"
+            response = await client.answer()
+            assert (response.status, response.body) == (200, body)
+            assert response.headers["connection"] == "close"
         assert await process.wait() == 0
         for client in (idle, busy, late):
             client.close()
@@ -158,8 +158,8 @@
         await until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s at shutdown, plus 0.7 s
-            answer = await client.answer()
-            assert answer.status == 502 and answer.headers["connection"] == "close"
+            response = await client.answer()
+            assert response.status == 502 and response.headers["connection"] == "close"
             assert await process.wait() == 0
         client.close()
 
@@ -251,7 +251,7 @@
                     used = connection is not None
                     try:
                         connection = connection or await connect(port)
-                        answer = await connection.ask(data)
+                        response = await connection.ask(data)
                     except (OSError, asyncio.IncompleteReadError):
                         if connection is not None:
                             connection.close()
@@ -260,9 +260,9 @@
                             lost += 1
                             break
                         continue
-                    assert answer.status in (200, 503)
+                    assert response.status in (200, 503)
                     served += 1
-                    if answer.headers.get("connection") == "close":
+                    if response.headers.get("connection") == "close":
                         connection.close()
                         connection = None
                     break
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -78,9 +78,9 @@
             await until(lambda: new.pid in marker_pids(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
             # The persistent connection is served until a response announces its close.
-            while (answer := await persistent.ask(READY)).status == 200:
+            while (response := await persistent.ask(READY)).status == 200:
                 pass
-            assert answer.headers["connection"] == "close"
+            assert response.headers["connection"] == "close"
             # New connections go to the new process: the old one closes the socket without a shutdown.
             for _ in range(8):
                 assert await fetch_status(port, READY) == 200
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -59,12 +59,12 @@
         while not self.stopped:
             writer.write(request(CLASSES[number % len(CLASSES)], b""))
             try:
-                answer = await read_message(reader)
+                response = await read_message(reader)
             except (OSError, asyncio.IncompleteReadError) as error:
                 self.lost.append(repr(error))
                 return
-            self.statuses[answer.status] += 1
-            if answer.headers.get("connection", "").lower() == "close":
+            self.statuses[response.status] += 1
+            if response.headers.get("connection", "").lower() == "close":
                 return
 
 
