--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from sagetrack.config.errors import ConfigError
-from sagetrack.policy.parsing import WireError, parse_settings
+from sagetrack.policy.parsing import ParseError, parse_settings
 from sagetrack.policy.settings import Settings
 
 __all__ = [
@@ -121,7 +121,7 @@
     descriptor = _accept_descriptor(environment)
     try:
         return _build(raw, settings, limits, known, environment, descriptor)
-    except WireError as error:
+    except ParseError as error:
         raise ConfigError(str(error)) from None
     except ConfigError:
         raise
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -17,7 +17,7 @@
 from sagetrack.http1.upstream_connection import PooledServer
 from sagetrack.http1.upstream_server import UpstreamServer
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
-from sagetrack.policy.settings import Reports, Settings
+from sagetrack.policy.settings import LoadReporting, Settings
 
 SWEEP_S = 1.0  # between checks for idle connections and stalled bodies whose time limit has passed
 PROBE_TIMEOUT_US = 250_000
@@ -123,7 +123,7 @@
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
             on_result(outcome, attempt.latency_us, load_of(response))
 
-        path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
+        path = b"/health/live" if self.settings.reports is LoadReporting.NONE else b"/stats"
         address = f"{upstream.address[0]}:{upstream.address[1]}".encode()
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, address)
         self.attempts.send(
--- a/sagetrack/policy/__init__.py
+++ b/sagetrack/policy/__init__.py
@@ -36,7 +36,16 @@
     TimerFired,
 )
 from sagetrack.policy.load_balancer import LoadBalancer
-from sagetrack.policy.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
+from sagetrack.policy.settings import (
+    Effect,
+    Goal,
+    LoadReporting,
+    Prices,
+    RequestClass,
+    Scope,
+    Settings,
+    Tenant,
+)
 
 __all__ = [
     "Action",
@@ -55,6 +64,7 @@
     "ListedServer",
     "LoadBalancer",
     "LoadReport",
+    "LoadReporting",
     "Log",
     "ObservationsReceived",
     "Outcome",
@@ -64,7 +74,6 @@
     "Probed",
     "ProcessCountChanged",
     "Reject",
-    "Reports",
     "RequestArrived",
     "RequestCancelled",
     "RequestClass",
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -250,13 +250,13 @@
         if entry is not None:
             self.counters[entry.tenant].waiting -= 1
             if not len(self.queues):
-                self.service_rate.pause()
+                self.service_rate.stop_measuring()
 
     # Feedback
 
     def set_assumed_service_rate(self, rate: float) -> None:
         """Set the work a microsecond that is taken for the service rate until one has been measured."""
-        self.service_rate.assumed = rate
+        self.service_rate.assumed_rate = rate
 
     def set_minimum_concurrency(self, requests: float) -> None:
         """Set what the concurrency limit never falls below."""
--- a/sagetrack/policy/admission_gate.py
+++ b/sagetrack/policy/admission_gate.py
@@ -104,7 +104,7 @@
         priority = gain + RESERVATION_PRIORITY * request.has_reservation
         admission.enqueue(request, requester, work_us, priority, request.objective_at_us)
         self.serve()
-        if not request.attempts and not request.answered:
+        if not request.attempts and not request.finished:
             if max_wait_us <= 0:
                 return AdmissionDenial.WAIT_TOO_LONG
             self._timers.set(now_us + int(max_wait_us), TimerPurpose.QUEUE_WAIT, request)
--- a/sagetrack/policy/attempts.py
+++ b/sagetrack/policy/attempts.py
@@ -73,8 +73,8 @@
     def _add_attempt(self, request: Request, server: Server) -> None:
         """Account for an attempt at the server's breakers, in flight, in the subset and the slow start."""
         now_us = self._context.now_us
-        class_trial_of = server.class_health(request.class_index).breaker.take_trial()
-        attempt = Attempt(server, now_us, server.breaker.take_trial(), class_trial_of)
+        class_half_open_period = server.class_health(request.class_index).breaker.take_trial()
+        attempt = Attempt(server, now_us, server.breaker.take_trial(), class_half_open_period)
         request.attempts.append(attempt)
         request.in_flight += 1
         if not request.uploading:
--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -32,7 +32,7 @@
     state: State = State.CLOSED
     open_until_us: int = 0
     cooldown_us: int = FIRST_COOLDOWN_US
-    episode: int = 0  # half-open periods so far: trials are attempts sent in the present one
+    half_open_period: int = 0  # half-open periods so far: trials are attempts sent in the present one
     trials_in_flight: int = 0
     trial_results: list[bool] = field(default_factory=list)
 
@@ -44,7 +44,7 @@
             if now_us < self.open_until_us:
                 return False
             self.state = State.HALF_OPEN
-            self.episode += 1
+            self.half_open_period += 1
             self.trials_in_flight = 0
             self.trial_results = []
         return self.trials_in_flight + len(self.trial_results) < HALF_OPEN_TRIALS
@@ -54,15 +54,15 @@
         if self.state is not State.HALF_OPEN:
             return 0
         self.trials_in_flight += 1
-        return self.episode
+        return self.half_open_period
 
-    def record(self, now_us: int, failed: bool, trial_of: int, common: float) -> State | None:
+    def record(self, now_us: int, failed: bool, half_open_period: int, common: float) -> State | None:
         """Enter an outcome.
 
         Args:
             now_us: The present time.
             failed: Whether the attempt failed.
-            trial_of: What `take_trial` returned for the attempt.
+            half_open_period: What `take_trial` returned for the attempt.
             common: The recent failure share of the other servers.
 
         Returns:
@@ -72,7 +72,7 @@
             1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common) ** 2
         )  # squared, as a few outcomes vary by chance
         if self.state is State.HALF_OPEN:
-            if trial_of != self.episode:
+            if half_open_period != self.half_open_period:
                 return None  # in half-open only the trials' outcomes count
             self.trials_in_flight -= 1
             self.trial_results.append(failed)
@@ -87,9 +87,9 @@
             return self.open(now_us)
         return None
 
-    def return_trial(self, trial_of: int) -> None:
+    def return_trial(self, half_open_period: int) -> None:
         """Allow another trial in place of one that showed nothing."""
-        if self.state is State.HALF_OPEN and trial_of == self.episode:
+        if self.state is State.HALF_OPEN and half_open_period == self.half_open_period:
             self.trials_in_flight -= 1
 
     def reopen(self, now_us: int) -> State:
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -42,13 +42,13 @@
 
         Args:
             now_us: The present time.
-            in_flight: Attempts in flight; whenever that changes, `pass_time` has to be called before.
+            in_flight: Attempts in flight; whenever that changes, `update_credit` has to be called before.
             share: Attempts in flight in the mean that are this gateway's, from now on.
 
         Returns:
             Microseconds, 0 for at once; None if no attempt may begin before another ends.
         """
-        self.pass_time(now_us, in_flight)
+        self.update_credit(now_us, in_flight)
         self._share = max(MIN_SHARE, share * self.boost)
         if self._credit_us >= max(0.0, in_flight - self._share) * BOOST_SAVED_US:
             return 0
@@ -57,7 +57,7 @@
             return None
         return int(-self._credit_us / (self._share - in_flight)) + 1
 
-    def pass_time(self, now_us: int, in_flight: int) -> None:
+    def update_credit(self, now_us: int, in_flight: int) -> None:
         """Account for the attempts that have been in flight since the last call."""
         share = self._share
         self._credit_us = max(
--- a/sagetrack/policy/discovery_backoff.py
+++ b/sagetrack/policy/discovery_backoff.py
@@ -13,12 +13,12 @@
 MAX_PAUSE_US = 1_400_000  # after any number of failures: two of these and two calls must fit in
 
 
-def longest_pause_us(failures: int, max_poll_interval_us: int) -> int:
+def max_poll_delay_us(failures: int, max_poll_interval_us: int) -> int:
     """The longest pause after so many failures in a row; it doubles with each up to a bound."""
     first_us = min(max(max_poll_interval_us // 20, MIN_PAUSE_US), FIRST_PAUSE_US)
     return min(first_us << min(failures - 1, 3), MAX_PAUSE_US)
 
 
-def first_call_us(max_poll_interval_us: int) -> int:
+def max_first_poll_delay_us(max_poll_interval_us: int) -> int:
     """The longest time after its start until a gateway polls for the first time."""
     return min(max_poll_interval_us // 10, MAX_PAUSE_US)
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrack.policy.circuit_breaker import State
-from sagetrack.policy.discovery_backoff import first_call_us, longest_pause_us
+from sagetrack.policy.discovery_backoff import max_first_poll_delay_us, max_poll_delay_us
 from sagetrack.policy.endpoint_ring import ExactSum, Ring, RingPosition
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 from sagetrack.policy.incarnations import Incarnations
@@ -45,7 +45,7 @@
         """How many listed servers get nothing, as their breaker is open."""
         return sum(server.breaker.state is State.OPEN for server in self.servers.values())
 
-    def earliest_close_us(self) -> int | None:
+    def earliest_cooldown_end_us(self) -> int | None:
         """When the first cooldown ends if the breakers of all servers are open, else None."""
         if not self.servers or any(s.breaker.state is not State.OPEN for s in self.servers.values()):
             return None
@@ -58,7 +58,7 @@
             return False
         if event.kind is ListKind.DISK and not self._settings.endpoints_are_pushed:
             # Hundreds of gateways that start together must not poll together: most would be rejected.
-            span_us = first_call_us(self._settings.max_poll_interval_us)
+            span_us = max_first_poll_delay_us(self._settings.max_poll_interval_us)
             wait_us = self._context.random.random() * span_us
             self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
         else:
@@ -68,7 +68,7 @@
             changed = self.servers.keys() - {entry.server for entry in event.servers}
             for number in changed:
                 self._forget(self.servers.pop(number))
-        first_use_us = self._slow_start.max_first_use_us()  # the same for all new servers of this list
+        first_use_us = self._slow_start.max_initial_use_us()  # the same for all new servers of this list
         changed |= {entry.server for entry in event.servers if self._list(entry, event, first_use_us)}
         self._ring.change({number: self.ring_position(number) for number in changed})
         if event.kind is not ListKind.DISK:
@@ -94,7 +94,7 @@
 
     def _back_off(self) -> None:
         self._failed_polls += 1
-        wait_us = float(longest_pause_us(self._failed_polls, self._settings.max_poll_interval_us))
+        wait_us = float(max_poll_delay_us(self._failed_polls, self._settings.max_poll_interval_us))
         wait_us *= self._context.random.uniform(0.5, 1.0)  # jitter: gateways that failed together
         self._context.log("the endpoint list could not be read; polling again")
         self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -90,7 +90,7 @@
             concerned, ready, now_us, max(0, int(MAX_EJECTED_FRACTION * len(ready)) - ejected)
         ):
             self._follow(advice)
-        self._latency.adopt(event.latencies)
+        self._latency.apply_peer_latencies(event.latencies)
 
     def _restore_own(self, event: ObservationsReceived) -> None:
         """Take the slow-start budget that this gateway itself had used before it was restarted."""
--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -27,7 +27,7 @@
     def pass_time(self, now_us: int) -> None:
         """Account for what was in flight until now. To be called before anything else of an event."""
         if self._fleet.is_concurrency_scarce():
-            self._share.pass_time(now_us, self.count)
+            self._share.update_credit(now_us, self.count)
 
     def add(self, attempt: Attempt) -> None:
         """Count an attempt as in flight at its server from now on."""
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -13,7 +13,7 @@
 SMOOTHING = 0.05  # share of the newest answer in the smoothed latency
 BASELINE_DRIFT = 0.0005  # relative rise with each longer answer: an overload must not become the baseline
 STALL_FACTOR = 4.0  # times the smoothed latency: an attempt that should have been answered
-FEW_ANSWERS = 20  # own good answers of a class: with fewer, peers' latencies are taken
+MIN_OWN_RESPONSES = 20  # own good answers of a class: with fewer, peers' latencies are taken
 MAX_PEER_FACTOR = 2.0  # times the first guess: latencies of peers are used up to this
 
 
@@ -24,15 +24,15 @@
         self.initial_us = [c.latency_objective_us / 4 for c in classes]
         self.smoothed_us = list(self.initial_us)
         self.baseline_us = list(self.initial_us)
-        self.answers = [0] * len(classes)
-        self.answers_us = [0.0] * len(classes)  # the sum of their latencies
+        self.response_counts = [0] * len(classes)
+        self.latency_sums_us = [0.0] * len(classes)  # the sum of their latencies
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # longer in flight: the server stalls
 
     def learn(self, class_index: int, relative_work: float, latency_us: int) -> None:
         """Learn from the latency of a successful response."""
         latency = latency_us / relative_work
-        self.answers[class_index] += 1
-        self.answers_us[class_index] += latency
+        self.response_counts[class_index] += 1
+        self.latency_sums_us[class_index] += latency
         self.smoothed_us[class_index] += SMOOTHING * (latency - self.smoothed_us[class_index])
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
         floor_us = self.baseline_us[class_index]
@@ -49,19 +49,22 @@
 
     def mean_us(self, class_index: int, prior_answers: float) -> float:
         """Return the mean latency of good responses; the first guess counts as `prior_answers` of them."""
-        total_us = prior_answers * self.initial_us[class_index] + self.answers_us[class_index]
-        return total_us / (prior_answers + self.answers[class_index])
+        total_us = prior_answers * self.initial_us[class_index] + self.latency_sums_us[class_index]
+        return total_us / (prior_answers + self.response_counts[class_index])
 
-    def observed(self) -> list[ClassLatency]:
+    def own_latencies(self) -> list[ClassLatency]:
         """Return the latencies of the classes of which this gateway has enough responses, for its peers."""
-        known = [index for index, count in enumerate(self.answers) if count >= FEW_ANSWERS]
+        known = [index for index, count in enumerate(self.response_counts) if count >= MIN_OWN_RESPONSES]
         return [ClassLatency(index, self.smoothed_us[index], self.baseline_us[index]) for index in known]
 
-    def adopt(self, latencies: Iterable[ClassLatency]) -> None:
+    def apply_peer_latencies(self, latencies: Iterable[ClassLatency]) -> None:
         """Use peers' latencies of the classes of which this gateway has too few responses."""
         for latency in latencies:
             class_index = latency.class_index
-            if 0 <= class_index < len(self.answers) and self.answers[class_index] < FEW_ANSWERS:
+            if (
+                0 <= class_index < len(self.response_counts)
+                and self.response_counts[class_index] < MIN_OWN_RESPONSES
+            ):
                 most_us = MAX_PEER_FACTOR * self.initial_us[class_index]
                 self.smoothed_us[class_index] = min(most_us, max(1.0, latency.smoothed_us))
                 baseline_us = max(1.0, latency.baseline_us)
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -203,13 +203,13 @@
 
     def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
         """Return this gateway's own observations of servers, and its latencies by class."""
-        return self.gossip.own_observations(), self.latency.observed()
+        return self.gossip.own_observations(), self.latency.own_latencies()
 
     # Events
 
     def _on_cancelled(self, event: RequestCancelled) -> None:
         request = self.requests.get(event.request)
-        if request is not None and not request.answered:
+        if request is not None and not request.finished:
             self.requests.finish(request)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -238,7 +238,7 @@
             self._on_request_timer(timer.request)
 
     def _on_request_timer(self, request: Request) -> None:
-        if request.answered:
+        if request.finished:
             if request.in_flight == 0:
                 self.requests.release(request)
         elif request.in_flight == 0:
--- a/sagetrack/policy/outcomes.py
+++ b/sagetrack/policy/outcomes.py
@@ -56,7 +56,7 @@
         """The response has begun; False if that changes nothing."""
         request = self._requests.get(event.request)
         attempt = self._attempt(request, event.attempt)
-        if request is None or attempt is None or request.answered:
+        if request is None or attempt is None or request.finished:
             return False
         request.streaming = True
         request.response_began_us = self._context.now_us
@@ -78,9 +78,9 @@
         if request is None or attempt is None or attempt.ended:
             return False
         self._end_attempt(request, attempt, event)
-        if self._outliers.judge(request, attempt, event) and event.outcome in LOAD_OUTCOMES:
+        if self._outliers.record_outcome(request, attempt, event) and event.outcome in LOAD_OUTCOMES:
             self._learn_load(request, event)
-        if request.answered:
+        if request.finished:
             if request.in_flight == 0:
                 self._requests.release(request)
         elif event.finished or event.outcome is Outcome.OK:
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -9,11 +9,24 @@
 from typing import Any
 
 from sagetrack.policy.events import LoadReport
-from sagetrack.policy.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
+from sagetrack.policy.settings import (
+    Effect,
+    Goal,
+    LoadReporting,
+    Prices,
+    RequestClass,
+    Scope,
+    Settings,
+    Tenant,
+)
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.GROUP}
-REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
+LOAD_REPORTING = {
+    "piggyback": LoadReporting.RESPONSES,
+    "pull": LoadReporting.PROBES,
+    "silent": LoadReporting.NONE,
+}
 PRICE_KEYS = {
     "cross_zone": "crossZone",
     "handshake": "handshake",
@@ -28,7 +41,7 @@
 NO_REPORT = "-"
 
 
-class WireError(ValueError):
+class ParseError(ValueError):
     """A text that cannot be parsed; the message says why."""
 
 
@@ -36,18 +49,18 @@
     """Parse the platform's settings object; unknown keys are ignored, missing optional ones have defaults.
 
     Raises:
-        WireError: The text is not a JSON object, or a value in it cannot be used.
+        ParseError: The text is not a JSON object, or a value in it cannot be used.
     """
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
-        raise WireError(f"settings are not JSON: {error}") from None
+        raise ParseError(f"settings are not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise WireError("settings are not an object")
+        raise ParseError("settings are not an object")
     try:
         return _settings(raw)
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise WireError(f"settings cannot be used: {error}") from None
+        raise ParseError(f"settings cannot be used: {error}") from None
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
@@ -65,7 +78,7 @@
         ),
         over_quota_priority=float(raw.get("overShareWorth", 1.0)),
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
-        reports=REPORTS.get(str(raw.get("report", {}).get("how")), Reports.NONE),
+        reports=LOAD_REPORTING.get(str(raw.get("report", {}).get("how")), LoadReporting.NONE),
         warm_keys=bool(raw.get("familyInfo", {}).get("warmKeys", False)),
         endpoints_are_pushed=raw.get("membershipMode", "pushed") == "pushed",
         **_capabilities(raw.get("caps", {})),
--- a/sagetrack/policy/request_factory.py
+++ b/sagetrack/policy/request_factory.py
@@ -52,7 +52,7 @@
             now_us + max(0, request_class.latency_objective_us - used_us - event.waited_us),
             relative_work,
             is_first_try,
-            self._tenant_quota.excess(event.tenant),
+            self._tenant_quota.count_request(event.tenant),
             uploading=event.uploading,
             single_use_body=event.uploading or mirrored,
             client=event.client,
--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -60,7 +60,7 @@
 
         A rejection says that to try again is harmless; where that is not known the request fails.
         """
-        if request.answered:
+        if request.finished:
             return
         request_class = self._settings.classes[request.class_index]
         ran = any(attempt.may_have_run for attempt in request.attempts)
@@ -75,7 +75,7 @@
 
     def finish(self, request: Request) -> None:
         """A request has its final answer, or needs none: cancel what is in flight."""
-        request.answered = True
+        request.finished = True
         self._capacity_wait.leave(request)
         if self._admission is not None:
             self._admission.remove(request)
@@ -103,7 +103,7 @@
             self._timers.set(request.key_cooldown_until_us, TimerPurpose.REQUEST, request)
             return
         following = self._ordered_keys.leave(request)
-        if following is not None and not following.answered and not self._sender.try_send(following):
+        if following is not None and not following.finished and not self._sender.try_send(following):
             self.answer_unserved(following)
 
     def shut_down(self, at_us: int) -> None:
@@ -111,5 +111,5 @@
         self._sender.stop_at(at_us)
         for request in self._requests.values():
             request.deadline_us = min(request.deadline_us, at_us)
-            if request.in_flight == 0 and not request.answered:
+            if request.in_flight == 0 and not request.finished:
                 self._timers.set(at_us, TimerPurpose.REQUEST, request)
--- a/sagetrack/policy/retry_after.py
+++ b/sagetrack/policy/retry_after.py
@@ -34,7 +34,7 @@
         was rejected for.
         """
         most_us, now_us = self._settings.max_retry_after_us, self._context.now_us
-        closes_at_us = self._endpoints.earliest_close_us()
+        closes_at_us = self._endpoints.earliest_cooldown_end_us()
         if self._admission is not None and request.retry_after_us >= 0:
             return min(request.retry_after_us, most_us)
         if self._admission is not None and closes_at_us is None and self._endpoints.servers:
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -155,7 +155,7 @@
                 if not self._slow_start.has_budget(now_us, server, request):
                     continue
                 share = self._slow_start.capacity_share(now_us, server)
-            weight = server.entry.weight * server.controlled * server.class_health(class_index).weight
+            weight = server.entry.weight * server.feedback_weight * server.class_health(class_index).weight
             weight = weight * server.zone_factor * share / (1 + in_flight) ** 2
             if weight > 0.0:
                 weights.append((weight, server))
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -35,15 +35,15 @@
         self._client_timeouts = client_timeouts
         self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # server, class, failed
 
-    def judge(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
+    def record_outcome(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
         """Record an outcome; return False if it shows nothing of the server as a whole, nor of its load."""
         server, outcome = attempt.server, event.outcome
         health = server.class_health(request.class_index)
         if outcome not in CLASS_OUTCOMES:
-            health.breaker.return_trial(attempt.class_trial_of)
+            health.breaker.return_trial(attempt.class_half_open_period)
         expected_us = self._latency.expected_us(request.class_index, request.relative_work)
         if self._proves_nothing(request, attempt, event, expected_us):
-            server.breaker.return_trial(attempt.trial_of)
+            server.breaker.return_trial(attempt.half_open_period)
             return False
         failed = outcome is not Outcome.OK
         server.last_outcome_us = self._context.now_us
@@ -55,7 +55,7 @@
             self._judge_class(request.class_index, attempt, failed)
             others = [h.last_succeeded for h in server.classes.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
-                server.breaker.return_trial(attempt.trial_of)
+                server.breaker.return_trial(attempt.half_open_period)
                 return False  # it serves the other classes
         self._judge_server(attempt, outcome, slow)
         return True
@@ -77,7 +77,7 @@
         health.last_succeeded = not failed
         adjust_weight(health, failed)
         common = self._common_failure_share(server, class_index) if failed else 0.0
-        changed = health.breaker.record(self._context.now_us, failed, attempt.class_trial_of, common)
+        changed = health.breaker.record(self._context.now_us, failed, attempt.class_half_open_period, common)
         self._log_change(server, health.breaker, changed, f" for class {class_index}")
 
     def _judge_server(self, attempt: Attempt, outcome: Outcome, slow: bool) -> None:
@@ -85,7 +85,7 @@
         failed = outcome is not Outcome.OK
         adjust_weight(server, failed or slow)
         common = self._common_failure_share(server, None) if failed else 0.0
-        changed = server.breaker.record(now_us, failed, attempt.trial_of, common)
+        changed = server.breaker.record(now_us, failed, attempt.half_open_period, common)
         recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
         refused = outcome is Outcome.CONNECT_FAILED
         if refused and server.breaker.state is not State.OPEN and not recently_good:
--- a/sagetrack/policy/service_rate.py
+++ b/sagetrack/policy/service_rate.py
@@ -14,7 +14,7 @@
     """Work done in a microsecond by all servers that this gateway uses."""
 
     def __init__(self) -> None:
-        self.assumed = 1.0  # until enough has been measured
+        self.assumed_rate = 1.0  # until enough has been measured
         self._work_us, self._time_us = 0.0, 0.0  # decayed: served from the queue, and in what time
         self._last_us: int | None = None  # the last service, if requests have been queued ever since
 
@@ -22,7 +22,7 @@
     def per_us(self) -> float:
         """The rate now."""
         if self._time_us < MIN_MEASURED_US:
-            return self.assumed
+            return self.assumed_rate
         return max(MIN_RATE, self._work_us / self._time_us)
 
     def record(self, work_us: float, now_us: int, still_queueing: bool) -> None:
@@ -34,6 +34,6 @@
             self._time_us = self._time_us * decay + gap_us
         self._last_us = now_us if still_queueing else None
 
-    def pause(self) -> None:
+    def stop_measuring(self) -> None:
         """The queue is empty: the time until the next service is not measured."""
         self._last_us = None
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -132,10 +132,10 @@
         _check(self, minimums=dict.fromkeys(self.__dataclass_fields__, 0))
 
 
-class Reports(Enum):
+class LoadReporting(Enum):
     """How servers report their load."""
 
-    ANSWERS = "answers"  # with each response
+    RESPONSES = "answers"  # with each response
     PROBES = "probes"  # in responses to probes only
     NONE = "none"
 
@@ -164,7 +164,7 @@
     hedging: bool = False  # whether two attempts of one request may be in flight together
     may_probe: bool = False
     may_message_peers: bool = False
-    reports: Reports = Reports.NONE
+    reports: LoadReporting = LoadReporting.NONE
     attempts_per_connection: int = 1  # at the same time
     keepalive_us: int = 60_000_000  # idle connections are closed after this
     connect_timeout_us: int = 1_000_000
--- a/sagetrack/policy/slow_start.py
+++ b/sagetrack/policy/slow_start.py
@@ -45,7 +45,7 @@
         self._subset = subset
         self._ranked = ring.ranked
 
-    def max_first_use_us(self) -> float:
+    def max_initial_use_us(self) -> float:
         """What of a new server's budget counts as used at the most, to begin with.
 
         Hundreds of gateways hear of it at once and each may send one request at the least: each begins with
@@ -63,7 +63,7 @@
 
     def has_budget(self, now_us: int, server: Server, request: Request) -> bool:
         """Whether one more request fits into the server's bucket now, after what has drained."""
-        drained_us, cost_us = self.terms(now_us, server, request)
+        drained_us, cost_us = self.budget_terms(now_us, server, request)
         elapsed_us = now_us - server.slow_start_used_at_us
         drained_now_us = drained_us * elapsed_us / self._settings.overload_window_us
         server.slow_start_used_us = max(0.0, server.slow_start_used_us - drained_now_us)
@@ -73,13 +73,13 @@
     def charge(self, now_us: int, server: Server, request: Request) -> None:
         """Fill the bucket of a server that is warming up with a request that is sent to it."""
         if self.capacity_share(now_us, server) < 1.0:
-            server.slow_start_used_us += self.terms(now_us, server, request).cost_us
+            server.slow_start_used_us += self.budget_terms(now_us, server, request).cost_us
 
     def restore_used(self, server: Server, used_us: float) -> None:
         """Take what this gateway had used before it was restarted."""
         server.slow_start_used_us = max(server.slow_start_used_us, used_us)
 
-    def terms(self, now_us: int, server: Server, request: Request) -> BudgetTerms:
+    def budget_terms(self, now_us: int, server: Server, request: Request) -> BudgetTerms:
         """What drains from a server's bucket in an overload window, and what a request fills it with.
 
         Where the half that may be sent at once is less than one request, requests come one by one at their
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -9,7 +9,7 @@
 from sagetrack.policy.endpoint_ring import ExactSum
 from sagetrack.policy.events import ListedServer
 
-CLASS_MINIMUM = 2  # outcomes before a verdict on one class at one server: a gateway sees a few a minute
+CLASS_MIN_OUTCOMES = 2  # outcomes before a verdict on one class at one server: a gateway sees a few a minute
 MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # of the feedback controller
 HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # golden ratio in 64 bits: spreads close numbers apart
 
@@ -31,7 +31,7 @@
     """What this gateway knows of one incarnation of a server."""
 
     entry: ListedServer
-    controlled: float  # the feedback controller's weight: see `weight`
+    feedback_weight: float  # the feedback controller's weight: see `weight`
     rank: float  # a hash: the position in the ring, the same at every gateway
     zone_factor: float  # 1 in this gateway's zone; in others less, by the price of crossing zones
     warm_at_us: int  # at the latest, on this gateway's clock
@@ -47,18 +47,18 @@
     @property
     def weight(self) -> float:
         """The feedback controller's weight; to set it keeps the sum of all."""
-        return self.controlled
+        return self.feedback_weight
 
     @weight.setter
     def weight(self, weight: float) -> None:
-        if self.weights is not None and weight != self.controlled:
-            self.weights.change(self.controlled, weight)
-        self.controlled = weight
+        if self.weights is not None and weight != self.feedback_weight:
+            self.weights.change(self.feedback_weight, weight)
+        self.feedback_weight = weight
 
     def class_health(self, class_index: int) -> ClassHealth:
         """The health of one class here, made at the first use."""
         if class_index not in self.classes:
-            self.classes[class_index] = ClassHealth(Breaker(CLASS_MINIMUM))
+            self.classes[class_index] = ClassHealth(Breaker(CLASS_MIN_OUTCOMES))
         return self.classes[class_index]
 
 
@@ -68,8 +68,8 @@
 
     server: Server
     sent_at_us: int
-    trial_of: int  # of the server's breaker: see Breaker.take_trial
-    class_trial_of: int  # the same of the class's breaker there
+    half_open_period: int  # of the server's breaker: see Breaker.take_trial
+    class_half_open_period: int  # the same of the class's breaker there
     ended: bool = False
     may_have_run: bool = True
     stalled: bool = False  # in flight for longer than an answer usually takes
@@ -89,7 +89,7 @@
     quota_excess: float  # part of its tenant's tries that is beyond the tenant's share
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
-    answered: bool = False  # finally, or its client has cancelled it
+    finished: bool = False  # finally, or its client has cancelled it
     streaming: bool = False
     response_began_us: int = 0  # if it streams
     uploading: bool = False  # its body has not come completely
--- a/sagetrack/policy/tenant_quota.py
+++ b/sagetrack/policy/tenant_quota.py
@@ -7,8 +7,8 @@
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.settings import Tenant
 
-TENANT_MEMORY = 0.98  # of the tries by tenant, left after each try
-OVER_SHARE = 1.5  # times its share: a tenant's tries beyond are more than chance
+TENANT_DECAY = 0.98  # of the tries by tenant, left after each try
+EXCESS_THRESHOLD = 1.5  # times its share: a tenant's tries beyond are more than chance
 
 
 class TenantQuota:
@@ -17,9 +17,9 @@
     def __init__(self, tenants: Sequence[Tenant], over_quota_priority: float) -> None:
         self._tenants = tenants
         self._over_quota_priority = over_quota_priority
-        self._tries = DecayingSums(TENANT_MEMORY, [t.share / (1.0 - TENANT_MEMORY) for t in tenants])
+        self._tries = DecayingSums(TENANT_DECAY, [t.share / (1.0 - TENANT_DECAY) for t in tenants])
 
-    def excess(self, tenant: int) -> float:
+    def count_request(self, tenant: int) -> float:
         """Count a try; returns the part of the tenant's tries beyond its share, weighed by the settings.
 
         Zero or less within the share, and for a tenant without one. A tenant whose clients retry without
@@ -28,5 +28,5 @@
         if not 0 <= tenant < len(self._tries):
             return 0.0
         tries = self._tries.add(tenant)
-        fair = OVER_SHARE * self._tenants[tenant].share * self._tries.total
+        fair = EXCESS_THRESHOLD * self._tenants[tenant].share * self._tries.total
         return (1.0 - self._over_quota_priority) * (1.0 - fair / tries)
--- a/sagetrack/simulator/host.py
+++ b/sagetrack/simulator/host.py
@@ -13,7 +13,7 @@
 
 from sagetrack.policy.events import EndpointList, Event, ListedServer, ListKind
 from sagetrack.policy.load_balancer import LoadBalancer
-from sagetrack.policy.parsing import WireError, parse_settings
+from sagetrack.policy.parsing import ParseError, parse_settings
 from sagetrack.simulator.wire import (
     LIST_KINDS,
     PARSERS,
@@ -95,13 +95,13 @@
     def _launch(self, fields: Fields) -> None:
         self.balancers.pop(self.instance, None)
         if not self.instance:
-            raise WireError("launch outside any instance")
+            raise ParseError("launch outside any instance")
         settings = parse_settings(fields["bootInfo"])
         self.balancers[self.instance] = LoadBalancer(settings, int(fields["prng"]))
 
     def _destroy(self, fields: Fields) -> None:
         if self.balancers.pop(self.instance, None) is None:
-            raise WireError(f"unknown instance '{self.instance}'")
+            raise ParseError(f"unknown instance '{self.instance}'")
 
     def _read_inventory(self, fields: Fields) -> None:
         members: list[ListedServer] = []
@@ -112,7 +112,7 @@
             try:
                 name, entry_fields = split_line(entry)
                 if name != "host":
-                    raise WireError("not a list entry")
+                    raise ParseError("not a list entry")
                 members.append(parse_server(entry_fields))
             except KeyError as error:
                 self._report(entry, f"field or value {error} is missing or unknown")
@@ -123,7 +123,7 @@
     def _deliver(self, event: Event) -> None:
         balancer = self.balancers.get(self.instance)
         if balancer is None:
-            raise WireError(f"unknown instance '{self.instance}'")
+            raise ParseError(f"unknown instance '{self.instance}'")
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -7,7 +7,7 @@
 to choose by); `weights` (a listed weight is a factor in weighted selection, whatever it means);
 `registry.index` (lists come complete and in order).
 
-All parsers of a line raise KeyError for a missing field or an unknown word, and ValueError (WireError among
+All parsers of a line raise KeyError for a missing field or an unknown word, and ValueError (ParseError among
 them) for a value that cannot be read.
 """
 
@@ -45,7 +45,7 @@
     StreamStarted,
     TimerFired,
 )
-from sagetrack.policy.parsing import WireError, parse_load
+from sagetrack.policy.parsing import ParseError, parse_load
 
 Fields = Mapping[str, str]
 
@@ -74,7 +74,7 @@
     """Split a line into its message name and its fields.
 
     Raises:
-        WireError: A part of the line is not name=value.
+        ParseError: A part of the line is not name=value.
     """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
@@ -87,7 +87,7 @@
     for part in rest.split():
         key, mark, value = part.partition("=")
         if not mark:
-            raise WireError(f"'{part}' is not name=value")
+            raise ParseError(f"'{part}' is not name=value")
         fields[key] = value
     return name, fields
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -219,7 +219,7 @@
     until_us, state = breaker.open_until_us, breaker.state
     driver.now_us = until_us + 1
     assert balancer.unhealthy_count() == 1  # until a trial has closed it
-    assert breaker.state is state and breaker.episode == 0
+    assert breaker.state is state and breaker.half_open_period == 0
     for _ in range(100):
         name, actions = driver.arrive()
         for send in sends(actions):
--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -50,7 +50,7 @@
     while events and events[0][0] < end_us:
         now_us, number, ends = heapq.heappop(events)
         credit = credits[number]
-        credit.pass_time(now_us, in_flight[number])
+        credit.update_credit(now_us, in_flight[number])
         in_flight[number] -= ends
         while (wait := credit.wait_us(now_us, in_flight[number], share)) == 0 and in_flight[number] < 3:
             in_flight[number] += 1
@@ -91,7 +91,7 @@
     credit.wait_us(now_us, 0, share)
     for passed_us, next_in_flight in history:
         now_us += passed_us
-        credit.pass_time(now_us, in_flight)
+        credit.update_credit(now_us, in_flight)
         in_flight = next_in_flight
     wait = credit.wait_us(now_us, 0, share)
     assert wait is not None and 0 <= wait <= MAX_DEBT_US + 1
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sagetrack.policy.latency import FEW_ANSWERS, MAX_PEER_FACTOR, STALL_FACTOR, LatencyEstimator
+from sagetrack.policy.latency import MAX_PEER_FACTOR, MIN_OWN_RESPONSES, STALL_FACTOR, LatencyEstimator
 from sagetrack.policy.peer_observations import ClassLatency
 from tests.helpers import SAFE
 
@@ -17,7 +17,7 @@
 def test_the_initial_estimate_is_a_quarter_of_the_latency_objective() -> None:
     latency = LatencyEstimator(CLASSES)
     assert latency.smoothed_us == latency.baseline_us == [INITIAL_US, 2 * INITIAL_US]
-    assert latency.stall_timeout_us == STALL_FACTOR * 2 * INITIAL_US and latency.observed() == []
+    assert latency.stall_timeout_us == STALL_FACTOR * 2 * INITIAL_US and latency.own_latencies() == []
 
 
 def test_a_shorter_latency_lowers_the_baseline_at_once_and_longer_ones_raise_it_slowly() -> None:
@@ -48,12 +48,14 @@
 
 def test_latencies_of_peers_are_adopted_within_a_bound_until_there_are_own_answers() -> None:
     latency = LatencyEstimator(CLASSES)
-    latency.adopt([ClassLatency(0, 9_000.0, 7_000.0), ClassLatency(1, 9e9, 9e9), ClassLatency(9, 1.0, 1.0)])
+    latency.apply_peer_latencies(
+        [ClassLatency(0, 9_000.0, 7_000.0), ClassLatency(1, 9e9, 9e9), ClassLatency(9, 1.0, 1.0)]
+    )
     max_us = MAX_PEER_FACTOR * 2 * INITIAL_US
     assert latency.smoothed_us == [9_000.0, max_us] and latency.baseline_us == [7_000.0, max_us]
-    for _ in range(FEW_ANSWERS):
+    for _ in range(MIN_OWN_RESPONSES):
         latency.learn(0, 1.0, 20_000)
     own_us = latency.smoothed_us[0]
-    latency.adopt([ClassLatency(0, 1.0, 1.0)])
+    latency.apply_peer_latencies([ClassLatency(0, 1.0, 1.0)])
     assert latency.smoothed_us[0] == own_us
-    assert [estimate.class_index for estimate in latency.observed()] == [0]
+    assert [estimate.class_index for estimate in latency.own_latencies()] == [0]
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -55,8 +55,10 @@
         for send in sends(actions):
             driver.end(name, send.server)
     assert rejected[0] > 60 and rejected[1] <= 20
-    assert driver.balancer.tenant_quota.excess(1) <= 0.0 < driver.balancer.tenant_quota.excess(0)
-    assert driver.balancer.tenant_quota.excess(7) == 0.0
+    assert (
+        driver.balancer.tenant_quota.count_request(1) <= 0.0 < driver.balancer.tenant_quota.count_request(0)
+    )
+    assert driver.balancer.tenant_quota.count_request(7) == 0.0
 
 
 def test_a_gateway_with_few_answers_sheds_as_soon_as_a_busy_one() -> None:
@@ -202,7 +204,7 @@
 
 def test_a_tenant_within_its_quota_has_no_excess() -> None:
     quota = TenantQuota((Tenant(0.5), Tenant(0.5)), over_quota_priority=0.25)
-    assert quota.excess(0) <= 0.0  # with equal counts one more request is within 1.5 times the share
+    assert quota.count_request(0) <= 0.0  # with equal counts one more request is within 1.5 times the share
     # All requests are its own.
-    assert max(quota.excess(0) for _ in range(400)) == pytest.approx(0.75 * 0.25, abs=0.01)
-    assert quota.excess(7) == 0.0  # a tenant without a share
+    assert max(quota.count_request(0) for _ in range(400)) == pytest.approx(0.75 * 0.25, abs=0.01)
+    assert quota.count_request(7) == 0.0  # a tenant without a share
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -37,8 +37,8 @@
     StreamStarted,
     TimerFired,
 )
-from sagetrack.policy.parsing import WireError, parse_settings
-from sagetrack.policy.settings import Effect, Prices, Reports, Scope, Tenant
+from sagetrack.policy.parsing import ParseError, parse_settings
+from sagetrack.policy.settings import Effect, LoadReporting, Prices, Scope, Tenant
 from sagetrack.simulator.host import SimulatorHost
 from sagetrack.simulator.wire import (
     OUTCOMES,
@@ -155,7 +155,7 @@
     ],
 )
 def test_errors_name_the_invalid_setting(boot_info: str, expected_text: str) -> None:
-    with pytest.raises(WireError, match=expected_text):
+    with pytest.raises(ParseError, match=expected_text):
         parse_settings(boot_info)
     replies, errors = run_host(
         "begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={boot_info}", "go"
@@ -214,7 +214,7 @@
     assert settings.tenants == (Tenant(0.4, 12.5), Tenant())
     assert (settings.over_quota_priority, settings.goal.worst_tenant) == (0.2, 0.3)
     assert settings.prices == Prices(cross_zone=1, handshake=2, waste=3, late_fail=4, endpoint_list=5)
-    assert settings.may_probe and settings.may_message_peers and settings.reports is Reports.PROBES
+    assert settings.may_probe and settings.may_message_peers and settings.reports is LoadReporting.PROBES
     limits = (settings.attempts_per_connection, settings.keepalive_us, settings.connect_timeout_us)
     assert limits == (3, 8, 7)
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -79,10 +79,13 @@
     name, _ = driver.arrive(client_timeout_us=8 * SECOND_US)
     request = next(iter(driver.balancer.requests), None)
     assert request is not None
-    drained_us, cost_us = driver.balancer.slow_start.terms(driver.now_us, server, request)
+    drained_us, cost_us = driver.balancer.slow_start.budget_terms(driver.now_us, server, request)
     assert cost_us == MAX_COST * SECOND_US  # a quarter of the latency objective
-    driver.balancer.latency.answers[0], driver.balancer.latency.answers_us[0] = 5, 500_000.0  # of 100 ms each
-    drained_after_learning_us, cost_after_learning_us = driver.balancer.slow_start.terms(
+    driver.balancer.latency.response_counts[0], driver.balancer.latency.latency_sums_us[0] = (
+        5,
+        500_000.0,
+    )  # of 100 ms each
+    drained_after_learning_us, cost_after_learning_us = driver.balancer.slow_start.budget_terms(
         driver.now_us, server, request
     )
     assert cost_after_learning_us == cost_us and drained_after_learning_us > 4 * drained_us
@@ -99,7 +102,7 @@
         * driver.balancer.slow_start.capacity_share(driver.now_us, server)
         / 2
     )
-    assert driver.balancer.slow_start.terms(driver.now_us, server, request) == (
+    assert driver.balancer.slow_start.budget_terms(driver.now_us, server, request) == (
         half_us,
         driver.balancer.slow_start.cost_us(request),
     )
@@ -163,7 +166,7 @@
 
 def test_the_budget_is_used_up_by_requests_and_drains_within_a_window() -> None:
     slow_start, _, _, server, request = make_slow_start()
-    drained_us, cost_us = slow_start.terms(0, server, request)
+    drained_us, cost_us = slow_start.budget_terms(0, server, request)
     assert drained_us == BUDGET_MARGIN * 2.0 * SECOND_US * 0.25 / 2 and cost_us < drained_us
     sent = 0
     while slow_start.has_budget(0, server, request):
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -25,7 +25,7 @@
 from sagetrack.policy.settings import Scope, Tenant
 from sagetrack.policy.state import Server
 from sagetrack.policy.subset_size import MIN_SUBSET
-from sagetrack.policy.tenant_quota import OVER_SHARE, TENANT_MEMORY
+from sagetrack.policy.tenant_quota import EXCESS_THRESHOLD, TENANT_DECAY
 from sagetrack.server import endpoint_list_file
 from sagetrack.server.endpoint_list_file import FILE_NAME
 from sagetrack.server.hot_restart import HotRestart
@@ -77,19 +77,19 @@
     """Also if a tenant is idle for so long that its sum decays to zero."""
     rng = random.Random(tenants)
     shares = [rng.random() / tenants for _ in range(tenants)]
-    eager = [share / (1.0 - TENANT_MEMORY) for share in shares]
-    lazy = DecayingSums(TENANT_MEMORY, eager)
+    eager = [share / (1.0 - TENANT_DECAY) for share in shares]
+    lazy = DecayingSums(TENANT_DECAY, eager)
     for number in range(60_000 if tenants == 5 else 4000):
         tenant = min(rng.randrange(tenants), rng.randrange(tenants))
         if tenants == 5 and number > 2000:
             tenant = 1 + number % 2 if number < 55_000 else number % 5
-        eager = [n * TENANT_MEMORY for n in eager]
+        eager = [n * TENANT_DECAY for n in eager]
         eager[tenant] += 1
-        expected_excess = 1.0 - OVER_SHARE * shares[tenant] * sum(eager) / eager[tenant]
+        expected_excess = 1.0 - EXCESS_THRESHOLD * shares[tenant] * sum(eager) / eager[tenant]
         decayed_sum = lazy.add(tenant)
         assert decayed_sum == lazy[tenant] == pytest.approx(eager[tenant], rel=1e-9)
         assert lazy.total == pytest.approx(sum(eager), rel=1e-9)
-        assert 1.0 - OVER_SHARE * shares[tenant] * lazy.total / decayed_sum == pytest.approx(
+        assert 1.0 - EXCESS_THRESHOLD * shares[tenant] * lazy.total / decayed_sum == pytest.approx(
             expected_excess, rel=1e-9
         )
     # Below that the product stops at the smallest float, while a power goes on to zero.
