--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -26,8 +26,8 @@
 class Breaker:
     """The last outcomes of one server, or of one class at it, and the state that follows."""
 
-    minimum: int = MIN_OUTCOMES_TO_OPEN
-    ring: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))
+    min_outcomes: int = MIN_OUTCOMES_TO_OPEN
+    window: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))
     failures: int = 0
     state: State = State.CLOSED
     open_until_us: int = 0
@@ -56,20 +56,22 @@
         self.trials_in_flight += 1
         return self.half_open_period
 
-    def record(self, now_us: int, failed: bool, half_open_period: int, common: float) -> State | None:
+    def record(
+        self, now_us: int, failed: bool, half_open_period: int, common_failure_share: float
+    ) -> State | None:
         """Enter an outcome.
 
         Args:
             now_us: The present time.
             failed: Whether the attempt failed.
             half_open_period: What `take_trial` returned for the attempt.
-            common: The recent failure share of the other servers.
+            common_failure_share: The recent failure share of the other servers.
 
         Returns:
             The new state if it opened or closed the breaker, else None.
         """
         limit = (
-            1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common) ** 2
+            1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common_failure_share) ** 2
         )  # squared, as a few outcomes vary by chance
         if self.state is State.HALF_OPEN:
             if half_open_period != self.half_open_period:
@@ -79,11 +81,11 @@
             if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:  # the other trials cannot change it
                 return self.reopen(now_us)
             return self.close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
-        if len(self.ring) == WINDOW:
-            self.failures -= self.ring[0]
-        self.ring.append(failed)
+        if len(self.window) == WINDOW:
+            self.failures -= self.window[0]
+        self.window.append(failed)
         self.failures += failed
-        if failed and len(self.ring) >= self.minimum and self.failures >= len(self.ring) * limit:
+        if failed and len(self.window) >= self.min_outcomes and self.failures >= len(self.window) * limit:
             return self.open(now_us)
         return None
 
@@ -107,7 +109,7 @@
     def close(self) -> State:
         """Let everything through, with an empty record."""
         self.state = State.CLOSED
-        self.ring.clear()
+        self.window.clear()
         self.failures = 0
         self.cooldown_us = FIRST_COOLDOWN_US
         return self.state
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -18,8 +18,11 @@
 MAX_SAVED_US = 500_000.0  # of its share that may be saved up
 MAX_DEBT_US = 4_000_000.0  # of its share that may be owed: servers that hang stop a gateway for no longer
 MIN_CREDIT_US = -MAX_DEBT_US
-BOOST_SAVED_US = 100_000.0  # how long credit for what is beyond its share must have been saved
-PROMPT, LATE = 1.0, 2.0  # times the baseline latency that an answer has queued: below, above
+BOOST_CREDIT_US = 100_000.0  # how long credit for what is beyond its share must have been saved
+PROMPT_QUEUEING, LATE_QUEUEING = (
+    1.0,
+    2.0,
+)  # times the baseline latency that an answer has queued: below, above
 BOOST_STEP, BOOST_CUT = 0.15, 0.7  # of the share: added after a prompt answer, left after a late one
 MAX_BOOST = 16.0  # times its share: servers of many cores
 MIN_SHARE = 1e-3  # attempts in the mean; with no server at all nothing is sent anyway
@@ -28,13 +31,13 @@
 class ConcurrencyShare:
     """A token bucket of credit that fills with the share and drains with attempts in flight."""
 
-    __slots__ = ("_at_us", "_credit_us", "_share", "_short", "boost")
+    __slots__ = ("_as_of_us", "_credit_us", "_share", "_was_exhausted", "boost")
 
     def __init__(self) -> None:
         self._share = MIN_SHARE  # attempts in flight, in the mean
         self._credit_us = 0.0  # attempts times microseconds
-        self._at_us = 0
-        self._short = False  # the share was used up since the last answer
+        self._as_of_us = 0
+        self._was_exhausted = False  # the share was used up since the last answer
         self.boost = 1.0  # times the share
 
     def wait_us(self, now_us: int, in_flight: int, share: float) -> int | None:
@@ -50,9 +53,9 @@
         """
         self.update_credit(now_us, in_flight)
         self._share = max(MIN_SHARE, share * self.boost)
-        if self._credit_us >= max(0.0, in_flight - self._share) * BOOST_SAVED_US:
+        if self._credit_us >= max(0.0, in_flight - self._share) * BOOST_CREDIT_US:
             return 0
-        self._short = True
+        self._was_exhausted = True
         if in_flight >= self._share:
             return None
         return int(-self._credit_us / (self._share - in_flight)) + 1
@@ -62,17 +65,17 @@
         share = self._share
         self._credit_us = max(
             MIN_CREDIT_US * share,
-            min(MAX_SAVED_US * share, self._credit_us + (share - in_flight) * (now_us - self._at_us)),
+            min(MAX_SAVED_US * share, self._credit_us + (share - in_flight) * (now_us - self._as_of_us)),
         )
-        self._at_us = now_us
+        self._as_of_us = now_us
 
-    def learn(self, queued: float) -> None:
+    def learn(self, queueing_ratio: float) -> None:
         """Move the boost by how long an answer has queued, as a multiple of its baseline latency.
 
         A lost or rejected answer has queued infinitely long.
         """
-        if queued > LATE:
+        if queueing_ratio > LATE_QUEUEING:
             self.boost = max(1.0, self.boost * BOOST_CUT)
-        elif queued < PROMPT and self._short:
+        elif queueing_ratio < PROMPT_QUEUEING and self._was_exhausted:
             self.boost = min(MAX_BOOST, self.boost + BOOST_STEP)
-        self._short = False
+        self._was_exhausted = False
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -67,9 +67,9 @@
         if event.kind is not ListKind.DELTA:
             changed = self.servers.keys() - {entry.server for entry in event.servers}
             for number in changed:
-                self._forget(self.servers.pop(number))
+                self._detach(self.servers.pop(number))
         first_use_us = self._slow_start.max_initial_use_us()  # the same for all new servers of this list
-        changed |= {entry.server for entry in event.servers if self._list(entry, event, first_use_us)}
+        changed |= {entry.server for entry in event.servers if self._apply_entry(entry, event, first_use_us)}
         self._ring.change({number: self.ring_position(number) for number in changed})
         if event.kind is not ListKind.DISK:
             self._listed_at_us = self._context.now_us
@@ -99,13 +99,13 @@
         self._context.log("the endpoint list could not be read; polling again")
         self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
 
-    def _list(self, entry: ListedServer, event: EndpointList, first_use_us: float) -> bool:
+    def _apply_entry(self, entry: ListedServer, event: EndpointList, first_use_us: float) -> bool:
         """Take one entry; False if nothing follows from it that was not so before."""
         known = self.servers.get(entry.server)
         if known is not None and known.entry == entry:
             return False
         if entry.status is ServerStatus.GONE:
-            self._forget(self.servers.pop(entry.server, None))
+            self._detach(self.servers.pop(entry.server, None))
         elif known is None or known.entry.started_us != entry.started_us:
             self._add(entry, known, event, first_use_us)
         else:
@@ -118,7 +118,7 @@
     ) -> None:
         """Add a new incarnation in place of the known one; its weight begins with the mean of the others."""
         others = len(self.servers) - (known is not None)
-        self._forget(known)
+        self._detach(known)
         mean = min(MAX_WEIGHT, max(MIN_WEIGHT, self._weights.total / others)) if others else MAX_WEIGHT
         warm_at_us = self._warm_at_us(entry, event) if entry.started_us else 0
         rank = rendezvous(0, entry.server, 1.0)
@@ -134,20 +134,22 @@
         A change that is pushed tells of what has just happened; a complete list may hold what was missed.
         """
         now_us = self._context.now_us
-        unheard_us = event.unheard_us
-        if unheard_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
-            unheard_us = 0
-        elif unheard_us is None and self._listed_at_us is not None:
-            unheard_us = now_us - self._listed_at_us
+        since_current_us = event.unheard_us
+        if since_current_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
+            since_current_us = 0
+        elif since_current_us is None and self._listed_at_us is not None:
+            since_current_us = now_us - self._listed_at_us
         wall_us = event.wall_us or now_us
-        began_us = self._incarnations.began_us(entry.server, entry.started_us, now_us, wall_us, unheard_us)
-        return began_us + self._settings.warm_after_us
+        started_at_us = self._incarnations.started_at_us(
+            entry.server, entry.started_us, now_us, wall_us, since_current_us
+        )
+        return started_at_us + self._settings.warm_after_us
 
     def _zone_factor(self, entry: ListedServer) -> float:
         crosses = entry.zone != self._settings.zone
         return 1.0 / (1.0 + CROSS_ZONE_FACTOR * self._settings.prices.cross_zone * crosses)
 
-    def _forget(self, server: Server | None) -> None:
+    def _detach(self, server: Server | None) -> None:
         """Leave a server's weight out of the sum for good, even if an attempt in flight changes it."""
         if server is not None:
             self._weights.change(server.weight, 0.0)
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -21,7 +21,7 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
-OWN_OUTWEIGHS_US = 2_000_000  # an own outcome within this outweighs all observations of peers
+OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # an own outcome within this outweighs all observations of peers
 GOSSIP_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
 
 
@@ -81,18 +81,20 @@
         changed = {key[0] for key, observation in merged.items() if self.received.get(key) != observation}
         oldest_us = now_us - MAX_OBSERVATION_AGE_US
         listed = self._endpoints.servers
-        self.received = {k: s for k, s in merged.items() if k[0] in listed and s.seen_us > oldest_us}
+        self.received = {
+            key: seen for key, seen in merged.items() if key[0] in listed and seen.seen_us > oldest_us
+        }
         # All gateways' observations of a server are weighed again when one of them has changed.
-        concerned = [seen for seen in self.received.values() if seen.server in changed]
+        affected = [seen for seen in self.received.values() if seen.server in changed]
         ejected = sum(s.breaker.state is not State.CLOSED for s in self._ranked)
-        self._restore_own(event)
+        self._restore_slow_start_usage(event)
         for advice in weigh_observations(
-            concerned, ready, now_us, max(0, int(MAX_EJECTED_FRACTION * len(ready)) - ejected)
+            affected, ready, now_us, max(0, int(MAX_EJECTED_FRACTION * len(ready)) - ejected)
         ):
-            self._follow(advice)
+            self._apply_advice(advice)
         self._latency.apply_peer_latencies(event.latencies)
 
-    def _restore_own(self, event: ObservationsReceived) -> None:
+    def _restore_slow_start_usage(self, event: ObservationsReceived) -> None:
         """Take the slow-start budget that this gateway itself had used before it was restarted."""
         for observation in event.observations:
             server = self._endpoints.servers.get(observation.server)
@@ -101,9 +103,9 @@
             if server.entry.started_us == observation.started_us:
                 self._slow_start.restore_used(server, observation.slow_start_used_us)
 
-    def _follow(self, advice: ServerAdvice) -> None:
+    def _apply_advice(self, advice: ServerAdvice) -> None:
         server, now_us = self._endpoints.servers[advice.server], self._context.now_us
-        if server.last_outcome_us and now_us - server.last_outcome_us < OWN_OUTWEIGHS_US:
+        if server.last_outcome_us and now_us - server.last_outcome_us < OWN_OUTCOME_PRECEDENCE_US:
             return
         advised_weight = min(MAX_WEIGHT, max(MIN_WEIGHT, advice.weight))
         server.weight += advice.confidence * (advised_weight - server.weight)
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -19,39 +19,41 @@
     """The beginnings of incarnations, each worked out once."""
 
     def __init__(self) -> None:
-        self.began: OrderedDict[Incarnation, int] = OrderedDict()
+        self._started_at_us: OrderedDict[Incarnation, int] = OrderedDict()
 
-    def began_us(self, server: int, stamp_us: int, now_us: int, wall_us: int, unheard_us: int | None) -> int:
+    def started_at_us(
+        self, server: int, reported_start_us: int, now_us: int, wall_us: int, since_current_us: int | None
+    ) -> int:
         """When an incarnation began, at most now.
 
         Args:
             server: The server's number.
-            stamp_us: When it started by the clock of service discovery.
+            reported_start_us: When it started by the clock of service discovery.
             now_us: The present time on this gateway's clock.
             wall_us: Unix time here as the stamp was read.
-            unheard_us: For how long before now the list, which lacked this incarnation, was not heard of;
-                None where it was never heard.
+            since_current_us: For how long before now the list, which lacked this incarnation, was not heard
+                of; None where it was never heard.
         """
-        incarnation = server, stamp_us
-        began_us = self.began.get(incarnation)
-        if began_us is None:
-            began_us = now_us - _age_us(wall_us - stamp_us, unheard_us)
-            self.began[incarnation] = began_us
-            if len(self.began) > MAX_INCARNATIONS:
-                self.began.popitem(last=False)
+        incarnation = server, reported_start_us
+        started_at_us = self._started_at_us.get(incarnation)
+        if started_at_us is None:
+            started_at_us = now_us - _age_us(wall_us - reported_start_us, since_current_us)
+            self._started_at_us[incarnation] = started_at_us
+            if len(self._started_at_us) > MAX_INCARNATIONS:
+                self._started_at_us.popitem(last=False)
         else:
-            self.began.move_to_end(incarnation)
-        return began_us
+            self._started_at_us.move_to_end(incarnation)
+        return started_at_us
 
 
-def _age_us(told_us: int, unheard_us: int | None) -> int:
+def _age_us(reported_age_us: int, since_current_us: int | None) -> int:
     """The age by the stamp, or 0 where that cannot be.
 
     A stamp that is behind would give a server that has just started its full load, one that is ahead hours of
     slow start. To take a server for younger than it is costs no more than a needless slow start.
     """
-    if told_us < 0:
+    if reported_age_us < 0:
         return 0
-    if unheard_us is not None and told_us > unheard_us + LISTING_LAG_US:
+    if since_current_us is not None and reported_age_us > since_current_us + LISTING_LAG_US:
         return 0
-    return told_us
+    return reported_age_us
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -65,8 +65,8 @@
                 0 <= class_index < len(self.response_counts)
                 and self.response_counts[class_index] < MIN_OWN_RESPONSES
             ):
-                most_us = MAX_PEER_FACTOR * self.initial_us[class_index]
-                self.smoothed_us[class_index] = min(most_us, max(1.0, latency.smoothed_us))
+                max_us = MAX_PEER_FACTOR * self.initial_us[class_index]
+                self.smoothed_us[class_index] = min(max_us, max(1.0, latency.smoothed_us))
                 baseline_us = max(1.0, latency.baseline_us)
                 self.baseline_us[class_index] = min(self.smoothed_us[class_index], baseline_us)
         self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -65,7 +65,7 @@
 
 def _settings(raw: dict[str, Any]) -> Settings:
     return Settings(
-        classes=tuple(_request_class(lane) for lane in raw.get("lanes", [])),
+        classes=tuple(_request_class(raw_class) for raw_class in raw.get("lanes", [])),
         goal=_goal(raw.get("objectiveMix", {})),
         priority_per_work=raw.get("worthBy") == "work",
         gateway_count=int(raw.get("balancers", 1)),
@@ -130,25 +130,25 @@
     return Prices(**{name: float(prices.get(key, 0.0)) for name, key in PRICE_KEYS.items()})
 
 
-def _request_class(lane: dict[str, Any]) -> RequestClass:
-    if "giveUpUs" not in lane:
+def _request_class(raw_class: dict[str, Any]) -> RequestClass:
+    if "giveUpUs" not in raw_class:
         raise ValueError("a class has no giveUpUs")
-    effect = str(lane.get("effect", "single_shot"))
-    scope = str(lane.get("group", "all"))
+    effect = str(raw_class.get("effect", "single_shot"))
+    scope = str(raw_class.get("group", "all"))
     if effect not in EFFECTS:
         raise ValueError(f"effect '{effect}' is unknown")
     if scope not in SCOPES:
         raise ValueError(f"group '{scope}' is unknown")
     return RequestClass(
-        latency_objective_us=int(lane.get("aimUs", lane["giveUpUs"])),
-        request_timeout_us=int(lane["giveUpUs"]),
-        priority_weight=float(lane.get("value", 1.0)),
-        late_priority_weight=float(lane.get("lateValue", 0.0)),
+        latency_objective_us=int(raw_class.get("aimUs", raw_class["giveUpUs"])),
+        request_timeout_us=int(raw_class["giveUpUs"]),
+        priority_weight=float(raw_class.get("value", 1.0)),
+        late_priority_weight=float(raw_class.get("lateValue", 0.0)),
         effect=EFFECTS[effect],
         scope=SCOPES[scope],
-        window_us=int(lane.get("windowUs", 0)),
-        in_order=bool(lane.get("sequential", False)),
-        latency_objective_stretch=float(lane.get("aimStretch", 0.0)),
+        window_us=int(raw_class.get("windowUs", 0)),
+        in_order=bool(raw_class.get("sequential", False)),
+        latency_objective_stretch=float(raw_class.get("aimStretch", 0.0)),
     )
 
 
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -42,7 +42,7 @@
         if outcome not in CLASS_OUTCOMES:
             health.breaker.return_trial(attempt.class_half_open_period)
         expected_us = self._latency.expected_us(request.class_index, request.relative_work)
-        if self._proves_nothing(request, attempt, event, expected_us):
+        if self._is_inconclusive(request, attempt, event, expected_us):
             server.breaker.return_trial(attempt.half_open_period)
             return False
         failed = outcome is not Outcome.OK
@@ -52,15 +52,15 @@
         if not failed:
             self._latency.learn(request.class_index, request.relative_work, event.latency_us)
         if outcome in CLASS_OUTCOMES:
-            self._judge_class(request.class_index, attempt, failed)
+            self._record_class_outcome(request.class_index, attempt, failed)
             others = [h.last_succeeded for h in server.classes.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
                 server.breaker.return_trial(attempt.half_open_period)
                 return False  # it serves the other classes
-        self._judge_server(attempt, outcome, slow)
+        self._record_server_outcome(attempt, outcome, slow)
         return True
 
-    def _proves_nothing(
+    def _is_inconclusive(
         self, request: Request, attempt: Attempt, event: AttemptEnded, expected_us: float
     ) -> bool:
         """Whether an attempt was not sent, was cancelled early, or had less time than an answer takes."""
@@ -71,24 +71,26 @@
             return False
         return self._client_timeouts.is_irregular(request.class_index, request.tenant)
 
-    def _judge_class(self, class_index: int, attempt: Attempt, failed: bool) -> None:
+    def _record_class_outcome(self, class_index: int, attempt: Attempt, failed: bool) -> None:
         server = attempt.server
         health = server.class_health(class_index)
         health.last_succeeded = not failed
         adjust_weight(health, failed)
-        common = self._common_failure_share(server, class_index) if failed else 0.0
-        changed = health.breaker.record(self._context.now_us, failed, attempt.class_half_open_period, common)
+        common_share = self._common_failure_share(server, class_index) if failed else 0.0
+        changed = health.breaker.record(
+            self._context.now_us, failed, attempt.class_half_open_period, common_share
+        )
         self._log_change(server, health.breaker, changed, f" for class {class_index}")
 
-    def _judge_server(self, attempt: Attempt, outcome: Outcome, slow: bool) -> None:
+    def _record_server_outcome(self, attempt: Attempt, outcome: Outcome, slow: bool) -> None:
         server, now_us = attempt.server, self._context.now_us
         failed = outcome is not Outcome.OK
         adjust_weight(server, failed or slow)
-        common = self._common_failure_share(server, None) if failed else 0.0
-        changed = server.breaker.record(now_us, failed, attempt.half_open_period, common)
+        common_share = self._common_failure_share(server, None) if failed else 0.0
+        changed = server.breaker.record(now_us, failed, attempt.half_open_period, common_share)
         recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
-        refused = outcome is Outcome.CONNECT_FAILED
-        if refused and server.breaker.state is not State.OPEN and not recently_good:
+        connect_failed = outcome is Outcome.CONNECT_FAILED
+        if connect_failed and server.breaker.state is not State.OPEN and not recently_good:
             # A dead process or a full connection table: one such outcome opens the breaker, of a trial too,
             # unless a good response came recently.
             changed = server.breaker.reopen(now_us)
@@ -102,7 +104,11 @@
         Of all outcomes, not of the breakers' rings: tripped breakers would be missing from it.
         """
         number = server.entry.server
-        others = [failed for of, k, failed in self._recent if of != number and class_index in (None, k)]
+        others = [
+            failed
+            for other, recent_class, failed in self._recent
+            if other != number and class_index in (None, recent_class)
+        ]
         return sum(others) / len(others) if others else 0.0
 
     def _log_change(self, server: Server, breaker: Breaker, changed: State | None, scope: str = "") -> None:
@@ -113,11 +119,11 @@
             self._context.log(f"breaker{scope} closed", server.entry.server)
 
 
-def adjust_weight(judged: Server | ClassHealth, bad: bool) -> None:
+def adjust_weight(target: Server | ClassHealth, is_bad: bool) -> None:
     """The feedback controller. While the breaker is not closed the weight stays as it was when it tripped."""
-    if judged.breaker.state is not State.CLOSED:
+    if target.breaker.state is not State.CLOSED:
         return
-    if bad:
-        judged.weight = max(MIN_WEIGHT, judged.weight * WEIGHT_CUT)
+    if is_bad:
+        target.weight = max(MIN_WEIGHT, target.weight * WEIGHT_CUT)
     else:
-        judged.weight = min(MAX_WEIGHT, judged.weight + WEIGHT_STEP)
+        target.weight = min(MAX_WEIGHT, target.weight + WEIGHT_STEP)
--- a/sagetrack/policy/slow_start.py
+++ b/sagetrack/policy/slow_start.py
@@ -18,7 +18,7 @@
 
 BUDGET_MARGIN = 0.7  # part of the budget that is planned with; the rest is for misjudged work and chance
 MAX_COST = 1.25  # of the baseline latency: the most that a request is taken to cost a server that warms up
-GUESS_ANSWERS = 0.5  # answers that the first guess of a request's cost counts for
+PRIOR_RESPONSES = 0.5  # answers that the first guess of a request's cost counts for
 
 
 class BudgetTerms(NamedTuple):
@@ -91,7 +91,7 @@
         cost_us = self.cost_us(request)
         if not self._fleet.is_concurrency_scarce() or half_us >= cost_us:
             return BudgetTerms(half_us, cost_us)
-        mean_us = self._latency.mean_us(request.class_index, GUESS_ANSWERS)
+        mean_us = self._latency.mean_us(request.class_index, PRIOR_RESPONSES)
         true_us = min(cost_us, MAX_COST * mean_us * request.relative_work)
         nominal_us = MAX_COST * self._latency.initial_us[request.class_index] * request.relative_work
         drained_us = half_us * (2.0 - half_us / cost_us) * max(1.0, nominal_us / true_us)
--- a/sagetrack/policy/subset_size.py
+++ b/sagetrack/policy/subset_size.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 MIN_SUBSET = 3  # few enough that breakers see many outcomes each, and enough to outlive a bad third
-MEMORY = 0.98  # of the widest recently needed subset, left after each attempt
-MEMORY_SCARCE = 0.8  # the same where concurrency is scarce: a wider subset meets more of the other gateways
+DECAY = 0.98  # of the widest recently needed subset, left after each attempt
+DECAY_SCARCE = 0.8  # the same where concurrency is scarce: a wider subset meets more of the other gateways
 
 
 class SubsetSize:
@@ -18,7 +18,7 @@
     def attempt_sent(self, in_flight: int, concurrency_is_scarce: bool) -> None:
         """Adapt to the attempts in flight, the one that has just been sent among them."""
         if not concurrency_is_scarce:
-            widest, memory = MIN_SUBSET + in_flight, MEMORY
+            needed, decay = MIN_SUBSET + in_flight, DECAY
         else:
-            widest, memory = 1 + in_flight, MEMORY_SCARCE
-        self.size = max(MIN_SUBSET, widest, MIN_SUBSET + (self.size - MIN_SUBSET) * memory)
+            needed, decay = 1 + in_flight, DECAY_SCARCE
+        self.size = max(MIN_SUBSET, needed, MIN_SUBSET + (self.size - MIN_SUBSET) * decay)
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -122,7 +122,7 @@
         if not reported:
             return own
         scale = max(0, gateways - 1) / len(reported)
-        return [mine + scale * sum(demands[n] for demands in reported) for n, mine in enumerate(own)]
+        return [local + scale * sum(demands[n] for demands in reported) for n, local in enumerate(own)]
 
     def local_shares(self, now_us: int, gateways: int) -> list[float]:
         """The tenants' shares at this gateway, such that they hold for all gateways together.
@@ -132,8 +132,8 @@
         """
         own, fleet = self.local_demands(now_us), self.fleet_demands(now_us, gateways)
         return [
-            share * (max(MIN_LOCAL_FRACTION, mine / total) if total > mine else 1.0)
-            for share, mine, total in zip(self.shares, own, fleet, strict=True)
+            share * (max(MIN_LOCAL_FRACTION, local / total) if total > local else 1.0)
+            for share, local, total in zip(self.shares, own, fleet, strict=True)
         ]
 
     def rejection_fraction(
@@ -180,5 +180,7 @@
         total = sum(demands)
         capacity = (1.0 - limits.excess_fraction[tenant]) * total
         granted = max_min_fair_shares(demands, [1.0] * len(demands), capacity)
-        cut = [part for part, demand in zip(granted, demands, strict=True) if part < demand]
-        limits.flow_limit_us[tenant] = max(cut, default=math.inf)
+        limited = [
+            granted_us for granted_us, demand in zip(granted, demands, strict=True) if granted_us < demand
+        ]
+        limits.flow_limit_us[tenant] = max(limited, default=math.inf)
--- a/sagetrack/policy/tenant_quota.py
+++ b/sagetrack/policy/tenant_quota.py
@@ -17,7 +17,7 @@
     def __init__(self, tenants: Sequence[Tenant], over_quota_priority: float) -> None:
         self._tenants = tenants
         self._over_quota_priority = over_quota_priority
-        self._tries = DecayingSums(TENANT_DECAY, [t.share / (1.0 - TENANT_DECAY) for t in tenants])
+        self._request_counts = DecayingSums(TENANT_DECAY, [t.share / (1.0 - TENANT_DECAY) for t in tenants])
 
     def count_request(self, tenant: int) -> float:
         """Count a try; returns the part of the tenant's tries beyond its share, weighed by the settings.
@@ -25,8 +25,8 @@
         Zero or less within the share, and for a tenant without one. A tenant whose clients retry without
         limit goes beyond its share.
         """
-        if not 0 <= tenant < len(self._tries):
+        if not 0 <= tenant < len(self._request_counts):
             return 0.0
-        tries = self._tries.add(tenant)
-        fair = EXCESS_THRESHOLD * self._tenants[tenant].share * self._tries.total
-        return (1.0 - self._over_quota_priority) * (1.0 - fair / tries)
+        count = self._request_counts.add(tenant)
+        threshold = EXCESS_THRESHOLD * self._tenants[tenant].share * self._request_counts.total
+        return (1.0 - self._over_quota_priority) * (1.0 - threshold / count)
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -40,7 +40,7 @@
     breaker.record(0, True, 0, 0.0)
     for _ in range(WINDOW):
         breaker.record(0, False, 0, 0.0)
-    assert breaker.failures == 0 and len(breaker.ring) == WINDOW
+    assert breaker.failures == 0 and len(breaker.window) == WINDOW
 
 
 def test_an_open_breaker_allows_no_request_until_the_cooldown_ends() -> None:
@@ -64,7 +64,7 @@
         breaker.take_trial()
     results = [breaker.record(FIRST_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_TRIALS)]
     assert results[-1] is State.CLOSED
-    assert not breaker.ring and breaker.failures == 0
+    assert not breaker.window and breaker.failures == 0
 
 
 def test_failed_trials_reopen_the_breaker_for_longer() -> None:
