--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -1,55 +1,56 @@
-"""A gateway's share of the concurrency of all servers, where it is less than one request at each.
+"""Limits a gateway's concurrency where its share of a server's limit is less than one request.
 
-A limit of three requests at a server that eighteen gateways use cannot be divided into integers: with one
-request for each gateway the server would have eighteen. So a gateway keeps to a share of the concurrency of
-all servers as a mean over time: while it has more than its share in flight it uses up credit, while it has
-less it saves some. The sum over all gateways then keeps the limit without a message, whichever of them has
-requests at the time, and a gateway that was idle may send a burst. The credit is small, so that bursts of all
-gateways together do not fill a server's queue for as long as it takes to overload one.
+For example, a limit of three requests at a server that eighteen gateways use cannot be divided into integers:
+with one request from each gateway the server would have eighteen. So a gateway keeps to its share of the
+concurrency of all servers on average over time. It spends credit while it has more than its share in flight
+and earns credit while it has less. The sum over all gateways then stays within the limit without
+communication, whichever gateways have requests at the time, and a gateway that was idle may send a burst. The
+credit is small, so that simultaneous bursts of all gateways do not fill a server's queue for long enough to
+overload it.
 
-The limit is a guess: servers may have more cores, and other gateways less to do. A gateway that finds its
-share used up while its answers come without queueing boosts it by small steps, and takes the boost back by
-large ones when answers have queued: additive increase, multiplicative decrease (Chiu, Jain, 1989), never
-below its share.
+The limit is an assumption: servers may have more cores, and other gateways may have less traffic. A gateway
+that exhausts its share while its responses do not queue boosts the share in small steps, and reduces the
+boost quickly when responses have queued. This is additive increase, multiplicative decrease (Chiu and Jain,
+1989), and never goes below the share.
 """
 
 from __future__ import annotations
 
-MAX_SAVED_US = 500_000.0  # of its share that may be saved up
-MAX_DEBT_US = 4_000_000.0  # of its share that may be owed: servers that hang stop a gateway for no longer
+MAX_SAVED_US = 500_000.0  # Most credit that may be saved, as time at the full share.
+MAX_DEBT_US = 4_000_000.0  # Most debt, likewise. It bounds how long hanging servers can block a gateway.
 MIN_CREDIT_US = -MAX_DEBT_US
-BOOST_CREDIT_US = 100_000.0  # how long credit for what is beyond its share must have been saved
+BOOST_CREDIT_US = 100_000.0  # Credit needed per attempt in flight beyond the share, as saved time.
 PROMPT_QUEUEING, LATE_QUEUEING = (
     1.0,
     2.0,
-)  # times the baseline latency that an answer has queued: below, above
-BOOST_STEP, BOOST_CUT = 0.15, 0.7  # of the share: added after a prompt answer, left after a late one
-MAX_BOOST = 16.0  # times its share: servers of many cores
-MIN_SHARE = 1e-3  # attempts in the mean; with no server at all nothing is sent anyway
+)  # Ratios of queueing time to baseline latency.
+BOOST_STEP, BOOST_CUT = 0.15, 0.7  # Added after a prompt response; factor after a late one.
+MAX_BOOST = 16.0  # Multiple of the share; large enough for servers with many cores.
+MIN_SHARE = 1e-3  # Avoids division by zero without servers, when nothing is sent anyway.
 
 
 class ConcurrencyShare:
-    """A token bucket of credit that fills with the share and drains with attempts in flight."""
+    """A token bucket of credit that is filled by the share and drained by attempts in flight."""
 
     __slots__ = ("_as_of_us", "_credit_us", "_share", "_was_exhausted", "boost")
 
     def __init__(self) -> None:
-        self._share = MIN_SHARE  # attempts in flight, in the mean
-        self._credit_us = 0.0  # attempts times microseconds
+        self._share = MIN_SHARE  # Average number of attempts in flight, boost included.
+        self._credit_us = 0.0  # Attempts in flight times microseconds.
         self._as_of_us = 0
-        self._was_exhausted = False  # the share was used up since the last answer
-        self.boost = 1.0  # times the share
+        self._was_exhausted = False  # The share was used up since the last response.
+        self.boost = 1.0  # Factor of the share.
 
     def wait_us(self, now_us: int, in_flight: int, share: float) -> int | None:
-        """How long until one more attempt may begin.
+        """The time until one more attempt may start.
 
         Args:
-            now_us: The present time.
-            in_flight: Attempts in flight; whenever that changes, `update_credit` has to be called before.
-            share: Attempts in flight in the mean that are this gateway's, from now on.
+            now_us: The current time.
+            in_flight: Attempts in flight. `update_credit` must be called before each change of this number.
+            share: Average number of attempts that this gateway may have in flight from now on.
 
         Returns:
-            Microseconds, 0 for at once; None if no attempt may begin before another ends.
+            Microseconds, 0 if it may start now; None if it has to wait for another attempt to end.
         """
         self.update_credit(now_us, in_flight)
         self._share = max(MIN_SHARE, share * self.boost)
@@ -61,7 +62,7 @@
         return int(-self._credit_us / (self._share - in_flight)) + 1
 
     def update_credit(self, now_us: int, in_flight: int) -> None:
-        """Account for the attempts that have been in flight since the last call."""
+        """Update the credit for the attempts that were in flight since the last call."""
         share = self._share
         self._credit_us = max(
             MIN_CREDIT_US * share,
@@ -70,9 +71,11 @@
         self._as_of_us = now_us
 
     def learn(self, queueing_ratio: float) -> None:
-        """Move the boost by how long an answer has queued, as a multiple of its baseline latency.
+        """Adjust the boost after a response.
 
-        A lost or rejected answer has queued infinitely long.
+        Args:
+            queueing_ratio: Queueing time as a multiple of the baseline latency; infinite if the response was
+                lost or the request rejected.
         """
         if queueing_ratio > LATE_QUEUEING:
             self.boost = max(1.0, self.boost * BOOST_CUT)
--- a/sagetrack/policy/endpoint_ring.py
+++ b/sagetrack/policy/endpoint_ring.py
@@ -1,7 +1,7 @@
-"""Servers in the order of their ranks, from one gateway's own position on, and changed in place.
+"""A ring of servers sorted by rank, which starts at the gateway's own position and is updated in place.
 
-The cost of a changed server is that of a binary search and of moving references. Only where a good part of
-all change together is everything sorted anew.
+Updating one server costs a binary search and a shift of list elements. The ring is sorted again only if a
+large part of the servers changes at once.
 """
 
 from __future__ import annotations
@@ -12,43 +12,45 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item")
-SORT_FRACTION = 16  # of so many one has changed: from there on sorting all is less work
-UNIT = 2.0**64  # of weights, which are above 2**-11: each is a whole number of these
+SORT_FRACTION = 16  # If more than one item in 16 has changed, sorting the whole ring is cheaper.
+# Weights are summed as integer multiples of 1 / UNIT. This is exact for weights above 2**-11, as a float has
+# 53 significant bits.
+UNIT = 2.0**64
 
 
 @dataclass(slots=True, frozen=True)
 class RingPosition(Generic[Item]):
     """An item's position in the ring."""
 
-    rank: float  # does not change while the item is there
+    rank: float  # Constant while the item is in the ring.
     item: Item
-    scopes: tuple[Hashable, ...] = ()  # which it shares with others
+    scopes: tuple[Hashable, ...] = ()  # The groups of items that this item belongs to.
 
 
 class Ring(Generic[Item]):
-    """Items by rank, and among equal ranks by number. `ranked` begins at the gateway's own position.
+    """Items sorted by rank, and by number if ranks are equal. `ranked` starts at the gateway's own position.
 
-    The gateways' positions are at an even distance from each other, so that the servers get even numbers of
-    gateways: `ranked` is always `order[first:] + order[:first]` with `first` the gateway's position.
+    The gateways' positions are evenly spaced, so that each server is used by about the same number of
+    gateways. `ranked` always equals `order[first:] + order[:first]`, where `first` is the gateway's position.
     """
 
     def __init__(self, gateway: int, gateways: int) -> None:
         self._gateway, self._gateways = gateway, gateways
-        self.ranked: list[Item] = []  # always the same list object
-        self._positions: dict[int, RingPosition[Item]] = {}  # by the item's number
-        self._order: list[tuple[float, int]] = []  # rank and number of all
-        self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # the same of those in each
+        self.ranked: list[Item] = []  # Always the same list object.
+        self._positions: dict[int, RingPosition[Item]] = {}  # By the item's number.
+        self._order: list[tuple[float, int]] = []  # Rank and number of every item.
+        self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # The order within each scope.
         self._first = 0
 
     def within(self, scope: Hashable) -> Iterator[Item]:
-        """The items of a scope, in the order of `ranked`; the others are not visited."""
+        """The items of a scope in the order of `ranked`, without visiting the others."""
         order = self._scopes.get(scope, [])
         first = bisect_left(order, self._order[self._first]) if order else 0
         for at in range(first, first + len(order)):
             yield self._positions[order[at % len(order)][1]].item
 
     def change(self, positions: Mapping[int, RingPosition[Item] | None]) -> None:
-        """Set the positions of items by their number; None removes one."""
+        """Set the positions of items, given by number; None removes an item."""
         changed = {n: position for n, position in positions.items() if position != self._positions.get(n)}
         if len(changed) * SORT_FRACTION > len(self._order):
             self._sort(changed)
@@ -95,7 +97,7 @@
                 self._scopes.setdefault(scope, []).append((rank, number))
 
     def _ranked_index(self, at: int) -> int:
-        """The index in `ranked` of what has the index `at` in the order."""
+        """The index in `ranked` of the item at index `at` in `_order`."""
         return at - self._first if at >= self._first else at - self._first + len(self._order)
 
     def _insert(self, number: int, position: RingPosition[Item]) -> None:
@@ -115,7 +117,7 @@
         self._rotate()
 
     def _rotate(self) -> None:
-        """Rotate `ranked`: one item more or less moves the gateway's position by one at the most."""
+        """Rotate `ranked` after one insertion or removal, which moves its start by at most one."""
         first = self._gateway * len(self._order) // self._gateways
         if self._first < first:
             self.ranked.append(self.ranked.pop(0))
@@ -125,16 +127,16 @@
 
 
 class ExactSum:
-    """The sum of weights that change one by one, without rounding, so that no error accumulates."""
+    """A sum of weights in exact integer arithmetic, so that rounding errors do not accumulate."""
 
     def __init__(self) -> None:
         self._units = 0
 
     def change(self, old: float, new: float) -> None:
-        """Change one weight from `old` to `new`; 0 is one that is not there."""
+        """Change one weight from `old` to `new`; 0 stands for an absent weight."""
         self._units += int(new * UNIT) - int(old * UNIT)
 
     @property
     def total(self) -> float:
-        """The sum, rounded once."""
+        """The sum, rounded to a float."""
         return self._units / int(UNIT)
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers there are, since when, and which of them are ready."""
+"""The current set of servers, maintained from the endpoint lists of service discovery."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server, rendezvous
 
-CROSS_ZONE_FACTOR = 80.0  # how hard the price of crossing zones lowers the weight of servers in other zones
+CROSS_ZONE_FACTOR = 80.0  # Servers in other zones have their weight divided by 1 + this * prices.cross_zone.
 
 
 class Endpoints:
-    """Servers by number, kept up to date by endpoint lists."""
+    """Servers by number, updated from endpoint lists."""
 
     def __init__(
         self,
@@ -26,38 +26,40 @@
     ) -> None:
         self._context = shared.event
         self._settings = shared.settings
-        self._ring = ring  # those that are ready
+        self._ring = ring  # Contains the ready servers.
         self._slow_start = slow_start
         self._timers = shared.timers
         self.servers: dict[int, Server] = {}
-        self.tripped: set[Server] = set()  # ready ones whose breaker is not closed
+        self.tripped: set[Server] = set()  # Ready servers whose breaker is not closed.
         self._incarnations = Incarnations()
-        self._weights = ExactSum()  # the controller's, of all servers
-        self._listed_at_us: int | None = None  # the last list that was heard; one on disk may be old
-        self._failed_polls = 0
+        self._weights = ExactSum()  # Sum of the feedback controller's weights of all servers.
+        # When the last list was received. A list from disk does not count, as it may be old.
+        self._listed_at_us: int | None = None
+        self._failed_polls = 0  # In a row.
 
     @property
     def usable_count(self) -> int:
-        """How many servers are ready with their breaker closed."""
+        """The number of ready servers whose breaker is closed."""
         return len(self._ring.ranked) - len(self.tripped)
 
     def open_count(self) -> int:
-        """How many listed servers get nothing, as their breaker is open."""
+        """The number of listed servers whose breaker is open."""
         return sum(server.breaker.state is State.OPEN for server in self.servers.values())
 
     def earliest_cooldown_end_us(self) -> int | None:
-        """When the first cooldown ends if the breakers of all servers are open, else None."""
+        """When the first cooldown ends if all breakers are open, else None."""
         if not self.servers or any(s.breaker.state is not State.OPEN for s in self.servers.values()):
             return None
         return min(s.breaker.open_until_us for s in self.servers.values())
 
     def update(self, event: EndpointList) -> bool:
-        """Take an endpoint list or a failed poll; False where servers are as before for a failed poll."""
+        """Apply an endpoint list, or schedule another poll after a failed one; False after a failed poll."""
         if event.kind is ListKind.ERROR:
             self._back_off()
             return False
         if event.kind is ListKind.DISK and not self._settings.endpoints_are_pushed:
-            # Hundreds of gateways that start together must not poll together: most would be rejected.
+            # The delay is random: if hundreds of gateways that start together also polled together, service
+            # discovery would reject most of the polls.
             span_us = max_first_poll_delay_us(self._settings.max_poll_interval_us)
             wait_us = self._context.random.random() * span_us
             self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
@@ -68,7 +70,7 @@
             changed = self.servers.keys() - {entry.server for entry in event.servers}
             for number in changed:
                 self._detach(self.servers.pop(number))
-        first_use_us = self._slow_start.max_initial_use_us()  # the same for all new servers of this list
+        first_use_us = self._slow_start.max_initial_use_us()  # The same for all new servers of this list.
         changed |= {entry.server for entry in event.servers if self._apply_entry(entry, event, first_use_us)}
         self._ring.change({number: self.ring_position(number) for number in changed})
         if event.kind is not ListKind.DISK:
@@ -76,7 +78,7 @@
         return True
 
     def breaker_changed(self, server: Server) -> None:
-        """Keep `tripped` after a breaker's state or a server's entry may have changed."""
+        """Update `tripped` after the breaker state or the list entry of a server may have changed."""
         listed = self.servers.get(server.entry.server) is server
         ready = listed and server.entry.status is ServerStatus.READY
         if ready and server.breaker.state is not State.CLOSED:
@@ -85,7 +87,7 @@
             self.tripped.discard(server)
 
     def ring_position(self, number: int) -> RingPosition[Server] | None:
-        """Where a server belongs in the ring; None for one that is not ready."""
+        """The position of a server in the ring, or None if the server is not ready."""
         server = self.servers.get(number)
         if server is None or server.entry.status is not ServerStatus.READY:
             return None
@@ -95,12 +97,12 @@
     def _back_off(self) -> None:
         self._failed_polls += 1
         wait_us = float(max_poll_delay_us(self._failed_polls, self._settings.max_poll_interval_us))
-        wait_us *= self._context.random.uniform(0.5, 1.0)  # jitter: gateways that failed together
-        self._context.log("the endpoint list could not be read; polling again")
+        wait_us *= self._context.random.uniform(0.5, 1.0)  # Jitter: polls of many gateways fail together.
+        self._context.log("endpoint list poll failed; polling again after a backoff")
         self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
 
     def _apply_entry(self, entry: ListedServer, event: EndpointList, first_use_us: float) -> bool:
-        """Take one entry; False if nothing follows from it that was not so before."""
+        """Apply one list entry; False if it changes nothing."""
         known = self.servers.get(entry.server)
         if known is not None and known.entry == entry:
             return False
@@ -116,7 +118,7 @@
     def _add(
         self, entry: ListedServer, known: Server | None, event: EndpointList, first_use_us: float
     ) -> None:
-        """Add a new incarnation in place of the known one; its weight begins with the mean of the others."""
+        """Add a new incarnation in place of the known one, with the mean weight of the other servers."""
         others = len(self.servers) - (known is not None)
         self._detach(known)
         mean = min(MAX_WEIGHT, max(MIN_WEIGHT, self._weights.total / others)) if others else MAX_WEIGHT
@@ -129,9 +131,10 @@
         self.servers[entry.server] = server
 
     def _warm_at_us(self, entry: ListedServer, event: EndpointList) -> int:
-        """When a server is warm whose incarnation was not listed until now.
+        """When the warm-up of a newly listed incarnation ends.
 
-        A change that is pushed tells of what has just happened; a complete list may hold what was missed.
+        Its age is limited by the time since the list was last known to be current. That time is 0 for a
+        pushed change, which reports what has just happened; a full list may contain changes that were missed.
         """
         now_us = self._context.now_us
         since_current_us = event.unheard_us
@@ -150,7 +153,7 @@
         return 1.0 / (1.0 + CROSS_ZONE_FACTOR * self._settings.prices.cross_zone * crosses)
 
     def _detach(self, server: Server | None) -> None:
-        """Leave a server's weight out of the sum for good, even if an attempt in flight changes it."""
+        """Remove a server's weight from the sum, even if an attempt in flight changes that weight later."""
         if server is not None:
             self._weights.change(server.weight, 0.0)
             server.weights = None
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of server health: which observations this gateway sends, and how it uses those of its peers."""
+"""Gossip of server health: collects this gateway's observations and applies those of its peers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
-OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # an own outcome within this outweighs all observations of peers
+OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # Peers' observations are ignored this long after an own outcome.
 GOSSIP_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
 
 
 class HealthGossip:
-    """Merges observations of peers, and applies them to servers without a recent outcome here."""
+    """Merges peers' observations and applies them to servers without a recent outcome at this gateway."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._ranked = ring.ranked
         self._latency = shared.latency
         self._slow_start = slow_start
-        self.received: dict[tuple[int, int], Observation] = {}  # by server and gateway
+        self.received: dict[tuple[int, int], Observation] = {}  # By server and observing gateway.
 
     def own_observations(self) -> list[Observation]:
         """Return this gateway's own observations of servers."""
@@ -70,10 +70,10 @@
         return observed
 
     def receive(self, event: ObservationsReceived) -> None:
-        """Apply the observations of peers to servers that this gateway has no recent outcome of.
+        """Apply peers' observations to servers of which this gateway has no recent outcome.
 
-        An older observation counts less. Without them a gateway that starts would send to a slow server until
-        its own breaker has enough outcomes.
+        Older observations count less. Without gossip, a gateway that has just started would keep sending to a
+        failing server until its own breaker has enough outcomes.
         """
         now_us = self._context.now_us
         ready = {s.entry.server: s.entry.started_us for s in self._ranked}
@@ -84,7 +84,7 @@
         self.received = {
             key: seen for key, seen in merged.items() if key[0] in listed and seen.seen_us > oldest_us
         }
-        # All gateways' observations of a server are weighed again when one of them has changed.
+        # If one observation of a server has changed, all observations of that server are weighed again.
         affected = [seen for seen in self.received.values() if seen.server in changed]
         ejected = sum(s.breaker.state is not State.CLOSED for s in self._ranked)
         self._restore_slow_start_usage(event)
@@ -95,7 +95,7 @@
         self._latency.apply_peer_latencies(event.latencies)
 
     def _restore_slow_start_usage(self, event: ObservationsReceived) -> None:
-        """Take the slow-start budget that this gateway itself had used before it was restarted."""
+        """Restore how much of the slow-start budgets this gateway had used before it was restarted."""
         for observation in event.observations:
             server = self._endpoints.servers.get(observation.server)
             if server is None or observation.by != self._gateway:
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -1,22 +1,26 @@
-"""When the present incarnation of each server began, on this gateway's own clock.
+"""Estimates when server incarnations started, on this gateway's own clock.
 
-Stamps are readings of the clock of service discovery. That clock, or the one here, may have been stepped by
-seconds or an hour: a stamp tells incarnations apart, and their age only where nothing contradicts it. The
-beginning that was once worked out for an incarnation stays, whatever either clock does later.
+Service discovery reports start times on its own clock. That clock or the gateway's may have been stepped by
+seconds or by an hour. So a reported start time identifies an incarnation, but its age is taken from it only
+if nothing contradicts that. The estimate for an incarnation is made once and does not change when either
+clock is stepped later.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-LISTING_LAG_US = 10_000_000  # a server is listed within this of its start, while changes are heard of
-MAX_INCARNATIONS = 32_768  # the last ones heard of: a server may leave the list and come back in the same
+# While list changes are received, a server is listed within this time of its start.
+LISTING_LAG_US = 10_000_000
+# The most recently listed incarnations are remembered, even those that are no longer listed: a server may
+# leave the list and return without a restart.
+MAX_INCARNATIONS = 32_768
 
-Incarnation = tuple[int, int]  # the server and its stamp
+Incarnation = tuple[int, int]  # The server's number and its reported start time.
 
 
 class Incarnations:
-    """The beginnings of incarnations, each worked out once."""
+    """Start times of incarnations, each estimated once."""
 
     def __init__(self) -> None:
         self._started_at_us: OrderedDict[Incarnation, int] = OrderedDict()
@@ -24,15 +28,15 @@
     def started_at_us(
         self, server: int, reported_start_us: int, now_us: int, wall_us: int, since_current_us: int | None
     ) -> int:
-        """When an incarnation began, at most now.
+        """The estimated start time of an incarnation, not later than now.
 
         Args:
             server: The server's number.
-            reported_start_us: When it started by the clock of service discovery.
-            now_us: The present time on this gateway's clock.
-            wall_us: Unix time here as the stamp was read.
-            since_current_us: For how long before now the list, which lacked this incarnation, was not heard
-                of; None where it was never heard.
+            reported_start_us: Its start time on the clock of service discovery.
+            now_us: The current time on this gateway's clock.
+            wall_us: The gateway's Unix time when the reported start time was received.
+            since_current_us: Time since the previous list, which lacked this incarnation, was last known to
+                be current; None if there was no previous list.
         """
         incarnation = server, reported_start_us
         started_at_us = self._started_at_us.get(incarnation)
@@ -47,10 +51,11 @@
 
 
 def _age_us(reported_age_us: int, since_current_us: int | None) -> int:
-    """The age by the stamp, or 0 where that cannot be.
+    """The reported age, or 0 if that age is implausible.
 
-    A stamp that is behind would give a server that has just started its full load, one that is ahead hours of
-    slow start. To take a server for younger than it is costs no more than a needless slow start.
+    A reported start time that is too early would give a server that has just started its full load; one that
+    is too late would keep it in slow start for hours. Underestimating the age only costs an unneeded slow
+    start.
     """
     if reported_age_us < 0:
         return 0
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -1,6 +1,7 @@
-"""Latency of good answers by class: smoothed, at its baseline without queueing, and the timeout for a stall.
+"""Latency estimates by request class: smoothed latency, baseline without queueing, and stall timeout.
 
-Latencies are those of a request of mean work: what a request took is divided by its relative work.
+Latencies are normalized to a request of mean work: a measured latency is divided by the request's relative
+work.
 """
 
 from __future__ import annotations
@@ -10,26 +11,28 @@
 from sagetrack.policy.peer_observations import ClassLatency
 from sagetrack.policy.settings import RequestClass
 
-SMOOTHING = 0.05  # share of the newest answer in the smoothed latency
-BASELINE_DRIFT = 0.0005  # relative rise with each longer answer: an overload must not become the baseline
-STALL_FACTOR = 4.0  # times the smoothed latency: an attempt that should have been answered
-MIN_OWN_RESPONSES = 20  # own good answers of a class: with fewer, peers' latencies are taken
-MAX_PEER_FACTOR = 2.0  # times the first guess: latencies of peers are used up to this
+SMOOTHING = 0.05  # Weight of the newest response in the smoothed latency.
+# Relative rise of the baseline per response. It is slow so that latencies in an overload do not become the
+# baseline.
+BASELINE_DRIFT = 0.0005
+STALL_FACTOR = 4.0  # An attempt that takes more than this times the smoothed latency has stalled.
+MIN_OWN_RESPONSES = 20  # With fewer successful responses of a class, peers' latencies are used.
+MAX_PEER_FACTOR = 2.0  # Peers' latencies are capped at this times the initial estimate.
 
 
 class LatencyEstimator:
-    """Estimates by class, in microseconds. Until there are answers each is a quarter of the objective."""
+    """Estimates by class, in microseconds. The initial estimate is a quarter of the latency objective."""
 
     def __init__(self, classes: Sequence[RequestClass]) -> None:
         self.initial_us = [c.latency_objective_us / 4 for c in classes]
         self.smoothed_us = list(self.initial_us)
         self.baseline_us = list(self.initial_us)
         self.response_counts = [0] * len(classes)
-        self.latency_sums_us = [0.0] * len(classes)  # the sum of their latencies
-        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # longer in flight: the server stalls
+        self.latency_sums_us = [0.0] * len(classes)  # Sum of the latencies, by class.
+        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # In flight for longer: stalled.
 
     def learn(self, class_index: int, relative_work: float, latency_us: int) -> None:
-        """Learn from the latency of a successful response."""
+        """Update the estimates with the latency of a successful response."""
         latency = latency_us / relative_work
         self.response_counts[class_index] += 1
         self.latency_sums_us[class_index] += latency
@@ -40,25 +43,25 @@
         self.baseline_us[class_index] += below_us + BASELINE_DRIFT * floor_us
 
     def expected_us(self, class_index: int, relative_work: float) -> float:
-        """Return the usual latency in microseconds, queueing included."""
+        """Return the expected latency in microseconds, including queueing."""
         return self.smoothed_us[class_index] * relative_work
 
     def expected_baseline_us(self, class_index: int, relative_work: float) -> float:
-        """Return the baseline latency in microseconds: without queueing."""
+        """Return the expected latency in microseconds without queueing."""
         return self.baseline_us[class_index] * relative_work
 
     def mean_us(self, class_index: int, prior_answers: float) -> float:
-        """Return the mean latency of good responses; the first guess counts as `prior_answers` of them."""
+        """Return the mean latency; the initial estimate counts as `prior_answers` successful responses."""
         total_us = prior_answers * self.initial_us[class_index] + self.latency_sums_us[class_index]
         return total_us / (prior_answers + self.response_counts[class_index])
 
     def own_latencies(self) -> list[ClassLatency]:
-        """Return the latencies of the classes of which this gateway has enough responses, for its peers."""
+        """Return the latencies of classes with enough responses at this gateway, to send to its peers."""
         known = [index for index, count in enumerate(self.response_counts) if count >= MIN_OWN_RESPONSES]
         return [ClassLatency(index, self.smoothed_us[index], self.baseline_us[index]) for index in known]
 
     def apply_peer_latencies(self, latencies: Iterable[ClassLatency]) -> None:
-        """Use peers' latencies of the classes of which this gateway has too few responses."""
+        """Use peers' latencies for classes with too few responses at this gateway."""
         for latency in latencies:
             class_index = latency.class_index
             if (
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -1,6 +1,6 @@
-"""Settings and load reports from the platform's texts.
+"""Parses settings and load reports in the platform's text formats.
 
-The platform's key names are translated to the names of `Settings` here and nowhere else.
+This is the only place that maps the platform's key names to the names of `Settings`.
 """
 
 from __future__ import annotations
@@ -42,25 +42,25 @@
 
 
 class ParseError(ValueError):
-    """A text that cannot be parsed; the message says why."""
+    """Raised for text that cannot be parsed; the message says why."""
 
 
 def parse_settings(text: str) -> Settings:
-    """Parse the platform's settings object; unknown keys are ignored, missing optional ones have defaults.
+    """Parse the platform's settings object. Unknown keys are ignored; missing optional keys get defaults.
 
     Raises:
-        ParseError: The text is not a JSON object, or a value in it cannot be used.
+        ParseError: The text is not a JSON object, or contains an invalid value.
     """
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
-        raise ParseError(f"settings are not JSON: {error}") from None
+        raise ParseError(f"settings are not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ParseError("settings are not an object")
+        raise ParseError("settings must be a JSON object")
     try:
         return _settings(raw)
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ParseError(f"settings cannot be used: {error}") from None
+        raise ParseError(f"settings contain an invalid value: {error}") from None
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
@@ -87,7 +87,7 @@
 
 
 def _capabilities(caps: dict[str, Any]) -> dict[str, Any]:
-    """What the platform lets a gateway do."""
+    """Parse the platform's `caps` object: what a gateway is allowed to do."""
     return {
         "max_attempts": int(caps.get("maxAttempts", 3)),
         "may_cancel": bool(caps.get("mayCancel", False)),
@@ -103,7 +103,7 @@
 
 
 def _contract(contract: dict[str, Any]) -> dict[str, Any]:
-    """What the platform expects of a gateway and promises of the servers."""
+    """Parse the platform's `contract` object: requirements on gateways and guarantees about servers."""
     return {
         "answer_slack_us": int(contract.get("answerSlackUs", 0)),
         "stop_sending_within_us": int(contract.get("stopSendingWithinUs", 0)),
@@ -132,13 +132,13 @@
 
 def _request_class(raw_class: dict[str, Any]) -> RequestClass:
     if "giveUpUs" not in raw_class:
-        raise ValueError("a class has no giveUpUs")
+        raise ValueError("an entry of lanes lacks the required key giveUpUs")
     effect = str(raw_class.get("effect", "single_shot"))
     scope = str(raw_class.get("group", "all"))
     if effect not in EFFECTS:
-        raise ValueError(f"effect '{effect}' is unknown")
+        raise ValueError(f"effect '{effect}' is unknown; allowed are free, guarded and single_shot")
     if scope not in SCOPES:
-        raise ValueError(f"group '{scope}' is unknown")
+        raise ValueError(f"group '{scope}' is unknown; allowed are all, zone and cell")
     return RequestClass(
         latency_objective_us=int(raw_class.get("aimUs", raw_class["giveUpUs"])),
         request_timeout_us=int(raw_class["giveUpUs"]),
@@ -153,10 +153,10 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """Parse a load report, such as `inflight:3,util:0.5`; keys that are not known here are ignored.
+    """Parse a load report, such as `inflight:3,util:0.5`. Unknown keys are ignored.
 
     Returns:
-        None if there is no report.
+        The report, or None if `text` is empty or `-`.
 
     Raises:
         ValueError: The value of a known key is not a number.
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -1,8 +1,8 @@
-"""Health observations of servers that gateways share: how they merge, and how far to trust them.
+"""Health observations of servers that gateways exchange: how they are merged and weighed.
 
-An observation is what one gateway itself measured of one incarnation of one server. Of two by the same
-gateway the newer one stands; those by different gateways stand side by side. So merging is a join of a
-semilattice: commutative, associative and idempotent, as gossip needs it.
+An observation is what one gateway has measured of one incarnation of one server. Of two observations by the
+same gateway the newer one is kept; observations by different gateways are kept side by side. So merging is a
+semilattice join: commutative, associative and idempotent, as gossip requires.
 """
 
 from __future__ import annotations
@@ -10,33 +10,33 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-HALF_LIFE_US = 6_000_000  # an observation of this age counts half
-MAX_OBSERVATION_AGE_US = 60_000_000  # an older one counts nothing
-MAX_EJECTED_FRACTION = 1 / 3  # of the ready servers that peers' observations may eject
-MIN_CONFIDENCE_TO_EJECT = 0.3  # a peer's observation with less ejects no server
-OVERLOAD_EJECTION_US = 250_000  # how long an overloaded server is ejected
+HALF_LIFE_US = 6_000_000  # Age at which an observation counts half.
+MAX_OBSERVATION_AGE_US = 60_000_000  # Age from which an observation is ignored.
+MAX_EJECTED_FRACTION = 1 / 3  # Largest fraction of the ready servers that peers' observations may eject.
+MIN_CONFIDENCE_TO_EJECT = 0.3  # Sum of the confidences of unhealthy observations.
+OVERLOAD_EJECTION_US = 250_000  # How long an overloaded server is ejected.
 
-CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # states of a circuit breaker, as they are sent to peers
+CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # Circuit breaker states, as sent to peers.
 NOT_EJECTED = -1
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """What one gateway measured of one server. Times are readings of the holder's clock, in microseconds."""
+    """One gateway's measurements of one server. Times are in microseconds on the local gateway's clock."""
 
     server: int
-    started_us: int  # of the server's incarnation
-    by: int  # the gateway, by its number
-    seen_us: int
+    started_us: int  # Identifies the server's incarnation.
+    by: int  # Number of the observing gateway.
+    seen_us: int  # When the server was last observed.
     state: int = CLOSED
     open_until_us: int = 0
     weight: float = 1.0
-    overloaded: bool = False  # an attempt has been in flight for longer than the stall timeout
-    slow_start_used_us: int = 0  # used of the slow-start budget
+    overloaded: bool = False  # An attempt was in flight for longer than the stall timeout.
+    slow_start_used_us: int = 0  # Level of the slow-start bucket: see SlowStart.
 
     @property
     def rank(self) -> tuple[int, int, int, int, float, bool, int]:
-        """A total order: the higher one replaces the lower one of the same server by the same gateway."""
+        """The sort key for observations of one server by one gateway; the highest one is kept."""
         return (
             self.started_us,
             self.seen_us,
@@ -55,17 +55,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassLatency:
-    """What one gateway measured of one class, in microseconds."""
+    """One gateway's latency measurements of one request class, in microseconds."""
 
     class_index: int
     smoothed_us: float
-    baseline_us: float  # the baseline latency, without queueing
+    baseline_us: float  # Latency without queueing.
 
 
 def merge_observations(*sources: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
-    """Merge observations of several sources, by server and gateway.
+    """Merge observations from several sources into one per server and gateway.
 
-    The result does not depend on their order or on how often one occurs.
+    The result does not depend on the order or on duplicates.
     """
     merged: dict[tuple[int, int], Observation] = {}
     for observations in sources:
@@ -79,16 +79,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerAdvice:
-    """What peers' observations of one server come to."""
+    """The combined result of peers' observations of one server."""
 
     server: int
-    confidence: float  # 0 to 1: that of the newest observation
-    weight: float
-    open_us: int  # how long to eject it; NOT_EJECTED: not at all
+    confidence: float  # That of the newest observation, from 0 to 1.
+    weight: float  # Average of the observed weights, by confidence.
+    open_us: int  # How long to eject the server, or NOT_EJECTED.
 
 
 def confidence(age_us: int) -> float:
-    """How much an observation of that age counts: 1 at first, half after the half-life, 0 in the end."""
+    """The weight of an observation by age: 1 if new, half after each half-life, 0 from the maximum age on."""
     if age_us >= MAX_OBSERVATION_AGE_US:
         return 0.0
     return float(0.5 ** (max(0, age_us) / HALF_LIFE_US))
@@ -100,17 +100,17 @@
     now_us: int,
     max_ejected: int,
 ) -> list[ServerAdvice]:
-    """Combine peers' observations into advice by server, the unhealthiest first.
+    """Combine peers' observations into advice for each server, the unhealthiest first.
 
-    Ignored are observations of servers that are not ready and of earlier incarnations. A gateway that finds
-    every server unhealthy does little harm: ejections are bounded in number and need a majority of the
-    confidence, and a low weight of all servers alike changes nothing in weighted selection.
+    Observations of earlier incarnations and of servers that are not ready are ignored. A gateway that reports
+    every server as unhealthy does little harm: the number of ejections is bounded, each needs a majority by
+    confidence, and equally low weights of all servers do not change weighted selection.
 
     Args:
         observations: From any number of gateways, in any order.
-        incarnations: The ready servers: when each was started.
-        now_us: The time.
-        max_ejected: How many servers may be ejected at the most.
+        incarnations: Start times of the ready servers, by number.
+        now_us: The current time.
+        max_ejected: The maximum number of servers to eject.
     """
     by_server: dict[int, list[tuple[float, Observation]]] = {}
     for observation in merge_observations(observations).values():
@@ -128,14 +128,14 @@
 
 
 def _advice_for(server: int, weighted: list[tuple[float, Observation]], now_us: int) -> ServerAdvice:
-    """Combine the observations of one server, each with its confidence."""
+    """Combine the observations of one server, each given with its confidence."""
     total = sum(weight for weight, _ in weighted)
     mean = sum(weight * observation.weight for weight, observation in weighted) / total
     unhealthy = [(weight, observation) for weight, observation in weighted if observation.is_unhealthy]
     unhealthy_confidence = sum(weight for weight, _ in unhealthy)
     open_us = NOT_EJECTED
     if unhealthy_confidence > total / 2 and unhealthy_confidence >= MIN_CONFIDENCE_TO_EJECT:
-        # A breaker whose cooldown is over ejects nothing; an overload ejects for OVERLOAD_EJECTION_US.
+        # A breaker whose cooldown is over does not eject the server; an overload does, for a fixed time.
         left_us = max(o.open_until_us - now_us if o.state == OPEN else 0 for _, o in unhealthy)
         if left_us > 0:
             open_us = left_us
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what the outcome of an attempt shows of its server, and of the class at that server."""
+"""Outlier detection: derives the health of servers, and of request classes at them, from attempt outcomes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Attempt, ClassHealth, Request, Server
 
-RECENT_OUTCOMES = 100  # of all servers: the failures they have in common
-WEIGHT_STEP = 0.02  # added by a good answer
-WEIGHT_CUT = 0.7  # factor of a failure or a slow answer
-SLOW_FACTOR = 2.0  # times the smoothed latency: a slow answer
+RECENT_OUTCOMES = 100  # Outcomes of all servers from which the common failure share is computed.
+WEIGHT_STEP = 0.02  # Added to the weight after a success.
+WEIGHT_CUT = 0.7  # Factor applied to the weight after a failure or a slow response.
+SLOW_FACTOR = 2.0  # A response is slow if it takes more than this times the expected latency.
+# Outcomes that count for the breaker of the request's class. Connection failures and resets concern the
+# whole server.
 CLASS_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
 
 
 class OutlierDetector:
-    """Judges outcomes: circuit breakers, and a weight controller of small steps up and cuts."""
+    """Updates circuit breakers and weights; weights increase additively and decrease multiplicatively."""
 
     def __init__(
         self,
@@ -33,10 +35,10 @@
         self._endpoints = endpoints
         self._latency = latency
         self._client_timeouts = client_timeouts
-        self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # server, class, failed
+        self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # Server, class, failed.
 
     def record_outcome(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Record an outcome; return False if it shows nothing of the server as a whole, nor of its load."""
+        """Record an outcome; return False if it says nothing about the health or load of the whole server."""
         server, outcome = attempt.server, event.outcome
         health = server.class_health(request.class_index)
         if outcome not in CLASS_OUTCOMES:
@@ -56,14 +58,18 @@
             others = [h.last_succeeded for h in server.classes.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
                 server.breaker.return_trial(attempt.half_open_period)
-                return False  # it serves the other classes
+                return False  # The server is healthy for the other classes.
         self._record_server_outcome(attempt, outcome, slow)
         return True
 
     def _is_inconclusive(
         self, request: Request, attempt: Attempt, event: AttemptEnded, expected_us: float
     ) -> bool:
-        """Whether an attempt was not sent, was cancelled early, or had less time than an answer takes."""
+        """Whether an outcome is inconclusive.
+
+        It is if the attempt was not sent or was cancelled before it stalled. It also is if the attempt timed
+        out sooner than a response may take, and clients of its class and tenant use irregular timeouts.
+        """
         outcome = event.outcome
         if outcome is Outcome.NOT_SENT or (outcome is Outcome.CANCELLED and not attempt.stalled):
             return True
@@ -91,17 +97,17 @@
         recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
         connect_failed = outcome is Outcome.CONNECT_FAILED
         if connect_failed and server.breaker.state is not State.OPEN and not recently_good:
-            # A dead process or a full connection table: one such outcome opens the breaker, of a trial too,
-            # unless a good response came recently.
+            # The process is dead or its connection table is full. A single such outcome opens the breaker,
+            # also from half-open, unless the last outcome was a recent success.
             changed = server.breaker.reopen(now_us)
         server.last_success_us = 0 if failed else now_us
         self._endpoints.breaker_changed(server)
         self._log_change(server, server.breaker, changed)
 
     def _common_failure_share(self, server: Server, class_index: int | None) -> float:
-        """Return the recent failure share of the other servers: failures with a common cause.
+        """Return the recent failure share of the other servers, which reflects failures with a common cause.
 
-        Of all outcomes, not of the breakers' rings: tripped breakers would be missing from it.
+        It is computed from all outcomes; the breakers' windows would leave out servers with tripped breakers.
         """
         number = server.entry.server
         others = [
@@ -120,7 +126,7 @@
 
 
 def adjust_weight(target: Server | ClassHealth, is_bad: bool) -> None:
-    """The feedback controller. While the breaker is not closed the weight stays as it was when it tripped."""
+    """Raise or cut a weight after an outcome; the weight is frozen while the breaker is not closed."""
     if target.breaker.state is not State.CLOSED:
         return
     if is_bad:
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the load balancer: data, checked for what no decision could be made from.
+"""Validated settings of the load balancer.
 
 Times are durations in whole microseconds.
 """
@@ -14,15 +14,15 @@
 
 
 class Effect(Enum):
-    """What running a request a second time would do."""
+    """What happens if a server executes the same request a second time."""
 
-    SAFE = "safe"  # nothing, it is idempotent: retry at will
-    KEYED = "keyed"  # nothing within one scope and for a while: servers deduplicate by idempotency key
-    UNSAFE = "unsafe"  # the effect would happen twice
+    SAFE = "safe"  # Idempotent: it can be retried without restrictions.
+    KEYED = "keyed"  # Servers of one scope deduplicate by idempotency key for a limited time.
+    UNSAFE = "unsafe"  # The effect would occur twice.
 
 
 class Scope(Enum):
-    """Which servers deduplicate each other's requests by idempotency key."""
+    """The set of servers that share their idempotency keys and so deduplicate each other's requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,38 +30,39 @@
 
 
 def _check(settings: object, minimums: Mapping[str, float], fractions: tuple[str, ...] = ()) -> None:
-    """Check that fields are finite, that none is below its minimum, and that fractions are within 0 to 1.
+    """Check that the named fields are finite and in range: at least the minimum, or 0 to 1 for fractions.
 
     Raises:
-        ValueError: A field is not; the message names it.
+        ValueError: A field is out of range; the message names it.
     """
     for name in (*minimums, *fractions):
         value = getattr(settings, name)
         if not math.isfinite(value):
-            raise ValueError(f"{name} is not a finite number")
+            raise ValueError(f"{name} must be a finite number")
         if value < minimums.get(name, 0):
-            raise ValueError(f"{name} is below {minimums.get(name, 0)}")
+            raise ValueError(f"{name} must be at least {minimums.get(name, 0)}")
         if name in fractions and value > 1:
-            raise ValueError(f"{name} is above 1")
+            raise ValueError(f"{name} must be at most 1")
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What the requests of one class are worth, how long they may take and whether they may be retried.
+    """The priority, latency objective, timeout and retry rules of one class of requests.
 
     Raises:
         ValueError: A value is out of its range.
     """
 
-    latency_objective_us: int  # a response within this has the full priority weight
-    request_timeout_us: int  # the client's timeout over all its attempts
+    latency_objective_us: int  # A response within this time earns the full priority weight.
+    request_timeout_us: int  # The client's timeout, over all of the client's own retries.
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # fraction of the priority weight left after the latency objective
+    late_priority_weight: float = 0.0  # Fraction of the weight earned after the objective.
     effect: Effect = Effect.UNSAFE
-    scope: Scope = Scope.ALL  # for KEYED
-    window_us: int = 0  # for KEYED: how long servers deduplicate, from when the first attempt is sent
-    in_order: bool = False  # requests with one key run one at a time, in the order of their arrival
-    # The latency objective grows by this many times the request's own work, up to the timeout.
+    scope: Scope = Scope.ALL  # Used if the effect is KEYED.
+    # Used if the effect is KEYED: how long servers deduplicate, counted from when the first attempt is sent.
+    window_us: int = 0
+    in_order: bool = False  # Requests with the same key run one at a time, in order of arrival.
+    # The latency objective is extended by the request's expected work times this factor, up to the timeout.
     latency_objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
@@ -77,18 +78,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """How the operator weighs the measures of good service against each other.
+    """The operator's weights of four measures of service quality.
 
-    Each is the fraction of the priority weight that is served in time.
+    Each measure is the fraction of the priority weight that is served in time.
 
     Raises:
         ValueError: A weight is below 0 or not finite.
     """
 
-    overall: float = 1.0
-    worst_window: float = 0.0  # the worst period of the day
-    worst_class: float = 0.0
-    worst_tenant: float = 0.0  # of its requests within its quota
+    overall: float = 1.0  # Over all requests.
+    worst_window: float = 0.0  # In the worst time window of the day.
+    worst_class: float = 0.0  # For the class that is served worst.
+    worst_tenant: float = 0.0  # For the tenant that is served worst, counting only requests within its quota.
 
     def __post_init__(self) -> None:
         _check(self, minimums=dict.fromkeys(("overall", "worst_window", "worst_class", "worst_tenant"), 0))
@@ -99,34 +100,34 @@
     """The quota of one tenant.
 
     Raises:
-        ValueError: The share is not within 0 to 1, or the allowance is below 0.
+        ValueError: The share is not from 0 to 1, or the allowance is negative.
     """
 
-    share: float = 0.0  # of the service; 0: none is guaranteed
-    allowance_per_s: float = math.inf  # requests a second that are within its quota, over all gateways
+    share: float = 0.0  # Guaranteed fraction of all requests; 0 if nothing is guaranteed.
+    allowance_per_s: float = math.inf  # Requests per second within the quota, summed over all gateways.
 
     def __post_init__(self) -> None:
         _check(self, minimums={}, fractions=("share",))
         if not self.allowance_per_s >= 0:
-            raise ValueError("allowance_per_s is below 0")
+            raise ValueError("allowance_per_s must be at least 0")
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What each of these costs, in points of the operator's score; all 0 or more.
+    """Costs that are subtracted from the operator's score, in points; none is negative.
 
     Raises:
         ValueError: A price is below 0 or not finite.
     """
 
-    cross_zone: float = 0.0  # an attempt to another zone
-    handshake: float = 0.0  # a new connection
-    waste: float = 0.0  # server work without a response that was used
-    late_fail: float = 0.0  # priority weight left unserved after its latency objective
-    connection: float = 0.0  # a hundred open connections to one server
-    probe: float = 0.0
-    peer: float = 0.0  # a message of 256 bytes to one peer
-    endpoint_list: float = 0.0  # a hundred entries of endpoint lists
+    cross_zone: float = 0.0  # Per attempt to a server in another zone.
+    handshake: float = 0.0  # Per new connection.
+    waste: float = 0.0  # Per unit of server work whose response is not used.
+    late_fail: float = 0.0  # Per priority weight that is not served within the latency objective.
+    connection: float = 0.0  # Per hundred open connections to one server.
+    probe: float = 0.0  # Per health probe.
+    peer: float = 0.0  # Per message of 256 bytes to one peer.
+    endpoint_list: float = 0.0  # Per hundred entries of received endpoint lists.
 
     def __post_init__(self) -> None:
         _check(self, minimums=dict.fromkeys(self.__dataclass_fields__, 0))
@@ -135,9 +136,9 @@
 class LoadReporting(Enum):
     """How servers report their load."""
 
-    RESPONSES = "answers"  # with each response
-    PROBES = "probes"  # in responses to probes only
-    NONE = "none"
+    RESPONSES = "answers"  # In each response.
+    PROBES = "probes"  # Only in responses to probes.
+    NONE = "none"  # Not at all.
 
 
 @dataclass(slots=True, frozen=True)
@@ -145,52 +146,55 @@
     """All settings of one gateway's load balancer.
 
     Raises:
-        ValueError: There are no classes, or a value is out of its range.
+        ValueError: There are no classes, or a value is out of range.
     """
 
     classes: tuple[RequestClass, ...]
     goal: Goal = field(default_factory=Goal)
-    priority_per_work: bool = False  # priority weight counts for each unit of work, not for each request
-    gateway_count: int = 1  # how many gateways share the servers
-    gateway_index: int = 0  # this gateway's own number among them
-    zone: int = 0  # of this gateway
+    priority_per_work: bool = False  # Priority weights apply per unit of work instead of per request.
+    gateway_count: int = 1  # Number of gateways that share the servers.
+    gateway_index: int = 0  # This gateway's number, from 0.
+    zone: int = 0  # Zone of this gateway.
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority: float = 1.0  # fraction of the priority weight of a request beyond its tenant's quota
-    clients_mark_retries: bool = False
-    grpc_kinds: frozenset[int] = frozenset()  # kinds of servers that speak gRPC
-    max_attempts: int = 3  # of one request
-    may_cancel: bool = True  # whether attempts can be cancelled
-    hedging: bool = False  # whether two attempts of one request may be in flight together
-    may_probe: bool = False
-    may_message_peers: bool = False
+    over_quota_priority: float = 1.0  # Factor of the priority weight of requests over quota.
+    clients_mark_retries: bool = False  # Clients flag requests that are their own retries.
+    grpc_kinds: frozenset[int] = frozenset()  # Values of `ListedServer.kind` that denote gRPC servers.
+    max_attempts: int = 3  # Maximum attempts per request.
+    may_cancel: bool = True  # Attempts can be cancelled.
+    hedging: bool = False  # Two attempts of one request may be in flight at the same time.
+    may_probe: bool = False  # The gateway may send health probes.
+    may_message_peers: bool = False  # The gateway may exchange messages with other gateways.
     reports: LoadReporting = LoadReporting.NONE
-    attempts_per_connection: int = 1  # at the same time
-    keepalive_us: int = 60_000_000  # idle connections are closed after this
-    connect_timeout_us: int = 1_000_000
-    answer_slack_us: int = 0  # a final response may be this late
-    stop_sending_within_us: int = 0  # after an endpoint list says that a server is draining or gone
-    cpu_us_per_s: int = 0  # for this gateway's decisions; 0: no limit known
-    warm_keys: bool = False  # a server that has served a key lately serves it for less work
-    endpoints_are_pushed: bool = True  # False: changes come only after WatchEndpoints
-    max_poll_interval_us: int = 10_000_000  # between two requests to service discovery without a watch
-    max_retry_after_us: int = 1_000_000
-    start_capacity: float = 1.0  # fraction of its full capacity that a starting server has at the least
-    warm_after_us: int = 0  # a starting server has its full capacity after this
-    # A warming server that is sent more than this times its present capacity, for this long, is overloaded.
+    attempts_per_connection: int = 1  # Concurrent attempts per connection.
+    keepalive_us: int = 60_000_000  # Idle connections are closed after this time.
+    connect_timeout_us: int = 1_000_000  # Timeout for opening a connection to a server.
+    answer_slack_us: int = 0  # How long after its deadline a final response is still accepted.
+    # Time allowed to stop sending after an endpoint list reports a server as draining or gone.
+    stop_sending_within_us: int = 0
+    cpu_us_per_s: int = 0  # CPU budget of this gateway; 0: no known limit.
+    warm_keys: bool = False  # A server needs less work for a key that it has served recently.
+    endpoints_are_pushed: bool = True  # If False, changes are sent only after a WatchEndpoints action.
+    max_poll_interval_us: int = 10_000_000  # Longest time between two polls of service discovery.
+    max_retry_after_us: int = 1_000_000  # Longest Retry-After that may be sent to a client.
+    start_capacity: float = 1.0  # Fraction of full capacity that a server has when it starts.
+    warm_after_us: int = 0  # A server reaches full capacity this long after its start.
+    # A warming-up server is overloaded by more than `overload_multiple` times its current capacity
+    # for `overload_window_us`.
     overload_multiple: float = 1.0
     overload_window_us: int = 1_000_000
-    rejection_may_have_run: bool = False  # Outcome.REJECTED does not prove that the attempt never ran
-    lossy: bool = False  # an attempt may be lost in transit without any sign, as a datagram is
-    # Attempts in flight at one server, of all gateways together; 0: the load balancer's own bound.
+    rejection_may_have_run: bool = False  # An attempt with Outcome.REJECTED may have been executed.
+    lossy: bool = False  # Attempts can be lost silently in transit, as UDP datagrams can.
+    # Limit on attempts in flight at one server, from all gateways together; 0: a built-in default.
     max_concurrency: float = 0.0
-    admission: AdmissionSettings | None = None  # fair queues and limits; None: off
-    key_cooldown_us: int = 0  # in order: how long a key rests after an attempt that may still be running
+    admission: AdmissionSettings | None = None  # Fair queueing and limits; None: disabled.
+    # For classes in order: how long a key is blocked after an attempt that may still be running.
+    key_cooldown_us: int = 0
 
     def __post_init__(self) -> None:
-        """Check what no decision could be made from."""
+        """Validate the settings."""
         if not self.classes:
-            raise ValueError("classes is empty")
+            raise ValueError("classes must not be empty")
         durations = (
             "max_poll_interval_us",
             "warm_after_us",
@@ -211,4 +215,4 @@
         )
         _check(self, minimums | dict.fromkeys(counts, 1), fractions=("start_capacity", "over_quota_priority"))
         if self.gateway_index >= self.gateway_count:
-            raise ValueError("gateway_index is not below gateway_count")
+            raise ValueError("gateway_index must be less than gateway_count")
--- a/sagetrack/policy/slow_start.py
+++ b/sagetrack/policy/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: how much work a server that is warming up may be sent.
+"""Slow start: limits the work that is sent to a server that is warming up.
 
-A server that is sent more than a multiple of its present capacity for a whole overload window falls over.
-Each gateway keeps to its own part of that budget, by a leaky bucket a server: work that is sent fills it, and
-in each window half of the part drains. The parts of all gateways add up to the whole, without a message.
+A server becomes overloaded if it is sent more than a multiple of its current capacity for a whole overload
+window. Each gateway keeps to its own part of that budget with one leaky bucket per server: work that is sent
+fills the bucket, and half of the gateway's part drains in each window. The parts of all gateways add up to
+the whole budget, without communication.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from sagetrack.policy.state import Request, Server
 from sagetrack.policy.subset_size import SubsetSize
 
-BUDGET_MARGIN = 0.7  # part of the budget that is planned with; the rest is for misjudged work and chance
-MAX_COST = 1.25  # of the baseline latency: the most that a request is taken to cost a server that warms up
-PRIOR_RESPONSES = 0.5  # answers that the first guess of a request's cost counts for
+BUDGET_MARGIN = 0.7  # Fraction of the budget that is used; the rest covers estimation errors and chance.
+MAX_COST = 1.25  # Upper bound of a request's cost, as a multiple of the baseline latency.
+PRIOR_RESPONSES = 0.5  # Number of responses that the initial latency estimate counts for.
 
 
 class BudgetTerms(NamedTuple):
-    """Work in microseconds of one core."""
+    """The drain of a bucket and the cost of a request, in microseconds of one core."""
 
-    drained_us: float  # from the bucket in an overload window
-    cost_us: float  # of the request in question
+    drained_us: float  # Drains from the bucket in one overload window.
+    cost_us: float  # Added to the bucket by the request.
 
 
 class SlowStart:
-    """This gateway's part of the budget of each server that warms up; what is used stands in the server."""
+    """This gateway's budget for servers that warm up. Each bucket's level is stored in its server."""
 
     def __init__(
         self,
@@ -46,10 +47,10 @@
         self._ranked = ring.ranked
 
     def max_initial_use_us(self) -> float:
-        """What of a new server's budget counts as used at the most, to begin with.
+        """The highest initial bucket level of a new server.
 
-        Hundreds of gateways hear of it at once and each may send one request at the least: each begins with
-        a random part of that used, so that these first requests do not come together.
+        Hundreds of gateways learn of a new server at the same time, and each may send it at least one
+        request. Each starts with a random level up to this one, which spreads these first requests in time.
         """
         first_us = max(*self._latency.smoothed_us, self.window_budget_us() / 2)
         if self._fleet.is_concurrency_scarce():
@@ -57,12 +58,12 @@
         return first_us
 
     def start(self, server: Server, now_us: int, used_us: float) -> None:
-        """Begin a new server's bucket with so much used."""
+        """Set the initial bucket level of a new server."""
         server.slow_start_used_at_us = now_us
         server.slow_start_used_us = used_us
 
     def has_budget(self, now_us: int, server: Server, request: Request) -> bool:
-        """Whether one more request fits into the server's bucket now, after what has drained."""
+        """Drain the server's bucket up to now and return whether one more request fits."""
         drained_us, cost_us = self.budget_terms(now_us, server, request)
         elapsed_us = now_us - server.slow_start_used_at_us
         drained_now_us = drained_us * elapsed_us / self._settings.overload_window_us
@@ -71,21 +72,22 @@
         return server.slow_start_used_us + cost_us <= max(drained_us, cost_us)
 
     def charge(self, now_us: int, server: Server, request: Request) -> None:
-        """Fill the bucket of a server that is warming up with a request that is sent to it."""
+        """Add the cost of a request that is sent to a server to its bucket, if the server is warming up."""
         if self.capacity_share(now_us, server) < 1.0:
             server.slow_start_used_us += self.budget_terms(now_us, server, request).cost_us
 
     def restore_used(self, server: Server, used_us: float) -> None:
-        """Take what this gateway had used before it was restarted."""
+        """Restore the bucket level from before this gateway was restarted."""
         server.slow_start_used_us = max(server.slow_start_used_us, used_us)
 
     def budget_terms(self, now_us: int, server: Server, request: Request) -> BudgetTerms:
-        """What drains from a server's bucket in an overload window, and what a request fills it with.
+        """The drain of a server's bucket per overload window, and the cost of a request.
 
-        Where the half that may be sent at once is less than one request, requests come one by one at their
-        time: the half that is kept for a burst drains too, and the sum of all gateways is what it is by
-        chance. Such a gateway has few answers: until it has more, the cost is its first guess, and what it
-        learns of the true one quickens the draining, so that what was used stays comparable.
+        Usually half of the budget is reserved for a burst and half drains. If that half is less than the cost
+        of one request, requests are sent one at a time, so the half reserved for a burst drains too; the sum
+        over all gateways is then kept only on average. Such a gateway gets few responses. So the cost stays
+        the initial estimate, and a lower measured cost speeds up the drain instead, which keeps the bucket's
+        level on the same scale.
         """
         half_us = self.window_budget_us() * self.capacity_share(now_us, server) / 2
         cost_us = self.cost_us(request)
@@ -100,7 +102,8 @@
     def window_budget_us(self) -> float:
         """This gateway's part of the work that a warm server of one core may be sent in an overload window.
 
-        The parts of all add up to the whole; half of it, drained by half in each window, never passes it.
+        The parts of all gateways add up to the whole budget. A bucket that holds half of the part and drains
+        half of it per window never exceeds the part in any window.
         """
         used_share = min(1.0, self._subset.size / max(1, len(self._ranked)))
         gateways = max(1.0, self._fleet.gateways * used_share)
@@ -113,16 +116,17 @@
         )
 
     def cost_us(self, request: Request) -> float:
-        """Work of a request: above the fastest answers, below the usual ones, which have queued too.
+        """The estimated work of a request: halfway from the baseline to the smoothed latency.
 
-        No more than `MAX_COST` above: in an overload of the warm servers the others are needed the most.
+        The smoothed latency includes queueing. The result is limited to MAX_COST times the baseline, because
+        servers that are warming up are needed most while the warm ones are overloaded.
         """
         fastest_us = self._latency.baseline_us[request.class_index]
         middle_us = (fastest_us + self._latency.smoothed_us[request.class_index]) / 2
         return min(middle_us, MAX_COST * fastest_us) * request.relative_work
 
     def capacity_share(self, now_us: int, server: Server) -> float:
-        """Share of its capacity that a server surely has by now: a linear ramp while it warms up."""
+        """The share of full capacity that a server has at least by now: a linear ramp during its warm-up."""
         if now_us >= server.warm_at_us:
             return 1.0
         age_us = now_us + self._settings.warm_after_us - server.warm_at_us
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -1,4 +1,4 @@
-"""What the load balancer knows of each server, attempt and request."""
+"""State that the load balancer keeps for each server, attempt and request."""
 
 from __future__ import annotations
 
@@ -9,16 +9,20 @@
 from sagetrack.policy.endpoint_ring import ExactSum
 from sagetrack.policy.events import ListedServer
 
-CLASS_MIN_OUTCOMES = 2  # outcomes before a verdict on one class at one server: a gateway sees a few a minute
-MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # of the feedback controller
-HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # golden ratio in 64 bits: spreads close numbers apart
+# Outcomes of one class at one server before its breaker may open. It is low because a gateway sees only a
+# few such outcomes per minute.
+CLASS_MIN_OUTCOMES = 2
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # Range of the feedback controller's weights.
+# The 64-bit golden ratio multiplier of Fibonacci hashing, which spreads nearby integers over the whole range.
+HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1
 
 
 @dataclass(slots=True, eq=False)
 class ClassHealth:
-    """Circuit breaker and weight of one class at one server, for failures of that class alone.
+    """Circuit breaker and weight for one request class at one server.
 
-    Ejecting the whole server would waste its capacity for the classes that it serves well.
+    They react to failures of that class only: ejecting the whole server would waste its capacity for the
+    classes that it serves well.
     """
 
     breaker: Breaker
@@ -28,25 +32,25 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this gateway knows of one incarnation of a server."""
+    """This gateway's state for one incarnation of a server."""
 
     entry: ListedServer
-    feedback_weight: float  # the feedback controller's weight: see `weight`
-    rank: float  # a hash: the position in the ring, the same at every gateway
-    zone_factor: float  # 1 in this gateway's zone; in others less, by the price of crossing zones
-    warm_at_us: int  # at the latest, on this gateway's clock
+    feedback_weight: float  # Read and set through the property `weight`.
+    rank: float  # Position in the ring: a hash that is the same at every gateway.
+    zone_factor: float  # Weight factor: 1 in this gateway's zone, less in others if cross-zone has a price.
+    warm_at_us: int  # When the warm-up ends at the latest, on this gateway's clock.
     breaker: Breaker = field(default_factory=Breaker)
     classes: dict[int, ClassHealth] = field(default_factory=dict)
-    in_flight: dict[Attempt, int] = field(default_factory=dict)  # and when each was sent, oldest first
-    last_success_us: int = 0  # the last answer, if it was good; else 0
-    last_outcome_us: int = 0  # the last outcome that said something of its health
-    slow_start_used_us: float = 0.0  # work sent while warming up that has not drained: see SlowStart
-    slow_start_used_at_us: int = 0
-    weights: ExactSum | None = None  # of all that are listed
+    in_flight: dict[Attempt, int] = field(default_factory=dict)  # Send time by attempt, oldest first.
+    last_success_us: int = 0  # Time of the last outcome if it was a success, else 0.
+    last_outcome_us: int = 0  # Time of the last outcome that reflects the server's health.
+    slow_start_used_us: float = 0.0  # Level of the slow-start leaky bucket: see SlowStart.
+    slow_start_used_at_us: int = 0  # Time at which that level was computed.
+    weights: ExactSum | None = None  # Sum over all listed servers; None for one that is not listed.
 
     @property
     def weight(self) -> float:
-        """The feedback controller's weight; to set it keeps the sum of all."""
+        """The feedback controller's weight. Setting it also updates the sum of all weights."""
         return self.feedback_weight
 
     @weight.setter
@@ -56,7 +60,7 @@
         self.feedback_weight = weight
 
     def class_health(self, class_index: int) -> ClassHealth:
-        """The health of one class here, made at the first use."""
+        """The health of one class at this server, created on first use."""
         if class_index not in self.classes:
             self.classes[class_index] = ClassHealth(Breaker(CLASS_MIN_OUTCOMES))
         return self.classes[class_index]
@@ -64,15 +68,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to a server."""
+    """One attempt to send a request to a server."""
 
     server: Server
     sent_at_us: int
-    half_open_period: int  # of the server's breaker: see Breaker.take_trial
-    class_half_open_period: int  # the same of the class's breaker there
+    half_open_period: int  # What the server's Breaker.take_trial returned: 0 if the attempt is no trial.
+    class_half_open_period: int  # The same for the breaker of the request's class at the server.
     ended: bool = False
     may_have_run: bool = True
-    stalled: bool = False  # in flight for longer than an answer usually takes
+    stalled: bool = False  # In flight for longer than a response usually takes.
 
 
 @dataclass(slots=True, eq=False)
@@ -83,31 +87,31 @@
     class_index: int
     key: int | None
     deadline_us: int
-    objective_at_us: int  # the time of its latency objective
-    relative_work: float  # expected work over the class's mean
-    is_first_try: bool
-    quota_excess: float  # part of its tenant's tries that is beyond the tenant's share
+    objective_at_us: int  # When the latency objective is missed.
+    relative_work: float  # Expected work divided by the mean of the class.
+    is_first_try: bool  # False for a retry by the client.
+    quota_excess: float  # Fraction of its tenant's recent requests over quota: see TenantQuota.
     attempts: list[Attempt] = field(default_factory=list)
-    in_flight: int = 0
-    finished: bool = False  # finally, or its client has cancelled it
-    streaming: bool = False
-    response_began_us: int = 0  # if it streams
-    uploading: bool = False  # its body has not come completely
-    single_use_body: bool = False  # its body can't be sent again
-    admission_tenant: int = 0  # the number that admission control has for its tenant
-    client: int = 0
-    has_reservation: bool = False  # a retry at the time that a Retry-After named
-    retry_after_us: int = -1  # as admission control set it; -1: not set
+    in_flight: int = 0  # Number of attempts in flight.
+    finished: bool = False  # The final response was sent, or the client has cancelled.
+    streaming: bool = False  # A streamed response has begun.
+    response_began_us: int = 0  # When a streamed response began; 0 if none did.
+    uploading: bool = False  # The body has not been received completely.
+    single_use_body: bool = False  # The body cannot be sent a second time.
+    admission_tenant: int = 0  # Index of its tenant in admission control.
+    client: int = 0  # Number of the client within its tenant: see RequestArrived.
+    has_reservation: bool = False  # The client retries at the time that an earlier Retry-After gave it.
+    retry_after_us: int = -1  # Set by admission control; -1: not set.
     tenant: int = 0
-    mirror_target: int = -1  # mirrored, for gRPC servers (1) or for the others (0) alone; -1: not mirrored
-    key_cooldown_until_us: int = 0  # in order: an attempt may still be running until then
+    mirror_target: int = -1  # -1: not mirrored; mirrored to 1: gRPC servers only, 0: other servers only.
+    key_cooldown_until_us: int = 0  # For classes in order: an attempt may still be running until then.
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
-    """Lowest at the server that a key belongs to: weighted rendezvous hashing.
+    """The weighted rendezvous hashing score of a server for a key; the lowest score wins.
 
-    Every gateway ranks alike without a message, and a server that comes or goes moves only the keys that
-    rank it first (Thaler, Ravishankar, 1998).
+    All gateways compute the same ranking without communication, and adding or removing a server moves only
+    the keys that rank it first (Thaler and Ravishankar, 1998).
     """
     mixed = (key ^ (server * HASH_FACTOR)) * HASH_FACTOR & HASH_MASK
     mixed = (mixed ^ (mixed >> 29)) * HASH_FACTOR & HASH_MASK
--- a/sagetrack/policy/subset_size.py
+++ b/sagetrack/policy/subset_size.py
@@ -1,14 +1,17 @@
-"""How many servers a gateway spreads over: subsetting, as wide as what it has in flight needs."""
+"""Subsetting: the number of servers that a gateway spreads requests over, by its attempts in flight."""
 
 from __future__ import annotations
 
-MIN_SUBSET = 3  # few enough that breakers see many outcomes each, and enough to outlive a bad third
-DECAY = 0.98  # of the widest recently needed subset, left after each attempt
-DECAY_SCARCE = 0.8  # the same where concurrency is scarce: a wider subset meets more of the other gateways
+# Small enough that each breaker gets many outcomes, and large enough to tolerate a third of unhealthy
+# servers.
+MIN_SUBSET = 3
+DECAY = 0.98  # Factor by which the part of the size above the minimum shrinks with each attempt.
+# The same if concurrency is scarce. It shrinks faster, as a larger subset overlaps with more gateways.
+DECAY_SCARCE = 0.8
 
 
 class SubsetSize:
-    """The size of the subset: follows attempts in flight up at once and down slowly."""
+    """The size of the subset. It grows at once with the attempts in flight and shrinks slowly."""
 
     __slots__ = ("size",)
 
@@ -16,7 +19,7 @@
         self.size = float(MIN_SUBSET)
 
     def attempt_sent(self, in_flight: int, concurrency_is_scarce: bool) -> None:
-        """Adapt to the attempts in flight, the one that has just been sent among them."""
+        """Adapt the size to the attempts in flight, including the one that was just sent."""
         if not concurrency_is_scarce:
             needed, decay = MIN_SUBSET + in_flight, DECAY
         else:
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -1,6 +1,6 @@
-"""Demand by tenant and by client flow, here and at peers, and whose excess to reject in an overload.
+"""Tracks demand by tenant and client flow, to decide whose requests to reject in an overload.
 
-Times are readings of the caller's clock in whole microseconds; work is in microseconds of an idle server.
+Times are readings of the caller's clock in whole microseconds. Work is in microseconds on an idle server.
 """
 
 from __future__ import annotations
@@ -11,17 +11,18 @@
 
 from sagetrack.policy.fair_queue import max_min_fair_shares
 
-DECAY_TIME_US = 1_000_000  # demand counts by 1/e after this: the share of an idle tenant is back within it
-PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # demand that another gateway reported counts for so long
-EVALUATION_INTERVAL_US = 50_000  # between two evaluations of the fair limits
-EVALUATION_STEP = 0.2  # unless the fraction to reject has changed by this since
-MIN_EXCESS_FRACTION = 0.001  # a tenant that exceeds its share by less is taken to be within it
-MIN_LOCAL_FRACTION = 0.01  # of a tenant's share, at a gateway that sees next to nothing of the tenant
-MIN_FLOW_WORK_US = 1.0  # a flow with less is forgotten
+# Demand decays to 1/e in this time. A tenant that was idle for about as long has its full share again.
+DECAY_TIME_US = 1_000_000
+PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # How long demand reported by a peer is used.
+EVALUATION_INTERVAL_US = 50_000  # Time between two evaluations of the fair limits.
+EVALUATION_STEP = 0.2  # A change of the fraction to reject by this much triggers an evaluation earlier.
+MIN_EXCESS_FRACTION = 0.001  # A smaller excess over the share is ignored.
+MIN_LOCAL_FRACTION = 0.01  # Part of a tenant's share that a gateway without demand of the tenant has.
+MIN_FLOW_WORK_US = 1.0  # Flows with less recent work are removed.
 
 
 class DecayedDemand:
-    """Recently requested work, by key of a fixed range: a sum that decays with time."""
+    """Sums of recently requested work that decay with time, by integer key from a fixed range."""
 
     __slots__ = ("at_us", "sums")
 
@@ -35,7 +36,7 @@
         self.at_us[key] = now_us
 
     def at(self, key: int, now_us: int) -> float:
-        """Work requested over the last second or so, in microseconds for each DECAY_TIME_US."""
+        """The decayed sum of a key: roughly the work requested in the last DECAY_TIME_US, in microseconds."""
         if not self.sums[key]:
             return 0.0
         return self.sums[key] * math.exp((self.at_us[key] - now_us) / DECAY_TIME_US)
@@ -43,43 +44,45 @@
 
 @dataclass(slots=True, eq=False)
 class FlowDemand:
-    """Work recently requested by the clients of one flow."""
+    """The decayed sum of the work that the clients of one flow have requested recently."""
 
     work_us: float
     at_us: float
 
     def at(self, now_us: int) -> float:
-        """The sum as it has decayed by now."""
+        """The sum, decayed until now."""
         return self.work_us * math.exp((self.at_us - now_us) / DECAY_TIME_US)
 
 
 @dataclass(slots=True, eq=False)
 class FairLimits:
-    """Who exceeded its fair share at one moment."""
+    """Which tenants and flows exceeded their fair share at the time of one evaluation."""
 
-    excess_fraction: list[float]  # by tenant: fraction of its demand that is beyond its share
-    flow_limit_us: list[float]  # by tenant: work that one flow may request
+    excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
+    flow_limit_us: list[float]  # By tenant: work that each flow may request.
     at_us: int = -EVALUATION_INTERVAL_US
-    reject_fraction: float = -1.0  # of all work, that had to be rejected
+    reject_fraction: float = -1.0  # Fraction of all work that had to be rejected.
 
 
 @dataclass(slots=True, eq=False)
 class TenantDemand:
-    """Tracks demand and finds who exceeds its share while a part of all work has to be rejected.
-
-    Weighted max-min fairness by tenant, then evenly by flow within a tenant: requests within their share are
-    not rejected. Fair limits are evaluated every EVALUATION_INTERVAL_US, at a cost by tenants and by flows of
-    those in excess. Low-priority requests and all others are rejected at rates of their own, and each kind
-    has limits of its own: with one set for both, it would be evaluated with each request, which has cost a
-    busy gateway a millisecond a request and so fed the overload.
+    """Tracks demand and determines who exceeds its share while some of the work has to be rejected.
+
+    Work is divided by weighted max-min fairness among tenants, and evenly among the flows of a tenant.
+    Requests within their share are not rejected. The fair limits are evaluated every EVALUATION_INTERVAL_US;
+    the cost grows with the number of tenants and with the flows of tenants in excess. Low-priority requests
+    are rejected at a different rate than others, so they have separate limits. With shared limits the rate
+    would change with each request and trigger an evaluation, which cost a busy gateway 1 ms per request and
+    made the overload worse.
     """
 
     shares: Sequence[float]
     by_tenant: DecayedDemand = field(init=False)
-    by_flow: list[dict[int, FlowDemand]] = field(init=False)  # by tenant, then by flow
-    peer_demands: dict[int, tuple[list[float], int]] = field(default_factory=dict)  # by gateway, and when
+    by_flow: list[dict[int, FlowDemand]] = field(init=False)  # By tenant, then by flow.
+    # By gateway: its demand by tenant, and when it was received.
+    peer_demands: dict[int, tuple[list[float], int]] = field(default_factory=dict)
     flow_count: int = 0
-    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # for low priority, for all others
+    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # For low-priority and for other requests.
     evaluations: int = 0
 
     def __post_init__(self) -> None:
@@ -90,7 +93,7 @@
         self.fair_limits = first, second
 
     def record(self, tenant: int, flow: int, work_us: float, now_us: int, has_space: bool = True) -> None:
-        """Record requested work, whether it is served or not; without space, only of flows already known."""
+        """Record requested work, whether served or not. Without space, no new flow is added."""
         self.by_tenant.add(tenant, work_us, now_us)
         known = self.by_flow[tenant].get(flow)
         if known is None:
@@ -102,18 +105,18 @@
             known.at_us = float(now_us)
 
     def record_peer_demands(self, gateway: int, demands: list[float], now_us: int) -> None:
-        """Take the demand by tenant that another gateway reports; ignored if it has other tenants."""
+        """Store the demand by tenant that a peer reports; ignored if its number of tenants differs."""
         if len(demands) == len(self.shares):
             self.peer_demands[gateway] = (demands, now_us)
 
     def local_demands(self, now_us: int) -> list[float]:
-        """This gateway's demand by tenant, in microseconds of work for each DECAY_TIME_US."""
+        """This gateway's demand by tenant, in microseconds of work per DECAY_TIME_US."""
         return [self.by_tenant.at(tenant, now_us) for tenant in range(len(self.shares))]
 
     def fleet_demands(self, now_us: int, gateways: int) -> list[float]:
-        """The demand by tenant at all gateways; those that reported stand for those that did not.
+        """The demand by tenant at all gateways, extrapolated from the gateways that have reported.
 
-        Without any report it is the local demand, and shares hold at each gateway by itself.
+        Without any report it is the local demand, so that shares apply at each gateway separately.
         """
         own = self.local_demands(now_us)
         reported = [
@@ -127,8 +130,8 @@
     def local_shares(self, now_us: int, gateways: int) -> list[float]:
         """The tenants' shares at this gateway, such that they hold for all gateways together.
 
-        Of a tenant's share, each gateway has the fraction that it sees of the tenant's demand, but no less
-        than MIN_LOCAL_FRACTION: a tenant that sent nothing here of late must be admitted when it does.
+        Each gateway gets the fraction of a tenant's share that it has of the tenant's demand, but at least
+        MIN_LOCAL_FRACTION, so that a tenant without recent requests here is admitted when it sends some.
         """
         own, fleet = self.local_demands(now_us), self.fleet_demands(now_us, gateways)
         return [
@@ -139,9 +142,9 @@
     def rejection_fraction(
         self, tenant: int, flow: int, reject_fraction: float, now_us: int, high_priority: bool = False
     ) -> float:
-        """Which fraction of a flow's requests to reject, so that `reject_fraction` of all work is rejected.
+        """The fraction of a flow's requests to reject, so that `reject_fraction` of all work is rejected.
 
-        0 for a flow within its share.
+        It is 0 for a flow within its share.
         """
         if reject_fraction <= 0.0:
             return 0.0
@@ -153,7 +156,7 @@
         return 1.0 - limits.flow_limit_us[tenant] / demand if demand > limits.flow_limit_us[tenant] else 0.0
 
     def _evaluate(self, reject_fraction: float, now_us: int, high_priority: bool) -> FairLimits:
-        """The fair limits when this fraction of work is to be rejected; a recent evaluation still holds."""
+        """The fair limits for rejecting this fraction of all work, evaluated again only if out of date."""
         limits = self.fair_limits[high_priority]
         if (
             now_us - limits.at_us < EVALUATION_INTERVAL_US
--- a/sagetrack/policy/tenant_quota.py
+++ b/sagetrack/policy/tenant_quota.py
@@ -1,4 +1,4 @@
-"""How far a tenant's recent tries exceed its quota: the excess is shed first."""
+"""Measures how far a tenant's recent requests exceed its quota, because the excess is shed first."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.settings import Tenant
 
-TENANT_DECAY = 0.98  # of the tries by tenant, left after each try
-EXCESS_THRESHOLD = 1.5  # times its share: a tenant's tries beyond are more than chance
+TENANT_DECAY = 0.98  # Factor applied to all request counts with each request.
+EXCESS_THRESHOLD = 1.5  # Requests beyond this times the tenant's share are excess; fewer may be chance.
 
 
 class TenantQuota:
-    """Decayed counts of tries by tenant, compared with the tenants' shares."""
+    """Compares decayed counts of requests by tenant, including client retries, with the tenants' shares."""
 
     def __init__(self, tenants: Sequence[Tenant], over_quota_priority: float) -> None:
         self._tenants = tenants
@@ -20,10 +20,10 @@
         self._request_counts = DecayingSums(TENANT_DECAY, [t.share / (1.0 - TENANT_DECAY) for t in tenants])
 
     def count_request(self, tenant: int) -> float:
-        """Count a try; returns the part of the tenant's tries beyond its share, weighed by the settings.
+        """Count a request and return the fraction of the tenant's requests that is excess.
 
-        Zero or less within the share, and for a tenant without one. A tenant whose clients retry without
-        limit goes beyond its share.
+        The fraction is multiplied by 1 - over_quota_priority. It is 0 or less within the share, and 0 for an
+        unknown tenant. As client retries count, a tenant whose clients retry without limit exceeds its share.
         """
         if not 0 <= tenant < len(self._request_counts):
             return 0.0
