--- a/sagetrack/core/deadlines.py
+++ b/sagetrack/core/deadlines.py
@@ -46,7 +46,7 @@
 
 from dataclasses import dataclass
 
-from sagetrack.policy.discovery_backoff import FIRST_PAUSE_US, MAX_PAUSE_US
+from sagetrack.policy.discovery_backoff import MAX_DELAY_US, MAX_FIRST_DELAY_US
 from sagetrack.policy.settings import Settings
 
 SILENT_WATCH_LIMIT_S = 6.0  # after a watch fell silent, when the changes it has missed count as delivered
@@ -141,8 +141,8 @@
         retry_poll_wait_s=RETRY_POLL_WAIT_S,
         response_timeout_s=planned_s / 2,
         connect_timeout_s=planned_s * 3 / 8,
-        first_backoff_s=FIRST_PAUSE_US / 1e6,
-        max_backoff_s=MAX_PAUSE_US / 1e6,
+        first_backoff_s=MAX_FIRST_DELAY_US / 1e6,
+        max_backoff_s=MAX_DELAY_US / 1e6,
         rejection_backoff_s=REJECTION_BACKOFF_S,
         initial_list_timeout_s=0.0,
     )
--- a/sagetrack/policy/fleet_size.py
+++ b/sagetrack/policy/fleet_size.py
@@ -17,7 +17,7 @@
 DEFAULT_MAX_CONCURRENCY = 3.0
 
 
-def sharing_gateways(alive: int, configured: int) -> int:
+def effective_gateway_count(alive: int, configured: int) -> int:
     """The number of gateways by which limits are divided.
 
     Args:
@@ -40,7 +40,7 @@
 
     def set_alive(self, alive: int) -> None:
         """Set the number of gateways that are not known to be dead, this one included."""
-        self.gateways = sharing_gateways(alive, self._configured)
+        self.gateways = effective_gateway_count(alive, self._configured)
 
     def set_processes(self, processes: int) -> None:
         """Set the number of processes of this gateway, which is two during a hot restart."""
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -50,10 +50,10 @@
         """Return the expected latency in microseconds without queueing."""
         return self.baseline_us[class_index] * relative_work
 
-    def mean_us(self, class_index: int, prior_answers: float) -> float:
-        """Return the mean latency; the initial estimate counts as `prior_answers` successful responses."""
-        total_us = prior_answers * self.initial_us[class_index] + self.latency_sums_us[class_index]
-        return total_us / (prior_answers + self.response_counts[class_index])
+    def mean_us(self, class_index: int, prior_responses: float) -> float:
+        """Return the mean latency; the initial estimate counts as `prior_responses` successful responses."""
+        total_us = prior_responses * self.initial_us[class_index] + self.latency_sums_us[class_index]
+        return total_us / (prior_responses + self.response_counts[class_index])
 
     def own_latencies(self) -> list[ClassLatency]:
         """Return the latencies of classes with enough responses at this gateway, to send to its peers."""
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -35,7 +35,7 @@
     slow_start_used_us: int = 0  # Level of the slow-start bucket: see SlowStart.
 
     @property
-    def rank(self) -> tuple[int, int, int, int, float, bool, int]:
+    def precedence(self) -> tuple[int, int, int, int, float, bool, int]:
         """The sort key for observations of one server by one gateway; the highest one is kept."""
         return (
             self.started_us,
@@ -72,7 +72,7 @@
         for observation in observations:
             key = observation.server, observation.by
             known = merged.get(key)
-            if known is None or observation.rank > known.rank:
+            if known is None or observation.precedence > known.precedence:
                 merged[key] = observation
     return merged
 
@@ -122,8 +122,8 @@
     advice = [_advice_for(server, weighted, now_us) for server, weighted in by_server.items()]
     advice.sort(key=lambda a: (-a.open_us, a.weight, a.server))
     return [
-        one if rank < max_ejected or one.open_us < 0 else replace(one, open_us=NOT_EJECTED)
-        for rank, one in enumerate(advice)
+        item if index < max_ejected or item.open_us < 0 else replace(item, open_us=NOT_EJECTED)
+        for index, item in enumerate(advice)
     ]
 
 
--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -74,7 +74,7 @@
                 return False
             if not server.breaker.allows_request(now_us):
                 return False
-        health = server.classes.get(class_index)
+        health = server.health_by_class.get(class_index)
         if health is not None and not health.breaker.allows_request(now_us):
             return False
         if not server.in_flight:
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -50,16 +50,16 @@
         failed = outcome is not Outcome.OK
         server.last_outcome_us = self._context.now_us
         self._recent.append((server.entry.server, request.class_index, failed))
-        slow = not failed and event.latency_us / max(1.0, expected_us) > SLOW_FACTOR
+        is_slow = not failed and event.latency_us / max(1.0, expected_us) > SLOW_FACTOR
         if not failed:
             self._latency.learn(request.class_index, request.relative_work, event.latency_us)
         if outcome in CLASS_OUTCOMES:
             self._record_class_outcome(request.class_index, attempt, failed)
-            others = [h.last_succeeded for h in server.classes.values() if h is not health]
+            others = [h.last_succeeded for h in server.health_by_class.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
                 server.breaker.return_trial(attempt.half_open_period)
                 return False  # The server is healthy for the other classes.
-        self._record_server_outcome(attempt, outcome, slow)
+        self._record_server_outcome(attempt, outcome, is_slow)
         return True
 
     def _is_inconclusive(
@@ -88,15 +88,15 @@
         )
         self._log_change(server, health.breaker, changed, f" for class {class_index}")
 
-    def _record_server_outcome(self, attempt: Attempt, outcome: Outcome, slow: bool) -> None:
+    def _record_server_outcome(self, attempt: Attempt, outcome: Outcome, is_slow: bool) -> None:
         server, now_us = attempt.server, self._context.now_us
         failed = outcome is not Outcome.OK
-        adjust_weight(server, failed or slow)
+        adjust_weight(server, failed or is_slow)
         common_share = self._common_failure_share(server, None) if failed else 0.0
         changed = server.breaker.record(now_us, failed, attempt.half_open_period, common_share)
-        recently_good = now_us - server.last_success_us <= FIRST_COOLDOWN_US
+        recently_succeeded = now_us - server.last_success_us <= FIRST_COOLDOWN_US
         connect_failed = outcome is Outcome.CONNECT_FAILED
-        if connect_failed and server.breaker.state is not State.OPEN and not recently_good:
+        if connect_failed and server.breaker.state is not State.OPEN and not recently_succeeded:
             # The process is dead or its connection table is full. A single such outcome opens the breaker,
             # also from half-open, unless the last outcome was a recent success.
             changed = server.breaker.reopen(now_us)
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -40,7 +40,7 @@
     zone_factor: float  # Weight factor: 1 in this gateway's zone, less in others if cross-zone has a price.
     warm_at_us: int  # When the warm-up ends at the latest, on this gateway's clock.
     breaker: Breaker = field(default_factory=Breaker)
-    classes: dict[int, ClassHealth] = field(default_factory=dict)
+    health_by_class: dict[int, ClassHealth] = field(default_factory=dict)
     in_flight: dict[Attempt, int] = field(default_factory=dict)  # Send time by attempt, oldest first.
     last_success_us: int = 0  # Time of the last outcome if it was a success, else 0.
     last_outcome_us: int = 0  # Time of the last outcome that reflects the server's health.
@@ -61,9 +61,9 @@
 
     def class_health(self, class_index: int) -> ClassHealth:
         """The health of one class at this server, created on first use."""
-        if class_index not in self.classes:
-            self.classes[class_index] = ClassHealth(Breaker(CLASS_MIN_OUTCOMES))
-        return self.classes[class_index]
+        if class_index not in self.health_by_class:
+            self.health_by_class[class_index] = ClassHealth(Breaker(CLASS_MIN_OUTCOMES))
+        return self.health_by_class[class_index]
 
 
 @dataclass(slots=True, eq=False)
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -60,7 +60,7 @@
 
     excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
     flow_limit_us: list[float]  # By tenant: work that each flow may request.
-    at_us: int = -EVALUATION_INTERVAL_US
+    evaluated_at_us: int = -EVALUATION_INTERVAL_US
     reject_fraction: float = -1.0  # Fraction of all work that had to be rejected.
 
 
@@ -159,11 +159,11 @@
         """The fair limits for rejecting this fraction of all work, evaluated again only if out of date."""
         limits = self.fair_limits[high_priority]
         if (
-            now_us - limits.at_us < EVALUATION_INTERVAL_US
+            now_us - limits.evaluated_at_us < EVALUATION_INTERVAL_US
             and abs(reject_fraction - limits.reject_fraction) < EVALUATION_STEP
         ):
             return limits
-        limits.at_us, limits.reject_fraction = now_us, reject_fraction
+        limits.evaluated_at_us, limits.reject_fraction = now_us, reject_fraction
         self.evaluations += 1
         demands = self.fleet_demands(now_us, 1 + len(self.peer_demands))
         granted = max_min_fair_shares(demands, self.shares, (1.0 - reject_fraction) * sum(demands))
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -15,7 +15,7 @@
     Outcome,
     ServerStatus,
 )
-from sagetrack.policy.fleet_size import sharing_gateways
+from sagetrack.policy.fleet_size import effective_gateway_count
 from sagetrack.policy.peer_observations import (
     CLOSED,
     OPEN,
@@ -195,15 +195,21 @@
 ) -> None:
     """Even in the worst partition the two sides together use no more than the planned total."""
     minority = min(unreachable, configured // 2)
-    total = (configured - minority) / sharing_gateways(configured - minority, configured) + (
-        minority / sharing_gateways(minority, configured) if minority else 0.0
+    total = (configured - minority) / effective_gateway_count(configured - minority, configured) + (
+        minority / effective_gateway_count(minority, configured) if minority else 0.0
     )
     assert total * BUDGET_MARGIN <= 1.0
 
 
 def test_uncertain_membership_leaves_the_quota_unchanged() -> None:
-    assert sharing_gateways(3, 3) == sharing_gateways(2, 3) == sharing_gateways(1, 3) == 3
-    assert sharing_gateways(7, 8) == 7 and sharing_gateways(5, 8) == 6 and sharing_gateways(4, 8) == 8
+    assert (
+        effective_gateway_count(3, 3) == effective_gateway_count(2, 3) == effective_gateway_count(1, 3) == 3
+    )
+    assert (
+        effective_gateway_count(7, 8) == 7
+        and effective_gateway_count(5, 8) == 6
+        and effective_gateway_count(4, 8) == 8
+    )
     driver = Driver(servers=3)
     driver.handle(FleetSizeChanged(1))
     assert driver.balancer.fleet.gateways == driver.balancer.settings.gateway_count
