--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -137,14 +137,14 @@
         pushed change, which reports what has just happened; a full list may contain changes that were missed.
         """
         now_us = self._context.now_us
-        since_current_us = event.unheard_us
-        if since_current_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
-            since_current_us = 0
-        elif since_current_us is None and self._listed_at_us is not None:
-            since_current_us = now_us - self._listed_at_us
+        staleness_us = event.staleness_us
+        if staleness_us is None and event.kind is ListKind.DELTA and self._settings.endpoints_are_pushed:
+            staleness_us = 0
+        elif staleness_us is None and self._listed_at_us is not None:
+            staleness_us = now_us - self._listed_at_us
         wall_us = event.wall_us or now_us
         started_at_us = self._incarnations.started_at_us(
-            entry.server, entry.started_us, now_us, wall_us, since_current_us
+            entry.server, entry.started_us, now_us, wall_us, staleness_us
         )
         return started_at_us + self._settings.warm_after_us
 
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -26,7 +26,7 @@
         self._started_at_us: OrderedDict[Incarnation, int] = OrderedDict()
 
     def started_at_us(
-        self, server: int, reported_start_us: int, now_us: int, wall_us: int, since_current_us: int | None
+        self, server: int, reported_start_us: int, now_us: int, wall_us: int, staleness_us: int | None
     ) -> int:
         """The estimated start time of an incarnation, not later than now.
 
@@ -35,13 +35,13 @@
             reported_start_us: Its start time on the clock of service discovery.
             now_us: The current time on this gateway's clock.
             wall_us: The gateway's Unix time when the reported start time was received.
-            since_current_us: Time since the previous list, which lacked this incarnation, was last known to
+            staleness_us: Time since the previous list, which lacked this incarnation, was last known to
                 be current; None if there was no previous list.
         """
         incarnation = server, reported_start_us
         started_at_us = self._started_at_us.get(incarnation)
         if started_at_us is None:
-            started_at_us = now_us - _age_us(wall_us - reported_start_us, since_current_us)
+            started_at_us = now_us - _age_us(wall_us - reported_start_us, staleness_us)
             self._started_at_us[incarnation] = started_at_us
             if len(self._started_at_us) > MAX_INCARNATIONS:
                 self._started_at_us.popitem(last=False)
@@ -50,7 +50,7 @@
         return started_at_us
 
 
-def _age_us(reported_age_us: int, since_current_us: int | None) -> int:
+def _age_us(reported_age_us: int, staleness_us: int | None) -> int:
     """The reported age, or 0 if that age is implausible.
 
     A reported start time that is too early would give a server that has just started its full load; one that
@@ -59,6 +59,6 @@
     """
     if reported_age_us < 0:
         return 0
-    if since_current_us is not None and reported_age_us > since_current_us + LISTING_LAG_US:
+    if staleness_us is not None and reported_age_us > staleness_us + LISTING_LAG_US:
         return 0
     return reported_age_us
