--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -44,7 +44,7 @@
     """The mean number of attempts in flight of all gateways, while every gateway always has work."""
     rng, share = random.Random(seed), capacity / gateways
     credits, in_flight = [ConcurrencyShare() for _ in range(gateways)], [0] * gateways
-    total_busy_us, end_us = 0.0, seconds * SECOND_US
+    total_latency_us, end_us = 0.0, seconds * SECOND_US
     events = [(rng.randrange(SECOND_US), number, False) for number in range(gateways)]
     heapq.heapify(events)
     while events and events[0][0] < end_us:
@@ -55,14 +55,14 @@
         while (wait := credit.wait_us(now_us, in_flight[number], share)) == 0 and in_flight[number] < 3:
             in_flight[number] += 1
             latency_us = int(mean_latency_us * rng.uniform(0.5, 1.5))
-            total_busy_us += latency_us
+            total_latency_us += latency_us
             heapq.heappush(events, (now_us + latency_us, number, True))
         if wait:
             heapq.heappush(events, (now_us + wait, number, False))
-    return total_busy_us / end_us
+    return total_latency_us / end_us
 
 
-def arrive_while_sent(driver: Driver, count: int) -> list[tuple[str, int]]:
+def arrive_until_not_sent(driver: Driver, count: int) -> list[tuple[str, int]]:
     """Up to `count` requests until one is not sent at once: the id and the server of each that was sent."""
     in_flight = []
     for _ in range(count):
@@ -109,7 +109,7 @@
     assert credit.wait_us(now_us + used_us, 0, 0.5) in range(1, 4)
 
 
-def test_the_boost_rises_with_prompt_answers_under_shortage_and_falls_faster_with_late_ones() -> None:
+def test_the_boost_rises_with_prompt_responses_under_shortage_and_falls_faster_with_late_ones() -> None:
     credit = ConcurrencyShare()
     credit.wait_us(0, 0, 1.0)
     credit.learn(0.0)
@@ -154,7 +154,7 @@
 def test_no_credit_is_kept_when_each_gateway_may_have_a_request_at_each_server() -> None:
     for gateway_count in (1, 2, 3):
         driver = Driver(replace(MANY_GATEWAYS, gateway_count=gateway_count), servers=4)
-        assert len(arrive_while_sent(driver, 40)) == 4 * -(-int(DEFAULT_MAX_CONCURRENCY) // gateway_count)
+        assert len(arrive_until_not_sent(driver, 40)) == 4 * -(-int(DEFAULT_MAX_CONCURRENCY) // gateway_count)
         assert driver.balancer.in_flight.timer_token == -1
 
 
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -39,14 +39,14 @@
     assert large.expected_us(0, 3.0) == pytest.approx(3 * small.expected_us(0, 1.0))
 
 
-def test_the_mean_weighs_the_initial_estimate_as_a_number_of_answers() -> None:
+def test_the_mean_weighs_the_initial_estimate_as_a_number_of_responses() -> None:
     latency = LatencyEstimator(CLASSES)
     assert latency.mean_us(0, 0.5) == INITIAL_US
     latency.learn(0, 1.0, 20_000)
     assert latency.mean_us(0, 1.0) == (INITIAL_US + 20_000) / 2
 
 
-def test_latencies_of_peers_are_adopted_within_a_bound_until_there_are_own_answers() -> None:
+def test_latencies_of_peers_are_used_within_a_bound_until_there_are_own_responses() -> None:
     latency = LatencyEstimator(CLASSES)
     latency.apply_peer_latencies(
         [ClassLatency(0, 9_000.0, 7_000.0), ClassLatency(1, 9e9, 9e9), ClassLatency(9, 1.0, 1.0)]
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -82,7 +82,7 @@
     assert alone.open_us == 500_000 and outvoted.open_us == -1 and outvoted.weight > 0.6
 
 
-def test_a_started_gateway_adopts_observations_of_servers_it_has_not_used() -> None:
+def test_a_started_gateway_uses_observations_of_servers_it_has_not_used() -> None:
     driver = Driver(servers=6)
     observations = tuple(
         Observation(n, 0, 2, START_US, OPEN if n == 3 else CLOSED, START_US + 700_000, 0.2) for n in (3, 4)
@@ -96,7 +96,7 @@
     assert servers[3].breaker.allows_request(driver.now_us)  # trials decide as after any cooldown
 
 
-def test_own_observations_outweigh_those_of_peers_which_cannot_revive_or_add_a_server() -> None:
+def test_own_observations_outweigh_those_of_peers_which_cannot_make_ready_or_add_a_server() -> None:
     driver = Driver(servers=3)
     name, actions = driver.arrive()
     server = sends(actions)[0].server
@@ -156,7 +156,7 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_a_restarted_server_is_not_judged_by_observations_from_before_the_restart() -> None:
+def test_a_restarted_server_is_not_ejected_by_observations_from_before_the_restart() -> None:
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(1, started_us=START_US))
     driver.handle(
@@ -167,7 +167,7 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_the_observations_of_one_gateway_can_be_adopted_by_another() -> None:
+def test_the_observations_of_one_gateway_can_be_applied_by_another() -> None:
     observer, receiver = Driver(servers=4), Driver(servers=4)
     for _ in range(6):
         name, actions = observer.arrive()
@@ -190,7 +190,7 @@
 
 
 @given(st.integers(1, 500), st.integers(0, 500))
-def test_the_quotas_of_both_sides_of_a_partition_stay_within_the_whole(
+def test_the_shares_of_both_sides_of_a_partition_stay_within_the_whole(
     configured: int, unreachable: int
 ) -> None:
     """Even in the worst partition the two sides together use no more than the planned total."""
@@ -201,7 +201,7 @@
     assert total * BUDGET_MARGIN <= 1.0
 
 
-def test_uncertain_membership_leaves_the_quota_unchanged() -> None:
+def test_uncertain_membership_leaves_the_share_unchanged() -> None:
     assert (
         effective_gateway_count(3, 3) == effective_gateway_count(2, 3) == effective_gateway_count(1, 3) == 3
     )
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -302,7 +302,7 @@
             )
         self.handle(ObservationsReceived(tuple(observations), (ClassLatency(0, 9_000.0, 7_000.0),)))
 
-    def rare_event(self) -> None:
+    def deliver_rare_event(self) -> None:
         """Deliver one of the events that are rare."""
         rng, choice = self.random, self.random.randrange(9)
         unanswered = [sent for sent in self.in_flight if sent[0].request in self.attempts]
@@ -338,7 +338,7 @@
             if sent in self.in_flight:
                 self.end(sent, Outcome.TIMEOUT)
 
-    def draw_event(self, slow: bool) -> None:
+    def deliver_random_event(self, slow: bool) -> None:
         """Deliver a random event."""
         draw = self.random.random()
         if draw < 0.45:
@@ -350,25 +350,25 @@
         elif draw > 0.998:
             self.list_all()
         elif draw > 0.975:
-            self.rare_event()
+            self.deliver_rare_event()
 
-    def play(self) -> list[str]:
+    def run(self) -> list[str]:
         """Play the day; return the digest of all actions so far at the end of each quarter."""
-        rng, marks = self.random, []
+        rng, digests = self.random, []
         self.list_all()
         for number in range(1, EVENTS + 1):
             slow = self.now_us < self.slow_until_us
             self.now_us += int(rng.expovariate(1 / 3000))
             self.fire_timers()
-            self.draw_event(slow)
+            self.deliver_random_event(slow)
             for sent in self.in_flight[:1]:
                 if rng.random() < 0.2:
                     self.handle(AttemptSent(sent[0].request, sent[1]))
             if number == EVENTS:
                 self.handle(ShutdownStarted(self.now_us + 100_000))
             if number % (EVENTS // QUARTERS) == 0:
-                marks.append(self.digest.hexdigest())
-        return marks
+                digests.append(self.digest.hexdigest())
+        return digests
 
 
 DIGESTS: dict[str, list[str]] = {
@@ -403,7 +403,7 @@
 @pytest.mark.parametrize("name", DAYS)
 def test_decisions_are_the_same_as_recorded(name: str, seed: int) -> None:
     day = Day(*DAYS[name], seed)
-    assert day.play() == DIGESTS[f"{name} {seed}"], "the first mark that differs tells the quarter"
+    assert day.run() == DIGESTS[f"{name} {seed}"], "the first mark that differs tells the quarter"
     # A day with hardly any actions would prove nothing.
     assert day.counts["SendAttempt"] > 500 and day.counts["Reject"] > 10 and day.counts["further"] > 20
 
@@ -411,5 +411,5 @@
 if __name__ == "__main__":
     for day_name, (day_settings, server_count) in DAYS.items():
         for day_seed in SEEDS:
-            marks = Day(day_settings, server_count, day_seed).play()
-            print(f'    "{day_name} {day_seed}": {marks},'.replace("'", '"'))
+            digests = Day(day_settings, server_count, day_seed).run()
+            print(f'    "{day_name} {day_seed}": {digests},'.replace("'", '"'))
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -11,7 +11,7 @@
 from tests.helpers import Driver, sends, trip
 
 
-def play_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
+def run_with_random_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
     """Run ten servers that fail the same share of attempts at random; return the mean share of open ones."""
     driver, rng, open_count, count = Driver(servers=10, seed=seed), random.Random(seed), 0, 3000
     for number in range(count):
@@ -64,16 +64,16 @@
     assert not driver.balancer.servers[first].breaker.allows_request(driver.now_us)
 
 
-def test_one_failed_connection_does_not_open_the_breaker_of_a_server_that_just_answered() -> None:
+def test_one_failed_connection_does_not_open_the_breaker_of_a_server_that_just_responded() -> None:
     """Guards against occasional connection failures that opened the breakers of most of the fleet."""
-    for since_answer_us, state in (
+    for since_response_us, state in (
         (FIRST_COOLDOWN_US // 2, State.CLOSED),
         (FIRST_COOLDOWN_US * 2, State.OPEN),
     ):
         driver = Driver(servers=1)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server)
-        driver.now_us += since_answer_us
+        driver.now_us += since_response_us
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.CONNECT_FAILED)
         assert driver.balancer.servers[0].breaker.state is state
@@ -144,7 +144,7 @@
     )
 
 
-def test_an_answer_over_twice_the_smoothed_latency_cuts_the_weight() -> None:
+def test_a_response_over_twice_the_smoothed_latency_cuts_the_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     name, _ = driver.arrive()
@@ -197,14 +197,14 @@
 
 def test_failures_common_to_all_servers_open_few_breakers_and_a_dead_server_is_still_found() -> None:
     """Guards against breakers that opened one by one on resets common to all, and overloaded the rest."""
-    assert sum(play_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
-    _, driver = play_failures(0.25, seed=1, dead=3)
+    assert sum(run_with_random_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
+    _, driver = run_with_random_failures(0.25, seed=1, dead=3)
     states = {number: server.breaker.state for number, server in driver.balancer.servers.items()}
     assert states[3] is not State.CLOSED
     assert sum(state is not State.CLOSED for state in states.values()) <= 2
 
 
-def test_a_server_that_never_answers_one_class_is_avoided_for_that_class_only() -> None:
+def test_a_server_that_never_responds_for_one_class_is_avoided_for_that_class_only() -> None:
     """Guards against requests of that class that waited there past their latency objective.
 
     Its answers to other classes kept the breaker of the server closed.
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -99,14 +99,14 @@
 # Servers
 
 
-class WatchedServer(Server):
+class AccessTrackingServer(Server):
     """A server that records when one of its attributes is read."""
 
     __slots__ = ()
     accessed: set[int] = set()  # noqa: RUF012 - shared by all servers
 
     def __getattribute__(self, name: str) -> object:
-        WatchedServer.accessed.add(id(self))
+        AccessTrackingServer.accessed.add(id(self))
         return super().__getattribute__(name)
 
 
@@ -123,12 +123,12 @@
 @pytest.mark.parametrize("servers", [40, 2000])
 def test_a_changed_list_entry_accesses_no_other_server(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against 7 ms for one changed entry of 9,600: the ring was sorted and all weights added again."""
-    monkeypatch.setattr(endpoints, "Server", WatchedServer)
+    monkeypatch.setattr(endpoints, "Server", AccessTrackingServer)
     driver = Driver(replace(SETTINGS, gateway_count=3, gateway_index=1), servers=servers)
     for entry in CHANGES:
-        WatchedServer.accessed.clear()
+        AccessTrackingServer.accessed.clear()
         driver.list_servers(entry, kind=ListKind.DELTA)
-        assert len(WatchedServer.accessed) <= 2, entry  # a restarted server before and after
+        assert len(AccessTrackingServer.accessed) <= 2, entry  # a restarted server before and after
 
 
 def test_a_repeated_full_list_accesses_only_changed_entries(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -252,9 +252,9 @@
     for number in range(30):
         name, actions = driver.arrive(key=number)
         (first,) = sends(actions)
-        WatchedServer.accessed.clear()
+        AccessTrackingServer.accessed.clear()
         (second,) = sends(driver.end(name, first.server, Outcome.RESET))
-        max_accessed = max(max_accessed, len(WatchedServer.accessed))
+        max_accessed = max(max_accessed, len(AccessTrackingServer.accessed))
         scopes = [(zones[send.server], groups[send.server]) for send in (first, second)]
         assert scopes[0] == scopes[1] and first.server != second.server
         driver.end(name, second.server, attempt=1)
@@ -270,7 +270,7 @@
     scope: Scope, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against 18.5 ms for a keyed request with one retry at 9,600 servers: all were examined."""
-    monkeypatch.setattr(endpoints, "Server", WatchedServer)
+    monkeypatch.setattr(endpoints, "Server", AccessTrackingServer)
     for servers in (40, 2000):
         # The servers of the scope, and the subset of the gateway.
         assert servers_accessed_by_a_retry(servers, scope) <= 10 + MIN_SUBSET + 2
@@ -280,12 +280,12 @@
 def test_a_rejection_accesses_few_servers(
     admission_settings: AdmissionSettings | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(endpoints, "Server", WatchedServer)
+    monkeypatch.setattr(endpoints, "Server", AccessTrackingServer)
     driver = Driver(replace(SETTINGS, admission=admission_settings), servers=2000)
     driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 1.0
-    WatchedServer.accessed.clear()
+    AccessTrackingServer.accessed.clear()
     _, actions = driver.arrive()
-    assert len(finals(actions)) == 1 and len(WatchedServer.accessed) <= MIN_SUBSET
+    assert len(finals(actions)) == 1 and len(AccessTrackingServer.accessed) <= MIN_SUBSET
 
 
 def test_with_all_breakers_open_the_retry_after_is_the_first_cooldown_to_end() -> None:
