--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -35,7 +35,7 @@
         self._weights = ExactSum()  # Sum of the feedback controller's weights of all servers.
         # When the last list was received. A list from disk does not count, as it may be old.
         self._listed_at_us: int | None = None
-        self._failed_polls = 0  # In a row.
+        self._failed_polls = 0  # Number of consecutive failed polls.
 
     @property
     def usable_count(self) -> int:
@@ -53,7 +53,7 @@
         return min(s.breaker.open_until_us for s in self.servers.values())
 
     def update(self, event: EndpointList) -> bool:
-        """Apply an endpoint list, or schedule another poll after a failed one; False after a failed poll."""
+        """Apply an endpoint list. If the event is a failed poll, schedule the next one and return False."""
         if event.kind is ListKind.ERROR:
             self._back_off()
             return False
@@ -97,7 +97,7 @@
     def _back_off(self) -> None:
         self._failed_polls += 1
         wait_us = float(max_poll_delay_us(self._failed_polls, self._settings.max_poll_interval_us))
-        wait_us *= self._context.random.uniform(0.5, 1.0)  # Jitter: polls of many gateways fail together.
+        wait_us *= self._context.random.uniform(0.5, 1.0)  # Jitter, as many gateways fail at the same time.
         self._context.log("endpoint list poll failed; polling again after a backoff")
         self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
 
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -21,7 +21,7 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
-OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # Peers' observations are ignored this long after an own outcome.
+OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # Peers' observations are ignored for this long after a local outcome.
 GOSSIP_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
 
 
@@ -73,7 +73,7 @@
         """Apply peers' observations to servers of which this gateway has no recent outcome.
 
         Older observations count less. Without gossip, a gateway that has just started would keep sending to a
-        failing server until its own breaker has enough outcomes.
+        slow server until its own breaker has enough outcomes.
         """
         now_us = self._context.now_us
         ready = {s.entry.server: s.entry.started_us for s in self._ranked}
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -50,13 +50,13 @@
     """The priority, latency objective, timeout and retry rules of one class of requests.
 
     Raises:
-        ValueError: A value is out of its range.
+        ValueError: A value is out of range.
     """
 
     latency_objective_us: int  # A response within this time earns the full priority weight.
     request_timeout_us: int  # The client's timeout, over all of the client's own retries.
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # Fraction of the weight earned after the objective.
+    late_priority_weight: float = 0.0  # Fraction of the weight earned by later responses.
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL  # Used if the effect is KEYED.
     # Used if the effect is KEYED: how long servers deduplicate, counted from when the first attempt is sent.
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Costs that are subtracted from the operator's score, in points; none is negative.
+    """Prices of resources and failures, in points of the operator's score; none is negative.
 
     Raises:
         ValueError: A price is below 0 or not finite.
@@ -157,7 +157,7 @@
     zone: int = 0  # Zone of this gateway.
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority: float = 1.0  # Factor of the priority weight of requests over quota.
+    over_quota_priority: float = 1.0  # Factor applied to the weight of requests over quota.
     clients_mark_retries: bool = False  # Clients flag requests that are their own retries.
     grpc_kinds: frozenset[int] = frozenset()  # Values of `ListedServer.kind` that denote gRPC servers.
     max_attempts: int = 3  # Maximum attempts per request.
@@ -179,8 +179,8 @@
     max_retry_after_us: int = 1_000_000  # Longest Retry-After that may be sent to a client.
     start_capacity: float = 1.0  # Fraction of full capacity that a server has when it starts.
     warm_after_us: int = 0  # A server reaches full capacity this long after its start.
-    # A warming-up server is overloaded by more than `overload_multiple` times its current capacity
-    # for `overload_window_us`.
+    # A server that is warming up is overloaded if it is sent more than `overload_multiple` times its current
+    # capacity for `overload_window_us`.
     overload_multiple: float = 1.0
     overload_window_us: int = 1_000_000
     rejection_may_have_run: bool = False  # An attempt with Outcome.REJECTED may have been executed.
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -37,7 +37,7 @@
     entry: ListedServer
     feedback_weight: float  # Read and set through the property `weight`.
     rank: float  # Position in the ring: a hash that is the same at every gateway.
-    zone_factor: float  # Weight factor: 1 in this gateway's zone, less in others if cross-zone has a price.
+    zone_factor: float  # Factor of the weight: 1 in this gateway's zone, at most 1 in others.
     warm_at_us: int  # When the warm-up ends at the latest, on this gateway's clock.
     breaker: Breaker = field(default_factory=Breaker)
     health_by_class: dict[int, ClassHealth] = field(default_factory=dict)
@@ -72,7 +72,7 @@
 
     server: Server
     sent_at_us: int
-    half_open_period: int  # What the server's Breaker.take_trial returned: 0 if the attempt is no trial.
+    half_open_period: int  # Result of Breaker.take_trial of the server: 0 if the attempt is no trial.
     class_half_open_period: int  # The same for the breaker of the request's class at the server.
     ended: bool = False
     may_have_run: bool = True
@@ -90,7 +90,7 @@
     objective_at_us: int  # When the latency objective is missed.
     relative_work: float  # Expected work divided by the mean of the class.
     is_first_try: bool  # False for a retry by the client.
-    quota_excess: float  # Fraction of its tenant's recent requests over quota: see TenantQuota.
+    quota_excess: float  # Result of TenantQuota.count_request.
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0  # Number of attempts in flight.
     finished: bool = False  # The final response was sent, or the client has cancelled.
--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -1,4 +1,4 @@
-"""The concurrency share of a gateway: all gateways together keep the total without exchanging messages."""
+"""The concurrency share: all gateways together stay within the total without communication."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 def mean_in_flight(
     gateways: int, capacity: float, mean_latency_us: int, seed: int, seconds: int = 60
 ) -> float:
-    """The mean number of attempts in flight of all gateways, while every gateway always has work."""
+    """The mean number of attempts in flight at all gateways while every gateway always has requests."""
     rng, share = random.Random(seed), capacity / gateways
     credits, in_flight = [ConcurrencyShare() for _ in range(gateways)], [0] * gateways
     total_latency_us, end_us = 0.0, seconds * SECOND_US
@@ -63,7 +63,7 @@
 
 
 def arrive_until_not_sent(driver: Driver, count: int) -> list[tuple[str, int]]:
-    """Up to `count` requests until one is not sent at once: the id and the server of each that was sent."""
+    """Let up to `count` requests arrive until one is not sent at once; return the ids and servers."""
     in_flight = []
     for _ in range(count):
         name, actions = driver.arrive()
@@ -86,7 +86,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_a_wait_for_credit_is_bounded_after_any_history(history: list[tuple[int, int]], share: float) -> None:
-    """Debt from attempts that hung is capped: no gateway has to stay silent for longer than the cap."""
+    """Debt from hanging attempts is capped, so that a gateway is never blocked for longer than the cap."""
     credit, now_us, in_flight = ConcurrencyShare(), 0, 0
     credit.wait_us(now_us, 0, share)
     for passed_us, next_in_flight in history:
@@ -99,13 +99,16 @@
 
 
 def test_an_idle_gateway_saves_little_credit() -> None:
-    """After an hour without traffic a gateway may send little beyond its share, or all would burst."""
+    """After an hour without traffic, a gateway may send only slightly more than its share.
+
+    Otherwise all gateways could burst at the same time.
+    """
     credit = ConcurrencyShare()
     credit.wait_us(0, 0, 0.5)
     now_us = 3600 * SECOND_US
     assert credit.wait_us(now_us, 0, 0.5) == 0
-    used_us = int(MAX_SAVED_US) + 2  # with one in flight, half of the credit it uses is earned again
-    assert credit.wait_us(now_us + used_us, 1, 0.5) is None  # one in flight is more than its share
+    used_us = int(MAX_SAVED_US) + 2  # Half of the credit used by one attempt is earned back.
+    assert credit.wait_us(now_us + used_us, 1, 0.5) is None  # One attempt in flight exceeds the share.
     assert credit.wait_us(now_us + used_us, 0, 0.5) in range(1, 4)
 
 
@@ -113,13 +116,13 @@
     credit = ConcurrencyShare()
     credit.wait_us(0, 0, 1.0)
     credit.learn(0.0)
-    assert credit.boost == 1.0  # it was not short
+    assert credit.boost == 1.0  # The share was not exhausted.
     for _ in range(20):
         assert credit.wait_us(0, 99, 1.0) is None
         credit.learn(0.5)
     boosted = credit.boost
     assert boosted == pytest.approx(1.0 + 20 * BOOST_STEP)
-    credit.learn(1.5)  # queued, but not late
+    credit.learn(1.5)  # It queued, but it is not late.
     assert credit.boost == boosted
     credit.learn(2.5)
     assert credit.boost == pytest.approx(boosted * BOOST_CUT)
@@ -133,7 +136,7 @@
 
 
 def test_a_request_without_credit_waits_for_a_timer_and_is_then_sent() -> None:
-    driver = Driver(MANY_GATEWAYS, servers=4)  # a share of 0.85 * 3 * 4 / 20 = 0.51
+    driver = Driver(MANY_GATEWAYS, servers=4)  # The share is 0.85 * 3 * 4 / 20 = 0.51.
     first, actions = driver.arrive()
     (send,) = sends(actions)
     driver.now_us += 200_000
@@ -159,7 +162,7 @@
 
 
 def test_the_share_follows_the_number_of_live_gateways_and_of_processes() -> None:
-    """Without membership the configured number counts; the share grows only as far as its margin allows."""
+    """Without membership the configured number is used; the share grows only within its margin."""
 
     def wait_us(*events: FleetSizeChanged | ProcessCountChanged) -> int:
         driver = Driver(replace(MANY_GATEWAYS, gateway_count=40), servers=8)
@@ -199,11 +202,11 @@
     ]
     failing = driver.balancer.ring.ranked[0].entry
     driver.list_servers(*(s.entry for s in driver.balancer.ring.ranked[1:]), replace(failing, started_us=1))
-    assert not driver.balancer.endpoints.tripped  # the restarted server has a new breaker
+    assert not driver.balancer.endpoints.tripped  # The restarted server has a new breaker.
 
 
 def test_draining_servers_with_open_breakers_do_not_lower_the_share() -> None:
-    """Guards against a share of zero after a release, when as many servers are draining as are ready."""
+    """Guards against a share of zero after a rollout, when as many servers are draining as are ready."""
     driver = Driver(MANY_GATEWAYS, servers=4)
     for server in driver.balancer.servers.values():
         trip(server.breaker, driver.now_us)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -29,7 +29,8 @@
 def test_the_endpoint_list_is_requested_and_requested_again_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, endpoints_are_pushed=False), servers=0)
     (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
-    assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all gateways at once
+    # The delay is random, so that gateways that start together do not poll together.
+    assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
     for _ in range(8):
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -1,4 +1,4 @@
-"""Observations of peers: how they merge and how much they count; quotas of a fleet that shrinks."""
+"""Merging and weighing peers' observations, and the shares of gateways when some of them are lost."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
     assert driver.balancer.latency.smoothed_us[0] == 9_000.0
     driver.now_us += FIRST_COOLDOWN_US
-    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide as after any cooldown
+    assert servers[3].breaker.allows_request(driver.now_us)  # Trials decide, as after any cooldown.
 
 
 def test_own_observations_outweigh_those_of_peers_which_cannot_make_ready_or_add_a_server() -> None:
@@ -186,14 +186,14 @@
         assert receiver.balancer.servers[observation.server].weight == pytest.approx(observation.weight)
 
 
-# Quotas
+# Shares of gateways
 
 
 @given(st.integers(1, 500), st.integers(0, 500))
 def test_the_shares_of_both_sides_of_a_partition_stay_within_the_whole(
     configured: int, unreachable: int
 ) -> None:
-    """Even in the worst partition the two sides together use no more than the planned total."""
+    """In any partition, both sides together use no more than the planned total."""
     minority = min(unreachable, configured // 2)
     total = (configured - minority) / effective_gateway_count(configured - minority, configured) + (
         minority / effective_gateway_count(minority, configured) if minority else 0.0
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,15 +1,15 @@
-"""Replays: the load balancer decides as it did at commit 9fea688, action by action.
+"""Replay tests: the load balancer makes the same decisions as at commit 9fea688, action by action.
 
-A day is a seeded sequence of endpoint lists, requests, outcomes, timers, server failures and observations of
-peers for one load balancer. Its actions are digested as numbers and identifiers in a fixed order, which
-`digest_form` defines, so that renaming a class or a field changes no digest. The events follow from the
-balancer's own actions: after the first action that differs everything differs, and the digest at the end of
-each quarter of a day shows in which quarter that was.
+A day is a seeded sequence of endpoint lists, requests, outcomes, timers, server failures and peer
+observations for one load balancer. Its actions are hashed as the numbers and identifiers that `digest_form`
+returns, so that renaming a class or a field changes no digest. The events depend on the balancer's actions,
+so after the first action that differs everything differs. The digest at the end of each quarter of a day
+shows in which quarter that was.
 
-No day has a failed request to discovery, a list from disk or more than three gateways: decisions about
-those may change on purpose. Where another decision is changed on purpose, say so in the commit and print new
-digests with `python -m tests.test_replay`. For the digests of an older commit, copy this file into a worktree
-of that commit and run it there.
+No day contains a failed poll of discovery, a list from disk or more than three gateways, because decisions
+about those may change on purpose. If any other decision is changed on purpose, say so in the commit and print
+new digests with `python -m tests.test_replay`. For the digests of an older commit, copy this file into a
+worktree of that commit and run it there.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 from sagetrack.policy.settings import Effect, Goal, Prices, RequestClass, Scope, Settings, Tenant
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
-EVENTS = 6000  # per day
+EVENTS = 6000  # Per day.
 QUARTERS = 4
 ZONE_KEYED = replace(KEYED, scope=Scope.ZONE, window_us=500_000)
 ALL_KEYED = replace(KEYED, scope=Scope.ALL, window_us=500_000)
@@ -85,7 +85,7 @@
     warm_keys=True,
 )
 WITH_ADMISSION_CONTROL = replace(WARMING_UP, admission=AdmissionSettings(), clients_mark_retries=True)
-DAYS: dict[str, tuple[Settings, int]] = {  # settings, servers
+DAYS: dict[str, tuple[Settings, int]] = {  # Settings and number of servers.
     "plain": (PLAIN, 12),
     "keyed": (
         replace(PLAIN, classes=(CLASSES[1], ZONE_KEYED, ALL_KEYED), gateway_count=3, gateway_index=1),
@@ -108,12 +108,12 @@
     RejectReason.QUEUE,
     RejectReason.ATTEMPTS_FAILED,
     RejectReason.OTHER,
-)  # digested by position: never reorder
-LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # the values in a log line, without its wording
+)  # Hashed by position: never reorder.
+LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # Values in a log line, without its wording.
 
 
 def digest_form(action: Action) -> tuple[object, ...]:
-    """Return an action as the number of its kind and its values in a fixed order, all of plain types."""
+    """Return an action as a type number and its values in a fixed order, all of built-in types."""
     if isinstance(action, SendAttempt):
         return 1, action.request, action.server, action.timeout_us, action.begin_by_us
     if isinstance(action, Reject):
@@ -128,11 +128,11 @@
         return 6, action.on
     if isinstance(action, Log):
         return 7, action.server, *LOG_VALUES.findall(action.line)
-    raise AssertionError(f"a day has never had such an action: {action!r}")
+    raise AssertionError(f"no digest form is defined for the action {action!r}")
 
 
 class Day:
-    """Events for one load balancer, which follow from a seed and from its actions."""
+    """Generates events for one load balancer from a seed and from the balancer's actions."""
 
     def __init__(self, settings: Settings, servers: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -143,16 +143,16 @@
         self.server_count = servers
         self.next_server = 0
         self.next_request = 0
-        self.in_flight: list[tuple[SendAttempt, int, int]] = []  # attempt, its number, when it was sent
-        self.attempts: dict[str, int] = {}  # by request, until its final answer
+        self.in_flight: list[tuple[SendAttempt, int, int]] = []  # Attempt, its number and send time.
+        self.attempts: dict[str, int] = {}  # Attempts so far by request, until its final response.
         self.timers: list[tuple[int, int]] = []
         self.slow_until_us = 0
-        self.failing: set[int] = set()  # servers that fail often
+        self.failing: set[int] = set()  # Servers with a high failure rate.
         self.digest = hashlib.blake2b(digest_size=8)
         self.counts: dict[str, int] = {}
 
     def handle(self, event: Event) -> None:
-        """Give the balancer an event; digest its actions and keep what follows from them."""
+        """Pass an event to the balancer, hash its actions and update the state that depends on them."""
         for action in self.balancer.handle(self.now_us, event):
             self.digest.update(repr(digest_form(action)).encode())
             name = type(action).__name__
@@ -235,7 +235,7 @@
         """Return a random list entry of a server."""
         rng = self.random
         is_warming_up = self.settings.warm_after_us and rng.random() < 0.5
-        # Zero is long ago; a random number is drawn in both cases.
+        # Zero means long ago. A random number is drawn in both cases, so that the sequence stays the same.
         started_us = self.now_us - rng.randrange(2_000_000) if is_warming_up else 0 * rng.randrange(2)
         return ListedServer(
             number,
@@ -247,14 +247,14 @@
         )
 
     def list_all(self) -> None:
-        """Deliver a full list, filled up with new servers."""
+        """Deliver a full list, after adding new servers up to the configured number."""
         while len(self.entries) < self.server_count:
             self.entries[self.next_server] = self.make_entry(self.next_server)
             self.next_server += 1
         self.handle(EndpointList(ListKind.FULL, tuple(self.entries.values())))
 
     def change_list(self) -> None:
-        """Change one to three entries: restart, other zone or weight, draining, gone, ready again or new."""
+        """Change one to three entries: restart, new zone or weight, draining, gone, ready again or new."""
         rng, changed = self.random, []
         for _ in range(rng.randrange(1, 4)):
             choice = rng.randrange(6)
@@ -268,7 +268,7 @@
             if choice == 3:
                 entry = replace(self.entries[number], status=ServerStatus.DRAINING)
             elif choice == 4 and len(self.entries) > 3:
-                entry = ListedServer(number, ServerStatus.GONE)  # an entry that is gone has no other fields
+                entry = ListedServer(number, ServerStatus.GONE)  # Such an entry has no other fields.
             elif choice == 5:
                 entry = replace(self.entries[number], status=ServerStatus.READY)
             if entry.status is ServerStatus.GONE:
@@ -277,11 +277,11 @@
                 self.entries[number] = entry
             changed.append(entry)
         if rng.random() < 0.1:
-            changed.append(ListedServer(10_000, ServerStatus.GONE))  # was never listed
+            changed.append(ListedServer(10_000, ServerStatus.GONE))  # It was never listed.
         self.handle(EndpointList(ListKind.DELTA, tuple(changed)))
 
     def receive_observations(self) -> None:
-        """Deliver observations of up to five servers by peers."""
+        """Deliver peers' observations of up to five servers."""
         rng, observations = self.random, []
         for number in rng.sample(list(self.entries), min(5, len(self.entries))):
             state = OPEN if rng.random() < 0.4 else CLOSED
@@ -303,7 +303,7 @@
         self.handle(ObservationsReceived(tuple(observations), (ClassLatency(0, 9_000.0, 7_000.0),)))
 
     def deliver_rare_event(self) -> None:
-        """Deliver one of the events that are rare."""
+        """Deliver a random event of a rare type."""
         rng, choice = self.random, self.random.randrange(9)
         unanswered = [sent for sent in self.in_flight if sent[0].request in self.attempts]
         if choice == 0 and self.attempts:
@@ -331,7 +331,7 @@
             self.handle(TrafficShift({0: (0.5, 1.5)}, {1: (1.0, 0.0)}))
 
     def fire_timers(self) -> None:
-        """Fire the timers that are due, and time out attempts."""
+        """Fire due timers and time out attempts."""
         while self.timers and self.timers[0][0] <= self.now_us:
             self.handle(TimerFired(heapq.heappop(self.timers)[1]))
         for sent in [s for s in self.in_flight if s[2] + s[0].timeout_us <= self.now_us]:
@@ -339,7 +339,7 @@
                 self.end(sent, Outcome.TIMEOUT)
 
     def deliver_random_event(self, slow: bool) -> None:
-        """Deliver a random event."""
+        """Deliver a random event of a common type, or sometimes of a rare one."""
         draw = self.random.random()
         if draw < 0.45:
             self.arrive()
@@ -353,7 +353,7 @@
             self.deliver_rare_event()
 
     def run(self) -> list[str]:
-        """Play the day; return the digest of all actions so far at the end of each quarter."""
+        """Run the day; return the digest of all actions so far at the end of each quarter."""
         rng, digests = self.random, []
         self.list_all()
         for number in range(1, EVENTS + 1):
@@ -403,7 +403,7 @@
 @pytest.mark.parametrize("name", DAYS)
 def test_decisions_are_the_same_as_recorded(name: str, seed: int) -> None:
     day = Day(*DAYS[name], seed)
-    assert day.run() == DIGESTS[f"{name} {seed}"], "the first mark that differs tells the quarter"
+    assert day.run() == DIGESTS[f"{name} {seed}"], "the first digest that differs shows the quarter"
     # A day with hardly any actions would prove nothing.
     assert day.counts["SendAttempt"] > 500 and day.counts["Reject"] > 10 and day.counts["further"] > 20
 
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -1,4 +1,4 @@
-"""Server health: how outcomes move the breakers and weights of a server and of a class there."""
+"""Server health: how outcomes change the breakers and weights of servers and of classes at servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_with_random_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
-    """Run ten servers that fail the same share of attempts at random; return the mean share of open ones."""
+    """Run ten servers that randomly fail a share of attempts; return the mean share of open breakers."""
     driver, rng, open_count, count = Driver(servers=10, seed=seed), random.Random(seed), 0, 3000
     for number in range(count):
         driver.now_us += 3_000
@@ -29,7 +29,7 @@
 
 
 def test_a_server_that_rejects_one_class_stays_in_use_for_the_others() -> None:
-    """Guards against opening the breakers of half the fleet because those servers reject one class."""
+    """Guards against opening the breakers of half of the servers because they reject one class."""
     driver = Driver(servers=2)
     name, actions = driver.arrive(class_index=2)
     rejecting = sends(actions)[0].server
@@ -56,7 +56,7 @@
 
 
 def test_one_failed_connection_opens_the_breaker() -> None:
-    """Guards against five connection attempts of every gateway to a server whose connection table is full."""
+    """Guards against five connection attempts by each gateway to a server whose connection table is full."""
     driver = Driver()
     name, actions = driver.arrive()
     first = sends(actions)[0].server
@@ -65,7 +65,7 @@
 
 
 def test_one_failed_connection_does_not_open_the_breaker_of_a_server_that_just_responded() -> None:
-    """Guards against occasional connection failures that opened the breakers of most of the fleet."""
+    """Guards against occasional connection failures opening the breakers of most servers."""
     for since_response_us, state in (
         (FIRST_COOLDOWN_US // 2, State.CLOSED),
         (FIRST_COOLDOWN_US * 2, State.OPEN),
@@ -81,13 +81,13 @@
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, outcome)
-    assert driver.balancer.servers[0].breaker.state is State.OPEN  # the second in a row
+    assert driver.balancer.servers[0].breaker.state is State.OPEN  # The second failure in a row.
 
 
 def test_a_timeout_shorter_than_the_usual_latency_does_not_count_as_a_failure() -> None:
     driver = Driver(servers=1)
     for _ in range(MIN_OUTCOMES_TO_OPEN * 3):
-        # As if clients gave every attempt a different timeout.
+        # Simulates clients that give every attempt a different timeout.
         driver.balancer.client_timeouts.estimate(0, 0).usual_fraction = 0.0
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
@@ -98,13 +98,13 @@
 
 
 def test_outcomes_after_the_breaker_opened_do_not_lower_the_weight() -> None:
-    """Guards against late outcomes and failed trials that lowered the weight of a recovering server."""
+    """Guards against late outcomes and failed trials lowering the weight of a recovering server."""
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     names = [driver.arrive(class_index=2)[0] for _ in range(2)]
     trip(server.breaker, driver.now_us)
     weight = server.weight
-    driver.end(names[0], 0, Outcome.ERROR)  # sent before the breaker opened
+    driver.end(names[0], 0, Outcome.ERROR)  # Sent before the breaker opened.
     assert server.weight == weight
     driver.now_us = server.breaker.open_until_us
     driver.end(names[1], 0, Outcome.ERROR)
@@ -137,7 +137,7 @@
     driver.end(name, 0, Outcome.RESET)
     assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(class_index=2)
-    driver.end(name, 0, Outcome.ERROR)  # the other class's last answer was a success: only this class counts
+    driver.end(name, 0, Outcome.ERROR)  # The other class succeeded last, so only this class is affected.
     assert (
         server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
         and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
@@ -182,7 +182,7 @@
 
 
 def test_a_trial_that_fails_to_connect_reopens_the_breaker_at_once_for_longer() -> None:
-    """Guards against two more requests to a full connection table at the end of every cooldown."""
+    """Guards against two more requests to a server with a full connection table after every cooldown."""
     driver = Driver(servers=1)
     name, _ = driver.arrive()
     driver.end(name, 0, Outcome.CONNECT_FAILED)
@@ -196,7 +196,7 @@
 
 
 def test_failures_common_to_all_servers_open_few_breakers_and_a_dead_server_is_still_found() -> None:
-    """Guards against breakers that opened one by one on resets common to all, and overloaded the rest."""
+    """Guards against resets at all servers opening breakers one by one, which overloads the other servers."""
     assert sum(run_with_random_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
     _, driver = run_with_random_failures(0.25, seed=1, dead=3)
     states = {number: server.breaker.state for number, server in driver.balancer.servers.items()}
@@ -205,9 +205,9 @@
 
 
 def test_a_server_that_never_responds_for_one_class_is_avoided_for_that_class_only() -> None:
-    """Guards against requests of that class that waited there past their latency objective.
+    """Guards against requests of that class that waited at the server until past their latency objective.
 
-    Its answers to other classes kept the breaker of the server closed.
+    Its responses to other classes kept the breaker of the server closed.
     """
     driver = Driver(servers=3)
     timeouts = 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Invalid settings and classes are rejected with the name of the field."""
+"""Invalid settings and classes are rejected with an error that names the field."""
 
 from __future__ import annotations
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget for sending to servers that are warming up."""
+"""Slow start: the budget of work that may be sent to servers that are warming up."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def warming_up_driver(gateway_count: int) -> Driver:
-    """A driver with 25 servers that have just started, for classes with a long latency objective."""
+    """A driver with 25 servers that have just started and one class with a long latency objective."""
     settings = replace(
         SETTINGS,
         gateway_count=gateway_count,
@@ -46,8 +46,8 @@
 
 
 def test_all_gateways_together_keep_a_warming_up_server_within_its_budget() -> None:
-    """Guards against forty gateways that each send their first request as soon as a server is listed."""
-    work_us = [0.0] * 20  # by windows of half a second
+    """Guards against forty gateways sending their first request as soon as a server is listed."""
+    work_us = [0.0] * 20  # By window of half a second.
     for gateway_index in range(40):
         driver = Driver(replace(WARMING_UP, gateway_index=gateway_index), servers=0, seed=gateway_index)
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
@@ -63,7 +63,7 @@
 
 
 def test_a_warming_up_server_far_outside_the_subset_is_not_used() -> None:
-    """Guards against many gateways that avoid failing servers and all meet at the same warming-up one."""
+    """Guards against many gateways moving from failing servers to the same server that is warming up."""
     driver = Driver(replace(WARMING_UP, gateway_count=300), servers=60)
     last_in_rank = driver.balancer.ring.ranked[-1].entry.server
     for server in driver.balancer.ring.ranked[:-1]:
@@ -73,14 +73,14 @@
 
 
 def test_learned_latency_speeds_up_a_small_slow_start_budget() -> None:
-    """Answers correct the first guess of the cost, which is too high where the latency objective is long."""
+    """Responses correct the initial cost estimate, which is too high if the latency objective is long."""
     driver = warming_up_driver(200)
     server = driver.balancer.ring.ranked[0]
     name, _ = driver.arrive(client_timeout_us=8 * SECOND_US)
     request = next(iter(driver.balancer.requests), None)
     assert request is not None
     drained_us, cost_us = driver.balancer.slow_start.budget_terms(driver.now_us, server, request)
-    assert cost_us == MAX_COST * SECOND_US  # a quarter of the latency objective
+    assert cost_us == MAX_COST * SECOND_US  # The initial estimate is a quarter of the objective.
     driver.balancer.latency.response_counts[0], driver.balancer.latency.latency_sums_us[0] = (
         5,
         500_000.0,
@@ -89,7 +89,7 @@
         driver.now_us, server, request
     )
     assert cost_after_learning_us == cost_us and drained_after_learning_us > 4 * drained_us
-    assert drained_after_learning_us <= cost_us  # at most one request in a window
+    assert drained_after_learning_us <= cost_us  # At most one request per window.
 
 
 def test_learned_latency_does_not_change_a_budget_that_holds_a_request() -> None:
@@ -119,7 +119,7 @@
 
 
 def test_draining_servers_take_no_place_in_the_subset_from_new_ones() -> None:
-    """Guards against few usable servers after a release, when draining servers kept their places."""
+    """Guards against too few usable servers after a rollout, when draining servers kept their positions."""
     driver = Driver(
         replace(SETTINGS, gateway_count=14, warm_after_us=60_000_000, start_capacity=0.9), servers=0
     )
@@ -137,11 +137,11 @@
     assert len(used) >= MIN_SUBSET
 
 
-# The budget by itself
+# SlowStart without a load balancer
 
 
 def make_slow_start(gateways: int = 1) -> tuple[SlowStart, FleetSize, SubsetSize, Server, Request]:
-    """The slow start of one gateway, with one server that has just started and a request for it."""
+    """SlowStart of one gateway and what it depends on, with one new server and a request."""
     settings = replace(
         SETTINGS,
         gateway_count=gateways,
@@ -173,7 +173,7 @@
         slow_start.charge(0, server, request)
         sent += 1
     assert sent == int(drained_us / cost_us)
-    assert slow_start.has_budget(SECOND_US, server, request)  # all of it has drained
+    assert slow_start.has_budget(SECOND_US, server, request)  # The bucket has drained completely.
     assert server.slow_start_used_us == 0.0
 
 
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -1,4 +1,4 @@
-"""Work counts: the cost of a request or a changed entry must not grow with unrelated tenants or servers."""
+"""Operation counts: the cost of a request or list change does not grow with unrelated tenants or servers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class CountingFloat(float):
-    """A number that counts the arithmetic done with it and with its results."""
+    """A float that counts the arithmetic operations on itself and on their results."""
 
     operations = 0
 
@@ -55,7 +55,7 @@
 
 
 def arithmetic_steps_with_tenants(count: int) -> int:
-    """Arithmetic operations on the shares of tenants that 20 requests of 5 tenants cost."""
+    """The number of arithmetic operations on tenant shares for 20 requests of 5 tenants."""
     shares = (Tenant(CountingFloat(1.0 / count)) for _ in range(count))
     driver = Driver(replace(SETTINGS, tenants=tuple(shares), over_quota_priority=0.5), servers=9)
     CountingFloat.operations = 0
@@ -67,14 +67,14 @@
 
 
 def test_a_request_costs_the_same_with_few_and_many_tenants() -> None:
-    """Guards against 3.7 ms per decision with 39,000 tenants: each request decayed the sums of all."""
+    """Guards against 3.7 ms per decision with 39,000 tenants, when each request decayed the sums of all."""
     few, many = arithmetic_steps_with_tenants(10), arithmetic_steps_with_tenants(3900)
     assert few == many <= 20 * 10
 
 
 @pytest.mark.parametrize("tenants", [1, 5, 400])
 def test_lazily_decayed_sums_equal_sums_that_decay_with_each_request(tenants: int) -> None:
-    """Also if a tenant is idle for so long that its sum decays to zero."""
+    """Also holds if a tenant is idle for so long that its sum decays to zero."""
     rng = random.Random(tenants)
     shares = [rng.random() / tenants for _ in range(tenants)]
     eager = [share / (1.0 - TENANT_DECAY) for share in shares]
@@ -92,7 +92,7 @@
         assert 1.0 - EXCESS_THRESHOLD * shares[tenant] * lazy.total / decayed_sum == pytest.approx(
             expected_excess, rel=1e-9
         )
-    # Below that the product stops at the smallest float, while a power goes on to zero.
+    # Below 1e-300 repeated multiplication stops at the smallest float, while a power reaches zero.
     assert all(lazy[n] == pytest.approx(eager[n], rel=1e-9, abs=1e-300) for n in range(len(lazy)))
 
 
@@ -114,25 +114,26 @@
     ListedServer(3, weight=2.0),
     ListedServer(4, ServerStatus.DRAINING),
     ListedServer(4),
-    ListedServer(5, started_us=7),  # restarted
+    ListedServer(5, started_us=7),  # Restarted.
     ListedServer(6, ServerStatus.GONE),
-    ListedServer(999_999),  # new
+    ListedServer(999_999),  # New.
 )
 
 
 @pytest.mark.parametrize("servers", [40, 2000])
 def test_a_changed_list_entry_accesses_no_other_server(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against 7 ms for one changed entry of 9,600: the ring was sorted and all weights added again."""
+    """Guards against 7 ms per changed entry of 9,600: the ring was sorted and all weights were summed."""
     monkeypatch.setattr(endpoints, "Server", AccessTrackingServer)
     driver = Driver(replace(SETTINGS, gateway_count=3, gateway_index=1), servers=servers)
     for entry in CHANGES:
         AccessTrackingServer.accessed.clear()
         driver.list_servers(entry, kind=ListKind.DELTA)
-        assert len(AccessTrackingServer.accessed) <= 2, entry  # a restarted server before and after
+        # A restart accesses the old and the new incarnation of the server.
+        assert len(AccessTrackingServer.accessed) <= 2, entry
 
 
 def test_a_repeated_full_list_accesses_only_changed_entries(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A discovery service that is polled for its full list mostly returns the same list."""
+    """Service discovery that is polled for full lists mostly returns the same list."""
     driver = Driver(servers=300)
     entries = [server.entry for server in driver.balancer.servers.values()]
     accessed: list[int] = []
@@ -170,7 +171,7 @@
     ring.change(positions)
     CountingRank.comparisons = 0
     ring.change({**positions, 7: RingPosition(positions[7].rank, "restarted"), 8: None})
-    assert CountingRank.comparisons <= 2 * 11  # a binary search halves 2000 entries 11 times
+    assert CountingRank.comparisons <= 2 * 11  # A binary search halves 2000 entries 11 times.
 
 
 @pytest.mark.parametrize(
@@ -221,7 +222,7 @@
 
 
 def test_a_new_server_starts_with_the_mean_weight_of_the_listed_ones() -> None:
-    """Also while servers that are added, removed and restarted change their weights."""
+    """Also holds while servers are added, removed and restarted and change their weights."""
     driver = Driver(servers=40)
     rng = random.Random(5)
     for step in range(400):
@@ -230,7 +231,7 @@
         if number in servers and rng.random() < 0.5:
             removed = servers[number]
             driver.list_servers(ListedServer(number, ServerStatus.GONE), kind=ListKind.DELTA)
-            removed.weight = 0.05  # an attempt that is still in flight fails
+            removed.weight = 0.05  # An attempt that is still in flight fails.
         others = [server.weight for n, server in servers.items() if n != number]
         driver.list_servers(ListedServer(number, started_us=step + 1), kind=ListKind.DELTA)
         assert servers[number].weight == pytest.approx(sum(others) / len(others), rel=1e-12)
@@ -241,7 +242,7 @@
 
 
 def servers_accessed_by_a_retry(servers: int, scope: Scope) -> int:
-    """The most servers that the retry of a keyed request accesses, where a scope has 10 servers."""
+    """The largest number of servers that a retry of a keyed request accesses, with 10 servers per scope."""
     keyed_class = replace(KEYED, scope=scope, window_us=500_000)
     driver = Driver(replace(SETTINGS, classes=(keyed_class,), tenants=()), servers=0)
     scope_count = servers // 10
@@ -269,10 +270,10 @@
 def test_a_keyed_retry_accesses_no_more_servers_than_its_scope_and_the_subset_have(
     scope: Scope, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against 18.5 ms for a keyed request with one retry at 9,600 servers: all were examined."""
+    """Guards against 18.5 ms for a keyed request with one retry among 9,600 servers, all of them examined."""
     monkeypatch.setattr(endpoints, "Server", AccessTrackingServer)
     for servers in (40, 2000):
-        # The servers of the scope, and the subset of the gateway.
+        # The servers of the scope and those of the gateway's subset.
         assert servers_accessed_by_a_retry(servers, scope) <= 10 + MIN_SUBSET + 2
 
 
@@ -297,13 +298,13 @@
     assert finals(actions) == [Reject("r1", 40_000)]
 
 
-# The endpoint list that is handed over in a hot restart
+# The endpoint list file that is handed over in a hot restart
 
 REGISTRY = ("127.0.0.1", 9)
 
 
 def make_discovery_client(hot_restart: HotRestart) -> DiscoveryClient:
-    """A client whose changes go to the endpoint list file, and whose registry is unreachable."""
+    """A discovery client that writes changes to the endpoint list file and whose registry is unreachable."""
 
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
@@ -336,7 +337,7 @@
 def receive_changes(
     discovery: DiscoveryClient, version: int, *entries: dict[str, object], is_full: bool = False
 ) -> None:
-    """Let the client take in changed entries, or a full list."""
+    """Pass changed entries or a full list to the client."""
     discovery.version = version
     discovery.record_changes({"endpoints": list(entries)}, is_full)
 
@@ -350,7 +351,7 @@
     discovery = make_discovery_client(hot_restart)
     first = [endpoint(f"s-{n}", f"127.0.0.1:{n + 1}") for n in range(500)]
     receive_changes(discovery, 1, *first, is_full=True)
-    assert (writes.lists, writes.entries) == (1, 500)  # the first change is written at once
+    assert (writes.lists, writes.entries) == (1, 500)  # The first change is written at once.
     for n in range(200):
         receive_changes(discovery, 2 + n, endpoint(f"s-{n % 50}", "127.0.0.1:9", status="DRAINING"))
     receive_changes(discovery, 202, endpoint("s-499", "127.0.0.1:9", status="DELETED"))
@@ -358,7 +359,7 @@
     receive_changes(discovery, 204, endpoint("s-new", "127.0.0.1:8", status="DELETED"))
     assert (writes.lists, writes.entries) == (1, 500)
     hot_restart.release()
-    assert (writes.lists, writes.entries) == (2, 551)  # and the last ones at the latest on exit
+    assert (writes.lists, writes.entries) == (2, 551)  # The last changes are written on exit at the latest.
     draining = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     expected = endpoint_list(204, *draining, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
     assert hot_restart.endpoint_list.select_newest(REGISTRY, {}) == expected
@@ -386,7 +387,7 @@
     hot_restart, successor = HotRestart(str(tmp_path)), HotRestart(str(tmp_path))
     discovery = make_discovery_client(hot_restart)
     receive_changes(discovery, 1, endpoint("s-1", "127.0.0.1:1"), is_full=True)
-    receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # not written yet: rate limited
+    receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # Rate limited: not written yet.
     successor.endpoint_list.write(REGISTRY, endpoint_list(3, endpoint("s-3", "127.0.0.1:1")))
     hot_restart.serving_sibling_count = 1
     hot_restart.release()
--- a/tests/test_work_estimate.py
+++ b/tests/test_work_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of the work of a request, by class."""
+"""Estimates of the work of a request by class."""
 
 from __future__ import annotations
 
