--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -15,7 +15,7 @@
 
 
 class State(Enum):
-    """Whether a breaker allows all requests, none, or a few trials."""
+    """State of a circuit breaker: it allows all requests, none, or a few trials."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -37,7 +37,7 @@
     trial_results: list[bool] = field(default_factory=list)  # Of the current period; True: failed.
 
     def allows_request(self, now_us: int) -> bool:
-        """Whether a request may be sent. An open breaker becomes half-open once its cooldown is over."""
+        """Return whether a request may be sent; an open breaker whose cooldown is over becomes half-open."""
         if self.state is State.CLOSED:
             return True
         if self.state is State.OPEN:
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -16,14 +16,12 @@
 
 from __future__ import annotations
 
-MAX_SAVED_US = 500_000.0  # Most credit that may be saved, as time at the full share.
-MAX_DEBT_US = 4_000_000.0  # Most debt, likewise. It bounds how long hanging servers can block a gateway.
+MAX_SAVED_US = 500_000.0  # Maximum saved credit, as time at the full share.
+MAX_DEBT_US = 4_000_000.0  # Maximum debt, which bounds the time that hanging servers block a gateway.
 MIN_CREDIT_US = -MAX_DEBT_US
 BOOST_CREDIT_US = 100_000.0  # Credit needed per attempt in flight beyond the share, as saved time.
-PROMPT_QUEUEING, LATE_QUEUEING = (
-    1.0,
-    2.0,
-)  # Ratios of queueing time to baseline latency.
+# Bounds of prompt and late responses, as the ratio of their queueing time to the baseline latency.
+PROMPT_QUEUEING, LATE_QUEUEING = 1.0, 2.0
 BOOST_STEP, BOOST_CUT = 0.15, 0.7  # Added after a prompt response; factor after a late one.
 MAX_BOOST = 16.0  # Multiple of the share; large enough for servers with many cores.
 MIN_SHARE = 1e-3  # Avoids division by zero without servers, when nothing is sent anyway.
@@ -37,12 +35,12 @@
     def __init__(self) -> None:
         self._share = MIN_SHARE  # Average number of attempts in flight, boost included.
         self._credit_us = 0.0  # Attempts in flight times microseconds.
-        self._as_of_us = 0
+        self._as_of_us = 0  # Time up to which the credit is accounted for.
         self._was_exhausted = False  # The share was used up since the last response.
         self.boost = 1.0  # Factor of the share.
 
     def wait_us(self, now_us: int, in_flight: int, share: float) -> int | None:
-        """The time until one more attempt may start.
+        """Return the time until one more attempt may start.
 
         Args:
             now_us: The current time.
--- a/sagetrack/policy/decayed_sums.py
+++ b/sagetrack/policy/decayed_sums.py
@@ -26,7 +26,7 @@
         return len(self._sums)
 
     def __getitem__(self, key: int) -> float:
-        """The current sum of a key."""
+        """Return the current sum of a key."""
         return self._sums[key] * self._decay_factor ** (self._additions - self._stored_at[key])
 
     def add(self, key: int) -> float:
--- a/sagetrack/policy/discovery_backoff.py
+++ b/sagetrack/policy/discovery_backoff.py
@@ -16,11 +16,11 @@
 
 
 def max_poll_delay_us(failures: int, max_poll_interval_us: int) -> int:
-    """The longest delay after this many consecutive failures. It doubles with each, up to a bound."""
+    """Return the longest delay after this many consecutive failures. It doubles with each, up to a bound."""
     first_us = min(max(max_poll_interval_us // 20, MIN_FIRST_DELAY_US), MAX_FIRST_DELAY_US)
     return min(first_us << min(failures - 1, 3), MAX_DELAY_US)
 
 
 def max_first_poll_delay_us(max_poll_interval_us: int) -> int:
-    """The longest delay from the start of a gateway to its first poll."""
+    """Return the longest delay from the start of a gateway to its first poll."""
     return min(max_poll_interval_us // 10, MAX_DELAY_US)
--- a/sagetrack/policy/endpoint_ring.py
+++ b/sagetrack/policy/endpoint_ring.py
@@ -43,7 +43,7 @@
         self._first = 0
 
     def within(self, scope: Hashable) -> Iterator[Item]:
-        """The items of a scope in the order of `ranked`, without visiting the others."""
+        """Return the items of a scope in the order of `ranked`, without visiting the others."""
         order = self._scopes.get(scope, [])
         first = bisect_left(order, self._order[self._first]) if order else 0
         for at in range(first, first + len(order)):
@@ -97,7 +97,7 @@
                 self._scopes.setdefault(scope, []).append((rank, number))
 
     def _ranked_index(self, at: int) -> int:
-        """The index in `ranked` of the item at index `at` in `_order`."""
+        """Return the index in `ranked` of the item at index `at` in `_order`."""
         return at - self._first if at >= self._first else at - self._first + len(self._order)
 
     def _insert(self, number: int, position: RingPosition[Item]) -> None:
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -33,7 +33,7 @@
         self.tripped: set[Server] = set()  # Ready servers whose breaker is not closed.
         self._incarnations = Incarnations()
         self._weights = ExactSum()  # Sum of the feedback controller's weights of all servers.
-        # When the last list was received. A list from disk does not count, as it may be old.
+        # Time of the last received list. A list from disk does not count, as it may be old.
         self._listed_at_us: int | None = None
         self._failed_polls = 0  # Number of consecutive failed polls.
 
@@ -43,11 +43,11 @@
         return len(self._ring.ranked) - len(self.tripped)
 
     def open_count(self) -> int:
-        """The number of listed servers whose breaker is open."""
+        """Return the number of listed servers whose breaker is open."""
         return sum(server.breaker.state is State.OPEN for server in self.servers.values())
 
     def earliest_cooldown_end_us(self) -> int | None:
-        """When the first cooldown ends if all breakers are open, else None."""
+        """Return the end of the first cooldown if all breakers are open, else None."""
         if not self.servers or any(s.breaker.state is not State.OPEN for s in self.servers.values()):
             return None
         return min(s.breaker.open_until_us for s in self.servers.values())
@@ -87,7 +87,7 @@
             self.tripped.discard(server)
 
     def ring_position(self, number: int) -> RingPosition[Server] | None:
-        """The position of a server in the ring, or None if the server is not ready."""
+        """Return the position of a server in the ring, or None if the server is not ready."""
         server = self.servers.get(number)
         if server is None or server.entry.status is not ServerStatus.READY:
             return None
@@ -131,7 +131,7 @@
         self.servers[entry.server] = server
 
     def _warm_at_us(self, entry: ListedServer, event: EndpointList) -> int:
-        """When the warm-up of a newly listed incarnation ends.
+        """Return the end of the warm-up of a newly listed incarnation.
 
         Its age is limited by the time since the list was last known to be current. That time is 0 for a
         pushed change, which reports what has just happened; a full list may contain changes that were missed.
--- a/sagetrack/policy/fleet_size.py
+++ b/sagetrack/policy/fleet_size.py
@@ -18,7 +18,7 @@
 
 
 def effective_gateway_count(alive: int, configured: int) -> int:
-    """The number of gateways by which limits are divided.
+    """Return the number of gateways by which limits are divided.
 
     Args:
         alive: Number of gateways that are not known to be dead, this one included.
@@ -47,9 +47,9 @@
         self.processes = max(1, processes)
 
     def is_concurrency_scarce(self) -> bool:
-        """Whether a server's concurrency limit is less than one request per gateway."""
+        """Return whether a server's concurrency limit is less than one request per gateway."""
         return self.gateways > self.max_concurrency
 
     def max_in_flight_per_server(self) -> int:
-        """The maximum number of requests that this gateway may have in flight at one server."""
+        """Return the maximum number of requests that this gateway may have in flight at one server."""
         return max(1, math.ceil(self.max_concurrency / self.gateways))
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -28,7 +28,7 @@
     def started_at_us(
         self, server: int, reported_start_us: int, now_us: int, wall_us: int, staleness_us: int | None
     ) -> int:
-        """The estimated start time of an incarnation, not later than now.
+        """Return the estimated start time of an incarnation, not later than now.
 
         Args:
             server: The server's number.
@@ -51,7 +51,7 @@
 
 
 def _age_us(reported_age_us: int, staleness_us: int | None) -> int:
-    """The reported age, or 0 if that age is implausible.
+    """Return the reported age, or 0 if that age is implausible.
 
     A reported start time that is too early would give a server that has just started its full load; one that
     is too late would keep it in slow start for hours. Underestimating the age only costs an unneeded slow
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -13,11 +13,11 @@
 HALF_LIFE_US = 6_000_000  # Age at which an observation counts half.
 MAX_OBSERVATION_AGE_US = 60_000_000  # Age from which an observation is ignored.
 MAX_EJECTED_FRACTION = 1 / 3  # Largest fraction of the ready servers that peers' observations may eject.
-MIN_CONFIDENCE_TO_EJECT = 0.3  # Sum of the confidences of unhealthy observations.
-OVERLOAD_EJECTION_US = 250_000  # How long an overloaded server is ejected.
+MIN_CONFIDENCE_TO_EJECT = 0.3  # Minimum sum of the confidences of unhealthy observations.
+OVERLOAD_EJECTION_US = 250_000  # Ejection time of an overloaded server.
 
 CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # Circuit breaker states, as sent to peers.
-NOT_EJECTED = -1
+NOT_EJECTED = -1  # Value of ServerAdvice.open_us.
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     server: int
     started_us: int  # Identifies the server's incarnation.
     by: int  # Number of the observing gateway.
-    seen_us: int  # When the server was last observed.
+    seen_us: int  # Time of the last observation.
     state: int = CLOSED
     open_until_us: int = 0
     weight: float = 1.0
@@ -84,11 +84,11 @@
     server: int
     confidence: float  # That of the newest observation, from 0 to 1.
     weight: float  # Average of the observed weights, by confidence.
-    open_us: int  # How long to eject the server, or NOT_EJECTED.
+    open_us: int  # Ejection time, or NOT_EJECTED.
 
 
 def confidence(age_us: int) -> float:
-    """The weight of an observation by age: 1 if new, half after each half-life, 0 from the maximum age on."""
+    """Return the weight of an observation of this age: 1 if new, half after each half-life, finally 0."""
     if age_us >= MAX_OBSERVATION_AGE_US:
         return 0.0
     return float(0.5 ** (max(0, age_us) / HALF_LIFE_US))
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -65,7 +65,7 @@
     def _is_inconclusive(
         self, request: Request, attempt: Attempt, event: AttemptEnded, expected_us: float
     ) -> bool:
-        """Whether an outcome is inconclusive.
+        """Return whether an outcome is inconclusive.
 
         It is if the attempt was not sent or was cancelled before it stalled. It also is if the attempt timed
         out sooner than a response may take, and clients of its class and tenant use irregular timeouts.
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What happens if a server executes the same request a second time."""
+    """The effect of executing the same request a second time."""
 
     SAFE = "safe"  # Idempotent: it can be retried without restrictions.
     KEYED = "keyed"  # Servers of one scope deduplicate by idempotency key for a limited time.
@@ -59,7 +59,7 @@
     late_priority_weight: float = 0.0  # Fraction of the weight earned by later responses.
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL  # Used if the effect is KEYED.
-    # Used if the effect is KEYED: how long servers deduplicate, counted from when the first attempt is sent.
+    # Used if the effect is KEYED: the deduplication period, which starts when the first attempt is sent.
     window_us: int = 0
     in_order: bool = False  # Requests with the same key run one at a time, in order of arrival.
     # The latency objective is extended by the request's expected work times this factor, up to the timeout.
@@ -134,7 +134,7 @@
 
 
 class LoadReporting(Enum):
-    """How servers report their load."""
+    """The way in which servers report their load."""
 
     RESPONSES = "answers"  # In each response.
     PROBES = "probes"  # Only in responses to probes.
@@ -188,7 +188,7 @@
     # Limit on attempts in flight at one server, from all gateways together; 0: a built-in default.
     max_concurrency: float = 0.0
     admission: AdmissionSettings | None = None  # Fair queueing and limits; None: disabled.
-    # For classes in order: how long a key is blocked after an attempt that may still be running.
+    # For classes in order: time for which a key is blocked after an attempt that may still be running.
     key_cooldown_us: int = 0
 
     def __post_init__(self) -> None:
--- a/sagetrack/policy/slow_start.py
+++ b/sagetrack/policy/slow_start.py
@@ -47,7 +47,7 @@
         self._ranked = ring.ranked
 
     def max_initial_use_us(self) -> float:
-        """The highest initial bucket level of a new server.
+        """Return the highest initial bucket level of a new server.
 
         Hundreds of gateways learn of a new server at the same time, and each may send it at least one
         request. Each starts with a random level up to this one, which spreads these first requests in time.
@@ -81,7 +81,7 @@
         server.slow_start_used_us = max(server.slow_start_used_us, used_us)
 
     def budget_terms(self, now_us: int, server: Server, request: Request) -> BudgetTerms:
-        """The drain of a server's bucket per overload window, and the cost of a request.
+        """Return the drain of a server's bucket per overload window and the cost of a request.
 
         Usually half of the budget is reserved for a burst and half drains. If that half is less than the cost
         of one request, requests are sent one at a time, so the half reserved for a burst drains too; the sum
@@ -116,7 +116,7 @@
         )
 
     def cost_us(self, request: Request) -> float:
-        """The estimated work of a request: halfway from the baseline to the smoothed latency.
+        """Return the estimated work of a request: halfway from the baseline to the smoothed latency.
 
         The smoothed latency includes queueing. The result is limited to MAX_COST times the baseline, because
         servers that are warming up are needed most while the warm ones are overloaded.
@@ -126,7 +126,7 @@
         return min(middle_us, MAX_COST * fastest_us) * request.relative_work
 
     def capacity_share(self, now_us: int, server: Server) -> float:
-        """The share of full capacity that a server has at least by now: a linear ramp during its warm-up."""
+        """Return the share of full capacity that a server has by now: a linear ramp during its warm-up."""
         if now_us >= server.warm_at_us:
             return 1.0
         age_us = now_us + self._settings.warm_after_us - server.warm_at_us
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -38,7 +38,7 @@
     feedback_weight: float  # Read and set through the property `weight`.
     rank: float  # Position in the ring: a hash that is the same at every gateway.
     zone_factor: float  # Factor of the weight: 1 in this gateway's zone, at most 1 in others.
-    warm_at_us: int  # When the warm-up ends at the latest, on this gateway's clock.
+    warm_at_us: int  # Latest end of the warm-up, on this gateway's clock.
     breaker: Breaker = field(default_factory=Breaker)
     health_by_class: dict[int, ClassHealth] = field(default_factory=dict)
     in_flight: dict[Attempt, int] = field(default_factory=dict)  # Send time by attempt, oldest first.
@@ -60,7 +60,7 @@
         self.feedback_weight = weight
 
     def class_health(self, class_index: int) -> ClassHealth:
-        """The health of one class at this server, created on first use."""
+        """Return the health of one class at this server, created on first use."""
         if class_index not in self.health_by_class:
             self.health_by_class[class_index] = ClassHealth(Breaker(CLASS_MIN_OUTCOMES))
         return self.health_by_class[class_index]
@@ -87,7 +87,7 @@
     class_index: int
     key: int | None
     deadline_us: int
-    objective_at_us: int  # When the latency objective is missed.
+    objective_at_us: int  # Time by which a response meets the latency objective.
     relative_work: float  # Expected work divided by the mean of the class.
     is_first_try: bool  # False for a retry by the client.
     quota_excess: float  # Result of TenantQuota.count_request.
@@ -95,7 +95,7 @@
     in_flight: int = 0  # Number of attempts in flight.
     finished: bool = False  # The final response was sent, or the client has cancelled.
     streaming: bool = False  # A streamed response has begun.
-    response_began_us: int = 0  # When a streamed response began; 0 if none did.
+    response_began_us: int = 0  # Start time of a streamed response; 0 if there is none.
     uploading: bool = False  # The body has not been received completely.
     single_use_body: bool = False  # The body cannot be sent a second time.
     admission_tenant: int = 0  # Index of its tenant in admission control.
@@ -108,7 +108,7 @@
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
-    """The weighted rendezvous hashing score of a server for a key; the lowest score wins.
+    """Return the weighted rendezvous hashing score of a server for a key; the lowest score wins.
 
     All gateways compute the same ranking without communication, and adding or removing a server moves only
     the keys that rank it first (Thaler and Ravishankar, 1998).
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -13,11 +13,11 @@
 
 # Demand decays to 1/e in this time. A tenant that was idle for about as long has its full share again.
 DECAY_TIME_US = 1_000_000
-PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # How long demand reported by a peer is used.
+PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # Time for which demand reported by a peer is used.
 EVALUATION_INTERVAL_US = 50_000  # Time between two evaluations of the fair limits.
 EVALUATION_STEP = 0.2  # A change of the fraction to reject by this much triggers an evaluation earlier.
 MIN_EXCESS_FRACTION = 0.001  # A smaller excess over the share is ignored.
-MIN_LOCAL_FRACTION = 0.01  # Part of a tenant's share that a gateway without demand of the tenant has.
+MIN_LOCAL_FRACTION = 0.01  # Minimum fraction of each tenant's share that a gateway has.
 MIN_FLOW_WORK_US = 1.0  # Flows with less recent work are removed.
 
 
@@ -36,7 +36,7 @@
         self.at_us[key] = now_us
 
     def at(self, key: int, now_us: int) -> float:
-        """The decayed sum of a key: roughly the work requested in the last DECAY_TIME_US, in microseconds."""
+        """Return the decayed sum of a key, about the work in microseconds of the last DECAY_TIME_US."""
         if not self.sums[key]:
             return 0.0
         return self.sums[key] * math.exp((self.at_us[key] - now_us) / DECAY_TIME_US)
@@ -50,13 +50,13 @@
     at_us: float
 
     def at(self, now_us: int) -> float:
-        """The sum, decayed until now."""
+        """Return the sum, decayed until now."""
         return self.work_us * math.exp((self.at_us - now_us) / DECAY_TIME_US)
 
 
 @dataclass(slots=True, eq=False)
 class FairLimits:
-    """Which tenants and flows exceeded their fair share at the time of one evaluation."""
+    """Result of one evaluation: the tenants and flows in excess of their fair shares."""
 
     excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
     flow_limit_us: list[float]  # By tenant: work that each flow may request.
@@ -81,7 +81,7 @@
     by_flow: list[dict[int, FlowDemand]] = field(init=False)  # By tenant, then by flow.
     # By gateway: its demand by tenant, and when it was received.
     peer_demands: dict[int, tuple[list[float], int]] = field(default_factory=dict)
-    flow_count: int = 0
+    flow_count: int = 0  # Over all tenants.
     fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # For low-priority and for other requests.
     evaluations: int = 0
 
@@ -114,7 +114,7 @@
         return [self.by_tenant.at(tenant, now_us) for tenant in range(len(self.shares))]
 
     def fleet_demands(self, now_us: int, gateways: int) -> list[float]:
-        """The demand by tenant at all gateways, extrapolated from the gateways that have reported.
+        """Return the demand by tenant at all gateways, extrapolated from the gateways that have reported.
 
         Without any report it is the local demand, so that shares apply at each gateway separately.
         """
@@ -128,7 +128,7 @@
         return [local + scale * sum(demands[n] for demands in reported) for n, local in enumerate(own)]
 
     def local_shares(self, now_us: int, gateways: int) -> list[float]:
-        """The tenants' shares at this gateway, such that they hold for all gateways together.
+        """Return the tenants' shares at this gateway, such that they hold for all gateways together.
 
         Each gateway gets the fraction of a tenant's share that it has of the tenant's demand, but at least
         MIN_LOCAL_FRACTION, so that a tenant without recent requests here is admitted when it sends some.
@@ -142,7 +142,7 @@
     def rejection_fraction(
         self, tenant: int, flow: int, reject_fraction: float, now_us: int, high_priority: bool = False
     ) -> float:
-        """The fraction of a flow's requests to reject, so that `reject_fraction` of all work is rejected.
+        """Return the fraction of a flow's requests to reject in order to reject `reject_fraction` of all work.
 
         It is 0 for a flow within its share.
         """
@@ -156,7 +156,7 @@
         return 1.0 - limits.flow_limit_us[tenant] / demand if demand > limits.flow_limit_us[tenant] else 0.0
 
     def _evaluate(self, reject_fraction: float, now_us: int, high_priority: bool) -> FairLimits:
-        """The fair limits for rejecting this fraction of all work, evaluated again only if out of date."""
+        """Return the fair limits for rejecting this fraction of all work, evaluated again if outdated."""
         limits = self.fair_limits[high_priority]
         if (
             now_us - limits.evaluated_at_us < EVALUATION_INTERVAL_US
--- a/sagetrack/policy/work_estimate.py
+++ b/sagetrack/policy/work_estimate.py
@@ -5,7 +5,7 @@
 # With fewer samples, a class also uses samples taken while requests are queued, and its estimate is mixed
 # with the mean of all classes.
 MIN_SAMPLES = 50
-PRIOR_SAMPLES = 20.0  # Number of samples that the mean of all classes counts for then.
+PRIOR_SAMPLES = 20.0  # Number of samples that the mean of all classes counts for in that mix.
 SMOOTHING = 0.01  # Minimum weight of the newest sample.
 DEFAULT_WORK_US = 50_000.0  # Estimate for any request before the first sample.
 
@@ -18,7 +18,7 @@
         self.means: list[tuple[float, int]] = []
 
     def is_reliable(self, class_index: int) -> bool:
-        """Whether the estimate of a class is based on enough samples."""
+        """Return whether the estimate of a class is based on enough samples."""
         return class_index < len(self.means) and self.means[class_index][1] >= MIN_SAMPLES
 
     def learn(self, class_index: int, latency_us: float, size: float, queueing: bool) -> None:
@@ -37,7 +37,7 @@
         self.means[class_index] = mean, samples
 
     def estimate_us(self, class_index: int, size: float) -> float:
-        """The work of a request in microseconds; `size` is its work relative to the mean of its class."""
+        """Return the work of a request in microseconds; `size` is relative to the mean of its class."""
         mean, samples = self.means[class_index] if class_index < len(self.means) else (0.0, 0)
         if samples < MIN_SAMPLES:
             # A few samples are not representative, so they are mixed with the mean of all classes.
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -14,14 +14,14 @@
 
 
 def open_breaker() -> Breaker:
-    """A breaker that has just opened, at time 0."""
+    """Return a breaker that has just opened, at time 0."""
     breaker = Breaker()
     trip(breaker, 0)
     return breaker
 
 
 def half_open_breaker() -> Breaker:
-    """A breaker whose first cooldown has just ended."""
+    """Return a breaker whose first cooldown has just ended."""
     breaker = open_breaker()
     assert breaker.allows_request(FIRST_COOLDOWN_US)
     return breaker
--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -41,7 +41,7 @@
 def mean_in_flight(
     gateways: int, capacity: float, mean_latency_us: int, seed: int, seconds: int = 60
 ) -> float:
-    """The mean number of attempts in flight at all gateways while every gateway always has requests."""
+    """Return the mean number of attempts in flight at all gateways, each of which always has requests."""
     rng, share = random.Random(seed), capacity / gateways
     credits, in_flight = [ConcurrencyShare() for _ in range(gateways)], [0] * gateways
     total_latency_us, end_us = 0.0, seconds * SECOND_US
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -30,7 +30,7 @@
 
 
 def warming_up_driver(gateway_count: int) -> Driver:
-    """A driver with 25 servers that have just started and one class with a long latency objective."""
+    """Return a driver with 25 servers that have just started and one class with a long latency objective."""
     settings = replace(
         SETTINGS,
         gateway_count=gateway_count,
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -55,7 +55,7 @@
 
 
 def arithmetic_steps_with_tenants(count: int) -> int:
-    """The number of arithmetic operations on tenant shares for 20 requests of 5 tenants."""
+    """Return the number of arithmetic operations on tenant shares for 20 requests of 5 tenants."""
     shares = (Tenant(CountingFloat(1.0 / count)) for _ in range(count))
     driver = Driver(replace(SETTINGS, tenants=tuple(shares), over_quota_priority=0.5), servers=9)
     CountingFloat.operations = 0
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("tenants", [1, 5, 400])
 def test_lazily_decayed_sums_equal_sums_that_decay_with_each_request(tenants: int) -> None:
-    """Also holds if a tenant is idle for so long that its sum decays to zero."""
+    """The sums stay equal even if a tenant is idle for so long that its sum decays to zero."""
     rng = random.Random(tenants)
     shares = [rng.random() / tenants for _ in range(tenants)]
     eager = [share / (1.0 - TENANT_DECAY) for share in shares]
@@ -222,7 +222,7 @@
 
 
 def test_a_new_server_starts_with_the_mean_weight_of_the_listed_ones() -> None:
-    """Also holds while servers are added, removed and restarted and change their weights."""
+    """The mean stays exact while servers are added, removed, restarted and reweighted."""
     driver = Driver(servers=40)
     rng = random.Random(5)
     for step in range(400):
@@ -242,7 +242,7 @@
 
 
 def servers_accessed_by_a_retry(servers: int, scope: Scope) -> int:
-    """The largest number of servers that a retry of a keyed request accesses, with 10 servers per scope."""
+    """Return the most servers that a retry of a keyed request accesses, with 10 servers per scope."""
     keyed_class = replace(KEYED, scope=scope, window_us=500_000)
     driver = Driver(replace(SETTINGS, classes=(keyed_class,), tenants=()), servers=0)
     scope_count = servers // 10
