--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: one plain line, or structured ones; each event limited in rate."""
+"""The log: plain and structured lines, and the rate limit per event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture(autouse=True)
-def restored() -> Iterator[None]:
+def default_sink() -> Iterator[None]:
     use_sink(log_module.plain_sink)
     yield
     use_sink(log_module.plain_sink)
@@ -32,7 +32,10 @@
 def test_events_without_a_limit_of_their_own_share_one() -> None:
     rate_limit = LogRateLimit(burst=1, rate=0.001)
     passed = sum(rate_limit.admit(f"event {number}", 0.0) >= 0 for number in range(10_000))
-    assert passed <= log_module.EVENTS + 1 and len(rate_limit.buckets) <= log_module.EVENTS + 1
+    assert (
+        passed <= log_module.MAX_RATE_LIMITED_EVENTS + 1
+        and len(rate_limit.buckets) <= log_module.MAX_RATE_LIMITED_EVENTS + 1
+    )
 
 
 def test_json_lines_carry_the_fields_by_their_names() -> None:
@@ -66,12 +69,12 @@
     assert capsys.readouterr().err == "sagetrack: ends; connections to hosts: 3\n"
 
 
-def test_a_full_pipe_blocks_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_logging_to_a_full_pipe_does_not_block(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
     with open(writer, "w") as stream, open(reader) as lines:
         monkeypatch.setattr(sys, "stderr", stream)
         use_sink(log_module.plain_sink, LogRateLimit(10_000, 10_000))
-        for number in range(2_000):  # more than a pipe holds
+        for number in range(2_000):  # more than the pipe buffer holds
             log(f"line {number}: {'x' * 100}")
         assert log_module._unwritten > 0
         os.set_blocking(reader, False)
@@ -80,8 +83,8 @@
         assert lines.read().startswith("sagetrack: read again unwritten=")
 
 
-def test_a_stream_that_is_closed_is_no_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_logging_to_a_closed_stream_is_not_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     stream = io.StringIO()
     stream.close()
     monkeypatch.setattr(sys, "stderr", stream)
-    log("nobody hears this")
+    log("written to a closed stream")
