--- a/sagetrack/policy/selection.py
+++ b/sagetrack/policy/selection.py
@@ -75,7 +75,7 @@
                 return False
             if not server.breaker.allows_request(now_us):
                 return False
-        health = server.classes.get(class_index)
+        health = server.health_by_class.get(class_index)
         if health is not None and not health.breaker.allows_request(now_us):
             return False
         if not server.in_flight:
@@ -157,7 +157,7 @@
                 if not self._slow_start.has_budget(now_us, server, request):
                     continue
                 share = self._slow_start.capacity_share(now_us, server)
-            weight = server.entry.weight * server.controlled * server.class_health(class_index).weight
+            weight = server.entry.weight * server.feedback_weight * server.class_health(class_index).weight
             weight = weight * server.zone_factor * share / (1 + in_flight) ** 2
             if weight > 0.0:
                 weights.append((weight, server))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -227,7 +227,7 @@
     until_us, state = breaker.open_until_us, breaker.state
     driver.now_us = until_us + 1
     assert balancer.unhealthy_count() == 1  # until a trial request has closed the breaker
-    assert breaker.state is state and breaker.episode == 0
+    assert breaker.state is state and breaker.half_open_period == 0
     for _ in range(100):
         name, actions = driver.arrive()
         for send in sends(actions):
