--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -38,7 +38,7 @@
         self.transferring: set[Attempt] = set()  # with a long body in transfer
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are up or coming up, to all servers."""
         return len(self.connections)
 
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -12,7 +12,7 @@
 from sagetrack.http1.attempt import Attempt
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.http1.response_outcome import load_of
 from sagetrack.http1.upstream_connection import PooledServer
 from sagetrack.http1.upstream_server import UpstreamServer
@@ -33,7 +33,7 @@
         self.counts = PoolCounts()
         self.idle = IdleConnections(settings, self.counts)
         self.attempts = AttemptRunner(settings, self.idle, self.counts, reclaim_descriptor)
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
 
     # Servers
 
@@ -43,9 +43,9 @@
         return self.servers.keys()
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are up or coming up."""
-        return self.attempts.open
+        return self.attempts.open_connections
 
     def server_start_times(self) -> dict[int, int]:
         """Return when each listed server started, in microseconds, by its number."""
@@ -91,7 +91,7 @@
         upstream = self.servers.get(server)
         if upstream is None:
             return None
-        message: Message = request.message
+        message: ForwardedRequest = request.message
 
         def payload(remaining_us: int) -> bytes:
             return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, remaining_us // 1000), message.body)
@@ -142,7 +142,7 @@
 
     def sweep(self) -> None:
         """Close idle connections and end stalled attempts whose time limit has passed."""
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
         self.attempts.end_stalled()
         self.idle.close_expired(self.servers.values())
 
@@ -156,6 +156,6 @@
 
     def close(self) -> None:
         """Close all idle connections, and end the upkeep."""
-        self.sweeper.cancel()
+        self.sweep_timer.cancel()
         for upstream in self.servers.values():
             self.idle.close_all(upstream)
--- a/sagetrack/http1/descriptors.py
+++ b/sagetrack/http1/descriptors.py
@@ -71,7 +71,7 @@
     @property
     def is_full(self) -> bool:
         """Whether only the reserve is left."""
-        return self.count_clients() + self.pools.open + RESERVE >= self.limit
+        return self.count_clients() + self.pools.open_connections + RESERVE >= self.limit
 
     def has_capacity(self) -> bool:
         """Whether one more client may connect."""
@@ -100,7 +100,7 @@
         Otherwise both together could hold more than the limit, and the next to open a descriptor, perhaps the
         other process for discovery, would get none.
         """
-        over = self.count_clients() + self.pools.open + RESERVE - self.limit
+        over = self.count_clients() + self.pools.open_connections + RESERVE - self.limit
         if over <= 0:
             return
         for _ in range(over - self.phases.count_closing()):
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -37,7 +37,7 @@
         connections: Those that are up.
         phases: What each of them waits for.
         paused: Those on which nothing is read for now.
-        hangups: Has the kernel report the end of those.
+        close_watcher: Has the kernel report the end of those.
         body_budget: The memory of all streamed bodies.
         buffer: What any connection reads into: it is copied at once.
         closes: Why this process has closed connections.
@@ -49,7 +49,7 @@
         self.connections: set[ClientConnection] = set()
         self.phases = ConnectionPhases()
         self.paused: set[ClientConnection] = set()
-        self.hangups = PeerCloseWatcher()
+        self.close_watcher = PeerCloseWatcher()
         self.body_budget = BodyMemoryBudget(handling.config.memory_mb)
         self.buffer = memoryview(bytearray(READ_SIZE))
         self.closes = ClientCloses(handling.gateway)
@@ -57,13 +57,13 @@
     def watch_paused(self, connection: ClientConnection) -> None:
         """Have the kernel report the end of a connection on which nothing is read."""
         self.paused.add(connection)
-        self.hangups.watch(connection.descriptor, connection.on_hangup)
+        self.close_watcher.watch(connection.descriptor, connection.on_hangup)
 
     def unwatch(self, connection: ClientConnection) -> None:
         """Stop watching a connection, which is read again or has ended."""
         if connection in self.paused:
             self.paused.discard(connection)
-            self.hangups.unwatch(connection.descriptor)
+            self.close_watcher.unwatch(connection.descriptor)
 
 
 class ClientConnection(asyncio.BufferedProtocol):
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -45,8 +45,8 @@
             lambda: ClientConnection(self.context),
         )
         self.describe_peers: Callable[[], list[str]] = lambda: ["messages between gateways are off"]
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.drainer: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.drain_timer: asyncio.TimerHandle | None = None
         gateway.metrics.metric_sources += [
             self.acceptor.errors.metric_values,
             self.context.closes.counts.metric_values,
@@ -61,10 +61,10 @@
     def start(self, listener: socket.socket) -> None:
         """Accept clients on this socket, which listens already."""
         self.acceptor.start(listener)
-        self.sweeper = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
+        self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
         self.siblings.mark_serving()
 
-    def check_heads(self, check: Callable[[bytes], str | None]) -> None:
+    def set_head_check(self, check: Callable[[bytes], str | None]) -> None:
         """Check heads of requests: `check` returns why one cannot be served here, None if it can."""
         self.handling.check_head = check
 
@@ -100,7 +100,7 @@
         if self.siblings.sibling_count != others:
             self.gateway.set_process_count(1 + self.siblings.sibling_count)
         self.descriptors.shrink_to_limit()
-        self.sweeper = loop.call_later(SWEEP_S, self.sweep)
+        self.sweep_timer = loop.call_later(SWEEP_S, self.sweep)
         self.context.phases.close_expired(loop.time(), self.descriptors.has_many_clients)
 
     # Commands of the admin address
@@ -125,7 +125,7 @@
         """Begin a drain, which lasts until `active`; False during a shutdown."""
         begun = self.drain.begin_standby(asyncio.get_running_loop().time())
         self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
-        if begun and self.drainer is None:
+        if begun and self.drain_timer is None:
             self.close_idle()
         return begun
 
@@ -137,7 +137,7 @@
 
     # Shutdown
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Shut down gracefully: every request that was read or waits to be accepted gets its response first.
 
         It takes as long as that does. What has no response shortly before the process may be killed is
@@ -172,7 +172,7 @@
     def close_idle(self) -> None:
         """During a drain: close idle connections as soon as their time has come."""
         loop = asyncio.get_running_loop()
-        self.drainer = loop.call_later(DRAIN_POLL_S, self.close_idle) if self.drain.is_draining else None
+        self.drain_timer = loop.call_later(DRAIN_POLL_S, self.close_idle) if self.drain.is_draining else None
         now_s = loop.time()
         for connection in list(self.connections):
             due = self.drain.may_close_idle(now_s, connection.opened_s, connection.exchange.has_responded)
@@ -182,10 +182,10 @@
     def close(self) -> None:
         """Close everything at once."""
         self.acceptor.stop()
-        for timer in (self.sweeper, self.drainer):
+        for timer in (self.sweep_timer, self.drain_timer):
             if timer is not None:
                 timer.cancel()
         self.siblings.release()
         for connection in list(self.connections):
             connection.abort()
-        self.context.hangups.close()
+        self.context.close_watcher.close()
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Message:
+class ForwardedRequest:
     """A request as it is forwarded to an upstream server.
 
     Attributes:
@@ -100,7 +100,7 @@
         work_us=_whole_number(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
-        message=Message(_forwarded_head(message, body), body),
+        message=ForwardedRequest(_forwarded_head(message, body), body),
         client=client,
         streamed_body=message.streamed_body,
         received_us=message.received_us,
--- a/sagetrack/http1/upstream_server.py
+++ b/sagetrack/http1/upstream_server.py
@@ -27,7 +27,7 @@
         started_us: When it started, as service discovery reports it.
         drained_us: When this gateway learned that it drains or is gone; None while it serves.
         idle: The connections that wait for an attempt, the most recently used last.
-        open: How many connections are up or coming up.
+        open_connections: How many connections are up or coming up.
     """
 
     id: int
@@ -36,7 +36,7 @@
     started_us: int = 0
     drained_us: int | None = None
     idle: list[Connection] = field(default_factory=list)
-    open: int = 0
+    open_connections: int = 0
 
     @property
     def incarnation(self) -> Incarnation:
@@ -67,8 +67,8 @@
 
     def on_connection_opening(self) -> None:
         """Count a connection that is about to be opened."""
-        self.open += 1
+        self.open_connections += 1
 
     def on_connection_ended(self) -> None:
         """Count a connection that has ended or did not come up."""
-        self.open -= 1
+        self.open_connections -= 1
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -124,7 +124,7 @@
             upstreams.start_mirroring(
                 self.operator.newer, self._class_names(), lambda: not self.http_listener.drain.is_draining
             )
-        self.http_listener.check_heads(untranslatable_reason)
+        self.http_listener.set_head_check(untranslatable_reason)
         self._export_metrics(upstreams.metric_values)
         return upstreams
 
@@ -240,7 +240,7 @@
         platform may kill the process.
         """
         self.observation_exchange.close()
-        http_drain_task = asyncio.get_running_loop().create_task(self.http_listener.leave())
+        http_drain_task = asyncio.get_running_loop().create_task(self.http_listener.shut_down())
         await asyncio.sleep(0)  # lets `leave` begin, which sets `response_cutoff_s`
         other_drain_tasks = self.protocol_listeners.begin_drain(
             self.http_listener.drain.response_cutoff_s + EXIT_MARGIN_S / 2
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -18,7 +18,7 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome
 from tests.sockets import configuration, running, until
@@ -76,7 +76,18 @@
         pauses: bool = False,
     ) -> RecordingObserver:
         heard = RecordingObserver(pauses)
-        request = Request("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
+        request = Request(
+            "a",
+            0,
+            wait_us,
+            None,
+            None,
+            False,
+            0,
+            ForwardedRequest(HEAD, body),
+            None,  # type: ignore[arg-type]
+            streamed_body,
+        )
         self.pools.begin(request, 1, wait_us, heard)
         return heard
 
@@ -144,7 +155,7 @@
 
 def send_request(client: GrpcUpstreamRig, head: bytes, body: bytes = b"") -> RecordingObserver:
     heard = RecordingObserver()
-    request = Request("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
+    request = Request("a", 0, 5_000_000, None, None, False, 0, ForwardedRequest(head, body), None)  # type: ignore[arg-type]
     client.pools.begin(request, 1, 5_000_000, heard)
     return heard
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -119,10 +119,10 @@
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
         pools.sweep()
-        await until(lambda: pools.open == 1)
+        await until(lambda: pools.open_connections == 1)
         idle(run)[0].idle_since_us -= 45_000_000
         pools.sweep()
-        await until(lambda: pools.open == 0 and upstream.closed_connections == 3)
+        await until(lambda: pools.open_connections == 0 and upstream.closed_connections == 3)
 
 
 @on_loop
@@ -203,16 +203,16 @@
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
             pools = run.instance.pools
-            had = pools.open
+            had = pools.open_connections
             assert had >= 1
             object.__setattr__(run.server.config, "sockets", 1)
             # A client that asks nothing yields before what hosts had a handshake for.
             run.server.descriptors.reclaim_for_upstream()
             await until(lambda: not run.server.connections)
-            assert pools.open == had
+            assert pools.open_connections == had
             for _ in range(had):
                 run.server.descriptors.reclaim_for_upstream()
-            await until(lambda: pools.open == 0)
+            await until(lambda: pools.open_connections == 0)
             client.close()
 
 
@@ -246,7 +246,7 @@
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: pools.counts.opened)
-        await until(lambda: pools.open == 0)
+        await until(lambda: pools.open_connections == 0)
         (known,) = pools.servers.values()
-        assert known.open == 0 and not known.idle and not upstream.exchanges
+        assert known.open_connections == 0 and not known.idle and not upstream.exchanges
         client.close()
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -21,7 +21,7 @@
     def __init__(self, willing: set[str]) -> None:
         self.willing = willing  # who has a connection to give up
         self.events: list[str] = []
-        self.open = self.clients = self.closing = 0
+        self.open_connections = self.clients = self.closing = 0
 
     def reclaim(self, purpose: CloseReason, idle_s: float = 0.0) -> bool:
         name = purpose.value + (f" {idle_s}" if idle_s else "")
@@ -61,7 +61,7 @@
     assert not made.has_capacity() and not made.is_full
     assert made.reclaim_for_client()  # no idle client, and yet there are descriptors
     assert side.events == [f"room {RECLAIM_IDLE_S}"]
-    side.open = LIMIT - RESERVE - side.clients
+    side.open_connections = LIMIT - RESERVE - side.clients
     assert made.is_full and not made.reclaim_for_client()
     assert side.events[1:] == [f"room {RECLAIM_IDLE_S}", "exhausted"]
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -33,7 +33,7 @@
 def within(run: Running) -> bool:
     """Whether clients and servers leave the reserve untouched."""
     server = run.server
-    return server.count_clients() + run.instance.pools.open + RESERVE <= server.descriptors.limit
+    return server.count_clients() + run.instance.pools.open_connections + RESERVE <= server.descriptors.limit
 
 
 async def fill(run: Running, count: int) -> list[Client]:
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -120,7 +120,7 @@
             ended = outcomes(run)
             assert (await run.ask(request("transfer"))).status == 503
             assert [event.outcome for event in ended] == [Outcome.CONNECT_FAILED]
-            assert run.instance.pools.open == 0
+            assert run.instance.pools.open_connections == 0
         for client_socket in backlog:
             client_socket.close()
 
@@ -132,7 +132,7 @@
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
         await until(lambda: upstream.closed_connections == 1)  # the server can notice that no client waits
-        assert run.instance.pools.open == 0 and not run.gateway.in_flight
+        assert run.instance.pools.open_connections == 0 and not run.gateway.in_flight
 
 
 @on_loop
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.requests import Request
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
@@ -55,7 +55,7 @@
 
         async def send(number: int, size: int, told: int | None) -> RecordingObserver:
             streamed_body, heard = StreamedBody(told, BodyMemoryBudget(64)), RecordingObserver()
-            message = Message(request_head(number), b"")
+            message = ForwardedRequest(request_head(number), b"")
             request = Request("a", 0, 5_000_000, None, None, False, 0, message, None, streamed_body)  # type: ignore[arg-type]
             client.pools.begin(request, 1, 5_000_000, heard)
             for _ in range(0, size, 50_000):
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -28,7 +28,7 @@
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.idle_connections import IdleConnections
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.http1.upstream_connection import UpstreamConnection
 from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
 from sagetrack.policy.settings import Effect
@@ -282,7 +282,7 @@
         self.count += 1
         client = SimulatedClient(self)
         class_index, name = self.rng.randrange(3), f"r{self.count}"
-        message = Message(b"GET %s X\r\n" % name.encode(), b"")
+        message = ForwardedRequest(b"GET %s X\r\n" % name.encode(), b"")
         client.request = Request(name, class_index, 400_000, None, None, False, 0, message, client)
         self.clients.append(client)
         gateway.submit(client.request)
@@ -370,7 +370,7 @@
         left = gateway.in_flight or gateway.balancer.requests or gateway.balancer.in_flight.count
         assert not left, "requests left over"
         assert (
-            pools.open == 0 and not simulation.transports and not simulation.pending_connections
+            pools.open_connections == 0 and not simulation.transports and not simulation.pending_connections
         ), "connections left over"
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -48,7 +48,7 @@
 
 def disable_hangup_watch(run: Running) -> None:
     """Disable the watch that reports disconnects of clients whose reading is paused."""
-    run.server.context.hangups.watch = lambda descriptor, on_hangup: None  # type: ignore[method-assign]
+    run.server.context.close_watcher.watch = lambda descriptor, on_hangup: None  # type: ignore[method-assign]
 
 
 async def pipelining_client(run: Running, class_name: str = "transfer") -> tuple[Client, ClientConnection]:
@@ -273,7 +273,7 @@
         await wait_until_idle(run)
         assert reported == [Outcome.NOT_SENT] and upstream.opened_connections <= 1 and not upstream.exchanges
         await until(
-            lambda: run.instance.pools.open == 0
+            lambda: run.instance.pools.open_connections == 0
             and upstream.closed_connections == upstream.opened_connections
         )
 
@@ -285,8 +285,8 @@
 async def test_the_kernel_reports_a_disconnect_while_reading_is_paused() -> None:
     """The request ends without a periodic sweep, and so does its attempt."""
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        assert run.server.sweeper is not None
-        run.server.sweeper.cancel()
+        assert run.server.sweep_timer is not None
+        run.server.sweep_timer.cancel()
         delayed = Late(run)
         reported = outcomes(run)
         client, connection = await pipelining_client(run)
@@ -295,9 +295,9 @@
         await until(lambda: not run.server.connections)
         await wait_until_idle(run)
         context = run.server.context
-        assert reported == [Outcome.NOT_SENT] and not context.paused and not context.hangups.watched
+        assert reported == [Outcome.NOT_SENT] and not context.paused and not context.close_watcher.watched
         delayed.release()
-        await until(lambda: run.instance.pools.open == 0)
+        await until(lambda: run.instance.pools.open_connections == 0)
         assert not upstream.exchanges
 
 
@@ -318,22 +318,22 @@
         await until(lambda: len(run.server.context.paused) == 40)
         monkeypatch.setattr(client_module, "has_peer_closed", counted_check)
         dispatch_count = 0
-        hangups = run.server.context.hangups
-        dispatch = hangups.dispatch_hangups
+        close_watcher = run.server.context.close_watcher
+        dispatch = close_watcher.dispatch_hangups
 
         def counted_dispatch() -> None:
             nonlocal dispatch_count
             dispatch_count += 1
             dispatch()
 
-        hangups.loop.remove_reader(hangups.epoll.fileno())  # type: ignore[union-attr]
-        asyncio.get_running_loop().add_reader(hangups.epoll.fileno(), counted_dispatch)
+        close_watcher.loop.remove_reader(close_watcher.epoll.fileno())  # type: ignore[union-attr]
+        asyncio.get_running_loop().add_reader(close_watcher.epoll.fileno(), counted_dispatch)
         for _ in range(10):
             run.server.sweep()
         assert (check_count, dispatch_count) == (0, 0)
         paused_clients[0][0].close()
         await until(lambda: len(run.server.connections) == 39)
-        assert dispatch_count == 1 and len(hangups.watched) == 39
+        assert dispatch_count == 1 and len(close_watcher.watched) == 39
         for client, _ in paused_clients:
             client.close()
         await until(lambda: not run.server.connections)
@@ -372,7 +372,7 @@
         assert reported == [Outcome.NOT_SENT]
         delayed.release()
         await until(
-            lambda: run.instance.pools.open == 0
+            lambda: run.instance.pools.open_connections == 0
             and upstream.closed_connections == upstream.opened_connections
         )
         assert not upstream.exchanges
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -77,7 +77,7 @@
 
 def nothing_is_left(run: Running) -> bool:
     pools = run.instance.pools
-    return pools.open == 0 and not run.gateway.in_flight and not run.gateway.balancer.requests
+    return pools.open_connections == 0 and not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
 # A client leaves
@@ -175,7 +175,7 @@
         await until(lambda: run.server.context.paused and upstream.exchanges)
         (connection,) = run.server.connections
         if not told:  # it leaves just before its first answer comes
-            run.server.context.hangups.unwatch(connection.descriptor)
+            run.server.context.close_watcher.unwatch(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
@@ -235,7 +235,7 @@
         assert (await run.ask(request())).status == 200
         kind, entries = word(what, upstream.address)
         tell(run, kind, *entries)
-        await until(lambda: upstream.closed_connections == 1 and run.instance.pools.open == 0)
+        await until(lambda: upstream.closed_connections == 1 and run.instance.pools.open_connections == 0)
 
 
 @on_loop
@@ -353,7 +353,7 @@
         reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
         client.send(request("transfer"))
-        leaving = asyncio.create_task(server.leave())
+        leaving = asyncio.create_task(server.shut_down())
         loop = asyncio.get_running_loop()
         await until(
             lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
