--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -15,8 +15,8 @@
 ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
 ACCEPT_RETRY_S = 0.01  # where there is no descriptor, and none can be reclaimed
 # Errors of accept that may be over in a moment; after any other the next connection may be accepted at once
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-EXHAUSTED_LIMIT = 10  # of them in a row: this process may have fewer descriptors than configured
+EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+MAX_CONSECUTIVE_EXHAUSTED = 10  # of them in a row: this process may have fewer descriptors than configured
 
 
 class Acceptor:
@@ -26,14 +26,14 @@
         self,
         reclaim: Callable[[], bool],
         reclaim_idle: Callable[[], object],
-        connection: Callable[[], asyncio.BaseProtocol],
+        connection_factory: Callable[[], asyncio.BaseProtocol],
     ) -> None:
         self.reclaim = reclaim  # makes sure of a descriptor for one more; False if there is none
         self.reclaim_idle = reclaim_idle  # closes a client that is idle
-        self.connection = connection  # makes the protocol of an accepted connection
+        self.connection_factory = connection_factory  # makes the protocol of an accepted connection
         self.listener: socket.socket | None = None
         self.pending: set[asyncio.Task[object]] = set()  # accepted, not yet connections
-        self.exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
+        self.consecutive_exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
         self.errors = LabeledCounter("accept_errors_total", "error", ())
 
     def start(self, listener: socket.socket) -> None:
@@ -62,7 +62,7 @@
                 if self._handle_error(error):
                     continue
                 return False
-            self.exhausted = 0
+            self.consecutive_exhausted = 0
             task: asyncio.Task[object] = loop.create_task(self._connect(accepted))
             self.pending.add(task)
             task.add_done_callback(self.pending.discard)
@@ -93,11 +93,11 @@
         """
         name = errno.errorcode.get(error.errno or 0, "other")
         self.errors.add(name)
-        if error.errno not in EXHAUSTED:
+        if error.errno not in EXHAUSTION_ERRNOS:
             log(f"accept failed, continuing: {name}", "warning", "accept")
             return True
-        self.exhausted += 1
-        if error.errno == errno.EMFILE and self.exhausted >= EXHAUSTED_LIMIT:
+        self.consecutive_exhausted += 1
+        if error.errno == errno.EMFILE and self.consecutive_exhausted >= MAX_CONSECUTIVE_EXHAUSTED:
             self.reclaim_idle()
         log(f"accept failed, pausing for {ACCEPT_RETRY_S} s: {name}", "warning", "accept")
         self._pause()
@@ -107,6 +107,6 @@
         with suppress(OSError):  # without TCP_NODELAY responses are only a little later
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(self.connection, accepted)
+            await asyncio.get_running_loop().connect_accepted_socket(self.connection_factory, accepted)
         except OSError:
             accepted.close()  # the client has closed it already
--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -69,7 +69,7 @@
         sent_us: When the attempt began.
         latency_us: Its duration, up to the beginning of a response that is streamed.
         connection: The connection that carries it, or that it waits for.
-        opening: The task that opens a connection for it.
+        connect_task: The task that opens a connection for it.
         timers: Its timeouts, and its wait for a connection that may be reused soon.
         ended: Whether it has its outcome.
     """
@@ -90,7 +90,7 @@
     sent_us: int = 0
     latency_us: int = 0
     connection: AttemptConnection | None = None
-    opening: asyncio.Task[object] | None = None
+    connect_task: asyncio.Task[object] | None = None
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
     ended: bool = False
 
@@ -106,7 +106,7 @@
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Note that a byte of a long body has moved: the attempt has not stalled."""
         self.last_progress_us = now_us()
 
@@ -129,4 +129,4 @@
             self.streamed_body.on_data = do_nothing
             self.streamed_body.on_complete = do_nothing
         self.connection = None
-        self.opening = None
+        self.connect_task = None
--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -52,12 +52,12 @@
         if streamed_body is None or streamed_body.is_complete:
             attempt.timers.append(call_later(attempt.timeout_us / 1e6, self.on_timeout, attempt))
         else:  # the time of a request counts from its last byte
-            end_s = attempt.timeout_us / 1e6
+            timeout_s = attempt.timeout_us / 1e6
             streamed_body.on_complete = lambda: attempt.timers.append(
-                call_later(end_s, self.on_timeout, attempt)
+                call_later(timeout_s, self.on_timeout, attempt)
             )
         if streamed_body is not None:
-            attempt.note_progress()
+            attempt.record_progress()
             self.transferring.add(attempt)
         self.assign(attempt)
 
@@ -73,9 +73,9 @@
                 return
             # The write itself failed: nothing has reached the server, so the same attempt may start anew.
             self.counts.stale += 1
-        recent = self.idle.take_recent(upstream)
-        if recent is not None:
-            self.wait_for(recent, attempt)
+        reusable_soon = self.idle.take_next_reusable(upstream)
+        if reusable_soon is not None:
+            self.wait_for(reusable_soon, attempt)
         else:
             self.open_connection(attempt)
 
@@ -90,11 +90,11 @@
         self.connections.add(connection)
         upstream.on_connection_opening()
         self.counts.opened += 1
-        opening: asyncio.Task[object] = self.loop.create_task(
+        connect_task: asyncio.Task[object] = self.loop.create_task(
             self.loop.create_connection(lambda: connection, *upstream.address)
         )
-        attempt.opening = opening
-        opening.add_done_callback(lambda task: self.on_opened(task, connection))
+        attempt.connect_task = connect_task
+        connect_task.add_done_callback(lambda task: self.on_connect_finished(task, connection))
 
     def may_send(self, attempt: Attempt, incarnation: Incarnation) -> bool:
         """Return whether the first byte may be sent to this incarnation, now or once a connection is up.
@@ -132,10 +132,10 @@
         if attempt.ended:
             return
         connection = attempt.connection
-        opening = attempt.opening
+        connect_task = attempt.connect_task
         self.end(attempt, outcome)
-        if opening is not None and not opening.done():
-            opening.cancel()
+        if connect_task is not None and not connect_task.done():
+            connect_task.cancel()
         if connection is not None:
             connection.abandon()
 
@@ -189,12 +189,12 @@
         elif not connection.send(attempt):
             self.end(attempt, Outcome.CONNECT_FAILED)
 
-    def on_opened(self, opening: asyncio.Task[object], connection: UpstreamConnection) -> None:
+    def on_connect_finished(self, connect_task: asyncio.Task[object], connection: UpstreamConnection) -> None:
         """Account for a connection that did not come up, or was cancelled in the turn in which it did.
 
         For the latter connection_lost may not be called, and it would count as open for good.
         """
-        if opening.cancelled() or opening.exception() is not None:
+        if connect_task.cancelled() or connect_task.exception() is not None:
             self.on_lost(connection)
 
     def on_response(self, connection: UpstreamConnection, response: Response) -> None:
@@ -236,7 +236,7 @@
         waiting = connection.take_waiting()
         if waiting is not None:
             self.assign(waiting)
-        self.idle.forget(connection)
+        self.idle.discard(connection)
         connection.cancel_stream_timer()
         if attempt is not None:
             self.end(attempt, Outcome.RESET if attempt.written else Outcome.CONNECT_FAILED)
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -30,7 +30,7 @@
         self._gateway = gateway
         self.counts = LabeledCounter("client_closes_total", "reason", ())
 
-    def note(
+    def record(
         self,
         reason: str,
         request: Request | None,
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -28,7 +28,7 @@
     """What a server sent is no response that can be used."""
 
 
-def end_to_end(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
     """Return the headers that are forwarded.
 
     Hop-by-hop headers, those that `Connection` names, and those of `without` (lower case) are left out.
@@ -43,12 +43,12 @@
     return [(name, value) for name, value in kept if name.lower() not in named]
 
 
-def trimmed(value: bytes) -> bytes:
+def strip_whitespace(value: bytes) -> bytes:
     """Return a header's value without the white space around it, which the parser leaves."""
     return value.strip(b" \t")
 
 
-def header(headers: Iterable[Header], name: bytes) -> bytes | None:
+def find_header(headers: Iterable[Header], name: bytes) -> bytes | None:
     """Return the value of the first header of that name (in lower case); None without one."""
     return next((value for other, value in headers if other.lower() == name), None)
 
@@ -56,15 +56,15 @@
 class ResponseReader:
     """Turns the bytes of one connection into complete responses, one at a time.
 
-    With `streams`, the body of a response of status 200 may be longer than `limit`: the owner takes its
-    `head` when it `is_long`, and its body by `take` from then on. `feed` returns it at its end, with the rest
-    of the body.
+    With `streams`, the body of a response of status 200 may be longer than `limit`. Once `needs_streaming` is
+    true, the owner reads the head with `head` and the body with `take_body`. When the response is complete,
+    `feed` returns it with the rest of the body.
     """
 
     __slots__ = (
         "_body",
         "_headers",
-        "_interim",
+        "_interim_count",
         "_length",
         "_limit",
         "_parser",
@@ -86,7 +86,7 @@
         self._headers: list[Header] = []
         self._body: list[bytes] = []
         self._size = 0
-        self._interim = 0
+        self._interim_count = 0
         self._unparsed = 0  # bytes since the parser last reported anything
         self.has_partial_response = False  # a response has begun and is not yet complete
 
@@ -114,16 +114,16 @@
         if len(self._responses) > 1 or self.has_partial_response:
             response.keep_alive = False
         self._responses = []
-        self._interim = 0
+        self._interim_count = 0
         return response
 
     @property
-    def is_long(self) -> bool:
+    def needs_streaming(self) -> bool:
         """Whether the response is too long to be buffered, and some of its body is here."""
         return self.in_body and self._size > 0 and max(self._size, self._length or 0) > self._limit
 
     @property
-    def may_be_long(self) -> bool:
+    def has_unknown_length(self) -> bool:
         """Whether the length of the response is not known yet."""
         return self.in_body and self._length is None
 
@@ -131,7 +131,7 @@
         """Return the head of the response that is coming."""
         return Response(200, self._headers, b"", False, self._length)
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Return what has come of its body since the last call."""
         body = b"".join(self._body)
         self._body.clear()
@@ -153,7 +153,7 @@
         self._size += len(name) + len(value)
         if self._size > HEAD_LIMIT:
             raise ResponseError(f"the head of the response is longer than {HEAD_LIMIT} bytes")
-        self._headers.append((name, trimmed(value)))
+        self._headers.append((name, strip_whitespace(value)))
 
     def on_headers_complete(self) -> None:
         """All headers are here; called by the parser."""
@@ -162,7 +162,7 @@
         version = self._parser.get_http_version()
         if version not in VERSIONS:
             raise ResponseError(f"the response is HTTP/{version}, and {' or '.join(VERSIONS)} is understood")
-        length = header(self._headers, b"content-length")
+        length = find_header(self._headers, b"content-length")
         status = self._parser.get_status_code()
         self.in_body = status == 200 and self._streams
         self._length = int(length) if length is not None else None
@@ -170,7 +170,7 @@
             raise ResponseError(f"the body of the response is longer than {self._size_limit} bytes")
         if status < 200 or status in (204, 304):
             return
-        if length is None and header(self._headers, b"transfer-encoding") is None:
+        if length is None and find_header(self._headers, b"transfer-encoding") is None:
             raise ResponseError("the response has neither a Content-Length nor a Transfer-Encoding")
 
     @property
@@ -193,8 +193,8 @@
             body = b"".join(self._body)
             self._responses.append(Response(status, self._headers, body, keep_alive, self._length))
         else:
-            self._interim += 1
-            if self._interim > INTERIM_LIMIT:
+            self._interim_count += 1
+            if self._interim_count > INTERIM_LIMIT:
                 raise ResponseError(f"more than {INTERIM_LIMIT} interim responses ahead of the final one")
         self._headers = []
         self._body = []
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -81,14 +81,14 @@
         at least `idle_s`. Only where no other descriptor can be had, new ones and those still sending follow.
         """
         now_s = asyncio.get_running_loop().time()
-        unfinished = (self.awaiting_first_byte, self.receiving_request, self.receiving_body)
-        candidates = [(phase, REQUEST_HEAD_TIMEOUT_S) for phase in unfinished]
+        incomplete = (self.awaiting_first_byte, self.receiving_request, self.receiving_body)
+        candidates = [(phase, REQUEST_HEAD_TIMEOUT_S) for phase in incomplete]
         candidates += [(self.awaiting_first_byte, FIRST_REQUEST_TIMEOUT_S), (self.idle, idle_s)]
         if purpose is CloseReason.DESCRIPTORS_EXHAUSTED:
-            candidates += [(phase, 0.0) for phase in unfinished]
-        for phase, least_s in candidates:
+            candidates += [(phase, 0.0) for phase in incomplete]
+        for phase, min_s in candidates:
             for connection, since_s in phase.items():
-                if now_s - since_s < least_s:
+                if now_s - since_s < min_s:
                     break
                 if connection.may_close(purpose) is None:
                     connection.close(purpose.value)
@@ -142,7 +142,7 @@
         elif has_responded or self.phase is not self.phases.awaiting_first_byte:
             self.enter(self.phases.idle)
 
-    def exclude(self, pause_s: float) -> None:
+    def exclude_pause(self, pause_s: float) -> None:
         """Do not count so long a pause, which was not the client's, as time for the body."""
         if self.phase is self.phases.receiving_body:
             self.phases.receiving_body[self.connection] += pause_s
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -13,7 +13,7 @@
 from sagetrack.http1.attempt_runner import AttemptRunner
 from sagetrack.http1.idle_connections import IdleConnections, PoolCounts
 from sagetrack.http1.requests import ForwardedRequest
-from sagetrack.http1.response_outcome import load_of
+from sagetrack.http1.response_outcome import load_report_of
 from sagetrack.http1.upstream_connection import PooledServer
 from sagetrack.http1.upstream_server import UpstreamServer
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
@@ -97,7 +97,7 @@
             return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (message.head, max(1, remaining_us // 1000), message.body)
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-            observer.on_attempt_ended(attempt, outcome, response, load_of(response))
+            observer.on_attempt_ended(attempt, outcome, response, load_report_of(response))
 
         attempt = Attempt(
             upstream,
@@ -121,7 +121,7 @@
             return
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-            on_result(outcome, attempt.latency_us, load_of(response))
+            on_result(outcome, attempt.latency_us, load_report_of(response))
 
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
         address = f"{upstream.address[0]}:{upstream.address[1]}".encode()
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -10,17 +10,20 @@
 from sagetrack.core.responses import Response
 from sagetrack.http1.codec import ResponseError, ResponseReader
 
-LIST_LIMIT = 16 * 1024 * 1024  # bytes of a response, as of the list of all servers
+LIST_LIMIT = 16 * 1024 * 1024  # bytes of a response body; the endpoint list of a large fleet is the longest
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection that carries one request at a time, not streamed; failures are raised as `error`."""
+    """A connection that carries one request at a time and buffers the whole response.
 
-    def __init__(self, error: Callable[[str], Exception]) -> None:
-        self.error = error
+    Failures are raised as the exceptions that `make_error` creates.
+    """
+
+    def __init__(self, make_error: Callable[[str], Exception]) -> None:
+        self.make_error = make_error
         self.transport: asyncio.Transport | None = None
         self.responses = ResponseReader(LIST_LIMIT)
-        self.awaited: asyncio.Future[Response] | None = None
+        self.pending_response: asyncio.Future[Response] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport; called by the loop."""
@@ -33,8 +36,8 @@
         except ResponseError as error:
             self.fail(str(error))
             return
-        if response is not None and self.awaited is not None and not self.awaited.done():
-            self.awaited.set_result(response)
+        if response is not None and self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request in progress; called by the loop."""
@@ -43,8 +46,8 @@
 
     def fail(self, reason: str) -> None:
         """Fail the request in progress, and close."""
-        if self.awaited is not None and not self.awaited.done():
-            self.awaited.set_exception(self.error(reason))
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_exception(self.make_error(reason))
         self.close()
 
     def close(self) -> None:
@@ -61,23 +64,23 @@
         """Send a request without a body, and return the response; the wait has no time limit.
 
         Raises:
-            Exception: An instance of `error`, whatever has failed.
+            Exception: The request has failed; the exception is created by `make_error`.
         """
         if self.transport is None or self.transport.is_closing():
-            raise self.error("the connection has ended")
-        self.awaited = asyncio.get_running_loop().create_future()
+            raise self.make_error("the connection has ended")
+        self.pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(head)
-        return await self.awaited
+        return await self.pending_response
 
 
 async def connect(
-    address: Address, error: Callable[[str], Exception] = ConnectionError
+    address: Address, make_error: Callable[[str], Exception] = ConnectionError
 ) -> DiscoveryConnection:
-    """Return a connection that is up; later failures on it are raised as `error`.
+    """Open a connection; failures after that are raised as the exceptions that `make_error` creates.
 
     Raises:
         OSError: It could not be opened.
     """
     loop = asyncio.get_running_loop()
-    _, connection = await loop.create_connection(lambda: DiscoveryConnection(error), *address)
+    _, connection = await loop.create_connection(lambda: DiscoveryConnection(make_error), *address)
     return connection
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -13,7 +13,7 @@
 from sagetrack.http1.client_closes import ABORTED, CLIENT_LEFT, DRAINED, RESPONDED, ClientCloses
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.http1.connection_phases import ConnectionPhases, PhaseTracker
-from sagetrack.http1.exchange import Exchange, RequestHandling
+from sagetrack.http1.exchange import Exchange, ExchangeContext
 from sagetrack.http1.read_pause import ReadPause
 from sagetrack.http1.request_reader import RequestReader
 from sagetrack.http1.requests import HttpRequest, RequestError
@@ -32,7 +32,7 @@
     """What all clients' connections share, and the list of them.
 
     Attributes:
-        handling: How their requests are handled.
+        exchange_context: How their requests are handled.
         drain: The phase of the process.
         connections: Those that are up.
         phases: What each of them waits for.
@@ -43,16 +43,16 @@
         closes: Why this process has closed connections.
     """
 
-    def __init__(self, handling: RequestHandling, drain: Drain) -> None:
-        self.handling = handling
+    def __init__(self, exchange_context: ExchangeContext, drain: Drain) -> None:
+        self.exchange_context = exchange_context
         self.drain = drain
         self.connections: set[ClientConnection] = set()
         self.phases = ConnectionPhases()
         self.paused: set[ClientConnection] = set()
         self.close_watcher = PeerCloseWatcher()
-        self.body_budget = BodyMemoryBudget(handling.config.memory_mb)
+        self.body_budget = BodyMemoryBudget(exchange_context.config.memory_mb)
         self.buffer = memoryview(bytearray(READ_SIZE))
-        self.closes = ClientCloses(handling.gateway)
+        self.closes = ClientCloses(exchange_context.gateway)
 
     def watch_paused(self, connection: ClientConnection) -> None:
         """Have the kernel report the end of a connection on which nothing is read."""
@@ -88,7 +88,7 @@
         self.context = context
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(context.body_budget)
-        self.exchange = Exchange(self, context.handling)
+        self.exchange = Exchange(self, context.exchange_context)
         self.discarded_body: StreamedBody | None = None  # its request has had its response already
         self.phase = PhaseTracker(self, context.phases)
         self.read_pause = ReadPause(self.phase)
@@ -161,14 +161,14 @@
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
         """Give up a request whose body comes too slowly, unless it is this process that does not read."""
-        allowed_s = BODY_GRACE_S + self.reader.received / MIN_BODY_RATE
+        allowed_s = BODY_GRACE_S + self.reader.body_received / MIN_BODY_RATE
         if not self.read_pause.is_active and now_s - since_s > allowed_s:
             self.abandon_request()
 
-    def abandon_request(self, fault: RequestError | None = None) -> None:
+    def abandon_request(self, error: RequestError | None = None) -> None:
         """Respond to a request of which the rest has not come in time, and read nothing more."""
-        self.reader.fail(fault or RequestError(408, "the request did not come in time"))
-        self.handle_fault()
+        self.reader.fail(error or RequestError(408, "the request did not come in time"))
+        self.handle_read_error()
         self.take_next()
 
     # Closing
@@ -197,7 +197,7 @@
 
     def close(self, reason: str = RESPONDED) -> None:
         """Close once what was written is with the client, and within `WRITE_TIMEOUT_S`."""
-        self._note_close(reason)
+        self._record_close(reason)
         self.is_closing = True
         if self.transport is not None:
             self.phase.enter_closing(WRITE_TIMEOUT_S)
@@ -205,17 +205,17 @@
 
     def abort(self, reason: str = ABORTED) -> None:
         """Close at once; what the client has not taken yet is lost."""
-        self._note_close(reason)
+        self._record_close(reason)
         self.is_closing = True
         self.phase.enter(None)
         if self.transport is not None:
             self.transport.abort()
 
-    def _note_close(self, reason: str) -> None:
+    def _record_close(self, reason: str) -> None:
         """Count why this process closes the connection, unless it does so already."""
         if self.transport is not None and not self.transport.is_closing():
             awaits_response = self.exchange.awaits_response and not self.write_blocked
-            self.context.closes.note(reason, self.exchange.request, awaits_response, self.has_disconnected)
+            self.context.closes.record(reason, self.exchange.request, awaits_response, self.has_disconnected)
 
     def _linger(self) -> None:
         """Close after a response that the client does not expect yet, once it has had `LINGER_S` to read it.
@@ -247,7 +247,7 @@
         """Parse these bytes after those that were left; reading pauses while some are left again."""
         assert self.transport is not None
         self.reader.feed(data, MAX_PIPELINED)
-        self.handle_fault()
+        self.handle_read_error()
         if self.is_closing:
             return
         if self.reader.has_failed or self.reader.unparsed:
@@ -276,13 +276,13 @@
         if not reader.expects_continue or self.is_closing or self.discarded_body is not None:
             return
         ahead = (self.exchange.message, *reader.requests)
-        if any(message is not None and message is not reader.reading for message in ahead):
+        if any(message is not None and message is not reader.current_request for message in ahead):
             return
         if self.transport is not None:
             reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def handle_fault(self) -> None:
+    def handle_read_error(self) -> None:
         """Respond where the body of the request in progress cannot be read to its end."""
         if self.discarded_body is not None and self.reader.has_failed:
             self.close()
@@ -330,7 +330,7 @@
         self.reader.requests.clear()
         if message.streamed_body is not None and not message.streamed_body.is_finished:
             self._discard(message.streamed_body)
-        elif message.fault is not None:
+        elif message.error is not None:
             self._linger()
         else:
             self.close()
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -11,7 +11,7 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.responses import Header, Response
-from sagetrack.http1.codec import end_to_end
+from sagetrack.http1.codec import end_to_end_headers
 from sagetrack.http1.requests import HttpRequest, RequestError, read_request
 
 READY_PATH = b"/health/ready"
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class RequestHandling:
+class ExchangeContext:
     """What all exchanges share.
 
     Attributes:
@@ -74,8 +74,8 @@
 
     __slots__ = (
         "chunked",
+        "context",
         "ends_connection",
-        "handling",
         "has_responded",
         "message",
         "owner",
@@ -84,9 +84,9 @@
         "transport",
     )
 
-    def __init__(self, owner: ExchangeOwner, handling: RequestHandling) -> None:
+    def __init__(self, owner: ExchangeOwner, context: ExchangeContext) -> None:
         self.owner = owner
-        self.handling = handling
+        self.context = context
         self.transport: asyncio.Transport | None = None
         self.message: HttpRequest | None = None  # in progress, as it was read
         self.request: Request | None = None  # the same, as the gateway has it
@@ -106,26 +106,26 @@
             self.respond(error.status, error.headers, f"{error}\n".encode())
 
     def _handle(self, message: HttpRequest) -> None:
-        if message.fault is not None:
-            raise message.fault
+        if message.error is not None:
+            raise message.error
         if message.streamed_body is not None:
             message.streamed_body.on_capacity = self.owner.resume_parsing_soon
-        handling = self.handling
+        context = self.context
         path = message.target.partition(b"?")[0]
         if path == READY_PATH:
             if message.method not in (b"GET", b"HEAD"):
                 raise RequestError(405, "GET it", (b"Allow", b"GET, HEAD"))
-            self.respond(200 if handling.is_ready() else 503, [], b"")
+            self.respond(200 if context.is_ready() else 503, [], b"")
             return
-        request = read_request(message, path, handling.config, self)
-        rejection = handling.check_head(request.message.head) if handling.check_head is not None else None
+        request = read_request(message, path, context.config, self)
+        rejection = context.check_head(request.message.head) if context.check_head is not None else None
         if rejection is not None:
             raise RequestError(400, rejection)
         self.request = request
         request.has_disconnected = self.owner.has_disconnected
-        if not request.client_id and handling.config.settings.admission is not None:
+        if not request.client_id and context.config.settings.admission is not None:
             request.client_id = self._address_id()
-        if not handling.gateway.submit(request):
+        if not context.gateway.submit(request):
             self.request = None
             raise RequestError(400, "this X-Call-Id is in use")
 
@@ -140,7 +140,7 @@
         request = self.request
         self.request = None
         if request is not None:
-            self.handling.gateway.cancel_request(request.id)
+            self.context.gateway.cancel_request(request.id)
 
     def cancel(self) -> None:
         """The client has gone: nothing more of a response is written for it, and its request is cancelled."""
@@ -150,13 +150,13 @@
     def fail_body(self) -> None:
         """Respond to a long body that was being passed on and cannot be read to its end."""
         message = self.message
-        if message is None or message.streamed_body is None or message.fault is None:
+        if message is None or message.streamed_body is None or message.error is None:
             return
         self.cancel_request()
         if self.source is not None:
             self.owner.abort("broken_body")  # its response has begun: the client sees that it is incomplete
         else:
-            self.respond(message.fault.status, message.fault.headers, f"{message.fault}\n".encode())
+            self.respond(message.error.status, message.error.headers, f"{message.error}\n".encode())
 
     @property
     def is_busy(self) -> bool:
@@ -195,13 +195,13 @@
     def on_response(self, request: Request, response: Response) -> None:
         """Respond with what an upstream server has responded."""
         if self.request is request:
-            self.respond(200, end_to_end(response.headers, NOT_PASSED_BACK), response.body)
+            self.respond(200, end_to_end_headers(response.headers, NOT_PASSED_BACK), response.body)
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Respond that the request was rejected, and when to retry if that is known."""
         if self.request is request:
             value = b"%.3f" % (retry_after_us / 1e6)
-            if self.handling.config.whole_seconds:  # rounded up: not before it is due
+            if self.context.config.whole_seconds:  # rounded up: not before it is due
                 value = b"%d" % -(-retry_after_us // 1_000_000)
             headers = [(b"Retry-After", value)] if retry_after_us > 0 else []
             self.respond(503, headers, b"")
@@ -223,7 +223,7 @@
         self.chunked = head.length is None and message.version == "1.1"
         self.ends_connection = self.owner.is_last(message) or (head.length is None and not self.chunked)
         lines = [b"HTTP/1.1 200 OK"]
-        lines += [b"%s: %s" % pair for pair in end_to_end(head.headers, NOT_PASSED_BACK)]
+        lines += [b"%s: %s" % pair for pair in end_to_end_headers(head.headers, NOT_PASSED_BACK)]
         if head.length is not None:
             lines.append(b"Content-Length: %d" % head.length)
         elif self.chunked:
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -43,22 +43,22 @@
         The others age, so that those which are not needed are closed.
         """
         now = now_us()
-        oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
-        reusable_us = now - int(REUSE_DELAY_S * 1e6)
+        expiry_cutoff_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
+        reuse_cutoff_us = now - int(REUSE_DELAY_S * 1e6)
         idle = upstream.idle
         at = len(idle)
         while at > 0:
             at -= 1
-            if idle[at].idle_since_us > reusable_us:
+            if idle[at].idle_since_us > reuse_cutoff_us:
                 continue
             connection = idle.pop(at)
-            if connection.idle_since_us >= oldest_us and connection.is_usable():
+            if connection.idle_since_us >= expiry_cutoff_us and connection.is_usable():
                 return connection
             self.counts.stale += 1
             connection.close()
         return None
 
-    def take_recent(self, upstream: PooledServer) -> UpstreamConnection | None:
+    def take_next_reusable(self, upstream: PooledServer) -> UpstreamConnection | None:
         """Return the connection that may be reused next, if a wait for that is worth it.
 
         It is not for a server that responds in less than twice that wait, which would count as slowness.
@@ -82,7 +82,7 @@
         connection.has_sent = False
         upstream.idle.append(connection)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def discard(self, connection: UpstreamConnection) -> None:
         """Drop a connection that has ended."""
         if connection in connection.upstream.idle:
             connection.upstream.idle.remove(connection)
@@ -95,11 +95,11 @@
     def close_expired(self, servers: Iterable[PooledServer]) -> None:
         """Close connections that have been idle for too long, well before their server closes them."""
         now = now_us()
-        oldest_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
-        spare_us = now - SPARE_IDLE_US
+        expiry_cutoff_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
+        spare_cutoff_us = now - SPARE_IDLE_US
         for upstream in servers:
             while upstream.idle:
-                limit_us = spare_us if len(upstream.idle) > SPARE_CONNECTIONS else oldest_us
+                limit_us = spare_cutoff_us if len(upstream.idle) > SPARE_CONNECTIONS else expiry_cutoff_us
                 if upstream.idle[0].idle_since_us >= limit_us:
                     break
                 upstream.idle.pop(0).close()
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -19,7 +19,7 @@
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.descriptors import DescriptorBudget
 from sagetrack.http1.downstream import ClientConnection, ClientContext
-from sagetrack.http1.exchange import RequestHandling
+from sagetrack.http1.exchange import ExchangeContext
 
 DRAIN_POLL_S = 0.02  # between checks of what has not ended yet, during a drain
 SWEEP_S = 0.2  # between checks for connections whose time limit has passed
@@ -31,11 +31,11 @@
     def __init__(self, config: Config, gateway: Gateway, pools: ConnectionPools) -> None:
         self.config = config
         self.gateway = gateway
-        longest_us = max(request_class.request_timeout_us for request_class in config.settings.classes)
-        self.drain = Drain(longest_us / 1e6)
+        max_timeout_us = max(request_class.request_timeout_us for request_class in config.settings.classes)
+        self.drain = Drain(max_timeout_us / 1e6)
         self.siblings: SiblingProcesses = NoSiblings()
-        self.handling = RequestHandling(config, gateway, lambda: self.is_ready)
-        self.context = ClientContext(self.handling, self.drain)
+        self.exchange_context = ExchangeContext(config, gateway, lambda: self.is_ready)
+        self.context = ClientContext(self.exchange_context, self.drain)
         self.descriptors = DescriptorBudget(
             config, pools, self.context.phases, self.count_clients, lambda: 1 + self.siblings.sibling_count
         )
@@ -66,7 +66,7 @@
 
     def set_head_check(self, check: Callable[[bytes], str | None]) -> None:
         """Check heads of requests: `check` returns why one cannot be served here, None if it can."""
-        self.handling.check_head = check
+        self.exchange_context.check_head = check
 
     @property
     def is_ready(self) -> bool:
@@ -95,9 +95,9 @@
     def sweep(self) -> None:
         """Close connections whose time limit has passed, and follow the number of processes side by side."""
         loop = asyncio.get_running_loop()
-        others = self.siblings.sibling_count
+        previous_count = self.siblings.sibling_count
         self.siblings.refresh()
-        if self.siblings.sibling_count != others:
+        if self.siblings.sibling_count != previous_count:
             self.gateway.set_process_count(1 + self.siblings.sibling_count)
         self.descriptors.shrink_to_limit()
         self.sweep_timer = loop.call_later(SWEEP_S, self.sweep)
--- a/sagetrack/http1/read_pause.py
+++ b/sagetrack/http1/read_pause.py
@@ -36,7 +36,7 @@
         """
         if self._since_s is None:
             return False
-        self._phase.exclude(asyncio.get_running_loop().time() - self._since_s)
+        self._phase.exclude_pause(asyncio.get_running_loop().time() - self._since_s)
         self._since_s = None
         transport.resume_reading()
         return True
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -8,7 +8,7 @@
 
 from sagetrack.core.bodies import STREAMED_BODY_LIMIT, BodyMemoryBudget, StreamedBody
 from sagetrack.core.clock import now_us
-from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, header, trimmed
+from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, find_header, strip_whitespace
 from sagetrack.http1.requests import HttpRequest, RequestError
 
 SLICE = 4096  # bytes parsed between looks at how many requests they contained
@@ -27,10 +27,10 @@
         "_fed_us",
         "_parser",
         "_unreported",
+        "current_request",
         "expects_continue",
         "has_failed",
         "in_body",
-        "reading",
         "requests",
         "unparsed",
     )
@@ -38,7 +38,7 @@
     def __init__(self, body_budget: BodyMemoryBudget) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self._body_budget = body_budget
-        self.reading: HttpRequest | None = None
+        self.current_request: HttpRequest | None = None
         self._body_size = 0
         self.in_body = False
         self.expects_continue = False  # the request that is being read waits for `100 Continue`
@@ -51,22 +51,22 @@
     @property
     def has_partial_request(self) -> bool:
         """Whether part of a request has come, and not all of it."""
-        return self.reading is not None or self._unreported > 0 or bool(self.unparsed)
+        return self.current_request is not None or self._unreported > 0 or bool(self.unparsed)
 
     @property
     def streamed_body(self) -> StreamedBody | None:
         """The long body that is being read."""
-        return self.reading.streamed_body if self.reading is not None else None
+        return self.current_request.streamed_body if self.current_request is not None else None
 
     @property
-    def received(self) -> int:
+    def body_received(self) -> int:
         """Bytes of the body that is being read."""
         return self._body_size
 
     def feed(self, data: bytes, limit: int) -> None:
         """Parse until `limit` requests wait: hundreds at once must not delay everyone else.
 
-        What cannot be read ends as a request with a `fault`, after which nothing more is read.
+        What cannot be read ends as a request with an `error`, after which nothing more is read.
         """
         if data:
             self._fed_us = now_us()
@@ -83,23 +83,23 @@
                 size = max(SLICE, min(BODY_SLICE, streamed_body.length - streamed_body.received))
             piece = view[at : at + size]
             at += len(piece)
-            fault = self._parse(piece)
-            if fault is not None:
-                self.fail(fault)
+            error = self._parse(piece)
+            if error is not None:
+                self.fail(error)
         self.unparsed = b"" if self.has_failed else bytes(view[at:])
 
-    def fail(self, fault: RequestError) -> None:
-        """Have this fault responded to after the requests that were read before, and read nothing more."""
+    def fail(self, error: RequestError) -> None:
+        """Have this error responded to after the requests that were read before, and read nothing more."""
         self.has_failed = True
-        reading = self.reading
-        self.reading = None
+        current_request = self.current_request
+        self.current_request = None
         self.unparsed = b""
         self.in_body = False
-        if reading is not None and reading.streamed_body is not None:
-            reading.fault = fault  # the connection has had the request since its head was read
-            reading.streamed_body.abort()
+        if current_request is not None and current_request.streamed_body is not None:
+            current_request.error = error  # the connection has had the request since its head was read
+            current_request.streamed_body.abort()
         else:
-            self.requests.append(HttpRequest(fault))
+            self.requests.append(HttpRequest(error))
 
     def _parse(self, piece: memoryview) -> RequestError | None:
         self._unreported += len(piece)
@@ -118,25 +118,25 @@
 
     def on_message_begin(self) -> None:
         """A request begins; called by the parser."""
-        self.reading = HttpRequest()
+        self.current_request = HttpRequest()
         self._body_size = 0
         self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
         """A part of the target is here; called by the parser."""
-        assert self.reading is not None
-        self.reading.target += url
+        assert self.current_request is not None
+        self.current_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header is complete; called by the parser."""
-        assert self.reading is not None
+        assert self.current_request is not None
         if self.in_body:
             return  # a trailer: it may be left out, and must not stand for a header that was checked
-        self.reading.headers.append((name, trimmed(value)))
+        self.current_request.headers.append((name, strip_whitespace(value)))
 
     def on_headers_complete(self) -> None:
         """All headers are here; called by the parser."""
-        request = self.reading
+        request = self.current_request
         assert request is not None
         self._unreported = 0
         request.method = self._parser.get_method()
@@ -146,16 +146,16 @@
         request.version = self._parser.get_http_version()
         if request.version not in VERSIONS:
             raise RequestError(505, "HTTP/1.1 is spoken here")
-        coding = header(headers, b"transfer-encoding")
+        coding = find_header(headers, b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
             raise RequestError(501, "no transfer encoding but chunked is read")
-        length = header(headers, b"content-length")
+        length = find_header(headers, b"content-length")
         if length is not None and int(length) > STREAMED_BODY_LIMIT:
             raise RequestError(413, "the body is too long")
         self.in_body = True
         if length is not None and int(length) > BODY_LIMIT:
             self._stream_body(request, int(length))
-        expected = header(headers, b"expect")
+        expected = find_header(headers, b"expect")
         if expected is not None:
             if expected.lower() != b"100-continue":
                 raise RequestError(417, "only 100-continue can be expected")
@@ -163,8 +163,8 @@
 
     def on_body(self, data: bytes) -> None:
         """A part of the body is here; called by the parser."""
-        assert self.reading is not None
-        request = self.reading
+        assert self.current_request is not None
+        request = self.current_request
         self._unreported = 0
         self._body_size += len(data)
         if self._body_size > STREAMED_BODY_LIMIT:
@@ -187,9 +187,9 @@
 
     def on_message_complete(self) -> None:
         """A request is complete; called by the parser."""
-        request = self.reading
+        request = self.current_request
         assert request is not None
-        self.reading = None
+        self.current_request = None
         self._unreported = 0
         self.in_body = False
         self.expects_continue = False
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -11,7 +11,7 @@
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header
-from sagetrack.http1.codec import ProtocolError, end_to_end
+from sagetrack.http1.codec import ProtocolError, end_to_end_headers
 from sagetrack.policy.settings import Effect, RequestClass
 
 ID_LIMIT = 128  # bytes of X-Call-Id
@@ -32,11 +32,11 @@
 
 
 class HttpRequest:
-    """One request as it was read; with a `fault`, neither it nor anything after it can be read."""
+    """One request as it was read; with an `error`, neither it nor anything after it can be read."""
 
     __slots__ = (
         "body",
-        "fault",
+        "error",
         "headers",
         "keep_alive",
         "method",
@@ -46,13 +46,13 @@
         "version",
     )
 
-    def __init__(self, fault: RequestError | None = None) -> None:
+    def __init__(self, error: RequestError | None = None) -> None:
         self.method = b""
         self.target = b""
         self.headers: list[Header] = []
         self.body: list[bytes] = []
         self.keep_alive = False
-        self.fault = fault
+        self.error = error
         self.streamed_body: StreamedBody | None = None  # its body, if that is too long to be buffered
         self.version = "1.1"
         self.received_us = 0  # when its last byte was read
@@ -157,7 +157,7 @@
 def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
     """Return the head as it is forwarded, without the budget and the empty line."""
     lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
-    lines += [b"%s: %s" % pair for pair in end_to_end(message.headers, NOT_FORWARDED)]
+    lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, NOT_FORWARDED)]
     length = len(body) if message.streamed_body is None else message.streamed_body.length
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
--- a/sagetrack/http1/response_outcome.py
+++ b/sagetrack/http1/response_outcome.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrack.core.responses import Response
-from sagetrack.http1.codec import header
+from sagetrack.http1.codec import find_header
 from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.parsing import parse_load
 
@@ -18,14 +18,14 @@
     """
     if response.status == 200:
         return Outcome.OK
-    if response.status in (503, 504) and header(response.headers, b"x-rejected") == b"1":
+    if response.status in (503, 504) and find_header(response.headers, b"x-rejected") == b"1":
         return Outcome.REJECTED
     return Outcome.ERROR
 
 
-def load_of(response: Response | None) -> LoadReport | None:
+def load_report_of(response: Response | None) -> LoadReport | None:
     """Return the load report that came with a response; None without one that can be parsed."""
-    text = header(response.headers, b"x-load-report") if response is not None else None
+    text = find_header(response.headers, b"x-load-report") if response is not None else None
     if text is None:
         return None
     form, _, values = text.decode("latin-1").partition(" ")
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -118,7 +118,7 @@
         self.has_sent = True
         attempt.on_first_byte()
         if self.write(attempt.payload(attempt.remaining_us)):
-            self.carry(attempt)
+            self.start_body(attempt)
             return True
         self.attempt = None
         attempt.connection = None
@@ -167,11 +167,11 @@
 
     # A request body that is streamed
 
-    def carry(self, attempt: Attempt) -> None:
+    def start_body(self, attempt: Attempt) -> None:
         """Begin to send what follows the payload, if anything does."""
         self.body_written = attempt.streamed_body is None
         if attempt.streamed_body is not None:
-            attempt.note_progress()
+            attempt.record_progress()
             attempt.streamed_body.on_data = self.write_body
         self.write_body()
 
@@ -183,7 +183,7 @@
         streamed_body = attempt.streamed_body
         while streamed_body is not None and self.is_flushed and streamed_body.chunks:
             data = streamed_body.take()
-            attempt.note_progress()
+            attempt.record_progress()
             self.write(data if streamed_body.length is not None else b"%x\r\n%s\r\n" % (len(data), data))
         if (
             streamed_body is not None
@@ -231,11 +231,11 @@
         elif attempt is None:
             self.close()
         elif attempt.is_streaming:
-            attempt.note_progress()
-            attempt.on_response_data(self.responses.take())
-        elif self.responses.is_long:
+            attempt.record_progress()
+            attempt.on_response_data(self.responses.take_body())
+        elif self.responses.needs_streaming:
             self.start_stream()
-        elif self.responses.may_be_long and self.stream_timer is None:
+        elif self.responses.has_unknown_length and self.stream_timer is None:
             self.stream_timer = self.owner.loop.call_later(STREAM_AFTER_S, self.start_stream)
 
     def cancel_stream_timer(self) -> None:
@@ -255,7 +255,7 @@
             return
         self.owner.on_stream_started(attempt)
         attempt.on_response_started(attempt, self.responses.head(), self)
-        body = self.responses.take()
+        body = self.responses.take_body()
         if self.attempt is attempt and body:
             attempt.on_response_data(body)
 
@@ -270,7 +270,7 @@
         if self.transport is not None and self.is_paused and not self.transport.is_closing():
             self.is_paused = False
             if self.attempt is not None:
-                self.attempt.note_progress()
+                self.attempt.record_progress()
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -122,10 +122,10 @@
     tracker.await_request(True, True, False, 5.0)
     assert not phases.receiving_request and connection in phases.receiving_body
     before_s = tracker.since_s(0.0)
-    tracker.exclude(3.0)
+    tracker.exclude_pause(3.0)
     assert tracker.since_s(0.0) == before_s + 3.0
     tracker.await_request(False, False, True, 5.0)
-    tracker.exclude(3.0)  # of a body alone
+    tracker.exclude_pause(3.0)  # of a body alone
     since_s = tracker.since_s(0.0)
     assert phases.idle == {connection: since_s} and since_s <= asyncio.get_running_loop().time()
     tracker.await_request(False, True, True, 5.0)  # a later request counts from its first byte
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -73,12 +73,12 @@
 
 
 def test_a_wait_for_reuse_is_worth_it_only_for_a_slow_server(rules: Rules) -> None:
-    assert rules.idle.take_recent(rules.server) is None
+    assert rules.idle.take_next_reusable(rules.server) is None
     first, second = rules.have(10_000, 5_000)
     first.last_response_us = 1_000
-    assert rules.idle.take_recent(rules.server) is None
+    assert rules.idle.take_next_reusable(rules.server) is None
     first.last_response_us = 1_000_000
-    assert rules.idle.take_recent(rules.server) is first and rules.server.idle == [second]
+    assert rules.idle.take_next_reusable(rules.server) is first and rules.server.idle == [second]
     assert rules.idle.reusable_in_s(first) == pytest.approx(0.005)
 
 
@@ -117,8 +117,8 @@
 
 def test_a_connection_that_has_ended_is_forgotten_and_all_are_closed(rules: Rules) -> None:
     one, two = rules.have(1, 2)
-    rules.idle.forget(one)
-    rules.idle.forget(one)
+    rules.idle.discard(one)
+    rules.idle.discard(one)
     assert rules.server.idle == [two]
     rules.idle.close_all(rules.server)
     assert not rules.server.idle and two.closed and not one.closed
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -50,14 +50,14 @@
         and taken.streamed_body.length == length
         and made.streamed_body is taken.streamed_body
     )
-    assert not taken.streamed_body.is_complete and made.in_body and made.received == 1000
+    assert not taken.streamed_body.is_complete and made.in_body and made.body_received == 1000
 
 
 def test_what_cannot_be_read_comes_after_what_could_and_ends_the_reading() -> None:
     made = reader()
     made.feed(request("transfer", b"good") + b"rubbish\r\n\r\n" + request("transfer"), 16)
     good, bad = made.requests
-    assert good.fault is None and bad.fault is not None and bad.fault.status == 400
+    assert good.error is None and bad.error is not None and bad.error.status == 400
     assert made.has_failed and not made.unparsed
 
 
@@ -70,5 +70,5 @@
     taken.streamed_body.discard()
     made.feed(b"", 16)
     made.feed(b"no size\r\n", 16)
-    assert taken.fault is not None and list(made.requests) == [taken]
+    assert taken.error is not None and list(made.requests) == [taken]
     assert taken.streamed_body.is_finished and not taken.streamed_body.is_complete
--- a/tests/test_response_outcome.py
+++ b/tests/test_response_outcome.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sagetrack.core.responses import Header, Response
-from sagetrack.http1.response_outcome import load_of, outcome_of
+from sagetrack.http1.response_outcome import load_report_of, outcome_of
 from sagetrack.policy.events import Outcome
 
 REJECTED: Header = (b"X-Rejected", b"1")
@@ -36,8 +36,8 @@
 
 
 def test_a_load_report_is_read_and_one_that_cannot_be_is_none() -> None:
-    good = load_of(response(200, (b"X-Load-Report", b"TEXT queue=3")))
-    assert good is not None and good == load_of(response(503, (b"x-load-report", b"TEXT queue:3")))
-    assert load_of(None) is None and load_of(response(200)) is None
-    assert load_of(response(200, (b"X-Load-Report", b"JSON queue=3"))) is None
-    assert load_of(response(200, (b"X-Load-Report", b"TEXT queue=many"))) is None
+    good = load_report_of(response(200, (b"X-Load-Report", b"TEXT queue=3")))
+    assert good is not None and good == load_report_of(response(503, (b"x-load-report", b"TEXT queue:3")))
+    assert load_report_of(None) is None and load_report_of(response(200)) is None
+    assert load_report_of(response(200, (b"X-Load-Report", b"JSON queue=3"))) is None
+    assert load_report_of(response(200, (b"X-Load-Report", b"TEXT queue=many"))) is None
