--- a/sagetrack/lab/scale/real_gateway/discovery.py
+++ b/sagetrack/lab/scale/real_gateway/discovery.py
@@ -11,7 +11,7 @@
 
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.scale.target_fleet import TargetFleet
-from sagetrack.lab.stand_ins.scripted import Exchange, reply
+from sagetrack.lab.stand_ins.scripted import Exchange, http_response
 
 LIST_TIMEOUT_S = 30.0  # for the gateway to take a full list
 FULL_LIST = -1  # a poll's index if it asks for the full list
@@ -78,9 +78,9 @@
             with suppress(TimeoutError):
                 async with asyncio.timeout(int(query["hold_ms"][0]) / 1000):
                     await self._changed.wait()
-        data = reply(200, self.list_text(since))
+        data = http_response(200, self.list_text(since))
         self.sent_bytes += len(data)
-        exchange.answer(data)
+        exchange.respond(data)
 
     async def wait_until_taken(self) -> None:
         """Wait until the gateway polls for what comes after the current index, so has taken all before it.
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -14,7 +14,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from sagetrack.lab.soak.events import now_us
-from sagetrack.lab.stand_ins.scripted import read_message, reply
+from sagetrack.lab.stand_ins.scripted import http_response, read_message
 
 GROUPS = 3  # idempotency groups, which servers are spread over
 KEPT_CHANGES = 50
@@ -178,7 +178,7 @@
                     break
                 if self._fault is AgentFault.SILENT:
                     await asyncio.sleep(SILENCE_S)
-                writer.write(reply(200, json.dumps(message).encode()))
+                writer.write(http_response(200, json.dumps(message).encode()))
         except (asyncio.IncompleteReadError, OSError, RuntimeError, asyncio.CancelledError):
             pass  # it is cancelled as the run ends, and nobody waits for this task
         finally:
--- a/sagetrack/lab/stand_ins/scripted.py
+++ b/sagetrack/lab/stand_ins/scripted.py
@@ -37,7 +37,7 @@
     return Message(start_line, headers, body)
 
 
-def reply(status: int = 200, body: bytes = b"fine", *headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"fine", *headers: str) -> bytes:
     """A response on the wire; each further header is a "Name: value"."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + HEAD_END + body
@@ -49,9 +49,9 @@
 
     message: Message
     writer: asyncio.StreamWriter
-    connection: int
+    connection_number: int
 
-    def answer(self, data: bytes) -> None:
+    def respond(self, data: bytes) -> None:
         """Write bytes as they are."""
         self.writer.write(data)
 
@@ -63,12 +63,12 @@
 Script = Callable[[Exchange], Awaitable[None] | None]
 
 
-def answers(data: bytes) -> Script:
+def respond_with(data: bytes) -> Script:
     """A script that answers each request with the same bytes."""
-    return lambda exchange: exchange.answer(data)
+    return lambda exchange: exchange.respond(data)
 
 
-def silent(exchange: Exchange) -> None:
+def no_response(exchange: Exchange) -> None:
     """A script that reads each request and sends nothing."""
 
 
@@ -112,11 +112,11 @@
             writer.close()
 
 
-ANSWERS_FINE = answers(reply())
+RESPOND_OK = respond_with(http_response())
 
 
 @asynccontextmanager
-async def scripted_server(script: Script = ANSWERS_FINE) -> AsyncIterator[ScriptedServer]:
+async def scripted_server(script: Script = RESPOND_OK) -> AsyncIterator[ScriptedServer]:
     """A scripted server that listens on loopback until the context ends."""
     scripted = ScriptedServer(script)
     scripted.server = await asyncio.start_server(scripted.serve, "127.0.0.1", 0)
@@ -151,6 +151,6 @@
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
-def list_reply(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> bytes:
+def list_response(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> bytes:
     """The same as a response on the wire."""
-    return reply(200, json.dumps(endpoint_list(index, *endpoints, snapshot=snapshot)).encode())
+    return http_response(200, json.dumps(endpoint_list(index, *endpoints, snapshot=snapshot)).encode())
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -15,7 +15,7 @@
 
 from sagetrack.dns.service import DnsConfig, DnsService
 from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
-from tests.sockets import until
+from tests.sockets import wait_until
 
 
 def query(name: str = "a.example.", kind: str = "A", **options: Any) -> bytes:
@@ -59,7 +59,7 @@
     async def ask(self, data: bytes) -> dns.message.Message:
         had = len(self.got)
         self.transport.sendto(data)
-        await until(lambda: len(self.got) > had)
+        await wait_until(lambda: len(self.got) > had)
         return self.got[-1]
 
 
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -21,7 +21,7 @@
 from sagetrack.http1.requests import Message
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome
-from tests.sockets import configuration, running, until
+from tests.sockets import configuration, running_gateway, wait_until
 
 SETTINGS = parse(configuration("127.0.0.1:9")).settings
 
@@ -85,7 +85,7 @@
         return self.pools.pools[1].connections[0]
 
     async def until_asked(self, count: int) -> None:
-        await until(lambda: len(self.asked) >= count)
+        await wait_until(lambda: len(self.asked) >= count)
 
 
 @asynccontextmanager
@@ -119,7 +119,7 @@
     heard = rig.ask()
     await rig.until_asked(1)
     rig.asked[0][0].respond(rig.asked[0][1])
-    await until(lambda: heard.ends)
+    await wait_until(lambda: heard.ends)
 
 
 @asynccontextmanager
@@ -133,8 +133,8 @@
             endpoint["type"] = "v2"
         file = tmp_path / "operator.toml"
         file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
-        async with running(config, load_operator(str(file))) as gateway:
-            listener = gateway.instance.protocol_listeners.grpc
+        async with running_gateway(config, load_operator(str(file))) as gateway:
+            listener = gateway.assembly.protocol_listeners.grpc
             assert listener is not None
             place = listener.servers[0].sockets[0].getsockname()
             async with grpc_upstream_rig() as client:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,17 +100,17 @@
         return self.handle(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
 
 
-def sends(actions: list[Action]) -> list[SendAttempt]:
+def send_actions(actions: list[Action]) -> list[SendAttempt]:
     """Return the attempts that are to be sent."""
     return [action for action in actions if isinstance(action, SendAttempt)]
 
 
-def finals(actions: list[Action]) -> list[Reject | Fail]:
+def final_actions(actions: list[Action]) -> list[Reject | Fail]:
     """Return the final answers that the gateway gives itself."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def timers(actions: list[Action]) -> list[SetTimer]:
+def timer_actions(actions: list[Action]) -> list[SetTimer]:
     """Return the timers that are to be set."""
     return [action for action in actions if isinstance(action, SetTimer)]
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -22,14 +22,14 @@
     Message,
     Script,
     ScriptedServer,
-    answers,
     endpoint,
     endpoint_list,
-    list_reply,
+    http_response,
+    list_response,
+    no_response,
     read_message,
-    reply,
+    respond_with,
     scripted_server,
-    silent,
 )
 from sagetrack.server.gateway_assembly import GatewayAssembly
 
@@ -37,36 +37,38 @@
     "Client",
     "Exchange",
     "Message",
-    "Running",
+    "RunningGateway",
     "Script",
     "ScriptedServer",
-    "answers",
     "configuration",
     "endpoint",
     "endpoint_list",
-    "host_id",
-    "list_reply",
-    "on_loop",
+    "http_response",
+    "list_response",
+    "no_response",
+    "on_event_loop",
     "read_message",
-    "reply",
     "request",
-    "rested",
-    "running",
+    "respond_with",
+    "running_gateway",
     "scripted_server",
-    "silent",
-    "until",
+    "server_id",
+    "wait_for_reusable_connections",
+    "wait_until",
 ]
 
-PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
+TEST_TIMEOUT_S = (
+    30.0  # for anything that should happen: how long a broken test takes, never how long a good one
+)
 
 
-def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def on_event_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Run a test on the loop that the program runs on."""
 
     @functools.wraps(test)
     def run(*args: Any, **named: Any) -> None:
         async def bounded() -> None:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await test(*args, **named)
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -75,17 +77,17 @@
     return run
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until something holds that no event tells of."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
-async def rested(run: Running) -> None:
+async def wait_for_reusable_connections(run: RunningGateway) -> None:
     """Wait until every kept connection to a host may be used again."""
     oldest_us = int(REUSE_DELAY_S * 1e6)
-    hosts = run.instance.pools.servers.values()
-    await until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
+    hosts = run.assembly.pools.servers.values()
+    await wait_until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
 
 
 def configuration(
@@ -125,26 +127,26 @@
     }
 
 
-def host_id(number: int) -> int:
+def server_id(number: int) -> int:
     return stable_id(f"s-{number}", 4)
 
 
 @dataclass
-class Running:
+class RunningGateway:
     """The gateway in this process, listening on a port of its own."""
 
-    instance: GatewayAssembly
+    assembly: GatewayAssembly
     gateway: Gateway
-    server: HttpListener
+    listener: HttpListener
     port: int
 
     async def connect(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def ask(self, data: bytes) -> Message:
+    async def request(self, data: bytes) -> Message:
         client = await self.connect()
         try:
-            return await client.ask(data)
+            return await client.request(data)
         finally:
             client.close()
 
@@ -157,19 +159,21 @@
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def answer(self) -> Message:
+    async def read_response(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, data: bytes) -> Message:
+    async def request(self, data: bytes) -> Message:
         self.send(data)
-        return await self.answer()
+        return await self.read_response()
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
 @asynccontextmanager
-async def running(config: dict[str, Any], operator: Operator | None = None) -> AsyncIterator[Running]:
+async def running_gateway(
+    config: dict[str, Any], operator: Operator | None = None
+) -> AsyncIterator[RunningGateway]:
     parsed = parse(config)
     instance = GatewayAssembly(parsed, operator)
     await instance.start()
@@ -177,7 +181,7 @@
     listener = server.acceptor.listener
     assert listener is not None
     try:
-        yield Running(instance, instance.gateway, server, listener.getsockname()[1])
+        yield RunningGateway(instance, instance.gateway, server, listener.getsockname()[1])
     finally:
         instance.close()
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -16,25 +16,25 @@
 from sagetrack.policy.events import Outcome
 from sagetrack.server import admin as admin_module
 from sagetrack.server.admin import MAX_CONNECTIONS, MAX_LINE_BYTES, AdminServer
-from tests.helpers import Driver, sends, trip
+from tests.helpers import Driver, send_actions, trip
 from tests.sockets import (
-    Running,
-    answers,
+    RunningGateway,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 from tests.test_gateway_process import READY, ask, connect, free_port, program, start
 
 
 @asynccontextmanager
-async def second_address(run: Running) -> AsyncIterator[int]:
-    admin = AdminServer(run.server)
+async def second_address(run: RunningGateway) -> AsyncIterator[int]:
+    admin = AdminServer(run.listener)
     await admin.start(("127.0.0.1", 0))
     assert admin.server is not None
     try:
@@ -61,11 +61,11 @@
 
 
 @pytest.mark.parametrize("ending", [b"\n", b"\r\n"])
-@on_loop
+@on_event_loop
 async def test_each_call_is_answered_on_a_connection_of_its_own(ending: bytes) -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         second_address(run) as port,
     ):
         for line, word, ready in (
@@ -79,8 +79,8 @@
         ):
             answer = await call(port, line + ending)
             assert answer.startswith(word) and answer.count(b"\n") == 1
-            assert (await run.ask(READY)).status == ready
-        run.server.drain.begin_shutdown(0.0)
+            assert (await run.request(READY)).status == ready
+        run.listener.drain.begin_shutdown(0.0)
         for line in (b"status", b"standby", b"active"):
             assert (await call(port, line + ending)).startswith(b"FAILURE")
 
@@ -98,18 +98,18 @@
         b"stats" + b" " * 100_000 + b"\n",
     ],
 )
-@on_loop
+@on_event_loop
 async def test_what_is_no_call_gets_failure(data: bytes) -> None:
-    async with running(configuration("127.0.0.1:1")) as run, second_address(run) as port:
+    async with running_gateway(configuration("127.0.0.1:1")) as run, second_address(run) as port:
         answer = await call(port, data)
         assert answer.startswith(b"FAILURE") and answer.count(b"\n") == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_line_may_come_in_pieces_or_end_with_what_the_caller_says() -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         second_address(run) as port,
     ):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -123,11 +123,11 @@
         assert await call(port, b"", eof=True) == b""
 
 
-@on_loop
+@on_event_loop
 async def test_silent_admin_connections_block_no_one_and_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         second_address(run) as port,
     ):
         silent_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
@@ -148,24 +148,26 @@
 BY_REASON = {"svc_attempts_total", "svc_withheld_total", "svc_refused_total", "svc_violations_total"}
 
 
-@on_loop
+@on_event_loop
 async def test_the_figures_are_true() -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         second_address(run) as port,
     ):
         for _ in range(3):
-            assert (await run.ask(request())).status == 200
-        upstream.script = silent
+            assert (await run.request(request())).status == 200
+        upstream.script = no_response
         seen, client = len(upstream.exchanges), await run.connect()
         client.send(request("transfer"))
-        await until(lambda: len(upstream.exchanges) > seen)
+        await wait_until(lambda: len(upstream.exchanges) > seen)
         waits = upstream.exchanges[-1]
-        upstream.script = answers(reply(500))
-        assert (await run.ask(request("transfer"))).status == 502
-        upstream.script = answers(reply(503, b"", "X-Rejected: 1"))  # last: what follows may be shed
-        assert (await run.ask(request("hold"))).status == 503
+        upstream.script = respond_with(http_response(500))
+        assert (await run.request(request("transfer"))).status == 502
+        upstream.script = respond_with(
+            http_response(503, b"", "X-Rejected: 1")
+        )  # last: what follows may be shed
+        assert (await run.request(request("hold"))).status == 503
         told = figures(await call(port, b"stats\n"))
         calls = {name for name in told if name.startswith("svc_discovery_calls_total")}
         assert calls <= {'svc_discovery_calls_total{outcome="failed"}'}  # nobody answers there
@@ -195,16 +197,16 @@
             "svc_cluster_size": 1,
             "svc_cluster_unhealthy": 0,
         }
-        waits.answer(reply())
-        assert (await client.answer()).status == 200
+        waits.respond(http_response())
+        assert (await client.read_response()).status == 200
         assert figures(await call(port, b"stats\n"))["svc_current"] == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_an_attempt_not_written_completely_does_not_count_as_sent() -> None:
-    async with running(configuration("127.0.0.1:1")) as run:
-        assert (await run.ask(request())).status == 503
+    async with running_gateway(configuration("127.0.0.1:1")) as run:
+        assert (await run.request(request())).status == 503
         assert run.gateway.metrics.sends.by_class == [0, 0, 0]
         assert run.gateway.metrics.deferred.by_class == [1, 0, 0]
         assert run.gateway.balancer.unhealthy_count() == 1
@@ -222,7 +224,7 @@
     assert breaker.state is state and breaker.episode == 0
     for _ in range(100):
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             driver.end(name, send.server, Outcome.OK)
     assert balancer.unhealthy_count() == 0
 
@@ -232,19 +234,19 @@
     assert text.splitlines()[0] == 'svc_answered_total{group="a\\"b\\n\\\\"} 0'
 
 
-@on_loop
+@on_event_loop
 async def test_the_program_listens_there_and_a_drain_ends(tmp_path: Path) -> None:
     admin = free_port()
     async with scripted_server() as upstream:
         config = configuration(upstream) | {"admin": f"127.0.0.1:{admin}"}
         async with program(tmp_path, config) as (process, port):
             kept = await connect(port)
-            assert (await kept.ask(READY)).status == 200
+            assert (await kept.request(READY)).status == 200
             assert (await call(admin, b"standby\n")).startswith(b"SUCCESS")
             # A request on a kept connection, and one on a late one, are served and told of the end.
             late = await connect(port)
             for client in (kept, late):
-                answer = await client.ask(request())
+                answer = await client.request(request())
                 assert answer.status == 200 and answer.headers["connection"] == "close"
                 client.close()
             idle = await connect(port)
@@ -257,7 +259,7 @@
             assert await process.wait() == 0
 
 
-@on_loop
+@on_event_loop
 async def test_a_second_address_in_use_is_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
@@ -268,16 +270,16 @@
         assert errors.startswith(f"sagetrack: cannot listen on {upstream.address}".encode())
 
 
-@on_loop
+@on_event_loop
 async def test_the_trace_tells_what_became_of_a_call() -> None:
-    failing = answers(reply(500))
+    failing = respond_with(http_response(500))
     async with (
         scripted_server(failing) as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         second_address(run) as port,
     ):
-        assert (await run.ask(request("transfer", x_call_id="one-that-fails"))).status == 502
-        run.server.standby()
+        assert (await run.request(request("transfer", x_call_id="one-that-fails"))).status == 502
+        run.listener.standby()
         lines = (await call(port, b"trace\n")).decode().splitlines()
     assert lines[0] == "SUCCESS" and lines[-1] == "EOT"
     assert any("attempt_failed one-that-fails 0 at server" in line and "error" in line for line in lines)
--- a/tests/test_admission_gateway.py
+++ b/tests/test_admission_gateway.py
@@ -17,7 +17,7 @@
 from sagetrack.policy.rate_limit import Rate
 from sagetrack.server.admission_settings import tenant_shares, with_admission
 from sagetrack.server.reload import read_operator
-from tests.sockets import configuration, on_loop, request, running
+from tests.sockets import configuration, on_event_loop, request, running_gateway
 
 SCENARIOS = Path(__file__).resolve().parent.parent / "scenarios"
 
@@ -56,7 +56,7 @@
         load_operator(str(file))
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_distinguishes_clients_by_header_and_exports_metrics_of_each_tenant(
     tmp_path: Path,
 ) -> None:
@@ -65,14 +65,14 @@
         "[queues]\nuse = true\nwhole_seconds = true\n[limits]\nclient_per_s = 0.7\nclient_burst = 1\n"
     )
     config = configuration("127.0.0.1:9", retryAfter=True, maxRetryAfterUs=4_000_000)
-    async with running(config, load_operator(str(file))) as gateway:
+    async with running_gateway(config, load_operator(str(file))) as gateway:
         retry_after: list[Any] = []
         for name in ("a", "a", "b"):
             headers: dict[str, Any] = {"x_client": name}
-            response = await gateway.ask(request(**headers))
+            response = await gateway.request(request(**headers))
             retry_after.append(
                 [value for key, value in response.headers.items() if key.lower() == "retry-after"]
             )
         assert retry_after[1] in (["1"], ["2"])  # 1 to 1.43 s, rounded up
-        metrics = gateway.server.stats()
+        metrics = gateway.listener.stats()
         assert "svc_member_acme_asked_total 3\n" in metrics and "svc_door_refused_rate_total 1\n" in metrics
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -25,20 +25,20 @@
     StreamStarted,
     TimerFired,
 )
-from tests.helpers import KEYED, SETTINGS, Driver, finals, sends
+from tests.helpers import KEYED, SETTINGS, Driver, final_actions, send_actions
 from tests.sockets import (
     Client,
     Exchange,
     Script,
-    answers,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    on_event_loop,
     request,
-    rested,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    until,
+    wait_for_reusable_connections,
+    wait_until,
 )
 from tests.test_gateway_process import connect, program
 
@@ -100,7 +100,7 @@
                     length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
                     body = await reader.readexactly(length)
                 made.whole.append(body)
-                writer.write(reply(200, b"%d" % len(body)))
+                writer.write(http_response(200, b"%d" % len(body)))
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             made.broken += len(made.heads) > len(made.whole)
         finally:
@@ -116,36 +116,39 @@
 
 
 def in_chunks(exchange: Exchange) -> None:
-    exchange.answer(CHUNKED_HEAD)
+    exchange.respond(CHUNKED_HEAD)
     for at in range(0, len(LONG), 10_000):
-        exchange.answer(chunk(LONG[at : at + 10_000], b";note=1"))
-    exchange.answer(b"0\r\nX-Trailer: 1\r\n\r\n")
+        exchange.respond(chunk(LONG[at : at + 10_000], b";note=1"))
+    exchange.respond(b"0\r\nX-Trailer: 1\r\n\r\n")
 
 
-@pytest.mark.parametrize("script", [answers(HEAD + LONG), in_chunks])
-@on_loop
+@pytest.mark.parametrize("script", [respond_with(HEAD + LONG), in_chunks])
+@on_event_loop
 async def test_a_long_response_is_streamed_completely_and_both_connections_are_kept(script: Script) -> None:
-    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(script) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         for _ in range(3):
             client.send(request())
             status, headers, body = await read_answer(client)
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
-            await rested(run)
+            await wait_for_reusable_connections(run)
         assert upstream.opened_connections == 1 and run.gateway.metrics.answered.by_class[0] == 3
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
-            and not run.instance.pools.attempts.transferring
+            and not run.assembly.pools.attempts.transferring
         )
         client.close()
 
 
 @pytest.mark.parametrize("head", [HEAD, CHUNKED_HEAD])
-@on_loop
+@on_event_loop
 async def test_a_long_response_is_forwarded_before_it_is_complete(head: bytes) -> None:
     """A head that tells a length over the limit, and one that tells none: neither is held back."""
-    async with scripted_server(answers(b"")) as upstream, running(configuration(upstream)) as run:
+    async with (
+        scripted_server(respond_with(b"")) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
         events: list[object] = []
         handle = run.gateway.balancer.handle
 
@@ -158,9 +161,9 @@
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         client = await run.connect()
         client.send(request())
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         framed = chunk if head is CHUNKED_HEAD else bytes
-        upstream.exchanges[0].answer(head + framed(LONG[:1000]))
+        upstream.exchanges[0].respond(head + framed(LONG[:1000]))
         await client.reader.readuntil(b"\r\n\r\n")
         if head is CHUNKED_HEAD:
             assert await client.reader.readexactly(1007) == chunk(LONG[:1000])
@@ -168,8 +171,8 @@
             assert await client.reader.readexactly(1000) == LONG[:1000]
         assert isinstance(events[-1], StreamStarted)
         assert run.gateway.metrics.answered.by_class[0] == 0  # it is served once it is whole
-        upstream.exchanges[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
-        await until(lambda: run.gateway.metrics.answered.by_class[0])
+        upstream.exchanges[0].respond(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
+        await wait_until(lambda: run.gateway.metrics.answered.by_class[0])
         assert isinstance(events[-1], AttemptEnded) and events[-1].outcome is Outcome.OK
         assert events[-1].finished
         client.close()
@@ -178,9 +181,12 @@
 @pytest.mark.parametrize(
     "begun", [HEAD + LONG[:100_000], CHUNKED_HEAD + chunk(LONG[:100_000]), CHUNKED_HEAD + chunk(LONG) + b"zz"]
 )
-@on_loop
+@on_event_loop
 async def test_the_client_can_tell_that_an_aborted_response_is_incomplete(begun: bytes) -> None:
-    async with scripted_server(answers(begun)) as upstream, running(configuration(upstream)) as run:
+    async with (
+        scripted_server(respond_with(begun)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
         client = await run.connect()
         client.send(request())
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
@@ -194,53 +200,53 @@
         except ConnectionError:
             pass
         assert b"\r\n0\r\n" not in rest and len(rest) < len(LONG) + 100
-        await until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
+        await wait_until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
         assert len(upstream.exchanges) == 1  # what the client has begun to get is not asked for again
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_disconnect_during_a_streamed_response_frees_the_server() -> None:
     async with (
-        scripted_server(answers(HEAD + LONG[:100_000])) as upstream,
-        running(configuration(upstream)) as run,
+        scripted_server(respond_with(HEAD + LONG[:100_000])) as upstream,
+        running_gateway(configuration(upstream)) as run,
     ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
-        await until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: upstream.closed_connections == 1)
         assert (
             not run.gateway.in_flight
             and not run.gateway.balancer.requests
-            and not run.instance.pools.attempts.transferring
+            and not run.assembly.pools.attempts.transferring
         )
 
 
-@on_loop
+@on_event_loop
 async def test_a_server_that_stalls_during_a_streamed_response_is_given_up() -> None:
     async with (
-        scripted_server(answers(HEAD + LONG[:100_000])) as upstream,
-        running(configuration(upstream)) as run,
+        scripted_server(respond_with(HEAD + LONG[:100_000])) as upstream,
+        running_gateway(configuration(upstream)) as run,
     ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
-        pools = run.instance.pools
+        pools = run.assembly.pools
         pools.sweep()
         (attempt,) = pools.attempts.transferring
         attempt.last_progress_us -= 60_000_000
         pools.sweep()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await client.reader.readexactly(len(LONG))
-        await until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: upstream.closed_connections == 1)
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_long_request_body_is_streamed_in_any_framing() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         known = request("transfer", LONG)
         chunks = request("transfer", content_length="", transfer_encoding="chunked")
@@ -250,17 +256,17 @@
             for at in range(0, len(data), 9_973):
                 client.send(data[at : at + 9_973])
                 await asyncio.sleep(0)
-            assert (await client.answer()).body == b"%d" % len(LONG)
+            assert (await client.read_response()).body == b"%d" % len(LONG)
         assert host.whole == [LONG] * 3
         assert b"Content-Length: 251000" in host.heads[0] and b"Transfer-Encoding: chunked" in host.heads[1]
-        assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.attempts.transferring
-        assert run.server.body_budget.active_bodies == 0
+        assert run.gateway.metrics.sends.by_class[2] == 3 and not run.assembly.pools.attempts.transferring
+        assert run.listener.body_budget.active_bodies == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         first = request("transfer", b"short", expect="100-continue")
         long = request("transfer", LONG, expect="100-continue")
@@ -268,99 +274,99 @@
         client.send(first[: -len(b"short")])
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.send(b"short" + long[: -len(LONG)])
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.send(LONG)
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         assert host.whole == [b"short", LONG]
         assert all(b"xpect" not in head for head in host.heads)
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_the_timeout_of_a_streamed_request_starts_with_its_last_byte() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         data = request("transfer", LONG, budget_ms=200)
         client.send(data[:100_000])
-        await until(lambda: host.heads)
+        await wait_until(lambda: host.heads)
         await asyncio.sleep(0.4)  # longer than the request may take
         assert run.gateway.metrics.sends.by_class[2] == 0
         client.send(data[100_000:])
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_malformed_long_body_is_answered_and_never_forwarded_completely() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         head = request("transfer", content_length="", transfer_encoding="chunked")
         client.send(head + chunk(LONG))
-        await until(lambda: host.heads)
+        await wait_until(lambda: host.heads)
         client.send(b"zz\r\n")
-        answer = await client.answer()
+        answer = await client.read_response()
         assert answer.status == 400 and answer.headers["connection"] == "close"
-        await until(lambda: host.broken == 1)
-        assert not host.whole and not run.gateway.in_flight and run.server.body_budget.active_bodies == 0
+        await wait_until(lambda: host.broken == 1)
+        assert not host.whole and not run.gateway.in_flight and run.listener.body_budget.active_bodies == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_body_over_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reader_module, "STREAMED_BODY_LIMIT", 200_000)
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         head = request("transfer", content_length="", transfer_encoding="chunked")
-        assert (await run.ask(head + chunk(LONG))).status == 413
-        await until(lambda: host.broken == 1)
-        assert (await run.ask(request("transfer", LONG))).status == 413
+        assert (await run.request(head + chunk(LONG))).status == 413
+        await wait_until(lambda: host.broken == 1)
+        assert (await run.request(request("transfer", LONG))).status == 413
 
 
-@on_loop
+@on_event_loop
 async def test_a_rejection_is_sent_at_once_and_not_overtaken_by_a_reset() -> None:
     """With no host the answer is there at once; a client that sends everything first still reads it."""
-    async with running(configuration("127.0.0.1:1")) as run:
+    async with running_gateway(configuration("127.0.0.1:1")) as run:
         early = await run.connect()
         early.send(request("transfer", LONG)[:70_000])
-        assert (await early.answer()).status == 503
+        assert (await early.read_response()).status == 503
         late = await run.connect()
         long = bytes(8 * MEGABYTE)
         late.send(request("transfer", long))
         await late.writer.drain()
-        answer = await late.answer()
+        answer = await late.read_response()
         assert answer.status == 503 and answer.headers["connection"] == "close"
         assert await late.reader.read() == b""
         early.close()
         late.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_body_below_the_minimum_rate_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_module, "BODY_GRACE_S", 0.05)
     monkeypatch.setattr(client_module, "MIN_BODY_RATE", 10_000_000)
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         for body in (LONG, LONG[:5_000]):
             client = await run.connect()
             client.send(request("transfer", body)[:-1_000])
-            assert (await client.answer()).status == 408
+            assert (await client.read_response()).status == 408
             client.close()
-        await until(lambda: host.broken == 1)
+        await wait_until(lambda: host.broken == 1)
         assert not host.whole
 
 
-@on_loop
+@on_event_loop
 async def test_a_disconnect_during_the_request_body_cancels_the_attempt() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with sink() as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         client.send(request("transfer", LONG)[:-10])
-        await until(lambda: host.heads)
+        await wait_until(lambda: host.heads)
         client.close()
-        await until(lambda: host.broken == 1)
-        await until(lambda: not run.gateway.in_flight)
-        assert not run.gateway.balancer.requests and run.server.body_budget.active_bodies == 0
+        await wait_until(lambda: host.broken == 1)
+        await wait_until(lambda: not run.gateway.in_flight)
+        assert not run.gateway.balancer.requests and run.listener.body_budget.active_bodies == 0
 
 
-@on_loop
+@on_event_loop
 async def test_backpressure_of_a_server_that_does_not_read_reaches_the_client() -> None:
     """The rest of a body waits where it is, and is not piled up here."""
     opened = asyncio.Event()
@@ -368,12 +374,12 @@
     async def gate() -> None:
         await opened.wait()
 
-    async with sink(gate) as host, running(configuration(host.address)) as run:
+    async with sink(gate) as host, running_gateway(configuration(host.address)) as run:
         client = await run.connect()
         body = bytes(24 * MEGABYTE)
         client.send(request("transfer", body))
-        await until(lambda: any(c.read_pause.is_active for c in run.server.connections))
-        (connection,) = run.server.connections
+        await wait_until(lambda: any(c.read_pause.is_active for c in run.listener.connections))
+        (connection,) = run.listener.connections
         streamed_body = connection.reader.streamed_body
         assert (
             streamed_body is not None
@@ -381,11 +387,11 @@
         )
         assert len(connection.reader.unparsed) <= READ_SIZE
         opened.set()
-        assert (await client.answer()).body == b"%d" % len(body)
+        assert (await client.read_response()).body == b"%d" % len(body)
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_backpressure_of_a_slow_client_reaches_the_server_and_nothing_is_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -393,16 +399,19 @@
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     # What limits short answers does not limit long ones.
     monkeypatch.setattr(client_module, "WRITE_TIMEOUT_S", 0.0)
-    async with scripted_server(answers(head + body)) as upstream, running(configuration(upstream)) as run:
+    async with (
+        scripted_server(respond_with(head + body)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        await until(lambda: any(c.write_blocked for c in run.server.connections))
-        (connection,) = run.server.connections
+        await wait_until(lambda: any(c.write_blocked for c in run.listener.connections))
+        (connection,) = run.listener.connections
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() <= 3 * READ_SIZE
-        run.server.sweep()
+        run.listener.sweep()
         assert not connection.is_closing
         client.writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len(await client.reader.readexactly(len(body))) == len(body)
@@ -414,12 +423,12 @@
     return int(status.partition("VmHWM:")[2].split()[0]) / 1024
 
 
-@on_loop
+@on_event_loop
 async def test_many_long_bodies_at_once_use_bounded_memory(tmp_path: Path) -> None:
     """Sixteen bodies each way of 8 MB, 256 MB in all, through a program that may hold 64 MB."""
     long = bytes(8 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long)
-    async with sink() as taker, scripted_server(answers(head + long)) as giver:
+    async with sink() as taker, scripted_server(respond_with(head + long)) as giver:
         config = configuration(taker.address) | {"limits": {"memory_mb": 64, "sockets": 1024}}
         other = configuration(giver) | {"limits": {"memory_mb": 64, "sockets": 1024}}
         for number, (each, class_name, body) in enumerate(
@@ -465,7 +474,7 @@
     driver.count += 1
     name = f"u{driver.count}"
     actions = driver.handle(RequestArrived(name, class_index, 400_000, uploading=True))
-    (send,) = sends(actions)
+    (send,) = send_actions(actions)
     return name, send.server
 
 
@@ -474,7 +483,7 @@
     name, server = uploading(driver)
     driver.now_us += 10_000_000
     assert not driver.balancer.servers[server].in_flight  # it has nothing to do yet, and is not silent
-    assert sends(driver.arrive()[1])
+    assert send_actions(driver.arrive()[1])
     driver.handle(AttemptSent(name, 0))
     assert len(driver.balancer.servers[server].in_flight) == 2
     held = driver.balancer.requests.get(name)
@@ -492,13 +501,13 @@
         if not again:
             driver.handle(AttemptSent(name, 0))
         actions = driver.end(name, server, outcome)
-        assert bool(sends(actions)) is again and bool(finals(actions)) is not again
+        assert bool(send_actions(actions)) is again and bool(final_actions(actions)) is not again
 
 
 def test_a_streamed_response_frees_its_server_and_counts_by_its_first_byte() -> None:
     driver = Driver(servers=1)
     name, actions = driver.arrive()
-    (send,) = sends(actions)
+    (send,) = send_actions(actions)
     server = driver.balancer.servers[send.server]
     driver.now_us += 20_000
     driver.handle(StreamStarted(name, 0))
--- a/tests/test_capacity_wait.py
+++ b/tests/test_capacity_wait.py
@@ -9,7 +9,7 @@
 from sagetrack.policy.events import Outcome, RequestCancelled, TimerFired
 from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
 from sagetrack.policy.retry_after import DEFAULT_RETRY_AFTER_SHARE
-from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
+from tests.helpers import SAFE, SETTINGS, Driver, final_actions, send_actions, timer_actions
 
 MAX_PER_SERVER = int(DEFAULT_MAX_CONCURRENCY)  # with one gateway
 
@@ -22,7 +22,7 @@
     in_flight = []
     for _ in range(MAX_PER_SERVER * servers):
         name, actions = driver.arrive(class_index)
-        (send,) = sends(actions)
+        (send,) = send_actions(actions)
         in_flight.append((name, send.server))
     return in_flight
 
@@ -44,10 +44,10 @@
     driver = Driver(servers=2)
     in_flight = fill_servers(driver, 2)
     name, actions = driver.arrive()
-    assert not sends(actions) and not finals(actions) and len(timers(actions)) == 1
+    assert not send_actions(actions) and not final_actions(actions) and len(timer_actions(actions)) == 1
     driver.now_us += 1_000
     actions = driver.end(*in_flight[0])
-    assert [(send.request, send.server) for send in sends(actions)] == [(name, in_flight[0][1])]
+    assert [(send.request, send.server) for send in send_actions(actions)] == [(name, in_flight[0][1])]
     (timer,) = [timer for timer in driver.timers if timer.due_us == min(t.due_us for t in driver.timers)]
 
     driver.now_us = timer.due_us
@@ -63,7 +63,7 @@
     high, _ = driver.arrive(1)
     order = []
     for name, server in in_flight[:2]:
-        order += [send.request for send in sends(driver.end(name, server))]
+        order += [send.request for send in send_actions(driver.end(name, server))]
     assert order == [high, low]
 
 
@@ -71,7 +71,7 @@
     driver = Driver(WITH_RETRY_AFTER, servers=1)
     fill_servers(driver, 1)
     name, actions = driver.arrive()
-    (timer,) = timers(actions)
+    (timer,) = timer_actions(actions)
     assert 0 < timer.due_us - driver.now_us <= MAX_WAIT_SHARE * 400_000
     driver.now_us = timer.due_us
     (rejected,) = driver.handle(TimerFired(timer.token))
@@ -82,11 +82,11 @@
 def test_a_request_that_no_server_can_take_in_time_is_rejected_at_once() -> None:
     driver = Driver(WITH_RETRY_AFTER, servers=0)
     _, actions = driver.arrive()
-    assert len(finals(actions)) == 1 and not timers(actions)
+    assert len(final_actions(actions)) == 1 and not timer_actions(actions)
     driver = Driver(WITH_RETRY_AFTER, servers=1)
     fill_servers(driver, 1)
     _, actions = driver.arrive(client_timeout_us=1_000)  # no time to wait: it counts as a late retry
-    assert len(finals(actions)) == 1
+    assert len(final_actions(actions)) == 1
 
 
 def test_a_cancelled_request_leaves_the_capacity_wait() -> None:
@@ -95,4 +95,4 @@
     name, _ = driver.arrive()
     driver.handle(RequestCancelled(name))
     assert not driver.balancer.capacity_wait and name not in driver.balancer.requests
-    assert not sends(driver.end(*in_flight[0], outcome=Outcome.OK))
+    assert not send_actions(driver.end(*in_flight[0], outcome=Outcome.OK))
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -11,7 +11,16 @@
 from sagetrack.core.send_rules import CloseReason
 from sagetrack.http1 import connection_phases as phases_module
 from sagetrack.http1 import downstream as client_module
-from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
+from tests.sockets import (
+    configuration,
+    http_response,
+    no_response,
+    on_event_loop,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_until,
+)
 from tests.test_gateway_process import connect, program
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
@@ -25,24 +34,24 @@
         monkeypatch.setattr(module, name, 0.05)
 
 
-@on_loop
+@on_event_loop
 async def test_silent_and_idle_clients_are_closed_and_a_busy_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         busy, quiet, kept = [await run.connect() for _ in range(3)]
         busy.send(request("transfer"))
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-        assert (await kept.ask(ready)).status == 200
-        await until(lambda: upstream.exchanges)
+        assert (await kept.request(ready)).status == 200
+        await wait_until(lambda: upstream.exchanges)
         hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_MANY_CLIENTS_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
-        await until(lambda: len(run.server.connections) == 1)
-        upstream.exchanges[0].answer(reply(200, b"late"))
-        assert (await busy.answer()).body == b"late"
-        phases = run.server.context.phases
+        await wait_until(lambda: len(run.listener.connections) == 1)
+        upstream.exchanges[0].respond(http_response(200, b"late"))
+        assert (await busy.read_response()).body == b"late"
+        phases = run.listener.context.phases
         for phase in (phases.awaiting_first_byte, phases.receiving_request, phases.idle, phases.closing):
-            await until(lambda phase=phase: not phase)  # type: ignore[misc]
+            await wait_until(lambda phase=phase: not phase)  # type: ignore[misc]
         for client in (busy, quiet, kept):
             client.close()
 
@@ -57,17 +66,17 @@
         TRANSFER + b"Content-Length: 1\r\n\r\n",
     ],
 )
-@on_loop
+@on_event_loop
 async def test_a_request_that_does_not_come_in_time_is_answered_408(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hurry(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
-        answer = await client.ask(begun)
+        answer = await client.request(begun)
         assert answer.status == 408 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
-        await until(lambda: not run.server.connections)
+        await wait_until(lambda: not run.listener.connections)
         assert not upstream.exchanges
         client.close()
 
@@ -75,7 +84,7 @@
 IDLE_S = 20 * REUSE_DELAY_S  # the kept connection may be used again long before, also on a busy machine
 
 
-@on_loop
+@on_event_loop
 async def test_silent_clients_displace_neither_upstream_connections_nor_other_clients(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that say nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
@@ -83,17 +92,17 @@
         config["known"]["endpoints"][0]["address"] = upstream.address
         async with program(tmp_path, config) as (process, port):
             client = await connect(port)
-            assert (await client.ask(request("transfer"))).status == 200
+            assert (await client.request(request("transfer"))).status == 200
             crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
             for asker in (client, other):
                 await asyncio.sleep(IDLE_S)
                 asker.send(request("transfer"))
                 try:
-                    assert (await asker.answer()).status == 200
+                    assert (await asker.read_response()).status == 200
                 except (ConnectionError, asyncio.IncompleteReadError):  # crossed: it asks once more
                     again = await connect(port)
-                    assert (await again.ask(request("transfer"))).status == 200
+                    assert (await again.request(request("transfer"))).status == 200
                     again.close()
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
@@ -104,7 +113,7 @@
         # The upstream connection has been kept: by the program's own count, and for every request that came.
         # Connections to this port are not counted: another process may still try whoever had it before.
         assert "PoolCounts(opened=1," in log, log
-        assert len({exchange.connection for exchange in upstream.exchanges}) == 1
+        assert len({exchange.connection_number for exchange in upstream.exchanges}) == 1
 
 
 @pytest.mark.parametrize(
@@ -140,43 +149,43 @@
         (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400),
     ],
 )
-@on_loop
+@on_event_loop
 async def test_malformed_requests_are_rejected_and_not_forwarded(data: bytes, status: int) -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(data)
-        answer = await client.answer()
+        answer = await client.read_response()
         assert answer.status == status
-        assert (await run.ask(request())).status == 200
+        assert (await run.request(request())).status == 200
         assert len(upstream.exchanges) == 1 and "search" in upstream.exchanges[0].message.start_line
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_hundreds_of_pipelined_requests_wait_unparsed_and_are_all_answered() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
         most = 0
         for _ in range(1000):
-            assert (await client.answer()).status == 200
-            most = max(most, *(len(c.reader.requests) for c in run.server.connections))
+            assert (await client.read_response()).status == 200
+            most = max(most, *(len(c.reader.requests) for c in run.listener.connections))
         assert 0 < most < 200
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_budget_beyond_the_class_timeout_is_cut_and_a_budget_of_zero_fails_at_once() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer", budget_ms=10**14))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         assert int(upstream.exchanges[0].message.headers["x-budget-ms"]) <= 20_000
-        assert (await run.ask(request("transfer", budget_ms=0))).status in (502, 503, 504)
+        assert (await run.request(request("transfer", budget_ms=0))).status in (502, 503, 504)
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_clients_that_never_finish_a_request_are_closed_for_others(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that begin a request and never end it."""
     async with scripted_server() as upstream:
@@ -188,7 +197,7 @@
                 for one in crowd[-100:]:
                     one.send(TRANSFER)
                 client = await connect(port)
-                assert (await client.ask(request("transfer"))).status == 200
+                assert (await client.request(request("transfer"))).status == 200
                 client.close()
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
@@ -196,16 +205,16 @@
                 one.close()
 
 
-@on_loop
+@on_event_loop
 async def test_clients_whose_time_for_a_head_is_over_are_closed_first() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        phases = run.server.context.phases
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        phases = run.listener.context.phases
         overdue, kept, writing = [await run.connect() for _ in range(3)]
         overdue.send(TRANSFER)
-        assert (await kept.ask(ready)).status == 200
+        assert (await kept.request(ready)).status == 200
         writing.send(TRANSFER)
-        await until(lambda: len(phases.receiving_request) == 2 and len(phases.idle) == 1)
+        await wait_until(lambda: len(phases.receiving_request) == 2 and len(phases.idle) == 1)
         first = next(iter(phases.receiving_request))
         phases.receiving_request[first] -= phases_module.FIRST_BYTE_TIMEOUT_S
         for client in (overdue, kept, writing):
@@ -217,7 +226,7 @@
         assert not phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
 
 
-@on_loop
+@on_event_loop
 async def test_an_unfinished_request_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     """It ends before a deadline of 20 s, or the 3.6 s that it may take, has to be waited out."""
     import signal
@@ -225,22 +234,22 @@
     from sagetrack.core.drain import SHUTDOWN_INCOMPLETE_WAIT_S
 
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
     ):
         begun, held = await connect(port), await connect(port)
         begun.send(TRANSFER)
         held.send(request("transfer"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         loop = asyncio.get_running_loop()
         since_s = loop.time()
         process.send_signal(signal.SIGTERM)
-        turned_away = await begun.answer()  # in words, while the other is still held
+        turned_away = await begun.read_response()  # in words, while the other is still held
         assert turned_away.status == 503 and turned_away.headers["connection"] == "close"
         assert await begun.reader.read() == b""
         assert loop.time() - since_s >= SHUTDOWN_INCOMPLETE_WAIT_S
-        upstream.exchanges[0].answer(reply())
-        assert (await held.answer()).status == 200
+        upstream.exchanges[0].respond(http_response())
+        assert (await held.read_response()).status == 200
         assert await process.wait() == 0
         _, errors = await process.communicate()
         assert b"unanswered" not in errors
--- a/tests/test_client_timeouts.py
+++ b/tests/test_client_timeouts.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from sagetrack.policy.settings import Tenant
-from tests.helpers import SAFE, SETTINGS, Driver, sends
+from tests.helpers import SAFE, SETTINGS, Driver, send_actions
 
 
 def test_a_longer_timeout_of_last_attempts_does_not_make_first_attempts_late() -> None:
@@ -18,7 +18,7 @@
             name, actions = driver.arrive(
                 client_timeout_us=client_timeout_us, is_retry=clients_mark and n % 5 == 4
             )
-            (send,) = sends(actions)
+            (send,) = send_actions(actions)
             if n > 4:
                 assert (send.timeout_us < 150_000) == (n % 5 == 4)
             driver.end(name, send.server)
@@ -31,13 +31,13 @@
     sent = 0
     for number in range(200):
         name, actions = driver.arrive(client_timeout_us=20_000 + number * 7919 % 60_000)
-        sent += len(sends(actions))
-        if sends(actions):
-            driver.end(name, sends(actions)[0].server, latency_us=10_000)
+        sent += len(send_actions(actions))
+        if send_actions(actions):
+            driver.end(name, send_actions(actions)[0].server, latency_us=10_000)
         driver.now_us += 20_000
     assert sent > 150
     # A timeout too short for any answer still means that nothing is sent.
-    assert not sends(driver.arrive(client_timeout_us=2_000)[1])
+    assert not send_actions(driver.arrive(client_timeout_us=2_000)[1])
 
 
 def test_timeouts_of_one_tenants_clients_do_not_affect_another_tenant() -> None:
@@ -55,6 +55,6 @@
         name, actions = driver.arrive(
             client_timeout_us=200_000 if is_small_tenant else 400_000, tenant=int(is_small_tenant)
         )
-        assert sends(actions), "taken for a repeat whose aim is over"
-        driver.end(name, sends(actions)[0].server, latency_us=10_000)
+        assert send_actions(actions), "taken for a repeat whose aim is over"
+        driver.end(name, send_actions(actions)[0].server, latency_us=10_000)
         driver.now_us += 50_000
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,16 @@
 from sagetrack.server.health_handover import HealthHandover
 from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import SETTINGS, Driver
-from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
+from tests.sockets import (
+    configuration,
+    http_response,
+    no_response,
+    on_event_loop,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_until,
+)
 
 WARM_S = 20
 COLD = replace(
@@ -89,20 +98,20 @@
 
 
 @pytest.mark.parametrize("step_s", [3_600, -3_600])
-@on_loop
+@on_event_loop
 async def test_what_a_process_hands_on_is_as_old_as_it_is_after_a_step(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each process begins its own line at its start, with the wall clock as it is then."""
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         overlap = HotRestart(str(tmp_path))
         overlap.join()
-        old = HealthHandover(overlap, run.instance.config, run.gateway)
+        old = HealthHandover(overlap, run.assembly.config, run.gateway)
         client = await run.connect()
         client.send(request())
-        await until(lambda: upstream.exchanges)
-        upstream.exchanges[0].answer(reply())
-        await client.answer()
+        await wait_until(lambda: upstream.exchanges)
+        upstream.exchanges[0].respond(http_response())
+        await client.read_response()
         old.save()
         learned: list[ObservationsReceived] = []
         handle = run.gateway.balancer.handle
@@ -115,7 +124,7 @@
         run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
         later = clock.now_us
         monkeypatch.setattr(health_handover, "now_us", lambda: later() + step_s * 1_000_000)
-        new = HealthHandover(overlap, run.instance.config, run.gateway)
+        new = HealthHandover(overlap, run.assembly.config, run.gateway)
         new.restore()
         (event,) = learned
         age_us = later() + step_s * 1_000_000 - event.observations[0].seen_us
--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -30,7 +30,7 @@
 )
 from sagetrack.policy.fleet_size import DEFAULT_MAX_CONCURRENCY
 from sagetrack.policy.in_flight import PLANNED_CONCURRENCY
-from tests.helpers import SETTINGS, Driver, sends, timers, trip
+from tests.helpers import SETTINGS, Driver, send_actions, timer_actions, trip
 
 SECOND_US = 1_000_000
 
@@ -67,7 +67,7 @@
     in_flight = []
     for _ in range(count):
         name, actions = driver.arrive()
-        if not (sent := sends(actions)):
+        if not (sent := send_actions(actions)):
             break
         in_flight.append((name, sent[0].server))
     return in_flight
@@ -135,19 +135,19 @@
 def test_a_request_without_credit_waits_for_a_timer_and_is_then_sent() -> None:
     driver = Driver(MANY_GATEWAYS, servers=4)  # a share of 0.85 * 3 * 4 / 20 = 0.51
     first, actions = driver.arrive()
-    (send,) = sends(actions)
+    (send,) = send_actions(actions)
     driver.now_us += 200_000
     driver.end(first, send.server)
     name, actions = driver.arrive()
-    assert not sends(actions)
+    assert not send_actions(actions)
     credit_timer = next(
-        timer for timer in timers(actions) if timer.token == driver.balancer.in_flight.timer_token
+        timer for timer in timer_actions(actions) if timer.token == driver.balancer.in_flight.timer_token
     )
     share = PLANNED_CONCURRENCY * DEFAULT_MAX_CONCURRENCY * 4 / 20
     assert credit_timer.due_us - driver.now_us == pytest.approx(200_000 * (1 - share) / share, abs=1_000)
     driver.now_us = credit_timer.due_us
     actions = driver.handle(TimerFired(credit_timer.token))
-    sent = [send.request for send in sends(actions)]
+    sent = [send.request for send in send_actions(actions)]
     assert sent == ([name] if name in driver.balancer.requests else [])
 
 
@@ -167,9 +167,9 @@
             driver.handle(event)
         name, actions = driver.arrive()
         driver.now_us += 300_000
-        driver.end(name, sends(actions)[0].server)
+        driver.end(name, send_actions(actions)[0].server)
         _, actions = driver.arrive()
-        (timer,) = [t for t in timers(actions) if t.token == driver.balancer.in_flight.timer_token]
+        (timer,) = [t for t in timer_actions(actions) if t.token == driver.balancer.in_flight.timer_token]
         return timer.due_us - driver.now_us
 
     configured_us = wait_us()
@@ -188,7 +188,7 @@
     for _ in range(40):
         driver.now_us += SECOND_US
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             is_failing = send.server == driver.balancer.ring.ranked[0].entry.server
             driver.end(name, send.server, outcome=Outcome.CONNECT_FAILED if is_failing else Outcome.OK)
         driver.handle(RequestCancelled(name))
@@ -215,7 +215,7 @@
     for _ in range(40):
         driver.now_us += 500_000
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             sent += 1
             driver.now_us += 200_000
             driver.end(name, send.server, latency_us=200_000)
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -15,7 +15,7 @@
     ConnectionPhases,
     PhaseTracker,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 class Connection:
@@ -71,7 +71,7 @@
     assert events == ["idle closed: idle", "body body since 1"]
 
 
-@on_loop
+@on_event_loop
 async def test_a_descriptor_is_reclaimed_from_who_has_had_the_time_first() -> None:
     now_s = asyncio.get_running_loop().time()
     events: list[str] = []
@@ -99,7 +99,7 @@
     assert not phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
 
 
-@on_loop
+@on_event_loop
 async def test_an_idle_connection_is_spared_until_it_was_idle_for_so_long() -> None:
     now_s = asyncio.get_running_loop().time()
     phases = ConnectionPhases()
@@ -108,7 +108,7 @@
     assert phases.reclaim(CloseReason.RECLAIM_DESCRIPTOR, idle_s=0.1)
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_is_in_one_phase_and_keeps_its_time_there() -> None:
     phases = ConnectionPhases()
     connection = Connection([], "one")
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -12,52 +12,52 @@
 from sagetrack.policy.events import ListKind, Outcome
 from tests.sockets import (
     Exchange,
-    Running,
-    answers,
+    RunningGateway,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    rested,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_for_reusable_connections,
+    wait_until,
 )
 
 
-def idle(run: Running, number: int = 0) -> list[UpstreamConnection]:
-    return run.instance.pools.servers[host_id(number)].idle
+def idle(run: RunningGateway, number: int = 0) -> list[UpstreamConnection]:
+    return run.assembly.pools.servers[server_id(number)].idle
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_is_used_again_and_only_by_one_at_a_time() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        tasks = [asyncio.create_task(run.ask(request())) for _ in range(2)]
-        await until(lambda: len(upstream.exchanges) == 2)
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
+        tasks = [asyncio.create_task(run.request(request())) for _ in range(2)]
+        await wait_until(lambda: len(upstream.exchanges) == 2)
         assert upstream.opened_connections == 2
         for exchange in upstream.exchanges:
-            exchange.answer(reply())
+            exchange.respond(http_response())
         await asyncio.gather(*tasks)
-        upstream.script = answers(reply())
+        upstream.script = respond_with(http_response())
         for _ in range(3):
-            await rested(run)
-            assert (await run.ask(request())).status == 200
+            await wait_for_reusable_connections(run)
+            assert (await run.request(request())).status == 200
         assert upstream.opened_connections == 2
-        last = [exchange.connection for exchange in upstream.exchanges[2:]]
+        last = [exchange.connection_number for exchange in upstream.exchanges[2:]]
         assert len(set(last)) == 1  # the one used last, so that the other can age
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        assert (await run.ask(request("transfer"))).status == 200
-        pool, connection = run.instance.pools, idle(run)[0]
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        assert (await run.request(request("transfer"))).status == 200
+        pool, connection = run.assembly.pools, idle(run)[0]
         upstream.exchanges[0].writer.close()
-        await until(lambda: not connection.is_usable())
+        await wait_until(lambda: not connection.is_usable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
         if not idle(run):
@@ -68,13 +68,13 @@
 
         data = request("transfer")
         pool.attempts.send(
-            Attempt(pool.servers[host_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended)
+            Attempt(pool.servers[server_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended)
         )
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.OK] and upstream.opened_connections == 2
 
 
-@on_loop
+@on_event_loop
 async def test_the_poll_sees_an_end_before_the_loop_does() -> None:
     """A blocked loop must not write to what is already closed: the kernel is asked, not the loop's memory."""
     import socket
@@ -82,12 +82,12 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(True)
         config = configuration(f"127.0.0.1:{listener.getsockname()[1]}")
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             loop = asyncio.get_running_loop()
-            asking = asyncio.create_task(run.ask(request()))
+            asking = asyncio.create_task(run.request(request()))
             taken, _ = await loop.run_in_executor(None, listener.accept)
             await loop.run_in_executor(None, taken.recv, 65536)
-            taken.sendall(reply())
+            taken.sendall(http_response())
             await asking
             connection = idle(run)[0]
             assert connection.is_usable()
@@ -95,145 +95,145 @@
             assert not connection.is_usable()
 
 
-@on_loop
+@on_event_loop
 async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
     async with (
-        scripted_server(answers(reply(200, b"", "Connection: close"))) as upstream,
-        running(configuration(upstream)) as run,
+        scripted_server(respond_with(http_response(200, b"", "Connection: close"))) as upstream,
+        running_gateway(configuration(upstream)) as run,
     ):
         for opened in (1, 2):
-            assert (await run.ask(request())).status == 200
+            assert (await run.request(request())).status == 200
             assert upstream.opened_connections == opened
         assert not idle(run)
 
 
-@on_loop
+@on_event_loop
 async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        tasks = [asyncio.create_task(run.ask(request())) for _ in range(3)]
-        await until(lambda: len(upstream.exchanges) == 3)
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
+        tasks = [asyncio.create_task(run.request(request())) for _ in range(3)]
+        await wait_until(lambda: len(upstream.exchanges) == 3)
         for exchange in upstream.exchanges:
-            exchange.answer(reply())
+            exchange.respond(http_response())
         await asyncio.gather(*tasks)
-        pools = run.instance.pools
+        pools = run.assembly.pools
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
         pools.sweep()
-        await until(lambda: pools.open == 1)
+        await wait_until(lambda: pools.open == 1)
         idle(run)[0].idle_since_us -= 45_000_000
         pools.sweep()
-        await until(lambda: pools.open == 0 and upstream.closed_connections == 3)
+        await wait_until(lambda: pools.open == 0 and upstream.closed_connections == 3)
 
 
-@on_loop
+@on_event_loop
 async def test_a_drained_host_keeps_no_idle_connection_and_finishes_what_it_has() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        asking = asyncio.create_task(run.ask(request()))
-        await until(lambda: upstream.exchanges)
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
+        asking = asyncio.create_task(run.request(request()))
+        await wait_until(lambda: upstream.exchanges)
         names = parse(configuration(upstream)).names
         _, _, entries = parse_endpoint_list(
             endpoint_list(8, endpoint("s-0", upstream.address, status="DRAINING")), names
         )
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
-        assert (await run.ask(request())).status == 503  # nowhere to go
-        upstream.exchanges[0].answer(reply(200, b"done"))
+        assert (await run.request(request())).status == 503  # nowhere to go
+        upstream.exchanges[0].respond(http_response(200, b"done"))
         assert (await asking).body == b"done"
-        await until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: upstream.closed_connections == 1)
         assert len(upstream.exchanges) == 1
 
 
-@on_loop
+@on_event_loop
 async def test_no_attempt_starts_after_the_notice_of_a_drain() -> None:
     """A connection that comes up after it carries nothing, even if the attempt was begun before it.
 
     The grace is no part of it: the word may have counted as told for as long before it came.
     """
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        pools, ended = run.instance.pools, list[Outcome]()
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        pools, ended = run.assembly.pools, list[Outcome]()
 
         def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
             ended.append(outcome)
 
-        known = pools.servers[host_id(0)]
+        known = pools.servers[server_id(0)]
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         pools.drain(known)
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         assert ended == [Outcome.NOT_SENT] and not upstream.exchanges
         pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
         assert ended == [Outcome.NOT_SENT] * 2
 
 
-@on_loop
+@on_event_loop
 async def test_a_host_that_moves_is_reached_at_its_new_address() -> None:
-    async with scripted_server() as old, scripted_server() as new, running(configuration(old)) as run:
-        old.script = silent
-        asking = asyncio.create_task(run.ask(request()))
-        await until(lambda: old.exchanges)
+    async with scripted_server() as old, scripted_server() as new, running_gateway(configuration(old)) as run:
+        old.script = no_response
+        asking = asyncio.create_task(run.request(request()))
+        await wait_until(lambda: old.exchanges)
         names = parse(configuration(old)).names
         _, _, entries = parse_endpoint_list(endpoint_list(8, endpoint("s-0", new.address)), names)
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
-        old.exchanges[0].answer(reply())
+        old.exchanges[0].respond(http_response())
         await asking
         assert not idle(run)  # the old connection is not kept for the new address
-        assert (await run.ask(request())).status == 200
+        assert (await run.request(request())).status == 200
         assert len(old.exchanges) == len(new.exchanges) == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         names = parse(configuration(upstream)).names
-        assert (await run.ask(request())).status == 200
+        assert (await run.request(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
             _, _, entries = parse_endpoint_list(
                 endpoint_list(8, endpoint("s-0", upstream.address, since_ms=since_ms)), names
             )
             run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
-        assert (await run.ask(request())).status == 200
+        assert (await run.request(request())).status == 200
         assert upstream.opened_connections == 2
 
 
-@on_loop
+@on_event_loop
 async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
     async with scripted_server() as one, scripted_server() as two:
         config = configuration(one, two)
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             client = await run.connect()
             for _ in range(6):
-                assert (await client.ask(request())).status == 200
-            pools = run.instance.pools
+                assert (await client.request(request())).status == 200
+            pools = run.assembly.pools
             had = pools.open
             assert had >= 1
-            object.__setattr__(run.server.config, "sockets", 1)
+            object.__setattr__(run.listener.config, "sockets", 1)
             # A client that asks nothing yields before what hosts had a handshake for.
-            run.server.descriptors.reclaim_for_upstream()
-            await until(lambda: not run.server.connections)
+            run.listener.descriptors.reclaim_for_upstream()
+            await wait_until(lambda: not run.listener.connections)
             assert pools.open == had
             for _ in range(had):
-                run.server.descriptors.reclaim_for_upstream()
-            await until(lambda: pools.open == 0)
+                run.listener.descriptors.reclaim_for_upstream()
+            await wait_until(lambda: pools.open == 0)
             client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_an_answer_that_overtakes_its_request_ends_the_connection() -> None:
     """Bytes beyond the one answer that is due belong to nothing: the connection is not used again."""
 
     def twice(exchange: Exchange) -> None:
-        exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
+        exchange.respond(http_response(200, b"mine") + http_response(200, b"whose?"))
 
-    async with scripted_server(twice) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(twice) as upstream, running_gateway(configuration(upstream)) as run:
         for opened in (1, 2):
-            assert (await run.ask(request())).body == b"mine"
+            assert (await run.request(request())).body == b"mine"
             assert upstream.opened_connections == opened
 
 
-@on_loop
+@on_event_loop
 async def test_an_attempt_cancelled_as_its_connection_opens_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        pools = run.instance.pools
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
+        pools = run.assembly.pools
         connected = pools.attempts.on_connected
 
         def given_up(connection: UpstreamConnection) -> None:
@@ -245,8 +245,8 @@
         pools.attempts.on_connected = given_up  # type: ignore[method-assign]
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: pools.counts.opened)
-        await until(lambda: pools.open == 0)
+        await wait_until(lambda: pools.counts.opened)
+        await wait_until(lambda: pools.open == 0)
         (known,) = pools.servers.values()
         assert known.open == 0 and not known.idle and not upstream.exchanges
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,31 +12,31 @@
 from tests.sockets import (
     Client,
     Exchange,
-    Running,
+    RunningGateway,
     ScriptedServer,
     configuration,
     endpoint,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 KINDS = 4
 
 
-def within(run: Running) -> bool:
+def within(run: RunningGateway) -> bool:
     """Whether clients and servers leave the reserve untouched."""
-    server = run.server
-    return server.count_clients() + run.instance.pools.open + RESERVE <= server.descriptors.limit
+    server = run.listener
+    return server.count_clients() + run.assembly.pools.open + RESERVE <= server.descriptors.limit
 
 
-async def fill(run: Running, count: int) -> list[Client]:
+async def fill(run: RunningGateway, count: int) -> list[Client]:
     """So many clients that want nothing now: silent, kept, half-written, and such that read no answer."""
     made = []
     for n in range(count):
@@ -45,12 +45,12 @@
         match n % KINDS:
             case 1:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n")
-                await client.answer()
+                await client.read_response()
             case 2:
                 client.send(request("transfer")[:20])
             case 3:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 3)
-        await until(lambda: within(run))
+        await wait_until(lambda: within(run))
     return made
 
 
@@ -64,9 +64,9 @@
             exchange.reset()
         elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
-            exchange.answer(list_reply(9, snapshot=False))
+            exchange.respond(list_response(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", upstream.address)))
+            exchange.respond(list_response(9, endpoint("s-0", upstream.address)))
 
     async with scripted_server(script) as discovery:
         yield discovery, up
@@ -74,28 +74,32 @@
 
 @pytest.mark.parametrize("sockets", [256, 1024])
 @pytest.mark.parametrize("others", [0, 1])
-@on_loop
+@on_event_loop
 async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(sockets: int, others: int) -> None:
     """It returns: the list is taken, first requests have their server, who is owed an answer has it."""
-    async with scripted_server(silent) as old, scripted_server() as new, down_then_up(new) as (discovery, up):
+    async with (
+        scripted_server(no_response) as old,
+        scripted_server() as new,
+        down_then_up(new) as (discovery, up),
+    ):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
-        async with running(config) as run:
-            run.server.siblings.sibling_count = others
+        async with running_gateway(config) as run:
+            run.listener.siblings.sibling_count = others
             owed = await run.connect()
             owed.send(request("transfer"))
-            await until(lambda: old.exchanges)
-            crowd = await fill(run, run.server.descriptors.max_clients + KINDS * 4)
-            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and within(run)
+            await wait_until(lambda: old.exchanges)
+            crowd = await fill(run, run.listener.descriptors.max_clients + KINDS * 4)
+            assert run.listener.count_clients() >= run.listener.descriptors.max_clients - 1 and within(run)
             up.append(True)
-            await until(lambda: run.instance.pools.servers[host_id(0)].address == parsed(new))
+            await wait_until(lambda: run.assembly.pools.servers[server_id(0)].address == parsed(new))
             fresh = [await run.connect() for _ in range(20)]
             for client in fresh:
                 client.send(request("search"))
             for client in fresh:
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             assert within(run)
-            old.exchanges[0].answer(reply())
-            assert (await owed.answer()).status == 200
+            old.exchanges[0].respond(http_response())
+            assert (await owed.read_response()).status == 200
             for client in (owed, *fresh, *crowd):
                 client.close()
 
@@ -106,22 +110,22 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-@on_loop
+@on_event_loop
 async def test_a_full_process_makes_way_when_a_second_one_starts(sockets: int) -> None:
     """The limit is for both together: what asks nothing is closed by the next look, what is owed is not."""
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         config = configuration(upstream) | {"limits": {"sockets": sockets}}
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             owed = await run.connect()
             owed.send(request("transfer"))
-            await until(lambda: upstream.exchanges)
-            crowd = await fill(run, run.server.descriptors.max_clients)
-            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
-            run.server.siblings.sibling_count = 1
-            run.server.sweep()
-            await until(lambda: not any(c.is_closing for c in run.server.connections))
+            await wait_until(lambda: upstream.exchanges)
+            crowd = await fill(run, run.listener.descriptors.max_clients)
+            assert run.listener.count_clients() >= run.listener.descriptors.max_clients - 1
+            run.listener.siblings.sibling_count = 1
+            run.listener.sweep()
+            await wait_until(lambda: not any(c.is_closing for c in run.listener.connections))
             assert within(run)
-            upstream.exchanges[0].answer(reply())
-            assert (await owed.answer()).status == 200
+            upstream.exchanges[0].respond(http_response())
+            assert (await owed.read_response()).status == 200
             for client in (owed, *crowd):
                 client.close()
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -30,23 +30,23 @@
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.settings import Settings
 from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
-from tests.helpers import SETTINGS, START_US, Driver, timers
+from tests.helpers import SETTINGS, START_US, Driver, timer_actions
 from tests.sockets import (
     Exchange,
-    Running,
+    RunningGateway,
     Script,
-    answers,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
-    running,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 MINUTE_US = 60_000_000
@@ -54,11 +54,11 @@
 
 
 def drains(version: int) -> bytes:
-    return list_reply(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
+    return list_response(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
 
 
-def is_draining(run: Running) -> bool:
-    known = run.gateway.balancer.servers.get(host_id(0))
+def is_draining(run: RunningGateway) -> bool:
+    known = run.gateway.balancer.servers.get(server_id(0))
     return known is not None and known.entry.status is ServerStatus.DRAINING
 
 
@@ -69,7 +69,7 @@
     return config
 
 
-def grace_s(run: Running) -> float:
+def grace_s(run: RunningGateway) -> float:
     return run.gateway.settings.stop_sending_within_us / 1e6
 
 
@@ -81,7 +81,7 @@
 
     TOKEN = -2  # of the list's timers that are set from now on
 
-    def __init__(self, run: Running, left: int) -> None:
+    def __init__(self, run: RunningGateway, left: int) -> None:
         self.run, self.left, self.told = run, left, 0
         self.carry_out, self.handle = run.gateway.executor.execute, run.gateway.balancer.handle
         run.gateway.executor.execute = self.hurry  # type: ignore[method-assign]
@@ -106,7 +106,7 @@
     module.context.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
 
-def begin(run: Running, failures: int) -> Failures:
+def begin(run: RunningGateway, failures: int) -> Failures:
     """Make the first call at once, and let it fail quickly up to the last time; that pause is the longest."""
     failed = Failures(run, failures)
     draw_longest(run.gateway.balancer)
@@ -122,7 +122,7 @@
     """Send so much, and reset once it is out."""
 
     async def script(exchange: Exchange) -> None:
-        exchange.answer(part)
+        exchange.respond(part)
         await exchange.writer.drain()
         exchange.writer.transport.close()
 
@@ -130,8 +130,8 @@
 
 
 FAULTS = {
-    "429": answers(reply(429, b"", "Retry-After: 9")),
-    "503": answers(reply(503)),
+    "429": respond_with(http_response(429, b"", "Retry-After: 9")),
+    "503": respond_with(http_response(503)),
     "reset": reset,
     "reset in the head": breaks_after(drains(9)[:20]),
     "reset in the body": breaks_after(drains(9)[:-20]),
@@ -140,112 +140,118 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("fault", FAULTS)
-@on_loop
+@on_event_loop
 async def test_a_change_arrives_in_time_after_five_failures_in_a_row(fault: str, mode: str) -> None:
-    async with scripted_server(FAULTS[fault]) as registry, running(asks(registry.address, mode)) as run:
+    async with (
+        scripted_server(FAULTS[fault]) as registry,
+        running_gateway(asks(registry.address, mode)) as run,
+    ):
         failed = begin(run, 5)
-        await until(lambda: failed.told == 5)
-        registry.script = answers(drains(9))  # it is back, and has had the change all the time
+        await wait_until(lambda: failed.told == 5)
+        registry.script = respond_with(drains(9))  # it is back, and has had the change all the time
         assert not is_draining(run)
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@on_loop
+@on_event_loop
 async def test_a_change_arrives_in_time_after_five_refused_connections(mode: str) -> None:
-    async with scripted_server(answers(drains(9))) as registry:
+    async with scripted_server(respond_with(drains(9))) as registry:
         assert registry.server is not None
         place = registry.server.sockets[0].getsockname()
         registry.server.close()
         await registry.server.wait_closed()
-        async with running(asks(registry.address, mode)) as run:
+        async with running_gateway(asks(registry.address, mode)) as run:
             failed = begin(run, 5)
-            await until(lambda: failed.told == 5)
+            await wait_until(lambda: failed.told == 5)
             registry.server = await asyncio.start_server(registry.serve, *place)
             async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-                await until(lambda: is_draining(run))
-            registry.script = silent
+                await wait_until(lambda: is_draining(run))
+            registry.script = no_response
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("before", [0, 5])
-@on_loop
+@on_event_loop
 async def test_a_call_that_hangs_when_discovery_recovers_times_out_in_time(before: int, mode: str) -> None:
     """The call under way has been lost and is waited for in vain; what comes after it is answered."""
-    async with scripted_server(reset) as registry, running(asks(registry.address, mode)) as run:
+    async with scripted_server(reset) as registry, running_gateway(asks(registry.address, mode)) as run:
         failed = begin(run, before + 1)  # the pause before the call that hangs is over at once
-        await until(lambda: failed.told >= before)
+        await wait_until(lambda: failed.told >= before)
         hung = asyncio.Event()
 
         def hangs(exchange: Exchange) -> None:
             hung.set()
-            registry.script = answers(drains(9))
+            registry.script = respond_with(drains(9))
 
         registry.script = hangs
         await hung.wait()
         failed.left = 0  # from now on every pause is real
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_changes_missed_by_a_silent_watch_arrive_within_six_seconds() -> None:
     """Silent from its first moment on, and all that was asked before was answered."""
     silent_on: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
         if "from=" not in exchange.message.start_line:
-            exchange.answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
+            exchange.respond(list_response(8, endpoint("s-0", "127.0.0.1:1")))
         elif silent_on:
-            exchange.answer(drains(9))
+            exchange.respond(drains(9))
         else:
             silent_on.append(exchange)
 
     config = asks("") | {"known": {}}
-    async with scripted_server(script) as registry, running(config | {"discovery": registry.address}) as run:
+    async with (
+        scripted_server(script) as registry,
+        running_gateway(config | {"discovery": registry.address}) as run,
+    ):
         begin(run, 0)
-        await until(lambda: silent_on)
+        await wait_until(lambda: silent_on)
         assert not is_draining(run)
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_a_new_discovery_address_is_used_in_time_between_failures() -> None:
     """SIGHUP comes after five failures, and the first call at the new address is refused too."""
     refused = asyncio.Event()
 
     def refuses_once(exchange: Exchange) -> None:
-        exchange.answer(drains(2) if refused.is_set() else reply(503))
+        exchange.respond(drains(2) if refused.is_set() else http_response(503))
         refused.set()
 
     async with (
         scripted_server(FAULTS["503"]) as old,
         scripted_server(refuses_once) as new,
-        running(asks(old.address)) as run,
+        running_gateway(asks(old.address)) as run,
     ):
         failed = begin(run, 5)
-        await until(lambda: failed.told == 5)
+        await wait_until(lambda: failed.told == 5)
         async with asyncio.timeout(MOVED_S + grace_s(run)):
-            run.instance.discovery.change_address(parse_address(new.address, "discovery"))
-            await until(lambda: is_draining(run))
+            run.assembly.discovery.change_address(parse_address(new.address, "discovery"))
+            await wait_until(lambda: is_draining(run))
         assert refused.is_set() and len(old.exchanges) == 5
-        new.script = silent
+        new.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_a_new_process_polls_early_whatever_the_poll_interval() -> None:
     async with (
-        scripted_server(answers(drains(9))) as registry,
-        running(asks(registry.address, must_ask_us=10**12)) as run,
+        scripted_server(respond_with(drains(9))) as registry,
+        running_gateway(asks(registry.address, must_ask_us=10**12)) as run,
     ):
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
 # The same in virtual time: any settings, any failures, all that comes after them as late as is waited for.
@@ -419,7 +425,7 @@
         module = LoadBalancer(rules, seed)
         for _ in range(failures):
             actions = module.handle(START_US, EndpointList(ListKind.ERROR))
-        (timer,) = timers(actions)
+        (timer,) = timer_actions(actions)
         waits_us.append(timer.due_us - START_US)
     waits_us.sort()
     least, most = waits_us[0], waits_us[-1]
@@ -437,7 +443,7 @@
         )
         draw_longest(module)
         for _ in range(9):
-            (timer,) = timers(module.handle(START_US, EndpointList(ListKind.ERROR)))
+            (timer,) = timer_actions(module.handle(START_US, EndpointList(ListKind.ERROR)))
             longest.setdefault(must_ask_us, []).append(timer.due_us - START_US)
     for pauses_us in longest.values():
         assert pauses_us == sorted(pauses_us) and pauses_us[0] < pauses_us[2] <= pauses_us[-1]
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -18,7 +18,7 @@
     read_tcp_responses,
     running_service,
 )
-from tests.sockets import configuration, on_loop, running
+from tests.sockets import configuration, on_event_loop, running_gateway
 
 
 def listed(name: str, place: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
@@ -39,7 +39,7 @@
     assert not split.endpoints["dns"]
 
 
-@on_loop
+@on_event_loop
 async def test_the_list_of_servers_names_upstream_servers_and_drains_them() -> None:
     async with nameserver() as one, nameserver() as two, running_service(listed=True) as (service, place):
         client = await UdpClient.to(place)
@@ -54,7 +54,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_keeps_servers_of_the_dns_type_from_http(tmp_path: Path) -> None:
     async with nameserver() as upstream:
         config = configuration("127.0.0.1:9")
@@ -66,20 +66,20 @@
             port = probe.getsockname()[1]
         file = tmp_path / "operator.toml"
         file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
-        async with running(config, load_operator(str(file))) as gateway:
-            assert [host.name for host in gateway.instance.pools.servers.values()] == ["s-0"]
+        async with running_gateway(config, load_operator(str(file))) as gateway:
+            assert [host.name for host in gateway.assembly.pools.servers.values()] == ["s-0"]
             client = await UdpClient.to(("127.0.0.1", port))
             assert (await client.ask(query())).answer[0][0].to_text() == "192.0.2.1"
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            gateway.server.standby()
+            gateway.listener.standby()
             writer.write(len(query()).to_bytes(2) + query())
             assert (await read_tcp_responses(reader, 1))[0].answer and await reader.read() == b""
-            gateway.server.active()
+            gateway.listener.active()
             writer.close()
             client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_server_removed_from_the_list_gets_nothing_more() -> None:
     async with nameserver() as one, nameserver() as two, running_service(one, two) as (service, place):
         client = await UdpClient.to(place)
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -19,10 +19,10 @@
     query,
     running_service,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_a_query_is_forwarded_kept_and_answered_in_the_clients_case() -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, place):
         client = await UdpClient.to(place)
@@ -34,7 +34,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_truncated_response_is_repeated_over_tcp_and_counts_as_one_attempt() -> None:
     async with (
         nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
@@ -49,7 +49,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_equal_questions_share_a_call_and_a_repeat_joins_it() -> None:
     async with (
         nameserver(NameserverBehaviour(delay_s=0.1)) as upstream,
@@ -60,14 +60,14 @@
         one.transport.sendto(data)
         one.transport.sendto(data)
         other.transport.sendto(query())
-        await until(lambda: one.got and other.got)
+        await wait_until(lambda: one.got and other.got)
         assert upstream.udp_queries == 1 and len(one.got) == 1
         assert service.handler.counts.joined == 1 and service.handler.counts.shared == 1
         for client in (one, other):
             client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_forged_answers_are_passed_over() -> None:
     forger = NameserverBehaviour(forgeries=50, spoofs_source=True)
     async with nameserver(forger) as upstream, running_service(upstream) as (service, place):
@@ -81,7 +81,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_failing_fleet_is_answered_at_once_or_from_what_is_stale() -> None:
     plan = {"deadline_us": 400_000}
     async with (
@@ -104,7 +104,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_slow_server_does_not_stall_the_others() -> None:
     slow, good = NameserverBehaviour(delay_s=5.0), NameserverBehaviour(address="192.0.2.9")
     async with nameserver(slow) as one, nameserver(good) as two, running_service(one, two) as (_, place):
@@ -116,7 +116,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_lost_datagram_takes_no_server_out_of_use() -> None:
     async with (
         nameserver(NameserverBehaviour(loss=0.02, delay_s=0.001)) as upstream,
@@ -127,13 +127,13 @@
             client.transport.sendto(query(f"n{number}.example."))
             if number % 10 == 9:
                 await asyncio.sleep(0)
-        await until(lambda: len(client.got) >= 300)
+        await wait_until(lambda: len(client.got) >= 300)
         good = sum(message.rcode() == dns.rcode.NOERROR for message in client.got)
         assert good >= 270, (good, upstream.udp_queries)
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_client_without_access_gets_refused() -> None:
     async with (
         nameserver() as upstream,
@@ -146,7 +146,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_two_processes_share_the_address_at_a_hot_restart_and_the_second_goes_on() -> None:
     async with nameserver() as upstream:
         plan = DnsConfig([("127.0.0.1", 0)], [upstream.address])
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -21,10 +21,10 @@
     read_tcp_responses,
     running_service,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_tcp_queries_come_in_pieces_and_are_answered_in_any_order() -> None:
     unhurried = {
         "latency_objective_us": 20_000_000,
@@ -48,18 +48,18 @@
 
 
 @pytest.mark.parametrize("data", [b"\0\0", b"\0\x05hello", b"\0\x0b" + b"x" * 11])
-@on_loop
+@on_event_loop
 async def test_a_frame_that_is_no_message_ends_the_connection(data: bytes) -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, place):
         reader, writer = await asyncio.open_connection(*place)
         writer.write(data)
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
-        await until(lambda: not service.listener.connections)
+        await wait_until(lambda: not service.listener.connections)
         writer.close()
 
 
-@on_loop
+@on_event_loop
 async def test_half_a_frame_and_a_close_and_the_largest_frame_do_no_harm() -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, place):
         for data in (b"\0", b"\0\x20half", b"\xff\xff" + b"\x01" * 65_535):
@@ -69,13 +69,13 @@
             with contextlib.suppress(ConnectionError):
                 await reader.read()
             writer.close()
-        await until(lambda: not service.listener.connections)
+        await wait_until(lambda: not service.listener.connections)
         client = await UdpClient.to(place)
         assert (await client.ask(query())).rcode() == dns.rcode.NOERROR
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_client_that_reads_nothing_is_bounded() -> None:
     plan = {"limits": ClientLimits(connections_per_client=1)}
     async with (
@@ -94,7 +94,7 @@
                         await writer.drain()
 
         task = asyncio.create_task(flood())
-        await until(lambda: any(c.write_paused for c in service.listener.connections))
+        await wait_until(lambda: any(c.write_paused for c in service.listener.connections))
         held = [c.transport.get_write_buffer_size() for c in service.listener.connections if c.transport]
         assert all(size < 1_000_000 for size in held)
         task.cancel()
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -24,7 +24,7 @@
     query,
     running_service,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 def asked(name: str, kind: str = "A") -> Any:
@@ -109,7 +109,7 @@
             LocalZones("", 1, files=[("static.example.", str(path))])
 
 
-@on_loop
+@on_event_loop
 async def test_our_zone_and_the_others_are_answered_by_one_front() -> None:
     plan = {"zone": ZoneConfig("sur.example.")}
     async with nameserver() as upstream, running_service(upstream, **plan) as (service, place):
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -6,7 +6,7 @@
 
 from sagetrack.policy.actions import WatchEndpoints
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus, TimerFired
-from tests.helpers import SETTINGS, Driver, sends, timers
+from tests.helpers import SETTINGS, Driver, send_actions, timer_actions
 
 
 def test_a_draining_or_gone_server_gets_no_new_requests() -> None:
@@ -15,7 +15,7 @@
         ListedServer(0, ServerStatus.DRAINING), ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA
     )
     for _ in range(3):
-        assert sends(driver.arrive()[1])[0].server == 2
+        assert send_actions(driver.arrive()[1])[0].server == 2
 
 
 def test_a_full_list_removes_unlisted_servers_and_a_restart_resets_the_breaker() -> None:
@@ -28,12 +28,12 @@
 
 def test_the_endpoint_list_is_requested_and_requested_again_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, endpoints_are_pushed=False), servers=0)
-    (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
+    (timer,) = timer_actions(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5  # not all gateways at once
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
     for _ in range(8):
-        (timer,) = timers(driver.handle(EndpointList(ListKind.ERROR)))
+        (timer,) = timer_actions(driver.handle(EndpointList(ListKind.ERROR)))
         assert 0 < timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us
         driver.now_us = timer.due_us
         assert driver.handle(TimerFired(timer.token)) == [WatchEndpoints()]
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -12,7 +12,7 @@
 
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.soak.shim import NO_FAULTS, FaultControl, SystemCallFaults, build_library
-from tests.sockets import configuration, on_loop, request, scripted_server, until
+from tests.sockets import configuration, on_event_loop, request, scripted_server, wait_until
 from tests.test_gateway_process import READY, ROOT, ask
 
 MOMENT_S = 0.6
@@ -45,7 +45,7 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until(lambda: control.failed_calls or process.returncode is not None)
+        await wait_until(lambda: control.failed_calls or process.returncode is not None)
         await asyncio.sleep(MOMENT_S)
         control.set(NO_FAULTS)
         yield port, admin
@@ -65,7 +65,7 @@
         writer.close()
 
 
-@on_loop
+@on_event_loop
 async def test_sockets_that_cannot_be_had_for_a_moment_are_asked_for_again(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
@@ -75,7 +75,7 @@
         assert await ask(port, request()) == 200
 
 
-@on_loop
+@on_event_loop
 async def test_an_operators_file_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
     """The configuration can: it comes from where nothing fails."""
     elsewhere, here = tmp_path / "elsewhere", tmp_path / "here"
@@ -88,7 +88,7 @@
         await becomes_ready(port, admin)
 
 
-@on_loop
+@on_event_loop
 async def test_a_configuration_that_cannot_be_opened_for_a_moment_is_opened_again(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
@@ -98,7 +98,7 @@
         assert await ask(port, request()) == 200
 
 
-@on_loop
+@on_event_loop
 async def test_a_bad_configuration_ends_with_2_though_nobody_can_be_told(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text("no JSON")
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -19,15 +19,15 @@
     ScriptedServer,
     configuration,
     endpoint,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 from tests.test_gateway_process import READY, ROOT, ask, connect, free_port
 from tests.test_hot_restart import marks, start
@@ -45,15 +45,15 @@
             exchange.reset()
         elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
-            exchange.answer(list_reply(9, snapshot=False))
+            exchange.respond(list_response(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", upstream.address, status="DRAINING")))
+            exchange.respond(list_response(9, endpoint("s-0", upstream.address, status="DRAINING")))
 
     async with scripted_server(script) as discovery:
         yield discovery
 
 
-@on_loop
+@on_event_loop
 async def test_a_log_that_cannot_be_written_costs_nothing_else() -> None:
     """A full disk under standard error: discovery fails, which is told in the log, and is asked again."""
     full = os.open("/dev/full", os.O_WRONLY)
@@ -62,9 +62,9 @@
         os.dup2(full, 2)
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
-            async with running(configuration(upstream, discovery=discovery.address)) as run:
-                hosts = run.instance.pools.servers
-                await until(lambda: hosts[host_id(0)].drained_us is not None)
+            async with running_gateway(configuration(upstream, discovery=discovery.address)) as run:
+                hosts = run.assembly.pools.servers
+                await wait_until(lambda: hosts[server_id(0)].drained_us is not None)
         finally:
             sys.stderr = stream
             os.dup2(kept, 2)
@@ -72,36 +72,36 @@
             os.close(kept)
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_told_to_end_while_the_one_before_still_leaves_takes_what_comes(
     tmp_path: Path,
 ) -> None:
     """An upgrade and a restart cross: neither may count on the other for new clients."""
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
             held = await connect(port)
             held.send(request("transfer", b"held"))
-            await until(lambda: upstream.exchanges)
+            await wait_until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marks(tmp_path, "serving"))
+            await wait_until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
-            await until(lambda: old.pid not in marks(tmp_path, "serving"))
+            await wait_until(lambda: old.pid not in marks(tmp_path, "serving"))
             new.send_signal(signal.SIGTERM)
-            await until(lambda: new.pid not in marks(tmp_path, "serving"))  # the signal has come
+            await wait_until(lambda: new.pid not in marks(tmp_path, "serving"))  # the signal has come
             async with asyncio.timeout(3.0):
                 for _ in range(4):
                     assert await ask(port, READY) == 503
-            upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await held.answer()).body == b"done"
+            upstream.exchanges[0].respond(http_response(200, b"done"))
+            assert (await held.read_response()).body == b"done"
             assert await old.wait() == 0 and await new.wait() == 0
             held.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_mark_that_is_lost_in_the_folder_does_not_keep_a_process_from_serving(tmp_path: Path) -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         overlap = HotRestart(str(tmp_path))
         overlap.join()
         for mark in tmp_path.iterdir():
@@ -109,8 +109,8 @@
         overlap.mark_serving()  # as the process does once it takes clients
         overlap.refresh()
         overlap.release()
-        run.server.siblings = overlap
-        assert (await run.ask(request())).status == 200
+        run.listener.siblings = overlap
+        assert (await run.request(request())).status == 200
 
 
 class FailingListener:
@@ -130,30 +130,30 @@
         return getattr(self.listener, name)
 
 
-@on_loop
+@on_event_loop
 async def test_an_accept_that_fails_costs_no_client_its_answer() -> None:
     """Neither who waits to be accepted nor who was accepted a moment ago and has not spoken yet."""
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        assert run.server.acceptor.listener is not None
-        run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        assert run.listener.acceptor.listener is not None
+        run.listener.acceptor.listener = FailingListener(run.listener.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
-        assert (await kept.ask(request())).status == 200
+        assert (await kept.request(request())).status == 200
 
         async def one(number: int) -> int:
             await asyncio.sleep(number * 0.005)
             client = await run.connect()
             await asyncio.sleep(0.05)  # others are accepted meanwhile, or fail to be
-            status = (await client.ask(request())).status
+            status = (await client.request(request())).status
             client.close()
             return status
 
         statuses = await asyncio.gather(*(one(number) for number in range(40)))
         assert statuses == [200] * 40
-        assert (await kept.ask(request())).status == 200
+        assert (await kept.request(request())).status == 200
         kept.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_that_may_hold_fewer_descriptors_than_it_is_told_serves(tmp_path: Path) -> None:
     """The shell's limit is lower than the configuration's, and idle clients would use it up."""
     port = free_port()
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -9,25 +9,25 @@
 from sagetrack.policy.events import AttemptEnded, Outcome
 from tests.sockets import (
     Exchange,
-    Running,
+    RunningGateway,
     Script,
-    answers,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    rested,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_for_reusable_connections,
+    wait_until,
 )
 
 
-def outcomes(run: Running) -> list[AttemptEnded]:
+def outcomes(run: RunningGateway) -> list[AttemptEnded]:
     """What the module is told of attempts from now on."""
     told: list[AttemptEnded] = []
     handle = run.gateway.balancer.handle
@@ -46,64 +46,68 @@
 
 
 def half_an_answer(exchange: Exchange) -> None:
-    exchange.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+    exchange.respond(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     exchange.writer.close()
 
 
 CLOSED_PORT = "127.0.0.1:1"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-FULL = reply(503, b"", "X-Rejected: 1")
+FULL = http_response(503, b"", "X-Rejected: 1")
 
 
 @pytest.mark.parametrize(
     ("script", "outcome", "status"),
     [
-        (answers(reply(200, b"a book")), Outcome.OK, 200),
-        (answers(reply(500)), Outcome.ERROR, 502),
-        (answers(reply(503)), Outcome.ERROR, 502),  # without the mark nothing is known
-        (answers(reply(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
-        (answers(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(FULL), Outcome.REJECTED, 503),
-        (answers(reply(504, b"", "X-Rejected: 1")), Outcome.REJECTED, 503),
+        (respond_with(http_response(200, b"a book")), Outcome.OK, 200),
+        (respond_with(http_response(500)), Outcome.ERROR, 502),
+        (respond_with(http_response(503)), Outcome.ERROR, 502),  # without the mark nothing is known
+        (respond_with(http_response(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
+        (respond_with(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(FULL), Outcome.REJECTED, 503),
+        (respond_with(http_response(504, b"", "X-Rejected: 1")), Outcome.REJECTED, 503),
         (reset, Outcome.RESET, 502),
         (half_an_answer, Outcome.RESET, 502),  # a 200 must be whole
         # What can't be an answer is judged by what has come; the rest is not waited for.
-        (answers(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"), Outcome.ERROR, 502),
-        (answers(CHUNKED + b"Content-Length: 4\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(CHUNKED + b"\r\n4\r\nfine\r\nzz\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/0.9 200 OK\r\nContent-Length: 4\r\n\r\nfine"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 100 X\r\n\r\n" * 9), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 100 X\r\n\r\n" * 3 + reply(200, b"a book")), Outcome.OK, 200),
-        (answers(reply(200, b"a book", "X-Load-Report: TEXT queue=\xff, , =1")), Outcome.OK, 200),
+        (respond_with(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"), Outcome.ERROR, 502),
+        (respond_with(CHUNKED + b"Content-Length: 4\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(CHUNKED + b"\r\n4\r\nfine\r\nzz\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/0.9 200 OK\r\nContent-Length: 4\r\n\r\nfine"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 100 X\r\n\r\n" * 9), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 100 X\r\n\r\n" * 3 + http_response(200, b"a book")), Outcome.OK, 200),
+        (
+            respond_with(http_response(200, b"a book", "X-Load-Report: TEXT queue=\xff, , =1")),
+            Outcome.OK,
+            200,
+        ),
     ],
 )
-@on_loop
+@on_event_loop
 async def test_the_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
-    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(script) as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
-        answer = await run.ask(request("transfer", b"42"))
+        answer = await run.request(request("transfer", b"42"))
         assert answer.status == status
         assert [event.outcome for event in told] == [outcome]
-        assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
+        assert told[0].server == server_id(0) and told[0].finished is (outcome is Outcome.OK)
         assert len(upstream.exchanges) == 1  # an unsafe request goes out once
         assert not run.gateway.in_flight
 
 
-@on_loop
+@on_event_loop
 async def test_a_refused_connection_never_ran() -> None:
-    async with running(configuration(CLOSED_PORT)) as run:
+    async with running_gateway(configuration(CLOSED_PORT)) as run:
         told = outcomes(run)
-        assert (await run.ask(request("transfer"))).status == 503
+        assert (await run.request(request("transfer"))).status == 503
         assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_that_never_opens_times_out_as_configured() -> None:
     import socket
 
@@ -116,35 +120,35 @@
             one.setblocking(False)
             one.connect_ex(address)
         config = configuration(f"127.0.0.1:{address[1]}", connectTimeoutUs=50_000)
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             told = outcomes(run)
-            assert (await run.ask(request("transfer"))).status == 503
+            assert (await run.request(request("transfer"))).status == 503
             assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
-            assert run.instance.pools.open == 0
+            assert run.assembly.pools.open == 0
         for one in fill:
             one.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
-        assert (await run.ask(request("transfer", budget_ms=60))).status == 504
+        assert (await run.request(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
-        await until(lambda: upstream.closed_connections == 1)  # the host can tell that nobody waits
-        assert run.instance.pools.open == 0 and not run.gateway.in_flight
+        await wait_until(lambda: upstream.closed_connections == 1)  # the host can tell that nobody waits
+        assert run.assembly.pools.open == 0 and not run.gateway.in_flight
 
 
-@on_loop
+@on_event_loop
 async def test_a_late_response_of_an_ended_attempt_is_dropped() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
-        assert (await client.ask(request("transfer", budget_ms=60))).status == 504
-        upstream.exchanges[0].answer(reply(200, b"too late"))
-        upstream.script = answers(reply(200, b"in time"))
+        assert (await client.request(request("transfer", budget_ms=60))).status == 504
+        upstream.exchanges[0].respond(http_response(200, b"too late"))
+        upstream.script = respond_with(http_response(200, b"in time"))
         # After a time-out the module may refuse a few.
-        while (answer := await client.ask(request())).status == 503:
+        while (answer := await client.request(request())).status == 503:
             pass
         assert answer.body == b"in time"
         assert [event.outcome for event in told] == [Outcome.TIMEOUT, Outcome.OK]
@@ -152,7 +156,7 @@
 
 
 @pytest.mark.parametrize(("class_name", "again"), [("search", True), ("hold", True), ("transfer", False)])
-@on_loop
+@on_event_loop
 async def test_after_a_reset_only_requests_that_may_run_twice_are_retried(
     class_name: str, again: bool
 ) -> None:
@@ -163,14 +167,14 @@
         if len(first) == 1:
             exchange.reset()
         else:
-            exchange.answer(reply())
+            exchange.respond(http_response())
 
     async with (
         scripted_server(script) as one,
         scripted_server(script) as two,
-        running(configuration(one, two)) as run,
+        running_gateway(configuration(one, two)) as run,
     ):
-        answer = await run.ask(request(class_name))
+        answer = await run.request(request(class_name))
         assert answer.status == (200 if again else 502)
         assert len(first) == (2 if again else 1)
         keys = {exchange.message.headers.get("idempotency-key") for exchange in first}
@@ -178,27 +182,27 @@
 
 
 @pytest.mark.parametrize("class_name", ["search", "hold", "transfer"])
-@on_loop
+@on_event_loop
 async def test_every_class_is_retried_elsewhere_after_a_rejection_by_a_server(class_name: str) -> None:
     turned_away: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
         if turned_away:
-            exchange.answer(reply())
+            exchange.respond(http_response())
         else:
             turned_away.append(exchange)
-            exchange.answer(FULL)
+            exchange.respond(FULL)
 
     async with (
         scripted_server(script) as one,
         scripted_server(script) as two,
-        running(configuration(one, two)) as run,
+        running_gateway(configuration(one, two)) as run,
     ):
-        assert (await run.ask(request(class_name))).status == 200
+        assert (await run.request(request(class_name))).status == 200
         assert len(one.exchanges) == len(two.exchanges) == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
     async with scripted_server(reset) as one, scripted_server() as other:
         config = configuration(one)
@@ -206,23 +210,25 @@
         config["known"] = endpoint_list(
             7, endpoint("s-0", one.address, group=1), endpoint("s-1", other.address, group=2)
         )
-        async with running(config) as run:
-            statuses = [(await run.ask(request("hold"))).status for _ in range(8)]
+        async with running_gateway(config) as run:
+            statuses = [(await run.request(request("hold"))).status for _ in range(8)]
             assert one.exchanges and set(statuses) == {200, 502}
             # What was reset at one host has not gone to the other group.
             lost = {e.message.headers["x-call-id"] for e in one.exchanges}
             assert lost.isdisjoint(e.message.headers["x-call-id"] for e in other.exchanges)
 
 
-@on_loop
+@on_event_loop
 async def test_end_to_end_headers_are_forwarded_in_both_directions() -> None:
-    script = answers(
-        reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
+    script = respond_with(
+        http_response(
+            200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2"
+        )
     )
-    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(script) as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
-        answer = await run.ask(data)
+        answer = await run.request(data)
         assert answer.body == b"\x00\xff body"
         assert answer.headers["content-type"] == "text/x" and answer.headers["x-hit"] == "1"
         assert "x-load-report" not in answer.headers
@@ -235,59 +241,65 @@
 
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
-@on_loop
+@on_event_loop
 async def test_an_invalid_load_report_is_ignored(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
-    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
-        assert (await run.ask(request())).status == 200
+    async with (
+        scripted_server(respond_with(data)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
+        assert (await run.request(request())).status == 200
 
 
-@on_loop
+@on_event_loop
 async def test_chunked_and_interim_responses_are_read() -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
+    async with (
+        scripted_server(respond_with(data)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
         for _ in range(2):
-            assert (await run.ask(request())).body == b"abc"
-            await rested(run)
+            assert (await run.request(request())).body == b"abc"
+            await wait_for_reusable_connections(run)
         assert upstream.opened_connections == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_disconnect_cancels_the_attempt() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         client.close()
-        await until(lambda: upstream.closed_connections == 1)
-        await until(lambda: told)
+        await wait_until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: told)
         assert told[0].outcome is Outcome.CANCELLED and told[0].finished
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
-@on_loop
+@on_event_loop
 async def test_an_error_in_the_policy_fails_one_request_only() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
-        assert (await run.ask(request("transfer"))).status == 502
+        assert (await run.request(request("transfer"))).status == 502
         run.gateway.balancer.handle = handle  # type: ignore[method-assign]
-        assert (await run.ask(request("transfer"))).status == 200
+        assert (await run.request(request("transfer"))).status == 200
 
 
-@on_loop
+@on_event_loop
 async def test_an_attempt_past_its_deadline_is_not_sent() -> None:
     from sagetrack.policy.actions import SendAttempt
 
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         told = outcomes(run)
         client = await run.connect()
-        upstream.script = silent
+        upstream.script = no_response
         data = request("transfer")
         client.send(data)
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         id_ = upstream.exchanges[0].message.headers["x-call-id"]
         run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a host that nobody has listed
         assert [event.outcome for event in told] == [Outcome.NOT_SENT]
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -17,14 +17,14 @@
 from tests.sockets import (
     Client,
     Exchange,
-    answers,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
+    respond_with,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -80,14 +80,14 @@
 async def ask(port: int, data: bytes) -> int:
     try:
         client = await connect(port)
-        status = (await client.ask(data)).status
+        status = (await client.request(data)).status
     except OSError:
         return 0
     client.close()
     return status
 
 
-@on_loop
+@on_event_loop
 async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
     async with scripted_server() as upstream, program(tmp_path, configuration(upstream)) as (process, port):
         assert await ask(port, request("transfer", b"x")) == 200
@@ -96,27 +96,27 @@
         assert process.returncode == 0 and b"Traceback" not in errors
 
 
-@on_loop
+@on_event_loop
 async def test_a_shutdown_finishes_requests_in_flight_and_serves_new_ones(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, busy = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.request(READY)).status == 200
         busy.send(request("transfer", b"held"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""  # idle ones are closed, and so the signal has come
         process.send_signal(signal.SIGTERM)  # a second one changes nothing
         assert await ask(port, READY) == 503
         late = await connect(port)
         late.send(request("transfer", b"late"))
-        await until(lambda: len(upstream.exchanges) == 2)
+        await wait_until(lambda: len(upstream.exchanges) == 2)
         for exchange in upstream.exchanges:
-            exchange.answer(reply(200, exchange.message.body))
+            exchange.respond(http_response(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.body) == (200, body)
             assert answer.headers["connection"] == "close"
         assert await process.wait() == 0
@@ -124,44 +124,44 @@
             client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_all_requests_read_on_a_connection_are_answered_at_shutdown(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, client = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.request(READY)).status == 200
         client.send(request("transfer", b"1") + request("transfer", b"2"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        upstream.script = answers(reply(200, b"2"))
-        upstream.exchanges[0].answer(reply(200, b"1"))
-        assert [(await client.answer()).body for _ in range(2)] == [b"1", b"2"]
+        upstream.script = respond_with(http_response(200, b"2"))
+        upstream.exchanges[0].respond(http_response(200, b"1"))
+        assert [(await client.read_response()).body for _ in range(2)] == [b"1", b"2"]
         assert await process.wait() == 0
         idle.close()
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_request_that_never_ends_is_answered_before_the_kill(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         program(tmp_path, configuration(upstream)) as (process, port),
     ):
         client = await connect(port)
         client.send(request("transfer"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s, and there are 0.7 s more
-            answer = await client.answer()
+            answer = await client.read_response()
             assert answer.status == 502 and answer.headers["connection"] == "close"
             assert await process.wait() == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_signal_during_the_start_ends_it_with_0(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)  # the program waits here for its configuration
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize(("text", "why"), BAD)
-@on_loop
+@on_event_loop
 async def test_a_configuration_that_cannot_be_used_is_one_line_and_2(
     tmp_path: Path, text: str | None, why: str
 ) -> None:
@@ -202,14 +202,14 @@
     assert errors.count(b"\n") == 1 and why in errors.decode()
 
 
-@on_loop
+@on_event_loop
 async def test_no_configuration_is_one_line_and_2() -> None:
     process = await start({"LB_CONFIG": ""})
     _, errors = await process.communicate()
     assert process.returncode == 2 and errors == b"sagetrack: LB_CONFIG is not set\n"
 
 
-@on_loop
+@on_event_loop
 async def test_an_address_in_use_is_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
@@ -220,7 +220,7 @@
         assert errors.count(b"\n") == 1
 
 
-@on_loop
+@on_event_loop
 async def test_no_request_is_lost_at_a_restart_under_way(tmp_path: Path) -> None:
     """Clients keep sending, and connect anew, for as long as the front lets them after the signal.
 
@@ -229,7 +229,7 @@
 
     async def slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
-        exchange.answer(reply(200, exchange.message.body))
+        exchange.respond(http_response(200, exchange.message.body))
 
     async with (
         scripted_server(slowly) as upstream,
@@ -248,7 +248,7 @@
                     used = open_ is not None
                     try:
                         open_ = open_ or await connect(port)
-                        answer = await open_.ask(data)
+                        answer = await open_.request(data)
                     except (OSError, asyncio.IncompleteReadError):
                         if open_ is not None:
                             open_.close()
@@ -267,7 +267,7 @@
                 open_.close()
 
         clients = [asyncio.create_task(client(number)) for number in range(12)]
-        await until(lambda: served > 50)
+        await wait_until(lambda: served > 50)
         process.send_signal(signal.SIGTERM)
         end_s.append(loop.time() + 0.4)
         before = served
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -15,7 +15,7 @@
 from tests.grpc_helpers import (
     grpc_upstream_rig,
 )
-from tests.sockets import configuration, on_loop, request, running, until
+from tests.sockets import configuration, on_event_loop, request, running_gateway, wait_until
 
 
 def test_answers_differ_by_status_header_or_body_and_not_by_what_is_of_the_way() -> None:
@@ -33,7 +33,7 @@
     assert report.different == {(0, "body"): 2, (0, "other"): 1}
 
 
-@on_loop
+@on_event_loop
 async def test_answers_of_both_formats_are_compared_and_shares_change_on_sighup(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\ntypes = ["v2"]\nshare = 0.0\ncompare_per_s = 1000.0\n')
@@ -46,20 +46,20 @@
     async with grpc_upstream_rig(on_call=take) as rig, scripted_server() as upstream:
         config = configuration(upstream, f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][1]["type"] = "v2"
-        async with running(config, load_operator(str(file))) as gateway:
-            newer = gateway.instance.grpc_upstreams
+        async with running_gateway(config, load_operator(str(file))) as gateway:
+            newer = gateway.assembly.grpc_upstreams
             assert newer is not None and newer.mirror is not None
-            assert (await gateway.ask(request("hold", b"keyed"))).status == 200
-            assert (await gateway.ask(request("search"))).status == 200
+            assert (await gateway.request(request("hold", b"keyed"))).status == 200
+            assert (await gateway.request(request("search"))).status == 200
             report = newer.mirror.report
-            await until(lambda: report.different)
+            await wait_until(lambda: report.different)
             assert seen == ["search"] and report.mirrored == 1  # what changes something is never copied
-            assert "svc_new_differs_search_total 1\n" in gateway.server.stats()
-            assert 'answered_total{group="search"} 1\n' in gateway.server.stats()
+            assert "svc_new_differs_search_total 1\n" in gateway.listener.stats()
+            assert 'answered_total{group="search"} 1\n' in gateway.listener.stats()
             file.write_text('[newer]\ntypes = ["v2"]\nshare = 1.0\nshare_by_class = { search = 0.0 }\n')
-            gateway.instance.apply_operator(parse(config), load_operator(str(file)))
-            answers = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
+            gateway.assembly.apply_operator(parse(config), load_operator(str(file)))
+            answers = [await gateway.request(request("hold", b"k")), await gateway.request(request("search"))]
             assert [a.body for a in answers] == [b"other", answers[1].body] and answers[1].body != b"other"
             file.write_text('[newer]\ntypes = ["v2"]\nshare_by_member = { nobody = 0.5 }\n')
             with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
-                gateway.instance.apply_operator(parse(config), load_operator(str(file)))
+                gateway.assembly.apply_operator(parse(config), load_operator(str(file)))
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -17,10 +17,10 @@
     SETTINGS,
     grpc_upstream_rig,
 )
-from tests.sockets import configuration, on_loop, request, running
+from tests.sockets import configuration, on_event_loop, request, running_gateway
 
 
-@on_loop
+@on_event_loop
 async def test_an_http1_client_is_served_by_a_grpc_server_and_rejected_for_what_grpc_cannot_carry(
     tmp_path: Path,
 ) -> None:
@@ -35,13 +35,13 @@
     async with grpc_upstream_rig(on_call=take) as rig:
         config = configuration(f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][0]["type"] = "v2"
-        async with running(config, load_operator(str(file))) as gateway:
-            answer = await gateway.ask(request("hold", b"old body"))
+        async with running_gateway(config, load_operator(str(file))) as gateway:
+            answer = await gateway.request(request("hold", b"old body"))
             assert (answer.status, answer.body) == (200, b"new old body")
             assert seen[0].headers["x-call-class"] == "hold" and "idempotency-key-bin" in seen[0].headers
-            odd = await gateway.ask(request(x_call_cost="5", x_again="\x80"))
+            odd = await gateway.request(request(x_call_cost="5", x_again="\x80"))
             assert odd.status == 400 and b"x-again" in odd.body.lower()
-            assert "svc_new_streams_total 1\n" in gateway.server.stats()
+            assert "svc_new_streams_total 1\n" in gateway.listener.stats()
 
 
 def test_a_server_that_changes_its_protocol_leaves_the_other_pool() -> None:
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -16,10 +16,10 @@
     grpc_upstream_rig,
     warm_up,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_keys_are_checked_renewed_and_kept_when_bad(tmp_path: Path) -> None:
     authority = trustme.CA()
     paths = {name: str(tmp_path / name) for name in ("ca", "cert", "key")}
@@ -47,7 +47,7 @@
         rig.pools.tls_context = lambda: other.context
         rig.connection.draining = True
         heard = rig.ask()
-        await until(lambda: heard.ends)
+        await wait_until(lambda: heard.ends)
         assert heard.ends[0][0] is Outcome.CONNECT_FAILED
 
 
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -7,18 +7,18 @@
 from sagetrack.policy.actions import Cancel
 from sagetrack.policy.events import Outcome, TimerFired
 from sagetrack.policy.latency import STALL_FACTOR
-from tests.helpers import SETTINGS, Driver, sends, timers
+from tests.helpers import SETTINGS, Driver, send_actions, timer_actions
 
 
 def test_a_stalled_attempt_is_hedged_and_cancelled_when_the_hedge_answers() -> None:
     driver = Driver()
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
-    first = sends(actions)[0].server
-    (timer,) = timers(actions)
+    first = send_actions(actions)[0].server
+    (timer,) = timer_actions(actions)
     assert timer.due_us == driver.now_us + int(STALL_FACTOR * 20_000)
     driver.now_us = timer.due_us
-    hedge = sends(driver.handle(TimerFired(timer.token)))[0]
+    hedge = send_actions(driver.handle(TimerFired(timer.token)))[0]
     assert hedge.server != first
     assert driver.end(name, hedge.server, attempt=1) == [Cancel(name, 0)]
     driver.end(name, first, Outcome.CANCELLED)
@@ -30,6 +30,6 @@
     driver = Driver(replace(SETTINGS, hedging=False))
     driver.balancer.latency.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
-    (timer,) = timers(actions)
+    (timer,) = timer_actions(actions)
     driver.now_us = timer.due_us
-    assert not sends(driver.handle(TimerFired(timer.token)))
+    assert not send_actions(driver.handle(TimerFired(timer.token)))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,14 +19,14 @@
     configuration,
     endpoint,
     endpoint_list,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 from tests.test_gateway_process import READY, ROOT, ask, connect
 
@@ -63,29 +63,29 @@
     return {int(name.split("-")[1].split(".")[0]) for name in names}
 
 
-@on_loop
+@on_event_loop
 async def test_a_second_process_takes_over_and_the_first_finishes_what_it_took(tmp_path: Path) -> None:
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
             held = await connect(port)  # waits in the queue until the process is up
             held.send(request("transfer", b"held"))
             kept = await connect(port)
-            assert (await kept.ask(READY)).status == 200
-            await until(lambda: upstream.exchanges)
+            assert (await kept.request(READY)).status == 200
+            await wait_until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marks(tmp_path, "serving"))
+            await wait_until(lambda: new.pid in marks(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
             # The kept connection is still served, and told that this is its last answer.
-            while (answer := await kept.ask(READY)).status == 200:
+            while (answer := await kept.request(READY)).status == 200:
                 pass
             assert answer.headers["connection"] == "close"
             # New connections are the new process's: the old one's way out does not shut the socket down.
             for _ in range(8):
                 assert await ask(port, READY) == 200
-            upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await held.answer()).body == b"done"
+            upstream.exchanges[0].respond(http_response(200, b"done"))
+            assert (await held.read_response()).body == b"done"
             assert await old.wait() == 0
             assert await ask(port, READY) == 200
             assert marks(tmp_path, "*") == {new.pid}
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("value", ["x", "-1", "99", "file", "unbound"])
-@on_loop
+@on_event_loop
 async def test_a_descriptor_that_cannot_be_used_is_one_line_and_2(tmp_path: Path, value: str) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(configuration("127.0.0.1:1")))
@@ -132,12 +132,12 @@
     assert os.listdir(tmp_path) == ["sagetrack-x.serving"]
 
 
-@on_loop
+@on_event_loop
 async def test_descriptors_are_shared_by_the_processes() -> None:
-    async with running(configuration("127.0.0.1:1")) as run:
-        assert run.server.descriptors.limit == 1024
-        run.server.siblings.sibling_count = 1
-        assert run.server.descriptors.limit == 512
+    async with running_gateway(configuration("127.0.0.1:1")) as run:
+        assert run.listener.descriptors.limit == 1024
+        run.listener.siblings.sibling_count = 1
+        assert run.listener.descriptors.limit == 512
         await asyncio.sleep(0)  # the watch that the start has begun runs once
 
 
@@ -178,27 +178,27 @@
     assert EndpointListFile(None).select_newest(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
-@on_loop
+@on_event_loop
 async def test_entries_are_stored_as_discovery_sent_them() -> None:
     news = [
-        list_reply(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
-        list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
+        list_response(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
+        list_response(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
-    async with scripted_server(lambda exchange: exchange.answer(news.pop(0)) if news else None) as registry:
+    async with scripted_server(lambda exchange: exchange.respond(news.pop(0)) if news else None) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             kept: list[dict[str, object]] = []
-            run.instance.discovery.on_list_changed = lambda address, known: kept.append(as_written(known()))
-            run.instance.discovery.watch(True)
-            await until(lambda: len(kept) == 2)
+            run.assembly.discovery.on_list_changed = lambda address, known: kept.append(as_written(known()))
+            run.assembly.discovery.watch(True)
+            await wait_until(lambda: len(kept) == 2)
             assert kept[0] == endpoint_list(
                 8, endpoint("s-0", "127.0.0.1:1"), endpoint("s-1", "127.0.0.1:1", status="DRAINING")
             )
             assert kept[1] == endpoint_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
 
 
-@on_loop
+@on_event_loop
 async def test_the_next_process_begins_with_what_the_last_one_heard(tmp_path: Path) -> None:
     """The platform's list still names a host that has gone; the processes' own one has its successor."""
     async with scripted_server() as gone, scripted_server() as successor:
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -15,7 +15,7 @@
 from sagetrack.policy.settings import Settings, Tenant
 from sagetrack.policy.state import Request
 from sagetrack.policy.tenant_quota import TenantQuota
-from tests.helpers import SAFE, SETTINGS, Driver, finals, sends
+from tests.helpers import SAFE, SETTINGS, Driver, final_actions, send_actions
 
 
 def test_a_timeout_sheds_like_a_slow_answer_but_less_when_it_ends_at_the_latency_objective() -> None:
@@ -35,7 +35,7 @@
         name, actions = driver.arrive()
         driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.baseline_us[0] = 50_000.0
         driver.balancer.shedder.adjusted_at_us = driver.now_us
-        driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
+        driver.end(name, send_actions(actions)[0].server, outcome, latency_us=latency_us)
         fractions.append(driver.balancer.shedder.shed_fraction_high_priority)
     assert fractions[0] == fractions[1] > fractions[2] > fractions[3] == 0.0
 
@@ -51,8 +51,8 @@
         )
         tenant = int(n % 10 == 0)
         name, actions = driver.arrive(class_index=0, tenant=tenant)
-        rejected[tenant] += bool(finals(actions))
-        for send in sends(actions):
+        rejected[tenant] += bool(final_actions(actions))
+        for send in send_actions(actions):
             driver.end(name, send.server)
     assert rejected[0] > 60 and rejected[1] <= 20
     assert driver.balancer.tenant_quota.excess(1) <= 0.0 < driver.balancer.tenant_quota.excess(0)
@@ -70,7 +70,7 @@
         name, actions = driver.arrive(class_index=2)
         driver.balancer.shedder.adjusted_at_us = driver.now_us
         driver.now_us += gap_us
-        driver.end(name, sends(actions)[0].server, latency_us=290_000)
+        driver.end(name, send_actions(actions)[0].server, latency_us=290_000)
         fractions.append(driver.balancer.shedder.shed_fraction)
     assert fractions[1] >= 2 * fractions[0] > 0
 
@@ -86,15 +86,15 @@
         for _ in range(round(0.3 / SHED_STEP)):
             name, actions = driver.arrive(class_index=1)
             driver.balancer.shedder.adjusted_at_us = driver.now_us - 200_000
-            driver.end(name, sends(actions)[0].server, latency_us=latency_us)
+            driver.end(name, send_actions(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         rejected = []
         for class_index in (0, 1):
             name, actions = driver.arrive(class_index=class_index)
-            rejected.append(bool(finals(actions)))
-            if sends(actions):
+            rejected.append(bool(final_actions(actions)))
+            if send_actions(actions):
                 driver.handle(RequestCancelled(name))
-                driver.end(name, sends(actions)[0].server, Outcome.CANCELLED)
+                driver.end(name, send_actions(actions)[0].server, Outcome.CANCELLED)
         assert rejected == shed
 
 
@@ -102,7 +102,7 @@
     """Guards against a restarted gateway that rejected 90%: its first answers had waited for connections."""
     driver = Driver(Settings(classes=(replace(SAFE, priority_weight=10.0),)))
     name, actions = driver.arrive()
-    driver.end(name, sends(actions)[0].server, latency_us=5_000)
+    driver.end(name, send_actions(actions)[0].server, latency_us=5_000)
     fractions = []
     for _ in range(300):
         driver.now_us += 3_300
@@ -111,7 +111,7 @@
         fraction, driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction, 0.0
         name, actions = driver.arrive()
         driver.balancer.shedder.shed_fraction = fraction
-        driver.end(name, sends(actions)[0].server, latency_us=390_000)
+        driver.end(name, send_actions(actions)[0].server, latency_us=390_000)
         fractions.append(driver.balancer.shedder.shed_fraction)
     assert fractions[9] <= 0.3 and fractions[-1] >= 0.9
 
--- a/tests/test_ordered_keys.py
+++ b/tests/test_ordered_keys.py
@@ -10,7 +10,7 @@
 from sagetrack.policy.ordered_keys import OrderedKeys, Turn
 from sagetrack.policy.settings import RequestClass
 from sagetrack.policy.state import Request
-from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, finals, sends
+from tests.helpers import SAFE, SETTINGS, UNSAFE, Driver, final_actions, send_actions
 
 ORDERED = replace(SETTINGS, classes=(replace(UNSAFE, in_order=True),), key_cooldown_us=50_000)
 
@@ -21,19 +21,19 @@
 def test_requests_of_an_ordered_key_run_one_at_a_time() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(key=7, client_timeout_us=900_000)
-    server = sends(actions)[0].server
+    server = send_actions(actions)[0].server
     second, actions = driver.arrive(key=7, client_timeout_us=900_000)
-    assert not sends(actions) and not finals(actions)
-    assert sends(driver.arrive(key=8)[1])
-    (send,) = sends(driver.end(first, server))
+    assert not send_actions(actions) and not final_actions(actions)
+    assert send_actions(driver.arrive(key=8)[1])
+    (send,) = send_actions(driver.end(first, server))
     assert send.request == second
     third = driver.arrive(key=7, client_timeout_us=900_000)[0]
     driver.now_us += 10_000
-    assert finals(driver.end(second, send.server, Outcome.RESET)) == [Fail(second)]
+    assert final_actions(driver.end(second, send.server, Outcome.RESET)) == [Fail(second)]
     cooldown_timer = driver.timers[-1]
     assert cooldown_timer.due_us == driver.now_us + 50_000
     driver.now_us = cooldown_timer.due_us
-    (send,) = sends(driver.handle(TimerFired(cooldown_timer.token)))
+    (send,) = send_actions(driver.handle(TimerFired(cooldown_timer.token)))
     assert send.request == third
     driver.end(third, send.server)
     assert 7 not in driver.balancer.ordered_keys
@@ -43,11 +43,11 @@
     """Guards against sending out of order a request that had been refused a place in the queue."""
     driver = Driver(ORDERED)
     arrivals = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
-    rejected = [actions for actions in arrivals if finals(actions)]
-    assert len(rejected) > 20 and sum(len(sends(actions)) for actions in arrivals) == 1
+    rejected = [actions for actions in arrivals if final_actions(actions)]
+    assert len(rejected) > 20 and sum(len(send_actions(actions)) for actions in arrivals) == 1
     queue_timer = driver.timers[-1]
     driver.now_us = queue_timer.due_us
-    assert finals(driver.handle(TimerFired(queue_timer.token)))
+    assert final_actions(driver.handle(TimerFired(queue_timer.token)))
 
 
 def test_an_ordered_request_without_capacity_is_rejected_instead_of_waiting() -> None:
@@ -58,7 +58,7 @@
     for key in range(MAX_PER_SERVER):
         driver.arrive(0, key=key)
     name, actions = driver.arrive(0, key=99)
-    assert [final.request for final in finals(actions)] == [name]
+    assert [final.request for final in final_actions(actions)] == [name]
 
 
 # The queues by themselves
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -13,10 +13,10 @@
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.policy.peer_observations import Observation
 from tests.observations import STARTED, observations
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_nodes_find_each_other_learn_and_reject_strangers() -> None:
     loop = asyncio.get_running_loop()
     learned: list[object] = []
@@ -45,7 +45,7 @@
     for each in nodes:
         each.start()
     try:
-        await until(
+        await wait_until(
             lambda: nodes[0].warm_start_client is not None
             and nodes[0].warm_start_client.result.observations == 3
         )
@@ -53,11 +53,11 @@
         before = nodes[1].counts.rejected
         for data in (b"", b"nonsense", encode(Datagram(0, 9, [Update(1, 2, 2**40, 0)]))):
             stranger.sendto(data or b"x", addresses[1])
-        await until(lambda: nodes[1].counts.rejected == before + 3)
+        await wait_until(lambda: nodes[1].counts.rejected == before + 3)
         stranger.close()
         assert nodes[1].membership.incarnation < 2**40
         nodes[1].close()
-        await until(lambda: nodes[0].membership.alive == 1)
+        await wait_until(lambda: nodes[0].membership.alive == 1)
         assert any("dead" in line for line in nodes[0].describe())
         assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -26,7 +26,7 @@
     weigh_observations,
 )
 from sagetrack.policy.slow_start import BUDGET_MARGIN
-from tests.helpers import START_US, Driver, sends
+from tests.helpers import START_US, Driver, send_actions
 
 NOW = 1_700_000_000_000_000
 OBSERVATIONS = st.builds(
@@ -99,7 +99,7 @@
 def test_own_observations_outweigh_those_of_peers_which_cannot_revive_or_add_a_server() -> None:
     driver = Driver(servers=3)
     name, actions = driver.arrive()
-    server = sends(actions)[0].server
+    server = send_actions(actions)[0].server
     driver.end(name, server)
     driver.list_servers(ListedServer(1, ServerStatus.DRAINING), kind=ListKind.DELTA)
     observations = tuple(Observation(n, 0, 2, START_US, CLOSED, 0, 0.05) for n in (0, 1, 2, 77))
@@ -171,7 +171,7 @@
     observer, receiver = Driver(servers=4), Driver(servers=4)
     for _ in range(6):
         name, actions = observer.arrive()
-        observer.end(name, sends(actions)[0].server, Outcome.ERROR)
+        observer.end(name, send_actions(actions)[0].server, Outcome.ERROR)
     observations, _ = observer.balancer.own_observations()
     assert observations and all(observation.by == 0 for observation in observations)
     receiver.handle(
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -8,13 +8,13 @@
 from tests.sockets import (
     Exchange,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 from tests.test_races import Late
 
@@ -25,33 +25,33 @@
     return int(exchange.message.headers["x-budget-ms"])
 
 
-@on_loop
+@on_event_loop
 async def test_the_deadline_sent_to_a_server_is_reduced_by_a_late_connection() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         late = Late(run)
         client = await run.connect()
         begun_us = now_us()
         client.send(request(budget_ms=1_000))
-        await until(lambda: late.held)
+        await wait_until(lambda: late.held)
         await asyncio.sleep(0.4)
         late.release()
         left_ms = 1_000 - (now_us() - begun_us) / 1_000
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         assert sent_budget_ms(upstream.exchanges[0]) <= left_ms + 5
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_the_timeout_of_a_pipelined_request_runs_from_its_arrival() -> None:
     async def slow(exchange: Exchange) -> None:
         await asyncio.sleep(0.3)
-        exchange.answer(reply())
+        exchange.respond(http_response())
 
-    async with scripted_server(slow) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(slow) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         begun_us = now_us()
         client.send(request(budget_ms=400) + request(budget_ms=400) + request(budget_ms=400))
-        statuses = [(await client.answer()).status for _ in range(3)]
+        statuses = [(await client.read_response()).status for _ in range(3)]
         took_ms = (now_us() - begun_us) / 1_000
         assert statuses[0] == 200
         assert took_ms < 400 + 200, "the last one was answered that late"
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,7 +16,7 @@
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
 from sagetrack.store.directory import DiskDirectory
-from tests.sockets import configuration, on_loop, request, running, scripted_server
+from tests.sockets import configuration, on_event_loop, request, running_gateway, scripted_server
 
 ROOT = Path(__file__).parent.parent
 
@@ -39,7 +39,7 @@
     return file
 
 
-@on_loop
+@on_event_loop
 async def test_clients_are_taken_while_the_stores_disk_stands_still(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -47,19 +47,19 @@
     operator = load_operator(str(operator_with_store(tmp_path)))
     async with scripted_server() as upstream:
         config = configuration(upstream)
-        async with running(config, operator) as gateway:
+        async with running_gateway(config, operator) as gateway:
             for _ in range(8):
-                assert (await gateway.ask(request())).status == 200
+                assert (await gateway.request(request())).status == 200
             before = {sight.server for sight in gateway.gateway.balancer.own_observations()[0]}
         assert before
         StandingDisk.go, StandingDisk.asked = threading.Event(), threading.Event()
         monkeypatch.setattr("sagetrack.server.persistence.DiskDirectory", StandingDisk)
         try:
-            async with running(config, operator) as gateway:
-                persistence = gateway.instance.persistence
+            async with running_gateway(config, operator) as gateway:
+                persistence = gateway.assembly.persistence
                 assert persistence is not None and await asyncio.to_thread(StandingDisk.asked.wait, 60)
-                assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
-                assert (await gateway.ask(request())).status == 200
+                assert (await gateway.request(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
+                assert (await gateway.request(request())).status == 200
                 assert not gateway.gateway.balancer.gossip.received and not persistence.was_read.is_set()
                 persistence.save()
                 StandingDisk.go.set()
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "asked"])
-@on_loop
+@on_event_loop
 async def test_a_gateway_with_a_list_is_ready_while_discovery_is_silent(mode: str) -> None:
     """It is connected to, it hears the call, and it says nothing."""
     called = asyncio.Event()
@@ -87,9 +87,9 @@
         async with scripted_server() as upstream:
             config = configuration(upstream, discovery=f"127.0.0.1:{port}")
             config["settings"]["membershipMode"] = mode
-            async with running(config) as gateway:
-                assert (await gateway.ask(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
-                assert (await gateway.ask(request())).status == 200
+            async with running_gateway(config) as gateway:
+                assert (await gateway.request(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")).status == 200
+                assert (await gateway.request(request())).status == 200
                 if mode == "pushed":
                     await called.wait()
     finally:
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -15,7 +15,7 @@
     StreamStarted,
     TimerFired,
 )
-from tests.helpers import SAFE, SETTINGS, Driver, finals, sends, timers
+from tests.helpers import SAFE, SETTINGS, Driver, final_actions, send_actions, timer_actions
 
 
 @pytest.mark.parametrize("client_timeout_us", [0, 1, 40])
@@ -25,25 +25,25 @@
 ) -> None:
     driver = Driver()
     name, actions = driver.arrive(class_index=class_index, client_timeout_us=client_timeout_us)
-    answers = finals(actions)
-    for send in sends(actions):
+    answers = final_actions(actions)
+    for send in send_actions(actions):
         assert 0 < send.timeout_us <= max(1, client_timeout_us)
         driver.now_us += send.timeout_us
-        answers += finals(driver.end(name, send.server, Outcome.TIMEOUT))
+        answers += final_actions(driver.end(name, send.server, Outcome.TIMEOUT))
     assert len(answers) == 1 and not driver.balancer.requests
 
 
 def test_without_servers_requests_are_rejected() -> None:
     driver = Driver(replace(SETTINGS, max_retry_after_us=0), servers=0)
     name, actions = driver.arrive(class_index=2)
-    assert finals(actions) == [Reject(name)]
+    assert final_actions(actions) == [Reject(name)]
 
 
 def test_a_cancelled_request_ends_and_cancels_its_attempt() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     assert driver.handle(RequestCancelled(name)) == [Cancel(name, 0)]
-    assert not finals(driver.end(name, sends(actions)[0].server, Outcome.CANCELLED))
+    assert not final_actions(driver.end(name, send_actions(actions)[0].server, Outcome.CANCELLED))
     assert not driver.balancer.requests
 
 
@@ -51,10 +51,10 @@
     driver = Driver()
     name, actions = driver.arrive()
     driver.handle(StreamStarted(name, 0))
-    for timer in timers(actions):
+    for timer in timer_actions(actions):
         driver.now_us = timer.due_us
         assert not driver.handle(TimerFired(timer.token))
-    driver.end(name, sends(actions)[0].server)
+    driver.end(name, send_actions(actions)[0].server)
     assert not driver.balancer.requests
 
 
@@ -63,20 +63,20 @@
     driver.arrive()
     driver.count = 0
     _, actions = driver.arrive()
-    assert not sends(actions) and not finals(actions)
+    assert not send_actions(actions) and not final_actions(actions)
 
 
 def test_a_request_of_an_unknown_class_fails() -> None:
     driver = Driver()
     name, actions = driver.arrive(class_index=7)
-    assert finals(actions) == [Fail(name)]
+    assert final_actions(actions) == [Fail(name)]
 
 
 def test_no_state_is_kept_of_finished_requests_and_removed_servers() -> None:
     driver = Driver(servers=4)
     for n in range(3_000):
         name, actions = driver.arrive(class_index=n % 3)
-        for send in sends(actions):
+        for send in send_actions(actions):
             driver.end(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
             driver.list_servers(*(ListedServer(n + offset) for offset in range(4)))
@@ -96,21 +96,21 @@
 def test_an_attempt_without_late_priority_times_out_at_the_latency_objective() -> None:
     """Guards against queues full of attempts whose answers would come too late to be of use."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_priority_weight=0.0), SAFE)))
-    assert sends(driver.arrive(class_index=0)[1])[0].timeout_us < SAFE.latency_objective_us
-    assert sends(driver.arrive(class_index=1)[1])[0].timeout_us > SAFE.latency_objective_us
+    assert send_actions(driver.arrive(class_index=0)[1])[0].timeout_us < SAFE.latency_objective_us
+    assert send_actions(driver.arrive(class_index=1)[1])[0].timeout_us > SAFE.latency_objective_us
 
 
 def test_a_timer_of_a_finished_request_does_not_affect_a_new_one_with_the_same_id() -> None:
     """Guards against the timer of a finished request when its client sends another one under the same id."""
     driver = Driver()
-    (send,) = sends(first_actions := driver.handle(RequestArrived("same", 0, 400_000)))
-    (overdue,) = timers(first_actions)
+    (send,) = send_actions(first_actions := driver.handle(RequestArrived("same", 0, 400_000)))
+    (overdue,) = timer_actions(first_actions)
     driver.end("same", send.server)
     driver.now_us += 1_000
-    (second_send,) = sends(driver.handle(RequestArrived("same", 0, 400_000)))
+    (second_send,) = send_actions(driver.handle(RequestArrived("same", 0, 400_000)))
     driver.now_us = overdue.due_us
     driver.handle(TimerFired(overdue.token))
     driver.now_us += 1_000
     assert "same" in driver.balancer.requests
     after_error = driver.end("same", second_send.server, Outcome.ERROR)
-    assert sends(after_error) or finals(after_error)
+    assert send_actions(after_error) or final_actions(after_error)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrack.policy.actions import Reject
-from tests.helpers import Driver, finals, trip
+from tests.helpers import Driver, final_actions, trip
 
 
 def test_retry_after_is_the_shortest_cooldown_when_all_breakers_are_open() -> None:
@@ -12,4 +12,4 @@
         trip(server.breaker, driver.now_us + number * 100_000)
     driver.now_us += 400_000
     name, actions = driver.arrive()
-    assert finals(actions) == [Reject(name, 600_000)]
+    assert final_actions(actions) == [Reject(name, 600_000)]
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -12,7 +12,7 @@
 from sagetrack.policy.settings import Prices
 from sagetrack.policy.state import rendezvous
 from sagetrack.policy.subset_size import MIN_SUBSET
-from tests.helpers import SETTINGS, Driver, sends, trip
+from tests.helpers import SETTINGS, Driver, send_actions, trip
 
 SECOND_US = 1_000_000
 
@@ -25,7 +25,7 @@
     in_flight = []
     for _ in range(count):
         name, actions = driver.arrive()
-        if not (sent := sends(actions)):
+        if not (sent := send_actions(actions)):
             break
         in_flight.append((name, sent[0].server))
     return in_flight
@@ -37,14 +37,14 @@
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     for _ in range(2):
-        assert sends(driver.arrive(class_index=2)[1])[0].server == 1
+        assert send_actions(driver.arrive(class_index=2)[1])[0].server == 1
 
 
 def test_a_stalled_server_gets_no_further_requests() -> None:
     driver = Driver(servers=1)
     driver.arrive(class_index=2)
     driver.now_us += int(STALL_FACTOR * max(driver.balancer.latency.smoothed_us)) + 1
-    assert not sends(driver.arrive(class_index=2)[1])
+    assert not send_actions(driver.arrive(class_index=2)[1])
 
 
 def test_the_cross_zone_price_lowers_the_weight_of_servers_in_other_zones() -> None:
@@ -53,8 +53,8 @@
     to_own_zone = 0
     for _ in range(200):
         name, actions = driver.arrive()
-        to_own_zone += sends(actions)[0].server == 1
-        driver.end(name, sends(actions)[0].server)
+        to_own_zone += send_actions(actions)[0].server == 1
+        driver.end(name, send_actions(actions)[0].server)
     assert 130 < to_own_zone < 190
 
 
@@ -63,7 +63,7 @@
     requests_by_server: dict[int, int] = {}
     for _ in range(100):
         name, actions = driver.arrive(key=77)
-        server = sends(actions)[0].server
+        server = send_actions(actions)[0].server
         requests_by_server[server] = requests_by_server.get(server, 0) + 1
         driver.end(name, server)
     assert max(requests_by_server.values()) > 50 and len(requests_by_server) > 1
@@ -78,8 +78,8 @@
     driver = Driver(replace(SETTINGS, gateway_count=300, gateway_index=5), servers=60)
     for _ in range(300):
         name, actions = driver.arrive()
-        used.add(sends(actions)[0].server)
-        driver.end(name, sends(actions)[0].server)
+        used.add(send_actions(actions)[0].server)
+        driver.end(name, send_actions(actions)[0].server)
     assert len(used) <= MIN_SUBSET + 1
 
 
@@ -97,7 +97,7 @@
 def test_a_gateway_with_more_requests_in_flight_uses_more_servers() -> None:
     """Guards against overload by a fixed subset when one gateway receives a large part of the traffic."""
     driver = Driver(replace(SETTINGS, gateway_count=3), servers=60)
-    used = {sends(driver.arrive(class_index=2)[1])[0].server for _ in range(40)}
+    used = {send_actions(driver.arrive(class_index=2)[1])[0].server for _ in range(40)}
     assert len(used) > 3 * MIN_SUBSET
 
 
@@ -110,7 +110,7 @@
 
     def record_sends(actions: list[Action]) -> None:
         nonlocal sent
-        for send in sends(actions):
+        for send in send_actions(actions):
             in_flight.append((driver.now_us + 60_000, send.request, send.server))
             sent += arrived > 2_000
             if arrived > 2_000:
@@ -151,7 +151,7 @@
     crossed = 0
     for key in range(400):
         name, actions = driver.arrive(key=key * 7919)
-        (send,) = sends(actions)
+        (send,) = send_actions(actions)
         crossed += send.server % 2
         driver.end(name, send.server)
         driver.now_us += 10_000
@@ -166,7 +166,7 @@
         server.breaker.open(driver.now_us)
     driver.now_us += FIRST_COOLDOWN_US
     _, actions = driver.arrive(class_index=2, client_timeout_us=1_000_000)
-    assert sends(actions)
+    assert send_actions(actions)
 
 
 def test_subsets_of_all_gateways_cover_the_servers_evenly() -> None:
@@ -194,5 +194,5 @@
         for _ in range(20):
             driver.now_us += SECOND_US
             name, actions = driver.arrive()
-            driver.end(name, sends(actions)[0].server)
+            driver.end(name, send_actions(actions)[0].server)
     assert one_of_many.balancer.subset_size.size < MIN_SUBSET + 0.1 < one_of_two.balancer.subset_size.size
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -25,7 +25,15 @@
 from sagetrack.policy.events import Outcome, RequestArrived
 from sagetrack.policy.settings import RequestClass
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE
-from tests.sockets import configuration, on_loop, request, running, scripted_server, silent, until
+from tests.sockets import (
+    configuration,
+    no_response,
+    on_event_loop,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_until,
+)
 
 HERE = AttemptRecord(zone=0, group=1)
 ONE_AT_A_TIME = replace(SETTINGS, hedging=False)
@@ -129,18 +137,18 @@
     assert may_take_clients(False, True, False) is DenialReason.NO_SERVERS
 
 
-@on_loop
+@on_event_loop
 async def test_an_unsafe_retry_of_the_load_balancer_is_not_sent_and_is_counted() -> None:
     async with (
-        scripted_server(silent) as first,
-        scripted_server(silent) as second,
-        running(configuration(first, second)) as run,
+        scripted_server(no_response) as first,
+        scripted_server(no_response) as second,
+        running_gateway(configuration(first, second)) as run,
     ):
         client = await run.connect()
         client.send(request("transfer", b"x"))
-        await until(lambda: first.exchanges or second.exchanges)
+        await wait_until(lambda: first.exchanges or second.exchanges)
         (held,) = run.gateway.in_flight.values()
-        for server in run.instance.pools.servers:
+        for server in run.assembly.pools.servers:
             run.gateway.executor.execute(SendAttempt(held.request.id, server, 1_000_000))
         await asyncio.sleep(0.05)
         assert len(first.exchanges) + len(second.exchanges) == 1
@@ -148,24 +156,24 @@
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_request_without_a_response_is_failed_when_its_deadline_is_over() -> None:
     """Whatever the load balancer does: here it forgets every request."""
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = (  # type: ignore[method-assign]
             lambda now_us, event: [] if isinstance(event, RequestArrived) else handle(now_us, event)
         )
         begun_s = asyncio.get_running_loop().time()
-        assert (await run.ask(request(budget_ms=200))).status == 502
+        assert (await run.request(request(budget_ms=200))).status == 502
         assert asyncio.get_running_loop().time() - begun_s < 0.2 + 0.5
         assert run.gateway.violations.counts[Invariant.ANSWERED_IN_TIME] == 1
         assert not run.gateway.in_flight
 
 
-@on_loop
+@on_event_loop
 async def test_an_event_that_fails_holds_up_none_behind_it() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
 
         def broken() -> None:
             run.gateway.post(lambda: None)
@@ -173,4 +181,4 @@
 
         run.gateway.post(broken)
         assert run.gateway.violations.counts[Invariant.NO_HANDLER_ERROR] == 1
-        assert (await run.ask(request())).status == 200
+        assert (await run.request(request())).status == 200
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -8,7 +8,7 @@
 from sagetrack.policy.events import Outcome, RequestCancelled
 from sagetrack.policy.server_health import WEIGHT_CUT, WEIGHT_STEP, adjust_weight
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT
-from tests.helpers import Driver, sends, trip
+from tests.helpers import Driver, send_actions, trip
 
 
 def play_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
@@ -18,7 +18,7 @@
         driver.now_us += 3_000
         name, actions = driver.arrive(class_index=number % 3, client_timeout_us=1_000_000)
         attempt = 0
-        while sent := sends(actions):
+        while sent := send_actions(actions):
             driver.now_us += 1_000
             failed = rng.random() < share or sent[0].server == dead
             outcome = Outcome.RESET if failed else Outcome.OK
@@ -32,14 +32,14 @@
     """Guards against opening the breakers of half the fleet because those servers reject one class."""
     driver = Driver(servers=2)
     name, actions = driver.arrive(class_index=2)
-    rejecting = sends(actions)[0].server
+    rejecting = send_actions(actions)[0].server
     driver.end(name, rejecting)
     server = driver.balancer.servers[rejecting]
     while server.breaker.state is State.CLOSED and server.class_health(0).breaker.state is State.CLOSED:
         name, actions = driver.arrive(class_index=0)
-        first = sends(actions)[0].server
+        first = send_actions(actions)[0].server
         outcome = Outcome.REJECTED if first == rejecting else Outcome.OK
-        for retry in sends(driver.end(name, first, outcome)):
+        for retry in send_actions(driver.end(name, first, outcome)):
             driver.end(name, retry.server, attempt=1)
     assert server.breaker.state is State.CLOSED and server.breaker.failures == 0
     assert server not in driver.balancer.selector.subset(0) and server in driver.balancer.selector.subset(2)
@@ -50,7 +50,7 @@
     driver = Driver(servers=1)
     for class_index in (2, 1, 0, 2, 1):
         name, actions = driver.arrive(class_index=class_index)
-        if sends(actions):
+        if send_actions(actions):
             driver.end(name, 0, Outcome.ERROR)
     assert driver.balancer.servers[0].breaker.failures >= 3
 
@@ -59,7 +59,7 @@
     """Guards against five connection attempts of every gateway to a server whose connection table is full."""
     driver = Driver()
     name, actions = driver.arrive()
-    first = sends(actions)[0].server
+    first = send_actions(actions)[0].server
     driver.end(name, first, Outcome.CONNECT_FAILED)
     assert not driver.balancer.servers[first].breaker.allows_request(driver.now_us)
 
@@ -72,15 +72,15 @@
     ):
         driver = Driver(servers=1)
         name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server)
+        driver.end(name, send_actions(actions)[0].server)
         driver.now_us += since_answer_us
         name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, Outcome.CONNECT_FAILED)
+        driver.end(name, send_actions(actions)[0].server, Outcome.CONNECT_FAILED)
         assert driver.balancer.servers[0].breaker.state is state
     driver = Driver(servers=1)
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
         name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, outcome)
+        driver.end(name, send_actions(actions)[0].server, outcome)
     assert driver.balancer.servers[0].breaker.state is State.OPEN  # the second in a row
 
 
@@ -90,7 +90,7 @@
         # As if clients gave every attempt a different timeout.
         driver.balancer.client_timeouts.estimate(0, 0).usual_fraction = 0.0
         name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
+        driver.end(name, send_actions(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
     assert (
         driver.balancer.servers[0].breaker.state is State.CLOSED
         and driver.balancer.shedder.shed_fraction == 0
@@ -115,15 +115,15 @@
     driver = Driver(servers=3)
     for _ in range(200):
         name, actions = driver.arrive()
-        server = sends(actions)[0].server
+        server = send_actions(actions)[0].server
         actions = driver.end(name, server, Outcome.RESET if server == 0 else Outcome.OK)
-        for retry in sends(actions):
+        for retry in send_actions(actions):
             driver.end(name, retry.server, attempt=1)
     assert driver.balancer.servers[0].breaker.state is State.OPEN
     for _ in range(50):
         name, actions = driver.arrive()
-        assert sends(actions)[0].server != 0
-        driver.end(name, sends(actions)[0].server)
+        assert send_actions(actions)[0].server != 0
+        driver.end(name, send_actions(actions)[0].server)
 
 
 def test_the_weight_rises_by_steps_and_is_cut_by_failures() -> None:
@@ -168,14 +168,14 @@
     server = driver.balancer.servers[0]
     for _ in range(MIN_OUTCOMES_TO_OPEN):
         name, actions = driver.arrive(class_index=2)
-        assert sends(actions)
+        assert send_actions(actions)
         driver.end(name, 0, Outcome.RESET)
     assert server.breaker.state is State.OPEN
     weight = server.weight
     driver.now_us += FIRST_COOLDOWN_US
     for _ in range(HALF_OPEN_TRIALS):
         name, actions = driver.arrive()
-        assert sends(actions)
+        assert send_actions(actions)
         driver.end(name, 0)
     assert server.breaker.state.value == "closed"
     assert server.weight == max(MIN_WEIGHT, weight)
@@ -189,7 +189,7 @@
     breaker = driver.balancer.servers[0].breaker
     driver.now_us = breaker.open_until_us
     name, actions = driver.arrive()
-    assert sends(actions) and breaker.state is State.HALF_OPEN
+    assert send_actions(actions) and breaker.state is State.HALF_OPEN
     driver.end(name, 0, Outcome.CONNECT_FAILED)
     assert breaker.state.value == "open"
     assert breaker.open_until_us == driver.now_us + 2 * FIRST_COOLDOWN_US
@@ -216,7 +216,7 @@
         class_index = int(number % 4 == 1)
         driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 0.0
         name, actions = driver.arrive(class_index=class_index, client_timeout_us=400_000)
-        (send,) = sends(actions)
+        (send,) = send_actions(actions)
         if send.server == 2 and class_index == 1:
             timeouts += 1
             driver.now_us += 150_000
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
 from sagetrack.policy.slow_start import BUDGET_MARGIN, MAX_COST, SlowStart
 from sagetrack.policy.state import Request, Server
 from sagetrack.policy.subset_size import MIN_SUBSET, SubsetSize
-from tests.helpers import SAFE, SETTINGS, Driver, sends, trip
+from tests.helpers import SAFE, SETTINGS, Driver, send_actions, trip
 
 WARMING_UP = replace(
     SETTINGS,
@@ -53,7 +53,7 @@
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
         for step in range(1_000):
             name, actions = driver.arrive()
-            if sends(actions):
+            if send_actions(actions):
                 work_us[step // 50] += driver.balancer.latency.baseline_us[0]
                 driver.end(name, 1, latency_us=30_000)
             driver.now_us += 10_000
@@ -127,7 +127,7 @@
     for _ in range(400):
         driver.now_us += 20_000
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             assert send.server >= 20
             driver.end(name, send.server)
     used = [s for s in driver.balancer.ring.ranked if s.last_success_us]
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -17,30 +17,30 @@
 from sagetrack.store.recorder import (
     decode_second,
 )
-from tests.sockets import configuration, on_loop, request, running
+from tests.sockets import configuration, on_event_loop, request, running_gateway
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_that_starts_again_knows_its_servers_and_has_its_record(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(f'[store]\nfolder = "{tmp_path}/{{gateway}}"\nsync = "batch"\n')
     async with scripted_server() as upstream:
         config = configuration(upstream)
-        async with running(config, load_operator(str(file))) as gateway:
+        async with running_gateway(config, load_operator(str(file))) as gateway:
             for _ in range(8):
-                assert (await gateway.ask(request())).status == 200
+                assert (await gateway.request(request())).status == 200
             before = {s.server: s.weight for s in gateway.gateway.balancer.own_observations()[0]}
-            assert gateway.instance.persistence is not None and before
-            async with running(config, load_operator(str(file))) as successor:  # as at an upgrade
-                assert (await successor.ask(request())).status == 200
-                assert "svc_store_failing 1" in successor.server.stats()
-        async with running(config, load_operator(str(file))) as gateway:
+            assert gateway.assembly.persistence is not None and before
+            async with running_gateway(config, load_operator(str(file))) as successor:  # as at an upgrade
+                assert (await successor.request(request())).status == 200
+                assert "svc_store_failing 1" in successor.listener.stats()
+        async with running_gateway(config, load_operator(str(file))) as gateway:
             heard = gateway.gateway.balancer.gossip.received
             assert {server for server, _ in heard} == set(before)
-            assert "svc_store_failing 0" in gateway.server.stats()
-            store = gateway.instance.persistence.writer.store  # type: ignore[union-attr]
+            assert "svc_store_failing 0" in gateway.listener.stats()
+            store = gateway.assembly.persistence.writer.store  # type: ignore[union-attr]
             assert store is not None
             rows = [decode_second(op.value or b"") for op in store.snapshot().items("seconds")]
         assert sum(sum(row.answered) for row in rows) == 8 and rows[0].outcomes["ok"] == 8
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -64,7 +64,7 @@
     live,
     seconds_key,
 )
-from tests.sockets import configuration, on_loop
+from tests.sockets import configuration, on_event_loop
 
 STORE = BEFORE / STORE_FOLDER
 TMPDIR = BEFORE / TMPDIR_FOLDER
@@ -387,7 +387,7 @@
     assert second.dropped_events == 2
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_takes_up_the_knowledge_in_a_store(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(STORE, tmp_path / "n0"))
     settings = StoreSettings(folder=str(folder.parent / "{gateway}"), recorder=False)
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -14,7 +14,7 @@
     is_transient,
     retry_while_transient_blocking,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 class Clock:
@@ -68,7 +68,7 @@
     assert RETRY_TIMEOUT_S <= clock.now_s - 100.0 <= RETRY_TIMEOUT_S + 2 * RETRY_DELAY_S
 
 
-@on_loop
+@on_event_loop
 async def test_on_an_event_loop_the_same_rule_holds() -> None:
     assert await transient_errors.retry_while_transient(failing(2, errno.EMFILE)) == "made"
     with pytest.raises(OSError, match="planted"):
