--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -29,8 +29,8 @@
 from sagetrack.server import endpoint_list_file
 from sagetrack.server.endpoint_list_file import FILE_NAME
 from sagetrack.server.hot_restart import HotRestart
-from tests.helpers import KEYED, SETTINGS, Driver, finals, sends, trip
-from tests.sockets import endpoint, endpoint_list, on_loop, until
+from tests.helpers import KEYED, SETTINGS, Driver, final_actions, send_actions, trip
+from tests.sockets import endpoint, endpoint_list, on_event_loop, wait_until
 
 
 class CountingFloat(float):
@@ -61,7 +61,7 @@
     CountingFloat.operations = 0
     for number in range(20):
         name, actions = driver.arrive(tenant=number % 5)
-        for send in sends(actions):
+        for send in send_actions(actions):
             driver.end(name, send.server)
     return CountingFloat.operations
 
@@ -236,7 +236,7 @@
         assert servers[number].weight == pytest.approx(sum(others) / len(others), rel=1e-12)
         rng.choice(list(servers.values())).weight = rng.uniform(0.05, 1.0)
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             driver.end(name, send.server, rng.choice((Outcome.OK, Outcome.ERROR)))
 
 
@@ -251,9 +251,9 @@
     max_accessed = 0
     for number in range(30):
         name, actions = driver.arrive(key=number)
-        (first,) = sends(actions)
+        (first,) = send_actions(actions)
         WatchedServer.accessed.clear()
-        (second,) = sends(driver.end(name, first.server, Outcome.RESET))
+        (second,) = send_actions(driver.end(name, first.server, Outcome.RESET))
         max_accessed = max(max_accessed, len(WatchedServer.accessed))
         scopes = [(zones[send.server], groups[send.server]) for send in (first, second)]
         assert scopes[0] == scopes[1] and first.server != second.server
@@ -261,7 +261,7 @@
         driver.now_us += 3_000_000
         for _ in range(5):
             name, actions = driver.arrive()
-            driver.end(name, sends(actions)[0].server)
+            driver.end(name, send_actions(actions)[0].server)
     return max_accessed
 
 
@@ -285,7 +285,7 @@
     driver.balancer.shedder.shed_fraction = driver.balancer.shedder.shed_fraction_high_priority = 1.0
     WatchedServer.accessed.clear()
     _, actions = driver.arrive()
-    assert len(finals(actions)) == 1 and len(WatchedServer.accessed) <= MIN_SUBSET
+    assert len(final_actions(actions)) == 1 and len(WatchedServer.accessed) <= MIN_SUBSET
 
 
 def test_with_all_breakers_open_the_retry_after_is_the_first_cooldown_to_end() -> None:
@@ -294,7 +294,7 @@
         trip(server.breaker, driver.now_us)
         server.breaker.open_until_us = driver.now_us + 40_000 + 1000 * number
     _, actions = driver.arrive()
-    assert finals(actions) == [Reject("r1", 40_000)]
+    assert final_actions(actions) == [Reject("r1", 40_000)]
 
 
 # The endpoint list that is handed over in a hot restart
@@ -341,7 +341,7 @@
     discovery.record_changes({"endpoints": list(entries)}, is_full)
 
 
-@on_loop
+@on_event_loop
 async def test_a_changed_entry_does_not_write_the_full_list_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -364,7 +364,7 @@
     assert hot_restart.endpoint_list.select_newest(REGISTRY, {}) == expected
 
 
-@on_loop
+@on_event_loop
 async def test_rate_limited_changes_are_written_after_the_write_interval(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -373,15 +373,15 @@
     discovery = make_discovery_client(hot_restart)
     for version in range(1, 20):
         receive_changes(discovery, version, endpoint(f"s-{version}", "127.0.0.1:1"))
-    await until(lambda: writes.lists == 2)
+    await wait_until(lambda: writes.lists == 2)
     assert len(hot_restart.endpoint_list.select_newest(REGISTRY, {})["endpoints"]) == 19
     # Nothing is scheduled while nothing changes.
-    await until(lambda: not hot_restart.endpoint_list.is_rate_limited)
+    await wait_until(lambda: not hot_restart.endpoint_list.is_rate_limited)
     receive_changes(discovery, 20, endpoint("s-20", "127.0.0.1:1"))
     assert writes.lists == 3
 
 
-@on_loop
+@on_event_loop
 async def test_the_list_of_a_process_that_has_taken_over_is_not_overwritten(tmp_path: Path) -> None:
     hot_restart, successor = HotRestart(str(tmp_path)), HotRestart(str(tmp_path))
     discovery = make_discovery_client(hot_restart)
@@ -395,7 +395,7 @@
     )
 
 
-@on_loop
+@on_event_loop
 async def test_an_entry_that_strict_json_cannot_encode_is_handed_over_too(tmp_path: Path) -> None:
     hot_restart = HotRestart(str(tmp_path))
     unencodable = json.loads('{"name": "s-\\ud800", "much": 123456789012345678901234567890, "weight": NaN}')
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.stand_ins.scripted import Exchange, read_message, reply, scripted_server
+from sagetrack.lab.stand_ins.scripted import Exchange, http_response, read_message, scripted_server
 from tests.sockets import configuration, request
 
 SERVICE_TIME_S = 0.03
@@ -32,7 +32,7 @@
 async def slow_answer(exchange: Exchange) -> None:
     """Answer after the service time, so that requests are in flight at any moment."""
     await asyncio.sleep(SERVICE_TIME_S)
-    exchange.answer(reply(200, b"done"))
+    exchange.respond(http_response(200, b"done"))
 
 
 @dataclass
