--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -19,15 +19,15 @@
     ScriptedServer,
     configuration,
     endpoint,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 from tests.test_gateway_process import READY, ROOT, connect, fetch_status, free_port
 from tests.test_hot_restart import marker_pids, start
@@ -45,15 +45,15 @@
             exchange.reset()
         elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
-            exchange.answer(list_reply(9, snapshot=False))
+            exchange.respond(list_response(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", upstream.address, status="DRAINING")))
+            exchange.respond(list_response(9, endpoint("s-0", upstream.address, status="DRAINING")))
 
     async with scripted_server(script) as discovery:
         yield discovery
 
 
-@on_loop
+@on_event_loop
 async def test_an_unwritable_log_has_no_other_effect() -> None:
     """Standard error is on a full disk; failed discovery calls are logged and still repeated."""
     full = os.open("/dev/full", os.O_WRONLY)
@@ -62,9 +62,9 @@
         os.dup2(full, 2)
         stream, sys.stderr = sys.stderr, open(2, "w", closefd=False)  # noqa: SIM115
         try:
-            async with running(configuration(upstream, discovery=discovery.address)) as run:
-                hosts = run.instance.pools.servers
-                await until(lambda: hosts[host_id(0)].drained_us is not None)
+            async with running_gateway(configuration(upstream, discovery=discovery.address)) as run:
+                hosts = run.assembly.pools.servers
+                await wait_until(lambda: hosts[server_id(0)].drained_us is not None)
         finally:
             sys.stderr = stream
             os.dup2(kept, 2)
@@ -72,37 +72,37 @@
             os.close(kept)
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_stopped_while_its_predecessor_still_drains_accepts_new_clients(
     tmp_path: Path,
 ) -> None:
     """A restart during an upgrade: neither draining process may rely on the other to accept clients."""
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
             pending = await connect(port)
             pending.send(request("transfer", b"held"))
-            await until(lambda: upstream.exchanges)
+            await wait_until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marker_pids(tmp_path, "serving"))
+            await wait_until(lambda: new.pid in marker_pids(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
-            await until(lambda: old.pid not in marker_pids(tmp_path, "serving"))
+            await wait_until(lambda: old.pid not in marker_pids(tmp_path, "serving"))
             new.send_signal(signal.SIGTERM)
             # Once the process is no longer marked as serving, the signal has been handled.
-            await until(lambda: new.pid not in marker_pids(tmp_path, "serving"))
+            await wait_until(lambda: new.pid not in marker_pids(tmp_path, "serving"))
             async with asyncio.timeout(3.0):
                 for _ in range(4):
                     assert await fetch_status(port, READY) == 503
-            upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await pending.answer()).body == b"done"
+            upstream.exchanges[0].respond(http_response(200, b"done"))
+            assert (await pending.read_response()).body == b"done"
             assert await old.wait() == 0 and await new.wait() == 0
             pending.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_whose_marker_was_deleted_still_serves(tmp_path: Path) -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         hot_restart = HotRestart(str(tmp_path))
         hot_restart.join()
         for marker in tmp_path.iterdir():
@@ -110,8 +110,8 @@
         hot_restart.mark_serving()  # as the process does once it accepts clients
         hot_restart.refresh()
         hot_restart.release()
-        run.server.siblings = hot_restart
-        assert (await run.ask(request())).status == 200
+        run.listener.siblings = hot_restart
+        assert (await run.request(request())).status == 200
 
 
 class FailingListener:
@@ -131,30 +131,30 @@
         return getattr(self.listener, name)
 
 
-@on_loop
+@on_event_loop
 async def test_accept_errors_do_not_affect_clients() -> None:
     """Clients waiting to be accepted are unaffected, as are accepted ones that have sent nothing yet."""
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        assert run.server.acceptor.listener is not None
-        run.server.acceptor.listener = FailingListener(run.server.acceptor.listener)  # type: ignore[assignment]
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        assert run.listener.acceptor.listener is not None
+        run.listener.acceptor.listener = FailingListener(run.listener.acceptor.listener)  # type: ignore[assignment]
         kept = await run.connect()
-        assert (await kept.ask(request())).status == 200
+        assert (await kept.request(request())).status == 200
 
         async def send_request(number: int) -> int:
             await asyncio.sleep(number * 0.005)
             client = await run.connect()
             await asyncio.sleep(0.05)  # meanwhile, accepting other clients succeeds or fails
-            status = (await client.ask(request())).status
+            status = (await client.request(request())).status
             client.close()
             return status
 
         statuses = await asyncio.gather(*(send_request(number) for number in range(40)))
         assert statuses == [200] * 40
-        assert (await kept.ask(request())).status == 200
+        assert (await kept.request(request())).status == 200
         kept.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_with_fewer_descriptors_than_configured_serves(tmp_path: Path) -> None:
     """The limit of the shell is below the configured one, and idle clients would exhaust it."""
     port = free_port()
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -9,25 +9,25 @@
 from sagetrack.policy.events import AttemptEnded, Outcome
 from tests.sockets import (
     Exchange,
-    Running,
+    RunningGateway,
     Script,
-    answers,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    rested,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_for_reusable_connections,
+    wait_until,
 )
 
 
-def outcomes(run: Running) -> list[AttemptEnded]:
+def outcomes(run: RunningGateway) -> list[AttemptEnded]:
     """Return a list that collects the ended attempts reported to the load balancer from now on."""
     ended: list[AttemptEnded] = []
     handle = run.gateway.balancer.handle
@@ -46,64 +46,72 @@
 
 
 def truncated_response(exchange: Exchange) -> None:
-    exchange.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+    exchange.respond(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     exchange.writer.close()
 
 
 CLOSED_PORT = "127.0.0.1:1"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-REJECTED_RESPONSE = reply(503, b"", "X-Rejected: 1")
+REJECTED_RESPONSE = http_response(503, b"", "X-Rejected: 1")
 
 
 @pytest.mark.parametrize(
     ("script", "outcome", "status"),
     [
-        (answers(reply(200, b"a book")), Outcome.OK, 200),
-        (answers(reply(500)), Outcome.ERROR, 502),
-        (answers(reply(503)), Outcome.ERROR, 502),  # without X-Rejected, the request may have run
-        (answers(reply(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
-        (answers(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(REJECTED_RESPONSE), Outcome.REJECTED, 503),
-        (answers(reply(504, b"", "X-Rejected: 1")), Outcome.REJECTED, 503),
+        (respond_with(http_response(200, b"a book")), Outcome.OK, 200),
+        (respond_with(http_response(500)), Outcome.ERROR, 502),
+        (
+            respond_with(http_response(503)),
+            Outcome.ERROR,
+            502,
+        ),  # without X-Rejected, the request may have run
+        (respond_with(http_response(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
+        (respond_with(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(REJECTED_RESPONSE), Outcome.REJECTED, 503),
+        (respond_with(http_response(504, b"", "X-Rejected: 1")), Outcome.REJECTED, 503),
         (reset, Outcome.RESET, 502),
         (truncated_response, Outcome.RESET, 502),  # a response must be complete
         # An invalid response is an error as soon as that is known; the gateway does not wait for the rest.
-        (answers(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"), Outcome.ERROR, 502),
-        (answers(CHUNKED + b"Content-Length: 4\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(CHUNKED + b"\r\n4\r\nfine\r\nzz\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Outcome.ERROR, 502),
-        (answers(b"HTTP/0.9 200 OK\r\nContent-Length: 4\r\n\r\nfine"), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 100 X\r\n\r\n" * 9), Outcome.ERROR, 502),
-        (answers(b"HTTP/1.1 100 X\r\n\r\n" * 3 + reply(200, b"a book")), Outcome.OK, 200),
-        (answers(reply(200, b"a book", "X-Load-Report: TEXT queue=\xff, , =1")), Outcome.OK, 200),
+        (respond_with(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"), Outcome.ERROR, 502),
+        (respond_with(CHUNKED + b"Content-Length: 4\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(CHUNKED + b"\r\n4\r\nfine\r\nzz\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/0.9 200 OK\r\nContent-Length: 4\r\n\r\nfine"), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 100 X\r\n\r\n" * 9), Outcome.ERROR, 502),
+        (respond_with(b"HTTP/1.1 100 X\r\n\r\n" * 3 + http_response(200, b"a book")), Outcome.OK, 200),
+        (
+            respond_with(http_response(200, b"a book", "X-Load-Report: TEXT queue=\xff, , =1")),
+            Outcome.OK,
+            200,
+        ),
     ],
 )
-@on_loop
+@on_event_loop
 async def test_the_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
-    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(script) as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
-        response = await run.ask(request("transfer", b"42"))
+        response = await run.request(request("transfer", b"42"))
         assert response.status == status
         assert [event.outcome for event in ended] == [outcome]
-        assert ended[0].server == host_id(0) and ended[0].finished is (outcome is Outcome.OK)
+        assert ended[0].server == server_id(0) and ended[0].finished is (outcome is Outcome.OK)
         assert len(upstream.exchanges) == 1  # an unsafe request is sent only once
         assert not run.gateway.in_flight
 
 
-@on_loop
+@on_event_loop
 async def test_a_refused_connection_is_reported_as_a_connect_failure() -> None:
-    async with running(configuration(CLOSED_PORT)) as run:
+    async with running_gateway(configuration(CLOSED_PORT)) as run:
         ended = outcomes(run)
-        assert (await run.ask(request("transfer"))).status == 503
+        assert (await run.request(request("transfer"))).status == 503
         assert [event.outcome for event in ended] == [Outcome.CONNECT_FAILED]
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_that_never_opens_times_out_as_configured() -> None:
     import socket
 
@@ -116,35 +124,37 @@
             client_socket.setblocking(False)
             client_socket.connect_ex(address)
         config = configuration(f"127.0.0.1:{address[1]}", connectTimeoutUs=50_000)
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             ended = outcomes(run)
-            assert (await run.ask(request("transfer"))).status == 503
+            assert (await run.request(request("transfer"))).status == 503
             assert [event.outcome for event in ended] == [Outcome.CONNECT_FAILED]
-            assert run.instance.pools.open_connections == 0
+            assert run.assembly.pools.open_connections == 0
         for client_socket in backlog:
             client_socket.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
-        assert (await run.ask(request("transfer", budget_ms=60))).status == 504
+        assert (await run.request(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
-        await until(lambda: upstream.closed_connections == 1)  # the server can notice that no client waits
-        assert run.instance.pools.open_connections == 0 and not run.gateway.in_flight
+        await wait_until(
+            lambda: upstream.closed_connections == 1
+        )  # the server can notice that no client waits
+        assert run.assembly.pools.open_connections == 0 and not run.gateway.in_flight
 
 
-@on_loop
+@on_event_loop
 async def test_a_late_response_of_an_ended_attempt_is_dropped() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
         client = await run.connect()
-        assert (await client.ask(request("transfer", budget_ms=60))).status == 504
-        upstream.exchanges[0].answer(reply(200, b"too late"))
-        upstream.script = answers(reply(200, b"in time"))
+        assert (await client.request(request("transfer", budget_ms=60))).status == 504
+        upstream.exchanges[0].respond(http_response(200, b"too late"))
+        upstream.script = respond_with(http_response(200, b"in time"))
         # After a timeout the load balancer may reject a few requests.
-        while (response := await client.ask(request())).status == 503:
+        while (response := await client.request(request())).status == 503:
             pass
         assert response.body == b"in time"
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT, Outcome.OK]
@@ -152,7 +162,7 @@
 
 
 @pytest.mark.parametrize(("class_name", "retried"), [("search", True), ("hold", True), ("transfer", False)])
-@on_loop
+@on_event_loop
 async def test_after_a_reset_only_requests_that_may_run_twice_are_retried(
     class_name: str, retried: bool
 ) -> None:
@@ -163,14 +173,14 @@
         if len(received) == 1:
             exchange.reset()
         else:
-            exchange.answer(reply())
+            exchange.respond(http_response())
 
     async with (
         scripted_server(script) as one,
         scripted_server(script) as two,
-        running(configuration(one, two)) as run,
+        running_gateway(configuration(one, two)) as run,
     ):
-        response = await run.ask(request(class_name))
+        response = await run.request(request(class_name))
         assert response.status == (200 if retried else 502)
         assert len(received) == (2 if retried else 1)
         keys = {exchange.message.headers.get("idempotency-key") for exchange in received}
@@ -178,27 +188,27 @@
 
 
 @pytest.mark.parametrize("class_name", ["search", "hold", "transfer"])
-@on_loop
+@on_event_loop
 async def test_every_class_is_retried_elsewhere_after_a_rejection_by_a_server(class_name: str) -> None:
     rejected: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
         if rejected:
-            exchange.answer(reply())
+            exchange.respond(http_response())
         else:
             rejected.append(exchange)
-            exchange.answer(REJECTED_RESPONSE)
+            exchange.respond(REJECTED_RESPONSE)
 
     async with (
         scripted_server(script) as one,
         scripted_server(script) as two,
-        running(configuration(one, two)) as run,
+        running_gateway(configuration(one, two)) as run,
     ):
-        assert (await run.ask(request(class_name))).status == 200
+        assert (await run.request(request(class_name))).status == 200
         assert len(one.exchanges) == len(two.exchanges) == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
     async with scripted_server(reset) as one, scripted_server() as other:
         config = configuration(one)
@@ -206,23 +216,25 @@
         config["known"] = endpoint_list(
             7, endpoint("s-0", one.address, group=1), endpoint("s-1", other.address, group=2)
         )
-        async with running(config) as run:
-            statuses = [(await run.ask(request("hold"))).status for _ in range(8)]
+        async with running_gateway(config) as run:
+            statuses = [(await run.request(request("hold"))).status for _ in range(8)]
             assert one.exchanges and set(statuses) == {200, 502}
             # A request that was reset at one server was not retried in the other group.
             reset_ids = {e.message.headers["x-call-id"] for e in one.exchanges}
             assert reset_ids.isdisjoint(e.message.headers["x-call-id"] for e in other.exchanges)
 
 
-@on_loop
+@on_event_loop
 async def test_end_to_end_headers_are_forwarded_in_both_directions() -> None:
-    script = answers(
-        reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
+    script = respond_with(
+        http_response(
+            200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2"
+        )
     )
-    async with scripted_server(script) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(script) as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
-        response = await run.ask(data)
+        response = await run.request(data)
         assert response.body == b"\x00\xff body"
         assert response.headers["content-type"] == "text/x" and response.headers["x-hit"] == "1"
         assert "x-load-report" not in response.headers
@@ -235,59 +247,65 @@
 
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
-@on_loop
+@on_event_loop
 async def test_an_invalid_load_report_is_ignored(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
-    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
-        assert (await run.ask(request())).status == 200
+    async with (
+        scripted_server(respond_with(data)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
+        assert (await run.request(request())).status == 200
 
 
-@on_loop
+@on_event_loop
 async def test_chunked_and_interim_responses_are_read() -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-    async with scripted_server(answers(data)) as upstream, running(configuration(upstream)) as run:
+    async with (
+        scripted_server(respond_with(data)) as upstream,
+        running_gateway(configuration(upstream)) as run,
+    ):
         for _ in range(2):
-            assert (await run.ask(request())).body == b"abc"
-            await rested(run)
+            assert (await run.request(request())).body == b"abc"
+            await wait_for_reusable_connections(run)
         assert upstream.opened_connections == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_disconnect_cancels_the_attempt() -> None:
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         client.close()
-        await until(lambda: upstream.closed_connections == 1)
-        await until(lambda: ended)
+        await wait_until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: ended)
         assert ended[0].outcome is Outcome.CANCELLED and ended[0].finished
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
-@on_loop
+@on_event_loop
 async def test_an_error_in_the_policy_fails_one_request_only() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
-        assert (await run.ask(request("transfer"))).status == 502
+        assert (await run.request(request("transfer"))).status == 502
         run.gateway.balancer.handle = handle  # type: ignore[method-assign]
-        assert (await run.ask(request("transfer"))).status == 200
+        assert (await run.request(request("transfer"))).status == 200
 
 
-@on_loop
+@on_event_loop
 async def test_an_attempt_at_an_unlisted_server_is_not_sent() -> None:
     from sagetrack.policy.actions import SendAttempt
 
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         ended = outcomes(run)
         client = await run.connect()
-        upstream.script = silent
+        upstream.script = no_response
         data = request("transfer")
         client.send(data)
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         id_ = upstream.exchanges[0].message.headers["x-call-id"]
         run.gateway.executor.execute(SendAttempt(id_, 12345, 1_000_000))  # a server that is not listed
         assert [event.outcome for event in ended] == [Outcome.NOT_SENT]
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -17,14 +17,14 @@
 from tests.sockets import (
     Client,
     Exchange,
-    answers,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
+    respond_with,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -80,14 +80,14 @@
 async def fetch_status(port: int, data: bytes) -> int:
     try:
         client = await connect(port)
-        status = (await client.ask(data)).status
+        status = (await client.request(data)).status
     except OSError:
         return 0
     client.close()
     return status
 
 
-@on_loop
+@on_event_loop
 async def test_a_process_serves_and_exits_with_0_after_sigterm(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
@@ -99,27 +99,27 @@
         assert process.returncode == 0 and b"Traceback" not in errors
 
 
-@on_loop
+@on_event_loop
 async def test_a_shutdown_finishes_requests_in_flight_and_serves_new_ones(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, busy = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.request(READY)).status == 200
         busy.send(request("transfer", b"held"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""  # idle connections are closed once the signal has been handled
         process.send_signal(signal.SIGTERM)  # a second signal has no effect
         assert await fetch_status(port, READY) == 503
         late = await connect(port)
         late.send(request("transfer", b"late"))
-        await until(lambda: len(upstream.exchanges) == 2)
+        await wait_until(lambda: len(upstream.exchanges) == 2)
         for exchange in upstream.exchanges:
-            exchange.answer(reply(200, exchange.message.body))
+            exchange.respond(http_response(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
-            response = await client.answer()
+            response = await client.read_response()
             assert (response.status, response.body) == (200, body)
             assert response.headers["connection"] == "close"
         assert await process.wait() == 0
@@ -127,44 +127,44 @@
             client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_all_requests_read_on_a_connection_are_answered_at_shutdown(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         idle, client = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.request(READY)).status == 200
         client.send(request("transfer", b"1") + request("transfer", b"2"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        upstream.script = answers(reply(200, b"2"))
-        upstream.exchanges[0].answer(reply(200, b"1"))
-        assert [(await client.answer()).body for _ in range(2)] == [b"1", b"2"]
+        upstream.script = respond_with(http_response(200, b"2"))
+        upstream.exchanges[0].respond(http_response(200, b"1"))
+        assert [(await client.read_response()).body for _ in range(2)] == [b"1", b"2"]
         assert await process.wait() == 0
         idle.close()
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_request_that_never_ends_gets_a_response_before_the_kill(tmp_path: Path) -> None:
     async with (
-        scripted_server(silent) as upstream,
+        scripted_server(no_response) as upstream,
         gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
         client = await connect(port)
         client.send(request("transfer"))
-        await until(lambda: upstream.exchanges)
+        await wait_until(lambda: upstream.exchanges)
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(3.7):  # a deadline of 20 s counts as 3 s at shutdown, plus 0.7 s
-            response = await client.answer()
+            response = await client.read_response()
             assert response.status == 502 and response.headers["connection"] == "close"
             assert await process.wait() == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_signal_during_the_start_ends_the_process_with_0(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)  # the process blocks here until the configuration is written
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize(("text", "reason"), INVALID_CONFIGURATIONS)
-@on_loop
+@on_event_loop
 async def test_an_unusable_configuration_causes_one_error_line_and_exit_status_2(
     tmp_path: Path, text: str | None, reason: str
 ) -> None:
@@ -205,14 +205,14 @@
     assert errors.count(b"\n") == 1 and reason in errors.decode()
 
 
-@on_loop
+@on_event_loop
 async def test_a_missing_configuration_causes_one_error_line_and_exit_status_2() -> None:
     process = await start({"LB_CONFIG": ""})
     _, errors = await process.communicate()
     assert process.returncode == 2 and errors == b"sagetrack: LB_CONFIG is not set\n"
 
 
-@on_loop
+@on_event_loop
 async def test_an_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
@@ -223,7 +223,7 @@
         assert errors.count(b"\n") == 1
 
 
-@on_loop
+@on_event_loop
 async def test_no_request_is_lost_during_a_shutdown(tmp_path: Path) -> None:
     """Clients continue to send and to reconnect after the signal, as long as connections are accepted.
 
@@ -232,7 +232,7 @@
 
     async def slow_response(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
-        exchange.answer(reply(200, exchange.message.body))
+        exchange.respond(http_response(200, exchange.message.body))
 
     async with (
         scripted_server(slow_response) as upstream,
@@ -251,7 +251,7 @@
                     used = connection is not None
                     try:
                         connection = connection or await connect(port)
-                        response = await connection.ask(data)
+                        response = await connection.request(data)
                     except (OSError, asyncio.IncompleteReadError):
                         if connection is not None:
                             connection.close()
@@ -270,7 +270,7 @@
                 connection.close()
 
         clients = [asyncio.create_task(client(number)) for number in range(12)]
-        await until(lambda: served > 50)
+        await wait_until(lambda: served > 50)
         process.send_signal(signal.SIGTERM)
         end_s.append(loop.time() + 0.4)
         before = served
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -65,7 +65,7 @@
     live_records,
     seconds_key,
 )
-from tests.sockets import configuration, on_loop
+from tests.sockets import configuration, on_event_loop
 
 STORE = BEFORE / STORE_FOLDER
 TMPDIR = BEFORE / TMPDIR_FOLDER
@@ -392,7 +392,7 @@
     assert second.dropped_events == 2
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_restores_the_observations_in_a_store(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(STORE, tmp_path / "n0"))
     settings = StoreSettings(folder=str(folder.parent / "{gateway}"), recorder=False)
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.stand_ins.scripted import Exchange, read_message, reply, scripted_server
+from sagetrack.lab.stand_ins.scripted import Exchange, http_response, read_message, scripted_server
 from tests.sockets import configuration, request
 
 SERVICE_TIME_S = 0.03
@@ -32,7 +32,7 @@
 async def delayed_response(exchange: Exchange) -> None:
     """Respond after the service time, so that there are always requests in flight."""
     await asyncio.sleep(SERVICE_TIME_S)
-    exchange.answer(reply(200, b"done"))
+    exchange.respond(http_response(200, b"done"))
 
 
 @dataclass
