--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -87,7 +87,7 @@
         await wait_until(lambda: heard.ends)
         assert heard.ends[0][0] is Outcome.REJECTED
         (connection,) = listener.connections
-        gateway.server.standby()
+        gateway.listener.standby()
         await wait_until(lambda: not listener.connections)
         await wait_until(lambda: client.pools.counts.goaways == 1)
         assert connection.draining
