--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -142,7 +142,7 @@
     def rejection_fraction(
         self, tenant: int, flow: int, reject_fraction: float, now_us: int, high_priority: bool = False
     ) -> float:
-        """Return the fraction of a flow's requests to reject in order to reject `reject_fraction` of all work.
+        """Return the fraction of a flow's requests to reject, to reject `reject_fraction` of all work.
 
         It is 0 for a flow within its share.
         """
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -208,9 +208,8 @@
 
 def test_a_tenant_within_its_quota_has_no_excess() -> None:
     quota = TenantQuota((Tenant(0.5), Tenant(0.5)), over_quota_priority=0.25)
-    assert (
-        quota.count_request(0) <= 0.0
-    )  # with equal counts, one more request stays within 1.5 times the share
+    # With equal counts, one more request stays within 1.5 times the share.
+    assert quota.count_request(0) <= 0.0
     # All requests come from tenant 0.
     assert max(quota.count_request(0) for _ in range(400)) == pytest.approx(0.75 * 0.25, abs=0.01)
     assert quota.count_request(7) == 0.0  # a tenant without a share
