--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -16,8 +16,8 @@
 WEIGHT_STEP = 0.02  # Added to the weight after a success.
 WEIGHT_CUT = 0.7  # Factor applied to the weight after a failure or a slow response.
 SLOW_FACTOR = 2.0  # A response is slow if it takes more than this times the expected latency.
-# Outcomes that count for the breaker of the request's class. Connection failures and resets concern the
-# whole server.
+# Outcomes that count for the breaker of the request's class. Others, such as connection failures, count only
+# for the whole server.
 CLASS_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
 
 
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -177,7 +177,7 @@
     endpoints_are_pushed: bool = True  # If False, changes are sent only after a WatchEndpoints action.
     max_poll_interval_us: int = 10_000_000  # Longest time between two polls of service discovery.
     max_retry_after_us: int = 1_000_000  # Longest Retry-After that may be sent to a client.
-    start_capacity: float = 1.0  # Fraction of full capacity that a server has when it starts.
+    start_capacity: float = 1.0  # Fraction of full capacity that a starting server has at least.
     warm_after_us: int = 0  # A server reaches full capacity this long after its start.
     # A server that is warming up is overloaded if it is sent more than `overload_multiple` times its current
     # capacity for `overload_window_us`.
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -27,7 +27,7 @@
 
     breaker: Breaker
     weight: float = MAX_WEIGHT
-    last_succeeded: bool = False
+    last_succeeded: bool = False  # The last outcome of the class was a success.
 
 
 @dataclass(slots=True, eq=False)
@@ -37,7 +37,7 @@
     entry: ListedServer
     feedback_weight: float  # Read and set through the property `weight`.
     rank: float  # Position in the ring: a hash that is the same at every gateway.
-    zone_factor: float  # Factor of the weight: 1 in this gateway's zone, at most 1 in others.
+    zone_factor: float  # Weight factor: 1 in this zone, less in others according to prices.cross_zone.
     warm_at_us: int  # Latest end of the warm-up, on this gateway's clock.
     breaker: Breaker = field(default_factory=Breaker)
     health_by_class: dict[int, ClassHealth] = field(default_factory=dict)
@@ -90,7 +90,7 @@
     objective_at_us: int  # Time by which a response meets the latency objective.
     relative_work: float  # Expected work divided by the mean of the class.
     is_first_try: bool  # False for a retry by the client.
-    quota_excess: float  # Result of TenantQuota.count_request.
+    quota_excess: float  # Excess over its tenant's quota: see TenantQuota.count_request.
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0  # Number of attempts in flight.
     finished: bool = False  # The final response was sent, or the client has cancelled.
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -60,7 +60,7 @@
 
     excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
     flow_limit_us: list[float]  # By tenant: work that each flow may request.
-    evaluated_at_us: int = -EVALUATION_INTERVAL_US
+    evaluated_at_us: int = -EVALUATION_INTERVAL_US  # Time of the evaluation.
     reject_fraction: float = -1.0  # Fraction of all work that had to be rejected.
 
 
