--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -89,7 +89,7 @@
     deadline_us: int
     objective_at_us: int  # Time by which a response meets the latency objective.
     relative_work: float  # Expected work divided by the mean of the class.
-    is_first_try: bool  # False for a retry by the client.
+    is_first_try: bool  # False if the client has sent the request before.
     quota_excess: float  # Excess over its tenant's quota: see TenantQuota.count_request.
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0  # Number of attempts in flight.
@@ -99,7 +99,7 @@
     uploading: bool = False  # The body has not been received completely.
     single_use_body: bool = False  # The body cannot be sent a second time.
     admission_tenant: int = 0  # Index of its tenant in admission control.
-    client: int = 0  # Number of the client within its tenant: see RequestArrived.
+    client: int = 0  # Number of the client within its tenant; 0: unknown. See RequestArrived.
     has_reservation: bool = False  # The client retries at the time that an earlier Retry-After gave it.
     retry_after_us: int = -1  # Set by admission control; -1: not set.
     tenant: int = 0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -81,10 +81,8 @@
     assert request is not None
     drained_us, cost_us = driver.balancer.slow_start.budget_terms(driver.now_us, server, request)
     assert cost_us == MAX_COST * SECOND_US  # The initial estimate is a quarter of the objective.
-    driver.balancer.latency.response_counts[0], driver.balancer.latency.latency_sums_us[0] = (
-        5,
-        500_000.0,
-    )  # of 100 ms each
+    # Five responses of 100 ms each.
+    driver.balancer.latency.response_counts[0], driver.balancer.latency.latency_sums_us[0] = 5, 500_000.0
     drained_after_learning_us, cost_after_learning_us = driver.balancer.slow_start.budget_terms(
         driver.now_us, server, request
     )
