--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -256,13 +256,13 @@
         if entry is not None:
             self.counters[entry.tenant].waiting -= 1
             if not len(self.queues):
-                self.service_rate.pause()
+                self.service_rate.stop_measuring()
 
     # Feedback
 
     def set_assumed_service_rate(self, rate: float) -> None:
         """Set the service rate, in work per microsecond, to assume until a measurement is available."""
-        self.service_rate.assumed = rate
+        self.service_rate.assumed_rate = rate
 
     def set_minimum_concurrency(self, requests: float) -> None:
         """Set the lower bound of the concurrency limit."""
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -15,7 +15,7 @@
 
 from sagetrack.dns.service import DnsConfig, DnsService
 from sagetrack.lab.stand_ins.dns_server import Nameserver, NameserverBehaviour
-from tests.sockets import until
+from tests.sockets import wait_until
 
 
 def query(name: str = "a.example.", rdtype: str = "A", **options: Any) -> bytes:
@@ -61,7 +61,7 @@
     async def exchange(self, data: bytes) -> dns.message.Message:
         count_before = len(self.responses)
         self.transport.sendto(data)
-        await until(lambda: len(self.responses) > count_before)
+        await wait_until(lambda: len(self.responses) > count_before)
         return self.responses[-1]
 
 
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -18,7 +18,7 @@
     read_tcp_responses,
     running_service,
 )
-from tests.sockets import configuration, on_loop, running
+from tests.sockets import configuration, on_event_loop, running_gateway
 
 
 def endpoint(name: str, address: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
@@ -39,7 +39,7 @@
     assert not split.endpoints["dns"]
 
 
-@on_loop
+@on_event_loop
 async def test_endpoint_list_adds_and_drains_upstream_servers() -> None:
     async with (
         nameserver() as first_upstream,
@@ -61,7 +61,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_gateway_does_not_use_dns_servers_for_http(tmp_path: Path) -> None:
     async with nameserver() as upstream:
         config = configuration("127.0.0.1:9")
@@ -73,20 +73,20 @@
             port = probe.getsockname()[1]
         file = tmp_path / "operator.toml"
         file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
-        async with running(config, load_operator(str(file))) as gateway:
-            assert [host.name for host in gateway.instance.pools.servers.values()] == ["s-0"]
+        async with running_gateway(config, load_operator(str(file))) as gateway:
+            assert [host.name for host in gateway.assembly.pools.servers.values()] == ["s-0"]
             client = await UdpClient.to(("127.0.0.1", port))
             assert (await client.exchange(query())).answer[0][0].to_text() == "192.0.2.1"
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            gateway.server.standby()
+            gateway.listener.standby()
             writer.write(len(query()).to_bytes(2) + query())
             assert (await read_tcp_responses(reader, 1))[0].answer and await reader.read() == b""
-            gateway.server.active()
+            gateway.listener.active()
             writer.close()
             client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_removed_server_receives_no_queries() -> None:
     async with (
         nameserver() as first_upstream,
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -19,10 +19,10 @@
     query,
     running_service,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_response_is_cached_and_sent_in_the_letter_case_of_each_query() -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, address):
         client = await UdpClient.to(address)
@@ -34,7 +34,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_truncated_response_is_retried_over_tcp_within_one_attempt() -> None:
     async with (
         nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
@@ -49,7 +49,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_equal_questions_share_a_request_and_a_repeated_query_is_ignored() -> None:
     async with (
         nameserver(NameserverBehaviour(delay_s=0.1)) as upstream,
@@ -60,14 +60,14 @@
         client_a.transport.sendto(data)
         client_a.transport.sendto(data)
         client_b.transport.sendto(query())
-        await until(lambda: client_a.responses and client_b.responses)
+        await wait_until(lambda: client_a.responses and client_b.responses)
         assert upstream.udp_queries == 1 and len(client_a.responses) == 1
         assert service.handler.counts.joined == 1 and service.handler.counts.shared == 1
         for client in (client_a, client_b):
             client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_spoofed_responses_are_ignored() -> None:
     forger = NameserverBehaviour(forgeries=50, spoofs_source=True)
     async with nameserver(forger) as upstream, running_service(upstream) as (service, address):
@@ -81,7 +81,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_upstream_failure_gives_a_stale_response_or_servfail() -> None:
     options = {"deadline_us": 400_000}
     async with (
@@ -104,7 +104,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_slow_server_does_not_delay_the_others() -> None:
     slow, prompt = NameserverBehaviour(delay_s=5.0), NameserverBehaviour(address="192.0.2.9")
     async with (
@@ -120,7 +120,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_lost_datagrams_do_not_eject_a_server() -> None:
     async with (
         nameserver(NameserverBehaviour(loss=0.02, delay_s=0.001)) as upstream,
@@ -131,13 +131,13 @@
             client.transport.sendto(query(f"n{number}.example."))
             if number % 10 == 9:
                 await asyncio.sleep(0)
-        await until(lambda: len(client.responses) >= 300)
+        await wait_until(lambda: len(client.responses) >= 300)
         successful_count = sum(message.rcode() == dns.rcode.NOERROR for message in client.responses)
         assert successful_count >= 270, (successful_count, upstream.udp_queries)
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_denied_client_is_refused() -> None:
     async with (
         nameserver() as upstream,
@@ -150,7 +150,7 @@
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_new_process_serves_the_shared_address_after_hot_restart() -> None:
     async with nameserver() as upstream:
         config = DnsConfig([("127.0.0.1", 0)], [upstream.address])
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -21,10 +21,10 @@
     read_tcp_responses,
     running_service,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_tcp_queries_are_reassembled_and_answered_in_any_order() -> None:
     long_deadlines = {
         "latency_objective_us": 20_000_000,
@@ -48,18 +48,18 @@
 
 
 @pytest.mark.parametrize("data", [b"\0\0", b"\0\x05hello", b"\0\x0b" + b"x" * 11])
-@on_loop
+@on_event_loop
 async def test_frame_shorter_than_a_dns_header_closes_the_connection(data: bytes) -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, address):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(data)
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
-        await until(lambda: not service.listener.connections)
+        await wait_until(lambda: not service.listener.connections)
         writer.close()
 
 
-@on_loop
+@on_event_loop
 async def test_incomplete_and_largest_frames_do_not_affect_other_clients() -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, address):
         for data in (b"\0", b"\0\x20half", b"\xff\xff" + b"\x01" * 65_535):
@@ -69,13 +69,13 @@
             with contextlib.suppress(ConnectionError):
                 await reader.read()
             writer.close()
-        await until(lambda: not service.listener.connections)
+        await wait_until(lambda: not service.listener.connections)
         client = await UdpClient.to(address)
         assert (await client.exchange(query())).rcode() == dns.rcode.NOERROR
         client.transport.close()
 
 
-@on_loop
+@on_event_loop
 async def test_buffered_responses_to_a_client_that_does_not_read_are_bounded() -> None:
     options = {"limits": ClientLimits(max_connections_per_client=1)}
     async with (
@@ -94,7 +94,7 @@
                         await writer.drain()
 
         task = asyncio.create_task(send_without_reading())
-        await until(lambda: any(c.write_paused for c in service.listener.connections))
+        await wait_until(lambda: any(c.write_paused for c in service.listener.connections))
         buffer_sizes = [
             c.transport.get_write_buffer_size() for c in service.listener.connections if c.transport
         ]
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -24,7 +24,7 @@
     query,
     running_service,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 def zone_query(name: str, rdtype: str = "A") -> Any:
@@ -115,7 +115,7 @@
             LocalZones("", 1, files=[("static.example.", str(path))])
 
 
-@on_loop
+@on_event_loop
 async def test_local_zone_and_forwarded_names_are_served_by_one_listener() -> None:
     options = {"zone": ZoneConfig("sur.example.")}
     async with nameserver() as upstream, running_service(upstream, **options) as (service, address):
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -14,26 +14,26 @@
 from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
 from tests.sockets import (
     Exchange,
-    Running,
+    RunningGateway,
     Script,
     ScriptedServer,
-    answers,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 
-def record_list_events(run: Running) -> list[EndpointList]:
+def record_list_events(run: RunningGateway) -> list[EndpointList]:
     """Return a list that collects the endpoint list events the load balancer receives from now on."""
     events: list[EndpointList] = []
     handle = run.gateway.balancer.handle
@@ -47,7 +47,7 @@
     return events
 
 
-def ignore_endpoint_list_timer(run: Running) -> None:
+def ignore_endpoint_list_timer(run: RunningGateway) -> None:
     """Make the load balancer ignore its poll timer, so that only the test makes calls."""
     handle = run.gateway.balancer.handle
     run.gateway.balancer.handle = lambda now_us, event: (  # type: ignore[method-assign]
@@ -59,68 +59,68 @@
     return [exchange.message.start_line.split(" ")[1] for exchange in registry.exchanges]
 
 
-def start_watch(run: Running) -> None:
+def start_watch(run: RunningGateway) -> None:
     run.gateway.executor.execute(WatchEndpoints())
 
 
-@on_loop
+@on_event_loop
 async def test_a_watch_continues_from_its_version() -> None:
     responses = [
-        list_reply(7, endpoint("s-0", "127.0.0.1:1")),
-        list_reply(8, endpoint("s-1", "127.0.0.1:1"), snapshot=False),
-        list_reply(8, snapshot=False),
-        list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
+        list_response(7, endpoint("s-0", "127.0.0.1:1")),
+        list_response(8, endpoint("s-1", "127.0.0.1:1"), snapshot=False),
+        list_response(8, snapshot=False),
+        list_response(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
 
     def script(exchange: Exchange) -> None:
         if responses:
-            exchange.answer(responses.pop(0))
+            exchange.respond(responses.pop(0))
 
     async with (
         scripted_server(script) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         start_watch(run)
         start_watch(run)  # has no effect while the first one runs
-        await until(lambda: len(registry.exchanges) == 5)
+        await wait_until(lambda: len(registry.exchanges) == 5)
         # The complete list first; then each long poll lasts a quarter of stopSendingWithinUs (1 s).
         watches = [f"/registry/instances?from={n}&hold_ms=250" for n in (7, 8, 8, 9)]
         assert request_targets(registry) == ["/registry/instances", *watches]
         assert registry.opened_connections == 1
-        assert set(run.instance.pools.servers) == {host_id(1)} == set(run.gateway.balancer.servers)
+        assert set(run.assembly.pools.servers) == {server_id(1)} == set(run.gateway.balancer.servers)
 
 
-@on_loop
+@on_event_loop
 async def test_a_stopped_watch_reports_nothing_more() -> None:
     async with (
-        scripted_server(silent) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        scripted_server(no_response) as registry,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         start_watch(run)
-        await until(lambda: registry.exchanges)
+        await wait_until(lambda: registry.exchanges)
         events = record_list_events(run)
         run.gateway.executor.execute(WatchEndpoints(False))
-        await until(lambda: registry.closed_connections == 1)
-        assert not events and run.instance.discovery.watch_task is None
+        await wait_until(lambda: registry.closed_connections == 1)
+        assert not events and run.assembly.discovery.watch_task is None
 
 
-@on_loop
+@on_event_loop
 async def test_a_complete_list_removes_servers_that_it_does_not_contain() -> None:
     listed = endpoint("s-1", "127.0.0.1:1", zone="b", group=3, since_ms=5, weight=2)
-    async with scripted_server(answers(list_reply(12, listed))) as registry:
+    async with scripted_server(respond_with(list_response(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {}}
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             ignore_endpoint_list_timer(run)
             events = record_list_events(run)
             run.gateway.executor.execute(FetchEndpoints())
-            await until(lambda: events)
+            await wait_until(lambda: events)
             assert request_targets(registry) == ["/registry/instances"]
             (event,) = events
             assert event.kind is ListKind.FULL
             (entry,) = event.servers
             assert (entry.zone, entry.group, entry.started_us, entry.weight) == (1, 3, 5_000, 2.0)
-            assert set(run.instance.pools.servers) == {host_id(1)}
+            assert set(run.assembly.pools.servers) == {server_id(1)}
 
 
 def reset(exchange: Exchange) -> None:
@@ -131,42 +131,42 @@
     "script",
     [
         reset,
-        answers(reply(503)),
-        answers(reply(200, b"not JSON")),
-        answers(reply(200, b"[]")),
-        answers(reply(200, b"{}")),
-        answers(reply(200, b'{"index":1,"endpoints":{}}')),
-        answers(b"no HTTP\r\n\r\n"),
+        respond_with(http_response(503)),
+        respond_with(http_response(200, b"not JSON")),
+        respond_with(http_response(200, b"[]")),
+        respond_with(http_response(200, b"{}")),
+        respond_with(http_response(200, b'{"index":1,"endpoints":{}}')),
+        respond_with(b"no HTTP\r\n\r\n"),
     ],
 )
-@on_loop
+@on_event_loop
 async def test_a_failed_call_is_reported_and_repeated_when_the_policy_requests_it(script: Script) -> None:
     async with scripted_server(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the load balancer requests and repeats calls
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             events = record_list_events(run)
-            await until(lambda: len(events) >= 2)
+            await wait_until(lambda: len(events) >= 2)
             assert {event.kind for event in events} == {ListKind.ERROR}
-            assert set(run.instance.pools.servers) == {host_id(0)}  # the previous list stays in use
-            registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-            await until(lambda: host_id(3) in run.instance.pools.servers)
-            registry.script = silent
+            assert set(run.assembly.pools.servers) == {server_id(0)}  # the previous list stays in use
+            registry.script = respond_with(list_response(9, endpoint("s-3", "127.0.0.1:1")))
+            await wait_until(lambda: server_id(3) in run.assembly.pools.servers)
+            registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_a_pushed_list_is_watched_from_the_start_and_again_after_a_failure() -> None:
     async with (
         scripted_server(reset) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        await until(lambda: len(registry.exchanges) >= 2)
-        registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-        await until(lambda: host_id(3) in run.instance.pools.servers)
-        registry.script = silent
+        await wait_until(lambda: len(registry.exchanges) >= 2)
+        registry.script = respond_with(list_response(9, endpoint("s-3", "127.0.0.1:1")))
+        await wait_until(lambda: server_id(3) in run.assembly.pools.servers)
+        registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_invalid_entries_and_unknown_fields_are_tolerated() -> None:
     async with scripted_server() as upstream:
         good = endpoint("s-1", upstream.address, colour="red")
@@ -184,26 +184,26 @@
             {**endpoint("s-2", upstream.address), "name": ["s-2"]},
         ]
         text = json.dumps({"index": 9, "snapshot": True, "more": {}, "endpoints": [*bad, good]})
-        script = answers(reply(200, text.encode()))
+        script = respond_with(http_response(200, text.encode()))
         async with (
             scripted_server(script) as registry,
-            running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+            running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
         ):
-            await until(lambda: host_id(1) in run.instance.pools.servers)
-            registry.script = silent
-            assert set(run.instance.pools.servers) == {host_id(1)}
-            assert (await run.ask(request())).status == 200
+            await wait_until(lambda: server_id(1) in run.assembly.pools.servers)
+            registry.script = no_response
+            assert set(run.assembly.pools.servers) == {server_id(1)}
+            assert (await run.request(request())).status == 200
 
 
-@on_loop
+@on_event_loop
 async def test_an_unusable_known_list_is_ignored() -> None:
-    async with scripted_server(silent) as registry:
+    async with scripted_server(no_response) as registry:
         config = configuration(discovery=registry.address)
         config["known"] = {"index": "new", "endpoints": 3}
-        async with running(config) as run:
-            await until(lambda: registry.exchanges)
+        async with running_gateway(config) as run:
+            await wait_until(lambda: registry.exchanges)
             assert request_targets(registry) == ["/registry/instances"]
-            assert not run.instance.pools.servers
+            assert not run.assembly.pools.servers
     await asyncio.sleep(0)
 
 
@@ -211,92 +211,92 @@
 
 
 def draining_list(version: int) -> bytes:
-    return list_reply(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
+    return list_response(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
 
 
-def is_draining(run: Running) -> bool:
-    known = run.gateway.balancer.servers.get(host_id(0))
+def is_draining(run: RunningGateway) -> bool:
+    known = run.gateway.balancer.servers.get(server_id(0))
     return known is not None and known.entry.status is ServerStatus.DRAINING
 
 
-async def within_grace_period(run: Running, condition: Callable[[], object]) -> None:
+async def within_grace_period(run: RunningGateway, condition: Callable[[], object]) -> None:
     async with asyncio.timeout(run.gateway.settings.stop_sending_within_us / 1e6):
-        await until(condition)
+        await wait_until(condition)
 
 
 @pytest.mark.parametrize("partial", [b"", draining_list(9)[:40], draining_list(9)[:-20]])
-@on_loop
+@on_event_loop
 async def test_a_silent_watch_is_reopened_within_the_grace_period(partial: bytes) -> None:
     """The service sends nothing, part of a head or part of a list, and keeps the connection open."""
 
     def script(exchange: Exchange) -> None:
-        if exchange.connection > 1:
-            exchange.answer(draining_list(9))
+        if exchange.connection_number > 1:
+            exchange.respond(draining_list(9))
         elif "from=" in exchange.message.start_line:
-            exchange.answer(partial)
+            exchange.respond(partial)
         else:
-            exchange.answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
+            exchange.respond(list_response(8, endpoint("s-0", "127.0.0.1:1")))
 
     async with (
         scripted_server(script) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        await until(lambda: len(registry.exchanges) == 2)
+        await wait_until(lambda: len(registry.exchanges) == 2)
         assert not is_draining(run)
         await within_grace_period(run, lambda: is_draining(run))
         assert registry.opened_connections == 2 and request_targets(registry)[2] == "/registry/instances"
 
 
-@on_loop
+@on_event_loop
 async def test_a_reset_watch_is_reopened_immediately_and_a_silent_service_is_polled_often() -> None:
     """After any outage, a change that the service has when it recovers arrives within the grace period."""
     back = False
 
     def script(exchange: Exchange) -> None:
         if back:
-            exchange.answer(draining_list(9))
-        elif exchange.connection == 2:
+            exchange.respond(draining_list(9))
+        elif exchange.connection_number == 2:
             exchange.reset()  # later requests get no response
 
     async with (
-        scripted_server(answers(list_reply(8, endpoint("s-0", "127.0.0.1:1")))) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        scripted_server(respond_with(list_response(8, endpoint("s-0", "127.0.0.1:1")))) as registry,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         registry.script = script
-        await until(lambda: registry.exchanges)
+        await wait_until(lambda: registry.exchanges)
         registry.exchanges[-1].reset()
-        await until(lambda: registry.opened_connections >= 5)  # each connection timed out
+        await wait_until(lambda: registry.opened_connections >= 5)  # each connection timed out
         assert not is_draining(run)
         back = True
         await within_grace_period(run, lambda: is_draining(run))
 
 
-@on_loop
+@on_event_loop
 async def test_an_overtaken_response_does_not_undo_a_newer_one() -> None:
     """A complete list from before a withdrawal that arrives after it is rejected and requested again."""
-    async with scripted_server(silent) as registry:
+    async with scripted_server(no_response) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request"}
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             ignore_endpoint_list_timer(run)
             run.gateway.executor.execute(FetchEndpoints())
-            await until(lambda: len(registry.exchanges) == 1)
+            await wait_until(lambda: len(registry.exchanges) == 1)
             start_watch(run)
-            await until(lambda: len(registry.exchanges) == 2)
-            registry.exchanges[1].answer(draining_list(9))
-            await until(lambda: is_draining(run))
+            await wait_until(lambda: len(registry.exchanges) == 2)
+            registry.exchanges[1].respond(draining_list(9))
+            await wait_until(lambda: is_draining(run))
             events = record_list_events(run)
-            registry.exchanges[0].answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
-            await until(lambda: events)
+            registry.exchanges[0].respond(list_response(8, endpoint("s-0", "127.0.0.1:1")))
+            await wait_until(lambda: events)
             assert [event.kind for event in events] == [ListKind.ERROR] and is_draining(run)
             # The repeated older version is accepted: the service may have restarted its numbering.
-            registry.script = answers(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
+            registry.script = respond_with(list_response(8, endpoint("s-0", "127.0.0.1:1")))
             run.gateway.executor.execute(FetchEndpoints())
-            await until(lambda: not is_draining(run))
-            registry.script = silent
+            await wait_until(lambda: not is_draining(run))
+            registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_clients_are_served_only_after_the_first_call_to_discovery() -> None:
     """The configured list may be outdated: one of its servers may have been withdrawn meanwhile."""
     was_called = asyncio.Event()
@@ -304,18 +304,18 @@
     def script(exchange: Exchange) -> None:
         was_called.set()
         if "from=" not in exchange.message.start_line:
-            exchange.answer(draining_list(9))
+            exchange.respond(draining_list(9))
 
     async with (
         scripted_server() as upstream,
         scripted_server(script) as registry,
-        running(configuration(upstream, discovery=registry.address)) as run,
+        running_gateway(configuration(upstream, discovery=registry.address)) as run,
     ):
         assert was_called.is_set() and is_draining(run)
-        assert (await run.ask(request())).status == 503 and not upstream.exchanges
+        assert (await run.request(request())).status == 503 and not upstream.exchanges
 
 
-@on_loop
+@on_event_loop
 async def test_a_withdrawal_takes_effect_although_the_rest_of_the_entry_is_invalid() -> None:
     """An entry that withdraws a server takes effect even if its other fields are unusable."""
     withdrawals: tuple[dict[str, object], ...] = (
@@ -326,26 +326,26 @@
         {"status": "PAUSED"},  # an unknown status counts as a withdrawal
     )
     for entry in withdrawals:
-        async with scripted_server() as upstream, running(configuration(upstream)) as run:
+        async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
             changes = endpoint_list(8, endpoint("s-0", upstream.address) | entry, snapshot=False)
             run.gateway.on_endpoint_list(
-                ListKind.DELTA, parse_endpoint_list(changes, run.instance.config.names).endpoints
+                ListKind.DELTA, parse_endpoint_list(changes, run.assembly.config.names).endpoints
             )
-            assert (await run.ask(request("transfer", b"x"))).status == 503, entry
+            assert (await run.request(request("transfer", b"x"))).status == 503, entry
             assert not upstream.exchanges
 
 
-@on_loop
+@on_event_loop
 async def test_a_failure_while_a_failed_call_is_reported_does_not_end_the_watch() -> None:
     """The next call is scheduled before the report, as the code that handles the report may raise."""
     async with (
         scripted_server(lambda exchange: exchange.reset()) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
 
         def fails(kind: ListKind, entries: object) -> None:
             raise RuntimeError("a planted fault")
 
-        run.instance.discovery.on_list = fails
+        run.assembly.discovery.on_list = fails
         seen = len(registry.exchanges)
-        await until(lambda: len(registry.exchanges) >= seen + 3)
+        await wait_until(lambda: len(registry.exchanges) >= seen + 3)
