--- a/sagetrack/lab/fault_injection/__init__.py
+++ b/sagetrack/lab/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection: crashes, a faulty file system, spoofed and mutated messages."""
+"""Fault injection: store crashes, a faulty file system, and spoofed and mutated DNS messages."""
--- a/sagetrack/lab/fault_injection/crash_test.py
+++ b/sagetrack/lab/fault_injection/crash_test.py
@@ -1,7 +1,8 @@
-"""Crash tests of the store: each byte truncated and flipped, crashes between any two calls, a writer killed.
+"""Crash tests of the store, in three parts.
 
-Each part counts what it tried. A failure is a store that does not open, that recovers to anything else than
-an earlier consistent state, or that has lost what it acknowledged.
+One part truncates the files at every byte and flips every bit, one simulates crashes between any two calls of
+the file system, and one kills a writing process. A store fails the test if it cannot be opened, recovers to a
+state that is not a state after some batch, or loses acknowledged batches.
 """
 
 from __future__ import annotations
@@ -32,27 +33,27 @@
 from sagetrack.store.errors import CorruptionError, WriteRejectedError
 from sagetrack.store.format import Record
 
-CRASHES_PER_STORE = 4  # of one store
-DAMAGE_TIME_SHARE = 0.6  # of the time, at most, for `damage_every_byte`
+CRASHES_PER_STORE = 4
+DAMAGE_TIME_SHARE = 0.6  # upper limit on the share of the time that `damage_every_byte` gets
 CALLS_THAT_MAY_FAIL = ("sync", "append", "sync_names", "create")
 
 
 @dataclass(slots=True)
 class CrashTestReport:
-    """What was done, and what failed."""
+    """Numbers of injected faults, and the failures found."""
 
-    truncations: int = 0  # bytes at which a file was cut
+    truncations: int = 0
     flipped_bits: int = 0
-    lossless_recoveries: int = 0  # of these: nothing was lost
+    lossless_recoveries: int = 0  # recoveries from a truncation or a flipped bit that lost no batch
     crashes: int = 0
-    disk_errors: int = 0  # injected
+    disk_errors: int = 0
     kills: int = 0
-    acknowledged_batches: int = 0  # batches of the writer that was killed
+    acknowledged_batches: int = 0  # batches that killed writers reported to be durable
     failures: list[str] = field(default_factory=list)
 
 
 def sample_store(seed: int, batches: int = 40, checkpoints: int = 2) -> tuple[FaultyDirectory, list[State]]:
-    """A store with several logs and checkpoints, and its state after each batch."""
+    """Create a store with several logs and checkpoints; returns its directory and the state per batch."""
     rng = random.Random(seed)
     directory = FaultyDirectory()
     store = Store(directory, SMALL_STORE)
@@ -72,27 +73,34 @@
 def check_recovery(
     directory: FaultyDirectory, states: list[State], report: CrashTestReport, damage: str
 ) -> None:
-    """Open a damaged store, and compare it with the states that there were; then write to it again."""
+    """Check that a damaged store opens, recovers to the state after some batch, and accepts new batches."""
     store = Store(directory, SMALL_STORE)
     with ErrorsAsFailures(report.failures, lambda error: f"{damage}: {error!r}"):
         sequence = store.open().sequence
         state = state_of(store)
         if not 0 <= sequence < len(states) or states[sequence] != state:
-            report.failures.append(f"{damage}: not the state after batch {sequence}")
+            report.failures.append(f"{damage}: recovered state is not the state after batch {sequence}")
             return
         report.lossless_recoveries += sequence == len(states) - 1
-        with ErrorsAsFailures(report.failures, lambda error: f"{damage}, written again: {error!r}"):
+        with ErrorsAsFailures(report.failures, lambda error: f"{damage}, write after recovery: {error!r}"):
             store.write([[Record("a", b"again", b"x")]])
             store.sync()
             reopened = Store(directory, SMALL_STORE)
             if reopened.open().sequence != sequence + 1 or reopened.get("a", b"again") != b"x":
-                report.failures.append(f"{damage}: what was written after it is not there")
+                report.failures.append(f"{damage}: batch written after recovery is missing")
 
 
 def damage_every_byte(
     report: CrashTestReport, deadline_s: float, progress: Callable[[float], None], seed: int = 1
 ) -> bool:
-    """Truncate each file at each byte, flip each bit; False if the time ended first."""
+    """Truncate each file at each byte and flip each bit; returns whether all were done in time.
+
+    Args:
+        report: Counts the faults, and collects the failures.
+        deadline_s: Time on the monotonic clock at which to stop.
+        progress: Called with the share that is done.
+        seed: Seed of the store's content.
+    """
     directory, states = sample_store(seed)
     names = [name for name in directory.names() if name != "LOCK"]
     total = sum(directory.size(name) for name in names)
@@ -103,7 +111,7 @@
                 return False
             damaged = directory.copy()
             del damaged.files[name].data[offset:]
-            check_recovery(damaged, states, report, f"{name} cut at {offset}")
+            check_recovery(damaged, states, report, f"{name} truncated to {offset} bytes")
             report.truncations += 1
             for bit in range(8):
                 damaged = directory.copy()
@@ -116,7 +124,7 @@
 
 
 def crash_repeatedly(seed: int, report: CrashTestReport) -> None:
-    """Write to one store through crashes and errors of its disk, and check it after each crash."""
+    """Write to a store during disk errors and crashes, and check the recovered state after each crash."""
     rng = random.Random(seed)
     directory = FaultyDirectory()
     expected = ExpectedStates()
@@ -143,7 +151,7 @@
 
 
 def change_disk_fault(directory: FaultyDirectory, rng: random.Random, report: CrashTestReport) -> None:
-    """At random, the disk begins to fail, or to be full, or works again, or stays as it is."""
+    """Make a call fail or the disk full, clear such faults, or change nothing, at random."""
     choice = rng.random()
     if choice < 0.1:
         directory.errors_by_call = {rng.choice(CALLS_THAT_MAY_FAIL): errno.EIO}
@@ -157,7 +165,7 @@
 
 
 def _write_randomly(store: Store, expected: ExpectedStates, rng: random.Random) -> None:
-    """Some batches; now and then a compaction before them, more often a sync after them."""
+    """Write one to three batches, sometimes after a compaction, and often followed by a sync."""
     if rng.random() < 0.08:
         with closing(store.compact(0)) as compaction:
             for _ in compaction:
@@ -175,7 +183,7 @@
 
 
 def kill_writer(folder: Path, rng: random.Random, last_batch: int, report: CrashTestReport) -> int:
-    """Kill a writing process, and check the store that it leaves; returns the last batch that is there."""
+    """Kill a writing process and check the store; returns the sequence number of the last batch in it."""
     acknowledged = write_and_kill(folder, rng, last_batch)
     report.kills += 1
     report.acknowledged_batches += max(0, acknowledged - last_batch)
@@ -184,23 +192,25 @@
         sequence = store.open().sequence
         if sequence < acknowledged:
             report.failures.append(
-                f"kill {report.kills}: batch {acknowledged} was acknowledged, {sequence} is there"
+                f"kill {report.kills}: acknowledged up to batch {acknowledged}, recovered up to {sequence}"
             )
         state = state_of(store)
         if sequence and any(state.get(key) != value for key, value in newest_values(sequence).items()):
-            report.failures.append(f"kill {report.kills}: a value is not that of batch {sequence}")
+            report.failures.append(f"kill {report.kills}: values differ from those of batch {sequence}")
         return sequence
     finally:
         store.close()
 
 
 def crash_test(seconds: float, seed: int, progress: Callable[[str, float], None]) -> CrashTestReport:
-    """All parts for about so long: at most 0.6 of it for bytes, then crashes and kills by halves.
+    """Run all parts of the crash test: bytes, crashes and kills.
+
+    The part bytes gets at most 0.6 of the time; crashes and kills share the rest equally.
 
     Args:
-        seconds: How long, about.
-        seed: All random choices follow from it.
-        progress: Called with the part (bytes, crashes or kills) and the share of it that is done.
+        seconds: Approximate duration of the test.
+        seed: Seed of all random choices.
+        progress: Called with the name of the part and the share of it that is done.
     """
     report = CrashTestReport()
     start_s = time.monotonic()
--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -1,7 +1,8 @@
-"""Mutated DNS messages against the parser: it ends on any bytes, and accepts nothing for what it is not.
+"""Fuzzing of the DNS parser with mutated queries and responses.
 
-Queries and answers are made by `dnspython` and then damaged: bytes changed, cut, doubled, lengths and
-pointers altered.
+The parser may raise only MessageError, and must not accept a response to another query. `dnspython` creates
+the valid messages, which are then mutated: bytes are changed, removed or repeated, and counts, lengths and
+compression pointers are overwritten.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 HEADER_BYTES = 12
 FIRST_ID = 1000
 MAX_UDP_BYTES = 512
-PROGRESS_EVERY = 10_000  # messages
-HOSTILE_BYTES = (  # pointers, lengths and types that parsers have fallen for
+PROGRESS_EVERY = 10_000  # messages between two calls of `progress`
+HOSTILE_BYTES = (  # compression pointers, lengths and record types that parsers are known to mishandle
     b"\xc0\x0c",
     b"\xff\xff",
     b"\0\0",
@@ -36,7 +37,7 @@
 
 
 class Sample(NamedTuple):
-    """A message, the query that the gateway sent upstream, and that query's id."""
+    """A message, and the query and message id that the gateway sent upstream."""
 
     data: bytes
     query: Query
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True)
 class DnsFuzzReport:
-    """What was tried, and what failed."""
+    """Numbers of messages, and the failures found."""
 
     messages: int = 0
     queries_parsed: int = 0
@@ -55,7 +56,7 @@
 
 
 def valid_responses() -> list[Sample]:
-    """Valid answers to begin with."""
+    """Return the valid responses that are mutated."""
     samples = []
     for number, (kind, behaviour) in enumerate(
         (
@@ -76,7 +77,7 @@
 
 
 def mutate(data: bytes, rng: random.Random) -> bytes:
-    """The message with one to four random changes."""
+    """Return the message with one to four random mutations."""
     mutated = bytearray(data)
     for _ in range(rng.randint(1, 4)):
         offset = rng.randrange(max(1, len(mutated)))
@@ -91,7 +92,7 @@
                 hostile = rng.choice(HOSTILE_BYTES)
                 mutated[offset : offset + len(hostile)] = hostile
             case 4:
-                count_offset = 4 + 2 * rng.randrange(4)  # one of the header's four counts
+                count_offset = 4 + 2 * rng.randrange(4)  # one of the four section counts in the header
                 mutated[count_offset : count_offset + 2] = rng.choice((0, 1, 2, 255, 65_535)).to_bytes(2)
             case 5:
                 mutated += rng.randbytes(rng.randrange(20))
@@ -101,7 +102,7 @@
 
 
 def mutated_messages(count: int, seed: int) -> Iterator[Sample]:
-    """So many mutated messages, four tenths of them queries; the same for the same seed."""
+    """Generate mutated messages, 40% of them queries; equal seeds give equal messages."""
     rng = random.Random(seed)
     samples = valid_responses()
     for _ in range(count):
@@ -112,10 +113,10 @@
 
 
 def check_message(sample: Sample, report: DnsFuzzReport) -> None:
-    """Parse one message as a query and as an answer, and check what comes of it.
+    """Parse a message as a query and as a response, and check the results.
 
     Raises:
-        Exception: whatever the parser raises, but for MessageError, by which it rejects a message.
+        Exception: Any exception of the parser except MessageError, with which it rejects a message.
     """
     start_s = time.perf_counter()
     report.messages += 1
@@ -130,7 +131,7 @@
         query = parse_query(data)
         report.queries_parsed += 1
         if encode_error(query, Rcode.SERVFAIL)[:2] != data[:2]:
-            report.failures.append(f"answered under another id: {data.hex()}")
+            report.failures.append(f"response with another message id: {data.hex()}")
     except MessageError:
         pass
 
@@ -148,16 +149,22 @@
     same_name = data[HEADER_BYTES : question_end - 4].lower() == query.name
     same_type = data[question_end - 4 : question_end] == query.question[-4:]
     if int.from_bytes(data[:2]) != query_id or not same_name or not same_type:
-        report.failures.append(f"took an answer to another question: {data.hex()}")
+        report.failures.append(f"accepted a response to another query: {data.hex()}")
     if len(encode_response(query, response, MAX_UDP_BYTES)) > MAX_UDP_BYTES:
-        report.failures.append(f"an answer over its limit: {data.hex()}")
+        report.failures.append(f"encoded response is over its size limit: {data.hex()}")
     encode_response(query, response, 65_535, 10)
 
 
 def fuzz(count: int, seed: int, progress: Callable[[float], None] = lambda share: None) -> DnsFuzzReport:
-    """Check so many messages; an exception of any other kind than MessageError is a failure.
+    """Check mutated messages; any exception except MessageError is a failure.
 
-    Each failure names its message, in base 16.
+    Args:
+        count: Number of messages.
+        seed: Seed of the mutations.
+        progress: Called with the share that is done.
+
+    Returns:
+        The report; each failure includes its message in hexadecimal.
     """
     report = DnsFuzzReport()
     for number, sample in enumerate(mutated_messages(count, seed)):
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -1,4 +1,4 @@
-"""Spoofed DNS answers beside the true ones: from the upstream server's own address, and from another one."""
+"""Spoofed DNS responses to a gateway, sent from its upstream server's address and from another one."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 GENUINE_ADDRESS = answer_to(wire_query("a.example", 0))[-4:]
 SPOOFED_ADDRESS = b"\xc6\x33\x64\x42"  # 198.51.100.66
 QUERIES_PER_S = 100
-SEND_INTERVAL_S = 0.005  # between checks whether a query is due
-LAST_RESPONSES_WAIT_S = 0.5  # for those on their way at the end
+SEND_INTERVAL_S = 0.005  # interval at which due queries are sent
+LAST_RESPONSES_WAIT_S = 0.5  # time to wait for responses after the last query
 
 
 @dataclass(slots=True)
 class SpoofingReport:
-    """What was sent, and what reached the client."""
+    """Numbers of queries and spoofed responses sent, and of responses that reached the client."""
 
-    sent: int = 0  # spoofed answers
+    sent: int = 0  # spoofed responses
     seconds: float = 0.0
     queries: int = 0
     genuine_responses: int = 0
-    accepted: int = 0  # spoofed answers that a client was given
+    accepted: int = 0  # spoofed responses that the gateway accepted and sent to the client
 
 
 class _SpoofingUpstream(asyncio.DatagramProtocol):
-    """An upstream server whose address sends spoofed answers ahead of the true one."""
+    """An upstream server that sends spoofed responses ahead of each genuine one."""
 
     def __init__(self, spoofed_per_query: int, report: SpoofingReport) -> None:
         self.spoofed_per_query = spoofed_per_query
@@ -64,10 +64,10 @@
                     spoofed[0:2] = other_id.to_bytes(2)
                     self.transport.sendto(bytes(spoofed), addr)
                 case 1:
-                    spoofed[13] ^= 0x01  # another question
+                    spoofed[13] ^= 0x01  # changes the name in the question
                     self.transport.sendto(bytes(spoofed), addr)
                 case _:
-                    self.other_address.sendto(bytes(spoofed), addr)  # wrong in its source address alone
+                    self.other_address.sendto(bytes(spoofed), addr)  # only the source address is wrong
             self.report.sent += 1
         self.transport.sendto(genuine_response, addr)
 
@@ -76,7 +76,7 @@
 
 
 class _Client(asyncio.DatagramProtocol):
-    """Counts the true and the spoofed answers that it is given."""
+    """A DNS client that counts the genuine and the spoofed responses that it receives."""
 
     def __init__(self, report: SpoofingReport) -> None:
         self.report = report
@@ -88,14 +88,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _GatewayUnderTest:
-    """A gateway process with a DNS port, its files in a folder."""
+    """A gateway process that listens on a DNS port and keeps its files in a folder."""
 
     folder: Path
     dns_port: int
 
     @contextmanager
     def running(self, upstream_port: int) -> Iterator[subprocess.Popen[bytes]]:
-        """Start it with this upstream server; it is killed at the end."""
+        """Run the gateway with an upstream DNS server on this port; it is killed at the end."""
         config = self.folder / "config.json"
         operator = self.folder / "operator.toml"
         config.write_text(
@@ -127,10 +127,15 @@
 def spoof(
     spoofed_per_s: int, seconds: float, progress: Callable[[float], None] = lambda share: None
 ) -> SpoofingReport:
-    """Send so many spoofed answers a second to a gateway of its own, for so long.
+    """Send spoofed responses to a gateway process that is started for this purpose.
+
+    Args:
+        spoofed_per_s: Spoofed responses per second.
+        seconds: Duration.
+        progress: Called with the share of the duration that has passed.
 
     Raises:
-        LabError: the gateway does not answer.
+        LabError: The gateway does not respond.
     """
     report = SpoofingReport()
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
@@ -171,7 +176,7 @@
     report: SpoofingReport,
     progress: Callable[[float], None],
 ) -> None:
-    """Send queries for new names at a constant rate."""
+    """Send queries at a constant rate, each for a new name, so that none is served from the cache."""
     loop = asyncio.get_running_loop()
     start = loop.time()
     while (elapsed_s := loop.time() - start) < seconds:
--- a/sagetrack/lab/fault_injection/failures.py
+++ b/sagetrack/lab/fault_injection/failures.py
@@ -1,4 +1,4 @@
-"""Any error of the code under test is a failure that is reported, and not the end of the test."""
+"""Records exceptions of the code under test as failures, so that a test run continues."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class ErrorsAsFailures:
-    """A context that ends at the first exception in it and adds this one's description to a list.
+    """A context manager that suppresses an exception and adds a description of it to a list of failures.
 
-    What is no `Exception`, as an interrupt or a simulated crash, passes through.
+    Exceptions that do not derive from `Exception`, such as an interrupt or a simulated crash, propagate.
     """
 
     def __init__(self, failures: list[str], describe: Callable[[Exception], str]) -> None:
@@ -17,12 +17,12 @@
         self._describe = describe
 
     def __enter__(self) -> None:
-        """Nothing is to be done before."""
+        """Enter the context; there is nothing to set up."""
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> bool:
-        """Take in the error, if there is one."""
+        """Record and suppress the exception, if there is one that derives from `Exception`."""
         if not isinstance(error, Exception):
             return False
         self._failures.append(self._describe(error))
--- a/sagetrack/lab/fault_injection/faulty_filesystem.py
+++ b/sagetrack/lab/fault_injection/faulty_filesystem.py
@@ -1,8 +1,9 @@
-"""A directory in memory that crashes between any two calls, loses or tears what was not synced, and fails.
+"""An in-memory directory that simulates crashes and disk errors.
 
-What a crash leaves (Pillai et al., All File Systems Are Not Created Equal, OSDI 2014): of appended bytes that
-were not synced any 512-byte sectors, a file longer or shorter than it was; of creations, renames and removals
-some first ones in order.
+A crash can happen between any two calls. It leaves what file systems may leave (Pillai et al., All File
+Systems Are Not Created Equal, OSDI 2014): any subset of the 512-byte sectors of appended but unsynced bytes,
+files cut short or extended with zeros, and only the first of the unsynced creations, renames and removals, in
+order.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 
 
 class SimulatedCrash(BaseException):
-    """The machine has stopped: nothing after this was done."""
+    """Simulates a crash of the machine; it is raised by the call during which the machine stops."""
 
 
 @dataclass(slots=True, eq=False)
 class FaultyFile:
-    """One file: its bytes, and what of them a crash cannot take away."""
+    """A file: its current content, and the content that survives a crash."""
 
     data: bytearray = field(default_factory=bytearray)
-    durable: bytes = b""  # as of the last sync
-    truncated_to: int | None = None  # the least size that it was truncated to since
+    durable: bytes = b""  # content at the last sync
+    truncated_to: int | None = None  # smallest size to which it was truncated since the last sync
 
     def bytes_after_crash(self, rng: random.Random) -> bytes:
-        """What a crash may leave of it."""
+        """Return a random possible content of the file after a crash."""
         durable = self.durable
         if self.truncated_to is not None and rng.random() < 0.5:
             durable = durable[: self.truncated_to]
         if bytes(self.data[: len(durable)]) != durable:
-            return durable  # truncated and written again, none of it synced
+            return durable  # the file was truncated and then overwritten, but neither was synced
         recovered = bytearray(durable)
         end = rng.randint(len(durable), max(len(durable), len(self.data)))
         offset = len(durable)
@@ -46,7 +47,7 @@
 
 
 class _NameChange(NamedTuple):
-    """A change of the directory: one name goes, and another stands for a file; either may be missing."""
+    """A change of the directory: a name that is removed, a name that is added for a file, or both."""
 
     removed: str | None
     added: str | None
@@ -60,15 +61,16 @@
 
 
 class FaultyDirectory:
-    """`store.directory.StoreDirectory` in memory, with faults on demand.
+    """An in-memory implementation of `store.directory.StoreDirectory` that can inject faults.
 
     Attributes:
-        files: The files by name, as a program sees them now.
-        calls: How many calls that change something were made.
-        crash_at_call: The call from which on each raises SimulatedCrash; not positive for never.
-        errors_by_call: By name of a call the error number that it fails with, until it is taken out.
-        free_bytes: How many bytes may still be appended; None for any number.
-        largest_read: The most bytes that one read requested.
+        files: The files by name, including changes that are not yet durable.
+        calls: Number of calls so far that change or sync something.
+        crash_at_call: Number of the first of these calls that raises SimulatedCrash, as do all later ones;
+            there is no crash if it is not positive.
+        errors_by_call: Error numbers with which calls fail, by name of the call, until the entry is removed.
+        free_bytes: Number of bytes that can still be appended; None for no limit.
+        largest_read: Largest length that was requested in a read.
     """
 
     def __init__(self, files: dict[str, FaultyFile] | None = None) -> None:
@@ -79,12 +81,12 @@
         self.free_bytes: int | None = None
         self.largest_read = 0
         self._durable_files = dict(self.files)
-        self._pending_changes: list[_NameChange] = []  # since the names were synced
+        self._pending_changes: list[_NameChange] = []  # since the last sync of the names
 
     def _call(self, name: str) -> None:
         self.calls += 1
         if 0 < self.crash_at_call <= self.calls:
-            raise SimulatedCrash  # and so does each call after it
+            raise SimulatedCrash
         error_number = self.errors_by_call.get(name)
         if error_number is not None:
             raise OSError(error_number, os.strerror(error_number))
@@ -96,34 +98,34 @@
         return file
 
     def names(self) -> list[str]:
-        """Names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(self.files)
 
     def size(self, name: str) -> int:
-        """Size of a file in bytes."""
+        """Return the size of a file in bytes."""
         return len(self._file(name).data)
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Read bytes from an offset; fewer at the end of the file."""
+        """Read up to `length` bytes from an offset; fewer are returned at the end of the file."""
         self.largest_read = max(self.largest_read, length)
         return bytes(self._file(name).data[offset : offset + length])
 
     def create(self, name: str) -> None:
-        """Create an empty file, in place of one that is there."""
+        """Create an empty file, which replaces an existing one of the same name."""
         self._call("create")
         file = FaultyFile()
         self.files[name] = file
         self._pending_changes.append(_NameChange(None, name, file))
 
     def append(self, name: str, data: bytes) -> None:
-        """Append bytes; a crash leaves all of them in the cache, an error half of them."""
+        """Append bytes; on a crash all of them are in the page cache, and on an error half of them."""
         file = self._file(name)
         try:
             self._call("append")
             if self.free_bytes is not None and len(data) > self.free_bytes:
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         except SimulatedCrash:
-            file.data += data  # it may have got that far
+            file.data += data  # the crash may happen after the bytes were written to the page cache
             raise
         except OSError:
             file.data += data[: len(data) // 2]
@@ -133,12 +135,12 @@
         file.data += data
 
     def sync(self, name: str) -> None:
-        """Make what was appended durable; after an error it reads as zeros."""
+        """Make the content of a file durable; after an error, the appended bytes read as zeros."""
         file = self._file(name)
         try:
             self._call("sync")
         except OSError:
-            # The pages are marked clean and may never have been written (Rebello et al., ATC 2020).
+            # After a failed sync, pages can be marked clean without being written (Rebello et al., ATC 2020).
             file.data[len(file.durable) :] = bytes(len(file.data) - len(file.durable))
             raise
         file.durable = bytes(file.data)
@@ -152,7 +154,7 @@
         file.truncated_to = size if file.truncated_to is None else min(size, file.truncated_to)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically, in place of one of the new name."""
+        """Rename a file atomically; it replaces an existing file of the new name."""
         self._call("rename")
         file = self._file(old)
         del self.files[old]
@@ -173,10 +175,10 @@
         self._pending_changes.clear()
 
     def close(self) -> None:
-        """Release the directory: there is nothing to release."""
+        """Close the directory; there is nothing to release."""
 
     def after_crash(self, rng: random.Random) -> FaultyDirectory:
-        """The directory as it is found when the machine is up again."""
+        """Return a random possible state of the directory after a crash."""
         files = dict(self._durable_files)
         for change in self._pending_changes[: rng.randint(0, len(self._pending_changes))]:
             change.apply(files)
@@ -187,7 +189,7 @@
         return FaultyDirectory(recovered_files)
 
     def copy(self) -> FaultyDirectory:
-        """The directory as it is, all of it durable."""
+        """Return a copy of the directory, with all content durable."""
         files = {
             name: FaultyFile(bytearray(file.data), bytes(file.data)) for name, file in self.files.items()
         }
--- a/sagetrack/lab/fault_injection/store_states.py
+++ b/sagetrack/lab/fault_injection/store_states.py
@@ -1,4 +1,4 @@
-"""What crash tests of a store compare: states, batches that change them, and the states that are allowed."""
+"""Expected states of a store in crash tests, and the random batches that change them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
 
-State = dict[tuple[str, bytes], bytes]  # values by key space and key
+State = dict[tuple[str, bytes], bytes]  # all values of a store, by key space and key
 Batch = list[Record]
 
 SMALL_STORE = StoreOptions(segment_bytes=700, max_bytes=1_000_000)
 
 
 def state_of(store: Store) -> State:
-    """All values that a store holds now."""
+    """Return the current state of a store."""
     snapshot = store.snapshot()
     try:
         return {
@@ -28,7 +28,7 @@
 
 
 def state_after(state: State, batch: Batch) -> State:
-    """A copy of a state with a batch applied to it."""
+    """Return a copy of a state with a batch applied to it."""
     new_state = dict(state)
     for record in batch:
         if record.value is None:
@@ -39,7 +39,7 @@
 
 
 def random_batch(rng: random.Random, keys: int = 12) -> Batch:
-    """One to three changes, a fifth of them deletions, of so many keys in two spaces."""
+    """Return a batch of one to three changes of random keys in two key spaces; 20% are deletions."""
     batch = []
     for _ in range(rng.randint(1, 3)):
         value = None if rng.random() < 0.2 else rng.randbytes(rng.randint(0, 20))
@@ -48,51 +48,56 @@
 
 
 class ExpectedStates:
-    """Which states a store may recover to, by number of the last batch: one, or several where writes failed.
+    """Tracks the states to which a store may recover, by number of the last batch.
 
-    A batch whose writing failed or was cut short may be there after all, unless another one took its place.
+    Several states are possible for a number if writes failed: a batch whose write failed or was interrupted
+    may have been stored nevertheless, and another batch may have been written later under the same number.
     """
 
     def __init__(self) -> None:
-        self._written: list[State] = [{}]  # by number of the batch
-        self._possible: dict[int, list[State]] = {}
+        self._written: list[State] = [{}]  # states after successful writes, by number of the batch
+        self._possible: dict[int, list[State]] = {}  # states after writes that were started, by batch number
         self._acknowledged = 0
 
     @property
     def newest(self) -> State:
-        """The state after all that was written without an error."""
+        """The state after all successful writes."""
         return self._written[-1]
 
     def begin_write(self, batches: list[Batch]) -> None:
-        """Batches are about to be written: from now on they may be found."""
+        """Record that batches are about to be written, so that the store may recover to them."""
         state = self.newest
         for batch_number, batch in enumerate(batches, len(self._written)):
             state = state_after(state, batch)
             self._possible.setdefault(batch_number, []).append(state)
 
     def end_write(self, batches: list[Batch]) -> None:
-        """Those batches were written without an error."""
+        """Record that these batches were written without an error."""
         for batch in batches:
             self._written.append(state_after(self.newest, batch))
 
     def acknowledge(self, batch_number: int) -> None:
-        """All batches up to this number are durable: they must be found."""
+        """Record that all batches up to this number are durable, so that none of them may be lost."""
         self._acknowledged = batch_number
         self._possible = {later: states for later, states in self._possible.items() if later > batch_number}
 
     def check_recovered(self, batch_number: int, state: State) -> str | None:
-        """Compare what a store recovered to, and go on from it.
+        """Check a recovered state, and continue from it.
+
+        Args:
+            batch_number: Number of the last batch in the recovered store.
+            state: The recovered state.
 
         Returns:
-            What is wrong with it; None if it is allowed.
+            A description of the failure; None if the state is allowed.
         """
         if batch_number < self._acknowledged:
-            return f"{self._acknowledged} was acknowledged, {batch_number} is there"
+            return f"acknowledged up to batch {self._acknowledged}, recovered up to {batch_number}"
         allowed = list(self._possible.get(batch_number, []))
         if batch_number < len(self._written):
             allowed.append(self._written[batch_number])
         if state not in allowed:
-            return f"not the state after batch {batch_number}"
+            return f"recovered state is not the state after batch {batch_number}"
         known = self._written[:batch_number]
         self._written = [*known, *[state] * (batch_number + 1 - len(known))]
         self._possible.clear()
--- a/sagetrack/lab/fault_injection/writer_process.py
+++ b/sagetrack/lab/fault_injection/writer_process.py
@@ -1,6 +1,6 @@
-"""A real process that writes to a store on disk until it is killed.
+"""A process that writes to a store on disk until it is killed.
 
-Each batch follows from its number, so that who opens the store afterwards knows what it must hold.
+The content of each batch is derived from its number, so that the test knows the expected state afterwards.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from sagetrack.store.options import StoreOptions
 
 LARGE_STORE = StoreOptions(segment_bytes=64 * 1024, max_bytes=64_000_000)
-COMPACT_EVERY_BATCHES = 200  # batches
-OVERWRITTEN_AFTER_BATCHES = 400  # batches: by then each key was most likely written again
-FIRST_BATCH_TIMEOUT_S = 10.0  # for the first batch
-MAX_WRITING_S = 0.1  # after the first batch
+COMPACT_EVERY_BATCHES = 200
+OVERWRITTEN_AFTER_BATCHES = 400  # after this many batches, each key has most likely been overwritten
+FIRST_BATCH_TIMEOUT_S = 10.0
+MAX_WRITING_S = 0.1  # upper limit on the time from the first reported batch to the kill
 
 
 def write_until_killed(folder: str) -> None:
-    """Write batch after batch; print a batch's number to standard output once it is durable."""
+    """Write batches in an endless loop, and print the number of each one to stdout once it is durable."""
     store = Store(DiskDirectory(folder), LARGE_STORE)
     sequence = store.open().sequence
     while True:
@@ -42,13 +42,16 @@
 
 
 def numbered_batch(sequence: int) -> Batch:
-    """Batch n: eight of fifty keys, with values that follow from n."""
+    """Return the batch with this number: eight writes to fifty keys, all derived from the number."""
     rng = random.Random(sequence)
     return [Record("w", b"%d" % rng.randrange(50), b"%d:" % sequence + rng.randbytes(40)) for _ in range(8)]
 
 
 def newest_values(sequence: int) -> State:
-    """What the last batches up to this number left; keys that were written long ago are missing."""
+    """Return the values that the newest batches up to this number wrote.
+
+    Keys that none of these batches wrote are missing.
+    """
     state: State = {}
     for batch_number in range(max(1, sequence - OVERWRITTEN_AFTER_BATCHES), sequence + 1):
         state = state_after(state, numbered_batch(batch_number))
@@ -56,15 +59,15 @@
 
 
 def write_and_kill(folder: Path, rng: random.Random, last_batch: int) -> int:
-    """Let a process write for a moment, and kill it.
+    """Start a process that writes to the store, and kill it after a short time.
 
     Args:
         folder: The directory of the store.
-        rng: Decides how long the process may write after its first batch.
-        last_batch: The last batch that was there before.
+        rng: Chooses the time from the first reported batch to the kill.
+        last_batch: Number of the last batch in the store.
 
     Returns:
-        The number of the last batch that the process reported to be durable.
+        The number of the last batch that the process reported as durable; `last_batch` if it reported none.
     """
     module = write_until_killed.__module__
     code = f"from {module} import write_until_killed; write_until_killed({str(folder)!r})"
