--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -50,7 +50,7 @@
         self.responses.append(dns.message.from_wire(data))
 
     @classmethod
-    async def to(cls, address: tuple[str, int]) -> UdpClient:
+    async def connect(cls, address: tuple[str, int]) -> UdpClient:
         loop = asyncio.get_running_loop()
         transport, client = await loop.create_datagram_endpoint(cls, remote_addr=address)
         client.transport = transport
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -27,16 +27,19 @@
 
 
 def test_endpoint_list_is_split_by_protocol_and_a_server_can_change_protocol() -> None:
-    split = EndpointsByProtocol({9: "dns"})
-    parts = split.update(ListKind.FULL, [endpoint("a", "h:1"), endpoint("b", "h:2", 9)])
-    assert [e.name for e in parts["http"]] == ["a"] and [e.name for e in parts["dns"]] == ["b"]
-    parts = split.update(ListKind.DELTA, [endpoint("a", "h:1", 9)])
-    assert [e.listed.status for e in parts["http"]] == [ServerStatus.GONE]
-    assert [e.listed.status for e in parts["dns"]] == [ServerStatus.READY]
-    assert {e.name for e in split.endpoints["dns"].values()} == {"a", "b"} and not split.endpoints["http"]
-    assert not any(split.update(ListKind.ERROR, []).values()) and len(split.endpoints["dns"]) == 2
-    assert [e.name for e in split.update(ListKind.FULL, [endpoint("c", "h:3")])["http"]] == ["c"]
-    assert not split.endpoints["dns"]
+    by_protocol = EndpointsByProtocol({9: "dns"})
+    changes = by_protocol.update(ListKind.FULL, [endpoint("a", "h:1"), endpoint("b", "h:2", 9)])
+    assert [e.name for e in changes["http"]] == ["a"] and [e.name for e in changes["dns"]] == ["b"]
+    changes = by_protocol.update(ListKind.DELTA, [endpoint("a", "h:1", 9)])
+    assert [e.listed.status for e in changes["http"]] == [ServerStatus.GONE]
+    assert [e.listed.status for e in changes["dns"]] == [ServerStatus.READY]
+    assert {e.name for e in by_protocol.endpoints["dns"].values()} == {
+        "a",
+        "b",
+    } and not by_protocol.endpoints["http"]
+    assert not any(by_protocol.update(ListKind.ERROR, []).values()) and len(by_protocol.endpoints["dns"]) == 2
+    assert [e.name for e in by_protocol.update(ListKind.FULL, [endpoint("c", "h:3")])["http"]] == ["c"]
+    assert not by_protocol.endpoints["dns"]
 
 
 @on_event_loop
@@ -46,7 +49,7 @@
         nameserver() as second_upstream,
         running_service(uses_endpoint_list=True) as (service, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         first, second = (
             endpoint(n, f"{s.host}:{s.port}", 9)
             for n, s in (("one", first_upstream), ("two", second_upstream))
@@ -68,14 +71,14 @@
         config["known"]["endpoints"].append(
             {"name": "d-1", "address": f"127.0.0.1:{upstream.port}", "status": "SERVING", "type": "dns"}
         )
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            port = probe.getsockname()[1]
-        file = tmp_path / "operator.toml"
-        file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
-        async with running_gateway(config, load_operator(str(file))) as gateway:
+        with socket.socket() as port_socket:
+            port_socket.bind(("127.0.0.1", 0))
+            port = port_socket.getsockname()[1]
+        operator_file = tmp_path / "operator.toml"
+        operator_file.write_text(f'[dns]\nlisten = ["127.0.0.1:{port}"]\ntype = "dns"\n')
+        async with running_gateway(config, load_operator(str(operator_file))) as gateway:
             assert [host.name for host in gateway.assembly.pools.servers.values()] == ["s-0"]
-            client = await UdpClient.to(("127.0.0.1", port))
+            client = await UdpClient.connect(("127.0.0.1", port))
             assert (await client.exchange(query())).answer[0][0].to_text() == "192.0.2.1"
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             gateway.listener.standby()
@@ -93,10 +96,10 @@
         nameserver() as second_upstream,
         running_service(first_upstream, second_upstream) as (service, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         service.list_upstreams([second_upstream.address])
-        before = first_upstream.udp_queries
+        queries_before = first_upstream.udp_queries
         for number in range(20):
             await client.exchange(query(f"n{number}.example."))
-        assert first_upstream.udp_queries == before and second_upstream.udp_queries == 20
+        assert first_upstream.udp_queries == queries_before and second_upstream.udp_queries == 20
         client.transport.close()
--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -42,10 +42,12 @@
 
 @settings(max_examples=400)
 @given(st.integers(0, 200), st.integers(0, 255), st.integers(0, 200), st.binary(max_size=4))
-def test_mutated_response_is_rejected_or_matches_the_query(at: int, byte: int, cut: int, tail: bytes) -> None:
+def test_mutated_response_is_rejected_or_matches_the_query(
+    offset: int, byte: int, cut: int, tail: bytes
+) -> None:
     parsed_query = parse_query(query("b.example.", use_edns=0))
     wire = bytearray(response_to(encode_upstream_query(parsed_query, 77), records=3))
-    wire[at % len(wire)] = byte
+    wire[offset % len(wire)] = byte
     data = bytes(wire[: len(wire) - cut % len(wire)]) + tail
     try:
         parsed = parse_response(data, parsed_query, 77)
@@ -83,8 +85,8 @@
 def test_compression_pointer_loop_is_not_followed() -> None:
     parsed_query = parse_query(query())
     wire = bytearray(response_to(encode_upstream_query(parsed_query, 5)))
-    at = 12 + len(parsed_query.question)
-    wire[at : at + 2] = (0xC000 | at).to_bytes(2)  # a name that points to itself: nobody follows it
+    offset = 12 + len(parsed_query.question)
+    wire[offset : offset + 2] = (0xC000 | offset).to_bytes(2)  # a name that points to itself: nobody follows it
     assert parse_response(bytes(wire), parsed_query, 5) is not None
 
 
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -28,8 +28,8 @@
 
 
 def test_message_id_is_not_one_in_use() -> None:
-    free = 40_000
-    assert unused_message_id(set(range(65_536)) - {free}) == free
+    free_id = 40_000
+    assert unused_message_id(set(range(65_536)) - {free_id}) == free_id
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -25,7 +25,7 @@
 @on_event_loop
 async def test_response_is_cached_and_sent_in_the_letter_case_of_each_query() -> None:
     async with nameserver() as upstream, running_service(upstream) as (service, address):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         first = await client.exchange(query("One.Example."))
         second = await client.exchange(query("oNE.example."))
         assert first.answer[0][0].to_text() == second.answer[0][0].to_text() == "192.0.2.1"
@@ -40,7 +40,7 @@
         nameserver(NameserverBehaviour(truncates=True, records=60)) as upstream,
         running_service(upstream) as (service, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         response = await client.exchange(query(use_edns=0, payload=4096))
         assert len(response.answer[0]) == 60 and upstream.tcp_queries == 1
         gateway = service.gateway
@@ -55,7 +55,7 @@
         nameserver(NameserverBehaviour(delay_s=0.1)) as upstream,
         running_service(upstream) as (service, address),
     ):
-        client_a, client_b = await UdpClient.to(address), await UdpClient.to(address)
+        client_a, client_b = await UdpClient.connect(address), await UdpClient.connect(address)
         data = query()
         client_a.transport.sendto(data)
         client_a.transport.sendto(data)
@@ -69,9 +69,9 @@
 
 @on_event_loop
 async def test_spoofed_responses_are_ignored() -> None:
-    forger = NameserverBehaviour(forgeries=50, spoofs_source=True)
-    async with nameserver(forger) as upstream, running_service(upstream) as (service, address):
-        client = await UdpClient.to(address)
+    spoofing = NameserverBehaviour(forgeries=50, spoofs_source=True)
+    async with nameserver(spoofing) as upstream, running_service(upstream) as (service, address):
+        client = await UdpClient.connect(address)
         for number in range(20):
             response = await client.exchange(query(f"n{number}.example."))
             assert [r.to_text() for r in response.answer[0]] == ["192.0.2.1"]
@@ -88,19 +88,19 @@
         nameserver(NameserverBehaviour(ttl=1)) as upstream,
         running_service(upstream, **options) as (service, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         await client.exchange(query("kept.example."))
         upstream.behaviour.rcode = 2
-        for kept in service.cache.entries.values():
-            kept.expires_us = 0
-            kept.expires_us = kept.cached_us
+        for entry in service.cache.entries.values():
+            entry.expires_us = 0
+            entry.expires_us = entry.cached_us
         stale = await client.exchange(query("kept.example.", use_edns=0))
         assert stale.answer[0].ttl == 30 and extended_errors(stale) == [3]
         failed = await client.exchange(query("other.example.", use_edns=0))
         assert failed.rcode() == dns.rcode.SERVFAIL and extended_errors(failed) in ([14], [22], [23])
         upstream.behaviour = NameserverBehaviour(is_silent=True)
-        late = await client.exchange(query("silent.example.", use_edns=0))
-        assert late.rcode() == dns.rcode.SERVFAIL
+        unanswered = await client.exchange(query("silent.example.", use_edns=0))
+        assert unanswered.rcode() == dns.rcode.SERVFAIL
         client.transport.close()
 
 
@@ -112,7 +112,7 @@
         nameserver(prompt) as second_upstream,
         running_service(first_upstream, second_upstream) as (_, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         responses = [await client.exchange(query(f"n{number}.example.")) for number in range(100)]
         successful = sum(message.rcode() == dns.rcode.NOERROR for message in responses)
         # Some are refused in the first moments: after a time-out the module sheds until answers are prompt.
@@ -126,7 +126,7 @@
         nameserver(NameserverBehaviour(loss=0.02, delay_s=0.001)) as upstream,
         running_service(upstream) as (_, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         for number in range(300):
             client.transport.sendto(query(f"n{number}.example."))
             if number % 10 == 9:
@@ -143,7 +143,7 @@
         nameserver() as upstream,
         running_service(upstream, allowed_prefixes=["10.0.0.0/8"]) as (service, address),
     ):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         response = await client.exchange(query(use_edns=0))
         assert response.rcode() == dns.rcode.REFUSED and extended_errors(response) == [18]
         assert not upstream.udp_queries and service.handler.counts.denied == 1
@@ -154,17 +154,17 @@
 async def test_new_process_serves_the_shared_address_after_hot_restart() -> None:
     async with nameserver() as upstream:
         config = DnsConfig([("127.0.0.1", 0)], [upstream.address])
-        old = DnsService(config, 1)
-        (address,) = await old.start(shared=True)
-        new = DnsService(replace(config, listen=[address]), 2)
-        await new.start(shared=True)
+        old_process = DnsService(config, 1)
+        (address,) = await old_process.start(shared=True)
+        new_process = DnsService(replace(config, listen=[address]), 2)
+        await new_process.start(shared=True)
         try:
-            await old.listener.shut_down(asyncio.get_running_loop().time() + 1.0)
-            client = await UdpClient.to(address)
+            await old_process.listener.shut_down(asyncio.get_running_loop().time() + 1.0)
+            client = await UdpClient.connect(address)
             for number in range(10):
                 await client.exchange(query(f"n{number}.example."))
-            assert new.handler.counts.answered == 10
+            assert new_process.handler.counts.answered == 10
             client.transport.close()
         finally:
-            old.close()
-            new.close()
+            old_process.close()
+            new_process.close()
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -70,7 +70,7 @@
                 await reader.read()
             writer.close()
         await wait_until(lambda: not service.listener.connections)
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         assert (await client.exchange(query())).rcode() == dns.rcode.NOERROR
         client.transport.close()
 
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -60,10 +60,10 @@
     assert respond(zones, "SERVERS.sur.example.", "AAAA").answer[0][0].to_text() == "2001:db8::6"
     assert respond(zones, "s-2.servers.sur.example.").answer[0][0].to_text() == "192.0.2.2"
     assert respond(zones, "gateways.sur.example.").answer[0][0].to_text() == "198.51.100.1"
-    services = {r.to_text() for r in respond(zones, "_http._tcp.servers.sur.example.", "SRV").answer[0]}
-    assert "0 200 8082 s-2.servers.sur.example." in services and len(services) == 3
-    pointer = respond(zones, "1.2.0.192.in-addr.arpa.", "PTR")
-    assert pointer.answer[0][0].to_text() == "s-1.servers.sur.example."
+    srv_records = {r.to_text() for r in respond(zones, "_http._tcp.servers.sur.example.", "SRV").answer[0]}
+    assert "0 200 8082 s-2.servers.sur.example." in srv_records and len(srv_records) == 3
+    ptr_response = respond(zones, "1.2.0.192.in-addr.arpa.", "PTR")
+    assert ptr_response.answer[0][0].to_text() == "s-1.servers.sur.example."
     assert zones.resolve(zone_query("www.other.example.")) is None
 
 
@@ -83,9 +83,9 @@
 
 def test_serial_rises_only_when_the_servers_change() -> None:
     zones = installation_zones(serial=2**32 - 1)
-    first = zones.serial
-    assert not zones.update(list(reversed(SERVERS))) and zones.serial == first
-    assert zones.update(SERVERS[1:]) and zones.serial == first + 1
+    first_serial = zones.serial
+    assert not zones.update(list(reversed(SERVERS))) and zones.serial == first_serial
+    assert zones.update(SERVERS[1:]) and zones.serial == first_serial + 1
     assert respond(zones, "s-1.servers.sur.example.").rcode() == dns.rcode.NXDOMAIN
     assert respond(zones, "sur.example.", "SOA").answer[0][0].serial == zones.serial
 
@@ -94,12 +94,12 @@
     weights = {"a": 1.0, "b": 0.05}
     zones = LocalZones("z.example.", 3, weights=lambda: weights)
     zones.update([ZoneMember("a", "192.0.2.1", 1), ZoneMember("b", "192.0.2.2", 1)])
-    first = 0
+    first_count = 0
     for _ in range(40):
         zones.reshuffle()
-        heads = [respond(zones, "servers.z.example.").answer[0][0].to_text() for _ in range(8)]
-        first += heads.count("192.0.2.1")
-    assert 0.85 < first / 320 < 1.0
+        first_addresses = [respond(zones, "servers.z.example.").answer[0][0].to_text() for _ in range(8)]
+        first_count += first_addresses.count("192.0.2.1")
+    assert 0.85 < first_count / 320 < 1.0
 
 
 def test_zone_file_is_served_and_an_invalid_one_is_named_in_the_error(tmp_path: Path) -> None:
@@ -120,14 +120,14 @@
     options = {"zone": ZoneConfig("sur.example.")}
     async with nameserver() as upstream, running_service(upstream, **options) as (service, address):
         service.set_zone_servers([("s-1", ("192.0.2.7", 80), 1.0)])
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         local = await client.exchange(query("servers.sur.example."))
         forwarded = await client.exchange(query("else.example."))
         assert local.answer[0][0].to_text() == "192.0.2.7" and forwarded.answer[0][0].to_text() == "192.0.2.1"
         assert upstream.udp_queries == 1
         client.transport.close()
     async with running_service(**options) as (service, address):
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         refused = await client.exchange(query("else.example.", use_edns=0))
         assert refused.rcode() == dns.rcode.REFUSED and extended_errors(refused) == [20]
         client.transport.close()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -10,13 +10,13 @@
 
 def test_error_is_recorded_and_suppressed() -> None:
     failures: list[str] = []
-    reached = []
+    reached_points = []
     with ErrorsAsFailures(failures, lambda error: f"part 1: {error!r}"):
-        reached.append("before")
+        reached_points.append("before")
         raise ValueError("bad")
     with ErrorsAsFailures(failures, repr):
-        reached.append("after")
-    assert failures == ["part 1: ValueError('bad')"] and reached == ["before", "after"]
+        reached_points.append("after")
+    assert failures == ["part 1: ValueError('bad')"] and reached_points == ["before", "after"]
 
 
 @pytest.mark.parametrize("error", [SimulatedCrash, KeyboardInterrupt])
