--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -1,4 +1,4 @@
-"""Queries, clients and a running service for tests of DNS."""
+"""Helpers for DNS tests: queries and responses, a UDP client, and a running DNS service."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class UdpClient(asyncio.DatagramProtocol):
-    """Asks over UDP."""
+    """A DNS client that sends queries over UDP."""
 
     def __init__(self) -> None:
         self.responses: list[dns.message.Message] = []
--- a/tests/test_dns_cache.py
+++ b/tests/test_dns_cache.py
@@ -1,4 +1,4 @@
-"""Cache of answers: bounds, expiry, stale answers, prefetch."""
+"""The cache of DNS responses: size limit, expiry, stale responses and prefetching."""
 
 from __future__ import annotations
 
--- a/tests/test_dns_fuzz.py
+++ b/tests/test_dns_fuzz.py
@@ -1,4 +1,4 @@
-"""Mutated messages and the corpus of messages that once did harm."""
+"""Fuzzing of the DNS parser, and a corpus of messages that caused failures in the past."""
 
 from __future__ import annotations
 
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -1,4 +1,4 @@
-"""Access rules, response rate, queries in flight."""
+"""Limits on DNS clients: access rules, response rate and queries in flight."""
 
 from __future__ import annotations
 
--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -1,4 +1,4 @@
-"""Reading and writing of DNS messages."""
+"""Parsing and encoding of DNS messages."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     parsed_query = parse_query(query())
     wire = bytearray(response_to(encode_upstream_query(parsed_query, 5)))
     offset = 12 + len(parsed_query.question)
-    wire[offset : offset + 2] = (0xC000 | offset).to_bytes(2)  # a name that points to itself: nobody follows it
+    wire[offset : offset + 2] = (0xC000 | offset).to_bytes(2)  # a compression pointer to itself
     assert parse_response(bytes(wire), parsed_query, 5) is not None
 
 
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -1,4 +1,4 @@
-"""Rules of DNS that need no socket: message ids, outcomes of attempts, labels of the zone."""
+"""Message ids, outcomes of attempts, server states, labels and error classes of DNS, without sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Observer:
-    """Records the end of an attempt."""
+    """Records how an attempt ends."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[Outcome, bool]] = []
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -1,4 +1,4 @@
-"""The DNS service over sockets: forwarding, sharing, spoofing, failing servers, hot restart."""
+"""The DNS service over sockets: forwarding, shared requests, spoofing, failing servers and hot restart."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
         client = await UdpClient.connect(address)
         responses = [await client.exchange(query(f"n{number}.example.")) for number in range(100)]
         successful = sum(message.rcode() == dns.rcode.NOERROR for message in responses)
-        # Some are refused in the first moments: after a time-out the module sheds until answers are prompt.
+        # A few queries are refused at first: after a timeout, load is shed until latencies are low again.
         assert successful >= 90 and second_upstream.udp_queries >= 90 and first_upstream.udp_queries < 10
         client.transport.close()
 
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -29,7 +29,7 @@
     long_deadlines = {
         "latency_objective_us": 20_000_000,
         "deadline_us": 20_000_000,
-    }  # on a busy machine none is shed
+    }  # long enough that no query is shed on a busy machine
     async with (
         nameserver(NameserverBehaviour(records=100)) as upstream,
         running_service(upstream, **long_deadlines) as (_, address),
--- a/tests/test_dns_zone.py
+++ b/tests/test_dns_zone.py
@@ -1,4 +1,4 @@
-"""Zones that the gateway answers itself."""
+"""Zones that the gateway serves itself."""
 
 from __future__ import annotations
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Errors of the code under test as failures."""
+"""Recording of exceptions of the code under test as failures."""
 
 from __future__ import annotations
 
