--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -69,7 +69,7 @@
         self.counts = CacheCounts()
 
     @staticmethod
-    def cost(key: CacheKey, response: DnsResponse) -> int:
+    def entry_bytes(key: CacheKey, response: DnsResponse) -> int:
         """Return the estimated memory in bytes of an entry."""
         return (
             ENTRY_OVERHEAD_BYTES
@@ -115,13 +115,13 @@
         """Cache a response for its TTL; a response that must not be cached or is too large is ignored."""
         if response.ttl <= 0:
             return
-        cost = self.cost(key, response)
-        if cost > self.max_bytes:
+        entry_bytes = self.entry_bytes(key, response)
+        if entry_bytes > self.max_bytes:
             return
         self.remove(key)
         ttl = min(response.ttl, self.max_ttl_s)
         self.entries[key] = CachedResponse(response, now_us, now_us + ttl * 1_000_000)
-        self.size_bytes += cost
+        self.size_bytes += entry_bytes
         while self.size_bytes > self.max_bytes:
             self.remove(next(iter(self.entries)))
             self.counts.evicted += 1
@@ -136,4 +136,4 @@
         """Remove an entry, if it exists."""
         entry = self.entries.pop(key, None)
         if entry is not None:
-            self.size_bytes -= self.cost(key, entry.response)
+            self.size_bytes -= self.entry_bytes(key, entry.response)
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -281,7 +281,7 @@
     return HEADER.pack(query.id, flags, 1, 0, 0, int(query.has_edns)) + query.question + tail
 
 
-def encode_error_for_unreadable(data: bytes, rcode: Rcode) -> bytes | None:
+def encode_error_for_invalid(data: bytes, rcode: Rcode) -> bytes | None:
     """Encode a response to a message of which only the header can be parsed.
 
     Returns:
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -27,7 +27,7 @@
     Query,
     Rcode,
     encode_error,
-    encode_error_for_unreadable,
+    encode_error_for_invalid,
     parse_query,
 )
 
@@ -47,10 +47,10 @@
     answered: int = 0
     refused: int = 0
     failed: int = 0
-    joined: int = 0  # retransmissions of a query in flight
+    retransmitted: int = 0  # retransmissions of a query in flight
     shared: int = 0  # queries that joined the upstream request of another query
     denied: int = 0  # messages of clients that the access rules deny
-    unreadable: int = 0  # malformed or unsupported messages
+    invalid: int = 0  # malformed or unsupported messages
     truncated: int = 0  # UDP responses sent with TC set
 
 
@@ -135,13 +135,13 @@
         try:
             query = parse_query(data)
         except MessageError as error:
-            self.counts.unreadable += 1
+            self.counts.invalid += 1
             if error.rcode is not None:
-                self.send_error(encode_error_for_unreadable(data, error.rcode), host, is_udp, write)
+                self.send_error(encode_error_for_invalid(data, error.rcode), host, is_udp, write)
             return False
         key = (client, query.id, query.question)
         if key in self.waiting:
-            self.counts.joined += 1  # a retransmission; the response to the first one also answers it
+            self.counts.retransmitted += 1  # a retransmission; the response to the first one also answers it
             return False
         self.counts.queries += 1
         max_bytes = MAX_MESSAGE_BYTES
@@ -157,7 +157,7 @@
         try:
             response: bytes | None = encode_error(parse_query(data), Rcode.REFUSED, ExtendedError.PROHIBITED)
         except MessageError:
-            response = encode_error_for_unreadable(data, Rcode.REFUSED)
+            response = encode_error_for_invalid(data, Rcode.REFUSED)
         self.send_error(response, host, is_udp, write)
 
     def send_error(self, response: bytes | None, host: str, is_udp: bool, write: WriteResponse) -> None:
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -167,7 +167,7 @@
         Raises:
             OSError: An address cannot be bound.
         """
-        self.list_upstreams(self.config.upstreams)
+        self.set_configured_upstreams(self.config.upstreams)
         self.freeze_cache()
         return await self.listener.start(list(self.config.listen), shared)
 
@@ -185,7 +185,7 @@
             gc.freeze()
         self.frozen_entries = min(self.frozen_entries, entries)
 
-    def list_upstreams(self, addresses: Sequence[Address]) -> None:
+    def set_configured_upstreams(self, addresses: Sequence[Address]) -> None:
         """Replace the upstream servers that are configured in the operator's file."""
         self.configured_upstreams = []
         for host, port in addresses:
@@ -232,10 +232,10 @@
             "dns_answered_total": queries.answered,
             "dns_refused_total": queries.refused,
             "dns_failed_total": queries.failed,
-            "dns_joined_total": queries.joined,
+            "dns_joined_total": queries.retransmitted,
             "dns_shared_total": queries.shared,
             "dns_denied_total": queries.denied,
-            "dns_unreadable_total": queries.unreadable,
+            "dns_unreadable_total": queries.invalid,
             "dns_cache_hits_total": cache.counts.hits,
             "dns_cache_misses_total": cache.counts.misses,
             "dns_cache_stale_total": cache.counts.stale,
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -173,7 +173,7 @@
             if rdtype in target_records:
                 reply.answer.append(dns.rrset.from_rdata_list(target, ttl, target_records[rdtype]))
         else:
-            if records is None and name not in zone.empty_non_terminals:
+            if records is None and name not in zone.non_terminals:
                 reply.set_rcode(dns.rcode.NXDOMAIN)
             reply.authority.append(zone.soa)
 
--- a/sagetrack/dns/zone_records.py
+++ b/sagetrack/dns/zone_records.py
@@ -49,17 +49,17 @@
     records: Records
     soa: dns.rrset.RRset
     # All names that have names below them; these exist even if they have no records (RFC 8499).
-    empty_non_terminals: set[dns.name.Name] = field(default_factory=set)
+    non_terminals: set[dns.name.Name] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         for name in self.records:
             parent = name
             while parent != self.origin and parent.is_subdomain(self.origin):
                 parent = parent.parent()
-                self.empty_non_terminals.add(parent)
+                self.non_terminals.add(parent)
 
 
-def label(name: str) -> str:
+def to_label(name: str) -> str:
     """Convert a server's name to a label of letters, digits and hyphens (RFC 1123, 2.1)."""
     characters = (c if c.isascii() and (c.isalnum() or c == "-") else "-" for c in name.lower())
     return "".join(characters).strip("-")[:MAX_LABEL_BYTES] or "server"
@@ -110,13 +110,13 @@
 
     def add_gateway(self, member: ZoneMember) -> None:
         """Add the address records of a gateway, which is also a name server of the zone."""
-        self.add_address(f"{label(member.name)}.gateways", member.host)
+        self.add_address(f"{to_label(member.name)}.gateways", member.host)
         self.add_address("gateways", member.host)
         self.add_address("ns", member.host)
 
     def add_server(self, member: ZoneMember) -> None:
         """Add the address records, the SRV record (RFC 2782) and the reverse name of a server."""
-        name = self.add_address(f"{label(member.name)}.servers", member.host)
+        name = self.add_address(f"{to_label(member.name)}.servers", member.host)
         self.add_address("servers", member.host)
         weight = max(1, min(MAX_SRV_WEIGHT, round(SRV_WEIGHT_SCALE * member.weight)))
         service = name_below("_http._tcp.servers", self.origin)
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -97,7 +97,7 @@
         running_service(first_upstream, second_upstream) as (service, address),
     ):
         client = await UdpClient.connect(address)
-        service.list_upstreams([second_upstream.address])
+        service.set_configured_upstreams([second_upstream.address])
         queries_before = first_upstream.udp_queries
         for number in range(20):
             await client.exchange(query(f"n{number}.example."))
--- a/tests/test_dns_message.py
+++ b/tests/test_dns_message.py
@@ -18,7 +18,7 @@
     MessageError,
     Rcode,
     encode_error,
-    encode_error_for_unreadable,
+    encode_error_for_invalid,
     encode_upstream_query,
     parse_query,
 )
@@ -36,7 +36,7 @@
             dns.message.from_wire(encode_error(parsed, Rcode.SERVFAIL), ignore_trailing=True).id == parsed.id
         )
     for rcode in (Rcode.FORMERR, Rcode.BADVERS):
-        response = encode_error_for_unreadable(data, rcode)
+        response = encode_error_for_invalid(data, rcode)
         assert response is None or len(response) <= max(23, len(data))
 
 
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -12,7 +12,7 @@
 from sagetrack.dns.errors import DnsError
 from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, unused_message_id
-from sagetrack.dns.zone_records import ZoneError, label
+from sagetrack.dns.zone_records import ZoneError, to_label
 from sagetrack.policy.events import Outcome
 from tests.dns_helpers import query, response_to
 
@@ -65,7 +65,7 @@
     ("name", "expected"), [("S_2", "s-2"), ("-a.b-", "a-b"), ("\u00e9", "server"), ("x" * 70, "x" * 63)]
 )
 def test_label_has_only_letters_digits_and_hyphens(name: str, expected: str) -> None:
-    assert label(name) == expected
+    assert to_label(name) == expected
 
 
 def test_errors_share_a_base_class() -> None:
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -62,7 +62,7 @@
         client_b.transport.sendto(query())
         await wait_until(lambda: client_a.responses and client_b.responses)
         assert upstream.udp_queries == 1 and len(client_a.responses) == 1
-        assert service.handler.counts.joined == 1 and service.handler.counts.shared == 1
+        assert service.handler.counts.retransmitted == 1 and service.handler.counts.shared == 1
         for client in (client_a, client_b):
             client.transport.close()
 
