--- a/sagetrack/dns/downstream_connection.py
+++ b/sagetrack/dns/downstream_connection.py
@@ -109,7 +109,7 @@
             self.set_timeout(None if self.queries_in_flight else IDLE_TIMEOUT_S)
 
     def update_reading(self) -> None:
-        """Pause reading from the client at a limit, and resume it below."""
+        """Pause reading from the client while a limit is reached, and resume it otherwise."""
         should_pause = self.queries_in_flight >= MAX_PIPELINED_QUERIES or self.write_paused
         if self.transport is None or should_pause == self.read_paused or self.transport.is_closing():
             return
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -75,7 +75,7 @@
 
     Args:
         reason: Describes the fault.
-        rcode: The response code to send back; None if no response is sent.
+        rcode: The response code for the sender; None if no response is sent.
     """
 
     def __init__(self, reason: str, rcode: Rcode | None = None) -> None:
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -141,7 +141,7 @@
             return False
         key = (client, query.id, query.question)
         if key in self.waiting:
-            self.counts.retransmitted += 1  # a retransmission; the response to the first one also answers it
+            self.counts.retransmitted += 1  # not handled again; the response to the first copy is due
             return False
         self.counts.queries += 1
         max_bytes = MAX_MESSAGE_BYTES
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -117,8 +117,8 @@
         self.config = config
         self.zones = self._build_zones(seed, weights, serial)
         self.freeze_timer: asyncio.TimerHandle | None = None
-        self.configured_upstreams: list[Endpoint] = []  # of the operator's file
-        self.listed_upstreams = list(listed_upstreams)  # of the last complete endpoint list
+        self.configured_upstreams: list[Endpoint] = []  # upstream servers in the operator's file
+        self.listed_upstreams = list(listed_upstreams)  # upstream servers in the last complete list
         self.frozen_entries = 0  # cache entries that the garbage collector no longer scans
         settings = load_balancer_settings(config)
         self.upstreams = DnsUpstreams(settings)
@@ -181,7 +181,7 @@
         entries = len(self.cache.entries)
         if entries - self.frozen_entries >= GC_FREEZE_ENTRIES:
             self.frozen_entries = entries
-            gc.collect(1)  # a freeze would keep current garbage forever
+            gc.collect(1)  # frees the garbage first, as frozen objects are never collected
             gc.freeze()
         self.frozen_entries = min(self.frozen_entries, entries)
 
--- a/sagetrack/dns/zone.py
+++ b/sagetrack/dns/zone.py
@@ -35,7 +35,7 @@
 
 ORDER_COUNT = 8  # number of random orders of the servers, weighted; responses use them in turn
 MAX_RENDERED_RESPONSES = 4096  # limit on the responses that are kept rendered
-SERIAL_MODULUS = 2**32  # RFC 1982
+SERIAL_MODULUS = 2**32  # serial numbers have 32 bits and wrap around (RFC 1982)
 
 
 class LocalZones:
@@ -107,7 +107,7 @@
             self.rebuild()
 
     def rebuild(self) -> None:
-        """Rebuild the installation's zone, and discard the rendered responses."""
+        """Rebuild the installation's zone with new random orders, and discard the rendered responses."""
         self.rendered = {}
         if self.origin is None:
             return
