--- a/sagetrack/lab/fault_injection/dns_fuzz.py
+++ b/sagetrack/lab/fault_injection/dns_fuzz.py
@@ -58,7 +58,7 @@
 def valid_responses() -> list[Sample]:
     """Return the valid responses that are mutated."""
     samples = []
-    for number, (kind, behaviour) in enumerate(
+    for number, (rdtype, behaviour) in enumerate(
         (
             ("A", NameserverBehaviour()),
             ("A", NameserverBehaviour(records=20)),
@@ -68,7 +68,7 @@
             ("A", NameserverBehaviour(rcode=2)),
         )
     ):
-        wire = dns.message.make_query(f"n{number}.a-long-label.example.", kind, use_edns=0).to_wire()
+        wire = dns.message.make_query(f"n{number}.a-long-label.example.", rdtype, use_edns=0).to_wire()
         query = parse_query(wire)
         query_id = FIRST_ID + number
         responses = Nameserver(behaviour).responses(encode_upstream_query(query, query_id), True)
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -48,8 +48,8 @@
     def __init__(self, spoofed_per_query: int, report: SpoofingReport) -> None:
         self.spoofed_per_query = spoofed_per_query
         self.report = report
-        self.other_address = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.other_address.bind(("127.0.0.1", 0))
+        self.other_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.other_socket.bind(("127.0.0.1", 0))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -67,12 +67,12 @@
                     spoofed[13] ^= 0x01  # changes the name in the question
                     self.transport.sendto(bytes(spoofed), addr)
                 case _:
-                    self.other_address.sendto(bytes(spoofed), addr)  # only the source address is wrong
+                    self.other_socket.sendto(bytes(spoofed), addr)  # only the source address is wrong
             self.report.sent += 1
         self.transport.sendto(genuine_response, addr)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.other_address.close()
+        self.other_socket.close()
 
 
 class _Client(asyncio.DatagramProtocol):
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -37,9 +37,9 @@
         reader, writer = await asyncio.open_connection(*address)
         queries = [query(f"n{n}.example.") for n in range(MAX_PIPELINED_QUERIES * 2)]
         data = b"".join(len(q).to_bytes(2) + q for q in queries)
-        for at in range(0, len(data), 7):
-            writer.write(data[at : at + 7])
-            if at % 490 == 0:
+        for offset in range(0, len(data), 7):
+            writer.write(data[offset : offset + 7])
+            if offset % 490 == 0:
                 await writer.drain()
         responses = await read_tcp_responses(reader, len(queries))
         assert {m.id for m in responses} == {int.from_bytes(q[:2]) for q in queries}
