--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -38,10 +38,11 @@
         result = (fuzz_downstream if front else fuzz_upstream)(frames, seed, progress)
     print(
         f"{result.frames} frames: {result.answered} {'calls answered' if front else 'answers taken'}, "
-        f"{result.failed} {'given up by clients' if front else 'attempts failed'}, "
-        f"{result.closed} connections closed, {len(result.wrong)} wrong, slowest {result.slowest_ms:.2f} ms"
+        f"{result.unsuccessful} {'given up by clients' if front else 'attempts failed'}, "
+        f"{result.closed} connections closed, "
+        f"{len(result.failures)} wrong, slowest {result.slowest_ms:.2f} ms"
     )
-    raise exit_with(result.wrong)
+    raise exit_with(result.failures)
 
 
 def fuzz_dns(
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -12,7 +12,7 @@
 from sagetrack.core.responses import Response
 from sagetrack.grpc.calls_pb2 import Answer
 from sagetrack.grpc.messages import Unpacker, pack
-from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.outcomes import StatusCode
 from sagetrack.grpc.translate import rejection_trailers, response_to_grpc
 from sagetrack.grpc.withheld_bytes import WithheldBytes
 
@@ -137,7 +137,9 @@
     def on_response_aborted(self, request: Request) -> None:
         """A streamed response broke off."""
         self.source = None
-        self.finish([("grpc-status", str(int(Status.DATA_LOSS))), ("grpc-message", "the answer broke off")])
+        self.finish(
+            [("grpc-status", str(int(StatusCode.DATA_LOSS))), ("grpc-message", "the answer broke off")]
+        )
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """The request is rejected and never ran."""
@@ -145,7 +147,7 @@
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
         """The request failed, or its deadline has passed."""
-        status = Status.DEADLINE_EXCEEDED if timed_out else Status.INTERNAL
+        status = StatusCode.DEADLINE_EXCEEDED if timed_out else StatusCode.INTERNAL
         self.finish([("grpc-status", str(int(status)))])
 
     # Sending
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -28,7 +28,7 @@
 from sagetrack.grpc.errors import RequestReadError
 from sagetrack.grpc.listener import GrpcListener
 from sagetrack.grpc.messages import pack
-from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.outcomes import StatusCode
 from sagetrack.grpc.translate import request_body_message, request_to_grpc
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
 from sagetrack.policy.events import Outcome
@@ -48,9 +48,9 @@
 
     frames: int = 0
     answered: int = 0
-    failed: int = 0
+    unsuccessful: int = 0
     closed: int = 0  # connections that ended by it
-    wrong: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
     slowest_ms: float = 0.0
 
 
@@ -167,12 +167,12 @@
     try:
         connection.data_received(part)
     except Exception as fault:  # noqa: BLE001  any exception is what the fuzzer looks for
-        found.wrong.append(f"{fault!r}: {data.hex()}")
+        found.failures.append(f"{fault!r}: {data.hex()}")
         return False
     took = time.perf_counter() - began
     found.slowest_ms = max(found.slowest_ms, took * 1000)
     if took > HANG_S:
-        found.wrong.append(f"took {took:.2f} s: {data.hex()}")
+        found.failures.append(f"took {took:.2f} s: {data.hex()}")
     return True
 
 
@@ -231,13 +231,13 @@
     """Check that each attempt has ended once, and with a response where it succeeded."""
     for ends in (observer.ends for observer in observers):
         if len(ends) != 1:
-            found.wrong.append(f"ended {len(ends)} times: {data.hex()}")
+            found.failures.append(f"ended {len(ends)} times: {data.hex()}")
     outcomes = [observer.ends[0][0] for observer in observers if observer.ends]
     found.answered += outcomes.count(Outcome.OK)
-    found.failed += len(outcomes) - outcomes.count(Outcome.OK)
+    found.unsuccessful += len(outcomes) - outcomes.count(Outcome.OK)
     for outcome, body in (observer.ends[0] for observer in observers if observer.ends):
         if outcome is Outcome.OK and body is None:
-            found.wrong.append(f"success without response: {data.hex()}")
+            found.failures.append(f"success without response: {data.hex()}")
 
 
 class RandomGateway:
@@ -313,7 +313,7 @@
 ) -> Request:
     ids = [value for name, value in headers if name.lower() == b"x-call-id"]
     if not ids:
-        raise RequestReadError(Status.INVALID_ARGUMENT, "no X-Call-Id")
+        raise RequestReadError(StatusCode.INVALID_ARGUMENT, "no X-Call-Id")
     message = Message(b"", body)
     return Request(
         ids[0].decode("latin-1"), 0, 3_000_000, None, None, False, 0, message, client, streamed_body
@@ -366,13 +366,13 @@
         found.closed += transport.closed
         connection.connection_lost(None)
         found.answered += gateway.ended
-        found.failed += gateway.cancelled
+        found.unsuccessful += gateway.cancelled
         bodies = body_budget.active_bodies
         if gateway.unanswered:
-            found.wrong.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
+            found.failures.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
         if bodies:
-            found.wrong.append(f"{bodies} bodies never ended: {data.hex()}")
+            found.failures.append(f"{bodies} bodies never ended: {data.hex()}")
         if listener.connections:
-            found.wrong.append(f"a closed connection is still registered: {data.hex()}")
+            found.failures.append(f"a closed connection is still registered: {data.hex()}")
         progress(found.frames / frames)
     return found
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -87,7 +87,7 @@
         return True
 
 
-class ResponseMirror:
+class RequestMirror:
     """Mirrors requests at a limited rate and compares the responses.
 
     Args:
@@ -172,7 +172,7 @@
 class MirrorClient:
     """The client of one mirrored request."""
 
-    def __init__(self, mirror: ResponseMirror, original: Response, original_from_grpc: bool) -> None:
+    def __init__(self, mirror: RequestMirror, original: Response, original_from_grpc: bool) -> None:
         self.mirror = mirror
         self.original = original
         self.original_from_grpc = original_from_grpc
--- a/sagetrack/grpc/outcomes.py
+++ b/sagetrack/grpc/outcomes.py
@@ -11,7 +11,7 @@
 from sagetrack.policy.events import Outcome
 
 
-class Status(IntEnum):
+class StatusCode(IntEnum):
     """Status codes of gRPC."""
 
     OK = 0
@@ -33,7 +33,7 @@
     UNAUTHENTICATED = 16
 
 
-class Reset(IntEnum):
+class Http2ErrorCode(IntEnum):
     """Error codes of HTTP/2 (RFC 9113, section 7)."""
 
     NO_ERROR = 0
@@ -52,7 +52,7 @@
     HTTP_1_1_REQUIRED = 13
 
 
-REJECTION_STATUSES = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
+REJECTION_STATUSES = frozenset({StatusCode.RESOURCE_EXHAUSTED, StatusCode.UNAVAILABLE})
 
 
 def of_status(status: int | None, complete: bool, rejected: bool) -> Outcome:
@@ -63,7 +63,7 @@
         complete: Whether a complete message came before.
         rejected: Whether the trailers have `x-rejected: 1`.
     """
-    if status == Status.OK:
+    if status == StatusCode.OK:
         return Outcome.OK if complete else Outcome.ERROR
     if status in REJECTION_STATUSES and rejected and not complete:
         return Outcome.REJECTED
@@ -72,7 +72,7 @@
 
 def of_reset(code: int, request_sent: bool) -> Outcome:
     """Outcome of a stream that its server ended with RST_STREAM."""
-    if code == Reset.REFUSED_STREAM:
+    if code == Http2ErrorCode.REFUSED_STREAM:
         return Outcome.REJECTED
     return Outcome.RESET if request_sent else Outcome.ERROR
 
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -15,7 +15,7 @@
 from sagetrack.policy.events import ListKind, LoadReport, Outcome, ServerStatus
 from sagetrack.policy.migration import Migration
 
-WeightFactors = dict[int, tuple[float, float]]
+WeightFactorsByIndex = dict[int, tuple[float, float]]
 """Factors of the weights of HTTP/1.1 and of gRPC servers, by number of a class or a tenant."""
 
 FAILURES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
@@ -92,8 +92,8 @@
         self.on_fallback = on_fallback
         self.endpoints: dict[int, Endpoint] = {}  # with the weights that are listed
         self.factors = (1.0, 1.0)
-        self.exceptions: tuple[WeightFactors, WeightFactors] = {}, {}  # by class and by tenant
-        self.on_exceptions: Callable[[WeightFactors, WeightFactors], None] | None = None
+        self.exceptions: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = {}, {}  # by class and by tenant
+        self.on_override_factors: Callable[[WeightFactorsByIndex, WeightFactorsByIndex], None] | None = None
         self.on_response: Callable[[Request, bool, AnyResponse], None] | None = None
         """Called with each complete response, and whether it is a gRPC server's."""
         self.numbers: dict[int, None] = {}  # of all servers: read at each attempt
@@ -131,8 +131,8 @@
         exceptions = self.migration.override_factors(now, *sums)
         if exceptions != self.exceptions:
             self.exceptions = exceptions
-            if self.on_exceptions is not None:
-                self.on_exceptions(*exceptions)
+            if self.on_override_factors is not None:
+                self.on_override_factors(*exceptions)
         factors = self.migration.weight_factors(now, *sums)
         if factors == self.factors:
             return []
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -10,7 +10,7 @@
 from sagetrack.core.responses import Header
 from sagetrack.grpc.downstream_stream import MAX_BUFFERED_BODY_BYTES, DownstreamCounts, DownstreamStream
 from sagetrack.grpc.errors import MessageError, RequestReadError, TranslationError
-from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.outcomes import StatusCode
 from sagetrack.grpc.translate import request_body_chunk, request_to_http1, split_head
 
 RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Request]
@@ -44,7 +44,7 @@
                 else:
                     stream.buffer_message(message)
         except MessageError as error:
-            stream.abort(Status.RESOURCE_EXHAUSTED, str(error))
+            stream.abort(StatusCode.RESOURCE_EXHAUSTED, str(error))
             return
         if stream.streamed_body is None and stream.buffered_bytes > self.max_buffered_body:
             self.submit(stream, streamed=True)
@@ -58,7 +58,9 @@
             streamed_body.length is not None and streamed_body.length != streamed_body.received
         ):
             # The server must not take it for complete.
-            stream.abort(Status.INVALID_ARGUMENT, f"a body that ends after {streamed_body.received} bytes")
+            stream.abort(
+                StatusCode.INVALID_ARGUMENT, f"a body that ends after {streamed_body.received} bytes"
+            )
         else:
             streamed_body.complete()
 
@@ -69,32 +71,32 @@
         try:
             streamed_body.feed(request_body_chunk(message))
         except TranslationError as error:
-            stream.abort(Status.INVALID_ARGUMENT, str(error))
+            stream.abort(StatusCode.INVALID_ARGUMENT, str(error))
             return
         limit = STREAMED_BODY_LIMIT if streamed_body.length is None else streamed_body.length
         if streamed_body.received > limit:
-            stream.abort(Status.RESOURCE_EXHAUSTED, f"a body of over {limit} bytes")
+            stream.abort(StatusCode.RESOURCE_EXHAUSTED, f"a body of over {limit} bytes")
 
     def submit(self, stream: DownstreamStream, streamed: bool) -> None:
         """Hand a request to the gateway: a complete one, or the beginning of one with a streamed body."""
         self.counts.calls += 1
         content_type = dict(stream.headers).get("content-type", "")
         if not content_type.startswith("application/grpc"):
-            stream.answer_error(Status.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
+            stream.answer_error(StatusCode.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
             return
         if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
-            stream.answer_error(Status.INVALID_ARGUMENT, "no whole message")
+            stream.answer_error(StatusCode.INVALID_ARGUMENT, "no whole message")
             return
         try:
             request = self.read_request(stream, streamed)
         except TranslationError as error:
-            stream.answer_error(Status.INVALID_ARGUMENT, str(error))
+            stream.answer_error(StatusCode.INVALID_ARGUMENT, str(error))
             return
         except RequestReadError as error:
             stream.answer_error(error.status, str(error))
             return
         if not stream.submit(request):
-            stream.answer_error(Status.ALREADY_EXISTS, "this x-call-id is in use")
+            stream.answer_error(StatusCode.ALREADY_EXISTS, "this x-call-id is in use")
 
     def read_request(self, stream: DownstreamStream, streamed: bool) -> Request:
         """Make a request from the buffered messages.
--- a/sagetrack/grpc/tls.py
+++ b/sagetrack/grpc/tls.py
@@ -31,7 +31,7 @@
         self.certificate = certificate
         self.key = key
         self.server_context: ssl.SSLContext | None = None  # reloaded in place
-        self.context, self.expires_s = self.load_client_context()
+        self.client_context, self.expires_s = self.load_client_context()
 
     def create_server_context(self) -> ssl.SSLContext:
         """Create the context for gRPC clients, which need a certificate of the same authority."""
@@ -86,7 +86,7 @@
         Raises:
             TlsFilesError: A file cannot be used; the previous ones stay in use.
         """
-        self.context, self.expires_s = self.load_client_context()
+        self.client_context, self.expires_s = self.load_client_context()
         self.load_server_files()  # the same files, which have just been checked
 
     def metric_values(self) -> dict[str, float]:
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -15,7 +15,7 @@
 from sagetrack.grpc.calls_pb2 import Answer, Call, Field
 from sagetrack.grpc.errors import TranslationError
 from sagetrack.grpc.metadata import decode_binary, encode_binary, format_timeout, parse_timeout_us
-from sagetrack.grpc.outcomes import Status
+from sagetrack.grpc.outcomes import StatusCode
 
 SERVICE = "/sagetrack.v2.Calls/"
 METADATA = {
@@ -242,7 +242,7 @@
 
     The time is gRPC's retry pushback (proposal A6).
     """
-    trailers = [("grpc-status", str(int(Status.RESOURCE_EXHAUSTED))), ("x-rejected", "1")]
+    trailers = [("grpc-status", str(int(StatusCode.RESOURCE_EXHAUSTED))), ("x-rejected", "1")]
     if retry_after_us > 0:
         trailers.append(("grpc-retry-pushback-ms", str(max(1, retry_after_us // 1000))))
     return trailers
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -262,7 +262,7 @@
         self.counts.resets += 1
         self.count_control_frame()
         if attempt is not None:
-            self.counts.refused_streams += code == outcomes.Reset.REFUSED_STREAM
+            self.counts.refused_streams += code == outcomes.Http2ErrorCode.REFUSED_STREAM
             attempt.finish(outcomes.of_reset(code, attempt.request_sent))
 
     def on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -26,8 +26,8 @@
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import GrpcSettings, Operator
-    from sagetrack.grpc.mirroring import ResponseMirror
-    from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactors
+    from sagetrack.grpc.mirroring import RequestMirror
+    from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactorsByIndex
     from sagetrack.grpc.request_intake import RequestReader
     from sagetrack.grpc.tls import TlsCredentials
 
@@ -42,7 +42,7 @@
     The function raises `sagetrack.grpc.errors.RequestReadError` if the request is rejected.
     """
     from sagetrack.grpc.errors import RequestReadError
-    from sagetrack.grpc.outcomes import Status
+    from sagetrack.grpc.outcomes import StatusCode
 
     def read(
         method: str,
@@ -64,7 +64,7 @@
         try:
             return read_request(message, target.partition(b"?")[0], config, client)
         except RequestError as error:
-            status = Status.UNIMPLEMENTED if error.status == NOT_FOUND else Status.INVALID_ARGUMENT
+            status = StatusCode.UNIMPLEMENTED if error.status == NOT_FOUND else StatusCode.INVALID_ARGUMENT
             raise RequestReadError(status, str(error)) from None
 
     return read
@@ -83,10 +83,10 @@
         self.router = router
         self.gateway = gateway
         self._send_endpoint_list = gateway.on_endpoint_list
-        self.mirror: ResponseMirror | None = None
+        self.mirror: RequestMirror | None = None
         self._loop = asyncio.get_running_loop()
         router.on_fallback = self._on_rollback
-        router.on_exceptions = self._on_traffic_shift
+        router.on_override_factors = self._on_traffic_shift
         self._refresh_timer = self._loop.call_later(WEIGHT_REFRESH_S, self._refresh_periodically)
 
     def on_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
@@ -104,9 +104,9 @@
             class_names: the names of the classes, in the order of class numbers.
             is_active: returns whether requests may be mirrored now.
         """
-        from sagetrack.grpc.mirroring import ResponseMirror
+        from sagetrack.grpc.mirroring import RequestMirror
 
-        self.mirror = ResponseMirror(
+        self.mirror = RequestMirror(
             self.gateway, settings.compare_per_s, settings.compare_ignore, class_names, is_active
         )
         self.router.on_response = self.mirror.on_response
@@ -146,7 +146,7 @@
         if changed:
             self._send_endpoint_list(ListKind.DELTA, changed)
 
-    def _on_traffic_shift(self, by_class: WeightFactors, by_tenant: WeightFactors) -> None:
+    def _on_traffic_shift(self, by_class: WeightFactorsByIndex, by_tenant: WeightFactorsByIndex) -> None:
         shift = TrafficShift(by_class, by_tenant)
         self.gateway.post(lambda: shift)
 
@@ -200,7 +200,9 @@
     from sagetrack.grpc.connection_pool import GrpcConnectionPools
     from sagetrack.grpc.protocol_router import ProtocolRouter
 
-    grpc_pools = GrpcConnectionPools(config.settings, lambda: keys.context if keys is not None else None)
+    grpc_pools = GrpcConnectionPools(
+        config.settings, lambda: keys.client_context if keys is not None else None
+    )
     kinds = [index_of_name(name, config.names.kinds) for name in settings.types]
     migration = Migration(settings.share, *traffic_shares(config, settings))
     return ProtocolRouter(http_pools, grpc_pools, kinds, migration, lambda: None)
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -60,7 +60,7 @@
         self.ends.append((outcome, answer))
 
 
-class GrpcUpstreamRig:
+class GrpcUpstreamFixture:
     """Pools of the newer format and one stand-in server."""
 
     def __init__(self, pools: GrpcConnectionPools, entry: Endpoint) -> None:
@@ -89,12 +89,12 @@
 
 
 @asynccontextmanager
-async def grpc_upstream_rig(
+async def grpc_upstream_fixture(
     most: int = 100,
     on_call: Callable[[GrpcServerConnection, GrpcRequest], None] | None = None,
     keys: tuple[ssl.SSLContext, Callable[[], ssl.SSLContext | None]] | None = None,
-) -> AsyncIterator[GrpcUpstreamRig]:
-    rig: GrpcUpstreamRig
+) -> AsyncIterator[GrpcUpstreamFixture]:
+    rig: GrpcUpstreamFixture
 
     def make() -> GrpcServerConnection:
         take = on_call or (lambda connection, asked: rig.asked.append((connection, asked)))
@@ -106,7 +106,7 @@
     server = await loop.create_server(make, "127.0.0.1", 0, ssl=keys[0] if keys else None)
     place = server.sockets[0].getsockname()
     pools = GrpcConnectionPools(SETTINGS, keys[1] if keys else lambda: None)
-    rig = GrpcUpstreamRig(pools, Endpoint("n", ("127.0.0.1", place[1]), ListedServer(1)))
+    rig = GrpcUpstreamFixture(pools, Endpoint("n", ("127.0.0.1", place[1]), ListedServer(1)))
     pools.put(rig.entry)
     try:
         yield rig
@@ -115,7 +115,7 @@
         server.close()
 
 
-async def warm_up(rig: GrpcUpstreamRig) -> None:
+async def warm_up(rig: GrpcUpstreamFixture) -> None:
     heard = rig.ask()
     await rig.until_asked(1)
     rig.asked[0][0].respond(rig.asked[0][1])
@@ -127,7 +127,7 @@
     tmp_path: Path, *types: str, on_call: Any = None, hosts: int = 1
 ) -> AsyncIterator[Any]:
     """A gateway with a front of the newer format, servers behind it, and pools as its client."""
-    async with grpc_upstream_rig(on_call=on_call) as behind:
+    async with grpc_upstream_fixture(on_call=on_call) as behind:
         config = configuration(*[f"127.0.0.1:{behind.entry.address[1]}"] * hosts)
         for endpoint in config["known"]["endpoints"]:
             endpoint["type"] = "v2"
@@ -137,12 +137,12 @@
             listener = gateway.instance.protocol_listeners.grpc
             assert listener is not None
             place = listener.servers[0].sockets[0].getsockname()
-            async with grpc_upstream_rig() as client:
+            async with grpc_upstream_fixture() as client:
                 client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
                 yield client, gateway, listener
 
 
-def send_request(client: GrpcUpstreamRig, head: bytes, body: bytes = b"") -> RecordingObserver:
+def send_request(client: GrpcUpstreamFixture, head: bytes, body: bytes = b"") -> RecordingObserver:
     heard = RecordingObserver()
     request = Request("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
     client.pools.begin(request, 1, 5_000_000, heard)
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -13,7 +13,7 @@
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.lab.stand_ins.scripted import scripted_server
 from tests.grpc_helpers import (
-    grpc_upstream_rig,
+    grpc_upstream_fixture,
 )
 from tests.sockets import configuration, on_loop, request, running, until
 
@@ -43,7 +43,7 @@
         seen.append(asked.headers["x-call-class"])
         connection.respond(asked, body=b"other")
 
-    async with grpc_upstream_rig(on_call=take) as rig, scripted_server() as upstream:
+    async with grpc_upstream_fixture(on_call=take) as rig, scripted_server() as upstream:
         config = configuration(upstream, f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][1]["type"] = "v2"
         async with running(config, load_operator(str(file))) as gateway:
--- a/tests/test_grpc_outcomes.py
+++ b/tests/test_grpc_outcomes.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from sagetrack.grpc import outcomes
-from sagetrack.grpc.outcomes import Reset, Status
+from sagetrack.grpc.outcomes import Http2ErrorCode, StatusCode
 from sagetrack.policy.events import Outcome
 
 
 def test_outcomes_by_how_a_stream_ends() -> None:
-    for status in [*Status, None, 99]:
+    for status in [*StatusCode, None, 99]:
         for whole in (True, False):
             for rejected in (True, False):
                 expected = Outcome.ERROR
-                if status == Status.OK and whole:
+                if status == StatusCode.OK and whole:
                     expected = Outcome.OK
                 elif status in (8, 14) and rejected and not whole:
                     expected = Outcome.REJECTED
                 assert outcomes.of_status(status, whole, rejected) is expected
-    for code in [*Reset, 99]:
-        refused = code == Reset.REFUSED_STREAM
+    for code in [*Http2ErrorCode, 99]:
+        refused = code == Http2ErrorCode.REFUSED_STREAM
         assert outcomes.of_reset(code, True) is (Outcome.REJECTED if refused else Outcome.RESET)
         assert outcomes.of_reset(code, False) is (Outcome.REJECTED if refused else Outcome.ERROR)
     assert outcomes.of_goaway(5, 3) is Outcome.NOT_SENT and outcomes.of_goaway(3, 3) is None
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -15,7 +15,7 @@
 from sagetrack.policy.migration import Migration
 from tests.grpc_helpers import (
     SETTINGS,
-    grpc_upstream_rig,
+    grpc_upstream_fixture,
 )
 from tests.sockets import configuration, on_loop, request, running
 
@@ -32,7 +32,7 @@
         seen.append(asked)
         connection.respond(asked, body=b"new " + asked.body)
 
-    async with grpc_upstream_rig(on_call=take) as rig:
+    async with grpc_upstream_fixture(on_call=take) as rig:
         config = configuration(f"127.0.0.1:{rig.entry.address[1]}")
         config["known"]["endpoints"][0]["type"] = "v2"
         async with running(config, load_operator(str(file))) as gateway:
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -13,7 +13,7 @@
 from sagetrack.grpc.tls import TlsCredentials, TlsFilesError
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
-    grpc_upstream_rig,
+    grpc_upstream_fixture,
     warm_up,
 )
 from tests.sockets import on_loop, until
@@ -34,17 +34,17 @@
     authority.configure_trust(server)
     keys = TlsCredentials(paths["ca"], paths["cert"], paths["key"])
     assert keys.metric_values()["new_certificate_days"] > 1
-    async with grpc_upstream_rig(keys=(server, lambda: keys.context)) as rig:
+    async with grpc_upstream_fixture(keys=(server, lambda: keys.client_context)) as rig:
         await warm_up(rig)
         Path(paths["key"]).write_text("no key")
-        before = keys.context
+        before = keys.client_context
         with pytest.raises(TlsFilesError, match="cert with"):
             keys.reload()
-        assert keys.context is before and not rig.connection.closed
+        assert keys.client_context is before and not rig.connection.closed
         stranger = trustme.CA()
         stranger.cert_pem.write_to_path(paths["ca"])
         other = TlsCredentials(paths["ca"])
-        rig.pools.tls_context = lambda: other.context
+        rig.pools.tls_context = lambda: other.client_context
         rig.connection.draining = True
         heard = rig.ask()
         await until(lambda: heard.ends)
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -9,12 +9,12 @@
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.endpoints import Endpoint
-from sagetrack.grpc.outcomes import Reset
+from sagetrack.grpc.outcomes import Http2ErrorCode
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome, ServerStatus
 from tests.grpc_helpers import (
     SETTINGS,
-    grpc_upstream_rig,
+    grpc_upstream_fixture,
     warm_up,
 )
 from tests.sockets import on_loop, until
@@ -22,7 +22,7 @@
 
 @on_loop
 async def test_many_streams_share_a_connection_and_a_slow_one_holds_none_back() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         calls = [rig.ask(b"b%d" % n) for n in range(40)]
         await rig.until_asked(40)
         assert len(rig.connections) == 1
@@ -35,7 +35,7 @@
 
 @on_loop
 async def test_goaway_in_the_middle_of_streams_ends_those_above_as_never_run() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         calls = [rig.ask() for _ in range(100)]
         await rig.until_asked(100)
         rig.connections[0].goaway(last=99)
@@ -53,10 +53,10 @@
 
 @on_loop
 async def test_each_end_of_a_stream_has_its_outcome_and_other_streams_go_on() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         ways: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
-            (lambda c, a: c.reset(a, Reset.REFUSED_STREAM), Outcome.REJECTED),
-            (lambda c, a: c.reset(a, Reset.INTERNAL_ERROR), Outcome.RESET),
+            (lambda c, a: c.reset(a, Http2ErrorCode.REFUSED_STREAM), Outcome.REJECTED),
+            (lambda c, a: c.reset(a, Http2ErrorCode.INTERNAL_ERROR), Outcome.RESET),
             (lambda c, a: c.trailers_only(a, 8, x_rejected="1"), Outcome.REJECTED),
             (lambda c, a: c.trailers_only(a, 8), Outcome.ERROR),
             (lambda c, a: c.trailers_only(a, 0), Outcome.ERROR),
@@ -80,7 +80,7 @@
 
 @on_loop
 async def test_settings_that_lower_the_streams_are_kept_to_and_further_calls_get_other_connections() -> None:
-    async with grpc_upstream_rig(most=3) as rig:
+    async with grpc_upstream_fixture(most=3) as rig:
         first = [rig.ask()]
         await rig.until_asked(1)
         calls = first + [rig.ask() for _ in range(5)]
@@ -95,7 +95,7 @@
 
 @on_loop
 async def test_a_window_that_never_opens_holds_up_one_call_until_its_time_is_over() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         await warm_up(rig)
         rig.connections[0].acknowledges_data = False
         stuck = rig.ask(b"x" * 200_000, wait_us=300_000)
@@ -106,7 +106,7 @@
 @on_loop
 async def test_long_bodies_pass_in_bounded_memory_both_ways() -> None:
     size = 3_000_000
-    async with grpc_upstream_rig(on_call=lambda c, a: c.respond(a, body=a.body, parts=30)) as rig:
+    async with grpc_upstream_fixture(on_call=lambda c, a: c.respond(a, body=a.body, parts=30)) as rig:
         streamed_body = StreamedBody(size, BodyMemoryBudget(64))
         heard = rig.ask(streamed_body=streamed_body)
         fed = most = 0
@@ -132,7 +132,7 @@
     def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
         connection.respond(asked, body=b"y" * (1_000_000 if asked.body == b"long" else 10), parts=20)
 
-    async with grpc_upstream_rig(on_call=take) as rig:
+    async with grpc_upstream_fixture(on_call=take) as rig:
         stuck = [rig.ask(b"long", pauses=True) for _ in range(90)]
         await until(lambda: all(heard.source is not None for heard in stuck))
         other = rig.ask()
@@ -147,7 +147,7 @@
 
 @on_loop
 async def test_a_draining_or_gone_server_gets_nothing_after_the_grace() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         await warm_up(rig)
         rig.pools.settings = replace(SETTINGS, stop_sending_within_us=0)
         draining = ListedServer(1, ServerStatus.DRAINING)
@@ -158,7 +158,7 @@
 
 @on_loop
 async def test_a_flood_of_pings_ends_the_connection_with_the_right_error() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         heard = rig.ask()
         await rig.until_asked(1)
         transport = rig.connections[0].transport
@@ -170,7 +170,7 @@
 
 @on_loop
 async def test_a_server_that_is_not_there_fails_to_connect() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         rig.pools.put(Endpoint("n", ("127.0.0.1", 1), ListedServer(1, started_us=5)))
         heard = rig.ask()
         await until(lambda: heard.ends)
@@ -179,7 +179,7 @@
 
 @on_loop
 async def test_a_header_that_is_no_utf_8_breaks_nothing() -> None:
-    async with grpc_upstream_rig() as rig:
+    async with grpc_upstream_fixture() as rig:
         heard = rig.ask()
         await rig.until_asked(1)
         connection, asked = rig.asked[0]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,7 +26,7 @@
 from sagetrack.http1.downstream import MAX_PIPELINED, ClientConnection
 from sagetrack.policy.actions import Action, SetTimer
 from sagetrack.policy.events import ListedServer, Outcome, RequestArrived, TimerFired
-from tests.grpc_helpers import GrpcUpstreamRig, grpc_upstream_rig, request_head, send_request
+from tests.grpc_helpers import GrpcUpstreamFixture, grpc_upstream_fixture, request_head, send_request
 from tests.sockets import (
     Client,
     Running,
@@ -345,11 +345,14 @@
 @asynccontextmanager
 async def gateway_with_grpc_client(
     tmp_path: Path, run_on: Any
-) -> AsyncIterator[tuple[GrpcUpstreamRig, Running, Any]]:
+) -> AsyncIterator[tuple[GrpcUpstreamFixture, Running, Any]]:
     """Run a gateway that accepts gRPC and has HTTP/1.1 servers, and a gRPC client of it."""
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
-    async with running(configuration(run_on), load_operator(str(file))) as run, grpc_upstream_rig() as client:
+    async with (
+        running(configuration(run_on), load_operator(str(file))) as run,
+        grpc_upstream_fixture() as client,
+    ):
         listener = run.instance.protocol_listeners.grpc
         assert listener is not None
         address = listener.servers[0].sockets[0].getsockname()
