--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -59,7 +59,7 @@
             return None
         connection = GrpcUpstreamConnection(self.counts, self.discard)
         self.connections.append(connection)
-        self.counts.opened += 1
+        self.counts.opened_connections += 1
         self.connect(connection, self.server.address)
         return connection
 
@@ -81,7 +81,7 @@
     def close(self) -> None:
         """Close all connections at once."""
         for connection in list(self.connections):
-            connection.fail(None)
+            connection.close(None)
 
 
 class GrpcConnectionPools:
@@ -112,7 +112,7 @@
 
     def server_start_times(self) -> dict[int, int]:
         """When each listed server started."""
-        return {number: pool.server.started_us for number, pool in self.pools.items()}
+        return {server_id: pool.server.started_us for server_id, pool in self.pools.items()}
 
     def put(self, entry: Endpoint) -> None:
         """Add a server, or take over its new address, start time or status."""
@@ -127,7 +127,7 @@
 
     def add_server(self, server: UpstreamServerRecord) -> GrpcConnectionPool:
         """Make an empty pool for a server."""
-        pool = self.pools[server.id] = GrpcConnectionPool(server, self.counts, self.start_connect)
+        pool = self.pools[server.id] = GrpcConnectionPool(server, self.counts, self.start_connecting)
         return pool
 
     def remove(self, server: int) -> None:
@@ -149,23 +149,23 @@
     # Attempts
 
     def begin(
-        self, request: Request, server: int, wait_us: int, observer: AttemptObserver
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
     ) -> GrpcAttempt | None:
-        """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
+        """Send a request to a server and wait `timeout_us` for its response; None if it is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return None
         now = now_us()
-        attempt = self.prepare(request, pool.server, wait_us, observer, now)
+        attempt = self.create_attempt(request, pool.server, timeout_us, observer, now)
         if attempt is None:
-            self.counts.untranslated += 1
-            attempt = GrpcAttempt(pool.server, request, observer, now, wait_us, [], deque())
+            self.counts.untranslatable_requests += 1
+            attempt = GrpcAttempt(pool.server, request, observer, now, timeout_us, [], deque())
             attempt.finish(Outcome.NOT_SENT)
             return attempt
         if not attempt.may_start():
             attempt.finish(Outcome.NOT_SENT)
             return attempt
-        self.start_timeout(attempt, wait_us)
+        self.start_timeout(attempt, timeout_us)
         connection = pool.connection_with_capacity()
         if connection is None:
             attempt.finish(Outcome.NOT_SENT)
@@ -173,11 +173,11 @@
         connection.send(attempt)
         return attempt
 
-    def prepare(
+    def create_attempt(
         self,
         request: Request,
         server: UpstreamServerRecord,
-        wait_us: int,
+        timeout_us: int,
         observer: AttemptObserver,
         now: int,
     ) -> GrpcAttempt | None:
@@ -188,19 +188,19 @@
         authority = f"{server.address[0]}:{server.address[1]}"
         length = request.streamed_body.length if request.streamed_body is not None else None
         try:
-            headers, first = request_to_grpc(
-                request.message.head, request.message.body, length, wait_us, authority
+            headers, first_message = request_to_grpc(
+                request.message.head, request.message.body, length, timeout_us, authority
             )
         except TranslationError:
             return None
-        pending = deque([pack(first)])
-        return GrpcAttempt(server, request, observer, now, wait_us, headers, pending, last_progress_us=now)
+        pending = deque([pack(first_message)])
+        return GrpcAttempt(server, request, observer, now, timeout_us, headers, pending, last_progress_us=now)
 
-    def start_timeout(self, attempt: GrpcAttempt, wait_us: int) -> None:
+    def start_timeout(self, attempt: GrpcAttempt, timeout_us: int) -> None:
         """Let the timeout run from the request's last byte."""
 
         def start() -> None:
-            attempt.add_timer(self.loop.call_later(wait_us / 1e6, self.on_timeout, attempt))
+            attempt.add_timer(self.loop.call_later(timeout_us / 1e6, self.on_timeout, attempt))
 
         streamed_body = attempt.request.streamed_body
         if streamed_body is None or streamed_body.is_complete:
@@ -227,7 +227,7 @@
 
     # Connections
 
-    def start_connect(self, connection: GrpcUpstreamConnection, address: Address) -> None:
+    def start_connecting(self, connection: GrpcUpstreamConnection, address: Address) -> None:
         """Connect in a task of its own."""
         task: asyncio.Task[object] = self.loop.create_task(self.connect(connection, address))
         self.connecting.add(task)
@@ -235,15 +235,15 @@
 
     async def connect(self, connection: GrpcUpstreamConnection, address: Address) -> None:
         """Connect within the connect timeout, or fail the connection."""
-        context = self.tls_context()
-        name = address[0] if context is not None else None
+        tls_context = self.tls_context()
+        server_hostname = address[0] if tls_context is not None else None
         try:
             async with asyncio.timeout(self.settings.connect_timeout_us / 1e6):
                 await self.loop.create_connection(
-                    lambda: connection, *address, ssl=context, server_hostname=name
+                    lambda: connection, *address, ssl=tls_context, server_hostname=server_hostname
                 )
         except (OSError, TimeoutError, ssl.SSLError):
-            connection.fail(None)
+            connection.close(None)
 
     def sweep(self) -> None:
         """Check the timeouts of each connection, periodically."""
@@ -260,13 +260,13 @@
             "new_servers": len(self.pools),
             "new_connections": len(connections),
             "new_streams": sum(connection.attempts.open_count for connection in connections),
-            "new_opened_total": counts.opened,
-            "new_streams_total": counts.streams,
+            "new_opened_total": counts.opened_connections,
+            "new_streams_total": counts.opened_streams,
             "new_streams_refused_total": counts.refused_streams,
-            "new_resets_total": counts.resets,
+            "new_resets_total": counts.reset_streams,
             "new_goaways_total": counts.goaways,
-            "new_broken_total": counts.broken,
-            "new_untranslated_total": counts.untranslated,
+            "new_broken_total": counts.broken_connections,
+            "new_untranslated_total": counts.untranslatable_requests,
         }
 
     def close(self) -> None:
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -90,7 +90,7 @@
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
-            self.intake.counts.closed_for_flooding += 1
+            self.intake.counts.closed_for_violations += 1
             self.close()
             return
         for event in events:
@@ -109,12 +109,12 @@
                 self.on_data(event, stream_id)
             case h2.events.StreamEnded():
                 stream = self.streams.get(stream_id)
-                if stream is not None and not stream.is_answered:
+                if stream is not None and not stream.is_finished:
                     self.intake.on_end(stream)
             case h2.events.StreamReset():
                 stream = self.streams.pop(stream_id, None)
                 if stream is not None:
-                    stream.drop()
+                    stream.cancel()
                 self.count_frames(resets=1)
             case h2.events.WindowUpdated():
                 self.send_all_pending()
@@ -143,7 +143,7 @@
         stream = self.streams.get(stream_id)
         if not event.data:
             self.count_frames(control_frames=1)
-        if stream is not None and not stream.is_answered:
+        if stream is not None and not stream.is_finished:
             self.intake.on_data(stream, event.data or b"")
         self.acknowledge(stream, stream_id, event.flow_controlled_length or 0)
 
@@ -169,7 +169,7 @@
     def count_frames(self, resets: int = 0, control_frames: int = 0) -> None:
         """Close the connection of a client that floods it with frames that ask for nothing."""
         if self.flood_guard.record(now_us(), control_frames=control_frames, resets=resets):
-            self.intake.counts.closed_for_flooding += 1
+            self.intake.counts.closed_for_violations += 1
             with suppress(h2.exceptions.H2Error):
                 self.h2.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.close()
@@ -189,7 +189,7 @@
             self.send_response(stream)
         except h2.exceptions.H2Error:
             self.streams.pop(stream.id, None)
-            stream.drop()
+            stream.cancel()
         self.flush()
         stream.resume_source()
         self.close_if_drained()
@@ -249,20 +249,20 @@
             self.closed = True
             if self.transport is not None:
                 self.transport.close()
-            self.drop_streams()
+            self.cancel_streams()
 
-    def drop_streams(self) -> None:
+    def cancel_streams(self) -> None:
         """Cancel all its requests and leave the registry."""
         self.registry.discard(self)
         for stream in list(self.streams.values()):
-            stream.drop()
+            stream.cancel()
         self.streams.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The socket is gone."""
         self.closed = True
         self.transport = None
-        self.drop_streams()
+        self.cancel_streams()
 
     def sweep(self, now: int) -> None:
         """Drain an idle connection, and reset streams whose client neither reads nor sends."""
@@ -273,5 +273,5 @@
                 with suppress(h2.exceptions.H2Error):
                     self.h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
                 self.streams.pop(stream.id, None)
-                stream.drop()
+                stream.cancel()
         self.flush()
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -26,9 +26,9 @@
     """Totals since the start."""
 
     connections: int = 0
-    calls: int = 0
-    unreadable: int = 0
-    closed_for_flooding: int = 0  # connections that were closed for what they sent
+    requests: int = 0
+    invalid_requests: int = 0
+    closed_for_violations: int = 0  # connections that were closed for what they sent
 
 
 class StreamConnection(Protocol):
@@ -70,7 +70,7 @@
     # The request, as it arrives
 
     @property
-    def is_answered(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the response has its trailers; what still comes of the request is ignored."""
         return self.trailers is not None
 
@@ -83,7 +83,7 @@
         self.messages.append(message)
         self.buffered_bytes += len(message)
 
-    def start_body(self, length: int | None, body_budget: BodyMemoryBudget) -> StreamedBody:
+    def start_streaming_body(self, length: int | None, body_budget: BodyMemoryBudget) -> StreamedBody:
         """Stream the body from here on; the client's window is opened again as the body is taken."""
         body = StreamedBody(length, body_budget)
         self.streamed_body = body
@@ -108,30 +108,30 @@
 
     # The response, as the gateway gives it
 
-    def on_response(self, request: Request, answer: Any) -> None:
+    def on_response(self, request: Request, response: Any) -> None:
         """Complete response."""
-        reply: Response = answer
-        self.pending += pack(response_to_grpc(reply.headers, reply.body))
+        complete_response: Response = response
+        self.pending += pack(response_to_grpc(complete_response.headers, complete_response.body))
         self.finish([("grpc-status", "0")])
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Head of a streamed response."""
-        reply: Response = head
-        first = Answer.FromString(response_to_grpc(reply.headers, b""))
-        if reply.length is not None:
-            first.length = reply.length
+        response: Response = head
+        first_message = Answer.FromString(response_to_grpc(response.headers, b""))
+        if response.length is not None:
+            first_message.length = response.length
         self.source = source
-        self.send(pack(first.SerializeToString()))
+        self.send(pack(first_message.SerializeToString()))
 
     def on_response_data(self, request: Request, data: bytes) -> None:
         """Part of a streamed response's body."""
         self.send(pack(Answer(body=data).SerializeToString()))
 
-    def on_response_ended(self, request: Request, answer: Any) -> None:
+    def on_response_ended(self, request: Request, response: Any) -> None:
         """End of a streamed response."""
         self.source = None
-        if answer.body:
-            self.pending += pack(Answer(body=answer.body).SerializeToString())
+        if response.body:
+            self.pending += pack(Answer(body=response.body).SerializeToString())
         self.finish([("grpc-status", "0")])
 
     def on_response_aborted(self, request: Request) -> None:
@@ -203,20 +203,20 @@
             self.trailers = trailers
             self.connection.send_pending(self)
 
-    def answer_error(self, status: int, reason: str) -> None:
+    def respond_with_error(self, status: int, reason: str) -> None:
         """Answer a request that cannot be handed to the gateway; `reason` is percent-encoded."""
-        self.counts.unreadable += 1
+        self.counts.invalid_requests += 1
         encoded = "".join(c if 32 <= ord(c) < 127 and c != "%" else f"%{ord(c) & 255:02X}" for c in reason)
         self.finish([("grpc-status", str(int(status))), ("grpc-message", encoded)])
 
     def abort(self, status: int, reason: str) -> None:
         """Answer a request whose body is not what it should be, and cancel its attempts."""
         request = self.request
-        self.answer_error(status, reason)
+        self.respond_with_error(status, reason)
         if request is not None:
             self.gateway.cancel_request(request.id)
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Cancel the request: the client has gone or has reset the stream."""
         self.closed = True
         request = self.request
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -84,9 +84,9 @@
     def on_response_data(self, attempt: Any, data: bytes) -> None:
         """Not recorded."""
 
-    def on_attempt_ended(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome, response: Any, load: Any) -> None:
         """Record the end."""
-        self.ends.append((outcome, answer))
+        self.ends.append((outcome, response))
 
 
 class RecordingTransport:
@@ -113,36 +113,34 @@
         return None
 
 
-def frame(draw: random.Random) -> bytes:
+def random_frame(rng: random.Random) -> bytes:
     """A frame of any type, flags and stream, with a payload of any bytes."""
-    payload = draw.randbytes(draw.choice((0, 1, 4, 5, 8, 13, 40)))
-    length = len(payload) if draw.random() < 0.9 else draw.randrange(70_000)
-    stream = draw.choice((0, 1, 3, 5, 7, 2, 2**31 - 1))
-    return (
-        length.to_bytes(3) + bytes((draw.randrange(12), draw.randrange(256))) + stream.to_bytes(4) + payload
-    )
+    payload = rng.randbytes(rng.choice((0, 1, 4, 5, 8, 13, 40)))
+    length = len(payload) if rng.random() < 0.9 else rng.randrange(70_000)
+    stream = rng.choice((0, 1, 3, 5, 7, 2, 2**31 - 1))
+    return length.to_bytes(3) + bytes((rng.randrange(12), rng.randrange(256))) + stream.to_bytes(4) + payload
 
 
-def mutated(data: bytes, draw: random.Random) -> bytes:
+def mutate(data: bytes, rng: random.Random) -> bytes:
     """The bytes with up to two random changes."""
-    made = bytearray(data)
-    for _ in range(draw.randint(0, 2)):
-        at = draw.randrange(max(1, len(made)))
-        match draw.randrange(5):
+    output = bytearray(data)
+    for _ in range(rng.randint(0, 2)):
+        position = rng.randrange(max(1, len(output)))
+        match rng.randrange(5):
             case 0:
-                made[at : at + 1] = bytes((draw.randrange(256),))
+                output[position : position + 1] = bytes((rng.randrange(256),))
             case 1:
-                del made[at : at + draw.randrange(1, 12)]
+                del output[position : position + rng.randrange(1, 12)]
             case 2:
-                made[at:at] = frame(draw)
+                output[position:position] = random_frame(rng)
             case 3:
-                made[at:at] = made[at : at + draw.randrange(30)]
+                output[position:position] = output[position : position + rng.randrange(30)]
             case _:
-                made += frame(draw)
-    return bytes(made)
+                output += random_frame(rng)
+    return bytes(output)
 
 
-def valid_responses(request: bytes, draw: random.Random) -> bytes:
+def valid_responses(request: bytes, rng: random.Random) -> bytes:
     """Bytes of a server that answers the requests in these bytes of a client."""
     config = h2.config.H2Configuration(client_side=False, header_encoding="latin-1")
     server = h2.connection.H2Connection(config)
@@ -150,8 +148,8 @@
     streams = {s for e in server.receive_data(request) if (s := getattr(e, "stream_id", None))}
     for stream in sorted(streams):
         head = [(":status", "200"), ("content-type", "application/grpc+proto")]
-        if draw.random() < 0.2:
-            server.send_headers(stream, [*head, ("grpc-status", str(draw.randrange(17)))], end_stream=True)
+        if rng.random() < 0.2:
+            server.send_headers(stream, [*head, ("grpc-status", str(rng.randrange(17)))], end_stream=True)
             continue
         server.send_headers(stream, head)
         server.send_data(stream, pack(Answer(body=b"true", length=4).SerializeToString()))
@@ -160,36 +158,39 @@
 
 
 def feed(
-    connection: GrpcUpstreamConnection | GrpcDownstreamConnection, part: bytes, data: bytes, found: FuzzResult
+    connection: GrpcUpstreamConnection | GrpcDownstreamConnection,
+    part: bytes,
+    data: bytes,
+    result: FuzzResult,
 ) -> bool:
     """Feed a part of `data` to a connection; False if that raises. A hang is recorded too."""
-    began = time.perf_counter()
+    start_s = time.perf_counter()
     try:
         connection.data_received(part)
-    except Exception as fault:  # noqa: BLE001  any exception is what the fuzzer looks for
-        found.failures.append(f"{fault!r}: {data.hex()}")
+    except Exception as error:  # noqa: BLE001  any exception is what the fuzzer looks for
+        result.failures.append(f"{error!r}: {data.hex()}")
         return False
-    took = time.perf_counter() - began
-    found.slowest_ms = max(found.slowest_ms, took * 1000)
-    if took > HANG_S:
-        found.failures.append(f"took {took:.2f} s: {data.hex()}")
+    elapsed_s = time.perf_counter() - start_s
+    result.slowest_ms = max(result.slowest_ms, elapsed_s * 1000)
+    if elapsed_s > HANG_S:
+        result.failures.append(f"took {elapsed_s:.2f} s: {data.hex()}")
     return True
 
 
 def feed_in_parts(
     connection: GrpcUpstreamConnection | GrpcDownstreamConnection,
     data: bytes,
-    draw: random.Random,
-    found: FuzzResult,
+    rng: random.Random,
+    result: FuzzResult,
     after_part: Callable[[], None] = lambda: None,
 ) -> None:
     """Feed `data` in parts of random size, until one raises."""
-    at = 0
-    while at < len(data):
-        size = draw.randint(1, len(data))
-        if not feed(connection, data[at : at + size], data, found):
+    position = 0
+    while position < len(data):
+        size = rng.randint(1, len(data))
+        if not feed(connection, data[position : position + size], data, result):
             break
-        at += size
+        position += size
         after_part()
 
 
@@ -201,8 +202,8 @@
 
 
 async def _fuzz_upstream(frames: int, seed: int, progress: Callable[[float], None]) -> FuzzResult:
-    found, draw = FuzzResult(), random.Random(seed)
-    while found.frames < frames:
+    result, rng = FuzzResult(), random.Random(seed)
+    while result.frames < frames:
         settings = Settings(classes=(RequestClass(1_000_000, 3_000_000),))
         pools = GrpcConnectionPools(settings)
         pool = pools.add_server(UpstreamServerRecord(1, "n", ("127.0.0.1", 1)))
@@ -216,35 +217,35 @@
             request = Request(str(number), 0, 3_000_000, None, None, False, 0, message, observer)  # type: ignore[arg-type]
             pools.begin(request, 1, 3_000_000, observer)
         connection.connection_made(transport)
-        data = mutated(valid_responses(bytes(transport.out), draw), draw)
-        found.frames += max(1, len(data) // BYTES_PER_FRAME_UPSTREAM)
-        feed_in_parts(connection, data, draw, found)
-        found.closed += transport.closed
+        data = mutate(valid_responses(bytes(transport.out), rng), rng)
+        result.frames += max(1, len(data) // BYTES_PER_FRAME_UPSTREAM)
+        feed_in_parts(connection, data, rng, result)
+        result.closed += transport.closed
         connection.connection_lost(None)
         pools.close()
-        judge_attempts(observers, data, found)
-        progress(found.frames / frames)
-    return found
+        check_attempts(observers, data, result)
+        progress(result.frames / frames)
+    return result
 
 
-def judge_attempts(observers: list[RecordingObserver], data: bytes, found: FuzzResult) -> None:
+def check_attempts(observers: list[RecordingObserver], data: bytes, result: FuzzResult) -> None:
     """Check that each attempt has ended once, and with a response where it succeeded."""
     for ends in (observer.ends for observer in observers):
         if len(ends) != 1:
-            found.failures.append(f"ended {len(ends)} times: {data.hex()}")
+            result.failures.append(f"ended {len(ends)} times: {data.hex()}")
     outcomes = [observer.ends[0][0] for observer in observers if observer.ends]
-    found.answered += outcomes.count(Outcome.OK)
-    found.unsuccessful += len(outcomes) - outcomes.count(Outcome.OK)
+    result.answered += outcomes.count(Outcome.OK)
+    result.unsuccessful += len(outcomes) - outcomes.count(Outcome.OK)
     for outcome, body in (observer.ends[0] for observer in observers if observer.ends):
         if outcome is Outcome.OK and body is None:
-            found.failures.append(f"success without response: {data.hex()}")
+            result.failures.append(f"success without response: {data.hex()}")
 
 
 class RandomGateway:
     """Stand-in for the gateway that answers at random, at once or later, and knows what is unanswered."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self.draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.unanswered: dict[str, Request] = {}
         self.ended = 0
         self.cancelled = 0
@@ -257,7 +258,7 @@
         if request.streamed_body is not None:
             request.streamed_body.on_data = lambda: self.drain(request)
             self.drain(request)
-        if self.draw.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.end(request)
         return True
 
@@ -275,11 +276,11 @@
         if self.unanswered.pop(request.id, None) is None:
             return
         self.ended += 1
-        match self.draw.randrange(4):
+        match self.rng.randrange(4):
             case 0:
-                request.client.on_rejected(request, self.draw.randrange(2_000_000))
+                request.client.on_rejected(request, self.rng.randrange(2_000_000))
             case 1:
-                request.client.on_failed(request, self.draw.random() < 0.5)
+                request.client.on_failed(request, self.rng.random() < 0.5)
             case 2:
                 request.client.on_response_started(
                     request, Response(200, [(b"X-A", b"b")], b"", True, 3000), self
@@ -292,7 +293,7 @@
     def end_some(self) -> None:
         """Answer each unanswered request with even odds."""
         for request in list(self.unanswered.values()):
-            if self.draw.random() < 0.5:
+            if self.rng.random() < 0.5:
                 self.end(request)
 
     def pause(self) -> None:
@@ -302,7 +303,7 @@
         """As the source of a response, which has no more."""
 
 
-def _read(
+def _read_request(
     method: str,
     target: bytes,
     headers: list[Header],
@@ -320,22 +321,22 @@
     )
 
 
-def valid_requests(draw: random.Random) -> bytes:
+def valid_requests(rng: random.Random) -> bytes:
     """Bytes of a client on one connection: short bodies and long ones, some requests cancelled."""
     config = h2.config.H2Configuration(client_side=True, header_encoding="latin-1")
     client = h2.connection.H2Connection(config)
     client.initiate_connection()
     for number in range(STREAMS_PER_CONNECTION):
         stream = client.get_next_available_stream_id()
-        size = draw.choice((0, 5, 900, 4000))
-        length = size if draw.random() < 0.7 else None
+        size = rng.choice((0, 5, 900, 4000))
+        length = size if rng.random() < 0.7 else None
         head = b"POST /hold/%d HTTP/1.1\r\nX-Call-Id: c%d\r\nX-Call-Class: hold\r\n" % (number, number)
         headers, first = request_to_grpc(head, b"", length, 3_000_000, "a")
         client.send_headers(stream, headers)
         client.send_data(stream, pack(first))
-        for at in range(0, size, 300):
-            client.send_data(stream, pack(request_body_message(bytes(min(300, size - at)))))
-        if draw.random() < 0.2:
+        for position in range(0, size, 300):
+            client.send_data(stream, pack(request_body_message(bytes(min(300, size - position)))))
+        if rng.random() < 0.2:
             client.reset_stream(stream)
         else:
             client.end_stream(stream)
@@ -350,29 +351,29 @@
 
 
 async def _fuzz_downstream(frames: int, seed: int, progress: Callable[[float], None]) -> FuzzResult:
-    found, draw = FuzzResult(), random.Random(seed)
-    while found.frames < frames:
-        gateway: Any = RandomGateway(draw)
+    result, rng = FuzzResult(), random.Random(seed)
+    while result.frames < frames:
+        gateway: Any = RandomGateway(rng)
         body_budget = BodyMemoryBudget(BODY_MEMORY_MB)
-        listener = GrpcListener(gateway, _read, lambda: False, body_budget)
+        listener = GrpcListener(gateway, _read_request, lambda: False, body_budget)
         listener.intake.max_buffered_body = BUFFERED_BODY_BYTES
         connection = GrpcDownstreamConnection(listener.intake, listener)
         transport: Any = RecordingTransport()
         transport.abort = transport.close
         connection.connection_made(transport)
-        data = mutated(valid_requests(draw), draw)
-        found.frames += max(1, len(data) // BYTES_PER_FRAME_DOWNSTREAM)
-        feed_in_parts(connection, data, draw, found, gateway.end_some)
-        found.closed += transport.closed
+        data = mutate(valid_requests(rng), rng)
+        result.frames += max(1, len(data) // BYTES_PER_FRAME_DOWNSTREAM)
+        feed_in_parts(connection, data, rng, result, gateway.end_some)
+        result.closed += transport.closed
         connection.connection_lost(None)
-        found.answered += gateway.ended
-        found.unsuccessful += gateway.cancelled
+        result.answered += gateway.ended
+        result.unsuccessful += gateway.cancelled
         bodies = body_budget.active_bodies
         if gateway.unanswered:
-            found.failures.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
+            result.failures.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
         if bodies:
-            found.failures.append(f"{bodies} bodies never ended: {data.hex()}")
+            result.failures.append(f"{bodies} bodies never ended: {data.hex()}")
         if listener.connections:
-            found.failures.append(f"a closed connection is still registered: {data.hex()}")
-        progress(found.frames / frames)
-    return found
+            result.failures.append(f"a closed connection is still registered: {data.hex()}")
+        progress(result.frames / frames)
+    return result
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -26,19 +26,19 @@
     Args:
         gateway: Where requests go.
         read: Makes a request of the gateway from what was received.
-        stands_by: Whether the process is on standby, and its connections should drain.
+        is_standby: Whether the process is on standby, and its connections should drain.
         allowance: Memory for streamed bodies.
     """
 
     def __init__(
         self,
         gateway: Gateway,
-        read: RequestReader,
-        stands_by: Callable[[], bool],
+        request_reader: RequestReader,
+        is_standby: Callable[[], bool],
         body_budget: BodyMemoryBudget,
     ) -> None:
-        self.intake = RequestIntake(gateway, read, body_budget)
-        self.stands_by = stands_by
+        self.intake = RequestIntake(gateway, request_reader, body_budget)
+        self.is_standby = is_standby
         self.connections: set[GrpcDownstreamConnection] = set()
         self.servers: list[asyncio.Server] = []
         self.shutting_down = False
@@ -84,7 +84,7 @@
 
     def is_draining(self) -> bool:
         """Whether connections should take no new streams."""
-        return self.shutting_down or self.stands_by()
+        return self.shutting_down or self.is_standby()
 
     def sweep(self) -> None:
         """Check the timeouts of each connection, periodically."""
@@ -117,9 +117,9 @@
         return {
             "new_clients": len(self.connections),
             "new_clients_total": counts.connections,
-            "new_calls_total": counts.calls,
-            "new_unreadable_total": counts.unreadable,
-            "new_clients_calmed_total": counts.closed_for_flooding,
+            "new_calls_total": counts.requests,
+            "new_unreadable_total": counts.invalid_requests,
+            "new_clients_calmed_total": counts.closed_for_violations,
         }
 
     def close(self) -> None:
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -37,32 +37,37 @@
 ID_PREFIX = "shadow\n"  # a client's id comes from a header, which has no line break
 
 
-def difference(one: Response, other: Response, ignored: frozenset[bytes] = IGNORED_FIELDS) -> str | None:
+def find_difference(
+    first: Response, second: Response, ignored: frozenset[bytes] = IGNORED_FIELDS
+) -> str | None:
     """How two responses differ: `status` with both, `header` with the field's name, or `body`; None if equal.
 
     Field names are compared without case, values byte by byte, repeated fields in order.
     """
-    if one.status != other.status:
-        return f"status {one.status} {other.status}"
-    first, second = fields_by_name(one.headers, ignored), fields_by_name(other.headers, ignored)
-    for name in sorted(first.keys() | second.keys()):
-        if first.get(name) != second.get(name):
+    if first.status != second.status:
+        return f"status {first.status} {second.status}"
+    first_fields, second_fields = (
+        fields_by_name(first.headers, ignored),
+        fields_by_name(second.headers, ignored),
+    )
+    for name in sorted(first_fields.keys() | second_fields.keys()):
+        if first_fields.get(name) != second_fields.get(name):
             return f"header {name.decode('latin-1')}"
-    return "body" if one.body != other.body else None
+    return "body" if first.body != second.body else None
 
 
 def fields_by_name(headers: list[Header], ignored: frozenset[bytes]) -> dict[bytes, list[bytes]]:
     """Values of each field by its name in lower case, without those that are ignored."""
-    found: dict[bytes, list[bytes]] = {}
+    fields: dict[bytes, list[bytes]] = {}
     for name, value in headers:
         lower_name = name.lower()
         if lower_name not in ignored:
-            found.setdefault(lower_name, []).append(value)
-    return found
+            fields.setdefault(lower_name, []).append(value)
+    return fields
 
 
 @dataclass(slots=True)
-class MirrorReport:
+class MirrorCounts:
     """Results of the comparisons since the start."""
 
     mirrored: int = 0
@@ -74,9 +79,9 @@
     logged_us: dict[tuple[int, str], int] = field(default_factory=dict)
     max_differences: int = 200  # kinds that are counted each; the others are counted together
 
-    def record_difference(self, class_index: int, found: str, now: int) -> bool:
+    def record_difference(self, class_index: int, difference: str, now: int) -> bool:
         """Count a difference; True if it should be logged."""
-        key = (class_index, found)
+        key = (class_index, difference)
         if key not in self.different and len(self.different) >= self.max_differences:
             key = (class_index, "other")
         self.different[key] = self.different.get(key, 0) + 1
@@ -110,13 +115,15 @@
         self.class_names = class_names
         self.is_active = is_active
         classes = enumerate(gateway.settings.classes)
-        self.safe_classes = frozenset(number for number, kind in classes if kind.effect is Effect.SAFE)
+        self.safe_classes = frozenset(
+            index for index, request_class in classes if request_class.effect is Effect.SAFE
+        )
         self.ignored = IGNORED_FIELDS | {name.lower().encode() for name in ignored}
         self.rate_limiter = RateLimiter(Rate(per_s, 1.0), 1)
-        self.report = MirrorReport()
-        self.last_number = 0
+        self.counts = MirrorCounts()
+        self.last_mirror_number = 0
 
-    def on_response(self, request: Request, from_grpc: bool, answer: Any) -> None:
+    def on_response(self, request: Request, from_grpc: bool, response: Any) -> None:
         """A request has had its complete response, from a server of the given protocol."""
         now = now_us()
         if (
@@ -125,15 +132,19 @@
             or request.class_index not in self.safe_classes
         ):
             return
-        if self.rate_limiter.wait_us(0, now) > 0 or not isinstance(answer, Response) or not self.is_active():
+        if (
+            self.rate_limiter.wait_us(0, now) > 0
+            or not isinstance(response, Response)
+            or not self.is_active()
+        ):
             return
         self.rate_limiter.take(0, now)
-        self.last_number += 1
-        self.report.mirrored += 1
+        self.last_mirror_number += 1
+        self.counts.mirrored += 1
         mirrored = replace(
             request,
-            id=f"{ID_PREFIX}{self.last_number:x}",
-            client=MirrorClient(self, answer, from_grpc),
+            id=f"{ID_PREFIX}{self.last_mirror_number:x}",
+            client=MirrorClient(self, response, from_grpc),
             is_retry=True,
             mirror_target=int(not from_grpc),
         )
@@ -144,27 +155,27 @@
     ) -> None:
         """Compare the responses, that of HTTP/1.1 first."""
         http1, grpc = (mirrored, original) if original_from_grpc else (original, mirrored)
-        found = difference(http1, grpc, self.ignored)
-        if found is None:
-            self.report.equal += 1
-        elif self.report.record_difference(request.class_index, found, now_us()):
+        difference = find_difference(http1, grpc, self.ignored)
+        if difference is None:
+            self.counts.equal += 1
+        elif self.counts.record_difference(request.class_index, difference, now_us()):
             log(
-                f"mirrored response differs: class {self.class_names[request.class_index]}, {found}",
+                f"mirrored response differs: class {self.class_names[request.class_index]}, {difference}",
                 "warning",
             )
 
     def metric_values(self) -> dict[str, float]:
         """Values for the exported metrics."""
-        report = self.report
+        counts = self.counts
         values: dict[str, float] = {
-            "new_compared_total": report.equal + sum(report.different.values()),
-            "new_compared_same_total": report.equal,
-            "new_compared_refused_total": report.rejected,
-            "new_compared_failed_total": report.failed,
-            "new_compared_long_total": report.too_long,
+            "new_compared_total": counts.equal + sum(counts.different.values()),
+            "new_compared_same_total": counts.equal,
+            "new_compared_refused_total": counts.rejected,
+            "new_compared_failed_total": counts.failed,
+            "new_compared_long_total": counts.too_long,
         }
         by_class: dict[str, int] = {}
-        for (class_index, _), count in report.different.items():
+        for (class_index, _), count in counts.different.items():
             by_class[self.class_names[class_index]] = by_class.get(self.class_names[class_index], 0) + count
         return values | {f"new_differs_{name}_total": count for name, count in by_class.items()}
 
@@ -177,19 +188,19 @@
         self.original = original
         self.original_from_grpc = original_from_grpc
 
-    def on_response(self, request: Request, answer: Any) -> None:
+    def on_response(self, request: Request, response: Any) -> None:
         """Compare the response."""
-        self.mirror.compare(request, self.original, answer, self.original_from_grpc)
+        self.mirror.compare(request, self.original, response, self.original_from_grpc)
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
         """Cancel the request: its response is too long to be buffered."""
-        self.mirror.report.too_long += 1
+        self.mirror.counts.too_long += 1
         self.mirror.gateway.cancel_request(request.id)
 
     def on_response_data(self, request: Request, data: bytes) -> None:
         """Ignore it: the request is cancelled."""
 
-    def on_response_ended(self, request: Request, answer: Any) -> None:
+    def on_response_ended(self, request: Request, response: Any) -> None:
         """Ignore it: the request is cancelled."""
 
     def on_response_aborted(self, request: Request) -> None:
@@ -197,8 +208,8 @@
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Count the rejection."""
-        self.mirror.report.rejected += 1
+        self.mirror.counts.rejected += 1
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
         """Count the failure."""
-        self.mirror.report.failed += 1
+        self.mirror.counts.failed += 1
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -57,13 +57,13 @@
         self.observer.on_response_data(attempt, data)
 
     def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, answer: AnyResponse | None, load: LoadReport | None
+        self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
         """The attempt has ended; a complete response is offered to the mirror after the client has it."""
         self.router.record_outcome(self.is_grpc, outcome)
-        self.observer.on_attempt_ended(attempt, outcome, answer, load)
+        self.observer.on_attempt_ended(attempt, outcome, response, load)
         if outcome is Outcome.OK and not self.streaming and self.router.on_response is not None:
-            self.router.on_response(self.request, self.is_grpc, answer)
+            self.router.on_response(self.request, self.is_grpc, response)
 
 
 class ProtocolRouter:
@@ -91,12 +91,15 @@
         self.migration = migration
         self.on_fallback = on_fallback
         self.endpoints: dict[int, Endpoint] = {}  # with the weights that are listed
-        self.factors = (1.0, 1.0)
-        self.exceptions: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = {}, {}  # by class and by tenant
+        self.weight_factors = (1.0, 1.0)
+        self.override_factors: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = (
+            {},
+            {},
+        )  # by class and by tenant
         self.on_override_factors: Callable[[WeightFactorsByIndex, WeightFactorsByIndex], None] | None = None
         self.on_response: Callable[[Request, bool, AnyResponse], None] | None = None
         """Called with each complete response, and whether it is a gRPC server's."""
-        self.numbers: dict[int, None] = {}  # of all servers: read at each attempt
+        self.listed_servers: dict[int, None] = {}  # of all servers: read at each attempt
 
     # Weights
 
@@ -113,31 +116,31 @@
                 self.endpoints.pop(entry.listed.server, None)
             else:
                 self.endpoints[entry.listed.server] = entry
-        return [self.scaled(entry) for entry in entries]
+        return [self.with_scaled_weight(entry) for entry in entries]
 
-    def scaled(self, entry: Endpoint) -> Endpoint:
+    def with_scaled_weight(self, entry: Endpoint) -> Endpoint:
         """An endpoint with its weight scaled for its protocol."""
-        factor = self.factors[entry.listed.kind in self.grpc_kinds]
+        factor = self.weight_factors[entry.listed.kind in self.grpc_kinds]
         listed = replace(entry.listed, weight=entry.listed.weight * factor)
         return Endpoint(entry.name, entry.address, listed)
 
     def update_weights(self) -> list[Endpoint]:
         """Recompute the factors; all endpoints with their new weights if these have changed, else none."""
-        sums = [0.0, 0.0]
+        weight_sums = [0.0, 0.0]
         for entry in self.endpoints.values():
             if entry.listed.status is ServerStatus.READY:
-                sums[entry.listed.kind in self.grpc_kinds] += entry.listed.weight
+                weight_sums[entry.listed.kind in self.grpc_kinds] += entry.listed.weight
         now = now_us()
-        exceptions = self.migration.override_factors(now, *sums)
-        if exceptions != self.exceptions:
-            self.exceptions = exceptions
+        override_factors = self.migration.override_factors(now, *weight_sums)
+        if override_factors != self.override_factors:
+            self.override_factors = override_factors
             if self.on_override_factors is not None:
-                self.on_override_factors(*exceptions)
-        factors = self.migration.weight_factors(now, *sums)
-        if factors == self.factors:
+                self.on_override_factors(*override_factors)
+        factors = self.migration.weight_factors(now, *weight_sums)
+        if factors == self.weight_factors:
             return []
-        self.factors = factors
-        return [self.scaled(entry) for entry in self.endpoints.values()]
+        self.weight_factors = factors
+        return [self.with_scaled_weight(entry) for entry in self.endpoints.values()]
 
     def set_shares(
         self,
@@ -176,58 +179,62 @@
         """Whether a server is listed as a gRPC server."""
         return server in self.grpc.pools
 
-    def pool_of(self, server: int) -> UpstreamPool:
+    def pool_for_server(self, server: int) -> UpstreamPool:
         """The pools of the protocol that a server speaks."""
         return self.grpc if self.speaks_grpc(server) else self.http1
 
-    def pool_of_attempt(self, attempt: Attempt) -> UpstreamPool:
+    def pool_for_attempt(self, attempt: Attempt) -> UpstreamPool:
         """The pools that carry an attempt."""
         return self.grpc if isinstance(attempt, GrpcAttempt) else self.http1
 
     def put(self, entry: Endpoint) -> None:
         """Add or update a server; one that changes its protocol moves to the other pools."""
-        number = entry.listed.server
-        self.numbers[number] = None
+        server = entry.listed.server
+        self.listed_servers[server] = None
         if entry.listed.kind in self.grpc_kinds:
-            if number in self.http1.listed:
-                self.http1.remove(number)
+            if server in self.http1.listed:
+                self.http1.remove(server)
             self.grpc.put(entry)
         else:
-            if number in self.grpc.listed:
-                self.grpc.remove(number)
+            if server in self.grpc.listed:
+                self.grpc.remove(server)
             self.http1.put(entry)
 
     def remove(self, server: int) -> None:
         """Drop a server."""
-        self.numbers.pop(server, None)
-        self.pool_of(server).remove(server)
+        self.listed_servers.pop(server, None)
+        self.pool_for_server(server).remove(server)
 
     @property
     def listed(self) -> Collection[int]:
         """Numbers of the listed servers."""
-        return self.numbers.keys()
+        return self.listed_servers.keys()
 
     def server_start_times(self) -> dict[int, int]:
         """When each listed server started."""
         return self.http1.server_start_times() | self.grpc.server_start_times()
 
-    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Send a request to a server and wait `wait_us` for its response; None if it is not listed."""
+    def begin(
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
+    ) -> Attempt | None:
+        """Send a request to a server and wait `timeout_us` for its response; None if it is not listed."""
         is_grpc = self.speaks_grpc(server)
         pool: UpstreamPool = self.grpc if is_grpc else self.http1
-        return pool.begin(request, server, wait_us, ProtocolAttemptObserver(observer, self, is_grpc, request))
+        return pool.begin(
+            request, server, timeout_us, ProtocolAttemptObserver(observer, self, is_grpc, request)
+        )
 
     def cancel(self, attempt: Attempt) -> None:
         """Stop waiting for a response."""
-        self.pool_of_attempt(attempt).cancel(attempt)
+        self.pool_for_attempt(attempt).cancel(attempt)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
         """End an attempt if nothing of it has been sent."""
-        self.pool_of_attempt(attempt).cancel_unsent(attempt)
+        self.pool_for_attempt(attempt).cancel_unsent(attempt)
 
     def close_idle(self, server: int) -> None:
         """Close connections to a server's earlier incarnation, as they become idle."""
-        self.pool_of(server).close_idle(server)
+        self.pool_for_server(server).close_idle(server)
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
         """Ask an HTTP/1.1 server for its load; gRPC servers are not probed."""
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -27,9 +27,11 @@
         body_budget: Memory for streamed bodies.
     """
 
-    def __init__(self, gateway: Gateway, read: RequestReader, body_budget: BodyMemoryBudget) -> None:
+    def __init__(
+        self, gateway: Gateway, request_reader: RequestReader, body_budget: BodyMemoryBudget
+    ) -> None:
         self.gateway = gateway
-        self.read = read
+        self.request_reader = request_reader
         self.body_budget = body_budget
         self.max_buffered_body = MAX_BUFFERED_BODY_BYTES
         self.counts = DownstreamCounts()
@@ -79,26 +81,28 @@
 
     def submit(self, stream: DownstreamStream, streamed: bool) -> None:
         """Hand a request to the gateway: a complete one, or the beginning of one with a streamed body."""
-        self.counts.calls += 1
+        self.counts.requests += 1
         content_type = dict(stream.headers).get("content-type", "")
         if not content_type.startswith("application/grpc"):
-            stream.answer_error(StatusCode.INVALID_ARGUMENT, "content-type is not application/grpc+proto")
+            stream.respond_with_error(
+                StatusCode.INVALID_ARGUMENT, "content-type is not application/grpc+proto"
+            )
             return
         if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
-            stream.answer_error(StatusCode.INVALID_ARGUMENT, "no whole message")
+            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, "no whole message")
             return
         try:
-            request = self.read_request(stream, streamed)
+            request = self.build_request(stream, streamed)
         except TranslationError as error:
-            stream.answer_error(StatusCode.INVALID_ARGUMENT, str(error))
+            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, str(error))
             return
         except RequestReadError as error:
-            stream.answer_error(error.status, str(error))
+            stream.respond_with_error(error.status, str(error))
             return
         if not stream.submit(request):
-            stream.answer_error(StatusCode.ALREADY_EXISTS, "this x-call-id is in use")
+            stream.respond_with_error(StatusCode.ALREADY_EXISTS, "this x-call-id is in use")
 
-    def read_request(self, stream: DownstreamStream, streamed: bool) -> Request:
+    def build_request(self, stream: DownstreamStream, streamed: bool) -> Request:
         """Make a request from the buffered messages.
 
         Raises:
@@ -113,6 +117,6 @@
             raise TranslationError(f"a body of {length} bytes, over {STREAMED_BODY_LIMIT}")
         method, target, headers = split_head(head)
         if streamed:
-            stream.start_body(length, self.body_budget).feed(body)
+            stream.start_streaming_body(length, self.body_budget).feed(body)
             body = b""
-        return self.read(method, target, headers, body, budget_us, stream, stream.streamed_body)
+        return self.request_reader(method, target, headers, body, budget_us, stream, stream.streamed_body)
--- a/sagetrack/grpc/response_reader.py
+++ b/sagetrack/grpc/response_reader.py
@@ -22,7 +22,7 @@
         "_body",
         "_body_bytes",
         "_message_bytes",
-        "_reply",
+        "_response_head",
         "_trailers",
         "_unpacker",
         "announced_length",
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self._unpacker = Unpacker()
-        self._reply: Response | None = None
+        self._response_head: Response | None = None
         self._body = bytearray()
         self._body_bytes = 0
         self._message_bytes = 0
@@ -46,9 +46,9 @@
         """
         self._message_bytes += len(data)
         for message in self._unpacker.feed(data):
-            if self._reply is None:
-                self._reply, self.announced_length = response_to_http1(message)
-                chunk = self._reply.body
+            if self._response_head is None:
+                self._response_head, self.announced_length = response_to_http1(message)
+                chunk = self._response_head.body
             else:
                 chunk = response_body_chunk(message)
             self._body_bytes += len(chunk)
@@ -70,12 +70,12 @@
     @property
     def head(self) -> Response | None:
         """The status and fields, once the first message has arrived."""
-        return self._reply
+        return self._response_head
 
     @property
     def exceeds_buffer(self) -> bool:
         """Whether the response is too long to be buffered."""
-        return self._reply is not None and len(self._body) > BUFFERED_RESPONSE_BYTES
+        return self._response_head is not None and len(self._body) > BUFFERED_RESPONSE_BYTES
 
     @property
     def exceeds_limit(self) -> bool:
@@ -89,15 +89,15 @@
         if self._trailers.get(":status", "200") != "200":
             status = None
         rejected = self._trailers.get("x-rejected") == "1"
-        complete = self._reply is not None and not self._unpacker.incomplete_bytes
+        complete = self._response_head is not None and not self._unpacker.incomplete_bytes
         outcome = outcomes.of_status(status, complete, rejected)
         length = self.announced_length
         if outcome is Outcome.OK and length is not None and self._body_bytes != length:
             return Outcome.ERROR
         return outcome
 
-    def reply(self) -> Response | None:
+    def response(self) -> Response | None:
         """The complete response, with what of its body was buffered; None before its first message."""
-        if self._reply is None:
+        if self._response_head is None:
             return None
-        return Response(200, self._reply.headers, bytes(self._body), True)
+        return Response(200, self._response_head.headers, bytes(self._body), True)
--- a/sagetrack/grpc/tls.py
+++ b/sagetrack/grpc/tls.py
@@ -65,14 +65,14 @@
         try:
             context.load_verify_locations(self.ca)
         except (OSError, ssl.SSLError) as error:
-            raise TlsFilesError(f"{self.ca}: {_reason(error)}") from None
+            raise TlsFilesError(f"{self.ca}: {_error_reason(error)}") from None
         if self.certificate:
             try:
                 context.load_cert_chain(self.certificate, self.key)
                 with open(self.certificate, "rb") as file:
                     certificate = x509.load_pem_x509_certificate(file.read())
             except (OSError, ssl.SSLError, ValueError) as error:
-                raise TlsFilesError(f"{self.certificate} with {self.key}: {_reason(error)}") from None
+                raise TlsFilesError(f"{self.certificate} with {self.key}: {_error_reason(error)}") from None
             expires_s = certificate.not_valid_after_utc.timestamp()
             if expires_s < time.time():
                 raise TlsFilesError(
@@ -96,7 +96,7 @@
         return {"new_certificate_days": round((self.expires_s - time.time()) / 86_400, 2)}
 
 
-def _reason(error: Exception) -> str:
+def _error_reason(error: Exception) -> str:
     """What is wrong with a file, in few words."""
     if isinstance(error, ssl.SSLError):
         return (error.reason or "no PEM that can be read").lower().replace("_", " ")
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -1,7 +1,7 @@
 """Translation between HTTP/1.1 and gRPC, both ways: exact, or an error that names what cannot be translated.
 
 The head of a request is the text that would be sent to an HTTP/1.1 server. Only fields that gRPC metadata has
-a place for (`METADATA`, the idempotency key) are read; the others are carried as they are.
+a place for (`METADATA_BY_FIELD`, the idempotency key) are read; the others are carried as they are.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from sagetrack.grpc.outcomes import StatusCode
 
 SERVICE = "/sagetrack.v2.Calls/"
-METADATA = {
+METADATA_BY_FIELD = {
     b"x-call-id": "x-call-id",
     b"x-call-class": "x-call-class",
     b"x-caller": "x-caller",
     b"x-call-cost": "x-call-cost",
     b"x-again": "x-again",
 }
-KEY_FIELD = b"idempotency-key"
-KEY_METADATA = "idempotency-key-bin"
+IDEMPOTENCY_KEY_FIELD = b"idempotency-key"
+IDEMPOTENCY_KEY_METADATA = "idempotency-key-bin"
 FIELD_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
 FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
-PRINTABLE = re.compile(rb"[\x20-\x7e]*")
+PRINTABLE_ASCII = re.compile(rb"[\x20-\x7e]*")
 # Of a connection or of the framing (RFC 9110, 7.6.1 and 8.6): not carried
-HOP_FIELDS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
+HOP_BY_HOP_FIELDS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
 
 
 def split_head(head: bytes) -> tuple[str, bytes, list[Header]]:
@@ -41,8 +41,8 @@
         TranslationError: The request line or a field is malformed.
     """
     lines = head.rstrip(b"\r\n").split(b"\r\n")
-    parts = lines[0].split(b" ")
-    if len(parts) != 3:
+    request_line = lines[0].split(b" ")
+    if len(request_line) != 3:
         raise TranslationError("a request line that is none")
     headers = []
     for line in lines[1:]:
@@ -50,7 +50,7 @@
         if not colon or not FIELD_NAME.fullmatch(name):
             raise TranslationError(f"a header {line[:40]!r} that is none")
         headers.append((name, value.removeprefix(b" ")))
-    return parts[0].decode("latin-1"), parts[1], headers
+    return request_line[0].decode("latin-1"), request_line[1], headers
 
 
 def read_head(head: bytes) -> tuple[str, bytes, list[Header], dict[str, str]]:
@@ -61,22 +61,22 @@
     """
     method, target, headers = split_head(head)
     metadata: dict[str, str] = {}
-    passed = [(name, value) for name, value in headers if name.lower() not in HOP_FIELDS]
-    for name, value in passed:
-        low = name.lower()
-        if low == KEY_FIELD:
-            metadata[KEY_METADATA] = encode_binary(value)
-        elif low in METADATA:
-            if not PRINTABLE.fullmatch(value):
+    forwarded_fields = [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP_FIELDS]
+    for name, value in forwarded_fields:
+        lower_name = name.lower()
+        if lower_name == IDEMPOTENCY_KEY_FIELD:
+            metadata[IDEMPOTENCY_KEY_METADATA] = encode_binary(value)
+        elif lower_name in METADATA_BY_FIELD:
+            if not PRINTABLE_ASCII.fullmatch(value):
                 raise TranslationError(f"{name.decode()} has bytes that metadata cannot carry")
-            metadata[METADATA[low]] = value.decode()
+            metadata[METADATA_BY_FIELD[lower_name]] = value.decode()
         elif not FIELD_VALUE.fullmatch(value):
             raise TranslationError(f"{name.decode()} has control characters")
-    return method, target, passed, metadata
+    return method, target, forwarded_fields, metadata
 
 
 def request_to_grpc(
-    head: bytes, body: bytes, length: int | None, wait_us: int, authority: str
+    head: bytes, body: bytes, length: int | None, timeout_us: int, authority: str
 ) -> tuple[list[tuple[str, str]], bytes]:
     """Translate a request to HTTP/2 headers and the first message.
 
@@ -84,36 +84,36 @@
         head: Request line and fields.
         body: The body, or what there is of it so far.
         length: Length of a streamed body, where it is known.
-        wait_us: For `grpc-timeout`.
+        timeout_us: For `grpc-timeout`.
         authority: Address of the server.
 
     Raises:
         TranslationError: Something cannot be translated; named in the message.
     """
-    method, target, passed, metadata = read_head(head)
+    method, target, forwarded_fields, metadata = read_head(head)
     class_name = metadata.get("x-call-class", "")
     if not class_name:
         class_name = target.lstrip(b"/").partition(b"/")[0].partition(b"?")[0].decode("latin-1")
     # The spelling of names is kept, so that an HTTP/1.1 server behind a gRPC one sees what its client sent.
-    fields = [Field(name=name, value=value) for name, value in passed]
-    first = Call(method=method, target=target, fields=fields, body=body)
+    fields = [Field(name=name, value=value) for name, value in forwarded_fields]
+    first_message = Call(method=method, target=target, fields=fields, body=body)
     if length is not None:
-        first.length = length
-    pseudo = [
+        first_message.length = length
+    base_headers = [
         (":method", "POST"),
         (":scheme", "http"),
         (":path", SERVICE + class_name),
         (":authority", authority),
         ("te", "trailers"),
         ("content-type", "application/grpc+proto"),
-        ("grpc-timeout", format_timeout(wait_us)),
+        ("grpc-timeout", format_timeout(timeout_us)),
     ]
-    return [*pseudo, *metadata.items()], first.SerializeToString()
+    return [*base_headers, *metadata.items()], first_message.SerializeToString()
 
 
-def with_timeout(headers: list[tuple[str, str]], left_us: int) -> list[tuple[str, str]]:
+def with_remaining_timeout(headers: list[tuple[str, str]], remaining_us: int) -> list[tuple[str, str]]:
     """Replace `grpc-timeout` by the time that is left now: connecting may have taken some of it."""
-    timeout = format_timeout(max(1, left_us))
+    timeout = format_timeout(max(1, remaining_us))
     return [(name, timeout if name == "grpc-timeout" else value) for name, value in headers]
 
 
@@ -129,11 +129,11 @@
         TranslationError: The response has no counterpart in HTTP/1.1.
     """
     try:
-        answer = Answer.FromString(message)
+        response = Answer.FromString(message)
     except DecodeError:
         raise TranslationError("an answer that the schema does not know") from None
-    return Response(200, http1_fields(answer.fields), answer.body, True), (
-        answer.length if answer.HasField("length") else None
+    return Response(200, http1_fields(response.fields), response.body, True), (
+        response.length if response.HasField("length") else None
     )
 
 
@@ -159,7 +159,7 @@
     for field in fields:
         if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(field.value):
             raise TranslationError(f"a field {field.name[:40]!r} that is no header")
-        if field.name.lower() not in HOP_FIELDS:
+        if field.name.lower() not in HOP_BY_HOP_FIELDS:
             headers.append((field.name, field.value))
     return headers
 
@@ -182,7 +182,12 @@
         call = Call.FromString(message)
     except DecodeError:
         raise TranslationError("a call that the schema does not know") from None
-    if " " in call.method or not call.method or not PRINTABLE.fullmatch(call.target) or b" " in call.target:
+    if (
+        " " in call.method
+        or not call.method
+        or not PRINTABLE_ASCII.fullmatch(call.target)
+        or b" " in call.target
+    ):
         raise TranslationError("a method or target that no request line can carry")
     lines = [b"%s %s HTTP/1.1" % (call.method.encode(), call.target), *request_field_lines(call, metadata)]
     length = call.length if call.HasField("length") else None
@@ -198,13 +203,15 @@
     Raises:
         TranslationError: A field would be malformed in HTTP/1.1.
     """
-    overrides = {name: metadata[key].encode("latin-1") for name, key in METADATA.items() if key in metadata}
-    if KEY_METADATA in metadata:
-        overrides[KEY_FIELD] = decode_binary(metadata[KEY_METADATA])
+    overrides = {
+        name: metadata[key].encode("latin-1") for name, key in METADATA_BY_FIELD.items() if key in metadata
+    }
+    if IDEMPOTENCY_KEY_METADATA in metadata:
+        overrides[IDEMPOTENCY_KEY_FIELD] = decode_binary(metadata[IDEMPOTENCY_KEY_METADATA])
     lines = []
     for field in call.fields:
         lower_name = field.name.lower()
-        if lower_name in HOP_FIELDS:
+        if lower_name in HOP_BY_HOP_FIELDS:
             continue
         value = overrides.pop(lower_name, field.value)
         if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(value):
@@ -233,7 +240,9 @@
 
 def response_to_grpc(headers: Iterable[Header], body: bytes) -> bytes:
     """Encode a response as a message."""
-    fields = [Field(name=name, value=value) for name, value in headers if name.lower() not in HOP_FIELDS]
+    fields = [
+        Field(name=name, value=value) for name, value in headers if name.lower() not in HOP_BY_HOP_FIELDS
+    ]
     return Answer(fields=fields, body=body).SerializeToString()
 
 
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -24,10 +24,10 @@
 class AttemptConnection(Protocol):
     """What an attempt asks of the connection that carries it."""
 
-    def forget(self, attempt: GrpcAttempt) -> None:
+    def discard(self, attempt: GrpcAttempt) -> None:
         """Drop an attempt that has ended."""
 
-    def reset(self, attempt: GrpcAttempt) -> None:
+    def reset_stream(self, attempt: GrpcAttempt) -> None:
         """Cancel its stream, if it has one."""
 
     def reopen_window(self, attempt: GrpcAttempt) -> None:
@@ -41,7 +41,7 @@
     upstream: UpstreamServerRecord
     request: Request
     observer: AttemptObserver
-    sent_us: int
+    started_us: int
     timeout_us: int
     headers: list[tuple[str, str]]
     pending: deque[bytes]  # framed messages that are still to be sent
@@ -54,7 +54,7 @@
     streaming: bool = False  # the response goes to the client as it arrives
     paused: bool = False  # the client takes nothing at the moment
     last_progress_us: int = 0
-    response: ResponseReader = field(default_factory=ResponseReader)
+    response_reader: ResponseReader = field(default_factory=ResponseReader)
     withheld: WithheldBytes = field(default_factory=WithheldBytes)
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
@@ -68,7 +68,7 @@
         """How long the response is still waited for; the timeout runs from the request's last byte."""
         if self.request.streamed_body is not None and not self.request.streamed_body.is_complete:
             return self.timeout_us
-        return self.timeout_us - (now_us() - self.sent_us)
+        return self.timeout_us - (now_us() - self.started_us)
 
     def may_start(self) -> bool:
         """Whether the request may be sent now; asked right before its first byte.
@@ -77,7 +77,7 @@
         """
         return self.observer.may_begin(self.upstream.state)
 
-    def assign(self, connection: AttemptConnection) -> None:
+    def set_connection(self, connection: AttemptConnection) -> None:
         """Take the connection that carries the attempt."""
         self.connection = connection
 
@@ -123,15 +123,15 @@
 
     def start_streaming(self) -> None:
         """Pass the response on as it arrives, beginning with what was buffered."""
-        head = self.response.head
+        head = self.response_reader.head
         assert head is not None
         self.streaming = True
-        self.latency_us = now_us() - self.sent_us
+        self.latency_us = now_us() - self.started_us
         for timer in self.timers:
             timer.cancel()
-        announced = Response(200, head.headers, b"", True, self.response.announced_length)
-        self.observer.on_response_started(self, announced, self)
-        body = self.response.take_buffered()
+        head_with_length = Response(200, head.headers, b"", True, self.response_reader.announced_length)
+        self.observer.on_response_started(self, head_with_length, self)
+        body = self.response_reader.take_buffered()
         if not self.ended:
             self.observer.on_response_data(self, body)
 
@@ -139,29 +139,29 @@
         """Buffer or pass on a part of the response; False if it is malformed."""
         self.last_progress_us = now_us()
         try:
-            for chunk in self.response.feed(data):
+            for chunk in self.response_reader.feed(data):
                 if self.streaming:
                     self.observer.on_response_data(self, chunk)
                 else:
-                    self.response.buffer(chunk)
+                    self.response_reader.buffer(chunk)
         except (MessageError, TranslationError):
             return False
         return True
 
     def finish_response(self) -> None:
         """End with the response that is complete now, unless it came before the request was sent."""
-        outcome = self.response.outcome()
+        outcome = self.response_reader.outcome()
         if outcome is Outcome.OK and not self.request_sent:
             outcome = Outcome.ERROR
-        reply = self.response.reply() if outcome is Outcome.OK else None
+        response = self.response_reader.response() if outcome is Outcome.OK else None
         if not self.request_sent:
             self.cancel_stream()
-        self.finish(outcome, reply)
+        self.finish(outcome, response)
 
     @property
     def should_stream(self) -> bool:
         """Whether the response has become too long to be buffered."""
-        return not self.streaming and self.response.exceeds_buffer
+        return not self.streaming and self.response_reader.exceeds_buffer
 
     def is_stalled(self, now: int) -> bool:
         """Whether a streamed body, of the request or the response, has made no progress for too long."""
@@ -182,20 +182,20 @@
     def cancel_stream(self) -> None:
         """Reset its stream, so that its server can stop working on it."""
         if self.connection is not None:
-            self.connection.reset(self)
+            self.connection.reset_stream(self)
 
-    def finish(self, outcome: Outcome, reply: Response | None = None) -> None:
+    def finish(self, outcome: Outcome, response: Response | None = None) -> None:
         """End the attempt and tell its observer; any call after the first has no effect."""
         if self.ended:
             return
         self.ended = True
         if not self.streaming:
-            self.latency_us = now_us() - self.sent_us
+            self.latency_us = now_us() - self.started_us
         for timer in self.timers:
             timer.cancel()
         if self.request.streamed_body is not None:
             self.request.streamed_body.on_data = do_nothing
             self.request.streamed_body.on_complete = do_nothing
         if self.connection is not None:
-            self.connection.forget(self)
-        self.observer.on_attempt_ended(self, outcome, reply, None)
+            self.connection.discard(self)
+        self.observer.on_attempt_ended(self, outcome, response, None)
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -24,7 +24,7 @@
 from sagetrack.grpc.http2_protocol import MAX_HEADER_LIST_BYTES, Http2Protocol
 from sagetrack.grpc.liveness import Liveness
 from sagetrack.grpc.request_writer import write_request
-from sagetrack.grpc.translate import with_timeout
+from sagetrack.grpc.translate import with_remaining_timeout
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.policy.events import Outcome
 
@@ -39,13 +39,13 @@
 class UpstreamCounts:
     """Totals since the start, over all connections."""
 
-    opened: int = 0
-    streams: int = 0
+    opened_connections: int = 0
+    opened_streams: int = 0
     refused_streams: int = 0
     goaways: int = 0
-    resets: int = 0
-    broken: int = 0  # connections that ended while requests were in flight
-    untranslated: int = 0
+    reset_streams: int = 0
+    broken_connections: int = 0  # connections that ended while requests were in flight
+    untranslatable_requests: int = 0
 
 
 class GrpcUpstreamConnection(Http2Protocol):
@@ -78,8 +78,8 @@
         """Streams that may be opened now."""
         if self.draining or self.closed:
             return 0
-        announced = MAX_STREAMS if self.transport is None else self.h2.remote_settings.max_concurrent_streams
-        return min(MAX_STREAMS, announced) - len(self.attempts)
+        limit = MAX_STREAMS if self.transport is None else self.h2.remote_settings.max_concurrent_streams
+        return min(MAX_STREAMS, limit) - len(self.attempts)
 
     @property
     def is_idle(self) -> bool:
@@ -91,9 +91,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the preface and open the streams that waited for the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        tls = transport.get_extra_info("ssl_object")
-        if tls is not None and tls.selected_alpn_protocol() != "h2":
-            self.fail(None)
+        ssl_object = transport.get_extra_info("ssl_object")
+        if ssl_object is not None and ssl_object.selected_alpn_protocol() != "h2":
+            self.close(None)
             return
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
@@ -104,7 +104,7 @@
 
     def send(self, attempt: GrpcAttempt) -> None:
         """Send an attempt, now or once the connection is up."""
-        attempt.assign(self)
+        attempt.set_connection(self)
         if self.transport is None:
             self.attempts.add_waiting(attempt)
         else:
@@ -119,14 +119,14 @@
         try:
             stream_id = self.h2.get_next_available_stream_id()
             attempt.observer.on_first_byte()
-            self.h2.send_headers(stream_id, with_timeout(attempt.headers, attempt.remaining_us))
+            self.h2.send_headers(stream_id, with_remaining_timeout(attempt.headers, attempt.remaining_us))
         except h2.exceptions.H2Error:  # too many streams after all, or no id left: nothing was sent
             self.draining = True
             attempt.finish(Outcome.NOT_SENT)
             return
         attempt.on_headers_sent(stream_id)
         self.attempts.add(attempt)
-        self.counts.streams += 1
+        self.counts.opened_streams += 1
         streamed_body = attempt.request.streamed_body
         if streamed_body is not None:
             streamed_body.on_data = lambda: self.send_and_flush(attempt)
@@ -162,7 +162,7 @@
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
             self.flush()  # the library has written GOAWAY with the right error
-            self.fail(None)
+            self.close(None)
             return
         for event in events:
             if self.closed:
@@ -203,7 +203,7 @@
     def count_control_frame(self) -> None:
         """Close the connection to a server that floods it with frames that carry no response."""
         if self.flood_guard.record(now_us(), control_frames=1):
-            self.fail(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
+            self.close(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
 
     def on_data(self, event: h2.events.DataReceived) -> None:
         """DATA on a stream; that of a stream which is gone only counts for flow control."""
@@ -220,16 +220,16 @@
     def on_response_data(self, attempt: GrpcAttempt, data: bytes, size: int) -> None:
         """Take a part of a response; `size` is what flow control counts for it."""
         if not attempt.receive(data):
-            self.abort(attempt, Outcome.ERROR)
+            self.abort_attempt(attempt, Outcome.ERROR)
             return
         self.acknowledge(attempt, size)
-        if attempt.response.exceeds_limit:
-            self.abort(attempt, Outcome.ERROR)
+        if attempt.response_reader.exceeds_limit:
+            self.abort_attempt(attempt, Outcome.ERROR)
         elif attempt.should_stream:
             if attempt.request_sent:
                 attempt.start_streaming()
             else:
-                self.abort(attempt, Outcome.ERROR)  # no answer to an incomplete request
+                self.abort_attempt(attempt, Outcome.ERROR)  # no answer to an incomplete request
 
     def acknowledge(self, attempt: GrpcAttempt, size: int) -> None:
         """Open the server's flow-control window again for what the client has taken.
@@ -253,13 +253,15 @@
         """Headers or trailers of a response."""
         attempt = self.attempts.get(event.stream_id)
         if attempt is not None:
-            attempt.response.add_headers((str(name), str(value)) for name, value in event.headers or ())
+            attempt.response_reader.add_headers(
+                (str(name), str(value)) for name, value in event.headers or ()
+            )
 
     def on_reset(self, event: h2.events.StreamReset) -> None:
         """RST_STREAM from the server."""
         attempt = self.attempts.get(event.stream_id)
         code = int(event.error_code or 0)
-        self.counts.resets += 1
+        self.counts.reset_streams += 1
         self.count_control_frame()
         if attempt is not None:
             self.counts.refused_streams += code == outcomes.Http2ErrorCode.REFUSED_STREAM
@@ -275,22 +277,22 @@
             if outcome is not None:
                 attempt.finish(outcome)
         if event.error_code:
-            self.fail(None)
+            self.close(None)
 
     # Ends
 
-    def forget(self, attempt: GrpcAttempt) -> None:
+    def discard(self, attempt: GrpcAttempt) -> None:
         """Drop an attempt that has ended."""
         self.attempts.discard(attempt)
         if self.is_idle:
             self.liveness.on_idle(now_us())
 
-    def abort(self, attempt: GrpcAttempt, outcome: Outcome) -> None:
+    def abort_attempt(self, attempt: GrpcAttempt, outcome: Outcome) -> None:
         """Reset one stream and end its attempt; the others go on."""
-        self.reset(attempt)
+        self.reset_stream(attempt)
         attempt.finish(outcome)
 
-    def reset(self, attempt: GrpcAttempt) -> None:
+    def reset_stream(self, attempt: GrpcAttempt) -> None:
         """Send RST_STREAM with CANCEL, if the stream was opened."""
         if attempt.headers_sent and not self.closed:
             try:
@@ -307,9 +309,9 @@
     def close_if_drained(self) -> None:
         """Close a draining connection that carries nothing any more."""
         if self.draining and self.is_idle and not self.closed:
-            self.fail(h2.errors.ErrorCodes.NO_ERROR)
+            self.close(h2.errors.ErrorCodes.NO_ERROR)
 
-    def fail(self, error: h2.errors.ErrorCodes | None) -> None:
+    def close(self, error: h2.errors.ErrorCodes | None) -> None:
         """Close it, with GOAWAY if an error code is given; each of its attempts ends as it stands."""
         if self.closed:
             return
@@ -319,7 +321,7 @@
                 self.flush()
         self.closed = True
         self.draining = True
-        self.counts.broken += bool(self.attempts.open_count)
+        self.counts.broken_connections += bool(self.attempts.open_count)
         self.on_closed(self)
         if self.transport is not None:
             self.transport.close()
@@ -328,7 +330,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The socket is gone."""
-        self.fail(None)
+        self.close(None)
         self.transport = None
 
     def sweep(self, now: int) -> None:
@@ -336,12 +338,12 @@
         if self.liveness.should_drain(now, self.is_idle):
             self.draining = True
         if self.liveness.ping_timed_out(now):
-            self.fail(h2.errors.ErrorCodes.NO_ERROR)
+            self.close(h2.errors.ErrorCodes.NO_ERROR)
         elif self.attempts.open_count and self.liveness.ping_due(now):
             self.liveness.on_ping_sent(now)
             self.h2.ping(PING_PAYLOAD)
             self.flush()
         for attempt in self.attempts.on_open_streams():
             if attempt.is_stalled(now):
-                self.abort(attempt, outcomes.of_deadline(attempt.headers_sent))
+                self.abort_attempt(attempt, outcomes.of_deadline(attempt.headers_sent))
         self.close_if_drained()
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -31,12 +31,12 @@
 class RecordingObserver:
     """A observer that keeps what it hears."""
 
-    def __init__(self, pauses: bool = False) -> None:
-        self.pauses = pauses
-        self.written = 0
+    def __init__(self, pause_immediately: bool = False) -> None:
+        self.pause_immediately = pause_immediately
+        self.requests_sent = 0
         self.ends: list[tuple[Outcome, Response | None]] = []
         self.head: Response | None = None
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.source: Any = None
 
     def may_begin(self, server: ServerState) -> bool:
@@ -46,18 +46,18 @@
         """Of no concern here."""
 
     def on_request_sent(self) -> None:
-        self.written += 1
+        self.requests_sent += 1
 
     def on_response_started(self, attempt: Any, head: Any, source: Any) -> None:
         self.head, self.source = head, source
-        if self.pauses:
+        if self.pause_immediately:
             source.pause()
 
     def on_response_data(self, attempt: Any, data: bytes) -> None:
-        self.pieces.append(data)
+        self.chunks.append(data)
 
-    def on_attempt_ended(self, attempt: Any, outcome: Outcome, answer: Any, load: Any) -> None:
-        self.ends.append((outcome, answer))
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome, response: Any, load: Any) -> None:
+        self.ends.append((outcome, response))
 
 
 class GrpcUpstreamFixture:
@@ -66,87 +66,89 @@
     def __init__(self, pools: GrpcConnectionPools, entry: Endpoint) -> None:
         self.pools, self.entry = pools, entry
         self.connections: list[GrpcServerConnection] = []
-        self.asked: list[tuple[GrpcServerConnection, GrpcRequest]] = []
+        self.received: list[tuple[GrpcServerConnection, GrpcRequest]] = []
 
-    def ask(
+    def send(
         self,
         body: bytes = b"",
         streamed_body: StreamedBody | None = None,
-        wait_us: int = 10_000_000,
-        pauses: bool = False,
+        timeout_us: int = 10_000_000,
+        pause_immediately: bool = False,
     ) -> RecordingObserver:
-        heard = RecordingObserver(pauses)
-        request = Request("a", 0, wait_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
-        self.pools.begin(request, 1, wait_us, heard)
-        return heard
+        observer = RecordingObserver(pause_immediately)
+        request = Request("a", 0, timeout_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
+        self.pools.begin(request, 1, timeout_us, observer)
+        return observer
 
     @property
     def connection(self) -> GrpcUpstreamConnection:
         return self.pools.pools[1].connections[0]
 
-    async def until_asked(self, count: int) -> None:
-        await until(lambda: len(self.asked) >= count)
+    async def wait_for_requests(self, count: int) -> None:
+        await until(lambda: len(self.received) >= count)
 
 
 @asynccontextmanager
 async def grpc_upstream_fixture(
-    most: int = 100,
-    on_call: Callable[[GrpcServerConnection, GrpcRequest], None] | None = None,
-    keys: tuple[ssl.SSLContext, Callable[[], ssl.SSLContext | None]] | None = None,
+    max_streams: int = 100,
+    on_request: Callable[[GrpcServerConnection, GrpcRequest], None] | None = None,
+    tls: tuple[ssl.SSLContext, Callable[[], ssl.SSLContext | None]] | None = None,
 ) -> AsyncIterator[GrpcUpstreamFixture]:
-    rig: GrpcUpstreamFixture
-
-    def make() -> GrpcServerConnection:
-        take = on_call or (lambda connection, asked: rig.asked.append((connection, asked)))
-        connection = GrpcServerConnection(take, most)
-        rig.connections.append(connection)
+    fixture: GrpcUpstreamFixture
+
+    def create_connection() -> GrpcServerConnection:
+        handle_request = on_request or (
+            lambda connection, grpc_request: fixture.received.append((connection, grpc_request))
+        )
+        connection = GrpcServerConnection(handle_request, max_streams)
+        fixture.connections.append(connection)
         return connection
 
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(make, "127.0.0.1", 0, ssl=keys[0] if keys else None)
-    place = server.sockets[0].getsockname()
-    pools = GrpcConnectionPools(SETTINGS, keys[1] if keys else lambda: None)
-    rig = GrpcUpstreamFixture(pools, Endpoint("n", ("127.0.0.1", place[1]), ListedServer(1)))
-    pools.put(rig.entry)
+    server = await loop.create_server(create_connection, "127.0.0.1", 0, ssl=tls[0] if tls else None)
+    address = server.sockets[0].getsockname()
+    pools = GrpcConnectionPools(SETTINGS, tls[1] if tls else lambda: None)
+    fixture = GrpcUpstreamFixture(pools, Endpoint("n", ("127.0.0.1", address[1]), ListedServer(1)))
+    pools.put(fixture.entry)
     try:
-        yield rig
+        yield fixture
     finally:
         pools.close()
         server.close()
 
 
-async def warm_up(rig: GrpcUpstreamFixture) -> None:
-    heard = rig.ask()
-    await rig.until_asked(1)
-    rig.asked[0][0].respond(rig.asked[0][1])
-    await until(lambda: heard.ends)
+async def warm_up(fixture: GrpcUpstreamFixture) -> None:
+    observer = fixture.send()
+    await fixture.wait_for_requests(1)
+    fixture.received[0][0].respond(fixture.received[0][1])
+    await until(lambda: observer.ends)
 
 
 @asynccontextmanager
 async def gateway_with_grpc_listener(
-    tmp_path: Path, *types: str, on_call: Any = None, hosts: int = 1
+    tmp_path: Path, *types: str, on_request: Any = None, server_count: int = 1
 ) -> AsyncIterator[Any]:
-    """A gateway with a front of the newer format, servers behind it, and pools as its client."""
-    async with grpc_upstream_fixture(on_call=on_call) as behind:
-        config = configuration(*[f"127.0.0.1:{behind.entry.address[1]}"] * hosts)
+    """A gateway with a front of the newer format, servers upstream it, and pools as its client."""
+    async with grpc_upstream_fixture(on_request=on_request) as upstream:
+        config = configuration(*[f"127.0.0.1:{upstream.entry.address[1]}"] * server_count)
         for endpoint in config["known"]["endpoints"]:
             endpoint["type"] = "v2"
-        file = tmp_path / "operator.toml"
-        file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
-        async with running(config, load_operator(str(file))) as gateway:
+        operator_file = tmp_path / "operator.toml"
+        operator_file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
+        async with running(config, load_operator(str(operator_file))) as gateway:
             listener = gateway.instance.protocol_listeners.grpc
             assert listener is not None
-            place = listener.servers[0].sockets[0].getsockname()
+            address = listener.servers[0].sockets[0].getsockname()
             async with grpc_upstream_fixture() as client:
-                client.pools.put(Endpoint("g", ("127.0.0.1", place[1]), ListedServer(1, started_us=1)))
+                client.pools.put(Endpoint("g", ("127.0.0.1", address[1]), ListedServer(1, started_us=1)))
                 yield client, gateway, listener
 
 
 def send_request(client: GrpcUpstreamFixture, head: bytes, body: bytes = b"") -> RecordingObserver:
-    heard = RecordingObserver()
+    observer = RecordingObserver()
     request = Request("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
-    client.pools.begin(request, 1, 5_000_000, heard)
-    return heard
+    client.pools.begin(request, 1, 5_000_000, observer)
+    return observer
 
 
 def request_head(number: int, request_class: str = "hold", path: str = "hold") -> bytes:
--- a/tests/test_grpc_connection_rules.py
+++ b/tests/test_grpc_connection_rules.py
@@ -43,8 +43,8 @@
     assert [guard.record(1, resets=1) for _ in range(3)] == [False, False, True]
     assert not guard.record(S + 1, resets=1)
     guard = FloodGuard(0)
-    found = [guard.record(S, control_frames=1) for _ in range(MAX_CONTROL_FRAMES_PER_S + 1)]
-    assert found.count(True) == 1 and found[-1]
+    exceeded = [guard.record(S, control_frames=1) for _ in range(MAX_CONTROL_FRAMES_PER_S + 1)]
+    assert exceeded.count(True) == 1 and exceeded[-1]
     assert not guard.record(2 * S + 2, control_frames=1)
     assert not any(guard.record(2 * S + 2, resets=1) for _ in range(5000))
 
@@ -59,9 +59,9 @@
 
 
 def test_a_response_is_complete_with_its_announced_length_and_status() -> None:
-    whole = response({"grpc-status": "0"}, Answer(body=b"ab", length=3), Answer(body=b"c"))
-    reply = whole.reply()
-    assert whole.outcome() is Outcome.OK and reply is not None and reply.body == b"abc"
+    complete = response({"grpc-status": "0"}, Answer(body=b"ab", length=3), Answer(body=b"c"))
+    assembled = complete.response()
+    assert complete.outcome() is Outcome.OK and assembled is not None and assembled.body == b"abc"
     for trailers, messages in (
         ({"grpc-status": "0"}, [Answer(body=b"ab", length=3)]),
         ({"grpc-status": "0", ":status": "500"}, [Answer(body=b"a")]),
@@ -71,7 +71,7 @@
     ):
         assert response(trailers, *messages).outcome() is Outcome.ERROR
     rejected = {"grpc-status": "8", "x-rejected": "1"}
-    assert response(rejected).outcome() is Outcome.REJECTED and response(rejected).reply() is None
+    assert response(rejected).outcome() is Outcome.REJECTED and response(rejected).response() is None
     assert response(rejected, Answer(body=b"a")).outcome() is Outcome.ERROR
 
 
--- a/tests/test_grpc_outcomes.py
+++ b/tests/test_grpc_outcomes.py
@@ -9,14 +9,14 @@
 
 def test_outcomes_by_how_a_stream_ends() -> None:
     for status in [*StatusCode, None, 99]:
-        for whole in (True, False):
+        for complete in (True, False):
             for rejected in (True, False):
                 expected = Outcome.ERROR
-                if status == StatusCode.OK and whole:
+                if status == StatusCode.OK and complete:
                     expected = Outcome.OK
-                elif status in (8, 14) and rejected and not whole:
+                elif status in (8, 14) and rejected and not complete:
                     expected = Outcome.REJECTED
-                assert outcomes.of_status(status, whole, rejected) is expected
+                assert outcomes.of_status(status, complete, rejected) is expected
     for code in [*Http2ErrorCode, 99]:
         refused = code == Http2ErrorCode.REFUSED_STREAM
         assert outcomes.of_reset(code, True) is (Outcome.REJECTED if refused else Outcome.RESET)
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -24,35 +24,39 @@
 async def test_an_http1_client_is_served_by_a_grpc_server_and_rejected_for_what_grpc_cannot_carry(
     tmp_path: Path,
 ) -> None:
-    file = tmp_path / "operator.toml"
-    file.write_text('[newer]\ntypes = ["v2"]\n')
-    seen: list[GrpcRequest] = []
+    operator_file = tmp_path / "operator.toml"
+    operator_file.write_text('[newer]\ntypes = ["v2"]\n')
+    received: list[GrpcRequest] = []
 
-    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
-        seen.append(asked)
-        connection.respond(asked, body=b"new " + asked.body)
+    def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
+        received.append(grpc_request)
+        connection.respond(grpc_request, body=b"new " + grpc_request.body)
 
-    async with grpc_upstream_fixture(on_call=take) as rig:
-        config = configuration(f"127.0.0.1:{rig.entry.address[1]}")
+    async with grpc_upstream_fixture(on_request=handle_request) as fixture:
+        config = configuration(f"127.0.0.1:{fixture.entry.address[1]}")
         config["known"]["endpoints"][0]["type"] = "v2"
-        async with running(config, load_operator(str(file))) as gateway:
-            answer = await gateway.ask(request("hold", b"old body"))
-            assert (answer.status, answer.body) == (200, b"new old body")
-            assert seen[0].headers["x-call-class"] == "hold" and "idempotency-key-bin" in seen[0].headers
-            odd = await gateway.ask(request(x_call_cost="5", x_again="\x80"))
-            assert odd.status == 400 and b"x-again" in odd.body.lower()
+        async with running(config, load_operator(str(operator_file))) as gateway:
+            response = await gateway.ask(request("hold", b"old body"))
+            assert (response.status, response.body) == (200, b"new old body")
+            assert (
+                received[0].headers["x-call-class"] == "hold" and "idempotency-key-bin" in received[0].headers
+            )
+            rejected = await gateway.ask(request(x_call_cost="5", x_again="\x80"))
+            assert rejected.status == 400 and b"x-again" in rejected.body.lower()
             assert "svc_new_streams_total 1\n" in gateway.server.stats()
 
 
 def test_a_server_that_changes_its_protocol_leaves_the_other_pool() -> None:
-    async def play() -> None:
-        old, new = ConnectionPools(SETTINGS), GrpcConnectionPools(SETTINGS)
-        mixed = ProtocolRouter(old, new, [7], Migration(None), lambda: None)
-        for kind, at in ((0, old), (7, new), (0, old)):
-            mixed.put(Endpoint("n", ("127.0.0.1", 9), ListedServer(1, kind=kind)))
-            assert (1 in at.listed) and (1 in old.listed) + (1 in new.listed) == 1 == len(mixed.listed)
-        mixed.remove(1)
-        assert not mixed.listed and not old.listed and not new.listed
-        mixed.close()
-
-    asyncio.run(play())
+    async def exercise_router() -> None:
+        http1_pools, grpc_pools = ConnectionPools(SETTINGS), GrpcConnectionPools(SETTINGS)
+        router = ProtocolRouter(http1_pools, grpc_pools, [7], Migration(None), lambda: None)
+        for kind, pools in ((0, http1_pools), (7, grpc_pools), (0, http1_pools)):
+            router.put(Endpoint("n", ("127.0.0.1", 9), ListedServer(1, kind=kind)))
+            assert (1 in pools.listed) and (1 in http1_pools.listed) + (1 in grpc_pools.listed) == 1 == len(
+                router.listed
+            )
+        router.remove(1)
+        assert not router.listed and not http1_pools.listed and not grpc_pools.listed
+        router.close()
+
+    asyncio.run(exercise_router())
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -1,4 +1,4 @@
-"""Certificates and keys: checked, reloaded, kept when the new ones are bad."""
+"""Certificates and credentials: checked, reloaded, kept when the new ones are bad."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
     authority = trustme.CA()
     paths = {name: str(tmp_path / name) for name in ("ca", "cert", "key")}
     authority.cert_pem.write_to_path(paths["ca"])
-    ours = authority.issue_cert("gateway")
-    ours.cert_chain_pems[0].write_to_path(paths["cert"])
-    ours.private_key_pem.write_to_path(paths["key"])
+    gateway_certificate = authority.issue_cert("gateway")
+    gateway_certificate.cert_chain_pems[0].write_to_path(paths["cert"])
+    gateway_certificate.private_key_pem.write_to_path(paths["key"])
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     server.set_alpn_protocols(["h2"])
     server.verify_mode = ssl.CERT_REQUIRED
     authority.issue_cert("127.0.0.1").configure_cert(server)
     authority.configure_trust(server)
-    keys = TlsCredentials(paths["ca"], paths["cert"], paths["key"])
-    assert keys.metric_values()["new_certificate_days"] > 1
-    async with grpc_upstream_fixture(keys=(server, lambda: keys.client_context)) as rig:
-        await warm_up(rig)
+    credentials = TlsCredentials(paths["ca"], paths["cert"], paths["key"])
+    assert credentials.metric_values()["new_certificate_days"] > 1
+    async with grpc_upstream_fixture(tls=(server, lambda: credentials.client_context)) as fixture:
+        await warm_up(fixture)
         Path(paths["key"]).write_text("no key")
-        before = keys.client_context
+        previous_context = credentials.client_context
         with pytest.raises(TlsFilesError, match="cert with"):
-            keys.reload()
-        assert keys.client_context is before and not rig.connection.closed
-        stranger = trustme.CA()
-        stranger.cert_pem.write_to_path(paths["ca"])
-        other = TlsCredentials(paths["ca"])
-        rig.pools.tls_context = lambda: other.client_context
-        rig.connection.draining = True
-        heard = rig.ask()
-        await until(lambda: heard.ends)
-        assert heard.ends[0][0] is Outcome.CONNECT_FAILED
+            credentials.reload()
+        assert credentials.client_context is previous_context and not fixture.connection.closed
+        other_authority = trustme.CA()
+        other_authority.cert_pem.write_to_path(paths["ca"])
+        other_credentials = TlsCredentials(paths["ca"])
+        fixture.pools.tls_context = lambda: other_credentials.client_context
+        fixture.connection.draining = True
+        observer = fixture.send()
+        await until(lambda: observer.ends)
+        assert observer.ends[0][0] is Outcome.CONNECT_FAILED
 
 
 def test_the_operators_file_is_checked(tmp_path: Path) -> None:
-    file = tmp_path / "operator.toml"
-    file.write_text('[newer]\nshare = 0.5\ntls = true\nkey = "k"\n')
+    operator_file = tmp_path / "operator.toml"
+    operator_file.write_text('[newer]\nshare = 0.5\ntls = true\nkey = "k"\n')
     with pytest.raises(FileError) as error:
-        load_operator(str(file))
+        load_operator(str(operator_file))
     assert len(error.value.faults) == 3
-    file.write_text('[newer]\ntypes = ["v2"]\ntls = true\nca = "/none/ca.pem"\n')
+    operator_file.write_text('[newer]\ntypes = ["v2"]\ntls = true\nca = "/none/ca.pem"\n')
     with pytest.raises(TlsFilesError, match="/none/ca.pem"):
-        TlsCredentials(load_operator(str(file)).newer.ca)
+        TlsCredentials(load_operator(str(operator_file)).newer.ca)
--- a/tests/test_grpc_translate.py
+++ b/tests/test_grpc_translate.py
@@ -39,14 +39,18 @@
     head = HEAD.replace(b"/hold/7", b"/hold/" + tail.encode())
     head += b"".join(b"%s: %s\r\n" % line for line in lines)
     headers, message = request_to_grpc(head, body, None, 1_500_000, "h:1")
-    said = dict(headers)
-    assert said["grpc-timeout"] == "1500000u" and said["x-caller"] == "acme" and said["x-call-id"] == "a1"
-    assert decode_binary(said["idempotency-key-bin"]) == key
-    again, same, length, budget = request_to_http1(headers, message)
-    assert again == head + b"Content-Length: %d\r\n" % len(body)
-    assert (same, length, budget) == (body, None, 1_500_000)
-    answer, _ = response_to_http1(response_to_grpc(fields, body))
-    assert (answer.headers, answer.body) == (fields, body)
+    metadata = dict(headers)
+    assert (
+        metadata["grpc-timeout"] == "1500000u"
+        and metadata["x-caller"] == "acme"
+        and metadata["x-call-id"] == "a1"
+    )
+    assert decode_binary(metadata["idempotency-key-bin"]) == key
+    translated_head, translated_body, length, budget = request_to_http1(headers, message)
+    assert translated_head == head + b"Content-Length: %d\r\n" % len(body)
+    assert (translated_body, length, budget) == (body, None, 1_500_000)
+    response, _ = response_to_http1(response_to_grpc(fields, body))
+    assert (response.headers, response.body) == (fields, body)
 
 
 def test_a_key_of_255_bytes_with_every_printable_character_is_exact() -> None:
@@ -56,12 +60,12 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "expected_text"),
     [(b"X-Caller: \xe9\r\n", "X-Caller"), (b"X-Odd: a\x01\r\n", "X-Odd"), (b"no colon\r\n", "no colon")],
 )
-def test_what_cannot_pass_is_named(line: bytes, named: str) -> None:
-    why = untranslatable_reason(HEAD + line)
-    assert why is not None and named in why and untranslatable_reason(HEAD) is None
+def test_what_cannot_pass_is_named(line: bytes, expected_text: str) -> None:
+    reason = untranslatable_reason(HEAD + line)
+    assert reason is not None and expected_text in reason and untranslatable_reason(HEAD) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -22,169 +22,177 @@
 
 @on_loop
 async def test_many_streams_share_a_connection_and_a_slow_one_holds_none_back() -> None:
-    async with grpc_upstream_fixture() as rig:
-        calls = [rig.ask(b"b%d" % n) for n in range(40)]
-        await rig.until_asked(40)
-        assert len(rig.connections) == 1
-        for connection, asked in rig.asked[1:]:
-            connection.respond(asked, body=asked.body)
-        await until(lambda: sum(len(c.ends) for c in calls) == 39)
-        bodies = {c.ends[0][1].body for c in calls if c.ends and c.ends[0][1]}
+    async with grpc_upstream_fixture() as fixture:
+        calls = [fixture.send(b"b%d" % n) for n in range(40)]
+        await fixture.wait_for_requests(40)
+        assert len(fixture.connections) == 1
+        for connection, grpc_request in fixture.received[1:]:
+            connection.respond(grpc_request, body=request.body)
+        await until(lambda: sum(len(call.ends) for call in calls) == 39)
+        bodies = {call.ends[0][1].body for call in calls if call.ends and call.ends[0][1]}
         assert bodies == {b"b%d" % n for n in range(1, 40)} and not calls[0].ends
 
 
 @on_loop
 async def test_goaway_in_the_middle_of_streams_ends_those_above_as_never_run() -> None:
-    async with grpc_upstream_fixture() as rig:
-        calls = [rig.ask() for _ in range(100)]
-        await rig.until_asked(100)
-        rig.connections[0].goaway(last=99)
-        await until(lambda: sum(len(c.ends) for c in calls) == 50)
-        assert {c.ends[0][0] for c in calls[50:]} == {Outcome.NOT_SENT}
-        later = rig.ask()
-        await until(lambda: len(rig.connections) == 2)
-        for connection, asked in rig.asked[:50]:
-            connection.respond(asked)
-        await until(lambda: all(c.ends for c in calls))
-        assert {c.ends[0][0] for c in calls[:50]} == {Outcome.OK}
-        await until(lambda: rig.connections[0].transport is None)  # it left once all was answered
+    async with grpc_upstream_fixture() as fixture:
+        calls = [fixture.send() for _ in range(100)]
+        await fixture.wait_for_requests(100)
+        fixture.connections[0].goaway(last=99)
+        await until(lambda: sum(len(call.ends) for call in calls) == 50)
+        assert {call.ends[0][0] for call in calls[50:]} == {Outcome.NOT_SENT}
+        later = fixture.send()
+        await until(lambda: len(fixture.connections) == 2)
+        for connection, grpc_request in fixture.received[:50]:
+            connection.respond(grpc_request)
+        await until(lambda: all(call.ends for call in calls))
+        assert {call.ends[0][0] for call in calls[:50]} == {Outcome.OK}
+        await until(lambda: fixture.connections[0].transport is None)  # it left once all was answered
         assert not later.ends
 
 
 @on_loop
 async def test_each_end_of_a_stream_has_its_outcome_and_other_streams_go_on() -> None:
-    async with grpc_upstream_fixture() as rig:
-        ways: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
-            (lambda c, a: c.reset(a, Http2ErrorCode.REFUSED_STREAM), Outcome.REJECTED),
-            (lambda c, a: c.reset(a, Http2ErrorCode.INTERNAL_ERROR), Outcome.RESET),
-            (lambda c, a: c.trailers_only(a, 8, x_rejected="1"), Outcome.REJECTED),
-            (lambda c, a: c.trailers_only(a, 8), Outcome.ERROR),
-            (lambda c, a: c.trailers_only(a, 0), Outcome.ERROR),
-            (lambda c, a: c.respond(a, fields=[]), Outcome.OK),
+    async with grpc_upstream_fixture() as fixture:
+        cases: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
+            (lambda server, request: server.reset(request, Http2ErrorCode.REFUSED_STREAM), Outcome.REJECTED),
+            (lambda server, request: server.reset(request, Http2ErrorCode.INTERNAL_ERROR), Outcome.RESET),
+            (lambda server, request: server.trailers_only(request, 8, x_rejected="1"), Outcome.REJECTED),
+            (lambda server, request: server.trailers_only(request, 8), Outcome.ERROR),
+            (lambda server, request: server.trailers_only(request, 0), Outcome.ERROR),
+            (lambda server, request: server.respond(request, fields=[]), Outcome.OK),
         ]
-        kept = rig.ask()
-        await rig.until_asked(1)
-        for number, (way, outcome) in enumerate(ways):
-            heard = rig.ask()
-            await rig.until_asked(number + 2)
-            way(*rig.asked[-1])
-            await until(lambda heard=heard: heard.ends)  # type: ignore[misc]
-            assert heard.ends[0][0] is outcome, number
-        assert not kept.ends and len(rig.connections) == 1
-        transport = rig.connections[0].transport
+        unanswered = fixture.send()
+        await fixture.wait_for_requests(1)
+        for number, (end_stream, outcome) in enumerate(cases):
+            observer = fixture.send()
+            await fixture.wait_for_requests(number + 2)
+            end_stream(*fixture.received[-1])
+            await until(lambda observer=observer: observer.ends)  # type: ignore[misc]
+            assert observer.ends[0][0] is outcome, number
+        assert not unanswered.ends and len(fixture.connections) == 1
+        transport = fixture.connections[0].transport
         assert transport is not None
         transport.abort()
-        await until(lambda: kept.ends)
-        assert kept.ends == [(Outcome.RESET, None)]
+        await until(lambda: unanswered.ends)
+        assert unanswered.ends == [(Outcome.RESET, None)]
 
 
 @on_loop
 async def test_settings_that_lower_the_streams_are_kept_to_and_further_calls_get_other_connections() -> None:
-    async with grpc_upstream_fixture(most=3) as rig:
-        first = [rig.ask()]
-        await rig.until_asked(1)
-        calls = first + [rig.ask() for _ in range(5)]
-        await rig.until_asked(6)
-        assert len(rig.connections) == 2
-        assert all(len(connection.requests) <= 3 for connection in rig.connections)
-        for connection, asked in rig.asked:
-            connection.respond(asked)
-        await until(lambda: all(c.ends for c in calls))
-        assert {c.ends[0][0] for c in calls} == {Outcome.OK}
+    async with grpc_upstream_fixture(max_streams=3) as fixture:
+        first = [fixture.send()]
+        await fixture.wait_for_requests(1)
+        calls = first + [fixture.send() for _ in range(5)]
+        await fixture.wait_for_requests(6)
+        assert len(fixture.connections) == 2
+        assert all(len(connection.requests) <= 3 for connection in fixture.connections)
+        for connection, grpc_request in fixture.received:
+            connection.respond(grpc_request)
+        await until(lambda: all(call.ends for call in calls))
+        assert {call.ends[0][0] for call in calls} == {Outcome.OK}
 
 
 @on_loop
 async def test_a_window_that_never_opens_holds_up_one_call_until_its_time_is_over() -> None:
-    async with grpc_upstream_fixture() as rig:
-        await warm_up(rig)
-        rig.connections[0].acknowledges_data = False
-        stuck = rig.ask(b"x" * 200_000, wait_us=300_000)
-        await until(lambda: stuck.ends)
-        assert stuck.ends[0][0] is Outcome.TIMEOUT and not stuck.written
+    async with grpc_upstream_fixture() as fixture:
+        await warm_up(fixture)
+        fixture.connections[0].acknowledges_data = False
+        blocked = fixture.send(b"x" * 200_000, timeout_us=300_000)
+        await until(lambda: blocked.ends)
+        assert blocked.ends[0][0] is Outcome.TIMEOUT and not blocked.requests_sent
 
 
 @on_loop
 async def test_long_bodies_pass_in_bounded_memory_both_ways() -> None:
     size = 3_000_000
-    async with grpc_upstream_fixture(on_call=lambda c, a: c.respond(a, body=a.body, parts=30)) as rig:
+    async with grpc_upstream_fixture(
+        on_request=lambda server, request: server.respond(request, body=request.body, parts=30)
+    ) as fixture:
         streamed_body = StreamedBody(size, BodyMemoryBudget(64))
-        heard = rig.ask(streamed_body=streamed_body)
-        fed = most = 0
+        observer = fixture.send(streamed_body=streamed_body)
+        fed = max_buffered = 0
         while fed < size:
             await until(lambda: not streamed_body.is_full)
             streamed_body.feed(b"z" * 50_000)
             fed += 50_000
-            most = max(most, streamed_body.buffered)
+            max_buffered = max(max_buffered, streamed_body.buffered)
         streamed_body.complete()
-        await until(lambda: heard.head is not None)
-        heard.source.pause()
+        await until(lambda: observer.head is not None)
+        observer.source.pause()
         for _ in range(50):
             await asyncio.sleep(0)
-        assert sum(map(len, heard.pieces)) < 1_000_000  # the server's window has closed
-        heard.source.resume()
-        await until(lambda: heard.ends)
-        assert heard.head is not None and heard.head.length == size
-        assert sum(map(len, heard.pieces)) == size and heard.ends[0][0] is Outcome.OK and most <= 200_000
+        assert sum(map(len, observer.chunks)) < 1_000_000  # the server's window has closed
+        observer.source.resume()
+        await until(lambda: observer.ends)
+        assert observer.head is not None and observer.head.length == size
+        assert (
+            sum(map(len, observer.chunks)) == size
+            and observer.ends[0][0] is Outcome.OK
+            and max_buffered <= 200_000
+        )
 
 
 @on_loop
 async def test_clients_that_read_nothing_do_not_hold_back_the_others_of_a_connection() -> None:
-    def take(connection: GrpcServerConnection, asked: GrpcRequest) -> None:
-        connection.respond(asked, body=b"y" * (1_000_000 if asked.body == b"long" else 10), parts=20)
-
-    async with grpc_upstream_fixture(on_call=take) as rig:
-        stuck = [rig.ask(b"long", pauses=True) for _ in range(90)]
-        await until(lambda: all(heard.source is not None for heard in stuck))
-        other = rig.ask()
+    def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
+        connection.respond(
+            grpc_request, body=b"y" * (1_000_000 if grpc_request.body == b"long" else 10), parts=20
+        )
+
+    async with grpc_upstream_fixture(on_request=handle_request) as fixture:
+        blocked = [fixture.send(b"long", pause_immediately=True) for _ in range(90)]
+        await until(lambda: all(observer.source is not None for observer in blocked))
+        other = fixture.send()
         await until(lambda: other.ends)
-        assert other.ends[0][0] is Outcome.OK and len(rig.connections) == 1
-        assert max(sum(map(len, heard.pieces)) for heard in stuck) < 200_000
-        for heard in stuck:
-            heard.source.resume()
-        await until(lambda: all(heard.ends for heard in stuck))
-        assert {sum(map(len, heard.pieces)) for heard in stuck} == {1_000_000}
+        assert other.ends[0][0] is Outcome.OK and len(fixture.connections) == 1
+        assert max(sum(map(len, observer.chunks)) for observer in blocked) < 200_000
+        for observer in blocked:
+            observer.source.resume()
+        await until(lambda: all(observer.ends for observer in blocked))
+        assert {sum(map(len, observer.chunks)) for observer in blocked} == {1_000_000}
 
 
 @on_loop
 async def test_a_draining_or_gone_server_gets_nothing_after_the_grace() -> None:
-    async with grpc_upstream_fixture() as rig:
-        await warm_up(rig)
-        rig.pools.settings = replace(SETTINGS, stop_sending_within_us=0)
+    async with grpc_upstream_fixture() as fixture:
+        await warm_up(fixture)
+        fixture.pools.settings = replace(SETTINGS, stop_sending_within_us=0)
         draining = ListedServer(1, ServerStatus.DRAINING)
-        rig.pools.put(Endpoint("n", rig.entry.address, draining))
+        fixture.pools.put(Endpoint("n", fixture.entry.address, draining))
         await asyncio.sleep(0.001)
-        assert rig.ask().ends[0][0] is Outcome.NOT_SENT and len(rig.asked) == 1
+        assert fixture.send().ends[0][0] is Outcome.NOT_SENT and len(fixture.received) == 1
 
 
 @on_loop
 async def test_a_flood_of_pings_ends_the_connection_with_the_right_error() -> None:
-    async with grpc_upstream_fixture() as rig:
-        heard = rig.ask()
-        await rig.until_asked(1)
-        transport = rig.connections[0].transport
+    async with grpc_upstream_fixture() as fixture:
+        observer = fixture.send()
+        await fixture.wait_for_requests(1)
+        transport = fixture.connections[0].transport
         assert transport is not None
         transport.write((b"\0\0\x08\x06\0\0\0\0\0" + bytes(8)) * 2000)
-        await until(lambda: heard.ends)
-        assert heard.ends[0][0] is Outcome.RESET and not rig.pools.pools[1].connections
+        await until(lambda: observer.ends)
+        assert observer.ends[0][0] is Outcome.RESET and not fixture.pools.pools[1].connections
 
 
 @on_loop
 async def test_a_server_that_is_not_there_fails_to_connect() -> None:
-    async with grpc_upstream_fixture() as rig:
-        rig.pools.put(Endpoint("n", ("127.0.0.1", 1), ListedServer(1, started_us=5)))
-        heard = rig.ask()
-        await until(lambda: heard.ends)
-        assert heard.ends[0][0] is Outcome.CONNECT_FAILED
+    async with grpc_upstream_fixture() as fixture:
+        fixture.pools.put(Endpoint("n", ("127.0.0.1", 1), ListedServer(1, started_us=5)))
+        observer = fixture.send()
+        await until(lambda: observer.ends)
+        assert observer.ends[0][0] is Outcome.CONNECT_FAILED
 
 
 @on_loop
 async def test_a_header_that_is_no_utf_8_breaks_nothing() -> None:
-    async with grpc_upstream_fixture() as rig:
-        heard = rig.ask()
-        await rig.until_asked(1)
-        connection, asked = rig.asked[0]
+    async with grpc_upstream_fixture() as fixture:
+        observer = fixture.send()
+        await fixture.wait_for_requests(1)
+        connection, grpc_request = fixture.received[0]
         head: Any = [(b":status", b"200"), (b"content-type", b"appl\xe9"), (b"grpc-status", b"13")]
-        connection.h2.send_headers(asked.stream_id, head, end_stream=True)
+        connection.h2.send_headers(grpc_request.stream_id, head, end_stream=True)
         connection.flush()
-        await until(lambda: heard.ends)
-        assert heard.ends[0][0] is Outcome.ERROR and not rig.connection.closed
+        await until(lambda: observer.ends)
+        assert observer.ends[0][0] is Outcome.ERROR and not fixture.connection.closed
