--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -21,7 +21,7 @@
 @on_loop
 async def test_a_new_client_is_served_with_long_answers_and_what_is_wrong_is_named(tmp_path: Path) -> None:
     def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
-        connection.respond(grpc_request, body=request.body * 3000, parts=9)
+        connection.respond(grpc_request, body=grpc_request.body * 3000, parts=9)
 
     async with gateway_with_grpc_listener(tmp_path, on_request=handle_request) as (client, _, listener):
         calls = [send_request(client, request_head(n), b"%04d" % n) for n in range(20)]
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -27,7 +27,7 @@
         await fixture.wait_for_requests(40)
         assert len(fixture.connections) == 1
         for connection, grpc_request in fixture.received[1:]:
-            connection.respond(grpc_request, body=request.body)
+            connection.respond(grpc_request, body=grpc_request.body)
         await until(lambda: sum(len(call.ends) for call in calls) == 39)
         bodies = {call.ends[0][1].body for call in calls if call.ends and call.ends[0][1]}
         assert bodies == {b"b%d" % n for n in range(1, 40)} and not calls[0].ends
