--- a/sagetrack/grpc/__init__.py
+++ b/sagetrack/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""gRPC over HTTP/2, downstream and upstream: the second protocol of docs/protocol-2.md."""
+"""gRPC over HTTP/2, for clients and for upstream servers; docs/protocol-2.md specifies the protocol."""
--- a/sagetrack/grpc/attempt_streams.py
+++ b/sagetrack/grpc/attempt_streams.py
@@ -1,4 +1,4 @@
-"""The attempts that one upstream connection carries, by stream."""
+"""The attempts that one upstream connection carries, by stream id."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AttemptStreams:
-    """Attempts on open streams, and those that wait until the connection is up."""
+    """Attempts on open streams, and attempts that wait for the connection to be established."""
 
     __slots__ = ("_by_id", "_waiting")
 
@@ -21,35 +21,35 @@
 
     @property
     def open_count(self) -> int:
-        """How many streams are open."""
+        """The number of open streams."""
         return len(self._by_id)
 
     def get(self, stream_id: int | None) -> GrpcAttempt | None:
-        """The attempt on a stream; None once it has ended, and for the connection itself (0 or None)."""
+        """Return the attempt on a stream; None if it has ended, or for id 0 or None (the connection)."""
         return self._by_id.get(stream_id or 0)
 
     def on_open_streams(self) -> list[GrpcAttempt]:
-        """The attempts on open streams, the oldest first; the list stays as it is while attempts end."""
+        """Return a copy of the attempts on open streams, oldest first, so that attempts may end meanwhile."""
         return list(self._by_id.values())
 
     def all(self) -> list[GrpcAttempt]:
-        """All attempts, those that wait after the others."""
+        """Return all attempts: first those on open streams, then those that wait."""
         return [*self._by_id.values(), *self._waiting]
 
     def add(self, attempt: GrpcAttempt) -> None:
-        """Register an attempt whose stream is open."""
+        """Add an attempt whose stream is open."""
         self._by_id[attempt.stream_id] = attempt
 
     def add_waiting(self, attempt: GrpcAttempt) -> None:
-        """Register an attempt that waits for the connection."""
+        """Add an attempt that waits for the connection to be established."""
         self._waiting.append(attempt)
 
     def next_waiting(self) -> GrpcAttempt | None:
-        """Take out the attempt that has waited longest; None if there is none."""
+        """Remove and return the attempt that has waited longest; None if no attempt waits."""
         return self._waiting.popleft() if self._waiting else None
 
     def discard(self, attempt: GrpcAttempt) -> None:
-        """Drop an attempt that has ended."""
+        """Remove an attempt that has ended."""
         if self._by_id.get(attempt.stream_id) is attempt:
             del self._by_id[attempt.stream_id]
         if attempt in self._waiting:
--- a/sagetrack/grpc/connection_pool.py
+++ b/sagetrack/grpc/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connection pools to gRPC upstream servers, and the attempts that are sent over them.
+"""Connection pools of gRPC upstream servers, and the attempts that are sent over them.
 
-A connection carries as many streams as its server's SETTINGS allow (RFC 9113, 5.1.2), so a slow response
-holds up no other; further connections are opened only where all streams are taken.
+A connection multiplexes as many streams as the server's SETTINGS allow (RFC 9113, section 5.1.2), so a slow
+response does not delay others. Another connection is opened only if all streams are in use.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.settings import Settings
 
-MAX_CONNECTIONS_PER_SERVER = 4  # those that drain do not count
+MAX_CONNECTIONS_PER_SERVER = 4  # draining connections are not counted
 SWEEP_INTERVAL_S = 0.5
 
 
@@ -35,8 +35,8 @@
 
     Args:
         server: The server.
-        counts: Where events of its connections are counted.
-        connect: Starts to connect a new connection to an address.
+        counts: Counters that the connections increment.
+        connect: Starts to establish a new connection to an address, without waiting for it.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.connections: list[GrpcUpstreamConnection] = []
 
     def connection_with_capacity(self) -> GrpcUpstreamConnection | None:
-        """The connection with the most free streams, or a new one; None if every allowed stream is taken."""
+        """Return the connection with the most free streams, or a new one; None at the connection limit."""
         best = max(self.connections, key=lambda connection: connection.capacity, default=None)
         if best is not None and best.capacity > 0:
             return best
@@ -64,32 +64,34 @@
         return connection
 
     def discard(self, connection: GrpcUpstreamConnection) -> None:
-        """Drop a connection that has closed."""
+        """Remove a connection that has closed."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def drain(self) -> None:
-        """Open no stream on today's connections; close each once its streams have ended."""
+        """Open no new streams on the existing connections; each closes when its streams have ended."""
         for connection in list(self.connections):
             connection.drain()
 
     def sweep(self, now: int) -> None:
-        """Check the timeouts of each connection."""
+        """Check the timeouts of the connections."""
         for connection in list(self.connections):
             connection.sweep(now)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for connection in list(self.connections):
             connection.close(None)
 
 
 class GrpcConnectionPools:
-    """The gRPC servers of the endpoint list. Every attempt ends once, by its observer's `on_attempt_ended`.
+    """The connection pools of all listed gRPC servers.
+
+    Every attempt ends with exactly one call of its observer's `on_attempt_ended`.
 
     Args:
-        settings: Timeouts of the platform.
-        tls_context: Gives the TLS context for a new connection, None for plain text.
+        settings: The timeouts.
+        tls_context: Returns the TLS context for a new connection, or None for a connection without TLS.
     """
 
     def __init__(
@@ -107,15 +109,15 @@
 
     @property
     def listed(self) -> Collection[int]:
-        """Numbers of the listed servers."""
+        """The ids of the listed servers."""
         return self.pools.keys()
 
     def server_start_times(self) -> dict[int, int]:
-        """When each listed server started."""
+        """Return the start time of each listed server in microseconds, by server id."""
         return {server_id: pool.server.started_us for server_id, pool in self.pools.items()}
 
     def put(self, entry: Endpoint) -> None:
-        """Add a server, or take over its new address, start time or status."""
+        """Add a server, or update its address, start time and status."""
         listed = entry.listed
         if listed.server not in self.pools:
             self.add_server(UpstreamServerRecord.from_endpoint(entry))
@@ -126,32 +128,32 @@
         server.update_status(listed.status)
 
     def add_server(self, server: UpstreamServerRecord) -> GrpcConnectionPool:
-        """Make an empty pool for a server."""
+        """Create an empty pool for a server."""
         pool = self.pools[server.id] = GrpcConnectionPool(server, self.counts, self.start_connecting)
         return pool
 
     def remove(self, server: int) -> None:
-        """Drop a server; requests in flight there end as they would."""
+        """Remove a server; requests that are in flight to it continue."""
         pool = self.pools.pop(server, None)
         if pool is not None:
             pool.server.mark_withdrawn()
             pool.drain()
 
     def close_idle(self, server: int) -> None:
-        """Drain the connections to a server's earlier incarnation."""
+        """Drain the connections to the previous incarnation of a server."""
         pool = self.pools.get(server)
         if pool is not None:
             pool.drain()
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Do nothing: gRPC servers are never probed."""
+        """Do nothing: gRPC servers are not probed."""
 
     # Attempts
 
     def begin(
         self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
     ) -> GrpcAttempt | None:
-        """Send a request to a server and wait `timeout_us` for its response; None if it is not listed."""
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return None
@@ -181,9 +183,10 @@
         observer: AttemptObserver,
         now: int,
     ) -> GrpcAttempt | None:
-        """Translate a request; None if it has no counterpart in gRPC.
+        """Create an attempt with the request translated to gRPC; None if it cannot be translated.
 
-        Downstream rejects such a request with the reason; this is for what is not known there.
+        The downstream side already rejects requests that cannot be translated, with the reason, so this is
+        only reached if it did not check.
         """
         authority = f"{server.address[0]}:{server.address[1]}"
         length = request.streamed_body.length if request.streamed_body is not None else None
@@ -197,7 +200,7 @@
         return GrpcAttempt(server, request, observer, now, timeout_us, headers, pending, last_progress_us=now)
 
     def start_timeout(self, attempt: GrpcAttempt, timeout_us: int) -> None:
-        """Let the timeout run from the request's last byte."""
+        """Start the timeout when the last byte of the request has been received from the client."""
 
         def start() -> None:
             attempt.add_timer(self.loop.call_later(timeout_us / 1e6, self.on_timeout, attempt))
@@ -209,32 +212,32 @@
             streamed_body.on_complete = start
 
     def on_timeout(self, attempt: GrpcAttempt) -> None:
-        """End an attempt whose response did not come in time."""
+        """End an attempt that has timed out, and reset its stream."""
         attempt.cancel_stream()
         attempt.finish(outcomes.of_deadline(attempt.headers_sent))
 
     def cancel(self, attempt: GrpcAttempt) -> None:
-        """Stop waiting; the stream is reset, so that the server can stop too."""
+        """Cancel an attempt and reset its stream, so that the server can stop processing it."""
         if attempt.ended:
             return
         attempt.cancel_stream()
         attempt.finish(Outcome.CANCELLED)
 
     def cancel_unsent(self, attempt: GrpcAttempt) -> None:
-        """End an attempt if nothing of it has been sent."""
+        """End an attempt if none of it has been sent."""
         if not attempt.headers_sent:
             attempt.finish(Outcome.NOT_SENT)
 
     # Connections
 
     def start_connecting(self, connection: GrpcUpstreamConnection, address: Address) -> None:
-        """Connect in a task of its own."""
+        """Start a task that establishes a connection."""
         task: asyncio.Task[object] = self.loop.create_task(self.connect(connection, address))
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
     async def connect(self, connection: GrpcUpstreamConnection, address: Address) -> None:
-        """Connect within the connect timeout, or fail the connection."""
+        """Establish a connection within the connect timeout, or close it as failed."""
         tls_context = self.tls_context()
         server_hostname = address[0] if tls_context is not None else None
         try:
@@ -246,14 +249,14 @@
             connection.close(None)
 
     def sweep(self) -> None:
-        """Check the timeouts of each connection, periodically."""
+        """Check the timeouts of all connections, and schedule the next check."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = now_us()
         for pool in list(self.pools.values()):
             pool.sweep(now)
 
     def metric_values(self) -> dict[str, float]:
-        """Values for the exported metrics."""
+        """Return the values of the exported metrics."""
         counts = self.counts
         connections = [connection for pool in self.pools.values() for connection in pool.connections]
         return {
@@ -270,7 +273,7 @@
         }
 
     def close(self) -> None:
-        """Close all connections at once; requests in flight end as their connections do."""
+        """Close all connections immediately, which ends the attempts in flight."""
         self.sweep_timer.cancel()
         for task in self.connecting:
             task.cancel()
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 connection of a client: its streams, flow control, GOAWAY and limits on abuse."""
+"""An HTTP/2 connection of a gRPC client: streams, flow control, GOAWAY and limits against abuse."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from sagetrack.grpc.messages import goaway_frame
 from sagetrack.grpc.request_intake import RequestIntake
 
-MAX_STREAMS = 100  # of one connection at once, SETTINGS_MAX_CONCURRENT_STREAMS
-MAX_RESETS_PER_S = 100  # streams that a client may open and cancel (rapid reset, CVE-2023-44487)
+MAX_STREAMS = 100  # concurrent streams on a connection (SETTINGS_MAX_CONCURRENT_STREAMS)
+MAX_RESETS_PER_S = 100  # limit on streams that a client resets (rapid reset attack, CVE-2023-44487)
 IDLE_TIMEOUT_S = 30.0
-STALL_TIMEOUT_S = 10.0  # of a stream whose client neither reads nor sends
+STALL_TIMEOUT_S = 10.0  # a stream is reset if its client neither reads nor sends for this long
 CONTENT_TYPE = "application/grpc+proto"
 
 
 class ConnectionRegistry(Protocol):
-    """What a connection asks of the listener that accepted it."""
+    """The methods of its listener that a connection calls."""
 
     def add(self, connection: GrpcDownstreamConnection) -> bool:
-        """Register a connection; False if there are too many."""
+        """Register a connection; returns False if there are too many."""
 
     def discard(self, connection: GrpcDownstreamConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
 
     def is_draining(self) -> bool:
-        """Whether connections should take no new streams."""
+        """Return whether connections should accept no new streams."""
 
 
 class GrpcDownstreamConnection(Http2Protocol):
-    """One connection; each stream is a request.
+    """A connection whose streams carry one request each.
 
     Args:
-        intake: Where requests go.
+        intake: Converts the received messages to requests of the gateway.
         registry: The listener that accepted the connection.
     """
 
@@ -62,7 +62,7 @@
         self.last_stream_id = 0
         self.draining = False
         self.closed = False
-        self.poll: select.poll | None = None  # for the client's end of the socket
+        self.poll: select.poll | None = None  # detects that the client has closed the socket
         self.last_received_us = now_us()
         self.flood_guard = FloodGuard(self.last_received_us, MAX_RESETS_PER_S)
 
@@ -85,7 +85,7 @@
     # Receiving
 
     def data_received(self, data: bytes) -> None:
-        """Feed the state machine and act on its events."""
+        """Pass received bytes to `h2`, and handle the resulting events."""
         self.last_received_us = now_us()
         try:
             events = self.h2.receive_data(data)
@@ -100,7 +100,7 @@
         self.flush()
 
     def on_event(self, event: h2.events.Event) -> None:
-        """Act on one event of the state machine."""
+        """Handle one event of `h2`."""
         stream_id = getattr(event, "stream_id", None) or 0
         match event:
             case h2.events.RequestReceived():
@@ -125,10 +125,10 @@
                 self.close()
 
     def on_request(self, event: h2.events.RequestReceived, stream_id: int) -> None:
-        """Headers of a request.
+        """Handle the headers of a request.
 
-        While draining, its id is above that in GOAWAY: the client knows that it never ran, and may send it
-        elsewhere.
+        A request that arrives while draining is ignored: its stream id is above the last id in GOAWAY, so the
+        client knows that it was not processed and may send it on another connection.
         """
         if self.draining:
             return
@@ -139,7 +139,7 @@
         )
 
     def on_data(self, event: h2.events.DataReceived, stream_id: int) -> None:
-        """DATA of a request."""
+        """Handle DATA of a request."""
         stream = self.streams.get(stream_id)
         if not event.data:
             self.count_frames(control_frames=1)
@@ -148,9 +148,10 @@
         self.acknowledge(stream, stream_id, event.flow_controlled_length or 0)
 
     def acknowledge(self, stream: DownstreamStream | None, stream_id: int, size: int) -> None:
-        """Open the windows for what has come; a stream's own stays closed while its body's buffer is full.
+        """Extend the flow-control windows for received bytes.
 
-        The connection's window is opened in any case, so that other streams go on.
+        While the buffer of a stream's body is full, only the connection's window is extended, so that the
+        other streams continue.
         """
         if stream is None or not stream.withholds_window:
             self.acknowledge_data(size, stream_id)
@@ -160,14 +161,14 @@
                 self.h2.increment_flow_control_window(size)
 
     def reopen_window(self, stream: DownstreamStream) -> None:
-        """Open a stream's window for what was withheld while its body's buffer was full."""
+        """Extend a stream's window by the bytes that were withheld while its body's buffer was full."""
         size = stream.withheld.take()
         if size and not stream.closed and not self.closed:
             self.open_stream_window(size, stream.id)
             self.flush()
 
     def count_frames(self, resets: int = 0, control_frames: int = 0) -> None:
-        """Close the connection of a client that floods it with frames that ask for nothing."""
+        """Count resets and control frames, and close the connection if there are too many (flood)."""
         if self.flood_guard.record(now_us(), control_frames=control_frames, resets=resets):
             self.intake.counts.closed_for_violations += 1
             with suppress(h2.exceptions.H2Error):
@@ -177,12 +178,12 @@
     # Responses
 
     def send_all_pending(self) -> None:
-        """Send what flow control allows on each stream."""
+        """Send as much as flow control allows on each stream."""
         for stream in list(self.streams.values()):
             self.send_pending(stream)
 
     def send_pending(self, stream: DownstreamStream) -> None:
-        """Send what flow control allows of a response, and the trailers after the last of it."""
+        """Send as much of a response as flow control allows, and the trailers after the last message."""
         if stream.closed or self.closed:
             return
         try:
@@ -195,7 +196,7 @@
         self.close_if_drained()
 
     def send_response(self, stream: DownstreamStream) -> None:
-        """Feed a response to the state machine: headers, messages, trailers."""
+        """Pass a response to `h2`: headers, messages and trailers, as far as flow control allows."""
         head = [(":status", "200"), ("content-type", CONTENT_TYPE)]
         if stream.is_trailers_only:
             self.send_trailers(stream, [*head, *(stream.trailers or ())])
@@ -213,22 +214,22 @@
             self.send_trailers(stream, stream.trailers)
 
     def send_trailers(self, stream: DownstreamStream, trailers: list[tuple[str, str]]) -> None:
-        """End a response."""
+        """Send the trailers, which end the response and its stream."""
         self.h2.send_headers(stream.id, trailers, end_stream=True)
         stream.on_trailers_sent()
         self.streams.pop(stream.id, None)
 
-    # Ends
+    # Closing
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed the connection, even if the event loop has not seen it yet.
+        """Return whether the client has closed the connection, even before the event loop reports it.
 
-        Asked before anything is sent for its requests.
+        The gateway calls this before it sends an attempt for a request of the connection.
         """
         return self.closed or (self.poll is not None and has_peer_closed(self.poll))
 
     def drain(self) -> None:
-        """Take no new streams (GOAWAY, RFC 9113, 6.8); those that are open are answered first."""
+        """Send GOAWAY (RFC 9113, section 6.8): no new streams are accepted, and open ones complete."""
         if self.draining or self.closed:
             return
         self.draining = True
@@ -238,12 +239,12 @@
         self.close_if_drained()
 
     def close_if_drained(self) -> None:
-        """Close a draining connection on which nothing is left to be answered."""
+        """Close the connection if it is draining and has no open streams."""
         if self.draining and not self.streams:
             self.close()
 
     def close(self) -> None:
-        """Close it at once; its requests are cancelled."""
+        """Close the connection immediately, and cancel its requests."""
         if not self.closed:
             self.flush()
             self.closed = True
@@ -252,14 +253,14 @@
             self.cancel_streams()
 
     def cancel_streams(self) -> None:
-        """Cancel all its requests and leave the registry."""
+        """Cancel all requests of the connection, and remove it from the registry."""
         self.registry.discard(self)
         for stream in list(self.streams.values()):
             stream.cancel()
         self.streams.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is gone."""
+        """Cancel the requests that are left, as the socket is closed."""
         self.closed = True
         self.transport = None
         self.cancel_streams()
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -1,4 +1,4 @@
-"""One request of a client on a stream: what has come of it, and its response on the way out."""
+"""A stream of a gRPC client: the request as it is received, and the response as it is sent."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 from sagetrack.grpc.translate import rejection_trailers, response_to_grpc
 from sagetrack.grpc.withheld_bytes import WithheldBytes
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be sent again
-MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # of a request: the body and its fields
-MAX_PENDING_RESPONSE_BYTES = 128 * 1024  # that wait for a client before its server is paused
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be retried
+MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # limit of a request message: body and fields
+MAX_PENDING_RESPONSE_BYTES = 128 * 1024  # the server is paused if more unsent bytes are buffered
 
 
 @dataclass(slots=True)
 class DownstreamCounts:
-    """Totals since the start."""
+    """Counters over all downstream connections since the start of the process."""
 
     connections: int = 0
     requests: int = 0
     invalid_requests: int = 0
-    closed_for_violations: int = 0  # connections that were closed for what they sent
+    closed_for_violations: int = 0  # connections closed for protocol errors or floods of frames
 
 
 class StreamConnection(Protocol):
-    """What a stream asks of the connection that carries it."""
+    """The methods of its connection that a stream calls."""
 
     def send_pending(self, stream: DownstreamStream) -> None:
-        """Send what flow control allows of the stream's response."""
+        """Send as much of the stream's response as flow control allows."""
 
     def reopen_window(self, stream: DownstreamStream) -> None:
-        """Let the client send more of the stream's body."""
+        """Extend the stream's flow-control window, so that the client can send more of the body."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed the connection."""
+        """Return whether the client has closed the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class DownstreamStream:
-    """One request and, as the `Client` of its request, its response."""
+    """A request, and its response, which the stream receives as the `Client` of the request."""
 
     gateway: Gateway
     counts: DownstreamCounts
@@ -54,12 +54,12 @@
     id: int
     headers: list[tuple[str, str]]
     unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_MESSAGE_BYTES))
-    messages: list[bytes] = field(default_factory=list)  # until the request is handed to the gateway
-    buffered_bytes: int = 0  # of them
-    streamed_body: StreamedBody | None = None  # the body, once it is too long to be buffered
+    messages: list[bytes] = field(default_factory=list)  # received messages until the request is submitted
+    buffered_bytes: int = 0  # total size of `messages`
+    streamed_body: StreamedBody | None = None  # set if the body is too long to be buffered
     withheld: WithheldBytes = field(default_factory=WithheldBytes)
     request: Request | None = None
-    pending: bytearray = field(default_factory=bytearray)  # framed messages that are still to be sent
+    pending: bytearray = field(default_factory=bytearray)  # gRPC messages, framed, that are not sent yet
     trailers: list[tuple[str, str]] | None = None
     source: ResponseSource | None = None
     source_paused: bool = False
@@ -67,31 +67,31 @@
     closed: bool = False
     last_progress_us: int = 0
 
-    # The request, as it arrives
+    # Receiving the request
 
     @property
     def is_finished(self) -> bool:
-        """Whether the response has its trailers; what still comes of the request is ignored."""
+        """Whether the response is complete; data of the request that still arrives is ignored."""
         return self.trailers is not None
 
     def record_progress(self) -> None:
-        """The client has sent or taken something just now."""
+        """Record that the client has just sent or read data."""
         self.last_progress_us = now_us()
 
     def buffer_message(self, message: bytes) -> None:
-        """Keep a message until the request is handed to the gateway."""
+        """Buffer a message until the request is submitted to the gateway."""
         self.messages.append(message)
         self.buffered_bytes += len(message)
 
     def start_streaming_body(self, length: int | None, body_budget: BodyMemoryBudget) -> StreamedBody:
-        """Stream the body from here on; the client's window is opened again as the body is taken."""
+        """Start to stream the body; the client's window is extended as the body is consumed."""
         body = StreamedBody(length, body_budget)
         self.streamed_body = body
         body.on_capacity = lambda: self.connection.reopen_window(self)
         return body
 
     def submit(self, request: Request) -> bool:
-        """Hand the request to the gateway; False if its id is in use."""
+        """Submit the request to the gateway; returns False if its id is in use."""
         self.messages.clear()
         self.request = request
         request.has_disconnected = self.connection.has_disconnected
@@ -103,19 +103,19 @@
 
     @property
     def withholds_window(self) -> bool:
-        """Whether the stream's flow-control window stays closed, as the buffer of its body is full."""
+        """Whether the stream's flow-control window is not extended, as the body's buffer is full."""
         return self.streamed_body is not None and self.streamed_body.is_full
 
-    # The response, as the gateway gives it
+    # Interface `Client`: the gateway delivers the response
 
     def on_response(self, request: Request, response: Any) -> None:
-        """Complete response."""
+        """Send a complete response."""
         complete_response: Response = response
         self.pending += pack(response_to_grpc(complete_response.headers, complete_response.body))
         self.finish([("grpc-status", "0")])
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
-        """Head of a streamed response."""
+        """Send the head of a streamed response."""
         response: Response = head
         first_message = Answer.FromString(response_to_grpc(response.headers, b""))
         if response.length is not None:
@@ -124,36 +124,39 @@
         self.send(pack(first_message.SerializeToString()))
 
     def on_response_data(self, request: Request, data: bytes) -> None:
-        """Part of a streamed response's body."""
+        """Send a part of the body of a streamed response."""
         self.send(pack(Answer(body=data).SerializeToString()))
 
     def on_response_ended(self, request: Request, response: Any) -> None:
-        """End of a streamed response."""
+        """Send the last part of a streamed response, and end it."""
         self.source = None
         if response.body:
             self.pending += pack(Answer(body=response.body).SerializeToString())
         self.finish([("grpc-status", "0")])
 
     def on_response_aborted(self, request: Request) -> None:
-        """A streamed response broke off."""
+        """End a streamed response that is incomplete with status DATA_LOSS."""
         self.source = None
         self.finish(
-            [("grpc-status", str(int(StatusCode.DATA_LOSS))), ("grpc-message", "the answer broke off")]
+            [
+                ("grpc-status", str(int(StatusCode.DATA_LOSS))),
+                ("grpc-message", "the response from upstream is incomplete"),
+            ]
         )
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
-        """The request is rejected and never ran."""
+        """Respond that the request is rejected, and was not run."""
         self.finish(rejection_trailers(retry_after_us))
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
-        """The request failed, or its deadline has passed."""
+        """Respond with DEADLINE_EXCEEDED if the request timed out, or else INTERNAL."""
         status = StatusCode.DEADLINE_EXCEEDED if timed_out else StatusCode.INTERNAL
         self.finish([("grpc-status", str(int(status)))])
 
     # Sending
 
     def send(self, data: bytes) -> None:
-        """Send framed messages; the source is paused while too much waits for the client."""
+        """Send framed messages; the source is paused while too many bytes are unsent."""
         self.pending += data
         self.connection.send_pending(self)
         if (
@@ -166,58 +169,58 @@
 
     @property
     def is_trailers_only(self) -> bool:
-        """Whether the response is complete and has no message, so that it is a single block of headers."""
+        """Whether the response is complete without a message, and is sent as one block of headers."""
         return self.trailers is not None and not self.headers_sent and not self.pending
 
     @property
     def needs_headers(self) -> bool:
-        """Whether the response's headers are to be sent before its first message."""
+        """Whether the response headers must be sent now, before the first message."""
         return bool(self.pending) and not self.headers_sent
 
     def on_headers_sent(self) -> None:
-        """The response's headers are sent, and its messages follow."""
+        """Record that the response headers are sent."""
         self.headers_sent = True
 
     def on_data_sent(self, size: int) -> None:
-        """The first `size` pending bytes are sent."""
+        """Remove the first `size` pending bytes, which are sent."""
         del self.pending[:size]
         self.record_progress()
 
     def on_trailers_sent(self) -> None:
-        """The response is sent to its end."""
+        """Record that the complete response is sent."""
         self.closed = True
 
     def resume_source(self) -> None:
-        """Let the source go on once half of what may wait has been sent."""
+        """Resume the source when the unsent bytes have fallen to half of the limit."""
         may_resume = len(self.pending) < MAX_PENDING_RESPONSE_BYTES // 2
         if self.source_paused and self.source is not None and may_resume:
             self.source_paused = False
             self.source.resume()
 
     def finish(self, trailers: list[tuple[str, str]]) -> None:
-        """End the response; only the first trailers count."""
+        """End the response with trailers; further calls have no effect on the trailers."""
         self.request = None
         if self.streamed_body is not None:
-            self.streamed_body.abort()  # nobody takes the rest of the body
+            self.streamed_body.abort()  # the rest of the body is not needed
         if self.trailers is None:
             self.trailers = trailers
             self.connection.send_pending(self)
 
     def respond_with_error(self, status: int, reason: str) -> None:
-        """Answer a request that cannot be handed to the gateway; `reason` is percent-encoded."""
+        """Respond to an invalid request; `reason` is sent percent-encoded as `grpc-message`."""
         self.counts.invalid_requests += 1
         encoded = "".join(c if 32 <= ord(c) < 127 and c != "%" else f"%{ord(c) & 255:02X}" for c in reason)
         self.finish([("grpc-status", str(int(status))), ("grpc-message", encoded)])
 
     def abort(self, status: int, reason: str) -> None:
-        """Answer a request whose body is not what it should be, and cancel its attempts."""
+        """Respond to a request whose body turns out to be invalid, and cancel its attempts."""
         request = self.request
         self.respond_with_error(status, reason)
         if request is not None:
             self.gateway.cancel_request(request.id)
 
     def cancel(self) -> None:
-        """Cancel the request: the client has gone or has reset the stream."""
+        """Cancel the request, because the stream was reset or its connection closed."""
         self.closed = True
         request = self.request
         self.request = None
@@ -227,7 +230,7 @@
             self.gateway.cancel_request(request.id)
 
     def is_stalled(self, now: int, timeout_us: float) -> bool:
-        """Whether the client neither reads its response nor sends the body it still owes."""
+        """Return whether the client has neither read pending data nor sent expected data for too long."""
         streamed_body = self.streamed_body
         sends_body = streamed_body is not None and not streamed_body.is_finished and not streamed_body.is_full
         awaits_client = self.pending or self.request is None or sends_body
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -1,4 +1,4 @@
-"""Listens for gRPC clients, keeps their connections and drains them at shutdown."""
+"""Accepts connections of gRPC clients, and drains them at shutdown."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class GrpcListener:
-    """All gRPC clients.
+    """The listening sockets for gRPC clients, and the open connections.
 
     Args:
-        gateway: Where requests go.
-        read: Makes a request of the gateway from what was received.
-        is_standby: Whether the process is on standby, and its connections should drain.
-        allowance: Memory for streamed bodies.
+        gateway: Handles the requests.
+        request_reader: Creates a request of the gateway from its parts.
+        is_standby: Returns whether the process is on standby, so that connections drain.
+        body_budget: Memory limit for streamed bodies.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         """Listen on each address, with `SO_REUSEPORT` if `shared`.
 
         Returns:
-            The addresses with the ports that the system chose for port 0.
+            The addresses, with the ports chosen by the system in place of port 0.
 
         Raises:
-            OSError: An address cannot be listened on.
+            OSError: An address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         for host, port in addresses:
@@ -69,25 +69,25 @@
         self.sweep()
         return [server.sockets[0].getsockname()[:2] for server in self.servers]
 
-    # As the registry of its connections
+    # Interface `ConnectionRegistry`
 
     def add(self, connection: GrpcDownstreamConnection) -> bool:
-        """Register a connection; False if there are `MAX_CONNECTIONS` already."""
+        """Register a connection; returns False if `MAX_CONNECTIONS` are open already."""
         if len(self.connections) >= MAX_CONNECTIONS:
             return False
         self.connections.add(connection)
         return True
 
     def discard(self, connection: GrpcDownstreamConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         self.connections.discard(connection)
 
     def is_draining(self) -> bool:
-        """Whether connections should take no new streams."""
+        """Return whether connections should accept no new streams."""
         return self.shutting_down or self.is_standby()
 
     def sweep(self) -> None:
-        """Check the timeouts of each connection, periodically."""
+        """Check the timeouts of all connections, and schedule the next check."""
         self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
         now = now_us()
         for connection in list(self.connections):
@@ -96,10 +96,10 @@
             connection.sweep(now)
 
     async def shut_down(self, until_s: float) -> None:
-        """Shut down gracefully: GOAWAY to all, then wait for open streams.
+        """Shut down gracefully: send GOAWAY to all clients, and wait for open streams to complete.
 
         Args:
-            until_s: When to close what is left, by the clock of the event loop.
+            until_s: Time on the event loop's clock at which connections that are still open are closed.
         """
         self.shutting_down = True
         for server in self.servers:
@@ -112,7 +112,7 @@
         self.close()
 
     def metric_values(self) -> dict[str, float]:
-        """Values for the exported metrics."""
+        """Return the values of the exported metrics."""
         counts = self.intake.counts
         return {
             "new_clients": len(self.connections),
@@ -123,7 +123,7 @@
         }
 
     def close(self) -> None:
-        """Stop listening and close all connections at once."""
+        """Stop listening, and close all connections immediately."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
         for server in self.servers:
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -1,4 +1,4 @@
-"""Routes each attempt to the pools of its server's protocol, and shifts traffic between the protocols."""
+"""Routes each attempt to the connection pools of its server's protocol, and shifts traffic between both."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from sagetrack.policy.migration import Migration
 
 WeightFactorsByIndex = dict[int, tuple[float, float]]
-"""Factors of the weights of HTTP/1.1 and of gRPC servers, by number of a class or a tenant."""
+"""Weight factors of HTTP/1.1 and of gRPC servers, by the index of a class or a tenant."""
 
 FAILURES = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
 
 
 class ProtocolAttemptObserver:
-    """Observes one attempt ahead of its own observer, and records how its protocol fares."""
+    """Forwards the events of an attempt to its observer, and counts its outcome for its protocol."""
 
     __slots__ = ("is_grpc", "observer", "request", "router", "streaming")
 
@@ -36,30 +36,30 @@
         self.streaming = False
 
     def may_begin(self, server: ServerState) -> bool:
-        """Whether anything may be sent now to the server in this state."""
+        """Return whether the request may be sent now to a server in this state."""
         return self.observer.may_begin(server)
 
     def on_first_byte(self) -> None:
-        """The first byte of the request goes out."""
+        """Forward that the first byte of the request is sent."""
         self.observer.on_first_byte()
 
     def on_request_sent(self) -> None:
-        """The last byte of the request went out."""
+        """Forward that the last byte of the request has been sent."""
         self.observer.on_request_sent()
 
     def on_response_started(self, attempt: Attempt, head: AnyResponse, source: ResponseSource) -> None:
-        """The response is streamed."""
+        """Forward the head of a streamed response."""
         self.streaming = True
         self.observer.on_response_started(attempt, head, source)
 
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
-        """Part of a streamed response."""
+        """Forward a part of a streamed response."""
         self.observer.on_response_data(attempt, data)
 
     def on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, response: AnyResponse | None, load: LoadReport | None
     ) -> None:
-        """The attempt has ended; a complete response is offered to the mirror after the client has it."""
+        """Record the outcome, forward it, and then pass a complete response on for mirroring."""
         self.router.record_outcome(self.is_grpc, outcome)
         self.observer.on_attempt_ended(attempt, outcome, response, load)
         if outcome is Outcome.OK and not self.streaming and self.router.on_response is not None:
@@ -67,14 +67,14 @@
 
 
 class ProtocolRouter:
-    """Upstream servers of both protocols, told apart by the kind that discovery lists.
+    """The upstream servers of both protocols; the kind in the endpoint list determines a server's protocol.
 
     Args:
-        http1: Pools to HTTP/1.1 servers.
-        grpc: Pools to gRPC servers.
-        grpc_kinds: Kinds of the gRPC servers.
-        migration: Decides on the share of gRPC.
-        on_fallback: Called when gRPC fails so often that its share falls to nothing.
+        http1: The connection pools of HTTP/1.1 servers.
+        grpc: The connection pools of gRPC servers.
+        grpc_kinds: The kinds of servers that speak gRPC.
+        migration: Computes the weight factors for the gRPC share of the traffic.
+        on_fallback: Called when gRPC servers fail so often that all traffic falls back to HTTP/1.1.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self.grpc_kinds = frozenset(grpc_kinds)
         self.migration = migration
         self.on_fallback = on_fallback
-        self.endpoints: dict[int, Endpoint] = {}  # with the weights that are listed
+        self.endpoints: dict[int, Endpoint] = {}  # by server id, with unscaled weights
         self.weight_factors = (1.0, 1.0)
         self.override_factors: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = (
             {},
@@ -98,16 +98,17 @@
         )  # by class and by tenant
         self.on_override_factors: Callable[[WeightFactorsByIndex, WeightFactorsByIndex], None] | None = None
         self.on_response: Callable[[Request, bool, AnyResponse], None] | None = None
-        """Called with each complete response, and whether it is a gRPC server's."""
-        self.listed_servers: dict[int, None] = {}  # of all servers: read at each attempt
+        """Called with each complete response, and whether a gRPC server sent it."""
+        # The server ids of both protocols, kept in one dict because each attempt reads them
+        self.listed_servers: dict[int, None] = {}
 
     # Weights
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> list[Endpoint]:
-        """Take over a change of the endpoint list.
+        """Apply a change of the endpoint list.
 
         Returns:
-            The entries, with their weights scaled so that gRPC has its share of the requests.
+            The entries, with weights scaled so that gRPC servers get their share of the traffic.
         """
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
             self.endpoints.clear()
@@ -119,13 +120,13 @@
         return [self.with_scaled_weight(entry) for entry in entries]
 
     def with_scaled_weight(self, entry: Endpoint) -> Endpoint:
-        """An endpoint with its weight scaled for its protocol."""
+        """Return a copy of an endpoint with its weight scaled by the factor of its protocol."""
         factor = self.weight_factors[entry.listed.kind in self.grpc_kinds]
         listed = replace(entry.listed, weight=entry.listed.weight * factor)
         return Endpoint(entry.name, entry.address, listed)
 
     def update_weights(self) -> list[Endpoint]:
-        """Recompute the factors; all endpoints with their new weights if these have changed, else none."""
+        """Recompute the factors; returns all endpoints with scaled weights if these changed, else none."""
         weight_sums = [0.0, 0.0]
         for entry in self.endpoints.values():
             if entry.listed.status is ServerStatus.READY:
@@ -148,12 +149,12 @@
         class_shares: dict[int, float],
         tenant_shares: dict[int, float],
     ) -> bool:
-        """Change the share of gRPC in the traffic; False if it is as it was.
+        """Change the gRPC shares of the traffic; returns False if they are unchanged.
 
         Args:
-            target_share: Of all requests, from 0 to 1; None: as the listed weights have it.
-            class_shares: Other shares, by number of a class.
-            tenant_shares: Other shares, by number of a tenant.
+            target_share: The share of all requests, from 0 to 1; None keeps the listed weights.
+            class_shares: Shares of classes that differ from the target share, by class index.
+            tenant_shares: Shares of tenants that differ from the target share, by tenant index.
         """
         migration = self.migration
         if (migration.target_share, migration.class_shares, migration.tenant_shares) == (
@@ -168,27 +169,27 @@
         return True
 
     def record_outcome(self, is_grpc: bool, outcome: Outcome) -> None:
-        """Count an outcome that says how a protocol fares; the others say nothing of it."""
+        """Count a success or failure for a protocol; other outcomes, such as rejections, are ignored."""
         significant = outcome is Outcome.OK or outcome in FAILURES
         if significant and self.migration.record(is_grpc, outcome is not Outcome.OK, now_us()):
             self.on_fallback()
 
-    # As the pool of all servers
+    # Interface `UpstreamPool`
 
     def speaks_grpc(self, server: int) -> bool:
-        """Whether a server is listed as a gRPC server."""
+        """Return whether a server is listed as a gRPC server."""
         return server in self.grpc.pools
 
     def pool_for_server(self, server: int) -> UpstreamPool:
-        """The pools of the protocol that a server speaks."""
+        """Return the pools of a server's protocol."""
         return self.grpc if self.speaks_grpc(server) else self.http1
 
     def pool_for_attempt(self, attempt: Attempt) -> UpstreamPool:
-        """The pools that carry an attempt."""
+        """Return the pools that carry an attempt."""
         return self.grpc if isinstance(attempt, GrpcAttempt) else self.http1
 
     def put(self, entry: Endpoint) -> None:
-        """Add or update a server; one that changes its protocol moves to the other pools."""
+        """Add or update a server; a server that changes its protocol moves to the other pools."""
         server = entry.listed.server
         self.listed_servers[server] = None
         if entry.listed.kind in self.grpc_kinds:
@@ -201,23 +202,23 @@
             self.http1.put(entry)
 
     def remove(self, server: int) -> None:
-        """Drop a server."""
+        """Remove a server."""
         self.listed_servers.pop(server, None)
         self.pool_for_server(server).remove(server)
 
     @property
     def listed(self) -> Collection[int]:
-        """Numbers of the listed servers."""
+        """The ids of the listed servers."""
         return self.listed_servers.keys()
 
     def server_start_times(self) -> dict[int, int]:
-        """When each listed server started."""
+        """Return the start time of each listed server in microseconds, by server id."""
         return self.http1.server_start_times() | self.grpc.server_start_times()
 
     def begin(
         self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
     ) -> Attempt | None:
-        """Send a request to a server and wait `timeout_us` for its response; None if it is not listed."""
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         is_grpc = self.speaks_grpc(server)
         pool: UpstreamPool = self.grpc if is_grpc else self.http1
         return pool.begin(
@@ -225,23 +226,23 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for a response."""
+        """Cancel an attempt."""
         self.pool_for_attempt(attempt).cancel(attempt)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """End an attempt if nothing of it has been sent."""
+        """End an attempt if none of it has been sent."""
         self.pool_for_attempt(attempt).cancel_unsent(attempt)
 
     def close_idle(self, server: int) -> None:
-        """Close connections to a server's earlier incarnation, as they become idle."""
+        """Close the connections to the previous incarnation of a server when they are idle."""
         self.pool_for_server(server).close_idle(server)
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Ask an HTTP/1.1 server for its load; gRPC servers are not probed."""
+        """Probe an HTTP/1.1 server for its load; gRPC servers are not probed."""
         if not self.speaks_grpc(server):
             self.http1.probe(server, on_result)
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all connections immediately."""
         self.http1.close()
         self.grpc.close()
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -1,4 +1,4 @@
-"""From the messages of a stream to a request of the gateway: read, check, buffer or stream the body."""
+"""Converts the messages of a client's stream to a request of the gateway; long bodies are streamed."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from sagetrack.grpc.translate import request_body_chunk, request_to_http1, split_head
 
 RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Request]
-"""Makes a request from method, target, headers, body, time budget (us; 0: the class's own), client, and the
-body that is streamed, if any. Raises RequestReadError."""
+"""Creates a request from the method, target, headers, body, time budget in microseconds (0: the default of
+the class), client, and the streamed body, if any. Raises RequestReadError if the request is invalid."""
 
 
 class RequestIntake:
-    """Hands the requests of all streams to the gateway.
+    """Validates the requests of all streams, and submits them to the gateway.
 
     Args:
-        gateway: Where requests go.
-        read: Makes a request of the gateway from what was received.
-        body_budget: Memory for streamed bodies.
+        gateway: Handles the requests.
+        request_reader: Creates a request of the gateway from its parts.
+        body_budget: Memory limit for streamed bodies.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self.counts = DownstreamCounts()
 
     def on_data(self, stream: DownstreamStream, data: bytes) -> None:
-        """DATA of a request; a body that gets too long to be buffered is streamed from here on."""
+        """Handle DATA of a request; a body that exceeds the buffer limit is streamed from then on."""
         stream.record_progress()
         try:
             for message in stream.unpacker.feed(data):
@@ -52,22 +52,22 @@
             self.submit(stream, streamed=True)
 
     def on_end(self, stream: DownstreamStream) -> None:
-        """The client has ended its side of the stream."""
+        """Handle END_STREAM from the client: the request is complete or has been truncated."""
         streamed_body = stream.streamed_body
         if streamed_body is None:
             self.submit(stream, streamed=False)
         elif stream.unpacker.incomplete_bytes or (
             streamed_body.length is not None and streamed_body.length != streamed_body.received
         ):
-            # The server must not take it for complete.
+            # The body is truncated, and must not look complete to the server.
             stream.abort(
-                StatusCode.INVALID_ARGUMENT, f"a body that ends after {streamed_body.received} bytes"
+                StatusCode.INVALID_ARGUMENT, f"request body truncated after {streamed_body.received} bytes"
             )
         else:
             streamed_body.complete()
 
     def feed_body(self, stream: DownstreamStream, streamed_body: StreamedBody, message: bytes) -> None:
-        """A further message of a streamed body."""
+        """Append the body part in a further message to a streamed body."""
         if streamed_body.discarding:
             return
         try:
@@ -77,10 +77,10 @@
             return
         limit = STREAMED_BODY_LIMIT if streamed_body.length is None else streamed_body.length
         if streamed_body.received > limit:
-            stream.abort(StatusCode.RESOURCE_EXHAUSTED, f"a body of over {limit} bytes")
+            stream.abort(StatusCode.RESOURCE_EXHAUSTED, f"request body exceeds {limit} bytes")
 
     def submit(self, stream: DownstreamStream, streamed: bool) -> None:
-        """Hand a request to the gateway: a complete one, or the beginning of one with a streamed body."""
+        """Submit a request to the gateway; if `streamed`, its body is not complete yet."""
         self.counts.requests += 1
         content_type = dict(stream.headers).get("content-type", "")
         if not content_type.startswith("application/grpc"):
@@ -89,7 +89,7 @@
             )
             return
         if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
-            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, "no whole message")
+            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, "the request has no complete message")
             return
         try:
             request = self.build_request(stream, streamed)
@@ -100,21 +100,24 @@
             stream.respond_with_error(error.status, str(error))
             return
         if not stream.submit(request):
-            stream.respond_with_error(StatusCode.ALREADY_EXISTS, "this x-call-id is in use")
+            stream.respond_with_error(StatusCode.ALREADY_EXISTS, "a request with this x-call-id is in flight")
 
     def build_request(self, stream: DownstreamStream, streamed: bool) -> Request:
-        """Make a request from the buffered messages.
+        """Create a request from the buffered messages.
 
         Raises:
-            TranslationError: The request has no counterpart in HTTP/1.1, or its body not the stated length.
-            RequestReadError: The request breaks a rule of the platform.
+            TranslationError: The request cannot be translated to HTTP/1.1, or the body's length is not as
+                announced or exceeds the limit.
+            RequestReadError: The request is invalid, for example because it names an unknown class.
         """
         head, body, length, budget_us = request_to_http1(stream.headers, stream.messages[0])
         body += b"".join(request_body_chunk(message) for message in stream.messages[1:])
         if length is not None and (len(body) > length or (len(body) < length and not streamed)):
-            raise TranslationError(f"a body of {len(body)} bytes that was to have {length}")
+            raise TranslationError(f"request body of {len(body)} bytes, announced length {length}")
         if length is not None and length > STREAMED_BODY_LIMIT:
-            raise TranslationError(f"a body of {length} bytes, over {STREAMED_BODY_LIMIT}")
+            raise TranslationError(
+                f"request body of {length} bytes exceeds the limit of {STREAMED_BODY_LIMIT}"
+            )
         method, target, headers = split_head(head)
         if streamed:
             stream.start_streaming_body(length, self.body_budget).feed(body)
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at a gRPC upstream server, from its sending to its one outcome."""
+"""One attempt to send a request to a gRPC upstream server."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 class AttemptConnection(Protocol):
-    """What an attempt asks of the connection that carries it."""
+    """The methods of its connection that an attempt calls."""
 
     def discard(self, attempt: GrpcAttempt) -> None:
-        """Drop an attempt that has ended."""
+        """Remove an attempt that has ended."""
 
     def reset_stream(self, attempt: GrpcAttempt) -> None:
-        """Cancel its stream, if it has one."""
+        """Reset the attempt's stream, if it was opened."""
 
     def reopen_window(self, attempt: GrpcAttempt) -> None:
-        """Let the server send again."""
+        """Extend the stream's flow-control window, so that the server can send again."""
 
 
 @dataclass(slots=True, eq=False)
 class GrpcAttempt:
-    """One attempt. It ends exactly once, by `finish`, which tells its observer."""
+    """An attempt, which ends with the first call of `finish`; that notifies the observer."""
 
     upstream: UpstreamServerRecord
     request: Request
@@ -44,15 +44,15 @@
     started_us: int
     timeout_us: int
     headers: list[tuple[str, str]]
-    pending: deque[bytes]  # framed messages that are still to be sent
+    pending: deque[bytes]  # gRPC messages, framed, that are not sent yet
     latency_us: int = 0
     connection: AttemptConnection | None = None
     stream_id: int = 0
-    headers_sent: bool = False  # the server may have begun to run it
-    request_sent: bool = False  # to its last byte
+    headers_sent: bool = False  # once True, the server may have started to process the request
+    request_sent: bool = False  # True once END_STREAM is sent
     ended: bool = False
-    streaming: bool = False  # the response goes to the client as it arrives
-    paused: bool = False  # the client takes nothing at the moment
+    streaming: bool = False  # True if the response is forwarded to the client as it arrives
+    paused: bool = False  # True while the client does not read
     last_progress_us: int = 0
     response_reader: ResponseReader = field(default_factory=ResponseReader)
     withheld: WithheldBytes = field(default_factory=WithheldBytes)
@@ -60,53 +60,53 @@
 
     @property
     def server(self) -> int:
-        """Number of the server."""
+        """The id of the server."""
         return self.upstream.id
 
     @property
     def remaining_us(self) -> int:
-        """How long the response is still waited for; the timeout runs from the request's last byte."""
+        """The remaining timeout; the full timeout while the client is still sending the request body."""
         if self.request.streamed_body is not None and not self.request.streamed_body.is_complete:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.started_us)
 
     def may_start(self) -> bool:
-        """Whether the request may be sent now; asked right before its first byte.
+        """Return whether the request may be sent now; called immediately before its first byte.
 
-        Once the server is listed as draining or gone, the observer decides by the send rules.
+        If the server is listed as draining or gone, the observer applies the send rules.
         """
         return self.observer.may_begin(self.upstream.state)
 
     def set_connection(self, connection: AttemptConnection) -> None:
-        """Take the connection that carries the attempt."""
+        """Set the connection that carries the attempt."""
         self.connection = connection
 
     def add_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Take a timer that is cancelled once the response has come or begins to be streamed."""
+        """Add a timer to be cancelled when the attempt ends or its response starts to be streamed."""
         self.timers.append(timer)
 
     def on_headers_sent(self, stream_id: int) -> None:
-        """The headers are sent on this stream: the server may run the request from now on."""
+        """Record that the headers are sent on a stream; from now on the server may run the request."""
         self.stream_id = stream_id
         self.headers_sent = True
 
     def on_data_sent(self) -> None:
-        """A part of the request is sent."""
+        """Record progress: a part of the request has been sent."""
         self.last_progress_us = now_us()
 
     def on_request_sent(self) -> None:
-        """The request is sent to its last byte."""
+        """Record that the complete request has been sent."""
         self.request_sent = True
 
     def load_pending(self) -> bool:
-        """Take the next chunk of a streamed body once all before it is sent; False if there is none."""
+        """Load the next chunk of a streamed body if nothing is pending; False if nothing can be sent."""
         streamed_body = self.request.streamed_body
         if not self.pending and streamed_body is not None and streamed_body.chunks:
             self.pending.append(pack(request_body_message(streamed_body.take())))
         return bool(self.pending)
 
     def take_pending(self, limit: int) -> bytes:
-        """The next bytes to send, at most `limit` of them."""
+        """Remove and return the next bytes to send, at most `limit`."""
         data = self.pending.popleft()
         if len(data) > limit:
             self.pending.appendleft(data[limit:])
@@ -115,14 +115,14 @@
 
     @property
     def all_sent(self) -> bool:
-        """Whether nothing of the request is left to send, now or later."""
+        """Whether all of the request has been sent, and no more of its body will arrive."""
         streamed_body = self.request.streamed_body
         return not self.pending and (
             streamed_body is None or (streamed_body.is_complete and not streamed_body.chunks)
         )
 
     def start_streaming(self) -> None:
-        """Pass the response on as it arrives, beginning with what was buffered."""
+        """Forward the response as it arrives from now on, starting with the buffered part."""
         head = self.response_reader.head
         assert head is not None
         self.streaming = True
@@ -136,7 +136,7 @@
             self.observer.on_response_data(self, body)
 
     def receive(self, data: bytes) -> bool:
-        """Buffer or pass on a part of the response; False if it is malformed."""
+        """Buffer or forward a part of the response; returns False if it is malformed."""
         self.last_progress_us = now_us()
         try:
             for chunk in self.response_reader.feed(data):
@@ -149,7 +149,7 @@
         return True
 
     def finish_response(self) -> None:
-        """End with the response that is complete now, unless it came before the request was sent."""
+        """End the attempt with the complete response; it is an error if the request is not fully sent."""
         outcome = self.response_reader.outcome()
         if outcome is Outcome.OK and not self.request_sent:
             outcome = Outcome.ERROR
@@ -160,32 +160,32 @@
 
     @property
     def should_stream(self) -> bool:
-        """Whether the response has become too long to be buffered."""
+        """Whether streaming should start, as the response is too long to be buffered."""
         return not self.streaming and self.response_reader.exceeds_buffer
 
     def is_stalled(self, now: int) -> bool:
-        """Whether a streamed body, of the request or the response, has made no progress for too long."""
+        """Return whether a streamed request or response body has made no progress for too long."""
         is_streamed = self.streaming or self.request.streamed_body is not None
         return is_streamed and not self.paused and now - self.last_progress_us > BODY_STALL_TIMEOUT_S * 1e6
 
     def pause(self) -> None:
-        """Client side stopped reading: the stream's flow-control window is left to run out."""
+        """Stop extending the stream's flow-control window, as the client reads nothing."""
         self.paused = True
 
     def resume(self) -> None:
-        """Client side reads again."""
+        """Extend the stream's flow-control window again, as the client reads."""
         self.paused = False
         self.last_progress_us = now_us()
         if self.connection is not None and self.withheld:
             self.connection.reopen_window(self)
 
     def cancel_stream(self) -> None:
-        """Reset its stream, so that its server can stop working on it."""
+        """Reset the stream, so that the server can stop processing the request."""
         if self.connection is not None:
             self.connection.reset_stream(self)
 
     def finish(self, outcome: Outcome, response: Response | None = None) -> None:
-        """End the attempt and tell its observer; any call after the first has no effect."""
+        """End the attempt and notify its observer; further calls have no effect."""
         if self.ended:
             return
         self.ended = True
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -1,6 +1,7 @@
-"""One HTTP/2 connection to a gRPC server: its streams, flow control, GOAWAY, pings and end.
+"""An HTTP/2 connection to a gRPC server: streams, flow control, GOAWAY, keep-alive pings and closing.
 
-How a stream ended says whether its request may have run: see `outcomes` and docs/protocol-2.md.
+The way in which a stream ends determines whether its request may have run: see `outcomes` and
+docs/protocol-2.md.
 """
 
 from __future__ import annotations
@@ -28,32 +29,32 @@
 from sagetrack.grpc.upstream_attempt import GrpcAttempt
 from sagetrack.policy.events import Outcome
 
-MAX_STREAMS = 100  # of one connection, whatever its server's SETTINGS allow
-STREAM_WINDOW_BYTES = 64 * 1024  # that a server may send on a stream before its client has taken some
-CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024
-PING_PAYLOAD = b"sagetrk2"  # eight bytes, RFC 9113, 6.7
-LAST_STREAM_ID = 2**31 - 1  # RFC 9113, 5.1.1
+MAX_STREAMS = 100  # concurrent streams on a connection, even if the server's SETTINGS allow more
+STREAM_WINDOW_BYTES = 64 * 1024  # flow-control window of a stream: unread bytes that the server may send
+CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024  # added to the connection's initial flow-control window
+PING_PAYLOAD = b"sagetrk2"  # RFC 9113, section 6.7 requires eight bytes
+LAST_STREAM_ID = 2**31 - 1  # the highest stream id that HTTP/2 allows (RFC 9113, section 5.1.1)
 
 
 @dataclass(slots=True)
 class UpstreamCounts:
-    """Totals since the start, over all connections."""
+    """Counters over all upstream connections since the start of the process."""
 
     opened_connections: int = 0
     opened_streams: int = 0
     refused_streams: int = 0
     goaways: int = 0
     reset_streams: int = 0
-    broken_connections: int = 0  # connections that ended while requests were in flight
+    broken_connections: int = 0  # connections that closed while streams were open
     untranslatable_requests: int = 0
 
 
 class GrpcUpstreamConnection(Http2Protocol):
-    """One connection; any number of attempts share it, each on a stream of its own.
+    """A connection that multiplexes attempts; each attempt has its own stream.
 
     Args:
-        counts: Where its events are counted.
-        on_closed: Called once, when it takes no more attempts because it has closed or failed.
+        counts: Counters that the connection increments.
+        on_closed: Called once, when the connection closes or cannot be established.
     """
 
     def __init__(self, counts: UpstreamCounts, on_closed: Callable[[GrpcUpstreamConnection], None]) -> None:
@@ -67,7 +68,7 @@
         self.counts = counts
         self.on_closed = on_closed
         self.attempts = AttemptStreams()
-        self.draining = False  # takes no new streams
+        self.draining = False  # no new streams are opened
         self.closed = False
         created_us = now_us()
         self.liveness = Liveness(created_us)
@@ -75,7 +76,7 @@
 
     @property
     def capacity(self) -> int:
-        """Streams that may be opened now."""
+        """The number of streams that may be opened now."""
         if self.draining or self.closed:
             return 0
         limit = MAX_STREAMS if self.transport is None else self.h2.remote_settings.max_concurrent_streams
@@ -83,13 +84,13 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it carries no attempt."""
+        """Whether the connection carries no attempts."""
         return not self.attempts
 
     # Sending
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the preface and open the streams that waited for the connection."""
+        """Send the connection preface, and open the streams of the waiting attempts."""
         self.transport = cast(asyncio.Transport, transport)
         ssl_object = transport.get_extra_info("ssl_object")
         if ssl_object is not None and ssl_object.selected_alpn_protocol() != "h2":
@@ -103,7 +104,7 @@
         self.flush()
 
     def send(self, attempt: GrpcAttempt) -> None:
-        """Send an attempt, now or once the connection is up."""
+        """Send an attempt, now or as soon as the connection is established."""
         attempt.set_connection(self)
         if self.transport is None:
             self.attempts.add_waiting(attempt)
@@ -112,7 +113,7 @@
             self.flush()
 
     def open_stream(self, attempt: GrpcAttempt) -> None:
-        """Send the headers; if its server drains by now, it ends as never sent."""
+        """Send the headers of an attempt; if nothing may be sent, it ends with `Outcome.NOT_SENT`."""
         if self.draining or not attempt.may_start():
             attempt.finish(Outcome.NOT_SENT)
             return
@@ -120,7 +121,7 @@
             stream_id = self.h2.get_next_available_stream_id()
             attempt.observer.on_first_byte()
             self.h2.send_headers(stream_id, with_remaining_timeout(attempt.headers, attempt.remaining_us))
-        except h2.exceptions.H2Error:  # too many streams after all, or no id left: nothing was sent
+        except h2.exceptions.H2Error:  # too many streams, or no stream ids left; nothing was sent
             self.draining = True
             attempt.finish(Outcome.NOT_SENT)
             return
@@ -133,12 +134,12 @@
         self.send_pending(attempt)
 
     def send_and_flush(self, attempt: GrpcAttempt) -> None:
-        """Send what has arrived of an attempt's body."""
+        """Send the part of a streamed request body that has arrived, and flush it."""
         self.send_pending(attempt)
         self.flush()
 
     def send_pending(self, attempt: GrpcAttempt) -> None:
-        """Send what flow control allows of an attempt's messages, and END_STREAM with the last of them."""
+        """Send as much of a request as flow control allows, and END_STREAM after the last message."""
         if attempt.ended or attempt.request_sent or not attempt.headers_sent or self.closed:
             return
         if write_request(self, attempt):
@@ -146,7 +147,7 @@
             attempt.observer.on_request_sent()
 
     def send_all_pending(self) -> None:
-        """Send what flow control allows on each stream."""
+        """Send as much as flow control allows on each stream."""
         for attempt in self.attempts.on_open_streams():
             self.send_pending(attempt)
         self.flush()
@@ -154,21 +155,21 @@
     # Receiving
 
     def data_received(self, data: bytes) -> None:
-        """Feed the state machine and act on its events."""
+        """Pass received bytes to `h2`, and handle the resulting events."""
         self.liveness.on_received(now_us())
         self.flush()
         state = self.h2.state_machine.state
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
-            self.flush()  # the library has written GOAWAY with the right error
+            self.flush()  # `h2` has queued a GOAWAY frame with the error code
             self.close(None)
             return
         for event in events:
             if self.closed:
                 return
             if isinstance(event, h2.events.ConnectionTerminated):
-                # `h2` takes the connection for closed at GOAWAY, while streams up to the last id go on.
+                # On GOAWAY, `h2` marks the connection as closed, although streams up to the last id continue.
                 if not event.error_code and state is not ConnectionState.CLOSED:
                     self.h2.state_machine.state = state
                 self.on_goaway(event)
@@ -178,7 +179,7 @@
         self.close_if_drained()
 
     def on_event(self, event: h2.events.Event) -> None:
-        """Act on one event of the state machine, other than GOAWAY."""
+        """Handle one event of `h2`, other than GOAWAY."""
         match event:
             case h2.events.DataReceived():
                 self.on_data(event)
@@ -201,12 +202,12 @@
                 self.liveness.on_ping_ack()
 
     def count_control_frame(self) -> None:
-        """Close the connection to a server that floods it with frames that carry no response."""
+        """Count a frame that carries no response; close the connection if there are too many (flood)."""
         if self.flood_guard.record(now_us(), control_frames=1):
             self.close(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
 
     def on_data(self, event: h2.events.DataReceived) -> None:
-        """DATA on a stream; that of a stream which is gone only counts for flow control."""
+        """Handle DATA; on a stream whose attempt has ended, it only counts for flow control."""
         stream_id = event.stream_id or 0
         attempt = self.attempts.get(stream_id)
         size = event.flow_controlled_length or 0
@@ -218,7 +219,7 @@
             self.on_response_data(attempt, event.data or b"", size)
 
     def on_response_data(self, attempt: GrpcAttempt, data: bytes, size: int) -> None:
-        """Take a part of a response; `size` is what flow control counts for it."""
+        """Process a part of a response; `size` is its flow-controlled length, padding included."""
         if not attempt.receive(data):
             self.abort_attempt(attempt, Outcome.ERROR)
             return
@@ -229,13 +230,13 @@
             if attempt.request_sent:
                 attempt.start_streaming()
             else:
-                self.abort_attempt(attempt, Outcome.ERROR)  # no answer to an incomplete request
+                self.abort_attempt(attempt, Outcome.ERROR)  # a response before the request is complete
 
     def acknowledge(self, attempt: GrpcAttempt, size: int) -> None:
-        """Open the server's flow-control window again for what the client has taken.
+        """Extend the flow-control windows for received bytes.
 
-        While the client reads nothing, the stream's window stays closed but the connection's is opened, so
-        that the other streams go on.
+        While the client reads nothing, only the connection's window is extended: the stream's window runs
+        out, and the other streams continue.
         """
         if not attempt.paused:
             self.acknowledge_data(size, attempt.stream_id)
@@ -245,12 +246,12 @@
         self.flush()
 
     def reopen_window(self, attempt: GrpcAttempt) -> None:
-        """Open a stream's window for what was withheld while its client read nothing."""
+        """Extend a stream's window by the bytes that were withheld while its client read nothing."""
         if self.open_stream_window(attempt.withheld.take(), attempt.stream_id):
             self.flush()
 
     def on_headers(self, event: h2.events.ResponseReceived | h2.events.TrailersReceived) -> None:
-        """Headers or trailers of a response."""
+        """Handle the headers or trailers of a response."""
         attempt = self.attempts.get(event.stream_id)
         if attempt is not None:
             attempt.response_reader.add_headers(
@@ -258,7 +259,7 @@
             )
 
     def on_reset(self, event: h2.events.StreamReset) -> None:
-        """RST_STREAM from the server."""
+        """Handle RST_STREAM from the server."""
         attempt = self.attempts.get(event.stream_id)
         code = int(event.error_code or 0)
         self.counts.reset_streams += 1
@@ -268,7 +269,7 @@
             attempt.finish(outcomes.of_reset(code, attempt.request_sent))
 
     def on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
-        """GOAWAY: streams above the last id never ran, the others go on unless there is an error."""
+        """Handle GOAWAY: streams above the last id were not processed; others continue without an error."""
         self.counts.goaways += 1
         self.draining = True
         last_stream_id = event.last_stream_id if event.last_stream_id is not None else LAST_STREAM_ID
@@ -279,16 +280,16 @@
         if event.error_code:
             self.close(None)
 
-    # Ends
+    # Closing
 
     def discard(self, attempt: GrpcAttempt) -> None:
-        """Drop an attempt that has ended."""
+        """Remove an attempt that has ended."""
         self.attempts.discard(attempt)
         if self.is_idle:
             self.liveness.on_idle(now_us())
 
     def abort_attempt(self, attempt: GrpcAttempt, outcome: Outcome) -> None:
-        """Reset one stream and end its attempt; the others go on."""
+        """Reset one stream and end its attempt; other streams are not affected."""
         self.reset_stream(attempt)
         attempt.finish(outcome)
 
@@ -302,17 +303,17 @@
             self.flush()
 
     def drain(self) -> None:
-        """Take no new streams, and close once those that are open have ended."""
+        """Open no new streams, and close the connection when the open ones have ended."""
         self.draining = True
         self.close_if_drained()
 
     def close_if_drained(self) -> None:
-        """Close a draining connection that carries nothing any more."""
+        """Close the connection if it is draining and carries no attempts."""
         if self.draining and self.is_idle and not self.closed:
             self.close(h2.errors.ErrorCodes.NO_ERROR)
 
     def close(self, error: h2.errors.ErrorCodes | None) -> None:
-        """Close it, with GOAWAY if an error code is given; each of its attempts ends as it stands."""
+        """Close the connection and end its attempts; sends GOAWAY if an error code is given."""
         if self.closed:
             return
         if error is not None and self.transport is not None:
@@ -329,12 +330,12 @@
             attempt.finish(outcomes.of_loss(attempt.headers_sent))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is gone."""
+        """End the attempts that are left, as the socket is closed."""
         self.close(None)
         self.transport = None
 
     def sweep(self, now: int) -> None:
-        """Check age, idleness, pings and stalled streams."""
+        """Check the maximum age, the idle timeout, keep-alive pings and stalled streams."""
         if self.liveness.should_drain(now, self.is_idle):
             self.draining = True
         if self.liveness.ping_timed_out(now):
