--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -198,7 +198,7 @@
             self.source.resume()
 
     def finish(self, trailers: list[tuple[str, str]]) -> None:
-        """End the response with trailers; further calls have no effect on the trailers."""
+        """End the response; if called more than once, the first trailers are sent."""
         self.request = None
         if self.streamed_body is not None:
             self.streamed_body.abort()  # the rest of the body is not needed
--- a/sagetrack/grpc/errors.py
+++ b/sagetrack/grpc/errors.py
@@ -1,26 +1,26 @@
-"""Errors of this package."""
+"""Exceptions of the gRPC package."""
 
 from __future__ import annotations
 
 
 class GrpcError(ValueError):
-    """Base class of the package's errors."""
+    """Base class of the exceptions of this package."""
 
 
 class MessageError(GrpcError):
-    """Bytes that are no gRPC messages, or messages over a limit; the message says which."""
+    """A gRPC message has invalid framing or exceeds the size limit."""
 
 
 class TranslationError(GrpcError):
-    """A request, response or field without counterpart in the other protocol; the message names it."""
+    """A request, response or field cannot be translated between HTTP/1.1 and gRPC; the message names it."""
 
 
 class RequestReadError(GrpcError):
-    """A request that is answered by the gateway itself.
+    """A request is invalid, and the gateway responds with an error instead of forwarding it.
 
     Args:
-        status: gRPC status code of the answer.
-        reason: Sent as `grpc-message`.
+        status: The gRPC status code of the response.
+        reason: The text of the response's `grpc-message`.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/sagetrack/grpc/flood_guard.py
+++ b/sagetrack/grpc/flood_guard.py
@@ -1,8 +1,8 @@
-"""Limit on frames that make a connection work without carrying a request (RFC 9113, section 10.5)."""
+"""Limits frames that cost processing time without carrying a request (RFC 9113, section 10.5)."""
 
 from __future__ import annotations
 
-MAX_CONTROL_FRAMES_PER_S = 1000  # PING, SETTINGS, RST_STREAM from a server, DATA without content
+MAX_CONTROL_FRAMES_PER_S = 1000  # counts PING, SETTINGS, empty DATA frames, and RST_STREAM from servers
 WINDOW_US = 1_000_000
 
 
@@ -11,7 +11,7 @@
 
     Args:
         now_us: Start of the first window.
-        max_resets_per_s: Resets that are tolerated in a window; None if resets are not limited on their own.
+        max_resets_per_s: Limit of stream resets in a window; None if there is no separate limit on resets.
     """
 
     __slots__ = ("_control_frames", "_max_resets", "_resets", "_window_start_us")
@@ -23,7 +23,7 @@
         self._resets = 0
 
     def record(self, now_us: int, *, control_frames: int = 0, resets: int = 0) -> bool:
-        """Count frames that arrived now; True if the peer exceeds a limit in this window."""
+        """Count received frames; returns True if the peer exceeds a limit in the current window."""
         if now_us - self._window_start_us > WINDOW_US:
             self._window_start_us = now_us
             self._control_frames = 0
--- a/sagetrack/grpc/fuzz.py
+++ b/sagetrack/grpc/fuzz.py
@@ -1,8 +1,8 @@
-"""Fuzzing of both sides of HTTP/2 with mutated frames. A test tool: nothing in the gateway imports it.
+"""Fuzzes downstream and upstream HTTP/2 connections with mutated frames; a test tool, unused by the gateway.
 
-Checks that every attempt and every request ends exactly once and that nothing hangs. Valid responses, or
-valid requests, are made by the other side of the protocol and then mutated: bytes changed, cut or repeated,
-and frames of any type and flags inserted.
+The fuzzer checks that every attempt and every request ends exactly once, and that nothing hangs. It encodes
+valid responses or requests as a peer would, and then mutates them: bytes are changed, removed or repeated,
+and frames of any type and flags are inserted.
 """
 
 from __future__ import annotations
@@ -35,62 +35,62 @@
 from sagetrack.policy.settings import RequestClass, Settings
 
 STREAMS_PER_CONNECTION = 4
-HANG_S = 0.25  # for one part of the bytes
-BYTES_PER_FRAME_UPSTREAM = 20  # about, to count frames
+HANG_S = 0.25  # processing one part of the input for longer counts as a hang
+BYTES_PER_FRAME_UPSTREAM = 20  # approximate, to estimate the number of frames
 BYTES_PER_FRAME_DOWNSTREAM = 250
-BUFFERED_BODY_BYTES = 500  # so short that bodies are streamed too
+BUFFERED_BODY_BYTES = 500  # low enough that some bodies are streamed
 BODY_MEMORY_MB = 64
 
 
 @dataclass(slots=True)
 class FuzzResult:
-    """What a run came to."""
+    """The results of a fuzzing run."""
 
     frames: int = 0
     answered: int = 0
     unsuccessful: int = 0
-    closed: int = 0  # connections that ended by it
+    closed: int = 0  # connections closed because of the input
     failures: list[str] = field(default_factory=list)
     slowest_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A request, as HTTP/1.1 downstream hands it to upstream."""
+    """A request in the form in which the HTTP/1.1 side passes it to the upstream side."""
 
     head: bytes
     body: bytes
 
 
 class RecordingObserver:
-    """Observer that records how its attempt ended."""
+    """An attempt observer that records how its attempt ended."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[Outcome, Any]] = []
 
     def may_begin(self, server: ServerState) -> bool:
-        """Send to servers that serve."""
+        """Allow to send to servers that are serving."""
         return server is ServerState.SERVING
 
     def on_first_byte(self) -> None:
-        """Not recorded."""
+        """Ignore the event."""
 
     def on_request_sent(self) -> None:
-        """Not recorded."""
+        """Ignore the event."""
 
     def on_response_started(self, attempt: Any, head: Any, source: Any) -> None:
-        """Not recorded."""
+        """Ignore the event."""
 
     def on_response_data(self, attempt: Any, data: bytes) -> None:
-        """Not recorded."""
+        """Ignore the event."""
 
     def on_attempt_ended(self, attempt: Any, outcome: Outcome, response: Any, load: Any) -> None:
-        """Record the end."""
+        """Record the outcome and the response."""
         self.ends.append((outcome, response))
 
 
 class RecordingTransport:
-    """Transport that records what is written and whether it was closed."""
+    """A transport that records the written bytes and whether it was closed."""
 
     def __init__(self) -> None:
         self.out = bytearray()
@@ -101,20 +101,20 @@
         self.out += data
 
     def close(self) -> None:
-        """Record the close."""
+        """Record that the transport was closed."""
         self.closed = True
 
     def is_closing(self) -> bool:
-        """Whether it was closed."""
+        """Return whether the transport was closed."""
         return self.closed
 
     def get_extra_info(self, name: str) -> Any:
-        """Nothing is known of the socket."""
+        """Return None, as there is no socket."""
         return None
 
 
 def random_frame(rng: random.Random) -> bytes:
-    """A frame of any type, flags and stream, with a payload of any bytes."""
+    """Return a frame with random type, flags, stream and payload; its length field may be wrong."""
     payload = rng.randbytes(rng.choice((0, 1, 4, 5, 8, 13, 40)))
     length = len(payload) if rng.random() < 0.9 else rng.randrange(70_000)
     stream = rng.choice((0, 1, 3, 5, 7, 2, 2**31 - 1))
@@ -122,7 +122,7 @@
 
 
 def mutate(data: bytes, rng: random.Random) -> bytes:
-    """The bytes with up to two random changes."""
+    """Return the bytes with up to two random mutations."""
     output = bytearray(data)
     for _ in range(rng.randint(0, 2)):
         position = rng.randrange(max(1, len(output)))
@@ -141,7 +141,7 @@
 
 
 def valid_responses(request: bytes, rng: random.Random) -> bytes:
-    """Bytes of a server that answers the requests in these bytes of a client."""
+    """Return the bytes that a server sends in response to the requests in a client's bytes."""
     config = h2.config.H2Configuration(client_side=False, header_encoding="latin-1")
     server = h2.connection.H2Connection(config)
     server.initiate_connection()
@@ -163,11 +163,11 @@
     data: bytes,
     result: FuzzResult,
 ) -> bool:
-    """Feed a part of `data` to a connection; False if that raises. A hang is recorded too."""
+    """Pass a part of `data` to a connection, and record exceptions and hangs; False after an exception."""
     start_s = time.perf_counter()
     try:
         connection.data_received(part)
-    except Exception as error:  # noqa: BLE001  any exception is what the fuzzer looks for
+    except Exception as error:  # noqa: BLE001  every exception is a finding
         result.failures.append(f"{error!r}: {data.hex()}")
         return False
     elapsed_s = time.perf_counter() - start_s
@@ -184,7 +184,7 @@
     result: FuzzResult,
     after_part: Callable[[], None] = lambda: None,
 ) -> None:
-    """Feed `data` in parts of random size, until one raises."""
+    """Pass `data` to a connection in parts of random size, until one raises an exception."""
     position = 0
     while position < len(data):
         size = rng.randint(1, len(data))
@@ -197,7 +197,7 @@
 def fuzz_upstream(
     frames: int, seed: int, progress: Callable[[float], None] = lambda share: None
 ) -> FuzzResult:
-    """Feed about so many mutated frames to upstream connections of four streams each."""
+    """Pass about `frames` mutated frames to upstream connections with four streams each."""
     return asyncio.run(_fuzz_upstream(frames, seed, progress))
 
 
@@ -229,7 +229,7 @@
 
 
 def check_attempts(observers: list[RecordingObserver], data: bytes, result: FuzzResult) -> None:
-    """Check that each attempt has ended once, and with a response where it succeeded."""
+    """Check that each attempt has ended exactly once, and with a response if it succeeded."""
     for ends in (observer.ends for observer in observers):
         if len(ends) != 1:
             result.failures.append(f"ended {len(ends)} times: {data.hex()}")
@@ -242,7 +242,7 @@
 
 
 class RandomGateway:
-    """Stand-in for the gateway that answers at random, at once or later, and knows what is unanswered."""
+    """A stand-in for the gateway that responds at random, immediately or later, and tracks open requests."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -251,7 +251,7 @@
         self.cancelled = 0
 
     def submit(self, request: Request) -> bool:
-        """Take a request."""
+        """Accept a request, and respond immediately with a probability of one half."""
         if request.id in self.unanswered:
             return False
         self.unanswered[request.id] = request
@@ -263,16 +263,16 @@
         return True
 
     def drain(self, request: Request) -> None:
-        """Take what has come of its body."""
+        """Consume the part of a streamed body that has arrived."""
         while request.streamed_body is not None and request.streamed_body.chunks:
             request.streamed_body.take()
 
     def cancel_request(self, id_: str) -> None:
-        """Take note that the client has cancelled a request."""
+        """Count a request that the client has cancelled."""
         self.cancelled += self.unanswered.pop(id_, None) is not None
 
     def end(self, request: Request) -> None:
-        """Answer a request in a random way."""
+        """End a request with a random kind of response."""
         if self.unanswered.pop(request.id, None) is None:
             return
         self.ended += 1
@@ -291,16 +291,16 @@
                 request.client.on_response(request, Response(200, [(b"X-A", b"b")], b"true", True))
 
     def end_some(self) -> None:
-        """Answer each unanswered request with even odds."""
+        """Respond to each open request with a probability of one half."""
         for request in list(self.unanswered.values()):
             if self.rng.random() < 0.5:
                 self.end(request)
 
     def pause(self) -> None:
-        """As the source of a response, which has no more."""
+        """Do nothing: as a response source, it has no more data."""
 
     def resume(self) -> None:
-        """As the source of a response, which has no more."""
+        """Do nothing: as a response source, it has no more data."""
 
 
 def _read_request(
@@ -322,7 +322,7 @@
 
 
 def valid_requests(rng: random.Random) -> bytes:
-    """Bytes of a client on one connection: short bodies and long ones, some requests cancelled."""
+    """Return the bytes of a client connection: requests with short and long bodies, some of them reset."""
     config = h2.config.H2Configuration(client_side=True, header_encoding="latin-1")
     client = h2.connection.H2Connection(config)
     client.initiate_connection()
@@ -346,7 +346,7 @@
 def fuzz_downstream(
     frames: int, seed: int, progress: Callable[[float], None] = lambda share: None
 ) -> FuzzResult:
-    """Feed about so many mutated frames of clients to downstream connections of four requests each."""
+    """Pass about `frames` mutated frames to downstream connections with four requests each."""
     return asyncio.run(_fuzz_downstream(frames, seed, progress))
 
 
@@ -370,9 +370,9 @@
         result.unsuccessful += gateway.cancelled
         bodies = body_budget.active_bodies
         if gateway.unanswered:
-            result.failures.append(f"{len(gateway.unanswered)} requests never answered: {data.hex()}")
+            result.failures.append(f"{len(gateway.unanswered)} requests without a response: {data.hex()}")
         if bodies:
-            result.failures.append(f"{bodies} bodies never ended: {data.hex()}")
+            result.failures.append(f"{bodies} bodies not released: {data.hex()}")
         if listener.connections:
             result.failures.append(f"a closed connection is still registered: {data.hex()}")
         progress(result.frames / frames)
--- a/sagetrack/grpc/messages.py
+++ b/sagetrack/grpc/messages.py
@@ -1,4 +1,4 @@
-"""gRPC's length-prefixed messages: a byte for compression, four of length, the message."""
+"""Framing of gRPC messages: a compression flag of one byte, a length of four bytes, and the message."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 from sagetrack.grpc.errors import MessageError
 
 PREFIX = struct.Struct("!BI")
-MAX_MESSAGE_BYTES = 1024 * 1024  # a longer body comes in several messages
-GOAWAY_FRAME_HEADER = b"\0\0\x08\x07\0\0\0\0\0"  # RFC 9113, 4.1 and 6.8: length 8, type 7, stream 0
+MAX_MESSAGE_BYTES = 1024 * 1024  # a longer body is split into several messages
+GOAWAY_FRAME_HEADER = b"\0\0\x08\x07\0\0\0\0\0"  # length 8, type 7, stream 0 (RFC 9113, 4.1 and 6.8)
 
 
 def pack(data: bytes) -> bytes:
-    """Frame one message, not compressed."""
+    """Frame one message without compression."""
     return PREFIX.pack(0, len(data)) + data
 
 
 def goaway_frame(last_stream_id: int) -> bytes:
-    """Encode a GOAWAY frame with NO_ERROR.
+    """Encode a GOAWAY frame with the code NO_ERROR.
 
-    By hand, as `h2` would take its connection for closed, while streams up to the last id go on.
+    It is not sent through `h2`, because `h2` would then treat the connection as closed, although streams up
+    to the last id continue.
     """
     return GOAWAY_FRAME_HEADER + last_stream_id.to_bytes(4) + bytes(4)
 
 
 class Unpacker:
-    """Splits a stream of bytes into messages; the bytes may arrive in parts of any size."""
+    """Splits a byte stream, received in parts of any size, into messages."""
 
     __slots__ = ("_buffer", "_limit")
 
@@ -35,18 +36,18 @@
         self._limit = limit
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield each message that is complete with `data`.
+        """Process received bytes, and yield each message that they complete.
 
         Raises:
-            MessageError: A message is compressed, or longer than the limit; raised before it is buffered.
+            MessageError: A message is compressed or exceeds the limit; raised as soon as its prefix is read.
         """
         self._buffer += data
         while len(self._buffer) >= PREFIX.size:
             compressed, length = PREFIX.unpack_from(self._buffer)
             if compressed:
-                raise MessageError("a compressed message, which was not asked for")
+                raise MessageError("compressed gRPC message; compression is not supported")
             if length > self._limit:
-                raise MessageError(f"a message of {length} bytes, over {self._limit}")
+                raise MessageError(f"gRPC message of {length} bytes exceeds the limit of {self._limit}")
             if len(self._buffer) < PREFIX.size + length:
                 return
             message = bytes(self._buffer[PREFIX.size : PREFIX.size + length])
@@ -55,5 +56,5 @@
 
     @property
     def incomplete_bytes(self) -> int:
-        """Buffered bytes of a message that is not complete."""
+        """The number of buffered bytes of an incomplete message."""
         return len(self._buffer)
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -1,9 +1,9 @@
-"""Mirroring: a request is repeated at a server of the other protocol, and both responses are compared.
+"""Mirrors requests to servers of the other protocol, and compares the responses.
 
-Only requests of safe classes are mirrored, after their complete response, at a limited rate. The mirrored
-request is a request of its own to the load balancer, which sends it to a server of the other protocol, or
-rejects it while other requests need the capacity. No client waits for it. Differences are counted by class
-and kind, and each kind is logged at most once a minute.
+Only requests of safe classes are mirrored, at a limited rate, and only after their complete response was
+sent. The load balancer treats a mirrored request like any other, but sends it to a server of the other
+protocol, or rejects it while other requests need the capacity. No client waits for it. Differences are
+counted by class and kind, and each of them is logged at most once a minute.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from sagetrack.policy.rate_limit import Rate, RateLimiter
 from sagetrack.policy.settings import Effect
 
-# Fields about the transport of a response and not its content (RFC 9110, 6.6.1 and 7.6.1)
+# Header fields that depend on the transport of a response, not on its content (RFC 9110, 6.6.1 and 7.6.1)
 IGNORED_FIELDS = frozenset(
     {
         b"date",
@@ -33,16 +33,18 @@
         b"age",
     }
 )
-LOG_INTERVAL_US = 60_000_000  # between two log lines on one difference
-ID_PREFIX = "shadow\n"  # a client's id comes from a header, which has no line break
+LOG_INTERVAL_US = 60_000_000  # interval between log lines about the same difference
+# The ids of client requests come from a header and contain no line break, so they never have this prefix.
+ID_PREFIX = "shadow\n"
 
 
 def find_difference(
     first: Response, second: Response, ignored: frozenset[bytes] = IGNORED_FIELDS
 ) -> str | None:
-    """How two responses differ: `status` with both, `header` with the field's name, or `body`; None if equal.
+    """Describe the first difference of two responses, or return None if they are equal.
 
-    Field names are compared without case, values byte by byte, repeated fields in order.
+    The description is `status` with both status codes, `header` with the name of a field, or `body`. Field
+    names are compared case-insensitively, values byte by byte, and repeated fields in order.
     """
     if first.status != second.status:
         return f"status {first.status} {second.status}"
@@ -57,7 +59,7 @@
 
 
 def fields_by_name(headers: list[Header], ignored: frozenset[bytes]) -> dict[bytes, list[bytes]]:
-    """Values of each field by its name in lower case, without those that are ignored."""
+    """Return the values of each field by its name in lower case, without the ignored fields."""
     fields: dict[bytes, list[bytes]] = {}
     for name, value in headers:
         lower_name = name.lower()
@@ -68,19 +70,19 @@
 
 @dataclass(slots=True)
 class MirrorCounts:
-    """Results of the comparisons since the start."""
+    """Counts of mirrored requests and of the results of comparisons since the start of the process."""
 
     mirrored: int = 0
     equal: int = 0
-    rejected: int = 0  # no capacity, or no server of the other protocol
-    failed: int = 0  # the mirrored request had no response
-    too_long: int = 0  # a response was too long to be buffered
-    different: dict[tuple[int, str], int] = field(default_factory=dict)  # by class and difference
+    rejected: int = 0  # mirrored requests rejected for lack of capacity or of a server of the other protocol
+    failed: int = 0  # mirrored requests without a response
+    too_long: int = 0  # mirrored requests whose response was too long to be buffered
+    different: dict[tuple[int, str], int] = field(default_factory=dict)  # by class index and difference
     logged_us: dict[tuple[int, str], int] = field(default_factory=dict)
-    max_differences: int = 200  # kinds that are counted each; the others are counted together
+    max_differences: int = 200  # further keys are counted together as "other"
 
     def record_difference(self, class_index: int, difference: str, now: int) -> bool:
-        """Count a difference; True if it should be logged."""
+        """Count a difference; returns True if it should be logged."""
         key = (class_index, difference)
         if key not in self.different and len(self.different) >= self.max_differences:
             key = (class_index, "other")
@@ -96,11 +98,11 @@
     """Mirrors requests at a limited rate and compares the responses.
 
     Args:
-        gateway: Takes the mirrored requests.
-        per_s: Mirrored requests a second.
-        ignored: Names of further fields that may differ.
-        class_names: Names of the classes, by index.
-        is_active: Whether requests should be mirrored now.
+        gateway: Handles the mirrored requests.
+        per_s: The maximum number of mirrored requests per second.
+        ignored: Names of header fields that are not compared, in addition to `IGNORED_FIELDS`.
+        class_names: The names of the classes, by index.
+        is_active: Returns whether requests may be mirrored now.
     """
 
     def __init__(
@@ -124,7 +126,7 @@
         self.last_mirror_number = 0
 
     def on_response(self, request: Request, from_grpc: bool, response: Any) -> None:
-        """A request has had its complete response, from a server of the given protocol."""
+        """Mirror a request that has its complete response, if its class and the rate limit allow it."""
         now = now_us()
         if (
             request.mirror_target >= 0
@@ -153,7 +155,7 @@
     def compare(
         self, request: Request, original: Response, mirrored: Response, original_from_grpc: bool
     ) -> None:
-        """Compare the responses, that of HTTP/1.1 first."""
+        """Compare the two responses; in a difference, the value of HTTP/1.1 comes first."""
         http1, grpc = (mirrored, original) if original_from_grpc else (original, mirrored)
         difference = find_difference(http1, grpc, self.ignored)
         if difference is None:
@@ -165,7 +167,7 @@
             )
 
     def metric_values(self) -> dict[str, float]:
-        """Values for the exported metrics."""
+        """Return the values of the exported metrics."""
         counts = self.counts
         values: dict[str, float] = {
             "new_compared_total": counts.equal + sum(counts.different.values()),
@@ -181,7 +183,7 @@
 
 
 class MirrorClient:
-    """The client of one mirrored request."""
+    """The client of a mirrored request, which compares its response to the original one."""
 
     def __init__(self, mirror: RequestMirror, original: Response, original_from_grpc: bool) -> None:
         self.mirror = mirror
@@ -189,22 +191,22 @@
         self.original_from_grpc = original_from_grpc
 
     def on_response(self, request: Request, response: Any) -> None:
-        """Compare the response."""
+        """Compare the response to the original one."""
         self.mirror.compare(request, self.original, response, self.original_from_grpc)
 
     def on_response_started(self, request: Request, head: Any, source: ResponseSource) -> None:
-        """Cancel the request: its response is too long to be buffered."""
+        """Cancel the request, as its response is too long to be buffered and compared."""
         self.mirror.counts.too_long += 1
         self.mirror.gateway.cancel_request(request.id)
 
     def on_response_data(self, request: Request, data: bytes) -> None:
-        """Ignore it: the request is cancelled."""
+        """Ignore the data, as the request is cancelled."""
 
     def on_response_ended(self, request: Request, response: Any) -> None:
-        """Ignore it: the request is cancelled."""
+        """Ignore the end, as the request is cancelled."""
 
     def on_response_aborted(self, request: Request) -> None:
-        """Ignore it: the request is cancelled."""
+        """Ignore the end, as the request is cancelled."""
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Count the rejection."""
--- a/sagetrack/grpc/outcomes.py
+++ b/sagetrack/grpc/outcomes.py
@@ -1,7 +1,8 @@
-"""Outcome of an attempt by how its stream ended: the table of docs/protocol-2.md.
+"""Determines the outcome of an attempt from how its stream ended; docs/protocol-2.md has the full table.
 
-A request that certainly never ran may be retried whatever its class: a stream above GOAWAY's last id, one
-that was refused (RFC 9113, 8.7), a request that its server says it has rejected. Any other may have run.
+A request that was certainly not run may be retried regardless of its class: one on a stream above the last id
+in GOAWAY, one on a refused stream (RFC 9113, section 8.7), and one that the server reports as rejected. Any
+other failed request may have run.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class StatusCode(IntEnum):
-    """Status codes of gRPC."""
+    """gRPC status codes."""
 
     OK = 0
     CANCELLED = 1
@@ -34,7 +35,7 @@
 
 
 class Http2ErrorCode(IntEnum):
-    """Error codes of HTTP/2 (RFC 9113, section 7)."""
+    """HTTP/2 error codes (RFC 9113, section 7)."""
 
     NO_ERROR = 0
     PROTOCOL_ERROR = 1
@@ -56,12 +57,13 @@
 
 
 def of_status(status: int | None, complete: bool, rejected: bool) -> Outcome:
-    """Outcome of a stream that ended with trailers.
+    """Return the outcome of a stream that ended with trailers.
 
     Args:
-        status: Value of `grpc-status`; None if it is missing or no number: an error that may have run.
-        complete: Whether a complete message came before.
-        rejected: Whether the trailers have `x-rejected: 1`.
+        status: The value of `grpc-status`; None if it is missing or invalid, which counts as an error after
+            which the request may have run.
+        complete: Whether at least one message arrived before, and none is incomplete.
+        rejected: Whether the trailers contain `x-rejected: 1`.
     """
     if status == StatusCode.OK:
         return Outcome.OK if complete else Outcome.ERROR
@@ -71,22 +73,22 @@
 
 
 def of_reset(code: int, request_sent: bool) -> Outcome:
-    """Outcome of a stream that its server ended with RST_STREAM."""
+    """Return the outcome of a stream that the server reset; it was not processed if it was refused."""
     if code == Http2ErrorCode.REFUSED_STREAM:
         return Outcome.REJECTED
     return Outcome.RESET if request_sent else Outcome.ERROR
 
 
 def of_goaway(stream_id: int, last_stream_id: int) -> Outcome | None:
-    """Outcome of a stream when GOAWAY names the last one that is worked on; None if it goes on."""
+    """Return the outcome of a stream that GOAWAY ends; None if the server still processes the stream."""
     return Outcome.NOT_SENT if stream_id > last_stream_id else None
 
 
 def of_loss(headers_sent: bool) -> Outcome:
-    """Outcome when the connection broke; once headers were sent, the request may have run."""
+    """Return the outcome after a connection loss; the request may have run if its headers were sent."""
     return Outcome.RESET if headers_sent else Outcome.CONNECT_FAILED
 
 
 def of_deadline(headers_sent: bool) -> Outcome:
-    """Outcome when the deadline has passed; once headers were sent, the request may have run."""
+    """Return the outcome of a timeout; the request may have run if its headers were sent."""
     return Outcome.TIMEOUT if headers_sent else Outcome.CONNECT_FAILED
--- a/sagetrack/grpc/request_writer.py
+++ b/sagetrack/grpc/request_writer.py
@@ -1,4 +1,4 @@
-"""Writes the messages of a request to the state machine of a connection, as flow control allows."""
+"""Writes the messages of a request to an HTTP/2 connection, as far as flow control allows."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def write_request(protocol: Http2Protocol, attempt: GrpcAttempt) -> bool:
-    """Write what flow control and the transport take of a request, and END_STREAM with the last of it.
+    """Write as much of a request as flow control and the transport allow, and END_STREAM at its end.
 
-    Nothing is flushed. If the stream is closed by now, nothing is written: the event that ends the attempt
-    is still to be read.
+    The caller must flush the connection. If the server has closed the stream, nothing is written; the event
+    that ends the attempt is handled later.
 
     Returns:
-        Whether the request is complete with this.
+        True if the request is now complete.
     """
     try:
         if not write_messages(protocol, attempt) or not attempt.all_sent:
@@ -28,7 +28,7 @@
 
 
 def write_messages(protocol: Http2Protocol, attempt: GrpcAttempt) -> bool:
-    """Write messages until there are no more or the transport is full; False if the window is used up."""
+    """Write messages until none is left or the transport is full; returns False at the end of the window."""
     connection = protocol.h2
     while not protocol.write_paused and attempt.load_pending():
         window = min(
--- a/sagetrack/grpc/response_reader.py
+++ b/sagetrack/grpc/response_reader.py
@@ -1,4 +1,4 @@
-"""One response as it arrives on a stream: messages, trailers, and the outcome they amount to."""
+"""Reads a response from a stream: its messages and trailers, and the outcome that they determine."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from sagetrack.grpc.translate import response_body_chunk, response_to_http1
 from sagetrack.policy.events import Outcome
 
-BUFFERED_RESPONSE_BYTES = 64 * 1024  # a longer response is streamed to its client
-FRAMING_ALLOWANCE_BYTES = 64 * 1024  # for message framing and fields on top of the longest body
+BUFFERED_RESPONSE_BYTES = 64 * 1024  # a longer response is streamed to the client
+FRAMING_ALLOWANCE_BYTES = 64 * 1024  # added to the body limit, for message framing and header fields
 
 
 class ResponseReader:
-    """Assembles a response; the caller decides whether its body is buffered or streamed."""
+    """Decodes a response; the caller either buffers each part of the body or streams it."""
 
     __slots__ = (
         "_body",
@@ -35,14 +35,14 @@
         self._body_bytes = 0
         self._message_bytes = 0
         self._trailers: dict[str, str] = {}
-        self.announced_length: int | None = None  # of the body, as the first message has it
+        self.announced_length: int | None = None  # body length, if the first message announces it
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the body of each message that is complete with `data`.
+        """Process received bytes, and yield the body part of each message that they complete.
 
         Raises:
             MessageError: The framing of a message is invalid.
-            TranslationError: A message has no counterpart in HTTP/1.1.
+            TranslationError: A message cannot be translated to HTTP/1.1.
         """
         self._message_bytes += len(data)
         for message in self._unpacker.feed(data):
@@ -55,35 +55,35 @@
             yield chunk
 
     def buffer(self, chunk: bytes) -> None:
-        """Keep a part of the body for the complete response."""
+        """Buffer a part of the body."""
         self._body += chunk
 
     def take_buffered(self) -> bytes:
-        """Hand over what was buffered, as the body is streamed from now on."""
+        """Return and clear the buffered body, before the response is streamed."""
         body, self._body = bytes(self._body), bytearray()
         return body
 
     def add_headers(self, headers: Iterator[tuple[str, str]]) -> None:
-        """Take the fields of a HEADERS frame; response headers and trailers count as one set."""
+        """Add the fields of a HEADERS frame; response headers and trailers are merged into one set."""
         self._trailers |= dict(headers)
 
     @property
     def head(self) -> Response | None:
-        """The status and fields, once the first message has arrived."""
+        """The status and header fields; None before the first message."""
         return self._response_head
 
     @property
     def exceeds_buffer(self) -> bool:
-        """Whether the response is too long to be buffered."""
+        """Whether the buffered body exceeds `BUFFERED_RESPONSE_BYTES`."""
         return self._response_head is not None and len(self._body) > BUFFERED_RESPONSE_BYTES
 
     @property
     def exceeds_limit(self) -> bool:
-        """Whether the response is longer than any response may be."""
+        """Whether the response exceeds the limit for streamed bodies."""
         return self._message_bytes > STREAMED_BODY_LIMIT + FRAMING_ALLOWANCE_BYTES
 
     def outcome(self) -> Outcome:
-        """What the stream amounts to, now that the server has ended it."""
+        """Return the outcome of a response whose stream the server has ended."""
         text = self._trailers.get("grpc-status", "")
         status = int(text) if text.isascii() and text.isdigit() else None
         if self._trailers.get(":status", "200") != "200":
@@ -97,7 +97,7 @@
         return outcome
 
     def response(self) -> Response | None:
-        """The complete response, with what of its body was buffered; None before its first message."""
+        """Return the response with the buffered body; None if no message has arrived."""
         if self._response_head is None:
             return None
         return Response(200, self._response_head.headers, bytes(self._body), True)
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -1,7 +1,7 @@
-"""Translation between HTTP/1.1 and gRPC, both ways: exact, or an error that names what cannot be translated.
+"""Translates requests and responses between HTTP/1.1 and gRPC, without loss or with a `TranslationError`.
 
-The head of a request is the text that would be sent to an HTTP/1.1 server. Only fields that gRPC metadata has
-a place for (`METADATA_BY_FIELD`, the idempotency key) are read; the others are carried as they are.
+The head of a request is the text that would be sent to an HTTP/1.1 server. Only the fields that are also sent
+as gRPC metadata (`METADATA_BY_FIELD` and the idempotency key) are interpreted; others are copied unchanged.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 FIELD_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
 FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
 PRINTABLE_ASCII = re.compile(rb"[\x20-\x7e]*")
-# Of a connection or of the framing (RFC 9110, 7.6.1 and 8.6): not carried
+# Fields about a connection or the framing of a message (RFC 9110, 7.6.1 and 8.6), which are not translated
 HOP_BY_HOP_FIELDS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
 
 
@@ -43,21 +43,21 @@
     lines = head.rstrip(b"\r\n").split(b"\r\n")
     request_line = lines[0].split(b" ")
     if len(request_line) != 3:
-        raise TranslationError("a request line that is none")
+        raise TranslationError("malformed request line: not a method, target and version")
     headers = []
     for line in lines[1:]:
         name, colon, value = line.partition(b":")
         if not colon or not FIELD_NAME.fullmatch(name):
-            raise TranslationError(f"a header {line[:40]!r} that is none")
+            raise TranslationError(f"malformed header field {line[:40]!r}")
         headers.append((name, value.removeprefix(b" ")))
     return request_line[0].decode("latin-1"), request_line[1], headers
 
 
 def read_head(head: bytes) -> tuple[str, bytes, list[Header], dict[str, str]]:
-    """Split the head of an HTTP/1.1 request into method, target, fields to carry, and metadata.
+    """Split the head of an HTTP/1.1 request into method, target, end-to-end fields, and gRPC metadata.
 
     Raises:
-        TranslationError: A field cannot be carried; named in the message.
+        TranslationError: A field cannot be translated; the message names it.
     """
     method, target, headers = split_head(head)
     metadata: dict[str, str] = {}
@@ -68,10 +68,12 @@
             metadata[IDEMPOTENCY_KEY_METADATA] = encode_binary(value)
         elif lower_name in METADATA_BY_FIELD:
             if not PRINTABLE_ASCII.fullmatch(value):
-                raise TranslationError(f"{name.decode()} has bytes that metadata cannot carry")
+                raise TranslationError(
+                    f"{name.decode()} contains bytes that are not allowed in gRPC metadata"
+                )
             metadata[METADATA_BY_FIELD[lower_name]] = value.decode()
         elif not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"{name.decode()} has control characters")
+            raise TranslationError(f"{name.decode()} contains control characters")
     return method, target, forwarded_fields, metadata
 
 
@@ -81,20 +83,20 @@
     """Translate a request to HTTP/2 headers and the first message.
 
     Args:
-        head: Request line and fields.
-        body: The body, or what there is of it so far.
-        length: Length of a streamed body, where it is known.
-        timeout_us: For `grpc-timeout`.
-        authority: Address of the server.
+        head: The request line and the header fields.
+        body: The body, or the beginning of a streamed body.
+        length: The length of a streamed body, if it is known.
+        timeout_us: The timeout to send as `grpc-timeout`.
+        authority: The address of the server.
 
     Raises:
-        TranslationError: Something cannot be translated; named in the message.
+        TranslationError: A part of the request cannot be translated; the message names it.
     """
     method, target, forwarded_fields, metadata = read_head(head)
     class_name = metadata.get("x-call-class", "")
     if not class_name:
         class_name = target.lstrip(b"/").partition(b"/")[0].partition(b"?")[0].decode("latin-1")
-    # The spelling of names is kept, so that an HTTP/1.1 server behind a gRPC one sees what its client sent.
+    # The spelling of field names is kept, so that an HTTP/1.1 server behind a gRPC server sees it unchanged.
     fields = [Field(name=name, value=value) for name, value in forwarded_fields]
     first_message = Call(method=method, target=target, fields=fields, body=body)
     if length is not None:
@@ -112,7 +114,7 @@
 
 
 def with_remaining_timeout(headers: list[tuple[str, str]], remaining_us: int) -> list[tuple[str, str]]:
-    """Replace `grpc-timeout` by the time that is left now: connecting may have taken some of it."""
+    """Set `grpc-timeout` to the remaining time, as establishing the connection may have taken some of it."""
     timeout = format_timeout(max(1, remaining_us))
     return [(name, timeout if name == "grpc-timeout" else value) for name, value in headers]
 
@@ -123,15 +125,18 @@
 
 
 def response_to_http1(message: bytes) -> tuple[Response, int | None]:
-    """Translate the first message of a response; also the length of its body, if it is announced.
+    """Translate the first message of a response to HTTP/1.1.
+
+    Returns:
+        The response, and the length of its body if it is announced.
 
     Raises:
-        TranslationError: The response has no counterpart in HTTP/1.1.
+        TranslationError: The response cannot be translated to HTTP/1.1.
     """
     try:
         response = Answer.FromString(message)
     except DecodeError:
-        raise TranslationError("an answer that the schema does not know") from None
+        raise TranslationError("a response message does not follow the protobuf schema") from None
     return Response(200, http1_fields(response.fields), response.body, True), (
         response.length if response.HasField("length") else None
     )
@@ -146,19 +151,19 @@
     try:
         return Answer.FromString(message).body
     except DecodeError:
-        raise TranslationError("an answer that the schema does not know") from None
+        raise TranslationError("a response message does not follow the protobuf schema") from None
 
 
 def http1_fields(fields: Iterable[Field]) -> list[Header]:
-    """Translate fields to HTTP/1.1.
+    """Translate header fields to HTTP/1.1, without hop-by-hop fields.
 
     Raises:
-        TranslationError: A field would be malformed there.
+        TranslationError: A field would be malformed in HTTP/1.1.
     """
     headers = []
     for field in fields:
         if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(field.value):
-            raise TranslationError(f"a field {field.name[:40]!r} that is no header")
+            raise TranslationError(f"field {field.name[:40]!r} is not a valid HTTP/1.1 header field")
         if field.name.lower() not in HOP_BY_HOP_FIELDS:
             headers.append((field.name, field.value))
     return headers
@@ -172,23 +177,24 @@
     Metadata takes precedence over fields of the same name.
 
     Returns:
-        Head, body, length of a streamed body if it is announced, and time budget in microseconds (0: none).
+        The head, the body, the length of a streamed body if it is announced, and the timeout in microseconds
+        (0 without a timeout).
 
     Raises:
-        TranslationError: Something cannot be translated; named in the message.
+        TranslationError: A part of the request cannot be translated; the message names it.
     """
     metadata = dict(headers)
     try:
         call = Call.FromString(message)
     except DecodeError:
-        raise TranslationError("a call that the schema does not know") from None
+        raise TranslationError("a request message does not follow the protobuf schema") from None
     if (
         " " in call.method
         or not call.method
         or not PRINTABLE_ASCII.fullmatch(call.target)
         or b" " in call.target
     ):
-        raise TranslationError("a method or target that no request line can carry")
+        raise TranslationError("the method or target is not allowed in an HTTP/1.1 request line")
     lines = [b"%s %s HTTP/1.1" % (call.method.encode(), call.target), *request_field_lines(call, metadata)]
     length = call.length if call.HasField("length") else None
     if call.body or call.method == "POST":
@@ -198,7 +204,7 @@
 
 
 def request_field_lines(call: Call, metadata: dict[str, str]) -> list[bytes]:
-    """Lines of a request's fields: those of the message, overridden and completed by metadata.
+    """Return the header lines of a request: the fields of the message, overridden and completed by metadata.
 
     Raises:
         TranslationError: A field would be malformed in HTTP/1.1.
@@ -215,13 +221,13 @@
             continue
         value = overrides.pop(lower_name, field.value)
         if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"a field {field.name[:40]!r} that is no header")
+            raise TranslationError(f"field {field.name[:40]!r} is not a valid HTTP/1.1 header field")
         lines.append(b"%s: %s" % (field.name, value))
     if "host" not in {f.name.lower().decode("latin-1") for f in call.fields} and ":authority" in metadata:
         overrides[b"Host"] = metadata[":authority"].encode("latin-1")
     for name, value in overrides.items():
         if not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"{name.decode()} has control characters")
+            raise TranslationError(f"{name.decode()} contains control characters")
         lines.append(b"%s: %s" % (name, value))
     return lines
 
@@ -235,7 +241,7 @@
     try:
         return Call.FromString(message).body
     except DecodeError:
-        raise TranslationError("a call that the schema does not know") from None
+        raise TranslationError("a request message does not follow the protobuf schema") from None
 
 
 def response_to_grpc(headers: Iterable[Header], body: bytes) -> bytes:
@@ -247,9 +253,9 @@
 
 
 def rejection_trailers(retry_after_us: int) -> list[tuple[str, str]]:
-    """Trailers of a rejection: the request never ran, and may be sent again after a time.
+    """Return the trailers of a rejection: the request was not run, and may be retried after a delay.
 
-    The time is gRPC's retry pushback (proposal A6).
+    The delay is sent as the retry pushback of gRPC (proposal A6).
     """
     trailers = [("grpc-status", str(int(StatusCode.RESOURCE_EXHAUSTED))), ("x-rejected", "1")]
     if retry_after_us > 0:
@@ -258,7 +264,7 @@
 
 
 def untranslatable_reason(head: bytes) -> str | None:
-    """Why a request can be sent to no gRPC server; None if it can."""
+    """Return why a request cannot be sent to a gRPC server; None if it can."""
     try:
         read_head(head)
     except TranslationError as error:
--- a/sagetrack/grpc/withheld_bytes.py
+++ b/sagetrack/grpc/withheld_bytes.py
@@ -1,12 +1,12 @@
-"""Received bytes for which a stream's flow-control window stays closed."""
+"""Counts received bytes by which the flow-control window of a stream has not been extended yet."""
 
 from __future__ import annotations
 
 
 class WithheldBytes:
-    """Counts the bytes of one stream whose reader is slower, until its window is opened for them.
+    """Bytes received on a stream whose consumer is slow, for which no WINDOW_UPDATE was sent yet.
 
-    Meanwhile the connection's window is opened in any case, so that other streams go on.
+    The connection's window is extended for them nevertheless, so that other streams continue.
     """
 
     __slots__ = ("_size",)
@@ -18,11 +18,11 @@
         return self._size > 0
 
     def add(self, size: int) -> None:
-        """Count bytes that have come while the window stays closed."""
+        """Add received bytes for which the stream's window is not extended."""
         self._size += size
 
     def take(self) -> int:
-        """Return the bytes for which the window is to be opened now; each is returned once."""
+        """Return the number of bytes by which to extend the window now, and reset it to zero."""
         size = self._size
         self._size = 0
         return size
