--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -1,4 +1,4 @@
-"""Stand-ins and helpers for tests of gRPC upstream and downstream."""
+"""Stand-ins and helpers for tests of gRPC upstream servers and gRPC clients."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RecordingObserver:
-    """A observer that keeps what it hears."""
+    """An attempt observer that records its events; it can pause a streamed response at its start."""
 
     def __init__(self, pause_immediately: bool = False) -> None:
         self.pause_immediately = pause_immediately
@@ -43,7 +43,7 @@
         return server is ServerState.SERVING
 
     def on_first_byte(self) -> None:
-        """Of no concern here."""
+        """Ignore the event."""
 
     def on_request_sent(self) -> None:
         self.requests_sent += 1
@@ -61,7 +61,7 @@
 
 
 class GrpcUpstreamFixture:
-    """Pools of the newer format and one stand-in server."""
+    """gRPC connection pools and one stand-in server, which records connections and received requests."""
 
     def __init__(self, pools: GrpcConnectionPools, entry: Endpoint) -> None:
         self.pools, self.entry = pools, entry
@@ -128,7 +128,7 @@
 async def gateway_with_grpc_listener(
     tmp_path: Path, *types: str, on_request: Any = None, server_count: int = 1
 ) -> AsyncIterator[Any]:
-    """A gateway with a front of the newer format, servers upstream it, and pools as its client."""
+    """A gateway with a gRPC listener and gRPC upstream servers; connection pools act as its client."""
     async with grpc_upstream_fixture(on_request=on_request) as upstream:
         config = configuration(*[f"127.0.0.1:{upstream.entry.address[1]}"] * server_count)
         for endpoint in config["known"]["endpoints"]:
--- a/tests/test_grpc_connection_rules.py
+++ b/tests/test_grpc_connection_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a connection that need no socket: liveness, flood limits, assembly of a response."""
+"""Timeouts and limits of a connection, and decoding of a response, without a socket."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert not liveness.should_drain(old, False) and liveness.should_drain(old + 1, False)
 
 
-def test_a_silent_connection_is_pinged_once_and_times_out_without_an_answer() -> None:
+def test_a_silent_connection_is_pinged_once_and_times_out_without_an_acknowledgement() -> None:
     liveness = Liveness(S)
     due = int((1 + PING_AFTER_S) * S) + 1
     assert not liveness.ping_due(due - 1) and liveness.ping_due(due)
@@ -75,7 +75,7 @@
     assert response(rejected, Answer(body=b"a")).outcome() is Outcome.ERROR
 
 
-def test_a_response_over_the_buffer_is_handed_over_to_be_streamed() -> None:
+def test_a_response_that_exceeds_the_buffer_is_streamed() -> None:
     reader = response({}, Answer(body=bytes(BUFFERED_RESPONSE_BYTES)))
     assert not reader.exceeds_buffer
     reader.buffer(b"x")
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -1,4 +1,4 @@
-"""gRPC clients over sockets: long bodies, rejections, draining, abuse."""
+"""gRPC clients over sockets: long bodies, rejections, draining and abusive clients."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 @on_loop
-async def test_a_new_client_is_served_with_long_answers_and_what_is_wrong_is_named(tmp_path: Path) -> None:
+async def test_long_responses_reach_a_client_and_invalid_requests_are_errors(tmp_path: Path) -> None:
     def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
         connection.respond(grpc_request, body=grpc_request.body * 3000, parts=9)
 
     async with gateway_with_grpc_listener(tmp_path, on_request=handle_request) as (client, _, listener):
         calls = [send_request(client, request_head(n), b"%04d" % n) for n in range(20)]
-        long = send_request(client, request_head(99), b"z" * 1000)  # 3,000,000 bytes pass through
+        long = send_request(client, request_head(99), b"z" * 1000)  # response of 3,000,000 bytes
         await until(lambda: all(call.ends for call in [*calls, long]))
         for n, observer in enumerate(calls):
             assert observer.ends[0][1] is not None and observer.ends[0][1].body == b"%04d" % n * 3000
@@ -33,9 +33,8 @@
         invalid = [
             send_request(client, request_head(200, "nothing", "nothing")),
             send_request(client, request_head(201, "hold", "search")),
-            send_request(
-                client, request_head(202), b"x" * 200_000
-            ),  # one message: a long body comes in several
+            # The body exceeds the limit of one message; a long body must be split into several.
+            send_request(client, request_head(202), b"x" * 200_000),
         ]
         await until(lambda: all(call.ends for call in invalid))
         assert [c.ends[0][0] for c in invalid] == [
@@ -44,7 +43,7 @@
 
 
 @on_loop
-async def test_a_long_body_of_a_grpc_client_is_streamed_and_an_aborted_one_never_completes(
+async def test_a_long_request_body_is_streamed_and_one_of_wrong_length_never_completes(
     tmp_path: Path,
 ) -> None:
     bodies: list[bytes] = []
@@ -82,7 +81,7 @@
 
 
 @on_loop
-async def test_a_rejection_has_a_retry_after_and_a_drain_sends_goaway(tmp_path: Path) -> None:
+async def test_an_upstream_rejection_reaches_the_client_and_a_drain_sends_goaway(tmp_path: Path) -> None:
     async with gateway_with_grpc_listener(
         tmp_path,
         on_request=lambda server, request: server.trailers_only(request, 8, x_rejected="1"),
@@ -99,7 +98,7 @@
 
 
 @on_loop
-async def test_a_call_on_its_way_when_a_drain_began_is_not_run(tmp_path: Path) -> None:
+async def test_a_request_in_transit_when_the_drain_starts_is_not_run(tmp_path: Path) -> None:
     request_ids: list[str] = []
 
     def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
@@ -119,7 +118,7 @@
 
 
 @on_loop
-async def test_rapid_reset_ends_the_connection_and_nothing_is_left_in_work(tmp_path: Path) -> None:
+async def test_rapid_reset_closes_the_connection_and_no_request_stays_in_flight(tmp_path: Path) -> None:
     async with gateway_with_grpc_listener(tmp_path) as (client, gateway, listener):
         calls = [send_request(client, request_head(1))]
         await until(lambda: listener.connections)
--- a/tests/test_grpc_messages.py
+++ b/tests/test_grpc_messages.py
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.binary(max_size=50), max_size=6), st.integers(1, 20))
-def test_messages_come_out_of_pieces_of_any_size(messages: list[bytes], size: int) -> None:
+def test_messages_are_unpacked_from_parts_of_any_size(messages: list[bytes], size: int) -> None:
     data, unpacker = b"".join(map(pack, messages)), Unpacker()
     unpacked = [m for at in range(0, len(data), size) for m in unpacker.feed(data[at : at + size])]
     assert unpacked == messages and not unpacker.incomplete_bytes
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -1,4 +1,4 @@
-"""Mirrored requests and the comparison of responses."""
+"""Mirrored requests, and the comparison of their responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.sockets import configuration, on_loop, request, running, until
 
 
-def test_answers_differ_by_status_header_or_body_and_not_by_what_is_of_the_way() -> None:
+def test_responses_differ_by_status_header_or_body_but_not_by_transport_headers() -> None:
     response = Response(200, [(b"X-A", b"1"), (b"Date", b"now")], b"b", True)
     assert find_difference(response, Response(200, [(b"x-a", b"1"), (b"date", b"then")], b"b", False)) is None
     assert find_difference(response, Response(200, [(b"X-A", b"2")], b"b", True)) == "header x-a"
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_answers_of_both_formats_are_compared_and_shares_change_on_sighup(tmp_path: Path) -> None:
+async def test_responses_of_both_protocols_are_compared_and_shares_change_on_reload(tmp_path: Path) -> None:
     operator_file = tmp_path / "operator.toml"
     operator_file.write_text('[newer]\ntypes = ["v2"]\nshare = 0.0\ncompare_per_s = 1000.0\n')
     received: list[str] = []
@@ -53,17 +53,15 @@
             assert (await gateway.ask(request("search"))).status == 200
             counts = upstreams.mirror.counts
             await until(lambda: counts.different)
-            assert received == ["search"] and counts.mirrored == 1  # what changes something is never copied
+            assert received == ["search"] and counts.mirrored == 1  # unsafe classes are not mirrored
             assert "svc_new_differs_search_total 1\n" in gateway.server.stats()
             assert 'answered_total{group="search"} 1\n' in gateway.server.stats()
             operator_file.write_text(
                 '[newer]\ntypes = ["v2"]\nshare = 1.0\nshare_by_class = { search = 0.0 }\n'
             )
             gateway.instance.apply_operator(parse(config), load_operator(str(operator_file)))
-            responses = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
-            assert [response.body for response in responses] == [b"other", responses[1].body] and responses[
-                1
-            ].body != b"other"
+            replies = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
+            assert [r.body for r in replies] == [b"other", replies[1].body] and replies[1].body != b"other"
             operator_file.write_text('[newer]\ntypes = ["v2"]\nshare_by_member = { nobody = 0.5 }\n')
             with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
                 gateway.instance.apply_operator(parse(config), load_operator(str(operator_file)))
--- a/tests/test_grpc_outcomes.py
+++ b/tests/test_grpc_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcome of an attempt by how its stream ended."""
+"""Outcomes of attempts, by how their streams end."""
 
 from __future__ import annotations
 
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and gRPC servers in one fleet."""
+"""A gateway with both HTTP/1.1 and gRPC servers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @on_loop
-async def test_an_http1_client_is_served_by_a_grpc_server_and_rejected_for_what_grpc_cannot_carry(
+async def test_http1_requests_reach_a_grpc_server_and_untranslatable_ones_are_rejected(
     tmp_path: Path,
 ) -> None:
     operator_file = tmp_path / "operator.toml"
@@ -46,7 +46,7 @@
             assert "svc_new_streams_total 1\n" in gateway.server.stats()
 
 
-def test_a_server_that_changes_its_protocol_leaves_the_other_pool() -> None:
+def test_a_server_that_changes_its_protocol_is_removed_from_the_other_pool() -> None:
     async def exercise_router() -> None:
         http1_pools, grpc_pools = ConnectionPools(SETTINGS), GrpcConnectionPools(SETTINGS)
         router = ProtocolRouter(http1_pools, grpc_pools, [7], Migration(None), lambda: None)
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -1,4 +1,4 @@
-"""Certificates and credentials: checked, reloaded, kept when the new ones are bad."""
+"""Certificates and keys: they are validated and reloaded, and kept if the new ones are unusable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @on_loop
-async def test_keys_are_checked_renewed_and_kept_when_bad(tmp_path: Path) -> None:
+async def test_keys_are_validated_and_kept_if_a_reload_fails(tmp_path: Path) -> None:
     authority = trustme.CA()
     paths = {name: str(tmp_path / name) for name in ("ca", "cert", "key")}
     authority.cert_pem.write_to_path(paths["ca"])
@@ -51,7 +51,7 @@
         assert observer.ends[0][0] is Outcome.CONNECT_FAILED
 
 
-def test_the_operators_file_is_checked(tmp_path: Path) -> None:
+def test_invalid_tls_settings_and_missing_files_are_rejected(tmp_path: Path) -> None:
     operator_file = tmp_path / "operator.toml"
     operator_file.write_text('[newer]\nshare = 0.5\ntls = true\nkey = "k"\n')
     with pytest.raises(FileError) as error:
--- a/tests/test_grpc_traffic_shift.py
+++ b/tests/test_grpc_traffic_shift.py
@@ -1,4 +1,4 @@
-"""Share of requests that goes to gRPC servers: by weight, class and tenant, and its fallback."""
+"""The gRPC share of the traffic: by weight, class and tenant, and the fallback to HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     migration, now = Migration(0.25), 1_000_000
     old_factor, new_factor = migration.weight_factors(now, 6.0, 2.0)
     assert 2.0 * new_factor / (6.0 * old_factor + 2.0 * new_factor) == pytest.approx(0.25)
-    assert migration.weight_factors(now, 0.0, 2.0) == (1.0, 1.0)  # nothing else is there
+    assert migration.weight_factors(now, 0.0, 2.0) == (1.0, 1.0)  # there are only gRPC servers
     for _ in range(200):
         assert not migration.record(False, False, now)
     fallbacks = [migration.record(True, n % 3 == 0, now) for n in range(3 * MIN_OUTCOMES)]
@@ -43,10 +43,12 @@
     assert fractions == sorted(fractions) and fractions[0] == 0.1 and fractions[-1] == 1.0
     similar = Migration(0.25)
     rng = random.Random(1)
-    assert not any(similar.record(bool(n % 2), rng.random() < 0.2, now) for n in range(4000))  # in common
+    assert not any(
+        similar.record(bool(n % 2), rng.random() < 0.2, now) for n in range(4000)
+    )  # both protocols fail equally often, so there is no fallback
 
 
-def test_a_member_and_a_class_have_shares_of_their_own_and_a_copy_one_format_alone() -> None:
+def test_classes_and_tenants_override_the_share_and_a_mirrored_request_has_one_protocol() -> None:
     classes = tuple(RequestClass(1_000_000, 3_000_000, effect=Effect.SAFE) for _ in range(2))
     migration = Migration(0.5, {1: 0.1}, {1: 1.0})
     settings = replace(SETTINGS, classes=classes, grpc_kinds=frozenset({7}), max_concurrency=1000.0)
@@ -81,7 +83,7 @@
         and grpc_fraction(1, 1) == 1.0
     )
     assert grpc_fraction(0, 1, mirror_target=0) == 0.0 and grpc_fraction(1, 0, mirror_target=1) == 1.0
-    balancer.shedder.shed_fraction = 0.5  # something is refused: a copy is the first
+    balancer.shedder.shed_fraction = 0.5  # while load is shed, mirrored requests are rejected first
     assert not any(
         isinstance(a, SendAttempt)
         for a in balancer.handle(9, RequestArrived("z", 0, 9_000_000, mirror_target=1))
--- a/tests/test_grpc_translate.py
+++ b/tests/test_grpc_translate.py
@@ -32,7 +32,7 @@
     st.binary(min_size=1, max_size=255).map(lambda v: bytes(33 + b % 94 for b in v)),
     st.text("abc/%20?=&~", max_size=40),
 )
-def test_any_request_and_response_survive_translation_unchanged(
+def test_requests_and_responses_are_unchanged_after_translation_both_ways(
     fields: list[tuple[bytes, bytes]], body: bytes, key: bytes, tail: str
 ) -> None:
     lines = [*fields, (b"Idempotency-KEY", key)]
@@ -53,7 +53,7 @@
     assert (response.headers, response.body) == (fields, body)
 
 
-def test_a_key_of_255_bytes_with_every_printable_character_is_exact() -> None:
+def test_an_idempotency_key_of_255_printable_characters_is_unchanged() -> None:
     key = (bytes(range(33, 127)) * 3)[:255]
     headers, message = request_to_grpc(HEAD + b"Idempotency-Key: %s\r\n" % key, b"", None, 1, "h")
     assert b"Idempotency-Key: " + key in request_to_http1(headers, message)[0]
@@ -63,7 +63,7 @@
     ("line", "expected_text"),
     [(b"X-Caller: \xe9\r\n", "X-Caller"), (b"X-Odd: a\x01\r\n", "X-Odd"), (b"no colon\r\n", "no colon")],
 )
-def test_what_cannot_pass_is_named(line: bytes, expected_text: str) -> None:
+def test_the_reason_names_a_field_that_cannot_be_translated(line: bytes, expected_text: str) -> None:
     reason = untranslatable_reason(HEAD + line)
     assert reason is not None and expected_text in reason and untranslatable_reason(HEAD) is None
 
@@ -72,6 +72,6 @@
     "message",
     [b"\xff\xff", response_to_grpc([(b"bad name", b"x")], b""), response_to_grpc([(b"a", b"x\r\n")], b"")],
 )
-def test_a_response_without_counterpart_is_rejected(message: bytes) -> None:
+def test_an_untranslatable_response_is_an_error(message: bytes) -> None:
     with pytest.raises(TranslationError):
         response_to_http1(message)
--- a/tests/test_grpc_upstream.py
+++ b/tests/test_grpc_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts at gRPC servers over sockets: streams, flow control, GOAWAY, floods, timeouts."""
+"""Attempts to gRPC servers over sockets: streams, flow control, GOAWAY, floods and timeouts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @on_loop
-async def test_many_streams_share_a_connection_and_a_slow_one_holds_none_back() -> None:
+async def test_streams_share_a_connection_and_a_slow_response_does_not_delay_others() -> None:
     async with grpc_upstream_fixture() as fixture:
         calls = [fixture.send(b"b%d" % n) for n in range(40)]
         await fixture.wait_for_requests(40)
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_goaway_in_the_middle_of_streams_ends_those_above_as_never_run() -> None:
+async def test_goaway_ends_streams_above_its_last_id_as_not_sent_and_others_complete() -> None:
     async with grpc_upstream_fixture() as fixture:
         calls = [fixture.send() for _ in range(100)]
         await fixture.wait_for_requests(100)
@@ -47,12 +47,12 @@
             connection.respond(grpc_request)
         await until(lambda: all(call.ends for call in calls))
         assert {call.ends[0][0] for call in calls[:50]} == {Outcome.OK}
-        await until(lambda: fixture.connections[0].transport is None)  # it left once all was answered
+        await until(lambda: fixture.connections[0].transport is None)  # closed after the last response
         assert not later.ends
 
 
 @on_loop
-async def test_each_end_of_a_stream_has_its_outcome_and_other_streams_go_on() -> None:
+async def test_each_way_to_end_a_stream_has_its_outcome_and_other_streams_continue() -> None:
     async with grpc_upstream_fixture() as fixture:
         cases: list[tuple[Callable[[GrpcServerConnection, GrpcRequest], None], Outcome]] = [
             (lambda server, request: server.reset(request, Http2ErrorCode.REFUSED_STREAM), Outcome.REJECTED),
@@ -79,7 +79,7 @@
 
 
 @on_loop
-async def test_settings_that_lower_the_streams_are_kept_to_and_further_calls_get_other_connections() -> None:
+async def test_the_stream_limit_of_a_server_is_respected_by_opening_another_connection() -> None:
     async with grpc_upstream_fixture(max_streams=3) as fixture:
         first = [fixture.send()]
         await fixture.wait_for_requests(1)
@@ -94,7 +94,7 @@
 
 
 @on_loop
-async def test_a_window_that_never_opens_holds_up_one_call_until_its_time_is_over() -> None:
+async def test_an_exhausted_flow_control_window_delays_a_request_until_its_timeout() -> None:
     async with grpc_upstream_fixture() as fixture:
         await warm_up(fixture)
         fixture.connections[0].acknowledges_data = False
@@ -104,7 +104,7 @@
 
 
 @on_loop
-async def test_long_bodies_pass_in_bounded_memory_both_ways() -> None:
+async def test_long_request_and_response_bodies_are_streamed_in_bounded_memory() -> None:
     size = 3_000_000
     async with grpc_upstream_fixture(
         on_request=lambda server, request: server.respond(request, body=request.body, parts=30)
@@ -122,7 +122,7 @@
         observer.source.pause()
         for _ in range(50):
             await asyncio.sleep(0)
-        assert sum(map(len, observer.chunks)) < 1_000_000  # the server's window has closed
+        assert sum(map(len, observer.chunks)) < 1_000_000  # the server's flow-control window is exhausted
         observer.source.resume()
         await until(lambda: observer.ends)
         assert observer.head is not None and observer.head.length == size
@@ -134,7 +134,7 @@
 
 
 @on_loop
-async def test_clients_that_read_nothing_do_not_hold_back_the_others_of_a_connection() -> None:
+async def test_clients_that_do_not_read_do_not_delay_other_streams_of_the_connection() -> None:
     def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
         connection.respond(
             grpc_request, body=b"y" * (1_000_000 if grpc_request.body == b"long" else 10), parts=20
@@ -154,7 +154,7 @@
 
 
 @on_loop
-async def test_a_draining_or_gone_server_gets_nothing_after_the_grace() -> None:
+async def test_a_draining_server_gets_no_requests_after_the_grace_period() -> None:
     async with grpc_upstream_fixture() as fixture:
         await warm_up(fixture)
         fixture.pools.settings = replace(SETTINGS, stop_sending_within_us=0)
@@ -165,7 +165,7 @@
 
 
 @on_loop
-async def test_a_flood_of_pings_ends_the_connection_with_the_right_error() -> None:
+async def test_a_flood_of_pings_closes_the_connection() -> None:
     async with grpc_upstream_fixture() as fixture:
         observer = fixture.send()
         await fixture.wait_for_requests(1)
@@ -177,7 +177,7 @@
 
 
 @on_loop
-async def test_a_server_that_is_not_there_fails_to_connect() -> None:
+async def test_a_server_that_does_not_listen_is_a_connect_failure() -> None:
     async with grpc_upstream_fixture() as fixture:
         fixture.pools.put(Endpoint("n", ("127.0.0.1", 1), ListedServer(1, started_us=5)))
         observer = fixture.send()
@@ -186,7 +186,7 @@
 
 
 @on_loop
-async def test_a_header_that_is_no_utf_8_breaks_nothing() -> None:
+async def test_a_header_that_is_not_utf_8_is_an_error_of_one_stream() -> None:
     async with grpc_upstream_fixture() as fixture:
         observer = fixture.send()
         await fixture.wait_for_requests(1)
