--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""A count-based circuit breaker: a window of the last outcomes with a minimum, and three states."""
+"""A count-based circuit breaker with a sliding window of outcomes and the usual three states."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-WINDOW = 10  # outcomes: a second or less of one gateway's traffic to one server
-MIN_OUTCOMES_TO_OPEN = 5  # outcomes before a verdict: fewer would open by chance
-FAILURE_THRESHOLD = 0.5  # failure share that opens, on top of what all servers fail in common
-HALF_OPEN_TRIALS = 3  # outcomes that decide in half-open
-FIRST_COOLDOWN_US = 1_000_000  # first cooldown; doubles with each reopening from half-open
+WINDOW = 10  # Outcomes; at most about a second of one gateway's traffic to one server.
+MIN_OUTCOMES_TO_OPEN = 5  # With fewer outcomes, chance failures would open the breaker.
+FAILURE_THRESHOLD = 0.5  # Failure share that opens the breaker if the other servers have no failures.
+HALF_OPEN_TRIALS = 3  # Trial attempts per half-open period.
+FIRST_COOLDOWN_US = 1_000_000  # The cooldown doubles each time a half-open breaker opens again.
 MAX_COOLDOWN_US = 8_000_000
 
 
 class State(Enum):
-    """What a breaker lets through: all, nothing, or a few trials."""
+    """State of a circuit breaker: it allows all requests, none, or a few trials."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -24,90 +24,92 @@
 
 @dataclass(slots=True, eq=False)
 class Breaker:
-    """The last outcomes of one server, or of one class at it, and the state that follows."""
+    """Circuit breaker of one server, or of one request class at a server."""
 
-    minimum: int = MIN_OUTCOMES_TO_OPEN
-    ring: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))
-    failures: int = 0
+    min_outcomes: int = MIN_OUTCOMES_TO_OPEN  # Outcomes in the window before the breaker may open.
+    window: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))  # Last outcomes; True: failed.
+    failures: int = 0  # In the window.
     state: State = State.CLOSED
     open_until_us: int = 0
     cooldown_us: int = FIRST_COOLDOWN_US
-    episode: int = 0  # half-open periods so far: trials are attempts sent in the present one
+    half_open_period: int = 0  # Number of half-open periods so far.
     trials_in_flight: int = 0
-    trial_results: list[bool] = field(default_factory=list)
+    trial_results: list[bool] = field(default_factory=list)  # Of the current period; True: failed.
 
     def allows_request(self, now_us: int) -> bool:
-        """Whether a request may be sent: closed, or half-open with trials left. Ends a past cooldown."""
+        """Return whether a request may be sent; an open breaker whose cooldown is over becomes half-open."""
         if self.state is State.CLOSED:
             return True
         if self.state is State.OPEN:
             if now_us < self.open_until_us:
                 return False
             self.state = State.HALF_OPEN
-            self.episode += 1
+            self.half_open_period += 1
             self.trials_in_flight = 0
             self.trial_results = []
         return self.trials_in_flight + len(self.trial_results) < HALF_OPEN_TRIALS
 
     def take_trial(self) -> int:
-        """Count an attempt as a trial while half-open; returns the half-open period, or 0 for no trial."""
+        """Count an attempt as a trial if half-open; returns the half-open period, or 0 if it is no trial."""
         if self.state is not State.HALF_OPEN:
             return 0
         self.trials_in_flight += 1
-        return self.episode
+        return self.half_open_period
 
-    def record(self, now_us: int, failed: bool, trial_of: int, common: float) -> State | None:
-        """Enter an outcome.
+    def record(
+        self, now_us: int, failed: bool, half_open_period: int, common_failure_share: float
+    ) -> State | None:
+        """Record the outcome of an attempt.
 
         Args:
-            now_us: The present time.
+            now_us: The current time.
             failed: Whether the attempt failed.
-            trial_of: What `take_trial` returned for the attempt.
-            common: The recent failure share of the other servers.
+            half_open_period: What `take_trial` returned for the attempt.
+            common_failure_share: The recent failure share of the other servers.
 
         Returns:
-            The new state if it opened or closed the breaker, else None.
+            The new state if the outcome opened or closed the breaker, else None.
         """
-        limit = (
-            1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common) ** 2
-        )  # squared, as a few outcomes vary by chance
+        # Failures that all servers have in common raise the limit, as they are no reason to eject one. The
+        # factor is squared because the failure share of a few outcomes varies by chance.
+        limit = 1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common_failure_share) ** 2
         if self.state is State.HALF_OPEN:
-            if trial_of != self.episode:
-                return None  # in half-open only the trials' outcomes count
+            if half_open_period != self.half_open_period:
+                return None  # While half-open, only the outcomes of trials count.
             self.trials_in_flight -= 1
             self.trial_results.append(failed)
-            if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:  # the other trials cannot change it
+            if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:  # Decided already.
                 return self.reopen(now_us)
             return self.close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
-        if len(self.ring) == WINDOW:
-            self.failures -= self.ring[0]
-        self.ring.append(failed)
+        if len(self.window) == WINDOW:
+            self.failures -= self.window[0]
+        self.window.append(failed)
         self.failures += failed
-        if failed and len(self.ring) >= self.minimum and self.failures >= len(self.ring) * limit:
+        if failed and len(self.window) >= self.min_outcomes and self.failures >= len(self.window) * limit:
             return self.open(now_us)
         return None
 
-    def return_trial(self, trial_of: int) -> None:
-        """Allow another trial in place of one that showed nothing."""
-        if self.state is State.HALF_OPEN and trial_of == self.episode:
+    def return_trial(self, half_open_period: int) -> None:
+        """Allow another trial in place of one whose outcome was inconclusive."""
+        if self.state is State.HALF_OPEN and half_open_period == self.half_open_period:
             self.trials_in_flight -= 1
 
     def reopen(self, now_us: int) -> State:
-        """Open at once; from half-open for twice as long."""
+        """Open immediately; if the breaker was half-open, the cooldown is doubled."""
         if self.state is State.HALF_OPEN:
             self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
         return self.open(now_us)
 
     def open(self, now_us: int) -> State:
-        """Let nothing through until the cooldown is over."""
+        """Allow no requests until the cooldown is over."""
         self.state = State.OPEN
         self.open_until_us = now_us + self.cooldown_us
         return self.state
 
     def close(self) -> State:
-        """Let everything through, with an empty record."""
+        """Allow all requests again, with an empty window."""
         self.state = State.CLOSED
-        self.ring.clear()
+        self.window.clear()
         self.failures = 0
         self.cooldown_us = FIRST_COOLDOWN_US
         return self.state
--- a/tests/grpc_helpers.py
+++ b/tests/grpc_helpers.py
@@ -18,10 +18,10 @@
 from sagetrack.core.send_rules import ServerState
 from sagetrack.grpc.connection_pool import GrpcConnectionPools
 from sagetrack.grpc.upstream_connection import GrpcUpstreamConnection
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import ListedServer, Outcome
-from tests.sockets import configuration, running, until
+from tests.sockets import configuration, running_gateway, wait_until
 
 SETTINGS = parse(configuration("127.0.0.1:9")).settings
 
@@ -76,7 +76,18 @@
         pause_immediately: bool = False,
     ) -> RecordingObserver:
         observer = RecordingObserver(pause_immediately)
-        request = Request("a", 0, timeout_us, None, None, False, 0, Message(HEAD, body), None, streamed_body)  # type: ignore[arg-type]
+        request = Request(
+            "a",
+            0,
+            timeout_us,
+            None,
+            None,
+            False,
+            0,
+            ForwardedRequest(HEAD, body),
+            None,  # type: ignore[arg-type]
+            streamed_body,
+        )
         self.pools.begin(request, 1, timeout_us, observer)
         return observer
 
@@ -85,7 +96,7 @@
         return self.pools.pools[1].connections[0]
 
     async def wait_for_requests(self, count: int) -> None:
-        await until(lambda: len(self.received) >= count)
+        await wait_until(lambda: len(self.received) >= count)
 
 
 @asynccontextmanager
@@ -121,7 +132,7 @@
     observer = fixture.send()
     await fixture.wait_for_requests(1)
     fixture.received[0][0].respond(fixture.received[0][1])
-    await until(lambda: observer.ends)
+    await wait_until(lambda: observer.ends)
 
 
 @asynccontextmanager
@@ -135,8 +146,8 @@
             endpoint["type"] = "v2"
         operator_file = tmp_path / "operator.toml"
         operator_file.write_text('[newer]\ntypes = ["v2"]\nlisten = ["127.0.0.1:0"]\n')
-        async with running(config, load_operator(str(operator_file))) as gateway:
-            listener = gateway.instance.protocol_listeners.grpc
+        async with running_gateway(config, load_operator(str(operator_file))) as gateway:
+            listener = gateway.assembly.protocol_listeners.grpc
             assert listener is not None
             address = listener.servers[0].sockets[0].getsockname()
             async with grpc_upstream_fixture() as client:
@@ -146,7 +157,7 @@
 
 def send_request(client: GrpcUpstreamFixture, head: bytes, body: bytes = b"") -> RecordingObserver:
     observer = RecordingObserver()
-    request = Request("a", 0, 5_000_000, None, None, False, 0, Message(head, body), None)  # type: ignore[arg-type]
+    request = Request("a", 0, 5_000_000, None, None, False, 0, ForwardedRequest(head, body), None)  # type: ignore[arg-type]
     client.pools.begin(request, 1, 5_000_000, observer)
     return observer
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -16,25 +16,25 @@
 from sagetrack.policy.events import Outcome
 from sagetrack.server import admin as admin_module
 from sagetrack.server.admin import MAX_CONNECTIONS, MAX_LINE_BYTES, AdminServer
-from tests.helpers import Driver, sends, trip
+from tests.helpers import Driver, send_actions, trip
 from tests.sockets import (
-    Running,
-    answers,
+    RunningGateway,
     configuration,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 from tests.test_gateway_process import READY, connect, fetch_status, free_port, gateway_process, start
 
 
 @asynccontextmanager
-async def running_admin_server(run: Running) -> AsyncIterator[int]:
-    admin = AdminServer(run.server)
+async def running_admin_server(run: RunningGateway) -> AsyncIterator[int]:
+    admin = AdminServer(run.listener)
     await admin.start(("127.0.0.1", 0))
     assert admin.server is not None
     try:
@@ -49,23 +49,23 @@
     writer.write(data)
     if eof:
         writer.write_eof()
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
-def parse_metrics(answer: bytes) -> dict[str, int]:
-    first, *lines, last = answer.decode().splitlines()
+def parse_metrics(response: bytes) -> dict[str, int]:
+    first, *lines, last = response.decode().splitlines()
     assert first.startswith("SUCCESS") and last == "EOT"
     return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
 
 @pytest.mark.parametrize("ending", [b"\n", b"\r\n"])
-@on_loop
+@on_event_loop
 async def test_each_command_gets_a_response_on_its_own_connection(ending: bytes) -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         running_admin_server(run) as port,
     ):
         for line, expected_result, ready in (
@@ -77,10 +77,10 @@
             (b"active", b"SUCCESS", 200),
             (b"status", b"SUCCESS", 200),
         ):
-            answer = await send_command(port, line + ending)
-            assert answer.startswith(expected_result) and answer.count(b"\n") == 1
-            assert (await run.ask(READY)).status == ready
-        run.server.drain.begin_shutdown(0.0)
+            response = await send_command(port, line + ending)
+            assert response.startswith(expected_result) and response.count(b"\n") == 1
+            assert (await run.request(READY)).status == ready
+        run.listener.drain.begin_shutdown(0.0)
         for line in (b"status", b"standby", b"active"):
             assert (await send_command(port, line + ending)).startswith(b"FAILURE")
 
@@ -98,18 +98,18 @@
         b"stats" + b" " * 100_000 + b"\n",
     ],
 )
-@on_loop
+@on_event_loop
 async def test_an_invalid_command_gets_failure(data: bytes) -> None:
-    async with running(configuration("127.0.0.1:1")) as run, running_admin_server(run) as port:
-        answer = await send_command(port, data)
-        assert answer.startswith(b"FAILURE") and answer.count(b"\n") == 1
+    async with running_gateway(configuration("127.0.0.1:1")) as run, running_admin_server(run) as port:
+        response = await send_command(port, data)
+        assert response.startswith(b"FAILURE") and response.count(b"\n") == 1
 
 
-@on_loop
+@on_event_loop
 async def test_a_line_may_arrive_in_pieces_or_end_with_the_stream() -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         running_admin_server(run) as port,
     ):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -123,13 +123,13 @@
         assert await send_command(port, b"", eof=True) == b""
 
 
-@on_loop
+@on_event_loop
 async def test_silent_admin_connections_do_not_block_others_and_are_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         running_admin_server(run) as port,
     ):
         silent_clients = [
@@ -152,25 +152,25 @@
 METRICS_BY_REASON = {"svc_attempts_total", "svc_withheld_total", "svc_refused_total", "svc_violations_total"}
 
 
-@on_loop
+@on_event_loop
 async def test_the_metrics_match_the_requests() -> None:
     async with (
         scripted_server() as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         running_admin_server(run) as port,
     ):
         for _ in range(3):
-            assert (await run.ask(request())).status == 200
-        upstream.script = silent
+            assert (await run.request(request())).status == 200
+        upstream.script = no_response
         seen, client = len(upstream.exchanges), await run.connect()
         client.send(request("transfer"))
-        await until(lambda: len(upstream.exchanges) > seen)
+        await wait_until(lambda: len(upstream.exchanges) > seen)
         pending = upstream.exchanges[-1]
-        upstream.script = answers(reply(500))
-        assert (await run.ask(request("transfer"))).status == 502
+        upstream.script = respond_with(http_response(500))
+        assert (await run.request(request("transfer"))).status == 502
         # The rejection comes last, as later requests may be shed.
-        upstream.script = answers(reply(503, b"", "X-Rejected: 1"))
-        assert (await run.ask(request("hold"))).status == 503
+        upstream.script = respond_with(http_response(503, b"", "X-Rejected: 1"))
+        assert (await run.request(request("hold"))).status == 503
         metrics = parse_metrics(await send_command(port, b"stats\n"))
         calls = {name for name in metrics if name.startswith("svc_discovery_calls_total")}
         assert calls <= {'svc_discovery_calls_total{outcome="failed"}'}  # no discovery service is running
@@ -203,16 +203,16 @@
             "svc_cluster_size": 1,
             "svc_cluster_unhealthy": 0,
         }
-        pending.answer(reply())
-        assert (await client.answer()).status == 200
+        pending.respond(http_response())
+        assert (await client.read_response()).status == 200
         assert parse_metrics(await send_command(port, b"stats\n"))["svc_current"] == 0
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_an_attempt_not_written_completely_does_not_count_as_sent() -> None:
-    async with running(configuration("127.0.0.1:1")) as run:
-        assert (await run.ask(request())).status == 503
+    async with running_gateway(configuration("127.0.0.1:1")) as run:
+        assert (await run.request(request())).status == 503
         assert run.gateway.metrics.sends.by_class == [0, 0, 0]
         assert run.gateway.metrics.deferred.by_class == [1, 0, 0]
         assert run.gateway.balancer.unhealthy_count() == 1
@@ -227,10 +227,10 @@
     until_us, state = breaker.open_until_us, breaker.state
     driver.now_us = until_us + 1
     assert balancer.unhealthy_count() == 1  # until a trial request has closed the breaker
-    assert breaker.state is state and breaker.episode == 0
+    assert breaker.state is state and breaker.half_open_period == 0
     for _ in range(100):
         name, actions = driver.arrive()
-        for send in sends(actions):
+        for send in send_actions(actions):
             driver.end(name, send.server, Outcome.OK)
     assert balancer.unhealthy_count() == 0
 
@@ -240,20 +240,20 @@
     assert text.splitlines()[0] == 'svc_answered_total{group="a\\"b\\n\\\\"} 0'
 
 
-@on_loop
+@on_event_loop
 async def test_a_gateway_process_can_be_drained_and_reactivated_at_the_admin_address(tmp_path: Path) -> None:
     admin = free_port()
     async with scripted_server() as upstream:
         config = configuration(upstream) | {"admin": f"127.0.0.1:{admin}"}
         async with gateway_process(tmp_path, config) as (process, port):
             persistent = await connect(port)
-            assert (await persistent.ask(READY)).status == 200
+            assert (await persistent.request(READY)).status == 200
             assert (await send_command(admin, b"standby\n")).startswith(b"SUCCESS")
             # Requests on existing and on new connections are served, and the response announces the close.
             late = await connect(port)
             for client in (persistent, late):
-                answer = await client.ask(request())
-                assert answer.status == 200 and answer.headers["connection"] == "close"
+                response = await client.request(request())
+                assert response.status == 200 and response.headers["connection"] == "close"
                 client.close()
             idle = await connect(port)
             assert await idle.reader.read() == b""
@@ -268,7 +268,7 @@
             assert await process.wait() == 0
 
 
-@on_loop
+@on_event_loop
 async def test_an_admin_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async with scripted_server() as upstream:
         file = tmp_path / "config.json"
@@ -279,16 +279,16 @@
         assert errors.startswith(f"sagetrack: cannot listen on {upstream.address}".encode())
 
 
-@on_loop
+@on_event_loop
 async def test_the_trace_shows_the_outcome_of_a_request() -> None:
-    failing = answers(reply(500))
+    failing = respond_with(http_response(500))
     async with (
         scripted_server(failing) as upstream,
-        running(configuration(upstream)) as run,
+        running_gateway(configuration(upstream)) as run,
         running_admin_server(run) as port,
     ):
-        assert (await run.ask(request("transfer", x_call_id="one-that-fails"))).status == 502
-        run.server.standby()
+        assert (await run.request(request("transfer", x_call_id="one-that-fails"))).status == 502
+        run.listener.standby()
         lines = (await send_command(port, b"trace\n")).decode().splitlines()
     assert lines[0] == "SUCCESS" and lines[-1] == "EOT"
     assert any("attempt_failed one-that-fails 0 at server" in line and "error" in line for line in lines)
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -30,23 +30,23 @@
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.settings import Settings
 from sagetrack.policy.timers import ENDPOINT_LIST_TOKEN
-from tests.helpers import SETTINGS, START_US, Driver, timers
+from tests.helpers import SETTINGS, START_US, Driver, timer_actions
 from tests.sockets import (
     Exchange,
-    Running,
+    RunningGateway,
     Script,
-    answers,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
-    running,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 MINUTE_US = 60_000_000
@@ -54,11 +54,11 @@
 
 
 def draining_list(version: int) -> bytes:
-    return list_reply(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
+    return list_response(version, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
 
 
-def is_draining(run: Running) -> bool:
-    known = run.gateway.balancer.servers.get(host_id(0))
+def is_draining(run: RunningGateway) -> bool:
+    known = run.gateway.balancer.servers.get(server_id(0))
     return known is not None and known.entry.status is ServerStatus.DRAINING
 
 
@@ -71,7 +71,7 @@
     return config
 
 
-def grace_s(run: Running) -> float:
+def grace_s(run: RunningGateway) -> float:
     return run.gateway.settings.stop_sending_within_us / 1e6
 
 
@@ -83,7 +83,7 @@
 
     TOKEN = -2  # replaces the token of the endpoint list timers that are set from now on
 
-    def __init__(self, run: Running, left: int) -> None:
+    def __init__(self, run: RunningGateway, left: int) -> None:
         self.run, self.left, self.reported = run, left, 0
         self.original_execute, self.handle = run.gateway.executor.execute, run.gateway.balancer.handle
         run.gateway.executor.execute = self.execute  # type: ignore[method-assign]
@@ -108,7 +108,7 @@
     balancer.context.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
 
-def start_watch(run: Running, failures: int) -> FastFailures:
+def start_watch(run: RunningGateway, failures: int) -> FastFailures:
     """Start a watch that fails without backoff up to the last failure, which gets the longest backoff."""
     failed = FastFailures(run, failures)
     always_draw_longest(run.gateway.balancer)
@@ -124,7 +124,7 @@
     """Send a part of a response, then close the connection."""
 
     async def script(exchange: Exchange) -> None:
-        exchange.answer(part)
+        exchange.respond(part)
         await exchange.writer.drain()
         exchange.writer.transport.close()
 
@@ -132,8 +132,8 @@
 
 
 FAULTS = {
-    "429": answers(reply(429, b"", "Retry-After: 9")),
-    "503": answers(reply(503)),
+    "429": respond_with(http_response(429, b"", "Retry-After: 9")),
+    "503": respond_with(http_response(503)),
     "reset": reset,
     "reset in the head": reset_after(draining_list(9)[:20]),
     "reset in the body": reset_after(draining_list(9)[:-20]),
@@ -142,120 +142,122 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("fault", FAULTS)
-@on_loop
+@on_event_loop
 async def test_a_change_arrives_in_time_after_five_failures_in_a_row(fault: str, mode: str) -> None:
     async with (
         scripted_server(FAULTS[fault]) as registry,
-        running(discovery_configuration(registry.address, mode)) as run,
+        running_gateway(discovery_configuration(registry.address, mode)) as run,
     ):
         failed = start_watch(run, 5)
-        await until(lambda: failed.reported == 5)
-        registry.script = answers(
-            draining_list(9)
-        )  # discovery has recovered, and has had the change all the time
+        await wait_until(lambda: failed.reported == 5)
+        # Discovery recovers, and has had the change all the time.
+        registry.script = respond_with(draining_list(9))
         assert not is_draining(run)
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@on_loop
+@on_event_loop
 async def test_a_change_arrives_in_time_after_five_refused_connections(mode: str) -> None:
-    async with scripted_server(answers(draining_list(9))) as registry:
+    async with scripted_server(respond_with(draining_list(9))) as registry:
         assert registry.server is not None
         socket_address = registry.server.sockets[0].getsockname()
         registry.server.close()
         await registry.server.wait_closed()
-        async with running(discovery_configuration(registry.address, mode)) as run:
+        async with running_gateway(discovery_configuration(registry.address, mode)) as run:
             failed = start_watch(run, 5)
-            await until(lambda: failed.reported == 5)
+            await wait_until(lambda: failed.reported == 5)
             registry.server = await asyncio.start_server(registry.serve, *socket_address)
             async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-                await until(lambda: is_draining(run))
-            registry.script = silent
+                await wait_until(lambda: is_draining(run))
+            registry.script = no_response
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("failures", [0, 5])
-@on_loop
+@on_event_loop
 async def test_a_call_that_hangs_when_discovery_recovers_times_out_in_time(failures: int, mode: str) -> None:
     """The running call never gets a response; later calls do."""
     async with (
         scripted_server(reset) as registry,
-        running(discovery_configuration(registry.address, mode)) as run,
+        running_gateway(discovery_configuration(registry.address, mode)) as run,
     ):
         failed = start_watch(run, failures + 1)  # no backoff before the call that hangs
-        await until(lambda: failed.reported >= failures)
+        await wait_until(lambda: failed.reported >= failures)
         has_hung = asyncio.Event()
 
         def hang(exchange: Exchange) -> None:
             has_hung.set()
-            registry.script = answers(draining_list(9))
+            registry.script = respond_with(draining_list(9))
 
         registry.script = hang
         await has_hung.wait()
         failed.left = 0  # later backoffs take their full time
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_changes_missed_by_a_watch_without_responses_arrive_within_six_seconds() -> None:
     """The first long poll gets no response; all calls before it did."""
     unanswered: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
         if "from=" not in exchange.message.start_line:
-            exchange.answer(list_reply(8, endpoint("s-0", "127.0.0.1:1")))
+            exchange.respond(list_response(8, endpoint("s-0", "127.0.0.1:1")))
         elif unanswered:
-            exchange.answer(draining_list(9))
+            exchange.respond(draining_list(9))
         else:
             unanswered.append(exchange)
 
     config = discovery_configuration("") | {"known": {}}
-    async with scripted_server(script) as registry, running(config | {"discovery": registry.address}) as run:
+    async with (
+        scripted_server(script) as registry,
+        running_gateway(config | {"discovery": registry.address}) as run,
+    ):
         start_watch(run, 0)
-        await until(lambda: unanswered)
+        await wait_until(lambda: unanswered)
         assert not is_draining(run)
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S + grace_s(run)):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_a_new_discovery_address_is_used_in_time_between_failures() -> None:
     """The address changes after five failures, and the first call to the new address is rejected, too."""
     rejected = asyncio.Event()
 
     def reject_once(exchange: Exchange) -> None:
-        exchange.answer(draining_list(2) if rejected.is_set() else reply(503))
+        exchange.respond(draining_list(2) if rejected.is_set() else http_response(503))
         rejected.set()
 
     async with (
         scripted_server(FAULTS["503"]) as old,
         scripted_server(reject_once) as new,
-        running(discovery_configuration(old.address)) as run,
+        running_gateway(discovery_configuration(old.address)) as run,
     ):
         failed = start_watch(run, 5)
-        await until(lambda: failed.reported == 5)
+        await wait_until(lambda: failed.reported == 5)
         async with asyncio.timeout(ADDRESS_CHANGE_LIMIT_S + grace_s(run)):
-            run.instance.discovery.change_address(parse_address(new.address, "discovery"))
-            await until(lambda: is_draining(run))
+            run.assembly.discovery.change_address(parse_address(new.address, "discovery"))
+            await wait_until(lambda: is_draining(run))
         assert rejected.is_set() and len(old.exchanges) == 5
-        new.script = silent
+        new.script = no_response
 
 
-@on_loop
+@on_event_loop
 async def test_a_new_process_polls_early_whatever_the_poll_interval() -> None:
     async with (
-        scripted_server(answers(draining_list(9))) as registry,
-        running(discovery_configuration(registry.address, must_ask_us=10**12)) as run,
+        scripted_server(respond_with(draining_list(9))) as registry,
+        running_gateway(discovery_configuration(registry.address, must_ask_us=10**12)) as run,
     ):
         async with asyncio.timeout(SILENT_WATCH_LIMIT_S):
-            await until(lambda: is_draining(run))
-        registry.script = silent
+            await wait_until(lambda: is_draining(run))
+        registry.script = no_response
 
 
 # The same in virtual time, with any settings and failures; later responses come just before they time out.
@@ -429,7 +431,7 @@
         balancer = LoadBalancer(custom_settings, seed)
         for _ in range(failures):
             actions = balancer.handle(START_US, EndpointList(ListKind.ERROR))
-        (timer,) = timers(actions)
+        (timer,) = timer_actions(actions)
         waits_us.append(timer.due_us - START_US)
     waits_us.sort()
     shortest, longest_us = waits_us[0], waits_us[-1]
@@ -447,7 +449,7 @@
         )
         always_draw_longest(balancer)
         for _ in range(9):
-            (timer,) = timers(balancer.handle(START_US, EndpointList(ListKind.ERROR)))
+            (timer,) = timer_actions(balancer.handle(START_US, EndpointList(ListKind.ERROR)))
             longest.setdefault(must_ask_us, []).append(timer.due_us - START_US)
     for backoffs_us in longest.values():
         assert backoffs_us == sorted(backoffs_us) and backoffs_us[0] < backoffs_us[2] <= backoffs_us[-1]
@@ -476,9 +478,8 @@
     for fault in ("busy", "refused"):
         run_in_virtual_time(lambda fault=fault: play(fault))  # type: ignore[misc]
     gaps = {fault: [b - a for a, b in pairwise(times)][4:] for fault, times in calls.items()}
-    assert (
-        min(gaps["busy"]) >= 2.0 and max(gaps["busy"]) <= 4.1
-    )  # between half of 1.4 s + 2.6 s and all of it
+    # The wait is between half of 1.4 s + 2.6 s and all of it.
+    assert min(gaps["busy"]) >= 2.0 and max(gaps["busy"]) <= 4.1
     assert max(gaps["refused"]) <= 1.41  # refused connections cost the service nothing
 
 
--- a/tests/test_grpc_listener.py
+++ b/tests/test_grpc_listener.py
@@ -6,7 +6,7 @@
 
 from sagetrack.core.bodies import BodyMemoryBudget, StreamedBody
 from sagetrack.core.requests import Request
-from sagetrack.http1.requests import Message
+from sagetrack.http1.requests import ForwardedRequest
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 from sagetrack.policy.events import Outcome
 from tests.grpc_helpers import (
@@ -15,10 +15,10 @@
     request_head,
     send_request,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_long_responses_reach_a_client_and_invalid_requests_are_errors(tmp_path: Path) -> None:
     def handle_request(connection: GrpcServerConnection, grpc_request: GrpcRequest) -> None:
         connection.respond(grpc_request, body=grpc_request.body * 3000, parts=9)
@@ -26,7 +26,7 @@
     async with gateway_with_grpc_listener(tmp_path, on_request=handle_request) as (client, _, listener):
         calls = [send_request(client, request_head(n), b"%04d" % n) for n in range(20)]
         long = send_request(client, request_head(99), b"z" * 1000)  # response of 3,000,000 bytes
-        await until(lambda: all(call.ends for call in [*calls, long]))
+        await wait_until(lambda: all(call.ends for call in [*calls, long]))
         for n, observer in enumerate(calls):
             assert observer.ends[0][1] is not None and observer.ends[0][1].body == b"%04d" % n * 3000
         assert long.ends[0][0] is Outcome.OK and sum(map(len, long.chunks)) == 3_000_000
@@ -36,13 +36,13 @@
             # The body exceeds the limit of one message; a long body must be split into several.
             send_request(client, request_head(202), b"x" * 200_000),
         ]
-        await until(lambda: all(call.ends for call in invalid))
+        await wait_until(lambda: all(call.ends for call in invalid))
         assert [c.ends[0][0] for c in invalid] == [
             Outcome.ERROR
         ] * 3 and listener.intake.counts.invalid_requests == 3
 
 
-@on_loop
+@on_event_loop
 async def test_a_long_request_body_is_streamed_and_one_of_wrong_length_never_completes(
     tmp_path: Path,
 ) -> None:
@@ -59,14 +59,14 @@
                 StreamedBody(announced_length, BodyMemoryBudget(64)),
                 RecordingObserver(),
             )
-            message = Message(request_head(number), b"")
+            message = ForwardedRequest(request_head(number), b"")
             request = Request("a", 0, 5_000_000, None, None, False, 0, message, None, streamed_body)  # type: ignore[arg-type]
             client.pools.begin(request, 1, 5_000_000, observer)
             for _ in range(0, size, 50_000):
-                await until(lambda: not streamed_body.is_full or observer.ends)
+                await wait_until(lambda: not streamed_body.is_full or observer.ends)
                 streamed_body.feed(b"z" * 50_000)
             streamed_body.complete()
-            await until(lambda: observer.ends)
+            await wait_until(lambda: observer.ends)
             return observer
 
         for number, announced_length in ((1, 1_000_000), (2, None)):
@@ -77,27 +77,29 @@
         for number, announced_length in ((3, 1_000_001), (4, 900_000)):
             assert (await send(number, 1_000_000, announced_length)).ends[0][0] is not Outcome.OK
         assert len(bodies) == 2
-        await until(lambda: not gateway.gateway.in_flight and not listener.intake.body_budget.active_bodies)
+        await wait_until(
+            lambda: not gateway.gateway.in_flight and not listener.intake.body_budget.active_bodies
+        )
 
 
-@on_loop
+@on_event_loop
 async def test_an_upstream_rejection_reaches_the_client_and_a_drain_sends_goaway(tmp_path: Path) -> None:
     async with gateway_with_grpc_listener(
         tmp_path,
         on_request=lambda server, request: server.trailers_only(request, 8, x_rejected="1"),
-    ) as running_gateway:
-        client, gateway, listener = running_gateway
+    ) as client_and_gateway:
+        client, gateway, listener = client_and_gateway
         observer = send_request(client, request_head(1))
-        await until(lambda: observer.ends)
+        await wait_until(lambda: observer.ends)
         assert observer.ends[0][0] is Outcome.REJECTED
         (connection,) = listener.connections
-        gateway.server.standby()
-        await until(lambda: not listener.connections)
-        await until(lambda: client.pools.counts.goaways == 1)
+        gateway.listener.standby()
+        await wait_until(lambda: not listener.connections)
+        await wait_until(lambda: client.pools.counts.goaways == 1)
         assert connection.draining
 
 
-@on_loop
+@on_event_loop
 async def test_a_request_in_transit_when_the_drain_starts_is_not_run(tmp_path: Path) -> None:
     request_ids: list[str] = []
 
@@ -108,25 +110,25 @@
 
     async with gateway_with_grpc_listener(tmp_path, on_request=handle_request) as (client, gateway, listener):
         held = send_request(client, request_head(1))
-        await until(lambda: request_ids)
+        await wait_until(lambda: request_ids)
         (connection,) = listener.connections
         connection.drain()
         connection.flush()
         late = send_request(client, request_head(2))  # sent before the client has read GOAWAY
-        await until(lambda: late.ends)
+        await wait_until(lambda: late.ends)
         assert late.ends[0][0] is Outcome.NOT_SENT and request_ids == ["id1"] and not held.ends
 
 
-@on_loop
+@on_event_loop
 async def test_rapid_reset_closes_the_connection_and_no_request_stays_in_flight(tmp_path: Path) -> None:
     async with gateway_with_grpc_listener(tmp_path) as (client, gateway, listener):
         calls = [send_request(client, request_head(1))]
-        await until(lambda: listener.connections)
+        await wait_until(lambda: listener.connections)
         for n in range(2, 180):
             observer = send_request(client, request_head(n))
             connection = client.connection
             connection.abort_attempt(connection.attempts.on_open_streams()[-1], Outcome.CANCELLED)
             calls.append(observer)
-        await until(lambda: calls[0].ends)
+        await wait_until(lambda: calls[0].ends)
         assert listener.intake.counts.closed_for_violations == 1 and not listener.connections
-        await until(lambda: not gateway.gateway.in_flight)
+        await wait_until(lambda: not gateway.gateway.in_flight)
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -15,7 +15,7 @@
 from tests.grpc_helpers import (
     grpc_upstream_fixture,
 )
-from tests.sockets import configuration, on_loop, request, running, until
+from tests.sockets import configuration, on_event_loop, request, running_gateway, wait_until
 
 
 def test_responses_differ_by_status_header_or_body_but_not_by_transport_headers() -> None:
@@ -33,7 +33,7 @@
     assert counts.different == {(0, "body"): 2, (0, "other"): 1}
 
 
-@on_loop
+@on_event_loop
 async def test_responses_of_both_protocols_are_compared_and_shares_change_on_reload(tmp_path: Path) -> None:
     operator_file = tmp_path / "operator.toml"
     operator_file.write_text('[newer]\ntypes = ["v2"]\nshare = 0.0\ncompare_per_s = 1000.0\n')
@@ -46,22 +46,22 @@
     async with grpc_upstream_fixture(on_request=handle_request) as fixture, scripted_server() as upstream:
         config = configuration(upstream, f"127.0.0.1:{fixture.entry.address[1]}")
         config["known"]["endpoints"][1]["type"] = "v2"
-        async with running(config, load_operator(str(operator_file))) as gateway:
-            upstreams = gateway.instance.grpc_upstreams
+        async with running_gateway(config, load_operator(str(operator_file))) as gateway:
+            upstreams = gateway.assembly.grpc_upstreams
             assert upstreams is not None and upstreams.mirror is not None
-            assert (await gateway.ask(request("hold", b"keyed"))).status == 200
-            assert (await gateway.ask(request("search"))).status == 200
+            assert (await gateway.request(request("hold", b"keyed"))).status == 200
+            assert (await gateway.request(request("search"))).status == 200
             counts = upstreams.mirror.counts
-            await until(lambda: counts.different)
+            await wait_until(lambda: counts.different)
             assert received == ["search"] and counts.mirrored == 1  # unsafe classes are not mirrored
-            assert "svc_new_differs_search_total 1\n" in gateway.server.stats()
-            assert 'answered_total{group="search"} 1\n' in gateway.server.stats()
+            assert "svc_new_differs_search_total 1\n" in gateway.listener.stats()
+            assert 'answered_total{group="search"} 1\n' in gateway.listener.stats()
             operator_file.write_text(
                 '[newer]\ntypes = ["v2"]\nshare = 1.0\nshare_by_class = { search = 0.0 }\n'
             )
-            gateway.instance.apply_operator(parse(config), load_operator(str(operator_file)))
-            replies = [await gateway.ask(request("hold", b"k")), await gateway.ask(request("search"))]
+            gateway.assembly.apply_operator(parse(config), load_operator(str(operator_file)))
+            replies = [await gateway.request(request("hold", b"k")), await gateway.request(request("search"))]
             assert [r.body for r in replies] == [b"other", replies[1].body] and replies[1].body != b"other"
             operator_file.write_text('[newer]\ntypes = ["v2"]\nshare_by_member = { nobody = 0.5 }\n')
             with pytest.raises(ConfigError, match="no member 'nobody'; there are acme, zeta"):
-                gateway.instance.apply_operator(parse(config), load_operator(str(operator_file)))
+                gateway.assembly.apply_operator(parse(config), load_operator(str(operator_file)))
--- a/tests/test_grpc_protocol_router.py
+++ b/tests/test_grpc_protocol_router.py
@@ -17,10 +17,10 @@
     SETTINGS,
     grpc_upstream_fixture,
 )
-from tests.sockets import configuration, on_loop, request, running
+from tests.sockets import configuration, on_event_loop, request, running_gateway
 
 
-@on_loop
+@on_event_loop
 async def test_http1_requests_reach_a_grpc_server_and_untranslatable_ones_are_rejected(
     tmp_path: Path,
 ) -> None:
@@ -35,15 +35,15 @@
     async with grpc_upstream_fixture(on_request=handle_request) as fixture:
         config = configuration(f"127.0.0.1:{fixture.entry.address[1]}")
         config["known"]["endpoints"][0]["type"] = "v2"
-        async with running(config, load_operator(str(operator_file))) as gateway:
-            response = await gateway.ask(request("hold", b"old body"))
+        async with running_gateway(config, load_operator(str(operator_file))) as gateway:
+            response = await gateway.request(request("hold", b"old body"))
             assert (response.status, response.body) == (200, b"new old body")
             assert (
                 received[0].headers["x-call-class"] == "hold" and "idempotency-key-bin" in received[0].headers
             )
-            rejected = await gateway.ask(request(x_call_cost="5", x_again="\x80"))
+            rejected = await gateway.request(request(x_call_cost="5", x_again="\x80"))
             assert rejected.status == 400 and b"x-again" in rejected.body.lower()
-            assert "svc_new_streams_total 1\n" in gateway.server.stats()
+            assert "svc_new_streams_total 1\n" in gateway.listener.stats()
 
 
 def test_a_server_that_changes_its_protocol_is_removed_from_the_other_pool() -> None:
--- a/tests/test_grpc_tls.py
+++ b/tests/test_grpc_tls.py
@@ -16,10 +16,10 @@
     grpc_upstream_fixture,
     warm_up,
 )
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_keys_are_validated_and_kept_if_a_reload_fails(tmp_path: Path) -> None:
     authority = trustme.CA()
     paths = {name: str(tmp_path / name) for name in ("ca", "cert", "key")}
@@ -47,7 +47,7 @@
         fixture.pools.tls_context = lambda: other_credentials.client_context
         fixture.connection.draining = True
         observer = fixture.send()
-        await until(lambda: observer.ends)
+        await wait_until(lambda: observer.ends)
         assert observer.ends[0][0] is Outcome.CONNECT_FAILED
 
 
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -13,10 +13,10 @@
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.policy.peer_observations import Observation
 from tests.observations import STARTED, observations
-from tests.sockets import on_loop, until
+from tests.sockets import on_event_loop, wait_until
 
 
-@on_loop
+@on_event_loop
 async def test_nodes_exchange_observations_and_reject_datagrams_of_non_members() -> None:
     loop = asyncio.get_running_loop()
     events: list[object] = []
@@ -28,7 +28,7 @@
     await asyncio.sleep(0)
     start_times = {n: STARTED for n in range(1, 4)}
 
-    def node(number: int, seen: list[Observation]) -> PeerNode:
+    def make_node(number: int, own_observations: list[Observation]) -> PeerNode:
         return PeerNode(
             number,
             addresses[number],
@@ -36,16 +36,16 @@
             MembershipSettings(period_us=20_000, timeout_us=10_000),
             number,
             events.append,
-            lambda: (seen, []),
+            lambda: (own_observations, []),
             lambda: start_times,
             use_warm_start=number == 0,
         )
 
-    nodes = [node(0, []), node(1, observations(3))]
-    for one_node in nodes:
-        one_node.start()
+    nodes = [make_node(0, []), make_node(1, observations(3))]
+    for node in nodes:
+        node.start()
     try:
-        await until(
+        await wait_until(
             lambda: nodes[0].warm_start_client is not None
             and nodes[0].warm_start_client.result.observations == 3
         )
@@ -53,13 +53,13 @@
         rejected_before = nodes[1].counts.rejected
         for data in (b"", b"nonsense", encode(Datagram(0, 9, [Update(1, 2, 2**40, 0)]))):
             non_member.sendto(data or b"x", addresses[1])
-        await until(lambda: nodes[1].counts.rejected == rejected_before + 3)
+        await wait_until(lambda: nodes[1].counts.rejected == rejected_before + 3)
         non_member.close()
         assert nodes[1].membership.incarnation < 2**40
         nodes[1].close()
-        await until(lambda: nodes[0].membership.alive == 1)
+        await wait_until(lambda: nodes[0].membership.alive == 1)
         assert any("dead" in line for line in nodes[0].describe())
         assert nodes[0].metric_values()["peers_dead"] == 1
     finally:
-        for one_node in nodes:
-            one_node.close()
+        for node in nodes:
+            node.close()
