--- a/sagetrack/grpc/metadata.py
+++ b/sagetrack/grpc/metadata.py
@@ -9,7 +9,7 @@
 from sagetrack.grpc.errors import TranslationError
 
 UNITS_US = {"H": 3_600_000_000, "M": 60_000_000, "S": 1_000_000, "m": 1000, "u": 1, "n": 0.001}
-TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])", re.ASCII)
+TIMEOUT_PATTERN = re.compile(r"(\d{1,8})([HMSmun])", re.ASCII)
 TIMEOUT_VALUE_LIMIT = 100_000_000  # a value has at most 8 digits
 
 
@@ -27,7 +27,7 @@
     Raises:
         TranslationError: The text is not a number of at most 8 digits with a unit.
     """
-    match = TIMEOUT.fullmatch(text)
+    match = TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
         raise TranslationError(
             f"grpc-timeout {text[:20]!r} is not a number of up to 8 digits with a unit of H, M, S, m, u or n"
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -77,16 +77,16 @@
     rejected: int = 0  # mirrored requests rejected for lack of capacity or of a server of the other protocol
     failed: int = 0  # mirrored requests without a response
     too_long: int = 0  # mirrored requests whose response was too long to be buffered
-    different: dict[tuple[int, str], int] = field(default_factory=dict)  # by class index and difference
+    differences: dict[tuple[int, str], int] = field(default_factory=dict)  # by class index and difference
     logged_us: dict[tuple[int, str], int] = field(default_factory=dict)
     max_differences: int = 200  # further keys are counted together as "other"
 
     def record_difference(self, class_index: int, difference: str, now: int) -> bool:
         """Count a difference; returns True if it should be logged."""
         key = (class_index, difference)
-        if key not in self.different and len(self.different) >= self.max_differences:
+        if key not in self.differences and len(self.differences) >= self.max_differences:
             key = (class_index, "other")
-        self.different[key] = self.different.get(key, 0) + 1
+        self.differences[key] = self.differences.get(key, 0) + 1
         last = self.logged_us.get(key)
         if last is not None and now - last < LOG_INTERVAL_US:
             return False
@@ -155,7 +155,7 @@
     def compare(
         self, request: Request, original: Response, mirrored: Response, original_from_grpc: bool
     ) -> None:
-        """Compare the two responses; in a difference, the value of HTTP/1.1 comes first."""
+        """Compare two responses and count the result; descriptions name the HTTP/1.1 response first."""
         http1, grpc = (mirrored, original) if original_from_grpc else (original, mirrored)
         difference = find_difference(http1, grpc, self.ignored)
         if difference is None:
@@ -170,14 +170,14 @@
         """Return the values of the exported metrics."""
         counts = self.counts
         values: dict[str, float] = {
-            "new_compared_total": counts.equal + sum(counts.different.values()),
+            "new_compared_total": counts.equal + sum(counts.differences.values()),
             "new_compared_same_total": counts.equal,
             "new_compared_refused_total": counts.rejected,
             "new_compared_failed_total": counts.failed,
             "new_compared_long_total": counts.too_long,
         }
         by_class: dict[str, int] = {}
-        for (class_index, _), count in counts.different.items():
+        for (class_index, _), count in counts.differences.items():
             by_class[self.class_names[class_index]] = by_class.get(self.class_names[class_index], 0) + count
         return values | {f"new_differs_{name}_total": count for name, count in by_class.items()}
 
@@ -209,9 +209,9 @@
         """Ignore the end, as the request is cancelled."""
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
-        """Count the rejection."""
+        """Count the rejection of the mirrored request."""
         self.mirror.counts.rejected += 1
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
-        """Count the failure."""
+        """Count the failure of the mirrored request."""
         self.mirror.counts.failed += 1
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -91,11 +91,9 @@
         self.migration = migration
         self.on_fallback = on_fallback
         self.endpoints: dict[int, Endpoint] = {}  # by server id, with unscaled weights
-        self.weight_factors = (1.0, 1.0)
-        self.override_factors: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = (
-            {},
-            {},
-        )  # by class and by tenant
+        self.weight_factors = (1.0, 1.0)  # of HTTP/1.1 and of gRPC servers
+        # Additional factors by class and by tenant, on top of `weight_factors`
+        self.override_factors: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = {}, {}
         self.on_override_factors: Callable[[WeightFactorsByIndex, WeightFactorsByIndex], None] | None = None
         self.on_response: Callable[[Request, bool, AnyResponse], None] | None = None
         """Called with each complete response, and whether a gRPC server sent it."""
@@ -126,7 +124,7 @@
         return Endpoint(entry.name, entry.address, listed)
 
     def update_weights(self) -> list[Endpoint]:
-        """Recompute the factors; returns all endpoints with scaled weights if these changed, else none."""
+        """Recompute the factors; returns all endpoints with new weights, or an empty list if unchanged."""
         weight_sums = [0.0, 0.0]
         for entry in self.endpoints.values():
             if entry.listed.status is ServerStatus.READY:
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -269,7 +269,7 @@
             attempt.finish(outcomes.of_reset(code, attempt.request_sent))
 
     def on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
-        """Handle GOAWAY: streams above the last id were not processed; others continue without an error."""
+        """Handle GOAWAY: streams above its last id were not run; others continue, unless it has an error."""
         self.counts.goaways += 1
         self.draining = True
         last_stream_id = event.last_stream_id if event.last_stream_id is not None else LAST_STREAM_ID
--- a/tests/test_grpc_connection_rules.py
+++ b/tests/test_grpc_connection_rules.py
@@ -12,26 +12,26 @@
 from sagetrack.grpc.response_reader import BUFFERED_RESPONSE_BYTES, ResponseReader
 from sagetrack.policy.events import Outcome
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def test_an_idle_or_old_connection_drains() -> None:
-    liveness = Liveness(S)
-    liveness.on_idle(5 * S)
-    limit = int((5 + IDLE_TIMEOUT_S) * S)
+    liveness = Liveness(SECOND_US)
+    liveness.on_idle(5 * SECOND_US)
+    limit = int((5 + IDLE_TIMEOUT_S) * SECOND_US)
     assert not liveness.should_drain(limit, True) and liveness.should_drain(limit + 1, True)
     assert not liveness.should_drain(limit + 1, False)
-    old = int((1 + MAX_AGE_S) * S)
+    old = int((1 + MAX_AGE_S) * SECOND_US)
     assert not liveness.should_drain(old, False) and liveness.should_drain(old + 1, False)
 
 
 def test_a_silent_connection_is_pinged_once_and_times_out_without_an_acknowledgement() -> None:
-    liveness = Liveness(S)
-    due = int((1 + PING_AFTER_S) * S) + 1
+    liveness = Liveness(SECOND_US)
+    due = int((1 + PING_AFTER_S) * SECOND_US) + 1
     assert not liveness.ping_due(due - 1) and liveness.ping_due(due)
     liveness.on_ping_sent(due)
     assert not liveness.ping_due(due + 1)
-    late = due + int(PING_TIMEOUT_S * S) + 1
+    late = due + int(PING_TIMEOUT_S * SECOND_US) + 1
     assert not liveness.ping_timed_out(late - 1) and liveness.ping_timed_out(late)
     liveness.on_ping_ack()
     liveness.on_received(late)
@@ -41,12 +41,12 @@
 def test_control_frames_and_resets_are_limited_in_windows_of_one_second() -> None:
     guard = FloodGuard(0, max_resets_per_s=2)
     assert [guard.record(1, resets=1) for _ in range(3)] == [False, False, True]
-    assert not guard.record(S + 1, resets=1)
+    assert not guard.record(SECOND_US + 1, resets=1)
     guard = FloodGuard(0)
-    exceeded = [guard.record(S, control_frames=1) for _ in range(MAX_CONTROL_FRAMES_PER_S + 1)]
+    exceeded = [guard.record(SECOND_US, control_frames=1) for _ in range(MAX_CONTROL_FRAMES_PER_S + 1)]
     assert exceeded.count(True) == 1 and exceeded[-1]
-    assert not guard.record(2 * S + 2, control_frames=1)
-    assert not any(guard.record(2 * S + 2, resets=1) for _ in range(5000))
+    assert not guard.record(2 * SECOND_US + 2, control_frames=1)
+    assert not any(guard.record(2 * SECOND_US + 2, resets=1) for _ in range(5000))
 
 
 def response(trailers: dict[str, str], *messages: Answer) -> ResponseReader:
--- a/tests/test_grpc_mirroring.py
+++ b/tests/test_grpc_mirroring.py
@@ -30,7 +30,7 @@
         and not counts.record_difference(0, "body", 1)
         and counts.record_difference(0, "status 1 2", 2)
     )
-    assert counts.different == {(0, "body"): 2, (0, "other"): 1}
+    assert counts.differences == {(0, "body"): 2, (0, "other"): 1}
 
 
 @on_event_loop
@@ -52,7 +52,7 @@
             assert (await gateway.request(request("hold", b"keyed"))).status == 200
             assert (await gateway.request(request("search"))).status == 200
             counts = upstreams.mirror.counts
-            await wait_until(lambda: counts.different)
+            await wait_until(lambda: counts.differences)
             assert received == ["search"] and counts.mirrored == 1  # unsafe classes are not mirrored
             assert "svc_new_differs_search_total 1\n" in gateway.listener.stats()
             assert 'answered_total{group="search"} 1\n' in gateway.listener.stats()
