--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -140,7 +140,7 @@
         self.finish(
             [
                 ("grpc-status", str(int(StatusCode.DATA_LOSS))),
-                ("grpc-message", "the response from upstream is incomplete"),
+                ("grpc-message", "the answer broke off"),
             ]
         )
 
--- a/sagetrack/grpc/messages.py
+++ b/sagetrack/grpc/messages.py
@@ -45,9 +45,9 @@
         while len(self._buffer) >= PREFIX.size:
             compressed, length = PREFIX.unpack_from(self._buffer)
             if compressed:
-                raise MessageError("compressed gRPC message; compression is not supported")
+                raise MessageError("a compressed message, which was not asked for")
             if length > self._limit:
-                raise MessageError(f"gRPC message of {length} bytes exceeds the limit of {self._limit}")
+                raise MessageError(f"a message of {length} bytes, over {self._limit}")
             if len(self._buffer) < PREFIX.size + length:
                 return
             message = bytes(self._buffer[PREFIX.size : PREFIX.size + length])
--- a/sagetrack/grpc/metadata.py
+++ b/sagetrack/grpc/metadata.py
@@ -29,9 +29,7 @@
     """
     match = TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
-        raise TranslationError(
-            f"grpc-timeout {text[:20]!r} is not a number of up to 8 digits with a unit of H, M, S, m, u or n"
-        )
+        raise TranslationError(f"grpc-timeout {text[:20]!r} is no number of up to 8 digits with a unit")
     return int(int(match[1]) * UNITS_US[match[2]])
 
 
@@ -49,4 +47,4 @@
     try:
         return base64.b64decode(text + "=" * (-len(text) % 4), validate=True)
     except (binascii.Error, ValueError):
-        raise TranslationError("the value of a -bin field is not valid base64") from None
+        raise TranslationError("a -bin value that is no base64") from None
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -61,7 +61,7 @@
         ):
             # The body is truncated, and must not look complete to the server.
             stream.abort(
-                StatusCode.INVALID_ARGUMENT, f"request body truncated after {streamed_body.received} bytes"
+                StatusCode.INVALID_ARGUMENT, f"a body that ends after {streamed_body.received} bytes"
             )
         else:
             streamed_body.complete()
@@ -77,7 +77,7 @@
             return
         limit = STREAMED_BODY_LIMIT if streamed_body.length is None else streamed_body.length
         if streamed_body.received > limit:
-            stream.abort(StatusCode.RESOURCE_EXHAUSTED, f"request body exceeds {limit} bytes")
+            stream.abort(StatusCode.RESOURCE_EXHAUSTED, f"a body of over {limit} bytes")
 
     def submit(self, stream: DownstreamStream, streamed: bool) -> None:
         """Submit a request to the gateway; if `streamed`, its body is not complete yet."""
@@ -89,7 +89,7 @@
             )
             return
         if not stream.messages or (stream.unpacker.incomplete_bytes and not streamed):
-            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, "the request has no complete message")
+            stream.respond_with_error(StatusCode.INVALID_ARGUMENT, "no whole message")
             return
         try:
             request = self.build_request(stream, streamed)
@@ -100,7 +100,7 @@
             stream.respond_with_error(error.status, str(error))
             return
         if not stream.submit(request):
-            stream.respond_with_error(StatusCode.ALREADY_EXISTS, "a request with this x-call-id is in flight")
+            stream.respond_with_error(StatusCode.ALREADY_EXISTS, "this x-call-id is in use")
 
     def build_request(self, stream: DownstreamStream, streamed: bool) -> Request:
         """Create a request from the buffered messages.
@@ -113,11 +113,9 @@
         head, body, length, budget_us = request_to_http1(stream.headers, stream.messages[0])
         body += b"".join(request_body_chunk(message) for message in stream.messages[1:])
         if length is not None and (len(body) > length or (len(body) < length and not streamed)):
-            raise TranslationError(f"request body of {len(body)} bytes, announced length {length}")
+            raise TranslationError(f"a body of {len(body)} bytes that was to have {length}")
         if length is not None and length > STREAMED_BODY_LIMIT:
-            raise TranslationError(
-                f"request body of {length} bytes exceeds the limit of {STREAMED_BODY_LIMIT}"
-            )
+            raise TranslationError(f"a body of {length} bytes, over {STREAMED_BODY_LIMIT}")
         method, target, headers = split_head(head)
         if streamed:
             stream.start_streaming_body(length, self.body_budget).feed(body)
--- a/sagetrack/grpc/translate.py
+++ b/sagetrack/grpc/translate.py
@@ -43,12 +43,12 @@
     lines = head.rstrip(b"\r\n").split(b"\r\n")
     request_line = lines[0].split(b" ")
     if len(request_line) != 3:
-        raise TranslationError("malformed request line: not a method, target and version")
+        raise TranslationError("a request line that is none")
     headers = []
     for line in lines[1:]:
         name, colon, value = line.partition(b":")
         if not colon or not FIELD_NAME.fullmatch(name):
-            raise TranslationError(f"malformed header field {line[:40]!r}")
+            raise TranslationError(f"a header {line[:40]!r} that is none")
         headers.append((name, value.removeprefix(b" ")))
     return request_line[0].decode("latin-1"), request_line[1], headers
 
@@ -68,12 +68,10 @@
             metadata[IDEMPOTENCY_KEY_METADATA] = encode_binary(value)
         elif lower_name in METADATA_BY_FIELD:
             if not PRINTABLE_ASCII.fullmatch(value):
-                raise TranslationError(
-                    f"{name.decode()} contains bytes that are not allowed in gRPC metadata"
-                )
+                raise TranslationError(f"{name.decode()} has bytes that metadata cannot carry")
             metadata[METADATA_BY_FIELD[lower_name]] = value.decode()
         elif not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"{name.decode()} contains control characters")
+            raise TranslationError(f"{name.decode()} has control characters")
     return method, target, forwarded_fields, metadata
 
 
@@ -187,14 +185,14 @@
     try:
         call = Call.FromString(message)
     except DecodeError:
-        raise TranslationError("a request message does not follow the protobuf schema") from None
+        raise TranslationError("a call that the schema does not know") from None
     if (
         " " in call.method
         or not call.method
         or not PRINTABLE_ASCII.fullmatch(call.target)
         or b" " in call.target
     ):
-        raise TranslationError("the method or target is not allowed in an HTTP/1.1 request line")
+        raise TranslationError("a method or target that no request line can carry")
     lines = [b"%s %s HTTP/1.1" % (call.method.encode(), call.target), *request_field_lines(call, metadata)]
     length = call.length if call.HasField("length") else None
     if call.body or call.method == "POST":
@@ -221,13 +219,13 @@
             continue
         value = overrides.pop(lower_name, field.value)
         if not FIELD_NAME.fullmatch(field.name) or not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"field {field.name[:40]!r} is not a valid HTTP/1.1 header field")
+            raise TranslationError(f"a field {field.name[:40]!r} that is no header")
         lines.append(b"%s: %s" % (field.name, value))
     if "host" not in {f.name.lower().decode("latin-1") for f in call.fields} and ":authority" in metadata:
         overrides[b"Host"] = metadata[":authority"].encode("latin-1")
     for name, value in overrides.items():
         if not FIELD_VALUE.fullmatch(value):
-            raise TranslationError(f"{name.decode()} contains control characters")
+            raise TranslationError(f"{name.decode()} has control characters")
         lines.append(b"%s: %s" % (name, value))
     return lines
 
@@ -241,7 +239,7 @@
     try:
         return Call.FromString(message).body
     except DecodeError:
-        raise TranslationError("a request message does not follow the protobuf schema") from None
+        raise TranslationError("a call that the schema does not know") from None
 
 
 def response_to_grpc(headers: Iterable[Header], body: bytes) -> bytes:
