--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at an upstream server, until its outcome."""
+"""The state of one attempt of a request at an upstream server."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 def is_serving(server: ServerState) -> bool:
-    """Return whether the server serves: the rule for an attempt without a client, such as a probe."""
+    """Return whether the server is serving; used for attempts without a client request, such as probes."""
     return server is ServerState.SERVING
 
 
 def ignore_data(data: bytes) -> None:
-    """Drop a part of a response that nobody streams."""
+    """Ignore a part of a streamed response; the default for attempts that are not streamed."""
 
 
 class AttemptConnection(ResponseSource, Protocol):
-    """What an attempt's end needs of the connection that it is on, or waits for."""
+    """The interface of the connection that an attempt uses or waits for."""
 
     @property
     def is_up(self) -> bool:
@@ -34,44 +34,45 @@
 
     @property
     def has_sent(self) -> bool:
-        """Whether some of an attempt may have been sent on it since it was last idle."""
+        """Whether any byte of an attempt may have been sent since the connection was last idle."""
 
     @property
     def is_paused(self) -> bool:
-        """Whether it is not read for now, as the client takes no more."""
+        """Whether reading is paused because the client reads too slowly."""
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the last byte of what was written is with the kernel."""
+        """Whether the kernel has accepted all written data."""
 
     def abandon(self) -> None:
-        """Close at once, without another word to the attempts on it."""
+        """Close at once, without reporting an outcome to its attempts."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One request to one upstream server, until its outcome.
+    """One request to one upstream server, from its start to its outcome.
 
     Attributes:
         upstream: The upstream server.
-        payload: Makes the bytes to send, from the microseconds that are left when the first of them is sent.
-        timeout_us: How long the response is waited for.
+        payload: Returns the bytes to send, given the time in microseconds that remains at the first byte.
+        timeout_us: The timeout of the attempt.
         on_attempt_ended: Called once, with the outcome and the response if there is one.
-        may_send: Whether the first byte may be sent to a server in this state.
-        on_first_byte: Called when the first byte is sent, in this turn of the loop.
-        on_request_sent: Called when the last byte is with the kernel.
-        on_response_started: Called with the head of a response that is streamed; None if none may be.
-        on_response_data: Called with each part of such a response.
-        streamed_body: What follows the payload.
-        written: Whether the last byte is with the kernel.
-        is_streaming: Whether its response is passed on as it comes.
-        last_progress_us: When a byte of a long body last moved.
-        sent_us: When the attempt began.
-        latency_us: Its duration, up to the beginning of a response that is streamed.
-        connection: The connection that carries it, or that it waits for.
-        connect_task: The task that opens a connection for it.
-        timers: Its timeouts, and its wait for a connection that may be reused soon.
-        ended: Whether it has its outcome.
+        may_send: Returns whether the first byte may be sent to a server in this state.
+        on_first_byte: Called right before the first byte is written, in the same event loop iteration.
+        on_request_sent: Called when the kernel has accepted the last byte of the request.
+        on_response_started: Called with the head of a streamed response; None if responses may not be
+            streamed.
+        on_response_data: Called with each part of the body of a streamed response.
+        streamed_body: The request body that is sent after the payload; None if the payload contains it.
+        written: Whether the kernel has accepted the last byte of the request.
+        is_streaming: Whether the response is being streamed.
+        last_progress_us: Time at which a part of a streamed body was last transferred.
+        sent_us: Start time of the attempt.
+        latency_us: Duration of the attempt, or the time until a streamed response has started.
+        connection: The connection that the attempt uses or waits for.
+        connect_task: The task that opens a connection for the attempt.
+        timers: The timeouts, and the timer of a wait for a connection that may be reused soon.
+        ended: Whether the attempt has an outcome.
     """
 
     upstream: UpstreamServer[Any]
@@ -96,22 +97,22 @@
 
     @property
     def server(self) -> int:
-        """The number of the upstream server."""
+        """The ID of the upstream server in the endpoint list."""
         return self.upstream.id
 
     @property
     def remaining_us(self) -> int:
-        """How long its response is still waited for; the time of a request counts from its last byte."""
+        """Time until the timeout, which does not start before the last byte of the request."""
         if self.streamed_body is not None and not self.streamed_body.is_complete:
             return self.timeout_us
         return self.timeout_us - (now_us() - self.sent_us)
 
     def record_progress(self) -> None:
-        """Note that a byte of a long body has moved: the attempt has not stalled."""
+        """Record that a part of a streamed body was transferred, so that the attempt has not stalled."""
         self.last_progress_us = now_us()
 
     def start_streaming(self) -> None:
-        """Pass the response on as it comes: it has begun in time, and from now on only a stall ends it."""
+        """Mark the response as streamed and cancel the timeouts; only a stall ends the attempt now."""
         self.is_streaming = True
         self.last_progress_us = now_us()
         self.latency_us = self.last_progress_us - self.sent_us
@@ -119,7 +120,7 @@
             timer.cancel()
 
     def finish(self) -> None:
-        """Have no timeout, no connection and no callback of the body any more."""
+        """Mark the attempt as ended, and release its timers, connection and body callbacks."""
         self.ended = True
         if not self.is_streaming:
             self.latency_us = now_us() - self.sent_us
--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts at upstream servers: each gets a connection, is sent, and ends once with its outcome."""
+"""Runs attempts at upstream servers: assigns connections, sends requests and reports outcomes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptRunner:
-    """Carries out attempts. Every attempt that is sent ends once, by its `on_attempt_ended`."""
+    """Runs attempts; calls `on_attempt_ended` exactly once for each attempt that is started."""
 
     def __init__(
         self,
@@ -32,26 +32,27 @@
         self.idle = idle
         self.counts = counts
         self.loop = asyncio.get_running_loop()
-        self.reclaim_descriptor = reclaim_descriptor  # called before a connection is opened
-        self.connections: set[UpstreamConnection] = set()  # up or coming up, to all servers
-        self.buffer = memoryview(bytearray(READ_SIZE))  # of all connections: what is read is copied at once
-        self.transferring: set[Attempt] = set()  # with a long body in transfer
+        self.reclaim_descriptor = reclaim_descriptor  # frees a descriptor before a connection is opened
+        self.connections: set[UpstreamConnection] = set()  # open or connecting, to all servers
+        # The read buffer of all connections; its content is copied after each read.
+        self.buffer = memoryview(bytearray(READ_SIZE))
+        self.transferring: set[Attempt] = set()  # attempts with a streamed request or response body
 
     @property
     def open_connections(self) -> int:
-        """How many connections are up or coming up, to all servers."""
+        """The number of connections that are open or connecting, to all servers."""
         return len(self.connections)
 
     # Sending
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt on an idle connection, or on a new one where none is free."""
+        """Start an attempt on an idle connection, or on a new one if none is available."""
         attempt.sent_us = now_us()
         call_later = self.loop.call_later
         streamed_body = attempt.streamed_body
         if streamed_body is None or streamed_body.is_complete:
             attempt.timers.append(call_later(attempt.timeout_us / 1e6, self.on_timeout, attempt))
-        else:  # the time of a request counts from its last byte
+        else:  # the timeout of a request starts with its last byte
             timeout_s = attempt.timeout_us / 1e6
             streamed_body.on_complete = lambda: attempt.timers.append(
                 call_later(timeout_s, self.on_timeout, attempt)
@@ -62,7 +63,7 @@
         self.assign(attempt)
 
     def assign(self, attempt: Attempt) -> None:
-        """Give an attempt an idle connection, now or once it may be reused, or a new one."""
+        """Assign a connection to an attempt: an idle one, one that may be reused soon, or a new one."""
         upstream = attempt.upstream
         if not self.may_send(attempt, upstream.incarnation):
             self.end(attempt, Outcome.NOT_SENT)
@@ -71,7 +72,7 @@
             if connection.send(attempt):
                 self.counts.reused += 1
                 return
-            # The write itself failed: nothing has reached the server, so the same attempt may start anew.
+            # The write failed: nothing has reached the server, so the attempt may use another connection.
             self.counts.stale += 1
         reusable_soon = self.idle.take_next_reusable(upstream)
         if reusable_soon is not None:
@@ -97,21 +98,21 @@
         connect_task.add_done_callback(lambda task: self.on_connect_finished(task, connection))
 
     def may_send(self, attempt: Attempt, incarnation: Incarnation) -> bool:
-        """Return whether the first byte may be sent to this incarnation, now or once a connection is up.
+        """Return whether the first byte of an attempt may be sent to this incarnation of the server.
 
-        Nothing is sent to a server that drains or is gone from the notice on, and not only from the end of
-        its grace period on: the notice may have counted as received that long before it came.
+        Nothing is sent from the moment that this gateway learns that a server is draining or gone. The grace
+        period does not postpone that: it may have started before the notice reached this gateway.
         """
         return attempt.may_send(attempt.upstream.state(incarnation))
 
     def wait_for(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Let an attempt wait until a connection may be reused."""
+        """Make an attempt wait until a connection may be reused."""
         connection.await_reuse(attempt)
         wait_s = self.idle.reusable_in_s(connection)
         attempt.timers.append(self.loop.call_later(wait_s, self.on_reusable, connection))
 
     def on_reusable(self, connection: UpstreamConnection) -> None:
-        """Send the attempt that has waited for a connection."""
+        """Send the attempt that has waited until this connection may be reused."""
         attempt = connection.take_waiting()
         if attempt is None:
             return
@@ -128,7 +129,7 @@
     # Ending
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Stop waiting, and close the connection: the server notices, and its capacity is free."""
+        """End an attempt and close its connection, so that the server can stop working on it."""
         if attempt.ended:
             return
         connection = attempt.connection
@@ -140,12 +141,12 @@
             connection.abandon()
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Cancel an attempt of which nothing has been sent yet; any other goes on."""
+        """Cancel an attempt if no byte of it has been sent."""
         if attempt.connection is None or not attempt.connection.has_sent:
             self.cancel(attempt, Outcome.NOT_SENT)
 
     def end(self, attempt: Attempt, outcome: Outcome, response: Response | None = None) -> None:
-        """End an attempt with its outcome, unless it has ended."""
+        """End an attempt with this outcome, unless it has already ended."""
         if attempt.ended:
             return
         attempt.finish()
@@ -155,7 +156,7 @@
         attempt.on_attempt_ended(attempt, outcome, response)
 
     def end_stalled(self) -> None:
-        """End attempts whose long body the server has neither taken nor sent for `BODY_STALL_TIMEOUT_S`."""
+        """End attempts whose body transfer the server has stalled for `BODY_STALL_TIMEOUT_S`."""
         oldest_us = now_us() - int(BODY_STALL_TIMEOUT_S * 1e6)
         for attempt in list(self.transferring):
             connection = attempt.connection
@@ -165,22 +166,22 @@
                 self.on_timeout(attempt)
 
     def on_timeout(self, attempt: Attempt) -> None:
-        """End an attempt whose response has not come in time."""
-        # What was never written cannot have run, also when the time ended while connecting.
+        """End an attempt that has timed out."""
+        # A request that was not completely written cannot have been executed.
         self.cancel(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
-        """End an attempt whose connection has not come up in time."""
+        """End an attempt whose connection was not established within the connect timeout."""
         if attempt.connection is not None and not attempt.connection.is_up:
             self.cancel(attempt, Outcome.CONNECT_FAILED)
 
     # Events of connections
 
     def on_connected(self, connection: UpstreamConnection) -> None:
-        """A connection is up: send the attempt that it was opened for."""
+        """Send the attempt for which this connection was opened."""
         attempt = connection.attempt
         if attempt is None or attempt.ended:
-            # It was cancelled in the turn in which it came up, and its task closes it next.
+            # The attempt was cancelled in the event loop iteration in which the connection was established.
             connection.abandon()
             return
         if not self.may_send(attempt, connection.incarnation):
@@ -190,15 +191,16 @@
             self.end(attempt, Outcome.CONNECT_FAILED)
 
     def on_connect_finished(self, connect_task: asyncio.Task[object], connection: UpstreamConnection) -> None:
-        """Account for a connection that did not come up, or was cancelled in the turn in which it did.
+        """Remove a connection that failed, or that was cancelled just as it was established.
 
-        For the latter connection_lost may not be called, and it would count as open for good.
+        In the latter case connection_lost may not be called, and the connection would be counted as open
+        forever.
         """
         if connect_task.cancelled() or connect_task.exception() is not None:
             self.on_lost(connection)
 
     def on_response(self, connection: UpstreamConnection, response: Response) -> None:
-        """A response is complete: its connection is kept if it may be, and its attempt ends."""
+        """End the attempt of a complete response, and keep the connection for reuse if possible."""
         attempt = connection.attempt
         connection.attempt = None
         if attempt is None:
@@ -206,7 +208,7 @@
             return
         outcome = outcome_of(response)
         if outcome is Outcome.OK and not attempt.written:
-            outcome = Outcome.ERROR  # no success can precede the end of its request
+            outcome = Outcome.ERROR  # a response that precedes the end of its request is not a success
         connection.last_response_us = now_us() - attempt.sent_us
         if response.keep_alive and attempt.written and connection.is_flushed:
             connection.resume()
@@ -216,19 +218,19 @@
         self.end(attempt, outcome, response)
 
     def on_stream_started(self, attempt: Attempt) -> None:
-        """The response has begun, in time: from now on only a stall ends it."""
+        """Handle the start of a streamed response, which from now on is limited by the stall timeout only."""
         attempt.start_streaming()
         self.transferring.add(attempt)
 
     def on_protocol_error(self, connection: UpstreamConnection) -> None:
-        """The server sent no valid response: the connection is closed, and its attempt ends."""
+        """Close a connection on which the server sent an invalid response, and end its attempt."""
         attempt = connection.take_attempt()
         connection.close()
         if attempt is not None:
             self.end(attempt, Outcome.ERROR)
 
     def on_lost(self, connection: UpstreamConnection) -> None:
-        """A connection has ended: an attempt that has waited for it gets another, one on it ends."""
+        """End the attempt on a connection that has ended, and reassign an attempt that waited for it."""
         if connection in self.connections:
             self.connections.remove(connection)
             connection.upstream.on_connection_ended()
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A connection for the gateway's own requests, such as those to service discovery."""
+"""Client connection for requests that the gateway itself makes to service discovery."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
         self.pending_response: asyncio.Future[Response] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the loop."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is not a subclass of it
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the response; called by the loop."""
+        """Parse data of the response; called by the event loop."""
         try:
             response = self.responses.feed(data)
         except ResponseError as error:
@@ -40,12 +40,12 @@
             self.pending_response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request in progress; called by the loop."""
+        """Fail the request in progress; called by the event loop."""
         self.transport = None
-        self.fail("the connection ended")
+        self.fail("connection closed before the response was complete")
 
     def fail(self, reason: str) -> None:
-        """Fail the request in progress, and close."""
+        """Fail the request in progress, and close the connection."""
         if self.pending_response is not None and not self.pending_response.done():
             self.pending_response.set_exception(self.make_error(reason))
         self.close()
@@ -61,13 +61,13 @@
         return self.transport is not None and not self.transport.is_closing()
 
     async def request(self, head: bytes) -> Response:
-        """Send a request without a body, and return the response; the wait has no time limit.
+        """Send a request without a body and return the response, without a timeout.
 
         Raises:
             Exception: The request has failed; the exception is created by `make_error`.
         """
         if self.transport is None or self.transport.is_closing():
-            raise self.make_error("the connection has ended")
+            raise self.make_error("cannot send the request, connection is closed")
         self.pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(head)
         return await self.pending_response
@@ -76,10 +76,10 @@
 async def connect(
     address: Address, make_error: Callable[[str], Exception] = ConnectionError
 ) -> DiscoveryConnection:
-    """Open a connection; failures after that are raised as the exceptions that `make_error` creates.
+    """Open a connection, on which later failures raise the exceptions that `make_error` creates.
 
     Raises:
-        OSError: It could not be opened.
+        OSError: The connection could not be opened.
     """
     loop = asyncio.get_running_loop()
     _, connection = await loop.create_connection(lambda: DiscoveryConnection(make_error), *address)
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are read ahead, and handled and responded to one after the other."""
+"""Client connections: pipelined requests are read ahead and handled in order, one at a time."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from sagetrack.http1.request_reader import RequestReader
 from sagetrack.http1.requests import HttpRequest, RequestError
 
-MAX_PIPELINED = 16  # requests read ahead on one connection
-MIN_BODY_RATE = 64_000  # bytes a second at which a body has to come
-BODY_GRACE_S = 2.0  # on top of that
-LINGER_S = 0.5  # for the client to read a response that it did not expect
-WRITE_TIMEOUT_S = 2.4  # for the client to read a response
-# The same for one that is streamed: the kernel takes more only once a third of what it holds has been read,
-# which may be more than a megabyte, and a slow client has done nothing wrong.
+MAX_PIPELINED = 16  # requests that are read ahead on one connection
+MIN_BODY_RATE = 64_000  # minimum average rate of a request body, in bytes per second
+BODY_GRACE_S = 2.0  # time that a request body may take beyond that of `MIN_BODY_RATE`
+LINGER_S = 0.5  # time that the client has to read an error response to a request it is still sending
+WRITE_TIMEOUT_S = 2.4  # time that the client has to read a buffered response
+# Time that the client has to read more of a streamed response. The kernel accepts more data only when a third
+# of its send buffer, which may be larger than a megabyte, has been read, so that a slow client needs longer.
 STREAM_WRITE_TIMEOUT_S = 30.0
 
 
 class ClientContext:
-    """What all clients' connections share, and the list of them.
+    """The state that all client connections share, and the set of these connections.
 
     Attributes:
-        exchange_context: How their requests are handled.
-        drain: The phase of the process.
-        connections: Those that are up.
-        phases: What each of them waits for.
-        paused: Those on which nothing is read for now.
-        close_watcher: Has the kernel report the end of those.
-        body_budget: The memory of all streamed bodies.
-        buffer: What any connection reads into: it is copied at once.
-        closes: Why this process has closed connections.
+        exchange_context: The objects that handle the requests.
+        drain: The drain phase of this process.
+        connections: The open connections.
+        phases: The connections that wait for their client, by phase.
+        paused: The connections on which reading is paused.
+        close_watcher: Detects that a client has closed a connection on which reading is paused.
+        body_budget: The memory budget of all streamed bodies.
+        buffer: The read buffer of all connections; its content is copied right after each read.
+        closes: Counts the connections that this process closes, by reason.
     """
 
     def __init__(self, exchange_context: ExchangeContext, drain: Drain) -> None:
@@ -55,19 +55,19 @@
         self.closes = ClientCloses(exchange_context.gateway)
 
     def watch_paused(self, connection: ClientConnection) -> None:
-        """Have the kernel report the end of a connection on which nothing is read."""
+        """Detect a close by the client on a connection on which reading is paused."""
         self.paused.add(connection)
         self.close_watcher.watch(connection.descriptor, connection.on_hangup)
 
     def unwatch(self, connection: ClientConnection) -> None:
-        """Stop watching a connection, which is read again or has ended."""
+        """Stop watching a connection on which reading has resumed or that has ended."""
         if connection in self.paused:
             self.paused.discard(connection)
             self.close_watcher.unwatch(connection.descriptor)
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client; its requests are handled one after the other."""
+    """One client connection, whose requests are handled in order, one at a time."""
 
     __slots__ = (
         "context",
@@ -89,20 +89,20 @@
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(context.body_budget)
         self.exchange = Exchange(self, context.exchange_context)
-        self.discarded_body: StreamedBody | None = None  # its request has had its response already
+        self.discarded_body: StreamedBody | None = None  # read to its end after the response has been sent
         self.phase = PhaseTracker(self, context.phases)
         self.read_pause = ReadPause(self.phase)
-        self.opened_s = 0.0  # by the clock of the loop
-        self.is_closing = False  # nothing more is read as a request
-        self.write_blocked = False  # the client does not read its responses
+        self.opened_s = 0.0  # when the connection was accepted, in event loop time
+        self.is_closing = False  # the connection is being closed and no more requests are parsed
+        self.write_blocked = False  # the write buffer is full because the client reads too slowly
         self.descriptor = -1
-        self.poll = select.poll()  # asks the kernel what the loop has not seen yet
+        self.poll = select.poll()  # detects data and a close that the event loop has not processed yet
 
     # Connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the loop."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is not a subclass of it
         self.exchange.transport = self.transport
         self.descriptor = transport.get_extra_info("socket").fileno()
         self.poll.register(self.descriptor, select.POLLIN | select.POLLRDHUP)
@@ -111,7 +111,7 @@
         self.phase.enter(self.context.phases.awaiting_first_byte, self.opened_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Clean up after the end; called by the loop."""
+        """Clean up after the connection has ended; called by the event loop."""
         self.context.connections.discard(self)
         self.context.unwatch(self)
         self.phase.enter(None)
@@ -119,30 +119,30 @@
         self.cancel_requests()
 
     def eof_received(self) -> None:
-        """The client has closed, though what was written to it may still be flushed; called by the loop."""
+        """Handle a close by the client; data written before is still flushed. Called by the event loop."""
         self.cancel_requests()
         self.close(CLIENT_LEFT)
 
     def cancel_requests(self) -> None:
-        """Cancel the request of a client that has gone, and handle none of those read ahead."""
+        """Cancel the request of a disconnected client, and drop those that were read ahead."""
         self.reader.requests.clear()
         self.exchange.cancel()
         if self.reader.streamed_body is not None:
             self.reader.streamed_body.abort()
 
     def on_hangup(self) -> None:
-        """The client has gone while nothing is read here, where the loop does not see it."""
+        """Handle a disconnect while reading is paused and the event loop cannot see it."""
         self.abort(CLIENT_LEFT)
         self.cancel_requests()
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, also where the loop has not seen it yet."""
+        """Return whether the client has closed, even if the event loop has not processed it yet."""
         return self.transport is None or self.transport.is_closing() or has_peer_closed(self.poll)
 
     # Phases
 
     def update_phase(self) -> None:
-        """Enter the phase that follows from what has come and which response is due."""
+        """Enter the phase that matches the data received and the state of the response."""
         if self.is_closing:
             return
         reader = self.reader
@@ -160,13 +160,13 @@
             self.phase.await_request(reader.in_body, reader.has_partial_request, has_responded, self.opened_s)
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
-        """Give up a request whose body comes too slowly, unless it is this process that does not read."""
+        """Abandon a request whose body arrives too slowly, unless this process has paused reading."""
         allowed_s = BODY_GRACE_S + self.reader.body_received / MIN_BODY_RATE
         if not self.read_pause.is_active and now_s - since_s > allowed_s:
             self.abandon_request()
 
     def abandon_request(self, error: RequestError | None = None) -> None:
-        """Respond to a request of which the rest has not come in time, and read nothing more."""
+        """Respond with an error, by default 408, to an incomplete request, and stop reading."""
         self.reader.fail(error or RequestError(408, "the request did not come in time"))
         self.handle_read_error()
         self.take_next()
@@ -174,7 +174,7 @@
     # Closing
 
     def may_close(self, purpose: CloseReason) -> DenialReason | None:
-        """Return why it may not be closed now without a response; None if it may."""
+        """Return why the connection may not be closed now without a response; None if it may."""
         state = ClientConnectionState(
             response_pending=self.is_closing or self.exchange.is_busy or bool(self.reader.requests),
             request_incomplete=self.reader.has_partial_request,
@@ -185,9 +185,10 @@
         return may_close(state, purpose)
 
     def reject_incomplete(self) -> None:
-        """During a shutdown: respond to a request of which only a part has come by now.
+        """During a shutdown: respond with 503 to a request that is still incomplete, and close if idle.
 
-        A close without a response could cross its last byte, with which a response is due.
+        If the connection were closed without a response, the last byte of the request could already be on
+        its way, and the client would never get the response that is due for it.
         """
         if self.reader.has_partial_request:
             if self.may_close(CloseReason.DESCRIPTORS_EXHAUSTED) is None:
@@ -196,7 +197,7 @@
             self.close(DRAINED)
 
     def close(self, reason: str = RESPONDED) -> None:
-        """Close once what was written is with the client, and within `WRITE_TIMEOUT_S`."""
+        """Close when all written data has been sent, or after `WRITE_TIMEOUT_S`."""
         self._record_close(reason)
         self.is_closing = True
         if self.transport is not None:
@@ -204,7 +205,7 @@
             self.transport.close()
 
     def abort(self, reason: str = ABORTED) -> None:
-        """Close at once; what the client has not taken yet is lost."""
+        """Close at once; data that is still in the write buffer is lost."""
         self._record_close(reason)
         self.is_closing = True
         self.phase.enter(None)
@@ -212,16 +213,17 @@
             self.transport.abort()
 
     def _record_close(self, reason: str) -> None:
-        """Count why this process closes the connection, unless it does so already."""
+        """Count the close with its reason, unless the connection is already being closed."""
         if self.transport is not None and not self.transport.is_closing():
             awaits_response = self.exchange.awaits_response and not self.write_blocked
             self.context.closes.record(reason, self.exchange.request, awaits_response, self.has_disconnected)
 
     def _linger(self) -> None:
-        """Close after a response that the client does not expect yet, once it has had `LINGER_S` to read it.
+        """Close `LINGER_S` after an error response, so that the client can read it.
 
-        The client may still be sending, and a reset could overtake the response. What it sends meanwhile
-        stays with the kernel, which holds little of it.
+        The client may still be sending, and closing at once would cause a TCP reset that could arrive before
+        it has read the response. Data that it sends meanwhile is not read and stays in the kernel's receive
+        buffer, which is small.
         """
         self.is_closing = True
         assert self.transport is not None
@@ -232,19 +234,19 @@
     # Reading
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the shared buffer, whatever size is suggested; called by the loop."""
+        """Return the shared buffer, regardless of the size hint; called by the event loop."""
         return self.context.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """Make requests of what was read into the buffer, and handle the next one; called by the loop."""
+        """Parse the data read into the buffer, and handle the next request; called by the event loop."""
         if self.is_closing:
-            return  # it follows a request that cannot be read: nothing is known to begin here
+            return  # after a malformed request, the start of the next one is unknown
         self.parse(bytes(self.context.buffer[:size]))
         self.take_next()
         self.update_phase()
 
     def parse(self, data: bytes) -> None:
-        """Parse these bytes after those that were left; reading pauses while some are left again."""
+        """Parse the unparsed data and then `data`; reading pauses while any of it stays unparsed."""
         assert self.transport is not None
         self.reader.feed(data, MAX_PIPELINED)
         self.handle_read_error()
@@ -258,7 +260,7 @@
         self.send_continue()
 
     def resume_parsing(self) -> None:
-        """Parse what was left, as there is capacity again."""
+        """Parse the unparsed data, now that there is capacity for it."""
         if self.transport is None or self.is_closing or self.transport.is_closing():
             return
         if self.reader.unparsed:
@@ -267,11 +269,11 @@
         self.update_phase()
 
     def resume_parsing_soon(self) -> None:
-        """Parse what was left, in the next turn of the loop."""
+        """Call `resume_parsing` in the next iteration of the event loop."""
         asyncio.get_running_loop().call_soon(self.resume_parsing)
 
     def send_continue(self) -> None:
-        """Write `100 Continue` to a client that waits for it, once its request is the next to be handled."""
+        """Send `100 Continue` if the client waits for it and no earlier request is in progress or queued."""
         reader = self.reader
         if not reader.expects_continue or self.is_closing or self.discarded_body is not None:
             return
@@ -283,7 +285,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def handle_read_error(self) -> None:
-        """Respond where the body of the request in progress cannot be read to its end."""
+        """Respond if the body of the request in progress cannot be read completely."""
         if self.discarded_body is not None and self.reader.has_failed:
             self.close()
         self.exchange.fail_body()
@@ -291,7 +293,7 @@
     # Requests and responses
 
     def take_next(self) -> None:
-        """Handle the next request that was read, once the one before has had its response."""
+        """Handle the next request that was read, if none is in progress."""
         if self.transport is None or self.is_closing or self.write_blocked or self.exchange.is_busy:
             return
         if self.read_pause.is_active and has_peer_closed(self.poll):
@@ -304,25 +306,25 @@
         self.send_continue()
 
     def take_next_soon(self) -> None:
-        """Handle the next request in the next turn of the loop, if one may have come."""
+        """Handle the next request in the next iteration of the event loop, if there may be one."""
         if self.reader.requests or self.reader.unparsed:
             asyncio.get_running_loop().call_soon(self.take_next)
 
     def is_last(self, message: HttpRequest) -> bool:
-        """Return whether the connection ends with the response to this request."""
+        """Return whether the connection is closed after the response to this request."""
         if message.streamed_body is not None and not message.streamed_body.is_complete:
-            return True  # its body is incomplete, and the rest is not waited for
+            return True  # the response is sent before the body is complete
         if not message.keep_alive:
             return True
         drain = self.context.drain
         if not drain.is_draining:
             return False
-        # Requests that were read get their responses, also in a shutdown, but not without end.
+        # During a drain, requests that were read still get a response; a shutdown limits this by its cutoff.
         has_more = bool(self.reader.requests) or self.reader.has_partial_request
         return not has_more or drain.is_past_response_cutoff(asyncio.get_running_loop().time())
 
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
-        """Go on with the next request, or close the connection after its last response."""
+        """Continue with the next request, or close the connection after its last response."""
         if not is_last:
             self.take_next_soon()
             self.update_phase()
@@ -336,10 +338,10 @@
             self.close()
 
     def _discard(self, streamed_body: StreamedBody) -> None:
-        """Read the rest of a body that is not needed, and close then.
+        """Read and discard the rest of a request body, then close the connection.
 
-        A close before could reset the connection, which would overtake the response: the client reads it when
-        it has sent everything.
+        Closing before that could cause a TCP reset that discards the response, as some clients read it only
+        after they have sent the whole body.
         """
         self.discarded_body = streamed_body
         streamed_body.discard()
@@ -347,13 +349,13 @@
         self.phase.enter(self.context.phases.receiving_body)
 
     def pause_writing(self) -> None:
-        """The client takes no more for now; called by the loop."""
+        """Pause the response because the write buffer is full; called by the event loop."""
         self.write_blocked = True
         self.exchange.pause()
         self.update_phase()
 
     def resume_writing(self) -> None:
-        """The client takes more again; called by the loop."""
+        """Resume the response because the write buffer has room again; called by the event loop."""
         self.write_blocked = False
         self.exchange.resume()
         self.update_phase()
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client's connection at a time: it goes to the gateway, and its response to the client."""
+"""Request/response exchange on a client connection: submits a request and writes its response."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True)
 class ExchangeContext:
-    """What all exchanges share.
+    """The dependencies that all exchanges share.
 
     Attributes:
         config: The configuration.
-        gateway: Takes the requests.
-        is_ready: What `READY_PATH` reports.
-        check_head: Returns why a request with this head cannot be served here; None if it can.
+        gateway: The gateway to which requests are submitted.
+        is_ready: Returns the readiness that `READY_PATH` reports.
+        check_head: Returns why a request with this head cannot be served; None if it can.
     """
 
     config: Config
@@ -51,26 +51,26 @@
 
 
 class ExchangeOwner(Protocol):
-    """What an exchange needs of its connection."""
+    """The interface of a client connection that its exchange uses."""
 
     def has_disconnected(self) -> bool:
         """Return whether the client has closed the connection."""
 
     def is_last(self, message: HttpRequest) -> bool:
-        """Return whether the connection ends with the response to this request."""
+        """Return whether the connection is closed after the response to this request."""
 
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
-        """The response is written to its end."""
+        """Continue after the last byte of the response has been written."""
 
     def resume_parsing_soon(self) -> None:
-        """There is capacity again for the body of the request."""
+        """Schedule parsing of more of the request body, as there is capacity for it again."""
 
     def abort(self, reason: str = ...) -> None:
         """Close at once."""
 
 
 class Exchange:
-    """The request in progress on a client's connection, and its response; the gateway's `Client`."""
+    """The request in progress on a client connection and its response; the `Client` of the gateway."""
 
     __slots__ = (
         "chunked",
@@ -88,17 +88,17 @@
         self.owner = owner
         self.context = context
         self.transport: asyncio.Transport | None = None
-        self.message: HttpRequest | None = None  # in progress, as it was read
-        self.request: Request | None = None  # the same, as the gateway has it
-        self.source: ResponseSource | None = None  # where a streamed response comes from
-        self.chunked = False  # whether a streamed response is sent in chunks
-        self.ends_connection = False  # whether the connection ends with a streamed response
-        self.has_responded = False  # whether any request on the connection has had its response
+        self.message: HttpRequest | None = None  # the request in progress, as parsed from the connection
+        self.request: Request | None = None  # the same request, as submitted to the gateway
+        self.source: ResponseSource | None = None  # of a streamed response in progress
+        self.chunked = False  # whether the streamed response uses chunked transfer encoding
+        self.ends_connection = False  # whether the connection is closed after the streamed response
+        self.has_responded = False  # whether a response has been written on this connection
 
     # Requests
 
     def start(self, message: HttpRequest) -> None:
-        """Handle the next request: by a response of this process, or by the gateway."""
+        """Handle a request: submit it to the gateway, or respond directly."""
         self.message = message
         try:
             self._handle(message)
@@ -130,31 +130,31 @@
             raise RequestError(400, "this X-Call-Id is in use")
 
     def _address_id(self) -> int:
-        """Identify a client without a name by its address, which others may share: hence the sign."""
+        """Return an ID made from the client address; negative, as several clients may share an address."""
         assert self.transport is not None
         peer = self.transport.get_extra_info("peername")
         return -stable_id(peer[0], 8) if peer else 0
 
     def cancel_request(self) -> None:
-        """Have the gateway cancel the request, if it has it."""
+        """Cancel the request at the gateway, if it has been submitted."""
         request = self.request
         self.request = None
         if request is not None:
             self.context.gateway.cancel_request(request.id)
 
     def cancel(self) -> None:
-        """The client has gone: nothing more of a response is written for it, and its request is cancelled."""
+        """Cancel the request of a disconnected client, and write no more of its response."""
         self.source = None
         self.cancel_request()
 
     def fail_body(self) -> None:
-        """Respond to a long body that was being passed on and cannot be read to its end."""
+        """Fail a request whose body was being forwarded and cannot be read completely."""
         message = self.message
         if message is None or message.streamed_body is None or message.error is None:
             return
         self.cancel_request()
         if self.source is not None:
-            self.owner.abort("broken_body")  # its response has begun: the client sees that it is incomplete
+            self.owner.abort("broken_body")  # the close shows that the response is incomplete
         else:
             self.respond(message.error.status, message.error.headers, f"{message.error}\n".encode())
 
@@ -165,13 +165,13 @@
 
     @property
     def awaits_response(self) -> bool:
-        """Whether a request is with the gateway, and nothing of its response is written."""
+        """Whether a submitted request is in progress and no byte of its response has been written."""
         return self.request is not None and self.source is None
 
     # Responses
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write a complete response at once, and go on with the next request."""
+        """Write a complete response, and continue with the next request."""
         message = self.message
         transport = self.transport
         assert message is not None and transport is not None
@@ -193,28 +193,28 @@
         self.owner.on_response_written(message, is_last)
 
     def on_response(self, request: Request, response: Response) -> None:
-        """Respond with what an upstream server has responded."""
+        """Write the response of an upstream server."""
         if self.request is request:
             self.respond(200, end_to_end_headers(response.headers, NOT_PASSED_BACK), response.body)
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
-        """Respond that the request was rejected, and when to retry if that is known."""
+        """Write a 503 for a rejected request, with a Retry-After header if the delay is known."""
         if self.request is request:
             value = b"%.3f" % (retry_after_us / 1e6)
-            if self.context.config.whole_seconds:  # rounded up: not before it is due
+            if self.context.config.whole_seconds:  # rounded up, so that the client does not retry too early
                 value = b"%d" % -(-retry_after_us // 1_000_000)
             headers = [(b"Retry-After", value)] if retry_after_us > 0 else []
             self.respond(503, headers, b"")
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
-        """Respond that every attempt has failed, or that the time is over."""
+        """Write a 504 if the request has timed out, or a 502 if every attempt has failed."""
         if self.request is request:
             self.respond(504 if timed_out else 502, [], b"")
 
-    # Responses that are streamed
+    # Streamed responses
 
     def on_response_started(self, request: Request, head: Response, source: ResponseSource) -> None:
-        """Write the head of a response that is too long to be buffered."""
+        """Write the head of a streamed response."""
         message = self.message
         transport = self.transport
         if self.request is not request or message is None or transport is None:
@@ -233,12 +233,12 @@
         transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     def on_response_data(self, request: Request, data: bytes) -> None:
-        """Write a part of its body."""
+        """Write a part of the body of a streamed response."""
         if self.request is request and self.transport is not None and data:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
     def on_response_ended(self, request: Request, response: Response) -> None:
-        """Write the end of its body, and go on with the next request."""
+        """Write the end of a streamed response, and continue with the next request."""
         message = self.message
         if self.request is not request or message is None or self.transport is None:
             return
@@ -249,18 +249,18 @@
         self._finish(message, self.ends_connection)
 
     def on_response_aborted(self, request: Request) -> None:
-        """The rest of its body will not come: the client sees that what it has is incomplete."""
+        """Close the connection, which shows the client that the streamed response is incomplete."""
         if self.request is request:
             self.request = None
             self.source = None
             self.owner.abort("broken_answer")
 
     def pause(self) -> None:
-        """The client takes no more for now: have no more of a streamed response sent."""
+        """Pause the source of a streamed response, because the client reads too slowly."""
         if self.source is not None:
             self.source.pause()
 
     def resume(self) -> None:
-        """The client takes more again."""
+        """Resume the source of a streamed response."""
         if self.source is not None:
             self.source.resume()
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream server: it writes a request and reads the response to it."""
+"""Connection to an upstream server: writes the request of an attempt and reads the response."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 from sagetrack.http1.codec import ResponseError, ResponseReader
 from sagetrack.http1.upstream_server import UpstreamServer
 
-STREAM_AFTER_S = 0.05  # a response of unknown length that is incomplete by then is streamed
+STREAM_AFTER_S = 0.05  # time after which an incomplete response of unknown length is streamed
 
 
 class ConnectionOwner(Protocol):
-    """What an upstream connection needs of the one that opened it."""
+    """The interface that an upstream connection uses to report its events to the object that opened it."""
 
     loop: asyncio.AbstractEventLoop
-    buffer: memoryview  # shared by all connections: what is read is copied at once
+    buffer: memoryview  # the read buffer of all connections; its content is copied after each read
 
     def on_connected(self, connection: UpstreamConnection) -> None:
-        """The connection is up."""
+        """Handle an established connection."""
 
     def on_response(self, connection: UpstreamConnection, response: Response) -> None:
-        """A response is complete."""
+        """Handle a complete response."""
 
     def on_protocol_error(self, connection: UpstreamConnection) -> None:
-        """The server sent something that is no valid response."""
+        """Handle data from the server that is not a valid response."""
 
     def on_stream_started(self, attempt: Attempt) -> None:
-        """The response is streamed from here on."""
+        """Handle the start of a streamed response."""
 
     def on_lost(self, connection: UpstreamConnection) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection to an upstream server; it carries one attempt at a time.
+    """One connection to an upstream server, which carries one attempt at a time.
 
     Attributes:
-        owner: Opened it, and is informed of its events.
-        upstream: The server.
-        incarnation: The incarnation of the server that it leads to.
-        attempt: The attempt that it carries.
-        waiting_attempt: The next one, while it waits until the connection may be reused.
-        has_sent: Whether some of the attempt may have been sent.
-        transport: Its transport, from the moment that it is up.
-        responses: Parses what the server sends.
-        is_paused: Whether it is not read for now, as the client takes no more.
-        is_flushed: Whether the last byte of what was written is with the kernel.
-        idle_since_us: When it last had a response, while it is idle.
-        last_response_us: How long its last response took.
+        owner: The object that opened the connection and receives its events.
+        upstream: The upstream server.
+        incarnation: The incarnation of the server to which the connection was opened.
+        attempt: The attempt that uses the connection.
+        waiting_attempt: The next attempt, which waits until the connection may be reused.
+        has_sent: Whether any byte of the current attempt may have been sent.
+        transport: The transport; None until the connection is established.
+        responses: The parser of responses.
+        is_paused: Whether reading is paused because the client reads too slowly.
+        is_flushed: Whether the kernel has accepted all written data.
+        idle_since_us: Time of the last response, while the connection is idle.
+        last_response_us: Duration of the last response, from the start of its attempt.
     """
 
     __slots__ = (
@@ -81,18 +81,18 @@
         self.waiting_attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.responses = ResponseReader(streams=True)
-        self.stream_timer: asyncio.TimerHandle | None = None  # until a response of unknown length is streamed
+        self.stream_timer: asyncio.TimerHandle | None = None  # for a response of unknown length
         self.is_paused = False
-        self.body_written = True  # the whole request has been handed to the transport
+        self.body_written = True  # whether the whole request has been passed to the transport
         self.is_flushed = True
         self.idle_since_us = 0
         self.last_response_us = 0
-        self.poll = select.poll()  # asks the kernel what the loop has not seen yet
+        self.poll = select.poll()  # detects data and a close that the event loop has not processed yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by the loop."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # With no buffer allowed, pause_writing is called at once while the last byte is not yet written.
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is not a subclass of it
+        # With a limit of 0, pause_writing is called whenever the kernel has not accepted all written data.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.owner.on_connected(self)
@@ -103,16 +103,17 @@
         return self.transport is not None
 
     def is_usable(self) -> bool:
-        """Return whether a request may be written: not if the server has closed it or sent anything.
+        """Return whether a request may be sent: not if the server has closed the connection or sent data.
 
-        The kernel is asked, since the loop may not have seen it yet: a request on a connection that the
-        server has closed would end as a reset, and it could not be known whether it has run.
+        This polls the socket, as the event loop may not have processed a close yet. A request sent on a
+        connection that the server has closed would end with a reset, and it would be unknown whether the
+        server has executed it.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
 
     def send(self, attempt: Attempt) -> bool:
-        """Write an attempt; False, with the connection closed, if the write failed."""
+        """Send the request of an attempt; if the write fails, close the connection and return False."""
         self.attempt = attempt
         attempt.connection = self
         self.has_sent = True
@@ -126,12 +127,12 @@
         return False
 
     def await_reuse(self, attempt: Attempt) -> None:
-        """Have this attempt wait until the connection may be reused."""
+        """Make this attempt wait until the connection may be reused."""
         self.waiting_attempt = attempt
         attempt.connection = self
 
     def take_waiting(self) -> Attempt | None:
-        """Return and forget the attempt that waits for the connection; None if there is none."""
+        """Remove and return the attempt that waits for the connection; None if there is none."""
         attempt = self.waiting_attempt
         self.waiting_attempt = None
         if attempt is None or attempt.ended:
@@ -140,13 +141,13 @@
         return attempt
 
     def take_attempt(self) -> Attempt | None:
-        """Return and forget the attempt that the connection carries; None if there is none."""
+        """Remove and return the attempt that uses the connection; None if there is none."""
         attempt = self.attempt
         self.attempt = None
         return attempt
 
     def write(self, data: bytes) -> bool:
-        """Write; False if the connection turned out broken before the last byte was written."""
+        """Write data; return False if the connection was closing before or failed during the write."""
         assert self.transport is not None
         if self.transport.is_closing():
             return False
@@ -154,21 +155,21 @@
         return not self.transport.is_closing()
 
     def close(self) -> None:
-        """Close at once; what is not yet written is lost."""
+        """Close at once; data that is still in the write buffer is lost."""
         self.cancel_stream_timer()
         if self.transport is not None:
             self.transport.abort()
 
     def abandon(self) -> None:
-        """Close at once, and forget the attempts on it, which are given up."""
+        """Close at once, and drop the attempts that use or wait for the connection."""
         self.attempt = None
         self.waiting_attempt = None
         self.close()
 
-    # A request body that is streamed
+    # Streamed request bodies
 
     def start_body(self, attempt: Attempt) -> None:
-        """Begin to send what follows the payload, if anything does."""
+        """Start sending the streamed body, if the request has one."""
         self.body_written = attempt.streamed_body is None
         if attempt.streamed_body is not None:
             attempt.record_progress()
@@ -176,7 +177,7 @@
         self.write_body()
 
     def write_body(self) -> None:
-        """Write what there is of the body, for as long as the server takes it."""
+        """Write the available part of the body, until the write buffer is no longer empty."""
         attempt = self.attempt
         if attempt is None or self.transport is None:
             return
@@ -199,26 +200,26 @@
             attempt.on_request_sent()
 
     def pause_writing(self) -> None:
-        """The server takes no more for now; called by the loop."""
+        """Handle a non-empty write buffer; called by the event loop."""
         self.is_flushed = False
 
     def resume_writing(self) -> None:
-        """All that was written is with the kernel; called by the loop."""
+        """Continue when the kernel has accepted all written data; called by the event loop."""
         self.is_flushed = True
         self.write_body()
 
     # Responses
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the owner's buffer, whatever size is suggested; called by the loop."""
+        """Return the owner's buffer, regardless of the size hint; called by the event loop."""
         return self.owner.buffer
 
     def buffer_updated(self, size: int) -> None:
-        """Take what was read into the buffer; called by the loop."""
+        """Process the data read into the buffer; called by the event loop."""
         self.data_received(bytes(self.owner.buffer[:size]))
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes from the server, and pass on what they complete."""
+        """Parse data from the server, and forward a complete response or a part of a streamed one."""
         try:
             response = self.responses.feed(data)
         except ResponseError:
@@ -239,19 +240,19 @@
             self.stream_timer = self.owner.loop.call_later(STREAM_AFTER_S, self.start_stream)
 
     def cancel_stream_timer(self) -> None:
-        """Do not begin to stream the response by the clock."""
+        """Cancel the timer after which a response of unknown length is streamed."""
         if self.stream_timer is not None:
             self.stream_timer.cancel()
             self.stream_timer = None
 
     def start_stream(self) -> None:
-        """Pass the response on as it comes from here on."""
+        """Start to stream the response, which has been buffered so far."""
         self.cancel_stream_timer()
         attempt = self.attempt
         if attempt is None or attempt.on_response_started is None:
             return
         if not attempt.written:
-            self.owner.on_protocol_error(self)  # no response can precede the end of its request
+            self.owner.on_protocol_error(self)  # a streamed response must not precede the end of its request
             return
         self.owner.on_stream_started(attempt)
         attempt.on_response_started(attempt, self.responses.head(), self)
@@ -260,13 +261,13 @@
             attempt.on_response_data(body)
 
     def pause(self) -> None:
-        """Stop reading: the client takes no more for now."""
+        """Pause reading, because the client reads too slowly."""
         if self.transport is not None and not self.is_paused and not self.transport.is_closing():
             self.is_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again after `pause`."""
+        """Resume reading after `pause`."""
         if self.transport is not None and self.is_paused and not self.transport.is_closing():
             self.is_paused = False
             if self.attempt is not None:
@@ -274,7 +275,7 @@
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection; called by the loop."""
+        """Report the end of the connection; called by the event loop."""
         self.owner.on_lost(self)
 
 
