--- a/sagetrack/http1/__init__.py
+++ b/sagetrack/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: clients' connections, the requests on them, and connection pools to upstream servers."""
+"""HTTP/1.1: client connections, their requests, and connection pools to upstream servers."""
--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -1,4 +1,4 @@
-"""The listening socket: connections of clients are accepted as long as there are descriptors for them."""
+"""Accepts client connections on the listening socket while file descriptors are available."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from sagetrack.core.log import log
 from sagetrack.core.metrics import LabeledCounter
 
-BACKLOG = 1024  # connections that may wait to be accepted
-ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
-ACCEPT_RETRY_S = 0.01  # where there is no descriptor, and none can be reclaimed
-# Errors of accept that may be over in a moment; after any other the next connection may be accepted at once
+BACKLOG = 1024  # maximum number of connections that wait to be accepted
+ACCEPTS_PER_TURN = 16  # connections accepted in one event loop iteration
+ACCEPT_RETRY_S = 0.01  # pause if no descriptor is available and none can be reclaimed
+# Errors of accept after which accepting pauses; after any other the next connection is accepted at once.
 EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-MAX_CONSECUTIVE_EXHAUSTED = 10  # of them in a row: this process may have fewer descriptors than configured
+MAX_CONSECUTIVE_EXHAUSTED = 10  # as this process may have fewer descriptors than configured
 
 
 class Acceptor:
-    """Accepts connections on a listening socket, a few in a turn of the loop."""
+    """Accepts connections on a listening socket, a limited number per event loop iteration."""
 
     def __init__(
         self,
@@ -28,30 +28,31 @@
         reclaim_idle: Callable[[], object],
         connection_factory: Callable[[], asyncio.BaseProtocol],
     ) -> None:
-        self.reclaim = reclaim  # makes sure of a descriptor for one more; False if there is none
-        self.reclaim_idle = reclaim_idle  # closes a client that is idle
-        self.connection_factory = connection_factory  # makes the protocol of an accepted connection
+        self.reclaim = reclaim  # ensures that a descriptor is available; False if none is
+        self.reclaim_idle = reclaim_idle  # closes an idle client connection
+        self.connection_factory = connection_factory  # creates the protocol of an accepted connection
         self.listener: socket.socket | None = None
-        self.pending: set[asyncio.Task[object]] = set()  # accepted, not yet connections
-        self.consecutive_exhausted = 0  # calls of accept in a row for which there was no descriptor or memory
+        self.pending: set[asyncio.Task[object]] = set()  # accepted connections that are being set up
+        self.consecutive_exhausted = 0  # consecutive failures of accept for lack of descriptors or memory
         self.errors = LabeledCounter("accept_errors_total", "error", ())
 
     def start(self, listener: socket.socket) -> None:
-        """Accept connections on this socket, which listens."""
+        """Start to accept connections on this listening socket."""
         self.listener = listener
         asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def accept(self, limit: int = ACCEPTS_PER_TURN) -> bool:
-        """Accept waiting connections, a few in a turn; True if none waits any more.
+        """Accept at most `limit` waiting connections; return whether none is left waiting.
 
-        Descriptors for many of them at once are gained by closing other connections, not by running out.
+        If descriptors are short, other connections are closed before one is accepted, so that a burst of
+        connections does not exhaust the descriptors.
         """
         loop = asyncio.get_running_loop()
         for _ in range(limit):
             if self.listener is None:
                 return True
             if not self.reclaim():
-                # Accepted connections are read first: then some have their response, or may be closed.
+                # Handle the accepted connections first: some may then be closed, which frees descriptors.
                 self._pause()
                 return False
             try:
@@ -69,7 +70,7 @@
         return False
 
     def stop(self) -> None:
-        """Close our descriptor; a shared socket goes on listening in other processes."""
+        """Close this process's descriptor; other processes continue to listen on a shared socket."""
         if self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener.fileno())
             self.listener.close()
@@ -86,10 +87,11 @@
             asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def _handle_error(self, error: OSError) -> bool:
-        """Log an error, and return whether the next connection may be accepted at once.
+        """Log an error of accept, and return whether the next connection may be accepted at once.
 
-        Otherwise accepting pauses for `ACCEPT_RETRY_S`. An idle client is closed only where this process has
-        run out of descriptors many times in a row: the other clients have not caused the error.
+        Otherwise accepting pauses for `ACCEPT_RETRY_S`. An idle client is closed only after this process has
+        run out of descriptors `MAX_CONSECUTIVE_EXHAUSTED` times in a row, as the clients have not caused the
+        error.
         """
         name = errno.errorcode.get(error.errno or 0, "other")
         self.errors.add(name)
@@ -104,9 +106,9 @@
         return False
 
     async def _connect(self, accepted: socket.socket) -> None:
-        with suppress(OSError):  # without TCP_NODELAY responses are only a little later
+        with suppress(OSError):  # optional: without TCP_NODELAY, responses are slightly delayed
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self.connection_factory, accepted)
         except OSError:
-            accepted.close()  # the client has closed it already
+            accepted.close()  # the client has already closed the connection
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -1,4 +1,4 @@
-"""Why this process closes clients' connections: counted by reason, traced, and checked for a due response."""
+"""Accounting of closed client connections: a metric by reason, the event trace, and an invariant."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from sagetrack.core.requests import Request
 from sagetrack.core.send_rules import CloseReason
 
-# Reasons, beside the values of `CloseReason`: labels of an exported metric.
+# Reasons in addition to the values of `CloseReason`. They are label values of an exported metric.
 RESPONDED = "answered"
 DRAINED = "drain"
 ABORTED = "aborted"
-CLIENT_LEFT = "client_left"  # the client has closed, not this process
+CLIENT_LEFT = "client_left"  # closed by the client; not counted
 NOT_TRACED = frozenset({RESPONDED, CloseReason.IDLE.value})
 
 
 class ClientCloses:
-    """Counts the closes of one process.
+    """Counts the client connections that this process closes.
 
     Attributes:
-        counts: Closes by reason, as a metric.
+        counts: The number of closed connections by reason, exported as a metric.
     """
 
     def __init__(self, gateway: Gateway) -> None:
@@ -37,13 +37,13 @@
         awaits_response: bool,
         has_disconnected: Callable[[], bool],
     ) -> None:
-        """Count a close by this process; with a response due it is a violated invariant.
+        """Count a close by this process; report an invariant violation if a response was pending.
 
         Args:
-            reason: Why the connection is closed.
-            request: Its request that is in progress.
-            awaits_response: Whether nothing of the response to that is written, and the client reads.
-            has_disconnected: Asks the kernel whether the client has closed.
+            reason: The reason for the close.
+            request: The request in progress; None if there is none.
+            awaits_response: Whether no byte of its response has been written although the client is reading.
+            has_disconnected: Returns whether the client has closed the connection.
         """
         if reason == CLIENT_LEFT:
             return
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -1,4 +1,4 @@
-"""What clients' connections wait for, and for how long: idle and slow clients are closed by these limits."""
+"""Phases of client connections and their time limits, by which idle and slow clients are closed."""
 
 from __future__ import annotations
 
@@ -13,40 +13,42 @@
 )
 
 FIRST_BYTE_TIMEOUT_S = REQUEST_HEAD_TIMEOUT_S  # from the accept to the first byte
-REQUEST_TIMEOUT_S = 2.4  # for a request without a long body to be complete; the first: since the accept
-KEEPALIVE_S = 20.0  # between requests
-KEEPALIVE_MANY_CLIENTS_S = 2.0  # the same where many connections are up
+# Time limit of a request without a streamed body, from its first byte; for the first request from the accept.
+REQUEST_TIMEOUT_S = 2.4
+KEEPALIVE_S = 20.0  # idle timeout between requests
+KEEPALIVE_MANY_CLIENTS_S = 2.0  # idle timeout while many clients are connected
 
 
 class TimedConnection(Protocol):
-    """What the limits need of a client's connection."""
+    """The interface of a client connection that the time limits use."""
 
     is_closing: bool
 
     def may_close(self, purpose: CloseReason) -> DenialReason | None:
-        """Return why it may not be closed now without a response; None if it may."""
+        """Return why the connection may not be closed now without a response; None if it may."""
 
     def close(self, reason: str = ...) -> None:
-        """Close once what was written is with the client."""
+        """Close when all written data has been sent."""
 
     def abort(self, reason: str = ...) -> None:
         """Close at once."""
 
     def abandon_request(self) -> None:
-        """Respond to a request that has not come in time."""
+        """Respond with an error to a request that is not complete in time."""
 
     def check_body_rate(self, now_s: float, since_s: float) -> None:
-        """Respond to a request whose body comes too slowly."""
+        """Abandon a request whose body arrives too slowly."""
 
 
-Phase = dict[TimedConnection, float]  # since when each connection is in it, the longest first
+Phase = dict[TimedConnection, float]  # entry time of each connection, in order of entry
 
 
 class ConnectionPhases:
-    """Every connection that waits for its client, by what it waits for. Connections enter phases themselves.
+    """The connections that wait for their client, grouped by phase.
 
-    A connection that waits for its upstream server is in no phase. Times are of the loop's clock, in seconds;
-    `closing` has the time at which a connection is aborted in place of the one since which it is there.
+    Connections enter and leave phases by their `PhaseTracker`. A connection that waits for an upstream server
+    is in no phase. Times are event loop times in seconds. `closing` holds the time at which a connection is
+    aborted; the other phases hold the time at which it entered the phase.
     """
 
     def __init__(self) -> None:
@@ -75,10 +77,12 @@
                 connection.abort()
 
     def reclaim(self, purpose: CloseReason, idle_s: float = 0.0) -> bool:
-        """Close the oldest connection without a complete request, to gain a descriptor; False if none may be.
+        """Close one connection without a complete request to free a descriptor; return False if none may be.
 
-        In this order: those whose time for a request has passed, those that never sent one, those idle for
-        at least `idle_s`. Only where no other descriptor can be had, new ones and those still sending follow.
+        Candidates are, in this order: connections without a complete request after `REQUEST_HEAD_TIMEOUT_S`,
+        connections without a first byte after `FIRST_REQUEST_TIMEOUT_S`, and connections that have been idle
+        for at least `idle_s`. For `DESCRIPTORS_EXHAUSTED`, newer connections without a complete request
+        follow. Within a phase, the oldest connection is closed first.
         """
         now_s = asyncio.get_running_loop().time()
         incomplete = (self.awaiting_first_byte, self.receiving_request, self.receiving_body)
@@ -96,12 +100,12 @@
         return False
 
     def count_closing(self) -> int:
-        """Return how many connections end soon, whose descriptors are then free."""
+        """Return the number of connections that are being closed and will free their descriptors soon."""
         return sum(connection.is_closing for connection in self.closing)
 
 
 class PhaseTracker:
-    """The phase of one connection, and since when it is in it."""
+    """Tracks the phase of one connection, and when the connection entered it."""
 
     __slots__ = ("connection", "phase", "phases")
 
@@ -111,13 +115,11 @@
         self.phase: Phase | None = None
 
     def enter(self, phase: Phase | None, since_s: float | None = None) -> None:
-        """Enter a phase; None if the connection does not wait for its client.
-
-        In a phase that it is in already, it keeps the time since which it is there.
+        """Enter a phase. This has no effect if the connection is already in it.
 
         Args:
-            phase: The phase.
-            since_s: The time since which the connection counts as in it; now by default.
+            phase: The new phase; None if the connection does not wait for its client.
+            since_s: The entry time to record; by default the current time.
         """
         if phase is self.phase:
             return
@@ -128,13 +130,13 @@
             phase[self.connection] = asyncio.get_running_loop().time() if since_s is None else since_s
 
     def enter_closing(self, timeout_s: float) -> None:
-        """Have the connection aborted if it has not ended after so long."""
+        """Enter the closing phase, in which the connection is aborted after `timeout_s`."""
         self.enter(self.phases.closing, asyncio.get_running_loop().time() + timeout_s)
 
     def await_request(
         self, in_body: bool, has_partial_request: bool, has_responded: bool, opened_s: float
     ) -> None:
-        """Enter the phase of a connection with no complete request, by what has come of the next one."""
+        """Enter the phase that matches what has been received of the next request."""
         if in_body:
             self.enter(self.phases.receiving_body)
         elif has_partial_request:
@@ -143,10 +145,10 @@
             self.enter(self.phases.idle)
 
     def exclude_pause(self, pause_s: float) -> None:
-        """Do not count so long a pause, which was not the client's, as time for the body."""
+        """Exclude a pause by this process from the time that the client has for the body."""
         if self.phase is self.phases.receiving_body:
             self.phases.receiving_body[self.connection] += pause_s
 
     def since_s(self, opened_s: float) -> float:
-        """Return since when it is in its phase; `opened_s` if it is in none."""
+        """Return when the connection entered its phase; `opened_s` if it is in none."""
         return (self.phase or {}).get(self.connection, opened_s)
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 side of the upstream servers: their list, requests and probes to them."""
+"""Connection pools of the HTTP/1.1 upstream servers, with the requests and probes sent to them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from sagetrack.policy.events import LoadReport, Outcome, ServerStatus
 from sagetrack.policy.settings import Reports, Settings
 
-SWEEP_S = 1.0  # between checks for idle connections and stalled bodies whose time limit has passed
+SWEEP_S = 1.0  # interval of checks for expired idle connections and stalled body transfers
 PROBE_TIMEOUT_US = 250_000
 
 
 class ConnectionPools:
-    """One connection pool for each upstream server, and the gateway's requests over them."""
+    """One connection pool per upstream server; sends the requests of the gateway."""
 
     def __init__(self, settings: Settings, reclaim_descriptor: Callable[[], None] = lambda: None) -> None:
         self.settings = settings
@@ -39,28 +39,28 @@
 
     @property
     def listed(self) -> Collection[int]:
-        """Numbers of the servers on the list."""
+        """The IDs of the servers in the endpoint list."""
         return self.servers.keys()
 
     @property
     def open_connections(self) -> int:
-        """How many connections are up or coming up."""
+        """The number of connections that are open or connecting, to all servers."""
         return self.attempts.open_connections
 
     def server_start_times(self) -> dict[int, int]:
-        """Return when each listed server started, in microseconds, by its number."""
+        """Return the start time of each listed server in microseconds, by server ID."""
         return {number: upstream.started_us for number, upstream in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
-        """Add a server, or update its address, its start time or whether it drains."""
+        """Add a server, or update its address, start time and drain state."""
         listed = entry.listed
         upstream = self.servers.get(listed.server)
         if upstream is None:
             upstream = UpstreamServer(listed.server, entry.name, entry.address, listed.started_us)
             self.servers[listed.server] = upstream
         if upstream.move_to((entry.address, listed.started_us)):
-            # A machine that went silent may not have ended connections of its earlier incarnation, and what
-            # is written there ends as a reset.
+            # A host that crashed may not have closed the connections of its earlier incarnation. Requests
+            # sent on them would end with a reset.
             self.idle.close_all(upstream)
         if listed.status is ServerStatus.READY:
             upstream.mark_serving()
@@ -68,12 +68,12 @@
             self.drain(upstream)
 
     def drain(self, upstream: PooledServer) -> None:
-        """Send nothing more to a server; attempts in flight go on."""
+        """Send no new attempts to a server; attempts in flight continue."""
         upstream.mark_drained()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
-        """Forget a server that is gone; attempts in flight are not cancelled."""
+        """Remove a server from the list; attempts in flight continue."""
         upstream = self.servers.pop(id_, None)
         if upstream is not None:
             self.drain(upstream)
@@ -87,7 +87,7 @@
     # Attempts
 
     def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Send a client's request to a server and wait for so long; None if the server is not listed."""
+        """Start an attempt with a timeout of `wait_us`; return None if the server is not listed."""
         upstream = self.servers.get(server)
         if upstream is None:
             return None
@@ -115,7 +115,7 @@
         return attempt
 
     def probe(self, server: int, on_result: Callable[[Outcome, int, LoadReport | None], None]) -> None:
-        """Request a server's load report; `on_result` gets the outcome, the latency and the report."""
+        """Send a probe to a server; `on_result` gets the outcome, the latency and the load report."""
         upstream = self.servers.get(server)
         if upstream is None:
             return
@@ -131,31 +131,31 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt: the connection is closed, so that the server can tell."""
+        """Cancel an attempt and close its connection, which tells the server to stop."""
         self.attempts.cancel(attempt)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Cancel an attempt of which nothing has been sent yet; any other goes on."""
+        """Cancel an attempt if no byte of it has been sent."""
         self.attempts.cancel_unsent(attempt)
 
-    # Upkeep
+    # Maintenance
 
     def sweep(self) -> None:
-        """Close idle connections and end stalled attempts whose time limit has passed."""
+        """Close expired idle connections, and end attempts with a stalled body transfer."""
         self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
         self.attempts.end_stalled()
         self.idle.close_expired(self.servers.values())
 
     def on_descriptor_needed(self, reclaim_descriptor: Callable[[], None]) -> None:
-        """Set the callback that makes sure of a descriptor before a connection is opened."""
+        """Set the callback that frees a descriptor, if necessary, before a connection is opened."""
         self.attempts.reclaim_descriptor = reclaim_descriptor
 
     def reclaim_idle(self) -> bool:
-        """Close the connection that was idle for the longest time, to gain a descriptor; False if none is."""
+        """Close the longest idle connection to free a descriptor; return False if none is idle."""
         return self.idle.reclaim(self.servers.values())
 
     def close(self) -> None:
-        """Close all idle connections, and end the upkeep."""
+        """Close all idle connections, and stop the periodic maintenance."""
         self.sweep_timer.cancel()
         for upstream in self.servers.values():
             self.idle.close_all(upstream)
--- a/sagetrack/http1/descriptors.py
+++ b/sagetrack/http1/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors: how many this process may have, how clients and upstream servers share them."""
+"""File descriptor budget: the limit of this process, and its split between clients and upstream servers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from sagetrack.http1.connection_phases import ConnectionPhases
 from sagetrack.http1.connection_pool import ConnectionPools
 
-RESERVE = 32  # for all but connections of clients and to upstream servers: discovery, the loop, files
-UPSTREAM_FRACTION = 0.35  # of the rest, which clients leave to connections to upstream servers
-RECLAIM_IDLE_S = 0.3  # a client that is idle for so long is closed first for one that connects
-MANY_CLIENTS_DIVISOR = 3  # of the limit for clients: above this part of it, idle ones are closed sooner
+RESERVE = 32  # descriptors for discovery, the event loop and files
+UPSTREAM_FRACTION = 0.35  # fraction of the remaining descriptors that is kept for upstream connections
+RECLAIM_IDLE_S = 0.3  # idle time after which a client may be closed in favour of a new one
+MANY_CLIENTS_DIVISOR = 3  # above `max_clients` divided by this, idle clients are closed sooner
 
 
 def descriptor_limit(configured: int) -> int:
-    """Raise this process's limit to so many descriptors if its hard limit allows, and return the limit."""
+    """Raise the soft limit to `configured` descriptors, as far as allowed, and return the usable number."""
     try:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     except OSError:
@@ -36,7 +36,7 @@
 
 
 class DescriptorBudget:
-    """Keeps connections within the limit, by closing idle ones where a descriptor is needed."""
+    """Keeps the number of connections within the limit by closing idle ones when a descriptor is needed."""
 
     def __init__(
         self,
@@ -55,39 +55,39 @@
 
     @property
     def limit(self) -> int:
-        """Descriptors for this process: the configured limit is for all processes of the gateway together."""
+        """The limit of this process; the configured limit is shared by all processes of the gateway."""
         return min(self.config.sockets // self.count_processes(), self.process_limit)
 
     @property
     def max_clients(self) -> int:
-        """Connections of clients, so that those to upstream servers keep their part."""
+        """The maximum number of client connections, which leaves `UPSTREAM_FRACTION` to upstream ones."""
         return int((self.limit - RESERVE) * (1 - UPSTREAM_FRACTION))
 
     @property
     def has_many_clients(self) -> bool:
-        """Whether many clients are connected."""
+        """Whether so many clients are connected that idle ones are closed sooner."""
         return self.count_clients() > self.max_clients / MANY_CLIENTS_DIVISOR
 
     @property
     def is_full(self) -> bool:
-        """Whether only the reserve is left."""
+        """Whether no descriptor is left apart from the reserve."""
         return self.count_clients() + self.pools.open_connections + RESERVE >= self.limit
 
     def has_capacity(self) -> bool:
-        """Whether one more client may connect."""
+        """Return whether one more client connection can be accepted without closing another."""
         return self.count_clients() < self.max_clients and not self.is_full
 
     def reclaim_for_client(self) -> bool:
-        """Have a descriptor for one more client, if need be by closing another."""
+        """Ensure that one more client can be accepted, if necessary by closing another; False if not."""
         if self.has_capacity() or self.phases.reclaim(CloseReason.RECLAIM_DESCRIPTOR, RECLAIM_IDLE_S):
             return True
         return not self.is_full or self.phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
 
     def reclaim_for_upstream(self) -> None:
-        """Have a descriptor for a connection to an upstream server: idle clients are closed first.
+        """Free a descriptor for an upstream connection if none is left; idle clients are closed first.
 
-        Otherwise idle clients would displace idle connections to servers, and each request would cost a
-        handshake.
+        Otherwise idle clients would displace idle upstream connections, and each request would need a new
+        TCP handshake.
         """
         if self.is_full and not (
             self.phases.reclaim(CloseReason.RECLAIM_DESCRIPTOR) or self.pools.reclaim_idle()
@@ -95,10 +95,10 @@
             self.phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
 
     def shrink_to_limit(self) -> None:
-        """Close idle connections where the limit has dropped: a second process of this gateway has started.
+        """Close idle connections if the limit has dropped, as another process of this gateway has started.
 
-        Otherwise both together could hold more than the limit, and the next to open a descriptor, perhaps the
-        other process for discovery, would get none.
+        Otherwise the processes together could exceed the configured limit, and opening the next descriptor,
+        for instance that of a discovery connection, would fail.
         """
         over = self.count_clients() + self.pools.open_connections + RESERVE - self.limit
         if over <= 0:
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -1,4 +1,4 @@
-"""Keep-alive of upstream connections: which are kept, which is used next, and when idle ones are closed."""
+"""Reuse and expiry of idle upstream connections."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from sagetrack.http1.upstream_connection import PooledServer, UpstreamConnection
 from sagetrack.policy.settings import Settings
 
-KEEPALIVE_FRACTION = 0.8  # of the server's idle timeout: no connection is kept unused for longer
-SPARE_IDLE_US = 5_000_000  # the same for connections that only a burst has needed
-SPARE_CONNECTIONS = 1  # of a server, which may stay idle for longer than that
+KEEPALIVE_FRACTION = 0.8  # of the idle timeout of the server, after which an idle connection is closed
+SPARE_IDLE_US = 5_000_000  # shorter idle timeout for connections above `SPARE_CONNECTIONS`, used by bursts
+SPARE_CONNECTIONS = 1  # idle connections per server that are kept for the longer timeout
 
 
 @dataclass(slots=True)
 class PoolCounts:
-    """Events of the connection pools since the start."""
+    """Connection pool counters since the start of the process."""
 
     opened: int = 0
     reused: int = 0
@@ -26,11 +26,11 @@
 
 
 class IdleConnections:
-    """The rules for idle connections; the connections themselves are in `UpstreamServer.idle`.
+    """Selects, keeps and closes idle connections, which are stored in `UpstreamServer.idle`.
 
-    A connection is not reused for `REUSE_DELAY_S` after a response. Without that pause, a second response or
-    noise that follows the first by a moment would be taken for the response to the next request; so it
-    arrives while nothing is outstanding, and ends the connection.
+    A connection is not reused for `REUSE_DELAY_S` after a response. Without this delay, surplus data that
+    arrives shortly after a response, such as a second response, could be taken for the response to the next
+    request. With it, the data arrives while no request is outstanding, and the connection is closed.
     """
 
     def __init__(self, settings: Settings, counts: PoolCounts) -> None:
@@ -38,9 +38,9 @@
         self.counts = counts
 
     def take(self, upstream: PooledServer) -> UpstreamConnection | None:
-        """Return the most recently used connection that may be reused now; None if there is none.
+        """Remove and return the most recently used connection that may be reused now; None if there is none.
 
-        The others age, so that those which are not needed are closed.
+        Using the most recent one lets connections that are not needed expire.
         """
         now = now_us()
         expiry_cutoff_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
@@ -59,9 +59,10 @@
         return None
 
     def take_next_reusable(self, upstream: PooledServer) -> UpstreamConnection | None:
-        """Return the connection that may be reused next, if a wait for that is worth it.
+        """Remove and return the connection that may be reused next; None if waiting for it is not worthwhile.
 
-        It is not for a server that responds in less than twice that wait, which would count as slowness.
+        It is not worthwhile for a server that responds in less than twice the delay: the wait would count as
+        latency of the server and make it appear slow.
         """
         idle = upstream.idle
         if idle and idle[0].last_response_us >= 2 * REUSE_DELAY_S * 1e6:
@@ -69,11 +70,11 @@
         return None
 
     def reusable_in_s(self, connection: UpstreamConnection) -> float:
-        """Return how long it is until a connection may be reused."""
+        """Return the time in seconds until a connection may be reused."""
         return REUSE_DELAY_S - (now_us() - connection.idle_since_us) / 1e6
 
     def keep(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for reuse, or close it if its server drains, has restarted or is gone."""
+        """Keep a connection for reuse, or close it if its server is draining, was restarted or is gone."""
         upstream = connection.upstream
         if upstream.drained_us is not None or connection.incarnation != upstream.incarnation:
             connection.close()
@@ -83,7 +84,7 @@
         upstream.idle.append(connection)
 
     def discard(self, connection: UpstreamConnection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a connection that has ended from the idle connections."""
         if connection in connection.upstream.idle:
             connection.upstream.idle.remove(connection)
 
@@ -93,7 +94,7 @@
             upstream.idle.pop().close()
 
     def close_expired(self, servers: Iterable[PooledServer]) -> None:
-        """Close connections that have been idle for too long, well before their server closes them."""
+        """Close connections that have been idle for too long, before their server closes them."""
         now = now_us()
         expiry_cutoff_us = now - int(self.settings.keepalive_us * KEEPALIVE_FRACTION)
         spare_cutoff_us = now - SPARE_IDLE_US
@@ -105,7 +106,7 @@
                 upstream.idle.pop(0).close()
 
     def reclaim(self, servers: Iterable[PooledServer]) -> bool:
-        """Close the connection that was idle for the longest time, to gain a descriptor; False if none is."""
+        """Close the longest idle connection to free a descriptor; return False if none is idle."""
         with_idle = [upstream for upstream in servers if upstream.idle]
         if not with_idle:
             return False
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -1,4 +1,4 @@
-"""Clients' connections: accepted, kept within limits, and drained at a shutdown."""
+"""HTTP/1.1 listener: accepts client connections, enforces their limits and drains them at a shutdown."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from sagetrack.http1.downstream import ClientConnection, ClientContext
 from sagetrack.http1.exchange import ExchangeContext
 
-DRAIN_POLL_S = 0.02  # between checks of what has not ended yet, during a drain
-SWEEP_S = 0.2  # between checks for connections whose time limit has passed
+DRAIN_POLL_S = 0.02  # interval of checks for connections to close during a drain
+SWEEP_S = 0.2  # interval of checks for connections whose time limit has passed
 
 
 class HttpListener:
-    """All connections of clients, from the accept to the end of a graceful shutdown."""
+    """Manages all client connections, from the accept to the end of a graceful shutdown."""
 
     def __init__(self, config: Config, gateway: Gateway, pools: ConnectionPools) -> None:
         self.config = config
@@ -54,18 +54,18 @@
         pools.on_descriptor_needed(self.descriptors.reclaim_for_upstream)
 
     def prepare(self, source: EndpointSource) -> None:
-        """Get servers from this source: no request is admitted before there is a list of them."""
+        """Start the gateway with this endpoint source; requests are admitted once it provides a list."""
         self.gateway.set_process_count(1 + self.siblings.sibling_count)
         self.gateway.start(source)
 
     def start(self, listener: socket.socket) -> None:
-        """Accept clients on this socket, which listens already."""
+        """Accept clients on this listening socket."""
         self.acceptor.start(listener)
         self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
         self.siblings.mark_serving()
 
     def set_head_check(self, check: Callable[[bytes], str | None]) -> None:
-        """Check heads of requests: `check` returns why one cannot be served here, None if it can."""
+        """Set the check of request heads, which returns why a request cannot be served, or None."""
         self.exchange_context.check_head = check
 
     @property
@@ -75,25 +75,25 @@
 
     @property
     def is_listening(self) -> bool:
-        """Whether connections are accepted."""
+        """Whether the listening socket is open in this process."""
         return self.acceptor.listener is not None
 
     @property
     def connections(self) -> set[ClientConnection]:
-        """All connections of clients that are up."""
+        """The open client connections."""
         return self.context.connections
 
     @property
     def body_budget(self) -> BodyMemoryBudget:
-        """What all streamed bodies may hold together."""
+        """The memory budget of all streamed bodies."""
         return self.context.body_budget
 
     def count_clients(self) -> int:
-        """Return how many connections of clients are up or coming up."""
+        """Return the number of client connections that are open or being set up."""
         return len(self.connections) + len(self.acceptor.pending)
 
     def sweep(self) -> None:
-        """Close connections whose time limit has passed, and follow the number of processes side by side."""
+        """Close connections whose time limit has passed, and apply changes of the number of processes."""
         loop = asyncio.get_running_loop()
         previous_count = self.siblings.sibling_count
         self.siblings.refresh()
@@ -103,26 +103,26 @@
         self.sweep_timer = loop.call_later(SWEEP_S, self.sweep)
         self.context.phases.close_expired(loop.time(), self.descriptors.has_many_clients)
 
-    # Commands of the admin address
+    # Admin commands
 
     def status(self) -> bool:
         """Return whether this process accepts clients and can serve them."""
         return self.is_ready
 
     def stats(self) -> str:
-        """Return all metrics, a line each."""
+        """Return all metrics, one per line."""
         return self.gateway.metrics.render()
 
     def peers(self) -> str:
-        """Return other gateways as this one sees them, a line each."""
+        """Return the state of other gateways as seen by this one, one per line."""
         return "".join(f"{line}\n" for line in self.describe_peers())
 
     def trace(self) -> str:
-        """Return the latest events out of the ordinary, a line each."""
+        """Return the entries of the event trace, one per line."""
         return "".join(f"{line}\n" for line in self.gateway.trace.lines())
 
     def standby(self) -> bool:
-        """Begin a drain, which lasts until `active`; False during a shutdown."""
+        """Start a drain, which lasts until `active`; return False during a shutdown."""
         begun = self.drain.begin_standby(asyncio.get_running_loop().time())
         self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         if begun and self.drain_timer is None:
@@ -130,7 +130,7 @@
         return begun
 
     def active(self) -> bool:
-        """End a drain; False during a shutdown."""
+        """End a drain; return False during a shutdown."""
         ended = self.drain.end_standby(asyncio.get_running_loop().time())
         self.gateway.trace.record(TraceEventKind.STATE_CHANGED, "process", self.drain.phase.value)
         return ended
@@ -138,10 +138,10 @@
     # Shutdown
 
     async def shut_down(self) -> None:
-        """Shut down gracefully: every request that was read or waits to be accepted gets its response first.
+        """Shut down gracefully: return when all requests have a response and all connections are closed.
 
-        It takes as long as that does. What has no response shortly before the process may be killed is
-        responded to with an error then.
+        This includes requests on connections that wait to be accepted. Requests that are still pending
+        shortly before the process may be killed get an error response.
         """
         loop = asyncio.get_running_loop()
         self.drain.begin_shutdown(loop.time())
@@ -150,7 +150,7 @@
         self.siblings.mark_draining()
         self.siblings.refresh()
         if self.siblings.serving_sibling_count:
-            self.stop_listening()  # another process accepts what waits and what comes
+            self.stop_listening()  # another process accepts waiting and new connections
         self.close_idle()
         while self.is_listening or self.connections or self.acceptor.pending:
             if self.is_listening and loop.time() >= self.drain.since_s + SHUTDOWN_ACCEPT_S:
@@ -161,16 +161,16 @@
             await asyncio.sleep(DRAIN_POLL_S)
 
     def stop_listening(self) -> None:
-        """Close our descriptor of the listening socket.
+        """Close this process's descriptor of the listening socket, if that loses no waiting connection.
 
-        Where no other process serves on it, waiting connections are accepted first, as far as descriptors
-        allow; if they do not, the socket stays open until others have had their responses.
+        If no other process serves on the socket, waiting connections are accepted first. If there are not
+        enough descriptors for that, the socket stays open until other connections have been closed.
         """
         if self.is_listening and (self.siblings.serving_sibling_count or self.acceptor.accept(BACKLOG)):
             self.acceptor.stop()
 
     def close_idle(self) -> None:
-        """During a drain: close idle connections as soon as their time has come."""
+        """Close idle connections as soon as the drain allows it, and repeat until the drain ends."""
         loop = asyncio.get_running_loop()
         self.drain_timer = loop.call_later(DRAIN_POLL_S, self.close_idle) if self.drain.is_draining else None
         now_s = loop.time()
@@ -180,7 +180,7 @@
                 connection.close(DRAINED)
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close the listening socket and all connections at once."""
         self.acceptor.stop()
         for timer in (self.sweep_timer, self.drain_timer):
             if timer is not None:
--- a/sagetrack/http1/read_pause.py
+++ b/sagetrack/http1/read_pause.py
@@ -1,4 +1,4 @@
-"""Back-pressure on a client: nothing is read from it while what it has sent waits to be parsed."""
+"""Back-pressure on a client: reading is paused while data that it has sent is not parsed yet."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class ReadPause:
-    """Whether one connection is read, and since when it is not."""
+    """Pauses and resumes reading on one connection."""
 
     __slots__ = ("_phase", "_since_s")
 
     def __init__(self, phase: PhaseTracker) -> None:
         self._phase = phase
-        self._since_s: float | None = None  # None: the connection is read
+        self._since_s: float | None = None  # start of the pause; None if reading is not paused
 
     @property
     def is_active(self) -> bool:
-        """Whether nothing is read for now."""
+        """Whether reading is paused."""
         return self._since_s is not None
 
     def begin(self, transport: asyncio.Transport) -> bool:
-        """Read nothing more, so that the loop does not see the client close; False if that is so already."""
+        """Pause reading, which hides a close by the client from the event loop; False if already paused."""
         if self._since_s is not None:
             return False
         self._since_s = asyncio.get_running_loop().time()
@@ -30,9 +30,9 @@
         return True
 
     def end(self, transport: asyncio.Transport) -> bool:
-        """Read again; False if the connection is read.
+        """Resume reading; return False if it was not paused.
 
-        The pause was not the client's, and does not count as time for its body.
+        The pause is not counted as time that the client took for its body, as this process caused it.
         """
         if self._since_s is None:
             return False
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""The reader of one client's requests, which enforces the limits on their size."""
+"""Parser of the requests on a client connection, which enforces size limits."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, find_header, strip_whitespace
 from sagetrack.http1.requests import HttpRequest, RequestError
 
-SLICE = 4096  # bytes parsed between looks at how many requests they contained
-BODY_SLICE = 32 * 1024  # the same in a long body
+SLICE = 4096  # bytes parsed at once, before the number of parsed requests is checked
+BODY_SLICE = 32 * 1024  # maximum bytes parsed at once in a streamed body of known length
 
 
 class RequestReader:
-    """Turns the bytes of one client's connection into requests.
+    """Parses the data of one client connection into requests.
 
-    A body that is longer than `BODY_LIMIT` is streamed: its request is handed over before it is complete.
+    A body longer than `BODY_LIMIT` is streamed: its request is added to `requests` before it is complete.
     """
 
     __slots__ = (
@@ -41,32 +41,33 @@
         self.current_request: HttpRequest | None = None
         self._body_size = 0
         self.in_body = False
-        self.expects_continue = False  # the request that is being read waits for `100 Continue`
-        self._unreported = 0  # bytes since the parser last reported anything
-        self._fed_us = 0  # when the newest bytes were read: what waits unparsed came with them
-        self.requests: deque[HttpRequest] = deque()  # read and not yet taken
-        self.unparsed = b""  # as enough requests wait
-        self.has_failed = False  # nothing more is read
+        self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
+        self._unreported = 0  # bytes parsed since the last parser callback that limits a size
+        self._fed_us = 0  # when the last data was received, which includes the unparsed data
+        self.requests: deque[HttpRequest] = deque()  # requests that were parsed and are not handled yet
+        self.unparsed = b""  # data that is not parsed yet because enough requests are waiting
+        self.has_failed = False  # a request was invalid, and no more data is parsed
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether part of a request has come, and not all of it."""
+        """Whether an incomplete request or unparsed data has been received."""
         return self.current_request is not None or self._unreported > 0 or bool(self.unparsed)
 
     @property
     def streamed_body(self) -> StreamedBody | None:
-        """The long body that is being read."""
+        """The streamed body of the request that is being read; None if it has none."""
         return self.current_request.streamed_body if self.current_request is not None else None
 
     @property
     def body_received(self) -> int:
-        """Bytes of the body that is being read."""
+        """Bytes received of the body of the current request."""
         return self._body_size
 
     def feed(self, data: bytes, limit: int) -> None:
-        """Parse until `limit` requests wait: hundreds at once must not delay everyone else.
+        """Parse data until `limit` requests are waiting.
 
-        What cannot be read ends as a request with an `error`, after which nothing more is read.
+        The limit prevents hundreds of pipelined requests from delaying other clients. Invalid data results in
+        a request with an `error`, after which nothing more is parsed.
         """
         if data:
             self._fed_us = now_us()
@@ -77,7 +78,7 @@
         while at < len(view) and not self.has_failed and len(self.requests) < limit:
             streamed_body = self.streamed_body
             if streamed_body is not None and streamed_body.is_full:
-                break  # back-pressure: the rest waits, and the client with it
+                break  # back-pressure: the rest stays unparsed until there is capacity
             size = SLICE
             if streamed_body is not None and streamed_body.length is not None:
                 size = max(SLICE, min(BODY_SLICE, streamed_body.length - streamed_body.received))
@@ -89,14 +90,14 @@
         self.unparsed = b"" if self.has_failed else bytes(view[at:])
 
     def fail(self, error: RequestError) -> None:
-        """Have this error responded to after the requests that were read before, and read nothing more."""
+        """Record an error, to which the response follows those of earlier requests, and stop parsing."""
         self.has_failed = True
         current_request = self.current_request
         self.current_request = None
         self.unparsed = b""
         self.in_body = False
         if current_request is not None and current_request.streamed_body is not None:
-            current_request.error = error  # the connection has had the request since its head was read
+            current_request.error = error  # the connection already has the request, as its body is streamed
             current_request.streamed_body.abort()
         else:
             self.requests.append(HttpRequest(error))
@@ -110,32 +111,32 @@
         except httptools.HttpParserError as error:
             cause = error.__context__
             return cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
-        # The parser reports a header only once it is complete, and nothing of a chunk's extension or of blank
-        # lines: without this limit each could go on without end.
+        # The parser reports a header only when it is complete, and does not report chunk extensions and blank
+        # lines at all. Without this limit, each of them could be of any length.
         return RequestError(431, "the head is too long") if self._unreported > HEAD_LIMIT else None
 
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """A request begins; called by the parser."""
+        """Start a request; called by the parser."""
         self.current_request = HttpRequest()
         self._body_size = 0
         self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target is here; called by the parser."""
+        """Add a part of the request target; called by the parser."""
         assert self.current_request is not None
         self.current_request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header is complete; called by the parser."""
+        """Add a header; called by the parser, also for trailers, which are ignored."""
         assert self.current_request is not None
         if self.in_body:
-            return  # a trailer: it may be left out, and must not stand for a header that was checked
+            return  # trailers may be dropped, and must not replace headers that have been checked
         self.current_request.headers.append((name, strip_whitespace(value)))
 
     def on_headers_complete(self) -> None:
-        """All headers are here; called by the parser."""
+        """Check the complete head; called by the parser."""
         request = self.current_request
         assert request is not None
         self._unreported = 0
@@ -162,7 +163,7 @@
             self.expects_continue = True
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body is here; called by the parser."""
+        """Add a part of the body; called by the parser."""
         assert self.current_request is not None
         request = self.current_request
         self._unreported = 0
@@ -177,7 +178,7 @@
             self._stream_body(request, None)
 
     def _stream_body(self, request: HttpRequest, length: int | None) -> None:
-        """Stream the body from here on, and hand the request over before it is complete."""
+        """Start to stream the body, and queue the request before it is complete."""
         request.keep_alive = self._parser.should_keep_alive()
         request.streamed_body = StreamedBody(length, self._body_budget)
         for piece in request.body:
@@ -186,7 +187,7 @@
         self.requests.append(request)
 
     def on_message_complete(self) -> None:
-        """A request is complete; called by the parser."""
+        """Queue a complete request, or complete its streamed body; called by the parser."""
         request = self.current_request
         assert request is not None
         self.current_request = None
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -1,6 +1,6 @@
-"""A client's HTTP message, and the checks that make it a request of the gateway.
+"""HTTP requests of clients, and their validation and conversion into requests of the gateway.
 
-The texts of `RequestError` are sent to clients as they stand.
+The messages of `RequestError` are sent to clients unchanged.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from sagetrack.http1.codec import ProtocolError, end_to_end_headers
 from sagetrack.policy.settings import Effect, RequestClass
 
-ID_LIMIT = 128  # bytes of X-Call-Id
-DIGITS_LIMIT = 15  # of a number in a header
+ID_LIMIT = 128  # maximum bytes of X-Call-Id
+DIGITS_LIMIT = 15  # maximum digits of a number in a header
 NOT_FORWARDED = frozenset({b"x-budget-ms"})
-SINGLE_HEADERS = frozenset(  # headers that may come only once
+SINGLE_HEADERS = frozenset(  # headers that may occur only once
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
 )
 
 
 class RequestError(ProtocolError):
-    """Why this process itself responds to a request, and with which status."""
+    """A request is invalid or cannot be served; has the status and headers of the error response."""
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
         super().__init__(reason)
@@ -32,7 +32,7 @@
 
 
 class HttpRequest:
-    """One request as it was read; with an `error`, neither it nor anything after it can be read."""
+    """One request as parsed; if `error` is set, neither it nor any data after it can be parsed."""
 
     __slots__ = (
         "body",
@@ -53,9 +53,9 @@
         self.body: list[bytes] = []
         self.keep_alive = False
         self.error = error
-        self.streamed_body: StreamedBody | None = None  # its body, if that is too long to be buffered
+        self.streamed_body: StreamedBody | None = None  # the body, if it is too long to be buffered
         self.version = "1.1"
-        self.received_us = 0  # when its last byte was read
+        self.received_us = 0  # when the last byte of the request was received
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,8 +63,8 @@
     """A request as it is forwarded to an upstream server.
 
     Attributes:
-        head: The request line and headers, all but the budget and the empty line.
-        body: The body; empty where it is streamed.
+        head: The request line and headers, without X-Budget-Ms and the final empty line.
+        body: The body; empty if it is streamed.
     """
 
     head: bytes
@@ -72,10 +72,10 @@
 
 
 def read_request(message: HttpRequest, path: bytes, config: Config, client: Client) -> Request:
-    """Return the request as the gateway takes it.
+    """Validate an HTTP request and convert it into a request of the gateway.
 
     Raises:
-        RequestError: It is not one that this gateway serves.
+        RequestError: The request is invalid or cannot be served by this gateway.
     """
     headers = _unique_headers(message)
     names = config.names
@@ -86,7 +86,7 @@
     budget_ms = _whole_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
     body = b"".join(message.body)
     client_name = headers.get(config.client_header)
-    # No client waits for longer than its class allows: a longer budget is cut to that.
+    # A budget longer than the request timeout of the class is reduced to that timeout.
     client_timeout_us = (
         settings.request_timeout_us
         if budget_ms is None
@@ -121,7 +121,7 @@
 def _class_of(
     message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: Names
 ) -> int:
-    """Return the index of the class that the path names, and X-Call-Class too if it is there."""
+    """Return the index of the class named in the path; X-Call-Class must name the same class if present."""
     if class_header is not None and class_header not in names.classes:
         raise RequestError(400, "unknown class")
     if not parts or not path.startswith(b"/") or parts[0] not in names.classes:
@@ -134,7 +134,7 @@
 
 
 def _check_class_rules(message: HttpRequest, settings: RequestClass, headers: dict[bytes, bytes]) -> bytes:
-    """Check the method and headers that the class requires, and return the X-Call-Id."""
+    """Check the method and the headers that the class requires, and return the X-Call-Id."""
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
     if message.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
@@ -155,7 +155,7 @@
 
 
 def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
-    """Return the head as it is forwarded, without the budget and the empty line."""
+    """Return the head to forward, without X-Budget-Ms and the final empty line."""
     lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
     lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, NOT_FORWARDED)]
     length = len(body) if message.streamed_body is None else message.streamed_body.length
--- a/sagetrack/http1/response_outcome.py
+++ b/sagetrack/http1/response_outcome.py
@@ -1,4 +1,4 @@
-"""What an upstream server's response means for the load balancer: an outcome, and a load report."""
+"""Derives the outcome and the load report for the load balancer from an upstream response."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from sagetrack.policy.events import LoadReport, Outcome
 from sagetrack.policy.parsing import parse_load
 
-LOAD_REPORT_FORMAT = "TEXT"  # the only one of `X-Load-Report` that is read
+LOAD_REPORT_FORMAT = "TEXT"  # the only supported format of the `X-Load-Report` header
 
 
 def outcome_of(response: Response) -> Outcome:
     """Classify a complete response.
 
-    A 503 or 504 counts as rejected only if the server marks it with `X-Rejected: 1`; every other status but
-    200 is an error.
+    Status 200 is a success. Status 503 and 504 are rejections if the server adds `X-Rejected: 1`. Everything
+    else is an error.
     """
     if response.status == 200:
         return Outcome.OK
@@ -24,7 +24,7 @@
 
 
 def load_report_of(response: Response | None) -> LoadReport | None:
-    """Return the load report that came with a response; None without one that can be parsed."""
+    """Return the load report in a response; None if there is none or it cannot be parsed."""
     text = find_header(response.headers, b"x-load-report") if response is not None else None
     if text is None:
         return None
--- a/sagetrack/http1/upstream_server.py
+++ b/sagetrack/http1/upstream_server.py
@@ -1,4 +1,4 @@
-"""One upstream server, as far as its connection pool knows it: address, drain state and open connections."""
+"""State of an upstream server in the connection pool: address, drain state and connections."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from sagetrack.core.clock import now_us
 from sagetrack.core.send_rules import ServerState
 
-Incarnation = tuple[Address, int]  # where a server listens and when it started
+Incarnation = tuple[Address, int]  # address and start time of a server
 Connection = TypeVar("Connection")
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamServer(Generic[Connection]):
-    """One upstream server, with the connections to it.
+    """One upstream server and its connections.
 
-    The server does not use its connections, so that their type is a parameter: `IdleConnections` decides
-    which of them are kept and used.
+    This class only stores the connections, so that their type is a type parameter. `IdleConnections` decides
+    which connections are kept and reused.
 
     Attributes:
-        id: Its number in the endpoint list.
-        name: Its name there.
-        address: Where it listens.
-        started_us: When it started, as service discovery reports it.
-        drained_us: When this gateway learned that it drains or is gone; None while it serves.
-        idle: The connections that wait for an attempt, the most recently used last.
-        open_connections: How many connections are up or coming up.
+        id: The ID of the server in the endpoint list.
+        name: The name of the server in the endpoint list.
+        address: The address on which the server listens.
+        started_us: The start time of the server, as reported by service discovery.
+        drained_us: When this gateway learned that the server is draining or gone; None while it is serving.
+        idle: The idle connections, the most recently used last.
+        open_connections: The number of connections that are open or connecting.
     """
 
     id: int
@@ -40,29 +40,29 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The address and start time that tell a restarted or moved server from the one before."""
+        """The address and start time, which change when the server is restarted or moved."""
         return self.address, self.started_us
 
     def state(self, incarnation: Incarnation) -> ServerState:
-        """Return what has become of the server since it was this incarnation."""
+        """Return the current state of the server, compared with this earlier incarnation."""
         if self.drained_us is not None:
             return ServerState.WITHDRAWN
         return ServerState.SERVING if self.incarnation == incarnation else ServerState.RESTARTED
 
     def move_to(self, incarnation: Incarnation) -> bool:
-        """Take over the address and start time of a newer endpoint list; True if either has changed."""
+        """Update the address and start time; return whether either has changed."""
         if self.incarnation == incarnation:
             return False
         self.address, self.started_us = incarnation
         return True
 
     def mark_drained(self) -> None:
-        """Note that the server drains or is gone, from the first notice of that on."""
+        """Mark the server as draining or gone; the time of the first call is kept."""
         if self.drained_us is None:
             self.drained_us = now_us()
 
     def mark_serving(self) -> None:
-        """Note that the server is ready, perhaps again."""
+        """Mark the server as serving."""
         self.drained_us = None
 
     def on_connection_opening(self) -> None:
@@ -70,5 +70,5 @@
         self.open_connections += 1
 
     def on_connection_ended(self) -> None:
-        """Count a connection that has ended or did not come up."""
+        """Uncount a connection that has ended or could not be opened."""
         self.open_connections -= 1
