--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies, both ways: passed on as they come, bounded in memory, whole or visibly not."""
+"""Streamed request and response bodies: forwarding, memory limits, and visible truncation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 from sagetrack.core.bodies import MAX_BUFFER_PER_BODY, MIN_BUFFER_PER_BODY, BodyMemoryBudget, StreamedBody
-from sagetrack.http1 import downstream as client_module
+from sagetrack.http1 import downstream as downstream_module
 from sagetrack.http1 import request_reader as reader_module
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.policy.events import (
@@ -43,7 +43,7 @@
 from tests.test_gateway_process import connect, gateway_process
 
 MEGABYTE = 1024 * 1024
-LONG = bytes(range(251)) * 1000  # 251,000 bytes; no two places of it look alike to an off-by-one
+LONG = bytes(range(251)) * 1000  # 251,000 bytes; a shift by one byte is detected everywhere
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG)
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -63,7 +63,7 @@
 
 
 async def read_answer(client: Client) -> tuple[int, dict[str, str], bytes]:
-    """A status, headers and a body in either framing."""
+    """Read a response with either framing; return its status, headers and body."""
     first, *lines = (await client.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     if headers.get("transfer-encoding") == "chunked":
@@ -74,24 +74,24 @@
 
 
 @dataclass
-class Sink:
-    """A host that reads request bodies in either framing, and says how they ended."""
+class BodyServer:
+    """A server that reads request bodies with either framing, and records complete and truncated ones."""
 
     address: str = ""
-    whole: list[bytes] = field(default_factory=list)
+    complete: list[bytes] = field(default_factory=list)
     heads: list[bytes] = field(default_factory=list)
-    broken: int = 0
+    truncated: int = 0
 
 
 @asynccontextmanager
-async def sink(gate: Callable[[], Awaitable[None]] | None = None) -> AsyncIterator[Sink]:
-    made = Sink()
+async def body_server(gate: Callable[[], Awaitable[None]] | None = None) -> AsyncIterator[BodyServer]:
+    server_state = BodyServer()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                made.heads.append(head)
+                server_state.heads.append(head)
                 if gate is not None:
                     await gate()
                 if b"chunked" in head:
@@ -99,18 +99,18 @@
                 else:
                     length = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
                     body = await reader.readexactly(length)
-                made.whole.append(body)
+                server_state.complete.append(body)
                 writer.write(reply(200, b"%d" % len(body)))
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-            made.broken += len(made.heads) > len(made.whole)
+            server_state.truncated += len(server_state.heads) > len(server_state.complete)
         finally:
             writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    made.address = f"{host}:{port}"
+    server_state.address = f"{host}:{port}"
     try:
-        yield made
+        yield server_state
     finally:
         server.close()
 
@@ -144,18 +144,18 @@
 @pytest.mark.parametrize("head", [HEAD, CHUNKED_HEAD])
 @on_loop
 async def test_a_long_response_is_forwarded_before_it_is_complete(head: bytes) -> None:
-    """A head that tells a length over the limit, and one that tells none: neither is held back."""
+    """Neither a response with a length over the buffer limit nor one of unknown length is held back."""
     async with scripted_server(answers(b"")) as upstream, running(configuration(upstream)) as run:
         events: list[object] = []
         handle = run.gateway.balancer.handle
 
-        def listen(now_us: int, event: object) -> object:
-            # A poll of discovery is due whenever its timer says so; its result is no event of the request.
+        def record_event(now_us: int, event: object) -> object:
+            # Timers and endpoint lists of discovery polls are not events of the request.
             if not isinstance(event, TimerFired | EndpointList):
                 events.append(event)
             return handle(now_us, event)  # type: ignore[arg-type]
 
-        run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
+        run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         client = await run.connect()
         client.send(request())
         await until(lambda: upstream.exchanges)
@@ -167,7 +167,7 @@
         else:
             assert await client.reader.readexactly(1000) == LONG[:1000]
         assert isinstance(events[-1], StreamStarted)
-        assert run.gateway.metrics.answered.by_class[0] == 0  # it is served once it is whole
+        assert run.gateway.metrics.answered.by_class[0] == 0  # counted when it is complete
         upstream.exchanges[0].answer(framed(LONG[1000:]) + (b"0\r\n\r\n" if head is CHUNKED_HEAD else b""))
         await until(lambda: run.gateway.metrics.answered.by_class[0])
         assert isinstance(events[-1], AttemptEnded) and events[-1].outcome is Outcome.OK
@@ -176,16 +176,17 @@
 
 
 @pytest.mark.parametrize(
-    "begun", [HEAD + LONG[:100_000], CHUNKED_HEAD + chunk(LONG[:100_000]), CHUNKED_HEAD + chunk(LONG) + b"zz"]
+    "partial",
+    [HEAD + LONG[:100_000], CHUNKED_HEAD + chunk(LONG[:100_000]), CHUNKED_HEAD + chunk(LONG) + b"zz"],
 )
 @on_loop
-async def test_the_client_can_tell_that_an_aborted_response_is_incomplete(begun: bytes) -> None:
-    async with scripted_server(answers(begun)) as upstream, running(configuration(upstream)) as run:
+async def test_the_client_can_tell_that_an_aborted_response_is_incomplete(partial: bytes) -> None:
+    async with scripted_server(answers(partial)) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
         assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
         await client.reader.read(1)
-        if not begun.endswith(b"zz"):
+        if not partial.endswith(b"zz"):
             upstream.exchanges[0].reset()
         rest = b""
         try:
@@ -196,7 +197,7 @@
         assert b"\r\n0\r\n" not in rest and len(rest) < len(LONG) + 100
         await until(lambda: run.gateway.metrics.errored.by_class[0] == 1)
         assert not run.gateway.in_flight and not run.gateway.balancer.requests
-        assert len(upstream.exchanges) == 1  # what the client has begun to get is not asked for again
+        assert len(upstream.exchanges) == 1  # no retry after a part of the response was forwarded
         client.close()
 
 
@@ -240,7 +241,7 @@
 
 @on_loop
 async def test_a_long_request_body_is_streamed_in_any_framing() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         known = request("transfer", LONG)
         chunks = request("transfer", content_length="", transfer_encoding="chunked")
@@ -251,8 +252,11 @@
                 client.send(data[at : at + 9_973])
                 await asyncio.sleep(0)
             assert (await client.answer()).body == b"%d" % len(LONG)
-        assert host.whole == [LONG] * 3
-        assert b"Content-Length: 251000" in host.heads[0] and b"Transfer-Encoding: chunked" in host.heads[1]
+        assert upstream.complete == [LONG] * 3
+        assert (
+            b"Content-Length: 251000" in upstream.heads[0]
+            and b"Transfer-Encoding: chunked" in upstream.heads[1]
+        )
         assert run.gateway.metrics.sends.by_class[2] == 3 and not run.instance.pools.attempts.transferring
         assert run.server.body_budget.active_bodies == 0
         client.close()
@@ -260,11 +264,11 @@
 
 @on_loop
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         first = request("transfer", b"short", expect="100-continue")
         long = request("transfer", LONG, expect="100-continue")
-        # The second waits behind the first: it is told once it is its turn, and not before.
+        # The second request gets its 100 Continue only after the first has been handled.
         client.send(first[: -len(b"short")])
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.send(b"short" + long[: -len(LONG)])
@@ -272,18 +276,18 @@
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.send(LONG)
         assert (await client.answer()).status == 200
-        assert host.whole == [b"short", LONG]
-        assert all(b"xpect" not in head for head in host.heads)
+        assert upstream.complete == [b"short", LONG]
+        assert all(b"xpect" not in head for head in upstream.heads)
         client.close()
 
 
 @on_loop
 async def test_the_timeout_of_a_streamed_request_starts_with_its_last_byte() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         data = request("transfer", LONG, budget_ms=200)
         client.send(data[:100_000])
-        await until(lambda: host.heads)
+        await until(lambda: upstream.heads)
         await asyncio.sleep(0.4)  # longer than the request may take
         assert run.gateway.metrics.sends.by_class[2] == 0
         client.send(data[100_000:])
@@ -293,32 +297,34 @@
 
 @on_loop
 async def test_a_malformed_long_body_is_answered_and_never_forwarded_completely() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         head = request("transfer", content_length="", transfer_encoding="chunked")
         client.send(head + chunk(LONG))
-        await until(lambda: host.heads)
+        await until(lambda: upstream.heads)
         client.send(b"zz\r\n")
         answer = await client.answer()
         assert answer.status == 400 and answer.headers["connection"] == "close"
-        await until(lambda: host.broken == 1)
-        assert not host.whole and not run.gateway.in_flight and run.server.body_budget.active_bodies == 0
+        await until(lambda: upstream.truncated == 1)
+        assert (
+            not upstream.complete and not run.gateway.in_flight and run.server.body_budget.active_bodies == 0
+        )
         client.close()
 
 
 @on_loop
 async def test_a_body_over_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reader_module, "STREAMED_BODY_LIMIT", 200_000)
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         head = request("transfer", content_length="", transfer_encoding="chunked")
         assert (await run.ask(head + chunk(LONG))).status == 413
-        await until(lambda: host.broken == 1)
+        await until(lambda: upstream.truncated == 1)
         assert (await run.ask(request("transfer", LONG))).status == 413
 
 
 @on_loop
 async def test_a_rejection_is_sent_at_once_and_not_overtaken_by_a_reset() -> None:
-    """With no host the answer is there at once; a client that sends everything first still reads it."""
+    """Without a server the rejection is immediate; a client that first sends its whole body can read it."""
     async with running(configuration("127.0.0.1:1")) as run:
         early = await run.connect()
         early.send(request("transfer", LONG)[:70_000])
@@ -336,39 +342,39 @@
 
 @on_loop
 async def test_a_body_below_the_minimum_rate_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_module, "BODY_GRACE_S", 0.05)
-    monkeypatch.setattr(client_module, "MIN_BODY_RATE", 10_000_000)
-    async with sink() as host, running(configuration(host.address)) as run:
+    monkeypatch.setattr(downstream_module, "BODY_GRACE_S", 0.05)
+    monkeypatch.setattr(downstream_module, "MIN_BODY_RATE", 10_000_000)
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         for body in (LONG, LONG[:5_000]):
             client = await run.connect()
             client.send(request("transfer", body)[:-1_000])
             assert (await client.answer()).status == 408
             client.close()
-        await until(lambda: host.broken == 1)
-        assert not host.whole
+        await until(lambda: upstream.truncated == 1)
+        assert not upstream.complete
 
 
 @on_loop
 async def test_a_disconnect_during_the_request_body_cancels_the_attempt() -> None:
-    async with sink() as host, running(configuration(host.address)) as run:
+    async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         client.send(request("transfer", LONG)[:-10])
-        await until(lambda: host.heads)
+        await until(lambda: upstream.heads)
         client.close()
-        await until(lambda: host.broken == 1)
+        await until(lambda: upstream.truncated == 1)
         await until(lambda: not run.gateway.in_flight)
         assert not run.gateway.balancer.requests and run.server.body_budget.active_bodies == 0
 
 
 @on_loop
 async def test_backpressure_of_a_server_that_does_not_read_reaches_the_client() -> None:
-    """The rest of a body waits where it is, and is not piled up here."""
+    """The rest of the body stays with the client and is not buffered in the gateway."""
     opened = asyncio.Event()
 
     async def gate() -> None:
         await opened.wait()
 
-    async with sink(gate) as host, running(configuration(host.address)) as run:
+    async with body_server(gate) as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         body = bytes(24 * MEGABYTE)
         client.send(request("transfer", body))
@@ -391,8 +397,8 @@
 ) -> None:
     body = bytes(24 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-    # What limits short answers does not limit long ones.
-    monkeypatch.setattr(client_module, "WRITE_TIMEOUT_S", 0.0)
+    # The write timeout of buffered responses does not apply to streamed ones.
+    monkeypatch.setattr(downstream_module, "WRITE_TIMEOUT_S", 0.0)
     async with scripted_server(answers(head + body)) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
@@ -409,19 +415,19 @@
         client.close()
 
 
-def high_water_mb(pid: int) -> float:
+def peak_memory_mb(pid: int) -> float:
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.partition("VmHWM:")[2].split()[0]) / 1024
 
 
 @on_loop
 async def test_many_long_bodies_at_once_use_bounded_memory(tmp_path: Path) -> None:
-    """Sixteen bodies each way of 8 MB, 256 MB in all, through a program that may hold 64 MB."""
+    """Sixteen bodies of 8 MB in each direction, 256 MB in total, through gateways limited to 64 MB."""
     long = bytes(8 * MEGABYTE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long)
-    async with sink() as taker, scripted_server(answers(head + long)) as giver:
-        config = configuration(taker.address) | {"limits": {"memory_mb": 64, "sockets": 1024}}
-        other = configuration(giver) | {"limits": {"memory_mb": 64, "sockets": 1024}}
+    async with body_server() as upload_server, scripted_server(answers(head + long)) as download_server:
+        config = configuration(upload_server.address) | {"limits": {"memory_mb": 64, "sockets": 1024}}
+        other = configuration(download_server) | {"limits": {"memory_mb": 64, "sockets": 1024}}
         for number, (each, class_name, body) in enumerate(
             ((config, "transfer", long), (other, "search", b""))
         ):
@@ -430,7 +436,7 @@
             folder.mkdir()
             async with gateway_process(folder, json.loads(json.dumps(each))) as (process, port):
 
-                async def one(port: int = port, class_name: str = class_name, body: bytes = body) -> int:
+                async def transfer(port: int = port, class_name: str = class_name, body: bytes = body) -> int:
                     client = await connect(port)
                     client.send(request(class_name, body))
                     status, _, answer = await read_answer(client)
@@ -439,9 +445,9 @@
                         assert hashlib.sha256(answer).digest() == hashlib.sha256(long).digest()
                     return status
 
-                statuses = await asyncio.gather(*(one() for _ in range(16)))
+                statuses = await asyncio.gather(*(transfer() for _ in range(16)))
                 assert statuses.count(200) >= 3 and set(statuses) <= {200, 503}
-                assert high_water_mb(process.pid) < 64
+                assert peak_memory_mb(process.pid) < 64
 
 
 def test_streamed_bodies_share_one_memory_budget() -> None:
@@ -454,11 +460,11 @@
     assert body_budget.bytes_per_body == MIN_BUFFER_PER_BODY
     for streamed_body in streamed_bodies:
         streamed_body.complete()
-        streamed_body.abort()  # once over, it is counted no more
+        streamed_body.abort()  # no effect after completion: the body is uncounted only once
     assert body_budget.active_bodies == 0
 
 
-# The module
+# The load balancer
 
 
 def uploading(driver: Driver, class_index: int = 1) -> tuple[str, int]:
@@ -473,7 +479,7 @@
     driver = Driver(servers=1)
     name, server = uploading(driver)
     driver.now_us += 10_000_000
-    assert not driver.balancer.servers[server].in_flight  # it has nothing to do yet, and is not silent
+    assert not driver.balancer.servers[server].in_flight  # the server is not working on the request yet
     assert sends(driver.arrive()[1])
     driver.handle(AttemptSent(name, 0))
     assert len(driver.balancer.servers[server].in_flight) == 2
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -1,4 +1,4 @@
-"""What clients may not do: stay silent, never end, crowd out others, ask for what is no request."""
+"""Limits on clients: idle and slow clients, too many connections, and malformed requests."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.core.send_rules import CloseReason
 from sagetrack.http1 import connection_phases as phases_module
-from sagetrack.http1 import downstream as client_module
+from sagetrack.http1 import downstream as downstream_module
 from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
 from tests.test_gateway_process import connect, gateway_process
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
-HIDDEN = b"0\r\n\r\n" + request("transfer")
+SMUGGLED = b"0\r\n\r\n" + request("transfer")
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch, *names: str) -> None:
-    """The same limits, sooner."""
+def shorten_limits(monkeypatch: pytest.MonkeyPatch, *names: str) -> None:
+    """Set these time limits to 0.05 s."""
     for name in names:
-        module = phases_module if hasattr(phases_module, name) else client_module
+        module = phases_module if hasattr(phases_module, name) else downstream_module
         monkeypatch.setattr(module, name, 0.05)
 
 
@@ -35,7 +35,7 @@
         ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         assert (await kept.ask(ready)).status == 200
         await until(lambda: upstream.exchanges)
-        hurry(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_MANY_CLIENTS_S")
+        shorten_limits(monkeypatch, "FIRST_BYTE_TIMEOUT_S", "KEEPALIVE_S", "KEEPALIVE_MANY_CLIENTS_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
         upstream.exchanges[0].answer(reply(200, b"late"))
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "begun",
+    "partial",
     [
         b"G",
         b"\r\n",
@@ -58,13 +58,13 @@
     ],
 )
 @on_loop
-async def test_a_request_that_does_not_come_in_time_is_answered_408(
-    begun: bytes, monkeypatch: pytest.MonkeyPatch
+async def test_an_incomplete_request_gets_a_408_after_its_time_limit(
+    partial: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hurry(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
+    shorten_limits(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        answer = await client.ask(begun)
+        answer = await client.ask(partial)
         assert answer.status == 408 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
         await until(lambda: not run.server.connections)
@@ -72,37 +72,38 @@
         client.close()
 
 
-IDLE_S = 20 * REUSE_DELAY_S  # the kept connection may be used again long before, also on a busy machine
+IDLE_S = 20 * REUSE_DELAY_S  # long enough for reuse of the idle connection even on a busy machine
 
 
 @on_loop
 async def test_silent_clients_displace_neither_upstream_connections_nor_other_clients(tmp_path: Path) -> None:
-    """The real program at 80 descriptors, and 300 connections that say nothing."""
+    """A gateway process with 80 descriptors, and 300 client connections that send nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
     async with scripted_server() as upstream:
         config["known"]["endpoints"][0]["address"] = upstream.address
         async with gateway_process(tmp_path, config) as (process, port):
             client = await connect(port)
             assert (await client.ask(request("transfer"))).status == 200
-            crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
+            idle_clients = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
-            for asker in (client, other):
+            for active_client in (client, other):
                 await asyncio.sleep(IDLE_S)
-                asker.send(request("transfer"))
+                active_client.send(request("transfer"))
                 try:
-                    assert (await asker.answer()).status == 200
-                except (ConnectionError, asyncio.IncompleteReadError):  # crossed: it asks once more
+                    assert (await active_client.answer()).status == 200
+                except (ConnectionError, asyncio.IncompleteReadError):  # closed just before: retry once
                     again = await connect(port)
                     assert (await again.ask(request("transfer"))).status == 200
                     again.close()
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
-            for one in (*crowd, client, other):
-                one.close()
+            for idle_client in (*idle_clients, client, other):
+                idle_client.close()
             process.terminate()
             log = (await process.communicate())[1].decode()
-        # The upstream connection has been kept: by the program's own count, and for every request that came.
-        # Connections to this port are not counted: another process may still try whoever had it before.
+        # The upstream connection was reused, according to the log of the gateway and to the server, for every
+        # request. Connections to the server's port are not counted, as another process may still connect to
+        # a former user of that port.
         assert "PoolCounts(opened=1," in log, log
         assert len({exchange.connection for exchange in upstream.exchanges}) == 1
 
@@ -110,18 +111,21 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (TRANSFER + b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % len(HIDDEN) + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: 0, 0\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: +0\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: \r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: gzip\r\n\r\n" + HIDDEN, 501),
-        (TRANSFER + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + HIDDEN, 501),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: \x0bchunked\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n" + b"f" * 17 + b"\r\n" + HIDDEN, 400),
+        (
+            TRANSFER + b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % len(SMUGGLED) + SMUGGLED,
+            400,
+        ),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: 0, 0\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: +0\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: \r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: gzip\r\n\r\n" + SMUGGLED, 501),
+        (TRANSFER + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + SMUGGLED, 501),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: \x0bchunked\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n" + b"f" * 17 + b"\r\n" + SMUGGLED, 400),
         (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n1;" + b"x" * 40_000, 431),
         (TRANSFER + b"Content-Length: 60000000\r\n\r\n" + b"x" * 500_000, 413),
         (TRANSFER + b"Expect: miracles\r\nContent-Length: 1\r\n\r\n", 417),
@@ -153,20 +157,20 @@
 
 
 @on_loop
-async def test_hundreds_of_pipelined_requests_wait_unparsed_and_are_all_answered() -> None:
+async def test_hundreds_of_pipelined_requests_stay_unparsed_and_all_get_responses() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
-        most = 0
+        max_waiting = 0
         for _ in range(1000):
             assert (await client.answer()).status == 200
-            most = max(most, *(len(c.reader.requests) for c in run.server.connections))
-        assert 0 < most < 200
+            max_waiting = max(max_waiting, *(len(c.reader.requests) for c in run.server.connections))
+        assert 0 < max_waiting < 200
         client.close()
 
 
 @on_loop
-async def test_a_budget_beyond_the_class_timeout_is_cut_and_a_budget_of_zero_fails_at_once() -> None:
+async def test_a_budget_over_the_class_timeout_is_reduced_and_a_budget_of_zero_fails_at_once() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer", budget_ms=10**14))
@@ -178,26 +182,26 @@
 
 @on_loop
 async def test_clients_that_never_finish_a_request_are_closed_for_others(tmp_path: Path) -> None:
-    """The real program at 80 descriptors, and 300 connections that begin a request and never end it."""
+    """A gateway process with 80 descriptors, and 300 clients that never complete their request."""
     async with scripted_server() as upstream:
         config = configuration(upstream) | {"limits": {"sockets": 80}}
         async with gateway_process(tmp_path, config) as (process, port):
-            crowd = []
+            idle_clients = []
             for _ in range(3):
-                crowd += await asyncio.gather(*(connect(port) for _ in range(100)))
-                for one in crowd[-100:]:
-                    one.send(TRANSFER)
+                idle_clients += await asyncio.gather(*(connect(port) for _ in range(100)))
+                for idle_client in idle_clients[-100:]:
+                    idle_client.send(TRANSFER)
                 client = await connect(port)
                 assert (await client.ask(request("transfer"))).status == 200
                 client.close()
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
-            for one in crowd:
-                one.close()
+            for idle_client in idle_clients:
+                idle_client.close()
 
 
 @on_loop
-async def test_clients_whose_time_for_a_head_is_over_are_closed_first() -> None:
+async def test_clients_past_their_request_head_timeout_are_closed_first() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         phases = run.server.context.phases
@@ -209,7 +213,7 @@
         first = next(iter(phases.receiving_request))
         phases.receiving_request[first] -= phases_module.FIRST_BYTE_TIMEOUT_S
         for client in (overdue, kept, writing):
-            if client is writing:  # in time for its request: only where nobody else has a descriptor
+            if client is writing:  # within its time limit: closed only if descriptors are exhausted
                 assert not phases.reclaim(CloseReason.RECLAIM_DESCRIPTOR)
             assert phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
             assert await client.reader.read() == b""
@@ -218,8 +222,8 @@
 
 
 @on_loop
-async def test_an_unfinished_request_does_not_delay_the_shutdown(tmp_path: Path) -> None:
-    """It ends before a deadline of 20 s, or the 3.6 s that it may take, has to be waited out."""
+async def test_an_incomplete_request_does_not_delay_the_shutdown(tmp_path: Path) -> None:
+    """The shutdown waits neither for the deadline of 20 s nor for the 3.6 s that such a request may take."""
     import signal
 
     from sagetrack.core.drain import SHUTDOWN_INCOMPLETE_WAIT_S
@@ -228,21 +232,21 @@
         scripted_server(silent) as upstream,
         gateway_process(tmp_path, configuration(upstream)) as (process, port),
     ):
-        begun, held = await connect(port), await connect(port)
-        begun.send(TRANSFER)
+        partial, held = await connect(port), await connect(port)
+        partial.send(TRANSFER)
         held.send(request("transfer"))
         await until(lambda: upstream.exchanges)
         loop = asyncio.get_running_loop()
         since_s = loop.time()
         process.send_signal(signal.SIGTERM)
-        turned_away = await begun.answer()  # in words, while the other is still held
-        assert turned_away.status == 503 and turned_away.headers["connection"] == "close"
-        assert await begun.reader.read() == b""
+        rejection = await partial.answer()  # gets a response while the other request is still pending
+        assert rejection.status == 503 and rejection.headers["connection"] == "close"
+        assert await partial.reader.read() == b""
         assert loop.time() - since_s >= SHUTDOWN_INCOMPLETE_WAIT_S
         upstream.exchanges[0].answer(reply())
         assert (await held.answer()).status == 200
         assert await process.wait() == 0
         _, errors = await process.communicate()
         assert b"unanswered" not in errors
-        begun.close()
+        partial.close()
         held.close()
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -1,4 +1,4 @@
-"""Time limits of clients' connections, without a socket: who is closed, in which order, and for what."""
+"""Unit tests of the time limits of client connections: which are closed, in which order, and why."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Connection:
-    """What becomes of a connection, by name."""
+    """A connection that records the calls on it together with its name."""
 
     def __init__(self, events: list[str], name: str, denial: DenialReason | None = None) -> None:
         self.events, self.name, self.denial = events, name, denial
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("phase", "limit_s", "crowded", "event"),
+    ("phase", "limit_s", "has_many_clients", "event"),
     [
         ("awaiting_first_byte", FIRST_BYTE_TIMEOUT_S, False, "one closed: idle"),
         ("idle", KEEPALIVE_S, False, "one closed: idle"),
@@ -51,17 +51,17 @@
         ("closing", 0.0, False, "one aborted"),
     ],
 )
-def test_each_phase_has_its_limit(phase: str, limit_s: float, crowded: bool, event: str) -> None:
+def test_each_phase_has_a_time_limit(phase: str, limit_s: float, has_many_clients: bool, event: str) -> None:
     events: list[str] = []
     phases = ConnectionPhases()
     getattr(phases, phase)[Connection(events, "one")] = 100.0
-    phases.close_expired(100.0 + limit_s - 0.01, crowded)
+    phases.close_expired(100.0 + limit_s - 0.01, has_many_clients)
     assert events == []
-    phases.close_expired(100.0 + limit_s + 0.01, crowded)
+    phases.close_expired(100.0 + limit_s + 0.01, has_many_clients)
     assert events == [event]
 
 
-def test_a_body_is_judged_by_its_connection_and_what_may_not_be_closed_stays() -> None:
+def test_body_rates_are_checked_and_connections_that_may_not_be_closed_stay() -> None:
     events: list[str] = []
     phases = ConnectionPhases()
     phases.receiving_body[Connection(events, "body")] = 99.0
@@ -72,12 +72,12 @@
 
 
 @on_loop
-async def test_a_descriptor_is_reclaimed_from_who_has_had_the_time_first() -> None:
+async def test_descriptors_are_reclaimed_from_overdue_clients_first() -> None:
     now_s = asyncio.get_running_loop().time()
     events: list[str] = []
     phases = ConnectionPhases()
-    ended = ("late", "silent", "kept", "new", "writing", "body")
-    late, silent, kept, new, writing, body = (Connection(events, name) for name in ended)
+    names = ("late", "silent", "kept", "new", "writing", "body")
+    late, silent, kept, new, writing, body = (Connection(events, name) for name in names)
     phases.receiving_request |= {late: now_s - FIRST_BYTE_TIMEOUT_S, writing: now_s}
     phases.awaiting_first_byte |= {silent: now_s - 1.0, new: now_s}
     phases.idle[kept] = now_s
@@ -100,7 +100,7 @@
 
 
 @on_loop
-async def test_an_idle_connection_is_spared_until_it_was_idle_for_so_long() -> None:
+async def test_an_idle_connection_is_reclaimed_only_after_the_given_idle_time() -> None:
     now_s = asyncio.get_running_loop().time()
     phases = ConnectionPhases()
     phases.idle[Connection([], "one")] = now_s - 0.2
@@ -109,13 +109,13 @@
 
 
 @on_loop
-async def test_a_connection_is_in_one_phase_and_keeps_its_time_there() -> None:
+async def test_a_connection_is_in_one_phase_and_keeps_its_entry_time() -> None:
     phases = ConnectionPhases()
     connection = Connection([], "one")
     tracker = PhaseTracker(connection, phases)
     assert tracker.since_s(7.0) == 7.0
     tracker.enter(phases.awaiting_first_byte, 5.0)
-    tracker.await_request(False, False, False, 5.0)  # nothing has come: it goes on waiting for a first byte
+    tracker.await_request(False, False, False, 5.0)  # nothing received: still in the same phase
     assert phases.awaiting_first_byte == {connection: 5.0}
     tracker.await_request(False, True, False, 5.0)  # the first request counts from the accept
     assert not phases.awaiting_first_byte and phases.receiving_request == {connection: 5.0}
@@ -125,7 +125,7 @@
     tracker.exclude_pause(3.0)
     assert tracker.since_s(0.0) == before_s + 3.0
     tracker.await_request(False, False, True, 5.0)
-    tracker.exclude_pause(3.0)  # of a body alone
+    tracker.exclude_pause(3.0)  # has an effect only while a body is received
     since_s = tracker.since_s(0.0)
     assert phases.idle == {connection: since_s} and since_s <= asyncio.get_running_loop().time()
     tracker.await_request(False, True, True, 5.0)  # a later request counts from its first byte
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: kept, reused, given up; drains."""
+"""Connections to upstream servers: reuse, expiry, cancellation and drains."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_a_connection_is_used_again_and_only_by_one_at_a_time() -> None:
+async def test_connections_are_reused_by_one_request_at_a_time() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(2)]
         await until(lambda: len(upstream.exchanges) == 2)
@@ -48,35 +48,35 @@
             assert (await run.ask(request())).status == 200
         assert upstream.opened_connections == 2
         last = [exchange.connection for exchange in upstream.exchanges[2:]]
-        assert len(set(last)) == 1  # the one used last, so that the other can age
+        assert len(set(last)) == 1  # the most recently used one, so that the other can expire
 
 
 @on_loop
-async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
+async def test_nothing_is_sent_on_a_connection_that_the_server_has_closed() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.instance.pools, idle(run)[0]
         upstream.exchanges[0].writer.close()
         await until(lambda: not connection.is_usable())
         ended: list[Outcome] = []
-        # Sent before the loop has told of the end, if it has not yet.
+        # Reproduces the moment before the event loop reports the close.
         if not idle(run):
             idle(run).append(connection)
 
-        def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
             ended.append(outcome)
 
         data = request("transfer")
         pool.attempts.send(
-            Attempt(pool.servers[host_id(0)], lambda left_us: data, 20_000_000, on_attempt_ended)
+            Attempt(pool.servers[host_id(0)], lambda remaining_us: data, 20_000_000, on_attempt_ended)
         )
         await until(lambda: ended)
         assert ended == [Outcome.OK] and upstream.opened_connections == 2
 
 
 @on_loop
-async def test_the_poll_sees_an_end_before_the_loop_does() -> None:
-    """A blocked loop must not write to what is already closed: the kernel is asked, not the loop's memory."""
+async def test_is_usable_detects_a_close_before_the_event_loop_does() -> None:
+    """Nothing is written to a connection whose close the blocked event loop has not processed yet."""
     import socket
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -84,19 +84,19 @@
         config = configuration(f"127.0.0.1:{listener.getsockname()[1]}")
         async with running(config) as run:
             loop = asyncio.get_running_loop()
-            asking = asyncio.create_task(run.ask(request()))
-            taken, _ = await loop.run_in_executor(None, listener.accept)
-            await loop.run_in_executor(None, taken.recv, 65536)
-            taken.sendall(reply())
-            await asking
+            request_task = asyncio.create_task(run.ask(request()))
+            accepted, _ = await loop.run_in_executor(None, listener.accept)
+            await loop.run_in_executor(None, accepted.recv, 65536)
+            accepted.sendall(reply())
+            await request_task
             connection = idle(run)[0]
             assert connection.is_usable()
-            taken.close()  # and the loop has had no turn since
+            accepted.close()  # the event loop has not run since
             assert not connection.is_usable()
 
 
 @on_loop
-async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
+async def test_connection_close_from_the_server_is_honoured() -> None:
     async with (
         scripted_server(answers(reply(200, b"", "Connection: close"))) as upstream,
         running(configuration(upstream)) as run,
@@ -108,7 +108,7 @@
 
 
 @on_loop
-async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
+async def test_spare_connections_expire_soon_and_the_last_before_the_server_closes_it() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(3)]
         await until(lambda: len(upstream.exchanges) == 3)
@@ -126,61 +126,61 @@
 
 
 @on_loop
-async def test_a_drained_host_keeps_no_idle_connection_and_finishes_what_it_has() -> None:
+async def test_a_draining_server_keeps_no_idle_connection_and_completes_its_requests() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        asking = asyncio.create_task(run.ask(request()))
+        request_task = asyncio.create_task(run.ask(request()))
         await until(lambda: upstream.exchanges)
         names = parse(configuration(upstream)).names
         _, _, entries = parse_endpoint_list(
             endpoint_list(8, endpoint("s-0", upstream.address, status="DRAINING")), names
         )
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
-        assert (await run.ask(request())).status == 503  # nowhere to go
+        assert (await run.ask(request())).status == 503  # there is no other server
         upstream.exchanges[0].answer(reply(200, b"done"))
-        assert (await asking).body == b"done"
+        assert (await request_task).body == b"done"
         await until(lambda: upstream.closed_connections == 1)
         assert len(upstream.exchanges) == 1
 
 
 @on_loop
 async def test_no_attempt_starts_after_the_notice_of_a_drain() -> None:
-    """A connection that comes up after it carries nothing, even if the attempt was begun before it.
+    """No request is sent on a connection that is established after the notice, even for an earlier attempt.
 
-    The grace is no part of it: the word may have counted as told for as long before it came.
+    The grace period does not postpone this, as it may have started before the notice reached the gateway.
     """
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         pools, ended = run.instance.pools, list[Outcome]()
 
-        def on_attempt_ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
+        def on_attempt_ended(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
             ended.append(outcome)
 
-        known = pools.servers[host_id(0)]
-        pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
-        pools.drain(known)
+        server = pools.servers[host_id(0)]
+        pools.attempts.send(Attempt(server, lambda remaining_us: request(), 20_000_000, on_attempt_ended))
+        pools.drain(server)
         await until(lambda: ended)
         assert ended == [Outcome.NOT_SENT] and not upstream.exchanges
-        pools.attempts.send(Attempt(known, lambda left_us: request(), 20_000_000, on_attempt_ended))
+        pools.attempts.send(Attempt(server, lambda remaining_us: request(), 20_000_000, on_attempt_ended))
         assert ended == [Outcome.NOT_SENT] * 2
 
 
 @on_loop
-async def test_a_host_that_moves_is_reached_at_its_new_address() -> None:
+async def test_a_moved_server_is_reached_at_its_new_address() -> None:
     async with scripted_server() as old, scripted_server() as new, running(configuration(old)) as run:
         old.script = silent
-        asking = asyncio.create_task(run.ask(request()))
+        request_task = asyncio.create_task(run.ask(request()))
         await until(lambda: old.exchanges)
         names = parse(configuration(old)).names
         _, _, entries = parse_endpoint_list(endpoint_list(8, endpoint("s-0", new.address)), names)
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         old.exchanges[0].answer(reply())
-        await asking
+        await request_task
         assert not idle(run)  # the old connection is not kept for the new address
         assert (await run.ask(request())).status == 200
         assert len(old.exchanges) == len(new.exchanges) == 1
 
 
 @on_loop
-async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
+async def test_a_restarted_server_gets_new_connections() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         names = parse(configuration(upstream)).names
         assert (await run.ask(request())).status == 200
@@ -195,7 +195,7 @@
 
 
 @on_loop
-async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
+async def test_idle_connections_are_closed_when_descriptors_run_short() -> None:
     async with scripted_server() as one, scripted_server() as two:
         config = configuration(one, two)
         async with running(config) as run:
@@ -203,50 +203,50 @@
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
             pools = run.instance.pools
-            had = pools.open_connections
-            assert had >= 1
+            idle_count = pools.open_connections
+            assert idle_count >= 1
             object.__setattr__(run.server.config, "sockets", 1)
-            # A client that asks nothing yields before what hosts had a handshake for.
+            # An idle client is closed before idle upstream connections, which cost a handshake.
             run.server.descriptors.reclaim_for_upstream()
             await until(lambda: not run.server.connections)
-            assert pools.open_connections == had
-            for _ in range(had):
+            assert pools.open_connections == idle_count
+            for _ in range(idle_count):
                 run.server.descriptors.reclaim_for_upstream()
             await until(lambda: pools.open_connections == 0)
             client.close()
 
 
 @on_loop
-async def test_an_answer_that_overtakes_its_request_ends_the_connection() -> None:
-    """Bytes beyond the one answer that is due belong to nothing: the connection is not used again."""
+async def test_a_surplus_response_closes_the_connection() -> None:
+    """A connection on which data follows the expected response is not reused."""
 
-    def twice(exchange: Exchange) -> None:
+    def send_two_responses(exchange: Exchange) -> None:
         exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
 
-    async with scripted_server(twice) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(send_two_responses) as upstream, running(configuration(upstream)) as run:
         for opened in (1, 2):
             assert (await run.ask(request())).body == b"mine"
             assert upstream.opened_connections == opened
 
 
 @on_loop
-async def test_an_attempt_cancelled_as_its_connection_opens_leaves_nothing_behind() -> None:
-    """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
+async def test_an_attempt_cancelled_while_its_connection_opens_leaks_no_connection() -> None:
+    """connection_lost may not be called if the connect task is cancelled after connection_made."""
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         pools = run.instance.pools
         connected = pools.attempts.on_connected
 
-        def given_up(connection: UpstreamConnection) -> None:
+        def cancel_and_connect(connection: UpstreamConnection) -> None:
             attempt = connection.attempt
             if attempt is not None:
                 pools.cancel(attempt)
             connected(connection)
 
-        pools.attempts.on_connected = given_up  # type: ignore[method-assign]
+        pools.attempts.on_connected = cancel_and_connect  # type: ignore[method-assign]
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: pools.counts.opened)
         await until(lambda: pools.open_connections == 0)
-        (known,) = pools.servers.values()
-        assert known.open_connections == 0 and not known.idle and not upstream.exchanges
+        (server,) = pools.servers.values()
+        assert server.open_connections == 0 and not server.idle and not upstream.exchanges
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors while idle clients fill them: discovery and servers keep their part, alone and side by side."""
+"""Descriptor limits with many idle clients, with one process of the gateway and with two."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 KINDS = 4
 
 
-def within(run: Running) -> bool:
-    """Whether clients and servers leave the reserve untouched."""
+def is_within_limit(run: Running) -> bool:
+    """Return whether client and upstream connections leave the reserve free."""
     server = run.server
     return server.count_clients() + run.instance.pools.open_connections + RESERVE <= server.descriptors.limit
 
 
-async def fill(run: Running, count: int) -> list[Client]:
-    """So many clients that want nothing now: silent, kept, half-written, and such that read no answer."""
-    made = []
+async def connect_idle_clients(run: Running, count: int) -> list[Client]:
+    """Connect clients of four kinds: silent, idle, with an incomplete request, and not reading responses."""
+    clients = []
     for n in range(count):
         client = await run.connect()
-        made.append(client)
+        clients.append(client)
         match n % KINDS:
             case 1:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n")
@@ -50,13 +50,15 @@
                 client.send(request("transfer")[:20])
             case 3:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 3)
-        await until(lambda: within(run))
-    return made
+        await until(lambda: is_within_limit(run))
+    return clients
 
 
 @asynccontextmanager
-async def down_then_up(upstream: ScriptedServer) -> AsyncIterator[tuple[ScriptedServer, list[bool]]]:
-    """A discovery that ends every call, until it is told to answer with this server."""
+async def discovery_down_then_up(
+    upstream: ScriptedServer,
+) -> AsyncIterator[tuple[ScriptedServer, list[bool]]]:
+    """Run a discovery server that resets every call until `up` has an entry, then returns this server."""
     up: list[bool] = []
 
     async def script(exchange: Exchange) -> None:
@@ -73,55 +75,61 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-@pytest.mark.parametrize("others", [0, 1])
+@pytest.mark.parametrize("siblings", [0, 1])
 @on_loop
-async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(sockets: int, others: int) -> None:
-    """It returns: the list is taken, first requests have their server, who is owed an answer has it."""
-    async with scripted_server(silent) as old, scripted_server() as new, down_then_up(new) as (discovery, up):
+async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(sockets: int, siblings: int) -> None:
+    """After discovery returns, its list is applied, and new and pending requests get their responses."""
+    async with (
+        scripted_server(silent) as old,
+        scripted_server() as new,
+        discovery_down_then_up(new) as (discovery, up),
+    ):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
-            run.server.siblings.sibling_count = others
-            owed = await run.connect()
-            owed.send(request("transfer"))
+            run.server.siblings.sibling_count = siblings
+            pending_client = await run.connect()
+            pending_client.send(request("transfer"))
             await until(lambda: old.exchanges)
-            crowd = await fill(run, run.server.descriptors.max_clients + KINDS * 4)
-            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and within(run)
+            idle_clients = await connect_idle_clients(run, run.server.descriptors.max_clients + KINDS * 4)
+            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and is_within_limit(
+                run
+            )
             up.append(True)
-            await until(lambda: run.instance.pools.servers[host_id(0)].address == parsed(new))
-            fresh = [await run.connect() for _ in range(20)]
-            for client in fresh:
+            await until(lambda: run.instance.pools.servers[host_id(0)].address == address_of(new))
+            new_clients = [await run.connect() for _ in range(20)]
+            for client in new_clients:
                 client.send(request("search"))
-            for client in fresh:
+            for client in new_clients:
                 assert (await client.answer()).status == 200
-            assert within(run)
+            assert is_within_limit(run)
             old.exchanges[0].answer(reply())
-            assert (await owed.answer()).status == 200
-            for client in (owed, *fresh, *crowd):
+            assert (await pending_client.answer()).status == 200
+            for client in (pending_client, *new_clients, *idle_clients):
                 client.close()
 
 
-def parsed(peer_: ScriptedServer) -> tuple[str, int]:
-    host, _, port = peer_.address.rpartition(":")
+def address_of(server: ScriptedServer) -> tuple[str, int]:
+    host, _, port = server.address.rpartition(":")
     return host, int(port)
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
 @on_loop
-async def test_a_full_process_makes_way_when_a_second_one_starts(sockets: int) -> None:
-    """The limit is for both together: what asks nothing is closed by the next look, what is owed is not."""
+async def test_a_full_process_frees_descriptors_when_a_second_one_starts(sockets: int) -> None:
+    """Both processes share the limit; the next sweep closes idle clients but no pending request."""
     async with scripted_server(silent) as upstream:
         config = configuration(upstream) | {"limits": {"sockets": sockets}}
         async with running(config) as run:
-            owed = await run.connect()
-            owed.send(request("transfer"))
+            pending_client = await run.connect()
+            pending_client.send(request("transfer"))
             await until(lambda: upstream.exchanges)
-            crowd = await fill(run, run.server.descriptors.max_clients)
+            idle_clients = await connect_idle_clients(run, run.server.descriptors.max_clients)
             assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
             run.server.siblings.sibling_count = 1
             run.server.sweep()
             await until(lambda: not any(c.is_closing for c in run.server.connections))
-            assert within(run)
+            assert is_within_limit(run)
             upstream.exchanges[0].answer(reply())
-            assert (await owed.answer()).status == 200
-            for client in (owed, *crowd):
+            assert (await pending_client.answer()).status == 200
+            for client in (pending_client, *idle_clients):
                 client.close()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what is read, what is malformed, health, and many requests on one connection."""
+"""Client connections: parsing, invalid requests, readiness, and pipelined requests."""
 
 from __future__ import annotations
 
@@ -25,35 +25,37 @@
     from sagetrack.policy.events import RequestArrived
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        told: list[RequestArrived] = []
+        arrived: list[RequestArrived] = []
         handle = run.gateway.balancer.handle
 
-        def listen(now_us: int, event: object) -> object:
+        def record_arrivals(now_us: int, event: object) -> object:
             if isinstance(event, RequestArrived):
-                told.append(event)
+                arrived.append(event)
             return handle(now_us, event)  # type: ignore[arg-type]
 
-        run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
+        run.gateway.balancer.handle = record_arrivals  # type: ignore[method-assign,assignment]
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
         assert (await run.ask(data)).status == 200
-        (event,) = told
+        (event,) = arrived
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_id("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.ask(data)).status == 200
-        assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
+        assert (
+            arrived[1].key is None and arrived[1].client_timeout_us == 20_000_000 and not arrived[1].is_retry
+        )
 
 
 @on_loop
-async def test_white_space_round_a_value_is_no_part_of_it() -> None:
+async def test_white_space_around_a_header_value_is_removed() -> None:
     answer = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
     async with scripted_server(answers(answer)) as upstream, running(configuration(upstream)) as run:
         for before, after in ((b"", b" \t"), (b"\t ", b"")):
             first, *lines = request("hold", b"slip", expect="100-continue").split(b"\r\n")[:-2]
             lines = [line.replace(b": ", b":" + before) + after for line in lines]
-            answer_to_it = await run.ask(b"\r\n".join([first, *lines]) + b"\r\n\r\nslip")
-            assert (answer_to_it.status, answer_to_it.body) == (200, b"fine")
+            response = await run.ask(b"\r\n".join([first, *lines]) + b"\r\n\r\nslip")
+            assert (response.status, response.body) == (200, b"fine")
         assert [e.message.body for e in upstream.exchanges] == [b"slip"] * 2
 
 
@@ -83,7 +85,9 @@
     ],
 )
 @on_loop
-async def test_invalid_requests_are_answered_and_the_gateway_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_requests_get_an_error_response_and_the_gateway_continues(
+    data: bytes, status: int
+) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         answer = await run.ask(data)
         assert answer.status == status
@@ -94,7 +98,7 @@
 
 
 @on_loop
-async def test_a_body_comes_in_pieces_or_chunks() -> None:
+async def test_a_body_is_received_in_pieces_or_chunks() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
@@ -112,7 +116,7 @@
 
 
 @on_loop
-async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
+async def test_the_largest_buffered_body_is_forwarded_in_both_directions() -> None:
     body = bytes(range(256)) * 256
     async with (
         scripted_server(answers(reply(200, body))) as upstream,
@@ -123,7 +127,7 @@
 
 
 @on_loop
-async def test_requests_on_one_connection_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_handled_in_order() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
@@ -134,7 +138,7 @@
 
 
 @on_loop
-async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
+async def test_a_valid_request_before_a_malformed_one_gets_its_response_first() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
@@ -148,7 +152,7 @@
 
 
 @on_loop
-async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
+async def test_connection_close_from_the_client_is_honoured() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         answer = await client.ask(request(connection="close"))
@@ -158,7 +162,7 @@
 
 
 @on_loop
-async def test_an_id_in_flight_is_rejected() -> None:
+async def test_a_request_id_that_is_in_flight_is_rejected() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -180,7 +184,7 @@
             assert run.server.standby()
             assert (await run.ask(ready)).status == 503
         async with running(configuration()) as run:
-            assert (await run.ask(ready)).status == 503  # no host is known
+            assert (await run.ask(ready)).status == 503  # no server is known
 
 
 @on_loop
@@ -192,8 +196,8 @@
 
 
 @on_loop
-async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
-    """It may bring what has crossed the end of an older connection, and that is sent only once more."""
+async def test_during_a_shutdown_a_new_connection_has_time_for_its_first_request() -> None:
+    """Its request may be the only retry of one that was sent as an earlier connection was closed."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         run.server.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
         client = await run.connect()
@@ -204,19 +208,19 @@
         answer = await client.ask(request("transfer"))
         assert answer.status == 200 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
-        silent_one = await run.connect()
+        silent_client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         connection.opened_s -= 60
         run.server.close_idle()
-        assert await silent_one.reader.read() == b""
+        assert await silent_client.reader.read() == b""
         client.close()
-        silent_one.close()
+        silent_client.close()
 
 
 @on_loop
-async def test_what_waits_to_be_read_keeps_its_connection() -> None:
-    """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
+async def test_a_connection_with_unread_data_is_not_closed_as_idle() -> None:
+    """A request may be in the receive buffer of the kernel before the event loop has processed it."""
     import socket
 
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
@@ -225,7 +229,7 @@
             (connection,) = run.server.connections
             connection.exchange.has_responded = True
             run.server.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
-            client.sendall(request("transfer"))  # and the loop has had no turn since
+            client.sendall(request("transfer"))  # the event loop has not run since
             run.server.close_idle()
             assert not connection.is_closing
             loop = asyncio.get_running_loop()
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Keep-alive of connections to servers, without a socket: which is used, which waits, which are closed."""
+"""Unit tests of idle upstream connections: which are reused, delayed and closed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Connection(UpstreamConnection):
-    """A connection without a socket; what is asked of the kernel is answered by a field."""
+    """A connection without a socket, whose usability is set by a field."""
 
     def __init__(self, upstream: PooledServer, idle_us: int, usable: bool = True) -> None:
         super().__init__(None, upstream, None)  # type: ignore[arg-type]
@@ -36,8 +36,8 @@
         self.closed = True
 
 
-class Rules:
-    """The rules, at a time that stands still, for one server."""
+class IdleConnectionsFixture:
+    """The idle connections of one server, with a fixed clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(idle_module, "now_us", lambda: NOW_US)
@@ -45,80 +45,86 @@
         self.idle = IdleConnections(replace(SETTINGS, keepalive_us=KEEPALIVE_US), self.counts)
         self.server: PooledServer = UpstreamServer(1, "s", ("127.0.0.1", 1))
 
-    def have(self, *idle_us: int) -> list[Connection]:
-        made = [Connection(self.server, one) for one in idle_us]
-        self.server.idle.extend(made)
-        return made
+    def add_connections(self, *idle_us: int) -> list[Connection]:
+        connections = [Connection(self.server, one) for one in idle_us]
+        self.server.idle.extend(connections)
+        return connections
 
 
 @pytest.fixture
-def rules(monkeypatch: pytest.MonkeyPatch) -> Rules:
-    return Rules(monkeypatch)
+def fixture(monkeypatch: pytest.MonkeyPatch) -> IdleConnectionsFixture:
+    return IdleConnectionsFixture(monkeypatch)
 
 
-def test_the_most_recently_used_that_may_be_reused_is_taken(rules: Rules) -> None:
-    oldest, middle, newest = rules.have(3_000_000, 1_000_000, 1_000)
-    assert rules.idle.take(rules.server) is middle  # the newest has just had a response
-    assert rules.idle.take(rules.server) is oldest
-    assert rules.idle.take(rules.server) is None and rules.server.idle == [newest]
-    assert rules.counts.stale == 0
+def test_the_most_recently_used_reusable_connection_is_taken(fixture: IdleConnectionsFixture) -> None:
+    oldest, middle, newest = fixture.add_connections(3_000_000, 1_000_000, 1_000)
+    assert fixture.idle.take(fixture.server) is middle  # the newest is still within the reuse delay
+    assert fixture.idle.take(fixture.server) is oldest
+    assert fixture.idle.take(fixture.server) is None and fixture.server.idle == [newest]
+    assert fixture.counts.stale == 0
 
 
-def test_what_the_server_has_closed_or_soon_will_is_not_used(rules: Rules) -> None:
-    aged, good, ended = rules.have(int(KEEPALIVE_US * KEEPALIVE_FRACTION) + 1, 1_000_000, 500_000)
+def test_closed_and_expired_connections_are_not_reused(fixture: IdleConnectionsFixture) -> None:
+    aged, good, ended = fixture.add_connections(
+        int(KEEPALIVE_US * KEEPALIVE_FRACTION) + 1, 1_000_000, 500_000
+    )
     ended.usable = False
-    assert rules.idle.take(rules.server) is good and ended.closed
-    assert rules.idle.take(rules.server) is None and aged.closed
-    assert rules.counts.stale == 2 and not rules.server.idle
+    assert fixture.idle.take(fixture.server) is good and ended.closed
+    assert fixture.idle.take(fixture.server) is None and aged.closed
+    assert fixture.counts.stale == 2 and not fixture.server.idle
 
 
-def test_a_wait_for_reuse_is_worth_it_only_for_a_slow_server(rules: Rules) -> None:
-    assert rules.idle.take_next_reusable(rules.server) is None
-    first, second = rules.have(10_000, 5_000)
+def test_waiting_for_reuse_is_allowed_only_for_a_slow_server(fixture: IdleConnectionsFixture) -> None:
+    assert fixture.idle.take_next_reusable(fixture.server) is None
+    first, second = fixture.add_connections(10_000, 5_000)
     first.last_response_us = 1_000
-    assert rules.idle.take_next_reusable(rules.server) is None
+    assert fixture.idle.take_next_reusable(fixture.server) is None
     first.last_response_us = 1_000_000
-    assert rules.idle.take_next_reusable(rules.server) is first and rules.server.idle == [second]
-    assert rules.idle.reusable_in_s(first) == pytest.approx(0.005)
+    assert fixture.idle.take_next_reusable(fixture.server) is first and fixture.server.idle == [second]
+    assert fixture.idle.reusable_in_s(first) == pytest.approx(0.005)
 
 
-def test_a_connection_of_a_draining_or_restarted_server_is_not_kept(rules: Rules) -> None:
-    good, drained, restarted = (Connection(rules.server, 0) for _ in range(3))
+def test_a_connection_of_a_draining_or_restarted_server_is_not_kept(fixture: IdleConnectionsFixture) -> None:
+    good, drained, restarted = (Connection(fixture.server, 0) for _ in range(3))
     good.has_sent = True
-    rules.idle.keep(good)
-    assert rules.server.idle == [good] and not good.closed and not good.has_sent
-    rules.server.drained_us = 1
-    rules.idle.keep(drained)
-    rules.server.drained_us = None
-    rules.server.started_us += 1
-    rules.idle.keep(restarted)
-    assert drained.closed and restarted.closed and rules.server.idle == [good]
-
-
-def test_spare_connections_are_closed_sooner_than_the_last(rules: Rules) -> None:
-    made = rules.have(*[SPARE_IDLE_US + 1] * 3)
-    rules.idle.close_expired([rules.server])
-    assert rules.server.idle == made[-SPARE_CONNECTIONS:] and all(one.closed for one in made[:2])
-    made[-1].idle_since_us = NOW_US - int(KEEPALIVE_US * KEEPALIVE_FRACTION) - 1
-    rules.idle.close_expired([rules.server])
-    assert not rules.server.idle and made[-1].closed
-
-
-def test_the_longest_idle_of_all_servers_is_reclaimed(rules: Rules) -> None:
+    fixture.idle.keep(good)
+    assert fixture.server.idle == [good] and not good.closed and not good.has_sent
+    fixture.server.drained_us = 1
+    fixture.idle.keep(drained)
+    fixture.server.drained_us = None
+    fixture.server.started_us += 1
+    fixture.idle.keep(restarted)
+    assert drained.closed and restarted.closed and fixture.server.idle == [good]
+
+
+def test_spare_connections_are_closed_sooner_than_the_last(fixture: IdleConnectionsFixture) -> None:
+    connections = fixture.add_connections(*[SPARE_IDLE_US + 1] * 3)
+    fixture.idle.close_expired([fixture.server])
+    assert fixture.server.idle == connections[-SPARE_CONNECTIONS:] and all(
+        one.closed for one in connections[:2]
+    )
+    connections[-1].idle_since_us = NOW_US - int(KEEPALIVE_US * KEEPALIVE_FRACTION) - 1
+    fixture.idle.close_expired([fixture.server])
+    assert not fixture.server.idle and connections[-1].closed
+
+
+def test_the_longest_idle_connection_of_all_servers_is_reclaimed(fixture: IdleConnectionsFixture) -> None:
     other: PooledServer = UpstreamServer(2, "t", ("127.0.0.1", 2))
-    servers = [rules.server, other]
-    assert not rules.idle.reclaim(servers)
-    (newer,) = rules.have(1_000)
+    servers = [fixture.server, other]
+    assert not fixture.idle.reclaim(servers)
+    (newer,) = fixture.add_connections(1_000)
     older = Connection(other, 2_000)
     other.idle.append(older)
-    assert rules.idle.reclaim(servers) and older.closed and not newer.closed
-    assert rules.idle.reclaim(servers) and newer.closed and not rules.idle.reclaim(servers)
-
-
-def test_a_connection_that_has_ended_is_forgotten_and_all_are_closed(rules: Rules) -> None:
-    one, two = rules.have(1, 2)
-    rules.idle.discard(one)
-    rules.idle.discard(one)
-    assert rules.server.idle == [two]
-    rules.idle.close_all(rules.server)
-    assert not rules.server.idle and two.closed and not one.closed
+    assert fixture.idle.reclaim(servers) and older.closed and not newer.closed
+    assert fixture.idle.reclaim(servers) and newer.closed and not fixture.idle.reclaim(servers)
+
+
+def test_an_ended_connection_is_discarded_and_close_all_closes_the_others(
+    fixture: IdleConnectionsFixture,
+) -> None:
+    one, two = fixture.add_connections(1, 2)
+    fixture.idle.discard(one)
+    fixture.idle.discard(one)
+    assert fixture.server.idle == [two]
+    fixture.idle.close_all(fixture.server)
+    assert not fixture.server.idle and two.closed and not one.closed
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
     silent,
     until,
 )
-from tests.test_races import Late, outcomes
+from tests.test_races import HeldConnections, outcomes
 
 PIPELINED_REQUESTS = 3 * MAX_PIPELINED  # exceeds the pipelining limit, so that reading is paused
 
@@ -111,7 +111,7 @@
 @on_loop
 async def test_a_disconnect_in_the_iteration_in_which_the_upstream_connection_opens() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: delayed.held)
@@ -129,7 +129,7 @@
 async def test_a_disconnect_while_the_first_attempt_waits_for_a_connection() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         disable_hangup_watch(run)
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client, connection = await pipelining_client(run)
         await until(lambda: delayed.held)
         await disconnect(client, connection)
@@ -261,7 +261,7 @@
     """Reading is paused until the body has a server, so that the disconnect is not read either."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         disable_hangup_watch(run)
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client = await run.connect()
         client.send(request("transfer", content_length="1000000") + bytes(140_000))
         await until(lambda: run.server.context.paused and delayed.held)
@@ -287,7 +287,7 @@
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         assert run.server.sweep_timer is not None
         run.server.sweep_timer.cancel()
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         reported = outcomes(run)
         client, connection = await pipelining_client(run)
         await until(lambda: delayed.held)
@@ -363,7 +363,7 @@
         scripted_server() as upstream,
         gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
     ):
-        delayed, reported = Late(run), outcomes(run)
+        delayed, reported = HeldConnections(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await until(lambda: delayed.held)
         (attempt,) = client.connection.attempts.on_open_streams()
@@ -385,7 +385,7 @@
         scripted_server() as upstream,
         gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
     ):
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         send_request(client, request_head(0), b"x")
         await until(lambda: listener.connections and client.connection.transport is not None)
         for n in range(1, 100):
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -16,7 +16,7 @@
     silent,
     until,
 )
-from tests.test_races import Late
+from tests.test_races import HeldConnections
 
 SLACK_MS = 150  # tolerance by which the deadline sent may exceed the time left
 
@@ -28,7 +28,7 @@
 @on_loop
 async def test_the_deadline_sent_to_a_server_is_reduced_by_a_late_connection() -> None:
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client = await run.connect()
         started_us = now_us()
         client.send(request(budget_ms=1_000))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Races: two events that meet, each pair forced on real sockets. Their table: docs/design/races.md."""
+"""Race conditions between two events, each forced on real sockets. docs/design/races.md lists them."""
 
 from __future__ import annotations
 
@@ -31,46 +31,46 @@
     until,
 )
 
-AT_ONCE_S = 0.3  # within this a client's leaving counts, and nothing of its call is sent on later
+AT_ONCE_S = 0.3  # time within which a disconnect is noticed; nothing of the request is forwarded later
 
 
-class Late:
-    """Connections to hosts that are up and not yet seen to be: what they would carry is held back."""
+class HeldConnections:
+    """Holds back the on_connected event of upstream connections, so that their attempts are not sent."""
 
     def __init__(self, run: Running, only: int | None = None) -> None:
         self.attempts = run.instance.pools.attempts
         self.held: list[UpstreamConnection] = []
-        self.see = self.attempts.on_connected
-        self.only = only  # of one host
+        self.original_on_connected = self.attempts.on_connected
+        self.only = only  # server ID; None for all servers
         self.attempts.on_connected = self.on_connected  # type: ignore[method-assign]
 
     def on_connected(self, connection: UpstreamConnection) -> None:
         if self.only in (None, connection.upstream.id):
             self.held.append(connection)
         else:
-            self.see(connection)
+            self.original_on_connected(connection)
 
     def release(self) -> None:
-        self.attempts.on_connected = self.see  # type: ignore[method-assign]
+        self.attempts.on_connected = self.original_on_connected  # type: ignore[method-assign]
         for connection in self.held:
-            self.see(connection)
+            self.original_on_connected(connection)
 
 
 def outcomes(run: Running) -> list[Outcome]:
-    """How attempts end from now on."""
-    told: list[Outcome] = []
+    """Return a list to which the outcomes of attempts are appended from now on."""
+    ended: list[Outcome] = []
     handle = run.gateway.balancer.handle
 
-    def listen(now_us: int, event: object) -> object:
+    def record_event(now_us: int, event: object) -> object:
         if isinstance(event, AttemptEnded):
-            told.append(event.outcome)
+            ended.append(event.outcome)
         return handle(now_us, event)  # type: ignore[arg-type]
 
-    run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
-    return told
+    run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
+    return ended
 
 
-def tell(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
+def send_endpoint_list(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
     names = parse(configuration()).names
     run.gateway.on_endpoint_list(kind, parse_endpoint_list(endpoint_list(8, *endpoints), names).endpoints)
 
@@ -80,64 +80,64 @@
     return pools.open_connections == 0 and not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
-# A client leaves
+# Client disconnects
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("taken_back", [True, False])
+@pytest.mark.parametrize("withdrawn", [True, False])
 @on_loop
 async def test_nothing_is_sent_for_a_client_that_left_while_its_upstream_connection_opened(
-    may_cancel: bool, taken_back: bool
+    may_cancel: bool, withdrawn: bool
 ) -> None:
-    """Its call is taken back at once; and were that missed, the last look before the first byte sees it."""
+    """The attempt is withdrawn at once; if not, the check before the first byte prevents that it is sent."""
     config = configuration(mayCancel=may_cancel)
     async with scripted_server() as upstream:
         config["known"] = configuration(upstream)["known"]
         async with running(config) as run:
-            late, told = Late(run), outcomes(run)
-            if not taken_back:
+            connections, ended = HeldConnections(run), outcomes(run)
+            if not withdrawn:
                 run.instance.pools.cancel_unsent = lambda attempt: None  # type: ignore[method-assign]
                 run.instance.pools.cancel = lambda attempt, outcome=None: None  # type: ignore
             client = await run.connect()
             client.send(request("transfer"))
-            await until(lambda: late.held)
+            await until(lambda: connections.held)
             client.close()
             (held,) = run.gateway.in_flight.values()
             await until(lambda: held.is_finished)
-            if taken_back:
-                assert told == [Outcome.NOT_SENT]
-            late.release()
+            if withdrawn:
+                assert ended == [Outcome.NOT_SENT]
+            connections.release()
             await until(lambda: nothing_is_left(run))
-            assert told == [Outcome.NOT_SENT] and not upstream.exchanges
+            assert ended == [Outcome.NOT_SENT] and not upstream.exchanges
 
 
 @on_loop
 async def test_a_hedged_attempt_still_connecting_is_withdrawn_with_the_response() -> None:
-    """Where nothing may be cancelled too: it has not begun, so that there is nothing to cancel."""
+    """This also holds if attempts must not be cancelled, as no byte of the attempt has been sent."""
     async with scripted_server(silent) as upstream, scripted_server() as other:
         config = configuration(upstream, other, mayCancel=False, secondCopies=True)
         async with running(config) as run:
             for server in run.gateway.balancer.servers.values():
                 server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
-            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a copy after 4 ms
-            late = Late(run, host_id(1))
+            run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a hedged attempt is made after 4 ms
+            connections = HeldConnections(run, host_id(1))
             client = await run.connect()
             client.send(request())
-            await until(lambda: upstream.exchanges and late.held)
+            await until(lambda: upstream.exchanges and connections.held)
             upstream.exchanges[0].answer(reply(200, b"first"))
             assert (await client.answer()).body == b"first"
-            late.release()
+            connections.release()
             await until(lambda: not run.gateway.in_flight)
             assert not other.exchanges
             client.close()
 
 
-@pytest.mark.parametrize("over", [True, False])
+@pytest.mark.parametrize("is_window_over", [True, False])
 @on_loop
 async def test_a_retry_connected_after_its_deduplication_window_is_not_sent(
-    over: bool, monkeypatch: pytest.MonkeyPatch
+    is_window_over: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was chosen within the window; servers drop a repeat of what ran only as long as that lasts."""
+    """The server was chosen within the window, but only within it do servers drop duplicates."""
     async with (
         scripted_server(lambda exchange: exchange.reset()) as upstream,
         scripted_server() as other,
@@ -145,102 +145,106 @@
     ):
         for server in run.gateway.balancer.servers.values():
             server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
-        late = Late(run, host_id(1))
+        connections = HeldConnections(run, host_id(1))
         client = await run.connect()
         client.send(request("hold"))
-        await until(lambda: upstream.exchanges and late.held)
-        told = outcomes(run)
+        await until(lambda: upstream.exchanges and connections.held)
+        ended = outcomes(run)
         window_us = run.gateway.settings.classes[1].window_us
-        if over:
+        if is_window_over:
             for module in GATEWAY_CLOCK_USERS:
                 monkeypatch.setattr(f"{module}.now_us", lambda: now_us() + window_us)
-        late.release()
+        connections.release()
         answer = await client.answer()
-        assert (answer.status != 200) is over and len(other.exchanges) == (not over)
-        assert told == ([Outcome.NOT_SENT] if over else [Outcome.OK])
+        assert (answer.status != 200) is is_window_over and len(other.exchanges) == (not is_window_over)
+        assert ended == ([Outcome.NOT_SENT] if is_window_over else [Outcome.OK])
         client.close()
 
 
-def behind(count: int) -> bytes:
+def pipelined_requests(count: int) -> bytes:
     return b"".join(request("transfer") for _ in range(count))
 
 
-@pytest.mark.parametrize("told", [True, False])
+@pytest.mark.parametrize("is_watched", [True, False])
 @on_loop
-async def test_a_disconnect_is_noticed_while_reading_from_the_client_is_paused(told: bool) -> None:
-    """It has sent more than is read ahead: neither the call in work nor one behind it goes on without it."""
+async def test_a_disconnect_is_noticed_while_reading_from_the_client_is_paused(is_watched: bool) -> None:
+    """The client has sent more than is read ahead; none of its requests continues after it disconnects."""
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        client.send(behind(5 * MAX_PIPELINED))
+        client.send(pipelined_requests(5 * MAX_PIPELINED))
         await until(lambda: run.server.context.paused and upstream.exchanges)
         (connection,) = run.server.connections
-        if not told:  # it leaves just before its first answer comes
+        if not is_watched:  # the disconnect is noticed only with the first response
             run.server.context.close_watcher.unwatch(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
             await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
-            if not told:
+            if not is_watched:
                 upstream.exchanges[0].answer(reply())
             await until(lambda: not run.server.connections and not run.gateway.in_flight)
         assert len(upstream.exchanges) == 1 and not run.server.context.paused
 
 
-# A server leaves, moves or starts anew
+# A server drains, is removed, moves or restarts
 
 
-def word(name: str, address: str) -> tuple[ListKind, list[dict[str, object]]]:
+def endpoint_change(name: str, address: str) -> tuple[ListKind, list[dict[str, object]]]:
     other = endpoint("s-1", address)
     match name:
         case "draining":
             return ListKind.DELTA, [endpoint("s-0", address, status="DRAINING")]
         case "gone":
             return ListKind.DELTA, [endpoint("s-0", address, status="DELETED")]
-        case "unnamed":
+        case "omitted":
             return ListKind.FULL, [other]
         case "moved":
             return ListKind.DELTA, [endpoint("s-0", "127.0.0.1:1")]
-        case "started anew":
+        case "restarted":
             return ListKind.DELTA, [endpoint("s-0", address, since_ms=5)]
         case _:
             raise AssertionError(name)
 
 
-@pytest.mark.parametrize("what", ["draining", "gone", "unnamed", "moved", "started anew"])
+@pytest.mark.parametrize("change", ["draining", "gone", "omitted", "moved", "restarted"])
 @on_loop
-async def test_nothing_is_sent_on_a_connection_opened_before_its_server_changed(what: str) -> None:
-    """What was chosen before the word is chosen anew, once: also of a class that is unsafe to repeat."""
+async def test_nothing_is_sent_on_a_connection_opened_before_its_server_changed(change: str) -> None:
+    """The attempt is sent to another server instead, once, even if its class is unsafe to retry."""
     async with (
         scripted_server() as upstream,
         scripted_server(answers(reply(200, b"other"))) as other,
         running(configuration(upstream)) as run,
     ):
-        late, told = Late(run), outcomes(run)
+        connections, ended = HeldConnections(run), outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: late.held)
-        kind, entries = word(what, upstream.address)
-        tell(run, ListKind.DELTA, endpoint("s-1", other.address))
-        tell(run, kind, *[e if e["name"] == "s-0" else endpoint("s-1", other.address) for e in entries])
-        late.release()
+        await until(lambda: connections.held)
+        kind, entries = endpoint_change(change, upstream.address)
+        send_endpoint_list(run, ListKind.DELTA, endpoint("s-1", other.address))
+        send_endpoint_list(
+            run, kind, *[e if e["name"] == "s-0" else endpoint("s-1", other.address) for e in entries]
+        )
+        connections.release()
         assert (await client.answer()).body == b"other"
-        assert told == [Outcome.NOT_SENT, Outcome.OK] and not upstream.exchanges and len(other.exchanges) == 1
+        assert (
+            ended == [Outcome.NOT_SENT, Outcome.OK] and not upstream.exchanges and len(other.exchanges) == 1
+        )
         await until(lambda: upstream.closed_connections == upstream.opened_connections)
         client.close()
 
 
-@pytest.mark.parametrize("what", ["draining", "gone", "unnamed", "moved", "started anew"])
+@pytest.mark.parametrize("change", ["draining", "gone", "omitted", "moved", "restarted"])
 @on_loop
-async def test_a_change_of_a_server_closes_its_idle_connections(what: str) -> None:
+async def test_a_change_of_a_server_closes_its_idle_connections(change: str) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         assert (await run.ask(request())).status == 200
-        kind, entries = word(what, upstream.address)
-        tell(run, kind, *entries)
+        kind, entries = endpoint_change(change, upstream.address)
+        send_endpoint_list(run, kind, *entries)
         await until(lambda: upstream.closed_connections == 1 and run.instance.pools.open_connections == 0)
 
 
 @on_loop
 async def test_a_response_of_an_earlier_incarnation_is_forwarded_and_its_connection_closed() -> None:
-    """The answer passes, and its connection is not kept for the server of now."""
+    """The connection is not kept for the current incarnation."""
     async with (
         scripted_server(silent) as old,
         scripted_server(answers(reply(200, b"new"))) as new,
@@ -249,8 +253,8 @@
         first = await run.connect()
         first.send(request())
         await until(lambda: old.exchanges)
-        tell(run, ListKind.DELTA, endpoint("s-0", old.address, status="DELETED"))
-        tell(run, ListKind.DELTA, endpoint("s-0", new.address, since_ms=5))
+        send_endpoint_list(run, ListKind.DELTA, endpoint("s-0", old.address, status="DELETED"))
+        send_endpoint_list(run, ListKind.DELTA, endpoint("s-0", new.address, since_ms=5))
         old.exchanges[0].answer(reply(200, b"old"))
         assert (await first.answer()).body == b"old"
         await until(lambda: old.closed_connections == 1)
@@ -258,15 +262,15 @@
         first.close()
 
 
-# An answer and the next request
+# A response and the next request
 
 
 @on_loop
 async def test_a_surplus_response_does_not_answer_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is on its way as the next request is: nobody takes it for that one's answer."""
+    """The surplus response arrives as the next request is sent, and must not be taken for its response."""
     monkeypatch.setattr(
         "sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0
-    )  # however busy this machine is
+    )  # also long enough on a busy machine
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
@@ -281,7 +285,7 @@
         await until(lambda: len(upstream.exchanges) == 2)
         upstream.exchanges[1].answer(reply(200, b"two"))
         assert (await client.answer()).body == b"two"
-        await until(lambda: upstream.closed_connections == 1)  # what spoke unasked is of no more use
+        await until(lambda: upstream.closed_connections == 1)  # closed because of the surplus response
         client.close()
 
 
@@ -312,10 +316,10 @@
         client.close()
 
 
-@pytest.mark.parametrize("what", ["draining", "gone", "moved", "left"])
+@pytest.mark.parametrize("change", ["draining", "gone", "moved", "left"])
 @on_loop
 async def test_an_attempt_waiting_for_reuse_is_withdrawn_when_its_server_or_client_goes(
-    what: str, monkeypatch: pytest.MonkeyPatch
+    change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
         scripted_server() as upstream,
@@ -329,31 +333,31 @@
         kept.idle_since_us, kept.last_response_us = now_us(), 1_000_000
         client.send(request("transfer"))
         await until(lambda: kept.waiting_attempt)
-        tell(run, ListKind.DELTA, endpoint("s-1", other.address))
-        if what == "left":
+        send_endpoint_list(run, ListKind.DELTA, endpoint("s-1", other.address))
+        if change == "left":
             client.close()
             await until(lambda: not run.gateway.in_flight)
         else:
-            kind, entries = word(what, upstream.address)
-            tell(run, kind, *entries)
+            kind, entries = endpoint_change(change, upstream.address)
+            send_endpoint_list(run, kind, *entries)
             assert (await client.answer()).body == b"other"
-        assert len(upstream.exchanges) == 1 and len(other.exchanges) == (what != "left")
+        assert len(upstream.exchanges) == 1 and len(other.exchanges) == (change != "left")
         await until(lambda: upstream.closed_connections == 1)
         client.close()
 
 
-# The way out
+# Shutdown
 
 
 @on_loop
 async def test_listening_goes_on_for_a_connection_without_a_descriptor_at_shutdown() -> None:
-    """It waits with the kernel until others have had their answers, and is not reset with the listener."""
+    """The connection waits in the backlog until descriptors are free, and is not reset with the socket."""
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         server = run.server
         reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
         client.send(request("transfer"))
-        leaving = asyncio.create_task(server.shut_down())
+        shutdown_task = asyncio.create_task(server.shut_down())
         loop = asyncio.get_running_loop()
         await until(
             lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
@@ -361,13 +365,16 @@
         assert server.is_listening and not upstream.exchanges
         server.acceptor.reclaim = reclaim
         assert (await client.answer()).status == 200
-        await leaving
+        await shutdown_task
         client.close()
 
 
 @on_loop
 async def test_requests_without_an_attempt_are_answered_before_the_kill() -> None:
-    """A call in its key's line has its answer before the process may be killed, though its time goes on."""
+    """A request queued behind one with the same key gets its response before the process may be killed.
+
+    Its own timeout has not passed by then.
+    """
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = True
@@ -379,9 +386,9 @@
                 client.send(request("transfer"))
             await until(lambda: upstream.exchanges and len(run.gateway.in_flight) == 2)
             run.gateway.shut_down_within(0.1)
-            told = sorted([(await client.answer()).status for client in clients])
-            assert told == [502, 503] and len(upstream.exchanges) == 1
-            assert (await run.ask(request("transfer"))).status == 503  # what comes later is refused at once
+            statuses = sorted([(await client.answer()).status for client in clients])
+            assert statuses == [502, 503] and len(upstream.exchanges) == 1
+            assert (await run.ask(request("transfer"))).status == 503  # later requests are rejected at once
             assert not [held for held in run.gateway.in_flight.values() if not held.is_finished]
             for client in clients:
                 client.close()
@@ -392,17 +399,17 @@
 
 @on_loop
 async def test_requests_on_one_connection_share_no_state() -> None:
-    """Sent together: the second names another member, the third none that there is, the last no class."""
+    """The second request names another tenant, the third an unknown tenant, and the last no class."""
     arrived: list[RequestArrived] = []
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
 
-        def listen(now_us: int, event: object) -> object:
+        def record_event(now_us: int, event: object) -> object:
             if isinstance(event, RequestArrived):
                 arrived.append(event)
             return handle(now_us, event)  # type: ignore[arg-type]
 
-        run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
+        run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         client = await run.connect()
         client.send(
             request("hold", b"x", budget_ms=900, x_again="1", x_call_cost="7")
@@ -416,43 +423,47 @@
         assert [event.is_retry for event in arrived] == [True, False, False, False]
         assert [event.work_us for event in arrived] == [7, None, None, None]
         assert [event.client_timeout_us for event in arrived] == [900_000, 20_000_000, 20_000_000, 20_000_000]
-        said = [exchange.message for exchange in upstream.exchanges]
-        assert [message.body for message in said] == [b"x", b"y", b"", b""]
-        assert [bool(message.headers.get("idempotency-key")) for message in said] == [True] + [False] * 3
+        forwarded = [exchange.message for exchange in upstream.exchanges]
+        assert [message.body for message in forwarded] == [b"x", b"y", b"", b""]
+        assert [bool(message.headers.get("idempotency-key")) for message in forwarded] == [True] + [False] * 3
         client.close()
 
 
 @on_loop
 async def test_a_surplus_response_some_milliseconds_late_is_discarded() -> None:
-    """Later than any that was seen before the soak, and after the next request has been due for a while.
+    """The delay is longer than any observed before the soak test, and the next request is already waiting.
 
-    A round in which this machine was later than that shows nothing, and is played again.
+    A round in which this machine was too slow for the intended order of events is not judged, but repeated.
     """
-    second_s, latest_s = 0.008, 0.012
-    loop, late_s = asyncio.get_running_loop(), [0.0]
+    second_after_s, max_delay_s = 0.008, 0.012
+    loop, delays_s = asyncio.get_running_loop(), [0.0]
 
-    async def twice(exchange: Exchange) -> None:
+    async def respond_twice(exchange: Exchange) -> None:
         answer = reply(200, exchange.message.start_line.encode())
-        await asyncio.sleep(0.03)  # longer than a connection rests: the next request may wait for one
+        await asyncio.sleep(
+            0.03
+        )  # longer than twice the reuse delay: the next request may wait for the connection
         exchange.answer(answer)
         first_s = loop.time()
-        await asyncio.sleep(second_s)
+        await asyncio.sleep(second_after_s)
         exchange.answer(answer)
-        late_s.append(loop.time() - first_s)
+        delays_s.append(loop.time() - first_s)
 
-    async with scripted_server(twice) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(respond_twice) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        judged = number = 0
-        while judged < 12:
+        valid_rounds = number = 0
+        while valid_rounds < 12:
             number += 1
             path = f"/search/{number:016x}"
             data = request().replace(b"/search/7f3a9c21e0b4d655", path.encode())
-            right = path in (await client.ask(data)).body.decode()
+            is_correct = path in (await client.ask(data)).body.decode()
             await asyncio.sleep(0.0055)
-            in_time = max(late_s[-2:]) < latest_s  # second answers, of the round before and of this one
-            assert right or not in_time
-            judged += right and in_time
-            if not right:
+            in_time = (
+                max(delays_s[-2:]) < max_delay_s
+            )  # second responses of the previous round and of this one
+            assert is_correct or not in_time
+            valid_rounds += is_correct and in_time
+            if not is_correct:
                 client.close()
                 await asyncio.sleep(0.1)
                 client = await run.connect()
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Requests from bytes, without a socket: in pieces, ahead, in parts, and beyond limits."""
+"""Unit tests of the request parser: split data, pipelining, streamed bodies and invalid data."""
 
 from __future__ import annotations
 
@@ -10,65 +10,65 @@
 from tests.sockets import request
 
 
-def reader() -> RequestReader:
+def new_reader() -> RequestReader:
     return RequestReader(BodyMemoryBudget(64))
 
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
-def test_requests_are_read_in_any_pieces(size: int) -> None:
-    made = reader()
+def test_requests_are_parsed_from_data_split_anywhere(size: int) -> None:
+    reader = new_reader()
     data = request("transfer", b"first") + request("transfer", b"second")
     for at in range(0, len(data), size):
-        made.feed(data[at : at + size], 16)
-        assert made.has_partial_request or at + size >= len(data) or made.requests
-    assert [b"".join(one.body) for one in made.requests] == [b"first", b"second"]
-    assert not made.has_partial_request and not made.has_failed
+        reader.feed(data[at : at + size], 16)
+        assert reader.has_partial_request or at + size >= len(data) or reader.requests
+    assert [b"".join(one.body) for one in reader.requests] == [b"first", b"second"]
+    assert not reader.has_partial_request and not reader.has_failed
 
 
-def test_no_more_is_parsed_while_enough_requests_wait() -> None:
-    made = reader()
+def test_parsing_stops_while_enough_requests_are_waiting() -> None:
+    reader = new_reader()
     one = request("transfer", b"x" * 4000)
-    made.feed(one * 10, 2)
-    assert 2 <= len(made.requests) < 10 and made.unparsed and made.has_partial_request
-    waiting = len(made.unparsed)
-    made.feed(b"", 2)
-    assert len(made.unparsed) == waiting
-    made.requests.clear()
-    while made.unparsed:
-        made.feed(b"", 2)
-        made.requests.clear()
-    assert not made.has_partial_request
+    reader.feed(one * 10, 2)
+    assert 2 <= len(reader.requests) < 10 and reader.unparsed and reader.has_partial_request
+    waiting = len(reader.unparsed)
+    reader.feed(b"", 2)
+    assert len(reader.unparsed) == waiting
+    reader.requests.clear()
+    while reader.unparsed:
+        reader.feed(b"", 2)
+        reader.requests.clear()
+    assert not reader.has_partial_request
 
 
-def test_a_long_body_is_handed_over_before_it_is_complete() -> None:
-    made = reader()
+def test_a_request_with_a_long_body_is_queued_before_it_is_complete() -> None:
+    reader = new_reader()
     length = 3 * BODY_LIMIT
-    made.feed(request("transfer", content_length=str(length)) + bytes(1000), 16)
-    (taken,) = made.requests
+    reader.feed(request("transfer", content_length=str(length)) + bytes(1000), 16)
+    (streamed_request,) = reader.requests
     assert (
-        taken.streamed_body is not None
-        and taken.streamed_body.length == length
-        and made.streamed_body is taken.streamed_body
+        streamed_request.streamed_body is not None
+        and streamed_request.streamed_body.length == length
+        and reader.streamed_body is streamed_request.streamed_body
     )
-    assert not taken.streamed_body.is_complete and made.in_body and made.body_received == 1000
+    assert not streamed_request.streamed_body.is_complete and reader.in_body and reader.body_received == 1000
 
 
-def test_what_cannot_be_read_comes_after_what_could_and_ends_the_reading() -> None:
-    made = reader()
-    made.feed(request("transfer", b"good") + b"rubbish\r\n\r\n" + request("transfer"), 16)
-    good, bad = made.requests
-    assert good.error is None and bad.error is not None and bad.error.status == 400
-    assert made.has_failed and not made.unparsed
+def test_invalid_data_is_reported_after_valid_requests_and_stops_parsing() -> None:
+    reader = new_reader()
+    reader.feed(request("transfer", b"good") + b"rubbish\r\n\r\n" + request("transfer"), 16)
+    valid, invalid = reader.requests
+    assert valid.error is None and invalid.error is not None and invalid.error.status == 400
+    assert reader.has_failed and not reader.unparsed
 
 
-def test_a_break_within_a_long_body_is_told_where_the_body_is() -> None:
-    made = reader()
-    made.feed(request("transfer", content_length="", transfer_encoding="chunked"), 16)
-    made.feed(b"%x\r\n%s\r\n" % (2 * BODY_LIMIT, bytes(2 * BODY_LIMIT)), 16)
-    (taken,) = made.requests
-    assert taken.streamed_body is not None
-    taken.streamed_body.discard()
-    made.feed(b"", 16)
-    made.feed(b"no size\r\n", 16)
-    assert taken.error is not None and list(made.requests) == [taken]
-    assert taken.streamed_body.is_finished and not taken.streamed_body.is_complete
+def test_an_error_within_a_streamed_body_is_set_on_its_request() -> None:
+    reader = new_reader()
+    reader.feed(request("transfer", content_length="", transfer_encoding="chunked"), 16)
+    reader.feed(b"%x\r\n%s\r\n" % (2 * BODY_LIMIT, bytes(2 * BODY_LIMIT)), 16)
+    (streamed_request,) = reader.requests
+    assert streamed_request.streamed_body is not None
+    streamed_request.streamed_body.discard()
+    reader.feed(b"", 16)
+    reader.feed(b"no size\r\n", 16)
+    assert streamed_request.error is not None and list(reader.requests) == [streamed_request]
+    assert streamed_request.streamed_body.is_finished and not streamed_request.streamed_body.is_complete
--- a/tests/test_response_outcome.py
+++ b/tests/test_response_outcome.py
@@ -1,4 +1,4 @@
-"""Responses of servers as the load balancer has them: outcomes and load reports."""
+"""Outcomes and load reports derived from upstream responses."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
         (302, [], Outcome.ERROR),
     ],
 )
-def test_the_status_and_the_mark_of_a_rejection_make_the_outcome(
+def test_the_outcome_follows_from_the_status_and_the_rejection_header(
     status: int, headers: list[Header], outcome: Outcome
 ) -> None:
     assert outcome_of(response(status, *headers)) is outcome
 
 
-def test_a_load_report_is_read_and_one_that_cannot_be_is_none() -> None:
-    good = load_report_of(response(200, (b"X-Load-Report", b"TEXT queue=3")))
-    assert good is not None and good == load_report_of(response(503, (b"x-load-report", b"TEXT queue:3")))
+def test_a_valid_load_report_is_parsed_and_an_invalid_one_ignored() -> None:
+    report = load_report_of(response(200, (b"X-Load-Report", b"TEXT queue=3")))
+    assert report is not None and report == load_report_of(response(503, (b"x-load-report", b"TEXT queue:3")))
     assert load_report_of(None) is None and load_report_of(response(200)) is None
     assert load_report_of(response(200, (b"X-Load-Report", b"JSON queue=3"))) is None
     assert load_report_of(response(200, (b"X-Load-Report", b"TEXT queue=many"))) is None
