--- a/sagetrack/http1/attempt_runner.py
+++ b/sagetrack/http1/attempt_runner.py
@@ -157,10 +157,10 @@
 
     def end_stalled(self) -> None:
         """End attempts whose body transfer the server has stalled for `BODY_STALL_TIMEOUT_S`."""
-        oldest_us = now_us() - int(BODY_STALL_TIMEOUT_S * 1e6)
+        stall_cutoff_us = now_us() - int(BODY_STALL_TIMEOUT_S * 1e6)
         for attempt in list(self.transferring):
             connection = attempt.connection
-            if connection is None or attempt.last_progress_us >= oldest_us or connection.is_paused:
+            if connection is None or attempt.last_progress_us >= stall_cutoff_us or connection.is_paused:
                 continue
             if attempt.is_streaming or not connection.is_flushed:
                 self.on_timeout(attempt)
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -28,10 +28,10 @@
     """The response of a server is invalid or exceeds a limit."""
 
 
-def end_to_end_headers(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header], removed: frozenset[bytes] = frozenset()) -> list[Header]:
     """Return the headers that may be forwarded.
 
-    This removes hop-by-hop headers, headers named in `Connection`, and those in `without` (in lower case).
+    This removes hop-by-hop headers, headers named in `Connection`, and those in `removed` (in lower case).
     """
     kept = [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP]
     named = {
@@ -39,7 +39,7 @@
         for name, value in headers
         if name.lower() == b"connection"
         for part in value.split(b",")
-    } | without
+    } | removed
     return [(name, value) for name, value in kept if name.lower() not in named]
 
 
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -24,7 +24,7 @@
 
     is_closing: bool
 
-    def may_close(self, purpose: CloseReason) -> DenialReason | None:
+    def may_close(self, reason: CloseReason) -> DenialReason | None:
         """Return why the connection may not be closed now without a response; None if it may."""
 
     def close(self, reason: str = ...) -> None:
@@ -76,7 +76,7 @@
             if now_s >= end_s:
                 connection.abort()
 
-    def reclaim(self, purpose: CloseReason, idle_s: float = 0.0) -> bool:
+    def reclaim(self, reason: CloseReason, idle_s: float = 0.0) -> bool:
         """Close one connection without a complete request to free a descriptor; return False if none may be.
 
         Candidates are, in this order: connections without a complete request after `REQUEST_HEAD_TIMEOUT_S`,
@@ -88,14 +88,14 @@
         incomplete = (self.awaiting_first_byte, self.receiving_request, self.receiving_body)
         candidates = [(phase, REQUEST_HEAD_TIMEOUT_S) for phase in incomplete]
         candidates += [(self.awaiting_first_byte, FIRST_REQUEST_TIMEOUT_S), (self.idle, idle_s)]
-        if purpose is CloseReason.DESCRIPTORS_EXHAUSTED:
+        if reason is CloseReason.DESCRIPTORS_EXHAUSTED:
             candidates += [(phase, 0.0) for phase in incomplete]
-        for phase, min_s in candidates:
+        for phase, min_age_s in candidates:
             for connection, since_s in phase.items():
-                if now_s - since_s < min_s:
+                if now_s - since_s < min_age_s:
                     break
-                if connection.may_close(purpose) is None:
-                    connection.close(purpose.value)
+                if connection.may_close(reason) is None:
+                    connection.close(reason.value)
                     return True
         return False
 
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -10,7 +10,9 @@
 from sagetrack.core.responses import Response
 from sagetrack.http1.codec import ResponseError, ResponseReader
 
-LIST_LIMIT = 16 * 1024 * 1024  # bytes of a response body; the endpoint list of a large fleet is the longest
+MAX_BODY_BYTES = (
+    16 * 1024 * 1024
+)  # bytes of a response body; the endpoint list of a large fleet is the longest
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -22,7 +24,7 @@
     def __init__(self, make_error: Callable[[str], Exception]) -> None:
         self.make_error = make_error
         self.transport: asyncio.Transport | None = None
-        self.responses = ResponseReader(LIST_LIMIT)
+        self.responses = ResponseReader(MAX_BODY_BYTES)
         self.pending_response: asyncio.Future[Response] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -169,11 +169,11 @@
         """Respond with an error, by default 408, to an incomplete request, and stop reading."""
         self.reader.fail(error or RequestError(408, "the request did not come in time"))
         self.handle_read_error()
-        self.take_next()
+        self.handle_next()
 
     # Closing
 
-    def may_close(self, purpose: CloseReason) -> DenialReason | None:
+    def may_close(self, reason: CloseReason) -> DenialReason | None:
         """Return why the connection may not be closed now without a response; None if it may."""
         state = ClientConnectionState(
             response_pending=self.is_closing or self.exchange.is_busy or bool(self.reader.requests),
@@ -182,7 +182,7 @@
             age_s=asyncio.get_running_loop().time() - self.phase.since_s(self.opened_s),
             has_unread_data=lambda: bool(self.poll.poll(0)),
         )
-        return may_close(state, purpose)
+        return may_close(state, reason)
 
     def reject_incomplete(self) -> None:
         """During a shutdown: respond with 503 to a request that is still incomplete, and close if idle.
@@ -242,7 +242,7 @@
         if self.is_closing:
             return  # after a malformed request, the start of the next one is unknown
         self.parse(bytes(self.context.buffer[:size]))
-        self.take_next()
+        self.handle_next()
         self.update_phase()
 
     def parse(self, data: bytes) -> None:
@@ -265,7 +265,7 @@
             return
         if self.reader.unparsed:
             self.parse(b"")
-            self.take_next()
+            self.handle_next()
         self.update_phase()
 
     def resume_parsing_soon(self) -> None:
@@ -292,7 +292,7 @@
 
     # Requests and responses
 
-    def take_next(self) -> None:
+    def handle_next(self) -> None:
         """Handle the next request that was read, if none is in progress."""
         if self.transport is None or self.is_closing or self.write_blocked or self.exchange.is_busy:
             return
@@ -305,10 +305,10 @@
         self.exchange.start(self.reader.requests.popleft())
         self.send_continue()
 
-    def take_next_soon(self) -> None:
+    def handle_next_soon(self) -> None:
         """Handle the next request in the next iteration of the event loop, if there may be one."""
         if self.reader.requests or self.reader.unparsed:
-            asyncio.get_running_loop().call_soon(self.take_next)
+            asyncio.get_running_loop().call_soon(self.handle_next)
 
     def is_last(self, message: HttpRequest) -> bool:
         """Return whether the connection is closed after the response to this request."""
@@ -326,7 +326,7 @@
     def on_response_written(self, message: HttpRequest, is_last: bool) -> None:
         """Continue with the next request, or close the connection after its last response."""
         if not is_last:
-            self.take_next_soon()
+            self.handle_next_soon()
             self.update_phase()
             return
         self.reader.requests.clear()
@@ -359,4 +359,4 @@
         self.write_blocked = False
         self.exchange.resume()
         self.update_phase()
-        self.take_next_soon()
+        self.handle_next_soon()
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -15,8 +15,8 @@
 from sagetrack.http1.requests import HttpRequest, RequestError, read_request
 
 READY_PATH = b"/health/ready"
-NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
-REASONS = {
+REMOVED_RESPONSE_HEADERS = frozenset({b"x-load-report", b"x-rejected"})
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -175,7 +175,7 @@
         message = self.message
         transport = self.transport
         assert message is not None and transport is not None
-        lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
+        lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
         lines += [b"%s: %s" % pair for pair in headers]
         lines += [b"Content-Length: %d" % len(body)]
         is_last = self.owner.is_last(message)
@@ -195,7 +195,7 @@
     def on_response(self, request: Request, response: Response) -> None:
         """Write the response of an upstream server."""
         if self.request is request:
-            self.respond(200, end_to_end_headers(response.headers, NOT_PASSED_BACK), response.body)
+            self.respond(200, end_to_end_headers(response.headers, REMOVED_RESPONSE_HEADERS), response.body)
 
     def on_rejected(self, request: Request, retry_after_us: int) -> None:
         """Write a 503 for a rejected request, with a Retry-After header if the delay is known."""
@@ -223,7 +223,7 @@
         self.chunked = head.length is None and message.version == "1.1"
         self.ends_connection = self.owner.is_last(message) or (head.length is None and not self.chunked)
         lines = [b"HTTP/1.1 200 OK"]
-        lines += [b"%s: %s" % pair for pair in end_to_end_headers(head.headers, NOT_PASSED_BACK)]
+        lines += [b"%s: %s" % pair for pair in end_to_end_headers(head.headers, REMOVED_RESPONSE_HEADERS)]
         if head.length is not None:
             lines.append(b"Content-Length: %d" % head.length)
         elif self.chunked:
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -11,7 +11,7 @@
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, find_header, strip_whitespace
 from sagetrack.http1.requests import HttpRequest, RequestError
 
-SLICE = 4096  # bytes parsed at once, before the number of parsed requests is checked
+PARSE_SLICE = 4096  # bytes parsed at once, before the number of parsed requests is checked
 BODY_SLICE = 32 * 1024  # maximum bytes parsed at once in a streamed body of known length
 
 
@@ -79,9 +79,9 @@
             streamed_body = self.streamed_body
             if streamed_body is not None and streamed_body.is_full:
                 break  # back-pressure: the rest stays unparsed until there is capacity
-            size = SLICE
+            size = PARSE_SLICE
             if streamed_body is not None and streamed_body.length is not None:
-                size = max(SLICE, min(BODY_SLICE, streamed_body.length - streamed_body.received))
+                size = max(PARSE_SLICE, min(BODY_SLICE, streamed_body.length - streamed_body.received))
             piece = view[at : at + size]
             at += len(piece)
             error = self._parse(piece)
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -14,10 +14,10 @@
 from sagetrack.http1.codec import ProtocolError, end_to_end_headers
 from sagetrack.policy.settings import Effect, RequestClass
 
-ID_LIMIT = 128  # maximum bytes of X-Call-Id
-DIGITS_LIMIT = 15  # maximum digits of a number in a header
-NOT_FORWARDED = frozenset({b"x-budget-ms"})
-SINGLE_HEADERS = frozenset(  # headers that may occur only once
+MAX_ID_BYTES = 128  # maximum bytes of X-Call-Id
+MAX_DIGITS = 15  # maximum digits of a number in a header
+REMOVED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
+UNIQUE_HEADERS = frozenset(  # headers that may occur only once
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
 )
 
@@ -80,10 +80,10 @@
     headers = _unique_headers(message)
     names = config.names
     parts = [part for part in path.split(b"/") if part]
-    class_index = _class_of(message, path, parts, headers.get(b"x-call-class"), names)
+    class_index = _class_index_of(message, path, parts, headers.get(b"x-call-class"), names)
     settings = config.settings.classes[class_index]
     id_ = _check_class_rules(message, settings, headers)
-    budget_ms = _whole_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
+    budget_ms = _parse_integer(headers.get(b"x-budget-ms"), "X-Budget-Ms")
     body = b"".join(message.body)
     client_name = headers.get(config.client_header)
     # A budget longer than the request timeout of the class is reduced to that timeout.
@@ -97,7 +97,7 @@
         class_index=class_index,
         client_timeout_us=client_timeout_us,
         key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
-        work_us=_whole_number(headers.get(b"x-call-cost"), "X-Call-Cost"),
+        work_us=_parse_integer(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
         message=ForwardedRequest(_forwarded_head(message, body), body),
@@ -112,13 +112,13 @@
     headers: dict[bytes, bytes] = {}
     for name, value in message.headers:
         name = name.lower()
-        if name in headers and name in SINGLE_HEADERS:
+        if name in headers and name in UNIQUE_HEADERS:
             raise RequestError(400, f"{name.decode()} comes twice")
         headers[name] = value
     return headers
 
 
-def _class_of(
+def _class_index_of(
     message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: Names
 ) -> int:
     """Return the index of the class named in the path; X-Call-Class must name the same class if present."""
@@ -141,15 +141,15 @@
     if settings.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
         raise RequestError(400, "no Idempotency-Key")
     id_ = headers.get(b"x-call-id")
-    if not id_ or len(id_) > ID_LIMIT:
+    if not id_ or len(id_) > MAX_ID_BYTES:
         raise RequestError(400, "no X-Call-Id that can be used")
     return id_
 
 
-def _whole_number(text: bytes | None, name: str) -> int | None:
+def _parse_integer(text: bytes | None, name: str) -> int | None:
     if text is None:
         return None
-    if not text.isdigit() or len(text) > DIGITS_LIMIT:
+    if not text.isdigit() or len(text) > MAX_DIGITS:
         raise RequestError(400, f"{name} is not a whole number")
     return int(text)
 
@@ -157,7 +157,7 @@
 def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
     """Return the head to forward, without X-Budget-Ms and the final empty line."""
     lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
-    lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, NOT_FORWARDED)]
+    lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, REMOVED_REQUEST_HEADERS)]
     length = len(body) if message.streamed_body is None else message.streamed_body.length
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -25,7 +25,7 @@
         self.events, self.name, self.denial = events, name, denial
         self.is_closing = False
 
-    def may_close(self, purpose: CloseReason) -> DenialReason | None:
+    def may_close(self, reason: CloseReason) -> DenialReason | None:
         return self.denial
 
     def close(self, reason: str = "answered") -> None:
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -23,8 +23,8 @@
         self.events: list[str] = []
         self.open_connections = self.clients = self.closing = 0
 
-    def reclaim(self, purpose: CloseReason, idle_s: float = 0.0) -> bool:
-        name = purpose.value + (f" {idle_s}" if idle_s else "")
+    def reclaim(self, reason: CloseReason, idle_s: float = 0.0) -> bool:
+        name = reason.value + (f" {idle_s}" if idle_s else "")
         self.events.append(name)
         return name in self.reclaimable
 
