--- a/sagetrack/http1/acceptor.py
+++ b/sagetrack/http1/acceptor.py
@@ -16,7 +16,9 @@
 ACCEPT_RETRY_S = 0.01  # pause if no descriptor is available and none can be reclaimed
 # Errors of accept after which accepting pauses; after any other the next connection is accepted at once.
 EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-MAX_CONSECUTIVE_EXHAUSTED = 10  # as this process may have fewer descriptors than configured
+# An idle client is closed after this many such errors in a row: the process may have fewer descriptors than
+# configured.
+MAX_CONSECUTIVE_EXHAUSTED = 10
 
 
 class Acceptor:
@@ -33,7 +35,7 @@
         self.connection_factory = connection_factory  # creates the protocol of an accepted connection
         self.listener: socket.socket | None = None
         self.pending: set[asyncio.Task[object]] = set()  # accepted connections that are being set up
-        self.consecutive_exhausted = 0  # consecutive failures of accept for lack of descriptors or memory
+        self.consecutive_exhausted = 0  # failures of accept with `EXHAUSTION_ERRNOS` in a row
         self.errors = LabeledCounter("accept_errors_total", "error", ())
 
     def start(self, listener: socket.socket) -> None:
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -87,7 +87,7 @@
         self._body: list[bytes] = []
         self._size = 0
         self._interim_count = 0
-        self._unparsed = 0  # bytes fed since the last parser callback
+        self._unparsed = 0  # bytes fed since the parser last reported a complete head, a body part or the end
         self.has_partial_response = False  # part of a response has been parsed
 
     def feed(self, data: bytes) -> Response | None:
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -13,7 +13,7 @@
 )
 
 FIRST_BYTE_TIMEOUT_S = REQUEST_HEAD_TIMEOUT_S  # from the accept to the first byte
-# Time limit of a request without a streamed body, from its first byte; for the first request from the accept.
+# Time limit of a request without a streamed body, from its first byte (first request: from the accept).
 REQUEST_TIMEOUT_S = 2.4
 KEEPALIVE_S = 20.0  # idle timeout between requests
 KEEPALIVE_MANY_CLIENTS_S = 2.0  # idle timeout while many clients are connected
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -10,9 +10,7 @@
 from sagetrack.core.responses import Response
 from sagetrack.http1.codec import ResponseError, ResponseReader
 
-MAX_BODY_BYTES = (
-    16 * 1024 * 1024
-)  # bytes of a response body; the endpoint list of a large fleet is the longest
+MAX_BODY_BYTES = 16 * 1024 * 1024  # limit of a response body; an endpoint list has all servers
 
 
 class DiscoveryConnection(asyncio.Protocol):
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -20,7 +20,7 @@
 
 MAX_PIPELINED = 16  # requests that are read ahead on one connection
 MIN_BODY_RATE = 64_000  # minimum average rate of a request body, in bytes per second
-BODY_GRACE_S = 2.0  # time that a request body may take beyond that of `MIN_BODY_RATE`
+BODY_GRACE_S = 2.0  # time allowed for a request body in addition to its time at `MIN_BODY_RATE`
 LINGER_S = 0.5  # time that the client has to read an error response to a request it is still sending
 WRITE_TIMEOUT_S = 2.4  # time that the client has to read a buffered response
 # Time that the client has to read more of a streamed response. The kernel accepts more data only when a third
@@ -32,7 +32,7 @@
     """The state that all client connections share, and the set of these connections.
 
     Attributes:
-        exchange_context: The objects that handle the requests.
+        exchange_context: The configuration and gateway with which requests are handled.
         drain: The drain phase of this process.
         connections: The open connections.
         phases: The connections that wait for their client, by phase.
@@ -119,7 +119,7 @@
         self.cancel_requests()
 
     def eof_received(self) -> None:
-        """Handle a close by the client; data written before is still flushed. Called by the event loop."""
+        """Handle a close by the client; data that was written is still flushed. Called by the event loop."""
         self.cancel_requests()
         self.close(CLIENT_LEFT)
 
@@ -185,7 +185,7 @@
         return may_close(state, reason)
 
     def reject_incomplete(self) -> None:
-        """During a shutdown: respond with 503 to a request that is still incomplete, and close if idle.
+        """Respond with 503 to a request that is still incomplete during a shutdown, and close if idle.
 
         If the connection were closed without a response, the last byte of the request could already be on
         its way, and the client would never get the response that is due for it.
@@ -246,7 +246,7 @@
         self.update_phase()
 
     def parse(self, data: bytes) -> None:
-        """Parse the unparsed data and then `data`; reading pauses while any of it stays unparsed."""
+        """Parse `data` after data still unparsed; reading pauses while any data stays unparsed."""
         assert self.transport is not None
         self.reader.feed(data, MAX_PIPELINED)
         self.handle_read_error()
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -10,8 +10,8 @@
 from sagetrack.http1.upstream_connection import PooledServer, UpstreamConnection
 from sagetrack.policy.settings import Settings
 
-KEEPALIVE_FRACTION = 0.8  # of the idle timeout of the server, after which an idle connection is closed
-SPARE_IDLE_US = 5_000_000  # shorter idle timeout for connections above `SPARE_CONNECTIONS`, used by bursts
+KEEPALIVE_FRACTION = 0.8  # idle connections are closed after this fraction of the server's idle timeout
+SPARE_IDLE_US = 5_000_000  # idle timeout of connections above `SPARE_CONNECTIONS`, opened for a burst
 SPARE_CONNECTIONS = 1  # idle connections per server that are kept for the longer timeout
 
 
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -11,8 +11,8 @@
 from sagetrack.http1.codec import BODY_LIMIT, HEAD_LIMIT, VERSIONS, find_header, strip_whitespace
 from sagetrack.http1.requests import HttpRequest, RequestError
 
-PARSE_SLICE = 4096  # bytes parsed at once, before the number of parsed requests is checked
-BODY_SLICE = 32 * 1024  # maximum bytes parsed at once in a streamed body of known length
+PARSE_SLICE = 4096  # bytes parsed between checks of the number of waiting requests
+BODY_SLICE = 32 * 1024  # the same within a streamed body of known length
 
 
 class RequestReader:
@@ -42,7 +42,7 @@
         self._body_size = 0
         self.in_body = False
         self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
-        self._unreported = 0  # bytes parsed since the last parser callback that limits a size
+        self._unreported = 0  # bytes parsed since the parser last reported a complete head or a body part
         self._fed_us = 0  # when the last data was received, which includes the unparsed data
         self.requests: deque[HttpRequest] = deque()  # requests that were parsed and are not handled yet
         self.unparsed = b""  # data that is not parsed yet because enough requests are waiting
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -14,8 +14,8 @@
 from sagetrack.http1.codec import ProtocolError, end_to_end_headers
 from sagetrack.policy.settings import Effect, RequestClass
 
-MAX_ID_BYTES = 128  # maximum bytes of X-Call-Id
-MAX_DIGITS = 15  # maximum digits of a number in a header
+MAX_ID_BYTES = 128  # limit of X-Call-Id
+MAX_DIGITS = 15  # limit of a number in a header
 REMOVED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
 UNIQUE_HEADERS = frozenset(  # headers that may occur only once
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
@@ -23,7 +23,7 @@
 
 
 class RequestError(ProtocolError):
-    """A request is invalid or cannot be served; has the status and headers of the error response."""
+    """A request cannot be served; carries the status and headers of the error response."""
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
         super().__init__(reason)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -62,7 +62,7 @@
     return body
 
 
-async def read_answer(client: Client) -> tuple[int, dict[str, str], bytes]:
+async def read_response(client: Client) -> tuple[int, dict[str, str], bytes]:
     """Read a response with either framing; return its status, headers and body."""
     first, *lines = (await client.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -129,7 +129,7 @@
         client = await run.connect()
         for _ in range(3):
             client.send(request())
-            status, headers, body = await read_answer(client)
+            status, headers, body = await read_response(client)
             assert (status, body) == (200, LONG) and "x-trailer" not in headers
             await rested(run)
         assert upstream.opened_connections == 1 and run.gateway.metrics.answered.by_class[0] == 3
@@ -220,7 +220,7 @@
 
 
 @on_loop
-async def test_a_server_that_stalls_during_a_streamed_response_is_given_up() -> None:
+async def test_an_attempt_that_stalls_during_a_streamed_response_is_ended() -> None:
     async with (
         scripted_server(answers(HEAD + LONG[:100_000])) as upstream,
         running(configuration(upstream)) as run,
@@ -296,15 +296,15 @@
 
 
 @on_loop
-async def test_a_malformed_long_body_is_answered_and_never_forwarded_completely() -> None:
+async def test_a_malformed_long_body_gets_a_400_and_is_never_forwarded_completely() -> None:
     async with body_server() as upstream, running(configuration(upstream.address)) as run:
         client = await run.connect()
         head = request("transfer", content_length="", transfer_encoding="chunked")
         client.send(head + chunk(LONG))
         await until(lambda: upstream.heads)
         client.send(b"zz\r\n")
-        answer = await client.answer()
-        assert answer.status == 400 and answer.headers["connection"] == "close"
+        response = await client.answer()
+        assert response.status == 400 and response.headers["connection"] == "close"
         await until(lambda: upstream.truncated == 1)
         assert (
             not upstream.complete and not run.gateway.in_flight and run.server.body_budget.active_bodies == 0
@@ -333,15 +333,15 @@
         long = bytes(8 * MEGABYTE)
         late.send(request("transfer", long))
         await late.writer.drain()
-        answer = await late.answer()
-        assert answer.status == 503 and answer.headers["connection"] == "close"
+        response = await late.answer()
+        assert response.status == 503 and response.headers["connection"] == "close"
         assert await late.reader.read() == b""
         early.close()
         late.close()
 
 
 @on_loop
-async def test_a_body_below_the_minimum_rate_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_body_below_the_minimum_rate_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(downstream_module, "BODY_GRACE_S", 0.05)
     monkeypatch.setattr(downstream_module, "MIN_BODY_RATE", 10_000_000)
     async with body_server() as upstream, running(configuration(upstream.address)) as run:
@@ -439,10 +439,10 @@
                 async def transfer(port: int = port, class_name: str = class_name, body: bytes = body) -> int:
                     client = await connect(port)
                     client.send(request(class_name, body))
-                    status, _, answer = await read_answer(client)
+                    status, _, response = await read_response(client)
                     client.close()
                     if status == 200 and class_name == "search":
-                        assert hashlib.sha256(answer).digest() == hashlib.sha256(long).digest()
+                        assert hashlib.sha256(response).digest() == hashlib.sha256(long).digest()
                     return status
 
                 statuses = await asyncio.gather(*(transfer() for _ in range(16)))
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -64,8 +64,8 @@
     shorten_limits(monkeypatch, "REQUEST_TIMEOUT_S", "LINGER_S")
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        answer = await client.ask(partial)
-        assert answer.status == 408 and answer.headers["connection"] == "close"
+        response = await client.ask(partial)
+        assert response.status == 408 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         await until(lambda: not run.server.connections)
         assert not upstream.exchanges
@@ -149,8 +149,8 @@
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(data)
-        answer = await client.answer()
-        assert answer.status == status
+        response = await client.answer()
+        assert response.status == status
         assert (await run.ask(request())).status == 200
         assert len(upstream.exchanges) == 1 and "search" in upstream.exchanges[0].message.start_line
         client.close()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -49,8 +49,8 @@
 
 @on_loop
 async def test_white_space_around_a_header_value_is_removed() -> None:
-    answer = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
-    async with scripted_server(answers(answer)) as upstream, running(configuration(upstream)) as run:
+    raw_response = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
+    async with scripted_server(answers(raw_response)) as upstream, running(configuration(upstream)) as run:
         for before, after in ((b"", b" \t"), (b"\t ", b"")):
             first, *lines = request("hold", b"slip", expect="100-continue").split(b"\r\n")[:-2]
             lines = [line.replace(b": ", b":" + before) + after for line in lines]
@@ -89,10 +89,10 @@
     data: bytes, status: int
 ) -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        answer = await run.ask(data)
-        assert answer.status == status
-        assert answer.status not in (429, 503)
-        assert ("allow" in answer.headers) is (status == 405)
+        response = await run.ask(data)
+        assert response.status == status
+        assert response.status not in (429, 503)
+        assert ("allow" in response.headers) is (status == 405)
         assert not upstream.exchanges and not run.gateway.in_flight
         assert (await run.ask(request())).status == 200
 
@@ -122,8 +122,8 @@
         scripted_server(answers(reply(200, body))) as upstream,
         running(configuration(upstream)) as run,
     ):
-        answer = await run.ask(request("transfer", body))
-        assert answer.body == body == upstream.exchanges[0].message.body
+        response = await run.ask(request("transfer", body))
+        assert response.body == body == upstream.exchanges[0].message.body
 
 
 @on_loop
@@ -145,8 +145,8 @@
         await until(lambda: upstream.exchanges)
         upstream.exchanges[0].answer(reply())
         assert (await client.answer()).status == 200
-        answer = await client.answer()
-        assert answer.status == 400 and answer.headers["connection"] == "close"
+        response = await client.answer()
+        assert response.status == 400 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
 
@@ -155,8 +155,8 @@
 async def test_connection_close_from_the_client_is_honoured() -> None:
     async with scripted_server() as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
-        answer = await client.ask(request(connection="close"))
-        assert answer.status == 200 and answer.headers["connection"] == "close"
+        response = await client.ask(request(connection="close"))
+        assert response.status == 200 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
 
@@ -190,9 +190,9 @@
 @on_loop
 async def test_a_rejection_carries_the_retry_after_of_the_policy() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
-        answer = await run.ask(request())
-        assert answer.status == 503
-        assert 0 < float(answer.headers["retry-after"]) <= 2
+        response = await run.ask(request())
+        assert response.status == 503
+        assert 0 < float(response.headers["retry-after"]) <= 2
 
 
 @on_loop
@@ -205,8 +205,8 @@
         (connection,) = run.server.connections
         run.server.close_idle()
         assert not connection.is_closing
-        answer = await client.ask(request("transfer"))
-        assert answer.status == 200 and answer.headers["connection"] == "close"
+        response = await client.ask(request("transfer"))
+        assert response.status == 200 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         silent_client = await run.connect()
         await until(lambda: run.server.connections)
@@ -233,5 +233,5 @@
             run.server.close_idle()
             assert not connection.is_closing
             loop = asyncio.get_running_loop()
-            answer = await loop.run_in_executor(None, client.recv, 65536)
-            assert answer.startswith(b"HTTP/1.1 200 ")
+            response = await loop.run_in_executor(None, client.recv, 65536)
+            assert response.startswith(b"HTTP/1.1 200 ")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -89,7 +89,7 @@
 async def test_nothing_is_sent_for_a_client_that_left_while_its_upstream_connection_opened(
     may_cancel: bool, withdrawn: bool
 ) -> None:
-    """The attempt is withdrawn at once; if not, the check before the first byte prevents that it is sent."""
+    """The attempt is withdrawn at once; if not, the check before the first byte keeps it unsent."""
     config = configuration(mayCancel=may_cancel)
     async with scripted_server() as upstream:
         config["known"] = configuration(upstream)["known"]
@@ -137,7 +137,7 @@
 async def test_a_retry_connected_after_its_deduplication_window_is_not_sent(
     is_window_over: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server was chosen within the window, but only within it do servers drop duplicates."""
+    """The retry was decided within the window, but servers drop duplicates only until the window ends."""
     async with (
         scripted_server(lambda exchange: exchange.reset()) as upstream,
         scripted_server() as other,
@@ -155,8 +155,8 @@
             for module in GATEWAY_CLOCK_USERS:
                 monkeypatch.setattr(f"{module}.now_us", lambda: now_us() + window_us)
         connections.release()
-        answer = await client.answer()
-        assert (answer.status != 200) is is_window_over and len(other.exchanges) == (not is_window_over)
+        response = await client.answer()
+        assert (response.status != 200) is is_window_over and len(other.exchanges) == (not is_window_over)
         assert ended == ([Outcome.NOT_SENT] if is_window_over else [Outcome.OK])
         client.close()
 
@@ -268,9 +268,8 @@
 @on_loop
 async def test_a_surplus_response_does_not_answer_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """The surplus response arrives as the next request is sent, and must not be taken for its response."""
-    monkeypatch.setattr(
-        "sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0
-    )  # also long enough on a busy machine
+    # Long enough even on a busy machine.
+    monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0)
     async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
@@ -439,14 +438,12 @@
     loop, delays_s = asyncio.get_running_loop(), [0.0]
 
     async def respond_twice(exchange: Exchange) -> None:
-        answer = reply(200, exchange.message.start_line.encode())
-        await asyncio.sleep(
-            0.03
-        )  # longer than twice the reuse delay: the next request may wait for the connection
-        exchange.answer(answer)
+        response = reply(200, exchange.message.start_line.encode())
+        await asyncio.sleep(0.03)  # twice the reuse delay: the next request may wait for this connection
+        exchange.answer(response)
         first_s = loop.time()
         await asyncio.sleep(second_after_s)
-        exchange.answer(answer)
+        exchange.answer(response)
         delays_s.append(loop.time() - first_s)
 
     async with scripted_server(respond_twice) as upstream, running(configuration(upstream)) as run:
@@ -458,9 +455,7 @@
             data = request().replace(b"/search/7f3a9c21e0b4d655", path.encode())
             is_correct = path in (await client.ask(data)).body.decode()
             await asyncio.sleep(0.0055)
-            in_time = (
-                max(delays_s[-2:]) < max_delay_s
-            )  # second responses of the previous round and of this one
+            in_time = max(delays_s[-2:]) < max_delay_s  # in the previous round and in this one
             assert is_correct or not in_time
             valid_rounds += is_correct and in_time
             if not is_correct:
