--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -45,7 +45,7 @@
         self._unreported = 0  # bytes parsed since the parser last reported a complete head or a body part
         self._fed_us = 0  # when the last data was received, which includes the unparsed data
         self.requests: deque[HttpRequest] = deque()  # requests that were parsed and are not handled yet
-        self.unparsed = b""  # data that is not parsed yet because enough requests are waiting
+        self.unparsed = b""  # not parsed yet, as enough requests are waiting or a streamed body is full
         self.has_failed = False  # a request was invalid, and no more data is parsed
 
     @property
