--- a/sagetrack/policy/in_flight.py
+++ b/sagetrack/policy/in_flight.py
@@ -29,7 +29,7 @@
     def advance_time(self, now_us: int) -> None:
         """Account for the attempts in flight until now. Must be called before an event is handled."""
         if self._fleet.is_concurrency_scarce():
-            self._share.pass_time(now_us, self.count)
+            self._share.update_credit(now_us, self.count)
 
     def add(self, attempt: Attempt) -> None:
         """Record an attempt as in flight at its server from now on."""
--- a/sagetrack/policy/parsing.py
+++ b/sagetrack/policy/parsing.py
@@ -1,6 +1,6 @@
-"""Settings and load reports from the platform's texts.
+"""Parses settings and load reports in the platform's text formats.
 
-The platform's key names are translated to the names of `Settings` here and nowhere else.
+This is the only place that maps the platform's key names to the names of `Settings`.
 """
 
 from __future__ import annotations
@@ -9,11 +9,24 @@
 from typing import Any
 
 from sagetrack.policy.events import LoadReport
-from sagetrack.policy.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
+from sagetrack.policy.settings import (
+    Effect,
+    Goal,
+    LoadReporting,
+    Prices,
+    RequestClass,
+    Scope,
+    Settings,
+    Tenant,
+)
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.GROUP}
-REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
+LOAD_REPORTING = {
+    "piggyback": LoadReporting.RESPONSES,
+    "pull": LoadReporting.PROBES,
+    "silent": LoadReporting.NONE,
+}
 PRICE_KEYS = {
     "cross_zone": "crossZone",
     "handshake": "handshake",
@@ -28,31 +41,31 @@
 NO_REPORT = "-"
 
 
-class WireError(ValueError):
-    """A text that cannot be parsed; the message says why."""
+class ParseError(ValueError):
+    """Raised for text that cannot be parsed; the message says why."""
 
 
 def parse_settings(text: str) -> Settings:
-    """Parse the platform's settings object; unknown keys are ignored, missing optional ones have defaults.
+    """Parse the platform's settings object. Unknown keys are ignored; missing optional keys get defaults.
 
     Raises:
-        WireError: The text is not a JSON object, or a value in it cannot be used.
+        ParseError: The text is not a JSON object, or contains an invalid value.
     """
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
-        raise WireError(f"settings are not JSON: {error}") from None
+        raise ParseError(f"settings are not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise WireError("settings are not an object")
+        raise ParseError("settings must be a JSON object")
     try:
         return _settings(raw)
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise WireError(f"settings cannot be used: {error}") from None
+        raise ParseError(f"settings contain an invalid value: {error}") from None
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
     return Settings(
-        classes=tuple(_request_class(lane) for lane in raw.get("lanes", [])),
+        classes=tuple(_request_class(raw_class) for raw_class in raw.get("lanes", [])),
         goal=_goal(raw.get("objectiveMix", {})),
         priority_per_work=raw.get("worthBy") == "work",
         gateway_count=int(raw.get("balancers", 1)),
@@ -65,7 +78,7 @@
         ),
         over_quota_priority=float(raw.get("overShareWorth", 1.0)),
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
-        reports=REPORTS.get(str(raw.get("report", {}).get("how")), Reports.NONE),
+        reports=LOAD_REPORTING.get(str(raw.get("report", {}).get("how")), LoadReporting.NONE),
         warm_keys=bool(raw.get("familyInfo", {}).get("warmKeys", False)),
         endpoints_are_pushed=raw.get("membershipMode", "pushed") == "pushed",
         **_capabilities(raw.get("caps", {})),
@@ -74,7 +87,7 @@
 
 
 def _capabilities(caps: dict[str, Any]) -> dict[str, Any]:
-    """What the platform lets a gateway do."""
+    """Parse the platform's `caps` object: what a gateway is allowed to do."""
     return {
         "max_attempts": int(caps.get("maxAttempts", 3)),
         "may_cancel": bool(caps.get("mayCancel", False)),
@@ -90,7 +103,7 @@
 
 
 def _contract(contract: dict[str, Any]) -> dict[str, Any]:
-    """What the platform expects of a gateway and promises of the servers."""
+    """Parse the platform's `contract` object: requirements on gateways and guarantees about servers."""
     return {
         "answer_slack_us": int(contract.get("answerSlackUs", 0)),
         "stop_sending_within_us": int(contract.get("stopSendingWithinUs", 0)),
@@ -117,33 +130,33 @@
     return Prices(**{name: float(prices.get(key, 0.0)) for name, key in PRICE_KEYS.items()})
 
 
-def _request_class(lane: dict[str, Any]) -> RequestClass:
-    if "giveUpUs" not in lane:
-        raise ValueError("a class has no giveUpUs")
-    effect = str(lane.get("effect", "single_shot"))
-    scope = str(lane.get("group", "all"))
+def _request_class(raw_class: dict[str, Any]) -> RequestClass:
+    if "giveUpUs" not in raw_class:
+        raise ValueError("an entry of lanes lacks the required key giveUpUs")
+    effect = str(raw_class.get("effect", "single_shot"))
+    scope = str(raw_class.get("group", "all"))
     if effect not in EFFECTS:
-        raise ValueError(f"effect '{effect}' is unknown")
+        raise ValueError(f"effect '{effect}' is unknown; allowed are free, guarded and single_shot")
     if scope not in SCOPES:
-        raise ValueError(f"group '{scope}' is unknown")
+        raise ValueError(f"group '{scope}' is unknown; allowed are all, zone and cell")
     return RequestClass(
-        latency_objective_us=int(lane.get("aimUs", lane["giveUpUs"])),
-        request_timeout_us=int(lane["giveUpUs"]),
-        priority_weight=float(lane.get("value", 1.0)),
-        late_priority_weight=float(lane.get("lateValue", 0.0)),
+        latency_objective_us=int(raw_class.get("aimUs", raw_class["giveUpUs"])),
+        request_timeout_us=int(raw_class["giveUpUs"]),
+        priority_weight=float(raw_class.get("value", 1.0)),
+        late_priority_weight=float(raw_class.get("lateValue", 0.0)),
         effect=EFFECTS[effect],
         scope=SCOPES[scope],
-        window_us=int(lane.get("windowUs", 0)),
-        in_order=bool(lane.get("sequential", False)),
-        latency_objective_stretch=float(lane.get("aimStretch", 0.0)),
+        window_us=int(raw_class.get("windowUs", 0)),
+        in_order=bool(raw_class.get("sequential", False)),
+        latency_objective_stretch=float(raw_class.get("aimStretch", 0.0)),
     )
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """Parse a load report, such as `inflight:3,util:0.5`; keys that are not known here are ignored.
+    """Parse a load report, such as `inflight:3,util:0.5`. Unknown keys are ignored.
 
     Returns:
-        None if there is no report.
+        The report, or None if `text` is empty or `-`.
 
     Raises:
         ValueError: The value of a known key is not a number.
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,16 @@
 from sagetrack.server.health_handover import HealthHandover
 from sagetrack.server.hot_restart import HotRestart
 from tests.helpers import SETTINGS, Driver
-from tests.sockets import configuration, on_loop, reply, request, running, scripted_server, silent, until
+from tests.sockets import (
+    configuration,
+    http_response,
+    no_response,
+    on_event_loop,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_until,
+)
 
 SLOW_START_S = 20
 SLOW_START_SETTINGS = replace(
@@ -89,20 +98,20 @@
 
 
 @pytest.mark.parametrize("step_s", [3_600, -3_600])
-@on_loop
+@on_event_loop
 async def test_handed_over_observations_keep_their_age_after_a_clock_step(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each process sets its monotonic clock to the wall clock at its start, so that their clocks differ."""
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         hot_restart = HotRestart(str(tmp_path))
         hot_restart.join()
-        predecessor = HealthHandover(hot_restart, run.instance.config, run.gateway)
+        predecessor = HealthHandover(hot_restart, run.assembly.config, run.gateway)
         client = await run.connect()
         client.send(request())
-        await until(lambda: upstream.exchanges)
-        upstream.exchanges[0].answer(reply())
-        await client.answer()
+        await wait_until(lambda: upstream.exchanges)
+        upstream.exchanges[0].respond(http_response())
+        await client.read_response()
         predecessor.save()
         received: list[ObservationsReceived] = []
         handle = run.gateway.balancer.handle
@@ -115,7 +124,7 @@
         run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         original_now_us = clock.now_us
         monkeypatch.setattr(health_handover, "now_us", lambda: original_now_us() + step_s * 1_000_000)
-        successor = HealthHandover(hot_restart, run.instance.config, run.gateway)
+        successor = HealthHandover(hot_restart, run.assembly.config, run.gateway)
         successor.restore()
         (event,) = received
         age_us = original_now_us() + step_s * 1_000_000 - event.observations[0].seen_us
--- a/tests/test_connection_phases.py
+++ b/tests/test_connection_phases.py
@@ -15,7 +15,7 @@
     ConnectionPhases,
     PhaseTracker,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 class Connection:
@@ -71,7 +71,7 @@
     assert events == ["idle closed: idle", "body body since 1"]
 
 
-@on_loop
+@on_event_loop
 async def test_descriptors_are_reclaimed_from_overdue_clients_first() -> None:
     now_s = asyncio.get_running_loop().time()
     events: list[str] = []
@@ -99,7 +99,7 @@
     assert not phases.reclaim(CloseReason.DESCRIPTORS_EXHAUSTED)
 
 
-@on_loop
+@on_event_loop
 async def test_an_idle_connection_is_reclaimed_only_after_the_given_idle_time() -> None:
     now_s = asyncio.get_running_loop().time()
     phases = ConnectionPhases()
@@ -108,7 +108,7 @@
     assert phases.reclaim(CloseReason.RECLAIM_DESCRIPTOR, idle_s=0.1)
 
 
-@on_loop
+@on_event_loop
 async def test_a_connection_is_in_one_phase_and_keeps_its_entry_time() -> None:
     phases = ConnectionPhases()
     connection = Connection([], "one")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,31 +12,31 @@
 from tests.sockets import (
     Client,
     Exchange,
-    Running,
+    RunningGateway,
     ScriptedServer,
     configuration,
     endpoint,
-    host_id,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 KINDS = 4
 
 
-def is_within_limit(run: Running) -> bool:
+def is_within_limit(run: RunningGateway) -> bool:
     """Return whether client and upstream connections leave the reserve free."""
-    server = run.server
-    return server.count_clients() + run.instance.pools.open_connections + RESERVE <= server.descriptors.limit
+    server = run.listener
+    return server.count_clients() + run.assembly.pools.open_connections + RESERVE <= server.descriptors.limit
 
 
-async def connect_idle_clients(run: Running, count: int) -> list[Client]:
+async def connect_idle_clients(run: RunningGateway, count: int) -> list[Client]:
     """Connect clients of four kinds: silent, idle, with an incomplete request, and not reading responses."""
     clients = []
     for n in range(count):
@@ -45,12 +45,12 @@
         match n % KINDS:
             case 1:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n")
-                await client.answer()
+                await client.read_response()
             case 2:
                 client.send(request("transfer")[:20])
             case 3:
                 client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 3)
-        await until(lambda: is_within_limit(run))
+        await wait_until(lambda: is_within_limit(run))
     return clients
 
 
@@ -66,9 +66,9 @@
             exchange.reset()
         elif "from=" in exchange.message.start_line:
             await asyncio.sleep(0.2)
-            exchange.answer(list_reply(9, snapshot=False))
+            exchange.respond(list_response(9, snapshot=False))
         else:
-            exchange.answer(list_reply(9, endpoint("s-0", upstream.address)))
+            exchange.respond(list_response(9, endpoint("s-0", upstream.address)))
 
     async with scripted_server(script) as discovery:
         yield discovery, up
@@ -76,34 +76,35 @@
 
 @pytest.mark.parametrize("sockets", [256, 1024])
 @pytest.mark.parametrize("siblings", [0, 1])
-@on_loop
+@on_event_loop
 async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(sockets: int, siblings: int) -> None:
     """After discovery returns, its list is applied, and new and pending requests get their responses."""
     async with (
-        scripted_server(silent) as old,
+        scripted_server(no_response) as old,
         scripted_server() as new,
         discovery_down_then_up(new) as (discovery, up),
     ):
         config = configuration(old, discovery=discovery.address) | {"limits": {"sockets": sockets}}
-        async with running(config) as run:
-            run.server.siblings.sibling_count = siblings
+        async with running_gateway(config) as run:
+            run.listener.siblings.sibling_count = siblings
             pending_client = await run.connect()
             pending_client.send(request("transfer"))
-            await until(lambda: old.exchanges)
-            idle_clients = await connect_idle_clients(run, run.server.descriptors.max_clients + KINDS * 4)
-            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1 and is_within_limit(
-                run
+            await wait_until(lambda: old.exchanges)
+            idle_clients = await connect_idle_clients(run, run.listener.descriptors.max_clients + KINDS * 4)
+            assert (
+                run.listener.count_clients() >= run.listener.descriptors.max_clients - 1
+                and is_within_limit(run)
             )
             up.append(True)
-            await until(lambda: run.instance.pools.servers[host_id(0)].address == address_of(new))
+            await wait_until(lambda: run.assembly.pools.servers[server_id(0)].address == address_of(new))
             new_clients = [await run.connect() for _ in range(20)]
             for client in new_clients:
                 client.send(request("search"))
             for client in new_clients:
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             assert is_within_limit(run)
-            old.exchanges[0].answer(reply())
-            assert (await pending_client.answer()).status == 200
+            old.exchanges[0].respond(http_response())
+            assert (await pending_client.read_response()).status == 200
             for client in (pending_client, *new_clients, *idle_clients):
                 client.close()
 
@@ -114,22 +115,22 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-@on_loop
+@on_event_loop
 async def test_a_full_process_frees_descriptors_when_a_second_one_starts(sockets: int) -> None:
     """Both processes share the limit; the next sweep closes idle clients but no pending request."""
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         config = configuration(upstream) | {"limits": {"sockets": sockets}}
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             pending_client = await run.connect()
             pending_client.send(request("transfer"))
-            await until(lambda: upstream.exchanges)
-            idle_clients = await connect_idle_clients(run, run.server.descriptors.max_clients)
-            assert run.server.count_clients() >= run.server.descriptors.max_clients - 1
-            run.server.siblings.sibling_count = 1
-            run.server.sweep()
-            await until(lambda: not any(c.is_closing for c in run.server.connections))
+            await wait_until(lambda: upstream.exchanges)
+            idle_clients = await connect_idle_clients(run, run.listener.descriptors.max_clients)
+            assert run.listener.count_clients() >= run.listener.descriptors.max_clients - 1
+            run.listener.siblings.sibling_count = 1
+            run.listener.sweep()
+            await wait_until(lambda: not any(c.is_closing for c in run.listener.connections))
             assert is_within_limit(run)
-            upstream.exchanges[0].answer(reply())
-            assert (await pending_client.answer()).status == 200
+            upstream.exchanges[0].respond(http_response())
+            assert (await pending_client.read_response()).status == 200
             for client in (pending_client, *idle_clients):
                 client.close()
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -12,7 +12,7 @@
 
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.soak.shim import NO_FAULTS, FaultControl, SystemCallFaults, build_library
-from tests.sockets import configuration, on_loop, request, scripted_server, until
+from tests.sockets import configuration, on_event_loop, request, scripted_server, wait_until
 from tests.test_gateway_process import READY, ROOT, fetch_status
 
 FAULT_DURATION_S = 0.6
@@ -45,7 +45,7 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until(lambda: control.failed_calls or process.returncode is not None)
+        await wait_until(lambda: control.failed_calls or process.returncode is not None)
         await asyncio.sleep(FAULT_DURATION_S)
         control.set(NO_FAULTS)
         yield port, admin
@@ -65,7 +65,7 @@
         writer.close()
 
 
-@on_loop
+@on_event_loop
 async def test_failures_to_create_sockets_are_retried(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
@@ -75,7 +75,7 @@
         assert await fetch_status(port, request()) == 200
 
 
-@on_loop
+@on_event_loop
 async def test_failures_to_open_the_operators_file_are_retried(tmp_path: Path) -> None:
     """The configuration is in a folder in which no faults occur."""
     config_folder, failing_folder = tmp_path / "elsewhere", tmp_path / "here"
@@ -91,7 +91,7 @@
         await wait_until_ready(port, admin)
 
 
-@on_loop
+@on_event_loop
 async def test_failures_to_open_the_configuration_are_retried(tmp_path: Path) -> None:
     async with (
         scripted_server() as upstream,
@@ -101,7 +101,7 @@
         assert await fetch_status(port, request()) == 200
 
 
-@on_loop
+@on_event_loop
 async def test_an_invalid_configuration_exits_with_2_although_standard_error_cannot_be_written(
     tmp_path: Path,
 ) -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,14 +19,14 @@
     configuration,
     endpoint,
     endpoint_list,
-    list_reply,
-    on_loop,
-    reply,
+    http_response,
+    list_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    wait_until,
 )
 from tests.test_gateway_process import READY, ROOT, connect, fetch_status
 
@@ -63,29 +63,29 @@
     return {int(name.split("-")[1].split(".")[0]) for name in names}
 
 
-@on_loop
+@on_event_loop
 async def test_a_second_process_takes_over_and_the_first_finishes_its_requests(tmp_path: Path) -> None:
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             old = await start(tmp_path, listener, configuration(upstream))
             pending = await connect(port)  # waits in the accept queue until the process has started
             pending.send(request("transfer", b"held"))
             persistent = await connect(port)
-            assert (await persistent.ask(READY)).status == 200
-            await until(lambda: upstream.exchanges)
+            assert (await persistent.request(READY)).status == 200
+            await wait_until(lambda: upstream.exchanges)
             new = await start(tmp_path, listener, configuration(upstream))
-            await until(lambda: new.pid in marker_pids(tmp_path, "serving"))
+            await wait_until(lambda: new.pid in marker_pids(tmp_path, "serving"))
             old.send_signal(signal.SIGTERM)
             # The persistent connection is served until a response announces its close.
-            while (answer := await persistent.ask(READY)).status == 200:
+            while (response := await persistent.request(READY)).status == 200:
                 pass
-            assert answer.headers["connection"] == "close"
+            assert response.headers["connection"] == "close"
             # New connections go to the new process: the old one closes the socket without a shutdown.
             for _ in range(8):
                 assert await fetch_status(port, READY) == 200
-            upstream.exchanges[0].answer(reply(200, b"done"))
-            assert (await pending.answer()).body == b"done"
+            upstream.exchanges[0].respond(http_response(200, b"done"))
+            assert (await pending.read_response()).body == b"done"
             assert await old.wait() == 0
             assert await fetch_status(port, READY) == 200
             assert marker_pids(tmp_path, "*") == {new.pid}
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("value", ["x", "-1", "99", "file", "unbound"])
-@on_loop
+@on_event_loop
 async def test_an_unusable_descriptor_causes_one_error_line_and_exit_status_2(
     tmp_path: Path, value: str
 ) -> None:
@@ -134,12 +134,12 @@
     assert os.listdir(tmp_path) == ["sagetrack-x.serving"]
 
 
-@on_loop
+@on_event_loop
 async def test_sibling_processes_share_the_descriptor_limit() -> None:
-    async with running(configuration("127.0.0.1:1")) as run:
-        assert run.server.descriptors.limit == 1024
-        run.server.siblings.sibling_count = 1
-        assert run.server.descriptors.limit == 512
+    async with running_gateway(configuration("127.0.0.1:1")) as run:
+        assert run.listener.descriptors.limit == 1024
+        run.listener.siblings.sibling_count = 1
+        assert run.listener.descriptors.limit == 512
         await asyncio.sleep(0)  # lets the watch task begin before it is cancelled
 
 
@@ -182,31 +182,31 @@
     assert EndpointListFile(None).select_newest(DISCOVERY, {"index": 8}) == {"index": 8}
 
 
-@on_loop
+@on_event_loop
 async def test_entries_are_stored_as_discovery_sent_them() -> None:
     responses = [
-        list_reply(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
-        list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
+        list_response(8, endpoint("s-1", "127.0.0.1:1", status="DRAINING"), snapshot=False),
+        list_response(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
     async with scripted_server(
-        lambda exchange: exchange.answer(responses.pop(0)) if responses else None
+        lambda exchange: exchange.respond(responses.pop(0)) if responses else None
     ) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             saved: list[dict[str, object]] = []
-            run.instance.discovery.on_list_changed = lambda address, get_fields: saved.append(
+            run.assembly.discovery.on_list_changed = lambda address, get_fields: saved.append(
                 decode_list(get_fields())
             )
-            run.instance.discovery.watch(True)
-            await until(lambda: len(saved) == 2)
+            run.assembly.discovery.watch(True)
+            await wait_until(lambda: len(saved) == 2)
             assert saved[0] == endpoint_list(
                 8, endpoint("s-0", "127.0.0.1:1"), endpoint("s-1", "127.0.0.1:1", status="DRAINING")
             )
             assert saved[1] == endpoint_list(9, endpoint("s-1", "127.0.0.1:1", status="DRAINING"))
 
 
-@on_loop
+@on_event_loop
 async def test_the_next_process_starts_with_the_list_of_the_previous_one(tmp_path: Path) -> None:
     """The configured list has a withdrawn server; the list of the previous process has its replacement."""
     async with scripted_server() as withdrawn, scripted_server() as successor:
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -1,4 +1,4 @@
-"""Observations of peers: how they merge and how much they count; quotas of a fleet that shrinks."""
+"""Merging and weighing peers' observations, and the shares of gateways when some of them are lost."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     Outcome,
     ServerStatus,
 )
-from sagetrack.policy.fleet_size import sharing_gateways
+from sagetrack.policy.fleet_size import effective_gateway_count
 from sagetrack.policy.peer_observations import (
     CLOSED,
     OPEN,
@@ -26,7 +26,7 @@
     weigh_observations,
 )
 from sagetrack.policy.slow_start import BUDGET_MARGIN
-from tests.helpers import START_US, Driver, sends
+from tests.helpers import START_US, Driver, send_actions
 
 NOW = 1_700_000_000_000_000
 OBSERVATIONS = st.builds(
@@ -82,7 +82,7 @@
     assert alone.open_us == 500_000 and outvoted.open_us == -1 and outvoted.weight > 0.6
 
 
-def test_a_started_gateway_adopts_observations_of_servers_it_has_not_used() -> None:
+def test_a_started_gateway_uses_observations_of_servers_it_has_not_used() -> None:
     driver = Driver(servers=6)
     observations = tuple(
         Observation(n, 0, 2, START_US, OPEN if n == 3 else CLOSED, START_US + 700_000, 0.2) for n in (3, 4)
@@ -93,13 +93,13 @@
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
     assert driver.balancer.latency.smoothed_us[0] == 9_000.0
     driver.now_us += FIRST_COOLDOWN_US
-    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide as after any cooldown
+    assert servers[3].breaker.allows_request(driver.now_us)  # Trials decide, as after any cooldown.
 
 
-def test_own_observations_outweigh_those_of_peers_which_cannot_revive_or_add_a_server() -> None:
+def test_own_observations_outweigh_those_of_peers_which_cannot_make_ready_or_add_a_server() -> None:
     driver = Driver(servers=3)
     name, actions = driver.arrive()
-    server = sends(actions)[0].server
+    server = send_actions(actions)[0].server
     driver.end(name, server)
     driver.list_servers(ListedServer(1, ServerStatus.DRAINING), kind=ListKind.DELTA)
     observations = tuple(Observation(n, 0, 2, START_US, CLOSED, 0, 0.05) for n in (0, 1, 2, 77))
@@ -156,7 +156,7 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_a_restarted_server_is_not_judged_by_observations_from_before_the_restart() -> None:
+def test_a_restarted_server_is_not_ejected_by_observations_from_before_the_restart() -> None:
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(1, started_us=START_US))
     driver.handle(
@@ -167,11 +167,11 @@
     assert driver.balancer.servers[1].breaker.state is State.CLOSED
 
 
-def test_the_observations_of_one_gateway_can_be_adopted_by_another() -> None:
+def test_the_observations_of_one_gateway_can_be_applied_by_another() -> None:
     observer, receiver = Driver(servers=4), Driver(servers=4)
     for _ in range(6):
         name, actions = observer.arrive()
-        observer.end(name, sends(actions)[0].server, Outcome.ERROR)
+        observer.end(name, send_actions(actions)[0].server, Outcome.ERROR)
     observations, _ = observer.balancer.own_observations()
     assert observations and all(observation.by == 0 for observation in observations)
     receiver.handle(
@@ -186,24 +186,30 @@
         assert receiver.balancer.servers[observation.server].weight == pytest.approx(observation.weight)
 
 
-# Quotas
+# Shares of gateways
 
 
 @given(st.integers(1, 500), st.integers(0, 500))
-def test_the_quotas_of_both_sides_of_a_partition_stay_within_the_whole(
+def test_the_shares_of_both_sides_of_a_partition_stay_within_the_whole(
     configured: int, unreachable: int
 ) -> None:
-    """Even in the worst partition the two sides together use no more than the planned total."""
+    """In any partition, both sides together use no more than the planned total."""
     minority = min(unreachable, configured // 2)
-    total = (configured - minority) / sharing_gateways(configured - minority, configured) + (
-        minority / sharing_gateways(minority, configured) if minority else 0.0
+    total = (configured - minority) / effective_gateway_count(configured - minority, configured) + (
+        minority / effective_gateway_count(minority, configured) if minority else 0.0
     )
     assert total * BUDGET_MARGIN <= 1.0
 
 
-def test_uncertain_membership_leaves_the_quota_unchanged() -> None:
-    assert sharing_gateways(3, 3) == sharing_gateways(2, 3) == sharing_gateways(1, 3) == 3
-    assert sharing_gateways(7, 8) == 7 and sharing_gateways(5, 8) == 6 and sharing_gateways(4, 8) == 8
+def test_uncertain_membership_leaves_the_share_unchanged() -> None:
+    assert (
+        effective_gateway_count(3, 3) == effective_gateway_count(2, 3) == effective_gateway_count(1, 3) == 3
+    )
+    assert (
+        effective_gateway_count(7, 8) == 7
+        and effective_gateway_count(5, 8) == 6
+        and effective_gateway_count(4, 8) == 8
+    )
     driver = Driver(servers=3)
     driver.handle(FleetSizeChanged(1))
     assert driver.balancer.fleet.gateways == driver.balancer.settings.gateway_count
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -16,19 +16,19 @@
 from tests.helpers import GATEWAY_CLOCK_USERS
 from tests.sockets import (
     Exchange,
-    Running,
-    answers,
+    RunningGateway,
     configuration,
     endpoint,
     endpoint_list,
-    host_id,
-    on_loop,
-    reply,
+    http_response,
+    no_response,
+    on_event_loop,
     request,
-    running,
+    respond_with,
+    running_gateway,
     scripted_server,
-    silent,
-    until,
+    server_id,
+    wait_until,
 )
 
 AT_ONCE_S = 0.3  # time within which a disconnect is noticed; nothing of the request is forwarded later
@@ -37,8 +37,8 @@
 class HeldConnections:
     """Holds back the on_connected event of upstream connections, so that their attempts are not sent."""
 
-    def __init__(self, run: Running, only: int | None = None) -> None:
-        self.attempts = run.instance.pools.attempts
+    def __init__(self, run: RunningGateway, only: int | None = None) -> None:
+        self.attempts = run.assembly.pools.attempts
         self.held: list[UpstreamConnection] = []
         self.original_on_connected = self.attempts.on_connected
         self.only = only  # server ID; None for all servers
@@ -56,7 +56,7 @@
             self.original_on_connected(connection)
 
 
-def outcomes(run: Running) -> list[Outcome]:
+def outcomes(run: RunningGateway) -> list[Outcome]:
     """Return a list to which the outcomes of attempts are appended from now on."""
     ended: list[Outcome] = []
     handle = run.gateway.balancer.handle
@@ -70,13 +70,13 @@
     return ended
 
 
-def send_endpoint_list(run: Running, kind: ListKind, *endpoints: dict[str, object]) -> None:
+def send_endpoint_list(run: RunningGateway, kind: ListKind, *endpoints: dict[str, object]) -> None:
     names = parse(configuration()).names
     run.gateway.on_endpoint_list(kind, parse_endpoint_list(endpoint_list(8, *endpoints), names).endpoints)
 
 
-def nothing_is_left(run: Running) -> bool:
-    pools = run.instance.pools
+def nothing_is_left(run: RunningGateway) -> bool:
+    pools = run.assembly.pools
     return pools.open_connections == 0 and not run.gateway.in_flight and not run.gateway.balancer.requests
 
 
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("withdrawn", [True, False])
-@on_loop
+@on_event_loop
 async def test_nothing_is_sent_for_a_client_that_left_while_its_upstream_connection_opened(
     may_cancel: bool, withdrawn: bool
 ) -> None:
@@ -93,47 +93,47 @@
     config = configuration(mayCancel=may_cancel)
     async with scripted_server() as upstream:
         config["known"] = configuration(upstream)["known"]
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             connections, ended = HeldConnections(run), outcomes(run)
             if not withdrawn:
-                run.instance.pools.cancel_unsent = lambda attempt: None  # type: ignore[method-assign]
-                run.instance.pools.cancel = lambda attempt, outcome=None: None  # type: ignore
+                run.assembly.pools.cancel_unsent = lambda attempt: None  # type: ignore[method-assign]
+                run.assembly.pools.cancel = lambda attempt, outcome=None: None  # type: ignore
             client = await run.connect()
             client.send(request("transfer"))
-            await until(lambda: connections.held)
+            await wait_until(lambda: connections.held)
             client.close()
             (held,) = run.gateway.in_flight.values()
-            await until(lambda: held.is_finished)
+            await wait_until(lambda: held.is_finished)
             if withdrawn:
                 assert ended == [Outcome.NOT_SENT]
             connections.release()
-            await until(lambda: nothing_is_left(run))
+            await wait_until(lambda: nothing_is_left(run))
             assert ended == [Outcome.NOT_SENT] and not upstream.exchanges
 
 
-@on_loop
+@on_event_loop
 async def test_a_hedged_attempt_still_connecting_is_withdrawn_with_the_response() -> None:
     """This also holds if attempts must not be cancelled, as no byte of the attempt has been sent."""
-    async with scripted_server(silent) as upstream, scripted_server() as other:
+    async with scripted_server(no_response) as upstream, scripted_server() as other:
         config = configuration(upstream, other, mayCancel=False, secondCopies=True)
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             for server in run.gateway.balancer.servers.values():
-                server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
+                server.weight = 1.0 if server.entry.server == server_id(0) else 1e-9
             run.gateway.balancer.latency.smoothed_us = [1_000.0] * 3  # a hedged attempt is made after 4 ms
-            connections = HeldConnections(run, host_id(1))
+            connections = HeldConnections(run, server_id(1))
             client = await run.connect()
             client.send(request())
-            await until(lambda: upstream.exchanges and connections.held)
-            upstream.exchanges[0].answer(reply(200, b"first"))
-            assert (await client.answer()).body == b"first"
+            await wait_until(lambda: upstream.exchanges and connections.held)
+            upstream.exchanges[0].respond(http_response(200, b"first"))
+            assert (await client.read_response()).body == b"first"
             connections.release()
-            await until(lambda: not run.gateway.in_flight)
+            await wait_until(lambda: not run.gateway.in_flight)
             assert not other.exchanges
             client.close()
 
 
 @pytest.mark.parametrize("is_window_over", [True, False])
-@on_loop
+@on_event_loop
 async def test_a_retry_connected_after_its_deduplication_window_is_not_sent(
     is_window_over: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -141,21 +141,21 @@
     async with (
         scripted_server(lambda exchange: exchange.reset()) as upstream,
         scripted_server() as other,
-        running(configuration(upstream, other)) as run,
+        running_gateway(configuration(upstream, other)) as run,
     ):
         for server in run.gateway.balancer.servers.values():
-            server.weight = 1.0 if server.entry.server == host_id(0) else 1e-9
-        connections = HeldConnections(run, host_id(1))
+            server.weight = 1.0 if server.entry.server == server_id(0) else 1e-9
+        connections = HeldConnections(run, server_id(1))
         client = await run.connect()
         client.send(request("hold"))
-        await until(lambda: upstream.exchanges and connections.held)
+        await wait_until(lambda: upstream.exchanges and connections.held)
         ended = outcomes(run)
         window_us = run.gateway.settings.classes[1].window_us
         if is_window_over:
             for module in GATEWAY_CLOCK_USERS:
                 monkeypatch.setattr(f"{module}.now_us", lambda: now_us() + window_us)
         connections.release()
-        response = await client.answer()
+        response = await client.read_response()
         assert (response.status != 200) is is_window_over and len(other.exchanges) == (not is_window_over)
         assert ended == ([Outcome.NOT_SENT] if is_window_over else [Outcome.OK])
         client.close()
@@ -166,23 +166,23 @@
 
 
 @pytest.mark.parametrize("is_watched", [True, False])
-@on_loop
+@on_event_loop
 async def test_a_disconnect_is_noticed_while_reading_from_the_client_is_paused(is_watched: bool) -> None:
     """The client has sent more than is read ahead; none of its requests continues after it disconnects."""
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(pipelined_requests(5 * MAX_PIPELINED))
-        await until(lambda: run.server.context.paused and upstream.exchanges)
-        (connection,) = run.server.connections
+        await wait_until(lambda: run.listener.context.paused and upstream.exchanges)
+        (connection,) = run.listener.connections
         if not is_watched:  # the disconnect is noticed only with the first response
-            run.server.context.close_watcher.unwatch(connection.descriptor)
+            run.listener.context.close_watcher.unwatch(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
-            await until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
+            await wait_until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
             if not is_watched:
-                upstream.exchanges[0].answer(reply())
-            await until(lambda: not run.server.connections and not run.gateway.in_flight)
-        assert len(upstream.exchanges) == 1 and not run.server.context.paused
+                upstream.exchanges[0].respond(http_response())
+            await wait_until(lambda: not run.listener.connections and not run.gateway.in_flight)
+        assert len(upstream.exchanges) == 1 and not run.listener.context.paused
 
 
 # A server drains, is removed, moves or restarts
@@ -206,169 +206,171 @@
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "omitted", "moved", "restarted"])
-@on_loop
+@on_event_loop
 async def test_nothing_is_sent_on_a_connection_opened_before_its_server_changed(change: str) -> None:
     """The attempt is sent to another server instead, once, even if its class is unsafe to retry."""
     async with (
         scripted_server() as upstream,
-        scripted_server(answers(reply(200, b"other"))) as other,
-        running(configuration(upstream)) as run,
+        scripted_server(respond_with(http_response(200, b"other"))) as other,
+        running_gateway(configuration(upstream)) as run,
     ):
         connections, ended = HeldConnections(run), outcomes(run)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: connections.held)
+        await wait_until(lambda: connections.held)
         kind, entries = endpoint_change(change, upstream.address)
         send_endpoint_list(run, ListKind.DELTA, endpoint("s-1", other.address))
         send_endpoint_list(
             run, kind, *[e if e["name"] == "s-0" else endpoint("s-1", other.address) for e in entries]
         )
         connections.release()
-        assert (await client.answer()).body == b"other"
+        assert (await client.read_response()).body == b"other"
         assert (
             ended == [Outcome.NOT_SENT, Outcome.OK] and not upstream.exchanges and len(other.exchanges) == 1
         )
-        await until(lambda: upstream.closed_connections == upstream.opened_connections)
+        await wait_until(lambda: upstream.closed_connections == upstream.opened_connections)
         client.close()
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "omitted", "moved", "restarted"])
-@on_loop
+@on_event_loop
 async def test_a_change_of_a_server_closes_its_idle_connections(change: str) -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        assert (await run.ask(request())).status == 200
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        assert (await run.request(request())).status == 200
         kind, entries = endpoint_change(change, upstream.address)
         send_endpoint_list(run, kind, *entries)
-        await until(lambda: upstream.closed_connections == 1 and run.instance.pools.open_connections == 0)
+        await wait_until(
+            lambda: upstream.closed_connections == 1 and run.assembly.pools.open_connections == 0
+        )
 
 
-@on_loop
+@on_event_loop
 async def test_a_response_of_an_earlier_incarnation_is_forwarded_and_its_connection_closed() -> None:
     """The connection is not kept for the current incarnation."""
     async with (
-        scripted_server(silent) as old,
-        scripted_server(answers(reply(200, b"new"))) as new,
-        running(configuration(old)) as run,
+        scripted_server(no_response) as old,
+        scripted_server(respond_with(http_response(200, b"new"))) as new,
+        running_gateway(configuration(old)) as run,
     ):
         first = await run.connect()
         first.send(request())
-        await until(lambda: old.exchanges)
+        await wait_until(lambda: old.exchanges)
         send_endpoint_list(run, ListKind.DELTA, endpoint("s-0", old.address, status="DELETED"))
         send_endpoint_list(run, ListKind.DELTA, endpoint("s-0", new.address, since_ms=5))
-        old.exchanges[0].answer(reply(200, b"old"))
-        assert (await first.answer()).body == b"old"
-        await until(lambda: old.closed_connections == 1)
-        assert (await first.ask(request())).body == b"new" and len(old.exchanges) == 1
+        old.exchanges[0].respond(http_response(200, b"old"))
+        assert (await first.read_response()).body == b"old"
+        await wait_until(lambda: old.closed_connections == 1)
+        assert (await first.request(request())).body == b"new" and len(old.exchanges) == 1
         first.close()
 
 
 # A response and the next request
 
 
-@on_loop
+@on_event_loop
 async def test_a_surplus_response_does_not_answer_the_next_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """The surplus response arrives as the next request is sent, and must not be taken for its response."""
     # Long enough even on a busy machine.
     monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 60.0)
-    async with scripted_server(silent) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request())
-        await until(lambda: upstream.exchanges)
-        upstream.exchanges[0].answer(reply(200, b"one"))
-        assert (await client.answer()).body == b"one"
-        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        await wait_until(lambda: upstream.exchanges)
+        upstream.exchanges[0].respond(http_response(200, b"one"))
+        assert (await client.read_response()).body == b"one"
+        (kept,) = run.assembly.pools.servers[server_id(0)].idle
         kept.last_response_us = 120_000_000
         client.send(request())
-        await until(lambda: len(upstream.exchanges) == 2 or kept.waiting_attempt)
-        upstream.exchanges[0].answer(reply(200, b"one"))
-        await until(lambda: len(upstream.exchanges) == 2)
-        upstream.exchanges[1].answer(reply(200, b"two"))
-        assert (await client.answer()).body == b"two"
-        await until(lambda: upstream.closed_connections == 1)  # closed because of the surplus response
+        await wait_until(lambda: len(upstream.exchanges) == 2 or kept.waiting_attempt)
+        upstream.exchanges[0].respond(http_response(200, b"one"))
+        await wait_until(lambda: len(upstream.exchanges) == 2)
+        upstream.exchanges[1].respond(http_response(200, b"two"))
+        assert (await client.read_response()).body == b"two"
+        await wait_until(lambda: upstream.closed_connections == 1)  # closed because of the surplus response
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_the_next_attempt_waits_until_its_connection_may_be_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 0.1)
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         for _ in range(3):
-            assert (await client.ask(request())).status == 200
+            assert (await client.request(request())).status == 200
             assert upstream.opened_connections == 1
-            for kept in run.instance.pools.servers[host_id(0)].idle:
+            for kept in run.assembly.pools.servers[server_id(0)].idle:
                 kept.last_response_us = 1_000_000
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_no_attempt_waits_for_reuse_at_a_server_that_responds_faster() -> None:
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         for opened in (1, 2):
-            assert (await client.ask(request())).status == 200
-            for kept in run.instance.pools.servers[host_id(0)].idle:
+            assert (await client.request(request())).status == 200
+            for kept in run.assembly.pools.servers[server_id(0)].idle:
                 kept.last_response_us, kept.idle_since_us = 1_000, now_us() + 10_000_000
             assert upstream.opened_connections == opened
         client.close()
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "left"])
-@on_loop
+@on_event_loop
 async def test_an_attempt_waiting_for_reuse_is_withdrawn_when_its_server_or_client_goes(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
         scripted_server() as upstream,
-        scripted_server(answers(reply(200, b"other"))) as other,
-        running(configuration(upstream, mayCancel=False)) as run,
+        scripted_server(respond_with(http_response(200, b"other"))) as other,
+        running_gateway(configuration(upstream, mayCancel=False)) as run,
     ):
         client = await run.connect()
-        assert (await client.ask(request())).status == 200
-        (kept,) = run.instance.pools.servers[host_id(0)].idle
+        assert (await client.request(request())).status == 200
+        (kept,) = run.assembly.pools.servers[server_id(0)].idle
         monkeypatch.setattr("sagetrack.http1.idle_connections.REUSE_DELAY_S", 0.5)
         kept.idle_since_us, kept.last_response_us = now_us(), 1_000_000
         client.send(request("transfer"))
-        await until(lambda: kept.waiting_attempt)
+        await wait_until(lambda: kept.waiting_attempt)
         send_endpoint_list(run, ListKind.DELTA, endpoint("s-1", other.address))
         if change == "left":
             client.close()
-            await until(lambda: not run.gateway.in_flight)
+            await wait_until(lambda: not run.gateway.in_flight)
         else:
             kind, entries = endpoint_change(change, upstream.address)
             send_endpoint_list(run, kind, *entries)
-            assert (await client.answer()).body == b"other"
+            assert (await client.read_response()).body == b"other"
         assert len(upstream.exchanges) == 1 and len(other.exchanges) == (change != "left")
-        await until(lambda: upstream.closed_connections == 1)
+        await wait_until(lambda: upstream.closed_connections == 1)
         client.close()
 
 
 # Shutdown
 
 
-@on_loop
+@on_event_loop
 async def test_listening_goes_on_for_a_connection_without_a_descriptor_at_shutdown() -> None:
     """The connection waits in the backlog until descriptors are free, and is not reset with the socket."""
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
-        server = run.server
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
+        server = run.listener
         reclaim, server.acceptor.reclaim = server.acceptor.reclaim, lambda: False
         client = await run.connect()
         client.send(request("transfer"))
         shutdown_task = asyncio.create_task(server.shut_down())
         loop = asyncio.get_running_loop()
-        await until(
+        await wait_until(
             lambda: server.drain.is_draining and loop.time() > server.drain.since_s + SHUTDOWN_ACCEPT_S + 0.05
         )
         assert server.is_listening and not upstream.exchanges
         server.acceptor.reclaim = reclaim
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         await shutdown_task
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_requests_without_an_attempt_are_answered_before_the_kill() -> None:
     """A request queued behind one with the same key gets its response before the process may be killed.
 
@@ -377,17 +379,17 @@
     config = configuration()
     for lane in config["settings"]["lanes"]:
         lane["sequential"] = True
-    async with scripted_server(silent) as upstream:
+    async with scripted_server(no_response) as upstream:
         config["known"] = configuration(upstream)["known"]
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             clients = [await run.connect() for _ in range(2)]
             for client in clients:
                 client.send(request("transfer"))
-            await until(lambda: upstream.exchanges and len(run.gateway.in_flight) == 2)
+            await wait_until(lambda: upstream.exchanges and len(run.gateway.in_flight) == 2)
             run.gateway.shut_down_within(0.1)
-            statuses = sorted([(await client.answer()).status for client in clients])
+            statuses = sorted([(await client.read_response()).status for client in clients])
             assert statuses == [502, 503] and len(upstream.exchanges) == 1
-            assert (await run.ask(request("transfer"))).status == 503  # later requests are rejected at once
+            assert (await run.request(request("transfer"))).status == 503  # rejected at once
             assert not [held for held in run.gateway.in_flight.values() if not held.is_finished]
             for client in clients:
                 client.close()
@@ -396,11 +398,11 @@
 # Settings
 
 
-@on_loop
+@on_event_loop
 async def test_requests_on_one_connection_share_no_state() -> None:
     """The second request names another tenant, the third an unknown tenant, and the last no class."""
     arrived: list[RequestArrived] = []
-    async with scripted_server() as upstream, running(configuration(upstream)) as run:
+    async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         handle = run.gateway.balancer.handle
 
         def record_event(now_us: int, event: object) -> object:
@@ -416,7 +418,7 @@
             + request(x_caller="nobody", x_budget_ms="")
             + request(x_call_class="", x_caller="")
         )
-        assert [(await client.answer()).status for _ in range(4)] == [200] * 4
+        assert [(await client.read_response()).status for _ in range(4)] == [200] * 4
         assert [event.tenant for event in arrived] == [0, 1, -1, -1]
         assert [event.class_index for event in arrived] == [1, 2, 0, 0]
         assert [event.is_retry for event in arrived] == [True, False, False, False]
@@ -428,7 +430,7 @@
         client.close()
 
 
-@on_loop
+@on_event_loop
 async def test_a_surplus_response_some_milliseconds_late_is_discarded() -> None:
     """The delay is longer than any observed before the soak test, and the next request is already waiting.
 
@@ -438,22 +440,22 @@
     loop, delays_s = asyncio.get_running_loop(), [0.0]
 
     async def respond_twice(exchange: Exchange) -> None:
-        response = reply(200, exchange.message.start_line.encode())
+        response = http_response(200, exchange.message.start_line.encode())
         await asyncio.sleep(0.03)  # twice the reuse delay: the next request may wait for this connection
-        exchange.answer(response)
+        exchange.respond(response)
         first_s = loop.time()
         await asyncio.sleep(second_after_s)
-        exchange.answer(response)
+        exchange.respond(response)
         delays_s.append(loop.time() - first_s)
 
-    async with scripted_server(respond_twice) as upstream, running(configuration(upstream)) as run:
+    async with scripted_server(respond_twice) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         valid_rounds = number = 0
         while valid_rounds < 12:
             number += 1
             path = f"/search/{number:016x}"
             data = request().replace(b"/search/7f3a9c21e0b4d655", path.encode())
-            is_correct = path in (await client.ask(data)).body.decode()
+            is_correct = path in (await client.request(data)).body.decode()
             await asyncio.sleep(0.0055)
             in_time = max(delays_s[-2:]) < max_delay_s  # in the previous round and in this one
             assert is_correct or not in_time
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -14,7 +14,7 @@
     is_transient,
     retry_while_transient_blocking,
 )
-from tests.sockets import on_loop
+from tests.sockets import on_event_loop
 
 
 class Clock:
@@ -68,7 +68,7 @@
     assert RETRY_TIMEOUT_S <= clock.now_s - 100.0 <= RETRY_TIMEOUT_S + 2 * RETRY_DELAY_S
 
 
-@on_loop
+@on_event_loop
 async def test_the_asynchronous_retry_follows_the_same_rules() -> None:
     assert await transient_errors.retry_while_transient(failing_call(2, errno.EMFILE)) == "made"
     with pytest.raises(OSError, match="injected"):
--- a/tests/upgrade_between_versions.py
+++ b/tests/upgrade_between_versions.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sagetrack.lab.stand_ins.scripted import Exchange, read_message, reply, scripted_server
+from sagetrack.lab.stand_ins.scripted import Exchange, http_response, read_message, scripted_server
 from tests.sockets import configuration, request
 
 SERVICE_TIME_S = 0.03
@@ -32,7 +32,7 @@
 async def delayed_response(exchange: Exchange) -> None:
     """Respond after the service time, so that there are always requests in flight."""
     await asyncio.sleep(SERVICE_TIME_S)
-    exchange.answer(reply(200, b"done"))
+    exchange.respond(http_response(200, b"done"))
 
 
 @dataclass
@@ -59,12 +59,12 @@
         while not self.stopped:
             writer.write(request(CLASSES[number % len(CLASSES)], b""))
             try:
-                answer = await read_message(reader)
+                response = await read_message(reader)
             except (OSError, asyncio.IncompleteReadError) as error:
                 self.lost.append(repr(error))
                 return
-            self.statuses[answer.status] += 1
-            if answer.headers.get("connection", "").lower() == "close":
+            self.statuses[response.status] += 1
+            if response.headers.get("connection", "").lower() == "close":
                 return
 
 
