--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -1,6 +1,6 @@
-"""A client's HTTP message, and the checks that make it a request of the gateway.
+"""HTTP requests of clients, and their validation and conversion into requests of the gateway.
 
-The texts of `RequestError` are sent to clients as they stand.
+The messages of `RequestError` are sent to clients unchanged.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from sagetrack.http1.codec import ProtocolError, end_to_end_headers
 from sagetrack.policy.settings import Effect, RequestClass
 
-ID_LIMIT = 128  # bytes of X-Call-Id
-DIGITS_LIMIT = 15  # of a number in a header
-NOT_FORWARDED = frozenset({b"x-budget-ms"})
-SINGLE_HEADERS = frozenset(  # headers that may come only once
+MAX_ID_BYTES = 128  # limit of X-Call-Id
+MAX_DIGITS = 15  # limit of a number in a header
+REMOVED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
+UNIQUE_HEADERS = frozenset(  # headers that may occur only once
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
 )
 
 
 class RequestError(ProtocolError):
-    """Why this process itself responds to a request, and with which status."""
+    """A request cannot be served; carries the status and headers of the error response."""
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
         super().__init__(reason)
@@ -32,7 +32,7 @@
 
 
 class HttpRequest:
-    """One request as it was read; with an `error`, neither it nor anything after it can be read."""
+    """One request as parsed; if `error` is set, neither it nor any data after it can be parsed."""
 
     __slots__ = (
         "body",
@@ -53,9 +53,9 @@
         self.body: list[bytes] = []
         self.keep_alive = False
         self.error = error
-        self.streamed_body: StreamedBody | None = None  # its body, if that is too long to be buffered
+        self.streamed_body: StreamedBody | None = None  # the body, if it is too long to be buffered
         self.version = "1.1"
-        self.received_us = 0  # when its last byte was read
+        self.received_us = 0  # when the last byte of the request was received
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,8 +63,8 @@
     """A request as it is forwarded to an upstream server.
 
     Attributes:
-        head: The request line and headers, all but the budget and the empty line.
-        body: The body; empty where it is streamed.
+        head: The request line and headers, without X-Budget-Ms and the final empty line.
+        body: The body; empty if it is streamed.
     """
 
     head: bytes
@@ -72,21 +72,21 @@
 
 
 def read_request(message: HttpRequest, path: bytes, config: Config, client: Client) -> Request:
-    """Return the request as the gateway takes it.
+    """Validate an HTTP request and convert it into a request of the gateway.
 
     Raises:
-        RequestError: It is not one that this gateway serves.
+        RequestError: The request is invalid or cannot be served by this gateway.
     """
     headers = _unique_headers(message)
     names = config.names
     parts = [part for part in path.split(b"/") if part]
-    class_index = _class_of(message, path, parts, headers.get(b"x-call-class"), names)
+    class_index = _class_index_of(message, path, parts, headers.get(b"x-call-class"), names)
     settings = config.settings.classes[class_index]
     id_ = _check_class_rules(message, settings, headers)
-    budget_ms = _whole_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
+    budget_ms = _parse_integer(headers.get(b"x-budget-ms"), "X-Budget-Ms")
     body = b"".join(message.body)
     client_name = headers.get(config.client_header)
-    # No client waits for longer than its class allows: a longer budget is cut to that.
+    # A budget longer than the request timeout of the class is reduced to that timeout.
     client_timeout_us = (
         settings.request_timeout_us
         if budget_ms is None
@@ -97,7 +97,7 @@
         class_index=class_index,
         client_timeout_us=client_timeout_us,
         key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
-        work_us=_whole_number(headers.get(b"x-call-cost"), "X-Call-Cost"),
+        work_us=_parse_integer(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
         message=ForwardedRequest(_forwarded_head(message, body), body),
@@ -112,16 +112,16 @@
     headers: dict[bytes, bytes] = {}
     for name, value in message.headers:
         name = name.lower()
-        if name in headers and name in SINGLE_HEADERS:
+        if name in headers and name in UNIQUE_HEADERS:
             raise RequestError(400, f"{name.decode()} comes twice")
         headers[name] = value
     return headers
 
 
-def _class_of(
+def _class_index_of(
     message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: Names
 ) -> int:
-    """Return the index of the class that the path names, and X-Call-Class too if it is there."""
+    """Return the index of the class named in the path; X-Call-Class must name the same class if present."""
     if class_header is not None and class_header not in names.classes:
         raise RequestError(400, "unknown class")
     if not parts or not path.startswith(b"/") or parts[0] not in names.classes:
@@ -134,30 +134,30 @@
 
 
 def _check_class_rules(message: HttpRequest, settings: RequestClass, headers: dict[bytes, bytes]) -> bytes:
-    """Check the method and headers that the class requires, and return the X-Call-Id."""
+    """Check the method and the headers that the class requires, and return the X-Call-Id."""
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
     if message.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
     if settings.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
         raise RequestError(400, "no Idempotency-Key")
     id_ = headers.get(b"x-call-id")
-    if not id_ or len(id_) > ID_LIMIT:
+    if not id_ or len(id_) > MAX_ID_BYTES:
         raise RequestError(400, "no X-Call-Id that can be used")
     return id_
 
 
-def _whole_number(text: bytes | None, name: str) -> int | None:
+def _parse_integer(text: bytes | None, name: str) -> int | None:
     if text is None:
         return None
-    if not text.isdigit() or len(text) > DIGITS_LIMIT:
+    if not text.isdigit() or len(text) > MAX_DIGITS:
         raise RequestError(400, f"{name} is not a whole number")
     return int(text)
 
 
 def _forwarded_head(message: HttpRequest, body: bytes) -> bytes:
-    """Return the head as it is forwarded, without the budget and the empty line."""
+    """Return the head to forward, without X-Budget-Ms and the final empty line."""
     lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
-    lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, NOT_FORWARDED)]
+    lines += [b"%s: %s" % pair for pair in end_to_end_headers(message.headers, REMOVED_REQUEST_HEADERS)]
     length = len(body) if message.streamed_body is None else message.streamed_body.length
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
