--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -75,7 +75,7 @@
 
     Args:
         reason: Describes the fault.
-        rcode: The response code to send back; None if no response is sent.
+        rcode: The response code for the sender; None if no response is sent.
     """
 
     def __init__(self, reason: str, rcode: Rcode | None = None) -> None:
@@ -281,7 +281,7 @@
     return HEADER.pack(query.id, flags, 1, 0, 0, int(query.has_edns)) + query.question + tail
 
 
-def encode_error_for_unreadable(data: bytes, rcode: Rcode) -> bytes | None:
+def encode_error_for_invalid(data: bytes, rcode: Rcode) -> bytes | None:
     """Encode a response to a message of which only the header can be parsed.
 
     Returns:
--- a/tests/dns_helpers.py
+++ b/tests/dns_helpers.py
@@ -1,4 +1,4 @@
-"""Queries, clients and a running service for tests of DNS."""
+"""Helpers for DNS tests: queries and responses, a UDP client, and a running DNS service."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class UdpClient(asyncio.DatagramProtocol):
-    """Asks over UDP."""
+    """A DNS client that sends queries over UDP."""
 
     def __init__(self) -> None:
         self.responses: list[dns.message.Message] = []
@@ -50,7 +50,7 @@
         self.responses.append(dns.message.from_wire(data))
 
     @classmethod
-    async def to(cls, address: tuple[str, int]) -> UdpClient:
+    async def connect(cls, address: tuple[str, int]) -> UdpClient:
         loop = asyncio.get_running_loop()
         transport, client = await loop.create_datagram_endpoint(cls, remote_addr=address)
         client.transport = transport
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -1,4 +1,4 @@
-"""Rules of DNS that need no socket: message ids, outcomes of attempts, labels of the zone."""
+"""Message ids, outcomes of attempts, server states, labels and error classes of DNS, without sockets."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from sagetrack.dns.errors import DnsError
 from sagetrack.dns.message import MessageError, Rcode, encode_upstream_query, parse_query
 from sagetrack.dns.upstream_attempt import DnsAttempt, unused_message_id
-from sagetrack.dns.zone_records import ZoneError, label
+from sagetrack.dns.zone_records import ZoneError, to_label
 from sagetrack.policy.events import Outcome
 from tests.dns_helpers import query, response_to
 
 
 class Observer:
-    """Records the end of an attempt."""
+    """Records how an attempt ends."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[Outcome, bool]] = []
@@ -28,8 +28,8 @@
 
 
 def test_message_id_is_not_one_in_use() -> None:
-    free = 40_000
-    assert unused_message_id(set(range(65_536)) - {free}) == free
+    free_id = 40_000
+    assert unused_message_id(set(range(65_536)) - {free_id}) == free_id
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
     ("name", "expected"), [("S_2", "s-2"), ("-a.b-", "a-b"), ("\u00e9", "server"), ("x" * 70, "x" * 63)]
 )
 def test_label_has_only_letters_digits_and_hyphens(name: str, expected: str) -> None:
-    assert label(name) == expected
+    assert to_label(name) == expected
 
 
 def test_errors_share_a_base_class() -> None:
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -29,7 +29,7 @@
     long_deadlines = {
         "latency_objective_us": 20_000_000,
         "deadline_us": 20_000_000,
-    }  # on a busy machine none is shed
+    }  # long enough that no query is shed on a busy machine
     async with (
         nameserver(NameserverBehaviour(records=100)) as upstream,
         running_service(upstream, **long_deadlines) as (_, address),
@@ -37,9 +37,9 @@
         reader, writer = await asyncio.open_connection(*address)
         queries = [query(f"n{n}.example.") for n in range(MAX_PIPELINED_QUERIES * 2)]
         data = b"".join(len(q).to_bytes(2) + q for q in queries)
-        for at in range(0, len(data), 7):
-            writer.write(data[at : at + 7])
-            if at % 490 == 0:
+        for offset in range(0, len(data), 7):
+            writer.write(data[offset : offset + 7])
+            if offset % 490 == 0:
                 await writer.drain()
         responses = await read_tcp_responses(reader, len(queries))
         assert {m.id for m in responses} == {int.from_bytes(q[:2]) for q in queries}
@@ -70,7 +70,7 @@
                 await reader.read()
             writer.close()
         await wait_until(lambda: not service.listener.connections)
-        client = await UdpClient.to(address)
+        client = await UdpClient.connect(address)
         assert (await client.exchange(query())).rcode() == dns.rcode.NOERROR
         client.transport.close()
 
