--- a/sagetrack/cli/check.py
+++ b/sagetrack/cli/check.py
@@ -19,7 +19,7 @@
     from sagetrack.config.check import check as check_platform
     from sagetrack.config.errors import FileError
     from sagetrack.config.operator import load
-    from sagetrack.lab.model.scenario import load as load_scenario
+    from sagetrack.lab.model.scenario import load_scenario
 
     config = config or os.environ.get("LB_CONFIG", "")
     operator = operator or os.environ.get("LB_OPERATOR", "")
--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -64,10 +64,10 @@
 
 def demo_scenario(seconds: float) -> Scenario:
     """The demo's scenario, its faults moved in proportion to its length."""
-    from sagetrack.lab.model.scenario import altered, load
+    from sagetrack.lab.model.scenario import load_scenario, with_overrides
     from sagetrack.lab.repository import SCENARIOS
 
-    scenario = load(SCENARIOS / "demo.toml")
+    scenario = load_scenario(SCENARIOS / "demo.toml")
     if seconds == PLANNED_S:
         return scenario
     share = seconds / PLANNED_S
@@ -75,7 +75,7 @@
     for number, fault in enumerate(scenario.faults, 1):
         changes[f"trouble.{number}.at_s"] = fault.at_s * share
         changes[f"trouble.{number}.seconds"] = max(0.5, fault.seconds * share)
-    return altered(scenario, changes)
+    return with_overrides(scenario, changes)
 
 
 def play_shown(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
@@ -154,10 +154,10 @@
 
 def _server_cells(world: World, server: Server, now_us: int) -> list[str]:
     entry = world.registry.entries.get(server.number)
-    if server.slow > 1:
+    if server.slowdown > 1:
         state = "slow"
     elif server.is_cold:
-        state = f"cold {server.warmth(now_us):.0%}"
+        state = f"cold {server.capacity_share(now_us):.0%}"
     elif entry is None:
         state = "unlisted"
     else:
--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -119,8 +119,8 @@
 
 def scenario_from(path: str, settings: list[str] | None) -> Scenario:
     """Load a scenario and apply all `--set` options to it."""
-    from sagetrack.lab.model.scenario import altered, load
+    from sagetrack.lab.model.scenario import load_scenario, with_overrides
 
-    scenario = load(path)
+    scenario = load_scenario(path)
     chosen = {name: value_of(value) for name, value in settings_of(settings).items()}
-    return altered(scenario, chosen) if chosen else scenario
+    return with_overrides(scenario, chosen) if chosen else scenario
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -30,7 +30,7 @@
 
 def list_scenarios(folder: Annotated[str, typer.Argument(help="their folder")] = "") -> None:
     """List the scenarios, a line each."""
-    from sagetrack.lab.model.scenario import load
+    from sagetrack.lab.model.scenario import load_scenario
     from sagetrack.lab.repository import SCENARIOS
 
     place = Path(folder) if folder else SCENARIOS
@@ -38,7 +38,7 @@
     if not paths:
         raise fail(f"{place}: no scenarios there")
     for path in paths:
-        print(f"{path.stem:16} {load(path).about}")
+        print(f"{path.stem:16} {load_scenario(path).about}")
 
 
 def run(
@@ -108,11 +108,11 @@
 
 def play_virtual(scenario: Scenario, seed: int, quiet: bool, sample_s: float, fault: str) -> Records:
     """Play in virtual time behind a bar; one plain line and exit 2 if the lab cannot."""
-    from sagetrack.lab.virtual.simulation import play
+    from sagetrack.lab.virtual.simulation import simulate
 
     with progress_bar(scenario.name, quiet) as progress:
         try:
-            return play(scenario, seed, progress, sample_s, fault)
+            return simulate(scenario, seed, progress, sample_s, fault)
         except ValueError as error:
             raise fail(str(error)) from None
 
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -40,11 +40,11 @@
 ) -> None:
     """Play scenarios over seeds and settings in virtual time, on all cores."""
     from sagetrack.lab.benchmarks import sweep as sweeps
-    from sagetrack.lab.model.scenario import load
+    from sagetrack.lab.model.scenario import load_scenario
 
     numbers = seed_range_of(seeds)
     values = {name: [value_of(v) for v in text.split(",")] for name, text in settings_of(settings).items()}
-    jobs = [job for path in scenario for job in sweeps.plan(load(path), numbers, values, fault)]
+    jobs = [job for path in scenario for job in sweeps.plan(load_scenario(path), numbers, values, fault)]
     processes = workers or len(os.sched_getaffinity(0))
     try:
         with progress_bar("sweep", False) as progress:
@@ -122,10 +122,10 @@
 ) -> None:
     """Measure what a restart costs in a gateway's first 10 s, with and without the others' help."""
     from sagetrack.lab.benchmarks import restart as restarts
-    from sagetrack.lab.virtual.simulation import play as play_virtual
+    from sagetrack.lab.virtual.simulation import simulate
 
     played = scenario_from(scenario, settings)
-    play = play_virtual if virtual else play_in_process
+    play = simulate if virtual else play_in_process
     try:
         with progress_bar("restart", False) as progress:
             pairs = restarts.play_seeds(played, range(1, seeds + 1), play, 1 if virtual else lanes, progress)
--- a/sagetrack/cli/lab_virtual_fleets.py
+++ b/sagetrack/cli/lab_virtual_fleets.py
@@ -93,14 +93,14 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.lab.benchmarks.slow_start import CASES, MOST_GATEWAYS, measure
-    from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS
+    from sagetrack.lab.virtual.faulty_gateways import SLOW_START_FAULTS
 
     sizes = fleet_sizes_of(gateways, MOST_GATEWAYS)
     names = list(CASES) if cases == "all" else cases.split(",")
     if not set(names) <= set(CASES):
         raise fail(f"--case {cases}: there are {', '.join(CASES)}")
     numbers = seeds_of(seed, seeds)
-    check_fault(fault, COLD_FAULTS)
+    check_fault(fault, SLOW_START_FAULTS)
 
     def play(size: int, name: str, number: int) -> Played:
         results, violations = measure(CASES[name], size, number, fault)
@@ -129,7 +129,7 @@
     Exit 0 only if no rule is broken.
     """
     from sagetrack.lab.benchmarks.overload import MOST_GATEWAYS, measure
-    from sagetrack.lab.virtual.faulty_gateways import JAM_FAULTS
+    from sagetrack.lab.virtual.faulty_gateways import OVERLOAD_FAULTS
 
     counts = fleet_sizes_of(gateways, MOST_GATEWAYS)
     try:
@@ -138,7 +138,7 @@
         raise fail(f"--size {sizes}: the form is 1.5,2.5") from None
     if not all(1.0 <= size <= LARGEST_BURST for size in bursts):
         raise fail(f"--size {sizes}: each is from 1 to {LARGEST_BURST:g}")
-    check_fault(fault, JAM_FAULTS)
+    check_fault(fault, OVERLOAD_FAULTS)
 
     def play(count: int, size: float, number: int) -> Played:
         results, violations = measure(count, size, number, fault)
--- a/sagetrack/lab/analysis/fairness.py
+++ b/sagetrack/lab/analysis/fairness.py
@@ -42,12 +42,12 @@
     members_index = fairness_index(
         [sum(demand[member].values()) for member in members],
         [sum(served[member].values()) for member in members],
-        [scenario.members[member].share for member in members],
+        [scenario.tenants[member].share for member in members],
     )
     clients_index = 1.0
     for member in members:
         clients = [client for client in demand[member] if client]
-        if len(clients) > 1 and not scenario.members[member].single_request:
+        if len(clients) > 1 and not scenario.tenants[member].single_request:
             index = fairness_index(
                 [demand[member][client] for client in clients],
                 [served[member][client] for client in clients],
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -163,7 +163,7 @@
         for number, request_class in enumerate(scenario.classes)
     }
     results.by_member = {
-        member.name: tally.share("member", number) for number, member in enumerate(scenario.members)
+        member.name: tally.share("member", number) for number, member in enumerate(scenario.tenants)
     }
     results.worst_window = min(tally.shares("window"), default=1.0)
 
@@ -241,7 +241,7 @@
 def _members_without_faults(scenario: Scenario) -> list[str]:
     """The members that no planned fault concerns."""
     concerned = {fault.member for fault in scenario.faults if fault.member}
-    return [member.name for member in scenario.members if member.name not in concerned]
+    return [member.name for member in scenario.tenants if member.name not in concerned]
 
 
 def _missed_bounds(results: Figures, expect: Expectations, undisturbed: Sequence[str]) -> list[str]:
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -116,7 +116,7 @@
             if is_cut_off or self.draw.random() < self.loss:
                 return
             due_us = self.clock.now_us() + self.draw.randint(*self.delay_us)
-            self.clock.at(due_us, lambda: self._deliver(target, data))
+            self.clock.call_at(due_us, lambda: self._deliver(target, data))
 
         return send
 
@@ -140,7 +140,7 @@
         if planned_us == due_us and planned_us > self.clock.now_us():
             return
         self.planned_us[number] = due_us
-        self.clock.at(due_us, tick)
+        self.clock.call_at(due_us, tick)
 
     def run(self, until_us: int) -> None:
         """Let time pass up to then."""
@@ -150,7 +150,7 @@
             nonlocal has_ended
             has_ended = True
 
-        self.clock.at(until_us, end)
+        self.clock.call_at(until_us, end)
         self.clock.run(lambda: has_ended, lambda: until_us)
 
     def views_equal(self) -> bool:
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -18,9 +18,9 @@
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.benchmarks.rows import rounded
-from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, load_scenario, with_overrides
 from sagetrack.lab.repository import SCENARIOS
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.virtual.simulation import simulate
 
 SCENARIO = SCENARIOS / "fleet-burst.toml"
 SAMPLE_INTERVAL_S = 0.25  # between two samples of what servers hold
@@ -73,7 +73,7 @@
         FileError: a value is out of range.
     """
     sizes = {"fleet.gateways": gateways, "trouble.1.size": size}
-    return altered(load(SCENARIO), {**sizes, **(settings or {})})
+    return with_overrides(load_scenario(SCENARIO), {**sizes, **(settings or {})})
 
 
 def percentiles(counts: Counter[int]) -> dict[str, int]:
@@ -167,5 +167,5 @@
         at_s = scenario.faults[0].at_s
         death = ScheduledFault(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, share=dead_share)
         scenario = replace(scenario, faults=[*scenario.faults, death])
-    records = play(scenario, seed, None, SAMPLE_INTERVAL_S, fault)
+    records = simulate(scenario, seed, None, SAMPLE_INTERVAL_S, fault)
     return figures(records, scenario), judge(records, scenario)
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -23,7 +23,7 @@
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.model.endpoint_entry import EndpointEntry
 from sagetrack.lab.model.platform_settings import platform_settings
-from sagetrack.lab.model.scenario import Fleet, Member, Peers, Scenario
+from sagetrack.lab.model.scenario import Fleet, Peers, Scenario, Tenant
 from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.clock import RealClock
 from sagetrack.lab.processes.gateway_process import GatewayProcess
@@ -128,9 +128,9 @@
 
 def world_of(case: Case) -> World:
     """Return a world of the case's size."""
-    members = [Member(f"t-{number}") for number in range(case.tenants)]
+    tenants = [Tenant(f"t-{number}") for number in range(case.tenants)]
     fleet = Fleet(servers=case.servers, gateways=case.gateways)
-    scenario = Scenario(name="readiness", fleet=fleet, members=members, peers=Peers(use=case.gateways > 1))
+    scenario = Scenario(name="readiness", fleet=fleet, tenants=tenants, peers=Peers(use=case.gateways > 1))
     return World(scenario, 1, RealClock(), Records())
 
 
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -15,7 +15,7 @@
 
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Scenario, altered
+from sagetrack.lab.model.scenario import Scenario, with_overrides
 
 FIRST_S = 10.0  # after a gateway is up again
 VARIANTS = ("never", "without", "with", "store")
@@ -56,10 +56,10 @@
     no_help = {"peers.use": False, "store.use": False}
     no_deaths = {f"trouble.{n}.kind": "reload" for n in deaths}
     return {
-        "never": altered(scenario, no_help | no_deaths),
-        "without": altered(scenario, no_help),
-        "with": altered(scenario, no_help | {"peers.use": True}),
-        "store": altered(scenario, no_help | {"store.use": True}),
+        "never": with_overrides(scenario, no_help | no_deaths),
+        "without": with_overrides(scenario, no_help),
+        "with": with_overrides(scenario, no_help | {"peers.use": True}),
+        "store": with_overrides(scenario, no_help | {"store.use": True}),
     }
 
 
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -17,13 +17,13 @@
 from sagetrack.lab.benchmarks.slow_start_figures import SlowStartFigures, figures
 from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.endpoint_entry import EndpointEntry
-from sagetrack.lab.model.scenario import Scenario, ScheduledFault, altered, load
+from sagetrack.lab.model.scenario import Scenario, ScheduledFault, load_scenario, with_overrides
 from sagetrack.lab.model.world import World
 from sagetrack.lab.repository import SCENARIOS
 from sagetrack.lab.virtual.clock import SimClock
 from sagetrack.lab.virtual.gateway import VirtualGateway
 from sagetrack.lab.virtual.gateways import VirtualGateways
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.virtual.simulation import simulate
 from sagetrack.policy.events import (
     EndpointList,
     Event,
@@ -59,7 +59,7 @@
         settings = {"fleet.gateways": gateways, **self.settings}
         if seconds:
             settings["seconds"] = seconds
-        base = altered(load(SCENARIO), settings)
+        base = with_overrides(load_scenario(SCENARIO), settings)
         faults = [fault for fault in (*base.faults, *self.faults) if fault.at_s < base.seconds]
         return msgspec.structs.replace(base, name=f"{base.name}-{self.name}", faults=faults)
 
@@ -124,15 +124,15 @@
 
     def handle_in_all_processes(self, number: int, event: Event) -> None:
         """Hand an event to each process of a gateway."""
-        for process in (self.up.get(number), self.old_processes.get(number)):
+        for process in (self.running.get(number), self.old_processes.get(number)):
             if process is not None:
                 process.handle(event)
 
     def kill(self, gateway: int) -> None:
         """End a gateway; it saves what it knows first if the case says so."""
         if self.case.saves_at_exit:
-            observations, latencies = self.up[gateway].balancer.own_observations()
-            self.kept[gateway] = ObservationsReceived(tuple(observations), tuple(latencies))
+            observations, latencies = self.running[gateway].balancer.own_observations()
+            self.stored_observations[gateway] = ObservationsReceived(tuple(observations), tuple(latencies))
         super().kill(gateway)
         self._announce_fleet_size_later()
 
@@ -143,18 +143,18 @@
 
     def _announce_fleet_size_later(self) -> None:
         if self.case.fleet_size_delay_s:
-            alive = len(self.up)
+            alive = len(self.running)
             due_us = self.clock.now_us() + int(self.case.fleet_size_delay_s * 1e6)
-            self.clock.at(due_us, lambda: self.announce_fleet_size(alive))
+            self.clock.call_at(due_us, lambda: self.announce_fleet_size(alive))
 
     def announce_fleet_size(self, alive: int) -> None:
         """Let all gateways know that so many live."""
-        for number in sorted(self.up):
+        for number in sorted(self.running):
             self.handle_in_all_processes(number, FleetSizeChanged(alive))
 
     def upgrade(self, gateway: int) -> None:
         """Start a gateway's new process; the old one leaves after the case's overlap."""
-        old = self.up[gateway]
+        old = self.running[gateway]
         super().upgrade(gateway)
         self.old_processes[gateway] = old
         self.handle_in_all_processes(gateway, ProcessCountChanged(2))
@@ -163,7 +163,7 @@
             del self.old_processes[gateway]
             self.handle_in_all_processes(gateway, ProcessCountChanged(1))
 
-        self.clock.at(self.clock.now_us() + int(self.case.overlap_s * 1e6), leave)
+        self.clock.call_at(self.clock.now_us() + int(self.case.overlap_s * 1e6), leave)
 
     def send(self, attempt: ClientAttempt) -> None:
         """Send a request to a gateway; of two processes, to each in turn."""
@@ -172,7 +172,7 @@
         if old is None or self.sent % 2:
             super().send(attempt)
             return
-        self.clock.at(self.clock.now_us() + self.network.client_delay_us(), lambda: old.receive(attempt))
+        self.clock.call_at(self.clock.now_us() + self.network.client_delay_us(), lambda: old.receive(attempt))
 
     def disconnect(self, attempt: ClientAttempt) -> None:
         """Let each process know that a client has gone."""
@@ -210,7 +210,7 @@
         FileError: a value is out of range.
     """
     scenario = case.scenario(gateways, seconds)
-    records = play(
+    records = simulate(
         scenario,
         seed,
         progress,
--- a/sagetrack/lab/benchmarks/sweep.py
+++ b/sagetrack/lab/benchmarks/sweep.py
@@ -21,7 +21,7 @@
 
 from sagetrack.lab.analysis.figures import figures
 from sagetrack.lab.analysis.judges import judge
-from sagetrack.lab.model.scenario import Scenario, altered
+from sagetrack.lab.model.scenario import Scenario, with_overrides
 
 Row = dict[str, Any]  # one run's results, as a line of the file
 
@@ -61,17 +61,17 @@
     jobs = []
     for values in itertools.product(*settings.values()):
         chosen = tuple(zip(settings, values, strict=True))
-        changed = altered(scenario, dict(chosen)) if chosen else scenario
+        changed = with_overrides(scenario, dict(chosen)) if chosen else scenario
         jobs += [Job(changed, chosen, seed, fault) for seed in seeds]
     return jobs
 
 
 def play(job: Job) -> Row:
     """Play one run in virtual time and return its row."""
-    from sagetrack.lab.virtual.simulation import play as play_virtual
+    from sagetrack.lab.virtual.simulation import simulate
 
     start_s = time.perf_counter()
-    records = play_virtual(job.scenario, job.seed, fault=job.fault)
+    records = simulate(job.scenario, job.seed, fault=job.fault)
     found = figures(records, job.scenario, judge(records, job.scenario))
     return {
         "id": job.id,
--- a/sagetrack/lab/model/arrivals.py
+++ b/sagetrack/lab/model/arrivals.py
@@ -44,9 +44,9 @@
         self._next_us = 0.0
         total = sum(kind.share for kind in scenario.classes)
         self._class_shares = [kind.share / total for kind in scenario.classes]
-        loads = [member.load_share or member.share for member in scenario.members]
+        loads = [member.load_share or member.share for member in scenario.tenants]
         self._member_shares = [load / sum(loads) for load in loads]
-        self._populations = [ClientPopulation(member.clients, member.skew) for member in scenario.members]
+        self._populations = [ClientPopulation(member.clients, member.skew) for member in scenario.tenants]
         bursts = [fault for fault in scenario.faults if fault.kind == "burst"]
         self._bursts_of_all = [fault for fault in bursts if not fault.member]
         self._bursts_of_members = [fault for fault in bursts if fault.member]
@@ -69,7 +69,7 @@
                 break
         self._next_us = time_us
         due_us = int(time_us)
-        self._context.clock.at(due_us, lambda: self._arrive(due_us))
+        self._context.clock.call_at(due_us, lambda: self._arrive(due_us))
 
     def _compute_peak_factor(self) -> float:
         """The largest factor on the scenario's rate at any time."""
@@ -107,7 +107,7 @@
         """The load of each member, as a share of the usual load of all."""
         second = time_us / 1e6
         loads = []
-        for share, member in zip(self._member_shares, self._context.scenario.members, strict=True):
+        for share, member in zip(self._member_shares, self._context.scenario.tenants, strict=True):
             sizes = [
                 burst.size
                 for burst in self._bursts_of_members
@@ -130,7 +130,7 @@
         class_index = draw.choices(range(len(self._class_shares)), self._class_shares)[0]
         shares = self._member_loads(created_us) if self._bursts_of_members else self._member_shares
         member_index = draw.choices(range(len(shares)), shares)[0]
-        member = scenario.members[member_index]
+        member = scenario.tenants[member_index]
         if member.kind:
             class_index = next(
                 index for index, kind in enumerate(scenario.classes) if kind.name == member.kind
@@ -141,7 +141,7 @@
         zone = draw.randrange(self._context.zone_count)
         honor_share = scenario.clients.honor_share if member.honor_share is None else member.honor_share
         honors_retry_after = draw.random() < honor_share
-        keeps_connection = draw.random() < scenario.clients.keep_alive_share
+        uses_keep_alive = draw.random() < scenario.clients.keep_alive_share
         if member.single_request:
             client = self.count
         else:
@@ -156,7 +156,7 @@
             work_us,
             created_us,
             honors_retry_after,
-            keeps_connection,
+            uses_keep_alive,
             client,
         )
 
--- a/sagetrack/lab/model/client_requests.py
+++ b/sagetrack/lab/model/client_requests.py
@@ -14,13 +14,13 @@
     id: str
     request_class: RequestClass
     class_index: int
-    member: int
+    tenant: int
     zone: int
     key: int | None
     work_us: float
     created_us: int
     honors_retry_after: bool
-    keeps_connection: bool  # sends on a kept connection
+    uses_keep_alive: bool  # sends on a kept connection
     client: int = 0  # within its member, from 1; 0: unidentified
     attempt_count: int = 0
 
@@ -34,7 +34,7 @@
 class ClientAttempt:
     """One request on the wire, from a client to a gateway."""
 
-    call: str  # the identifier that records, gateways and servers see
+    call_id: str  # the identifier that records, gateways and servers see
     request: ClientRequest
     number: int  # from 1
     gateway: int
--- a/sagetrack/lab/model/clients.py
+++ b/sagetrack/lab/model/clients.py
@@ -5,7 +5,7 @@
 from sagetrack.lab.model.client_requests import ClientAttempt, ClientRequest
 from sagetrack.lab.model.gateway_fleet import GatewayFleet
 from sagetrack.lab.model.run_context import RunContext
-from sagetrack.lab.model.scenario import ANSWER_SLACK_US
+from sagetrack.lab.model.scenario import RESPONSE_SLACK_US
 
 MIN_BUDGET_US = 1000  # with less time than this before its deadline a client sends nothing
 RETRY_JITTER = (0.8, 1.2)  # times the wait before a retry
@@ -15,7 +15,7 @@
     """Owns the attempts that wait for a response; every outcome is recorded."""
 
     def __init__(self, context: RunContext, gateways: GatewayFleet) -> None:
-        self.waiting: dict[str, ClientAttempt] = {}
+        self.pending: dict[str, ClientAttempt] = {}
         self._context = context
         self._gateways = gateways
 
@@ -33,20 +33,20 @@
         number = request.attempt_count
         gateway = self._choose_gateway(request)
         attempt = ClientAttempt(f"{request.id}-{number:x}", request, number, gateway, budget_us, now)
-        self.waiting[attempt.call] = attempt
+        self.pending[attempt.call_id] = attempt
         self._record_sent(attempt)
         # The platform lets a final response be this late: until then a client listens.
-        self._context.clock.at(attempt.deadline_us + ANSWER_SLACK_US, lambda: self._time_out(attempt))
+        self._context.clock.call_at(attempt.deadline_us + RESPONSE_SLACK_US, lambda: self._time_out(attempt))
         self._gateways.driver.send(attempt)
 
     def on_response(self, attempt: ClientAttempt, verdict: str, retry_after_us: int = 0) -> None:
         """Take a response, or the end of a connection; also those that come too late are recorded."""
         now = self._context.clock.now_us()
         request = attempt.request
-        self._context.records.add("answer", now, attempt.call, attempt.gateway, verdict, retry_after_us)
+        self._context.records.add("answer", now, attempt.call_id, attempt.gateway, verdict, retry_after_us)
         if retry_after_us and request.honors_retry_after:
             self._context.records.add(
-                "advised", now, attempt.call, request.id, attempt.number, retry_after_us
+                "advised", now, attempt.call_id, request.id, attempt.number, retry_after_us
             )
         if attempt.ended:
             return
@@ -62,10 +62,10 @@
         self._context.records.add(
             "ask",
             attempt.sent_us,
-            attempt.call,
+            attempt.call_id,
             attempt.gateway,
             request.class_index,
-            request.member,
+            request.tenant,
             attempt.budget_us,
             request.key,
             request.id,
@@ -84,13 +84,13 @@
         if attempt.ended:
             return
         self._end(attempt)
-        self._context.record("gone", attempt.call, attempt.gateway)
+        self._context.record("gone", attempt.call_id, attempt.gateway)
         self._gateways.driver.disconnect(attempt)
         self._retry_or_finish(attempt.request, "unanswered", 0)
 
     def _end(self, attempt: ClientAttempt) -> None:
         attempt.ended = True
-        del self.waiting[attempt.call]
+        del self.pending[attempt.call_id]
 
     def _retry_or_finish(self, request: ClientRequest, verdict: str, retry_after_us: int) -> None:
         """Retry after a failed attempt, as the request's class and the client's settings allow."""
@@ -104,7 +104,7 @@
         if now + wait_us >= request.created_us + request.request_class.deadline_ms * 1000:
             self._finish(request, "refused" if verdict == "refused" else "failed", now)
             return
-        self._context.clock.at(now + wait_us, lambda: self.send(request))
+        self._context.clock.call_at(now + wait_us, lambda: self.send(request))
 
     def _draw_wait_us(self, request: ClientRequest, retry_after_us: int) -> int:
         clients = self._context.scenario.clients
@@ -123,7 +123,7 @@
             now_us,
             request.id,
             request.class_index,
-            request.member,
+            request.tenant,
             outcome,
             request.created_us,
             request.attempt_count,
--- a/sagetrack/lab/model/endpoint_entry.py
+++ b/sagetrack/lab/model/endpoint_entry.py
@@ -15,4 +15,4 @@
     zone: int
     rack: int
     status: str = READY
-    since_us: int = 0  # when it started; 0: long ago
+    started_us: int = 0  # when it started; 0: long ago
--- a/sagetrack/lab/model/endpoint_registry.py
+++ b/sagetrack/lab/model/endpoint_registry.py
@@ -22,13 +22,13 @@
         self._gateways = gateways
         self._missed: dict[int, list[int]] = {}  # by gateway: servers whose changes it was not sent
 
-    def register_warm(self, server: Server) -> None:
+    def register_initial(self, server: Server) -> None:
         """List a server of the first fleet, as all gateways know it from the start."""
         self.entries[server.number] = EndpointEntry(server.number, server.zone, server.rack)
         for gateway in self._gateways.alive:
             self._context.records.add("told", 0, gateway, server.number, READY)
 
-    def known(self) -> list[EndpointEntry]:
+    def all_entries(self) -> list[EndpointEntry]:
         """The endpoint list as it stands."""
         return list(self.entries.values())
 
@@ -60,9 +60,9 @@
         """Take a server out of the list once discovery notices; a silent server is noticed later."""
         discovery = self._context.scenario.discovery
         delay_us = self._context.draw_delay_us(discovery.silent_s if silent else discovery.delay_s)
-        self._context.after(delay_us, lambda: self.remove(number))
+        self._context.call_after(delay_us, lambda: self.remove(number))
 
-    def send_missed(self) -> None:
+    def send_missed_changes(self) -> None:
         """After an outage: send each gateway that is up what it missed, in its present state."""
         for gateway, numbers in self._missed.items():
             entries = [
@@ -81,7 +81,7 @@
 
     def _after_delay(self, call: Callable[[], None]) -> None:
         discovery = self._context.scenario.discovery
-        self._context.after(self._context.draw_delay_us(discovery.delay_s), call)
+        self._context.call_after(self._context.draw_delay_us(discovery.delay_s), call)
 
     def _broadcast(self, entry: EndpointEntry) -> None:
         """Send a change to every gateway, to each a little later than to the first."""
@@ -90,7 +90,7 @@
         spread_ms = context.scenario.discovery.spread_ms
         for gateway in self._gateways.alive:
             delay_us = int(context.random.fleet.uniform(0, spread_ms) * 1000)
-            context.after(delay_us, partial(self._send, gateway, snapshot))
+            context.call_after(delay_us, partial(self._send, gateway, snapshot))
 
     def _send(self, gateway: int, entry: EndpointEntry) -> None:
         if self.down:
--- a/sagetrack/lab/model/fault_schedule.py
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -39,7 +39,7 @@
             "burst": self._burst,
             "deploy": self._deploy,
             "vanish": self._vanish_servers,
-            "spoilt": partial(self._fail_responses, Result.SPOILT),
+            "spoilt": partial(self._fail_responses, Result.MALFORMED),
             "reset": partial(self._fail_responses, Result.RESET),
             "gateway-death": self._kill_gateways,
             "gateway-upgrade": self._upgrade_gateways,
@@ -52,7 +52,7 @@
     def schedule_all(self) -> None:
         """Schedule the scenario's faults."""
         for fault in self._context.scenario.faults:
-            self._context.clock.at(int(fault.at_s * 1e6), partial(self._begin, fault))
+            self._context.clock.call_at(int(fault.at_s * 1e6), partial(self._begin, fault))
 
     def _begin(self, fault: ScheduledFault) -> None:
         end_us = self._context.clock.now_us() + int(fault.seconds * 1e6)
@@ -60,10 +60,10 @@
         if inject is None:
             self._record(fault, "begins")
             self._gateways.driver.set_fault(fault, True)
-            self._context.clock.at(end_us, partial(self._end_of_driver, fault))
+            self._context.clock.call_at(end_us, partial(self._end_of_driver, fault))
             return
         undo = inject(fault)
-        self._context.clock.at(end_us, partial(self._end, fault, undo))
+        self._context.clock.call_at(end_us, partial(self._end, fault, undo))
 
     def _end_of_driver(self, fault: ScheduledFault) -> None:
         self._record(fault, "ends")
@@ -108,7 +108,7 @@
         self._record(fault, "begins", chosen)
         interval_s = fault.seconds / max(1, len(batches))
         for index, batch in enumerate(batches):
-            self._context.after(int(index * interval_s * 1e6), partial(self._replace, batch))
+            self._context.call_after(int(index * interval_s * 1e6), partial(self._replace, batch))
         return None
 
     def _replace(self, numbers: list[int]) -> None:
@@ -117,8 +117,8 @@
 
     def _vanish_servers(self, fault: ScheduledFault) -> Undo:
         for number in self._choose_and_record(fault, self._servers.in_service()):
-            server = self._servers.vanish(number)
-            self._context.after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
+            server = self._servers.make_unresponsive(number)
+            self._context.call_after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
         return None
 
     def _fail_responses(self, result: Result, fault: ScheduledFault) -> Undo:
@@ -135,7 +135,7 @@
         for gateway in chosen:
             self._context.record("gateway", gateway, "down")
             self._gateways.kill(gateway)
-            self._context.after(notice_us, partial(self._gateways.health_checked, gateway))
+            self._context.call_after(notice_us, partial(self._gateways.update_rotation, gateway))
 
         def undo() -> None:
             for gateway in chosen:
@@ -159,7 +159,7 @@
         def undo() -> None:
             self._registry.down = False
             self._gateways.driver.set_fault(fault, False)
-            self._registry.send_missed()
+            self._registry.send_missed_changes()
 
         return undo
 
@@ -192,12 +192,12 @@
             Partition(frozenset(gateways) - gateways_inside, servers_inside),
         ]
         self._record(fault, "begins", sorted(inside))
-        self._network.cut(partitions)
-        return lambda: self._network.heal(partitions)
+        self._network.add_partitions(partitions)
+        return lambda: self._network.remove_partitions(partitions)
 
     def _skew_clocks(self, fault: ScheduledFault) -> Undo:
         """Set clocks of some gateways off by `size` seconds, by turns behind and ahead."""
         skew_us = int(fault.size * 1e6)
         for index, gateway in enumerate(self._choose_and_record(fault, list(self._gateways.alive))):
             self._network.skew_clock(gateway, skew_us if index % 2 == 0 else -skew_us)
-        return self._network.correct_clocks
+        return self._network.reset_clocks
--- a/sagetrack/lab/model/gateway_fleet.py
+++ b/sagetrack/lab/model/gateway_fleet.py
@@ -58,11 +58,11 @@
         return [gateway for gateway, alive in self.alive.items() if alive]
 
     def kill(self, gateway: int) -> None:
-        """End a gateway; the front goes on sending to it until `health_checked`."""
+        """End a gateway; the front goes on sending to it until `update_rotation`."""
         self.alive[gateway] = False
         self.driver.kill(gateway)
 
-    def health_checked(self, gateway: int) -> None:
+    def update_rotation(self, gateway: int) -> None:
         """The front has learned whether the gateway is up."""
         self.in_rotation[gateway] = self.alive[gateway]
 
--- a/sagetrack/lab/model/network.py
+++ b/sagetrack/lab/model/network.py
@@ -22,20 +22,20 @@
         self._partitions: list[Partition] = []
         self._clock_skew_us: dict[int, int] = {}  # by gateway: how far its clock is behind
 
-    def cut(self, partitions: list[Partition]) -> None:
+    def add_partitions(self, partitions: list[Partition]) -> None:
         """Put partitions in force."""
         self._partitions += partitions
 
-    def heal(self, partitions: list[Partition]) -> None:
+    def remove_partitions(self, partitions: list[Partition]) -> None:
         """End partitions that are in force."""
         for partition in partitions:
             self._partitions.remove(partition)
 
-    def reaches(self, gateway: int, server: int) -> bool:
+    def can_reach(self, gateway: int, server: int) -> bool:
         """Whether messages pass between a gateway and a server."""
         return not any(gateway in cut.gateways and server in cut.servers for cut in self._partitions)
 
-    def peers_reach(self, one: int, other: int) -> bool:
+    def can_peers_reach(self, one: int, other: int) -> bool:
         """Whether datagrams pass between two gateways."""
         return not any((one in cut.gateways) != (other in cut.gateways) for cut in self._partitions)
 
@@ -43,12 +43,12 @@
         """Set a gateway's clock back, or with a negative number ahead."""
         self._clock_skew_us[gateway] = behind_us
 
-    def correct_clocks(self) -> None:
+    def reset_clocks(self) -> None:
         """Set all clocks right."""
         self._clock_skew_us.clear()
 
     def start_time_us(self, gateway: int, entry: EndpointEntry) -> int:
         """When a server started, by the clock of this gateway; 0 for long ago."""
-        if not entry.since_us:
+        if not entry.started_us:
             return 0
-        return max(1, entry.since_us + self._clock_skew_us.get(gateway, 0))
+        return max(1, entry.started_us + self._clock_skew_us.get(gateway, 0))
--- a/sagetrack/lab/model/platform_settings.py
+++ b/sagetrack/lab/model/platform_settings.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from sagetrack.lab.model.scenario import ANSWER_SLACK_US, RequestClass, Scenario
+from sagetrack.lab.model.scenario import RESPONSE_SLACK_US, RequestClass, Scenario
 
 PLATFORM_EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 PLATFORM_SCOPES = {"all": "all", "zone": "zone", "rack": "cell"}
@@ -16,7 +16,7 @@
 def platform_settings(scenario: Scenario, gateway: int) -> dict[str, Any]:
     """Return the settings object of a gateway, by its number, in the platform's form and units."""
     fleet = scenario.fleet
-    all_shares = sum(member.share for member in scenario.members)
+    all_shares = sum(member.share for member in scenario.tenants)
     return {
         "balancers": fleet.gateways,
         "index": gateway,
@@ -26,7 +26,7 @@
         "membershipMode": "pushed",
         "lanes": [_platform_class(kind) for kind in scenario.classes],
         "tenants": [
-            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.members
+            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.tenants
         ],
         "clients": {"marksRetry": scenario.clients.marks_retry},
         "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
@@ -72,7 +72,7 @@
 def _platform_contract(scenario: Scenario) -> dict[str, Any]:
     fleet = scenario.fleet
     return {
-        "answerSlackUs": ANSWER_SLACK_US,
+        "answerSlackUs": RESPONSE_SLACK_US,
         "stopSendingWithinUs": int(scenario.gateways.drain_grace_ms * 1000),
         "mustAskInUs": 10_000_000,
         "startCapacity": fleet.cold_share,
--- a/sagetrack/lab/model/response_faults.py
+++ b/sagetrack/lab/model/response_faults.py
@@ -12,7 +12,7 @@
 
     def __init__(self, error_share: float, draw: random.Random) -> None:
         # The order decides what is drawn.
-        self._shares = {Result.ERROR: error_share, Result.SPOILT: 0.0, Result.RESET: 0.0}
+        self._shares = {Result.ERROR: error_share, Result.MALFORMED: 0.0, Result.RESET: 0.0}
         self._draw = draw
 
     def set_share(self, result: Result, share: float) -> None:
--- a/sagetrack/lab/model/run_context.py
+++ b/sagetrack/lab/model/run_context.py
@@ -26,7 +26,7 @@
         """Return the current time."""
         ...
 
-    def at(self, time_us: int, call: Callable[[], None]) -> ScheduledCall:
+    def call_at(self, time_us: int, callback: Callable[[], None]) -> ScheduledCall:
         """Schedule a call; one whose time is past is made as soon as possible."""
         ...
 
@@ -69,9 +69,9 @@
         """Add a record with the current time; `analysis.records` has the kinds, which are a stored form."""
         self.records.add(kind, self.clock.now_us(), *fields)
 
-    def after(self, delay_us: int, call: Callable[[], None]) -> None:
+    def call_after(self, delay_us: int, callback: Callable[[], None]) -> None:
         """Schedule a call from now."""
-        self.clock.at(self.clock.now_us() + delay_us, call)
+        self.clock.call_at(self.clock.now_us() + delay_us, callback)
 
     def draw_delay_us(self, range_s: tuple[float, float]) -> int:
         """Draw a delay of discovery from a range in seconds."""
--- a/sagetrack/lab/model/scenario.py
+++ b/sagetrack/lab/model/scenario.py
@@ -21,7 +21,7 @@
 NotNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-ANSWER_SLACK_US = 20_000  # by which a final response may be late
+RESPONSE_SLACK_US = 20_000  # by which a final response may be late
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$")]
 Range = tuple[float, float]
 
@@ -124,7 +124,7 @@
     body_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 120
 
 
-class Member(
+class Tenant(
     msgspec.Struct,
     frozen=True,
     forbid_unknown_fields=True,
@@ -296,7 +296,7 @@
     classes: list[RequestClass] = msgspec.field(
         name="class", default_factory=lambda: [RequestClass(name="lookup")]
     )
-    members: list[Member] = msgspec.field(name="member", default_factory=lambda: [Member(name="acme")])
+    tenants: list[Tenant] = msgspec.field(name="member", default_factory=lambda: [Tenant(name="acme")])
     clients: Clients = msgspec.field(default_factory=Clients)
     load: Load = msgspec.field(default_factory=Load)
     gateways: Gateways = msgspec.field(name="gateway", default_factory=Gateways)
@@ -343,13 +343,13 @@
     """Find names that occur twice, and tables without any entry."""
     names = {
         "class": [kind.name for kind in scenario.classes],
-        "member": [member.name for member in scenario.members],
+        "member": [member.name for member in scenario.tenants],
     }
     for key, own_names in names.items():
         for index, name in enumerate(own_names):
             if name in own_names[:index]:
                 yield Fault((key, index, "name"), f"{key}[{index + 1}].name = {name!r} stands there twice")
-    for table in ("classes", "members"):
+    for table in ("classes", "tenants"):
         if not getattr(scenario, table):
             yield Fault((), f"there are no {table}; at least one is needed")
 
@@ -362,7 +362,7 @@
 
 
 def _check_faults(scenario: Scenario) -> Iterator[Fault]:
-    members = [member.name for member in scenario.members]
+    members = [member.name for member in scenario.tenants]
     for index, fault in enumerate(scenario.faults):
         name = f"trouble[{index + 1}]"
         if fault.at_s >= scenario.seconds:
@@ -378,7 +378,7 @@
 
 def _check_member_classes(scenario: Scenario) -> Iterator[Fault]:
     classes = [kind.name for kind in scenario.classes]
-    for index, member in enumerate(scenario.members):
+    for index, member in enumerate(scenario.tenants):
         if member.kind and member.kind not in classes:
             message = f"member[{index + 1}].kind = {member.kind!r} is no class"
             yield Fault(("member", index, "kind"), message)
@@ -390,7 +390,7 @@
         yield Fault(("load", "curve"), "load.curve needs rising seconds and rates of at least 0")
 
 
-def load(path: Path | str) -> Scenario:
+def load_scenario(path: Path | str) -> Scenario:
     """Read a scenario.
 
     Raises:
@@ -399,7 +399,7 @@
     return read(path, Scenario, _check)
 
 
-def altered(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
+def with_overrides(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
     """Return the same scenario with other values, named as in `fleet.servers`.
 
     Raises:
--- a/sagetrack/lab/model/server.py
+++ b/sagetrack/lab/model/server.py
@@ -30,7 +30,7 @@
     SERVED = "served"
     ERROR = "error"
     REJECTED = "rejected"
-    SPOILT = "spoilt"  # a response that is no valid HTTP
+    MALFORMED = "spoilt"  # a response that is no valid HTTP
     RESET = "reset"
 
 
@@ -38,15 +38,15 @@
 class Job:
     """One attempt at a server. `done` is called once, unless the server falls silent."""
 
-    call: str
+    call_id: str
     work_us: float  # on a standard core
     key: int | None
     window_us: int  # within which a repeat of the key is dropped
     scope: str  # all, zone or rack
     deadline_us: int
-    done: Callable[[Job, Result], None]
+    on_done: Callable[[Job, Result], None]
     result: Result = Result.SERVED
-    left_us: float = 0.0  # of the work
+    remaining_us: float = 0.0  # of the work
     ended: bool = False
 
 
@@ -83,10 +83,10 @@
         self.rack = rack
         self.started_us = started_us
         self.now_us = started_us
-        self.slow = 1.0  # times slower, by a fault
+        self.slowdown = 1.0  # times slower, by a fault
         self.draining = False
         self.down = False  # fell over or was stopped: refuses connections
-        self.silent = False
+        self.unresponsive = False
         self.running: list[Job] = []
         self.waiting: deque[Job] = deque()
         self._keys = keys
@@ -115,14 +115,14 @@
         """Requests in work and in the queue."""
         return len(self.running) + len(self.waiting)
 
-    def warmth(self, now_us: int) -> float:
+    def capacity_share(self, now_us: int) -> float:
         """The share of its capacity that the server has by now."""
         return self._warm_up.capacity_share(now_us - self.started_us)
 
     def rate(self, now_us: int) -> float:
         """Work that each request in a slot has done in a microsecond."""
         fleet = self._fleet
-        rate = self._speed * self.warmth(now_us) / self.slow / fleet.slots_per_core
+        rate = self._speed * self.capacity_share(now_us) / self.slowdown / fleet.slots_per_core
         rate /= self._degradation.slowdown
         if fleet.thrash:
             excess = max(0.0, self.request_count - fleet.thrash_at * fleet.cores)
@@ -134,7 +134,7 @@
     def receive(self, now_us: int, job: Job) -> Result | None:
         """Take a request in: REJECTED at once, or None and `done` later."""
         self.advance(now_us)
-        if self.silent:
+        if self.unresponsive:
             return None
         if self._warm_up.is_overwhelmed_by(job.work_us, now_us - self.started_us):
             self.stop()
@@ -148,7 +148,7 @@
         self._degradation.update(now_us, len(self.waiting))
         return None
 
-    def give_up(self, now_us: int, job: Job) -> None:
+    def cancel(self, now_us: int, job: Job) -> None:
         """Stop a job whose client no longer waits, as far as the scenario has servers do so."""
         if job.ended:
             return
@@ -164,33 +164,33 @@
 
     def next_us(self) -> int | None:
         """When something happens by itself: at the latest then `advance` is to be called."""
-        if self.silent or (not self.running and not self.is_degraded):
+        if self.unresponsive or (not self.running and not self.is_degraded):
             return None
         step_us = self.now_us + MAX_STEP_US
         if not self.running:
             return step_us
         rate = self.rate(self.now_us)
-        due_us = self.now_us + math.ceil(min(job.left_us for job in self.running) / rate)
+        due_us = self.now_us + math.ceil(min(job.remaining_us for job in self.running) / rate)
         rate_may_change = self.is_cold or self._degradation.may_change
         return min(due_us, step_us) if rate_may_change else due_us
 
     def advance(self, now_us: int) -> None:
         """Let time pass; responses that fall due are given."""
-        while not self.silent and self.now_us < now_us:
+        while not self.unresponsive and self.now_us < now_us:
             if not self.running:
                 self._pass_time(now_us)
                 return
-            first = min(self.running, key=lambda job: job.left_us)
+            first = min(self.running, key=lambda job: job.remaining_us)
             span_us = now_us - self.now_us
             rate = self._mean_rate(first, span_us)
-            due_us = math.ceil(first.left_us / rate)
+            due_us = math.ceil(first.remaining_us / rate)
             step_us = min(span_us, due_us, MAX_STEP_US)
             done_us = step_us * rate
             for job in self.running:
-                job.left_us -= done_us
+                job.remaining_us -= done_us
             self._pass_time(self.now_us + step_us)
             if step_us == due_us:
-                first.left_us = 0.0
+                first.remaining_us = 0.0
             self._end_finished()
         self.now_us = max(now_us, self.now_us)
 
@@ -201,7 +201,7 @@
         self.waiting.clear()
         for job in jobs:
             job.ended = True
-            job.done(job, Result.RESET)
+            job.on_done(job, Result.RESET)
 
     def stop(self) -> None:
         """End at once, as a process does: connections break, new ones are refused."""
@@ -216,7 +216,7 @@
         has_effect = True
         if job.key is not None:
             has_effect = self._keys[job.scope].take(job.key, self.now_us, job.window_us)
-        job.left_us = job.work_us if has_effect else job.work_us * DUPLICATE_SHARE
+        job.remaining_us = job.work_us if has_effect else job.work_us * DUPLICATE_SHARE
         self.running.append(job)
         self._on_run(job, has_effect)
 
@@ -225,7 +225,7 @@
             job = self.waiting.popleft()
             if self.now_us >= job.deadline_us and self._fleet.cancel != "none":
                 job.ended = True
-                job.done(job, Result.REJECTED)
+                job.on_done(job, Result.REJECTED)
                 continue
             self._start(job)
 
@@ -233,7 +233,7 @@
         """The rate over the step that comes; that of a cold server rises meanwhile."""
         rate = self.rate(self.now_us)
         if self.is_cold:
-            step_us = int(min(span_us, first.left_us / rate, MAX_STEP_US))
+            step_us = int(min(span_us, first.remaining_us / rate, MAX_STEP_US))
             rate = (rate + self.rate(self.now_us + step_us)) / 2
         return rate
 
@@ -245,8 +245,8 @@
 
     def _end_finished(self) -> None:
         """End all jobs that are done: one that was left for later would fall due now, again and again."""
-        for job in [job for job in self.running if job.left_us <= ROUNDING * job.work_us]:
+        for job in [job for job in self.running if job.remaining_us <= ROUNDING * job.work_us]:
             self.running.remove(job)
             job.ended = True
             self._fill_slots()
-            job.done(job, job.result)
+            job.on_done(job, job.result)
--- a/sagetrack/lab/model/server_fleet.py
+++ b/sagetrack/lab/model/server_fleet.py
@@ -17,8 +17,8 @@
 class ServerObserver:
     """A driver's callbacks for starts and ends of servers; the defaults do nothing."""
 
-    started: Callable[[Server], None] = lambda server: None
-    ended: Callable[[int], None] = lambda number: None
+    on_started: Callable[[Server], None] = lambda server: None
+    on_ended: Callable[[int], None] = lambda number: None
 
 
 class _Wake(NamedTuple):
@@ -31,8 +31,8 @@
 
     def __init__(self, context: RunContext, registry: EndpointRegistry) -> None:
         self.servers: dict[int, Server] = {}
-        self.newer: set[int] = set()  # servers that speak the newer format
-        self.vanished: set[int] = set()  # servers that neither respond nor refuse connections
+        self.grpc_servers: set[int] = set()  # servers that speak the newer format
+        self.unresponsive: set[int] = set()  # servers that neither respond nor refuse connections
         self.observer = ServerObserver()
         self.response_faults = ResponseFaults(context.scenario.fleet.error_share, context.random.clients)
         self._context = context
@@ -45,12 +45,12 @@
         """Start the warm fleet, and list it."""
         fleet = self._context.scenario.fleet
         for index in range(fleet.servers):
-            newer = int((index + 1) * fleet.new_share) > int(index * fleet.new_share)
+            speaks_grpc = int((index + 1) * fleet.new_share) > int(index * fleet.new_share)
             zone = index % self._context.zone_count
             rack = index % self._context.rack_count
-            self._start(zone=zone, rack=rack, cold=False, newer=newer)
+            self._start(zone=zone, rack=rack, cold=False, speaks_grpc=speaks_grpc)
         for server in self.servers.values():
-            self._registry.register_warm(server)
+            self._registry.register_initial(server)
 
     def reserve_numbers(self, count: int) -> range:
         """Take numbers that no server will get."""
@@ -65,28 +65,28 @@
     # Work
 
     def receive(self, server: Server, job: Job, gateway: int, sent_us: int) -> Result | None:
-        """Deliver an attempt, complete to the last byte: REJECTED at once, or None and `job.done` later."""
+        """Deliver a complete attempt; returns REJECTED, or None and calls `job.on_done` later."""
         now = self._context.clock.now_us()
         result = server.receive(now, job)
-        if server.silent:
+        if server.unresponsive:
             verdict = "lost"
         elif result is Result.REJECTED or server.down:
             verdict = "rejected"
         else:
             verdict = "taken"
         self._context.records.add(
-            "recv", now, job.call, server.number, gateway, verdict, round(job.work_us), sent_us
+            "recv", now, job.call_id, server.number, gateway, verdict, round(job.work_us), sent_us
         )
-        if server.down and not server.silent and server.number in self.servers:
+        if server.down and not server.unresponsive and server.number in self.servers:
             self._lose(server, "fell")
         if verdict == "taken":
             job.result = self.response_faults.draw_result()
         self._schedule_wake(server)
         return result
 
-    def give_up(self, server: Server, job: Job) -> None:
+    def cancel(self, server: Server, job: Job) -> None:
         """Inform a server that a gateway has given up an attempt."""
-        server.give_up(self._context.clock.now_us(), job)
+        server.cancel(self._context.clock.now_us(), job)
         self._schedule_wake(server)
 
     def set_slowdown(self, numbers: list[int], factor: float) -> None:
@@ -95,7 +95,7 @@
             server = self.servers.get(number)
             if server is not None:
                 server.advance(self._context.clock.now_us())
-                server.slow = factor
+                server.slowdown = factor
                 self._schedule_wake(server)
 
     def _schedule_wake(self, server: Server) -> None:
@@ -108,7 +108,7 @@
             planned.timer.cancel()
             del self._wakes[server.number]
         if due_us is not None:
-            timer = self._context.clock.at(due_us, lambda: self._wake(server))
+            timer = self._context.clock.call_at(due_us, lambda: self._wake(server))
             self._wakes[server.number] = _Wake(due_us, timer)
 
     def _wake(self, server: Server) -> None:
@@ -138,25 +138,25 @@
                 self._registry.remove_later(number)
                 self.start_successor(server)
 
-        self._context.clock.at(now + drain_us + grace_us // 2, refuse)
-        self._context.clock.at(now + drain_us + grace_us, end)
+        self._context.clock.call_at(now + drain_us + grace_us // 2, refuse)
+        self._context.clock.call_at(now + drain_us + grace_us, end)
 
-    def vanish(self, number: int) -> Server:
+    def make_unresponsive(self, number: int) -> Server:
         """Make a server fall silent without closing its connections; discovery notices it late."""
         server = self.servers[number]
         server.advance(self._context.clock.now_us())
-        server.silent = True
-        self.vanished.add(number)
+        server.unresponsive = True
+        self.unresponsive.add(number)
         self._lose(server, "vanished")
         return server
 
     def start_successor(self, server: Server) -> None:
         """Start a cold server in the place of one that has ended."""
-        newer = server.number in self.newer or self._context.scenario.fleet.roll_new
-        successor = self._start(server.zone, server.rack, cold=True, newer=newer)
+        speaks_grpc = server.number in self.grpc_servers or self._context.scenario.fleet.roll_new
+        successor = self._start(server.zone, server.rack, cold=True, speaks_grpc=speaks_grpc)
         self._registry.add_later(successor, self._context.clock.now_us())
 
-    def _start(self, zone: int, rack: int, cold: bool, newer: bool) -> Server:
+    def _start(self, zone: int, rack: int, cold: bool, speaks_grpc: bool) -> Server:
         fleet = self._context.scenario.fleet
         now = self._context.clock.now_us()
         number = self._next_number
@@ -169,27 +169,27 @@
         speed = self._context.random.fleet.uniform(*fleet.speed)
 
         def record_run(job: Job, has_effect: bool) -> None:
-            self._context.record("run", job.call, number, job.key, int(has_effect))
+            self._context.record("run", job.call_id, number, job.key, int(has_effect))
 
         server = Server(number, fleet, zone, rack, speed, now, cold, keys, record_run)
         self.servers[number] = server
-        if newer:
-            self.newer.add(number)
+        if speaks_grpc:
+            self.grpc_servers.add(number)
         capacity = round(speed * fleet.cores, 6)
         self._context.records.add("start", now, number, zone, rack, int(cold), capacity)
-        self.observer.started(server)
+        self.observer.on_started(server)
         return server
 
     def _stop(self, server: Server) -> None:
         del self.servers[server.number]
         self._context.record("stop", server.number, "replaced")
         server.stop()
-        self.observer.ended(server.number)
+        self.observer.on_ended(server.number)
 
     def _lose(self, server: Server, reason: str) -> None:
         """Forget a server that ended unannounced; discovery notices it later."""
         if self.servers.pop(server.number, None) is None:
             return
         self._context.record("stop", server.number, reason)
-        self.observer.ended(server.number)
+        self.observer.on_ended(server.number)
         self._registry.remove_later(server.number, silent=reason == "vanished")
--- a/sagetrack/lab/model/world.py
+++ b/sagetrack/lab/model/world.py
@@ -45,7 +45,7 @@
         for gateway in self.gateway_fleet.alive:
             self.records.add("gateway", 0, gateway, "up")
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the load, and schedule the faults."""
         self.arrivals.plan_next()
         self.faults.schedule_all()
@@ -70,8 +70,8 @@
         """What has happened so far."""
         return self.context.records
 
-    def gateway_ready(self, gateway: int) -> None:
+    def on_gateway_ready(self, gateway: int) -> None:
         """Take note that a driver has a gateway ready again, with the present endpoint list."""
         self.gateway_fleet.mark_ready(gateway)
         self.context.record("gateway", gateway, "up")
-        self.registry.record_received(gateway, self.registry.known())
+        self.registry.record_received(gateway, self.registry.all_entries())
--- a/sagetrack/lab/processes/client_traffic.py
+++ b/sagetrack/lab/processes/client_traffic.py
@@ -25,9 +25,9 @@
     lines = [
         f"{method} /{request_class.name}/{request.id} HTTP/1.1",
         "Host: gateway",
-        f"X-Call-Id: {attempt.call}",
+        f"X-Call-Id: {attempt.call_id}",
         f"X-Call-Class: {request_class.name}",
-        f"X-Caller: {world.scenario.members[request.member].name}",
+        f"X-Caller: {world.scenario.tenants[request.tenant].name}",
         f"X-Budget-Ms: {max(1, (attempt.budget_us - spent_us) // 1000)}",
     ]
     if request.client:
@@ -38,7 +38,7 @@
         lines.append(f"Content-Length: {len(body)}")
     if attempt.number > 1 and world.scenario.clients.marks_retry:
         lines.append("X-Again: 1")
-    if not request.keeps_connection:
+    if not request.uses_keep_alive:
         lines.append("Connection: close")
     return "\r\n".join([*lines, "", ""]).encode() + body
 
@@ -67,8 +67,8 @@
 
     def send(self, attempt: ClientAttempt) -> None:
         """Send an attempt after the network's delay; `World.on_answer` is called once, or never."""
-        self.attempts[attempt.call] = attempt
-        self.world.clock.at(self.world.clock.now_us() + self._delay_us(), lambda: self.send_now(attempt))
+        self.attempts[attempt.call_id] = attempt
+        self.world.clock.call_at(self.world.clock.now_us() + self._delay_us(), lambda: self.send_now(attempt))
 
     def _delay_us(self) -> int:
         return int(self.world.scenario.network.client_ms * 1000)
@@ -78,7 +78,7 @@
         if attempt.ended or self.is_stopped:
             return
         idle = self.idle[attempt.gateway]
-        while idle and attempt.request.keeps_connection:
+        while idle and attempt.request.uses_keep_alive:
             connection = idle.pop()
             if connection.is_open:
                 self._write(attempt, connection)
@@ -121,7 +121,9 @@
         verdict = VERDICTS.get(response.status, "failed")
         retry_after_us = int(response.retry_after_s * 1e6)
         due_us = self.world.clock.now_us() + self._delay_us()
-        self.world.clock.at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
+        self.world.clock.call_at(
+            due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us)
+        )
 
     def abandon(self, attempt: ClientAttempt) -> None:
         """The client no longer waits: its connection is closed if the request is still in flight."""
--- a/sagetrack/lab/processes/clock.py
+++ b/sagetrack/lab/processes/clock.py
@@ -24,6 +24,6 @@
         """Microseconds since the start."""
         return int((self.loop.time() - self.start_s) * 1e6)
 
-    def at(self, time_us: int, call: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_at(self, time_us: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Plan a call."""
-        return self.loop.call_at(self.start_s + time_us / 1e6, call)
+        return self.loop.call_at(self.start_s + time_us / 1e6, callback)
--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -42,13 +42,13 @@
         self.agents: dict[int, DiscoveryAgent] = {}  # by gateway
         self.peers = PeerNetwork(world) if world.scenario.peers.use else None
         self.dns = DnsTraffic(world) if world.scenario.dns.rate else None
-        world.server_fleet.observer.started = self._add_server
-        world.server_fleet.observer.ended = self._remove_server
+        world.server_fleet.observer.on_started = self._add_server
+        world.server_fleet.observer.on_ended = self._remove_server
 
     # Upstream servers
 
     def _add_server(self, server: Server) -> None:
-        speaks_grpc = server.number in self.world.server_fleet.newer
+        speaks_grpc = server.number in self.world.server_fleet.grpc_servers
         connection_factory = GrpcAddressServerConnection if speaks_grpc else Http1ServerConnection
         self.servers[server.number] = AddressServer(
             self.world, server, self.clients.attempts, self._network_delay_us, connection_factory
@@ -58,7 +58,7 @@
         server = self.servers.get(number)
         if server is None:
             return
-        if number in self.world.server_fleet.vanished:
+        if number in self.world.server_fleet.unresponsive:
             server.silence()
         else:
             server.close()
@@ -91,7 +91,7 @@
         """Open the sockets of discovery and find each gateway a port; `start_all` starts the processes."""
         for gateway in self.world.gateway_fleet.alive:
             agent = DiscoveryAgent(self.world, gateway, self._server_address, self.base_ms)
-            for entry in self.world.registry.known():
+            for entry in self.world.registry.all_entries():
                 agent.entries[entry.server] = EndpointEntry(entry.server, entry.zone, entry.rack)
             self.agents[gateway] = agent
             self.supervisor.reserve_port(gateway)
@@ -114,8 +114,8 @@
 
     async def _restart(self, gateway: int) -> None:
         await self.supervisor.restart(gateway)
-        self.world.gateway_ready(gateway)
-        self.send_endpoints(gateway, self.world.registry.known(), True)
+        self.world.on_gateway_ready(gateway)
+        self.send_endpoints(gateway, self.world.registry.all_entries(), True)
 
     def upgrade(self, gateway: int) -> None:
         """Replace a gateway's process by a new one in the background."""
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -83,7 +83,7 @@
         await gateways.start_all()
         _restart_time(clock, world, gateways)
         start_usage = gateways.supervisor.usage()
-        world.begin()
+        world.start()
         if gateways.dns is not None:
             await gateways.dns.begin()
         await _wait_for_end(world, gateways, progress, LoadSampler(world, sample_s))
@@ -133,7 +133,7 @@
         if progress is not None:
             progress(min(1.0, now_us / arrivals_end_us), world)
         sampler.sample_if_due(now_us)
-        has_open_requests = bool(world.clients.waiting) or gateways.open_dns_queries > 0
+        has_open_requests = bool(world.clients.pending) or gateways.open_dns_queries > 0
         if now_us > arrivals_end_us and world.arrivals.finished and not has_open_requests:
             return
 
--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -57,11 +57,11 @@
 
     def is_connected_to(self, gateway: int) -> bool:
         """Whether messages pass between this server and a gateway: no partition separates them."""
-        return self.world.network.reaches(gateway, self.server.number)
+        return self.world.network.can_reach(gateway, self.server.number)
 
     def receives_from(self, gateway: int) -> bool:
         """Whether what a gateway sends gets here and is read."""
-        return self.is_connected_to(gateway) and not self.server.silent
+        return self.is_connected_to(gateway) and not self.server.unresponsive
 
     def new_job(
         self,
@@ -74,13 +74,13 @@
         request = attempt.request
         handshake_us = self.world.scenario.fleet.handshake_ms * 1000 if is_new_connection else 0.0
         return Job(
-            call=attempt.call,
+            call_id=attempt.call_id,
             work_us=request.work_us + handshake_us,
             key=request.key,
             window_us=int(request.request_class.window_ms * 1000),
             scope=request.request_class.scope,
             deadline_us=deadline_us,
-            done=on_done,
+            on_done=on_done,
         )
 
     def after_network_delay(
@@ -89,19 +89,19 @@
         """Run an action once a message between this server and the gateway would have arrived."""
         hops = 1 + (HANDSHAKE_ROUND_TRIP_HOPS if is_new_connection else 0)
         delay_us = self._delay_us(gateway, self.server.number) * hops
-        self.world.clock.at(self.world.clock.now_us() + delay_us, action)
+        self.world.clock.call_at(self.world.clock.now_us() + delay_us, action)
 
     def deliver(self, job: Job, gateway: int, sent_us: int) -> None:
-        """Give a job to the model, unless the server has ended; `job.done` is called for a rejection too."""
+        """Give a job to the model, unless the server has ended; also calls `job.on_done` on rejection."""
         if self.server.number not in self.world.server_fleet.servers:
             return
         if self.world.server_fleet.receive(self.server, job, gateway, sent_us) is Result.REJECTED:
-            job.done(job, Result.REJECTED)
+            job.on_done(job, Result.REJECTED)
 
     def cancel(self, job: Job) -> None:
         """The gateway no longer waits for this job."""
         if not job.ended:
-            self.world.server_fleet.give_up(self.server, job)
+            self.world.server_fleet.cancel(self.server, job)
 
     def silence(self) -> None:
         """Vanish: open connections stay open and say nothing, new ones do not come up."""
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -65,7 +65,7 @@
             "name": f"s-{entry.server}",
             "address": self.server_address(self.gateway, entry.server),
             "zone": self.world.scenario.fleet.zones[entry.zone],
-            "type": "v2" if entry.server in self.world.server_fleet.newer else "plain",
+            "type": "v2" if entry.server in self.world.server_fleet.grpc_servers else "plain",
             "group": entry.rack,
             "status": entry.status,
             "weight": 1.0,
@@ -93,7 +93,7 @@
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = EndpointEntry(
-                    entry.server, entry.zone, entry.rack, entry.status, entry.since_us
+                    entry.server, entry.zone, entry.rack, entry.status, entry.started_us
                 )
         self.index += 1
         index = self.index
@@ -102,7 +102,7 @@
         del self.changes[:-CHANGES_KEPT]
         self.undelivered.append(change)
         clock = self.world.clock
-        clock.at(clock.now_us() + DELIVERED_LATEST_US, lambda: self._count_as_delivered(index))
+        clock.call_at(clock.now_us() + DELIVERED_LATEST_US, lambda: self._count_as_delivered(index))
         self.answer_pending()
 
     def _count_as_delivered(self, index: int) -> None:
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -115,7 +115,7 @@
     def _plan_query(self) -> None:
         self.next_query_s += self.draw.expovariate(self.scenario.dns.rate)
         if self.next_query_s < self.scenario.seconds:
-            self.world.clock.at(int(self.next_query_s * 1e6), self._send_query)
+            self.world.clock.call_at(int(self.next_query_s * 1e6), self._send_query)
 
     def _send_query(self) -> None:
         due_us = int(self.next_query_s * 1e6)
--- a/sagetrack/lab/stand_ins/grpc_address_server.py
+++ b/sagetrack/lab/stand_ins/grpc_address_server.py
@@ -74,7 +74,7 @@
                 self.trailers_only(request, RESOURCE_EXHAUSTED, x_rejected="1", grpc_retry_pushback_ms="50")
             case Result.RESET:
                 self.reset(request)
-            case Result.SPOILT:
+            case Result.MALFORMED:
                 request.outgoing += CORRUPT_MESSAGE
                 self.send_head(request)
                 request.trailers = OK_TRAILERS
--- a/sagetrack/lab/stand_ins/http1_address_server.py
+++ b/sagetrack/lab/stand_ins/http1_address_server.py
@@ -17,7 +17,7 @@
     Result.SERVED: b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(RESPONSE_BODY), RESPONSE_BODY),
     Result.ERROR: b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
     Result.REJECTED: b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-    Result.SPOILT: b"HTP/9 nonsense\x00\x01\r\n\r\n" + RESPONSE_BODY,
+    Result.MALFORMED: b"HTP/9 nonsense\x00\x01\r\n\r\n" + RESPONSE_BODY,
 }
 
 
--- a/sagetrack/lab/stand_ins/peer_network.py
+++ b/sagetrack/lab/stand_ins/peer_network.py
@@ -78,12 +78,12 @@
         if len(data) > DATAGRAM_BYTES_MAX:
             world.records.add("trouble", world.clock.now_us(), "long-datagram", "begins", len(data))
         is_lost = world.context.random.peers.random() < settings.peer_loss
-        if is_lost or not world.network.peers_reach(self.source, self.target):
+        if is_lost or not world.network.can_peers_reach(self.source, self.target):
             return
         due_us = world.clock.now_us() + int(world.context.random.peers.uniform(*settings.peer_ms) * 1000)
         # The target knows the sender by the address of the relay in the other direction.
         reverse = self.network.relays[self.target, self.source]
-        world.clock.at(due_us, lambda: reverse.send_to_owner(data))
+        world.clock.call_at(due_us, lambda: reverse.send_to_owner(data))
 
     def send_to_owner(self, data: bytes) -> None:
         """Send a datagram to the gateway that this relay belongs to."""
--- a/sagetrack/lab/virtual/clock.py
+++ b/sagetrack/lab/virtual/clock.py
@@ -12,14 +12,14 @@
 class Timer:
     """One scheduled call; the clock skips it once it is cancelled."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """Keep the call from being made."""
-        self.call = None
+        self.callback = None
 
 
 class SimClock:
@@ -36,9 +36,9 @@
         """Microseconds since the run began."""
         return self._now_us
 
-    def at(self, time_us: int, call: Callable[[], None]) -> Timer:
+    def call_at(self, time_us: int, callback: Callable[[], None]) -> Timer:
         """Schedule a call; one whose time is past is due now."""
-        timer = Timer(call)
+        timer = Timer(callback)
         heapq.heappush(self._heap, (max(time_us, self._now_us), next(self._next), timer))
         return timer
 
@@ -47,12 +47,12 @@
         heap, pop = self._heap, heapq.heappop
         while heap:
             time_us, _, timer = pop(heap)
-            call = timer.call
-            if call is None:
+            callback = timer.callback
+            if callback is None:
                 continue
             if time_us > end_us():
                 return
             self._now_us = time_us
-            call()
+            callback()
             if until():
                 return
--- a/sagetrack/lab/virtual/faulty_gateways.py
+++ b/sagetrack/lab/virtual/faulty_gateways.py
@@ -133,7 +133,7 @@
             return False
         attempt = request.client_attempt
         due_us = attempt.sent_us + int(attempt.budget_us * REJECTION_DELAY)
-        self.gateway.clock.at(due_us, partial(self.gateway.respond, request_id, "refused", 0))
+        self.gateway.clock.call_at(due_us, partial(self.gateway.respond, request_id, "refused", 0))
         return True
 
 
@@ -250,7 +250,7 @@
 }
 _OVERLOAD: dict[str, type[BalancerProxy]] = {"whole-places": IgnoresConcurrencyLimit}
 FAULTS = ("answers-twice", *_EVERYDAY)
-SHOWN_BY = {
+DETECTED_BY = {
     "answers-twice": ("everyday", "one_answer"),
     "late-to-draining": ("rolling-deploy", "drains"),
     "crowds-cold": ("rolling-deploy", "cold_budget"),
@@ -258,9 +258,9 @@
     "leaves-rack": ("bad-servers", "repeats"),
 }
 """The scenario that catches each fault, and the rule that it breaks there."""
-COLD_FAULTS = tuple(_SLOW_START)
-JAM_FAULTS = tuple(_OVERLOAD)  # shown by lab/benchmarks/overload.py
-COLD_SHOWN_BY = {
+SLOW_START_FAULTS = tuple(_SLOW_START)
+OVERLOAD_FAULTS = tuple(_OVERLOAD)  # shown by lab/benchmarks/overload.py
+SLOW_START_FAULT_CASES = {
     "counts-others-only": "most-jump",
     "three-for-granted": "most-jump",
     "forgets-spent": "restarts",
--- a/sagetrack/lab/virtual/gateway.py
+++ b/sagetrack/lab/virtual/gateway.py
@@ -32,7 +32,7 @@
     Result.SERVED: Outcome.OK,
     Result.ERROR: Outcome.ERROR,
     Result.REJECTED: Outcome.REJECTED,
-    Result.SPOILT: Outcome.ERROR,
+    Result.MALFORMED: Outcome.ERROR,
     Result.RESET: Outcome.RESET,
 }
 REUSABLE_AFTER = (Outcome.OK, Outcome.REJECTED, Outcome.ERROR)  # the connection is intact after these
@@ -63,7 +63,7 @@
     @property
     def id(self) -> str:
         """The identifier that the decision module and the servers see."""
-        return self.client_attempt.call
+        return self.client_attempt.call_id
 
 
 class VirtualGateway:
@@ -118,7 +118,7 @@
                 self._send_attempt(action)
             case SetTimer():
                 due_us = action.due_us - GATEWAY_EPOCH_US
-                self.clock.at(due_us, partial(self.handle, TimerFired(action.token)))
+                self.clock.call_at(due_us, partial(self.handle, TimerFired(action.token)))
             case Reject():
                 self.respond(action.request, "refused", action.retry_after_us)
             case Fail():
@@ -135,26 +135,26 @@
     def receive(self, attempt: ClientAttempt) -> None:
         """Take a request that a client has sent."""
         request = attempt.request
-        self.requests[attempt.call] = ProxiedRequest(attempt)
+        self.requests[attempt.call_id] = ProxiedRequest(attempt)
         marks_retry = self.world.scenario.clients.marks_retry and attempt.number > 1
         event = RequestArrived(
-            attempt.call,
+            attempt.call_id,
             request.class_index,
             attempt.deadline_us - self.clock.now_us(),
             request.key or int(request.id, 16),
             None,
             marks_retry,
-            request.member,
+            request.tenant,
             client=request.client,
         )
         self.handle(event)
 
     def on_disconnect(self, attempt: ClientAttempt) -> None:
         """The client has closed the connection of its attempt."""
-        request = self.requests.get(attempt.call)
+        request = self.requests.get(attempt.call_id)
         if request is not None and not request.closed:
             self.close(request)
-            self.handle(RequestCancelled(attempt.call))
+            self.handle(RequestCancelled(attempt.call_id))
 
     def respond(self, request_id: str, verdict: str, retry_after_us: int) -> None:
         """Give a request its final response, unless it has one."""
@@ -187,10 +187,10 @@
         timeout_us = request.client_attempt.deadline_us - now
         if action.timeout_us:
             timeout_us = min(action.timeout_us, timeout_us)
-        attempt.timer = self.clock.at(now + max(0, timeout_us), lambda: self._time_out(request, attempt))
+        attempt.timer = self.clock.call_at(now + max(0, timeout_us), lambda: self._time_out(request, attempt))
         delay_us = self.network.server_delay_us(self.number, action.server)
         if self._pool.take(action.server, now):
-            self.clock.at(now + delay_us, lambda: self._deliver(request, attempt, False))
+            self.clock.call_at(now + delay_us, lambda: self._deliver(request, attempt, False))
             attempt.written = True
         else:
             self._connect(request, attempt, delay_us)
@@ -199,19 +199,19 @@
         number = len(request.attempts)
         request.attempts.append(None)
         event = AttemptEnded(request.id, number, server, Outcome.NOT_SENT, 0, request.closed)
-        self.clock.at(self.clock.now_us(), partial(self.handle, event))
+        self.clock.call_at(self.clock.now_us(), partial(self.handle, event))
 
     def _connect(self, request: ProxiedRequest, attempt: UpstreamAttempt, delay_us: int) -> None:
         """Open a connection: it is up after one round trip, or fails."""
         now, world = self.clock.now_us(), self.world
-        is_reachable = world.network.reaches(self.number, attempt.server)
-        if not is_reachable or attempt.server in world.server_fleet.vanished:
+        is_reachable = world.network.can_reach(self.number, attempt.server)
+        if not is_reachable or attempt.server in world.server_fleet.unresponsive:
             timeout_us = int(world.scenario.network.connect_timeout_ms * 1000)
-            self.clock.at(
+            self.clock.call_at(
                 now + timeout_us, lambda: self._end_attempt(request, attempt, Outcome.CONNECT_FAILED)
             )
             return
-        self.clock.at(now + 2 * delay_us, lambda: self._on_connected(request, attempt, delay_us))
+        self.clock.call_at(now + 2 * delay_us, lambda: self._on_connected(request, attempt, delay_us))
 
     def _on_connected(self, request: ProxiedRequest, attempt: UpstreamAttempt, delay_us: int) -> None:
         if attempt.ended:
@@ -220,7 +220,7 @@
             self._end_attempt(request, attempt, Outcome.CONNECT_FAILED)
             return
         attempt.written = True
-        self.clock.at(self.clock.now_us() + delay_us, lambda: self._deliver(request, attempt, True))
+        self.clock.call_at(self.clock.now_us() + delay_us, lambda: self._deliver(request, attempt, True))
 
     def _deliver(self, request: ProxiedRequest, attempt: UpstreamAttempt, is_new_connection: bool) -> None:
         """The attempt's last byte reaches its server."""
@@ -229,17 +229,17 @@
         fleet = self.world.server_fleet
         server = fleet.servers.get(attempt.server)
         if server is None:
-            if attempt.server not in fleet.vanished:
+            if attempt.server not in fleet.unresponsive:
                 self._return_outcome(request, attempt, Outcome.RESET)
             return
-        if not self.world.network.reaches(self.number, attempt.server):
+        if not self.world.network.can_reach(self.number, attempt.server):
             return  # it is lost, and nobody is informed
         job = self._make_job(request, attempt, is_new_connection)
         attempt.job = job
         if fleet.receive(server, job, self.number, attempt.sent_us) is Result.REJECTED:
             self._return_outcome(request, attempt, Outcome.REJECTED)
         elif attempt.ended:
-            fleet.give_up(server, job)
+            fleet.cancel(server, job)
 
     def _make_job(self, request: ProxiedRequest, attempt: UpstreamAttempt, is_new_connection: bool) -> Job:
         client_request = request.client_attempt.request
@@ -255,14 +255,14 @@
         )
 
     def _on_result(self, request: ProxiedRequest, attempt: UpstreamAttempt, result: Result) -> None:
-        if self.world.network.reaches(self.number, attempt.server):
+        if self.world.network.can_reach(self.number, attempt.server):
             self._return_outcome(request, attempt, OUTCOMES[result])
 
     def _return_outcome(self, request: ProxiedRequest, attempt: UpstreamAttempt, outcome: Outcome) -> None:
         """A server's response sets out for the gateway."""
         delay_us = self.network.server_delay_us(self.number, attempt.server)
         due_us = self.clock.now_us() + delay_us
-        self.clock.at(due_us, lambda: self._end_attempt(request, attempt, outcome))
+        self.clock.call_at(due_us, lambda: self._end_attempt(request, attempt, outcome))
 
     def _time_out(self, request: ProxiedRequest, attempt: UpstreamAttempt) -> None:
         if not attempt.ended:
@@ -278,7 +278,9 @@
         if attempt is None or attempt.ended:
             return
         self._disconnect(attempt)
-        self.clock.at(self.clock.now_us(), lambda: self._end_attempt(request, attempt, Outcome.CANCELLED))
+        self.clock.call_at(
+            self.clock.now_us(), lambda: self._end_attempt(request, attempt, Outcome.CANCELLED)
+        )
 
     def _disconnect(self, attempt: UpstreamAttempt) -> None:
         """Close the connection of an attempt that is given up; its server learns of it a little later."""
@@ -286,12 +288,12 @@
         if job is None:
             return
         delay_us = self.network.server_delay_us(self.number, attempt.server)
-        self.clock.at(self.clock.now_us() + delay_us, partial(self._inform_server, attempt.server, job))
+        self.clock.call_at(self.clock.now_us() + delay_us, partial(self._inform_server, attempt.server, job))
 
     def _inform_server(self, number: int, job: Job) -> None:
         fleet = self.world.server_fleet
         if number in fleet.servers:
-            fleet.give_up(fleet.servers[number], job)
+            fleet.cancel(fleet.servers[number], job)
 
     def _end_attempt(self, request: ProxiedRequest, attempt: UpstreamAttempt, outcome: Outcome) -> None:
         if attempt.ended or self.dead:
--- a/sagetrack/lab/virtual/gateways.py
+++ b/sagetrack/lab/virtual/gateways.py
@@ -43,9 +43,9 @@
     def __init__(self, world: World, clock: SimClock, make: GatewayFactory = VirtualGateway) -> None:
         self.world = world
         self.clock = clock
-        self.up: dict[int, VirtualGateway] = {}
-        self.kept: dict[int, ObservationsReceived] = {}  # by gateway: what is in its store
-        self.network = VirtualNetwork(world, clock, self.up)
+        self.running: dict[int, VirtualGateway] = {}
+        self.stored_observations: dict[int, ObservationsReceived] = {}  # by gateway: what is in its store
+        self.network = VirtualNetwork(world, clock, self.running)
         self._make = make
         self._settings = [
             gateway_settings(world.scenario, number) for number in range(world.scenario.fleet.gateways)
@@ -56,16 +56,18 @@
     def start(self) -> None:
         """Start all gateways with the endpoint list as it stands."""
         for number in range(self.world.scenario.fleet.gateways):
-            self._lists[number] = {entry.server: entry for entry in self.world.registry.known()}
+            self._lists[number] = {entry.server: entry for entry in self.world.registry.all_entries()}
             self._start(number)
 
     def send(self, attempt: ClientAttempt) -> None:
         """Send a client's attempt to its gateway."""
-        self.clock.at(self.clock.now_us() + self.network.client_delay_us(), partial(self._arrive, attempt))
+        self.clock.call_at(
+            self.clock.now_us() + self.network.client_delay_us(), partial(self._arrive, attempt)
+        )
 
     def disconnect(self, attempt: ClientAttempt) -> None:
         """Close the attempt's connection: the client waits no longer."""
-        gateway = self.up.get(attempt.gateway)
+        gateway = self.running.get(attempt.gateway)
         if gateway is not None:
             gateway.on_disconnect(attempt)
 
@@ -79,18 +81,18 @@
             else:
                 known[entry.server] = entry
         kind = ListKind.FULL if is_complete else ListKind.DELTA
-        if gateway in self.up:
-            self.up[gateway].handle(EndpointList(kind, self.listed_servers(gateway, entries)))
+        if gateway in self.running:
+            self.running[gateway].handle(EndpointList(kind, self.listed_servers(gateway, entries)))
 
     def kill(self, gateway: int) -> None:
         """End a gateway at once."""
-        self.up.pop(gateway).kill()
+        self.running.pop(gateway).kill()
 
     def restart(self, gateway: int) -> None:
         """Start a killed gateway with its last endpoint list, then send it the present one."""
         self._start(gateway)
-        self.world.gateway_ready(gateway)
-        self.send_endpoints(gateway, self.world.registry.known(), True)
+        self.world.on_gateway_ready(gateway)
+        self.send_endpoints(gateway, self.world.registry.all_entries(), True)
 
     def upgrade(self, gateway: int) -> None:
         """Start a new process; the old one keeps the requests that it has taken."""
@@ -99,11 +101,11 @@
     def set_fault(self, fault: ScheduledFault, is_on: bool) -> None:
         """Send all gateways the complete list at a reload; other faults need sockets and are ignored."""
         if fault.kind == "reload" and is_on:
-            for gateway in self.up:
-                self.send_endpoints(gateway, self.world.registry.known(), True)
+            for gateway in self.running:
+                self.send_endpoints(gateway, self.world.registry.all_entries(), True)
 
     def _arrive(self, attempt: ClientAttempt) -> None:
-        gateway = self.up.get(attempt.gateway)
+        gateway = self.running.get(attempt.gateway)
         if gateway is None:
             self.network.respond(attempt, "unreachable", 0)
         else:
@@ -113,12 +115,12 @@
         self._start_count += 1
         seed = random.Random(f"{self.world.seed}/{number}/{self._start_count}").getrandbits(64)
         gateway = self._make(self.network, self._settings[number], number, seed)
-        self.up[number] = gateway
+        self.running[number] = gateway
         entries = list(self._lists[number].values())
         gateway.handle(EndpointList(ListKind.DISK, self.listed_servers(number, entries)))
         if self.world.scenario.store.use:
-            if number in self.kept:
-                gateway.handle(self.kept[number])
+            if number in self.stored_observations:
+                gateway.handle(self.stored_observations[number])
             self._store_periodically(gateway)
 
     def _store_periodically(self, gateway: VirtualGateway) -> None:
@@ -127,9 +129,11 @@
             return
         observations, latencies = gateway.balancer.own_observations()
         if observations:
-            self.kept[gateway.number] = ObservationsReceived(tuple(observations), tuple(latencies))
+            self.stored_observations[gateway.number] = ObservationsReceived(
+                tuple(observations), tuple(latencies)
+            )
         due_us = self.clock.now_us() + STORE_INTERVAL_US
-        self.clock.at(due_us, lambda: self._store_periodically(gateway))
+        self.clock.call_at(due_us, lambda: self._store_periodically(gateway))
 
     def listed_servers(self, gateway: int, entries: list[EndpointEntry]) -> tuple[ListedServer, ...]:
         """Entries as the decision module of a gateway takes them."""
--- a/sagetrack/lab/virtual/network.py
+++ b/sagetrack/lab/virtual/network.py
@@ -52,7 +52,7 @@
     def respond(self, attempt: ClientAttempt, verdict: str, retry_after_us: int) -> None:
         """Send a client the response to its attempt."""
         due_us = self.clock.now_us() + self.client_delay_us()
-        self.clock.at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
+        self.clock.call_at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
 
     def send_peer_message(self, sender: int, action: SendToPeers) -> None:
         """Send a message of the decision module to one gateway, or to all others (a negative peer)."""
@@ -60,13 +60,13 @@
             if target == sender or self._is_lost():
                 continue
             message = PeerMessage(sender, action.payload)
-            self.clock.at(self._peer_arrival_us(), partial(self._deliver_message, target, message))
+            self.clock.call_at(self._peer_arrival_us(), partial(self._deliver_message, target, message))
 
     def send_datagram(self, sender: int, target: int, data: bytes) -> None:
         """Send a datagram of the gateways' own protocol; partitions by zone cut it too."""
-        if self._is_lost() or not self.world.network.peers_reach(sender, target):
+        if self._is_lost() or not self.world.network.can_peers_reach(sender, target):
             return
-        self.clock.at(self._peer_arrival_us(), partial(self._deliver_datagram, target, data))
+        self.clock.call_at(self._peer_arrival_us(), partial(self._deliver_datagram, target, data))
 
     def _draw_jitter(self) -> float:
         return 1.0 + self.world.scenario.network.jitter * self._random.random()
--- a/sagetrack/lab/virtual/peer_node.py
+++ b/sagetrack/lab/virtual/peer_node.py
@@ -59,7 +59,7 @@
         self._demand_schedule: DemandGossipSchedule | None = None
         if balancer.admission is not None:
             self._demand_schedule = DemandGossipSchedule(number, count, seed ^ 2, now)
-        self._clock.at(now, self._wake)
+        self._clock.call_at(now, self._wake)
 
     def stop(self) -> None:
         """Send nothing more, as the gateway has died."""
@@ -129,7 +129,7 @@
             due_us = min(due_us, self._demand_schedule.due_us)
         if due_us != self._planned_us:
             self._planned_us = due_us
-            self._clock.at(max(due_us, now + MIN_WAKE_US), lambda: self._wake_as_planned(due_us))
+            self._clock.call_at(max(due_us, now + MIN_WAKE_US), lambda: self._wake_as_planned(due_us))
 
     def _send_demands(self, schedule: DemandGossipSchedule, now_us: int) -> None:
         admission = self._balancer.admission
--- a/sagetrack/lab/virtual/simulation.py
+++ b/sagetrack/lab/virtual/simulation.py
@@ -20,7 +20,7 @@
 FleetFactory = Callable[[World, SimClock, GatewayFactory], VirtualGateways]
 
 
-def play(
+def simulate(
     scenario: Scenario,
     seed: int,
     progress: Callable[[float], None] | None = None,
@@ -55,7 +55,7 @@
     world.gateway_fleet.driver = gateways
     world.prepare()
     gateways.start()
-    world.begin()
+    world.start()
     _run(world, clock, progress, sample_s)
     return records
 
@@ -64,9 +64,9 @@
     """Let time pass until all requests have ended."""
     duration_us = int(world.scenario.seconds * 1e6)
     if progress is not None:
-        clock.at(0, partial(_report_progress, clock, duration_us, progress))
+        clock.call_at(0, partial(_report_progress, clock, duration_us, progress))
     if sample_s:
-        clock.at(0, partial(_sample_load, world, duration_us, int(sample_s * 1e6)))
+        clock.call_at(0, partial(_sample_load, world, duration_us, int(sample_s * 1e6)))
     completion = _Completion(world)
     clock.run(completion.is_reached, lambda: duration_us + MAX_TAIL_US)
 
@@ -77,7 +77,7 @@
     progress(min(1.0, now / duration_us))
     if now < duration_us:
         next_us = now + max(1, duration_us // PROGRESS_REPORTS)
-        clock.at(next_us, partial(_report_progress, clock, duration_us, progress))
+        clock.call_at(next_us, partial(_report_progress, clock, duration_us, progress))
 
 
 def _sample_load(world: World, duration_us: int, interval_us: int) -> None:
@@ -86,7 +86,7 @@
         is_degraded = server.is_degraded
         world.context.record("load", server.number, server.request_count, len(server.running), is_degraded)
     if world.clock.now_us() < duration_us:
-        world.context.after(interval_us, partial(_sample_load, world, duration_us, interval_us))
+        world.context.call_after(interval_us, partial(_sample_load, world, duration_us, interval_us))
 
 
 class _Completion:
@@ -101,7 +101,7 @@
         if not self._world.arrivals.finished:
             return False
         self._event_count += 1
-        if self._event_count % COMPLETION_CHECK_INTERVAL or self._world.clients.waiting:
+        if self._event_count % COMPLETION_CHECK_INTERVAL or self._world.clients.pending:
             return False
         ended = sum(1 for _ in self._world.records.of("request"))
         return ended >= self._world.arrivals.count
--- a/tests/test_admission_gateway.py
+++ b/tests/test_admission_gateway.py
@@ -12,8 +12,8 @@
 from sagetrack.config.platform import ConfigError, parse
 from sagetrack.lab.analysis.figures import figures
 from sagetrack.lab.analysis.judges import judge
-from sagetrack.lab.model.scenario import altered, load
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.model.scenario import load_scenario, with_overrides
+from sagetrack.lab.virtual.simulation import simulate
 from sagetrack.policy.rate_limit import Rate
 from sagetrack.server.admission_settings import tenant_shares, with_admission
 from sagetrack.server.reload import read_operator
@@ -23,11 +23,11 @@
 
 
 def test_admission_control_keeps_tenant_shares_and_accurate_retry_after_in_a_simulated_flood() -> None:
-    scenario = altered(load(SCENARIOS / "flood.toml"), {"seconds": 14})
+    scenario = with_overrides(load_scenario(SCENARIOS / "flood.toml"), {"seconds": 14})
     results = {}
     for use_admission in (True, False):
-        variant = altered(scenario, {"door.use": use_admission})
-        records = play(variant, 2)
+        variant = with_overrides(scenario, {"door.use": use_admission})
+        records = simulate(variant, 2)
         results[use_admission] = figures(records, variant, judge(records, variant))
         assert not results[use_admission].rules_broken
     assert results[True].expect_held and not results[False].expect_held
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 import pytest
 
 from sagetrack.lab.errors import LabError
-from sagetrack.lab.model.scenario import load
+from sagetrack.lab.model.scenario import load_scenario
 from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.run import play
 from tests.sockets import configuration
@@ -192,7 +192,7 @@
 def test_a_gateway_that_dies_at_its_start_is_one_line_and_leaves_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scenario = load(ROOT / "scenarios" / "everyday.toml")
+    scenario = load_scenario(ROOT / "scenarios" / "everyday.toml")
     monkeypatch.setattr(sys, "executable", shutil.which("false"))
     with pytest.raises(LabError, match="gateway . ended with status 1"):
         play(scenario, 1)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,8 +15,8 @@
 from sagetrack.lab.benchmarks.slow_start import CASES, Case, SlowStartGateways, measure
 from sagetrack.lab.benchmarks.slow_start_figures import figures
 from sagetrack.lab.model.scenario import Fleet, RequestClass, Scenario
-from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS, COLD_SHOWN_BY
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.virtual.faulty_gateways import SLOW_START_FAULT_CASES, SLOW_START_FAULTS
+from sagetrack.lab.virtual.simulation import simulate
 from sagetrack.policy.events import ObservationsReceived
 
 # The judge and the figures, on records made by hand: a server that starts at 1 s with a fifth of its
@@ -102,10 +102,10 @@
 SHORT_S = 5.5  # of a play here: the cold ones come at 3.3 s
 
 
-@pytest.mark.parametrize("fault", COLD_FAULTS)
+@pytest.mark.parametrize("fault", SLOW_START_FAULTS)
 def test_each_planted_fault_breaks_the_rule(fault: str) -> None:
     seconds = 7.0 if fault == "three-for-granted" else SHORT_S
-    made, found = measure(CASES[COLD_SHOWN_BY[fault]], 30, 1, fault, seconds=seconds)
+    made, found = measure(CASES[SLOW_START_FAULT_CASES[fault]], 30, 1, fault, seconds=seconds)
     assert made.windows_over_budget > 0 and made.most_requests > 1.0
     assert "cold_sum" in {violation.rule for violation in found}
 
@@ -132,14 +132,16 @@
     whole: list[bool]  # for each end: whether all that was known then is kept
 
     def kill(self, gateway: int) -> None:
-        sights, latencies = self.up[gateway].balancer.own_observations()
+        sights, latencies = self.running[gateway].balancer.own_observations()
         super().kill(gateway)
-        self.whole.append(self.kept.get(gateway) == ObservationsReceived(tuple(sights), tuple(latencies)))
+        self.whole.append(
+            self.stored_observations.get(gateway) == ObservationsReceived(tuple(sights), tuple(latencies))
+        )
 
     def announce_fleet_size(self, alive: int) -> None:
         super().announce_fleet_size(alive)
         self.told.append(
-            (self.clock.now_us(), alive, {p.load_balancer.fleet.gateways for p in self.up.values()})
+            (self.clock.now_us(), alive, {p.load_balancer.fleet.gateways for p in self.running.values()})
         )
 
 
@@ -152,7 +154,7 @@
         fleets[0].told, fleets[0].whole = [], []
         return fleets[0]
 
-    records = play(case.scenario(gateways, seconds), 1, fleet=make)
+    records = simulate(case.scenario(gateways, seconds), 1, fleet=make)
     return fleets[0], records
 
 
@@ -167,19 +169,21 @@
 
 def test_old_and_new_process_take_calls_together_and_halve_their_part() -> None:
     fleet, records = watched(replace(CASES["overlap"], overlap_s=1000.0), 6.0)
-    assert sorted(fleet.old_processes) == sorted(fleet.up) == list(range(10))
+    assert sorted(fleet.old_processes) == sorted(fleet.running) == list(range(10))
     assert all(
-        p.load_balancer.fleet.processes == 2 for n in range(10) for p in (fleet.up[n], fleet.old_processes[n])
+        p.load_balancer.fleet.processes == 2
+        for n in range(10)
+        for p in (fleet.running[n], fleet.old_processes[n])
     )
     came = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.of("ask"))  # first tries
-    new = sum(p.load_balancer.priorities.first_tries[0] for p in fleet.up.values())
+    new = sum(p.load_balancer.priorities.first_tries[0] for p in fleet.running.values())
     assert 0.4 < new / came < 0.6
 
 
 def test_the_new_process_has_its_whole_part_when_the_old_one_has_left() -> None:
     fleet, _ = watched(replace(CASES["overlap"], overlap_s=0.5), 5.0)
-    assert not fleet.old_processes and len(fleet.up) == 10
-    assert all(p.load_balancer.fleet.processes == 1 for p in fleet.up.values())
+    assert not fleet.old_processes and len(fleet.running) == 10
+    assert all(p.load_balancer.fleet.processes == 1 for p in fleet.running.values())
 
 
 def test_gateways_that_end_in_order_keep_what_they_spent_up_to_their_end() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,13 +25,13 @@
 from sagetrack.lab.benchmarks import sweep as sweeps
 from sagetrack.lab.benchmarks.comparison import compare
 from sagetrack.lab.model.idempotency_keys import IdempotencyKeys
-from sagetrack.lab.model.scenario import DegradationRules, Fleet, Scenario, altered, load
+from sagetrack.lab.model.scenario import DegradationRules, Fleet, Scenario, load_scenario, with_overrides
 from sagetrack.lab.model.server import Job, Result, Server
-from sagetrack.lab.virtual.faulty_gateways import FAULTS, SHOWN_BY
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.virtual.faulty_gateways import DETECTED_BY, FAULTS
+from sagetrack.lab.virtual.simulation import simulate
 
 SCENARIOS = Path(__file__).parent.parent / "scenarios"
-SHORT = altered(load(SCENARIOS / "three-troubles.toml"), {"seconds": 22.0})
+SHORT = with_overrides(load_scenario(SCENARIOS / "three-troubles.toml"), {"seconds": 22.0})
 
 
 # Scenarios
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.toml")), ids=lambda path: path.stem)
 def test_each_scenario_that_ships_can_be_read(path: Path) -> None:
-    scenario = load(path)
+    scenario = load_scenario(path)
     assert scenario.name == path.stem and scenario.about
 
 
@@ -47,7 +47,7 @@
     path = tmp_path / "typo.toml"
     path.write_text('name = "typo"\n[[trouble]]\nkind = "slwo"\nat_s = 90\n')
     with pytest.raises(FileError) as caught:
-        load(path)
+        load_scenario(path)
     assert caught.value.faults[0].startswith(
         f'{path}:3: trouble[1].kind = "slwo" is not allowed; it is one of burst'
     )
@@ -55,9 +55,9 @@
 
 def test_what_types_cannot_tell_is_checked_too() -> None:
     with pytest.raises(FileError, match="after the last arrival"):
-        altered(SHORT, {"seconds": 5.0})
+        with_overrides(SHORT, {"seconds": 5.0})
     with pytest.raises(FileError, match="no such key"):
-        altered(SHORT, {"fleet.serverz.x": 1})
+        with_overrides(SHORT, {"fleet.serverz.x": 1})
 
 
 # The model of a server
@@ -171,8 +171,8 @@
 
 
 def test_the_same_seed_gives_the_same_records_in_one_process_and_in_four(tmp_path: Path) -> None:
-    here = "".join(play(SHORT, 3).lines())
-    assert here == "".join(play(SHORT, 3).lines()) != "".join(play(SHORT, 4).lines())
+    here = "".join(simulate(SHORT, 3).lines())
+    assert here == "".join(simulate(SHORT, 3).lines()) != "".join(simulate(SHORT, 4).lines())
     jobs = sweeps.plan(SHORT, range(1, 5), {})
     four = sweeps.sweep(jobs, tmp_path / "four", 4)
     one = sweeps.sweep(jobs, tmp_path / "one", 1)
@@ -182,7 +182,7 @@
 
 
 def test_records_are_read_as_they_were_written_and_a_cut_line_is_left_out(tmp_path: Path) -> None:
-    records = play(altered(SHORT, {"seconds": 22.0, "load.use": 0.05}), 1)
+    records = simulate(with_overrides(SHORT, {"seconds": 22.0, "load.use": 0.05}), 1)
     for name in ("r.jsonl", "r.gz"):
         records.write(tmp_path / name)
         assert read(tmp_path / name).rows == records.rows
@@ -193,8 +193,8 @@
 
 def test_records_have_named_fields_and_stay_the_same_tuples() -> None:
     runs = [
-        play(SHORT, 1, sample_s=0.5),
-        *(play(load(SCENARIOS / f"{n}.toml"), 1) for n in ("flood", "rolling-deploy")),
+        simulate(SHORT, 1, sample_s=0.5),
+        *(simulate(load_scenario(SCENARIOS / f"{n}.toml"), 1) for n in ("flood", "rolling-deploy")),
     ]
     for records in runs:
         assert all(TYPES[row[0]](*row) == row for row in records.rows)
@@ -207,8 +207,8 @@
 
 @pytest.mark.parametrize("path", ["everyday", "rolling-deploy", "all-at-once", "partition"])
 def test_no_rule_is_broken_and_expectations_hold(path: str) -> None:
-    scenario = load(SCENARIOS / f"{path}.toml")
-    records = play(scenario, 2)
+    scenario = load_scenario(SCENARIOS / f"{path}.toml")
+    records = simulate(scenario, 2)
     violations = judge(records, scenario)
     assert not violations
     assert figures(records, scenario, violations).expect_held
@@ -216,9 +216,9 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_deliberate_fault_is_caught(fault: str) -> None:
-    name, rule = SHOWN_BY[fault]
-    scenario = load(SCENARIOS / f"{name}.toml")
-    found = [v for v in judge(play(scenario, 1, fault=fault), scenario) if v.rule == rule]
+    name, rule = DETECTED_BY[fault]
+    scenario = load_scenario(SCENARIOS / f"{name}.toml")
+    found = [v for v in judge(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
     assert found and found[0].call and found[0].time_us > 0
 
 
@@ -267,7 +267,7 @@
 def test_a_judge_tells_right_from_wrong(rule: str, settings: dict[str, object], more: list[Record]) -> None:
     records = Records()
     records.rows = BASE + more
-    broken = {violation.rule for violation in judge(records, altered(KEYED, settings))}
+    broken = {violation.rule for violation in judge(records, with_overrides(KEYED, settings))}
     assert broken == ({rule} if rule else set())
 
 
@@ -284,7 +284,7 @@
 
 
 def test_a_sweep_goes_on_where_it_was_cut_off(tmp_path: Path) -> None:
-    small = altered(SHORT, {"load.use": 0.05})
+    small = with_overrides(SHORT, {"load.use": 0.05})
     jobs = sweeps.plan(small, range(1, 4), {"clients.retries": [0, 2]})
     out = tmp_path / "out.jsonl"
     rows = sweeps.sweep(jobs, out, 2)
--- a/tests/test_lab_fairness.py
+++ b/tests/test_lab_fairness.py
@@ -6,7 +6,7 @@
 
 from sagetrack.lab.analysis.fairness import fairness, fairness_index, jain_index
 from sagetrack.lab.analysis.records import Records, RequestFinished
-from sagetrack.lab.model.scenario import Member, RequestClass, Scenario
+from sagetrack.lab.model.scenario import RequestClass, Scenario, Tenant
 
 
 def test_jains_index_is_1_for_equals_and_1_of_n_if_one_has_all() -> None:
@@ -25,7 +25,7 @@
     scenario = Scenario(
         name="fair",
         classes=[RequestClass(name="lookup", work_ms=10)],
-        members=[Member(name="north"), Member(name="coast")],
+        tenants=[Tenant(name="north"), Tenant(name="coast")],
     )
     records = Records()
     outcomes = {(0, 1): "served", (0, 2): "served", (1, 3): "late", (1, 4): "refused"}
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -12,7 +12,7 @@
 
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Scenario, altered, load
+from sagetrack.lab.model.scenario import Scenario, load_scenario, with_overrides
 from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.clock import RealClock
 from sagetrack.lab.processes.gateway_fleet import GatewayFleet
@@ -22,7 +22,7 @@
 
 def test_a_death_overtakes_an_upgrade(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The new process is stopped, so it is not ready at the death: that it was killed fails no run."""
-    scenario = altered(load("scenarios/upgrade.toml"), {"fleet.gateways": 1})
+    scenario = with_overrides(load_scenario("scenarios/upgrade.toml"), {"fleet.gateways": 1})
 
     async def play() -> None:
         waits = asyncio.Event()
@@ -63,7 +63,7 @@
 
 def test_what_fails_as_a_run_ends_is_not_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A try that is made again once the sockets are closed would be a task that nobody awaits."""
-    scenario = altered(load("scenarios/upgrade.toml"), {"fleet.gateways": 1})
+    scenario = with_overrides(load_scenario("scenarios/upgrade.toml"), {"fleet.gateways": 1})
 
     async def play() -> None:
         world = World(scenario, 1, RealClock(), Records())
@@ -77,11 +77,11 @@
             asked.set()
 
         monkeypatch.setattr(gateways.background, "spawn", spawn)
-        world.begin()
+        world.start()
         await asked.wait()
         gateways.stop()
         asked.clear()
-        (this, *_) = world.clients.waiting.values()
+        (this, *_) = world.clients.pending.values()
         gateways.clients.send_now(this)
         assert not asked.is_set()
 
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -9,10 +9,10 @@
 from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.lab.analysis.judges import judge
-from sagetrack.lab.model.scenario import altered, load
+from sagetrack.lab.model.scenario import load_scenario, with_overrides
 from sagetrack.lab.stand_ins.scripted import scripted_server
 from sagetrack.lab.virtual.gateway import VirtualGateway
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.virtual.simulation import simulate
 from sagetrack.policy.events import Event, ObservationsReceived
 from sagetrack.store.recorder import (
     decode_second,
@@ -54,7 +54,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """No peer has survived, so all observations that the gateways receive come from their stores."""
-    scenario = load(ROOT / "scenarios" / "all-killed.toml")
+    scenario = load_scenario(ROOT / "scenarios" / "all-killed.toml")
     received: dict[bool, int] = {True: 0, False: 0}
     handle = VirtualGateway.handle
 
@@ -65,6 +65,6 @@
 
     monkeypatch.setattr(VirtualGateway, "handle", counting_handle)
     for use in received:
-        played = altered(scenario, {"store.use": use, "seconds": 13.0})
-        assert not judge(play(played, 1), played)
+        played = with_overrides(scenario, {"store.use": use, "seconds": 13.0})
+        assert not judge(simulate(played, 1), played)
     assert received[True] >= 12 and not received[False]
--- a/tests/test_warm_start.py
+++ b/tests/test_warm_start.py
@@ -7,8 +7,8 @@
 import pytest
 
 from sagetrack.lab.benchmarks.restart import play_seeds
-from sagetrack.lab.model.scenario import load
-from sagetrack.lab.virtual.simulation import play
+from sagetrack.lab.model.scenario import load_scenario
+from sagetrack.lab.virtual.simulation import simulate
 from sagetrack.peers.codec import (
     DATAGRAM_LIMIT,
     Datagram,
@@ -86,10 +86,10 @@
 
     The cases are no restart, a restart with warm start and one without it.
     """
-    scenario = load(Path(__file__).parent.parent / "scenarios" / "warm-restart.toml")
-    results = play_seeds(scenario, range(1, 5), play, 1, lambda share: None)
+    scenario = load_scenario(Path(__file__).parent.parent / "scenarios" / "warm-restart.toml")
+    results = play_seeds(scenario, range(1, 5), simulate, 1, lambda share: None)
     loss_without = sum(result.service["never"] - result.service["without"] for result in results)
     loss_with = sum(result.service["never"] - result.service["with"] for result in results)
     assert not any(result.violations for result in results)
     assert loss_without > 0 and loss_with <= loss_without / 4
-    assert "".join(play(scenario, 1).lines()) == "".join(play(scenario, 1).lines())
+    assert "".join(simulate(scenario, 1).lines()) == "".join(simulate(scenario, 1).lines())
