--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -60,7 +60,7 @@
 
     excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
     flow_limit_us: list[float]  # By tenant: work that each flow may request.
-    evaluated_at_us: int = -EVALUATION_INTERVAL_US
+    evaluated_at_us: int = -EVALUATION_INTERVAL_US  # Time of the evaluation.
     reject_fraction: float = -1.0  # Fraction of all work that had to be rejected.
 
 
@@ -142,7 +142,7 @@
     def rejection_fraction(
         self, tenant: int, flow: int, reject_fraction: float, now_us: int, high_priority: bool = False
     ) -> float:
-        """Return the fraction of a flow's requests to reject to shed `reject_fraction` of all work.
+        """Return the fraction of a flow's requests to reject, to reject `reject_fraction` of all work.
 
         It is 0 for a flow within its share.
         """
