--- a/sagetrack/lab/model/__init__.py
+++ b/sagetrack/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model of a fleet, on whatever clock: scenarios, address servers, and what happens around them."""
+"""The model of a fleet, independent of the clock: scenarios, servers, discovery, clients, load and faults."""
--- a/sagetrack/lab/model/arrivals.py
+++ b/sagetrack/lab/model/arrivals.py
@@ -1,4 +1,4 @@
-"""The load: when requests arrive, and what each is drawn to be."""
+"""The load: draws the arrival times of requests and their properties."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from sagetrack.lab.model.run_context import RunContext
 from sagetrack.lab.model.scenario import RequestClass, ScheduledFault
 
-LATE_US = 50_000  # an arrival that is played later than this past its time counts as late
+LATE_US = 50_000  # an arrival that is processed more than this after its due time is recorded as late
 
 
 class ClientPopulation:
-    """The clients of a member, who are drawn by Zipf's law where their loads differ."""
+    """The clients of a tenant; their loads follow a Zipf distribution if `skew` is not 0."""
 
     def __init__(self, count: int, skew: float) -> None:
         self.count = count
         self._cumulative = list(accumulate((rank + 1) ** -skew for rank in range(count))) if skew else []
 
     def draw(self, draw: random.Random) -> int:
-        """Draw a client, from 1; 0 for a member without identified clients. Takes logarithmic time."""
+        """Draw a client number, from 1; 0 if the clients are not identified. Takes logarithmic time."""
         if not self.count:
             return 0
         if not self._cumulative:
@@ -32,7 +32,7 @@
 
 
 class ArrivalProcess:
-    """Draws one arrival after the other, in an open loop; owns how far the run's load has come."""
+    """Draws one arrival after the other, in an open loop, and counts them."""
 
     def __init__(self, context: RunContext, send: Callable[[ClientRequest], None]) -> None:
         scenario = context.scenario
@@ -42,18 +42,21 @@
         self._send = send
         self._rate_per_us = scenario.rate / 1e6
         self._next_us = 0.0
-        total = sum(kind.share for kind in scenario.classes)
-        self._class_shares = [kind.share / total for kind in scenario.classes]
-        loads = [member.load_share or member.share for member in scenario.tenants]
-        self._member_shares = [load / sum(loads) for load in loads]
-        self._populations = [ClientPopulation(member.clients, member.skew) for member in scenario.tenants]
+        total = sum(request_class.share for request_class in scenario.classes)
+        self._class_shares = [request_class.share / total for request_class in scenario.classes]
+        loads = [tenant.load_share or tenant.share for tenant in scenario.tenants]
+        self._tenant_shares = [load / sum(loads) for load in loads]
+        self._populations = [ClientPopulation(tenant.clients, tenant.skew) for tenant in scenario.tenants]
         bursts = [fault for fault in scenario.faults if fault.kind == "burst"]
-        self._bursts_of_all = [fault for fault in bursts if not fault.member]
-        self._bursts_of_members = [fault for fault in bursts if fault.member]
+        self._global_bursts = [fault for fault in bursts if not fault.member]
+        self._tenant_bursts = [fault for fault in bursts if fault.member]
         self._peak_factor = self._compute_peak_factor()
 
     def plan_next(self) -> None:
-        """Draw the next arrival: a Poisson process at the peak rate, thinned (Lewis and Shedler, 1979)."""
+        """Schedule the next arrival of a Poisson process with a varying rate.
+
+        Candidates are drawn at the peak rate and thinned (Lewis and Shedler, 1979).
+        """
         draw, peak = self._context.random.load, self._peak_factor
         end_us = self._context.scenario.seconds * 1e6
         if peak <= 0:
@@ -65,31 +68,31 @@
             if time_us >= end_us:
                 self.finished = True
                 return
-            if draw.random() * peak < self._factor(time_us):
+            if draw.random() * peak < self._rate_factor(time_us):
                 break
         self._next_us = time_us
         due_us = int(time_us)
-        self._context.clock.call_at(due_us, lambda: self._arrive(due_us))
+        self._context.clock.call_at(due_us, lambda: self._on_due(due_us))
 
     def _compute_peak_factor(self) -> float:
-        """The largest factor on the scenario's rate at any time."""
+        """Return an upper bound of the rate factor over the run."""
         peak = max((factor for _, factor in self._context.scenario.load.curve), default=1.0)
-        peak *= max((burst.size for burst in self._bursts_of_all), default=1.0)
-        starts_us = [int(burst.at_s * 1e6) for burst in self._bursts_of_members]
-        member_peak = max((sum(self._member_loads(start_us)) for start_us in starts_us), default=1.0)
-        return peak * max(1.0, member_peak)
+        peak *= max((burst.size for burst in self._global_bursts), default=1.0)
+        starts_us = [int(burst.at_s * 1e6) for burst in self._tenant_bursts]
+        tenant_peak = max((sum(self._tenant_loads(start_us)) for start_us in starts_us), default=1.0)
+        return peak * max(1.0, tenant_peak)
 
-    def _factor(self, time_us: float) -> float:
-        """The factor on the scenario's rate at a time, by its curve and bursts."""
+    def _rate_factor(self, time_us: float) -> float:
+        """Return the factor by which the curve and the bursts multiply the scenario's rate at a time."""
         second = time_us / 1e6
         factor = self._curve_factor(second)
-        factor *= max((burst.size for burst in self._bursts_of_all if _is_on(burst, second)), default=1.0)
-        if self._bursts_of_members:
-            factor *= sum(self._member_loads(int(time_us)))
+        factor *= max((burst.size for burst in self._global_bursts if _is_active(burst, second)), default=1.0)
+        if self._tenant_bursts:
+            factor *= sum(self._tenant_loads(int(time_us)))
         return factor
 
     def _curve_factor(self, second: float) -> float:
-        """The curve's value: straight lines between its points, constant beyond them."""
+        """Interpolate the curve linearly between its points; it is constant outside of them."""
         curve = self._context.scenario.load.curve
         if not curve:
             return 1.0
@@ -103,20 +106,20 @@
             return start_factor + (end_factor - start_factor) * (second - start) / (end - start)
         return curve[-1][1]
 
-    def _member_loads(self, time_us: int) -> list[float]:
-        """The load of each member, as a share of the usual load of all."""
+    def _tenant_loads(self, time_us: int) -> list[float]:
+        """Return the load of each tenant, as a share of the total load without bursts."""
         second = time_us / 1e6
         loads = []
-        for share, member in zip(self._member_shares, self._context.scenario.tenants, strict=True):
+        for share, tenant in zip(self._tenant_shares, self._context.scenario.tenants, strict=True):
             sizes = [
                 burst.size
-                for burst in self._bursts_of_members
-                if burst.member == member.name and _is_on(burst, second)
+                for burst in self._tenant_bursts
+                if burst.member == tenant.name and _is_active(burst, second)
             ]
             loads.append(share * max(sizes, default=1.0))
         return loads
 
-    def _arrive(self, due_us: int) -> None:
+    def _on_due(self, due_us: int) -> None:
         now = self._context.clock.now_us()
         if now - due_us > LATE_US:
             self._context.records.add("late", now, now - due_us)
@@ -125,32 +128,32 @@
         self.plan_next()
 
     def _draw_request(self, created_us: int) -> ClientRequest:
-        """Draw a request. The order of the draws is part of what a seed means."""
+        """Draw a request. The order of the draws must not change: it determines the results of a seed."""
         scenario, draw = self._context.scenario, self._context.random.load
         class_index = draw.choices(range(len(self._class_shares)), self._class_shares)[0]
-        shares = self._member_loads(created_us) if self._bursts_of_members else self._member_shares
-        member_index = draw.choices(range(len(shares)), shares)[0]
-        member = scenario.tenants[member_index]
-        if member.kind:
+        shares = self._tenant_loads(created_us) if self._tenant_bursts else self._tenant_shares
+        tenant_index = draw.choices(range(len(shares)), shares)[0]
+        tenant = scenario.tenants[tenant_index]
+        if tenant.kind:
             class_index = next(
-                index for index, kind in enumerate(scenario.classes) if kind.name == member.kind
+                index for index, class_ in enumerate(scenario.classes) if class_.name == tenant.kind
             )
-        kind = scenario.classes[class_index]
-        work_us = _draw_work_us(kind, draw)
-        key = draw.getrandbits(53) if kind.effect == "keyed" else None
+        request_class = scenario.classes[class_index]
+        work_us = _draw_work_us(request_class, draw)
+        key = draw.getrandbits(53) if request_class.effect == "keyed" else None
         zone = draw.randrange(self._context.zone_count)
-        honor_share = scenario.clients.honor_share if member.honor_share is None else member.honor_share
+        honor_share = scenario.clients.honor_share if tenant.honor_share is None else tenant.honor_share
         honors_retry_after = draw.random() < honor_share
         uses_keep_alive = draw.random() < scenario.clients.keep_alive_share
-        if member.single_request:
+        if tenant.single_request:
             client = self.count
         else:
-            client = self._populations[member_index].draw(self._context.random.client_identities)
+            client = self._populations[tenant_index].draw(self._context.random.client_identities)
         return ClientRequest(
             f"{self.count:x}",
-            kind,
+            request_class,
             class_index,
-            member_index,
+            tenant_index,
             zone,
             key,
             work_us,
@@ -161,11 +164,11 @@
         )
 
 
-def _draw_work_us(kind: RequestClass, draw: random.Random) -> float:
-    """Draw a request's work on a standard core from the class's lognormal distribution."""
-    deviation = math.sqrt(math.log(1.0 + kind.spread**2))
-    return kind.work_ms * 1000 * math.exp(draw.gauss(-(deviation**2) / 2, deviation))
+def _draw_work_us(request_class: RequestClass, draw: random.Random) -> float:
+    """Draw the CPU time of a request on a standard core from the lognormal distribution of its class."""
+    deviation = math.sqrt(math.log(1.0 + request_class.spread**2))
+    return request_class.work_ms * 1000 * math.exp(draw.gauss(-(deviation**2) / 2, deviation))
 
 
-def _is_on(burst: ScheduledFault, second: float) -> bool:
+def _is_active(burst: ScheduledFault, second: float) -> bool:
     return burst.at_s <= second < burst.at_s + burst.seconds
--- a/sagetrack/lab/model/clients.py
+++ b/sagetrack/lab/model/clients.py
@@ -7,12 +7,12 @@
 from sagetrack.lab.model.run_context import RunContext
 from sagetrack.lab.model.scenario import RESPONSE_SLACK_US
 
-MIN_BUDGET_US = 1000  # with less time than this before its deadline a client sends nothing
-RETRY_JITTER = (0.8, 1.2)  # times the wait before a retry
+MIN_BUDGET_US = 1000  # a client sends no attempt if less time than this is left until the deadline
+RETRY_JITTER = (0.8, 1.2)  # the backoff before a retry is multiplied by a random factor from this range
 
 
 class Clients:
-    """Owns the attempts that wait for a response; every outcome is recorded."""
+    """Sends and retries requests, tracks the attempts that are pending, and records every outcome."""
 
     def __init__(self, context: RunContext, gateways: GatewayFleet) -> None:
         self.pending: dict[str, ClientAttempt] = {}
@@ -20,7 +20,7 @@
         self._gateways = gateways
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request's next attempt, or finish the request if its deadline is too near."""
+        """Send the next attempt of a request, or finish the request if its deadline is too close."""
         now = self._context.clock.now_us()
         first_budget_us = (
             request.request_class.deadline_ms * 1000 * self._context.scenario.clients.attempt_share
@@ -35,12 +35,12 @@
         attempt = ClientAttempt(f"{request.id}-{number:x}", request, number, gateway, budget_us, now)
         self.pending[attempt.call_id] = attempt
         self._record_sent(attempt)
-        # The platform lets a final response be this late: until then a client listens.
+        # The platform accepts a final response this long after the deadline, so the client waits until then.
         self._context.clock.call_at(attempt.deadline_us + RESPONSE_SLACK_US, lambda: self._time_out(attempt))
         self._gateways.driver.send(attempt)
 
     def on_response(self, attempt: ClientAttempt, verdict: str, retry_after_us: int = 0) -> None:
-        """Take a response, or the end of a connection; also those that come too late are recorded."""
+        """Handle a response or a closed connection; one that comes too late is only recorded."""
         now = self._context.clock.now_us()
         request = attempt.request
         self._context.records.add("answer", now, attempt.call_id, attempt.gateway, verdict, retry_after_us)
@@ -75,10 +75,10 @@
             self._context.records.add("client", attempt.sent_us, request.id, request.client)
 
     def _choose_gateway(self, request: ClientRequest) -> int:
-        """Spread a zone's clients over its gateways that the front takes to be up."""
+        """Choose a random gateway that is in rotation, preferably in the zone of the client."""
         in_rotation = [gateway for gateway, up in self._gateways.in_rotation.items() if up]
-        near = [gateway for gateway in in_rotation if gateway % self._context.zone_count == request.zone]
-        return self._context.random.clients.choice(near or in_rotation or list(self._gateways.in_rotation))
+        local = [gateway for gateway in in_rotation if gateway % self._context.zone_count == request.zone]
+        return self._context.random.clients.choice(local or in_rotation or list(self._gateways.in_rotation))
 
     def _time_out(self, attempt: ClientAttempt) -> None:
         if attempt.ended:
@@ -93,29 +93,29 @@
         del self.pending[attempt.call_id]
 
     def _retry_or_finish(self, request: ClientRequest, verdict: str, retry_after_us: int) -> None:
-        """Retry after a failed attempt, as the request's class and the client's settings allow."""
+        """Retry a failed attempt if the request's class and the client's settings allow it, or finish."""
         clients = self._context.scenario.clients
         now = self._context.clock.now_us()
-        if request.attempt_count > clients.retries or not _may_repeat(request, verdict, now):
+        if request.attempt_count > clients.retries or not _may_retry(request, verdict, now):
             outcome = verdict if verdict in ("refused", "unanswered") else "failed"
             self._finish(request, outcome, now)
             return
-        wait_us = self._draw_wait_us(request, retry_after_us)
-        if now + wait_us >= request.created_us + request.request_class.deadline_ms * 1000:
+        backoff_us = self._draw_backoff_us(request, retry_after_us)
+        if now + backoff_us >= request.created_us + request.request_class.deadline_ms * 1000:
             self._finish(request, "refused" if verdict == "refused" else "failed", now)
             return
-        self._context.clock.call_at(now + wait_us, lambda: self.send(request))
+        self._context.clock.call_at(now + backoff_us, lambda: self.send(request))
 
-    def _draw_wait_us(self, request: ClientRequest, retry_after_us: int) -> int:
+    def _draw_backoff_us(self, request: ClientRequest, retry_after_us: int) -> int:
         clients = self._context.scenario.clients
-        wait_ms = 0.0
+        backoff_ms = 0.0
         if clients.wait == "fixed":
-            wait_ms = clients.wait_ms
+            backoff_ms = clients.wait_ms
         elif clients.wait == "doubling":
-            wait_ms = clients.wait_ms * 2 ** (request.attempt_count - 1)
+            backoff_ms = clients.wait_ms * 2 ** (request.attempt_count - 1)
         if request.honors_retry_after and retry_after_us:
-            wait_ms = max(wait_ms, retry_after_us / 1000)
-        return int(wait_ms * 1000 * self._context.random.clients.uniform(*RETRY_JITTER))
+            backoff_ms = max(backoff_ms, retry_after_us / 1000)
+        return int(backoff_ms * 1000 * self._context.random.clients.uniform(*RETRY_JITTER))
 
     def _finish(self, request: ClientRequest, outcome: str, now_us: int) -> None:
         self._context.records.add(
@@ -130,10 +130,10 @@
         )
 
 
-def _may_repeat(request: ClientRequest, verdict: str, now_us: int) -> bool:
-    """Whether a repeat can have no second effect."""
-    kind = request.request_class
-    if verdict in ("refused", "unreachable") or kind.effect == "safe":
+def _may_retry(request: ClientRequest, verdict: str, now_us: int) -> bool:
+    """Whether a retry is safe, i.e. cannot have its effect a second time."""
+    request_class = request.request_class
+    if verdict in ("refused", "unreachable") or request_class.effect == "safe":
         return True
-    is_deduplicated = kind.effect == "keyed" and kind.scope == "all"
-    return is_deduplicated and now_us - request.created_us < kind.window_ms * 1000
+    is_deduplicated = request_class.effect == "keyed" and request_class.scope == "all"
+    return is_deduplicated and now_us - request.created_us < request_class.window_ms * 1000
--- a/sagetrack/lab/model/degradation.py
+++ b/sagetrack/lab/model/degradation.py
@@ -1,4 +1,4 @@
-"""How a server that was overloaded for a while stays slow until it has been left mostly idle."""
+"""Degradation of a server: it stays slow after a sustained overload until it has been mostly idle."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 from sagetrack.lab.model.scenario import DegradationRules
 
-UTILIZATION_SMOOTHING_US = 500_000
+UTILIZATION_SMOOTHING_US = 500_000  # time constant of the exponential moving average
 
 
 class Degradation:
-    """Owns since when a server has been overloaded, degraded or calm. Without rules it never degrades."""
+    """Tracks since when a server has been overloaded, degraded or calm (mostly idle).
+
+    Without rules the server never degrades.
+    """
 
     def __init__(self, rules: DegradationRules | None, cores: int) -> None:
         self._degraded_since_us: int | None = None
@@ -18,16 +21,16 @@
         self._cores = cores
         self._overloaded_since_us: int | None = None
         self._calm_since_us: int | None = None
-        self._utilization = 0.0  # smoothed
+        self._utilization = 0.0  # exponential moving average
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the server is degraded at present."""
+        """Whether the server is currently degraded."""
         return self._degraded_since_us is not None
 
     @property
     def slowdown(self) -> float:
-        """How many times slower the server is at present."""
+        """Factor by which the server is currently slower."""
         if self._degraded_since_us is None or self._rules is None:
             return 1.0
         return self._rules.slowdown
@@ -37,15 +40,15 @@
         """Whether the server may become degraded, or recover, as time passes."""
         return self._degraded_since_us is not None or self._overloaded_since_us is not None
 
-    def pass_time(self, span_us: int, utilization: float) -> None:
-        """Take the utilization (0 to 1) of a span of time into the smoothed one."""
+    def record_utilization(self, duration_us: int, utilization: float) -> None:
+        """Add the utilization (0 to 1) of a period to the moving average."""
         if self._rules is None:
             return
-        fade = math.exp(-span_us / UTILIZATION_SMOOTHING_US)
-        self._utilization = self._utilization * fade + utilization * (1.0 - fade)
+        decay = math.exp(-duration_us / UTILIZATION_SMOOTHING_US)
+        self._utilization = self._utilization * decay + utilization * (1.0 - decay)
 
     def update(self, now_us: int, queue_length: int) -> None:
-        """Look at the queue and at the utilization: the server may become degraded, or recover."""
+        """Begin or end the degradation, based on the queue length and the utilization."""
         rules = self._rules
         if rules is None:
             return
@@ -56,8 +59,8 @@
             self._calm_since_us = None
         elif self._calm_since_us is None:
             self._calm_since_us = now_us
-        has_rested = self._calm_since_us is not None and now_us - self._calm_since_us >= rules.calm_s * 1e6
-        if has_rested or now_us - self._degraded_since_us >= rules.max_s * 1e6:
+        is_recovered = self._calm_since_us is not None and now_us - self._calm_since_us >= rules.calm_s * 1e6
+        if is_recovered or now_us - self._degraded_since_us >= rules.max_s * 1e6:
             self._degraded_since_us = None
             self._calm_since_us = None
 
--- a/sagetrack/lab/model/endpoint_entry.py
+++ b/sagetrack/lab/model/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""An entry of the endpoint list, and its states as discovery spells them."""
+"""An entry of the endpoint list, and its status values as discovery spells them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One server as the endpoint list shows it."""
+    """One server in the endpoint list."""
 
     server: int
     zone: int
     rack: int
     status: str = READY
-    started_us: int = 0  # when it started; 0: long ago
+    started_us: int = 0  # start time of the server; 0: before the run
--- a/sagetrack/lab/model/fault_schedule.py
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a scenario: when each begins and ends, whom it strikes, and what it does."""
+"""The faults of a scenario: when each begins and ends, whom it affects, and how it is injected."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from sagetrack.lab.model.server import Result
 from sagetrack.lab.model.server_fleet import ServerFleet
 
-Undo = Callable[[], None] | None  # what ends a fault; None if it ends by itself
+Undo = Callable[[], None] | None  # ends a fault; None if the fault ends by itself
 
 
 class FaultSchedule:
-    """Begins and ends faults, and records both. A fault that is not known here is the driver's."""
+    """Begins and ends faults, and records both. The driver injects faults that are not handled here."""
 
     def __init__(
         self,
@@ -33,24 +33,24 @@
         self._registry = registry
         self._gateways = gateways
         self._network = network
-        # By the kinds of the scenario's form. Each records the begin with whom it strikes.
+        # By the kind in the scenario. Each function records the begin of the fault and whom it affects.
         self._inject: dict[str, Callable[[ScheduledFault], Undo]] = {
             "slow": self._slow_servers,
             "burst": self._burst,
             "deploy": self._deploy,
-            "vanish": self._vanish_servers,
+            "vanish": self._make_servers_unresponsive,
             "spoilt": partial(self._fail_responses, Result.MALFORMED),
             "reset": partial(self._fail_responses, Result.RESET),
             "gateway-death": self._kill_gateways,
             "gateway-upgrade": self._upgrade_gateways,
             "discovery-down": self._stop_discovery,
-            "overbook": self._list_phantoms,
+            "overbook": self._list_nonexistent_servers,
             "partition": self._partition,
             "skew": self._skew_clocks,
         }
 
     def schedule_all(self) -> None:
-        """Schedule the scenario's faults."""
+        """Schedule all faults of the scenario."""
         for fault in self._context.scenario.faults:
             self._context.clock.call_at(int(fault.at_s * 1e6), partial(self._begin, fault))
 
@@ -60,12 +60,12 @@
         if inject is None:
             self._record(fault, "begins")
             self._gateways.driver.set_fault(fault, True)
-            self._context.clock.call_at(end_us, partial(self._end_of_driver, fault))
+            self._context.clock.call_at(end_us, partial(self._end_driver_fault, fault))
             return
         undo = inject(fault)
         self._context.clock.call_at(end_us, partial(self._end, fault, undo))
 
-    def _end_of_driver(self, fault: ScheduledFault) -> None:
+    def _end_driver_fault(self, fault: ScheduledFault) -> None:
         self._record(fault, "ends")
         self._gateways.driver.set_fault(fault, False)
 
@@ -78,7 +78,7 @@
         self._context.record("trouble", fault.kind, state, detail)
 
     def _choose(self, candidates: list[int], share: float) -> list[int]:
-        """Draw a share of the candidates, at least one unless the share is 0; sorted."""
+        """Choose a random share of the candidates, in order; at least one unless the share is 0."""
         if share <= 0 or not candidates:
             count = 0
         else:
@@ -98,7 +98,7 @@
         return lambda: self._servers.set_slowdown(chosen, 1.0)
 
     def _burst(self, fault: ScheduledFault) -> Undo:
-        self._record(fault, "begins")  # the arrivals are drawn with it
+        self._record(fault, "begins")  # `ArrivalProcess` generates the additional load
         return None
 
     def _deploy(self, fault: ScheduledFault) -> Undo:
@@ -115,7 +115,7 @@
         for number in numbers:
             self._servers.replace(number)
 
-    def _vanish_servers(self, fault: ScheduledFault) -> Undo:
+    def _make_servers_unresponsive(self, fault: ScheduledFault) -> Undo:
         for number in self._choose_and_record(fault, self._servers.in_service()):
             server = self._servers.make_unresponsive(number)
             self._context.call_after(int(fault.seconds * 1e6), partial(self._servers.start_successor, server))
@@ -163,8 +163,8 @@
 
         return undo
 
-    def _list_phantoms(self, fault: ScheduledFault) -> Undo:
-        """Have discovery list servers that do not exist."""
+    def _list_nonexistent_servers(self, fault: ScheduledFault) -> Undo:
+        """Let discovery list servers that do not exist."""
         count = max(1, round(fault.share * self._context.scenario.fleet.servers))
         numbers = self._servers.reserve_numbers(count)
         self._record(fault, "begins", list(numbers))
@@ -181,7 +181,7 @@
         return undo
 
     def _partition(self, fault: ScheduledFault) -> Undo:
-        """Cut gateways and servers of some zones off from those of the others."""
+        """Separate the gateways and servers of some zones from those of the other zones."""
         zone_count = self._context.zone_count
         inside = set(self._choose(list(range(zone_count)), fault.share))
         gateways, servers = self._gateways.alive, self._servers.servers
@@ -196,7 +196,7 @@
         return lambda: self._network.remove_partitions(partitions)
 
     def _skew_clocks(self, fault: ScheduledFault) -> Undo:
-        """Set clocks of some gateways off by `size` seconds, by turns behind and ahead."""
+        """Skew the clocks of some gateways by `size` seconds, alternately behind and ahead."""
         skew_us = int(fault.size * 1e6)
         for index, gateway in enumerate(self._choose_and_record(fault, list(self._gateways.alive))):
             self._network.skew_clock(gateway, skew_us if index % 2 == 0 else -skew_us)
--- a/sagetrack/lab/model/gateway_fleet.py
+++ b/sagetrack/lab/model/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""The gateways as the world sees them: a driver that runs them, and which of them are up."""
+"""The gateways as the world sees them: the driver that runs them, and the state of each gateway."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
         ...
 
     def send(self, attempt: ClientAttempt, /) -> None:
-        """Send a client's attempt; `Clients.on_response` is called once, or never."""
+        """Send a client's attempt; calls `Clients.on_response` at most once."""
         ...
 
     def disconnect(self, attempt: ClientAttempt, /) -> None:
-        """Close the attempt's connection: the client waits no longer."""
+        """Close the connection of an attempt because its client has stopped waiting."""
         ...
 
     def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool, /) -> None:
@@ -29,44 +29,44 @@
         ...
 
     def kill(self, gateway: int, /) -> None:
-        """End a gateway at once."""
+        """Terminate a gateway at once, without draining."""
         ...
 
     def restart(self, gateway: int, /) -> None:
-        """Start a killed gateway again, with the endpoint list that it last had."""
+        """Restart a killed gateway, with the endpoint list that it had last."""
         ...
 
     def upgrade(self, gateway: int, /) -> None:
-        """Replace a gateway by a new process while it runs."""
+        """Replace the process of a running gateway by a new one (hot restart)."""
         ...
 
     def set_fault(self, fault: ScheduledFault, is_on: bool, /) -> None:
-        """Begin or end a fault that only the driver can cause; one that it does not know is ignored."""
+        """Begin or end a fault that only the driver can inject; unknown kinds are ignored."""
         ...
 
 
 class GatewayFleet:
-    """The driver, which gateways are up, and which of them the front still sends to."""
+    """The driver, and for each gateway whether it is up and whether clients are sent to it."""
 
     def __init__(self, count: int) -> None:
-        self.driver: GatewayDriver  # set once the world exists
+        self.driver: GatewayDriver  # set by the driver after the world is created
         self.alive = dict.fromkeys(range(count), True)
-        self.in_rotation = dict(self.alive)  # lags behind `alive` until the front notices
+        self.in_rotation = dict(self.alive)  # gateways that clients are sent to; follows `alive` with a delay
 
     def running(self) -> list[int]:
-        """Gateways that are up."""
+        """Return the gateways that are up."""
         return [gateway for gateway, alive in self.alive.items() if alive]
 
     def kill(self, gateway: int) -> None:
-        """End a gateway; the front goes on sending to it until `update_rotation`."""
+        """Kill a gateway; it stays in rotation until `update_rotation` is called."""
         self.alive[gateway] = False
         self.driver.kill(gateway)
 
     def update_rotation(self, gateway: int) -> None:
-        """The front has learned whether the gateway is up."""
+        """Put the gateway into rotation or take it out, depending on whether it is up."""
         self.in_rotation[gateway] = self.alive[gateway]
 
     def mark_ready(self, gateway: int) -> None:
-        """A gateway is up again, and the front sends to it."""
+        """Mark a gateway as up again and put it into rotation."""
         self.alive[gateway] = True
         self.in_rotation[gateway] = True
--- a/sagetrack/lab/model/platform_settings.py
+++ b/sagetrack/lab/model/platform_settings.py
@@ -1,6 +1,6 @@
-"""The settings of a gateway, in the platform's form, as they follow from a scenario.
+"""Translates a scenario into the settings of a gateway, in the names and units of the platform.
 
-The names and units of the platform stand here alone.
+No other module of the model uses the platform's names.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def platform_settings(scenario: Scenario, gateway: int) -> dict[str, Any]:
-    """Return the settings object of a gateway, by its number, in the platform's form and units."""
+    """Return the settings object of the gateway with this number, in the platform's names and units."""
     fleet = scenario.fleet
-    all_shares = sum(member.share for member in scenario.tenants)
+    total_share = sum(tenant.share for tenant in scenario.tenants)
     return {
         "balancers": fleet.gateways,
         "index": gateway,
@@ -24,9 +24,9 @@
         "zones": list(fleet.zones),
         "shapes": ["plain"],
         "membershipMode": "pushed",
-        "lanes": [_platform_class(kind) for kind in scenario.classes],
+        "lanes": [_platform_class(request_class) for request_class in scenario.classes],
         "tenants": [
-            {"name": member.name, "fraction": member.share / all_shares} for member in scenario.tenants
+            {"name": tenant.name, "fraction": tenant.share / total_share} for tenant in scenario.tenants
         ],
         "clients": {"marksRetry": scenario.clients.marks_retry},
         "objectiveMix": {"whole": 0.7, "worstClass": 0.1, "worstTenant": 0.1, "worstWindow": 0.1},
@@ -38,16 +38,16 @@
     }
 
 
-def _platform_class(kind: RequestClass) -> dict[str, Any]:
+def _platform_class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "name": kind.name,
-        "effect": PLATFORM_EFFECTS[kind.effect],
-        "group": PLATFORM_SCOPES[kind.scope],
-        "aimUs": int(kind.latency_objective_ms * 1000),
-        "giveUpUs": int(kind.deadline_ms * 1000),
-        "windowUs": int(kind.window_ms * 1000),
-        "value": kind.priority_weight,
-        "lateValue": kind.late_weight,
+        "name": request_class.name,
+        "effect": PLATFORM_EFFECTS[request_class.effect],
+        "group": PLATFORM_SCOPES[request_class.scope],
+        "aimUs": int(request_class.latency_objective_ms * 1000),
+        "giveUpUs": int(request_class.deadline_ms * 1000),
+        "windowUs": int(request_class.window_ms * 1000),
+        "value": request_class.priority_weight,
+        "lateValue": request_class.late_weight,
         "streamed": False,
     }
 
--- a/sagetrack/lab/model/response_faults.py
+++ b/sagetrack/lab/model/response_faults.py
@@ -1,4 +1,4 @@
-"""Which responses of servers go wrong: errors, invalid responses and resets."""
+"""Injected faults in the responses of servers: errors, malformed responses and resets."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class ResponseFaults:
-    """Owns the share of responses that go wrong in each manner, and draws each response's result."""
+    """Owns the share of responses with each kind of fault, and draws the result of each response."""
 
     def __init__(self, error_share: float, draw: random.Random) -> None:
-        # The order decides what is drawn.
+        # The order must not change: it determines the results of a seed.
         self._shares = {Result.ERROR: error_share, Result.MALFORMED: 0.0, Result.RESET: 0.0}
         self._draw = draw
 
     def set_share(self, result: Result, share: float) -> None:
-        """Let a share (0 to 1) of the responses end in this manner."""
+        """Set the share (0 to 1) of responses that end with this result."""
         self._shares[result] = share
 
     def draw_result(self) -> Result:
-        """Draw how a server will respond to an attempt that it accepted."""
+        """Draw the result of an attempt that a server has accepted."""
         if not any(self._shares.values()):
             return Result.SERVED
         point = self._draw.random()
--- a/sagetrack/lab/model/scenario.py
+++ b/sagetrack/lab/model/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: what is played, typed and checked. A scenario is a TOML file; docs/operators/lab.md shows one.
+"""Scenarios: the typed and validated form of a scenario's TOML file. docs/operators/lab.md shows an example.
 
-The fields are the keys of the file, unless a structure renames them. Times are in the unit that a key's name
-ends with. Random figures of the fleet are drawn from the run's seed.
+Field names are the keys of the file, unless a structure maps them to other keys. The suffix of a key is the
+unit of its value. Random properties of the fleet are drawn from the run's seed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 NotNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-RESPONSE_SLACK_US = 20_000  # by which a final response may be late
+RESPONSE_SLACK_US = 20_000  # how long after its deadline a final response is still accepted
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$")]
 Range = tuple[float, float]
 
@@ -39,41 +39,43 @@
         "max_s": "most_s",
     },
 ):
-    """A server that was overloaded for a while stays slow until it has been left mostly idle."""
+    """When a server degrades after an overload, how slow it becomes, and when it recovers."""
 
-    queue_per_core: Positive = 6.0  # more requests waiting than this: overloaded
-    overloaded_s: Positive = 2.0  # for so long, and the server degrades
-    slowdown: Annotated[float, Meta(ge=1)] = 3.0  # times slower while it is degraded
-    calm_s: Positive = 3.5  # mostly idle for so long, and it recovers
-    calm_utilization: Share = 0.3  # busy for less than this share: mostly idle
-    max_s: Positive = 20.0  # after which it recovers in any case
+    queue_per_core: Positive = 6.0  # the server is overloaded while more requests than this are queued
+    overloaded_s: Positive = 2.0  # the server degrades after being overloaded for this long
+    slowdown: Annotated[float, Meta(ge=1)] = 3.0  # a degraded server is slower by this factor
+    calm_s: Positive = 3.5  # the server recovers after being mostly idle for this long
+    calm_utilization: Share = 0.3  # the server is mostly idle below this utilization
+    max_s: Positive = 20.0  # the server recovers after this time in any case
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Address servers and gateways."""
+    """The address servers (the upstream servers of the model) and the gateways."""
 
     servers: Count = 9
     gateways: Count = 3
     zones: Annotated[list[Name], Meta(min_length=1)] = msgspec.field(default_factory=lambda: ["a", "b", "c"])
-    rack_size: Count = 3  # servers that share the idempotency keys they have seen
+    rack_size: Count = 3  # number of servers in a rack; they share idempotency keys
     cores: Count = 1
-    slots_per_core: Count = 1  # requests in work
-    waiting_per_core: Count = 20  # further ones that wait; the next is rejected with X-Rejected
-    speed: Range = (0.9, 1.1)  # times a standard core, drawn for each server
-    error_share: Share = 0.0  # answered with an error after having run
-    thrash: Share = 0.0  # of the speed, lost for each request at the server beyond `thrash_at`
-    thrash_at: Positive = 10.0  # requests at the server, times its cores
-    cancel: Literal["none", "queued", "all"] = "queued"  # which requests stop once their client has given up
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # of its capacity that a cold server starts with
-    cold_s: NotNegative = 12.0  # until it has all of it; the share rises evenly
-    fall_multiple: Annotated[float, Meta(ge=1)] = 4.0  # sent more than this many times its present capacity
-    fall_s: Positive = 3.0  # for this long, a cold server falls over and stays down
-    connections: Count = 800  # that one server holds
-    handshake_ms: NotNegative = 1.0  # of its work for a new connection
-    idle_s: Positive = 10.0  # an unused connection is closed
-    choke: DegradationRules | None = None
-    new_share: Share = 0.0  # of the servers, that speak the newer format; in real time
-    roll_new: bool = False  # a deploy brings servers of the newer format
+    slots_per_core: Count = 1  # requests that a core processes concurrently
+    waiting_per_core: Count = 20  # queue capacity; requests beyond it are rejected with X-Rejected
+    speed: Range = (0.9, 1.1)  # relative to a standard core; drawn for each server
+    error_share: Share = 0.0  # share of requests that fail with an error after they have run
+    thrash: Share = 0.0  # each request beyond `thrash_at` adds this much to the divisor of the speed
+    thrash_at: Positive = 10.0  # running and queued requests per core
+    cancel: Literal["none", "queued", "all"] = "queued"  # cancelled requests that are dropped
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2  # initial capacity of a cold server, as a share
+    cold_s: NotNegative = 12.0  # warm-up time; the share rises linearly to 1
+    # A cold server crashes and stays down once it receives more than `fall_multiple` times its current
+    # capacity within `fall_s`.
+    fall_multiple: Annotated[float, Meta(ge=1)] = 4.0
+    fall_s: Positive = 3.0
+    connections: Count = 800  # connection limit of each server
+    handshake_ms: NotNegative = 1.0  # work that a new connection costs the server
+    idle_s: Positive = 10.0  # idle timeout of connections
+    choke: DegradationRules | None = None  # None: servers do not degrade
+    new_share: Share = 0.0  # share of the servers that speak gRPC; in real time only
+    roll_new: bool = False  # whether the replacements in a deploy speak gRPC
 
 
 class Network(
@@ -82,24 +84,24 @@
     forbid_unknown_fields=True,
     rename={"same_zone_ms": "same_ms", "cross_zone_ms": "cross_ms"},
 ):
-    """One-way delays. In real time they are added to loopback's."""
+    """One-way network delays. In real-time runs they are added to the delay of the loopback interface."""
 
     same_zone_ms: NotNegative = 0.25
     cross_zone_ms: NotNegative = 2.0
     client_ms: NotNegative = 0.5
-    jitter: Share = 0.2
+    jitter: Share = 0.2  # a delay grows by up to this share of itself
     connect_timeout_ms: Positive = 250.0
-    peer_ms: Range = (1.0, 10.0)  # of a datagram between gateways
-    peer_loss: Share = 0.0
+    peer_ms: Range = (1.0, 10.0)  # delay of a datagram between gateways
+    peer_loss: Share = 0.0  # share of datagrams between gateways that are lost
 
 
 class Discovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the endpoint list follows what happens to servers."""
+    """Delays between an event at a server and the update of the endpoint list."""
 
-    delay_s: Range = (0.5, 2.0)  # until gateways learn of a change
-    silent_s: Range = (3.0, 6.0)  # until a silent server is listed as gone
-    spread_ms: NotNegative = 50.0  # between the first gateway that learns of it and the last
-    drain_s: Positive = 3.0  # how long a draining server goes on serving
+    delay_s: Range = (0.5, 2.0)  # until an announced change reaches the endpoint list
+    silent_s: Range = (3.0, 6.0)  # until an unresponsive server is removed from the endpoint list
+    spread_ms: NotNegative = 50.0  # a change reaches the gateways spread over this time
+    drain_s: Positive = 3.0  # how long a draining server continues to serve requests
 
 
 class RequestClass(
@@ -108,19 +110,19 @@
     forbid_unknown_fields=True,
     rename={"latency_objective_ms": "aim_ms", "priority_weight": "worth", "late_weight": "late_worth"},
 ):
-    """A class of requests."""
+    """A class of requests with common work, objectives and retry rules."""
 
     name: Name
     share: Positive = 1.0
-    work_ms: Positive = 20.0  # mean, on a standard core
-    spread: NotNegative = 0.8  # standard deviation of the work over its mean; lognormal
-    latency_objective_ms: Positive = 1000.0  # latency objective
+    work_ms: Positive = 20.0  # mean CPU time on a standard core
+    spread: NotNegative = 0.8  # coefficient of variation of the work, which is lognormal
+    latency_objective_ms: Positive = 1000.0
     deadline_ms: Positive = 3000.0
-    priority_weight: NotNegative = 1.0  # priority weight of a response within the objective
-    late_weight: Share = 0.0  # of that, for a later response
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # whether a repeat does harm
-    scope: Literal["all", "zone", "rack"] = "all"  # for keyed: which servers know each other's keys
-    window_ms: NotNegative = 5000.0  # for keyed: how long servers of the scope drop a repeat
+    priority_weight: NotNegative = 1.0  # weight of a response within the latency objective
+    late_weight: Share = 0.0  # share of `priority_weight` for a response after the objective
+    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # idempotent, idempotent by key, or not idempotent
+    scope: Literal["all", "zone", "rack"] = "all"  # for keyed: which servers share idempotency keys
+    window_ms: NotNegative = 5000.0  # for keyed: how long servers of the scope drop duplicates of a key
     body_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 120
 
 
@@ -130,16 +132,16 @@
     forbid_unknown_fields=True,
     rename={"load_share": "asks", "single_request": "once", "honor_share": "honour"},
 ):
-    """A tenant of the service."""
+    """A tenant of the service; `member` in the file."""
 
     name: Name
-    share: Positive = 1.0  # its quota, relative to the others'
-    load_share: NotNegative = 0.0  # its part of the load, relative to the others'; 0: by its share
-    clients: Annotated[int, Meta(ge=0, le=10_000_000)] = 0  # that it has; 0: they are not identified
-    skew: NotNegative = 0.0  # of its clients' loads, as the exponent of Zipf's law
-    single_request: bool = False  # each client sends a single request
-    honor_share: Share | None = None  # of its clients that follow Retry-After; by default as in `clients`
-    kind: str = ""  # the only class of its requests; empty: all classes
+    share: Positive = 1.0  # quota, relative to the other tenants
+    load_share: NotNegative = 0.0  # part of the load, relative to the other tenants; 0: the same as `share`
+    clients: Annotated[int, Meta(ge=0, le=10_000_000)] = 0  # number of clients; 0: they are not identified
+    skew: NotNegative = 0.0  # exponent of the Zipf distribution of load over the clients; 0: uniform
+    single_request: bool = False  # whether every request comes from a client of its own
+    honor_share: Share | None = None  # share of clients that honor Retry-After; None: as in `clients`
+    kind: str = ""  # name of the only class of its requests; empty: all classes
 
 
 class Clients(
@@ -148,17 +150,17 @@
     forbid_unknown_fields=True,
     rename={"honor_share": "honour", "attempt_share": "try_share", "keep_alive_share": "keep"},
 ):
-    """How clients behave."""
+    """How clients retry, wait and use connections."""
 
-    retries: Annotated[int, Meta(ge=0, le=10)] = 1
-    wait: Literal["none", "fixed", "doubling"] = "fixed"  # before a retry
+    retries: Annotated[int, Meta(ge=0, le=10)] = 1  # maximum number of retries of a request
+    wait: Literal["none", "fixed", "doubling"] = "fixed"  # backoff before a retry
     wait_ms: NotNegative = 200.0
-    honor_share: Share = 0.7  # share of clients that follow Retry-After
-    attempt_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the deadline that one attempt is given
-    marks_retry: bool = False
-    keep_alive_share: Share = 0.8  # share of requests on kept connections
-    slow_readers: Share = 0.0  # share that takes a second to read its response; in real time only
-    notice_s: Positive = 2.0  # until the front sends no more to a dead gateway
+    honor_share: Share = 0.7  # share of clients that honor Retry-After
+    attempt_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # attempt timeout as a share of the deadline
+    marks_retry: bool = False  # whether clients mark retries as such
+    keep_alive_share: Share = 0.8  # share of requests that reuse a persistent connection
+    slow_readers: Share = 0.0  # share of clients that take 1 s to read a response; in real time only
+    notice_s: Positive = 2.0  # until clients are no longer sent to a gateway that has died
 
 
 class Load(
@@ -167,11 +169,11 @@
     forbid_unknown_fields=True,
     rename={"utilization": "use"},
 ):
-    """The load. Arrivals are drawn ahead and never wait for responses (an open loop)."""
+    """The load: an open loop, in which arrivals do not depend on responses."""
 
-    rate: NotNegative = 0.0  # requests a second; 0: by `use`
-    utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5  # of the warm fleet's capacity
-    curve: list[tuple[float, float]] = msgspec.field(default_factory=list)  # [second, factor on the rate]
+    rate: NotNegative = 0.0  # requests per second; 0: derived from `utilization`
+    utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5  # load as a share of the warm fleet's capacity
+    curve: list[tuple[float, float]] = msgspec.field(default_factory=list)  # [second, multiplier of the rate]
 
 
 class ScheduledFault(
@@ -203,14 +205,14 @@
     ]
     at_s: NotNegative
     seconds: Positive = 5.0
-    share: Share = 0.2  # of the servers, gateways or responses that it strikes
-    size: Positive = 3.0  # by the kind: times slower, times the rate, seconds of skew, clients
-    member: str = ""  # a burst of this member alone
-    batch: Share = 0.15  # of the servers that a deploy replaces at a time
+    share: Share = 0.2  # share of the servers, gateways or responses that are affected
+    size: Positive = 3.0  # depends on the kind: slowdown, rate multiplier, seconds of skew, or clients
+    member: str = ""  # name of the only tenant that a burst comes from; empty: all tenants
+    batch: Share = 0.15  # share of the servers that a deploy replaces at a time
 
 
 class Peers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Messages between gateways."""
+    """The peer protocol between gateways."""
 
     use: bool = False
     period_ms: Positive = 1000.0
@@ -218,7 +220,7 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A store on disk in each gateway, which outlives the process."""
+    """The store on disk of each gateway, which persists across restarts."""
 
     use: bool = False
     sync: Literal["batch", "every", "never"] = "every"
@@ -230,7 +232,7 @@
     forbid_unknown_fields=True,
     rename={"max_wait_fraction": "patience", "tenant_per_s": "member_per_s"},
 ):
-    """Admission control in the gateways: fair queues and limits."""
+    """Admission control in the gateways: fair queues and limits; `door` in the file."""
 
     use: bool = False
     max_wait_fraction: Annotated[float, Meta(ge=0, le=0.5)] = 0.5
@@ -246,36 +248,36 @@
     forbid_unknown_fields=True,
     rename={"latency_objective_ms": "aim_ms"},
 ):
-    """DNS beside HTTP, in real time: stand-in upstream servers and queries to all gateways."""
+    """DNS load on all gateways, and the stand-in upstream DNS servers. In real time only."""
 
-    rate: NotNegative = 0.0  # queries a second, an open loop; 0: no DNS
+    rate: NotNegative = 0.0  # queries per second, in an open loop; 0: no DNS
     upstreams: Count = 3
-    names: Count = 500  # that are queried, the popular ones more often
+    names: Count = 500  # number of names that are queried; some are more popular than others
     ttl_s: Annotated[int, Meta(ge=0, le=86_400)] = 5
-    delay_ms: NotNegative = 5.0  # of an upstream server's response
+    delay_ms: NotNegative = 5.0  # response time of an upstream server
     latency_objective_ms: Positive = 500.0
     deadline_ms: Positive = 2000.0
 
 
 class Expectations(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds that must hold, besides the rules, which must hold in every scenario."""
+    """Bounds on the results of this scenario, in addition to the rules that hold in every scenario."""
 
     service_min: Share = 0.0
     worst_member_min: Share = 0.0
-    worst_window_min: Share = 0.0  # of any 5 s
+    worst_window_min: Share = 0.0  # minimum service in any window of 5 s
     refused_max: Share = 1.0
     failed_max: Share = 1.0
     p99_ms_max: Positive = math.inf
     dns_service_min: Share = 0.0
-    others_min: Share = 0.0  # service of each member without a burst of its own
+    others_min: Share = 0.0  # minimum service of each tenant that has no burst of its own
     advice_right_min: Share = 0.0
 
 
 class Gateways(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the gateways, beyond those that follow from the rest."""
+    """Settings of the gateways that do not follow from other parts of the scenario."""
 
     max_attempts: Count = 6
-    second_copies: bool = True  # hedged requests
+    second_copies: bool = True  # whether gateways may hedge requests
     may_cancel: bool = True
     max_retry_after_ms: NotNegative = 2000.0
     drain_grace_ms: Positive = 2000.0
@@ -284,12 +286,12 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A complete scenario."""
+    """A complete scenario, as its file has it."""
 
     name: Name
     about: str = ""
-    seconds: Annotated[float, Meta(gt=0, le=100_000)] = 30.0  # of arrivals
-    settle_s: NotNegative = 1.0  # at the start: played, but not counted in `service`
+    seconds: Annotated[float, Meta(gt=0, le=100_000)] = 30.0  # period in which requests arrive
+    settle_s: NotNegative = 1.0  # initial period that is not counted in `service`
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     network: Network = msgspec.field(default_factory=Network)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
@@ -309,13 +311,13 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Work of a request on a standard core, over all classes."""
+        """Mean CPU time of a request on a standard core, over all classes."""
         total = sum(request_class.share for request_class in self.classes)
         return sum(request_class.share * request_class.work_ms for request_class in self.classes) / total
 
     @property
     def rate(self) -> float:
-        """Requests a second, before curve and bursts."""
+        """Requests per second, before the curve and bursts apply."""
         if self.load.rate > 0:
             return self.load.rate
         cores = self.fleet.servers * self.fleet.cores * sum(self.fleet.speed) / 2
@@ -323,7 +325,7 @@
 
 
 def _check(scenario: Scenario) -> Iterator[Fault]:
-    """Find what types cannot express."""
+    """Find the faults that the types cannot express."""
     yield from _check_classes(scenario)
     yield from _check_names(scenario)
     yield from _check_speed(scenario)
@@ -333,74 +335,74 @@
 
 
 def _check_classes(scenario: Scenario) -> Iterator[Fault]:
-    for index, kind in enumerate(scenario.classes):
-        if kind.latency_objective_ms > kind.deadline_ms:
-            message = f"class[{index + 1}].aim_ms = {kind.latency_objective_ms:g} is above its deadline_ms"
+    for index, class_ in enumerate(scenario.classes):
+        if class_.latency_objective_ms > class_.deadline_ms:
+            message = f"class[{index + 1}].aim_ms = {class_.latency_objective_ms:g} exceeds its deadline_ms"
             yield Fault(("class", index, "aim_ms"), message)
 
 
 def _check_names(scenario: Scenario) -> Iterator[Fault]:
-    """Find names that occur twice, and tables without any entry."""
+    """Find duplicate names, and lists without any entry."""
     names = {
-        "class": [kind.name for kind in scenario.classes],
-        "member": [member.name for member in scenario.tenants],
+        "class": [request_class.name for request_class in scenario.classes],
+        "member": [tenant.name for tenant in scenario.tenants],
     }
-    for key, own_names in names.items():
-        for index, name in enumerate(own_names):
-            if name in own_names[:index]:
-                yield Fault((key, index, "name"), f"{key}[{index + 1}].name = {name!r} stands there twice")
-    for table in ("classes", "tenants"):
-        if not getattr(scenario, table):
-            yield Fault((), f"there are no {table}; at least one is needed")
+    for key, entry_names in names.items():
+        for index, name in enumerate(entry_names):
+            if name in entry_names[:index]:
+                yield Fault((key, index, "name"), f"{key}[{index + 1}].name = {name!r} is a duplicate")
+    for attribute in ("classes", "tenants"):
+        if not getattr(scenario, attribute):
+            yield Fault((), f"there are no {attribute}; at least one is required")
 
 
 def _check_speed(scenario: Scenario) -> Iterator[Fault]:
     low, high = scenario.fleet.speed
     if not 0 < low <= high:
-        message = f"fleet.speed = {[low, high]} is no range of numbers above 0"
+        message = f"fleet.speed = {[low, high]} is not a range of numbers above 0"
         yield Fault(("fleet", "speed"), message)
 
 
 def _check_faults(scenario: Scenario) -> Iterator[Fault]:
-    members = [member.name for member in scenario.tenants]
+    tenants = [tenant.name for tenant in scenario.tenants]
     for index, fault in enumerate(scenario.faults):
-        name = f"trouble[{index + 1}]"
+        key = f"trouble[{index + 1}]"
         if fault.at_s >= scenario.seconds:
-            message = f"{name}.at_s = {fault.at_s:g} is after the last arrival"
-            message += f"; it is below seconds = {scenario.seconds:g}"
+            message = f"{key}.at_s = {fault.at_s:g} is after the last arrival"
+            message += f"; it must be below seconds = {scenario.seconds:g}"
             yield Fault(("trouble", index, "at_s"), message)
         if fault.kind in ("slow", "burst") and fault.size < 1:
-            message = f"{name}.size = {fault.size:g} is below 1, the least for {fault.kind}"
+            message = f"{key}.size = {fault.size:g} is below 1, the minimum for {fault.kind}"
             yield Fault(("trouble", index, "size"), message)
-        if fault.member and fault.member not in members:
-            yield Fault(("trouble", index, "member"), f"{name}.member = {fault.member!r} is no member")
+        if fault.member and fault.member not in tenants:
+            yield Fault(("trouble", index, "member"), f"{key}.member = {fault.member!r} is not a member")
 
 
 def _check_member_classes(scenario: Scenario) -> Iterator[Fault]:
-    classes = [kind.name for kind in scenario.classes]
-    for index, member in enumerate(scenario.tenants):
-        if member.kind and member.kind not in classes:
-            message = f"member[{index + 1}].kind = {member.kind!r} is no class"
+    classes = [request_class.name for request_class in scenario.classes]
+    for index, tenant in enumerate(scenario.tenants):
+        if tenant.kind and tenant.kind not in classes:
+            message = f"member[{index + 1}].kind = {tenant.kind!r} is not the name of a class"
             yield Fault(("member", index, "kind"), message)
 
 
 def _check_curve(scenario: Scenario) -> Iterator[Fault]:
     seconds = [second for second, _ in scenario.load.curve]
     if seconds != sorted(seconds) or any(factor < 0 for _, factor in scenario.load.curve):
-        yield Fault(("load", "curve"), "load.curve needs rising seconds and rates of at least 0")
+        yield Fault(("load", "curve"), "load.curve must have ascending seconds and factors of at least 0")
 
 
 def load_scenario(path: Path | str) -> Scenario:
-    """Read a scenario.
+    """Read a scenario from its file.
 
     Raises:
-        FileError: It cannot be used; the error names everything that is wrong.
+        FileError: The file is unreadable or invalid; the error lists all its faults.
     """
     return read(path, Scenario, _check)
 
 
 def with_overrides(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
-    """Return the same scenario with other values, named as in `fleet.servers`.
+    """Return a copy of the scenario with some values replaced, by dotted keys such as `fleet.servers`.
 
     Raises:
         FileError: A key is unknown, or a value is not allowed.
@@ -408,7 +410,7 @@
     raw = msgspec.to_builtins(scenario)
     for name, value in settings.items():
         _set_value(raw, name, value)
-    if raw["expect"].get("p99_ms_max") is None:  # infinity has no plain form
+    if raw["expect"].get("p99_ms_max") is None:  # infinity becomes None in the plain form
         raw["expect"].pop("p99_ms_max", None)
     changed, faults = decode(raw, Scenario)
     if changed is not None:
@@ -419,15 +421,15 @@
 
 
 def _set_value(raw: dict[str, Any], name: str, value: Any) -> None:
-    """Set one value in a scenario's plain form; entries of lists are numbered from 1."""
+    """Set one value in a scenario's plain form; the key counts list entries from 1."""
     *path, last = name.split(".")
-    here: Any = raw
+    node: Any = raw
     try:
         for part in path:
-            here = here[int(part) - 1] if isinstance(here, list) else here[part]
-        if isinstance(here, list):
-            here[int(last) - 1] = value
+            node = node[int(part) - 1] if isinstance(node, list) else node[part]
+        if isinstance(node, list):
+            node[int(last) - 1] = value
         else:
-            here[last] = value
+            node[last] = value
     except (KeyError, ValueError, IndexError, TypeError):
         raise FileError([f"{name}: no such key in a scenario"]) from None
--- a/sagetrack/lab/model/server.py
+++ b/sagetrack/lab/model/server.py
@@ -1,9 +1,9 @@
-"""The model of one address server: what it does with what it is sent. No clock and no I/O; microseconds.
+"""The model of one address server. It has no clock and no I/O; all times are in microseconds.
 
-A server has cores and, for each, slots for requests in work; more wait in a queue, and beyond that it rejects
-requests. It starts cold and warms up evenly. Sent far more than it can do while cold, it falls over.
-Overloaded for a while, it degrades until it has been left mostly idle. Servers of a rack, a zone or all of
-them drop a key that they have seen.
+A server processes a fixed number of requests concurrently (slots per core) and queues more; when the queue
+is full, it rejects requests. A cold server warms up linearly, and crashes if it receives far more work than
+it can do. After a sustained overload a server degrades until it has been mostly idle for a while. A repeated
+idempotency key is dropped by all servers of its scope: a rack, a zone or the whole fleet.
 """
 
 from __future__ import annotations
@@ -19,39 +19,42 @@
 from sagetrack.lab.model.scenario import Fleet
 from sagetrack.lab.model.warm_up import WarmUp
 
-MAX_STEP_US = 200_000  # how long a rate that changes with time is taken as constant
-DUPLICATE_SHARE = 0.05  # of the work: what a dropped repeat costs
-ROUNDING = 1e-6  # of its work: a request with no more left is done
+MAX_STEP_US = 200_000  # longest interval over which a changing rate is treated as constant
+DUPLICATE_SHARE = 0.05  # cost of a dropped duplicate, as a share of its work
+ROUNDING = 1e-6  # a request is complete when at most this share of its work remains
 
 
 class Result(Enum):
-    """How a server answers."""
+    """How a server responds to an attempt."""
 
     SERVED = "served"
     ERROR = "error"
     REJECTED = "rejected"
-    MALFORMED = "spoilt"  # a response that is no valid HTTP
+    MALFORMED = "spoilt"  # a response that is not valid HTTP
     RESET = "reset"
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One attempt at a server. `done` is called once, unless the server falls silent."""
+    """One attempt on a server.
+
+    `on_done` is called once, but not for a cancelled job or a server that has become unresponsive.
+    """
 
     call_id: str
     work_us: float  # on a standard core
     key: int | None
-    window_us: int  # within which a repeat of the key is dropped
+    window_us: int  # how long a duplicate of the key is dropped
     scope: str  # all, zone or rack
     deadline_us: int
     on_done: Callable[[Job, Result], None]
     result: Result = Result.SERVED
-    remaining_us: float = 0.0  # of the work
+    remaining_us: float = 0.0  # work that is still to do
     ended: bool = False
 
 
 class Server:
-    """One address server between its start and its end."""
+    """One address server, from its start until it stops."""
 
     def __init__(
         self,
@@ -69,24 +72,24 @@
 
         Args:
             number: Its number in the fleet.
-            fleet: The figures that all servers share.
+            fleet: The properties that all servers have in common.
             zone: The number of its zone.
             rack: The number of its rack.
-            speed: Times a standard core.
-            started_us: The time now.
-            is_cold: Whether it has to warm up.
-            keys: By scope: the keys that it shares with the servers of the scope.
-            on_run: Called as a job starts to run, with whether it has an effect.
+            speed: The speed of a core, relative to a standard core.
+            started_us: The current time.
+            is_cold: Whether the server has to warm up.
+            keys: The idempotency keys that it shares with other servers, by scope.
+            on_run: Called when a job starts to run, with whether the job has an effect.
         """
         self.number = number
         self.zone = zone
         self.rack = rack
         self.started_us = started_us
         self.now_us = started_us
-        self.slowdown = 1.0  # times slower, by a fault
+        self.slowdown = 1.0  # factor by which an injected fault slows the server down
         self.draining = False
-        self.down = False  # fell over or was stopped: refuses connections
-        self.unresponsive = False
+        self.down = False  # crashed or stopped: refuses connections
+        self.unresponsive = False  # keeps connections open but never responds
         self.running: list[Job] = []
         self.waiting: deque[Job] = deque()
         self._keys = keys
@@ -102,25 +105,25 @@
 
     @property
     def is_cold(self) -> bool:
-        """Whether the server still warms up."""
+        """Whether the server is still warming up."""
         return self._warm_up.is_cold
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the server is slow after an overload."""
+        """Whether the server is slow because of an overload."""
         return self._degradation.is_degraded
 
     @property
     def request_count(self) -> int:
-        """Requests in work and in the queue."""
+        """Number of running and queued requests."""
         return len(self.running) + len(self.waiting)
 
     def capacity_share(self, now_us: int) -> float:
-        """The share of its capacity that the server has by now."""
+        """Return the share of its full capacity that the server has at a time."""
         return self._warm_up.capacity_share(now_us - self.started_us)
 
     def rate(self, now_us: int) -> float:
-        """Work that each request in a slot has done in a microsecond."""
+        """Return the work that each running request completes per microsecond."""
         fleet = self._fleet
         rate = self._speed * self.capacity_share(now_us) / self.slowdown / fleet.slots_per_core
         rate /= self._degradation.slowdown
@@ -132,11 +135,11 @@
     # Events
 
     def receive(self, now_us: int, job: Job) -> Result | None:
-        """Take a request in: REJECTED at once, or None and `done` later."""
+        """Accept a job and return None, or return REJECTED; an accepted job calls `on_done` later."""
         self.advance(now_us)
         if self.unresponsive:
             return None
-        if self._warm_up.is_overwhelmed_by(job.work_us, now_us - self.started_us):
+        if self._warm_up.is_overloaded_by(job.work_us, now_us - self.started_us):
             self.stop()
             return None
         if self.draining or self.down or self._is_full() or now_us >= job.deadline_us:
@@ -149,7 +152,7 @@
         return None
 
     def cancel(self, now_us: int, job: Job) -> None:
-        """Stop a job whose client no longer waits, as far as the scenario has servers do so."""
+        """Drop a job whose client has stopped waiting, if the scenario's `fleet.cancel` says so."""
         if job.ended:
             return
         self.advance(now_us)
@@ -162,8 +165,8 @@
             job.ended = True
             self._fill_slots()
 
-    def next_us(self) -> int | None:
-        """When something happens by itself: at the latest then `advance` is to be called."""
+    def next_event_us(self) -> int | None:
+        """Return the time by which `advance` has to be called; None if there is nothing to do."""
         if self.unresponsive or (not self.running and not self.is_degraded):
             return None
         step_us = self.now_us + MAX_STEP_US
@@ -175,27 +178,27 @@
         return min(due_us, step_us) if rate_may_change else due_us
 
     def advance(self, now_us: int) -> None:
-        """Let time pass; responses that fall due are given."""
+        """Process jobs up to a time and call `on_done` for those that complete."""
         while not self.unresponsive and self.now_us < now_us:
             if not self.running:
-                self._pass_time(now_us)
+                self._advance_time(now_us)
                 return
             first = min(self.running, key=lambda job: job.remaining_us)
-            span_us = now_us - self.now_us
-            rate = self._mean_rate(first, span_us)
+            duration_us = now_us - self.now_us
+            rate = self._mean_rate(first, duration_us)
             due_us = math.ceil(first.remaining_us / rate)
-            step_us = min(span_us, due_us, MAX_STEP_US)
-            done_us = step_us * rate
+            step_us = min(duration_us, due_us, MAX_STEP_US)
+            completed_us = step_us * rate
             for job in self.running:
-                job.remaining_us -= done_us
-            self._pass_time(self.now_us + step_us)
+                job.remaining_us -= completed_us
+            self._advance_time(self.now_us + step_us)
             if step_us == due_us:
                 first.remaining_us = 0.0
-            self._end_finished()
+            self._end_completed()
         self.now_us = max(now_us, self.now_us)
 
     def reset_all(self) -> None:
-        """Break every connection: what was in work may have run."""
+        """Reset every connection; jobs that were running may already have had their effect."""
         jobs = [*self.running, *self.waiting]
         self.running.clear()
         self.waiting.clear()
@@ -204,18 +207,18 @@
             job.on_done(job, Result.RESET)
 
     def stop(self) -> None:
-        """End at once, as a process does: connections break, new ones are refused."""
+        """Terminate at once: connections are reset, and new ones are refused."""
         self.down = True
         self.reset_all()
 
     def _is_full(self) -> bool:
-        queue_size = self._fleet.waiting_per_core * self._fleet.cores
-        return len(self.running) >= self._slots and len(self.waiting) >= queue_size
+        queue_capacity = self._fleet.waiting_per_core * self._fleet.cores
+        return len(self.running) >= self._slots and len(self.waiting) >= queue_capacity
 
     def _start(self, job: Job) -> None:
         has_effect = True
         if job.key is not None:
-            has_effect = self._keys[job.scope].take(job.key, self.now_us, job.window_us)
+            has_effect = self._keys[job.scope].register(job.key, self.now_us, job.window_us)
         job.remaining_us = job.work_us if has_effect else job.work_us * DUPLICATE_SHARE
         self.running.append(job)
         self._on_run(job, has_effect)
@@ -229,22 +232,25 @@
                 continue
             self._start(job)
 
-    def _mean_rate(self, first: Job, span_us: int) -> float:
-        """The rate over the step that comes; that of a cold server rises meanwhile."""
+    def _mean_rate(self, first: Job, duration_us: int) -> float:
+        """Return the mean rate over the next step; the rate of a cold server rises during the step."""
         rate = self.rate(self.now_us)
         if self.is_cold:
-            step_us = int(min(span_us, first.remaining_us / rate, MAX_STEP_US))
+            step_us = int(min(duration_us, first.remaining_us / rate, MAX_STEP_US))
             rate = (rate + self.rate(self.now_us + step_us)) / 2
         return rate
 
-    def _pass_time(self, now_us: int) -> None:
+    def _advance_time(self, now_us: int) -> None:
         utilization = min(1.0, len(self.running) / self._slots)
-        self._degradation.pass_time(now_us - self.now_us, utilization)
+        self._degradation.record_utilization(now_us - self.now_us, utilization)
         self.now_us = now_us
         self._degradation.update(now_us, len(self.waiting))
 
-    def _end_finished(self) -> None:
-        """End all jobs that are done: one that was left for later would fall due now, again and again."""
+    def _end_completed(self) -> None:
+        """End all completed jobs.
+
+        A completed job that stayed would be due at the current time again, without end.
+        """
         for job in [job for job in self.running if job.remaining_us <= ROUNDING * job.work_us]:
             self.running.remove(job)
             job.ended = True
--- a/sagetrack/lab/model/server_fleet.py
+++ b/sagetrack/lab/model/server_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of address servers: their starts, work, replacements and ends."""
+"""The fleet of address servers: their lifecycle, and the delivery of work to them."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from sagetrack.lab.model.endpoint_registry import EndpointRegistry
 from sagetrack.lab.model.idempotency_keys import IdempotencyKeys
 from sagetrack.lab.model.response_faults import ResponseFaults
-from sagetrack.lab.model.run_context import RunContext, ScheduledCall
+from sagetrack.lab.model.run_context import RunContext, ScheduledCallback
 from sagetrack.lab.model.server import Job, Result, Server
 
 
 @dataclass(slots=True)
 class ServerObserver:
-    """A driver's callbacks for starts and ends of servers; the defaults do nothing."""
+    """Callbacks of a driver for the start and end of servers; the defaults do nothing."""
 
     on_started: Callable[[Server], None] = lambda server: None
     on_ended: Callable[[int], None] = lambda number: None
 
 
-class _Wake(NamedTuple):
+class _ScheduledEvent(NamedTuple):
     due_us: int
-    timer: ScheduledCall
+    timer: ScheduledCallback
 
 
 class ServerFleet:
-    """Owns the servers that run, and the timers that let their work go on."""
+    """Owns the running servers, and a timer per server for its next event."""
 
     def __init__(self, context: RunContext, registry: EndpointRegistry) -> None:
         self.servers: dict[int, Server] = {}
-        self.grpc_servers: set[int] = set()  # servers that speak the newer format
-        self.unresponsive: set[int] = set()  # servers that neither respond nor refuse connections
+        self.grpc_servers: set[int] = set()  # numbers of the servers that speak gRPC
+        self.unresponsive: set[int] = set()  # numbers of servers that neither respond nor refuse connections
         self.observer = ServerObserver()
         self.response_faults = ResponseFaults(context.scenario.fleet.error_share, context.random.clients)
         self._context = context
         self._registry = registry
         self._next_number = 1
         self._keys: dict[str, IdempotencyKeys] = {"all": IdempotencyKeys()}
-        self._wakes: dict[int, _Wake] = {}
+        self._scheduled_events: dict[int, _ScheduledEvent] = {}
 
     def start_all(self) -> None:
-        """Start the warm fleet, and list it."""
+        """Start the initial fleet, which is warm, and register it with discovery."""
         fleet = self._context.scenario.fleet
         for index in range(fleet.servers):
             speaks_grpc = int((index + 1) * fleet.new_share) > int(index * fleet.new_share)
@@ -53,19 +53,19 @@
             self._registry.register_initial(server)
 
     def reserve_numbers(self, count: int) -> range:
-        """Take numbers that no server will get."""
+        """Reserve numbers that no server will get."""
         first = self._next_number
         self._next_number += count
         return range(first, first + count)
 
     def in_service(self) -> list[int]:
-        """Numbers of the servers that run and do not drain."""
+        """Return the numbers of the running servers that are not draining."""
         return [number for number, server in self.servers.items() if not server.draining]
 
     # Work
 
     def receive(self, server: Server, job: Job, gateway: int, sent_us: int) -> Result | None:
-        """Deliver a complete attempt; returns REJECTED, or None and calls `job.on_done` later."""
+        """Deliver an attempt; returns REJECTED, or None if the server accepts it or has ended."""
         now = self._context.clock.now_us()
         result = server.receive(now, job)
         if server.unresponsive:
@@ -78,48 +78,48 @@
             "recv", now, job.call_id, server.number, gateway, verdict, round(job.work_us), sent_us
         )
         if server.down and not server.unresponsive and server.number in self.servers:
-            self._lose(server, "fell")
+            self._remove_ended(server, "fell")
         if verdict == "taken":
             job.result = self.response_faults.draw_result()
-        self._schedule_wake(server)
+        self._schedule_next_event(server)
         return result
 
     def cancel(self, server: Server, job: Job) -> None:
-        """Inform a server that a gateway has given up an attempt."""
+        """Notify a server that the gateway has cancelled an attempt."""
         server.cancel(self._context.clock.now_us(), job)
-        self._schedule_wake(server)
+        self._schedule_next_event(server)
 
     def set_slowdown(self, numbers: list[int], factor: float) -> None:
-        """Make servers `factor` times slower; those that have ended are skipped."""
+        """Slow servers down by a factor; servers that have stopped are skipped."""
         for number in numbers:
             server = self.servers.get(number)
             if server is not None:
                 server.advance(self._context.clock.now_us())
                 server.slowdown = factor
-                self._schedule_wake(server)
-
-    def _schedule_wake(self, server: Server) -> None:
-        """See that the server goes on when its next event falls due."""
-        due_us = server.next_us()
-        planned = self._wakes.get(server.number)
-        if planned is not None:
-            if due_us is not None and planned.due_us == due_us:
+                self._schedule_next_event(server)
+
+    def _schedule_next_event(self, server: Server) -> None:
+        """Schedule the next event of a server, replacing an earlier timer."""
+        due_us = server.next_event_us()
+        scheduled = self._scheduled_events.get(server.number)
+        if scheduled is not None:
+            if due_us is not None and scheduled.due_us == due_us:
                 return
-            planned.timer.cancel()
-            del self._wakes[server.number]
+            scheduled.timer.cancel()
+            del self._scheduled_events[server.number]
         if due_us is not None:
-            timer = self._context.clock.call_at(due_us, lambda: self._wake(server))
-            self._wakes[server.number] = _Wake(due_us, timer)
+            timer = self._context.clock.call_at(due_us, lambda: self._on_event_due(server))
+            self._scheduled_events[server.number] = _ScheduledEvent(due_us, timer)
 
-    def _wake(self, server: Server) -> None:
-        self._wakes.pop(server.number, None)
+    def _on_event_due(self, server: Server) -> None:
+        self._scheduled_events.pop(server.number, None)
         server.advance(self._context.clock.now_us())
-        self._schedule_wake(server)
+        self._schedule_next_event(server)
 
     # Lifecycle
 
     def replace(self, number: int) -> None:
-        """Drain a server, end it, and start its cold successor; one that already drains is left."""
+        """Drain a server, stop it and start its cold successor; ignored if it is already draining."""
         server = self.servers.get(number)
         if server is None or server.draining:
             return
@@ -129,29 +129,29 @@
         drain_us = int((scenario.discovery.drain_s + scenario.discovery.delay_s[1]) * 1e6)
         grace_us = int(scenario.gateways.drain_grace_ms * 1000)
 
-        def refuse() -> None:
+        def start_refusing() -> None:
             server.draining = True
 
-        def end() -> None:
+        def stop_and_replace() -> None:
             if number in self.servers:
                 self._stop(server)
                 self._registry.remove_later(number)
                 self.start_successor(server)
 
-        self._context.clock.call_at(now + drain_us + grace_us // 2, refuse)
-        self._context.clock.call_at(now + drain_us + grace_us, end)
+        self._context.clock.call_at(now + drain_us + grace_us // 2, start_refusing)
+        self._context.clock.call_at(now + drain_us + grace_us, stop_and_replace)
 
     def make_unresponsive(self, number: int) -> Server:
-        """Make a server fall silent without closing its connections; discovery notices it late."""
+        """Let a server stop responding without closing connections; discovery detects it with a delay."""
         server = self.servers[number]
         server.advance(self._context.clock.now_us())
         server.unresponsive = True
         self.unresponsive.add(number)
-        self._lose(server, "vanished")
+        self._remove_ended(server, "vanished")
         return server
 
     def start_successor(self, server: Server) -> None:
-        """Start a cold server in the place of one that has ended."""
+        """Start a cold server in the zone and rack of one that has stopped."""
         speaks_grpc = server.number in self.grpc_servers or self._context.scenario.fleet.roll_new
         successor = self._start(server.zone, server.rack, cold=True, speaks_grpc=speaks_grpc)
         self._registry.add_later(successor, self._context.clock.now_us())
@@ -186,10 +186,10 @@
         server.stop()
         self.observer.on_ended(server.number)
 
-    def _lose(self, server: Server, reason: str) -> None:
-        """Forget a server that ended unannounced; discovery notices it later."""
+    def _remove_ended(self, server: Server, reason: str) -> None:
+        """Remove a server that ended without notice; discovery detects it with a delay."""
         if self.servers.pop(server.number, None) is None:
             return
         self._context.record("stop", server.number, reason)
         self.observer.on_ended(server.number)
-        self._registry.remove_later(server.number, silent=reason == "vanished")
+        self._registry.remove_later(server.number, unresponsive=reason == "vanished")
--- a/sagetrack/lab/model/warm_up.py
+++ b/sagetrack/lab/model/warm_up.py
@@ -1,4 +1,4 @@
-"""How a server that has just started warms up, and when too much load makes it fall over."""
+"""Warm-up of a server that has just started, and the load at which a cold server crashes."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from sagetrack.lab.model.scenario import Fleet
 
-OVERLOAD_MARGIN = 1.1  # times the load that a cold server is said to bear: drawn work varies
+OVERLOAD_MARGIN = 1.1  # tolerance over the configured load limit, because the drawn work varies
 
 
 class _Arrival(NamedTuple):
-    age_us: int  # of the server
+    age_us: int  # age of the server at the arrival
     work_us: float
 
 
 class WarmUp:
-    """Owns how warm a server is, and the work that reached it of late while it was cold."""
+    """Tracks whether a server is cold, and the work that it received in the last `fall_s` while cold."""
 
     def __init__(self, fleet: Fleet, full_capacity: float, is_cold: bool) -> None:
-        """Begin; `full_capacity` is the work that the warm server does in a unit of time."""
+        """Start tracking; `full_capacity` is the work that the warm server completes per unit of time."""
         self.is_cold = is_cold
         self._fleet = fleet
         self._full_capacity = full_capacity
@@ -27,7 +27,7 @@
         self._arrived_work_us = 0.0
 
     def capacity_share(self, age_us: int) -> float:
-        """The share of its capacity that the server has at an age; it rises evenly."""
+        """Return the share of its full capacity that the server has at an age; it rises linearly."""
         if not self.is_cold:
             return 1.0
         duration_us = self._fleet.cold_s * 1e6
@@ -37,8 +37,8 @@
         start = self._fleet.cold_share
         return start + (1.0 - start) * age_us / duration_us
 
-    def is_overwhelmed_by(self, work_us: float, age_us: int) -> bool:
-        """Count more work; whether it is more than a cold server bears (the platform's fourth rule)."""
+    def is_overloaded_by(self, work_us: float, age_us: int) -> bool:
+        """Record received work; return whether it overloads the cold server (rule 4 of the platform)."""
         if not self.is_cold:
             return False
         window_us = int(self._fleet.fall_s * 1e6)
--- a/sagetrack/lab/model/world.py
+++ b/sagetrack/lab/model/world.py
@@ -1,8 +1,8 @@
-"""The world that gateways live in: servers, discovery, clients, faults and network, on any clock.
+"""The environment of the gateways: servers, discovery, clients, faults and network, on any clock.
 
-One world, two drivers. `lab.virtual` runs it on a simulated clock around decision modules in this process;
-`lab.processes` runs it in real time around gateway processes, over sockets. What differs between them is
-behind `Clock` and `GatewayDriver`.
+Two drivers run it. `lab.virtual` runs it on a simulated clock, with the gateways' decision modules in this
+process; `lab.processes` runs it in real time, with gateway processes and sockets. The differences between
+them are behind `Clock` and `GatewayDriver`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class World:
-    """One run's world. All that is drawn follows from the seed alone.
+    """The world of one run. All random values are derived from the seed.
 
-    The components own the state, and drivers use them directly. Before `prepare`, a driver sets itself as
-    `gateway_fleet.driver`.
+    The components own the state, and drivers access them directly. A driver sets itself as
+    `gateway_fleet.driver` before it calls `prepare`.
     """
 
     def __init__(self, scenario: Scenario, seed: int, clock: Clock, records: Records) -> None:
@@ -40,38 +40,38 @@
         )
 
     def prepare(self) -> None:
-        """Start the warm fleet and list it, and record that the gateways are up."""
+        """Start and register the initial fleet of servers, and record that the gateways are up."""
         self.server_fleet.start_all()
         for gateway in self.gateway_fleet.alive:
             self.records.add("gateway", 0, gateway, "up")
 
     def start(self) -> None:
-        """Start the load, and schedule the faults."""
+        """Start the load and schedule the faults."""
         self.arrivals.plan_next()
         self.faults.schedule_all()
 
     @property
     def scenario(self) -> Scenario:
-        """What is played."""
+        """The scenario of the run."""
         return self.context.scenario
 
     @property
     def seed(self) -> int:
-        """What all random figures follow from."""
+        """The seed from which all random values are derived."""
         return self.context.seed
 
     @property
     def clock(self) -> Clock:
-        """The time of the run."""
+        """The clock of the run."""
         return self.context.clock
 
     @property
     def records(self) -> Records:
-        """What has happened so far."""
+        """The records of the run so far."""
         return self.context.records
 
     def on_gateway_ready(self, gateway: int) -> None:
-        """Take note that a driver has a gateway ready again, with the present endpoint list."""
+        """Handle a restarted gateway that is ready and has the current endpoint list."""
         self.gateway_fleet.mark_ready(gateway)
         self.context.record("gateway", gateway, "up")
         self.registry.record_received(gateway, self.registry.all_entries())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -100,7 +100,7 @@
     for _ in range(9):
         bench.send(0)
     for _ in range(3):
-        due = bench.server.next_us()
+        due = bench.server.next_event_us()
         assert due is not None
         bench.server.advance(due)
     assert [now for now, _ in bench.ends] == [10_000] * 4 + [20_000] * 4 + [30_000]
@@ -161,7 +161,7 @@
         now += wait
         taken += bench.send(now, work) is None
     while bench.server.request_count:
-        due = bench.server.next_us()
+        due = bench.server.next_event_us()
         assert due is not None
         bench.server.advance(due)
     assert len(bench.ends) == taken
