--- a/sagetrack/lab/virtual/balancer.py
+++ b/sagetrack/lab/virtual/balancer.py
@@ -1,4 +1,4 @@
-"""What a virtual gateway needs of its decision module, so that faulty ones can take its place."""
+"""The interface of a decision module to a virtual gateway, so that faulty ones can replace it."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
     @property
     def servers(self) -> Mapping[int, Server]:
-        """The listed servers by number."""
+        """The servers of the endpoint list by number."""
         ...
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; returns what to do, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         ...
 
     def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
-        """What this gateway itself has seen of servers and classes."""
+        """Return this gateway's own observations of servers, and its latencies by class."""
         ...
--- a/sagetrack/lab/virtual/clock.py
+++ b/sagetrack/lab/virtual/clock.py
@@ -1,4 +1,4 @@
-"""The simulated clock: a queue of scheduled calls."""
+"""The simulated clock: a queue of scheduled callbacks."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from collections.abc import Callable
 from itertools import count
 
-GATEWAY_EPOCH_US = 1_000_000_000  # the gateways' clock at the run's start: 0 would mean long ago
+# Time on the gateways' clock at the start of the run. It is not 0, because a start time of 0 means that a
+# server has been running for a long time.
+GATEWAY_EPOCH_US = 1_000_000_000
 
 
 class Timer:
-    """One scheduled call; the clock skips it once it is cancelled."""
+    """One scheduled callback, which may be cancelled."""
 
     __slots__ = ("callback",)
 
@@ -18,12 +20,12 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Keep the call from being made."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class SimClock:
-    """A heap of scheduled calls; those due at one time run in the order in which they were scheduled."""
+    """Runs scheduled callbacks in order of time; those due at the same time run in order of scheduling."""
 
     __slots__ = ("_heap", "_next", "_now_us")
 
@@ -37,13 +39,13 @@
         return self._now_us
 
     def call_at(self, time_us: int, callback: Callable[[], None]) -> Timer:
-        """Schedule a call; one whose time is past is due now."""
+        """Schedule a callback; one whose time has passed is due now."""
         timer = Timer(callback)
         heapq.heappush(self._heap, (max(time_us, self._now_us), next(self._next), timer))
         return timer
 
     def run(self, until: Callable[[], bool], end_us: Callable[[], int]) -> None:
-        """Make the scheduled calls until none is left, `until` holds after one, or `end_us` is passed."""
+        """Run callbacks until none is left, `until` is true after one, or the next is due after `end_us`."""
         heap, pop = self._heap, heapq.heappop
         while heap:
             time_us, _, timer = pop(heap)
--- a/sagetrack/lab/virtual/faulty_gateways.py
+++ b/sagetrack/lab/virtual/faulty_gateways.py
@@ -1,6 +1,6 @@
-"""Deliberate faults of gateways, to show that the judges catch them. In virtual time only.
+"""Deliberate faults of gateways, to verify that the judges detect them. In virtual time only.
 
-Each breaks one rule, on some of the requests. Most are proxies in the place of the decision module.
+Each fault breaks one rule, for some of the requests. Most are proxies that replace the decision module.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 from sagetrack.policy.peer_observations import ClassLatency, Observation
 from sagetrack.policy.state import Request, Server
 
-SECOND_RESPONSE_INTERVAL = 20  # one request of so many gets a second response
-OVERLOADED_AGE_US = 8_000_000  # up to this age a server that warms up is overloaded
-REJECTION_DELAY = 0.95  # of the client's budget
+SECOND_RESPONSE_INTERVAL = 20  # one in this many requests gets a second response
+OVERLOADED_AGE_US = 8_000_000  # a new server is overloaded until it has this age
+REJECTION_DELAY = 0.95  # when a rejection is sent, as a share of the client's timeout
 RETRY_TIMEOUT_US = 500_000
 
 
-class AnswersTwice(VirtualGateway):
-    """Gives some requests a second final response."""
+class RespondsTwice(VirtualGateway):
+    """Sends a second final response to some requests."""
 
     def close(self, request: ProxiedRequest) -> None:
-        """Close the request, and respond once more to one of `SECOND_RESPONSE_INTERVAL`."""
+        """Close the request; send a second response for one in `SECOND_RESPONSE_INTERVAL` requests."""
         super().close(request)
         if _stable_hash(request.id) % SECOND_RESPONSE_INTERVAL == 0:
             self.network.respond(request.client_attempt, "served", 0)
 
 
 def _stable_hash(text: str) -> int:
-    """A number that is the same in every process."""
+    """Return a hash that, unlike `hash`, is the same in every process."""
     return sum(text.encode())
 
 
 class BalancerProxy:
-    """Passes everything on; subclasses alter events or actions."""
+    """Passes events and actions through unchanged; subclasses alter them."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         self.balancer = balancer
@@ -63,23 +63,23 @@
 
     @property
     def servers(self) -> Mapping[int, Server]:
-        """The listed servers by number."""
+        """The servers of the endpoint list by number."""
         return self.balancer.servers
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; returns what to do, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         return self.balancer.handle(now_us, event)
 
     def own_observations(self) -> tuple[list[Observation], list[ClassLatency]]:
-        """What this gateway itself has seen of servers and classes."""
+        """Return this gateway's own observations of servers, and its latencies by class."""
         return self.balancer.own_observations()
 
 
 class IgnoresDraining(BalancerProxy):
-    """Takes draining servers for ready ones until they are gone."""
+    """Treats draining servers as ready until they are removed."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; draining servers are shown as ready."""
+        """Handle one event, with draining servers marked as ready."""
         if isinstance(event, EndpointList):
             entries = tuple(
                 replace(entry, status=ServerStatus.READY) if entry.status is ServerStatus.DRAINING else entry
@@ -90,7 +90,7 @@
 
 
 class OverloadsNewServer(BalancerProxy):
-    """Sends everything to the server that started last, for as long as it warms up."""
+    """Sends every attempt to the server that started last, until it has reached `OVERLOADED_AGE_US`."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         super().__init__(balancer, gateway)
@@ -98,7 +98,7 @@
         self._started_us = 0
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; attempts go to the newest server."""
+        """Handle one event, and redirect all attempts to the newest server."""
         if isinstance(event, EndpointList):
             for entry in event.servers:
                 if entry.started_us > self._started_us and entry.status is ServerStatus.READY:
@@ -116,10 +116,10 @@
 
 
 class DelaysRejections(BalancerProxy):
-    """Holds rejections back until shortly before the client stops waiting."""
+    """Delays rejections until shortly before the client stops waiting."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; rejections and failures are carried out later."""
+        """Handle one event, and delay its rejections and failures."""
         return [
             action
             for action in self.balancer.handle(now_us, event)
@@ -127,7 +127,7 @@
         ]
 
     def _delay(self, request_id: str) -> bool:
-        """Schedule the response to a request; False if there is no such request."""
+        """Schedule a refusal of a request; False if the request is unknown."""
         request = self.gateway.requests.get(request_id)
         if request is None:
             return False
@@ -138,7 +138,7 @@
 
 
 class RetriesOutsideRack(BalancerProxy):
-    """Retries a keyed request on a server of another rack as soon as an attempt has failed."""
+    """Retries a keyed request on a server of another rack as soon as an attempt fails."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         super().__init__(balancer, gateway)
@@ -146,7 +146,7 @@
         self._keyed: set[str] = set()
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; after a failed attempt of a keyed request, a retry replaces what is decided."""
+        """Handle one event; after a failed attempt of a keyed request, a retry replaces the decision."""
         if isinstance(event, EndpointList):
             self._racks |= {entry.server: entry.group for entry in event.servers}
         elif isinstance(event, RequestArrived) and event.key is not None:
@@ -160,68 +160,68 @@
         others = [server for server, other in self._racks.items() if other != rack]
         if not others:
             return actions
-        kept = [action for action in actions if not _decides(action, event.request)]
+        kept = [action for action in actions if not _is_decision(action, event.request)]
         return [*kept, SendAttempt(event.request, min(others), RETRY_TIMEOUT_US)]
 
 
-def _decides(action: Action, request_id: str) -> bool:
-    """Whether an action decides how a request goes on."""
+def _is_decision(action: Action, request_id: str) -> bool:
+    """Whether an action sends an attempt of a request or ends the request."""
     return isinstance(action, Reject | Fail | SendAttempt) and action.request == request_id
 
 
 class UnsharedConcurrency(FleetSize):
-    """Lets each gateway have an attempt in flight at every server, however many gateways there are."""
+    """Allows each gateway one attempt in flight on every server, regardless of the number of gateways."""
 
     def is_concurrency_scarce(self) -> bool:
-        """Never: gateways do not share a server's concurrency."""
+        """Always False: gateways do not divide a server's concurrency among themselves."""
         return False
 
 
 class IgnoresConcurrencyLimit(BalancerProxy):
-    """Has an attempt in flight at each server, as all others do; nothing limits the sum."""
+    """Has one attempt in flight on each server, like every other gateway; nothing limits the total."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         settings, seed = balancer.settings, balancer.context.random.getrandbits(64)
         super().__init__(LoadBalancer(settings, seed, UnsharedConcurrency(settings)), gateway)
 
 
-# The limit on concurrency alone keeps servers that warm up within their budgets, whatever is not counted of
-# these (0.6 to 1.0 of one at the most in the cases below): two of the faults that follow do without the
-# limit, or nothing would show them.
+# The concurrency limit alone keeps warming servers within their slow start budget, even if a gateway
+# does not count its use of it (in the cases below, the use peaks at 0.6 to 1.0 of the budget). Two of the
+# following faults therefore also disable that limit; otherwise no judge could detect them.
 
 
 class IgnoresOwnSlowStartUse(IgnoresConcurrencyLimit):
-    """Does not count what it sends to servers in slow start: its part of their budget never ends."""
+    """Does not count its own requests to servers in slow start, so it never exhausts its budget share."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; what was sent is forgotten after it."""
+        """Handle one event, then reset the slow start use."""
         actions = self.balancer.handle(now_us, event)
         _forget_slow_start_use(self.balancer)
         return actions
 
 
 class AssumesThreeGateways(BalancerProxy):
-    """Assumes a fleet of three gateways, whatever the settings and the others say."""
+    """Assumes a fleet of three gateways, regardless of the settings and of the membership."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         settings = balancer.settings
-        three = replace(settings, gateway_count=3, gateway_index=settings.gateway_index % 3)
-        super().__init__(LoadBalancer(three, balancer.context.random.getrandbits(64)), gateway)
+        three_gateways = replace(settings, gateway_count=3, gateway_index=settings.gateway_index % 3)
+        super().__init__(LoadBalancer(three_gateways, balancer.context.random.getrandbits(64)), gateway)
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; changes of the fleet's size are ignored."""
+        """Handle one event, but ignore changes of the fleet size."""
         return [] if isinstance(event, FleetSizeChanged) else self.balancer.handle(now_us, event)
 
 
 class ForgetsSlowStartUse(IgnoresConcurrencyLimit):
-    """Forgets at a restart what it sent to servers in slow start: each process spends the whole part anew."""
+    """Forgets the slow start use on restart, so each new process uses its full budget share again."""
 
     def __init__(self, balancer: LoadBalancer, gateway: VirtualGateway) -> None:
         super().__init__(balancer, gateway)
         self._has_list = False
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; what others have observed, and the use known at the start, are ignored."""
+        """Handle one event, but ignore received observations and reset the use known at the start."""
         if isinstance(event, ObservationsReceived):
             return []
         actions = self.balancer.handle(now_us, event)
@@ -237,7 +237,7 @@
 
 
 # The keys are values of command-line options and of stored results.
-_EVERYDAY: dict[str, type[BalancerProxy]] = {
+_GENERAL: dict[str, type[BalancerProxy]] = {
     "late-to-draining": IgnoresDraining,
     "crowds-cold": OverloadsNewServer,
     "holds-refusals": DelaysRejections,
@@ -249,7 +249,7 @@
     "forgets-spent": ForgetsSlowStartUse,
 }
 _OVERLOAD: dict[str, type[BalancerProxy]] = {"whole-places": IgnoresConcurrencyLimit}
-FAULTS = ("answers-twice", *_EVERYDAY)
+FAULTS = ("answers-twice", *_GENERAL)
 DETECTED_BY = {
     "answers-twice": ("everyday", "one_answer"),
     "late-to-draining": ("rolling-deploy", "drains"),
@@ -257,22 +257,22 @@
     "holds-refusals": ("burst", "late_refusals"),
     "leaves-rack": ("bad-servers", "repeats"),
 }
-"""The scenario that catches each fault, and the rule that it breaks there."""
+"""The scenario that detects each fault, and the rule that the fault breaks in it."""
 SLOW_START_FAULTS = tuple(_SLOW_START)
-OVERLOAD_FAULTS = tuple(_OVERLOAD)  # shown by lab/benchmarks/overload.py
+OVERLOAD_FAULTS = tuple(_OVERLOAD)  # detected by lab/benchmarks/overload.py
 SLOW_START_FAULT_CASES = {
     "counts-others-only": "most-jump",
     "three-for-granted": "most-jump",
     "forgets-spent": "restarts",
 }
-"""The case of `lab slow-start` that catches each of these at 30 gateways, by the rule `cold_sum`.
+"""The case of `lab slow-start` that detects each fault with 30 gateways, by the rule `cold_sum`.
 
-Three gateways have too few attempts in flight at a server to break it, whatever the fault.
+Three gateways never have enough attempts in flight on a server to break the rule, whatever the fault.
 """
 
 
 def faulty_gateway_factory(fault: str) -> GatewayFactory:
-    """What makes gateways with this fault; KeyError for an unknown one."""
+    """Return a factory of gateways with this fault; KeyError if the fault is unknown."""
     if fault == "answers-twice":
-        return AnswersTwice
-    return partial(VirtualGateway, wrap=(_EVERYDAY | _SLOW_START | _OVERLOAD)[fault])
+        return RespondsTwice
+    return partial(VirtualGateway, wrap=(_GENERAL | _SLOW_START | _OVERLOAD)[fault])
--- a/sagetrack/lab/virtual/gateway.py
+++ b/sagetrack/lab/virtual/gateway.py
@@ -1,6 +1,6 @@
-"""A virtual gateway: a `LoadBalancer`, and what the real gateway does around it.
+"""A virtual gateway: a `LoadBalancer`, and a model of the rest of a gateway process around it.
 
-It keeps connection pools and timeouts, sends attempts to servers, and gives each client one final response.
+It manages connection pools and timeouts, sends attempts to servers, and sends each client one final response.
 """
 
 from __future__ import annotations
@@ -35,34 +35,34 @@
     Result.MALFORMED: Outcome.ERROR,
     Result.RESET: Outcome.RESET,
 }
-REUSABLE_AFTER = (Outcome.OK, Outcome.REJECTED, Outcome.ERROR)  # the connection is intact after these
+REUSABLE_AFTER = (Outcome.OK, Outcome.REJECTED, Outcome.ERROR)  # outcomes that leave the connection usable
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One sending of a request to a server."""
+    """One attempt of a request on an upstream server."""
 
     number: int  # within its request, from 0
     server: int
     sent_us: int
-    timer: Timer | None = None
-    written: bool = False
+    timer: Timer | None = None  # fires at the attempt's timeout
+    written: bool = False  # whether it was sent on an established connection
     ended: bool = False
-    job: Job | None = None  # once the server has it
+    job: Job | None = None  # set when the server receives the attempt
 
 
 @dataclass(slots=True, eq=False)
 class ProxiedRequest:
-    """A request that has no final response yet, or whose attempts have not all ended."""
+    """A request without a final response, or with attempts that have not ended."""
 
     client_attempt: ClientAttempt
-    attempts: list[UpstreamAttempt | None] = field(default_factory=list)  # None: not sent
+    attempts: list[UpstreamAttempt | None] = field(default_factory=list)  # None: an attempt that was not sent
     in_flight: int = 0
-    closed: bool = False  # it has its final response, or the client is gone
+    closed: bool = False  # a final response was sent, or the client has disconnected
 
     @property
     def id(self) -> str:
-        """The identifier that the decision module and the servers see."""
+        """The identifier that the decision module and the servers use."""
         return self.client_attempt.call_id
 
 
@@ -77,42 +77,42 @@
         seed: int,
         wrap: Callable[[LoadBalancer, VirtualGateway], Balancer] | None = None,
     ) -> None:
-        """Make a gateway; `wrap` may put a proxy in the place of its decision module."""
+        """Create a gateway; `wrap` may replace its decision module by a proxy."""
         self.network = network
         self.world = network.world
         self.clock = network.clock
         self.number = number
         self.requests: dict[str, ProxiedRequest] = {}
         self.dead = False
-        self.load_balancer = LoadBalancer(settings, seed)  # as it is without a proxy
+        self.load_balancer = LoadBalancer(settings, seed)  # the decision module without a proxy
         self.balancer: Balancer = self.load_balancer if wrap is None else wrap(self.load_balancer, self)
         self._pool = ConnectionPool(self.world.scenario.fleet.idle_s)
-        self._node: PeerNode | None = None
+        self._peer_node: PeerNode | None = None
         if self.world.scenario.peers.use:
-            self._node = PeerNode(network, number, seed, self.balancer, self.handle)
+            self._peer_node = PeerNode(network, number, seed, self.balancer, self.handle)
 
     def handle(self, event: Event) -> None:
-        """Give the decision module an event and carry out its actions; a dead gateway does nothing."""
+        """Pass an event to the decision module and execute its actions; ignored by a dead gateway."""
         if self.dead:
             return
         for action in self.balancer.handle(self.clock.now_us() + GATEWAY_EPOCH_US, event):
-            self._carry_out(action)
+            self._execute(action)
 
     def receive_datagram(self, data: bytes) -> None:
-        """Take a datagram from another gateway."""
-        if self._node is not None:
-            self._node.receive(data)
+        """Handle a datagram from another gateway."""
+        if self._peer_node is not None:
+            self._peer_node.receive(data)
 
     def kill(self) -> None:
-        """End at once: all clients that wait see their connections break."""
+        """Terminate at once: the connections of all waiting clients are closed without a response."""
         self.dead = True
-        if self._node is not None:
-            self._node.stop()
+        if self._peer_node is not None:
+            self._peer_node.stop()
         for request in self.requests.values():
             if not request.closed:
                 self.network.respond(request.client_attempt, "broken", 0)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SendAttempt():
                 self._send_attempt(action)
@@ -133,7 +133,7 @@
     # Requests
 
     def receive(self, attempt: ClientAttempt) -> None:
-        """Take a request that a client has sent."""
+        """Handle an attempt that a client has sent."""
         request = attempt.request
         self.requests[attempt.call_id] = ProxiedRequest(attempt)
         marks_retry = self.world.scenario.clients.marks_retry and attempt.number > 1
@@ -150,14 +150,14 @@
         self.handle(event)
 
     def on_disconnect(self, attempt: ClientAttempt) -> None:
-        """The client has closed the connection of its attempt."""
+        """Cancel the request of a client that has closed its connection."""
         request = self.requests.get(attempt.call_id)
         if request is not None and not request.closed:
             self.close(request)
             self.handle(RequestCancelled(attempt.call_id))
 
     def respond(self, request_id: str, verdict: str, retry_after_us: int) -> None:
-        """Give a request its final response, unless it has one."""
+        """Send the final response of a request, unless one has been sent."""
         request = self.requests.get(request_id)
         if request is None or request.closed:
             return
@@ -165,7 +165,7 @@
         self.network.respond(request.client_attempt, verdict, retry_after_us)
 
     def close(self, request: ProxiedRequest) -> None:
-        """Mark a request as done with, and forget it if none of its attempts is in flight."""
+        """Mark a request as closed, and drop it if none of its attempts is in flight."""
         request.closed = True
         if request.in_flight == 0:
             self.requests.pop(request.id, None)
@@ -178,7 +178,7 @@
             return
         number = len(request.attempts)
         if request.closed or number >= self.world.scenario.gateways.max_attempts:
-            self._refuse_to_send(request, action.server)
+            self._report_not_sent(request, action.server)
             return
         now = self.clock.now_us()
         attempt = UpstreamAttempt(number, action.server, now)
@@ -195,14 +195,14 @@
         else:
             self._connect(request, attempt, delay_us)
 
-    def _refuse_to_send(self, request: ProxiedRequest, server: int) -> None:
+    def _report_not_sent(self, request: ProxiedRequest, server: int) -> None:
         number = len(request.attempts)
         request.attempts.append(None)
         event = AttemptEnded(request.id, number, server, Outcome.NOT_SENT, 0, request.closed)
         self.clock.call_at(self.clock.now_us(), partial(self.handle, event))
 
     def _connect(self, request: ProxiedRequest, attempt: UpstreamAttempt, delay_us: int) -> None:
-        """Open a connection: it is up after one round trip, or fails."""
+        """Open a connection: it is established after one round trip, or fails."""
         now, world = self.clock.now_us(), self.world
         is_reachable = world.network.can_reach(self.number, attempt.server)
         if not is_reachable or attempt.server in world.server_fleet.unresponsive:
@@ -223,7 +223,7 @@
         self.clock.call_at(self.clock.now_us() + delay_us, lambda: self._deliver(request, attempt, True))
 
     def _deliver(self, request: ProxiedRequest, attempt: UpstreamAttempt, is_new_connection: bool) -> None:
-        """The attempt's last byte reaches its server."""
+        """Deliver an attempt whose last byte has reached its server."""
         if self.dead or (attempt.ended and not attempt.written):
             return
         fleet = self.world.server_fleet
@@ -233,7 +233,7 @@
                 self._return_outcome(request, attempt, Outcome.RESET)
             return
         if not self.world.network.can_reach(self.number, attempt.server):
-            return  # it is lost, and nobody is informed
+            return  # the attempt is lost; the gateway learns of it only by its timeout
         job = self._make_job(request, attempt, is_new_connection)
         attempt.job = job
         if fleet.receive(server, job, self.number, attempt.sent_us) is Result.REJECTED:
@@ -259,7 +259,7 @@
             self._return_outcome(request, attempt, OUTCOMES[result])
 
     def _return_outcome(self, request: ProxiedRequest, attempt: UpstreamAttempt, outcome: Outcome) -> None:
-        """A server's response sets out for the gateway."""
+        """Return a server's outcome to the gateway, after the network delay."""
         delay_us = self.network.server_delay_us(self.number, attempt.server)
         due_us = self.clock.now_us() + delay_us
         self.clock.call_at(due_us, lambda: self._end_attempt(request, attempt, outcome))
@@ -283,14 +283,14 @@
         )
 
     def _disconnect(self, attempt: UpstreamAttempt) -> None:
-        """Close the connection of an attempt that is given up; its server learns of it a little later."""
+        """Close the connection of a cancelled attempt; its server is notified after the network delay."""
         job = attempt.job
         if job is None:
             return
         delay_us = self.network.server_delay_us(self.number, attempt.server)
-        self.clock.call_at(self.clock.now_us() + delay_us, partial(self._inform_server, attempt.server, job))
+        self.clock.call_at(self.clock.now_us() + delay_us, partial(self._notify_server, attempt.server, job))
 
-    def _inform_server(self, number: int, job: Job) -> None:
+    def _notify_server(self, number: int, job: Job) -> None:
         fleet = self.world.server_fleet
         if number in fleet.servers:
             fleet.cancel(fleet.servers[number], job)
--- a/sagetrack/lab/virtual/network.py
+++ b/sagetrack/lab/virtual/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: delays and losses between clients, gateways and servers."""
+"""The simulated network: delay and loss between clients, gateways and servers."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class PeerEndpoint(Protocol):
-    """A gateway as the network knows it."""
+    """A gateway as the receiver of peer messages."""
 
     def handle(self, event: Event) -> None:
-        """Take an event of the decision module."""
+        """Pass an event to the decision module."""
         ...
 
     def receive_datagram(self, data: bytes) -> None:
-        """Take a datagram of the gateways' own protocol."""
+        """Receive a datagram of the peer protocol."""
         ...
 
 
 class VirtualNetwork:
-    """Delivers what parties send each other; owns the random stream of delays and losses."""
+    """Delivers messages and owns the random stream for delay and loss."""
 
     def __init__(self, world: World, clock: SimClock, gateways: Mapping[int, PeerEndpoint]) -> None:
-        """Deliver to `gateways`: those that are up at the time, by number."""
+        """Create the network; `gateways` maps the numbers of the running gateways to receivers."""
         self.world = world
         self.clock = clock
         self._gateways = gateways
@@ -42,20 +42,20 @@
         return int(network.client_ms * 1000 * self._draw_jitter())
 
     def server_delay_us(self, gateway: int, server: int) -> int:
-        """Draw the one-way delay between a gateway and a server; an unlisted server counts as near."""
+        """Draw the one-way delay between a gateway and a server; an unlisted server counts as same-zone."""
         network = self.world.scenario.network
         entry = self.world.registry.entries.get(server)
-        is_near = entry is None or entry.zone == gateway % self.world.context.zone_count
-        base_ms = network.same_zone_ms if is_near else network.cross_zone_ms
+        is_same_zone = entry is None or entry.zone == gateway % self.world.context.zone_count
+        base_ms = network.same_zone_ms if is_same_zone else network.cross_zone_ms
         return int(base_ms * 1000 * self._draw_jitter())
 
     def respond(self, attempt: ClientAttempt, verdict: str, retry_after_us: int) -> None:
-        """Send a client the response to its attempt."""
+        """Send the response to an attempt to its client."""
         due_us = self.clock.now_us() + self.client_delay_us()
         self.clock.call_at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
 
     def send_peer_message(self, sender: int, action: SendToPeers) -> None:
-        """Send a message of the decision module to one gateway, or to all others (a negative peer)."""
+        """Send a message of the decision module to one gateway, or to all others if `peer` is negative."""
         for target in self._gateways if action.peer < 0 else [action.peer]:
             if target == sender or self._is_lost():
                 continue
@@ -63,7 +63,7 @@
             self.clock.call_at(self._peer_arrival_us(), partial(self._deliver_message, target, message))
 
     def send_datagram(self, sender: int, target: int, data: bytes) -> None:
-        """Send a datagram of the gateways' own protocol; partitions by zone cut it too."""
+        """Send a datagram of the peer protocol, unless it is lost or a partition separates the gateways."""
         if self._is_lost() or not self.world.network.can_peers_reach(sender, target):
             return
         self.clock.call_at(self._peer_arrival_us(), partial(self._deliver_datagram, target, data))
--- a/sagetrack/lab/virtual/peer_node.py
+++ b/sagetrack/lab/virtual/peer_node.py
@@ -1,4 +1,4 @@
-"""What a virtual gateway exchanges with the others: the real state machines on the simulated clock."""
+"""The peer protocol of a virtual gateway: the production state machines on the simulated clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from sagetrack.peers.warm_start import WarmStartClient, WarmStartServer
 from sagetrack.policy.events import Event, FleetSizeChanged, ObservationsReceived, PeerDemands
 
-MIN_WAKE_US = 1000  # from one wake-up to the next
+MIN_WAKE_INTERVAL_US = 1000  # minimum time between two wake-ups
 
 
 class PeerNode:
@@ -37,14 +37,14 @@
         balancer: Balancer,
         handle: Callable[[Event], None],
     ) -> None:
-        """Join the others; what is learned goes to the decision module by `handle`."""
+        """Join the other gateways; `handle` passes what is learned to the decision module."""
         self._network = network
         self._clock = network.clock
         self._number = number
         self._balancer = balancer
         self._handle = handle
         self._stopped = False
-        self._planned_us = -1
+        self._next_wake_us = -1
         scenario = network.world.scenario
         count, now = scenario.fleet.gateways, self._clock.now_us()
         settings = MembershipSettings(period_us=int(scenario.peers.period_ms * 1000))
@@ -52,7 +52,8 @@
         self._membership = Membership(number, count, settings, seed, now, self._send, incarnation)
         self._membership.on_change = lambda member, state: handle(FleetSizeChanged(self._membership.alive))
         self._warm_start_client: WarmStartClient | None = None
-        if scenario.peers.warm_start and now > 0:  # nobody knows anything when a run begins
+        # At the start of a run no gateway has observations to share.
+        if scenario.peers.warm_start and now > 0:
             others = [other for other in range(count) if other != number]
             self._warm_start_client = WarmStartClient(others, seed ^ 1, now, self._request_warm_start)
         self._warm_start_server = WarmStartServer(now)
@@ -62,11 +63,11 @@
         self._clock.call_at(now, self._wake)
 
     def stop(self) -> None:
-        """Send nothing more, as the gateway has died."""
+        """Stop sending, because the gateway has died."""
         self._stopped = True
 
     def receive(self, data: bytes) -> None:
-        """Take a datagram from another gateway."""
+        """Handle a datagram from another gateway."""
         datagram = decode(data)
         self._membership.handle(self._clock.now_us(), datagram)
         for message in datagram.messages:
@@ -74,9 +75,9 @@
                 case WarmStartRequest():
                     self._serve_warm_start(datagram.sender, message)
                 case WarmStartResponse():
-                    self._take_warm_start(datagram.sender, message)
+                    self._handle_warm_start(datagram.sender, message)
                 case DemandGossip():
-                    self._take_demands(datagram.sender, message)
+                    self._handle_demands(datagram.sender, message)
                 case _:
                     pass
         self._wake()
@@ -87,7 +88,7 @@
         for part in self._warm_start_server.respond(now, request, observations, latencies):
             self._send_message(sender, part)
 
-    def _take_warm_start(self, sender: int, response: WarmStartResponse) -> None:
+    def _handle_warm_start(self, sender: int, response: WarmStartResponse) -> None:
         if self._warm_start_client is None:
             return
         now = self._clock.now_us() + GATEWAY_EPOCH_US
@@ -95,7 +96,7 @@
         observations = self._warm_start_client.handle(now, sender, response, started_us)
         self._handle(ObservationsReceived(tuple(observations), decode_latencies(response.classes)))
 
-    def _take_demands(self, sender: int, message: DemandGossip) -> None:
+    def _handle_demands(self, sender: int, message: DemandGossip) -> None:
         admission = self._balancer.admission
         if admission is not None:
             self._handle(PeerDemands(sender, decode_demands(message, len(admission.shares))))
@@ -115,7 +116,7 @@
         self._send_message(target, request)
 
     def _wake(self) -> None:
-        """Do what is due, and schedule the next wake-up."""
+        """Do the work that is due, and schedule the next wake-up."""
         if self._stopped:
             return
         now = self._clock.now_us()
@@ -127,9 +128,9 @@
         if self._demand_schedule is not None:
             self._send_demands(self._demand_schedule, now)
             due_us = min(due_us, self._demand_schedule.due_us)
-        if due_us != self._planned_us:
-            self._planned_us = due_us
-            self._clock.call_at(max(due_us, now + MIN_WAKE_US), lambda: self._wake_as_planned(due_us))
+        if due_us != self._next_wake_us:
+            self._next_wake_us = due_us
+            self._clock.call_at(max(due_us, now + MIN_WAKE_INTERVAL_US), lambda: self._on_wake_due(due_us))
 
     def _send_demands(self, schedule: DemandGossipSchedule, now_us: int) -> None:
         admission = self._balancer.admission
@@ -140,7 +141,7 @@
             if message is not None:
                 self._send_message(target, message)
 
-    def _wake_as_planned(self, due_us: int) -> None:
-        if self._planned_us == due_us:  # else another wake-up was planned meanwhile
-            self._planned_us = -1
+    def _on_wake_due(self, due_us: int) -> None:
+        if self._next_wake_us == due_us:  # otherwise another wake-up has replaced this one
+            self._next_wake_us = -1
             self._wake()
--- a/sagetrack/lab/virtual/simulation.py
+++ b/sagetrack/lab/virtual/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a scenario in virtual time, with the decision modules in this process and without sockets."""
+"""Runs a scenario in virtual time, with the decision modules in this process and without sockets."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from sagetrack.lab.virtual.gateway import VirtualGateway
 from sagetrack.lab.virtual.gateways import GatewayFactory, VirtualGateways
 
-MAX_TAIL_US = 30_000_000  # a run ends at the latest this long after its last arrival
-PROGRESS_REPORTS = 200  # in a run
-COMPLETION_CHECK_INTERVAL = 256  # events from one check to the next
+MAX_TAIL_US = 30_000_000  # a run ends at most this long after its last arrival
+PROGRESS_REPORTS = 200  # number of progress reports per run
+COMPLETION_CHECK_INTERVAL = 256  # number of events between two checks whether the run is complete
 
 FleetFactory = Callable[[World, SimClock, GatewayFactory], VirtualGateways]
 
@@ -28,30 +28,30 @@
     fault: str = "",
     fleet: FleetFactory = VirtualGateways,
 ) -> Records:
-    """Play a scenario; the records are the same, byte for byte, for the same scenario and seed.
+    """Run a scenario and return its records, which are byte-identical for the same scenario and seed.
 
     Args:
-        scenario: What is played.
-        seed: What all random figures follow from.
-        progress: Called with the share of the run that is over.
-        sample_s: How often each server's load is recorded; 0: never.
-        fault: A deliberate fault of all gateways, by its name in `faulty_gateways`.
-        fleet: Makes the gateways.
+        scenario: The scenario to run.
+        seed: The seed from which all random values are derived.
+        progress: Called regularly with the share of the run that has passed.
+        sample_s: The interval at which the load of each server is recorded; 0: never.
+        fault: The name of a deliberate fault of all gateways, as in `faulty_gateways`; empty: none.
+        fleet: Creates the driver of the gateways.
 
     Raises:
-        ValueError: The scenario has DNS, which is played in real time only.
+        ValueError: The scenario has DNS load, which is only possible in real time.
         KeyError: The fault is unknown.
     """
     if scenario.dns.rate:
-        raise ValueError(f"{scenario.name}: DNS is played in real time only")
+        raise ValueError(f"scenario {scenario.name}: DNS load (dns.rate) runs in real time only")
     clock, records = SimClock(), Records()
     world = World(scenario, seed, clock, records)
     records.header["driver"] = "virtual"
-    make: GatewayFactory = VirtualGateway
+    gateway_factory: GatewayFactory = VirtualGateway
     if fault:
-        make = faulty_gateway_factory(fault)
+        gateway_factory = faulty_gateway_factory(fault)
         records.header["fault"] = fault
-    gateways = fleet(world, clock, make)
+    gateways = fleet(world, clock, gateway_factory)
     world.gateway_fleet.driver = gateways
     world.prepare()
     gateways.start()
@@ -61,7 +61,7 @@
 
 
 def _run(world: World, clock: SimClock, progress: Callable[[float], None] | None, sample_s: float) -> None:
-    """Let time pass until all requests have ended."""
+    """Advance the clock until all requests have ended."""
     duration_us = int(world.scenario.seconds * 1e6)
     if progress is not None:
         clock.call_at(0, partial(_report_progress, clock, duration_us, progress))
@@ -72,7 +72,7 @@
 
 
 def _report_progress(clock: SimClock, duration_us: int, progress: Callable[[float], None]) -> None:
-    """Report progress, now and regularly until the last arrival."""
+    """Report progress now, and regularly until the last arrival."""
     now = clock.now_us()
     progress(min(1.0, now / duration_us))
     if now < duration_us:
@@ -81,7 +81,7 @@
 
 
 def _sample_load(world: World, duration_us: int, interval_us: int) -> None:
-    """Record each server's load, now and regularly until the last arrival."""
+    """Record the load of each server now, and regularly until the last arrival."""
     for server in world.server_fleet.servers.values():
         is_degraded = server.is_degraded
         world.context.record("load", server.number, server.request_count, len(server.running), is_degraded)
@@ -90,14 +90,14 @@
 
 
 class _Completion:
-    """Whether all requests have ended, without counting them at each event."""
+    """Detects that all requests have ended, without counting them after every event."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._event_count = 0
 
     def is_reached(self) -> bool:
-        """Called after each event; only some of the calls check."""
+        """Return whether all requests have ended; checked in one of `COMPLETION_CHECK_INTERVAL` calls."""
         if not self._world.arrivals.finished:
             return False
         self._event_count += 1
