--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -1,4 +1,4 @@
-"""A burst on a virtual fleet: servers that all gateways crowd together jam, unless a bound holds the sum."""
+"""Bursts on a virtual fleet: the servers degrade unless the gateways limit their total concurrency."""
 
 from __future__ import annotations
 
@@ -12,78 +12,79 @@
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.benchmarks.overload import OverloadFigures, figures, measure, percentiles, scenario_for
 
-SMALL = {"fleet.servers": 20, "seconds": 30, "trouble.1.at_s": 8, "trouble.1.seconds": 7}  # for CI
+# A small fleet and a short run, to keep the tests fast.
+SMALL = {"fleet.servers": 20, "seconds": 30, "trouble.1.at_s": 8, "trouble.1.seconds": 7}
 
 
-def small(gateways: int, size: float, fault: str = "", **more: object) -> OverloadFigures:
-    made, broken = measure(gateways, size, 1, fault, SMALL | more)
-    assert not broken
-    return made
+def measure_small(gateways: int, size: float, fault: str = "", **more: object) -> OverloadFigures:
+    measured, violations = measure(gateways, size, 1, fault, SMALL | more)
+    assert not violations
+    return measured
 
 
 @pytest.mark.parametrize("size", [1.5, 2.5])
 @pytest.mark.parametrize("gateways", [20, 80])
-def test_goodput_stays_in_a_burst_and_is_back_after_it(gateways: int, size: float) -> None:
-    made = small(gateways, size)
-    assert made.during >= 0.9 and made.after >= 0.9
+def test_goodput_holds_during_and_after_a_burst(gateways: int, size: float) -> None:
+    measured = measure_small(gateways, size)
+    assert measured.during >= 0.9 and measured.after >= 0.9
 
 
 @pytest.mark.parametrize("gateways", [20, 80])
-def test_whole_places_for_each_gateway_collapse_and_do_not_return(gateways: int) -> None:
-    """What it was before, kept as a planted fault: the lab's servers jam as the operators say theirs do."""
-    made = small(gateways, 2.5, "whole-places")
-    assert made.during < 0.5 and made.after < 0.7 and made.overloaded > 0.3
+def test_goodput_collapses_without_the_concurrency_limit_and_does_not_recover(gateways: int) -> None:
+    """The fault `whole-places` removes the limit; servers degrade as operators have observed."""
+    measured = measure_small(gateways, 2.5, "whole-places")
+    assert measured.during < 0.5 and measured.after < 0.7 and measured.overloaded > 0.3
 
 
-def test_few_gateways_know_what_servers_hold() -> None:
-    """With as many places as gateways nothing is kept over time, and nothing has to be."""
-    made, same = small(3, 2.5), small(3, 2.5, "whole-places")
-    assert made.during >= 0.9 and made.after >= 0.9
-    assert made.in_flight == same.in_flight and made.served == pytest.approx(same.served, abs=0.01)
+def test_few_gateways_need_no_shared_concurrency_limit() -> None:
+    """A server has a slot for each of three gateways, so the fault `whole-places` changes nothing."""
+    correct, faulty = measure_small(3, 2.5), measure_small(3, 2.5, "whole-places")
+    assert correct.during >= 0.9 and correct.after >= 0.9
+    assert correct.in_flight == faulty.in_flight and correct.served == pytest.approx(faulty.served, abs=0.01)
 
 
-def test_servers_of_many_cores_are_not_held_to_the_places_of_one() -> None:
-    """The bound is a guess for servers of one core; answers that come unhindered tell that there is more."""
+def test_servers_with_many_cores_exceed_the_limit_assumed_for_one_core() -> None:
+    """The limit assumes one core per server; responses without queueing show that there is more capacity."""
     cores: dict[str, Any] = {"fleet.servers": 10, "fleet.cores": 4, "load.use": 0.7}
-    made, broken = measure(20, 1.3, 1, "", SMALL | cores)
-    assert not broken and made.served_before > 0.97 and made.during > 1.1 and made.after > 0.9
+    measured, violations = measure(20, 1.3, 1, "", SMALL | cores)
+    assert not violations and measured.served_before > 0.97 and measured.during > 1.1 and measured.after > 0.9
 
 
 @pytest.mark.parametrize("dead", [0.25, 0.5])
-def test_goodput_stays_while_gateways_are_dead_and_nobody_knows(dead: float) -> None:
-    """The number is the settings' then: too large a one makes each part small, and the sum stays within."""
-    made, broken = measure(40, 1.5, 1, "", SMALL, dead)
-    assert not broken and made.overloaded < 0.05
-    assert made.after >= 0.9
+def test_goodput_holds_while_dead_gateways_are_undetected(dead: float) -> None:
+    """Each gateway assumes the configured fleet size, so its share of the limit is too small at worst."""
+    measured, violations = measure(40, 1.5, 1, "", SMALL, dead)
+    assert not violations and measured.overloaded < 0.05
+    assert measured.after >= 0.9
 
 
-def test_the_figures_by_hand() -> None:
+def test_figures_of_handmade_records() -> None:
     scenario = scenario_for(5, 2.0, {"seconds": 30, "trouble.1.at_s": 10, "trouble.1.seconds": 5})
     records = Records({"seed": 7})
     for second in range(30):
         for n in range(10):
             good = n < (8 if second < 10 else 4 if second < 15 else 6)
-            asked = second * 1_000_000 + n
-            row = ("request", asked + 5, f"{second}-{n}", 0, 0, "served" if good else "refused", asked, 1)
+            due_us = second * 1_000_000 + n
+            row = ("request", due_us + 5, f"{second}-{n}", 0, 0, "served" if good else "refused", due_us, 1)
             records.rows.append(row)
         records.rows.append(("load", second * 1_000_000, 1, second % 3, 1, second in (12, 13, 14)))
-    made = figures(records, scenario)
-    assert (made.goodput_before, made.served_before) == (8.0, 0.8)
-    assert (made.during, made.after) == (0.5, 0.75)
-    assert made.overloaded == pytest.approx(0.1)
-    assert made.in_flight == {"p50": 1, "p90": 2, "p99": 2, "max": 2}  # of 1, 2, 0, 1, 2
+    measured = figures(records, scenario)
+    assert (measured.goodput_before, measured.served_before) == (8.0, 0.8)
+    assert (measured.during, measured.after) == (0.5, 0.75)
+    assert measured.overloaded == pytest.approx(0.1)
+    assert measured.in_flight == {"p50": 1, "p90": 2, "p99": 2, "max": 2}  # the samples are 1, 2, 0, 1, 2
 
 
-def test_percentiles_of_nothing() -> None:
+def test_percentiles_without_samples_are_0() -> None:
     from collections import Counter
 
     assert percentiles(Counter()) == {"p50": 0, "p90": 0, "p99": 0, "max": 0}
 
 
-def test_the_command_prints_one_array() -> None:
-    done = CliRunner().invoke(app, ["lab", "overload", "--gateways", "3", "--size", "1.5", "--json"])
-    (row,) = json.loads(done.stdout.splitlines()[-1])
-    assert done.exit_code == 0 and row["gateways"] == 3 and row["size"] == 1.5 and not row["broken"]
+def test_the_command_prints_a_json_array() -> None:
+    result = CliRunner().invoke(app, ["lab", "overload", "--gateways", "3", "--size", "1.5", "--json"])
+    (row,) = json.loads(result.stdout.splitlines()[-1])
+    assert result.exit_code == 0 and row["gateways"] == 3 and row["size"] == 1.5 and not row["broken"]
 
 
 @pytest.mark.parametrize(
@@ -100,7 +101,7 @@
         ("--fault", "unknown"),
     ],
 )
-def test_an_option_out_of_range_is_one_line(options: tuple[str, ...]) -> None:
-    done = CliRunner().invoke(app, ["lab", "overload", *options])
-    assert done.exit_code == 2
-    assert done.stderr.startswith("sagetrack: ") and done.stderr.count("\n") == 1 and not done.stdout
+def test_an_invalid_option_is_reported_in_one_line(options: tuple[str, ...]) -> None:
+    result = CliRunner().invoke(app, ["lab", "overload", *options])
+    assert result.exit_code == 2
+    assert result.stderr.startswith("sagetrack: ") and result.stderr.count("\n") == 1 and not result.stdout
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab in virtual time: scenarios are checked, runs repeat, judges catch what is wrong, sweeps resume."""
+"""The lab in virtual time: validation of scenarios, reproducible runs, the judges, and resumable sweeps."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 @pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.toml")), ids=lambda path: path.stem)
-def test_each_scenario_that_ships_can_be_read(path: Path) -> None:
+def test_each_bundled_scenario_is_valid(path: Path) -> None:
     scenario = load_scenario(path)
     assert scenario.name == path.stem and scenario.about
 
 
-def test_a_scenario_with_a_typo_names_the_line(tmp_path: Path) -> None:
+def test_an_invalid_value_is_reported_with_its_line(tmp_path: Path) -> None:
     path = tmp_path / "typo.toml"
     path.write_text('name = "typo"\n[[trouble]]\nkind = "slwo"\nat_s = 90\n')
     with pytest.raises(FileError) as caught:
@@ -53,7 +53,7 @@
     )
 
 
-def test_what_types_cannot_tell_is_checked_too() -> None:
+def test_faults_that_types_cannot_express_are_reported() -> None:
     with pytest.raises(FileError, match="after the last arrival"):
         with_overrides(SHORT, {"seconds": 5.0})
     with pytest.raises(FileError, match="no such key"):
@@ -63,17 +63,19 @@
 # The model of a server
 
 
-class Bench:
-    """One server, and what it did."""
+class ServerRig:
+    """One server, with the results of its jobs and whether each had an effect."""
 
     def __init__(
-        self, cold: bool = False, racks: dict[str, IdempotencyKeys] | None = None, **fleet: object
+        self, cold: bool = False, keys: dict[str, IdempotencyKeys] | None = None, **fleet_settings: object
     ) -> None:
-        keys = racks or {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
-        made = Fleet(speed=(1.0, 1.0), **fleet)  # type: ignore[arg-type]
-        self.runs: list[bool] = []
-        self.ends: list[tuple[int, Result]] = []
-        self.server = Server(1, made, 0, 0, 1.0, 0, cold, keys, lambda job, effect: self.runs.append(effect))
+        keys = keys or {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
+        fleet = Fleet(speed=(1.0, 1.0), **fleet_settings)  # type: ignore[arg-type]
+        self.effects: list[bool] = []
+        self.results: list[tuple[int, Result]] = []
+        self.server = Server(
+            1, fleet, 0, 0, 1.0, 0, cold, keys, lambda job, effect: self.effects.append(effect)
+        )
 
     def send(self, now_us: int, work_us: float = 10_000, key: int | None = None) -> Result | None:
         job = Job(
@@ -83,94 +85,95 @@
             5_000_000,
             "rack",
             10**9,
-            lambda job, r: self.ends.append((self.server.now_us, r)),
+            lambda job, result: self.results.append((self.server.now_us, result)),
         )
         return self.server.receive(now_us, job)
 
 
-def test_a_server_works_through_its_queue_and_turns_away_beyond_it() -> None:
-    bench = Bench(waiting_per_core=2)
-    assert [bench.send(0) for _ in range(4)] == [None, None, None, Result.REJECTED]
-    bench.server.advance(1_000_000)
-    assert bench.ends == [(10_000, Result.SERVED), (20_000, Result.SERVED), (30_000, Result.SERVED)]
+def test_a_server_processes_its_queue_and_rejects_requests_beyond_it() -> None:
+    rig = ServerRig(waiting_per_core=2)
+    assert [rig.send(0) for _ in range(4)] == [None, None, None, Result.REJECTED]
+    rig.server.advance(1_000_000)
+    assert rig.results == [(10_000, Result.SERVED), (20_000, Result.SERVED), (30_000, Result.SERVED)]
 
 
-def test_requests_that_end_together_all_end() -> None:
-    bench = Bench(cores=4)
+def test_requests_that_complete_at_the_same_time_all_end() -> None:
+    rig = ServerRig(cores=4)
     for _ in range(9):
-        bench.send(0)
+        rig.send(0)
     for _ in range(3):
-        due = bench.server.next_event_us()
+        due = rig.server.next_event_us()
         assert due is not None
-        bench.server.advance(due)
-    assert [now for now, _ in bench.ends] == [10_000] * 4 + [20_000] * 4 + [30_000]
+        rig.server.advance(due)
+    assert [now for now, _ in rig.results] == [10_000] * 4 + [20_000] * 4 + [30_000]
 
 
-def test_a_cold_server_is_slow_and_falls_over_when_pushed() -> None:
-    bench = Bench(cold=True, cold_share=0.2, cold_s=10.0, fall_multiple=4.0, fall_s=3.0)
-    bench.send(0)
-    bench.server.advance(200_000)
-    assert 49_000 <= bench.ends[0][0] <= 50_000  # a fifth of its speed, and a little more by then
+def test_a_cold_server_is_slow_and_crashes_under_overload() -> None:
+    rig = ServerRig(cold=True, cold_share=0.2, cold_s=10.0, fall_multiple=4.0, fall_s=3.0)
+    rig.send(0)
+    rig.server.advance(200_000)
+    # The server has a fifth of its speed at the start, and slightly more at the end of the request.
+    assert 49_000 <= rig.results[0][0] <= 50_000
     budget_us = 1.1 * 4.0 * 0.2 * 3_000_000
     sent = 0.0
-    while not bench.server.down:
+    while not rig.server.down:
         sent += 50_000
-        bench.send(200_001, 50_000)
+        rig.send(200_001, 50_000)
         assert sent < 2 * budget_us
     assert budget_us - 100_000 <= sent <= budget_us * 1.1
-    assert bench.ends[-1][1] is Result.RESET
+    assert rig.results[-1][1] is Result.RESET
 
 
-def test_a_crowded_server_stays_slow_until_it_was_left_alone() -> None:
+def test_an_overloaded_server_stays_slow_until_it_has_been_mostly_idle() -> None:
     choke = DegradationRules(
         queue_per_core=2, overloaded_s=0.5, slowdown=4.0, calm_s=2.0, calm_utilization=0.3, max_s=60.0
     )
-    bench = Bench(choke=choke)
+    rig = ServerRig(choke=choke)
     for _ in range(15):
-        bench.send(0, 200_000)
-    bench.server.advance(1_000_000)
-    assert bench.server.is_degraded
-    assert math.isclose(bench.server.rate(1_000_000), 0.25)
-    while bench.server.request_count:
-        bench.server.advance(bench.server.now_us + 100_000)
-    calm = bench.server.now_us
-    assert bench.server.is_degraded
-    bench.server.advance(calm + 1_000_000)
-    assert bench.server.is_degraded
-    bench.server.advance(calm + 4_000_000)
-    assert not bench.server.is_degraded
-
-
-def test_a_key_has_its_effect_once_in_its_rack_and_again_after_its_window() -> None:
-    rack = {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
-    one, other = Bench(racks=rack), Bench(racks=rack)
-    far = Bench()
+        rig.send(0, 200_000)
+    rig.server.advance(1_000_000)
+    assert rig.server.is_degraded
+    assert math.isclose(rig.server.rate(1_000_000), 0.25)
+    while rig.server.request_count:
+        rig.server.advance(rig.server.now_us + 100_000)
+    idle_us = rig.server.now_us
+    assert rig.server.is_degraded
+    rig.server.advance(idle_us + 1_000_000)
+    assert rig.server.is_degraded
+    rig.server.advance(idle_us + 4_000_000)
+    assert not rig.server.is_degraded
+
+
+def test_a_key_has_one_effect_per_rack_within_its_window() -> None:
+    shared_keys = {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
+    one, other = ServerRig(keys=shared_keys), ServerRig(keys=shared_keys)
+    other_rack = ServerRig()
     one.send(0, key=7)
     other.send(1_000, key=7)
-    far.send(1_000, key=7)
+    other_rack.send(1_000, key=7)
     other.send(5_100_000, key=7)
-    assert (one.runs, other.runs, far.runs) == ([True], [False, True], [True])
+    assert (one.effects, other.effects, other_rack.effects) == ([True], [False, True], [True])
 
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 50_000), st.floats(1.0, 80_000.0)), min_size=1, max_size=60))
-def test_every_request_that_a_server_takes_ends_once(steps: list[tuple[int, float]]) -> None:
-    bench = Bench(cores=2, waiting_per_core=5, choke=DegradationRules(queue_per_core=1, overloaded_s=0.05))
-    now, taken = 0, 0
+def test_every_accepted_request_ends_once(steps: list[tuple[int, float]]) -> None:
+    rig = ServerRig(cores=2, waiting_per_core=5, choke=DegradationRules(queue_per_core=1, overloaded_s=0.05))
+    now, accepted = 0, 0
     for wait, work in steps:
         now += wait
-        taken += bench.send(now, work) is None
-    while bench.server.request_count:
-        due = bench.server.next_event_us()
+        accepted += rig.send(now, work) is None
+    while rig.server.request_count:
+        due = rig.server.next_event_us()
         assert due is not None
-        bench.server.advance(due)
-    assert len(bench.ends) == taken
+        rig.server.advance(due)
+    assert len(rig.results) == accepted
 
 
 # Runs
 
 
-def test_the_same_seed_gives_the_same_records_in_one_process_and_in_four(tmp_path: Path) -> None:
+def test_the_same_seed_gives_the_same_records_with_one_process_and_with_four(tmp_path: Path) -> None:
     here = "".join(simulate(SHORT, 3).lines())
     assert here == "".join(simulate(SHORT, 3).lines()) != "".join(simulate(SHORT, 4).lines())
     jobs = sweeps.plan(SHORT, range(1, 5), {})
@@ -181,17 +184,17 @@
     assert four == one
 
 
-def test_records_are_read_as_they_were_written_and_a_cut_line_is_left_out(tmp_path: Path) -> None:
+def test_records_survive_a_round_trip_and_a_truncated_line_is_skipped(tmp_path: Path) -> None:
     records = simulate(with_overrides(SHORT, {"seconds": 22.0, "load.use": 0.05}), 1)
     for name in ("r.jsonl", "r.gz"):
         records.write(tmp_path / name)
         assert read(tmp_path / name).rows == records.rows
-    whole = (tmp_path / "r.jsonl").read_bytes()
-    (tmp_path / "cut").write_bytes(whole[:-9])
+    content = (tmp_path / "r.jsonl").read_bytes()
+    (tmp_path / "cut").write_bytes(content[:-9])
     assert read(tmp_path / "cut").rows == records.rows[:-1]
 
 
-def test_records_have_named_fields_and_stay_the_same_tuples() -> None:
+def test_typed_records_equal_the_plain_tuples() -> None:
     runs = [
         simulate(SHORT, 1, sample_s=0.5),
         *(simulate(load_scenario(SCENARIOS / f"{n}.toml"), 1) for n in ("flood", "rolling-deploy")),
@@ -202,11 +205,12 @@
         assert list(records.mixed(CallSent, CallAnswered)) == list(records.of("ask", "answer"))
         assert records.last_us() == max(row[1] for row in records.rows)
     seen = {row[0] for records in runs for row in records.rows}
-    assert set(TYPES) - seen == {"dns", "late", "gone"}  # in real time only, and where clients give up
+    # "dns" and "late" records occur in real time only, "gone" only if clients stop waiting.
+    assert set(TYPES) - seen == {"dns", "late", "gone"}
 
 
 @pytest.mark.parametrize("path", ["everyday", "rolling-deploy", "all-at-once", "partition"])
-def test_no_rule_is_broken_and_expectations_hold(path: str) -> None:
+def test_no_rule_is_violated_and_expectations_hold(path: str) -> None:
     scenario = load_scenario(SCENARIOS / f"{path}.toml")
     records = simulate(scenario, 2)
     violations = judge(records, scenario)
@@ -215,14 +219,14 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_each_deliberate_fault_is_caught(fault: str) -> None:
+def test_each_deliberate_fault_is_detected(fault: str) -> None:
     name, rule = DETECTED_BY[fault]
     scenario = load_scenario(SCENARIOS / f"{name}.toml")
     found = [v for v in judge(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
     assert found and found[0].call and found[0].time_us > 0
 
 
-# Judges, on records made by hand
+# Judges, on handmade records
 
 KEYED = Scenario(name="k")
 BASE: list[Record] = [
@@ -239,7 +243,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule", "settings", "more"),
+    ("rule", "settings", "added"),
     [
         ("", {}, [SERVED]),
         ("", {}, [("gateway", 90_000, 0, "down"), ("answer", 90_000, "c", 0, "broken", 0), END]),
@@ -264,14 +268,16 @@
         ("", {}, [SERVED, COLD, ("recv", 5_000, "d", 3, 0, "taken", 2_000_000, 5_000)]),
     ],
 )
-def test_a_judge_tells_right_from_wrong(rule: str, settings: dict[str, object], more: list[Record]) -> None:
+def test_judges_report_exactly_the_violated_rule(
+    rule: str, settings: dict[str, object], added: list[Record]
+) -> None:
     records = Records()
-    records.rows = BASE + more
+    records.rows = BASE + added
     broken = {violation.rule for violation in judge(records, with_overrides(KEYED, settings))}
     assert broken == ({rule} if rule else set())
 
 
-def test_a_refusal_that_was_held_back_is_found() -> None:
+def test_a_delayed_refusal_is_detected() -> None:
     records = Records()
     ask = ("ask", 0, "c", 0, 0, 0, 3_000_000, None, "1", 1)
     for time, late in ((100_000, False), (2_900_000, True)):
@@ -283,7 +289,7 @@
 # Sweeps
 
 
-def test_a_sweep_goes_on_where_it_was_cut_off(tmp_path: Path) -> None:
+def test_an_interrupted_sweep_resumes_where_it_stopped(tmp_path: Path) -> None:
     small = with_overrides(SHORT, {"load.use": 0.05})
     jobs = sweeps.plan(small, range(1, 4), {"clients.retries": [0, 2]})
     out = tmp_path / "out.jsonl"
@@ -291,13 +297,13 @@
     assert len(rows) == 6 and {row["settings"]["clients.retries"] for row in rows} == {0, 2}
     lines = out.read_text().splitlines()
     out.write_text("\n".join(lines[:4]) + "\n" + lines[4][:40])
-    again = sweeps.sweep(jobs, out, 2)
+    resumed = sweeps.sweep(jobs, out, 2)
     kept = {json.loads(line)["id"]: json.loads(line)["wall_s"] for line in lines[:4]}
-    assert [row["service"] for row in again] == [row["service"] for row in rows]
-    assert all(row["wall_s"] == kept[row["id"]] for row in again if row["id"] in kept)
+    assert [row["service"] for row in resumed] == [row["service"] for row in rows]
+    assert all(row["wall_s"] == kept[row["id"]] for row in resumed if row["id"] in kept)
 
 
-def test_a_comparison_pairs_seeds_and_knows_noise(tmp_path: Path) -> None:
+def test_a_comparison_pairs_seeds_and_distinguishes_noise(tmp_path: Path) -> None:
     def write(name: str, values: list[float]) -> Path:
         rows = [{"id": f"{n}", "scenario": "s", "seed": n, "service": v} for n, v in enumerate(values)]
         (tmp_path / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
