--- a/sagetrack/lab/model/fault_schedule.py
+++ b/sagetrack/lab/model/fault_schedule.py
@@ -78,7 +78,7 @@
         self._context.record("trouble", fault.kind, state, detail)
 
     def _choose(self, candidates: list[int], share: float) -> list[int]:
-        """Choose a random share of the candidates, in order; at least one unless the share is 0."""
+        """Choose a random share of the candidates, sorted; at least one unless the share is 0."""
         if share <= 0 or not candidates:
             count = 0
         else:
--- a/sagetrack/lab/model/gateway_fleet.py
+++ b/sagetrack/lab/model/gateway_fleet.py
@@ -49,7 +49,7 @@
     """The driver, and for each gateway whether it is up and whether clients are sent to it."""
 
     def __init__(self, count: int) -> None:
-        self.driver: GatewayDriver  # set by the driver after the world is created
+        self.driver: GatewayDriver  # set before `World.prepare` is called
         self.alive = dict.fromkeys(range(count), True)
         self.in_rotation = dict(self.alive)  # gateways that clients are sent to; follows `alive` with a delay
 
--- a/sagetrack/lab/model/scenario.py
+++ b/sagetrack/lab/model/scenario.py
@@ -89,7 +89,7 @@
     same_zone_ms: NotNegative = 0.25
     cross_zone_ms: NotNegative = 2.0
     client_ms: NotNegative = 0.5
-    jitter: Share = 0.2  # a delay grows by up to this share of itself
+    jitter: Share = 0.2  # each delay is increased at random by up to this share
     connect_timeout_ms: Positive = 250.0
     peer_ms: Range = (1.0, 10.0)  # delay of a datagram between gateways
     peer_loss: Share = 0.0  # share of datagrams between gateways that are lost
--- a/sagetrack/lab/virtual/faulty_gateways.py
+++ b/sagetrack/lab/virtual/faulty_gateways.py
@@ -186,7 +186,7 @@
 
 
 # The concurrency limit alone keeps warming servers within their slow start budget, even if a gateway
-# does not count its use of it (in the cases below, the use peaks at 0.6 to 1.0 of the budget). Two of the
+# does not count its use of that budget (it peaks at 0.6 to 1.0 of the budget in the cases below). Two of the
 # following faults therefore also disable that limit; otherwise no judge could detect them.
 
 
