--- a/sagetrack/core/action_executor.py
+++ b/sagetrack/core/action_executor.py
@@ -9,7 +9,7 @@
 from sagetrack.core.attempt_starter import AttemptStarter
 from sagetrack.core.clock import now_us
 from sagetrack.core.context import GatewayContext
-from sagetrack.core.event_trace import Step
+from sagetrack.core.event_trace import TraceEventKind
 from sagetrack.core.log import log
 from sagetrack.policy.actions import (
     Action,
@@ -26,11 +26,12 @@
 )
 from sagetrack.policy.events import LoadReport, Outcome, Probed, TimerFired
 
-TIMER_ROUNDING_S = 0.001  # the event loop rounds to milliseconds, and no timer may fire before it is due
+# Added to each timer: the event loop rounds to milliseconds, and no timer may fire before it is due.
+TIMER_ROUNDING_S = 0.001
 
 
 class ActionExecutor:
-    """Executes actions one at a time, each with one method."""
+    """Executes actions one at a time, with one handler method per action type."""
 
     def __init__(self, context: GatewayContext, attempts: AttemptStarter, loop: AbstractEventLoop) -> None:
         self._context = context
@@ -49,7 +50,7 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Execute an action; one that this gateway does not support is logged."""
+        """Execute an action; an unsupported action is logged and ignored."""
         handler = self._handlers.get(type(action))
         if handler is None:
             log(f"unsupported action ignored: {action!r}")
@@ -63,19 +64,21 @@
 
     def _reject(self, action: Reject) -> None:
         context = self._context
-        in_flight = context.in_flight.finish_unanswered(action.request)
+        in_flight = context.in_flight.finish_if_pending(action.request)
         if in_flight is not None:
             in_flight.count_in(context.metrics.deferred)
             context.rejections.add(action.reason.value)
-            context.trace.note(Step.REJECTED, action.request, action.reason.value)
+            context.trace.record(TraceEventKind.REJECTED, action.request, action.reason.value)
             in_flight.request.client.on_rejected(in_flight.request, action.retry_after_us)
 
     def _fail(self, action: Fail) -> None:
         context = self._context
-        in_flight = context.in_flight.finish_unanswered(action.request)
+        in_flight = context.in_flight.finish_if_pending(action.request)
         if in_flight is not None:
             in_flight.count_in(context.metrics.errored)
-            context.trace.note(Step.FAILED, action.request, "timed out" if in_flight.timed_out else "")
+            context.trace.record(
+                TraceEventKind.FAILED, action.request, "timed out" if in_flight.timed_out else ""
+            )
             in_flight.request.client.on_failed(in_flight.request, in_flight.timed_out)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
--- a/sagetrack/core/context.py
+++ b/sagetrack/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""The context shared by the components of one gateway."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 from sagetrack.core.endpoints import EndpointSource
 from sagetrack.core.event_dispatcher import PostEvent
-from sagetrack.core.event_trace import EventTrace, Step
+from sagetrack.core.event_trace import EventTrace, TraceEventKind
 from sagetrack.core.in_flight import InFlightRequests
 from sagetrack.core.interfaces import Recorder, UpstreamPool
 from sagetrack.core.invariants import InvariantViolations
-from sagetrack.core.metrics import Metrics, ReasonCounter
+from sagetrack.core.metrics import LabeledCounter, Metrics
 from sagetrack.core.send_rules import DenialReason
 from sagetrack.policy.settings import Settings
 
 
 @dataclass(slots=True, eq=False)
 class GatewayContext:
-    """The collaborators that the parts of one gateway have in common.
+    """The dependencies shared by the components of one gateway.
 
     Attributes:
         settings: The settings of the load balancer.
-        upstream: The servers' side of the protocol.
+        upstream: The upstream pool of the protocol.
         in_flight: The requests in flight.
-        post: Queues an event for the load balancer: see `EventDispatcher.post`.
+        post: Queues an event for the load balancer; see `EventDispatcher.post`.
         metrics: The exported metrics.
-        trace: The flight recorder.
-        violations: Counts of violated invariants.
-        denials: Attempts that were chosen and not sent, by `DenialReason`.
-        outcomes: Attempts that have ended, by `Outcome`.
-        rejections: Rejected requests, by `RejectReason`.
-        endpoint_source: Service discovery, from the start of the gateway on.
-        recorder: Records into the durable store, where the operator has one.
+        trace: Keeps the most recent unusual events in memory for operators.
+        violations: Counts invariant violations.
+        denials: Counts attempts that were chosen but not sent, by `DenialReason`.
+        outcomes: Counts attempts that have ended, by `Outcome`.
+        rejections: Counts rejected requests, by `RejectReason`.
+        endpoint_source: Service discovery; set when the gateway starts.
+        recorder: Recorder of attempts and events in the durable store; None if no store is configured.
     """
 
     settings: Settings
@@ -41,13 +41,13 @@
     metrics: Metrics
     trace: EventTrace
     violations: InvariantViolations
-    denials: ReasonCounter
-    outcomes: ReasonCounter
-    rejections: ReasonCounter
+    denials: LabeledCounter
+    outcomes: LabeledCounter
+    rejections: LabeledCounter
     endpoint_source: EndpointSource | None = None
     recorder: Recorder | None = None
 
-    def note_denial(self, id_: str, denial: DenialReason) -> None:
-        """Count and trace an attempt that was chosen and is not sent."""
+    def record_denial(self, id_: str, denial: DenialReason) -> None:
+        """Count and trace an attempt that was chosen but may not be sent."""
         self.denials.add(denial.value)
-        self.trace.note(Step.ATTEMPT_DENIED, id_, denial.value)
+        self.trace.record(TraceEventKind.ATTEMPT_DENIED, id_, denial.value)
--- a/sagetrack/core/structured.py
+++ b/sagetrack/core/structured.py
@@ -1,4 +1,4 @@
-"""Structured logging with `structlog`, as JSON lines or for a console; imported only on demand."""
+"""Structured logging with `structlog`, as JSON lines or console text; imported only if configured."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 from sagetrack.core.log import LEVELS, Sink
 
-PYTHON_FIELD, CLASS_FIELD = "class_", "class"  # the field's name in calls of `log` and in lines
+# `class` is a Python keyword, so that calls of `log` pass it as `class_`.
+PYTHON_FIELD, CLASS_FIELD = "class_", "class"
 
 
-def sink(form: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
-    """Return a sink that renders events, each with the gateway's name and a UTC time.
+def sink(output_format: str, level: str, gateway: str, stream: TextIO | None = None) -> Sink:
+    """Return a sink that writes each event with the gateway's name and a UTC timestamp.
 
     Args:
-        form: `json` or `console`.
-        level: The lowest level that is written, one of `LEVELS`.
+        output_format: `json` or `console`.
+        level: The minimum level that is written, one of `LEVELS`.
         gateway: The gateway's name.
-        stream: Where lines are written; standard error by default.
+        stream: The stream to write to; standard error by default.
     """
     out = stream or sys.stderr
     renderer: Callable[..., Any] = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if output_format == "json"
         else structlog.dev.ConsoleRenderer(colors=out.isatty())
     )
     logger = structlog.wrap_logger(
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -175,7 +175,7 @@
         await wait_until(lambda: run.listener.context.paused and upstream.exchanges)
         (connection,) = run.listener.connections
         if not told:  # it leaves just before its first answer comes
-            run.listener.context.hangups.forget(connection.descriptor)
+            run.listener.context.hangups.unwatch(connection.descriptor)
         async with asyncio.timeout(AT_ONCE_S):
             client.close()
             await wait_until(lambda: len(connection.poll.poll(0)) and connection.poll.poll(0)[0][1] & ~1)
