--- a/sagetrack/cli/check.py
+++ b/sagetrack/cli/check.py
@@ -31,9 +31,9 @@
         print("sagetrack: nothing to check: name --config, --operator or scenarios", file=sys.stderr)
         raise typer.Exit(2)
     faults: list[str] = []
-    for path, examine in checks:
+    for path, check_file in checks:
         try:
-            examine(path)
+            check_file(path)
             print(f"{path}: fine")
         except FileError as error:
             faults += error.faults
--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, fail
+from sagetrack.cli.lab_app import INTERRUPTED, MAX_PRINTED_FAILURES, error_exit
 
 if TYPE_CHECKING:
     from rich.console import Console
@@ -19,19 +19,19 @@
     from sagetrack.lab.model.server import Server
     from sagetrack.lab.model.world import World
 
-PLANNED_S = 30.0
-REFRESH = 4  # times a second
-REPORTS = 4  # of the progress, where there is no terminal
+DEFAULT_DURATION_S = 30.0
+REFRESHES_PER_S = 4  # times a second
+PROGRESS_REPORTS = 4  # of the progress, where there is no terminal
 RECENT_US = 2_000_000
 RECENT_RECORDS = 600  # among them are those of the last two seconds
-LONGEST_BAR = 24  # requests that a row of the table shows
+MAX_BAR_LENGTH = 24  # requests that a row of the table shows
 COLUMNS = ("server", "zone", "state", "held", "", "gateway", "state", "last 2 s")
 
 
 def demo(
     seconds: Annotated[
         float, typer.Option(help="how long; the faults move with it", min=5, max=600)
-    ] = PLANNED_S,
+    ] = DEFAULT_DURATION_S,
     seed: Annotated[int, typer.Option(help="what random figures follow from", min=0)] = 1,
 ) -> None:
     """Play nine servers and three gateways through a slow server, a burst, a deploy and a gateway's death."""
@@ -46,15 +46,15 @@
     scenario = demo_scenario(seconds)
     records = Records()
     try:
-        play_shown(scenario, seed, records, Console())
+        play_with_display(scenario, seed, records, Console())
     except LabError as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     except KeyboardInterrupt:
         print("sagetrack: ended; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
     violations = judge(records, scenario)
     results = figures(records, scenario, violations)
-    for violation in violations[:SHOWN]:
+    for violation in violations[:MAX_PRINTED_FAILURES]:
         print(f"broken: {violation}")
     if results.late:
         print("late: this machine was too busy for the load to come in time")
@@ -68,38 +68,38 @@
     from sagetrack.lab.repository import SCENARIOS
 
     scenario = load(SCENARIOS / "demo.toml")
-    if seconds == PLANNED_S:
+    if seconds == DEFAULT_DURATION_S:
         return scenario
-    share = seconds / PLANNED_S
+    scale = seconds / DEFAULT_DURATION_S
     changes: dict[str, float] = {"seconds": seconds}
     for number, fault in enumerate(scenario.faults, 1):
-        changes[f"trouble.{number}.at_s"] = fault.at_s * share
-        changes[f"trouble.{number}.seconds"] = max(0.5, fault.seconds * share)
+        changes[f"trouble.{number}.at_s"] = fault.at_s * scale
+        changes[f"trouble.{number}.seconds"] = max(0.5, fault.seconds * scale)
     return altered(scenario, changes)
 
 
-def play_shown(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
+def play_with_display(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
     """Play a scenario behind a live table; without a terminal, behind a line for each quarter of it."""
     from rich.live import Live
 
     from sagetrack.lab.processes.run import play
 
     if console.is_terminal:
-        with Live(console=console, refresh_per_second=REFRESH, transient=False) as live:
-            play(scenario, seed, lambda share, world: live.update(table(world, records)), 0.0, records)
+        with Live(console=console, refresh_per_second=REFRESHES_PER_S, transient=False) as live:
+            play(scenario, seed, lambda share, world: live.update(fleet_table(world, records)), 0.0, records)
         return
     reported = 0
 
     def report(share: float, world: World) -> None:
         nonlocal reported
-        if int(share * REPORTS) > reported:
-            reported = int(share * REPORTS)
+        if int(share * PROGRESS_REPORTS) > reported:
+            reported = int(share * PROGRESS_REPORTS)
             print(f"{share:4.0%} played, {world.arrivals.count} calls", file=sys.stderr, flush=True)
 
     play(scenario, seed, report, 0.0, records)
 
 
-def table(world: World, records: Records) -> Table:
+def fleet_table(world: World, records: Records) -> Table:
     """The fleet as it stands."""
     from rich.table import Table
 
@@ -163,4 +163,4 @@
     else:
         state = "drains" if entry.status == "DRAINING" else "ready"
     zone = world.scenario.fleet.zones[server.zone]
-    return [f"s-{server.number}", zone, state, "▇" * min(server.request_count, LONGEST_BAR)]
+    return [f"s-{server.number}", zone, state, "▇" * min(server.request_count, MAX_BAR_LENGTH)]
--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -8,24 +8,24 @@
 
 import typer
 
-from sagetrack.cli.lab_app import fail, integers_of, measuring, print_table, progress_bar
+from sagetrack.cli.lab_app import error_exit, measuring, parse_integers, print_table, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.lab.benchmarks.membership import Outcome
     from sagetrack.lab.benchmarks.readiness import Reading
 
-MOST_SERVERS = 5000
-MODULES = ("sagetrack", "cloverkeel")  # a checkout of any version of the gateway has one of these
+MAX_SERVERS = 5000
+GATEWAY_PACKAGES = ("sagetrack", "cloverkeel")  # a checkout of any version of the gateway has one of these
 
 
-def builds_of(paths: list[str] | None) -> list[Path]:
+def resolve_builds(paths: list[str] | None) -> list[Path]:
     """This checkout and the others to measure beside it; exit 2 with one line for one without a gateway."""
     from sagetrack.lab.repository import ROOT
 
     builds = [ROOT, *(Path(path).resolve() for path in paths or [])]
     for build in builds:
-        if not any((build / module).is_dir() for module in MODULES):
-            raise fail(f"--build {build}: no gateway there")
+        if not any((build / module).is_dir() for module in GATEWAY_PACKAGES):
+            raise error_exit(f"--build {build}: no gateway there")
     return builds
 
 
@@ -42,10 +42,12 @@
     """Measure what a request costs on one core, against a bare relay on the same core in the same run."""
     from sagetrack.lab.benchmarks.throughput import measure, summary
 
-    sizes = integers_of("--servers", servers, "8,64,400", MOST_SERVERS)
-    builds = builds_of(build)
+    sizes = parse_integers("--servers", servers, "8,64,400", MAX_SERVERS)
+    builds = resolve_builds(build)
     with measuring("throughput", as_json) as progress:
-        rows = summary(measure(sizes, seconds, rounds, builds, lambda at, of: progress(at / of), newer))
+        rows = summary(
+            measure(sizes, seconds, rounds, builds, lambda done, total: progress(done / total), newer)
+        )
     if as_json:
         print(json.dumps(rows))
     else:
@@ -67,9 +69,9 @@
         sizes = [int(size) for size in gateways.split(",")]
         losses = [float(share) for share in loss.split(",")]
     except ValueError:
-        raise fail("--gateways and --loss are lists of numbers, as in 8,50 and 0,0.05") from None
+        raise error_exit("--gateways and --loss are lists of numbers, as in 8,50 and 0,0.05") from None
     if min(sizes) < 2 or not all(0 <= share < 1 for share in losses):
-        raise fail("--gateways are from 2, --loss from 0 to below 1")
+        raise error_exit("--gateways are from 2, --loss from 0 to below 1")
     print("gateways  loss  known after (median, p99)  missed  false deaths  sent/s (most)  bytes/s  healed")
     with progress_bar("membership", False) as progress:
         for number, (size, share) in enumerate((size, share) for size in sizes for share in losses):
@@ -104,7 +106,7 @@
     from sagetrack.lab.benchmarks.dns_throughput import measure as measure_dns
 
     with measuring("dns", False) as progress:
-        rows = measure_dns(seconds, rounds, names, lambda at, of: progress(at / of))
+        rows = measure_dns(seconds, rounds, names, lambda done, total: progress(done / total))
     print_table(f"one core, {rounds} rounds of {seconds:g} s", rows, left=["what"])
 
 
@@ -135,7 +137,7 @@
     """Measure what fair queues cost, overloaded or not: time of a call, memory."""
     from sagetrack.lab.benchmarks.fair_queue import measure as measure_fair_queue
 
-    sizes = integers_of("--clients", clients, "10,1000")
+    sizes = parse_integers("--clients", clients, "10,1000")
     with measuring("fair-queue", False) as progress:
         rows = measure_fair_queue(sizes, calls, rounds, memory_kb, progress, load)
     print_table(f"{rounds} rounds of {calls} calls at {load:g} times what the servers do", rows, 150)
@@ -170,7 +172,7 @@
 
     cases = tuple(case for case in CASES if only in case.name)
     if not cases:
-        raise fail(f"--only {only}: no case has that in its name")
+        raise error_exit(f"--only {only}: no case has that in its name")
     slow = False
     with measuring("readiness", as_json) as progress:
         for reading in measure(rounds, cases, progress):
--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import exit_with, measuring
+from sagetrack.cli.lab_app import failures_exit, measuring
 
 
 def spoof_dns(
@@ -41,7 +41,7 @@
         f"{result.failed} {'given up by clients' if front else 'attempts failed'}, "
         f"{result.closed} connections closed, {len(result.wrong)} wrong, slowest {result.slowest_ms:.2f} ms"
     )
-    raise exit_with(result.wrong)
+    raise failures_exit(result.wrong)
 
 
 def fuzz_dns(
@@ -58,4 +58,4 @@
         f"{report.answers_accepted} taken as answers, {len(report.failures)} wrong, "
         f"slowest {report.slowest_ms:.2f} ms"
     )
-    raise exit_with(report.failures)
+    raise failures_exit(report.failures)
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab list`, `run`, `plot`: scenarios played once, exit_with and drawn."""
+"""`sagetrack lab list`, `run`, `plot`: scenarios played once, judged and drawn."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from sagetrack.cli.lab_app import (
     INTERRUPTED,
-    SHOWN,
+    MAX_PRINTED_FAILURES,
     SetOption,
     check_fault,
-    fail,
+    error_exit,
+    load_altered_scenario,
     progress_bar,
-    scenario_from,
 )
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     place = Path(folder) if folder else SCENARIOS
     paths = sorted(place.glob("*.toml"))
     if not paths:
-        raise fail(f"{place}: no scenarios there")
+        raise error_exit(f"{place}: no scenarios there")
     for path in paths:
         print(f"{path.stem:16} {load(path).about}")
 
@@ -58,10 +58,10 @@
     from sagetrack.lab.analysis.judges import judge
     from sagetrack.lab.virtual.faulty_gateways import FAULTS
 
-    played = scenario_from(scenario, settings)
+    played = load_altered_scenario(scenario, settings)
     check_fault(fault, FAULTS)
     if fault and not virtual:
-        raise fail("--fault needs --virtual")
+        raise error_exit("--fault needs --virtual")
     sample_s = PLOT_SAMPLE_S if plot else 0.0
     try:
         if virtual:
@@ -75,9 +75,9 @@
     results = figures(records, played, violations)
     write_files(records, records_file, plot)
     if as_json:
-        print(json_of(records, results, violations))
+        print(to_json(records, results, violations))
     else:
-        show(played, results, violations, records)
+        print_results(played, results, violations, records)
     raise typer.Exit(0 if not violations and results.expect_held and not results.late else 1)
 
 
@@ -91,10 +91,10 @@
 
             draw(records, plot)
     except (OSError, ValueError) as error:
-        raise fail(f"the run is played, but cannot be written: {error}") from None
+        raise error_exit(f"the run is played, but cannot be written: {error}") from None
 
 
-def json_of(records: Records, results: Figures, violations: list[Violation]) -> str:
+def to_json(records: Records, results: Figures, violations: list[Violation]) -> str:
     """A run as one JSON object."""
     row = {name: records.header[name] for name in ("scenario", "seed", "driver")}
     row |= results.plain()
@@ -102,7 +102,7 @@
     if results.dns_queries:
         row["http_service"] = round(results.service, 4)
     row["service_by_member"] = {name: round(part, 4) for name, part in results.by_member.items()}
-    row["violations"] = [str(violation) for violation in violations[:SHOWN]]
+    row["violations"] = [str(violation) for violation in violations[:MAX_PRINTED_FAILURES]]
     return json.dumps(row)
 
 
@@ -114,7 +114,7 @@
         try:
             return play(scenario, seed, progress, sample_s, fault)
         except ValueError as error:
-            raise fail(str(error)) from None
+            raise error_exit(str(error)) from None
 
 
 def play_real(scenario: Scenario, seed: int, quiet: bool, sample_s: float) -> Records:
@@ -126,10 +126,12 @@
         with progress_bar(scenario.name, quiet) as progress:
             return play(scenario, seed, lambda share, world: progress(share), sample_s)
     except LabError as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
 
 
-def show(scenario: Scenario, results: Figures, violations: list[Violation], records: Records) -> None:
+def print_results(
+    scenario: Scenario, results: Figures, violations: list[Violation], records: Records
+) -> None:
     """Print the figures as a table, and the first violations."""
     from rich.console import Console
     from rich.table import Table
@@ -145,10 +147,10 @@
         table.add_row(f"member {name}", f"{share:.3f}")
     table.add_row("worst 5 s", f"{results.worst_window:.3f}")
     out.print(table)
-    for violation in violations[:SHOWN]:
+    for violation in violations[:MAX_PRINTED_FAILURES]:
         out.print(f"[red]broken[/red] {violation}", highlight=False)
-    if len(violations) > SHOWN:
-        out.print(f"and {len(violations) - SHOWN} more")
+    if len(violations) > MAX_PRINTED_FAILURES:
+        out.print(f"and {len(violations) - MAX_PRINTED_FAILURES} more")
     for words in results.expect_missed:
         out.print(f"[red]missed[/red] {words}", highlight=False)
     if results.late:
@@ -178,5 +180,5 @@
     try:
         draw(read(records_file), out)
     except (OSError, ValueError) as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     print(out)
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -15,11 +15,11 @@
 from sagetrack.cli.lab_app import (
     INTERRUPTED,
     SetOption,
-    fail,
+    error_exit,
+    load_altered_scenario,
+    parse_set_options,
+    parse_toml_value,
     progress_bar,
-    scenario_from,
-    settings_of,
-    value_of,
 )
 
 if TYPE_CHECKING:
@@ -42,34 +42,39 @@
     from sagetrack.lab.benchmarks import sweep as sweeps
     from sagetrack.lab.model.scenario import load
 
-    numbers = seed_range_of(seeds)
-    values = {name: [value_of(v) for v in text.split(",")] for name, text in settings_of(settings).items()}
+    numbers = parse_seed_range(seeds)
+    values = {
+        name: [parse_toml_value(v) for v in text.split(",")]
+        for name, text in parse_set_options(settings).items()
+    }
     jobs = [job for path in scenario for job in sweeps.plan(load(path), numbers, values, fault)]
     processes = workers or len(os.sched_getaffinity(0))
     try:
         with progress_bar("sweep", False) as progress:
-            rows = sweeps.sweep(jobs, Path(out), processes, lambda at, of: progress(at / max(1, of)))
+            rows = sweeps.sweep(
+                jobs, Path(out), processes, lambda done, total: progress(done / max(1, total))
+            )
     except KeyboardInterrupt:
         print(
             f"sagetrack: ended; what was played stands in {out}, and the same call goes on", file=sys.stderr
         )
         raise typer.Exit(INTERRUPTED) from None
     except OSError as error:
-        raise fail(f"{out}: {error.strerror}") from None
+        raise error_exit(f"{out}: {error.strerror}") from None
     for line in sweep_lines(rows):
         print(line)
     raise typer.Exit(1 if any(rules_broken(row) for row in rows) else 0)
 
 
-def seed_range_of(text: str) -> range:
+def parse_seed_range(text: str) -> range:
     """Seeds as `10`, from 1 on, or `3-12`; exit 2 with one line for other forms."""
     first, mark, last = text.partition("-")
     try:
         numbers = range(int(first), int(last) + 1) if mark else range(1, int(first) + 1)
     except ValueError:
-        raise fail(f"--seeds {text}: the form is 10 or 3-12") from None
+        raise error_exit(f"--seeds {text}: the form is 10 or 3-12") from None
     if not numbers:
-        raise fail(f"--seeds {text}: there are none")
+        raise error_exit(f"--seeds {text}: there are none")
     return numbers
 
 
@@ -105,7 +110,7 @@
     try:
         result = compare_files(Path(a), Path(b), figure)
     except (OSError, ValueError) as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     verdict = "clear" if result.is_clear else "within the noise"
     print(
         f"{result.figure}: A {result.mean_a:.4f}, B {result.mean_b:.4f}, B - A {result.difference:+.4f} "
@@ -124,13 +129,13 @@
     from sagetrack.lab.benchmarks import restart as restarts
     from sagetrack.lab.virtual.simulation import play as play_virtual
 
-    played = scenario_from(scenario, settings)
+    played = load_altered_scenario(scenario, settings)
     play = play_virtual if virtual else play_in_process
     try:
         with progress_bar("restart", False) as progress:
             pairs = restarts.play_seeds(played, range(1, seeds + 1), play, 1 if virtual else lanes, progress)
     except (ValueError, RuntimeError) as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
     for line in restarts.summary(pairs):
@@ -157,7 +162,7 @@
         if plain["expect"].get("p99_ms_max") is None:
             plain["expect"].pop("p99_ms_max", None)
         scenario_file.write_text(json.dumps(plain))
-        words = [
+        arguments = [
             "lab",
             "run",
             str(scenario_file),
@@ -167,9 +172,13 @@
             str(records_file),
             "--json",
         ]
-        done = subprocess.run([sys.executable, "-m", "sagetrack", *words], capture_output=True, text=True)
-        if done.returncode not in (0, 1) or not records_file.exists():
-            raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr else "no records")
-        if json.loads(done.stdout.splitlines()[-1])["late"]:
+        completed = subprocess.run(
+            [sys.executable, "-m", "sagetrack", *arguments], capture_output=True, text=True
+        )
+        if completed.returncode not in (0, 1) or not records_file.exists():
+            raise RuntimeError(
+                completed.stderr.strip().splitlines()[-1] if completed.stderr else "no records"
+            )
+        if json.loads(completed.stdout.splitlines()[-1])["late"]:
             raise RuntimeError(f"seed {seed} ran late: lower --lanes")
         return read(records_file)
--- a/sagetrack/cli/lab_virtual_fleets.py
+++ b/sagetrack/cli/lab_virtual_fleets.py
@@ -9,13 +9,13 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, check_fault, fail, integers_of, progress_bar
+from sagetrack.cli.lab_app import INTERRUPTED, check_fault, error_exit, parse_integers, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.lab.analysis.violations import Violation
 
-MOST_SEEDS = 1000
-LARGEST_BURST = 20.0  # times the usual load
+MAX_SEEDS = 1000
+MAX_BURST = 20.0  # times the usual load
 OVERLOAD_HEADER = (
     "gateways  load  seed  before: served  goodput in it  after  held 50 90 99 all  jammed  served"
 )
@@ -30,7 +30,7 @@
 JsonOption = Annotated[bool, typer.Option("--json", help="one JSON array as the last line")]
 
 
-class Played(NamedTuple):
+class PlayResult(NamedTuple):
     """One play: its figures, a line that shows them, and what was broken."""
 
     figures: dict[str, Any]
@@ -38,21 +38,23 @@
     violations: list[Violation]
 
 
-def fleet_sizes_of(text: str, most: int) -> list[int]:
+def parse_fleet_sizes(text: str, most: int) -> list[int]:
     """The value of `--gateways`, as `3,20,30`; exit 2 with one line for others."""
-    return integers_of("--gateways", text, "3,20,30", most)
+    return parse_integers("--gateways", text, "3,20,30", most)
 
 
-def seeds_of(seed: int, seeds: int) -> range:
+def seed_range(seed: int, seeds: int) -> range:
     """Seeds to play; exit 2 with one line for numbers out of range."""
     if not 0 <= seed < 2**63:
-        raise fail(f"--seed {seed}: it is from 0 to 2^63 - 1")
-    if not 1 <= seeds <= MOST_SEEDS:
-        raise fail(f"--seeds {seeds}: they are from 1 to {MOST_SEEDS}")
+        raise error_exit(f"--seed {seed}: it is from 0 to 2^63 - 1")
+    if not 1 <= seeds <= MAX_SEEDS:
+        raise error_exit(f"--seeds {seeds}: they are from 1 to {MAX_SEEDS}")
     return range(seed, seed + seeds)
 
 
-def play_all(what: str, header: str, plays: Sequence[Callable[[], Played]], as_json: bool) -> typer.Exit:
+def play_all(
+    description: str, header: str, plays: Sequence[Callable[[], PlayResult]], as_json: bool
+) -> typer.Exit:
     """Play one after the other.
 
     Returns:
@@ -62,9 +64,9 @@
     if not as_json:
         print(header)
     try:
-        with progress_bar(what, as_json) as progress:
-            for at, play in enumerate(plays):
-                progress(at / len(plays))
+        with progress_bar(description, as_json) as progress:
+            for done, play in enumerate(plays):
+                progress(done / len(plays))
                 figures, line, violations = play()
                 broken += len(violations)
                 rows.append({**figures, "broken": [str(violation) for violation in violations]})
@@ -95,14 +97,14 @@
     from sagetrack.lab.benchmarks.slow_start import CASES, MOST_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS
 
-    sizes = fleet_sizes_of(gateways, MOST_GATEWAYS)
+    sizes = parse_fleet_sizes(gateways, MOST_GATEWAYS)
     names = list(CASES) if cases == "all" else cases.split(",")
     if not set(names) <= set(CASES):
-        raise fail(f"--case {cases}: there are {', '.join(CASES)}")
-    numbers = seeds_of(seed, seeds)
+        raise error_exit(f"--case {cases}: there are {', '.join(CASES)}")
+    numbers = seed_range(seed, seeds)
     check_fault(fault, COLD_FAULTS)
 
-    def play(size: int, name: str, number: int) -> Played:
+    def play(size: int, name: str, number: int) -> PlayResult:
         results, violations = measure(CASES[name], size, number, fault)
         part = f"{results.received:.0f} of {results.usable:.0f}" if results.usable else "-"
         line = (
@@ -110,7 +112,7 @@
             f"{results.most_requests:14.2f}  {results.used_share:4.0%} {part:>10} {results.answered:8}  "
             f"{results.in_time} of {results.first_attempts}"
         )
-        return Played(results.to_json(), line, violations)
+        return PlayResult(results.to_json(), line, violations)
 
     plays = [partial(play, size, name, n) for name in names for size in sizes for n in numbers]
     raise play_all("slow-start", SLOW_START_HEADER, plays, as_json)
@@ -131,24 +133,24 @@
     from sagetrack.lab.benchmarks.overload import MOST_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import JAM_FAULTS
 
-    counts = fleet_sizes_of(gateways, MOST_GATEWAYS)
+    counts = parse_fleet_sizes(gateways, MOST_GATEWAYS)
     try:
         bursts = [float(size) for size in sizes.split(",")]
     except ValueError:
-        raise fail(f"--size {sizes}: the form is 1.5,2.5") from None
-    if not all(1.0 <= size <= LARGEST_BURST for size in bursts):
-        raise fail(f"--size {sizes}: each is from 1 to {LARGEST_BURST:g}")
+        raise error_exit(f"--size {sizes}: the form is 1.5,2.5") from None
+    if not all(1.0 <= size <= MAX_BURST for size in bursts):
+        raise error_exit(f"--size {sizes}: each is from 1 to {MAX_BURST:g}")
     check_fault(fault, JAM_FAULTS)
 
-    def play(count: int, size: float, number: int) -> Played:
+    def play(count: int, size: float, number: int) -> PlayResult:
         results, violations = measure(count, size, number, fault)
         held = " ".join(f"{value:3}" for value in results.in_flight.values())
         line = (
             f"{count:8} {size:5.1f} {number:5}  {results.served_before:13.3f}  {results.during:14.2f} "
             f"{results.after:6.2f}      {held}  {results.overloaded:6.2f}  {results.served:6.3f}"
         )
-        return Played(results.to_json(), line, violations)
+        return PlayResult(results.to_json(), line, violations)
 
-    numbers = seeds_of(seed, seeds)
+    numbers = seed_range(seed, seeds)
     plays = [partial(play, count, size, n) for count in counts for size in bursts for n in numbers]
     raise play_all("overload", OVERLOAD_HEADER, plays, as_json)
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -9,23 +9,23 @@
 
 import typer
 
-from sagetrack.cli.lab_app import fail, measuring
+from sagetrack.cli.lab_app import error_exit, measuring
 
 COLUMNS = ("probe", "measure", "swept", "points", "exponent", "slope", "at the target", "size")
 
 
-def integer_of(option: str, text: str, least: int, most: int) -> int:
+def parse_integer(option: str, text: str, least: int, most: int) -> int:
     """An integer within bounds; else exit 2 with one line, where typer's own checks would print several."""
     number = int(text) if text.isascii() and text.isdigit() and len(text) < 20 else -1
     if not least <= number <= most:
-        raise fail(f"{option} {text}: a whole number from {least} to {most}")
+        raise error_exit(f"{option} {text}: a whole number from {least} to {most}")
     return number
 
 
 def check_writable(path: Path) -> None:
     """Exit 2 now for a file that could not be written later."""
     if path.is_dir() or not path.resolve().parent.is_dir():
-        raise fail(f"{path}: no file can be written there")
+        raise error_exit(f"{path}: no file can be written there")
 
 
 def write_atomically(path: Path, text: str) -> None:
@@ -35,7 +35,7 @@
         fresh.write_text(text)
         os.replace(fresh, path)
     except OSError as error:
-        raise fail(f"{path}: {error.strerror}") from None
+        raise error_exit(f"{path}: {error.strerror}") from None
     finally:
         fresh.unlink(missing_ok=True)
 
@@ -58,12 +58,12 @@
     from sagetrack.lab.scale.target import Sizes
 
     sizes = Sizes(
-        integer_of("--gateways", gateways, 3, 65_535),
-        integer_of("--servers", servers, 25, 10_000_000),
-        integer_of("--services", services, 4, 10_000_000),
-        integer_of("--tenants", tenants, 10, 100_000_000),
+        parse_integer("--gateways", gateways, 3, 65_535),
+        parse_integer("--servers", servers, 25, 10_000_000),
+        parse_integer("--services", services, 4, 10_000_000),
+        parse_integer("--tenants", tenants, 10, 100_000_000),
     )
-    from_seed = integer_of("--seed", seed, 0, 2**63)
+    from_seed = parse_integer("--seed", seed, 0, 2**63)
     if file:
         check_writable(Path(file))
     try:
@@ -72,7 +72,7 @@
         with measuring("scale", False) as progress:
             results = run_probes(sizes, from_seed, probe or [], progress, quick=quick, times=not counts)
     except ScaleError as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     if file:
         write_atomically(Path(file), json.dumps(results, indent=1) + "\n")
     print_results(results, seed)
@@ -106,11 +106,11 @@
         try:
             results = json.loads(Path(path).read_text())
         except OSError as error:
-            raise fail(f"{path}: {error.strerror}") from None
+            raise error_exit(f"{path}: {error.strerror}") from None
         except ValueError as error:
-            raise fail(f"{path} is not JSON: {error}") from None
+            raise error_exit(f"{path} is not JSON: {error}") from None
         if not isinstance(results, dict) or "rows" not in results:
-            raise fail(f"{path} is not what `lab scale --json` writes")
+            raise error_exit(f"{path} is not what `lab scale --json` writes")
         return results
 
     before, later = read(file), read(after) if after else None
@@ -118,9 +118,9 @@
         text = Path(page).read_text()
         fresh = render_page(text, before, later)
     except OSError as error:
-        raise fail(f"{page}: {error.strerror}") from None
+        raise error_exit(f"{page}: {error.strerror}") from None
     except (KeyError, TypeError, ValueError) as error:
-        raise fail(f"{page} cannot be filled from {file}: {error}") from None
+        raise error_exit(f"{page} cannot be filled from {file}: {error}") from None
     if check:
         raise typer.Exit(0 if fresh == text else 1)
     write_atomically(Path(page), fresh)
--- a/sagetrack/cli/soak.py
+++ b/sagetrack/cli/soak.py
@@ -26,12 +26,12 @@
 
     Exit 0 only if no rule is violated in any seed.
     """
-    from sagetrack.cli.lab_app import fail
+    from sagetrack.cli.lab_app import error_exit
     from sagetrack.lab.soak.fleet import SoakSize
     from sagetrack.lab.soak.run import make_folder, run_soak
 
     if seeds < 1 or seconds < 3.0 or min(gateways, servers, clients) < 1:
-        raise fail("--seeds, --gateways, --servers and --clients are at least 1, --seconds at least 3")
+        raise error_exit("--seeds, --gateways, --servers and --clients are at least 1, --seconds at least 3")
     size = SoakSize(gateways, servers, clients, seconds)
     run_folder = folder if folder is not None else make_folder()
     failed_seeds = 0
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -10,7 +10,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, exit_with, fail, progress_bar
+from sagetrack.cli.lab_app import INTERRUPTED, error_exit, failures_exit, progress_bar
 
 if TYPE_CHECKING:
     from sagetrack.store.engine import Store
@@ -33,16 +33,16 @@
     from sagetrack.store.options import StoreOptions
 
     if not folder.is_dir():
-        raise fail(f"{folder}: no directory")
+        raise error_exit(f"{folder}: no directory")
     try:
         files = DiskDirectory(folder, create=False) if writes else DryRunDirectory(folder)
         stack.callback(files.close)
         store = Store(files, StoreOptions(max_bytes=2**50), lambda line: print(line, file=sys.stderr))
         return store, store.open()
     except BlockingIOError:
-        raise fail(f"{folder}: a gateway or another command has this store") from None
+        raise error_exit(f"{folder}: a gateway or another command has this store") from None
     except (OSError, NewerFormatError, CorruptionError) as error:
-        raise fail(f"{folder}: {getattr(error, 'strerror', None) or error}") from None
+        raise error_exit(f"{folder}: {getattr(error, 'strerror', None) or error}") from None
 
 
 @app.command("verify")
@@ -63,7 +63,7 @@
             f"{store.bytes_used} bytes; {len(recovery.quarantined)} parts damaged, "
             f"{recovery.lost_bytes} bytes"
         )
-        raise exit_with(recovery.quarantined)
+        raise failures_exit(recovery.quarantined)
 
 
 @app.command("dump")
@@ -132,7 +132,7 @@
         f"{report.crashes} crashes with {report.disk_errors} errors of the disk, "
         f"{report.kills} writers killed after {report.acknowledged} batches: {len(report.failures)} wrong"
     )
-    raise exit_with(report.failures)
+    raise failures_exit(report.failures)
 
 
 app.command("torture", hidden=True)(crash_test)  # the name of earlier versions
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -20,12 +20,12 @@
     "Address",
     "Config",
     "ConfigError",
-    "Names",
+    "NameIndices",
     "load",
     "parse",
     "parse_address",
     "read_file",
-    "stable_id",
+    "stable_hash",
 ]
 
 Address = tuple[str, int]  # host and port
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class NameIndices:
     """The numbers that the policy knows names by: places in the lists of the settings, from 0."""
 
     classes: dict[bytes, int]
@@ -56,17 +56,17 @@
     memory_mb: int
     admin: Address | None  # the admin address
     accept_fd: int | None  # a listening socket that the platform holds
-    folder: str | None  # shared with other processes of this gateway
-    known: dict[str, Any]  # the endpoint list as the platform last knew it, in discovery's form
+    shared_folder: str | None  # shared with other processes of this gateway
+    known_endpoints: dict[str, Any]  # the endpoint list as the platform last knew it, in discovery's form
     settings: Settings
-    names: Names
+    names: NameIndices
     client_header: bytes = b""  # the header that names a client of a tenant, where fair queues are on
     whole_seconds: bool = False  # whether Retry-After is rounded up to whole seconds
     peer_listen: Address | None = None  # for datagrams of other gateways
     peers: tuple[Address, ...] = ()  # one for each gateway, in the order of their numbers
 
 
-def stable_id(text: str | bytes, size: int) -> int:
+def stable_hash(text: str | bytes, size: int) -> int:
     """A hash of `size` bytes that is the same for a text at every gateway and after every restart."""
     data = text.encode() if isinstance(text, str) else text
     return int.from_bytes(hashlib.blake2b(data, digest_size=size).digest())
@@ -144,13 +144,13 @@
         name=str(raw.get("name", "")),
         listen=parse_address(raw.get("listen"), "listen"),
         discovery=parse_address(raw.get("discovery"), "discovery"),
-        seed=stable_id(str(raw.get("seed", "")), 8),
+        seed=stable_hash(str(raw.get("seed", "")), 8),
         sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
         memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         admin=parse_address(admin, "admin") if admin is not None else None,
         accept_fd=int(descriptor) if descriptor is not None else None,
-        folder=environment.get("TMPDIR") or None,
-        known=known,
+        shared_folder=environment.get("TMPDIR") or None,
+        known_endpoints=known,
         settings=parse_settings(json.dumps(settings)),
         names=_names(settings),
         peer_listen=parse_address(peer_listen, "peer_listen") if peer_listen else None,
@@ -182,7 +182,7 @@
     return host.strip("[]"), int(port)
 
 
-def _names(settings: dict[str, Any]) -> Names:
+def _names(settings: dict[str, Any]) -> NameIndices:
     def numbered(key: str) -> dict[str, int]:
         entries = settings.get(key, [])
         named = [entry["name"] if isinstance(entry, dict) else entry for entry in entries]
@@ -191,4 +191,4 @@
     def in_bytes(key: str) -> dict[bytes, int]:
         return {name.encode(): number for name, number in numbered(key).items()}
 
-    return Names(in_bytes("lanes"), in_bytes("tenants"), numbered("zones"), numbered("shapes"))
+    return NameIndices(in_bytes("lanes"), in_bytes("tenants"), numbered("zones"), numbered("shapes"))
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from typing import Any
 
-from sagetrack.config.platform import Address, Names
+from sagetrack.config.platform import Address, NameIndices
 from sagetrack.core.deadlines import DiscoveryTimeouts
 from sagetrack.core.endpoints import Endpoint, OnEndpointList
 from sagetrack.core.log import log
@@ -51,7 +51,7 @@
     def __init__(
         self,
         address: Address,
-        names: Names,
+        names: NameIndices,
         on_list: OnEndpointList,
         is_pushed: bool,
         connect: OpenConnection,
--- a/sagetrack/discovery/endpoint_parsing.py
+++ b/sagetrack/discovery/endpoint_parsing.py
@@ -8,7 +8,7 @@
 
 from typing import Any, NamedTuple
 
-from sagetrack.config.platform import Address, Names, parse_address, stable_id
+from sagetrack.config.platform import Address, NameIndices, parse_address, stable_hash
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.log import log
 from sagetrack.discovery.errors import EndpointListError
@@ -41,7 +41,7 @@
     endpoints: list[Endpoint]
 
 
-def parse_endpoint_list(raw: object, names: Names) -> EndpointListUpdate:
+def parse_endpoint_list(raw: object, names: NameIndices) -> EndpointListUpdate:
     """Parse an endpoint list in the format of discovery.
 
     If two different names have the same server id, the second entry is skipped.
@@ -75,7 +75,7 @@
     )
 
 
-def parse_endpoint_or_withdrawal(raw: Any, names: Names) -> Endpoint | None:
+def parse_endpoint_or_withdrawal(raw: Any, names: NameIndices) -> Endpoint | None:
     """Parse an entry; an unusable one is logged and parsed as a withdrawal if possible.
 
     Returns:
@@ -93,7 +93,7 @@
         return withdrawn
 
 
-def parse_endpoint(raw: dict[str, Any], names: Names) -> Endpoint:
+def parse_endpoint(raw: dict[str, Any], names: NameIndices) -> Endpoint:
     """Parse all fields of an entry.
 
     Raises:
@@ -107,11 +107,11 @@
         name,
         parse_address(raw["address"], "address"),
         ListedServer(
-            server=stable_id(name, SERVER_ID_BYTES),
+            server=stable_hash(name, SERVER_ID_BYTES),
             status=STATUSES[raw["status"]],
             weight=_parse_weight(raw.get("weight", 1.0)),
             zone=index_of_name(zone, names.zones),
-            group=group if isinstance(group, int) else stable_id(str(group), SERVER_ID_BYTES),
+            group=group if isinstance(group, int) else stable_hash(str(group), SERVER_ID_BYTES),
             kind=index_of_name(kind, names.kinds),
             started_us=int(raw.get("since_ms") or 0) * 1000,
         ),
@@ -132,7 +132,7 @@
     if raw.get("status") == STATUS_SERVING:
         return None
     name = parse_name(raw)
-    return Endpoint(name, NO_ADDRESS, ListedServer(stable_id(name, SERVER_ID_BYTES), ServerStatus.GONE))
+    return Endpoint(name, NO_ADDRESS, ListedServer(stable_hash(name, SERVER_ID_BYTES), ServerStatus.GONE))
 
 
 def parse_name(raw: dict[str, Any]) -> str:
@@ -163,4 +163,4 @@
     An unknown name gets an index above the configured ones, which is the same on all gateways.
     """
     index = configured.get(str(name))
-    return index if index is not None else len(configured) + stable_id(str(name), SERVER_ID_BYTES)
+    return index if index is not None else len(configured) + stable_hash(str(name), SERVER_ID_BYTES)
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from sagetrack.config.platform import Address, stable_id
+from sagetrack.config.platform import Address, stable_hash
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.gateway import Gateway
 from sagetrack.dns.cache import AnswerCache
@@ -187,7 +187,7 @@
         self.configured = []
         for host, port in addresses:
             name = f"{host}:{port}"
-            self.configured.append(Endpoint(name, (host, port), ListedServer(stable_id(name, 4))))
+            self.configured.append(Endpoint(name, (host, port), ListedServer(stable_hash(name, 4))))
         self.on_list(ListKind.FULL, self.listed)
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from sagetrack.config.platform import Config, stable_id
+from sagetrack.config.platform import Config, stable_hash
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.requests import Request, ResponseSource
 from sagetrack.core.responses import Header, Response
@@ -133,7 +133,7 @@
         """Identify a client without a name by its address, which others may share: hence the sign."""
         assert self.transport is not None
         peer = self.transport.get_extra_info("peername")
-        return -stable_id(peer[0], 8) if peer else 0
+        return -stable_hash(peer[0], 8) if peer else 0
 
     def cancel_request(self) -> None:
         """Have the gateway cancel the request, if it has it."""
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from sagetrack.config.platform import Config, Names, stable_id
+from sagetrack.config.platform import Config, NameIndices, stable_hash
 from sagetrack.core.bodies import StreamedBody
 from sagetrack.core.requests import Client, Request
 from sagetrack.core.responses import Header
@@ -96,7 +96,7 @@
         id=id_.decode("latin-1"),
         class_index=class_index,
         client_timeout_us=client_timeout_us,
-        key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
+        key=stable_hash(parts[-1], 8) if len(parts) > 1 else None,
         work_us=_whole_number(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), -1 if names.tenants else 0),
@@ -104,7 +104,7 @@
         client=client,
         streamed_body=message.streamed_body,
         received_us=message.received_us,
-        client_id=stable_id(client_name, 8) if client_name else 0,
+        client_id=stable_hash(client_name, 8) if client_name else 0,
     )
 
 
@@ -119,7 +119,7 @@
 
 
 def _class_of(
-    message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: Names
+    message: HttpRequest, path: bytes, parts: list[bytes], class_header: bytes | None, names: NameIndices
 ) -> int:
     """Return the index of the class that the path names, and X-Call-Class too if it is there."""
     if class_header is not None and class_header not in names.classes:
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -80,7 +80,7 @@
         router = build_protocol_router(config, operator, self.pools, self.tls_keys)
         self.gateway = self._build_gateway(self.pools if router is None else router)
         self.http_listener = HttpListener(config, self.gateway, self.pools)
-        self.hot_restart = HotRestart(config.folder if config.accept_fd is not None else None)
+        self.hot_restart = HotRestart(config.shared_folder if config.accept_fd is not None else None)
         self.http_listener.siblings = self.hot_restart
         self.observation_exchange = ObservationExchange(config, operator, self.gateway)
         self.protocol_listeners = ProtocolListeners(config, operator, self.gateway)
@@ -99,7 +99,9 @@
 
     def _build_gateway(self, upstreams: UpstreamPool) -> Gateway:
         config = self.config
-        gateway = Gateway(config.settings, config.seed, self._class_names(), upstreams, config.known)
+        gateway = Gateway(
+            config.settings, config.seed, self._class_names(), upstreams, config.known_endpoints
+        )
         admission = gateway.balancer.admission
         if admission is not None:
             tenants = [name.decode() for name in config.names.tenants]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from sagetrack.config.operator import Operator
-from sagetrack.config.platform import parse, stable_id
+from sagetrack.config.platform import parse, stable_hash
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.core.gateway import Gateway
@@ -128,7 +128,7 @@
 
 
 def server_id(number: int) -> int:
-    return stable_id(f"s-{number}", 4)
+    return stable_hash(f"s-{number}", 4)
 
 
 @dataclass
--- a/tests/test_discovery_return.py
+++ b/tests/test_discovery_return.py
@@ -18,7 +18,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from sagetrack.config.platform import Address, Names, parse_address
+from sagetrack.config.platform import Address, NameIndices, parse_address
 from sagetrack.core.deadlines import MIN_GRACE_S, SILENT_WATCH_LIMIT_S, discovery_timeouts
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.core.responses import Response
@@ -301,7 +301,7 @@
         self.recovered_s: float | None = None  # when discovery is reachable and has the change
         self.change_received_s: asyncio.Future[float] = self.loop.create_future()
         self.targets: list[bytes] = []
-        names = Names({}, {}, {}, {})
+        names = NameIndices({}, {}, {}, {})
         self.discovery = DiscoveryClient(
             ("127.0.0.1", 9), names, self.on_list, settings.endpoints_are_pushed, self.connect, self.limits
         )
--- a/tests/test_dns_endpoint_list.py
+++ b/tests/test_dns_endpoint_list.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from sagetrack.config.operator import load as load_operator
-from sagetrack.config.platform import stable_id
+from sagetrack.config.platform import stable_hash
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.discovery.endpoints_by_protocol import EndpointsByProtocol
 from sagetrack.lab.stand_ins.dns_server import nameserver
@@ -23,7 +23,7 @@
 
 def listed(name: str, place: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
     host, port = place.rsplit(":", 1)
-    return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
+    return Endpoint(name, (host, int(port)), ListedServer(stable_hash(name, 4), status, kind=kind))
 
 
 def test_a_list_is_split_by_type_and_a_server_that_changes_type_leaves_the_other() -> None:
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sagetrack.config.platform import stable_id
+from sagetrack.config.platform import stable_hash
 from tests.sockets import (
     configuration,
     http_response,
@@ -39,7 +39,7 @@
         (event,) = told
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
-        assert event.key == stable_id("7f3a9c21e0b4d655", 8)
+        assert event.key == stable_hash("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.request(data)).status == 200
         assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
--- a/tests/test_endpoint_parsing.py
+++ b/tests/test_endpoint_parsing.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sagetrack.config.platform import Names, stable_id
+from sagetrack.config.platform import NameIndices, stable_hash
 from sagetrack.discovery.endpoint_list_json import EndpointListSnapshot, encode_endpoint_list
 from sagetrack.discovery.endpoint_parsing import (
     NO_ADDRESS,
@@ -19,7 +19,7 @@
 from sagetrack.discovery.version_check import VersionCheck
 from sagetrack.policy.events import ListedServer, ServerStatus
 
-NAMES = Names(classes={}, tenants={}, zones={"a": 0, "b": 1}, kinds={"m": 0})
+NAMES = NameIndices(classes={}, tenants={}, zones={"a": 0, "b": 1}, kinds={"m": 0})
 ENTRY = {
     "name": "s-1",
     "address": "127.0.0.1:80",
@@ -36,11 +36,11 @@
     endpoint = parse_endpoint_or_withdrawal(ENTRY, NAMES)
     assert endpoint is not None and (endpoint.name, endpoint.address) == ("s-1", ("127.0.0.1", 80))
     assert endpoint.listed == ListedServer(
-        server=stable_id("s-1", 4),
+        server=stable_hash("s-1", 4),
         status=ServerStatus.READY,
         weight=2.0,
         zone=1,
-        group=stable_id("g", 4),
+        group=stable_hash("g", 4),
         kind=0,
         started_us=5000,
     )
@@ -51,7 +51,7 @@
 def test_an_unusable_entry_withdraws_its_server_unless_it_serves(weight: object, status: object) -> None:
     endpoint = parse_endpoint_or_withdrawal(ENTRY | {"weight": weight, "status": status}, NAMES)
     assert endpoint is not None and endpoint.address == NO_ADDRESS
-    assert endpoint.listed == ListedServer(stable_id("s-1", 4), ServerStatus.GONE)
+    assert endpoint.listed == ListedServer(stable_hash("s-1", 4), ServerStatus.GONE)
     assert parse_endpoint_or_withdrawal(ENTRY | {"weight": weight}, NAMES) is None
 
 
@@ -62,7 +62,7 @@
 
 def test_an_unknown_name_has_an_index_beyond_the_settings() -> None:
     assert index_of_name("b", NAMES.zones) == 1
-    assert index_of_name("z", NAMES.zones) == 2 + stable_id("z", 4) >= 2
+    assert index_of_name("z", NAMES.zones) == 2 + stable_hash("z", 4) >= 2
 
 
 @pytest.mark.parametrize("endpoints", [None, []])
@@ -79,7 +79,7 @@
 
 
 def test_a_second_entry_with_the_same_server_id_is_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sagetrack.discovery.endpoint_parsing.stable_id", lambda name, size: 7)
+    monkeypatch.setattr("sagetrack.discovery.endpoint_parsing.stable_hash", lambda name, size: 7)
     entries = [ENTRY, ENTRY | {"name": "s-2"}, ENTRY | {"weight": 3}]
     update = parse_endpoint_list({"index": 1, "endpoints": entries}, NAMES)
     assert [(endpoint.name, endpoint.listed.weight) for endpoint in update.endpoints] == [("s-1", 3.0)]
--- a/tests/test_endpoints_by_protocol.py
+++ b/tests/test_endpoints_by_protocol.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sagetrack.config.platform import stable_id
+from sagetrack.config.platform import stable_hash
 from sagetrack.core.endpoints import Endpoint
 from sagetrack.discovery.endpoints_by_protocol import EndpointsByProtocol
 from sagetrack.policy.events import ListedServer, ListKind, ServerStatus
@@ -10,7 +10,7 @@
 
 def listed(name: str, address: str, kind: int = 0, status: ServerStatus = ServerStatus.READY) -> Endpoint:
     host, port = address.rsplit(":", 1)
-    return Endpoint(name, (host, int(port)), ListedServer(stable_id(name, 4), status, kind=kind))
+    return Endpoint(name, (host, int(port)), ListedServer(stable_hash(name, 4), status, kind=kind))
 
 
 def test_a_list_is_divided_by_type_and_a_server_that_changes_type_leaves_its_previous_protocol() -> None:
--- a/tests/test_stored_compatibility.py
+++ b/tests/test_stored_compatibility.py
@@ -20,7 +20,7 @@
 import pytest
 
 from sagetrack.config.operator import Operator, StoreSettings
-from sagetrack.config.platform import parse, stable_id
+from sagetrack.config.platform import parse, stable_hash
 from sagetrack.peers import handover
 from sagetrack.peers.codec import DemandGossip, Message, WarmStartResponse, decode, encode
 from sagetrack.peers.demand_gossip import decode_demands
@@ -231,7 +231,7 @@
     """Stored observations and datagrams identify a server by this number."""
     number, size, name = line.split(" ")
     assert (name, int(size)) in IDS
-    assert stable_id(name, int(size)) == int(number)
+    assert stable_hash(name, int(size)) == int(number)
 
 
 # Files for the successor process
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from sagetrack.config.platform import Names
+from sagetrack.config.platform import NameIndices
 from sagetrack.core.deadlines import discovery_timeouts
 from sagetrack.discovery import endpoint_list_json
 from sagetrack.discovery.client import DiscoveryClient
@@ -308,7 +308,7 @@
     async def unreachable(address: tuple[str, int]) -> Any:
         raise OSError("nobody there")
 
-    names, limits = Names(zones={}, kinds={}, classes={}, tenants={}), discovery_timeouts(SETTINGS)
+    names, limits = NameIndices(zones={}, kinds={}, classes={}, tenants={}), discovery_timeouts(SETTINGS)
     discovery = DiscoveryClient(REGISTRY, names, lambda kind, entries: None, False, unreachable, limits)
     discovery.on_list_changed = hot_restart.endpoint_list.schedule_write
     return discovery
