--- a/sagetrack/config/__init__.py
+++ b/sagetrack/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's JSON and the operator's TOML, validated."""
+"""Reads and validates the configuration: the platform's JSON file and the operator's TOML file."""
--- a/sagetrack/config/allowed_values.py
+++ b/sagetrack/config/allowed_values.py
@@ -1,4 +1,4 @@
-"""What the values of a type may be, in words for operators."""
+"""Descriptions of the values that a type allows, for error messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def describe(kind: inspect.Type) -> str:
-    """What a value of this type may be, as in `a whole number from 1 to 9`."""
+    """Describe the values that a type allows, as in `a whole number from 1 to 9`."""
     for type_, describe_type in _DESCRIPTIONS:
         if isinstance(kind, type_):
             return describe_type(kind)
@@ -32,10 +32,10 @@
 
 
 def _describe_text(kind: inspect.StrType) -> str:
-    text = "a text"
+    text = "a string"
     if kind.min_length:
         text += " that is not empty"
-    return text + (f" of the form {kind.pattern}" if kind.pattern else "")
+    return text + (f" that matches {kind.pattern}" if kind.pattern else "")
 
 
 def _describe_union(kind: inspect.UnionType) -> str:
@@ -59,19 +59,19 @@
 
 
 def field_names(kind: inspect.Type) -> list[str]:
-    """The keys of a structure, as they stand in the file; none for other types."""
+    """Return the keys of a structure as they are written in the file; an empty list for other types."""
     return [field.encode_name for field in kind.fields] if isinstance(kind, inspect.StructType) else []
 
 
 def field_type(kind: inspect.Type, name: str | int) -> inspect.Type | None:
-    """The type of a structure's key; None if it has no such key."""
+    """Return the type of a structure's field; None if the structure has no such field."""
     if not isinstance(kind, inspect.StructType):
         return None
     return next((field.type for field in kind.fields if field.encode_name == name), None)
 
 
 def type_at(kind: inspect.Type, path: KeyPath) -> inspect.Type:
-    """The type that a value at this path has in a value of type `kind`."""
+    """Return the type of the value at a path inside a value of type `kind`."""
     for part in path:
         if isinstance(kind, inspect.UnionType):
             kind = next(item for item in kind.types if not isinstance(item, inspect.NoneType))
--- a/sagetrack/config/check.py
+++ b/sagetrack/config/check.py
@@ -1,7 +1,7 @@
-"""Names all faults of the platform's configuration; the gateway itself stops at the first.
+"""Reports all faults of the platform's configuration at once; the gateway itself stops at the first.
 
-The structures here have the keys that this program reads, under the platform's names. Other keys are ignored:
-the platform adds some, and other programs read the same file.
+The structures declare the keys that this program reads, under the platform's names. Unknown keys are ignored:
+the platform adds keys, and other programs read the same file.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """An entry of `settings.lanes`: a class of requests."""
+    """A request class: an entry of `settings.lanes`."""
 
     name: Annotated[str, Meta(min_length=1)]
-    giveUpUs: Annotated[int, Meta(ge=1)]  # noqa: N815 - the platform's name
+    giveUpUs: Annotated[int, Meta(ge=1)]  # noqa: N815 - a key of the platform's file
     aimUs: Annotated[int, Meta(ge=1)] | None = None  # noqa: N815
     effect: Literal["free", "guarded", "single_shot"] = "single_shot"
     group: Literal["all", "zone", "cell"] = "all"
@@ -38,7 +38,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the gateway may use of its machine."""
+    """The machine resources that the gateway may use."""
 
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=16)] = 192
@@ -46,7 +46,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """A server in the endpoint list."""
+    """An entry of the endpoint list."""
 
     name: Annotated[str, Meta(min_length=1)]
     address: HostPort
@@ -55,14 +55,14 @@
 
 
 class KnownEndpoints(msgspec.Struct, frozen=True):
-    """The endpoint list as the platform last knew it."""
+    """The last endpoint list that the platform had when it wrote the file."""
 
     index: int | None = None
     endpoints: list[Endpoint] = msgspec.field(default_factory=list)
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """The table `settings`: what the load-balancing policy is told."""
+    """The table `settings`: the settings of the load-balancing policy."""
 
     lanes: Annotated[list[RequestClass], Meta(min_length=1)]
     balancers: Count = 1
@@ -73,7 +73,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The content of the file."""
+    """The top level of the platform's configuration file."""
 
     listen: HostPort
     discovery: HostPort
@@ -85,23 +85,28 @@
 
 
 def _cross_field_faults(platform: Platform) -> Iterator[Fault]:
-    """Faults that types cannot express."""
+    """Check the constraints between fields, which types cannot express."""
     settings = platform.settings
     if settings.index >= settings.balancers:
-        message = f"settings.index = {settings.index} is not below settings.balancers = {settings.balancers}"
+        message = (
+            f"settings.index = {settings.index} must be less than settings.balancers = {settings.balancers}"
+        )
         yield Fault(("settings", "index"), message)
     names = [request_class.name for request_class in settings.lanes]
     for number, name in enumerate(names):
         if name in names[:number]:
             path = ("settings", "lanes", number, "name")
-            yield Fault(path, f"settings.lanes[{number + 1}].name = {name!r} is that of another class")
+            yield Fault(
+                path, f"settings.lanes[{number + 1}].name = {name!r} is already the name of another class"
+            )
 
 
 def check(path: str, environment: Mapping[str, str] = os.environ) -> None:
-    """Check a gateway's configuration by its types, and then as the gateway itself would read it.
+    """Check a platform configuration against the types, and then parse it as the gateway does.
 
     Raises:
-        FileError: it cannot be used; `faults` names all that is wrong, as far as types tell.
+        FileError: the file is unreadable or invalid. `faults` lists every fault that the types reveal, or else
+            the first fault that parsing finds.
     """
     read(path, Platform, _cross_field_faults)
     with open(path, "rb") as file:
--- a/sagetrack/config/errors.py
+++ b/sagetrack/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration. Each message says what is wrong, where, and what is allowed."""
+"""Configuration errors. Each message states what is wrong, where, and which values are allowed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ConfigError(ConfigurationError):
-    """The configuration cannot be used; the message says why, in one line. The first fault alone is named."""
+    """The configuration is invalid. The one-line message describes the first fault only."""
 
 
 class FileError(ConfigurationError):
-    """A file that cannot be used; `faults` has one plain line for each fault."""
+    """A configuration file is invalid; `faults` has a one-line message for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__(faults[0])
@@ -22,7 +22,7 @@
 
 
 class UnreadableError(FileError):
-    """The file cannot be read at all, as `error` says; its content is not known."""
+    """The file cannot be read because of the operating-system error `error`, so its content is unchecked."""
 
     def __init__(self, path: Path, error: OSError) -> None:
         super().__init__([f"{path}: {error.strerror}"])
--- a/sagetrack/config/key_lines.py
+++ b/sagetrack/config/key_lines.py
@@ -1,7 +1,7 @@
-"""The line of each key in a TOML 1.0 or JSON (RFC 8259) text.
+"""Finds the line number of each key in TOML 1.0 or JSON (RFC 8259) text.
 
-Neither `tomllib` nor `json` tells where a key stands, so a small scan of the text finds it. The scan is
-lenient: it is run on a text that a parser has accepted, and on any other text it must only not fail.
+Neither `tomllib` nor `json` reports where a key is, so a small scanner finds it. The scanner is lenient:
+its result is used for text that a parser has accepted, and on any other text it must only not raise.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import re
 from dataclasses import dataclass, field
 
-KeyPath = tuple[str | int, ...]  # keys, and indices into lists from 0, from the top of the file
-KeyLines = dict[KeyPath, int]  # lines are counted from 1
+KeyPath = tuple[str | int, ...]  # table keys and list indices (from 0) from the top level down
+KeyLines = dict[KeyPath, int]  # line numbers, from 1
 
 TOML_TABLE = re.compile(r"^\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(?:#.*)?$")
 _TOML_NAME = r"""(?:[A-Za-z0-9_-]+|"[^"]*"|'[^']*')"""
@@ -20,9 +20,9 @@
 
 
 def toml_key_lines(text: str) -> KeyLines:
-    """The line of each key and table of a TOML text."""
+    """Return the line number of each key and table in TOML text."""
     lines: KeyLines = {}
-    last_index: dict[KeyPath, int] = {}  # of each array of tables
+    last_index: dict[KeyPath, int] = {}  # last index used in each array of tables
     table: KeyPath = ()
     for number, line in enumerate(text.splitlines(), 1):
         header = TOML_TABLE.match(line)
@@ -41,7 +41,7 @@
 
 
 def _toml_table_path(dotted: str, is_array_entry: bool, last_index: dict[KeyPath, int]) -> KeyPath:
-    """The path of a table header; counts it in `last_index` if it begins an entry of an array of tables."""
+    """Return the path that a table header names; a header of an array entry advances `last_index`."""
     names = _toml_names(dotted)
     table: KeyPath = ()
     for depth, name in enumerate(names):
@@ -54,7 +54,7 @@
 
 
 def json_key_lines(text: str) -> KeyLines:
-    """The line of each key and list entry of a JSON text."""
+    """Return the line number of each key and list entry in JSON text."""
     scan = _JsonScan()
     for token in JSON_TOKEN.findall(text):
         scan.take(token)
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class _JsonScan:
-    """The state of a scan through the tokens of a JSON text."""
+    """The state of a scan over the tokens of JSON text."""
 
     lines: KeyLines = field(default_factory=dict)
     line: int = 1
-    path: list[str | int] = field(default_factory=list)  # of the value that comes next
+    path: list[str | int] = field(default_factory=list)  # path of the next value
     open_brackets: list[str] = field(default_factory=list)
-    key: str | None = None  # the last one
+    key: str | None = None  # the last key read
     expects_key: bool = False
 
     def take(self, token: str) -> None:
@@ -115,13 +115,13 @@
     def _read_key(self, token: str) -> None:
         try:
             self.key = json.loads(token)
-        except ValueError:  # no JSON string; the parser reports that
+        except ValueError:  # not a JSON string; the JSON parser reports the error
             self.key = token
         self.expects_key = False
 
 
 def nearest_line(lines: KeyLines, path: KeyPath) -> int:
-    """The line of a key, or of the nearest thing that contains it."""
+    """Return the line of a key, or of the innermost container of it whose line is known."""
     for end in range(len(path), -1, -1):
         if path[:end] in lines:
             return lines[path[:end]]
@@ -129,7 +129,7 @@
 
 
 def key_text(path: KeyPath) -> str:
-    """A key as operators write it, as in `class[2].aim_ms`: indices are counted from 1."""
+    """Format a path for error messages, as in `class[2].aim_ms`, with list indices from 1."""
     text = ""
     for part in path:
         text += f"[{part + 1}]" if isinstance(part, int) else f".{part}" if text else part
--- a/sagetrack/config/operator.py
+++ b/sagetrack/config/operator.py
@@ -1,7 +1,7 @@
-"""The operator's file: TOML that `$LB_OPERATOR` or `--operator` names.
+"""The operator's configuration: a TOML file named by `$LB_OPERATOR` or `--operator`.
 
-The fields of the structures are its keys, which keep their names. What the file does not set has its default
-here.
+Field names are the keys of the file and must not be renamed. Field defaults apply to keys that the file does
+not set.
 """
 
 from __future__ import annotations
@@ -20,53 +20,55 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the program logs."""
+    """Format, level and rate limit of the log."""
 
     format: Literal["plain", "json", "console"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    burst: Annotated[float, Meta(ge=1, le=10_000)] = 20.0  # lines of one event at once
-    rate: Annotated[float, Meta(gt=0, le=10_000)] = 5.0  # lines of one event a second, in the long run
+    burst: Annotated[float, Meta(ge=1, le=10_000)] = 20.0  # lines of one event that may be logged at once
+    rate: Annotated[float, Meta(gt=0, le=10_000)] = 5.0  # sustained lines per second of one event
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Messages between gateways."""
+    """Messages between the gateways of a fleet."""
 
-    use: Literal["off", "platform", "on"] = "platform"  # platform: where the platform allows them
+    use: Literal["off", "platform", "on"] = "platform"  # platform: on if the platform allows them
     listen: HostPort | None = None
     addresses: list[HostPort] = msgspec.field(default_factory=list)
-    me: Annotated[int, Meta(ge=0, le=65_535)] | None = None  # this gateway's place in `addresses`, from 0
-    period_ms: Annotated[int, Meta(ge=100, le=60_000)] = 1000  # between pings
-    timeout_ms: Annotated[int, Meta(ge=10, le=30_000)] = 300  # for an answer to a ping, before indirect pings
-    warm_start: bool = True  # ask the others for their observations at the start
+    me: Annotated[int, Meta(ge=0, le=65_535)] | None = None  # index of this gateway in `addresses`
+    period_ms: Annotated[int, Meta(ge=100, le=60_000)] = 1000  # interval between pings
+    timeout_ms: Annotated[int, Meta(ge=10, le=30_000)] = 300  # without a pong before indirect pings
+    warm_start: bool = True  # request the observations of the peers at startup
 
 
 class ZoneSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """DNS zones that this gateway is authoritative for; off without an origin or files."""
+    """DNS zones that this gateway is authoritative for; disabled without an origin or zone files."""
 
     origin: str = ""
     ttl_s: Annotated[int, Meta(ge=0, le=86_400)] = 5
     gateways: dict[str, HostPort] = msgspec.field(default_factory=dict)
-    files: dict[str, str] = msgspec.field(default_factory=dict)  # zone files by origin
+    files: dict[str, str] = msgspec.field(default_factory=dict)  # paths of zone files, by origin
 
 
 class DnsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """DNS over UDP and TCP; off without an address to listen at."""
+    """DNS over UDP and TCP; disabled if `listen` is empty."""
 
     listen: list[HostPort] = msgspec.field(default_factory=list)
     upstreams: list[HostPort] = msgspec.field(default_factory=list)
-    type: str = ""  # endpoints of this type in the endpoint list are upstream servers too
-    aim_ms: Annotated[int, Meta(ge=1, le=60_000)] = 500
-    deadline_ms: Annotated[int, Meta(ge=1, le=60_000)] = 2000
+    type: str = ""  # endpoints of this type are DNS upstreams too
+    aim_ms: Annotated[int, Meta(ge=1, le=60_000)] = 500  # latency objective of a query
+    deadline_ms: Annotated[int, Meta(ge=1, le=60_000)] = 2000  # then SERVFAIL or a stale answer
     cache_mb: Annotated[float, Meta(ge=0, le=65_536)] = 32.0
-    stale_s: Annotated[float, Meta(ge=0, le=604_800)] = 86_400.0
+    stale_s: Annotated[float, Meta(ge=0, le=604_800)] = (
+        86_400.0  # an expired answer is usable while upstreams fail
+    )
     allow: list[str] = msgspec.field(default_factory=lambda: ["127.0.0.0/8", "::1/128"])
     deny: list[str] = msgspec.field(default_factory=list)
-    answers_per_s: Annotated[float, Meta(ge=0, le=1_000_000)] = 0.0
-    queries_each: Annotated[int, Meta(ge=1, le=100_000)] = 256
-    queries: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
-    connections_each: Annotated[int, Meta(ge=1, le=10_000)] = 16
-    connections: Annotated[int, Meta(ge=1, le=100_000)] = 256
-    crowd: Annotated[int, Meta(ge=1, le=100_000)] = 1000
+    answers_per_s: Annotated[float, Meta(ge=0, le=1_000_000)] = 0.0  # UDP, per client prefix; 0: no limit
+    queries_each: Annotated[int, Meta(ge=1, le=100_000)] = 256  # in progress, per client
+    queries: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000  # in progress, all clients
+    connections_each: Annotated[int, Meta(ge=1, le=10_000)] = 16  # over TCP, per client
+    connections: Annotated[int, Meta(ge=1, le=100_000)] = 256  # over TCP, all clients
+    crowd: Annotated[int, Meta(ge=1, le=100_000)] = 1000  # attempts at one upstream, from all gateways
     zone: ZoneSettings = msgspec.field(default_factory=ZoneSettings)
 
 
@@ -75,18 +77,24 @@
 
     use: bool = False
     shares: dict[str, Annotated[float, Meta(gt=0, le=1_000_000)]] = msgspec.field(default_factory=dict)
-    flows: Annotated[int, Meta(ge=1, le=65_536)] = 256  # that a tenant's clients are hashed to
-    patience: Annotated[float, Meta(ge=0, le=0.5)] = 0.5  # longest wait, in slack under the objective
+    flows: Annotated[int, Meta(ge=1, le=65_536)] = (
+        256  # flow queues that the clients of a tenant are hashed to
+    )
+    patience: Annotated[float, Meta(ge=0, le=0.5)] = (
+        0.5  # longest wait, as a fraction of the latency objective's slack
+    )
     memory_mb: Annotated[float, Meta(ge=1, le=65_536)] = 16.0
-    whole_seconds: bool = False  # of Retry-After, for clients that do not read fractions
-    client_header: Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]*$")] = "X-Client"  # empty: by address alone
+    whole_seconds: bool = False  # round Retry-After up, for clients that do not parse fractions
+    client_header: Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]*$")] = (
+        "X-Client"  # if empty, the address alone identifies a client
+    )
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of admission control; they need `queues.use`. A rate of 0 is no limit."""
+    """Limits of admission control, which require `queues.use`. A rate of 0 means no limit."""
 
-    adaptive: bool = True  # a concurrency limit that follows the latency
-    repeats: Annotated[float, Meta(ge=0, le=10)] = 0.2  # marked retries for each first attempt
+    adaptive: bool = True  # adapt the concurrency limit to the measured latency
+    repeats: Annotated[float, Meta(ge=0, le=10)] = 0.2  # marked client retries allowed per first try
     member_per_s: Annotated[float, Meta(ge=0, le=10_000_000)] = 0.0
     member_burst: Annotated[float, Meta(ge=1, le=10_000_000)] = 10.0
     client_per_s: Annotated[float, Meta(ge=0, le=10_000_000)] = 0.0
@@ -96,35 +104,37 @@
 
 
 class GrpcSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `newer`: gRPC servers and clients (docs/protocol-2.md); off without types and listen."""
+    """The table `newer`: gRPC to servers and clients (docs/protocol-2.md); off without types and listen."""
 
     types: list[Annotated[str, Meta(min_length=1)]] = msgspec.field(default_factory=list)
-    share: Fraction | None = None  # of the traffic; without it by the listed weights
+    share: Fraction | None = None  # share of the traffic; if unset, the listed weights decide
     tls: bool = False
-    ca: str = ""  # files in PEM
+    ca: str = ""  # path of a PEM file, as are `certificate` and `key`
     certificate: str = ""
     key: str = ""
-    listen: list[HostPort] = msgspec.field(default_factory=list)  # for gRPC clients
+    listen: list[HostPort] = msgspec.field(default_factory=list)  # listen addresses for gRPC clients
     share_by_class: dict[str, Fraction] = msgspec.field(default_factory=dict)
-    share_by_member: dict[str, Fraction] = msgspec.field(default_factory=dict)  # goes before a class's
-    compare_per_s: Annotated[float, Meta(ge=0, le=1000)] = 0.0  # mirrored idempotent requests; 0: none
-    compare_ignore: list[str] = msgspec.field(default_factory=list)  # headers that may differ
+    share_by_member: dict[str, Fraction] = msgspec.field(
+        default_factory=dict
+    )  # takes precedence over share_by_class
+    compare_per_s: Annotated[float, Meta(ge=0, le=1000)] = 0.0  # idempotent requests to mirror; 0: none
+    compare_ignore: list[str] = msgspec.field(default_factory=list)  # headers left out of the comparison
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A store on disk (docs/operators/store.md); off without a folder."""
+    """A store on disk (docs/operators/store.md); disabled without a folder."""
 
-    folder: str = ""  # {gateway} stands for the gateway's name, as each needs a folder of its own
+    folder: str = ""  # {gateway} is replaced by the gateway's name, as gateways cannot share one
     sync: Literal["batch", "every", "never"] = "every"
     every_s: Annotated[float, Meta(ge=0.001, le=60)] = 0.1
     most_mb: Annotated[float, Meta(ge=1, le=100_000)] = 64.0
-    knowledge: bool = True  # observations of server health, for a warm start
-    recorder: bool = True  # a record of each second, for reports
+    knowledge: bool = True  # store observations of server health for a warm start
+    recorder: bool = True  # store one record per second for reports
     keep_hours: Annotated[float, Meta(gt=0, le=87_600)] = 168.0
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The content of the file, a field for each table."""
+    """The top level of the operator's file, with a field for each table."""
 
     log: LogSettings = msgspec.field(default_factory=LogSettings)
     peers: PeerSettings = msgspec.field(default_factory=PeerSettings)
@@ -136,45 +146,53 @@
 
 
 def load(path: str) -> Operator:
-    """Read the file.
+    """Read and validate the operator's file.
 
     Raises:
         UnreadableError: the file cannot be read.
-        FileError: its content cannot be used; `faults` names all that is wrong.
+        FileError: the content is invalid; `faults` lists every fault.
     """
     return read(path, Operator, _cross_field_faults)
 
 
 def _cross_field_faults(operator: Operator) -> Iterator[Fault]:
-    """Faults that types cannot express."""
+    """Check the constraints between fields, which types cannot express."""
     if operator.limits != LimitSettings() and not operator.queues.use:
         yield Fault(("limits",), "limits needs queues.use = true")
     if operator.store != StoreSettings() and not operator.store.folder:
-        yield Fault(("store",), 'store needs folder, as in "/var/lib/sagetrack/{gateway}"')
+        yield Fault(("store",), 'store needs folder, for example "/var/lib/sagetrack/{gateway}"')
     yield from _grpc_faults(operator.newer)
     if operator.dns.type and operator.dns.type in operator.newer.types:
-        yield Fault(("dns", "type"), f"dns.type = {operator.dns.type!r} is among newer.types")
+        yield Fault(
+            ("dns", "type"),
+            f"dns.type = {operator.dns.type!r} is also in newer.types; a type can have one protocol only",
+        )
     yield from _dns_faults(operator.dns)
 
 
 def _grpc_faults(grpc: GrpcSettings) -> Iterator[Fault]:
     if grpc != GrpcSettings() and not grpc.types and not grpc.listen:
-        yield Fault(("newer",), 'newer needs types, of servers in the list, as in ["v2"], or listen')
+        yield Fault(("newer",), 'newer needs listen, or types of listed servers, for example ["v2"]')
     if grpc.listen and grpc.tls and not grpc.certificate:
-        yield Fault(("newer", "certificate"), "newer.certificate is missing; newer.listen shows it")
+        yield Fault(("newer", "certificate"), "newer.certificate is missing; newer.listen with TLS needs it")
     if grpc.tls and not grpc.ca:
-        yield Fault(("newer", "ca"), "newer.ca is missing; it is the file of the authority that servers have")
+        yield Fault(
+            ("newer", "ca"), "newer.ca is missing; newer.tls needs the file of the CA that signs servers"
+        )
     if bool(grpc.certificate) != bool(grpc.key):
-        yield Fault(("newer", "certificate"), "newer.certificate and newer.key go together")
+        yield Fault(("newer", "certificate"), "newer.certificate and newer.key must be set together")
 
 
 def _dns_faults(dns: DnsSettings) -> Iterator[Fault]:
     if dns.listen and not (dns.upstreams or dns.type or dns.zone.origin or dns.zone.files):
-        message = "dns.upstreams is missing; it is a list of at least one host:port, "
-        message += "or there is a dns.type or dns.zone"
+        message = "dns.upstreams is missing; dns.listen needs at least one upstream host:port, "
+        message += "a dns.type or a dns.zone"
         yield Fault(("dns", "upstreams"), message)
     if dns.aim_ms > dns.deadline_ms:
-        yield Fault(("dns", "aim_ms"), f"dns.aim_ms = {dns.aim_ms} is above deadline_ms = {dns.deadline_ms}")
+        yield Fault(
+            ("dns", "aim_ms"),
+            f"dns.aim_ms = {dns.aim_ms} must not exceed dns.deadline_ms = {dns.deadline_ms}",
+        )
     yield from _prefix_faults("allow", dns.allow)
     yield from _prefix_faults("deny", dns.deny)
 
@@ -184,5 +202,5 @@
         try:
             ipaddress.ip_network(prefix, strict=False)
         except ValueError:
-            message = f"dns.{key}[{number}] = {prefix!r} is no prefix, as in 10.0.0.0/8"
+            message = f"dns.{key}[{number}] = {prefix!r} is not an IP prefix such as 10.0.0.0/8"
             yield Fault(("dns", key), message)
--- a/sagetrack/config/platform.py
+++ b/sagetrack/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's configuration: the JSON file that LB_CONFIG names, and the environment.
+"""The platform's configuration: the JSON file that LB_CONFIG names, and environment variables.
 
-The keys are the platform's words; the fields here are the field's, and this module is where they meet.
+The file uses the platform's own key names; this module maps them to the usual terms of load balancing.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NameIndices:
-    """The numbers that the policy knows names by: places in the lists of the settings, from 0."""
+    """Maps names to the numbers that the policy uses for them: their indices in the lists of the settings."""
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
     zones: dict[str, int]
-    kinds: dict[str, int]  # types of servers
+    kinds: dict[str, int]  # server types
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,41 +52,41 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that all processes of the gateway may hold together
+    sockets: int  # file descriptors that all processes of the gateway may have open in total
     memory_mb: int
-    admin: Address | None  # the admin address
-    accept_fd: int | None  # a listening socket that the platform holds
-    shared_folder: str | None  # shared with other processes of this gateway
-    known_endpoints: dict[str, Any]  # the endpoint list as the platform last knew it, in discovery's form
+    admin: Address | None  # listen address of the admin interface
+    accept_fd: int | None  # descriptor of a listening socket inherited from the platform
+    shared_folder: str | None  # directory shared with the other processes of this gateway
+    known_endpoints: dict[str, Any]  # last endpoint list the platform had, in the format of discovery
     settings: Settings
     names: NameIndices
-    client_header: bytes = b""  # the header that names a client of a tenant, where fair queues are on
-    whole_seconds: bool = False  # whether Retry-After is rounded up to whole seconds
-    peer_listen: Address | None = None  # for datagrams of other gateways
-    peers: tuple[Address, ...] = ()  # one for each gateway, in the order of their numbers
+    client_header: bytes = b""  # header that identifies a client of a tenant, for fair queueing
+    whole_seconds: bool = False  # round Retry-After up to whole seconds
+    peer_listen: Address | None = None  # listen address for datagrams from other gateways
+    peers: tuple[Address, ...] = ()  # addresses of all gateways, in the order of gateway_index
 
 
 def stable_hash(text: str | bytes, size: int) -> int:
-    """A hash of `size` bytes that is the same for a text at every gateway and after every restart."""
+    """Return a hash of `size` bytes that is the same at every gateway and after every restart."""
     data = text.encode() if isinstance(text, str) else text
     return int.from_bytes(hashlib.blake2b(data, digest_size=size).digest())
 
 
 def read_file(path: str) -> bytes:
-    """The content of a file; OSError if it cannot be read."""
+    """Return the content of a file; raise OSError if it cannot be read."""
     with open(path, "rb") as file:
         return file.read()
 
 
 def load(environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_file) -> Config:
-    """Read the file that LB_CONFIG names.
+    """Read and parse the file that LB_CONFIG names.
 
     Args:
         environment: the environment variables.
-        read: reads a file; it may repeat a read that fails.
+        read: the function that reads the file; it may retry a failed read.
 
     Raises:
-        ConfigError: the variable is not set, or the file cannot be read or used.
+        ConfigError: LB_CONFIG is not set, or the file is unreadable or invalid.
     """
     path = environment.get("LB_CONFIG")
     if not path:
@@ -101,12 +101,12 @@
 
 
 def parse(raw: object, environment: Mapping[str, str] | None = None) -> Config:
-    """The configuration in a JSON value and the environment.
+    """Parse the configuration from a decoded JSON value and environment variables.
 
-    Keys that this program does not know are ignored, as other programs read the same file.
+    Unknown keys are ignored, as other programs read the same file.
 
     Raises:
-        ConfigError: it cannot be used; the first fault alone is named.
+        ConfigError: the configuration is invalid; the message describes the first fault only.
     """
     environment = environment or {}
     if not isinstance(raw, dict):
@@ -117,7 +117,7 @@
     limits = raw.get("limits") or {}
     known = raw.get("known") or {}
     if not isinstance(limits, dict) or not isinstance(known, dict):
-        raise ConfigError("limits or known is not an object")
+        raise ConfigError("limits and known must be JSON objects")
     descriptor = _accept_descriptor(environment)
     try:
         return _build(raw, settings, limits, known, environment, descriptor)
@@ -126,7 +126,7 @@
     except ConfigError:
         raise
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise ConfigError(f"the configuration cannot be used: {error}") from None
+        raise ConfigError(f"invalid configuration: {error}") from None
 
 
 def _build(
@@ -137,7 +137,7 @@
     environment: Mapping[str, str],
     descriptor: str | None,
 ) -> Config:
-    """The configuration in an object whose tables are objects; any fault in a value raises."""
+    """Build the configuration from objects of checked type; an invalid value raises an exception."""
     admin = raw.get("admin") or environment.get("LB_ADMIN") or None
     peer_listen = raw.get("peer_listen")
     return Config(
@@ -159,26 +159,26 @@
 
 
 def _accept_descriptor(environment: Mapping[str, str]) -> str | None:
-    """The digits that name the listening socket which the platform hands down; None if there is none."""
+    """Return LB_ACCEPT_FD, the descriptor of the inherited listening socket, as digits; None if unset."""
     descriptor = environment.get("LB_ACCEPT_FD") or None
     if descriptor is not None and not (descriptor.isascii() and descriptor.isdigit()):
-        raise ConfigError(f"LB_ACCEPT_FD is no descriptor: {descriptor!r}")
+        raise ConfigError(f"LB_ACCEPT_FD must be a descriptor number, not {descriptor!r}")
     return descriptor
 
 
 def parse_address(text: object, what: str) -> Address:
-    """Host and port of `host:port` or `[host]:port`.
+    """Parse `host:port` or `[host]:port` into host and port.
 
     Args:
         text: the address.
-        what: the key that it is from, for the message.
+        what: the key that holds the address, for the error message.
 
     Raises:
-        ConfigError: it has another form.
+        ConfigError: the address has another form.
     """
     host, mark, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not mark or not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise ConfigError(f"{what} is no address of the form host:port")
+        raise ConfigError(f"{what} must be an address of the form host:port")
     return host.strip("[]"), int(port)
 
 
--- a/sagetrack/config/validation.py
+++ b/sagetrack/config/validation.py
@@ -1,7 +1,7 @@
-"""Files into typed structures, with every fault named by file, line, key and what is allowed.
+"""Decodes files into typed structures and reports every fault with file, line, key and allowed values.
 
-`msgspec` stops at the first fault. Here the value that has it is removed and the rest is decoded again, so
-that one run names all faults.
+`msgspec` stops at the first fault. To report all of them in one run, this module removes the faulty value and
+decodes the rest again.
 """
 
 from __future__ import annotations
@@ -23,22 +23,24 @@
 
 Structure = TypeVar("Structure")
 
-MAX_FAULTS = 100  # that are reported of one file
-MAX_VALUE_LENGTH = 80  # characters of a faulty value that are reported
-# msgspec tells a fault as text alone
+MAX_FAULTS = 100  # faults reported per file
+MAX_VALUE_LENGTH = 80  # characters of a faulty value that a message shows
+# msgspec reports a fault only as text, which these patterns parse.
 MSGSPEC_FAULT = re.compile(r"^(?P<reason>.*?)(?: - at `(?:key in )?\$(?P<path>[^`]*)`)?$", re.S)
-MSGSPEC_STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]|\[(\.\.\.)\]")  # a key, an index, some key of a map
+MSGSPEC_STEP = re.compile(
+    r"\.([^.\[\]]+)|\[(\d+)\]|\[(\.\.\.)\]"
+)  # a key, a list index, or an unnamed key of a map
 MSGSPEC_UNKNOWN = re.compile(r"Object contains unknown field `(.+)`")
 MSGSPEC_MISSING = re.compile(r"Object missing required field `(.+)`")
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault of a file."""
+    """A fault in a file."""
 
-    path: KeyPath  # where its line is
+    path: KeyPath  # key whose line is reported
     message: str
-    missing: KeyPath | None = None  # the key that is not there, if that is the fault
+    missing: KeyPath | None = None  # the missing key, if that is the fault
 
 
 Check = Callable[[Any], Iterator[Fault]]
@@ -54,11 +56,11 @@
     Args:
         path: the file.
         type_: the structure.
-        check: finds faults that types cannot express; called if there is no other fault.
+        check: finds faults that types cannot express; called only if the types find none.
 
     Raises:
         UnreadableError: the file cannot be read.
-        FileError: its content cannot be used; `faults` names all that is wrong.
+        FileError: the content is invalid; `faults` lists every fault.
     """
     path = Path(path)
     try:
@@ -66,7 +68,7 @@
     except OSError as error:
         raise UnreadableError(path, error) from None
     except UnicodeDecodeError:
-        raise FileError([f"{path}: not UTF-8"]) from None
+        raise FileError([f"{path}: file is not UTF-8 text"]) from None
     is_json = path.suffix == ".json"
     raw = _parse(path, text, is_json)
     lines = json_key_lines(text) if is_json else toml_key_lines(text)
@@ -85,18 +87,18 @@
         found = re.search(r"line (\d+)", str(error))
         line = f":{found[1]}" if found is not None else ""
         form = "JSON" if is_json else "TOML"
-        raise FileError([f"{path}{line}: not {form}: {str(error).splitlines()[0]}"]) from None
+        raise FileError([f"{path}{line}: not valid {form}: {str(error).splitlines()[0]}"]) from None
 
 
 def decode(raw: Any, type_: type[Structure]) -> tuple[Structure | None, list[Fault]]:
     """Decode plain data into a structure.
 
     Args:
-        raw: what a parser returned; faulty values are removed from it.
+        raw: the output of a JSON or TOML parser; faulty values are removed from it.
         type_: the structure.
 
     Returns:
-        The structure and no faults, or None and the faults, MAX_FAULTS at the most.
+        The structure and no faults, or None and at most MAX_FAULTS faults.
     """
     faults: list[Fault] = []
     removed: set[KeyPath] = set()
@@ -106,7 +108,7 @@
             return (None if faults else value), faults
         except msgspec.ValidationError as error:
             fault = _fault(error, raw, inspect.type_info(type_))
-            if fault.missing not in removed:  # else it is missing because it was removed here
+            if fault.missing not in removed:  # otherwise an earlier iteration removed it
                 faults.append(fault)
             if not fault.path or len(faults) >= MAX_FAULTS or not _remove(raw, fault.path):
                 break
@@ -115,7 +117,7 @@
 
 
 def _fault(error: msgspec.ValidationError, raw: object, kind: inspect.Type) -> Fault:
-    """The fault that msgspec tells of, in an operator's words."""
+    """Convert an error of msgspec to a fault with a message for operators."""
     found = MSGSPEC_FAULT.match(str(error))
     assert found is not None
     reason, path = found["reason"], _key_path(found["path"] or "")
@@ -123,21 +125,21 @@
     if (unknown := MSGSPEC_UNKNOWN.match(reason)) is not None:
         path += (unknown[1],)
         known = ", ".join(field_names(here)) or "none"
-        return Fault(path, f"{key_text(path)} is unknown; allowed are {known}")
+        return Fault(path, f"{key_text(path)} is unknown; allowed keys are {known}")
     if (missing := MSGSPEC_MISSING.match(reason)) is not None:
         expected = field_type(here, missing[1])
         absent = (*path, missing[1])
         allowed = describe(expected) if expected is not None else ""
-        return Fault(path, f"{key_text(absent)} is missing; it is {allowed}", absent)
+        return Fault(path, f"{key_text(absent)} is missing; it must be {allowed}", absent)
     try:
         value = json.dumps(_value_at(raw, path), default=str)[:MAX_VALUE_LENGTH]
     except (KeyError, IndexError, TypeError):
         value = "?"
-    return Fault(path, f"{key_text(path)} = {value} is not allowed; it is {describe(here)}")
+    return Fault(path, f"{key_text(path)} = {value} is not allowed; it must be {describe(here)}")
 
 
 def _key_path(text: str) -> KeyPath:
-    """A path as msgspec writes it, up to the first key that it does not name."""
+    """Parse a path in the notation of msgspec, up to the first map key that msgspec leaves unnamed."""
     path: KeyPath = ()
     for key, index, any_key in MSGSPEC_STEP.findall(text):
         if any_key:
@@ -153,9 +155,9 @@
 
 
 def _remove(raw: Any, path: KeyPath) -> bool:
-    """Remove a value; False if that cannot be.
+    """Remove the value at a path; return False if it cannot be removed.
 
-    An entry of a list is overwritten with another entry, so that the indices of the others stay.
+    A list entry is overwritten with another entry, so that the indices of the other entries do not change.
     """
     try:
         holder = _value_at(raw, path[:-1])
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -60,7 +60,7 @@
     operator.write_text('[log]\nformat = "xml"\n')
     done = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
     assert done.returncode == 2 and done.stderr.count("\n") == 1
-    assert 'log.format = "xml" is not allowed; it is one of console, json, plain' in done.stderr
+    assert 'log.format = "xml" is not allowed; it must be one of console, json, plain' in done.stderr
 
 
 def test_the_platforms_path_loads_no_command_line_library(tmp_path: Path) -> None:
--- a/tests/test_config_validation.py
+++ b/tests/test_config_validation.py
@@ -1,4 +1,4 @@
-"""Files into structures: every fault in one go, each with file, line, key and what is allowed."""
+"""Validation of configuration files: all faults are reported, with file, line, key and allowed values."""
 
 from __future__ import annotations
 
@@ -25,69 +25,71 @@
     size: Annotated[int, msgspec.Meta(ge=1, le=9)] = 1
 
 
-class Whole(msgspec.Struct, forbid_unknown_fields=True):
+class Document(msgspec.Struct, forbid_unknown_fields=True):
     kind: Literal["a", "b"] = "a"
     item: list[Item] = []
     pair: tuple[float, float] = (0.0, 1.0)
 
 
-def faults(path: Path, text: str, type_: type = Whole) -> list[str]:
+def faults(path: Path, text: str, type_: type = Document) -> list[str]:
     path.write_text(text)
     with pytest.raises(FileError) as caught:
         read(path, type_)
     return [fault.removeprefix(f"{path}:") for fault in caught.value.faults]
 
 
-def test_all_faults_are_named_with_line_key_and_what_is_allowed(tmp_path: Path) -> None:
+def test_all_faults_are_reported_with_line_key_and_allowed_values(tmp_path: Path) -> None:
     text = 'kind = "c"\n\n[[item]]\nname = "x"\nsize = 12\n\n[[item]]\nnme = "y"\nname = "z"\n\n[extra]\n'
     assert faults(tmp_path / "f.toml", text) == [
-        '1: kind = "c" is not allowed; it is one of a, b',
-        "5: item[1].size = 12 is not allowed; it is a whole number from 1 to 9",
-        "8: item[2].nme is unknown; allowed are name, size",
-        "11: extra is unknown; allowed are kind, item, pair",
+        '1: kind = "c" is not allowed; it must be one of a, b',
+        "5: item[1].size = 12 is not allowed; it must be a whole number from 1 to 9",
+        "8: item[2].nme is unknown; allowed keys are name, size",
+        "11: extra is unknown; allowed keys are kind, item, pair",
     ]
 
 
-def test_what_is_missing_is_named(tmp_path: Path) -> None:
-    assert faults(tmp_path / "f.toml", "[[item]]\nsize = 2\n") == ["1: item[1].name is missing; it is a text"]
+def test_a_missing_key_is_reported(tmp_path: Path) -> None:
+    assert faults(tmp_path / "f.toml", "[[item]]\nsize = 2\n") == [
+        "1: item[1].name is missing; it must be a string"
+    ]
 
 
 @pytest.mark.parametrize("text", ["kind = ", "[a\n", "x = 1\nx = 2\n"])
-def test_what_is_no_toml_is_one_line(tmp_path: Path, text: str) -> None:
+def test_invalid_toml_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     (fault,) = faults(tmp_path / "f.toml", text)
-    assert "not TOML" in fault
+    assert "not valid TOML" in fault
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(FileError, match="No such file"):
-        read(tmp_path / "none.toml", Whole)
+        read(tmp_path / "none.toml", Document)
 
 
-def test_lines_of_json() -> None:
+def test_json_keys_have_their_line_numbers() -> None:
     lines = json_key_lines('{\n "a": [\n  {"b": 1},\n  {"b": 2}\n ],\n "c": {"d": [1,\n 2]}\n}')
     assert lines["a",] == 2 and lines["a", 1, "b"] == 4 and lines["c", "d", 1] == 7
 
 
 @given(st.text(alphabet='ab.[]{}="#,: \n01', max_size=80))
-@example('{""[:,')  # a colon in a list is no key's end
-def test_no_text_breaks_the_scans_for_lines(text: str) -> None:
+@example('{""[:,')  # a colon in a list does not end a key
+def test_the_line_scanners_accept_any_text(text: str) -> None:
     toml_key_lines(text)
     json_key_lines(text)
 
 
-def test_the_example_for_operators_sets_nothing_and_can_be_switched_on(tmp_path: Path) -> None:
+def test_the_example_operator_file_sets_nothing_and_is_valid_when_uncommented(tmp_path: Path) -> None:
     example = Path(__file__).parent.parent / "deploy" / "operator.toml"
     assert load(str(example)) == Operator()
     lines = example.read_text().splitlines()
     first = lines.index("# [log]")
-    switched = tmp_path / "all.toml"
-    switched.write_text("\n".join(line.removeprefix("# ") for line in lines[first:]))
-    whole = load(str(switched))
-    assert whole.log == Operator().log and whole.peers.use == Operator().peers.use
-    assert len(whole.peers.addresses) == 2
+    uncommented = tmp_path / "all.toml"
+    uncommented.write_text("\n".join(line.removeprefix("# ") for line in lines[first:]))
+    operator = load(str(uncommented))
+    assert operator.log == Operator().log and operator.peers.use == Operator().peers.use
+    assert len(operator.peers.addresses) == 2
 
 
-def test_a_platform_configuration_is_checked_whole(tmp_path: Path) -> None:
+def test_all_faults_of_a_platform_configuration_are_reported(tmp_path: Path) -> None:
     good = configuration("127.0.0.1:1")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(good))
@@ -131,7 +133,7 @@
 def test_bounds_are_described_in_words(key: str, allowed: str) -> None:
     value, found = decode({key: "x"}, Numbers)
     assert value is None
-    assert [fault.message for fault in found] == [f'{key} = "x" is not allowed; it is {allowed}']
+    assert [fault.message for fault in found] == [f'{key} = "x" is not allowed; it must be {allowed}']
 
 
 def test_other_types_are_described_in_words() -> None:
@@ -140,16 +142,16 @@
 
     assert described(bool) == "true or false"
     assert described(Annotated[str, msgspec.Meta(min_length=1, pattern="^a$")]) == (
-        "a text that is not empty of the form ^a$"
+        "a string that is not empty that matches ^a$"
     )
     assert described(list[int]) == "a list, each a whole number"
     assert described(tuple[int, bool]) == "a list of a whole number and true or false"
     assert described(dict[str, int]) == "a table" and described(Item) == "a table with name, size"
-    assert described(int | str | None) == "a whole number or a text"
+    assert described(int | str | None) == "a whole number or a string"
     assert described(bytes) == "another value"
 
 
-def test_a_key_is_written_as_operators_do_and_has_the_line_of_the_nearest_thing_round_it() -> None:
+def test_a_key_is_formatted_for_operators_and_has_the_line_of_its_nearest_known_container() -> None:
     assert key_text(("class", 1, "aim_ms")) == "class[2].aim_ms" and key_text(()) == "the file"
     lines = toml_key_lines("[[class]]\n[[class]]\nname = 1\n")
     assert nearest_line(lines, ("class", 1, "name")) == 3
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -49,7 +49,7 @@
     with pytest.raises(FileError) as caught:
         load(path)
     assert caught.value.faults[0].startswith(
-        f'{path}:3: trouble[1].kind = "slwo" is not allowed; it is one of burst'
+        f'{path}:3: trouble[1].kind = "slwo" is not allowed; it must be one of burst'
     )
 
 
