--- a/sagetrack/cli/app.py
+++ b/sagetrack/cli/app.py
@@ -1,4 +1,7 @@
-"""The command line, put together from one file a command. Nothing of it is loaded on the platform's path."""
+"""The command-line application, with one module per command.
+
+A gateway that the platform starts through LB_CONFIG imports none of these modules.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from sagetrack.cli import check, demo, lab, peers, run, store
 
 app = typer.Typer(
-    help="A gateway for fleets of servers, and a lab that plays such a fleet on this machine.",
+    help="A gateway for fleets of servers, and a lab that simulates such a fleet on this machine.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
@@ -30,7 +33,7 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name; returns the exit status."""
+    """Run the command given on the command line; return the exit status."""
     from sagetrack.config.errors import FileError
 
     try:
--- a/sagetrack/cli/check.py
+++ b/sagetrack/cli/check.py
@@ -1,4 +1,4 @@
-"""`sagetrack check`: everything that is wrong with the configurations, before anything runs."""
+"""`sagetrack check`: reports every fault of configuration files without starting anything."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def check(
-    config: Annotated[str, typer.Option(help="the platform's configuration; else $LB_CONFIG")] = "",
-    operator: Annotated[str, typer.Option(help="the operator's own file; else $LB_OPERATOR")] = "",
-    scenario: Annotated[list[str] | None, typer.Argument(help="scenarios of the lab")] = None,
+    config: Annotated[str, typer.Option(help="the platform's configuration file; default: $LB_CONFIG")] = "",
+    operator: Annotated[str, typer.Option(help="the operator's file; default: $LB_OPERATOR")] = "",
+    scenario: Annotated[list[str] | None, typer.Argument(help="scenario files of the lab")] = None,
 ) -> None:
-    """Say all that is wrong with files, a line each with file, line and key; exit 2 if anything is."""
+    """Report every fault of configuration files, with file, line and key; exit 2 if there is one."""
     from sagetrack.config.check import check as check_platform
     from sagetrack.config.errors import FileError
     from sagetrack.config.operator import load
@@ -28,7 +28,7 @@
     checks += [(operator, load)] if operator else []
     checks += [(path, load_scenario) for path in scenario or []]
     if not checks:
-        print("sagetrack: nothing to check: name --config, --operator or scenarios", file=sys.stderr)
+        print("sagetrack: nothing to check: pass --config, --operator or scenario files", file=sys.stderr)
         raise typer.Exit(2)
     faults: list[str] = []
     for path, check_file in checks:
--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -1,4 +1,4 @@
-"""`sagetrack demo`: a small fleet in real time, with faults, and a live table."""
+"""`sagetrack demo`: runs a small fleet in real time with faults, and shows it in a live table."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     from sagetrack.lab.model.world import World
 
 DEFAULT_DURATION_S = 30.0
-REFRESHES_PER_S = 4  # times a second
-PROGRESS_REPORTS = 4  # of the progress, where there is no terminal
+REFRESHES_PER_S = 4
+PROGRESS_REPORTS = 4  # progress lines printed if there is no terminal
 RECENT_US = 2_000_000
-RECENT_RECORDS = 600  # among them are those of the last two seconds
-MAX_BAR_LENGTH = 24  # requests that a row of the table shows
+RECENT_RECORDS = 600  # newest records searched; they cover the last RECENT_US
+MAX_BAR_LENGTH = 24  # requests in flight that the bar of a server can show
 COLUMNS = ("server", "zone", "state", "held", "", "gateway", "state", "last 2 s")
 
 
 def demo(
     seconds: Annotated[
-        float, typer.Option(help="how long; the faults move with it", min=5, max=600)
+        float, typer.Option(help="duration; the times of the faults scale with it", min=5, max=600)
     ] = DEFAULT_DURATION_S,
-    seed: Annotated[int, typer.Option(help="what random figures follow from", min=0)] = 1,
+    seed: Annotated[int, typer.Option(help="seed of the random numbers", min=0)] = 1,
 ) -> None:
-    """Play nine servers and three gateways through a slow server, a burst, a deploy and a gateway's death."""
+    """Run nine servers and three gateways through a slow server, a burst, a deploy and a gateway crash."""
     from rich.console import Console
 
     from sagetrack.cli.lab_play import verdict
@@ -50,20 +50,20 @@
     except LabError as error:
         raise error_exit(str(error)) from None
     except KeyboardInterrupt:
-        print("sagetrack: ended; nothing is left running", file=sys.stderr)
+        print("sagetrack: interrupted; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
     violations = judge(records, scenario)
     results = figures(records, scenario, violations)
     for violation in violations[:MAX_PRINTED_FAILURES]:
         print(f"broken: {violation}")
     if results.late:
-        print("late: this machine was too busy for the load to come in time")
+        print("late: this machine was too busy to send the load on schedule")
     print(verdict(results))
     raise typer.Exit(1 if violations else 0)
 
 
 def demo_scenario(seconds: float) -> Scenario:
-    """The demo's scenario, its faults moved in proportion to its length."""
+    """Load the demo's scenario, with the times of its faults scaled to the duration."""
     from sagetrack.lab.model.scenario import altered, load
     from sagetrack.lab.repository import SCENARIOS
 
@@ -79,7 +79,7 @@
 
 
 def play_with_display(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
-    """Play a scenario behind a live table; without a terminal, behind a line for each quarter of it."""
+    """Play a scenario and show a live table, or without a terminal a line after each quarter."""
     from rich.live import Live
 
     from sagetrack.lab.processes.run import play
@@ -100,14 +100,14 @@
 
 
 def fleet_table(world: World, records: Records) -> Table:
-    """The fleet as it stands."""
+    """Build the table of the fleet's current state."""
     from rich.table import Table
 
     now_us = world.clock.now_us()
     faults = active_faults(records)
     shown = Table(
         title=f"{now_us / 1e6:5.1f} s   {world.arrivals.count} calls   "
-        f"now: {', '.join(faults) or 'nothing special'}"
+        f"now: {', '.join(faults) or 'no fault'}"
     )
     for column in COLUMNS:
         shown.add_column(column)
@@ -128,7 +128,7 @@
 
 
 def active_faults(records: Records) -> list[str]:
-    """The kinds of the faults that have begun and not ended."""
+    """Return the kinds of the faults that are in effect."""
     from sagetrack.lab.analysis.records import FaultStateChanged
 
     active: list[str] = []
@@ -141,7 +141,7 @@
 
 
 def recently_served(records: Records, now_us: int) -> float | None:
-    """The share of requests of the last two seconds that were served in time; None without any."""
+    """Return the share of the last RECENT_US's requests that were served in time; None if there are none."""
     from sagetrack.lab.analysis.records import RequestFinished
 
     newest: list[Record] = records.rows[-RECENT_RECORDS:]
--- a/sagetrack/cli/lab.py
+++ b/sagetrack/cli/lab.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab …`: all its commands, in the order in which its help lists them."""
+"""`sagetrack lab …`: its commands, in the order in which the help lists them."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     "forge-dns": "spoof-dns",
     "door": "fair-queue",
 }
-"""Names of earlier versions, which scripts may still use; no help lists them."""
+"""Command names of earlier versions, kept for existing scripts and hidden from the help."""
 
 app = typer.Typer(
-    help="Play a whole fleet on this machine, in real or in virtual time.", no_args_is_help=True
+    help="Simulate a whole fleet on this machine, in real or in virtual time.", no_args_is_help=True
 )
 
 for _name, _command in COMMANDS.items():
--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -1,4 +1,4 @@
-"""What the commands of `sagetrack lab` share: options, exit statuses, plain errors, progress, tables."""
+"""Shared code of the `sagetrack lab` commands: options, exit statuses, errors, progress, tables."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
 if TYPE_CHECKING:
     from sagetrack.lab.model.scenario import Scenario
 
-INTERRUPTED = 130
-MAX_PRINTED_FAILURES = 10  # violations or failures that are printed
+INTERRUPTED = 130  # exit status after SIGINT, as shells report it
+MAX_PRINTED_FAILURES = 10
 
 SetOption = Annotated[
-    list[str] | None, typer.Option("--set", help="another value, as in load.use=0.7; may be given again")
+    list[str] | None,
+    typer.Option("--set", help="override a scenario value, for example load.use=0.7; repeatable"),
 ]
 
 
 def error_exit(line: str) -> typer.Exit:
-    """Print one line that says why a command cannot continue; exit 2."""
+    """Print a one-line error; return the exception that exits with status 2."""
     print(f"sagetrack: {line}", file=sys.stderr)
     return typer.Exit(2)
 
 
 def check_fault(fault: str, known: Sequence[str]) -> None:
-    """Exit 2 with one line for a deliberate fault that is not known."""
+    """Reject an unknown name of an injected fault: print one line and exit with status 2."""
     if fault and fault not in known:
         raise error_exit(f"--fault {fault}: allowed are {', '.join(known)}")
 
 
 def failures_exit(failures: list[str]) -> typer.Exit:
-    """Print the first failures; exit 1 if there are any."""
+    """Print the first failures; return the exception that exits with status 1 if there are any."""
     for line in failures[:MAX_PRINTED_FAILURES]:
         print(line)
     return typer.Exit(1 if failures else 0)
 
 
 def parse_integers(option: str, text: str, example: str, most: int | None = None) -> list[int]:
-    """Integers from 1, as `3,20,30`; exit 2 with one line for other forms and for larger ones than `most`."""
+    """Parse positive integers such as `3,20,30`, each at most `most`; exit 2 if invalid."""
     try:
         numbers = [int(part) for part in text.split(",")]
     except ValueError:
@@ -53,7 +54,7 @@
 
 
 def parse_toml_value(text: str) -> Any:
-    """A value as TOML writes it; anything else is a string."""
+    """Parse a TOML value; text that is not TOML is returned as a string."""
     import tomllib
 
     try:
@@ -63,19 +64,19 @@
 
 
 def parse_set_options(pairs: list[str] | None) -> dict[str, str]:
-    """Values by key of all `--set key=value`; exit 2 with one line for another form."""
+    """Parse all `--set key=value` options into a dict; exit with status 2 if one has another form."""
     values = {}
     for pair in pairs or []:
         name, separator, value = pair.partition("=")
         if not separator or not name:
-            raise error_exit(f"--set {pair}: the form is key=value, as in load.use=0.7")
+            raise error_exit(f"--set {pair}: the form is key=value, for example load.use=0.7")
         values[name.strip()] = value.strip()
     return values
 
 
 @contextmanager
 def progress_bar(description: str, quiet: bool) -> Iterator[Callable[[float], None]]:
-    """A progress bar on standard error, where that is a terminal; call what it yields with the share done."""
+    """Show a progress bar if standard error is a terminal; yield a function that sets the completed share."""
     if quiet or not sys.stderr.isatty():
         yield lambda share: None
         return
@@ -90,7 +91,7 @@
 
 @contextmanager
 def measuring(description: str, quiet: bool) -> Iterator[Callable[[float], None]]:
-    """A progress bar round a measurement; LabError is one line and exit 2, an interrupt exit 130."""
+    """Show a progress bar during a measurement; LabError exits with status 2 and SIGINT with 130."""
     from sagetrack.lab.errors import LabError
 
     try:
@@ -105,7 +106,7 @@
 def print_table(
     title: str, rows: Sequence[Mapping[str, object]], width: int | None = None, left: Iterable[str] = ()
 ) -> None:
-    """Rows of the same keys as a table; all columns but the `left` ones are aligned to the right."""
+    """Print rows with the same keys as a table; columns not named in `left` are right-aligned."""
     from rich.console import Console
     from rich.table import Table
 
--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab throughput`, `dns`, `mixed-protocols`, `fair-queue`, `bodies` and others: benchmarks."""
+"""The benchmark commands of `sagetrack lab`, such as `throughput`, `dns`, `fair-queue` and `bodies`."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from sagetrack.lab.benchmarks.readiness import Reading
 
 MAX_SERVERS = 5000
-GATEWAY_PACKAGES = ("sagetrack", "cloverkeel")  # a checkout of any version of the gateway has one of these
+GATEWAY_PACKAGES = ("sagetrack", "cloverkeel")  # package name of the gateway: current, and in old versions
 
 
 def resolve_builds(paths: list[str] | None) -> list[Path]:
-    """This checkout and the others to measure beside it; exit 2 with one line for one without a gateway."""
+    """Return this checkout and the others to compare; exit with status 2 if one has no gateway package."""
     from sagetrack.lab.repository import ROOT
 
     builds = [ROOT, *(Path(path).resolve() for path in paths or [])]
     for build in builds:
         if not any((build / module).is_dir() for module in GATEWAY_PACKAGES):
-            raise error_exit(f"--build {build}: no gateway there")
+            raise error_exit(f"--build {build}: this directory contains no gateway package")
     return builds
 
 
 def throughput(
-    servers: Annotated[str, typer.Option(help="numbers of servers")] = "8,64,400",
-    seconds: Annotated[float, typer.Option(help="of each measurement", min=0.5, max=600)] = 3.0,
-    rounds: Annotated[int, typer.Option(help="of each, by turns", min=1, max=100)] = 3,
+    servers: Annotated[str, typer.Option(help="numbers of servers, comma-separated")] = "8,64,400",
+    seconds: Annotated[float, typer.Option(help="duration of each measurement", min=0.5, max=600)] = 3.0,
+    rounds: Annotated[int, typer.Option(help="rounds of each measurement, interleaved", min=1, max=100)] = 3,
     build: Annotated[
-        list[str] | None, typer.Option(help="another checkout to measure beside this one; may be given again")
+        list[str] | None, typer.Option(help="another checkout to compare with this one; repeatable")
     ] = None,
-    newer: Annotated[bool, typer.Option("--newer", help="servers of the newer format too")] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="one JSON array as the last line")] = False,
+    newer: Annotated[bool, typer.Option("--newer", help="also measure gRPC servers")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="print one JSON array as the last line")] = False,
 ) -> None:
-    """Measure what a request costs on one core, against a bare relay on the same core in the same run."""
+    """Measure the CPU cost of a request on one core, compared with a plain TCP relay in the same run."""
     from sagetrack.lab.benchmarks.throughput import measure, summary
 
     sizes = parse_integers("--servers", servers, "8,64,400", MAX_SERVERS)
@@ -57,21 +57,21 @@
 
 
 def membership(
-    gateways: Annotated[str, typer.Option(help="sizes of the fleet")] = "8,50",
-    loss: Annotated[str, typer.Option(help="shares of datagrams that are lost")] = "0,0.05,0.2",
-    seeds: Annotated[int, typer.Option(help="runs of each", min=1, max=1000)] = 3,
-    seconds: Annotated[float, typer.Option(help="played after the death", min=5, max=3600)] = 60.0,
+    gateways: Annotated[str, typer.Option(help="fleet sizes, comma-separated")] = "8,50",
+    loss: Annotated[str, typer.Option(help="datagram loss rates, comma-separated")] = "0,0.05,0.2",
+    seeds: Annotated[int, typer.Option(help="runs per combination", min=1, max=1000)] = 3,
+    seconds: Annotated[float, typer.Option(help="simulated time after the death", min=5, max=3600)] = 60.0,
 ) -> None:
-    """Play membership in virtual time: how soon a death is known, who is wrongly declared, what it costs."""
+    """Simulate membership in virtual time: detection time of a death, false deaths, and message cost."""
     from sagetrack.lab.benchmarks.membership import death, partition
 
     try:
         sizes = [int(size) for size in gateways.split(",")]
         losses = [float(share) for share in loss.split(",")]
     except ValueError:
-        raise error_exit("--gateways and --loss are lists of numbers, as in 8,50 and 0,0.05") from None
+        raise error_exit("--gateways and --loss take lists of numbers, for example 8,50 and 0,0.05") from None
     if min(sizes) < 2 or not all(0 <= share < 1 for share in losses):
-        raise error_exit("--gateways are from 2, --loss from 0 to below 1")
+        raise error_exit("--gateways must be at least 2, --loss from 0 to below 1")
     print("gateways  loss  known after (median, p99)  missed  false deaths  sent/s (most)  bytes/s  healed")
     with progress_bar("membership", False) as progress:
         for number, (size, share) in enumerate((size, share) for size in sizes for share in losses):
@@ -98,11 +98,13 @@
 
 
 def dns(
-    seconds: Annotated[float, typer.Option(help="of each measurement", min=0.5, max=600)] = 3.0,
-    rounds: Annotated[int, typer.Option(help="of each, by turns", min=1, max=100)] = 3,
-    names: Annotated[int, typer.Option(help="names to keep in one more run, 0: none", min=0)] = 0,
+    seconds: Annotated[float, typer.Option(help="duration of each measurement", min=0.5, max=600)] = 3.0,
+    rounds: Annotated[int, typer.Option(help="rounds of each measurement, interleaved", min=1, max=100)] = 3,
+    names: Annotated[
+        int, typer.Option(help="distinct names to cache in an extra run; 0: no extra run", min=0)
+    ] = 0,
 ) -> None:
-    """Measure DNS queries a second on one core, cached and forwarded, against a bare UDP relay."""
+    """Measure DNS queries per second on one core, cached and forwarded, compared with a plain UDP relay."""
     from sagetrack.lab.benchmarks.dns_throughput import measure as measure_dns
 
     with measuring("dns", False) as progress:
@@ -111,12 +113,14 @@
 
 
 def mixed_protocols(
-    share: Annotated[float, typer.Option(help="of what passes alone, each", min=0.01, max=1)] = 0.5,
-    seconds: Annotated[float, typer.Option(help="of each measurement", min=1, max=600)] = 10.0,
-    rounds: Annotated[int, typer.Option(help="of each, by turns", min=1, max=100)] = 3,
-    json_: Annotated[bool, typer.Option("--json", help="as one JSON object")] = False,
+    share: Annotated[
+        float, typer.Option(help="load of each protocol, as a share of its capacity alone", min=0.01, max=1)
+    ] = 0.5,
+    seconds: Annotated[float, typer.Option(help="duration of each measurement", min=1, max=600)] = 10.0,
+    rounds: Annotated[int, typer.Option(help="rounds of each measurement, interleaved", min=1, max=100)] = 3,
+    json_: Annotated[bool, typer.Option("--json", help="print one JSON object")] = False,
 ) -> None:
-    """Measure DNS and HTTP on one gateway with one slow server of each, alone and together."""
+    """Measure DNS and HTTP on one gateway, separately and together, with one slow server per protocol."""
     from sagetrack.lab.benchmarks.mixed_protocols import measure as measure_both
 
     with measuring("mixed-protocols", json_) as progress:
@@ -128,51 +132,55 @@
 
 
 def fair_queue(
-    clients: Annotated[str, typer.Option(help="numbers of clients")] = "10,1000,50000",
-    calls: Annotated[int, typer.Option(help="of each round", min=100, max=10_000_000)] = 10_000,
-    rounds: Annotated[int, typer.Option(help="of each, by turns", min=1, max=100)] = 3,
-    memory_kb: Annotated[int, typer.Option(help="the bound on the queues' memory", min=64)] = 16 * 1024,
-    load: Annotated[float, typer.Option(help="times what the servers can do", min=0.01, max=100.0)] = 2.0,
+    clients: Annotated[str, typer.Option(help="numbers of clients, comma-separated")] = "10,1000,50000",
+    calls: Annotated[int, typer.Option(help="calls per round", min=100, max=10_000_000)] = 10_000,
+    rounds: Annotated[int, typer.Option(help="rounds of each measurement, interleaved", min=1, max=100)] = 3,
+    memory_kb: Annotated[int, typer.Option(help="memory limit of the queues in KiB", min=64)] = 16 * 1024,
+    load: Annotated[
+        float, typer.Option(help="load, as a multiple of server capacity", min=0.01, max=100.0)
+    ] = 2.0,
 ) -> None:
-    """Measure what fair queues cost, overloaded or not: time of a call, memory."""
+    """Measure the cost of fair queueing at a given load: time per call and memory."""
     from sagetrack.lab.benchmarks.fair_queue import measure as measure_fair_queue
 
     sizes = parse_integers("--clients", clients, "10,1000")
     with measuring("fair-queue", False) as progress:
         rows = measure_fair_queue(sizes, calls, rounds, memory_kb, progress, load)
-    print_table(f"{rounds} rounds of {calls} calls at {load:g} times what the servers do", rows, 150)
+    print_table(f"{rounds} rounds of {calls} calls at {load:g} times server capacity", rows, 150)
 
 
 def bodies(
-    streams: Annotated[int, typer.Option(help="calls under way at once", min=1, max=5000)] = 1000,
-    body_kb: Annotated[int, typer.Option(help="of each body, both ways", min=1, max=32_000)] = 1000,
+    streams: Annotated[int, typer.Option(help="concurrent calls", min=1, max=5000)] = 1000,
+    body_kb: Annotated[
+        int, typer.Option(help="size of each request and response body in kB", min=1, max=32_000)
+    ] = 1000,
 ) -> None:
-    """Measure the gateway's memory while long bodies pass to and from servers of the newer format."""
+    """Measure the gateway's memory while it forwards large bodies to and from gRPC servers."""
     from sagetrack.lab.benchmarks.bodies import measure as measure_bodies
 
     with measuring("bodies", False) as progress:
         report = measure_bodies(streams, body_kb, progress)
     print(
-        f"{report.complete} of {report.streams} calls whole in {report.seconds} s, "
+        f"{report.complete} of {report.streams} calls complete in {report.seconds} s, "
         f"{report.body_kb} kB each way; "
-        f"memory {report.idle_mb} MB idle, {report.sending_mb} while bodies came, "
-        f"{report.peak_mb} at the most: "
-        f"{report.per_stream_kb} kB a call"
+        f"memory {report.idle_mb} MB idle, {report.sending_mb} MB while receiving bodies, "
+        f"{report.peak_mb} MB at peak: "
+        f"{report.per_stream_kb} kB per call"
     )
     raise typer.Exit(0 if report.complete == report.streams else 1)
 
 
 def readiness(
-    rounds: Annotated[int, typer.Option(help="of each case", min=1, max=100)] = 3,
-    only: Annotated[str, typer.Option(help="cases whose name contains this")] = "",
-    as_json: Annotated[bool, typer.Option("--json", help="a JSON line for each case")] = False,
+    rounds: Annotated[int, typer.Option(help="starts per case", min=1, max=100)] = 3,
+    only: Annotated[str, typer.Option(help="run only cases whose name contains this")] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="print a JSON line per case")] = False,
 ) -> None:
-    """Measure CPU time from a gateway's start to ready; exit 1 if a quarter of a core is too little."""
+    """Measure the CPU time from a gateway's start to ready; exit 1 if a quarter of a core is too slow."""
     from sagetrack.lab.benchmarks.readiness import CASES, MOST_S, measure
 
     cases = tuple(case for case in CASES if only in case.name)
     if not cases:
-        raise error_exit(f"--only {only}: no case has that in its name")
+        raise error_exit(f"--only {only}: no case name contains this")
     slow = False
     with measuring("readiness", as_json) as progress:
         for reading in measure(rounds, cases, progress):
@@ -199,7 +207,7 @@
     from sagetrack.lab.benchmarks.readiness import nine_in_ten
 
     return (
-        f"{reading.case.name}: {len(reading.cpu_s)} starts, nine in ten within "
+        f"{reading.case.name}: {len(reading.cpu_s)} starts, 90% within "
         f"{nine_in_ten(reading.cpu_s):.2f} s of CPU "
         f"({reading.quarter_s:.1f} s on a quarter of a core), "
         f"{nine_in_ten(reading.elapsed_s):.1f} s elapsed\n    {reading.parts}"
--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab spoof-dns`, `fuzz-h2`, `fuzz-dns`: spoofed and mutated input."""
+"""`sagetrack lab spoof-dns`, `fuzz-h2`, `fuzz-dns`: test the gateway with spoofed and mutated input."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def spoof_dns(
-    rate: Annotated[int, typer.Option(help="forged answers a second", min=100, max=20_000)] = 1000,
-    seconds: Annotated[float, typer.Option(help="for how long", min=1, max=600)] = 10.0,
+    rate: Annotated[int, typer.Option(help="forged responses per second", min=100, max=20_000)] = 1000,
+    seconds: Annotated[float, typer.Option(help="duration", min=1, max=600)] = 10.0,
 ) -> None:
-    """Send a gateway forged answers beside the true ones; exit 1 if one of them reaches a client."""
+    """Send a gateway forged DNS responses along with genuine ones; exit 1 if a forged one is accepted."""
     from sagetrack.lab.fault_injection.dns_spoofing import spoof
 
     with measuring("spoof-dns", False) as progress:
@@ -27,11 +27,13 @@
 
 
 def fuzz_h2(
-    frames: Annotated[int, typer.Option(help="about how many", min=1)] = 100_000,
-    seed: Annotated[int, typer.Option(help="what is mutated follows from it", min=0)] = 1,
-    front: Annotated[bool, typer.Option("--front", help="the clients' side, not the back")] = False,
+    frames: Annotated[int, typer.Option(help="approximate number of frames", min=1)] = 100_000,
+    seed: Annotated[int, typer.Option(help="seed of the mutations", min=0)] = 1,
+    front: Annotated[
+        bool, typer.Option("--front", help="fuzz the connection to clients, not the one to servers")
+    ] = False,
 ) -> None:
-    """Feed mutated HTTP/2 frames to the back; exit 1 if any breaks it or an attempt does not end once."""
+    """Feed mutated HTTP/2 frames to the gateway; exit 1 if it fails or an attempt does not end once."""
     from sagetrack.grpc.fuzz import fuzz_downstream, fuzz_upstream
 
     with measuring("fuzz", False) as progress:
@@ -45,10 +47,10 @@
 
 
 def fuzz_dns(
-    messages: Annotated[int, typer.Option(help="how many", min=1)] = 100_000,
-    seed: Annotated[int, typer.Option(help="what is mutated follows from it", min=0)] = 1,
+    messages: Annotated[int, typer.Option(help="number of messages", min=1)] = 100_000,
+    seed: Annotated[int, typer.Option(help="seed of the mutations", min=0)] = 1,
 ) -> None:
-    """Feed mutated DNS messages to the parser; exit 1 if any breaks it or is accepted for what it is not."""
+    """Feed mutated DNS messages to the parser; exit 1 if it fails or accepts an invalid message."""
     from sagetrack.lab.fault_injection.dns_fuzz import fuzz
 
     with measuring("fuzz", False) as progress:
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab list`, `run`, `plot`: scenarios played once, judged and drawn."""
+"""`sagetrack lab list`, `run`, `plot`: list scenarios, run one and check its rules, plot a run."""
 
 from __future__ import annotations
 
@@ -25,35 +25,39 @@
     from sagetrack.lab.analysis.violations import Violation
     from sagetrack.lab.model.scenario import Scenario
 
-PLOT_SAMPLE_S = 0.25  # between samples of the servers' load
+PLOT_SAMPLE_S = 0.25  # interval between samples of the servers' load
 
 
-def list_scenarios(folder: Annotated[str, typer.Argument(help="their folder")] = "") -> None:
-    """List the scenarios, a line each."""
+def list_scenarios(
+    folder: Annotated[str, typer.Argument(help="the directory of the scenarios")] = "",
+) -> None:
+    """List the scenarios, one per line."""
     from sagetrack.lab.model.scenario import load
     from sagetrack.lab.repository import SCENARIOS
 
     place = Path(folder) if folder else SCENARIOS
     paths = sorted(place.glob("*.toml"))
     if not paths:
-        raise error_exit(f"{place}: no scenarios there")
+        raise error_exit(f"{place}: this directory contains no scenarios (*.toml)")
     for path in paths:
         print(f"{path.stem:16} {load(path).about}")
 
 
 def run(
-    scenario: Annotated[str, typer.Argument(help="a scenario's file")],
-    virtual: Annotated[bool, typer.Option("--virtual", help="on a simulated clock, without sockets")] = False,
-    seed: Annotated[int, typer.Option(help="what random figures follow from", min=0)] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="one JSON object as the last line")] = False,
+    scenario: Annotated[str, typer.Argument(help="a scenario file")],
+    virtual: Annotated[
+        bool, typer.Option("--virtual", help="simulate the clock and the network, without sockets")
+    ] = False,
+    seed: Annotated[int, typer.Option(help="seed of the random numbers", min=0)] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="print one JSON object as the last line")] = False,
     settings: SetOption = None,
     records_file: Annotated[
-        str, typer.Option("--records", help="write all records here (.jsonl or .gz)")
+        str, typer.Option("--records", help="write all records to this file (.jsonl or .gz)")
     ] = "",
-    plot: Annotated[str, typer.Option(help="draw the run here (.png or .svg)")] = "",
-    fault: Annotated[str, typer.Option(help="a deliberate fault of the gateways; with --virtual")] = "",
+    plot: Annotated[str, typer.Option(help="plot the run to this file (.png or .svg)")] = "",
+    fault: Annotated[str, typer.Option(help="inject this bug into the gateways; requires --virtual")] = "",
 ) -> None:
-    """Play a scenario and judge it; exit 0 only if no rule is broken and every expectation holds."""
+    """Run a scenario; exit 0 only if no rule is broken and every expectation holds."""
     from sagetrack.lab.analysis.figures import figures
     from sagetrack.lab.analysis.judges import judge
     from sagetrack.lab.virtual.faulty_gateways import FAULTS
@@ -61,7 +65,7 @@
     played = load_altered_scenario(scenario, settings)
     check_fault(fault, FAULTS)
     if fault and not virtual:
-        raise error_exit("--fault needs --virtual")
+        raise error_exit("--fault requires --virtual")
     sample_s = PLOT_SAMPLE_S if plot else 0.0
     try:
         if virtual:
@@ -69,7 +73,7 @@
         else:
             records = play_real(played, seed, as_json, sample_s)
     except KeyboardInterrupt:
-        print("sagetrack: ended; nothing is left running", file=sys.stderr)
+        print("sagetrack: interrupted; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
     violations = judge(records, played)
     results = figures(records, played, violations)
@@ -82,7 +86,7 @@
 
 
 def write_files(records: Records, records_file: str, plot: str) -> None:
-    """Write the records and the plot where they are to go; exit 2 with one line if that fails."""
+    """Write the records and the plot to their files; exit with status 2 if that fails."""
     try:
         if records_file:
             records.write(records_file)
@@ -91,11 +95,11 @@
 
             draw(records, plot)
     except (OSError, ValueError) as error:
-        raise error_exit(f"the run is played, but cannot be written: {error}") from None
+        raise error_exit(f"the run is complete, but its results cannot be written: {error}") from None
 
 
 def to_json(records: Records, results: Figures, violations: list[Violation]) -> str:
-    """A run as one JSON object."""
+    """Return the results of a run as one JSON object."""
     row = {name: records.header[name] for name in ("scenario", "seed", "driver")}
     row |= results.plain()
     row |= {key: value for key, value in records.header.items() if key.startswith("gateway_")}
@@ -107,7 +111,7 @@
 
 
 def play_virtual(scenario: Scenario, seed: int, quiet: bool, sample_s: float, fault: str) -> Records:
-    """Play in virtual time behind a bar; one plain line and exit 2 if the lab cannot."""
+    """Run in virtual time with a progress bar; an error of the lab exits with status 2."""
     from sagetrack.lab.virtual.simulation import play
 
     with progress_bar(scenario.name, quiet) as progress:
@@ -118,7 +122,7 @@
 
 
 def play_real(scenario: Scenario, seed: int, quiet: bool, sample_s: float) -> Records:
-    """Play in real time behind a bar; one plain line and exit 2 if the lab cannot."""
+    """Run in real time with a progress bar; an error of the lab exits with status 2."""
     from sagetrack.lab.errors import LabError
     from sagetrack.lab.processes.run import play
 
@@ -154,12 +158,14 @@
     for words in results.expect_missed:
         out.print(f"[red]missed[/red] {words}", highlight=False)
     if results.late:
-        out.print("[red]late[/red] the load ran late: this run is not to be scored", highlight=False)
+        out.print(
+            "[red]late[/red] the load was sent late: the results of this run are not valid", highlight=False
+        )
     print(verdict(results))
 
 
 def verdict(results: Figures) -> str:
-    """A run's results in one line."""
+    """Summarize the results of a run in one line."""
     broken = sum(results.rules_broken.values())
     held = "expectations held" if results.expect_held else "expectations missed"
     return (
@@ -170,10 +176,10 @@
 
 
 def plot(
-    records_file: Annotated[str, typer.Argument(help="records that `lab run --records` wrote")],
-    out: Annotated[str, typer.Argument(help="a .png or .svg")],
+    records_file: Annotated[str, typer.Argument(help="records written by `lab run --records`")],
+    out: Annotated[str, typer.Argument(help="output file (.png or .svg)")],
 ) -> None:
-    """Draw a run from its records."""
+    """Plot a run from its records."""
     from sagetrack.lab.analysis.plots import draw
     from sagetrack.lab.analysis.records import read
 
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab sweep`, `compare`, `restart`: scenarios over seeds and settings, and what differs."""
+"""`sagetrack lab sweep`, `compare`, `restart`: run scenarios over seeds and settings, and compare results."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 def sweep(
-    scenario: Annotated[list[str], typer.Argument(help="scenarios' files")],
-    out: Annotated[str, typer.Option(help="results, a JSON line for each run; goes on where it stopped")],
-    seeds: Annotated[str, typer.Option(help="how many, from 1; or FIRST-LAST")] = "10",
+    scenario: Annotated[list[str], typer.Argument(help="scenario files")],
+    out: Annotated[str, typer.Option(help="results file, a JSON line per run; a sweep resumes from it")],
+    seeds: Annotated[str, typer.Option(help="number of seeds, from 1 on, or FIRST-LAST")] = "10",
     settings: Annotated[
         list[str] | None,
-        typer.Option("--set", help="values to try, as in load.use=0.5,0.7; all combinations"),
+        typer.Option("--set", help="values to combine, for example load.use=0.5,0.7; repeatable"),
     ] = None,
-    workers: Annotated[int, typer.Option(help="processes; 0: one a core", min=0)] = 0,
-    fault: Annotated[str, typer.Option(help="a deliberate fault of the gateways")] = "",
+    workers: Annotated[int, typer.Option(help="number of processes; 0: one per core", min=0)] = 0,
+    fault: Annotated[str, typer.Option(help="inject this bug into the gateways")] = "",
 ) -> None:
-    """Play scenarios over seeds and settings in virtual time, on all cores."""
+    """Run scenarios in virtual time with all combinations of seeds and settings, on all cores."""
     from sagetrack.lab.benchmarks import sweep as sweeps
     from sagetrack.lab.model.scenario import load
 
@@ -56,7 +56,8 @@
             )
     except KeyboardInterrupt:
         print(
-            f"sagetrack: ended; what was played stands in {out}, and the same call goes on", file=sys.stderr
+            f"sagetrack: interrupted; {out} has the finished runs, and the same command resumes",
+            file=sys.stderr,
         )
         raise typer.Exit(INTERRUPTED) from None
     except OSError as error:
@@ -67,24 +68,24 @@
 
 
 def parse_seed_range(text: str) -> range:
-    """Seeds as `10`, from 1 on, or `3-12`; exit 2 with one line for other forms."""
+    """Parse seeds given as a count, `10`, or as a range, `3-12`; exit with status 2 for other forms."""
     first, mark, last = text.partition("-")
     try:
         numbers = range(int(first), int(last) + 1) if mark else range(1, int(first) + 1)
     except ValueError:
         raise error_exit(f"--seeds {text}: the form is 10 or 3-12") from None
     if not numbers:
-        raise error_exit(f"--seeds {text}: there are none")
+        raise error_exit(f"--seeds {text}: the range is empty")
     return numbers
 
 
 def rules_broken(row: dict[str, Any]) -> int:
-    """How many times a run of a sweep broke any rule."""
+    """Return the number of rule violations in a run of a sweep."""
     return sum(row["rules_broken"].values())
 
 
 def sweep_lines(rows: list[dict[str, Any]]) -> Iterator[str]:
-    """A line for each scenario and choice of settings, over its seeds."""
+    """Yield a line for each scenario and combination of settings, aggregated over the seeds."""
     groups: dict[str, list[dict[str, Any]]] = {}
     for row in rows:
         chosen = " ".join(f"{name}={value}" for name, value in row["settings"].items())
@@ -100,11 +101,11 @@
 
 
 def compare(
-    a: Annotated[str, typer.Argument(help="results of a sweep")],
-    b: Annotated[str, typer.Argument(help="results of another, with seeds in common")],
-    figure: Annotated[str, typer.Option(help="which figure")] = "service",
+    a: Annotated[str, typer.Argument(help="results file of a sweep")],
+    b: Annotated[str, typer.Argument(help="results file of another sweep with seeds in common")],
+    figure: Annotated[str, typer.Option(help="figure to compare")] = "service",
 ) -> None:
-    """Compare two sweeps by pairs of one seed, with a 95% confidence interval."""
+    """Compare two sweeps in pairs of runs with the same seed, with a 95% confidence interval."""
     from sagetrack.lab.benchmarks.comparison import compare as compare_files
 
     try:
@@ -119,13 +120,13 @@
 
 
 def restart(
-    scenario: Annotated[str, typer.Argument(help="a scenario in which a gateway dies")],
-    seeds: Annotated[int, typer.Option(help="how many, from 1", min=1, max=1000)] = 10,
-    virtual: Annotated[bool, typer.Option("--virtual", help="on a simulated clock")] = False,
-    lanes: Annotated[int, typer.Option(help="runs at once in real time", min=1, max=64)] = 3,
+    scenario: Annotated[str, typer.Argument(help="a scenario in which a gateway crashes")],
+    seeds: Annotated[int, typer.Option(help="number of seeds, from 1 on", min=1, max=1000)] = 10,
+    virtual: Annotated[bool, typer.Option("--virtual", help="simulate the clock and the network")] = False,
+    lanes: Annotated[int, typer.Option(help="concurrent runs in real time", min=1, max=64)] = 3,
     settings: SetOption = None,
 ) -> None:
-    """Measure what a restart costs in a gateway's first 10 s, with and without the others' help."""
+    """Measure the cost of a restart in a gateway's first 10 s, with and without observations from peers."""
     from sagetrack.lab.benchmarks import restart as restarts
     from sagetrack.lab.virtual.simulation import play as play_virtual
 
@@ -144,7 +145,7 @@
 
 
 def play_in_process(scenario: Scenario, seed: int) -> Records:
-    """Play in real time in a process of its own: signals and event loops belong to main threads.
+    """Run in real time in a separate process, as signals and event loops need a main thread.
 
     Raises:
         RuntimeError: the run failed or was late; the message says why.
@@ -177,8 +178,8 @@
         )
         if completed.returncode not in (0, 1) or not records_file.exists():
             raise RuntimeError(
-                completed.stderr.strip().splitlines()[-1] if completed.stderr else "no records"
+                completed.stderr.strip().splitlines()[-1] if completed.stderr else "the run wrote no records"
             )
         if json.loads(completed.stdout.splitlines()[-1])["late"]:
-            raise RuntimeError(f"seed {seed} ran late: lower --lanes")
+            raise RuntimeError(f"seed {seed}: the load was sent late; lower --lanes")
         return read(records_file)
--- a/sagetrack/cli/lab_virtual_fleets.py
+++ b/sagetrack/cli/lab_virtual_fleets.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab slow-start`, `overload`: virtual fleets of many sizes, a row for each play, one verdict."""
+"""`sagetrack lab slow-start`, `overload`: simulate fleets of several sizes and print a row per run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from sagetrack.lab.analysis.violations import Violation
 
 MAX_SEEDS = 1000
-MAX_BURST = 20.0  # times the usual load
+MAX_BURST = 20.0  # multiple of the usual load
 OVERLOAD_HEADER = (
     "gateways  load  seed  before: served  goodput in it  after  held 50 90 99 all  jammed  served"
 )
@@ -23,15 +23,15 @@
     "case         gateways  seed  windows past  most of budget  used of could  answered  in time"
 )
 
-GatewaysOption = Annotated[str, typer.Option(help="sizes of the fleet")]
-SeedOption = Annotated[int, typer.Option(help="what random figures follow from")]
-SeedsOption = Annotated[int, typer.Option(help="how many, from that one on")]
-FaultOption = Annotated[str, typer.Option(help="a deliberate fault of the gateways")]
-JsonOption = Annotated[bool, typer.Option("--json", help="one JSON array as the last line")]
+GatewaysOption = Annotated[str, typer.Option(help="fleet sizes, comma-separated")]
+SeedOption = Annotated[int, typer.Option(help="first seed of the random numbers")]
+SeedsOption = Annotated[int, typer.Option(help="number of seeds")]
+FaultOption = Annotated[str, typer.Option(help="inject this bug into the gateways")]
+JsonOption = Annotated[bool, typer.Option("--json", help="print one JSON array as the last line")]
 
 
 class PlayResult(NamedTuple):
-    """One play: its figures, a line that shows them, and what was broken."""
+    """The results of one run: its figures, a line that shows them, and the violations."""
 
     figures: dict[str, Any]
     line: str
@@ -39,26 +39,26 @@
 
 
 def parse_fleet_sizes(text: str, most: int) -> list[int]:
-    """The value of `--gateways`, as `3,20,30`; exit 2 with one line for others."""
+    """Parse the value of `--gateways`, such as `3,20,30`; exit with status 2 if it is invalid."""
     return parse_integers("--gateways", text, "3,20,30", most)
 
 
 def seed_range(seed: int, seeds: int) -> range:
-    """Seeds to play; exit 2 with one line for numbers out of range."""
+    """Return the seeds to run; exit with status 2 if a number is out of range."""
     if not 0 <= seed < 2**63:
-        raise error_exit(f"--seed {seed}: it is from 0 to 2^63 - 1")
+        raise error_exit(f"--seed {seed}: it must be from 0 to 2^63 - 1")
     if not 1 <= seeds <= MAX_SEEDS:
-        raise error_exit(f"--seeds {seeds}: they are from 1 to {MAX_SEEDS}")
+        raise error_exit(f"--seeds {seeds}: they must be from 1 to {MAX_SEEDS}")
     return range(seed, seed + seeds)
 
 
 def play_all(
     description: str, header: str, plays: Sequence[Callable[[], PlayResult]], as_json: bool
 ) -> typer.Exit:
-    """Play one after the other.
+    """Run the plays one after the other and print a row for each.
 
     Returns:
-        The exit: 0 only if no rule is broken, 130 after an interrupt.
+        The exit exception: status 0 if no rule is broken, 1 if one is, 130 after an interrupt.
     """
     rows, broken = [], 0
     if not as_json:
@@ -84,13 +84,13 @@
 
 def slow_start(
     gateways: GatewaysOption = "3,20,30,200",
-    cases: Annotated[str, typer.Option("--case", help="which cases, with commas; all: every one")] = "all",
+    cases: Annotated[str, typer.Option("--case", help="cases, comma-separated; all: every case")] = "all",
     seed: SeedOption = 1,
     seeds: SeedsOption = 1,
     fault: FaultOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Measure what a virtual fleet sends to cold servers: within their budget, and how much of them is used.
+    """Measure whether a simulated fleet exceeds the request budget of cold servers, and how much it uses.
 
     Exit 0 only if no rule is broken.
     """
@@ -100,7 +100,7 @@
     sizes = parse_fleet_sizes(gateways, MOST_GATEWAYS)
     names = list(CASES) if cases == "all" else cases.split(",")
     if not set(names) <= set(CASES):
-        raise error_exit(f"--case {cases}: there are {', '.join(CASES)}")
+        raise error_exit(f"--case {cases}: allowed are {', '.join(CASES)}")
     numbers = seed_range(seed, seeds)
     check_fault(fault, COLD_FAULTS)
 
@@ -120,13 +120,15 @@
 
 def overload(
     gateways: GatewaysOption = "3,10,50,200",
-    sizes: Annotated[str, typer.Option("--size", help="bursts, times the usual load")] = "1.5,2.5",
+    sizes: Annotated[
+        str, typer.Option("--size", help="burst sizes, as multiples of the usual load")
+    ] = "1.5,2.5",
     seed: SeedOption = 1,
     seeds: SeedsOption = 1,
     fault: FaultOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Play a burst on a virtual fleet: goodput before, in and after it, and what servers hold meanwhile.
+    """Simulate a burst: goodput before, during and after it, and the requests in flight at servers.
 
     Exit 0 only if no rule is broken.
     """
@@ -139,7 +141,7 @@
     except ValueError:
         raise error_exit(f"--size {sizes}: the form is 1.5,2.5") from None
     if not all(1.0 <= size <= MAX_BURST for size in bursts):
-        raise error_exit(f"--size {sizes}: each is from 1 to {MAX_BURST:g}")
+        raise error_exit(f"--size {sizes}: each must be from 1 to {MAX_BURST:g}")
     check_fault(fault, JAM_FAULTS)
 
     def play(count: int, size: float, number: int) -> PlayResult:
--- a/sagetrack/cli/peers.py
+++ b/sagetrack/cli/peers.py
@@ -1,4 +1,4 @@
-"""`sagetrack peers`: the other gateways as one gateway sees them."""
+"""`sagetrack peers`: shows the membership table of one gateway."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def peers(
-    address: Annotated[str, typer.Argument(help="a gateway's second address, host:port")],
+    address: Annotated[str, typer.Argument(help="a gateway's admin address, host:port")],
 ) -> None:
-    """Show who is alive, suspected and dead since when, what was sent and what was taken over."""
+    """Show which peers are alive, suspect or dead, since when, and counts of messages and observations."""
     from sagetrack.cli.lab_app import error_exit
     from sagetrack.config.platform import ConfigError, parse_address
 
@@ -30,7 +30,7 @@
         raise error_exit(f"{address}: {error.strerror or error}") from None
     lines = response.decode("utf-8", "replace").splitlines()
     if not lines or not lines[0].startswith("SUCCESS"):
-        raise error_exit(f"{address}: {lines[0] if lines else 'no answer'}")
+        raise error_exit(f"{address}: {lines[0] if lines else 'empty response from the admin interface'}")
     for line in lines[1:]:
         if line != "EOT":
             print(line)
--- a/sagetrack/cli/run.py
+++ b/sagetrack/cli/run.py
@@ -1,4 +1,4 @@
-"""`sagetrack run`: one gateway, by its configuration and the operator's file."""
+"""`sagetrack run`: runs one gateway process."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def run(
-    config: Annotated[str, typer.Option(help="the platform's configuration; else $LB_CONFIG")] = "",
-    operator: Annotated[str, typer.Option(help="the operator's own file; else $LB_OPERATOR")] = "",
+    config: Annotated[str, typer.Option(help="the platform's configuration file; default: $LB_CONFIG")] = "",
+    operator: Annotated[str, typer.Option(help="the operator's file; default: $LB_OPERATOR")] = "",
 ) -> None:
-    """Run one gateway until a signal ends it."""
+    """Run one gateway until a signal stops it."""
     from sagetrack.server.process import main
 
     if config:
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab scale …`: what grows with the fleet, and how; the page that its figures fill."""
+"""`sagetrack lab scale`, `scale-page`: measure how costs grow with the fleet, and render docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def parse_integer(option: str, text: str, least: int, most: int) -> int:
-    """An integer within bounds; else exit 2 with one line, where typer's own checks would print several."""
+    """Parse an integer within bounds, or print one line and exit with status 2; typer would print several."""
     number = int(text) if text.isascii() and text.isdigit() and len(text) < 20 else -1
     if not least <= number <= most:
         raise error_exit(f"{option} {text}: a whole number from {least} to {most}")
@@ -23,13 +23,13 @@
 
 
 def check_writable(path: Path) -> None:
-    """Exit 2 now for a file that could not be written later."""
+    """Exit with status 2 before a long measurement if its output file cannot be written."""
     if path.is_dir() or not path.resolve().parent.is_dir():
         raise error_exit(f"{path}: no file can be written there")
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Write all of the file or nothing of it; exit 2 with one line for an error."""
+    """Write a file atomically; print one line and exit with status 2 on an error."""
     fresh = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         fresh.write_text(text)
@@ -41,19 +41,19 @@
 
 
 def scale(
-    gateways: Annotated[str, typer.Option(help="of the fleet ahead, from 3")] = "730",
-    servers: Annotated[str, typer.Option(help="address servers, from 25")] = "9600",
-    services: Annotated[str, typer.Option(help="that these are in, from 4")] = "390",
-    tenants: Annotated[str, typer.Option(help="members of all services, from 10")] = "39000",
-    probe: Annotated[list[str] | None, typer.Option(help="this one alone; may be given again")] = None,
+    gateways: Annotated[str, typer.Option(help="gateways of the target fleet, from 3")] = "730",
+    servers: Annotated[str, typer.Option(help="servers of the target fleet, from 25")] = "9600",
+    services: Annotated[str, typer.Option(help="services that the servers belong to, from 4")] = "390",
+    tenants: Annotated[str, typer.Option(help="tenants of all services, from 10")] = "39000",
+    probe: Annotated[list[str] | None, typer.Option(help="run only this probe; repeatable")] = None,
     seed: Annotated[str, typer.Option(help="the seed of the generated fleet")] = "1",
-    quick: Annotated[bool, typer.Option("--quick", help="smaller fleets where they are slow")] = False,
+    quick: Annotated[bool, typer.Option("--quick", help="use smaller fleets in slow probes")] = False,
     counts: Annotated[
-        bool, typer.Option("--counts", help="no times: only what is the same on a busy machine")
+        bool, typer.Option("--counts", help="omit times; keep only counts that do not depend on machine load")
     ] = False,
-    file: Annotated[str, typer.Option("--json", help="write all figures here")] = "",
+    file: Annotated[str, typer.Option("--json", help="write all figures to this file")] = "",
 ) -> None:
-    """Sweep each size of a large fleet over gateways without sockets and a real one: what grows, how fast."""
+    """Sweep each dimension of a large fleet on simulated and real gateways; measure how costs grow."""
     from sagetrack.lab.scale.run import ScaleError, check_sizes, run_probes, select_probes
     from sagetrack.lab.scale.target import Sizes
 
@@ -79,13 +79,13 @@
 
 
 def print_results(results: dict[str, Any], seed: str) -> None:
-    """The results as a table."""
+    """Print the results as a table."""
     from rich.console import Console
     from rich.table import Table
 
     from sagetrack.lab.scale.run import result_table
 
-    shown = Table(title=f"{results['seconds']:g} s, seed {seed}; routes: nothing has any, none was swept")
+    shown = Table(title=f"{results['seconds']:g} s, seed {seed}; routes: not swept, as nothing has any")
     for name in COLUMNS:
         shown.add_column(name)
     for line in result_table(results):
@@ -94,12 +94,14 @@
 
 
 def scale_page(
-    file: Annotated[str, typer.Argument(help="what `lab scale --json` wrote")],
-    page: Annotated[str, typer.Option(help="whose table it fills")] = "docs/CAPACITY.md",
-    after: Annotated[str, typer.Option(help="the same after improvements")] = "",
-    check: Annotated[bool, typer.Option("--check", help="whether they agree; exit 1 if not")] = False,
+    file: Annotated[str, typer.Argument(help="figures written by `lab scale --json`")],
+    page: Annotated[str, typer.Option(help="page to update")] = "docs/CAPACITY.md",
+    after: Annotated[str, typer.Option(help="figures after improvements, in the same format")] = "",
+    check: Annotated[
+        bool, typer.Option("--check", help="only check that the page is up to date; exit 1 if not")
+    ] = False,
 ) -> None:
-    """Fill the measured part of docs/CAPACITY.md from figures, or see that it agrees with them."""
+    """Update the measured part of docs/CAPACITY.md from figures, or check that it matches them."""
     from sagetrack.lab.scale.page.rendering import render_page
 
     def read(path: str) -> dict[str, Any]:
@@ -110,7 +112,7 @@
         except ValueError as error:
             raise error_exit(f"{path} is not JSON: {error}") from None
         if not isinstance(results, dict) or "rows" not in results:
-            raise error_exit(f"{path} is not what `lab scale --json` writes")
+            raise error_exit(f"{path} is not in the format of `lab scale --json`")
         return results
 
     before, later = read(file), read(after) if after else None
@@ -120,7 +122,7 @@
     except OSError as error:
         raise error_exit(f"{page}: {error.strerror}") from None
     except (KeyError, TypeError, ValueError) as error:
-        raise error_exit(f"{page} cannot be filled from {file}: {error}") from None
+        raise error_exit(f"{page} cannot be updated from {file}: {error}") from None
     if check:
         raise typer.Exit(0 if fresh == text else 1)
     write_atomically(Path(page), fresh)
--- a/sagetrack/cli/soak.py
+++ b/sagetrack/cli/soak.py
@@ -1,4 +1,4 @@
-"""`sagetrack lab soak`: real processes under random faults that overlap, and an oracle of the rules."""
+"""`sagetrack lab soak`: runs real processes under overlapping random faults, with an oracle for the rules."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 if TYPE_CHECKING:
     from sagetrack.lab.soak.verdict import SoakReport
 
-PRINTED_VIOLATIONS = 20  # of a seed, at most
+PRINTED_VIOLATIONS = 20  # per seed
 
 
 def soak(
     seed: Annotated[int, typer.Option(help="the first seed")] = 1,
-    seeds: Annotated[int, typer.Option(help="how many seeds, one after the other")] = 1,
-    seconds: Annotated[float, typer.Option(help="of faults, for each seed")] = 12.0,
+    seeds: Annotated[int, typer.Option(help="number of seeds, run one after the other")] = 1,
+    seconds: Annotated[float, typer.Option(help="duration of the faults per seed")] = 12.0,
     gateways: Annotated[int, typer.Option(help="gateway processes")] = 4,
     servers: Annotated[int, typer.Option(help="upstream server processes")] = 6,
     clients: Annotated[int, typer.Option(help="client processes, of ten clients each")] = 3,
-    folder: Annotated[Path | None, typer.Option(help="keeps each process's events and log")] = None,
+    folder: Annotated[
+        Path | None, typer.Option(help="directory for the events and logs of all processes")
+    ] = None,
 ) -> None:
-    """Play random faults on real processes; each seed draws its own, and is played again by its number.
+    """Run real processes under random faults; each seed determines its faults, so a run can be repeated.
 
     Exit 0 only if no rule is violated in any seed.
     """
@@ -31,7 +33,9 @@
     from sagetrack.lab.soak.run import make_folder, run_soak
 
     if seeds < 1 or seconds < 3.0 or min(gateways, servers, clients) < 1:
-        raise error_exit("--seeds, --gateways, --servers and --clients are at least 1, --seconds at least 3")
+        raise error_exit(
+            "--seeds, --gateways, --servers and --clients must be at least 1, --seconds at least 3"
+        )
     size = SoakSize(gateways, servers, clients, seconds)
     run_folder = folder if folder is not None else make_folder()
     failed_seeds = 0
@@ -44,7 +48,7 @@
 
 
 def _print_report(report: SoakReport) -> None:
-    """Print one seed's verdict, and what it takes to understand a failed one."""
+    """Print the verdict of one seed, and for a failed one its violations and faults."""
     verdict = f"{len(report.violations)} violations" if report.violations else "passed"
     print(
         f"seed {report.seed}: {verdict}, {report.served} of {report.sent} served, {len(report.faults)} "
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -1,4 +1,4 @@
-"""`sagetrack store …`: verify a store, print its values, compact it, repair it, crash-test one."""
+"""`sagetrack store …`: verify, dump, compact or repair a store, and crash-test the store code."""
 
 from __future__ import annotations
 
@@ -22,10 +22,12 @@
 
 
 def open_store(folder: Path, stack: ExitStack, writes: bool) -> tuple[Store, RecoveryReport]:
-    """Open the store of a directory until the stack closes; without `writes` nothing on disk changes.
+    """Open the store of a directory; the stack closes it. Without `writes` nothing on disk changes.
+
+    If the store cannot be opened, the command prints one line and exits with status 2.
 
     Returns:
-        The store and what was recovered; if it cannot be opened, exit 2 with one line.
+        The store and the report of its recovery.
     """
     from sagetrack.store.directory import DiskDirectory, DryRunDirectory
     from sagetrack.store.engine import Store
@@ -33,7 +35,7 @@
     from sagetrack.store.options import StoreOptions
 
     if not folder.is_dir():
-        raise error_exit(f"{folder}: no directory")
+        raise error_exit(f"{folder}: not a directory")
     try:
         files = DiskDirectory(folder, create=False) if writes else DryRunDirectory(folder)
         stack.callback(files.close)
@@ -47,7 +49,7 @@
 
 @app.command("verify")
 def verify(folder: Folder) -> None:
-    """Read all of it, change nothing; exit 1 if anything is damaged."""
+    """Read the whole store without changing it; exit 1 if anything is damaged."""
     with ExitStack() as stack:
         store, recovery = open_store(folder, stack, False)
         snapshot = store.snapshot()
@@ -67,8 +69,10 @@
 
 
 @app.command("dump")
-def dump(folder: Folder, space: Annotated[str | None, typer.Option(help="this space alone")] = None) -> None:
-    """Write every value as a line of JSON; what is no MessagePack as text of its bytes in base 16."""
+def dump(
+    folder: Folder, space: Annotated[str | None, typer.Option(help="dump only this key space")] = None
+) -> None:
+    """Print every value as a line of JSON; values that are not MessagePack are printed in hexadecimal."""
     import msgspec
 
     with ExitStack() as stack:
@@ -83,7 +87,7 @@
 
 @app.command("compact")
 def compact(folder: Folder) -> None:
-    """Write a new base, and remove what it replaces."""
+    """Write a new base file and remove the files that it replaces."""
     import time
 
     with ExitStack() as stack:
@@ -98,9 +102,9 @@
 @app.command("repair")
 def repair(
     folder: Folder,
-    dry_run: Annotated[bool, typer.Option("--dry-run", help="report it, change nothing")] = False,
+    dry_run: Annotated[bool, typer.Option("--dry-run", help="only report; change nothing")] = False,
 ) -> None:
-    """Put aside what is damaged, as a gateway does when it opens the store; exit 0 if it can be used then."""
+    """Move damaged parts aside, as a gateway does when it opens the store; exit 0 if the rest is usable."""
     with ExitStack() as stack:
         _, recovery = open_store(folder, stack, not dry_run)
         would = "would be" if dry_run else "is"
@@ -114,13 +118,17 @@
 
 @app.command("crash-test")
 def crash_test(
-    seconds: Annotated[float, typer.Option(help="about how long", min=1, max=86_400)] = 30.0,
-    seed: Annotated[int, typer.Option(help="what is drawn follows from it", min=0)] = 1,
+    seconds: Annotated[float, typer.Option(help="approximate duration", min=1, max=86_400)] = 30.0,
+    seed: Annotated[int, typer.Option(help="seed of the random choices", min=0)] = 1,
 ) -> None:
-    """Cut and flip every byte of a store, crash it anywhere, kill a writer; exit 0 if all held."""
+    """Truncate and corrupt a store at every byte, crash it and kill its writer; exit 0 if no data is lost."""
     from sagetrack.lab.fault_injection.crash_test import crash_test as run
 
-    parts = {"bytes": (0.0, 0.6), "crashes": (0.6, 0.2), "kills": (0.8, 0.2)}  # begin and share of the time
+    parts = {
+        "bytes": (0.0, 0.6),
+        "crashes": (0.6, 0.2),
+        "kills": (0.8, 0.2),
+    }  # start and length, as shares of the whole test
     try:
         with progress_bar("crash-test", False) as progress:
             report = run(seconds, seed, lambda part, share: progress(parts[part][0] + parts[part][1] * share))
@@ -135,4 +143,4 @@
     raise failures_exit(report.failures)
 
 
-app.command("torture", hidden=True)(crash_test)  # the name of earlier versions
+app.command("torture", hidden=True)(crash_test)  # name in earlier versions
--- a/sagetrack/config/check.py
+++ b/sagetrack/config/check.py
@@ -105,8 +105,8 @@
     """Check a platform configuration against the types, and then parse it as the gateway does.
 
     Raises:
-        FileError: the file is unreadable or invalid. `faults` lists every fault that the types reveal, or else
-            the first fault that parsing finds.
+        FileError: the file is unreadable or invalid. `faults` lists every fault that the types reveal, or
+            else the first fault that parsing finds.
     """
     read(path, Platform, _cross_field_faults)
     with open(path, "rb") as file:
--- a/sagetrack/config/operator.py
+++ b/sagetrack/config/operator.py
@@ -58,9 +58,8 @@
     aim_ms: Annotated[int, Meta(ge=1, le=60_000)] = 500  # latency objective of a query
     deadline_ms: Annotated[int, Meta(ge=1, le=60_000)] = 2000  # then SERVFAIL or a stale answer
     cache_mb: Annotated[float, Meta(ge=0, le=65_536)] = 32.0
-    stale_s: Annotated[float, Meta(ge=0, le=604_800)] = (
-        86_400.0  # an expired answer is usable while upstreams fail
-    )
+    # How long an expired answer may be served while all upstreams fail
+    stale_s: Annotated[float, Meta(ge=0, le=604_800)] = 86_400.0
     allow: list[str] = msgspec.field(default_factory=lambda: ["127.0.0.0/8", "::1/128"])
     deny: list[str] = msgspec.field(default_factory=list)
     answers_per_s: Annotated[float, Meta(ge=0, le=1_000_000)] = 0.0  # UDP, per client prefix; 0: no limit
@@ -77,17 +76,13 @@
 
     use: bool = False
     shares: dict[str, Annotated[float, Meta(gt=0, le=1_000_000)]] = msgspec.field(default_factory=dict)
-    flows: Annotated[int, Meta(ge=1, le=65_536)] = (
-        256  # flow queues that the clients of a tenant are hashed to
-    )
-    patience: Annotated[float, Meta(ge=0, le=0.5)] = (
-        0.5  # longest wait, as a fraction of the latency objective's slack
-    )
+    flows: Annotated[int, Meta(ge=1, le=65_536)] = 256  # queues that a tenant's clients are hashed to
+    # Longest wait, as a fraction of the slack under the latency objective
+    patience: Annotated[float, Meta(ge=0, le=0.5)] = 0.5
     memory_mb: Annotated[float, Meta(ge=1, le=65_536)] = 16.0
     whole_seconds: bool = False  # round Retry-After up, for clients that do not parse fractions
-    client_header: Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]*$")] = (
-        "X-Client"  # if empty, the address alone identifies a client
-    )
+    # If empty, the address alone identifies a client
+    client_header: Annotated[str, Meta(pattern=r"^[A-Za-z0-9-]*$")] = "X-Client"
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/sagetrack/simulator/__init__.py
+++ b/sagetrack/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The load balancer on the simulator's text protocol."""
+"""Runs the load-balancing policy under a simulator that speaks a line-based text protocol."""
--- a/sagetrack/simulator/host.py
+++ b/sagetrack/simulator/host.py
@@ -1,7 +1,7 @@
-"""Runs load balancers under the simulator: batches of lines on standard input, a reply each on the output.
+"""Runs load balancers under the simulator: batches of lines on stdin, one reply each on stdout.
 
-Every instance has a load balancer of its own; nothing is shared between them and nothing is decided here. A
-line that cannot be parsed is reported on standard error and skipped.
+Each instance has its own load balancer; instances share no state. This module makes no decisions. A line that
+cannot be parsed is reported on stderr and skipped.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 
 BATCH_END, REPLY_END = "go", "next\n"
-MAX_REPORTED_LINE = 200  # characters of a bad line that are reported
+MAX_REPORTED_LINE = 200  # characters of an invalid line that a report shows
 
 
 class SimulatorHost:
@@ -32,10 +32,10 @@
 
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
-        self.balancers: dict[str, LoadBalancer] = {}  # by instance
-        self.tables: dict[str, tuple[ListedServer, ...]] = {}
-        self.instance = ""  # that the next lines are for
-        self.replying_instance = ""  # that the last lines of the reply are of
+        self.balancers: dict[str, LoadBalancer] = {}  # by instance name
+        self.tables: dict[str, tuple[ListedServer, ...]] = {}  # endpoint lists, by table number
+        self.instance = ""  # instance that the next lines address
+        self.replying_instance = ""  # instance whose actions end the reply so far
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
@@ -76,7 +76,7 @@
             self._deliver(parser(fields))
             return
         command = self.commands.get(name)
-        if command is not None:  # messages of later versions of the protocol are ignored
+        if command is not None:  # unknown messages are from later protocol versions and ignored
             command(fields)
 
     def _begin_batch(self, fields: Fields) -> None:
@@ -84,7 +84,7 @@
         self.now_us = int(fields["simTimeUs"])
 
     def _select_instance(self, fields: Fields) -> None:
-        self.instance = ""  # a malformed line must not leave events to the previous instance
+        self.instance = ""  # after a malformed line, events must not reach the previous instance
         self.instance = fields["i"]
 
     def _deliver_list(self, fields: Fields) -> None:
@@ -95,7 +95,7 @@
     def _launch(self, fields: Fields) -> None:
         self.balancers.pop(self.instance, None)
         if not self.instance:
-            raise WireError("launch outside any instance")
+            raise WireError("launch without a preceding instance line")
         settings = parse_settings(fields["bootInfo"])
         self.balancers[self.instance] = LoadBalancer(settings, int(fields["prng"]))
 
@@ -112,7 +112,7 @@
             try:
                 name, entry_fields = split_line(entry)
                 if name != "host":
-                    raise WireError("not a list entry")
+                    raise WireError("not an endpoint list entry, which begins with host")
                 members.append(parse_server(entry_fields))
             except KeyError as error:
                 self._report(entry, f"field or value {error} is missing or unknown")
@@ -140,8 +140,8 @@
 
 
 def main() -> int:
-    """Run on the standard streams until the input ends; returns the exit status."""
-    gc.freeze()  # objects of the imports are never garbage: the collector need not visit them
+    """Process standard input until it ends; return the exit status."""
+    gc.freeze()  # imported objects are never garbage, so the collector can skip them
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
     SimulatorHost(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -1,14 +1,18 @@
-"""The simulator's text protocol: lines to events and settings, actions to lines.
+"""The simulator's text protocol: parses lines into events and formats actions as lines.
 
-Parsed and ignored, because no decision rests on them: names of classes, tenants, kinds, zones and tiers,
-and `family` (decisions never rest on a name); `stage`, `familyInfo.passesDeadline` (one tier is served);
-`lanes[].streamed` (`streaming` itself says so); `isWrite` (the class's effect says more); `prices.fleet`,
-`moves`, `origin` (not this gateway's actions); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (nothing
-to choose by); `weights` (a listed weight is a factor in weighted selection, whatever it means);
-`registry.index` (lists come complete and in order).
+These fields are accepted and ignored, because no decision depends on them:
 
-All parsers of a line raise KeyError for a missing field or an unknown word, and ValueError (WireError among
-them) for a value that cannot be read.
+- names of classes, tenants, kinds, zones and tiers, and `family`: decisions never depend on a name;
+- `stage` and `familyInfo.passesDeadline`: only one tier is served;
+- `lanes[].streamed`: a `streaming` message reports a streamed response;
+- `isWrite`: the effect of the class is more precise;
+- `prices.fleet`, `moves` and `origin`: they concern actions that are not this gateway's;
+- `tickUs`, `caps.mostHeld` and `caps.cpuUsPerRequest`: they offer nothing to choose by;
+- `weights`: a listed weight is a factor in weighted selection, whatever it means;
+- `registry.index`: lists arrive complete and in order.
+
+All line parsers raise KeyError for a missing field or an unknown keyword, and ValueError (or its subclass
+WireError) for a value that cannot be parsed.
 """
 
 from __future__ import annotations
@@ -66,7 +70,7 @@
     "444": Outcome.CANCELLED,
     "409": Outcome.NOT_SENT,
 }
-TEXT_FIELDS = {"launch": " bootInfo="}  # by message: the last field, whose value may hold spaces
+TEXT_FIELDS = {"launch": " bootInfo="}  # by message: the last field, whose value may contain spaces
 NO_PAYLOAD = "-"
 
 
@@ -74,7 +78,7 @@
     """Split a line into its message name and its fields.
 
     Raises:
-        WireError: A part of the line is not name=value.
+        WireError: a field is not of the form name=value.
     """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
@@ -87,7 +91,7 @@
     for part in rest.split():
         key, mark, value = part.partition("=")
         if not mark:
-            raise WireError(f"'{part}' is not name=value")
+            raise WireError(f"'{part}' is not of the form name=value")
         fields[key] = value
     return name, fields
 
@@ -106,7 +110,7 @@
 
 
 def parse_incoming(fields: Fields) -> RequestArrived:
-    """Parse `incoming`: a request has arrived."""
+    """Parse `incoming`: a request arrived."""
     key, work = fields.get("affinity"), fields.get("costUs")
     return RequestArrived(
         fields["requestId"],
@@ -120,7 +124,7 @@
 
 
 def parse_outcome(fields: Fields) -> AttemptEnded:
-    """Parse `outcome`: an attempt has ended."""
+    """Parse `outcome`: an attempt ended."""
     return AttemptEnded(
         fields["requestId"],
         int(fields["shot"]),
@@ -133,12 +137,12 @@
 
 
 def parse_dropped(fields: Fields) -> RequestCancelled:
-    """Parse `dropped`: the client has cancelled its request."""
+    """Parse `dropped`: the client cancelled its request."""
     return RequestCancelled(fields["requestId"])
 
 
 def parse_streaming(fields: Fields) -> StreamStarted:
-    """Parse `streaming`: a streamed response has begun."""
+    """Parse `streaming`: a streamed response started."""
     return StreamStarted(fields["requestId"], int(fields["shot"]))
 
 
@@ -148,13 +152,13 @@
 
 
 def parse_pong(fields: Fields) -> Probed:
-    """Parse `pong`: the result of a probe."""
+    """Parse `pong`: a probe ended."""
     outcome, load = OUTCOMES[fields["verdict"]], parse_load(fields.get("pressure"))
     return Probed(int(fields["host"]), outcome, int(fields.get("durationUs", "0")), load)
 
 
 def parse_inbox(fields: Fields) -> PeerMessage:
-    """Parse `inbox`: a message of another gateway."""
+    """Parse `inbox`: a message from another gateway arrived."""
     text = fields["bytes"]
     return PeerMessage(
         int(fields["src"]), b"" if text == NO_PAYLOAD else base64.b64decode(text, validate=True)
@@ -197,5 +201,5 @@
 
 
 def format_action(action: Action) -> str:
-    """Format an action as a line, without its line end."""
+    """Format an action as a line, without the line terminator."""
     return FORMATTERS[type(action)](action)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -198,9 +198,9 @@
         (("--gateways", "0"), "--gateways 0: each is from 1 to 1000"),
         (("--gateways", "3,1001"), "--gateways 3,1001: each is from 1 to 1000"),
         (("--gateways", "many"), "--gateways many: the form is 3,20,30"),
-        (("--case", "most,none"), "--case most,none: there are most, few"),
-        (("--seed", "-1"), "--seed -1: it is from 0"),
-        (("--seeds", "0"), "--seeds 0: they are from 1"),
+        (("--case", "most,none"), "--case most,none: allowed are most, few"),
+        (("--seed", "-1"), "--seed -1: it must be from 0"),
+        (("--seeds", "0"), "--seeds 0: they must be from 1"),
         (("--fault", "crowds-cold"), "--fault crowds-cold: allowed are counts-others-only"),
     ],
 )
