--- a/sagetrack/policy/request_lifecycle.py
+++ b/sagetrack/policy/request_lifecycle.py
@@ -60,7 +60,7 @@
 
         The request is rejected if a retry by the client is known to be harmless, and fails otherwise.
         """
-        if request.answered:
+        if request.finished:
             return
         request_class = self._settings.classes[request.class_index]
         may_have_run = any(attempt.may_have_run for attempt in request.attempts)
@@ -75,7 +75,7 @@
 
     def finish(self, request: Request) -> None:
         """Mark a request as answered or as needing no response, and cancel its attempts in flight."""
-        request.answered = True
+        request.finished = True
         self._capacity_wait.leave(request)
         if self._admission is not None:
             self._admission.remove(request)
@@ -104,7 +104,7 @@
             self._timers.set(request.key_cooldown_until_us, TimerPurpose.REQUEST, request)
             return
         following = self._ordered_keys.leave(request)
-        if following is not None and not following.answered and not self._sender.try_send(following):
+        if following is not None and not following.finished and not self._sender.try_send(following):
             self.reject_or_fail(following)
 
     def shut_down(self, at_us: int) -> None:
@@ -116,5 +116,5 @@
         self._sender.stop_at(at_us)
         for request in self._requests.values():
             request.deadline_us = min(request.deadline_us, at_us)
-            if request.in_flight == 0 and not request.answered:
+            if request.in_flight == 0 and not request.finished:
                 self._timers.set(at_us, TimerPurpose.REQUEST, request)
--- a/sagetrack/simulator/wire.py
+++ b/sagetrack/simulator/wire.py
@@ -12,7 +12,7 @@
 - `registry.index`: lists arrive complete and in order.
 
 All line parsers raise KeyError for a missing field or an unknown keyword, and ValueError (or its subclass
-WireError) for a value that cannot be parsed.
+ParseError) for a value that cannot be parsed.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     StreamStarted,
     TimerFired,
 )
-from sagetrack.policy.parsing import WireError, parse_load
+from sagetrack.policy.parsing import ParseError, parse_load
 
 Fields = Mapping[str, str]
 
@@ -78,7 +78,7 @@
     """Split a line into its message name and its fields.
 
     Raises:
-        WireError: a field is not of the form name=value.
+        ParseError: a field is not of the form name=value.
     """
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
@@ -91,7 +91,7 @@
     for part in rest.split():
         key, mark, value = part.partition("=")
         if not mark:
-            raise WireError(f"'{part}' is not of the form name=value")
+            raise ParseError(f"'{part}' is not of the form name=value")
         fields[key] = value
     return name, fields
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -33,7 +33,7 @@
 def within(run: RunningGateway) -> bool:
     """Whether clients and servers leave the reserve untouched."""
     server = run.listener
-    return server.count_clients() + run.assembly.pools.open + RESERVE <= server.descriptors.limit
+    return server.count_clients() + run.assembly.pools.open_connections + RESERVE <= server.descriptors.limit
 
 
 async def fill(run: RunningGateway, count: int) -> list[Client]:
