--- a/sagetrack/lab/stand_ins/scripted.py
+++ b/sagetrack/lab/stand_ins/scripted.py
@@ -64,7 +64,7 @@
 
 
 def respond_with(data: bytes) -> Script:
-    """A script that answers each request with the same bytes."""
+    """Return a script that responds to each request with the same bytes."""
     return lambda exchange: exchange.respond(data)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, and a driver that feeds events to a load balancer and keeps the timers that it sets."""
+"""Settings, and a driver that passes events to a load balancer and records the timers that it sets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from sagetrack.policy.load_balancer import LoadBalancer
 from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings
 
-# Modules of the gateway that read the clock, for tests that replace `now_us` in all of them
+# Modules of the gateway that import `now_us`, for tests that replace the clock in all of them
 GATEWAY_CLOCK_USERS = tuple(
     f"sagetrack.core.{name}"
     for name in (
@@ -58,7 +58,7 @@
 
 
 class Driver:
-    """One load balancer with a clock that only the test moves."""
+    """A load balancer with a clock that only the test advances."""
 
     def __init__(self, settings: Settings = SETTINGS, servers: int = 3, seed: int = 1) -> None:
         self.balancer = LoadBalancer(settings, seed)
@@ -69,19 +69,19 @@
             self.list_servers(*(ListedServer(n, group=n % 2) for n in range(servers)))
 
     def handle(self, event: Event) -> list[Action]:
-        """Handle an event now, and keep the timers among its actions."""
+        """Pass an event to the balancer at the current time, and record the timers among the actions."""
         actions = self.balancer.handle(self.now_us, event)
         self.timers += [action for action in actions if isinstance(action, SetTimer)]
         return actions
 
     def list_servers(self, *entries: ListedServer, kind: ListKind = ListKind.FULL) -> list[Action]:
-        """Deliver an endpoint list, or changes of it."""
+        """Deliver a full endpoint list or a delta."""
         return self.handle(EndpointList(kind, entries))
 
     def arrive(
         self, class_index: int = 0, client_timeout_us: int = 400_000, **extra: int | bool
     ) -> tuple[str, list[Action]]:
-        """Let a request arrive; return its id and the actions that follow."""
+        """Deliver a new request; return its id and the resulting actions."""
         self.count += 1
         name = f"r{self.count}"
         event = RequestArrived(name, class_index, client_timeout_us)
@@ -95,28 +95,28 @@
         attempt: int = 0,
         latency_us: int = 20_000,
     ) -> list[Action]:
-        """End an attempt of a request; return the actions that follow."""
+        """End an attempt of a request; return the resulting actions."""
         finished = outcome is Outcome.OK
         return self.handle(AttemptEnded(request, attempt, server, outcome, latency_us, finished))
 
 
 def send_actions(actions: list[Action]) -> list[SendAttempt]:
-    """Return the attempts that are to be sent."""
+    """Return the actions that send an attempt."""
     return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 def final_actions(actions: list[Action]) -> list[Reject | Fail]:
-    """Return the final answers that the gateway gives itself."""
+    """Return the actions that end a request with a response of the gateway itself."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def timer_actions(actions: list[Action]) -> list[SetTimer]:
-    """Return the timers that are to be set."""
+    """Return the actions that set a timer."""
     return [action for action in actions if isinstance(action, SetTimer)]
 
 
 def trip(breaker: Breaker, now_us: int) -> None:
-    """Open a new circuit breaker with the smallest number of failures that opens it."""
+    """Open a new circuit breaker by recording the minimum number of failures."""
     for _ in range(MIN_OUTCOMES_TO_OPEN):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is State.OPEN
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""docs/architecture.md names files, classes and functions that exist, and every package of the program."""
+"""docs/architecture.md names only existing files, classes and functions, and covers every package."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
 FILE = re.compile(r"`((?:sagetrack|tests|docs|deploy)/[\w/.-]+\.(?:py|md|toml|proto))`")
 NAME = re.compile(r"`([A-Za-z_]\w*(?:\.[a-z_]\w*)?)`")
-NAMING_COLUMNS = {"function", "owner", "read by"}  # a name in one of them is defined in the row's file
+NAMING_COLUMNS = {"function", "owner", "read by"}  # names in these columns are defined in the row's file
 
 
 def defined(path: Path) -> set[str]:
-    """Names of classes, functions and methods of a file, methods with and without their class."""
+    """Return the classes, functions and methods of a file; methods with and without the class name."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ClassDef):
@@ -34,7 +34,7 @@
 
 
 def located_names() -> list[tuple[str, str]]:
-    """Pairs of a name and the file that the row of a table says it is in."""
+    """Return pairs of a name and the file that a table row of the page gives for it."""
     pairs: list[tuple[str, str]] = []
     header: list[str] = []
     for line in PAGE.splitlines():
@@ -54,7 +54,7 @@
     assert (ROOT / file).is_file()
 
 
-def test_names_are_where_the_page_says() -> None:
+def test_names_are_defined_in_the_files_that_the_page_gives() -> None:
     pairs = located_names()
     missing = [pair for pair in pairs if pair[0] not in defined(ROOT / pair[1])]
     assert len(pairs) > 40 and not missing
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on the size of modules, classes and functions, and the list of modules that make decisions."""
+"""Size limits of modules, classes and functions, and the list of modules that make decisions."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 MODULES = sorted(POLICY.glob("*.py"))
 GENERATED = {"calls_pb2.py"}
 ALL_MODULES = sorted(path for path in (ROOT / "sagetrack").rglob("*.py") if path.name not in GENERATED)
-MAX_MODULE, MAX_CLASS, MAX_FUNCTION, MAX_COLUMNS = 500, 300, 40, 110  # lines, and characters of a line
-# Modules with only data or plumbing; every other module makes decisions.
+MAX_MODULE, MAX_CLASS, MAX_FUNCTION, MAX_COLUMNS = 500, 300, 40, 110  # in lines; columns in characters
+# Modules with only data types or helpers; every other policy module makes decisions.
 MODULES_WITHOUT_DECISIONS = {
     "__init__",
     "actions",
@@ -29,7 +29,7 @@
 
 
 def definitions_over_limit(path: Path) -> set[str]:
-    """Return the classes and functions of a module that exceed their bound, as `module.name`."""
+    """Return the classes and functions of a module that exceed their size limit, as `module.name`."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a person uses it, and the lab in real time, with real gateway processes."""
+"""The command line as users run it, and the lab in real time with real gateway processes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.sockets import configuration
 
 ROOT = Path(__file__).parent.parent
-SHORT = (
+SHORT_RUN = (
     "--set",
     "seconds=3",
     "--set",
@@ -43,7 +43,7 @@
     )
 
 
-def test_check_names_all_that_is_wrong_and_ends_with_2(tmp_path: Path) -> None:
+def test_check_reports_all_faults_and_exits_with_2(tmp_path: Path) -> None:
     operator, scenario, config = tmp_path / "o.toml", tmp_path / "s.toml", tmp_path / "c.json"
     operator.write_text('[log]\nlevel = "loud"\nburts = 1\n')
     scenario.write_text('name = "x"\nsecnds = 3\n')
@@ -54,7 +54,7 @@
     assert len(lines) == 3 and "o.toml:2: log.level" in lines[0] and "s.toml:2: secnds" in lines[2]
 
 
-def test_a_bad_operators_file_ends_the_gateway_before_it_listens(tmp_path: Path) -> None:
+def test_an_invalid_operator_file_stops_the_gateway_before_it_listens(tmp_path: Path) -> None:
     config, operator = tmp_path / "c.json", tmp_path / "o.toml"
     config.write_text(json.dumps(configuration("127.0.0.1:1")))
     operator.write_text('[log]\nformat = "xml"\n')
@@ -63,7 +63,7 @@
     assert 'log.format = "xml" is not allowed; it must be one of console, json, plain' in done.stderr
 
 
-def test_the_platforms_path_loads_no_command_line_library(tmp_path: Path) -> None:
+def test_a_gateway_started_by_the_platform_imports_no_command_line_library(tmp_path: Path) -> None:
     done = subprocess.run(
         [sys.executable, "-X", "importtime", "-m", "sagetrack"],
         cwd=ROOT,
@@ -101,34 +101,34 @@
         (("check",), "nothing to check"),
     ],
 )
-def test_bad_words_are_one_plain_line_and_2(words: tuple[str, ...], why: str) -> None:
+def test_invalid_arguments_print_one_line_and_exit_with_2(words: tuple[str, ...], why: str) -> None:
     done = command(*words, LB_CONFIG="", LB_OPERATOR="")
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and why in done.stderr
 
 
-def test_a_run_ends_with_one_json_object_and_a_fault_with_1() -> None:
+def test_a_run_prints_one_json_object_and_an_injected_fault_exits_with_1() -> None:
     good = command("lab", "run", "scenarios/everyday.toml", "--virtual", "--json")
     row = json.loads(good.stdout.splitlines()[-1])
     assert good.returncode == 0 and row["service"] > 0.97 and row["rules_broken"] == {}
-    wanted = {"served", "refused", "failed", "p50_ms", "p99_ms", "late", "expect_held"}
-    assert wanted <= row.keys()
+    expected_keys = {"served", "refused", "failed", "p50_ms", "p99_ms", "late", "expect_held"}
+    assert expected_keys <= row.keys()
     bad = command("lab", "run", "scenarios/everyday.toml", "--virtual", "--json", "--fault", "answers-twice")
     assert bad.returncode == 1 and json.loads(bad.stdout)["rules_broken"]["one_answer"] > 0
 
 
-def test_a_real_fleet_bears_a_death_and_an_upgrade(tmp_path: Path) -> None:
-    """Real processes; what depends on this machine's speed is not asked for.
+def test_a_real_fleet_survives_a_gateway_crash_and_an_upgrade(tmp_path: Path) -> None:
+    """Run real processes, with deadlines that do not depend on the speed of the machine.
 
-    So no deadline is short: a machine that is many times too busy serves late, and it serves all the same.
+    An overloaded machine responds late, but it still responds.
     """
     file = tmp_path / "records.gz"
-    patient = [f"class.{n}.{what}=20000" for n in (1, 2, 3) for what in ("deadline_ms", "aim_ms")]
+    long_deadlines = [f"class.{n}.{what}=20000" for n in (1, 2, 3) for what in ("deadline_ms", "aim_ms")]
     done = command(
         "lab",
         "run",
         "scenarios/upgrade.toml",
         "--json",
-        *SHORT,
+        *SHORT_RUN,
         "--set",
         "trouble.1.at_s=0.5",
         "--set",
@@ -143,13 +143,13 @@
         'trouble.3.kind="deploy"',
         "--set",
         "discovery.drain_s=0.5",
-        *(part for words in patient for part in ("--set", words)),
+        *(part for words in long_deadlines for part in ("--set", words)),
         "--records",
         str(file),
         "--plot",
         str(tmp_path / "run.png"),
     )
-    assert done.stdout, f"exit {done.returncode}, and it said: {done.stderr}"
+    assert done.stdout, f"exit status {done.returncode}, stderr: {done.stderr}"
     row = json.loads(done.stdout.splitlines()[-1])
     assert row["rules_broken"] == {}, (row["violations"], done.stderr)
     assert row["served"] > 0.6 * row["requests"] and file.exists(), (row, done.stderr)
@@ -157,7 +157,7 @@
 
 
 def test_an_interrupt_leaves_nothing_running() -> None:
-    """Ctrl-C, and the terminal's close."""
+    """Interrupts are Ctrl-C (SIGINT) and the close of the terminal (SIGHUP)."""
     for signum in (signal.SIGINT, signal.SIGHUP):
         marker = f"LAB_TEST_{os.getpid()}_{signum}"
         process = subprocess.Popen(
@@ -169,16 +169,16 @@
             text=True,
         )
         end = time.monotonic() + 30
-        while len(marked(marker)) < 4 and time.monotonic() < end:
+        while len(processes_with(marker)) < 4 and time.monotonic() < end:
             assert process.poll() is None
         process.send_signal(signum)
         _, errors = process.communicate(timeout=30)
         assert process.returncode == 130 and "nothing is left running" in errors
-        assert marked(marker) == []
+        assert processes_with(marker) == []
 
 
-def marked(marker: str) -> list[int]:
-    """Processes with this in their environment."""
+def processes_with(marker: str) -> list[int]:
+    """Return the ids of processes whose environment contains the marker."""
     found = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
@@ -189,7 +189,7 @@
     return found
 
 
-def test_a_gateway_that_dies_at_its_start_is_one_line_and_leaves_nothing(
+def test_a_gateway_that_fails_to_start_is_reported_and_leaves_no_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scenario = load(ROOT / "scenarios" / "everyday.toml")
@@ -198,15 +198,15 @@
         play(scenario, 1)
 
 
-def test_too_few_descriptors_are_said_before_anything_starts() -> None:
+def test_a_low_descriptor_limit_is_reported_before_anything_starts() -> None:
     with pytest.raises(LabError, match="descriptors are needed"):
         require_file_descriptors(10**9)
 
 
-def test_what_ends_the_start_is_said_at_the_highest_level_too(tmp_path: Path) -> None:
+def test_a_startup_failure_is_logged_even_at_level_error(tmp_path: Path) -> None:
     config, operator = tmp_path / "c.json", tmp_path / "o.toml"
-    elsewhere = {"listen": "192.0.2.1:1"}  # no address of this machine
-    config.write_text(json.dumps(configuration("127.0.0.1:1") | elsewhere))
+    foreign_address = {"listen": "192.0.2.1:1"}  # not an address of this machine
+    config.write_text(json.dumps(configuration("127.0.0.1:1") | foreign_address))
     operator.write_text('[log]\nlevel = "error"\n')
     done = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
     assert done.returncode == 1 and "cannot listen on 192.0.2.1:1" in done.stderr
--- a/tests/test_command_names.py
+++ b/tests/test_command_names.py
@@ -1,4 +1,4 @@
-"""Commands that were renamed: the old name takes the same options and prints the same; help lists the new."""
+"""Renamed commands: the old name has the same options and output, and the help lists only the new name."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ("lab", "forge-dns", "spoof-dns"),
     ("store", "torture", "crash-test"),
 ]
-LISTED = re.compile(r"^│ ([a-z][a-z0-9-]*) ", re.MULTILINE)  # in help, the start of a command's lines
+LISTED = re.compile(r"^│ ([a-z][a-z0-9-]*) ", re.MULTILINE)  # a command's line in the help
 
 
 def command_of(group: str, name: str) -> TyperCommand:
@@ -54,12 +54,12 @@
     return done.exit_code, done.stdout, done.stderr
 
 
-def test_each_alias_of_the_lab_is_tried_here() -> None:
+def test_all_lab_aliases_are_covered_here() -> None:
     assert dict(ALIASES) == {old: new for group, old, new in RENAMED if group == "lab"}
 
 
 @pytest.mark.parametrize(("group", "old", "new"), RENAMED)
-def test_the_old_name_is_hidden_and_takes_the_same_options(group: str, old: str, new: str) -> None:
+def test_the_old_name_is_hidden_and_has_the_same_options(group: str, old: str, new: str) -> None:
     alias, command = command_of(group, old), command_of(group, new)
     assert alias.hidden and not command.hidden
     assert options_of(alias) == options_of(command)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("group", ["lab", "store"])
-def test_help_lists_the_new_names_only(group: str) -> None:
+def test_help_lists_only_the_new_names(group: str) -> None:
     code, shown, _ = outcome(group, "--help")
     listed = LISTED.findall(shown)
     assert code == 0 and len(listed) == len(set(listed))
@@ -90,12 +90,12 @@
         ("door", "fair-queue", ("--clients", "0")),
     ],
 )
-def test_both_names_print_the_same(old: str, new: str, options: tuple[str, ...]) -> None:
+def test_both_names_have_the_same_output(old: str, new: str, options: tuple[str, ...]) -> None:
     assert outcome("lab", old, *options) == outcome("lab", new, *options)
 
 
-def test_both_names_of_the_measurements_print_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is measured is given here: real measurements differ from each other."""
+def test_both_names_of_the_benchmarks_have_the_same_output(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The measurements are replaced with fixed results, as real ones differ from run to run."""
     both = {"capacity_http": 5, "capacity_dns": 7, "rows": [{"http_ms": 1.5, "dns_ms": 2.5}]}
 
     def measured(*arguments: object) -> dict[str, Any]:
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""Modules form no import cycles, not even by imports for type checkers alone."""
+"""Modules form no import cycles, including imports that only type checkers see."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def imported(tree: ast.Module, modules: set[str]) -> Iterator[str]:
-    """Modules of this project that are imported anywhere in a file."""
+    """Yield the modules of this project that a file imports at any level."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in modules)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs as printed."""
 
 import re
 from pathlib import Path
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: parsing, formatting, reports of invalid input, and scripted runs of the host."""
+"""The simulator's protocol: parsing, formatting, error reports and scripted runs of the host."""
 
 from __future__ import annotations
 
@@ -76,14 +76,14 @@
 
 
 def run_host(*lines: str) -> tuple[list[str], str]:
-    """Run the host on lines of input; return its output lines and its error text."""
+    """Run the host on input lines; return its output lines and error text."""
     sink, errors = io.StringIO(), io.StringIO()
     SimulatorHost(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
 def parse(line: str) -> object:
-    """Parse one line of input as an event."""
+    """Parse an input line as an event."""
     name, fields = split_line(line)
     return PARSERS[name](fields)
 
@@ -258,7 +258,7 @@
     assert replies[1] == "by i=gateway_0"
 
 
-def test_the_host_answers_a_script_identically_twice() -> None:
+def test_the_output_for_a_script_is_deterministic() -> None:
     script = [*START]
     for n in range(40):
         script += [
@@ -286,7 +286,7 @@
 
 
 def actions_by_instance(instances: list[int], hash_seed: str) -> dict[str, list[str]]:
-    """The actions of each instance when all share one process with this hash seed."""
+    """Run all instances in one process with a hash seed; return the actions of each instance."""
     lines = []
     for step in range(60):
         lines.append(f"begin_batch simTimeUs={1_000_000 + step * 20_000}")
@@ -327,7 +327,7 @@
     return actions
 
 
-def test_instances_act_alike_in_one_process_or_three_and_under_any_hash_seed() -> None:
+def test_actions_do_not_depend_on_sharing_a_process_or_on_the_hash_seed() -> None:
     together = actions_by_instance([0, 1, 2], "1")
     apart = actions_by_instance([0], "2") | actions_by_instance([1], "3") | actions_by_instance([2], "4")
     assert together == apart
