--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what is read, what is malformed, health, and many requests on one connection."""
+"""Client connections: parsing, invalid requests, readiness, and pipelined requests."""
 
 from __future__ import annotations
 
@@ -25,38 +25,40 @@
     from sagetrack.policy.events import RequestArrived
 
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
-        told: list[RequestArrived] = []
+        arrived: list[RequestArrived] = []
         handle = run.gateway.balancer.handle
 
-        def listen(now_us: int, event: object) -> object:
+        def record_arrivals(now_us: int, event: object) -> object:
             if isinstance(event, RequestArrived):
-                told.append(event)
+                arrived.append(event)
             return handle(now_us, event)  # type: ignore[arg-type]
 
-        run.gateway.balancer.handle = listen  # type: ignore[method-assign,assignment]
+        run.gateway.balancer.handle = record_arrivals  # type: ignore[method-assign,assignment]
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
         assert (await run.request(data)).status == 200
-        (event,) = told
+        (event,) = arrived
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_hash("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.request(data)).status == 200
-        assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
+        assert (
+            arrived[1].key is None and arrived[1].client_timeout_us == 20_000_000 and not arrived[1].is_retry
+        )
 
 
 @on_event_loop
-async def test_white_space_round_a_value_is_no_part_of_it() -> None:
-    answer = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
+async def test_white_space_around_a_header_value_is_removed() -> None:
+    raw_response = b"HTTP/1.1 200 OK \r\nContent-Length: \t4 \t\r\nConnection:  keep-alive  \r\n\r\nfine"
     async with (
-        scripted_server(respond_with(answer)) as upstream,
+        scripted_server(respond_with(raw_response)) as upstream,
         running_gateway(configuration(upstream)) as run,
     ):
         for before, after in ((b"", b" \t"), (b"\t ", b"")):
             first, *lines = request("hold", b"slip", expect="100-continue").split(b"\r\n")[:-2]
             lines = [line.replace(b": ", b":" + before) + after for line in lines]
-            answer_to_it = await run.request(b"\r\n".join([first, *lines]) + b"\r\n\r\nslip")
-            assert (answer_to_it.status, answer_to_it.body) == (200, b"fine")
+            response = await run.request(b"\r\n".join([first, *lines]) + b"\r\n\r\nslip")
+            assert (response.status, response.body) == (200, b"fine")
         assert [e.message.body for e in upstream.exchanges] == [b"slip"] * 2
 
 
@@ -86,18 +88,20 @@
     ],
 )
 @on_event_loop
-async def test_invalid_requests_are_answered_and_the_gateway_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_requests_get_an_error_response_and_the_gateway_continues(
+    data: bytes, status: int
+) -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
-        answer = await run.request(data)
-        assert answer.status == status
-        assert answer.status not in (429, 503)
-        assert ("allow" in answer.headers) is (status == 405)
+        response = await run.request(data)
+        assert response.status == status
+        assert response.status not in (429, 503)
+        assert ("allow" in response.headers) is (status == 405)
         assert not upstream.exchanges and not run.gateway.in_flight
         assert (await run.request(request())).status == 200
 
 
 @on_event_loop
-async def test_a_body_comes_in_pieces_or_chunks() -> None:
+async def test_a_body_is_received_in_pieces_or_chunks() -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
@@ -115,18 +119,18 @@
 
 
 @on_event_loop
-async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
+async def test_the_largest_buffered_body_is_forwarded_in_both_directions() -> None:
     body = bytes(range(256)) * 256
     async with (
         scripted_server(respond_with(http_response(200, body))) as upstream,
         running_gateway(configuration(upstream)) as run,
     ):
-        answer = await run.request(request("transfer", body))
-        assert answer.body == body == upstream.exchanges[0].message.body
+        response = await run.request(request("transfer", body))
+        assert response.body == body == upstream.exchanges[0].message.body
 
 
 @on_event_loop
-async def test_requests_on_one_connection_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_handled_in_order() -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
@@ -137,31 +141,31 @@
 
 
 @on_event_loop
-async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
+async def test_a_valid_request_before_a_malformed_one_gets_its_response_first() -> None:
     async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
         await wait_until(lambda: upstream.exchanges)
         upstream.exchanges[0].respond(http_response())
         assert (await client.read_response()).status == 200
-        answer = await client.read_response()
-        assert answer.status == 400 and answer.headers["connection"] == "close"
+        response = await client.read_response()
+        assert response.status == 400 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
 
 
 @on_event_loop
-async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
+async def test_connection_close_from_the_client_is_honoured() -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         client = await run.connect()
-        answer = await client.request(request(connection="close"))
-        assert answer.status == 200 and answer.headers["connection"] == "close"
+        response = await client.request(request(connection="close"))
+        assert response.status == 200 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
 
 
 @on_event_loop
-async def test_an_id_in_flight_is_rejected() -> None:
+async def test_a_request_id_that_is_in_flight_is_rejected() -> None:
     async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -183,7 +187,7 @@
             assert run.listener.standby()
             assert (await run.request(ready)).status == 503
         async with running_gateway(configuration()) as run:
-            assert (await run.request(ready)).status == 503  # no host is known
+            assert (await run.request(ready)).status == 503  # no server is known
 
 
 @on_event_loop
@@ -191,14 +195,14 @@
     async with running_gateway(
         configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)
     ) as run:
-        answer = await run.request(request())
-        assert answer.status == 503
-        assert 0 < float(answer.headers["retry-after"]) <= 2
+        response = await run.request(request())
+        assert response.status == 503
+        assert 0 < float(response.headers["retry-after"]) <= 2
 
 
 @on_event_loop
-async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
-    """It may bring what has crossed the end of an older connection, and that is sent only once more."""
+async def test_during_a_shutdown_a_new_connection_has_time_for_its_first_request() -> None:
+    """Its request may be the only retry of one that was sent as an earlier connection was closed."""
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         run.listener.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
         client = await run.connect()
@@ -206,22 +210,22 @@
         (connection,) = run.listener.connections
         run.listener.close_idle()
         assert not connection.is_closing
-        answer = await client.request(request("transfer"))
-        assert answer.status == 200 and answer.headers["connection"] == "close"
+        response = await client.request(request("transfer"))
+        assert response.status == 200 and response.headers["connection"] == "close"
         assert await client.reader.read() == b""
-        silent_one = await run.connect()
+        silent_client = await run.connect()
         await wait_until(lambda: run.listener.connections)
         (connection,) = run.listener.connections
         connection.opened_s -= 60
         run.listener.close_idle()
-        assert await silent_one.reader.read() == b""
+        assert await silent_client.reader.read() == b""
         client.close()
-        silent_one.close()
+        silent_client.close()
 
 
 @on_event_loop
-async def test_what_waits_to_be_read_keeps_its_connection() -> None:
-    """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
+async def test_a_connection_with_unread_data_is_not_closed_as_idle() -> None:
+    """A request may be in the receive buffer of the kernel before the event loop has processed it."""
     import socket
 
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
@@ -230,9 +234,9 @@
             (connection,) = run.listener.connections
             connection.exchange.has_responded = True
             run.listener.drain.begin_shutdown(asyncio.get_running_loop().time() - 60)
-            client.sendall(request("transfer"))  # and the loop has had no turn since
+            client.sendall(request("transfer"))  # the event loop has not run since
             run.listener.close_idle()
             assert not connection.is_closing
             loop = asyncio.get_running_loop()
-            answer = await loop.run_in_executor(None, client.recv, 65536)
-            assert answer.startswith(b"HTTP/1.1 200 ")
+            response = await loop.run_in_executor(None, client.recv, 65536)
+            assert response.startswith(b"HTTP/1.1 200 ")
