--- a/sagetrack/cli/__init__.py
+++ b/sagetrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `sagetrack`, one file a command or group; `app` puts them together."""
+"""The commands of `sagetrack`, one module per command or group; `app` registers them."""
--- a/sagetrack/cli/lab_hostile_input.py
+++ b/sagetrack/cli/lab_hostile_input.py
@@ -13,7 +13,7 @@
     rate: Annotated[int, typer.Option(help="forged responses per second", min=100, max=20_000)] = 1000,
     seconds: Annotated[float, typer.Option(help="duration", min=1, max=600)] = 10.0,
 ) -> None:
-    """Send a gateway forged DNS responses along with genuine ones; exit 1 if a forged one is accepted."""
+    """Send a gateway forged DNS responses along with genuine ones; exit 1 if one reaches a client."""
     from sagetrack.lab.fault_injection.dns_spoofing import spoof
 
     with measuring("spoof-dns", False) as progress:
--- a/sagetrack/cli/scale.py
+++ b/sagetrack/cli/scale.py
@@ -53,7 +53,7 @@
     ] = False,
     file: Annotated[str, typer.Option("--json", help="write all figures to this file")] = "",
 ) -> None:
-    """Sweep each dimension of a large fleet on simulated and real gateways; measure how costs grow."""
+    """Measure how costs grow with each dimension of a large fleet, on simulated gateways and a real one."""
     from sagetrack.lab.scale.run import ScaleError, check_sizes, run_probes, select_probes
     from sagetrack.lab.scale.target import Sizes
 
--- a/sagetrack/cli/store.py
+++ b/sagetrack/cli/store.py
@@ -121,14 +121,11 @@
     seconds: Annotated[float, typer.Option(help="approximate duration", min=1, max=86_400)] = 30.0,
     seed: Annotated[int, typer.Option(help="seed of the random choices", min=0)] = 1,
 ) -> None:
-    """Truncate and corrupt a store at every byte, crash it and kill its writer; exit 0 if no data is lost."""
+    """Truncate and corrupt a store at every byte, crash it, kill its writer; exit 0 if all checks hold."""
     from sagetrack.lab.fault_injection.crash_test import crash_test as run
 
-    parts = {
-        "bytes": (0.0, 0.6),
-        "crashes": (0.6, 0.2),
-        "kills": (0.8, 0.2),
-    }  # start and length, as shares of the whole test
+    # Start and length of each part, as shares of the whole test
+    parts = {"bytes": (0.0, 0.6), "crashes": (0.6, 0.2), "kills": (0.8, 0.2)}
     try:
         with progress_bar("crash-test", False) as progress:
             report = run(seconds, seed, lambda part, share: progress(parts[part][0] + parts[part][1] * share))
--- a/sagetrack/config/operator.py
+++ b/sagetrack/config/operator.py
@@ -109,9 +109,8 @@
     key: str = ""
     listen: list[HostPort] = msgspec.field(default_factory=list)  # listen addresses for gRPC clients
     share_by_class: dict[str, Fraction] = msgspec.field(default_factory=dict)
-    share_by_member: dict[str, Fraction] = msgspec.field(
-        default_factory=dict
-    )  # takes precedence over share_by_class
+    # Takes precedence over share_by_class
+    share_by_member: dict[str, Fraction] = msgspec.field(default_factory=dict)
     compare_per_s: Annotated[float, Meta(ge=0, le=1000)] = 0.0  # idempotent requests to mirror; 0: none
     compare_ignore: list[str] = msgspec.field(default_factory=list)  # headers left out of the comparison
 
@@ -172,7 +171,7 @@
         yield Fault(("newer", "certificate"), "newer.certificate is missing; newer.listen with TLS needs it")
     if grpc.tls and not grpc.ca:
         yield Fault(
-            ("newer", "ca"), "newer.ca is missing; newer.tls needs the file of the CA that signs servers"
+            ("newer", "ca"), "newer.ca is missing; newer.tls needs the CA file for server certificates"
         )
     if bool(grpc.certificate) != bool(grpc.key):
         yield Fault(("newer", "certificate"), "newer.certificate and newer.key must be set together")
--- a/sagetrack/config/validation.py
+++ b/sagetrack/config/validation.py
@@ -27,9 +27,8 @@
 MAX_VALUE_LENGTH = 80  # characters of a faulty value that a message shows
 # msgspec reports a fault only as text, which these patterns parse.
 MSGSPEC_FAULT = re.compile(r"^(?P<reason>.*?)(?: - at `(?:key in )?\$(?P<path>[^`]*)`)?$", re.S)
-MSGSPEC_STEP = re.compile(
-    r"\.([^.\[\]]+)|\[(\d+)\]|\[(\.\.\.)\]"
-)  # a key, a list index, or an unnamed key of a map
+# A step of a path: a key, a list index, or an unnamed key of a map
+MSGSPEC_STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]|\[(\.\.\.)\]")
 MSGSPEC_UNKNOWN = re.compile(r"Object contains unknown field `(.+)`")
 MSGSPEC_MISSING = re.compile(r"Object missing required field `(.+)`")
 
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -139,9 +139,8 @@
         ended = outcomes(run)
         assert (await run.request(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
-        await wait_until(
-            lambda: upstream.closed_connections == 1
-        )  # the server can notice that no client waits
+        # The server can notice that no client waits.
+        await wait_until(lambda: upstream.closed_connections == 1)
         assert run.assembly.pools.open_connections == 0 and not run.gateway.in_flight
 
 
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -44,9 +44,8 @@
         operator(use="on", listen="127.0.0.1:7003", addresses=["127.0.0.1:7003", "127.0.0.1:7001"], me=0),
     )
     assert found == PeerAddresses(0, ("127.0.0.1", 7003), [("127.0.0.1", 7003), FIRST])
-    assert (
-        peer_addresses(config(), operator(use="on", addresses=["127.0.0.1:7002"], me=0)) is None
-    )  # no other peer
+    # The only address is the gateway's own.
+    assert peer_addresses(config(), operator(use="on", addresses=["127.0.0.1:7002"], me=0)) is None
 
 
 def test_missing_addresses_are_an_error_if_the_operator_enables_peer_messages() -> None:
