--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -1,4 +1,4 @@
-"""`sagetrack demo`: a small fleet in real time, with faults, and a live table."""
+"""`sagetrack demo`: runs a small fleet in real time with faults, and shows it in a live table."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import typer
 
-from sagetrack.cli.lab_app import INTERRUPTED, SHOWN, fail
+from sagetrack.cli.lab_app import INTERRUPTED, MAX_PRINTED_FAILURES, error_exit
 
 if TYPE_CHECKING:
     from rich.console import Console
@@ -19,22 +19,22 @@
     from sagetrack.lab.model.server import Server
     from sagetrack.lab.model.world import World
 
-PLANNED_S = 30.0
-REFRESH = 4  # times a second
-REPORTS = 4  # of the progress, where there is no terminal
+DEFAULT_DURATION_S = 30.0
+REFRESHES_PER_S = 4
+PROGRESS_REPORTS = 4  # progress lines printed if there is no terminal
 RECENT_US = 2_000_000
-RECENT_RECORDS = 600  # among them are those of the last two seconds
-LONGEST_BAR = 24  # requests that a row of the table shows
+RECENT_RECORDS = 600  # newest records searched; they cover the last RECENT_US
+MAX_BAR_LENGTH = 24  # requests in flight that the bar of a server can show
 COLUMNS = ("server", "zone", "state", "held", "", "gateway", "state", "last 2 s")
 
 
 def demo(
     seconds: Annotated[
-        float, typer.Option(help="how long; the faults move with it", min=5, max=600)
-    ] = PLANNED_S,
-    seed: Annotated[int, typer.Option(help="what random figures follow from", min=0)] = 1,
+        float, typer.Option(help="duration; the times of the faults scale with it", min=5, max=600)
+    ] = DEFAULT_DURATION_S,
+    seed: Annotated[int, typer.Option(help="seed of the random numbers", min=0)] = 1,
 ) -> None:
-    """Play nine servers and three gateways through a slow server, a burst, a deploy and a gateway's death."""
+    """Run nine servers and three gateways through a slow server, a burst, a deploy and a gateway crash."""
     from rich.console import Console
 
     from sagetrack.cli.lab_play import verdict
@@ -46,68 +46,68 @@
     scenario = demo_scenario(seconds)
     records = Records()
     try:
-        play_shown(scenario, seed, records, Console())
+        play_with_display(scenario, seed, records, Console())
     except LabError as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     except KeyboardInterrupt:
-        print("sagetrack: ended; nothing is left running", file=sys.stderr)
+        print("sagetrack: interrupted; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
     violations = judge(records, scenario)
     results = figures(records, scenario, violations)
-    for violation in violations[:SHOWN]:
+    for violation in violations[:MAX_PRINTED_FAILURES]:
         print(f"broken: {violation}")
     if results.late:
-        print("late: this machine was too busy for the load to come in time")
+        print("late: this machine was too busy to send the load on schedule")
     print(verdict(results))
     raise typer.Exit(1 if violations else 0)
 
 
 def demo_scenario(seconds: float) -> Scenario:
-    """The demo's scenario, its faults moved in proportion to its length."""
+    """Load the demo's scenario, with the times of its faults scaled to the duration."""
     from sagetrack.lab.model.scenario import load_scenario, with_overrides
     from sagetrack.lab.repository import SCENARIOS
 
     scenario = load_scenario(SCENARIOS / "demo.toml")
-    if seconds == PLANNED_S:
+    if seconds == DEFAULT_DURATION_S:
         return scenario
-    share = seconds / PLANNED_S
+    scale = seconds / DEFAULT_DURATION_S
     changes: dict[str, float] = {"seconds": seconds}
     for number, fault in enumerate(scenario.faults, 1):
-        changes[f"trouble.{number}.at_s"] = fault.at_s * share
-        changes[f"trouble.{number}.seconds"] = max(0.5, fault.seconds * share)
+        changes[f"trouble.{number}.at_s"] = fault.at_s * scale
+        changes[f"trouble.{number}.seconds"] = max(0.5, fault.seconds * scale)
     return with_overrides(scenario, changes)
 
 
-def play_shown(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
-    """Play a scenario behind a live table; without a terminal, behind a line for each quarter of it."""
+def play_with_display(scenario: Scenario, seed: int, records: Records, console: Console) -> None:
+    """Play a scenario and show a live table, or without a terminal a line after each quarter."""
     from rich.live import Live
 
     from sagetrack.lab.processes.run import play
 
     if console.is_terminal:
-        with Live(console=console, refresh_per_second=REFRESH, transient=False) as live:
-            play(scenario, seed, lambda share, world: live.update(table(world, records)), 0.0, records)
+        with Live(console=console, refresh_per_second=REFRESHES_PER_S, transient=False) as live:
+            play(scenario, seed, lambda share, world: live.update(fleet_table(world, records)), 0.0, records)
         return
     reported = 0
 
     def report(share: float, world: World) -> None:
         nonlocal reported
-        if int(share * REPORTS) > reported:
-            reported = int(share * REPORTS)
+        if int(share * PROGRESS_REPORTS) > reported:
+            reported = int(share * PROGRESS_REPORTS)
             print(f"{share:4.0%} played, {world.arrivals.count} calls", file=sys.stderr, flush=True)
 
     play(scenario, seed, report, 0.0, records)
 
 
-def table(world: World, records: Records) -> Table:
-    """The fleet as it stands."""
+def fleet_table(world: World, records: Records) -> Table:
+    """Build the table of the fleet's current state."""
     from rich.table import Table
 
     now_us = world.clock.now_us()
     faults = active_faults(records)
     shown = Table(
         title=f"{now_us / 1e6:5.1f} s   {world.arrivals.count} calls   "
-        f"now: {', '.join(faults) or 'nothing special'}"
+        f"now: {', '.join(faults) or 'no fault'}"
     )
     for column in COLUMNS:
         shown.add_column(column)
@@ -128,7 +128,7 @@
 
 
 def active_faults(records: Records) -> list[str]:
-    """The kinds of the faults that have begun and not ended."""
+    """Return the kinds of the faults that are in effect."""
     from sagetrack.lab.analysis.records import FaultStateChanged
 
     active: list[str] = []
@@ -141,7 +141,7 @@
 
 
 def recently_served(records: Records, now_us: int) -> float | None:
-    """The share of requests of the last two seconds that were served in time; None without any."""
+    """Return the share of the last RECENT_US's requests that were served in time; None if there are none."""
     from sagetrack.lab.analysis.records import RequestFinished
 
     newest: list[Record] = records.rows[-RECENT_RECORDS:]
@@ -163,4 +163,4 @@
     else:
         state = "drains" if entry.status == "DRAINING" else "ready"
     zone = world.scenario.fleet.zones[server.zone]
-    return [f"s-{server.number}", zone, state, "▇" * min(server.request_count, LONGEST_BAR)]
+    return [f"s-{server.number}", zone, state, "▇" * min(server.request_count, MAX_BAR_LENGTH)]
