--- a/sagetrack/cli/soak.py
+++ b/sagetrack/cli/soak.py
@@ -28,12 +28,12 @@
     """
     from sagetrack.cli.lab_app import fail
     from sagetrack.lab.soak.fleet import SoakSize
-    from sagetrack.lab.soak.run import make_folder, run_soak
+    from sagetrack.lab.soak.run import create_run_folder, run_soak
 
     if seeds < 1 or seconds < 3.0 or min(gateways, servers, clients) < 1:
         raise fail("--seeds, --gateways, --servers and --clients are at least 1, --seconds at least 3")
     size = SoakSize(gateways, servers, clients, seconds)
-    run_folder = folder if folder is not None else make_folder()
+    run_folder = folder if folder is not None else create_run_folder()
     failed_seeds = 0
     for number in range(seed, seed + seeds):
         report = run_soak(number, size, run_folder / f"seed-{number}")
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -110,9 +110,9 @@
 class SlowAgent(DiscoveryAgent):
     """Discovery that takes its time."""
 
-    def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
+    def respond_to_poll(self, connection: DiscoveryConnection, since: int | None) -> None:
         """Answer after `SLOW_DISCOVERY_S`."""
-        asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().answer, connection, since)
+        asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().respond_to_poll, connection, since)
 
 
 def fill(folder: Path, values: int) -> None:
--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -158,7 +158,7 @@
                 self.dns.slow_upstreams(fault, is_on)
             case "discovery-down" if not is_on:
                 for agent in self.agents.values():
-                    agent.answer_pending()
+                    agent.respond_to_pending_polls()
             case "crowd" | "rude" as kind if is_on:
                 self.hostile_clients.start(kind, int(fault.size))
             case "crowd" | "rude" as kind:
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -107,6 +107,6 @@
     return asyncio.run(play())
 
 
-def make_folder() -> Path:
+def create_run_folder() -> Path:
     """A new folder for the runs of one command."""
     return Path(tempfile.mkdtemp(prefix="sagetrack-soak-"))
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -103,7 +103,7 @@
         self.undelivered.append(change)
         clock = self.world.clock
         clock.at(clock.now_us() + DELIVERED_LATEST_US, lambda: self._count_as_delivered(index))
-        self.answer_pending()
+        self.respond_to_pending_polls()
 
     def _count_as_delivered(self, index: int) -> None:
         """Report changes up to an index to the world."""
@@ -113,14 +113,14 @@
 
     # Polls
 
-    def answer_pending(self) -> None:
+    def respond_to_pending_polls(self) -> None:
         """Answer polls that wait, as far as there is news and discovery is up."""
         pending = self.pending_polls
         self.pending_polls = []
         for poll in pending:
-            self.answer(poll.connection, poll.since)
+            self.respond_to_poll(poll.connection, poll.since)
 
-    def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
+    def respond_to_poll(self, connection: DiscoveryConnection, since: int | None) -> None:
         """Answer a poll for what is newer than an index (None: for the list), or keep it until there is."""
         if self.world.registry.down or (since is not None and since >= self.index):
             self.pending_polls.append(PendingPoll(connection, since if since is not None else 0))
@@ -179,7 +179,7 @@
         query = parse_qs(urlsplit(message.target.decode("latin-1")).query)
         since = int(query["from"][0]) if "from" in query else None
         hold_s = int(query.get("hold_ms", ["0"])[0]) / 1000
-        self.agent.answer(self, since)
+        self.agent.respond_to_poll(self, since)
         if self.agent.is_pending(self) and hold_s:
             loop = asyncio.get_running_loop()
             self.poll_timer = loop.call_later(hold_s, self.agent.time_out, self)
--- a/sagetrack/lab/stand_ins/dns_server.py
+++ b/sagetrack/lab/stand_ins/dns_server.py
@@ -39,7 +39,7 @@
     address: str = "192.0.2.1"  # in the first record
 
 
-class SeenQuery(NamedTuple):
+class ReceivedQuery(NamedTuple):
     """A query that came over UDP."""
 
     name: str  # in the letters' case as it came
@@ -59,7 +59,7 @@
     port: int = 0
     udp_queries: int = 0
     tcp_queries: int = 0
-    seen: list[SeenQuery] = field(default_factory=list)
+    received_queries: list[ReceivedQuery] = field(default_factory=list)
     draw: random.Random = field(default_factory=lambda: random.Random(7))
     servers: list[asyncio.Server | asyncio.DatagramTransport] = field(default_factory=list)
 
@@ -153,7 +153,7 @@
         behaviour = nameserver.behaviour
         nameserver.udp_queries += 1
         name = dns.message.from_wire(data).question[0].name.to_text()
-        nameserver.seen.append(SeenQuery(name, int.from_bytes(data[:2]), addr[1]))
+        nameserver.received_queries.append(ReceivedQuery(name, int.from_bytes(data[:2]), addr[1]))
         if behaviour.is_silent or nameserver.draw.random() < behaviour.loss:
             return
         if behaviour.delay_s:
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -76,8 +76,8 @@
             said = await client.ask(query(f"n{number}.example."))
             assert [r.to_text() for r in said.answer[0]] == ["192.0.2.1"]
         assert service.upstreams.counts.unmatched == 20 * 50
-        ports = {port for _, _, port in upstream.seen}
-        assert len(ports) > 1 and len({id_ for _, id_, _ in upstream.seen}) > 10
+        ports = {port for _, _, port in upstream.received_queries}
+        assert len(ports) > 1 and len({id_ for _, id_, _ in upstream.received_queries}) > 10
         client.transport.close()
 
 
