--- a/sagetrack/lab/processes/background_tasks.py
+++ b/sagetrack/lab/processes/background_tasks.py
@@ -17,9 +17,9 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.failure: str | None = None
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Start a task."""
-        task = self.loop.create_task(work)
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
--- a/sagetrack/lab/processes/client_traffic.py
+++ b/sagetrack/lab/processes/client_traffic.py
@@ -9,10 +9,10 @@
 from sagetrack.lab.model.client_requests import ClientAttempt
 from sagetrack.lab.model.world import World
 from sagetrack.lab.processes.background_tasks import BackgroundTasks
-from sagetrack.lab.stand_ins.client_connection import CONNECTION_BROKE, ClientConnection, GatewayResponse
+from sagetrack.lab.stand_ins.client_connection import CONNECTION_FAILED, ClientConnection, GatewayResponse
 
 # Verdicts of the model, by status; any other one is "failed".
-VERDICTS = {CONNECTION_BROKE: "broken", 200: "served", 429: "refused", 503: "refused"}
+VERDICTS = {CONNECTION_FAILED: "broken", 200: "served", 429: "refused", 503: "refused"}
 
 
 def encode_request(world: World, attempt: ClientAttempt) -> bytes:
@@ -51,11 +51,11 @@
     """
 
     def __init__(
-        self, world: World, ports: Mapping[int, int], draw: random.Random, background: BackgroundTasks
+        self, world: World, ports: Mapping[int, int], rng: random.Random, background: BackgroundTasks
     ) -> None:
         self.world = world
         self.ports = ports
-        self.draw = draw
+        self.rng = rng
         self.background = background
         self.attempts: dict[str, ClientAttempt] = {}
         self.idle: dict[int, list[ClientConnection]] = {gateway: [] for gateway in world.gateway_fleet.alive}
@@ -98,7 +98,7 @@
             if not attempt.ended:
                 self.world.clients.on_response(attempt, "unreachable")
             return
-        connection.reads_slowly = self.draw.random() < self.world.scenario.clients.slow_readers
+        connection.reads_slowly = self.rng.random() < self.world.scenario.clients.slow_readers
         if attempt.ended or not connection.is_open:
             connection.close()
             return
@@ -113,7 +113,7 @@
         )
 
     def _on_response(self, attempt: ClientAttempt, response: GatewayResponse, was_reused: bool) -> None:
-        is_broken = response.status == CONNECTION_BROKE
+        is_broken = response.status == CONNECTION_FAILED
         if is_broken and was_reused and not attempt.ended and self.world.gateway_fleet.alive[attempt.gateway]:
             # The gateway closed the kept connection while the request was on its way: it is sent again.
             self.background.spawn(self._connect_and_send(attempt))
--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -33,11 +33,11 @@
     def __init__(self, world: World, folder: Path, base_ms: int) -> None:
         self.world = world
         self.base_ms = base_ms
-        self.draw = random.Random(f"{world.seed}/net")
+        self.rng = random.Random(f"{world.seed}/net")
         self.background = BackgroundTasks()
         self.supervisor = GatewaySupervisor(world, folder, self.background, self._settings)
-        self.clients = ClientTraffic(world, self.supervisor.ports, self.draw, self.background)
-        self.hostile_clients = HostileClients(self.supervisor.ports, self.draw, self.background)
+        self.clients = ClientTraffic(world, self.supervisor.ports, self.rng, self.background)
+        self.hostile_clients = HostileClients(self.supervisor.ports, self.rng, self.background)
         self.servers: dict[int, AddressServer] = {}
         self.agents: dict[int, DiscoveryAgent] = {}  # by gateway
         self.peers = PeerNetwork(world) if world.scenario.peers.use else None
@@ -75,7 +75,7 @@
         zone_count = len(self.world.scenario.fleet.zones)
         is_same_zone = entry is None or entry.zone == gateway % zone_count
         base_ms = network.same_zone_ms if is_same_zone else network.cross_zone_ms
-        return int(base_ms * 1000 * (1.0 + network.jitter * self.draw.random()))
+        return int(base_ms * 1000 * (1.0 + network.jitter * self.rng.random()))
 
     # Gateways
 
@@ -125,7 +125,7 @@
         """Change the list that discovery has for a gateway."""
         self.agents[gateway].apply(entries, is_complete)
 
-    def restart_base_time(self, base_ms: int) -> None:
+    def set_base_time(self, base_ms: int) -> None:
         """The run's start has this Unix time in milliseconds instead."""
         for agent in self.agents.values():
             agent.base_ms = base_ms
--- a/sagetrack/lab/processes/gateway_process.py
+++ b/sagetrack/lab/processes/gateway_process.py
@@ -16,7 +16,7 @@
 from sagetrack.lab.processes.resource_usage import cpu_s, memory_mb
 from sagetrack.lab.repository import ROOT
 
-READY_S = 15.0  # for a gateway to report that it is ready
+READY_TIMEOUT_S = 15.0  # for a gateway to report that it is ready
 READY_POLL_S = 0.01
 INHERITED_SETTINGS = ("LB_ACCEPT_FD", "LB_OPERATOR", "LB_ADMIN")  # of this process's own environment
 
@@ -47,10 +47,14 @@
     ) -> None:
         config_file = folder / f"config-{number}.json"
         config_file.write_text(json.dumps(config))
-        shared = folder / "tmp"
-        shared.mkdir(exist_ok=True)
+        temp_folder = folder / "tmp"
+        temp_folder.mkdir(exist_ok=True)
         environment = {name: value for name, value in os.environ.items() if name not in INHERITED_SETTINGS}
-        environment |= {"LB_CONFIG": str(config_file), "TMPDIR": str(shared), "PYTHONPATH": str(ROOT)}
+        environment |= {
+            "LB_CONFIG": str(config_file),
+            "TMPDIR": str(temp_folder),
+            "PYTHONPATH": str(ROOT),
+        }
         if operator_settings:
             operator_file = folder / f"operator-{number}.toml"
             operator_file.write_text(operator_settings)
@@ -83,7 +87,7 @@
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else "it said nothing"
 
-    def end_report(self) -> str:
+    def describe_exit(self) -> str:
         """How an ended process ended, for people."""
         return f"ended with status {self.process.returncode}: {self.last_log_line()}"
 
@@ -109,11 +113,11 @@
     async def wait_until_ready(self, name: str) -> None:
         """Wait until it takes clients; LabError, which names it so, if it ends or is not ready in time."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + READY_S
+        end_s = loop.time() + READY_TIMEOUT_S
         while loop.time() < end_s:
             if not self.is_running:
-                raise LabError(f"{name} {self.end_report()}")
+                raise LabError(f"{name} {self.describe_exit()}")
             if await self.reports_ready():
                 return
             await asyncio.sleep(READY_POLL_S)
-        raise LabError(f"{name} was not ready within {READY_S:g} s: {self.last_log_line()}")
+        raise LabError(f"{name} was not ready within {READY_TIMEOUT_S:g} s: {self.last_log_line()}")
--- a/sagetrack/lab/processes/gateway_supervisor.py
+++ b/sagetrack/lab/processes/gateway_supervisor.py
@@ -18,9 +18,9 @@
 from sagetrack.lab.processes.gateway_settings import GatewaySettings
 
 BACKLOG = 1024
-SETTLE_S = 0.3  # between an upgrade's new process being ready and the old one's SIGTERM
-TERMINATION_S = 4.0  # for a gateway to end after SIGTERM, in an upgrade
-FINAL_TERMINATION_S = 1.0  # for all gateways to end after SIGTERM, at the end of a run
+UPGRADE_SETTLE_S = 0.3  # between an upgrade's new process being ready and the old one's SIGTERM
+UPGRADE_TERMINATION_TIMEOUT_S = 4.0  # for a gateway to end after SIGTERM, in an upgrade
+FINAL_TERMINATION_TIMEOUT_S = 1.0  # for all gateways to end after SIGTERM, at the end of a run
 
 MakeSettings = Callable[[int, int, Path], GatewaySettings]  # gateway, number of the process, its folder
 
@@ -46,7 +46,7 @@
         self.launch_count = 0
         self.ended_cpu_s = 0.0  # of killed processes
         # An upgrade hands the listening socket over, so the lab holds it.
-        self.hands_down_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
+        self.passes_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
 
     # Starting
 
@@ -63,7 +63,7 @@
             listener.close()
             raise LabError(f"no address for gateway {gateway}: {error.strerror}") from None
         self.ports[gateway] = listener.getsockname()[1]
-        if self.hands_down_listeners:
+        if self.passes_listeners:
             listener.listen(BACKLOG)
             self.listeners[gateway] = listener
         else:
@@ -112,34 +112,34 @@
         """Start a killed gateway again and wait until it is ready; LabError if it is not."""
         for process in self.processes[gateway]:
             await asyncio.to_thread(process.process.wait)
-        if self.hands_down_listeners:
+        if self.passes_listeners:
             self.reserve_port(gateway)
         await self.wait_until_ready(gateway, self.launch(gateway))
 
     def upgrade(self, gateway: int) -> None:
         """Replace a gateway's process by a new one in the background."""
-        task = self.background.spawn(self._replace_newest(gateway))
+        task = self.background.spawn(self._replace_newest_process(gateway))
         self.upgrades.setdefault(gateway, set()).add(task)
 
-    async def _replace_newest(self, gateway: int) -> None:
+    async def _replace_newest_process(self, gateway: int) -> None:
         old = self.processes[gateway][-1]
         new = self.launch(gateway)
         await self.wait_until_ready(gateway, new)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(UPGRADE_SETTLE_S)
         old.process.send_signal(signal.SIGTERM)
         try:
-            await asyncio.to_thread(old.process.wait, TERMINATION_S)
+            await asyncio.to_thread(old.process.wait, UPGRADE_TERMINATION_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             old.process.kill()
 
     def reload_all(self) -> None:
         """Have every gateway that is up reload its configuration."""
-        for process in self._newest_alive().values():
+        for process in self._newest_processes().values():
             process.process.send_signal(signal.SIGHUP)
 
     # Observation
 
-    def _newest_alive(self) -> dict[int, GatewayProcess]:
+    def _newest_processes(self) -> dict[int, GatewayProcess]:
         return {
             gateway: processes[-1]
             for gateway, processes in self.processes.items()
@@ -148,7 +148,7 @@
 
     def usage(self) -> Usage:
         """CPU seconds of all gateways so far, and the resident megabytes of the largest."""
-        usages = [process.usage() for process in self._newest_alive().values()]
+        usages = [process.usage() for process in self._newest_processes().values()]
         return Usage(
             self.ended_cpu_s + sum(usage.cpu_s for usage in usages),
             max((usage.memory_mb for usage in usages), default=0.0),
@@ -157,8 +157,8 @@
     def crashes(self) -> list[str]:
         """A line about each gateway that ended though nobody ended it."""
         return [
-            f"gateway {gateway} {process.end_report()}"
-            for gateway, process in self._newest_alive().items()
+            f"gateway {gateway} {process.describe_exit()}"
+            for gateway, process in self._newest_processes().items()
             if not process.is_running
         ]
 
@@ -170,7 +170,7 @@
         for child in children:
             if child.poll() is None:
                 child.terminate()
-        end_s = time.monotonic() + FINAL_TERMINATION_S
+        end_s = time.monotonic() + FINAL_TERMINATION_TIMEOUT_S
         for child in children:
             try:
                 child.wait(max(0.0, end_s - time.monotonic()))
--- a/sagetrack/lab/processes/hostile_clients.py
+++ b/sagetrack/lab/processes/hostile_clients.py
@@ -19,8 +19,8 @@
 )
 SLOWLORIS_PAUSE_S = (0.2, 0.4)  # between two connections of a client
 MALFORMED_PAUSE_S = 0.1
-RESPONSE_S = 3.0  # for the response to a malformed request
-RESPONSE_BYTES = 1000
+RESPONSE_TIMEOUT_S = 3.0  # for the response to a malformed request
+MAX_RESPONSE_BYTES = 1000
 
 HostileKind = Literal["crowd", "rude"]  # as scenarios name these faults
 
@@ -28,9 +28,9 @@
 class HostileClients:
     """Starts and stops clients of each kind. `ports` has each gateway's, which may change."""
 
-    def __init__(self, ports: Mapping[int, int], draw: random.Random, background: BackgroundTasks) -> None:
+    def __init__(self, ports: Mapping[int, int], rng: random.Random, background: BackgroundTasks) -> None:
         self.ports = ports
-        self.draw = draw
+        self.rng = rng
         self.background = background
         self.tasks: dict[HostileKind, list[asyncio.Task[None]]] = {}
 
@@ -61,7 +61,7 @@
                     writer.close()
             except OSError:
                 pass  # the gateway is down, or has reset the connection
-            await asyncio.sleep(self.draw.uniform(*SLOWLORIS_PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(*SLOWLORIS_PAUSE_S))
 
     async def _send_malformed(self, number: int) -> None:
         """Send what cannot be parsed, read the response, and begin again."""
@@ -69,8 +69,8 @@
             try:
                 reader, writer = await asyncio.open_connection(*self._address(number))
                 writer.write(MALFORMED_REQUESTS[number % len(MALFORMED_REQUESTS)])
-                async with asyncio.timeout(RESPONSE_S):
-                    await reader.read(RESPONSE_BYTES)
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                    await reader.read(MAX_RESPONSE_BYTES)
                 writer.close()
             except (OSError, TimeoutError):
                 pass  # the gateway is down, has reset the connection, or says nothing
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -24,19 +24,19 @@
 from sagetrack.lab.processes.clock import RealClock
 from sagetrack.lab.processes.gateway_fleet import GatewayFleet
 
-SPARE_DESCRIPTORS = 200
+RESERVED_DESCRIPTORS = 200
 DESCRIPTORS_PER_GATEWAY = 20
-REQUEST_S = 4  # of requests whose connections may be open at once
-CHECK_S = 0.05  # between two looks at how the run is going
-FINAL_SLACK_US = 200_000  # beyond the longest deadline, until a run ends at the latest
+OPEN_CONNECTION_S = 4  # of requests whose connections may be open at once
+POLL_INTERVAL_S = 0.05  # between two looks at how the run is going
+END_SLACK_US = 200_000  # beyond the longest deadline, until a run ends at the latest
 
-Progress = Callable[[float, World], None]  # the share of the run that is over
+ProgressCallback = Callable[[float, World], None]  # the share of the run that is over
 
 
 def play(
     scenario: Scenario,
     seed: int,
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
     sample_s: float = 0.0,
     records: Records | None = None,
 ) -> Records:
@@ -68,7 +68,7 @@
 
 
 async def _play(
-    scenario: Scenario, seed: int, records: Records, progress: Progress | None, sample_s: float
+    scenario: Scenario, seed: int, records: Records, progress: ProgressCallback | None, sample_s: float
 ) -> None:
     require_file_descriptors(_descriptor_count(scenario))
     folder = Path(tempfile.mkdtemp(prefix="sagetrack-lab-"))
@@ -81,7 +81,7 @@
         world.prepare()
         gateways.start()
         await gateways.start_all()
-        _restart_time(clock, world, gateways)
+        _reset_time_base(clock, world, gateways)
         start_usage = gateways.supervisor.usage()
         world.begin()
         if gateways.dns is not None:
@@ -98,20 +98,20 @@
 def _descriptor_count(scenario: Scenario) -> int:
     """Descriptors that this process may need at once."""
     fleet = scenario.fleet
-    replacements = sum(trouble.kind in ("deploy", "vanish") for trouble in scenario.faults)
+    replacements = sum(fault.kind in ("deploy", "vanish") for fault in scenario.faults)
     listeners = (fleet.servers * (1 + replacements) + 1) * fleet.gateways
-    clients = int(scenario.rate * REQUEST_S)
-    return listeners + clients + fleet.gateways * DESCRIPTORS_PER_GATEWAY + SPARE_DESCRIPTORS
+    clients = int(scenario.rate * OPEN_CONNECTION_S)
+    return listeners + clients + fleet.gateways * DESCRIPTORS_PER_GATEWAY + RESERVED_DESCRIPTORS
 
 
 def _unix_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
-def _restart_time(clock: RealClock, world: World, gateways: GatewayFleet) -> None:
+def _reset_time_base(clock: RealClock, world: World, gateways: GatewayFleet) -> None:
     """Begin the run now that all gateways are ready: what came before counts as time 0."""
     clock.restart()
-    gateways.restart_base_time(_unix_ms())
+    gateways.set_base_time(_unix_ms())
     for server in world.server_fleet.servers.values():
         server.now_us = 0
         server.started_us = 0
@@ -119,15 +119,15 @@
 
 
 async def _wait_for_end(
-    world: World, gateways: GatewayFleet, progress: Progress | None, sampler: LoadSampler
+    world: World, gateways: GatewayFleet, progress: ProgressCallback | None, sampler: LoadSampler
 ) -> None:
     """Wait until every request has its outcome or none can have one; LabError if a gateway fails."""
     scenario = world.scenario
     arrivals_end_us = int(scenario.seconds * 1e6)
     longest_deadline_us = max(int(request_class.deadline_ms * 1000) for request_class in scenario.classes)
-    end_us = arrivals_end_us + longest_deadline_us + FINAL_SLACK_US
+    end_us = arrivals_end_us + longest_deadline_us + END_SLACK_US
     while world.clock.now_us() < end_us:
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         now_us = world.clock.now_us()
         _raise_failure(gateways)
         if progress is not None:
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -28,10 +28,10 @@
 from sagetrack.lab.soak.response_body import is_body_for
 
 CLIENTS = 10  # of one process
-PAUSE_S = (0.005, 0.08)  # between a client's actions
+ACTION_PAUSE_S = (0.005, 0.08)  # between a client's actions
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.05
-PATIENCE_S = 1.0  # past a request's budget, until its client is sure that no response comes
+RESPONSE_GRACE_S = 1.0  # past a request's budget, until its client is sure that no response comes
 MALFORMED_REQUEST_TIMEOUT_S = 3.0  # within which a malformed request must get an error or a close
 LAST_ON_CONNECTION_SHARE = 0.15  # of the requests
 CLASS_NAMES = ("search", "search", "hold", "reserve", "transfer", "transfer")
@@ -88,7 +88,7 @@
         actions = list(self._action_weights)
         weights = list(self._action_weights.values())
         while True:
-            await asyncio.sleep(self._rng.uniform(*PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(*ACTION_PAUSE_S))
             act = self._rng.choices(actions, weights)[0]
             try:
                 await act()
@@ -102,7 +102,7 @@
     # Actions
 
     async def _send_plain(self) -> None:
-        await self._send_whole(self._draw_request())
+        await self._send_request(self._draw_request())
 
     async def _disconnect(self) -> None:
         """Close the connection before the response."""
@@ -140,9 +140,9 @@
         split_at = self._rng.randrange(1, len(data))
         connection.writer.write(data[:split_at])
         await asyncio.sleep(self._rng.uniform(*SPLIT_DELAY_S))
-        fresh = connection.is_fresh
+        was_fresh = connection.is_fresh
         connection.writer.write(data[split_at:])
-        await self._finish(connection, request, fresh)
+        await self._finish(connection, request, was_fresh)
 
     async def _upload(self) -> None:
         """Send a body that is longer than a gateway buffers, in pieces.
@@ -151,19 +151,19 @@
         """
         request = self._draw_request()._replace(class_name="transfer")
         connection = await self._connect()
-        fresh = connection.is_fresh
+        was_fresh = connection.is_fresh
         data = request.encode(padding=self._rng.randrange(*UPLOAD_BYTES))
         for start in range(0, len(data), UPLOAD_PIECE):
             connection.writer.write(data[start : start + UPLOAD_PIECE])
             await connection.writer.drain()
             await asyncio.sleep(self._rng.choice(UPLOAD_DELAY_S))
-        await self._finish(connection, request, fresh)
+        await self._finish(connection, request, was_fresh)
 
     async def _send_after_idle(self) -> None:
         """Leave a connection idle for long, and send a request then."""
         await self._connect()
         await asyncio.sleep(self._rng.uniform(*IDLE_S))
-        await self._send_whole(self._draw_request())
+        await self._send_request(self._draw_request())
 
     async def _send_malformed(self) -> None:
         """Send what is no request on a new connection, and wait for an error or a close."""
@@ -202,24 +202,24 @@
             self._connection.close()
             self._connection = None
 
-    async def _send_whole(self, request: Request, is_resend: bool = False) -> None:
+    async def _send_request(self, request: Request, is_resend: bool = False) -> None:
         """Send a request at once, and again on a new connection if a kept one ends under it."""
         connection = await self._connect()
-        fresh = connection.is_fresh
+        was_fresh = connection.is_fresh
         connection.writer.write(request.encode())
-        await self._finish(connection, request, fresh, is_resend)
+        await self._finish(connection, request, was_fresh, is_resend)
 
     async def _finish(
-        self, connection: Connection, request: Request, fresh: bool, is_resend: bool = False
+        self, connection: Connection, request: Request, was_fresh: bool, is_resend: bool = False
     ) -> None:
         """After a request's last byte: await the response, and resend the request if a kept connection ends.
 
-        `fresh` is whether the connection was fresh for this request.
+        `was_fresh` is whether the connection was fresh for this request.
         """
         self._record_sent(connection, request, is_resend)
         answered = await self._await_response(connection, request)
-        if not answered and not fresh and self._connection is None:
-            await self._send_whole(request, is_resend=True)
+        if not answered and not was_fresh and self._connection is None:
+            await self._send_request(request, is_resend=True)
 
     def _record_sent(self, connection: Connection, request: Request, is_resend: bool = False) -> None:
         event = RequestSent(now_us(), *request, self._gateway, connection.is_fresh, is_resend)
@@ -230,7 +230,7 @@
         """Whether a response has begun; the connection is dropped unless it has come in full."""
         request_id = request.request_id
         try:
-            async with asyncio.timeout(request.budget_ms / 1000 + PATIENCE_S):
+            async with asyncio.timeout(request.budget_ms / 1000 + RESPONSE_GRACE_S):
                 response = await connection.read_response()
         except (OSError, asyncio.IncompleteReadError, ValueError) as error:
             begun = connection.response_begun
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -17,9 +17,9 @@
 from sagetrack.lab.stand_ins.scripted import http_response, read_message
 
 GROUPS = 3  # idempotency groups, which servers are spread over
-KEPT_CHANGES = 50
+MAX_STORED_CHANGES = 50
 MAX_WATCH_S = 60.0
-SILENCE_S = 60.0  # longer than a gateway waits
+SILENT_FAULT_S = 60.0  # longer than a gateway waits
 
 JsonObject = dict[str, Any]
 
@@ -78,7 +78,7 @@
         endpoint = Endpoint(server, status, started_ms)
         self.endpoints[server] = endpoint
         self.version += 1
-        self.changes = [*self.changes[-KEPT_CHANGES:], Change(self.version, endpoint)]
+        self.changes = [*self.changes[-MAX_STORED_CHANGES:], Change(self.version, endpoint)]
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -114,7 +114,7 @@
     def __init__(self, gateway: int, endpoint_list: EndpointList, addresses: dict[int, str]) -> None:
         self.gateway = gateway
         self.address = ""  # the newest one
-        self.unreachable: list[UnreachableSpan] = []
+        self.unreachable_spans: list[UnreachableSpan] = []
         self._list = endpoint_list
         self._addresses = addresses
         self._fault: AgentFault | None = None
@@ -153,7 +153,7 @@
         """Work from now on; open connections are reset if it did not before."""
         if self._fault is not None:
             self._fault = None
-            self.unreachable.append(UnreachableSpan(self._failing_since_us, now_us()))
+            self.unreachable_spans.append(UnreachableSpan(self._failing_since_us, now_us()))
             self.reset_connections()
 
     def reset_connections(self) -> None:
@@ -177,7 +177,7 @@
                 if self._is_down():
                     break
                 if self._fault is AgentFault.SILENT:
-                    await asyncio.sleep(SILENCE_S)
+                    await asyncio.sleep(SILENT_FAULT_S)
                 writer.write(http_response(200, json.dumps(message).encode()))
         except (asyncio.IncompleteReadError, OSError, RuntimeError, asyncio.CancelledError):
             pass  # it is cancelled as the run ends, and nobody waits for this task
--- a/sagetrack/lab/soak/fault_injection.py
+++ b/sagetrack/lab/soak/fault_injection.py
@@ -14,17 +14,17 @@
 from sagetrack.lab.soak.gateway import Gateway
 from sagetrack.lab.soak.gateway_lifecycle import GatewayLifecycle
 from sagetrack.lab.soak.history import MICROSECONDS, GatewaySpan, History, Restart, Withdrawal
-from sagetrack.lab.soak.proxy import FaultOrder, RouteFault
+from sagetrack.lab.soak.proxy import FaultCommand, RouteFault
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import NO_FAULTS, SystemCallFaults
 
-PAUSED_S = 0.12  # a gateway is stopped for
-BETWEEN_PAUSES_S = 0.15
-HALF_WRITTEN_S = 0.2  # from SIGHUP until the configuration is complete
-OLD_DISCOVERY_S = 1.5  # from SIGHUP until the old address of discovery is closed
+PAUSE_S = 0.12  # a gateway is stopped for
+PAUSE_GAP_S = 0.15
+HALF_WRITTEN_CONFIGURATION_S = 0.2  # from SIGHUP until the configuration is complete
+OLD_DISCOVERY_ADDRESS_S = 1.5  # from SIGHUP until the old address of discovery is closed
 RELOAD_GRACE_US = 4_000_000  # after a reload discovery counts as unreachable for so long
-CRASH_NOTICED_S = 0.3  # from a server's crash until discovery lists it as deleted
-SERVER_START_S = 0.4  # from a server's restart until discovery lists it again
+CRASH_DETECTION_S = 0.3  # from a server's crash until discovery lists it as deleted
+SERVER_LISTING_DELAY_S = 0.4  # from a server's restart until discovery lists it again
 
 
 class FaultInjector:
@@ -83,9 +83,9 @@
         while time.monotonic() < end_s:
             process = gateway.newest_process
             process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(PAUSED_S)
+            await asyncio.sleep(PAUSE_S)
             process.send_signal(signal.SIGCONT)
-            await asyncio.sleep(BETWEEN_PAUSES_S)
+            await asyncio.sleep(PAUSE_GAP_S)
 
     async def _reload(self, fault: ScheduledFault) -> None:
         """Move discovery to a new address, and send SIGHUP with the configuration that has it."""
@@ -101,9 +101,9 @@
         gateway.write_configuration(written)
         gateway.newest_process.send_signal(signal.SIGHUP)
         if half_written:
-            await asyncio.sleep(HALF_WRITTEN_S)
+            await asyncio.sleep(HALF_WRITTEN_CONFIGURATION_S)
             gateway.write_configuration(configuration)
-        await asyncio.sleep(OLD_DISCOVERY_S)
+        await asyncio.sleep(OLD_DISCOVERY_ADDRESS_S)
         gateway.agent.close(old_listeners)
 
     async def _fail_system_calls(self, fault: ScheduledFault) -> None:
@@ -154,7 +154,7 @@
             return
         self._withdrawn_servers.add(server)
         self._fleet.kill_server(server)
-        await asyncio.sleep(CRASH_NOTICED_S)
+        await asyncio.sleep(CRASH_DETECTION_S)
         withdrawal = self._withdraw(server, EndpointStatus.DELETED)
         await asyncio.sleep(fault.duration_s)
         await self._start_server_again(withdrawal)
@@ -176,7 +176,7 @@
         server = withdrawal.server
         await self._fleet.wait_for_server(server)
         await self._fleet.start_server(server)
-        await asyncio.sleep(SERVER_START_S)
+        await asyncio.sleep(SERVER_LISTING_DELAY_S)
         withdrawal.until_us = now_us()
         self._history.restarts.append(Restart(server, now_us()))
         self._fleet.endpoint_list.set_status(server, EndpointStatus.SERVING, restarted=True)
@@ -198,15 +198,15 @@
         await self._apply_to_route(fault, RouteFault.STALL, RouteFault.RESUME)
 
     async def _apply_to_route(self, fault: ScheduledFault, start: RouteFault, end: RouteFault) -> None:
-        self._order(start, fault)
+        self._send_command(start, fault)
         await asyncio.sleep(fault.duration_s)
-        self._order(end, fault)
+        self._send_command(end, fault)
 
     async def _reset_route(self, fault: ScheduledFault) -> None:
-        self._order(RouteFault.RESET, fault)
+        self._send_command(RouteFault.RESET, fault)
 
-    def _order(self, route_fault: RouteFault, fault: ScheduledFault) -> None:
-        self._fleet.order_route_fault(FaultOrder(route_fault, fault.gateway, fault.server))
+    def _send_command(self, route_fault: RouteFault, fault: ScheduledFault) -> None:
+        self._fleet.send_fault_command(FaultCommand(route_fault, fault.gateway, fault.server))
 
     def _gateway(self, fault: ScheduledFault) -> Gateway:
         return self._fleet.gateways[fault.gateway]
--- a/sagetrack/lab/soak/fault_schedule.py
+++ b/sagetrack/lab/soak/fault_schedule.py
@@ -11,7 +11,7 @@
 
 QUIET_S = 1.0  # before the first fault, and after the last
 MEAN_GAP_S = 0.7  # between the starts of two faults
-GATEWAY_BUSY_S = 8.0  # for so long after a fault that ends its process, no other does
+MIN_RESTART_GAP_S = 8.0  # for so long after a fault that ends its process, no other does
 CLOCK_STEPS_S = (-3_600, -30, 30, 3_600)
 FAILURE_RATES = (20, 100, 300)  # per 1,000 system calls
 
@@ -66,7 +66,7 @@
     FaultKind.DRAIN: (3.5, 5.0),
 }
 USUAL_DURATION_S = (0.4, 3.0)
-ENDS_GATEWAY = (FaultKind.KILL, FaultKind.SIGTERM, FaultKind.UPGRADE, FaultKind.CROSSED_UPGRADE)
+PROCESS_ENDING_KINDS = (FaultKind.KILL, FaultKind.SIGTERM, FaultKind.UPGRADE, FaultKind.CROSSED_UPGRADE)
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,22 +107,22 @@
     """The faults of a run, in the order of their starts; the same for the same arguments.
 
     One starts every `MEAN_GAP_S` on average. A fault that ends a gateway's process is left out while another
-    one may still be at it.
+    one may still be in progress.
     """
     rng = random.Random(seed)
     schedule: list[ScheduledFault] = []
-    busy_until_s = dict.fromkeys(range(gateways), 0.0)
+    restarting_until_s = dict.fromkeys(range(gateways), 0.0)
     at_s = QUIET_S
     while at_s < seconds - QUIET_S:
         kind = rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
         gateway = rng.randrange(gateways)
         server = rng.randrange(servers)
         duration_s = rng.uniform(*DURATIONS_S.get(kind, USUAL_DURATION_S))
-        ends_gateway = kind in ENDS_GATEWAY
-        if not ends_gateway or at_s >= busy_until_s[gateway]:
-            if ends_gateway:
-                busy_until_s[gateway] = at_s + GATEWAY_BUSY_S
-            behaviour = rng.choice([one for one in Behaviour if one is not Behaviour.NORMAL])
+        ends_process = kind in PROCESS_ENDING_KINDS
+        if not ends_process or at_s >= restarting_until_s[gateway]:
+            if ends_process:
+                restarting_until_s[gateway] = at_s + MIN_RESTART_GAP_S
+            behaviour = rng.choice([value for value in Behaviour if value is not Behaviour.NORMAL])
             step_s = rng.choice(CLOCK_STEPS_S)
             faults = _draw_system_call_faults(rng)
             fault = ScheduledFault(at_s, duration_s, kind, gateway, server, behaviour, faults, step_s)
--- a/sagetrack/lab/soak/fleet.py
+++ b/sagetrack/lab/soak/fleet.py
@@ -14,7 +14,7 @@
 from sagetrack.lab.soak.discovery import DiscoveryAgent, EndpointList
 from sagetrack.lab.soak.gateway import Gateway
 from sagetrack.lab.soak.process_supervisor import ProcessSupervisor, send_line
-from sagetrack.lab.soak.proxy import FaultOrder, Route
+from sagetrack.lab.soak.proxy import FaultCommand, Route
 from sagetrack.lab.soak.server import Behaviour
 
 
@@ -66,7 +66,7 @@
 
     async def start_server(self, number: int) -> None:
         """Start a server's process, also in place of one that has ended."""
-        self._servers[number] = await self._supervisor.start_party(
+        self._servers[number] = await self._supervisor.start_module(
             "server",
             f"server-{number}",
             str(number),
@@ -92,7 +92,7 @@
         port_file = self._folder / "gateway-ports.json"
         port_file.write_bytes(msgspec.json.encode([gateway.port for gateway in self.gateways]))
         for number in range(self._size.client_processes):
-            client = await self._supervisor.start_party(
+            client = await self._supervisor.start_module(
                 "client",
                 f"client-{number}",
                 str(number),
@@ -115,10 +115,10 @@
             client.stdin.close()
         await asyncio.gather(*(client.wait() for client in self._clients))
 
-    def order_route_fault(self, order: FaultOrder) -> None:
+    def send_fault_command(self, command: FaultCommand) -> None:
         """Let the proxy apply a fault to a route."""
         assert self._proxy is not None
-        send_line(self._proxy, msgspec.json.encode(order))
+        send_line(self._proxy, msgspec.json.encode(command))
 
     def end(self) -> None:
         """Kill all processes that still run, and close the gateways' sockets."""
@@ -140,7 +140,7 @@
         plan = self._folder / "routes.json"
         plan.write_bytes(msgspec.json.encode(routes))
         events = self._folder / "proxy.events"
-        self._proxy = await self._supervisor.start_party("proxy", "proxy", str(plan), str(events))
+        self._proxy = await self._supervisor.start_module("proxy", "proxy", str(plan), str(events))
         assert self._proxy.stdout is not None
         addresses: list[str] = json.loads(await self._proxy.stdout.readline())
         return addresses
--- a/sagetrack/lab/soak/gateway_lifecycle.py
+++ b/sagetrack/lab/soak/gateway_lifecycle.py
@@ -10,7 +10,7 @@
 from sagetrack.lab.soak.gateway import Gateway, GatewayProcess
 from sagetrack.lab.soak.gateway_checks import record_counted_violations
 from sagetrack.lab.soak.history import (
-    ACCEPTS_AFTER_SIGTERM_S,
+    ACCEPT_AFTER_SIGTERM_S,
     MICROSECONDS,
     GatewaySpan,
     GatewayTime,
@@ -103,5 +103,5 @@
         """Record that the only process of a gateway gets SIGTERM: it stops accepting shortly after."""
         sigterm_us = now_us()
         self._history.sigterms.append(GatewayTime(gateway.number, sigterm_us))
-        stops_accepting_us = sigterm_us + int(ACCEPTS_AFTER_SIGTERM_S * MICROSECONDS)
+        stops_accepting_us = sigterm_us + int(ACCEPT_AFTER_SIGTERM_S * MICROSECONDS)
         self._stopped_accepting_us[gateway.number] = stops_accepting_us
--- a/sagetrack/lab/soak/history.py
+++ b/sagetrack/lab/soak/history.py
@@ -11,7 +11,7 @@
 
 MICROSECONDS = 1_000_000  # in a second
 SYSTEM_CALL_FAULT_GRACE_S = 6.0  # while its system calls fail, a gateway may learn of a change so late
-ACCEPTS_AFTER_SIGTERM_S = 0.7  # what is sent within this time after SIGTERM still gets its response
+ACCEPT_AFTER_SIGTERM_S = 0.7  # what is sent within this time after SIGTERM still gets its response
 SIGTERM_EXCUSE_S = 6.0  # so long after SIGTERM a request may find no process
 KILL_BEFORE_REQUEST_S = 0.2  # a kill so shortly before a request excuses it too
 
@@ -77,7 +77,7 @@
         for kill in self.kills:
             if kill.gateway == gateway and earliest_kill_us <= kill.at_us <= until_us:
                 return True
-        stops_accepting_us = int(ACCEPTS_AFTER_SIGTERM_S * MICROSECONDS)
+        stops_accepting_us = int(ACCEPT_AFTER_SIGTERM_S * MICROSECONDS)
         excused_for_us = int(SIGTERM_EXCUSE_S * MICROSECONDS)
         return any(
             sigterm.gateway == gateway and stops_accepting_us < sent_us - sigterm.at_us < excused_for_us
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -33,7 +33,7 @@
 RESEND_OVERLAP_S = 1.0  # attempts so long before a request was sent may still be its own
 
 IDEMPOTENCY_WINDOW_S = 2.0  # servers drop repeats of a key for so long
-MALFORMED_REQUEST_TIME_S = 3.0  # as `client.MALFORMED_REQUEST_TIMEOUT_S`
+MALFORMED_REQUEST_TIMEOUT_S = 3.0  # as `client.MALFORMED_REQUEST_TIMEOUT_S`
 
 
 class Rule(Enum):
@@ -71,31 +71,31 @@
 
 def find_violations(events: Sequence[AnyEvent], history: History) -> list[Violation]:
     """All violations of one run, whose events are in the order of time."""
-    found = list(_found_by_the_run(history))
+    found = list(_process_violations(history))
     for request_id, trace in trace_requests(events).items():
         for rule in REQUEST_RULES:
             found += rule(request_id, trace, history)
-    found += _malformed_requests_are_answered(events, history)
+    found += _malformed_requests_get_response(events, history)
     for restart in history.restarts:
-        found += _slow_start_is_kept(restart, events)
+        found += _slow_start_budget_is_kept(restart, events)
     return found
 
 
-def _found_by_the_run(history: History) -> Violations:
+def _process_violations(history: History) -> Violations:
     """`NO_CRASH`, `NO_LEAK` and `NO_COUNTED_VIOLATION`: what the run has found in its processes. No slack."""
     yield from (Violation(Rule.NO_CRASH, crash) for crash in history.crashes)
     yield from (Violation(Rule.NO_LEAK, leak) for leak in history.leaks)
     yield from (Violation(Rule.NO_COUNTED_VIOLATION, violation) for violation in history.counted_violations)
 
 
-def _response_is_for_its_request(request_id: str, trace: RequestTrace, history: History) -> Violations:
+def _response_matches_request(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`CORRECT_RESPONSE`: the body of a 200 is the one that was made for this request. No slack."""
     for response in trace.responses:
         if not response.body_correct:
             yield Violation(Rule.CORRECT_RESPONSE, request_id)
 
 
-def _response_is_in_time(request_id: str, trace: RequestTrace, history: History) -> Violations:
+def _response_is_within_budget(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`RESPONSE_IN_TIME`: the first response has come in full within the request's budget.
 
     Slack: `RESPONSE_SLACK_S` and scheduling. Excused are a response that was cut off, a client that has
@@ -115,7 +115,7 @@
     )
 
 
-def _request_is_answered(request_id: str, trace: RequestTrace, history: History) -> Violations:
+def _request_gets_response(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`RESPONSE`: each request gets a response.
 
     No slack in time: its client waits for longer than the budget. Excused are a client that has closed its
@@ -195,7 +195,7 @@
             )
 
 
-def _attempt_budget_is_what_is_left(request_id: str, trace: RequestTrace, history: History) -> Violations:
+def _attempt_budget_is_within_remaining(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`ATTEMPT_BUDGET`: an attempt's budget is no more than what is left of its request's.
 
     Slack: `BUDGET_SLACK_S` and scheduling. Excused are requests that may have waited in the listening socket.
@@ -214,7 +214,7 @@
             )
 
 
-def _withdrawn_server_gets_no_attempt(request_id: str, trace: RequestTrace, history: History) -> Violations:
+def _no_attempt_at_withdrawn_server(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`NO_ATTEMPT_AT_WITHDRAWN_SERVER`: no attempt starts at a server that is withdrawn.
 
     Slack: `DRAIN_SLACK_S` and scheduling, after the moment that the gateway could know of the withdrawal. At
@@ -222,7 +222,7 @@
     """
     for attempt in trace.attempts_started:
         for withdrawal in history.withdrawals:
-            late_s = _seconds_too_late(attempt, withdrawal, history)
+            late_s = _excess_delay_s(attempt, withdrawal, history)
             if late_s > 0:
                 where = f"server {attempt.server} by gateway {attempt.gateway}"
                 after_s = late_s + DRAIN_SLACK_S
@@ -233,7 +233,7 @@
                 break
 
 
-def _seconds_too_late(attempt: AttemptStarted, withdrawal: Withdrawal, history: History) -> float:
+def _excess_delay_s(attempt: AttemptStarted, withdrawal: Withdrawal, history: History) -> float:
     """How long after the slack's end an attempt has started at a withdrawn server; 0 if it was allowed."""
     if withdrawal.server != attempt.server or attempt.at_us <= withdrawal.at_us:
         return 0.0
@@ -243,7 +243,7 @@
     return (attempt.at_us - known_us) / MICROSECONDS - DRAIN_SLACK_S - SCHEDULING_S
 
 
-def _malformed_requests_are_answered(events: Sequence[AnyEvent], history: History) -> Violations:
+def _malformed_requests_get_response(events: Sequence[AnyEvent], history: History) -> Violations:
     """`MALFORMED_REQUEST_ANSWERED`: a malformed request gets an error or a close within the client's timeout.
 
     No further slack. Excused are connections that may have waited in the listening socket.
@@ -251,12 +251,12 @@
     for event in events:
         if not isinstance(event, MalformedRequestIgnored):
             continue
-        sent_us = event.at_us - int(MALFORMED_REQUEST_TIME_S * MICROSECONDS)
+        sent_us = event.at_us - int(MALFORMED_REQUEST_TIMEOUT_S * MICROSECONDS)
         if not history.may_have_waited_in_backlog(event.gateway, sent_us, event.at_us):
             yield Violation(Rule.MALFORMED_REQUEST_ANSWERED, f"{event.data!r} at gateway {event.gateway}")
 
 
-def _slow_start_is_kept(restart: Restart, events: Sequence[AnyEvent]) -> Violations:
+def _slow_start_budget_is_kept(restart: Restart, events: Sequence[AnyEvent]) -> Violations:
     """`SLOW_START`: all gateways together send a server in slow start no more than its budget.
 
     Held in each window that begins with an attempt; the first that exceeds it is reported. Slack: that of
@@ -281,11 +281,11 @@
 
 
 REQUEST_RULES: tuple[RequestRule, ...] = (
-    _response_is_for_its_request,
-    _response_is_in_time,
-    _request_is_answered,
+    _response_matches_request,
+    _response_is_within_budget,
+    _request_gets_response,
     _request_is_not_processed_twice,
     _no_attempt_after_disconnect,
-    _attempt_budget_is_what_is_left,
-    _withdrawn_server_gets_no_attempt,
+    _attempt_budget_is_within_remaining,
+    _no_attempt_at_withdrawn_server,
 )
--- a/sagetrack/lab/soak/process_supervisor.py
+++ b/sagetrack/lab/soak/process_supervisor.py
@@ -12,7 +12,7 @@
 from sagetrack.lab.processes.child_process import die_with_parent
 from sagetrack.lab.repository import ROOT
 
-PARTY_PACKAGE = "sagetrack.lab.soak"
+MODULE_PACKAGE = "sagetrack.lab.soak"
 
 
 class ProcessSupervisor:
@@ -25,7 +25,7 @@
         self._folder = folder
         self._processes: list[Process] = []
 
-    async def start_party(self, module: str, name: str, *arguments: str) -> Process:
+    async def start_module(self, module: str, name: str, *arguments: str) -> Process:
         """Start a module of this package.
 
         Its standard input and output are pipes; its standard error goes to NAME.log.
@@ -34,7 +34,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                f"{PARTY_PACKAGE}.{module}",
+                f"{MODULE_PACKAGE}.{module}",
                 *arguments,
                 cwd=ROOT,
                 env=os.environ | {"PYTHONPATH": str(ROOT)},
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -1,8 +1,8 @@
 """The fault proxy between gateways and servers, as a process: `python -m sagetrack.lab.soak.proxy PLAN FILE`.
 
 Each gateway reaches each server at an address of its own, so that a fault strikes one route alone. What
-arrives is written down before any fault delays it. Standard input brings the faults: one `FaultOrder` in JSON
-a line.
+arrives is recorded before any fault delays it. Standard input carries the faults: one JSON `FaultCommand`
+per line.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     server_port: int
 
 
-class FaultOrder(msgspec.Struct):
+class FaultCommand(msgspec.Struct):
     """A fault for one route, effective at once."""
 
     fault: RouteFault
@@ -57,19 +57,19 @@
         self._route = route
         self._events = events
         self._parser = httptools.HttpRequestParser(self)
-        self._parsable = True
+        self._is_parsable = True
         self._started_us = 0
         self._request_id = ""
         self._budget_ms = NO_BUDGET_MS
 
     def feed(self, data: bytes) -> None:
         """Take the next bytes of the connection."""
-        if not self._parsable:
+        if not self._is_parsable:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._parsable = False
+            self._is_parsable = False
 
     # Callbacks of the parser
 
@@ -131,11 +131,11 @@
     def data_received(self, data: bytes) -> None:
         """Bytes of the gateway, which are observed before they can stall."""
         self._observer.feed(data)
-        self._route.pass_on(self._send_upstream, data)
+        self._route.forward(self._send_upstream, data)
 
     def response_received(self, data: bytes) -> None:
         """Bytes of the server."""
-        self._route.pass_on(self._send_downstream, data)
+        self._route.forward(self._send_downstream, data)
 
     def upstream_lost(self) -> None:
         """The server's connection has ended: the gateway's is flushed and closed."""
@@ -195,7 +195,7 @@
         self._relays: set[Relay] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         self._stalled_data: list[StalledData] = []
-        self._stalled = False
+        self._is_stalled = False
         self._listener = SilenceableListener("127.0.0.1", lambda: Relay(self, AttemptObserver(route, events)))
 
     @property
@@ -214,9 +214,9 @@
         """Forget a connection that has ended."""
         self._relays.discard(relay)
 
-    def pass_on(self, send: Callable[[bytes], None], data: bytes) -> None:
+    def forward(self, send: Callable[[bytes], None], data: bytes) -> None:
         """Send bytes now, or in their order as soon as the route no longer stalls."""
-        if self._stalled:
+        if self._is_stalled:
             self._stalled_data.append(StalledData(send, data))
         else:
             send(data)
@@ -232,12 +232,12 @@
                 for relay in list(self._relays):
                     relay.abort()
             case RouteFault.STALL:
-                self._stalled = True
+                self._is_stalled = True
             case RouteFault.RESUME:
                 self._resume()
 
     def _resume(self) -> None:
-        self._stalled = False
+        self._is_stalled = False
         stalled_data = self._stalled_data
         self._stalled_data = []
         for send, data in stalled_data:
@@ -246,7 +246,7 @@
 
 
 async def main(plan: Path, event_file: Path) -> None:
-    """Listen for each route of the plan, print the addresses in its order, and follow the orders."""
+    """Listen for each route of the plan, print the addresses in its order, and follow the commands."""
     events = EventWriter(event_file)
     routes: list[Route] = msgspec.json.decode(plan.read_bytes(), type=list[Route])
     proxies = {(route.gateway, route.server): RouteProxy(route, events) for route in routes}
@@ -256,8 +256,8 @@
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        order: FaultOrder = msgspec.json.decode(line, type=FaultOrder)
-        proxies[order.gateway, order.server].apply(order.fault)
+        command: FaultCommand = msgspec.json.decode(line, type=FaultCommand)
+        proxies[command.gateway, command.server].apply(command.fault)
 
 
 if __name__ == "__main__":
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -19,11 +19,11 @@
 from sagetrack.lab.soak.gateway_lifecycle import GatewayLifecycle
 from sagetrack.lab.soak.history import GatewaySpan, History
 from sagetrack.lab.soak.shim import ShimError, build_library
-from sagetrack.lab.soak.verdict import SoakReport, reach_verdict
+from sagetrack.lab.soak.verdict import SoakReport, evaluate_run
 
-CALM_S = 0.5  # after the last fault, before the clients end
-DRAINED_S = 3.0  # after the last client: until then long bodies and late connections have ended
-NO_COMPILER = "failing system calls: there is no C compiler"
+FAULT_FREE_S = 0.5  # after the last fault, before the clients end
+DRAIN_S = 3.0  # after the last client: until then long bodies and late connections have ended
+NO_COMPILER_LIMITATION = "failing system calls: there is no C compiler"
 
 
 class SoakRun:
@@ -67,9 +67,9 @@
 
     async def _finish(self) -> None:
         """End the clients, look for leaks, and shut all gateways down."""
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(FAULT_FREE_S)
         await self._fleet.end_clients()
-        await asyncio.sleep(DRAINED_S)
+        await asyncio.sleep(DRAIN_S)
         gateways = self._fleet.gateways
         for gateway in gateways:
             await record_counted_violations(gateway, self._history)
@@ -82,14 +82,14 @@
         history = self._history
         gateways = self._fleet.gateways
         for gateway in gateways:
-            spans = [GatewaySpan(gateway.number, *span) for span in gateway.agent.unreachable]
+            spans = [GatewaySpan(gateway.number, *span) for span in gateway.agent.unreachable_spans]
             history.discovery_unreachable += spans
             record_unexpected_exits(gateway, history)
         failed_calls = sum(gateway.system_calls.failed_calls for gateway in gateways)
         events = read_events(self._folder)
-        report = reach_verdict(self._seed, events, history, self._faults, failed_calls)
+        report = evaluate_run(self._seed, events, history, self._faults, failed_calls)
         if self._library is None:
-            report.limitations.append(NO_COMPILER)
+            report.limitations.append(NO_COMPILER_LIMITATION)
         return report
 
 
--- a/sagetrack/lab/soak/verdict.py
+++ b/sagetrack/lab/soak/verdict.py
@@ -26,7 +26,7 @@
     limitations: list[str] = field(default_factory=list)  # what this machine cannot play
 
 
-def reach_verdict(
+def evaluate_run(
     seed: int,
     events: Sequence[AnyEvent],
     history: History,
--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -15,7 +15,7 @@
 from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-HANDSHAKE_ROUND_TRIP_HOPS = 2  # a new connection's first request takes a round trip more
+HANDSHAKE_HOPS = 2  # a new connection's first request takes a round trip more
 
 
 class ServerConnection(Protocol):
@@ -87,7 +87,7 @@
         self, gateway: int, action: Callable[[], None], is_new_connection: bool = False
     ) -> None:
         """Run an action once a message between this server and the gateway would have arrived."""
-        hops = 1 + (HANDSHAKE_ROUND_TRIP_HOPS if is_new_connection else 0)
+        hops = 1 + (HANDSHAKE_HOPS if is_new_connection else 0)
         delay_us = self._delay_us(gateway, self.server.number) * hops
         self.world.clock.at(self.world.clock.now_us() + delay_us, action)
 
--- a/sagetrack/lab/stand_ins/client_connection.py
+++ b/sagetrack/lab/stand_ins/client_connection.py
@@ -11,13 +11,13 @@
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 
 SLOW_READER_PAUSE_S = 1.0
-CONNECTION_BROKE = 0  # in place of a status
+CONNECTION_FAILED = 0  # in place of a status
 
 
 class GatewayResponse(NamedTuple):
     """What a request came to."""
 
-    status: int  # CONNECTION_BROKE if none came
+    status: int  # CONNECTION_FAILED if none came
     retry_after_s: float
 
 
@@ -95,7 +95,7 @@
         on_response = self.on_response
         self.on_response = None
         if on_response is not None:
-            on_response(GatewayResponse(CONNECTION_BROKE, 0.0))
+            on_response(GatewayResponse(CONNECTION_FAILED, 0.0))
 
     def close(self) -> None:
         """Close the connection."""
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -16,8 +16,8 @@
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-DELIVERED_LATEST_US = 6_000_000  # after this a change counts as delivered, whether the gateway polled or not
-CHANGES_KEPT = 1000  # a gateway that is further behind gets the full list
+DELIVERY_TIMEOUT_US = 6_000_000  # after this a change counts as delivered, whether the gateway polled or not
+MAX_STORED_CHANGES = 1000  # a gateway that is further behind gets the full list
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,7 +53,7 @@
         self.index = 1
         self.entries: dict[int, EndpointEntry] = {}
         self.changes: list[ListChange] = []
-        self.undelivered: list[ListChange] = []
+        self.undelivered_changes: list[ListChange] = []
         self.pending_polls: list[PendingPoll] = []
         self.listener = SilenceableListener(f"127.30.{gateway + 1}.1", lambda: DiscoveryConnection(self))
 
@@ -99,16 +99,16 @@
         index = self.index
         change = ListChange(index, entries, replaces_list)
         self.changes.append(change)
-        del self.changes[:-CHANGES_KEPT]
-        self.undelivered.append(change)
+        del self.changes[:-MAX_STORED_CHANGES]
+        self.undelivered_changes.append(change)
         clock = self.world.clock
-        clock.at(clock.now_us() + DELIVERED_LATEST_US, lambda: self._count_as_delivered(index))
+        clock.at(clock.now_us() + DELIVERY_TIMEOUT_US, lambda: self._count_as_delivered(index))
         self.respond_to_pending_polls()
 
     def _count_as_delivered(self, index: int) -> None:
         """Report changes up to an index to the world."""
-        for change in [change for change in self.undelivered if change.index <= index]:
-            self.undelivered.remove(change)
+        for change in [change for change in self.undelivered_changes if change.index <= index]:
+            self.undelivered_changes.remove(change)
             self.world.registry.record_received(self.gateway, change.entries)
 
     # Polls
@@ -141,15 +141,15 @@
         """Whether a poll of this connection waits."""
         return any(poll.connection is connection for poll in self.pending_polls)
 
-    def forget(self, connection: DiscoveryConnection) -> None:
+    def drop_polls(self, connection: DiscoveryConnection) -> None:
         """Drop what a connection waits for."""
         self.pending_polls = [poll for poll in self.pending_polls if poll.connection is not connection]
 
-    def time_out(self, connection: DiscoveryConnection) -> None:
+    def on_poll_timeout(self, connection: DiscoveryConnection) -> None:
         """A poll has waited as long as it wanted to: nothing is new, unless discovery is down."""
         if self.world.registry.down or not self.is_pending(connection):
             return
-        self.forget(connection)
+        self.drop_polls(connection)
         connection.send(json.dumps(self._difference([])).encode())
 
 
@@ -182,7 +182,7 @@
         self.agent.respond_to_poll(self, since)
         if self.agent.is_pending(self) and hold_s:
             loop = asyncio.get_running_loop()
-            self.poll_timer = loop.call_later(hold_s, self.agent.time_out, self)
+            self.poll_timer = loop.call_later(hold_s, self.agent.on_poll_timeout, self)
 
     def send(self, body: bytes) -> None:
         """Write a 200 with this body, if the connection is still open."""
@@ -197,5 +197,5 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Drop the poll that waits."""
         self.transport = None
-        self.agent.forget(self)
+        self.agent.drop_polls(self)
         self._cancel_poll_timer()
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -17,7 +17,7 @@
 SOCKETS_PER_GATEWAY = 4
 HEADER_BYTES = 12
 RECURSION_DESIRED = 0x0100
-IDS = 65_536
+QUERY_ID_COUNT = 65_536
 ANSWERED_RCODES = (0, 3)  # NOERROR and NXDOMAIN
 TIMEOUT_SLACK_S = 0.2  # beyond the deadline, until a query counts as unanswered
 
@@ -30,11 +30,11 @@
 
 
 class DnsClientSocket(asyncio.DatagramProtocol):
-    """One client socket. `waiting` has by query id who is called with the response's rcode."""
+    """One client socket. `on_response_by_id` has by query id who is called with the response's rcode."""
 
     def __init__(self) -> None:
         self.transport: asyncio.DatagramTransport | None = None
-        self.waiting: dict[int, Callable[[int], None]] = {}
+        self.on_response_by_id: dict[int, Callable[[int], None]] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -43,7 +43,7 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Report a response to the query of its id; others are dropped."""
         if len(data) >= HEADER_BYTES:
-            on_response = self.waiting.pop(int.from_bytes(data[:2]), None)
+            on_response = self.on_response_by_id.pop(int.from_bytes(data[:2]), None)
             if on_response is not None:
                 on_response(data[3] & 0xF)
 
@@ -63,7 +63,7 @@
         self.world = world
         self.scenario: Scenario = world.scenario
         self.loop = asyncio.get_running_loop()
-        self.draw = random.Random(f"{world.seed}/dns")
+        self.rng = random.Random(f"{world.seed}/dns")
         load = self.scenario.dns
         self.upstreams = [
             Nameserver(
@@ -113,25 +113,25 @@
         self._plan_query()
 
     def _plan_query(self) -> None:
-        self.next_query_s += self.draw.expovariate(self.scenario.dns.rate)
+        self.next_query_s += self.rng.expovariate(self.scenario.dns.rate)
         if self.next_query_s < self.scenario.seconds:
             self.world.clock.at(int(self.next_query_s * 1e6), self._send_query)
 
     def _send_query(self) -> None:
         due_us = int(self.next_query_s * 1e6)
-        name = self.draw.choices(self.names, self.weights)[0]
+        name = self.rng.choices(self.names, self.weights)[0]
         reachable = [gateway for gateway, is_up in self.world.gateway_fleet.in_rotation.items() if is_up]
-        gateway = self.draw.choice(reachable or list(self.ports))
-        client = self.draw.choice(self.sockets[gateway])
+        gateway = self.rng.choice(reachable or list(self.ports))
+        client = self.rng.choice(self.sockets[gateway])
         self._plan_query()
-        self.last_id = (self.last_id + 1) % IDS
+        self.last_id = (self.last_id + 1) % QUERY_ID_COUNT
         query_id = self.last_id
-        if client.transport is None or query_id in client.waiting:
+        if client.transport is None or query_id in client.on_response_by_id:
             return
         self.open_queries += 1
         timeout_s = self.scenario.dns.deadline_ms / 1000 + TIMEOUT_SLACK_S
         timer = self.loop.call_later(timeout_s, self._on_timeout, client, query_id, gateway, due_us)
-        client.waiting[query_id] = partial(self._on_response, gateway, due_us, timer)
+        client.on_response_by_id[query_id] = partial(self._on_response, gateway, due_us, timer)
         client.transport.sendto(wire_query(name, query_id))
 
     def _on_response(self, gateway: int, due_us: int, timer: asyncio.TimerHandle, rcode: int) -> None:
@@ -146,7 +146,7 @@
         self._record(outcome, gateway, due_us)
 
     def _on_timeout(self, client: DnsClientSocket, query_id: int, gateway: int, due_us: int) -> None:
-        if client.waiting.pop(query_id, None) is not None:
+        if client.on_response_by_id.pop(query_id, None) is not None:
             self._record("unanswered", gateway, due_us)
 
     def _record(self, outcome: str, gateway: int, due_us: int) -> None:
--- a/sagetrack/lab/stand_ins/dns_server.py
+++ b/sagetrack/lab/stand_ins/dns_server.py
@@ -16,8 +16,8 @@
 import dns.rdatatype
 import dns.rrset
 
-BYTES_MAX = 65_535
-CORRUPT_BYTES = 6  # cut off the end of a corrupt response
+MAX_MESSAGE_BYTES = 65_535
+CORRUPT_CUT_BYTES = 6  # cut off the end of a corrupt response
 QUESTION_OFFSET = 13  # the first letter of the question's name
 
 
@@ -60,7 +60,7 @@
     udp_queries: int = 0
     tcp_queries: int = 0
     received_queries: list[ReceivedQuery] = field(default_factory=list)
-    draw: random.Random = field(default_factory=lambda: random.Random(7))
+    rng: random.Random = field(default_factory=lambda: random.Random(7))
     servers: list[asyncio.Server | asyncio.DatagramTransport] = field(default_factory=list)
 
     @property
@@ -74,9 +74,9 @@
         if over_udp and self.behaviour.truncates:
             reply.answer.clear()
             reply.flags |= dns.flags.TC
-        wire = reply.to_wire(max_size=BYTES_MAX)
+        wire = reply.to_wire(max_size=MAX_MESSAGE_BYTES)
         if self.behaviour.is_corrupt:
-            wire = wire[:-CORRUPT_BYTES]
+            wire = wire[:-CORRUPT_CUT_BYTES]
         return [*self._forgeries(wire), wire]
 
     def _reply(self, query: dns.message.Message) -> dns.message.Message:
@@ -154,7 +154,7 @@
         nameserver.udp_queries += 1
         name = dns.message.from_wire(data).question[0].name.to_text()
         nameserver.received_queries.append(ReceivedQuery(name, int.from_bytes(data[:2]), addr[1]))
-        if behaviour.is_silent or nameserver.draw.random() < behaviour.loss:
+        if behaviour.is_silent or nameserver.rng.random() < behaviour.loss:
             return
         if behaviour.delay_s:
             loop = asyncio.get_running_loop()
@@ -166,8 +166,8 @@
         if behaviour.spoofs_source:
             forged = bytearray(self.nameserver.responses(data, True)[-1])
             forged[-1] ^= 0xAA
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.sendto(bytes(forged), addr)
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as spoofing_socket:
+                spoofing_socket.sendto(bytes(forged), addr)
         for wire in self.nameserver.responses(data, True):
             self.transport.sendto(wire, addr)
 
--- a/sagetrack/lab/stand_ins/grpc_server.py
+++ b/sagetrack/lab/stand_ins/grpc_server.py
@@ -24,7 +24,7 @@
 RESPONSE_BODY = b"x" * 64
 HEAD = [(":status", "200"), ("content-type", "application/grpc+proto")]
 OK_TRAILERS = [("grpc-status", "0")]
-HEADER_LIST_BYTES_MAX = 65_536
+MAX_HEADER_LIST_BYTES = 65_536
 
 
 @dataclass(slots=True, eq=False)
@@ -74,7 +74,7 @@
         self.transport = cast(asyncio.Transport, transport)
         values = {
             h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.max_streams,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: HEADER_LIST_BYTES_MAX,
+            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
         }
         self.h2.local_settings = h2.settings.Settings(client=False, initial_values=values)
         self.h2.initiate_connection()
--- a/sagetrack/lab/stand_ins/http1_parser.py
+++ b/sagetrack/lab/stand_ins/http1_parser.py
@@ -27,12 +27,12 @@
     Bodies are counted, not kept. Interim responses are passed over.
     """
 
-    def __init__(self, of_requests: bool, on_message: Callable[[Http1Message, bool], None]) -> None:
-        self.of_requests = of_requests
+    def __init__(self, parses_requests: bool, on_message: Callable[[Http1Message, bool], None]) -> None:
+        self.parses_requests = parses_requests
         self.on_message = on_message
         self.message = Http1Message()
         self.parser: Any = (
-            httptools.HttpRequestParser(self) if of_requests else httptools.HttpResponseParser(self)
+            httptools.HttpRequestParser(self) if parses_requests else httptools.HttpResponseParser(self)
         )
 
     def feed(self, data: bytes) -> None:
@@ -55,7 +55,7 @@
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
-        if not self.of_requests:
+        if not self.parses_requests:
             self.message.status = self.parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
@@ -64,5 +64,5 @@
 
     def on_message_complete(self) -> None:
         """The message is complete."""
-        if self.of_requests or self.message.status >= FIRST_FINAL_STATUS:
+        if self.parses_requests or self.message.status >= FIRST_FINAL_STATUS:
             self.on_message(self.message, self.parser.should_keep_alive())
--- a/sagetrack/lab/stand_ins/listener.py
+++ b/sagetrack/lab/stand_ins/listener.py
@@ -8,7 +8,7 @@
 
 BACKLOG = 1024
 ACCEPTS_PER_WAKEUP = 32
-FILLERS = 3  # connections that fill a queue of length 0 on Linux
+FILLER_CONNECTIONS = 3  # connections that fill a queue of length 0 on Linux
 
 
 def _open_listener(host: str) -> socket.socket:
@@ -60,7 +60,7 @@
         self.is_muted = True
         self.loop.remove_reader(self.listener.fileno())
         self.listener.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(FILLER_CONNECTIONS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.setblocking(False)
             filler.connect_ex(self.listener.getsockname())
--- a/sagetrack/lab/stand_ins/peer_network.py
+++ b/sagetrack/lab/stand_ins/peer_network.py
@@ -8,7 +8,7 @@
 
 from sagetrack.lab.model.world import World
 
-DATAGRAM_BYTES_MAX = 256  # a longer one breaks the platform's rule, and is recorded
+MAX_DATAGRAM_BYTES = 256  # a longer one breaks the platform's rule, and is recorded
 
 
 class PeerNetwork:
@@ -75,7 +75,7 @@
         """Pass a datagram on after a drawn delay, unless it is lost or a partition is in force."""
         world = self.network.world
         settings = world.scenario.network
-        if len(data) > DATAGRAM_BYTES_MAX:
+        if len(data) > MAX_DATAGRAM_BYTES:
             world.records.add("trouble", world.clock.now_us(), "long-datagram", "begins", len(data))
         is_lost = world.context.random.peers.random() < settings.peer_loss
         if is_lost or not world.network.peers_reach(self.source, self.target):
@@ -83,9 +83,9 @@
         due_us = world.clock.now_us() + int(world.context.random.peers.uniform(*settings.peer_ms) * 1000)
         # The target knows the sender by the address of the relay in the other direction.
         reverse = self.network.relays[self.target, self.source]
-        world.clock.at(due_us, lambda: reverse.send_to_owner(data))
+        world.clock.at(due_us, lambda: reverse.send_to_source(data))
 
-    def send_to_owner(self, data: bytes) -> None:
+    def send_to_source(self, data: bytes) -> None:
         """Send a datagram to the gateway that this relay belongs to."""
         if self.transport is not None:
             self.transport.sendto(data, self.network.listen_addresses[self.source])
