--- a/sagetrack/lab/processes/__init__.py
+++ b/sagetrack/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real gateway processes in real time, on loopback."""
+"""Runs a fleet of real gateway processes in real time on loopback."""
--- a/sagetrack/lab/processes/background_tasks.py
+++ b/sagetrack/lab/processes/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that a run starts and does not await, of which the first failure ends it."""
+"""Background tasks of a run. The run ends when one of them fails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks until they are done. `failure` is the first one's error text, or None."""
+    """Holds references to tasks until they are done.
+
+    `failure` is the error message of the first task that failed, or None.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -18,7 +21,7 @@
         self.failure: str | None = None
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task."""
+        """Start a coroutine as a task."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -28,7 +31,7 @@
         self.tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None and self.failure is None:
-            # Any error counts, not only the lab's own: a run without its clients shows nothing.
+            # An unexpected error fails the run too: results of a run without its clients are meaningless.
             self.failure = str(error) if isinstance(error, LabError) else repr(error)
 
     def cancel_all(self) -> None:
--- a/sagetrack/lab/processes/client_traffic.py
+++ b/sagetrack/lab/processes/client_traffic.py
@@ -1,4 +1,4 @@
-"""Clients' requests to gateways over real connections, some of them kept for further requests."""
+"""Sends the clients' requests to gateways over real TCP connections, some of which are reused."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from sagetrack.lab.processes.background_tasks import BackgroundTasks
 from sagetrack.lab.stand_ins.client_connection import CONNECTION_FAILED, ClientConnection, GatewayResponse
 
-# Verdicts of the model, by status; any other one is "failed".
+# The model's verdict by status code. Any other status is "failed".
 VERDICTS = {CONNECTION_FAILED: "broken", 200: "served", 429: "refused", 503: "refused"}
 
 
 def encode_request(world: World, attempt: ClientAttempt) -> bytes:
-    """An attempt as an HTTP/1.1 request, its budget reduced by the time since the client sent it."""
+    """Encode an attempt as an HTTP/1.1 request.
+
+    The budget in its header is reduced by the time that has passed since the client sent the attempt.
+    """
     request = attempt.request
     request_class = request.request_class
     spent_us = world.clock.now_us() - attempt.sent_us
@@ -46,8 +49,8 @@
 class ClientTraffic:
     """Sends clients' attempts and reports their outcomes to the world.
 
-    `attempts` keeps every attempt by call id, for the stand-in servers that receive it. `ports` has each
-    gateway's, which may change.
+    `attempts` holds every attempt by call ID, so that the stand-in servers can look up what they receive.
+    `ports` is the supervisor's live mapping from each gateway to its port.
     """
 
     def __init__(
@@ -62,11 +65,14 @@
         self.is_stopped = False
 
     def stop(self) -> None:
-        """Send nothing more: an attempt that fails as the run ends would be retried."""
+        """Stop sending, so that attempts that fail as the run ends are not retried."""
         self.is_stopped = True
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Send an attempt after the network's delay; `World.on_answer` is called once, or never."""
+        """Send an attempt after the network delay.
+
+        `Clients.on_response` is called with the outcome, unless the attempt ends or the run stops first.
+        """
         self.attempts[attempt.call] = attempt
         self.world.clock.at(self.world.clock.now_us() + self._delay_us(), lambda: self.send_now(attempt))
 
@@ -74,7 +80,7 @@
         return int(self.world.scenario.network.client_ms * 1000)
 
     def send_now(self, attempt: ClientAttempt) -> None:
-        """Send an attempt on a kept connection if there is one, or else on a new one."""
+        """Send an attempt on an idle connection if one is open, otherwise on a new connection."""
         if attempt.ended or self.is_stopped:
             return
         idle = self.idle[attempt.gateway]
@@ -115,7 +121,7 @@
     def _on_response(self, attempt: ClientAttempt, response: GatewayResponse, was_reused: bool) -> None:
         is_broken = response.status == CONNECTION_FAILED
         if is_broken and was_reused and not attempt.ended and self.world.gateway_fleet.alive[attempt.gateway]:
-            # The gateway closed the kept connection while the request was on its way: it is sent again.
+            # The gateway closed the reused connection while the request was in flight, so it is sent again.
             self.background.spawn(self._connect_and_send(attempt))
             return
         verdict = VERDICTS.get(response.status, "failed")
@@ -124,6 +130,6 @@
         self.world.clock.at(due_us, lambda: self.world.clients.on_response(attempt, verdict, retry_after_us))
 
     def abandon(self, attempt: ClientAttempt) -> None:
-        """The client no longer waits: its connection is closed if the request is still in flight."""
+        """Stop waiting for an attempt, and close its connection if the request is still in flight."""
         if isinstance(attempt.connection, ClientConnection):
             attempt.connection.abandon()
--- a/sagetrack/lab/processes/clock.py
+++ b/sagetrack/lab/processes/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a run in real time."""
+"""The clock of a real-time run."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class RealClock:
-    """Microseconds of the event loop since the run began; it needs a running loop.
+    """Counts microseconds of event-loop time since its creation or the last `restart`.
 
-    A run begins with the clock's creation, and again with each `restart`.
+    Must be created while an event loop is running.
     """
 
     def __init__(self) -> None:
@@ -17,13 +17,13 @@
         self.start_s = self.loop.time()
 
     def restart(self) -> None:
-        """Count from now on. Calls that are already planned keep their time of the loop."""
+        """Set the time to 0. Calls that are already scheduled still run at the same loop time."""
         self.start_s = self.loop.time()
 
     def now_us(self) -> int:
-        """Microseconds since the start."""
+        """Return the microseconds since the start."""
         return int((self.loop.time() - self.start_s) * 1e6)
 
     def at(self, time_us: int, call: Callable[[], None]) -> asyncio.TimerHandle:
-        """Plan a call."""
+        """Schedule a call at a time of this clock."""
         return self.loop.call_at(self.start_s + time_us / 1e6, call)
--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""A run's gateways in real time: processes, and everything that they reach over loopback sockets."""
+"""The gateways of a real-time run: gateway processes and the stand-ins that they reach over loopback."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class GatewayFleet:
-    """The world's `Gateways` in real time.
+    """Real-time driver of the model's gateway fleet.
 
-    `folder` is for the processes' files; `base_ms` is the Unix time of the run's start in milliseconds. It
-    needs a running event loop. `stop` ends whatever it has started.
+    `folder` holds the files of the processes. `base_ms` is the Unix time of the run's start in milliseconds.
+    Must be created while an event loop is running. `stop` ends every process and closes every socket.
     """
 
     def __init__(self, world: World, folder: Path, base_ms: int) -> None:
@@ -64,12 +64,15 @@
             server.close()
 
     def _server_address(self, gateway: int, number: int) -> str:
-        """Where a gateway reaches a server; for one that never was, where nobody listens."""
+        """The "host:port" at which a gateway reaches a server.
+
+        For a server that never existed, it is an address without a listener.
+        """
         server = self.servers.get(number)
         return server.listeners[gateway].address if server is not None else f"127.20.{gateway + 1}.254:9"
 
     def _network_delay_us(self, gateway: int, number: int) -> int:
-        """A one-way delay between a gateway and a server, drawn with the scenario's jitter."""
+        """Return a one-way delay between a gateway and a server, with the scenario's random jitter."""
         network = self.world.scenario.network
         entry = self.world.registry.entries.get(number)
         zone_count = len(self.world.scenario.fleet.zones)
@@ -88,7 +91,10 @@
         )
 
     def start(self) -> None:
-        """Open the sockets of discovery and find each gateway a port; `start_all` starts the processes."""
+        """Open the discovery listeners and reserve a port for each gateway.
+
+        `start_all` starts the processes.
+        """
         for gateway in self.world.gateway_fleet.alive:
             agent = DiscoveryAgent(self.world, gateway, self._server_address, self.base_ms)
             for entry in self.world.registry.known():
@@ -97,7 +103,7 @@
             self.supervisor.reserve_port(gateway)
 
     async def start_all(self) -> None:
-        """Start the processes and wait until all are ready; LabError if one is not."""
+        """Start the processes and wait until all are ready. Raises LabError if one is not."""
         if self.peers is not None:
             await self.peers.open()
         if self.dns is not None:
@@ -109,7 +115,10 @@
         self.supervisor.kill(gateway)
 
     def restart(self, gateway: int) -> None:
-        """Start a killed gateway again, with the list that it last had, in the background."""
+        """Start a killed gateway again in the background.
+
+        It starts with the endpoint list that it last had, and then gets the current one from discovery.
+        """
         self.background.spawn(self._restart(gateway))
 
     async def _restart(self, gateway: int) -> None:
@@ -118,15 +127,18 @@
         self.send_endpoints(gateway, self.world.registry.known(), True)
 
     def upgrade(self, gateway: int) -> None:
-        """Replace a gateway's process by a new one in the background."""
+        """Replace a gateway's process with a new one in the background."""
         self.supervisor.upgrade(gateway)
 
     def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool) -> None:
-        """Change the list that discovery has for a gateway."""
+        """Change the endpoint list that discovery serves to a gateway.
+
+        With `is_complete` the entries replace the list, otherwise they are changes to it.
+        """
         self.agents[gateway].apply(entries, is_complete)
 
     def set_base_time(self, base_ms: int) -> None:
-        """The run's start has this Unix time in milliseconds instead."""
+        """Set the Unix time of the run's start, in milliseconds."""
         for agent in self.agents.values():
             agent.base_ms = base_ms
 
@@ -137,18 +149,18 @@
         self.clients.send(attempt)
 
     def disconnect(self, attempt: ClientAttempt) -> None:
-        """A client no longer waits for its attempt."""
+        """Stop waiting for a client's attempt."""
         self.clients.abandon(attempt)
 
     @property
     def open_dns_queries(self) -> int:
-        """DNS queries that have no outcome yet."""
+        """The number of DNS queries that have no outcome yet."""
         return self.dns.open_queries if self.dns is not None else 0
 
-    # Faults that only sockets have
+    # Faults that need real sockets
 
     def set_fault(self, fault: ScheduledFault, is_on: bool) -> None:
-        """Begin or end a fault; kinds that are the model's alone are passed over."""
+        """Begin or end a fault. Kinds that the model alone simulates are ignored."""
         match fault.kind:
             case "reload" if is_on:
                 self.supervisor.reload_all()
@@ -172,7 +184,7 @@
                 if isinstance(connection, GrpcAddressServerConnection):
                     connection.goaway()
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
         """End every process and close every socket."""
--- a/sagetrack/lab/processes/gateway_process.py
+++ b/sagetrack/lab/processes/gateway_process.py
@@ -1,4 +1,4 @@
-"""One process of the gateway program."""
+"""One gateway process: its start, readiness check, resource usage and end."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from sagetrack.lab.processes.resource_usage import cpu_s, memory_mb
 from sagetrack.lab.repository import ROOT
 
-READY_TIMEOUT_S = 15.0  # for a gateway to report that it is ready
+READY_TIMEOUT_S = 15.0  # maximum time from a gateway's start until it reports that it is ready
 READY_POLL_S = 0.01
-INHERITED_SETTINGS = ("LB_ACCEPT_FD", "LB_OPERATOR", "LB_ADMIN")  # of this process's own environment
+INHERITED_SETTINGS = ("LB_ACCEPT_FD", "LB_OPERATOR", "LB_ADMIN")  # variables not passed on to a gateway
 
 
 class Usage(NamedTuple):
-    """Resources of one gateway or several."""
+    """Resource usage of one or more gateways."""
 
-    cpu_s: float  # since the start
-    memory_mb: float  # resident; the largest process's
+    cpu_s: float  # CPU seconds since the start
+    memory_mb: float  # resident megabytes; of several processes, those of the largest
 
 
 class GatewayProcess:
-    """A gateway that is started with this object and dies at the latest with this process.
+    """A gateway process. The constructor starts it; the kernel kills it if this process ends.
 
-    `folder` gets its configuration and its log; `number` tells apart processes that share a folder.
-    `listener`, if there is one, is handed down as the socket to accept from. `operator_settings` is the text
-    of its operator file, empty for none. `process` is the child process itself, `log` the file of what it
-    prints, `admin` the "host:port" of its admin interface.
+    `folder` receives its configuration and its log, and `number` distinguishes processes that share a
+    folder. The gateway inherits `listener`, if given, as the socket to accept from. `operator_settings` is
+    the text of its operator file; if it is empty, there is no such file. `process` is the child process,
+    `log` the file that receives its output, and `admin` the "host:port" of its admin interface.
     """
 
     def __init__(
@@ -79,27 +79,30 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended yet."""
+        """True until the process ends."""
         return self.process.poll() is None
 
     def last_log_line(self) -> str:
-        """The last line that it printed."""
+        """Return the last line of the process's output."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "no output"
 
     def describe_exit(self) -> str:
-        """How an ended process ended, for people."""
-        return f"ended with status {self.process.returncode}: {self.last_log_line()}"
+        """Describe for error messages how an ended process ended: its exit status and last log line."""
+        return f"ended with status {self.process.returncode}; last log line: {self.last_log_line()}"
 
     def usage(self) -> Usage:
-        """What it has used so far; zeros once it has ended."""
+        """Return the resources used so far, or zeros once the process has ended."""
         try:
             return Usage(cpu_s(self.process.pid), memory_mb(self.process.pid))
         except OSError:
             return Usage(0.0, 0.0)
 
     async def reports_ready(self) -> bool:
-        """Whether its admin interface reports that it takes clients; False if it does not answer."""
+        """Return True if the admin interface reports that the gateway accepts clients.
+
+        Returns False if the admin interface cannot be reached.
+        """
         host, _, port = self.admin.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -111,7 +114,10 @@
         return line.startswith(b"SUCCESS")
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until it takes clients; LabError, which names it so, if it ends or is not ready in time."""
+        """Wait until the gateway accepts clients.
+
+        Raises LabError, whose message begins with `name`, if the gateway ends or is not ready in time.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + READY_TIMEOUT_S
         while loop.time() < end_s:
@@ -120,4 +126,6 @@
             if await self.reports_ready():
                 return
             await asyncio.sleep(READY_POLL_S)
-        raise LabError(f"{name} was not ready within {READY_TIMEOUT_S:g} s: {self.last_log_line()}")
+        raise LabError(
+            f"{name} was not ready within {READY_TIMEOUT_S:g} s; last log line: {self.last_log_line()}"
+        )
--- a/sagetrack/lab/processes/gateway_settings.py
+++ b/sagetrack/lab/processes/gateway_settings.py
@@ -1,6 +1,6 @@
-"""What a gateway process is configured with: its JSON configuration and its operator file.
+"""Builds a gateway process's settings from the scenario: its JSON configuration and its operator file.
 
-The keys are the platform's and the operator file's; the scenario's names are translated to them here.
+The keys are those of the platform's configuration and of the operator file.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class GatewaySettings(NamedTuple):
-    """What one process is started with."""
+    """The settings of one gateway process."""
 
-    config: dict[str, Any]
-    operator: str  # text of the operator file; empty for none
+    config: dict[str, Any]  # JSON configuration
+    operator: str  # text of the operator file; empty if there is no such file
 
 
 def admission_settings(scenario: Scenario) -> str:
-    """The operator file's tables for gRPC servers, fair queues and rate limits."""
+    """Build the operator file's tables for gRPC servers, fair queues and rate limits."""
     admission = scenario.admission
     has_grpc_servers = scenario.fleet.new_share > 0 or scenario.fleet.roll_new
     text = '[newer]\ntypes = ["v2"]\n' if has_grpc_servers else ""
@@ -40,7 +40,7 @@
 
 
 def operator_settings(scenario: Scenario, gateway: int, folder: Path, dns: DnsTraffic | None) -> str:
-    """The text of a gateway's operator file; its store, if there is one, is in this folder."""
+    """Build the text of a gateway's operator file. If the scenario uses a store, it is kept in `folder`."""
     text = dns.operator_settings(gateway) if dns is not None else ""
     text += admission_settings(scenario)
     if scenario.store.use:
@@ -56,7 +56,7 @@
     agent: DiscoveryAgent,
     peers: PeerNetwork | None,
 ) -> dict[str, Any]:
-    """The JSON configuration of a gateway that listens for clients at this port."""
+    """Build the JSON configuration of a gateway that listens for clients on `port`."""
     scenario = world.scenario
     peer_settings: dict[str, Any] = {}
     if peers is not None:
--- a/sagetrack/lab/processes/gateway_supervisor.py
+++ b/sagetrack/lab/processes/gateway_supervisor.py
@@ -18,18 +18,18 @@
 from sagetrack.lab.processes.gateway_settings import GatewaySettings
 
 BACKLOG = 1024
-UPGRADE_SETTLE_S = 0.3  # between an upgrade's new process being ready and the old one's SIGTERM
-UPGRADE_TERMINATION_TIMEOUT_S = 4.0  # for a gateway to end after SIGTERM, in an upgrade
-FINAL_TERMINATION_TIMEOUT_S = 1.0  # for all gateways to end after SIGTERM, at the end of a run
+UPGRADE_SETTLE_S = 0.3  # delay in an upgrade between the new process being ready and SIGTERM to the old one
+UPGRADE_TERMINATION_TIMEOUT_S = 4.0  # in an upgrade, time from SIGTERM until the old process is killed
+FINAL_TERMINATION_TIMEOUT_S = 1.0  # at the end of a run, time from SIGTERM until the gateways are killed
 
-MakeSettings = Callable[[int, int, Path], GatewaySettings]  # gateway, number of the process, its folder
+MakeSettings = Callable[[int, int, Path], GatewaySettings]  # arguments: gateway, process number, folder
 
 
 class GatewaySupervisor:
-    """All processes of all gateways.
+    """Manages the processes of all gateways.
 
-    `processes` has those of each gateway, the newest last. `ports` has the port at which each listens for
-    clients; it stays the same over all processes of a gateway.
+    `processes` lists the processes of each gateway, the newest last. `ports` maps each gateway to the port on
+    which it listens for clients; all processes of a gateway use the same port.
     """
 
     def __init__(
@@ -42,18 +42,19 @@
         self.processes: dict[int, list[GatewayProcess]] = {}
         self.ports: dict[int, int] = {}
         self.listeners: dict[int, socket.socket] = {}
-        self.upgrades: dict[int, set[asyncio.Task[Any]]] = {}  # under way, by gateway
+        self.upgrades: dict[int, set[asyncio.Task[Any]]] = {}  # upgrade tasks by gateway
         self.launch_count = 0
-        self.ended_cpu_s = 0.0  # of killed processes
-        # An upgrade hands the listening socket over, so the lab holds it.
+        self.ended_cpu_s = 0.0  # CPU seconds of killed processes
+        # In an upgrade both processes accept from the same listening socket, so the lab opens and keeps it.
         self.passes_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
 
     # Starting
 
     def reserve_port(self, gateway: int) -> None:
-        """Find a gateway its port, or bind the one it had; LabError if that is taken.
+        """Choose a free port for a gateway, or bind the port that it had before.
 
-        The listening socket stays open for the processes to inherit if the run has upgrades.
+        If the run has upgrades, the listening socket stays open for the processes to inherit. Raises LabError
+        if the port is taken.
         """
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -61,7 +62,9 @@
             listener.bind((f"127.10.{gateway + 1}.1", self.ports.get(gateway, 0)))
         except OSError as error:
             listener.close()
-            raise LabError(f"no address for gateway {gateway}: {error.strerror}") from None
+            raise LabError(
+                f"cannot bind a listening address for gateway {gateway}: {error.strerror}"
+            ) from None
         self.ports[gateway] = listener.getsockname()[1]
         if self.passes_listeners:
             listener.listen(BACKLOG)
@@ -70,7 +73,7 @@
             listener.close()
 
     def launch(self, gateway: int) -> GatewayProcess:
-        """Start a process of a gateway without waiting for it."""
+        """Start a process of a gateway without waiting until it is ready."""
         self.launch_count += 1
         number = self.launch_count
         folder = self.folder / f"g{gateway}"
@@ -82,11 +85,11 @@
         return process
 
     async def wait_until_ready(self, gateway: int, process: GatewayProcess) -> None:
-        """Wait until a process takes clients; LabError if it ends or is not ready in time."""
+        """Wait until a process accepts clients. Raises LabError if it ends or is not ready in time."""
         await process.wait_until_ready(f"gateway {gateway}")
 
     async def start_all(self) -> None:
-        """Start all gateways at once and wait until each is ready; LabError if one is not."""
+        """Start all gateways concurrently and wait until each is ready. Raises LabError if one is not."""
         processes = {gateway: self.launch(gateway) for gateway in self.world.gateway_fleet.alive}
         await asyncio.gather(
             *(self.wait_until_ready(gateway, process) for gateway, process in processes.items())
@@ -95,9 +98,10 @@
     # Changes during a run
 
     def kill(self, gateway: int) -> None:
-        """Kill all processes of a gateway, and cancel an upgrade that is under way.
+        """Kill all processes of a gateway and cancel its upgrade, if one is in progress.
 
-        On a busy machine the upgrade's new process may not be ready yet: so its end is no failure.
+        On a busy machine the upgrade's new process may not be ready yet. Without the cancellation, its death
+        would be reported as a failure.
         """
         for task in self.upgrades.pop(gateway, set()):
             task.cancel()
@@ -109,7 +113,7 @@
             listener.close()
 
     async def restart(self, gateway: int) -> None:
-        """Start a killed gateway again and wait until it is ready; LabError if it is not."""
+        """Start a killed gateway again and wait until it is ready. Raises LabError if it is not."""
         for process in self.processes[gateway]:
             await asyncio.to_thread(process.process.wait)
         if self.passes_listeners:
@@ -117,7 +121,7 @@
         await self.wait_until_ready(gateway, self.launch(gateway))
 
     def upgrade(self, gateway: int) -> None:
-        """Replace a gateway's process by a new one in the background."""
+        """Replace a gateway's process with a new one in the background."""
         task = self.background.spawn(self._replace_newest_process(gateway))
         self.upgrades.setdefault(gateway, set()).add(task)
 
@@ -133,7 +137,7 @@
             old.process.kill()
 
     def reload_all(self) -> None:
-        """Have every gateway that is up reload its configuration."""
+        """Make every running gateway reload its configuration."""
         for process in self._newest_processes().values():
             process.process.send_signal(signal.SIGHUP)
 
@@ -147,7 +151,7 @@
         }
 
     def usage(self) -> Usage:
-        """CPU seconds of all gateways so far, and the resident megabytes of the largest."""
+        """Return the CPU seconds of all gateways so far and the resident megabytes of the largest one."""
         usages = [process.usage() for process in self._newest_processes().values()]
         return Usage(
             self.ended_cpu_s + sum(usage.cpu_s for usage in usages),
@@ -155,17 +159,17 @@
         )
 
     def crashes(self) -> list[str]:
-        """A line about each gateway that ended though nobody ended it."""
+        """Return one line for each gateway that ended without being killed."""
         return [
             f"gateway {gateway} {process.describe_exit()}"
             for gateway, process in self._newest_processes().items()
             if not process.is_running
         ]
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """End every process, by SIGTERM and then SIGKILL, and wait for it; close the listening sockets."""
+        """Close the listening sockets, and end every process by SIGTERM or, after a timeout, SIGKILL."""
         children = [process.process for processes in self.processes.values() for process in processes]
         for child in children:
             if child.poll() is None:
--- a/sagetrack/lab/processes/hostile_clients.py
+++ b/sagetrack/lab/processes/hostile_clients.py
@@ -1,4 +1,4 @@
-"""Clients that abuse gateways: some hold connections with half a request, some send what is no request."""
+"""Abusive clients: some hold connections open with a partial request, others send malformed requests."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
     b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
     b"GET /none HTTP/1.1\r\nX-Budget-Ms: soon\r\n\r\n",
 )
-SLOWLORIS_PAUSE_S = (0.2, 0.4)  # between two connections of a client
+SLOWLORIS_PAUSE_S = (0.2, 0.4)  # range of the delay before a client connects again
 MALFORMED_PAUSE_S = 0.1
-RESPONSE_TIMEOUT_S = 3.0  # for the response to a malformed request
+RESPONSE_TIMEOUT_S = 3.0  # maximum wait for the response to a malformed request
 MAX_RESPONSE_BYTES = 1000
 
-HostileKind = Literal["crowd", "rude"]  # as scenarios name these faults
+HostileKind = Literal["crowd", "rude"]  # fault kinds in scenarios: partial requests, malformed requests
 
 
 class HostileClients:
-    """Starts and stops clients of each kind. `ports` has each gateway's, which may change."""
+    """Starts and stops clients of each kind.
+
+    `ports` is the supervisor's live mapping from each gateway to its port.
+    """
 
     def __init__(self, ports: Mapping[int, int], rng: random.Random, background: BackgroundTasks) -> None:
         self.ports = ports
@@ -35,7 +38,7 @@
         self.tasks: dict[HostileKind, list[asyncio.Task[None]]] = {}
 
     def start(self, kind: HostileKind, count: int) -> None:
-        """Start so many clients, spread evenly over the gateways."""
+        """Start `count` clients, distributed evenly over the gateways."""
         behave = self._hold_connections if kind == "crowd" else self._send_malformed
         self.tasks[kind] = [self.background.spawn(behave(number)) for number in range(count)]
 
@@ -50,7 +53,7 @@
         return f"127.10.{gateway + 1}.1", self.ports[gateway]
 
     async def _hold_connections(self, number: int) -> None:
-        """Begin a request's head and never finish it; connect again when disconnected."""
+        """Send part of a request head and hold the connection open; reconnect when disconnected."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self._address(number))
@@ -64,7 +67,7 @@
             await asyncio.sleep(self.rng.uniform(*SLOWLORIS_PAUSE_S))
 
     async def _send_malformed(self, number: int) -> None:
-        """Send what cannot be parsed, read the response, and begin again."""
+        """Send a malformed request and read the response, repeatedly."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self._address(number))
@@ -73,5 +76,5 @@
                     await reader.read(MAX_RESPONSE_BYTES)
                 writer.close()
             except (OSError, TimeoutError):
-                pass  # the gateway is down, has reset the connection, or says nothing
+                pass  # the gateway is down, has reset the connection, or did not respond in time
             await asyncio.sleep(MALFORMED_PAUSE_S)
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -1,7 +1,7 @@
-"""A run of a scenario in real time, with gateway processes over loopback sockets.
+"""Runs a scenario in real time, with gateway processes over loopback sockets.
 
-However a run ends, nothing that it started stays behind: gateways are ended by process id, and the kernel
-ends them if this process is killed.
+However a run ends, it leaves no process behind: it ends the gateways by process ID, and the kernel kills them
+if this process is killed.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 RESERVED_DESCRIPTORS = 200
 DESCRIPTORS_PER_GATEWAY = 20
-OPEN_CONNECTION_S = 4  # of requests whose connections may be open at once
-POLL_INTERVAL_S = 0.05  # between two looks at how the run is going
-END_SLACK_US = 200_000  # beyond the longest deadline, until a run ends at the latest
+OPEN_CONNECTION_S = 4  # connections of the requests of this many seconds may be open at once
+POLL_INTERVAL_S = 0.05  # interval between checks whether the run is over or has failed
+END_SLACK_US = 200_000  # a run ends at the latest this long after the last request's longest deadline
 
-ProgressCallback = Callable[[float, World], None]  # the share of the run that is over
+ProgressCallback = Callable[[float, World], None]  # receives the elapsed share of the run (0 to 1)
 
 
 def play(
@@ -40,12 +40,13 @@
     sample_s: float = 0.0,
     records: Records | None = None,
 ) -> Records:
-    """Play a scenario in real time.
+    """Run a scenario in real time and return its records.
 
-    `progress` is called with the share of the run that is over. With `sample_s`, each server's load is
-    recorded that often. What happens goes into `records`, which are returned; by default they are new ones.
-    LabError if the scenario cannot be played; KeyboardInterrupt, once everything is ended, on SIGINT, SIGTERM
-    or SIGHUP.
+    `progress` is called with the elapsed share of the run. If `sample_s` is not 0, each server's load is
+    recorded every `sample_s` seconds. Events are added to `records`, or to a new object by default.
+
+    Raises LabError if the scenario cannot be run. On SIGINT, SIGTERM or SIGHUP it ends all processes and
+    raises KeyboardInterrupt.
     """
     run_records = records if records is not None else Records()
 
@@ -63,7 +64,7 @@
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
     except OSError as error:
-        raise LabError(f"no socket could be had: {error.strerror or error}") from None
+        raise LabError(f"cannot open a socket for the run: {error.strerror or error}") from None
     return run_records
 
 
@@ -96,7 +97,7 @@
 
 
 def _descriptor_count(scenario: Scenario) -> int:
-    """Descriptors that this process may need at once."""
+    """Return the number of descriptors that this process may need at once."""
     fleet = scenario.fleet
     replacements = sum(fault.kind in ("deploy", "vanish") for fault in scenario.faults)
     listeners = (fleet.servers * (1 + replacements) + 1) * fleet.gateways
@@ -109,7 +110,7 @@
 
 
 def _reset_time_base(clock: RealClock, world: World, gateways: GatewayFleet) -> None:
-    """Begin the run now that all gateways are ready: what came before counts as time 0."""
+    """Restart the clock once all gateways are ready; everything recorded before counts as time 0."""
     clock.restart()
     gateways.set_base_time(_unix_ms())
     for server in world.server_fleet.servers.values():
@@ -121,7 +122,10 @@
 async def _wait_for_end(
     world: World, gateways: GatewayFleet, progress: ProgressCallback | None, sampler: LoadSampler
 ) -> None:
-    """Wait until every request has its outcome or none can have one; LabError if a gateway fails."""
+    """Wait until every request has an outcome or the longest deadline has passed.
+
+    Raises LabError if a gateway or a background task fails.
+    """
     scenario = world.scenario
     arrivals_end_us = int(scenario.seconds * 1e6)
     longest_deadline_us = max(int(request_class.deadline_ms * 1000) for request_class in scenario.classes)
@@ -147,7 +151,7 @@
 
 
 class LoadSampler:
-    """Records each server's load every so many seconds; never, with a period of 0."""
+    """Records each server's load every `period_s` seconds, or never if that is 0."""
 
     def __init__(self, world: World, period_s: float) -> None:
         self.world = world
@@ -155,7 +159,7 @@
         self.next_s = 0.0
 
     def sample_if_due(self, now_us: int) -> None:
-        """Record the load if the time has come."""
+        """Record the load if the next sample is due."""
         now_s = now_us / 1e6
         if not self.period_s or now_s < self.next_s:
             return
