--- a/sagetrack/lab/stand_ins/__init__.py
+++ b/sagetrack/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback sockets for what surrounds gateways: upstream servers, discovery, DNS, clients."""
+"""Loopback stand-ins for the parties around gateways: upstream servers, discovery, DNS and clients."""
--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -1,7 +1,7 @@
-"""An upstream server of the lab's model on loopback sockets, apart from the protocol that it speaks.
+"""A simulated upstream server on loopback sockets, independent of its protocol.
 
-Each gateway reaches each server at an address of its own, so that the lab knows which gateway calls and can
-cut one direction alone.
+Each gateway connects to each server at a separate address. This identifies the calling gateway and lets the
+lab cut the path between one gateway and one server.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from sagetrack.lab.model.world import World
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-HANDSHAKE_HOPS = 2  # a new connection's first request takes a round trip more
+HANDSHAKE_HOPS = 2  # one-way delays added to a new connection's first request: one more round trip
 
 
 class ServerConnection(Protocol):
@@ -24,14 +24,14 @@
     transport: asyncio.Transport | None
 
 
-ConnectionFactory = Callable[["AddressServer", int], asyncio.Protocol]  # server and number of the gateway
+ConnectionFactory = Callable[["AddressServer", int], asyncio.Protocol]  # arguments: server, gateway number
 
 
 class AddressServer:
-    """One server of the model with a listener for each gateway.
+    """A server of the simulation model with one listener for each gateway.
 
-    Its connections add themselves to `connections` and leave it when they are lost. `attempts` are the
-    clients' requests by call id; what a request costs is read there.
+    Connections add themselves to `connections` when they open and remove themselves when they are lost.
+    `attempts` maps call IDs to the clients' attempts, which hold the cost of each request.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
         }
 
     def is_connected_to(self, gateway: int) -> bool:
-        """Whether messages pass between this server and a gateway: no partition separates them."""
+        """Return True if no partition separates this server from a gateway."""
         return self.world.network.reaches(gateway, self.server.number)
 
     def receives_from(self, gateway: int) -> bool:
-        """Whether what a gateway sends gets here and is read."""
+        """Return True if data from a gateway reaches this server and the server reads it."""
         return self.is_connected_to(gateway) and not self.server.silent
 
     def new_job(
@@ -70,7 +70,7 @@
         deadline_us: int,
         on_done: Callable[[Job, Result], None],
     ) -> Job:
-        """The model's work for a client's request; a new connection adds the work of its handshake."""
+        """Create the model's job for a client's request. A new connection adds the cost of its handshake."""
         request = attempt.request
         handshake_us = self.world.scenario.fleet.handshake_ms * 1000 if is_new_connection else 0.0
         return Job(
@@ -86,25 +86,28 @@
     def after_network_delay(
         self, gateway: int, action: Callable[[], None], is_new_connection: bool = False
     ) -> None:
-        """Run an action once a message between this server and the gateway would have arrived."""
+        """Run an action after the network delay of a message between this server and a gateway."""
         hops = 1 + (HANDSHAKE_HOPS if is_new_connection else 0)
         delay_us = self._delay_us(gateway, self.server.number) * hops
         self.world.clock.at(self.world.clock.now_us() + delay_us, action)
 
     def deliver(self, job: Job, gateway: int, sent_us: int) -> None:
-        """Give a job to the model, unless the server has ended; `job.done` is called for a rejection too."""
+        """Submit a job to the model unless the server has ended.
+
+        If the model rejects the job, `job.done` is called with the rejection.
+        """
         if self.server.number not in self.world.server_fleet.servers:
             return
         if self.world.server_fleet.receive(self.server, job, gateway, sent_us) is Result.REJECTED:
             job.done(job, Result.REJECTED)
 
     def cancel(self, job: Job) -> None:
-        """The gateway no longer waits for this job."""
+        """Cancel a job that the gateway no longer waits for."""
         if not job.ended:
             self.world.server_fleet.give_up(self.server, job)
 
     def silence(self) -> None:
-        """Vanish: open connections stay open and say nothing, new ones do not come up."""
+        """Simulate a vanished host: further handshakes time out, and open connections stay open."""
         for listener in self.listeners.values():
             listener.mute()
 
--- a/sagetrack/lab/stand_ins/client_connection.py
+++ b/sagetrack/lab/stand_ins/client_connection.py
@@ -11,13 +11,13 @@
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 
 SLOW_READER_PAUSE_S = 1.0
-CONNECTION_FAILED = 0  # in place of a status
+CONNECTION_FAILED = 0  # status reported when the connection ends without a response
 
 
 class GatewayResponse(NamedTuple):
-    """What a request came to."""
+    """The outcome of a request."""
 
-    status: int  # CONNECTION_FAILED if none came
+    status: int  # HTTP status, or CONNECTION_FAILED if there was no response
     retry_after_s: float
 
 
@@ -25,28 +25,28 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Carries one request at a time. `on_idle` is called with the connection when it may be used again."""
+    """Carries one request at a time. `on_idle` is called with the connection when it can be reused."""
 
     def __init__(self, on_idle: Callable[[ClientConnection], None]) -> None:
         self.on_idle = on_idle
         self.transport: asyncio.Transport | None = None
         self.parser = Http1Parser(False, self.on_message)
-        self.on_response: OnResponse | None = None  # of the request in flight
+        self.on_response: OnResponse | None = None  # callback of the request in flight
         self.previous_on_response: OnResponse | None = None
         self.is_reused = False
         self.reads_slowly = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be sent."""
+        """True if a request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, data: bytes, on_response: OnResponse) -> None:
-        """Send a request; `on_response` is called once, and again for each response beyond the first."""
+        """Send a request. `on_response` is called for its response and for any unexpected further one."""
         assert self.transport is not None
         self.on_response = on_response
         self.transport.write(data)
@@ -59,13 +59,13 @@
             self.transport.resume_reading()
 
     def abandon(self) -> None:
-        """Close the connection without waiting for the response, if a request is in flight."""
+        """If a request is in flight, close the connection without waiting for the response."""
         if self.on_response is not None:
             self.on_response = None
             self.close()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a piece of a response; close on what is not HTTP."""
+        """Parse part of a response; close the connection if the data is not valid HTTP."""
         try:
             self.parser.feed(data)
         except httptools.HttpParserError:
@@ -77,7 +77,7 @@
         self.on_response = None
         response = GatewayResponse(message.status, float(message.headers.get(b"retry-after", b"0") or 0))
         if on_response is None:
-            # No request is in flight: it can only be a second response to the one before.
+            # No request is in flight, so this is a second response to the previous request.
             if self.previous_on_response is not None:
                 self.previous_on_response(response)
             return
@@ -90,7 +90,7 @@
         on_response(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection to the request in flight."""
+        """Report CONNECTION_FAILED to the request in flight."""
         self.transport = None
         on_response = self.on_response
         self.on_response = None
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -1,4 +1,4 @@
-"""Service discovery as one gateway sees it: an HTTP/1.1 long-poll of the list of endpoints."""
+"""A stand-in discovery service for one gateway, which long-polls the endpoint list over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -16,31 +16,33 @@
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-DELIVERY_TIMEOUT_US = 6_000_000  # after this a change counts as delivered, whether the gateway polled or not
-MAX_STORED_CHANGES = 1000  # a gateway that is further behind gets the full list
+DELIVERY_TIMEOUT_US = (
+    6_000_000  # after this time a change counts as delivered even if the gateway did not poll
+)
+MAX_STORED_CHANGES = 1000  # a gateway that is further behind receives the full list
 
 
 @dataclass(slots=True, frozen=True)
 class ListChange:
-    """One change of the list."""
+    """One change of the endpoint list."""
 
-    index: int  # of the list after it
+    index: int  # index of the list after this change
     entries: list[EndpointEntry]
-    replaces_list: bool  # a full list, not a difference
+    replaces_list: bool  # the entries are a full list, not a difference
 
 
 class PendingPoll(NamedTuple):
-    """A poll that is answered once the list is newer than the caller's."""
+    """A poll that waits until the list is newer than index `since`."""
 
     connection: DiscoveryConnection
     since: int
 
 
 class DiscoveryAgent:
-    """The list of one gateway, which changes when the world says so.
+    """Serves the endpoint list of one gateway; `apply` changes the list.
 
-    `base_ms` is the Unix time of the run's start in milliseconds. `server_address` gives the "host:port" at
-    which this gateway reaches a server.
+    `base_ms` is the Unix time of the run's start in milliseconds. `server_address(gateway, server)` returns
+    the "host:port" at which the gateway reaches a server.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         self.pending_polls: list[PendingPoll] = []
         self.listener = SilenceableListener(f"127.30.{gateway + 1}.1", lambda: DiscoveryConnection(self))
 
-    # The list in discovery's wire form, whose keys are the platform's
+    # The list in the platform's wire format
 
     def _endpoint(self, entry: EndpointEntry) -> dict[str, Any]:
         since_us = self.world.network.start_time_us(self.gateway, entry)
@@ -73,7 +75,7 @@
         }
 
     def full_list(self) -> dict[str, Any]:
-        """The list as it stands."""
+        """Return the current list in wire format."""
         endpoints = [self._endpoint(entry) for entry in self.entries.values()]
         return {"index": self.index, "snapshot": True, "endpoints": endpoints}
 
@@ -85,7 +87,7 @@
     # Changes
 
     def apply(self, entries: list[EndpointEntry], replaces_list: bool) -> None:
-        """Change the list, and answer the polls that wait for it."""
+        """Change the list and respond to pending polls."""
         if replaces_list:
             self.entries = {}
         for entry in entries:
@@ -106,7 +108,7 @@
         self.respond_to_pending_polls()
 
     def _count_as_delivered(self, index: int) -> None:
-        """Report changes up to an index to the world."""
+        """Report the changes up to an index to the registry as received by the gateway."""
         for change in [change for change in self.undelivered_changes if change.index <= index]:
             self.undelivered_changes.remove(change)
             self.world.registry.record_received(self.gateway, change.entries)
@@ -114,14 +116,17 @@
     # Polls
 
     def respond_to_pending_polls(self) -> None:
-        """Answer polls that wait, as far as there is news and discovery is up."""
+        """Respond to the pending polls for which there are changes, unless discovery is down."""
         pending = self.pending_polls
         self.pending_polls = []
         for poll in pending:
             self.respond_to_poll(poll.connection, poll.since)
 
     def respond_to_poll(self, connection: DiscoveryConnection, since: int | None) -> None:
-        """Answer a poll for what is newer than an index (None: for the list), or keep it until there is."""
+        """Respond to a poll with the changes since an index, or with the full list if `since` is None.
+
+        The poll stays pending if there are no such changes or discovery is down.
+        """
         if self.world.registry.down or (since is not None and since >= self.index):
             self.pending_polls.append(PendingPoll(connection, since if since is not None else 0))
             return
@@ -138,15 +143,15 @@
         return self._difference(newer)
 
     def is_pending(self, connection: DiscoveryConnection) -> bool:
-        """Whether a poll of this connection waits."""
+        """Return True if a poll of this connection is pending."""
         return any(poll.connection is connection for poll in self.pending_polls)
 
     def drop_polls(self, connection: DiscoveryConnection) -> None:
-        """Drop what a connection waits for."""
+        """Drop the pending polls of a connection."""
         self.pending_polls = [poll for poll in self.pending_polls if poll.connection is not connection]
 
     def on_poll_timeout(self, connection: DiscoveryConnection) -> None:
-        """A poll has waited as long as it wanted to: nothing is new, unless discovery is down."""
+        """Respond to a poll without changes once its hold time is over, unless discovery is down."""
         if self.world.registry.down or not self.is_pending(connection):
             return
         self.drop_polls(connection)
@@ -163,11 +168,11 @@
         self.poll_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a piece of a request; abort what is not HTTP."""
+        """Parse part of a request; abort the connection if the data is not valid HTTP."""
         try:
             self.parser.feed(data)
         except httptools.HttpParserError:
@@ -175,7 +180,11 @@
                 self.transport.abort()
 
     def on_request(self, message: Http1Message, keeps_alive: bool) -> None:
-        """Answer a poll; `from` is the index of the caller's list, `hold_ms` how long it waits for news."""
+        """Handle a poll.
+
+        Its query parameters are `from`, the index of the caller's list, and `hold_ms`, the time for which the
+        poll may stay pending.
+        """
         query = parse_qs(urlsplit(message.target.decode("latin-1")).query)
         since = int(query["from"][0]) if "from" in query else None
         hold_s = int(query.get("hold_ms", ["0"])[0]) / 1000
@@ -185,7 +194,7 @@
             self.poll_timer = loop.call_later(hold_s, self.agent.on_poll_timeout, self)
 
     def send(self, body: bytes) -> None:
-        """Write a 200 with this body, if the connection is still open."""
+        """Send a 200 response with this body if the connection is still open."""
         self._cancel_poll_timer()
         if self.transport is not None:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -195,7 +204,7 @@
             self.poll_timer.cancel()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the poll that waits."""
+        """Drop the connection's pending poll."""
         self.transport = None
         self.agent.drop_polls(self)
         self._cancel_poll_timer()
--- a/sagetrack/lab/stand_ins/dns_clients.py
+++ b/sagetrack/lab/stand_ins/dns_clients.py
@@ -1,4 +1,4 @@
-"""DNS beside HTTP in a run: stand-in upstream servers, and clients that query gateways in an open loop."""
+"""DNS traffic of a run: stand-in upstream nameservers, and clients that query gateways in an open loop."""
 
 from __future__ import annotations
 
@@ -19,36 +19,39 @@
 RECURSION_DESIRED = 0x0100
 QUERY_ID_COUNT = 65_536
 ANSWERED_RCODES = (0, 3)  # NOERROR and NXDOMAIN
-TIMEOUT_SLACK_S = 0.2  # beyond the deadline, until a query counts as unanswered
+TIMEOUT_SLACK_S = 0.2  # a query counts as unanswered this long after its deadline
 
 
 def wire_query(name: str, query_id: int) -> bytes:
-    """An A query with recursion desired, without EDNS."""
+    """Encode an A query with the recursion-desired flag and without EDNS."""
     labels = b"".join(bytes([len(part)]) + part.encode() for part in name.strip(".").split("."))
     header = struct.pack("!HHHHHH", query_id, RECURSION_DESIRED, 1, 0, 0, 0)
     return header + labels + b"\0\0\1\0\1"
 
 
 class DnsClientSocket(asyncio.DatagramProtocol):
-    """One client socket. `on_response_by_id` has by query id who is called with the response's rcode."""
+    """One client socket.
+
+    `on_response_by_id` maps the IDs of open queries to callbacks that receive the response's RCODE.
+    """
 
     def __init__(self) -> None:
         self.transport: asyncio.DatagramTransport | None = None
         self.on_response_by_id: dict[int, Callable[[int], None]] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Report a response to the query of its id; others are dropped."""
+        """Pass a response's RCODE to the query with its ID; drop responses without an open query."""
         if len(data) >= HEADER_BYTES:
             on_response = self.on_response_by_id.pop(int.from_bytes(data[:2]), None)
             if on_response is not None:
                 on_response(data[3] & 0xF)
 
     def error_received(self, exc: Exception) -> None:
-        """The gateway is down just now: the query times out."""
+        """Ignore the error: the gateway is down, and the query will time out."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -57,7 +60,10 @@
 
 
 class DnsTraffic:
-    """A run's upstream nameservers and DNS clients; `open_queries` is how many have no outcome yet."""
+    """The upstream nameservers and DNS clients of a run.
+
+    `open_queries` is the number of queries without an outcome.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -71,8 +77,8 @@
             )
             for n in range(load.upstreams)
         ]
-        self.ports: dict[int, int] = {}  # by gateway
-        self.sockets: dict[int, list[DnsClientSocket]] = {}  # by gateway
+        self.ports: dict[int, int] = {}  # DNS port by gateway
+        self.sockets: dict[int, list[DnsClientSocket]] = {}  # client sockets by gateway
         self.last_id = 0
         self.next_query_s = 0.0
         self.names = [f"host{rank}.shops.example." for rank in range(load.names)]
@@ -82,7 +88,7 @@
         self.open_queries = 0
 
     async def prepare(self) -> None:
-        """Start the upstream servers, and find each gateway a port for DNS."""
+        """Start the upstream nameservers and choose a free DNS port for each gateway."""
         for upstream in self.upstreams:
             await upstream.start()
         for gateway in self.world.gateway_fleet.alive:
@@ -91,7 +97,7 @@
                 self.ports[gateway] = probe.getsockname()[1]
 
     def operator_settings(self, gateway: int) -> str:
-        """The DNS table of a gateway's operator file."""
+        """Build the DNS table of a gateway's operator file."""
         load = self.scenario.dns
         upstreams = ", ".join(f'"{upstream.host}:{upstream.port}"' for upstream in self.upstreams)
         listen = f"127.10.{gateway + 1}.1:{self.ports[gateway]}"
@@ -102,7 +108,7 @@
         )
 
     async def begin(self) -> None:
-        """Open the clients' sockets and let queries come."""
+        """Open the clients' sockets and start to send queries."""
         for gateway in self.world.gateway_fleet.alive:
             self.sockets[gateway] = []
             remote = (f"127.10.{gateway + 1}.1", self.ports[gateway])
@@ -154,7 +160,7 @@
         self.world.records.add("dns", self.world.clock.now_us(), gateway, outcome, due_us)
 
     def slow_upstreams(self, fault: ScheduledFault, is_on: bool) -> None:
-        """Make part of the upstream servers slow, or as fast as before."""
+        """Slow down the fault's share of the upstream nameservers, or restore their normal delay."""
         count = max(1, round(fault.share * len(self.upstreams)))
         factor = fault.size if is_on else 1.0
         for upstream in self.upstreams[:count]:
--- a/sagetrack/lab/stand_ins/dns_server.py
+++ b/sagetrack/lab/stand_ins/dns_server.py
@@ -1,4 +1,4 @@
-"""Stand-in DNS servers on loopback, over UDP and TCP, that misbehave as a test or a scenario wants."""
+"""Stand-in DNS servers on loopback, over UDP and TCP, with configurable misbehaviour."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 import dns.rrset
 
 MAX_MESSAGE_BYTES = 65_535
-CORRUPT_CUT_BYTES = 6  # cut off the end of a corrupt response
-QUESTION_OFFSET = 13  # the first letter of the question's name
+CORRUPT_CUT_BYTES = 6  # bytes removed from the end of a corrupt response
+QUESTION_OFFSET = 13  # offset of the first letter of the question's name
 
 
 @dataclass(slots=True)
 class NameserverBehaviour:
-    """How a stand-in behaves; it may be changed while it runs."""
+    """How a stand-in behaves. It may be changed while the stand-in runs."""
 
     delay_s: float = 0.0
-    loss: float = 0.0  # share of queries over UDP that get no response
-    truncates: bool = False  # over UDP each response has TC set and no records
-    forgeries: int = 0  # forged responses ahead of each true one: wrong ids, wrong questions
-    spoofs_source: bool = False  # a false response that matches comes first, from another address
+    loss: float = 0.0  # share of UDP queries that get no response
+    truncates: bool = False  # UDP responses have the TC flag and no records
+    forgeries: int = 0  # forged responses sent before each genuine one, with a wrong ID or question
+    spoofs_source: bool = False  # before each response, a matching false one is sent from another address
     is_corrupt: bool = False
     is_silent: bool = False
     rcode: int = 0
     ttl: int = 60
     records: int = 1
     is_nxdomain: bool = False
-    address: str = "192.0.2.1"  # in the first record
+    address: str = "192.0.2.1"  # address in the first A record
 
 
 class ReceivedQuery(NamedTuple):
-    """A query that came over UDP."""
+    """A query received over UDP."""
 
-    name: str  # in the letters' case as it came
+    name: str  # with the letter case of the query
     id: int
     source_port: int
 
 
 @dataclass
 class Nameserver:
-    """One stand-in. It answers A queries as `behaviour` says, and counts what it gets.
+    """A stand-in nameserver that responds to A queries as `behaviour` specifies and counts its queries.
 
-    With `port` 0 it listens at a free one, which `port` then holds.
+    If `port` is 0, `start` chooses a free port and stores it in `port`.
     """
 
     behaviour: NameserverBehaviour = field(default_factory=NameserverBehaviour)
@@ -65,11 +65,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens, over UDP and TCP."""
+        """The host and port on which it listens over UDP and TCP."""
         return self.host, self.port
 
     def responses(self, data: bytes, over_udp: bool) -> list[bytes]:
-        """What is sent back for a query, in order; the true response is the last."""
+        """Build the responses to a query in the order in which they are sent, the genuine one last."""
         reply = self._reply(dns.message.from_wire(data))
         if over_udp and self.behaviour.truncates:
             reply.answer.clear()
@@ -101,15 +101,15 @@
         for number in range(self.behaviour.forgeries):
             forged = bytearray(wire)
             if number % 2:
-                forged[0] ^= 0xFF  # another id
+                forged[0] ^= 0xFF  # wrong ID
             else:
-                forged[QUESTION_OFFSET] ^= 0x01  # another question
+                forged[QUESTION_OFFSET] ^= 0x01  # wrong question
             forged[-1] ^= 0xAA
             forgeries.append(bytes(forged))
         return forgeries
 
     async def start(self) -> None:
-        """Listen over TCP and UDP; OSError if the port is taken."""
+        """Listen over TCP and UDP. Raises OSError if the port is taken."""
         loop = asyncio.get_running_loop()
         tcp = await asyncio.start_server(self._serve_tcp, self.host, self.port)
         self.port = tcp.sockets[0].getsockname()[1]
@@ -176,7 +176,7 @@
 async def nameserver(
     behaviour: NameserverBehaviour | None = None, port: int = 0
 ) -> AsyncIterator[Nameserver]:
-    """A stand-in that listens on loopback until the context ends."""
+    """Run a stand-in nameserver on loopback until the context ends."""
     server = Nameserver(behaviour or NameserverBehaviour(), port=port)
     await server.start()
     try:
--- a/sagetrack/lab/stand_ins/grpc_address_server.py
+++ b/sagetrack/lab/stand_ins/grpc_address_server.py
@@ -1,4 +1,4 @@
-"""A gateway's gRPC connection to an upstream server of the lab's model."""
+"""The server side of gRPC connections from gateways to a simulated upstream server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sagetrack.lab.stand_ins.address_server import AddressServer
 from sagetrack.lab.stand_ins.grpc_server import OK_TRAILERS, GrpcRequest, GrpcServerConnection
 
-# Status codes of gRPC
+# gRPC status codes
 INVALID_ARGUMENT = 3
 RESOURCE_EXHAUSTED = 8
 INTERNAL = 13
@@ -18,29 +18,29 @@
 
 
 class GrpcAddressServerConnection(GrpcServerConnection):
-    """The server's side of one connection: many streams, the same model behind them."""
+    """The server side of one connection. Its concurrent streams share one simulated server."""
 
     def __init__(self, server: AddressServer, gateway: int) -> None:
         super().__init__(self._on_complete_request)
         self.server = server
         self.gateway = gateway
         self.jobs: dict[GrpcRequest, Job] = {}
-        self.is_new = True  # its first request has not come yet
+        self.is_new = True  # until its first request arrives
         self.on_reset = self._cancel
         self.on_lost = lambda: server.connections.discard(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the server's connections."""
+        """Register with the server's open connections."""
         self.server.connections.add(self)
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Handle what has come, unless a fault keeps it from getting here."""
+        """Handle received data, or drop it if a fault prevents it from reaching the server."""
         if self.server.receives_from(self.gateway):
             super().data_received(data)
 
     def _on_complete_request(self, connection: GrpcServerConnection, request: GrpcRequest) -> None:
-        """Hand a request to the model after the network's delay."""
+        """Submit a request to the model after the network delay."""
         attempt = self.server.attempts.get(request.headers.get("x-call-id", ""))
         if attempt is None:
             self.trailers_only(request, INVALID_ARGUMENT, grpc_message="no such call")
--- a/sagetrack/lab/stand_ins/grpc_server.py
+++ b/sagetrack/lab/stand_ins/grpc_server.py
@@ -1,6 +1,6 @@
-"""A gRPC server's side of an HTTP/2 connection, as docs/protocol-2.md has the protocol.
+"""The gRPC server side of an HTTP/2 connection; docs/protocol-2.md specifies the protocol.
 
-It is for tests and benchmarks that decide for themselves how each request is answered.
+It is used by tests and benchmarks that choose the response to each request.
 """
 
 from __future__ import annotations
@@ -29,27 +29,27 @@
 
 @dataclass(slots=True, eq=False)
 class GrpcRequest:
-    """One stream: what has come on it, and what is still to be sent."""
+    """One stream, with the data received so far and the data still to be sent."""
 
     stream_id: int
     headers: dict[str, str]
     unpacker: Unpacker = field(default_factory=Unpacker)
     messages: list[Call] = field(default_factory=list)
     outgoing: bytearray = field(default_factory=bytearray)
-    trailers: list[tuple[str, str]] | None = None  # sent after the last of `outgoing`
+    trailers: list[tuple[str, str]] | None = None  # sent after all of `outgoing`
     is_closed: bool = False
 
     @property
     def body(self) -> bytes:
-        """The request's body as far as it has come, over all messages."""
+        """The request body received so far, from all messages."""
         return b"".join(message.body for message in self.messages)
 
 
 class GrpcServerConnection(asyncio.Protocol):
-    """The server's side of one connection. Each complete request goes to `on_request`.
+    """The server side of one connection. Each complete request is passed to `on_request`.
 
-    `max_streams` is the announced limit of concurrent streams. With `acknowledges_data` off, flow-control
-    windows stay as they are and a long request stalls.
+    `max_streams` is the advertised limit of concurrent streams. If `acknowledges_data` is False, the
+    flow-control windows are not replenished, so a long request stalls.
     """
 
     def __init__(
@@ -60,17 +60,17 @@
         config = h2.config.H2Configuration(client_side=False, header_encoding="latin-1")
         self.h2 = h2.connection.H2Connection(config)
         self.max_streams = max_streams
-        self.requests: dict[int, GrpcRequest] = {}  # open ones, by stream
+        self.requests: dict[int, GrpcRequest] = {}  # open requests by stream ID
         self.highest_stream = 0
         self.on_reset: Callable[[GrpcRequest], None] = lambda request: None
         self.on_lost: Callable[[], None] = lambda: None
         self.acknowledges_data = True
-        self.goaway_stream: int | None = None  # after GOAWAY: streams above it are ignored
+        self.goaway_stream: int | None = None  # last stream accepted after GOAWAY; higher ones are ignored
 
     # Receiving
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the connection preface."""
+        """Send the server's connection preface, which contains its settings."""
         self.transport = cast(asyncio.Transport, transport)
         values = {
             h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: self.max_streams,
@@ -81,7 +81,7 @@
         self.flush()
 
     def data_received(self, data: bytes) -> None:
-        """Handle what has come; close on a breach of HTTP/2."""
+        """Handle received data; close the connection on a protocol error."""
         try:
             events = self.h2.receive_data(data)
         except h2.exceptions.ProtocolError:
@@ -115,7 +115,7 @@
 
     def _on_head(self, event: h2.events.RequestReceived, stream_id: int) -> None:
         if self.goaway_stream is not None and stream_id > self.goaway_stream:
-            return  # the gateway sent it before it had the GOAWAY
+            return  # the gateway sent it before it received the GOAWAY
         self.highest_stream = max(self.highest_stream, stream_id)
         headers = {str(name): str(value) for name, value in event.headers or ()}
         self.requests[stream_id] = GrpcRequest(stream_id, headers)
@@ -129,14 +129,14 @@
     # Responding
 
     def flush(self) -> None:
-        """Write what the HTTP/2 state machine has to send."""
+        """Write the pending output of the HTTP/2 state machine to the transport."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.h2.data_to_send())
 
     def respond(
         self, request: GrpcRequest, fields: Any = (), body: bytes = RESPONSE_BODY, parts: int = 1
     ) -> None:
-        """Send a complete response, its body in up to `parts` messages."""
+        """Send a complete response, with its body split into up to `parts` messages."""
         size = max(1, -(-len(body) // parts))
         pieces = [body[start : start + size] for start in range(0, len(body), size)] or [b""]
         first = Answer(fields=fields, body=pieces[0], length=len(body))
@@ -148,7 +148,7 @@
         self.send_pending(request)
 
     def send_head(self, request: GrpcRequest) -> None:
-        """Send the response's first headers, unless the stream is closed."""
+        """Send the response headers unless the stream is closed."""
         if not request.is_closed:
             try:
                 self.h2.send_headers(request.stream_id, HEAD)
@@ -156,7 +156,7 @@
                 request.is_closed = True
 
     def send_pending(self, request: GrpcRequest) -> None:
-        """Send what the flow-control window takes, and the trailers after the last of it."""
+        """Send as much of the response as the flow-control window allows, and the trailers after the end."""
         if request.is_closed or request.trailers is None:
             return
         try:
@@ -174,7 +174,7 @@
         self.close_stream(request)
 
     def trailers_only(self, request: GrpcRequest, status: int, **metadata: str) -> None:
-        """Respond without a message; underscores in names of metadata become hyphens."""
+        """Send a response without messages. Underscores in metadata names become hyphens."""
         extra = [(name.replace("_", "-"), value) for name, value in metadata.items()]
         headers = [*HEAD, ("grpc-status", str(status)), *extra]
         with suppress(h2.exceptions.H2Error):
@@ -188,15 +188,18 @@
         self.close_stream(request)
 
     def close_stream(self, request: GrpcRequest) -> None:
-        """Nothing more comes or goes on this stream."""
+        """Mark a stream as closed and remove it from the open requests."""
         request.is_closed = True
         self.requests.pop(request.stream_id, None)
         self.flush()
 
-    # The end of the connection
+    # Closing the connection
 
     def goaway(self, last: int | None = None) -> None:
-        """Accept no stream after this one (RFC 9113, 6.8), by default the highest so far; others go on."""
+        """Send GOAWAY (RFC 9113, section 6.8).
+
+        Streams up to `last`, by default the highest one so far, continue; later ones are ignored.
+        """
         last_stream = self.highest_stream if last is None else last
         self.goaway_stream = last_stream
         self.flush()
@@ -211,7 +214,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report every open request as reset, and the end of the connection."""
+        """Report every open request as reset, then report the end of the connection."""
         self.transport = None
         for request in list(self.requests.values()):
             request.is_closed = True
--- a/sagetrack/lab/stand_ins/http1_address_server.py
+++ b/sagetrack/lab/stand_ins/http1_address_server.py
@@ -1,4 +1,4 @@
-"""A gateway's HTTP/1.1 connection to an upstream server of the lab's model."""
+"""The server side of HTTP/1.1 connections from gateways to a simulated upstream server."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Http1ServerConnection(asyncio.Protocol):
-    """The server's side of one connection: one request at a time."""
+    """The server side of one connection, which carries one request at a time."""
 
     def __init__(self, server: AddressServer, gateway: int) -> None:
         self.server = server
@@ -30,12 +30,12 @@
         self.transport: asyncio.Transport | None = None
         self.parser = Http1Parser(True, self.on_request)
         self.job: Job | None = None
-        self.is_new = True  # its first request has not come yet
+        self.is_new = True  # until its first request arrives
         self.idle_timer: asyncio.TimerHandle | None = None
-        self.first_byte_us: int | None = None  # when the request that comes in began
+        self.first_byte_us: int | None = None  # arrival time of the current request's first byte
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the server's connections; one above the server's limit is aborted."""
+        """Register with the server's open connections; abort if the server's connection limit is exceeded."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
         if len(self.server.connections) > self.server.world.scenario.fleet.connections:
@@ -60,7 +60,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a piece of a request, unless a fault keeps it from getting here."""
+        """Parse part of a request, or drop it if a fault prevents it from reaching the server."""
         if self.first_byte_us is None:
             self.first_byte_us = self.server.world.clock.now_us()
         if not self.server.receives_from(self.gateway):
@@ -71,7 +71,7 @@
             self._abort()
 
     def on_request(self, message: Http1Message, keeps_alive: bool) -> None:
-        """Hand a complete request to the model after the network's delay."""
+        """Submit a complete request to the model after the network delay."""
         self._cancel_idle_timer()
         call_id = message.headers.get(b"x-call-id", b"").decode("latin-1")
         attempt = self.server.attempts.get(call_id)
@@ -107,11 +107,11 @@
             self._start_idle_timer()
 
     def eof_received(self) -> bool:
-        """Close when the gateway has closed its side."""
+        """Close the connection when the gateway has closed its side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the server's connections and cancel the job in work."""
+        """Deregister from the server and cancel the job in progress."""
         self.transport = None
         self.server.connections.discard(self)
         self._cancel_idle_timer()
--- a/sagetrack/lab/stand_ins/http1_parser.py
+++ b/sagetrack/lab/stand_ins/http1_parser.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages from a connection's bytes, for stand-ins on both sides of a gateway."""
+"""An HTTP/1.1 message parser for the stand-ins on both sides of a gateway."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 import httptools
 
-FIRST_FINAL_STATUS = 200  # responses below it are interim ones
+FIRST_FINAL_STATUS = 200  # responses with a lower status are interim responses
 
 
 @dataclass(slots=True)
 class Http1Message:
     """A request or a response without its body."""
 
-    target: bytes = b""  # of a request
-    status: int = 0  # of a response
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case
+    target: bytes = b""  # request target; empty in a response
+    status: int = 0  # response status; 0 in a request
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # keys are in lower case
     body_bytes: int = 0
 
 
 class Http1Parser:
-    """Calls `on_message` with each complete message, and whether the connection may be kept after it.
+    """Calls `on_message` with each complete message and a flag that tells whether the connection persists.
 
-    Bodies are counted, not kept. Interim responses are passed over.
+    Body bytes are counted but not stored. Interim responses are ignored.
     """
 
     def __init__(self, parses_requests: bool, on_message: Callable[[Http1Message, bool], None]) -> None:
@@ -36,33 +36,33 @@
         )
 
     def feed(self, data: bytes) -> None:
-        """Parse what has come; httptools.HttpParserError if it is not HTTP."""
+        """Parse received data. Raises httptools.HttpParserError if it is not valid HTTP."""
         self.parser.feed_data(data)
 
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """A message starts."""
+        """Begin a new message."""
         self.message = Http1Message()
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request's target."""
+        """Append part of the request target."""
         self.message.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Store one header field."""
         self.message.headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Store the status of a response."""
         if not self.parses_requests:
             self.message.status = self.parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body."""
+        """Count part of the body."""
         self.message.body_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        """The message is complete."""
+        """Pass the complete message to `on_message`, unless it is an interim response."""
         if self.parses_requests or self.message.status >= FIRST_FINAL_STATUS:
             self.on_message(self.message, self.parser.should_keep_alive())
--- a/sagetrack/lab/stand_ins/listener.py
+++ b/sagetrack/lab/stand_ins/listener.py
@@ -1,4 +1,4 @@
-"""A TCP listener on loopback that can stop to complete handshakes, as a host that vanished does."""
+"""A loopback TCP listener that can stop completing handshakes, to simulate a vanished host."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 BACKLOG = 1024
 ACCEPTS_PER_WAKEUP = 32
-FILLER_CONNECTIONS = 3  # connections that fill a queue of length 0 on Linux
+FILLER_CONNECTIONS = 3  # enough to fill an accept queue with a backlog of 0 on Linux
 
 
 def _open_listener(host: str) -> socket.socket:
-    """A non-blocking listening socket at a free port of this host; OSError if there is none."""
+    """Open a non-blocking listening socket on a free port of this host. Raises OSError if there is none."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -26,10 +26,11 @@
 
 
 class SilenceableListener:
-    """A listening socket that can fall silent: handshakes with it then neither complete nor fail.
+    """A listening socket that can be muted; handshakes with it then neither complete nor fail.
 
-    `address` is its "host:port". It accepts connections from its creation on, with a protocol from the
-    factory for each. Needs a running event loop; the constructor raises OSError if the host has no free port.
+    `address` is its "host:port". It accepts connections from its creation on, each with a protocol from the
+    factory. Must be created while an event loop is running. The constructor raises OSError if the host has no
+    free port.
     """
 
     def __init__(self, host: str, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
@@ -50,11 +51,11 @@
                 return
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task = self.loop.create_task(self.loop.connect_accepted_socket(self.protocol_factory, accepted))
-            # The exception of a connection that broke at once is read, so that asyncio logs nothing.
+            # Retrieve the exception of a connection that fails immediately, so that asyncio does not log it.
             task.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     def mute(self) -> None:
-        """Fill the accept queue, so that the kernel drops the SYN of each further connection."""
+        """Fill the accept queue, so that the kernel drops the SYNs of further connections."""
         if self.is_muted or self.is_closed:
             return
         self.is_muted = True
@@ -78,7 +79,7 @@
         self.loop.add_reader(self.listener.fileno(), self._accept)
 
     def close(self) -> None:
-        """Stop listening; further connections are refused. Accepted ones stay open."""
+        """Stop listening. Further connections are refused; accepted ones stay open."""
         if self.is_closed:
             return
         self.unmute()
--- a/sagetrack/lab/stand_ins/peer_network.py
+++ b/sagetrack/lab/stand_ins/peer_network.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways, passed on with the network's delays, losses and partitions."""
+"""Relays the datagrams between gateways, with simulated delay, loss and partitions."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from sagetrack.lab.model.world import World
 
-MAX_DATAGRAM_BYTES = 256  # a longer one breaks the platform's rule, and is recorded
+MAX_DATAGRAM_BYTES = 256  # limit set by the platform; longer datagrams are recorded
 
 
 class PeerNetwork:
-    """One relay address for each pair of gateways, so that the sender of each datagram is known.
+    """One relay for each ordered pair of gateways, so that the sender of each datagram is known.
 
-    A gateway is configured with the addresses of its own relays in place of its peers'.
+    Gateways are configured with the addresses of their relays in place of their peers' addresses.
     """
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.relays: dict[tuple[int, int], PeerRelay] = {}  # by sender and receiver
-        self.listen_addresses: dict[int, tuple[str, int]] = {}  # of the gateways themselves
+        self.relays: dict[tuple[int, int], PeerRelay] = {}  # by (sender, receiver)
+        self.listen_addresses: dict[int, tuple[str, int]] = {}  # (host, port) by gateway
 
     async def open(self) -> None:
-        """Find each gateway an address to listen at, and bind the relays."""
+        """Choose a listening address for each gateway and bind the relays."""
         loop = asyncio.get_running_loop()
         gateways = list(self.world.gateway_fleet.alive)
         for source in gateways:
@@ -38,12 +38,12 @@
                 await loop.create_datagram_endpoint(lambda relay=relay: relay, relay_address)  # type: ignore[misc]
 
     def listen_address(self, gateway: int) -> str:
-        """The "host:port" at which a gateway is to listen for datagrams."""
+        """Return the "host:port" on which a gateway must listen for datagrams."""
         host, port = self.listen_addresses[gateway]
         return f"{host}:{port}"
 
     def peer_addresses(self, gateway: int) -> list[str]:
-        """The "host:port" of all gateways, as this one is to know them."""
+        """Return the "host:port" of each of a gateway's relays, as its configured peer addresses."""
         return [self.relays[gateway, other].address for other in self.world.gateway_fleet.alive]
 
     def close(self) -> None:
@@ -53,7 +53,10 @@
 
 
 class PeerRelay(asyncio.DatagramProtocol):
-    """The address that stands for one gateway towards another: what comes is passed on, late or never."""
+    """Forwards datagrams from gateway `source` to gateway `target` with delay and loss.
+
+    It is the address at which `source` reaches `target`.
+    """
 
     def __init__(self, network: PeerNetwork, source: int, target: int) -> None:
         self.network = network
@@ -62,7 +65,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     @property
@@ -72,7 +75,7 @@
         return "{}:{}".format(*self.transport.get_extra_info("sockname"))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass a datagram on after a drawn delay, unless it is lost or a partition is in force."""
+        """Forward a datagram after a random delay, unless it is lost or a partition blocks it."""
         world = self.network.world
         settings = world.scenario.network
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -81,20 +84,20 @@
         if is_lost or not world.network.peers_reach(self.source, self.target):
             return
         due_us = world.clock.now_us() + int(world.context.random.peers.uniform(*settings.peer_ms) * 1000)
-        # The target knows the sender by the address of the relay in the other direction.
+        # The target knows the sender by the address of the reverse relay, so that relay sends the datagram.
         reverse = self.network.relays[self.target, self.source]
         world.clock.at(due_us, lambda: reverse.send_to_source(data))
 
     def send_to_source(self, data: bytes) -> None:
-        """Send a datagram to the gateway that this relay belongs to."""
+        """Send a datagram to this relay's source gateway."""
         if self.transport is not None:
             self.transport.sendto(data, self.network.listen_addresses[self.source])
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there now: the datagram is lost."""
+        """Ignore the error: the gateway is not listening, so the datagram is lost."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the transport."""
+        """Clear the transport."""
         self.transport = None
 
     def close(self) -> None:
--- a/sagetrack/lab/stand_ins/scripted.py
+++ b/sagetrack/lab/stand_ins/scripted.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 server that does with each request what a test's script says, however wrong.
+"""An HTTP/1.1 server that handles each request with a script from the test, and may violate the protocol.
 
-An `AddressServer` behaves as a server of the lab's model does; this one follows its script alone.
+Unlike an `AddressServer`, it has no simulation model behind it.
 """
 
 from __future__ import annotations
@@ -19,17 +19,20 @@
     """A request or a response."""
 
     start_line: str
-    headers: dict[str, str]  # by name in lower case
+    headers: dict[str, str]  # keys are in lower case
     body: bytes = b""
 
     @property
     def status(self) -> int:
-        """A response's status."""
+        """The status code, if this is a response."""
         return int(self.start_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read a message whose body is as long as its Content-Length says; IncompleteReadError if it is cut."""
+    """Read a message whose body length is given by Content-Length.
+
+    Raises IncompleteReadError if the connection ends before the message is complete.
+    """
     head = (await reader.readuntil(HEAD_END)).decode("latin-1")
     start_line, *lines = head.removesuffix(HEAD_END.decode()).split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -38,21 +41,21 @@
 
 
 def http_response(status: int = 200, body: bytes = b"fine", *headers: str) -> bytes:
-    """A response on the wire; each further header is a "Name: value"."""
+    """Encode a response; `headers` are additional header lines ("Name: value")."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + HEAD_END + body
 
 
 @dataclass
 class Exchange:
-    """One request at a scripted server, and the connection that it came on, counted from 1."""
+    """One request at a scripted server, with its connection; connections are numbered from 1."""
 
     message: Message
     writer: asyncio.StreamWriter
     connection_number: int
 
     def respond(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write bytes unchanged to the connection."""
         self.writer.write(data)
 
     def reset(self) -> None:
@@ -64,26 +67,26 @@
 
 
 def respond_with(data: bytes) -> Script:
-    """A script that answers each request with the same bytes."""
+    """Return a script that sends the same bytes in response to each request."""
     return lambda exchange: exchange.respond(data)
 
 
 def no_response(exchange: Exchange) -> None:
-    """A script that reads each request and sends nothing."""
+    """Send no response. This function is used as a script."""
 
 
 @dataclass
 class ScriptedServer:
-    """A server that runs its script, which may be replaced, for each request.
+    """A server that runs its script for each request. The script may be replaced at any time.
 
-    `address` is its "host:port". The next request of a connection is read once the script is done with the
-    one before.
+    `address` is its "host:port". On each connection, the next request is read when the script has finished
+    with the previous one.
     """
 
     script: Script
-    exchanges: list[Exchange] = field(default_factory=list)  # all so far
+    exchanges: list[Exchange] = field(default_factory=list)  # all requests so far
     opened_connections: int = 0
-    closed_connections: int = 0  # by the other side
+    closed_connections: int = 0  # connections closed by the other side
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     server: asyncio.Server | None = None
     address: str = ""
@@ -117,7 +120,7 @@
 
 @asynccontextmanager
 async def scripted_server(script: Script = RESPOND_OK) -> AsyncIterator[ScriptedServer]:
-    """A scripted server that listens on loopback until the context ends."""
+    """Run a scripted server on loopback until the context ends."""
     scripted = ScriptedServer(script)
     scripted.server = await asyncio.start_server(scripted.serve, "127.0.0.1", 0)
     host, port = scripted.server.sockets[0].getsockname()
@@ -128,11 +131,11 @@
         scripted.close()
 
 
-# Discovery's lists in its wire form, whose keys are the platform's
+# Discovery endpoint lists in the platform's wire format
 
 
 def endpoint(name: str, address: str, **changes: object) -> dict[str, object]:
-    """An endpoint that serves, with some keys changed or added."""
+    """Build a SERVING endpoint, with `changes` to its keys."""
     entry: dict[str, object] = {
         "name": name,
         "address": address,
@@ -147,10 +150,10 @@
 
 
 def endpoint_list(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> dict[str, object]:
-    """A full list, or the changes since one, of this index."""
+    """Build an endpoint list with this index: a full list, or a difference if `snapshot` is False."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
 def list_response(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> bytes:
-    """The same as a response on the wire."""
+    """Encode an `endpoint_list` as an HTTP response."""
     return http_response(200, json.dumps(endpoint_list(index, *endpoints, snapshot=snapshot)).encode())
