--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,7 +26,7 @@
 from sagetrack.http1.downstream import MAX_PIPELINED, ClientConnection
 from sagetrack.policy.actions import Action, SetTimer
 from sagetrack.policy.events import ListedServer, Outcome, RequestArrived, TimerFired
-from tests.grpc_helpers import GrpcUpstreamRig, grpc_upstream_rig, request_head, send_request
+from tests.grpc_helpers import GrpcUpstreamFixture, grpc_upstream_fixture, request_head, send_request
 from tests.sockets import (
     Client,
     RunningGateway,
@@ -41,7 +41,7 @@
     wait_for_reusable_connections,
     wait_until,
 )
-from tests.test_races import Late, outcomes
+from tests.test_races import HeldConnections, outcomes
 
 PIPELINED_REQUESTS = 3 * MAX_PIPELINED  # exceeds the pipelining limit, so that reading is paused
 
@@ -115,7 +115,7 @@
 @on_event_loop
 async def test_a_disconnect_in_the_iteration_in_which_the_upstream_connection_opens() -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client = await run.connect()
         client.send(request("transfer"))
         await wait_until(lambda: delayed.held)
@@ -133,7 +133,7 @@
 async def test_a_disconnect_while_the_first_attempt_waits_for_a_connection() -> None:
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         disable_hangup_watch(run)
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client, connection = await pipelining_client(run)
         await wait_until(lambda: delayed.held)
         await disconnect(client, connection)
@@ -265,7 +265,7 @@
     """Reading is paused until the body has a server, so that the disconnect is not read either."""
     async with scripted_server() as upstream, running_gateway(configuration(upstream)) as run:
         disable_hangup_watch(run)
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         client = await run.connect()
         client.send(request("transfer", content_length="1000000") + bytes(140_000))
         await wait_until(lambda: run.listener.context.paused and delayed.held)
@@ -291,7 +291,7 @@
     async with scripted_server(no_response) as upstream, running_gateway(configuration(upstream)) as run:
         assert run.listener.sweep_timer is not None
         run.listener.sweep_timer.cancel()
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         reported = outcomes(run)
         client, connection = await pipelining_client(run)
         await wait_until(lambda: delayed.held)
@@ -349,13 +349,13 @@
 @asynccontextmanager
 async def gateway_with_grpc_client(
     tmp_path: Path, run_on: Any
-) -> AsyncIterator[tuple[GrpcUpstreamRig, RunningGateway, Any]]:
+) -> AsyncIterator[tuple[GrpcUpstreamFixture, RunningGateway, Any]]:
     """Run a gateway that accepts gRPC and has HTTP/1.1 servers, and a gRPC client of it."""
     file = tmp_path / "operator.toml"
     file.write_text('[newer]\nlisten = ["127.0.0.1:0"]\n')
     async with (
         running_gateway(configuration(run_on), load_operator(str(file))) as run,
-        grpc_upstream_rig() as client,
+        grpc_upstream_fixture() as client,
     ):
         listener = run.assembly.protocol_listeners.grpc
         assert listener is not None
@@ -370,7 +370,7 @@
         scripted_server() as upstream,
         gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
     ):
-        delayed, reported = Late(run), outcomes(run)
+        delayed, reported = HeldConnections(run), outcomes(run)
         send_request(client, request_head(1), b"x")
         await wait_until(lambda: delayed.held)
         (attempt,) = client.connection.attempts.on_open_streams()
@@ -392,7 +392,7 @@
         scripted_server() as upstream,
         gateway_with_grpc_client(tmp_path, upstream) as (client, run, listener),
     ):
-        delayed = Late(run)
+        delayed = HeldConnections(run)
         send_request(client, request_head(0), b"x")
         await wait_until(lambda: listener.connections and client.connection.transport is not None)
         for n in range(1, 100):
