--- a/sagetrack/lab/soak/__init__.py
+++ b/sagetrack/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes on loopback, faults that overlap, and an oracle that holds the rules."""
+"""A randomized soak test: real processes on loopback, overlapping faults, and an oracle that checks rules."""
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -1,6 +1,7 @@
-"""Clients of the soak, as a process: `python -m sagetrack.lab.soak.client NUMBER SEED FILE PORTS`.
+"""Client process of the soak: `python -m sagetrack.lab.soak.client NUMBER SEED FILE PORTS`.
 
-PORTS is a JSON file with the list of the gateways' ports. The process ends with its standard input.
+FILE receives the events. PORTS is a JSON file with the list of the gateways' ports. The process ends when its
+standard input is closed.
 """
 
 from __future__ import annotations
@@ -27,13 +28,13 @@
 )
 from sagetrack.lab.soak.response_body import is_body_for
 
-CLIENTS = 10  # of one process
-ACTION_PAUSE_S = (0.005, 0.08)  # between a client's actions
+CLIENTS = 10  # clients per process
+ACTION_PAUSE_S = (0.005, 0.08)  # range of the pause between a client's actions
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.05
-RESPONSE_GRACE_S = 1.0  # past a request's budget, until its client is sure that no response comes
-MALFORMED_REQUEST_TIMEOUT_S = 3.0  # within which a malformed request must get an error or a close
-LAST_ON_CONNECTION_SHARE = 0.15  # of the requests
+RESPONSE_GRACE_S = 1.0  # time past a request's budget after which its response counts as missing
+MALFORMED_REQUEST_TIMEOUT_S = 3.0  # a malformed request must get an error or a close within this time
+LAST_ON_CONNECTION_SHARE = 0.15  # share of the actions after which the client closes its connection
 CLASS_NAMES = ("search", "search", "hold", "reserve", "transfer", "transfer")
 BUDGETS_MS = (150, 400, 800, 1_500, 2_500)
 DISCONNECT_AFTER_S = (0.0, 0.01, 0.03, 0.2)
@@ -41,7 +42,7 @@
 IDLE_S = (0.3, 1.5)
 UPLOAD_BYTES = (70_000, 300_000)
 UPLOAD_PIECE = 16 * 1024
-UPLOAD_DELAY_S = (0.0, 0.0, 0.01)  # between pieces
+UPLOAD_DELAY_S = (0.0, 0.0, 0.01)  # choices of the delay between pieces
 MALFORMED_REQUESTS = (
     b"no request at all\r\n\r\n",
     b"GET /search HTTP/9.9\r\n\r\n",
@@ -51,19 +52,19 @@
 
 
 class Request(NamedTuple):
-    """A request as its client has drawn it."""
+    """The randomly chosen properties of a request."""
 
     request_id: str
     class_name: str
     budget_ms: int
 
     def encode(self, padding: int = 0) -> bytes:
-        """The request's bytes, with so many bytes added to its body."""
+        """Encode the request, with `padding` bytes added to its body."""
         return build_request(self.request_id, self.class_name, self.budget_ms, padding)
 
 
 class Client:
-    """One client: a connection to one gateway at a time, which it renews now and then."""
+    """One client. It has at most one connection at a time, which it occasionally replaces."""
 
     def __init__(self, name: str, gateway_ports: list[int], events: EventWriter, rng: random.Random) -> None:
         self._name = name
@@ -84,7 +85,7 @@
         }
 
     async def run(self) -> None:
-        """Act without end; a gateway that cannot be reached is left for another one."""
+        """Perform random actions forever; choose another gateway if the current one cannot be reached."""
         actions = list(self._action_weights)
         weights = list(self._action_weights.values())
         while True:
@@ -105,7 +106,7 @@
         await self._send_request(self._draw_request())
 
     async def _disconnect(self) -> None:
-        """Close the connection before the response."""
+        """Send a request and close the connection before the response."""
         request = self._draw_request()
         connection = await self._connect()
         connection.writer.write(request.encode())
@@ -115,7 +116,10 @@
         self._events.write(ClientDisconnected(now_us(), request.request_id))
 
     async def _pipeline(self) -> None:
-        """Send several requests of the same budget at once on a new connection; responses keep the order."""
+        """Send several requests with the same budget at once on a new connection.
+
+        The responses must come in the order of the requests.
+        """
         self._drop_connection()
         connection = await self._connect()
         budget_ms = self._rng.choice(BUDGETS_MS)
@@ -133,7 +137,10 @@
         self._drop_connection()
 
     async def _send_split(self) -> None:
-        """Send a request in two parts; its connection counts as fresh or not when the second is sent."""
+        """Send a request in two parts.
+
+        Whether its connection is fresh is determined when the second part is sent.
+        """
         request = self._draw_request()
         connection = await self._connect()
         data = request.encode()
@@ -145,7 +152,7 @@
         await self._finish(connection, request, was_fresh)
 
     async def _upload(self) -> None:
-        """Send a body that is longer than a gateway buffers, in pieces.
+        """Send a body in pieces that together exceed a gateway's buffer.
 
         The request's budget counts from its last byte.
         """
@@ -160,13 +167,13 @@
         await self._finish(connection, request, was_fresh)
 
     async def _send_after_idle(self) -> None:
-        """Leave a connection idle for long, and send a request then."""
+        """Leave a connection idle, then send a request on it."""
         await self._connect()
         await asyncio.sleep(self._rng.uniform(*IDLE_S))
         await self._send_request(self._draw_request())
 
     async def _send_malformed(self) -> None:
-        """Send what is no request on a new connection, and wait for an error or a close."""
+        """Send a malformed request on a new connection and wait for an error response or a close."""
         self._drop_connection()
         connection = await self._connect()
         data = self._rng.choice(MALFORMED_REQUESTS)
@@ -179,7 +186,7 @@
                 self._events.write(MalformedRequestIgnored(now_us(), self._gateway, data.decode()))
         self._drop_connection()
 
-    # What actions consist of
+    # Helpers of the actions
 
     def _draw_request(self) -> Request:
         self._request_count += 1
@@ -187,7 +194,7 @@
         return Request(f"{self._name}-{self._request_count}", class_name, self._rng.choice(BUDGETS_MS))
 
     async def _connect(self) -> Connection:
-        """The connection that is kept, or a new one."""
+        """Return the current connection if it is still open, otherwise a new one."""
         if self._connection is not None and self._connection.reader.at_eof():
             self._drop_connection()
         if self._connection is None:
@@ -203,7 +210,7 @@
             self._connection = None
 
     async def _send_request(self, request: Request, is_resend: bool = False) -> None:
-        """Send a request at once, and again on a new connection if a kept one ends under it."""
+        """Send a request in one write; resend it if a reused connection ends without a response."""
         connection = await self._connect()
         was_fresh = connection.is_fresh
         connection.writer.write(request.encode())
@@ -212,9 +219,10 @@
     async def _finish(
         self, connection: Connection, request: Request, was_fresh: bool, is_resend: bool = False
     ) -> None:
-        """After a request's last byte: await the response, and resend the request if a kept connection ends.
+        """Await the response after a request's last byte is sent.
 
-        `was_fresh` is whether the connection was fresh for this request.
+        If the connection ends without a response and was not fresh (`was_fresh`), the request is resent on a
+        new connection.
         """
         self._record_sent(connection, request, is_resend)
         answered = await self._await_response(connection, request)
@@ -227,7 +235,10 @@
         self._events.write(event)
 
     async def _await_response(self, connection: Connection, request: Request) -> bool:
-        """Whether a response has begun; the connection is dropped unless it has come in full."""
+        """Await the response and record it. Returns True if a response has begun.
+
+        The connection is dropped unless the response is complete.
+        """
         request_id = request.request_id
         try:
             async with asyncio.timeout(request.budget_ms / 1000 + RESPONSE_GRACE_S):
@@ -251,10 +262,10 @@
 
 
 async def main(number: int, seed: int, event_file: Path, port_file: Path) -> None:
-    """Run clients until standard input ends.
+    """Run the clients until standard input is closed.
 
     Raises:
-        Exception: Whatever a client has raised; without its load the run shows nothing.
+        Exception: Any exception of a client. A run with fewer clients than planned is meaningless.
     """
     gateway_ports: list[int] = msgspec.json.decode(port_file.read_bytes(), type=list[int])
     events = EventWriter(event_file)
--- a/sagetrack/lab/soak/client_connection.py
+++ b/sagetrack/lab/soak/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's side of HTTP/1.1 in the soak: its connection, its requests, and the responses that it reads."""
+"""The client side of HTTP/1.1 in the soak: connections, request encoding and response parsing."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from sagetrack.lab.soak.events import now_us
 from sagetrack.lab.stand_ins.scripted import Message, read_message
 
-FIRST_REQUEST_TIMEOUT_US = 450_000  # a gateway waits a little longer for a new connection's first request
+FIRST_REQUEST_TIMEOUT_US = 450_000  # slightly less than a gateway waits for a new connection's first request
 HEAD_END = b"\r\n\r\n"
 
 
 class TruncatedResponseError(ValueError):
-    """A response has begun and broken off before its end."""
+    """The connection ended before a response that had begun was complete."""
 
 
 @dataclass(slots=True)
@@ -24,11 +24,14 @@
     writer: asyncio.StreamWriter
     opened_us: int
     used: bool = False
-    response_begun: bool = False  # its head has come: what breaks off then has failed, and is not missing
+    response_begun: bool = False  # the response head has arrived; a later close counts as truncation
 
     @property
     def is_fresh(self) -> bool:
-        """Whether a request now is the first one, and in time: if the connection ends, it is not resent."""
+        """True if no request was sent yet and the gateway still waits for the first one.
+
+        A request sent on a fresh connection is not resent if the connection ends.
+        """
         return not self.used and now_us() - self.opened_us < FIRST_REQUEST_TIMEOUT_US
 
     def close(self) -> None:
@@ -36,11 +39,11 @@
         self.writer.transport.abort()
 
     async def read_response(self) -> Message:
-        """Read one response, which has a length or comes in chunks.
+        """Read one response, whose body has a Content-Length or is chunked.
 
         Raises:
-            asyncio.IncompleteReadError: The connection has ended before a response began.
-            TruncatedResponseError: The connection has ended within the response.
+            asyncio.IncompleteReadError: The connection ended before a response began.
+            TruncatedResponseError: The connection ended within the response.
             ValueError: The response is malformed.
         """
         self.response_begun = False
@@ -74,7 +77,7 @@
 
 
 def build_request(request_id: str, class_name: str, budget_ms: int, padding: int = 0) -> bytes:
-    """A complete request; `padding` bytes are added to its body, which only a "search" does not have."""
+    """Encode a complete request. Every class except "search" has a body, which `padding` bytes extend."""
     has_body = class_name != "search"
     lines = [
         f"{'POST' if has_body else 'GET'} /{class_name}/{request_id} HTTP/1.1",
--- a/sagetrack/lab/soak/discovery.py
+++ b/sagetrack/lab/soak/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery of the soak: one endpoint list for all, and for each gateway an agent that can fail.
+"""Service discovery in the soak: one shared endpoint list, and for each gateway an agent that can fail.
 
-The endpoint list has the wire form of the gateways' discovery protocol.
+The agents serve the list in the wire format of the gateways' discovery protocol.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from sagetrack.lab.soak.events import now_us
 from sagetrack.lab.stand_ins.scripted import http_response, read_message
 
-GROUPS = 3  # idempotency groups, which servers are spread over
+GROUPS = 3  # number of idempotency groups, over which the servers are distributed
 MAX_STORED_CHANGES = 50
 MAX_WATCH_S = 60.0
-SILENT_FAULT_S = 60.0  # longer than a gateway waits
+SILENT_FAULT_S = 60.0  # response delay of a silent agent, longer than a gateway waits
 
 JsonObject = dict[str, Any]
 
 
 class EndpointStatus(Enum):
-    """The state of a listed server; the values are those of the wire."""
+    """The status of a server in the list. The values are those of the wire format."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -34,11 +34,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A server as the list has it."""
+    """The list entry of a server."""
 
     server: int
     status: EndpointStatus = EndpointStatus.SERVING
-    started_ms: int = 0  # wall clock
+    started_ms: int = 0  # start time as Unix milliseconds
 
     @property
     def group(self) -> int:
@@ -47,12 +47,12 @@
 
 
 def group_of(server: int) -> int:
-    """The idempotency group of a server."""
+    """Return the idempotency group of a server."""
     return server % GROUPS
 
 
 class Change(NamedTuple):
-    """An endpoint's change, and the list's version since then."""
+    """A changed endpoint, and the version of the list after the change."""
 
     version: int
     endpoint: Endpoint
@@ -60,20 +60,20 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """The endpoint list, its version, and its last changes."""
+    """The endpoint list, its version and its latest changes."""
 
     endpoints: dict[int, Endpoint]
     version: int = 1
     changes: list[Change] = field(default_factory=list)
-    changed: asyncio.Event = field(default_factory=asyncio.Event)  # is set, and replaced, by each change
+    changed: asyncio.Event = field(default_factory=asyncio.Event)  # each change sets and then replaces it
 
     @classmethod
     def of(cls, servers: int) -> EndpointList:
-        """A list of so many servers that all serve."""
+        """Create a list of `servers` servers with status SERVING."""
         return cls({number: Endpoint(number) for number in range(servers)})
 
     def set_status(self, server: int, status: EndpointStatus, restarted: bool = False) -> None:
-        """Change a server's status; `restarted` makes now the time of its start."""
+        """Change a server's status. With `restarted`, its start time becomes the current time."""
         started_ms = int(time.time() * 1000) if restarted else self.endpoints[server].started_ms
         endpoint = Endpoint(server, status, started_ms)
         self.endpoints[server] = endpoint
@@ -83,7 +83,7 @@
         self.changed = asyncio.Event()
 
     def changes_since(self, version: int) -> list[Endpoint] | None:
-        """The endpoints that have changed since a version, as they are now; None if it is too old."""
+        """Return the latest state of the endpoints changed since a version, or None if it is too old."""
         changed = [change.endpoint for change in self.changes if change.version > version]
         if len(changed) < self.version - version:
             return None
@@ -94,26 +94,27 @@
 class AgentFault(Enum):
     """How an agent fails."""
 
-    DOWN = "down"  # it closes every connection at once
-    SILENT = "silent"  # it takes requests and does not respond
+    DOWN = "down"  # it closes every connection immediately
+    SILENT = "silent"  # it accepts requests but does not respond
 
 
 class UnreachableSpan(NamedTuple):
-    """A span of time, in microseconds, in which an agent could not be reached."""
+    """A time span, in microseconds, during which an agent was unreachable."""
 
     from_us: int
     to_us: int
 
 
 class DiscoveryAgent:
-    """The discovery service of one gateway, which serves the endpoint list.
+    """The discovery service of one gateway.
 
-    Each gateway has its own addresses of the servers, since it reaches them through the fault proxy.
+    The addresses of the servers differ between gateways, because each gateway reaches them through its own
+    routes of the fault proxy.
     """
 
     def __init__(self, gateway: int, endpoint_list: EndpointList, addresses: dict[int, str]) -> None:
         self.gateway = gateway
-        self.address = ""  # the newest one
+        self.address = ""  # "host:port" of the newest listener
         self.unreachable_spans: list[UnreachableSpan] = []
         self._list = endpoint_list
         self._addresses = addresses
@@ -123,10 +124,10 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def listen(self) -> list[asyncio.Server]:
-        """Listen at a further address, which is the one to be used from now on.
+        """Listen on an additional address, which becomes `address`.
 
         Returns:
-            The listeners at earlier addresses, which still serve: see `close`.
+            The earlier listeners, which still accept connections until `close` is called with them.
         """
         earlier = list(self._listeners)
         listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -136,13 +137,13 @@
         return earlier
 
     def close(self, listeners: list[asyncio.Server]) -> None:
-        """Stop listening at these addresses, and reset all connections."""
+        """Close these listeners and reset all connections."""
         for listener in listeners:
             listener.close()
         self.reset_connections()
 
     def fail(self, fault: AgentFault) -> None:
-        """Fail from now on, and reset all connections if that is new."""
+        """Start to fail. All connections are reset unless the agent was failing already."""
         was_working = self._fault is None
         self._fault = fault
         if was_working:
@@ -150,19 +151,19 @@
             self.reset_connections()
 
     def recover(self) -> None:
-        """Work from now on; open connections are reset if it did not before."""
+        """Stop failing. Open connections are reset if the agent was failing."""
         if self._fault is not None:
             self._fault = None
             self.unreachable_spans.append(UnreachableSpan(self._failing_since_us, now_us()))
             self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset all connections, and with them the gateway's watch."""
+        """Reset all connections, which ends the gateway's pending watch."""
         for writer in self._writers:
             writer.transport.abort()
 
     def snapshot(self) -> JsonObject:
-        """The complete list, in the wire form."""
+        """Return the complete list in wire format."""
         endpoints = self._list.endpoints.values()
         listed = [endpoint for endpoint in endpoints if endpoint.status is not EndpointStatus.DELETED]
         return self._list_message(listed, snapshot=True)
@@ -180,7 +181,7 @@
                     await asyncio.sleep(SILENT_FAULT_S)
                 writer.write(http_response(200, json.dumps(message).encode()))
         except (asyncio.IncompleteReadError, OSError, RuntimeError, asyncio.CancelledError):
-            pass  # it is cancelled as the run ends, and nobody waits for this task
+            pass  # the connection broke, or the run ended and cancelled this task, which nothing awaits
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
@@ -189,7 +190,7 @@
         return self._fault is AgentFault.DOWN
 
     async def _respond(self, target: str) -> JsonObject:
-        """The list for a request's target: all of it, or what has changed since the version that it names."""
+        """Build the response to a request: the full list, or the changes since the version in its target."""
         query = parse_qs(urlsplit(target).query)
         if "from" not in query:
             return self.snapshot()
--- a/sagetrack/lab/soak/events.py
+++ b/sagetrack/lab/soak/events.py
@@ -1,6 +1,7 @@
-"""Events that the processes of a soak write down: one JSON line each, stamped with the machine's clock.
+"""Events that the processes of a soak record, one JSON line each.
 
-All processes read CLOCK_MONOTONIC in microseconds: they share it, and no step of the wall clock moves it.
+Timestamps are microseconds of CLOCK_MONOTONIC, which all processes of the machine share and which steps of
+the wall clock do not change.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 
 def now_us() -> int:
-    """The time of CLOCK_MONOTONIC, in microseconds."""
+    """Return the time of CLOCK_MONOTONIC in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Event(msgspec.Struct, tag=True):
-    """Anything that a process has seen; `at_us` is when, and the class name is the tag in the file."""
+    """Base class of events. `at_us` is the time of the event; the class name is the tag in the file."""
 
     at_us: int
 
@@ -31,20 +32,20 @@
     class_name: str
     budget_ms: int
     gateway: int
-    first_on_connection: bool  # and in time, so that the client does not resend it
-    is_resend: bool  # the connection before has ended without a response
+    first_on_connection: bool  # sent on a fresh connection, so the client does not resend it
+    is_resend: bool  # sent again because the previous connection ended without a response
 
 
 class ResponseReceived(Event):
     """A client has read the last byte of a response."""
 
     request_id: str
-    status: int  # 0: the response has begun, and the client could tell that it was cut off
-    body_correct: bool  # the body is the one made for this request; also true for any status but 200
+    status: int  # 0 if the response was detectably truncated
+    body_correct: bool  # the body belongs to this request; always true if the status is not 200
 
 
 class ResponseMissing(Event):
-    """A client's connection has ended, or its patience, before a response began."""
+    """A client's connection ended, or its wait timed out, before a response began."""
 
     request_id: str
     connection_closed: bool
@@ -62,7 +63,7 @@
     request_id: str
     gateway: int
     server: int
-    budget_ms: int  # the time left, as the attempt's header says; -1 without one
+    budget_ms: int  # remaining budget from the attempt's header; -1 if there is no header
 
 
 class AttemptReceived(Event):
@@ -81,10 +82,10 @@
 
 
 class DuplicateResponseSent(Event):
-    """A server has sent a response for the second time."""
+    """A server has sent a response a second time."""
 
     server: int
-    delay_us: int  # after the first
+    delay_us: int  # time since the first response
 
 
 class MalformedRequestIgnored(Event):
@@ -108,7 +109,7 @@
 
 
 class EventWriter:
-    """Appends the events of one process to a file of its own, without a buffer."""
+    """Appends the events of one process to its own file, without buffering."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("ab", buffering=0)
@@ -120,9 +121,9 @@
 
 
 def read_events(folder: Path) -> list[AnyEvent]:
-    """All events of all processes in the order of time.
+    """Read the events of all processes in chronological order.
 
-    A last line that was cut off, by the end of its process, is left out.
+    An incomplete last line of a file, left by a process that was killed, is ignored.
     """
     decoder: msgspec.json.Decoder[AnyEvent] = msgspec.json.Decoder(AnyEvent)
     events: list[AnyEvent] = []
--- a/sagetrack/lab/soak/fault_injection.py
+++ b/sagetrack/lab/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Applies the scheduled faults to the fleet, each at its time, and records what the oracle must know."""
+"""Applies the scheduled faults to the fleet and records in the history what the oracle needs to know."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import NO_FAULTS, SystemCallFaults
 
-PAUSE_S = 0.12  # a gateway is stopped for
-PAUSE_GAP_S = 0.15
-HALF_WRITTEN_CONFIGURATION_S = 0.2  # from SIGHUP until the configuration is complete
-OLD_DISCOVERY_ADDRESS_S = 1.5  # from SIGHUP until the old address of discovery is closed
-RELOAD_GRACE_US = 4_000_000  # after a reload discovery counts as unreachable for so long
-CRASH_DETECTION_S = 0.3  # from a server's crash until discovery lists it as deleted
-SERVER_LISTING_DELAY_S = 0.4  # from a server's restart until discovery lists it again
+PAUSE_S = 0.12  # duration of each SIGSTOP of a gateway
+PAUSE_GAP_S = 0.15  # time between SIGCONT and the next SIGSTOP
+HALF_WRITTEN_CONFIGURATION_S = 0.2  # time from SIGHUP until the configuration file is complete
+OLD_DISCOVERY_ADDRESS_S = 1.5  # time from SIGHUP until the old discovery address is closed
+RELOAD_GRACE_US = 4_000_000  # time after a reload during which discovery counts as unreachable
+CRASH_DETECTION_S = 0.3  # time from a server's crash until discovery lists it as deleted
+SERVER_LISTING_DELAY_S = 0.4  # time from a server's restart until discovery lists it again
 
 
 class FaultInjector:
-    """Applies faults to the parties of one run; several may be under way at once."""
+    """Applies faults to the processes of one run; several faults may be active at once."""
 
     def __init__(
         self, fleet: Fleet, lifecycle: GatewayLifecycle, server_count: int, history: History
@@ -60,7 +60,10 @@
         }
 
     async def apply_when_due(self, fault: ScheduledFault) -> None:
-        """Wait for a fault's start, apply it, and return when it is over and what it ended runs again."""
+        """Wait until a fault is due and apply it.
+
+        Returns when the fault is over and the processes that it ended are running again.
+        """
         await asyncio.sleep(fault.at_s)
         await self._appliers[fault.kind](fault)
 
@@ -77,7 +80,7 @@
         await self._lifecycle.upgrade(self._gateway(fault), crossed)
 
     async def _pause(self, fault: ScheduledFault) -> None:
-        """Stop the newest process for a moment, again and again."""
+        """Repeatedly stop the newest process for a short time."""
         gateway = self._gateway(fault)
         end_s = time.monotonic() + fault.duration_s
         while time.monotonic() < end_s:
@@ -88,7 +91,7 @@
             await asyncio.sleep(PAUSE_GAP_S)
 
     async def _reload(self, fault: ScheduledFault) -> None:
-        """Move discovery to a new address, and send SIGHUP with the configuration that has it."""
+        """Move discovery to a new address, write it to the configuration, and send SIGHUP."""
         gateway = self._gateway(fault)
         half_written = fault.kind is FaultKind.HALF_WRITTEN_RELOAD
         old_listeners = await gateway.agent.listen()
@@ -136,7 +139,7 @@
     # Faults of servers
 
     async def _drain_server(self, fault: ScheduledFault) -> None:
-        """List a server as draining, end it after the fault's duration, and start it again."""
+        """List a server as draining, kill it after the fault's duration, and start it again."""
         server = fault.server
         if not self._may_withdraw(server):
             return
@@ -148,7 +151,7 @@
         await self._start_server_again(withdrawal)
 
     async def _crash_server(self, fault: ScheduledFault) -> None:
-        """Kill a server, delete it from the list shortly after, and start it again."""
+        """Kill a server, delete it from the list shortly afterwards, and start it again."""
         server = fault.server
         if not self._may_withdraw(server):
             return
@@ -160,19 +163,19 @@
         await self._start_server_again(withdrawal)
 
     def _may_withdraw(self, server: int) -> bool:
-        """Whether the server is not withdrawn yet, and enough others serve."""
+        """Return True if the server is not withdrawn and enough other servers are serving."""
         withdrawn = self._withdrawn_servers
         return server not in withdrawn and len(withdrawn) <= self._server_count // 3
 
     def _withdraw(self, server: int, status: EndpointStatus) -> Withdrawal:
-        """List a server so that it gets nothing new."""
+        """List a server with a status under which it must get no new attempts."""
         withdrawal = Withdrawal(server, now_us())
         self._history.withdrawals.append(withdrawal)
         self._fleet.endpoint_list.set_status(server, status)
         return withdrawal
 
     async def _start_server_again(self, withdrawal: Withdrawal) -> None:
-        """Start a withdrawn server once its process has ended, and list it as serving."""
+        """Start a withdrawn server again once its process has ended, and list it as serving."""
         server = withdrawal.server
         await self._fleet.wait_for_server(server)
         await self._fleet.start_server(server)
@@ -183,7 +186,7 @@
         self._withdrawn_servers.discard(server)
 
     async def _misbehave(self, fault: ScheduledFault) -> None:
-        """Let one process of a server misbehave; one that is started meanwhile does not."""
+        """Make a server's current process misbehave; a process that replaces it behaves normally."""
         process = self._fleet.server_process(fault.server)
         set_behaviour(process, fault.behaviour)
         await asyncio.sleep(fault.duration_s)
--- a/sagetrack/lab/soak/fault_schedule.py
+++ b/sagetrack/lab/soak/fault_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, drawn from its seed: they begin at any time and overlap. Pure."""
+"""Generates the fault schedule of a soak from its seed; faults may overlap. No I/O."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import CALL_GROUPS, NO_FAULTS, SystemCallFaults
 
-QUIET_S = 1.0  # before the first fault, and after the last
-MEAN_GAP_S = 0.7  # between the starts of two faults
-MIN_RESTART_GAP_S = 8.0  # for so long after a fault that ends its process, no other does
+QUIET_S = 1.0  # time without faults at the start and the end of a run
+MEAN_GAP_S = 0.7  # mean time between the starts of two faults
+MIN_RESTART_GAP_S = 8.0  # minimum time between two faults that end a process of the same gateway
 CLOCK_STEPS_S = (-3_600, -30, 30, 3_600)
-FAILURE_RATES = (20, 100, 300)  # per 1,000 system calls
+FAILURE_RATES = (20, 100, 300)  # failures per 1,000 system calls
 
 
 class FaultKind(Enum):
-    """What happens to a gateway, a server or the route between them; the values are printed."""
-
-    KILL = "kill"  # a gateway, which starts again
-    SIGTERM = "term"  # a gateway, which shuts down gracefully and starts again
-    UPGRADE = "upgrade"  # a second process of a gateway takes over
-    CROSSED_UPGRADE = "crossed_upgrade"  # and gets SIGTERM while the first still shuts down
-    PAUSE = "hold"  # a gateway is stopped for a moment, again and again
-    RELOAD = "reload"  # SIGHUP with a new address of discovery
-    HALF_WRITTEN_RELOAD = "half_reload"  # the same while the configuration is half written
+    """The faults of a gateway, a server or the route between them. The values are printed."""
+
+    KILL = "kill"  # a gateway is killed and restarted
+    SIGTERM = "term"  # a gateway shuts down gracefully and is restarted
+    UPGRADE = "upgrade"  # a second process of a gateway takes over from the first
+    CROSSED_UPGRADE = "crossed_upgrade"  # the second process gets SIGTERM while the first still shuts down
+    PAUSE = "hold"  # a gateway is repeatedly stopped for a short time
+    RELOAD = "reload"  # a gateway gets SIGHUP with a new discovery address
+    HALF_WRITTEN_RELOAD = "half_reload"  # a gateway gets SIGHUP while its configuration is half written
     SYSTEM_CALLS = "system"  # a gateway's system calls fail
-    CLOCK_STEP = "step"  # its wall clock is stepped
-    DISCOVERY_DOWN = "discovery_down"
-    DISCOVERY_SILENT = "discovery_silent"
-    DISCOVERY_RESET = "discovery_reset"  # of open watches
-    DRAIN = "drain"  # a server is withdrawn, keeps responding, and starts again
-    CRASH = "crash"  # a server dies, and starts again
-    MISBEHAVE = "behave"  # a server behaves otherwise than it should
-    MUTE = "mute"  # connections of a gateway to a server do not come up
-    RESET = "reset"  # those that are up are reset
-    STALL = "stall"  # nothing passes on them
+    CLOCK_STEP = "step"  # a gateway's wall clock is stepped
+    DISCOVERY_DOWN = "discovery_down"  # a gateway's discovery agent closes every connection
+    DISCOVERY_SILENT = "discovery_silent"  # a gateway's discovery agent does not respond
+    DISCOVERY_RESET = "discovery_reset"  # a gateway's open watches are reset
+    DRAIN = "drain"  # a server is listed as draining, keeps responding, and is restarted
+    CRASH = "crash"  # a server is killed and restarted
+    MISBEHAVE = "behave"  # a server sends faulty or slow responses
+    MUTE = "mute"  # new connections from a gateway to a server are not established
+    RESET = "reset"  # the connections between a gateway and a server are reset
+    STALL = "stall"  # the connections between a gateway and a server pass no data
 
 
 WEIGHTS = {
@@ -71,9 +71,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduledFault:
-    """One fault of a run, in seconds from its start.
+    """One fault of a run. Times are in seconds from the start of the run.
 
-    It has all that any kind may need: a kind of fault uses the fields that it is about.
+    It has the parameters of all kinds of faults; each kind uses only those that apply to it.
     """
 
     at_s: float
@@ -104,10 +104,10 @@
 
 
 def draw_schedule(seed: int, seconds: float, gateways: int, servers: int) -> list[ScheduledFault]:
-    """The faults of a run, in the order of their starts; the same for the same arguments.
+    """Draw the faults of a run, ordered by start time. The same arguments give the same schedule.
 
-    One starts every `MEAN_GAP_S` on average. A fault that ends a gateway's process is left out while another
-    one may still be in progress.
+    A fault starts every `MEAN_GAP_S` on average. A fault that ends a gateway's process is omitted while an
+    earlier one of the same gateway may still be in progress.
     """
     rng = random.Random(seed)
     schedule: list[ScheduledFault] = []
@@ -132,6 +132,6 @@
 
 
 def _draw_system_call_faults(rng: random.Random) -> SystemCallFaults:
-    """Two groups of system calls that fail, each at a rate of its own."""
+    """Draw two groups of system calls that fail, each with its own failure rate."""
     groups = rng.sample(CALL_GROUPS, 2)
     return replace(NO_FAULTS, **{f"{group}_rate": rng.choice(FAILURE_RATES) for group in groups})
--- a/sagetrack/lab/soak/fleet.py
+++ b/sagetrack/lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The parties of one run: servers, the fault proxy, gateways with their discovery, and clients."""
+"""The processes of one run: servers, the fault proxy, gateways with their discovery agents, and clients."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 @dataclass(slots=True)
 class SoakSize:
-    """How large a run is; each client process has `client.CLIENTS` clients."""
+    """The size of a run. Each client process has `client.CLIENTS` clients."""
 
     gateways: int = 4
     servers: int = 6
     client_processes: int = 3
-    seconds: float = 12.0  # of faults
+    seconds: float = 12.0  # duration of the fault schedule
 
 
 class ClientsEndedError(RuntimeError):
-    """A client process has ended before the run; its log in the run's folder says why."""
+    """A client process ended before the run did. Its log in the run's folder shows the reason."""
 
 
 class Fleet:
-    """All parties of one run, which write their events and logs into the run's folder."""
+    """Starts and ends all processes of one run, which write their events and logs to the run's folder."""
 
     def __init__(self, seed: int, size: SoakSize, folder: Path, library: Path | None) -> None:
         self.gateways: list[Gateway] = []
@@ -41,7 +41,7 @@
         self._seed = seed
         self._size = size
         self._folder = folder
-        self._library = library  # makes system calls fail; None: they cannot be made to
+        self._library = library  # shim library that makes system calls fail; None if there is none
         self._supervisor = ProcessSupervisor(folder)
         self._server_ports = [free_port() for _ in range(size.servers)]
         self._servers: dict[int, Process] = {}
@@ -49,7 +49,7 @@
         self._clients: list[Process] = []
 
     async def start_upstream(self) -> None:
-        """Start the servers, the fault proxy and discovery, and make the gateways, which are not started."""
+        """Start the servers, the fault proxy and discovery, and create the gateways without starting them."""
         await asyncio.gather(*(self.start_server(number) for number in range(self._size.servers)))
         addresses = await self._start_proxy()
         servers = self._size.servers
@@ -65,7 +65,7 @@
             gateway.set_peers(peer_addresses)
 
     async def start_server(self, number: int) -> None:
-        """Start a server's process, also in place of one that has ended."""
+        """Start a server's process, or replace one that has ended."""
         self._servers[number] = await self._supervisor.start_module(
             "server",
             f"server-{number}",
@@ -76,7 +76,7 @@
         )
 
     def kill_server(self, number: int) -> None:
-        """Kill a server's process, without waiting for its end."""
+        """Kill a server's process without waiting for its end."""
         self._servers[number].kill()
 
     async def wait_for_server(self, number: int) -> None:
@@ -84,11 +84,11 @@
         await self._servers[number].wait()
 
     def server_process(self, number: int) -> Process:
-        """A server's process as it is now; a restart makes another one."""
+        """Return a server's current process. A restart creates a new one."""
         return self._servers[number]
 
     async def start_clients(self) -> None:
-        """Start the clients, which send requests at once."""
+        """Start the client processes, which send requests immediately."""
         port_file = self._folder / "gateway-ports.json"
         port_file.write_bytes(msgspec.json.encode([gateway.port for gateway in self.gateways]))
         for number in range(self._size.client_processes):
@@ -103,25 +103,27 @@
             self._clients.append(client)
 
     async def end_clients(self) -> None:
-        """End the clients, and wait for their end.
+        """End the client processes and wait for them.
 
         Raises:
-            ClientsEndedError: One has ended before.
+            ClientsEndedError: A client process had already ended.
         """
         for client in self._clients:
             if client.returncode is not None:
-                raise ClientsEndedError(f"a client of seed {self._seed} has ended: see {self._folder}")
+                raise ClientsEndedError(
+                    f"a client process of seed {self._seed} ended early, see its log in {self._folder}"
+                )
             assert client.stdin is not None
             client.stdin.close()
         await asyncio.gather(*(client.wait() for client in self._clients))
 
     def send_fault_command(self, command: FaultCommand) -> None:
-        """Let the proxy apply a fault to a route."""
+        """Tell the proxy to apply a fault to a route."""
         assert self._proxy is not None
         send_line(self._proxy, msgspec.json.encode(command))
 
     def end(self) -> None:
-        """Kill all processes that still run, and close the gateways' sockets."""
+        """Kill all processes that are still running, and close the gateways' sockets."""
         self._supervisor.kill_all()
         for gateway in self.gateways:
             gateway.close()
@@ -130,7 +132,7 @@
         """Start the fault proxy.
 
         Returns:
-            An address for each route: those of the first gateway to all servers, then the next one's.
+            The address of each route: from the first gateway to all servers, then from the next gateway.
         """
         routes = [
             Route(gateway, server, self._server_ports[server])
@@ -147,5 +149,5 @@
 
 
 def set_behaviour(server: Process, behaviour: Behaviour) -> None:
-    """Let a server's process behave so from now on; nothing happens if it has ended."""
+    """Set the behaviour of a server's process. Does nothing if the process has ended."""
     send_line(server, behaviour.value.encode())
--- a/sagetrack/lab/soak/gateway.py
+++ b/sagetrack/lab/soak/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway of the soak: its listening socket, its processes, and the faults of its system calls."""
+"""One gateway of the soak: its listening socket, its processes and its system call faults."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 
 class GatewayProcess:
-    """One process of a gateway, with an admin address of its own."""
+    """One process of a gateway, with its own admin address."""
 
     def __init__(self, process: Process, admin_port: int) -> None:
-        self.end_expected = False  # it got SIGTERM or SIGKILL
+        self.end_expected = False  # True once the soak has sent SIGTERM or SIGKILL
         self._process = process
         self._admin_port = admin_port
 
     @property
     def exit_status(self) -> int | None:
-        """The exit status; None as long as it runs."""
+        """The exit status, or None while the process runs."""
         return self._process.returncode
 
     async def admin_response(self, command: bytes) -> str:
-        """What the process responds to a command at its admin address; empty if it does not."""
+        """Send a command to the admin address and return the response; empty if there is none."""
         try:
             async with asyncio.timeout(ADMIN_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self._admin_port)
@@ -56,11 +56,11 @@
         return response.decode()
 
     async def stats(self) -> list[str]:
-        """The lines of the process's metrics; empty if it does not respond."""
+        """Return the lines of the process's metrics; empty if it does not respond."""
         return (await self.admin_response(STATS_COMMAND)).splitlines()
 
     async def wait_until_ready(self) -> bool:
-        """Whether the process has become ready; False if it has ended, or not in `READY_TIMEOUT_S`."""
+        """Wait until the process is ready. Returns False if it ends or exceeds `READY_TIMEOUT_S`."""
         end_s = time.monotonic() + READY_TIMEOUT_S
         while self.exit_status is None and time.monotonic() < end_s:
             if (await self.admin_response(STATUS_COMMAND)).startswith("SUCCESS"):
@@ -73,7 +73,7 @@
         await self._process.wait()
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal; nothing happens if the process has ended."""
+        """Send a signal. Does nothing if the process has ended."""
         if self.exit_status is not None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
@@ -81,14 +81,14 @@
         self._process.send_signal(number)
 
     def open_descriptors(self) -> int:
-        """How many descriptors the process has open; 0 if it has ended."""
+        """Return the number of the process's open descriptors; 0 if it has ended."""
         if self.exit_status is not None:
             return 0
         return len(os.listdir(f"/proc/{self._process.pid}/fd"))
 
 
 class Gateway:
-    """One gateway: its processes share a listening socket, a configuration and a folder."""
+    """One gateway. Its processes share a listening socket, a configuration and a folder."""
 
     def __init__(
         self,
@@ -103,11 +103,11 @@
 
         Args:
             number: The gateway's number, from 0.
-            gateway_count: How many gateways there are.
-            folder: Where the gateway's own folder is made.
-            agent: The gateway's discovery, which listens already.
-            supervisor: What starts and ends processes.
-            library: What makes system calls fail; None: they cannot be made to.
+            gateway_count: The number of gateways in the run.
+            folder: The folder in which the gateway's own folder is created.
+            agent: The gateway's discovery agent, which is already listening.
+            supervisor: Starts and ends the processes.
+            library: The shim library that makes system calls fail, or None.
         """
         self.number = number
         self.agent = agent
@@ -133,11 +133,11 @@
         return self.processes[-1]
 
     def set_peers(self, addresses: list[str]) -> None:
-        """Set the addresses of all gateways, by their numbers, for processes that are started from now on."""
+        """Set the peer addresses, in the order of gateway numbers, for processes started from now on."""
         self._network.peers = addresses
 
     async def start_process(self) -> GatewayProcess:
-        """Start a further process; it is not ready yet."""
+        """Start another process without waiting until it is ready."""
         self.write_configuration(self.configuration())
         admin_port = free_port()
         listener_fd = self._listener.fileno()
@@ -156,7 +156,7 @@
         return process
 
     def configuration(self) -> bytes:
-        """The configuration file's content, with the agent's address and endpoint list as they are now."""
+        """Build the configuration file with the current discovery address and endpoint list."""
         agent = self.agent
         configuration = gateway_configuration(
             self.number, self._gateway_count, self._network, agent.address, agent.snapshot()
@@ -164,9 +164,9 @@
         return json.dumps(configuration).encode()
 
     def write_configuration(self, data: bytes) -> None:
-        """Write the configuration file; a process reads it when it starts and at SIGHUP."""
+        """Write the configuration file, which processes read at their start and on SIGHUP."""
         self._configuration_file.write_bytes(data)
 
     def close(self) -> None:
-        """Close the listening socket; processes that run have their own descriptor of it."""
+        """Close the lab's descriptor of the listening socket; running processes have their own."""
         self._listener.close()
--- a/sagetrack/lab/soak/gateway_configuration.py
+++ b/sagetrack/lab/soak/gateway_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration files of the soak's gateways, in the form that the platform writes them."""
+"""Builds the configuration files of the soak's gateways in the platform's format."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @dataclass(slots=True)
 class GatewayNetwork:
-    """Where a gateway listens and what it connects to; addresses are HOST:PORT."""
+    """The listening addresses of a gateway and the addresses of its peers, each as HOST:PORT."""
 
     listen: str
     peer_listen: str
-    peers: list[str] = field(default_factory=list)  # of all gateways, by their numbers
+    peers: list[str] = field(default_factory=list)  # addresses of all gateways, in the order of their numbers
 
 
 def gateway_configuration(
     number: int, gateway_count: int, network: GatewayNetwork, discovery: str, endpoints: JsonObject
 ) -> JsonObject:
-    """The configuration of one gateway.
+    """Build the configuration of one gateway.
 
     Args:
         number: The gateway's number, from 0.
-        gateway_count: How many gateways there are.
-        network: Its own addresses and its peers'.
+        gateway_count: The number of gateways in the run.
+        network: The addresses of the gateway and its peers.
         discovery: The address of its discovery agent.
-        endpoints: A snapshot of the endpoint list, which it starts with.
+        endpoints: The endpoint list with which it starts.
     """
     return {
         "name": f"g{number}",
@@ -56,7 +56,7 @@
 
 
 def operator_configuration(store_folder: str) -> str:
-    """The operator's file of a gateway, which keeps a store in a folder."""
+    """Build the operator file of a gateway that keeps its store in `store_folder`."""
     return f'[store]\nfolder = "{store_folder}"\nsync = "batch"\n'
 
 
@@ -84,7 +84,7 @@
 
 
 def _request_classes() -> list[JsonObject]:
-    """The classes that the clients draw from, one for each effect that a request can have."""
+    """Build the request classes that the clients choose from; they cover every effect and key scope."""
     common = {"aimUs": 400_000, "giveUpUs": 2_500_000, "lateValue": 0.3, "value": 1.0}
     keyed = common | {"effect": "guarded", "windowUs": 2_000_000}
     return [
--- a/sagetrack/lab/soak/gateway_lifecycle.py
+++ b/sagetrack/lab/soak/gateway_lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts, ends and upgrades of gateway processes, as the platform does them, recorded in the history."""
+"""Starts, ends and upgrades gateway processes as the platform does, and records this in the history."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     History,
 )
 
-SHUTDOWN_TIMEOUT_S = 3.7  # after SIGTERM, until the platform kills
-CROSSING_DELAY_S = 0.2  # from SIGTERM to the old process until the one to the new
+SHUTDOWN_TIMEOUT_S = 3.7  # time after SIGTERM at which the platform kills a process
+CROSSING_DELAY_S = 0.2  # time from SIGTERM to the old process until SIGTERM to the new one
 
 
 class GatewayLifecycle:
-    """Starts and ends the processes of gateways, and records when a gateway had none that was ready."""
+    """Starts and ends gateway processes, and records when a gateway had no process that was ready."""
 
     def __init__(self, history: History) -> None:
         self._history = history
-        self._stopped_accepting_us: dict[int, int] = {}  # by gateway: its last process
+        self._stopped_accepting_us: dict[int, int] = {}  # by gateway: when its last process stopped accepting
 
     async def start_all(self, gateways: Sequence[Gateway]) -> None:
-        """Start all gateways at once, and wait until they are ready."""
+        """Start all gateways concurrently and wait until they are ready."""
         started = [(gateway, await gateway.start_process()) for gateway in gateways]
         for gateway, process in started:
             if not await process.wait_until_ready():
                 self._history.crashes.append(f"gateway {gateway.number} was not ready at the start")
 
     async def kill_and_restart(self, gateway: Gateway) -> None:
-        """Kill all processes of a gateway, and start a new one."""
+        """Kill all processes of a gateway and start a new one."""
         self._stopped_accepting_us[gateway.number] = now_us()
         for process in gateway.processes:
             self._record_kill(gateway)
@@ -46,17 +46,17 @@
         await self._replace(gateway)
 
     async def shut_down_and_restart(self, gateway: Gateway) -> None:
-        """Shut the newest process down gracefully, and start a new one after its end."""
+        """Shut down the newest process gracefully, and start a new one when it has ended."""
         await record_counted_violations(gateway, self._history)
         self._record_last_sigterm(gateway)
         await self.shut_down(gateway, gateway.newest_process)
         await self._replace(gateway)
 
     async def upgrade(self, gateway: Gateway, crossed: bool) -> None:
-        """Start a second process, and shut the first one down once it is ready.
+        """Start a second process, and shut down the first one once the second is ready.
 
-        Where two upgrades cross, the second process gets SIGTERM while the first one still shuts down, and a
-        third one follows.
+        With `crossed`, the second process gets SIGTERM while the first one is still shutting down, and a
+        third process replaces it.
         """
         await record_counted_violations(gateway, self._history)
         old = gateway.newest_process
@@ -71,7 +71,7 @@
         await shutdown
 
     async def shut_down(self, gateway: Gateway, process: GatewayProcess) -> None:
-        """Send SIGTERM to a process, and kill it if it has not ended when the platform would."""
+        """Send SIGTERM to a process, and kill it after the same timeout as the platform."""
         process.send_signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
@@ -79,18 +79,18 @@
         except TimeoutError:
             self._record_kill(gateway)
             self._history.crashes.append(
-                f"gateway {gateway.number} had not ended {SHUTDOWN_TIMEOUT_S:g} s after SIGTERM"
+                f"gateway {gateway.number} did not exit within {SHUTDOWN_TIMEOUT_S:g} s of SIGTERM"
             )
             process.send_signal(signal.SIGKILL)
 
     async def _replace(self, gateway: Gateway) -> None:
-        """Start a process in place of the last one, and record how long the gateway was down."""
+        """Start a process after the last one has ended, and record how long the gateway was down."""
         await self._start(gateway)
         down_from_us = self._stopped_accepting_us[gateway.number]
         self._history.down.append(GatewaySpan(gateway.number, down_from_us, now_us()))
 
     async def _start(self, gateway: Gateway) -> None:
-        """Start a process, and wait until it is ready."""
+        """Start a process and wait until it is ready."""
         process = await gateway.start_process()
         ready = await process.wait_until_ready()
         if not ready and not process.end_expected:
@@ -100,7 +100,7 @@
         self._history.kills.append(GatewayTime(gateway.number, now_us()))
 
     def _record_last_sigterm(self, gateway: Gateway) -> None:
-        """Record that the only process of a gateway gets SIGTERM: it stops accepting shortly after."""
+        """Record SIGTERM to the only process of a gateway, which stops accepting shortly afterwards."""
         sigterm_us = now_us()
         self._history.sigterms.append(GatewayTime(gateway.number, sigterm_us))
         stops_accepting_us = sigterm_us + int(ACCEPT_AFTER_SIGTERM_S * MICROSECONDS)
--- a/sagetrack/lab/soak/history.py
+++ b/sagetrack/lab/soak/history.py
@@ -1,6 +1,6 @@
-"""What was done in one run of the soak, and what of it excuses a gateway. Pure.
+"""The history of one soak run: the applied faults, and which missing responses they excuse. No I/O.
 
-All times are microseconds of the clock that the events are stamped with.
+All times are microseconds of the clock that timestamps the events.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MICROSECONDS = 1_000_000  # in a second
-SYSTEM_CALL_FAULT_GRACE_S = 6.0  # while its system calls fail, a gateway may learn of a change so late
-ACCEPT_AFTER_SIGTERM_S = 0.7  # what is sent within this time after SIGTERM still gets its response
-SIGTERM_EXCUSE_S = 6.0  # so long after SIGTERM a request may find no process
-KILL_BEFORE_REQUEST_S = 0.2  # a kill so shortly before a request excuses it too
+MICROSECONDS = 1_000_000  # microseconds per second
+SYSTEM_CALL_FAULT_GRACE_S = 6.0  # allowed delay until a gateway with failing system calls learns of a change
+ACCEPT_AFTER_SIGTERM_S = 0.7  # requests sent within this time after SIGTERM must still get a response
+SIGTERM_EXCUSE_S = 6.0  # a missing response is excused up to this time after SIGTERM
+KILL_BEFORE_REQUEST_S = 0.2  # a kill up to this time before a request excuses its missing response
 
 
 class GatewayTime(NamedTuple):
-    """A moment in one gateway's run."""
+    """A point in time at one gateway."""
 
     gateway: int
     at_us: int
 
 
 class GatewaySpan(NamedTuple):
-    """A span of time in one gateway's run."""
+    """A time span at one gateway."""
 
     gateway: int
     from_us: int
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True)
 class Withdrawal:
-    """A server that may get no new attempts."""
+    """A period during which a server must not get new attempts."""
 
     server: int
-    at_us: int  # when discovery has listed it so
-    until_us: int | None = None  # when it was listed as serving again; None: not before the end of the run
+    at_us: int  # when discovery listed it as draining or deleted
+    until_us: int | None = None  # when it was listed as serving again; None if it was not
 
 
 @dataclass(slots=True)
 class Restart:
-    """A server that has started again, at the start of its slow start."""
+    """The restart of a server. `at_us` is the start of its slow start."""
 
     server: int
     at_us: int
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class History:
-    """What was done in a run, and what the run itself has found beside the events."""
+    """The faults applied during a run, and the problems that the run found besides the events."""
 
     kills: list[GatewayTime] = field(default_factory=list)
     sigterms: list[GatewayTime] = field(default_factory=list)
-    down: list[GatewaySpan] = field(default_factory=list)  # without a process that is ready
+    down: list[GatewaySpan] = field(default_factory=list)  # spans without a ready process
     discovery_unreachable: list[GatewaySpan] = field(default_factory=list)
     system_call_faults: list[GatewaySpan] = field(default_factory=list)
     withdrawals: list[Withdrawal] = field(default_factory=list)
@@ -62,13 +62,13 @@
     server_groups: dict[int, int] = field(default_factory=dict)  # idempotency group by server
     crashes: list[str] = field(default_factory=list)
     leaks: list[str] = field(default_factory=list)
-    counted_violations: list[str] = field(default_factory=list)  # in the gateways' own counters
+    counted_violations: list[str] = field(default_factory=list)  # from the gateways' own metrics
 
     def excuses_missing_response(self, gateway: int, sent_us: int, until_us: int) -> bool:
-        """Whether a request may have got no response between these times.
+        """Return True if the faults excuse that a request got no response between these times.
 
-        It may if the gateway was down when the request was sent, was killed shortly before that or while the
-        request was open, or had stopped accepting after SIGTERM.
+        This is the case if the gateway was down when the request was sent, was killed shortly before that or
+        while the request was open, or had stopped accepting after SIGTERM.
         """
         for span in self.down:
             if span.gateway == gateway and span.from_us <= sent_us <= span.to_us:
@@ -85,19 +85,19 @@
         )
 
     def may_have_waited_in_backlog(self, gateway: int, from_us: int, until_us: int) -> bool:
-        """Whether the gateway was down at any time between these.
+        """Return True if the gateway was down at any time between these times.
 
-        A connection then waits in the listening socket, and no process knows since when.
+        A connection then waits in the accept queue, and the process that accepts it cannot know for how long.
         """
         return any(
             span.gateway == gateway and span.from_us < until_us and span.to_us > from_us for span in self.down
         )
 
     def change_effective_us(self, gateway: int, changed_us: int) -> int:
-        """When a change of the endpoint list counts as known to a gateway.
+        """Return the time at which a gateway counts as knowing a change of the endpoint list.
 
-        That is at once where discovery can be reached and otherwise as soon as it can be, but not before the
-        grace period has passed where the gateway's system calls fail meanwhile.
+        This is the time of the change, or the time when discovery became reachable again. If the gateway's
+        system calls fail around that time, a grace period is added.
         """
         effective_us = _end_of_adjacent_spans(self.discovery_unreachable, gateway, changed_us)
         grace_us = int(SYSTEM_CALL_FAULT_GRACE_S * MICROSECONDS)
@@ -110,7 +110,7 @@
 
 
 def _end_of_adjacent_spans(spans: Sequence[GatewaySpan], gateway: int, at_us: int) -> int:
-    """The first moment from `at_us` on that none of a gateway's spans covers."""
+    """Return the first time from `at_us` on that none of a gateway's spans covers."""
     for span in sorted(spans):
         if span.gateway == gateway and span.from_us <= at_us < span.to_us:
             at_us = span.to_us
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -1,7 +1,7 @@
-"""The oracle of the soak: which rules the events of one run violate. Pure.
+"""The test oracle of the soak: finds the rules that the events of one run violate. No I/O.
 
-A rule counts as violated only where nothing in the run's `History` excuses it. Times that two processes have
-stamped differ by how late either was scheduled: `SCHEDULING_S` is allowed for that in each comparison.
+A violation is reported only if nothing in the run's `History` excuses it. Each comparison of timestamps from
+two processes allows `SCHEDULING_S`, because either process may be scheduled late.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from sagetrack.lab.soak.request_trace import RequestTrace, trace_requests
 from sagetrack.lab.soak.slow_start import SLOW_START_WINDOW_S, slow_start_budget
 
-# Slack of the comparisons
-SCHEDULING_S = 0.25
-RESPONSE_SLACK_S = 0.5  # a response may come so long after the request's budget
-DISCONNECT_SLACK_S = 0.1  # an attempt may start so long after its client's close
-DRAIN_SLACK_S = 2.05  # and so long after the gateway could know that its server is withdrawn
-BUDGET_SLACK_S = 0.15  # an attempt's budget may exceed what is left by so much
-SENT_STAMP_SLACK_S = 0.1  # a client may stamp a request so long after the proxy has seen its attempt
-RESEND_OVERLAP_S = 1.0  # attempts so long before a request was sent may still be its own
+# Tolerances of the comparisons
+SCHEDULING_S = 0.25  # scheduling delay between two processes
+RESPONSE_SLACK_S = 0.5  # allowed time from the end of a request's budget until its response
+DISCONNECT_SLACK_S = 0.1  # allowed time from a client's close until the start of an attempt
+DRAIN_SLACK_S = 2.05  # allowed time from a gateway's knowledge of a withdrawal until the start of an attempt
+BUDGET_SLACK_S = 0.15  # allowed excess of an attempt's budget over the request's remaining budget
+SENT_STAMP_SLACK_S = 0.1  # a client may timestamp a request this long after the proxy has seen its attempt
+RESEND_OVERLAP_S = 1.0  # attempts up to this time before a request was sent may belong to it
 
-IDEMPOTENCY_WINDOW_S = 2.0  # servers drop repeats of a key for so long
-MALFORMED_REQUEST_TIMEOUT_S = 3.0  # as `client.MALFORMED_REQUEST_TIMEOUT_S`
+IDEMPOTENCY_WINDOW_S = 2.0  # time during which servers drop repeats of a key
+MALFORMED_REQUEST_TIMEOUT_S = 3.0  # same value as `client.MALFORMED_REQUEST_TIMEOUT_S`
 
 
 class Rule(Enum):
-    """What a gateway must keep to; the values are the codes that `lab soak` prints and documents name."""
+    """The rules for gateways. The values are the codes that `lab soak` prints and the documentation uses."""
 
     NO_CRASH = "crash"
     NO_LEAK = "leak"
@@ -51,12 +51,12 @@
     NO_ATTEMPT_AT_WITHDRAWN_SERVER = "drain"
     MALFORMED_REQUEST_ANSWERED = "bad_client"
     SLOW_START = "cold"
-    ENOUGH_SERVED = "service"  # of the run as a whole: see `verdict`
+    ENOUGH_SERVED = "service"  # applies to the run as a whole, see `verdict`
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """A rule that was violated, and what shows it."""
+    """A violated rule, and the details of the violation."""
 
     rule: Rule
     detail: str
@@ -70,7 +70,7 @@
 
 
 def find_violations(events: Sequence[AnyEvent], history: History) -> list[Violation]:
-    """All violations of one run, whose events are in the order of time."""
+    """Find all violations of one run. The events must be in chronological order."""
     found = list(_process_violations(history))
     for request_id, trace in trace_requests(events).items():
         for rule in REQUEST_RULES:
@@ -82,24 +82,24 @@
 
 
 def _process_violations(history: History) -> Violations:
-    """`NO_CRASH`, `NO_LEAK` and `NO_COUNTED_VIOLATION`: what the run has found in its processes. No slack."""
+    """`NO_CRASH`, `NO_LEAK`, `NO_COUNTED_VIOLATION`: problems of the processes that the run recorded."""
     yield from (Violation(Rule.NO_CRASH, crash) for crash in history.crashes)
     yield from (Violation(Rule.NO_LEAK, leak) for leak in history.leaks)
     yield from (Violation(Rule.NO_COUNTED_VIOLATION, violation) for violation in history.counted_violations)
 
 
 def _response_matches_request(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """`CORRECT_RESPONSE`: the body of a 200 is the one that was made for this request. No slack."""
+    """`CORRECT_RESPONSE`: the body of a 200 response belongs to its request."""
     for response in trace.responses:
         if not response.body_correct:
             yield Violation(Rule.CORRECT_RESPONSE, request_id)
 
 
 def _response_is_within_budget(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """`RESPONSE_IN_TIME`: the first response has come in full within the request's budget.
+    """`RESPONSE_IN_TIME`: the first response is complete within the request's budget.
 
-    Slack: `RESPONSE_SLACK_S` and scheduling. Excused are a response that was cut off, a client that has
-    closed its connection, and a gateway that was killed, ended or down.
+    Tolerance: `RESPONSE_SLACK_S` and scheduling. Exceptions: a truncated response, a client that has closed
+    its connection, and a gateway that was killed, ended or down.
     """
     if trace.disconnect is not None or not trace.sent or not trace.responses:
         return
@@ -111,30 +111,32 @@
         return
     late_ms = (response.at_us - due_us) / 1000
     yield Violation(
-        Rule.RESPONSE_IN_TIME, f"{_describe(request_id, sent)}, answered {late_ms:.0f} ms too late"
+        Rule.RESPONSE_IN_TIME, f"{_describe(request_id, sent)}, response {late_ms:.0f} ms too late"
     )
 
 
 def _request_gets_response(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`RESPONSE`: each request gets a response.
 
-    No slack in time: its client waits for longer than the budget. Excused are a client that has closed its
-    connection, a gateway that was killed, ended or down, and a kept connection that was closed before any
-    attempt started: the client sends its request again.
+    There is no tolerance, because the client waits longer than the budget. Exceptions: a client that has
+    closed its connection, a gateway that was killed, ended or down, and a reused connection that was closed
+    before any attempt started, since the client then resends the request.
     """
     if trace.disconnect is not None or not trace.sent:
         return
     for missing in trace.missing_responses:
         sent = trace.last_sent_before(missing.at_us)
         if sent is None:
-            raise ValueError(f"request {request_id} misses a response before it was sent")
+            raise ValueError(
+                f"request {request_id} has a ResponseMissing event before its first RequestSent event"
+            )
         if history.excuses_missing_response(sent.gateway, sent.at_us, missing.at_us):
             continue
         attempts = _attempts_between(trace, sent, missing)
         if missing.connection_closed and not sent.first_on_connection and not attempts:
             continue
-        how = "closed" if missing.connection_closed else "silent"
-        connection = "a new" if sent.first_on_connection else "a kept"
+        how = "closed" if missing.connection_closed else "timed out"
+        connection = "a new" if sent.first_on_connection else "a reused"
         after_ms = (missing.at_us - sent.at_us) / 1000
         yield Violation(
             Rule.RESPONSE,
@@ -144,24 +146,26 @@
 
 
 def _attempts_between(trace: RequestTrace, sent: RequestSent, missing: ResponseMissing) -> int:
-    """How many attempts belong to a request that got no response."""
+    """Count the attempts of a request that got no response."""
     earliest_us = sent.at_us - RESEND_OVERLAP_S * MICROSECONDS
     return sum(earliest_us <= attempt.at_us <= missing.at_us for attempt in trace.attempts_started)
 
 
 def _describe(request_id: str, sent: RequestSent) -> str:
-    """A request in a violation's detail."""
+    """Describe a request in the details of a violation."""
     return (
-        f"{request_id} {sent.class_name} at gateway {sent.gateway}, {sent.budget_ms} ms, sent at {sent.at_us}"
+        f"{request_id} {sent.class_name} at gateway {sent.gateway}, budget {sent.budget_ms} ms, "
+        f"sent at {sent.at_us} us"
     )
 
 
 def _request_is_not_processed_twice(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """`NO_DUPLICATE`: what a server may have processed is retried only where it drops repeats.
+    """`NO_DUPLICATE`: a request that a server may have processed is retried only where repeats are dropped.
 
-    A single-shot request is never retried, a keyed one only within the idempotency window and, if its key
-    counts in one group alone, only there. Slack: scheduling, at the end of the window. Excused are attempts
-    after a rejection, safe requests ("search"), and requests that the client itself has resent.
+    A single-shot request ("transfer") is never retried. A keyed request is retried only within the
+    idempotency window and, if its key is known to one group only ("reserve"), only in that group.
+    Tolerance: scheduling, at the end of the window. Exceptions: attempts after a rejection, safe requests
+    ("search"), and requests that the client itself has resent.
     """
     if len(trace.sent) != 1 or trace.sent[0].class_name == "search":
         return
@@ -172,16 +176,16 @@
         same_group = history.server_groups[later.server] == history.server_groups[earlier.server]
         apart_s = (later.at_us - earlier.at_us) / MICROSECONDS
         if class_name == "transfer" or (class_name == "reserve" and not same_group):
-            where = f"at {earlier.server} and {later.server}"
+            where = f"at servers {earlier.server} and {later.server}"
             yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} {where}")
         elif apart_s > IDEMPOTENCY_WINDOW_S + SCHEDULING_S:
-            yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} again after {apart_s:.2f} s")
+            yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} retried after {apart_s:.2f} s")
 
 
 def _no_attempt_after_disconnect(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`NO_ATTEMPT_AFTER_DISCONNECT`: no attempt starts after its client has closed the connection.
 
-    Slack: `DISCONNECT_SLACK_S` and scheduling.
+    Tolerance: `DISCONNECT_SLACK_S` and scheduling.
     """
     if trace.disconnect is None:
         return
@@ -191,14 +195,14 @@
             after_ms = (attempt.at_us - trace.disconnect.at_us) / 1000
             yield Violation(
                 Rule.NO_ATTEMPT_AFTER_DISCONNECT,
-                f"{request_id} started {after_ms:.0f} ms after its client's close",
+                f"{request_id}: attempt started {after_ms:.0f} ms after its client closed the connection",
             )
 
 
 def _attempt_budget_is_within_remaining(request_id: str, trace: RequestTrace, history: History) -> Violations:
-    """`ATTEMPT_BUDGET`: an attempt's budget is no more than what is left of its request's.
+    """`ATTEMPT_BUDGET`: an attempt's budget does not exceed the remaining budget of its request.
 
-    Slack: `BUDGET_SLACK_S` and scheduling. Excused are requests that may have waited in the listening socket.
+    Tolerance: `BUDGET_SLACK_S` and scheduling. Exception: requests that may have waited in the accept queue.
     """
     for attempt in trace.attempts_started:
         sent = trace.last_sent_before(attempt.at_us + int(SENT_STAMP_SLACK_S * MICROSECONDS))
@@ -210,15 +214,15 @@
         if not history.may_have_waited_in_backlog(attempt.gateway, sent.at_us, attempt.at_us):
             yield Violation(
                 Rule.ATTEMPT_BUDGET,
-                f"{request_id} has a budget of {attempt.budget_ms} ms with {left_ms:.0f} ms left",
+                f"{request_id}: attempt has a budget of {attempt.budget_ms} ms, {left_ms:.0f} ms remain",
             )
 
 
 def _no_attempt_at_withdrawn_server(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`NO_ATTEMPT_AT_WITHDRAWN_SERVER`: no attempt starts at a server that is withdrawn.
 
-    Slack: `DRAIN_SLACK_S` and scheduling, after the moment that the gateway could know of the withdrawal. At
-    most one violation for each attempt.
+    Tolerance: `DRAIN_SLACK_S` and scheduling, from the time at which the gateway could know of the
+    withdrawal. At most one violation is reported for each attempt.
     """
     for attempt in trace.attempts_started:
         for withdrawal in history.withdrawals:
@@ -228,13 +232,13 @@
                 after_s = late_s + DRAIN_SLACK_S
                 yield Violation(
                     Rule.NO_ATTEMPT_AT_WITHDRAWN_SERVER,
-                    f"{request_id} started at {where}, {after_s:.2f} s after it could know",
+                    f"{request_id}: attempt started at {where}, {after_s:.2f} s after it could know",
                 )
                 break
 
 
 def _excess_delay_s(attempt: AttemptStarted, withdrawal: Withdrawal, history: History) -> float:
-    """How long after the slack's end an attempt has started at a withdrawn server; 0 if it was allowed."""
+    """Return by how many seconds an attempt started too late at a withdrawn server; 0 if it was allowed."""
     if withdrawal.server != attempt.server or attempt.at_us <= withdrawal.at_us:
         return 0.0
     if withdrawal.until_us is not None and attempt.at_us >= withdrawal.until_us:
@@ -246,21 +250,23 @@
 def _malformed_requests_get_response(events: Sequence[AnyEvent], history: History) -> Violations:
     """`MALFORMED_REQUEST_ANSWERED`: a malformed request gets an error or a close within the client's timeout.
 
-    No further slack. Excused are connections that may have waited in the listening socket.
+    Exception: connections that may have waited in the accept queue.
     """
     for event in events:
         if not isinstance(event, MalformedRequestIgnored):
             continue
         sent_us = event.at_us - int(MALFORMED_REQUEST_TIMEOUT_S * MICROSECONDS)
         if not history.may_have_waited_in_backlog(event.gateway, sent_us, event.at_us):
-            yield Violation(Rule.MALFORMED_REQUEST_ANSWERED, f"{event.data!r} at gateway {event.gateway}")
+            yield Violation(
+                Rule.MALFORMED_REQUEST_ANSWERED, f"no reaction to {event.data!r} from gateway {event.gateway}"
+            )
 
 
 def _slow_start_budget_is_kept(restart: Restart, events: Sequence[AnyEvent]) -> Violations:
-    """`SLOW_START`: all gateways together send a server in slow start no more than its budget.
+    """`SLOW_START`: all gateways together send a server in slow start no more attempts than its budget.
 
-    Held in each window that begins with an attempt; the first that exceeds it is reported. Slack: that of
-    `slow_start_budget`.
+    The rule is checked in every window that begins with an attempt, and the first violation is reported.
+    Tolerance: that of `slow_start_budget`.
     """
     times_us = [
         event.at_us
@@ -275,7 +281,9 @@
         age_s = (window_us - restart.at_us) / MICROSECONDS
         budget = slow_start_budget(age_s + SLOW_START_WINDOW_S)
         if received > budget:
-            detail = f"{received} of {budget:.0f} in a window from {age_s:.1f} s on"
+            detail = (
+                f"{received} attempts, budget {budget:.0f}, in a window from {age_s:.1f} s after its start"
+            )
             yield Violation(Rule.SLOW_START, f"server {restart.server}: {detail}")
             return
 
--- a/sagetrack/lab/soak/process_supervisor.py
+++ b/sagetrack/lab/soak/process_supervisor.py
@@ -1,4 +1,4 @@
-"""Child processes of a soak: they are started here, and none outlives the run."""
+"""Starts the child processes of a soak and ensures that none outlives the run."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ProcessSupervisor:
-    """Starts the processes of one run, and ends them with it.
+    """Starts the processes of one run and kills them at its end.
 
-    The kernel kills them should this process die.
+    The kernel kills them if this process dies.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -26,9 +26,9 @@
         self._processes: list[Process] = []
 
     async def start_module(self, module: str, name: str, *arguments: str) -> Process:
-        """Start a module of this package.
+        """Start a module of this package as a process.
 
-        Its standard input and output are pipes; its standard error goes to NAME.log.
+        Its standard input and output are pipes; its standard error is appended to NAME.log.
         """
         with (self._folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -47,7 +47,7 @@
         return process
 
     async def start_gateway(self, environment: Mapping[str, str], listener_fd: int, log: Path) -> Process:
-        """Start a gateway, which inherits its listening socket; what it prints goes to the log."""
+        """Start a gateway process that inherits its listening socket; its output is appended to the log."""
         with log.open("ab") as output:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -64,13 +64,13 @@
         return process
 
     def kill_all(self) -> None:
-        """Kill every process that still runs, without waiting for it."""
+        """Kill every process that is still running, without waiting for it."""
         for process in self._processes:
             if process.returncode is None:
                 process.kill()
 
 
 def send_line(process: Process, line: bytes) -> None:
-    """Write a line to the standard input of a process; nothing happens if it has ended."""
+    """Write a line to the standard input of a process. Does nothing if the process has ended."""
     if process.returncode is None and process.stdin is not None:
         process.stdin.write(line + b"\n")
--- a/sagetrack/lab/soak/proxy.py
+++ b/sagetrack/lab/soak/proxy.py
@@ -1,8 +1,8 @@
-"""The fault proxy between gateways and servers, as a process: `python -m sagetrack.lab.soak.proxy PLAN FILE`.
+"""The fault proxy between gateways and servers: `python -m sagetrack.lab.soak.proxy PLAN FILE`.
 
-Each gateway reaches each server at an address of its own, so that a fault strikes one route alone. What
-arrives is recorded before any fault delays it. Standard input carries the faults: one JSON `FaultCommand`
-per line.
+PLAN lists the routes, FILE receives the events. Each gateway connects to each server at a separate address,
+so that a fault affects one route only. Attempts are recorded on arrival, before any fault delays them.
+Standard input carries the faults, one JSON `FaultCommand` per line.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from sagetrack.lab.soak.events import AttemptReceived, AttemptStarted, EventWriter, now_us
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-NO_BUDGET_MS = -1  # of an attempt without the header
+NO_BUDGET_MS = -1  # recorded for an attempt without a budget header
 
 
 class RouteFault(Enum):
-    """What is done to a route."""
+    """A change of a route's state."""
 
-    MUTE = "mute"  # new connections do not come up
-    UNMUTE = "unmute"
-    RESET = "reset"  # of all connections that are up
-    STALL = "stall"  # nothing passes, in either direction
-    RESUME = "resume"  # what has stalled passes now
+    MUTE = "mute"  # new connections are not established
+    UNMUTE = "unmute"  # new connections are established again
+    RESET = "reset"  # all open connections are reset
+    STALL = "stall"  # no data passes in either direction
+    RESUME = "resume"  # stalled data is forwarded, and data passes again
 
 
 class Route(msgspec.Struct, frozen=True):
-    """From one gateway to one server."""
+    """The route from one gateway to one server."""
 
     gateway: int
     server: int
@@ -43,7 +43,7 @@
 
 
 class FaultCommand(msgspec.Struct):
-    """A fault for one route, effective at once."""
+    """A fault to be applied to one route immediately."""
 
     fault: RouteFault
     gateway: int
@@ -51,7 +51,7 @@
 
 
 class AttemptObserver:
-    """Writes down the requests in the bytes of one connection; bytes that are no HTTP are ignored."""
+    """Records the requests in the byte stream of one connection; invalid HTTP is ignored."""
 
     def __init__(self, route: Route, events: EventWriter) -> None:
         self._route = route
@@ -63,7 +63,7 @@
         self._budget_ms = NO_BUDGET_MS
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the connection."""
+        """Parse the next bytes of the connection."""
         if not self._is_parsable:
             return
         try:
@@ -74,49 +74,49 @@
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Begin a new request."""
         self._started_us = now_us()
         self._request_id = ""
         self._budget_ms = NO_BUDGET_MS
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field of the request."""
+        """Store the request ID and the budget from the header fields."""
         if name.lower() == b"x-call-id":
             self._request_id = value.decode("latin-1").strip()
         elif name.lower() == b"x-budget-ms":
             self._budget_ms = int(value)
 
     def on_headers_complete(self) -> None:
-        """The ID and budget are known: the attempt is written down with the time of its first byte."""
+        """Record the start of the attempt, with the time of its first byte."""
         gateway, server = self._route.gateway, self._route.server
         self._events.write(
             AttemptStarted(self._started_us, self._request_id, gateway, server, self._budget_ms)
         )
 
     def on_message_complete(self) -> None:
-        """The last byte of the request has come."""
+        """Record that the request has arrived completely."""
         route = self._route
         self._events.write(AttemptReceived(now_us(), self._request_id, route.gateway, route.server))
 
 
 class Relay(asyncio.Protocol):
-    """A gateway's connection, and the one to the server that belongs to it."""
+    """Forwards data between a gateway's connection and its own connection to the server."""
 
     def __init__(self, route: RouteProxy, observer: AttemptObserver) -> None:
         self._route = route
         self._observer = observer
         self._downstream: asyncio.Transport | None = None
         self._upstream: asyncio.Transport | None = None
-        self._before_upstream: list[bytes] = []  # what came before the server's connection was up
+        self._before_upstream: list[bytes] = []  # data received before the upstream connection is open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to the server too."""
+        """Register the connection, which also connects to the server."""
         assert isinstance(transport, asyncio.Transport)
         self._downstream = transport
         self._route.add(self)
 
     async def connect_upstream(self, port: int) -> None:
-        """Connect to the server; if that fails, the gateway's connection is reset."""
+        """Connect to the server. If that fails, the gateway's connection is reset."""
         try:
             upstream, _ = await asyncio.get_running_loop().create_connection(
                 lambda: UpstreamConnection(self), "127.0.0.1", port
@@ -129,21 +129,21 @@
             upstream.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the gateway, which are observed before they can stall."""
+        """Record data from the gateway, then forward it unless the route is stalled."""
         self._observer.feed(data)
         self._route.forward(self._send_upstream, data)
 
     def response_received(self, data: bytes) -> None:
-        """Bytes of the server."""
+        """Forward data from the server unless the route is stalled."""
         self._route.forward(self._send_downstream, data)
 
     def upstream_lost(self) -> None:
-        """The server's connection has ended: the gateway's is flushed and closed."""
+        """Flush and close the gateway's connection after the server's connection has ended."""
         if self._downstream is not None:
             self._downstream.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The gateway's connection has ended."""
+        """Reset the server's connection after the gateway's connection has ended."""
         self._downstream = None
         self.abort()
 
@@ -166,29 +166,29 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """The connection of a relay to its server."""
+    """A relay's connection to the server."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the server."""
+        """Pass data from the server to the relay."""
         self._relay.response_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The server's connection has ended."""
+        """Report to the relay that the server's connection has ended."""
         self._relay.upstream_lost()
 
 
 class StalledData(NamedTuple):
-    """Bytes that wait for a stall's end, and what sends them then."""
+    """Data held back by a stall, and the function that sends it afterwards."""
 
     send: Callable[[bytes], None]
     data: bytes
 
 
 class RouteProxy:
-    """All connections of one route, and the faults on it."""
+    """The listener and the connections of one route. It applies faults to them."""
 
     def __init__(self, route: Route, events: EventWriter) -> None:
         self._route = route
@@ -200,29 +200,29 @@
 
     @property
     def address(self) -> str:
-        """Where the gateway connects to."""
+        """The address at which the gateway reaches the server."""
         return self._listener.address
 
     def add(self, relay: Relay) -> None:
-        """Take a new connection of the gateway, and connect it to the server."""
+        """Add a new connection of the gateway, and connect it to the server."""
         self._relays.add(relay)
         task = asyncio.get_running_loop().create_task(relay.connect_upstream(self._route.server_port))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
     def discard(self, relay: Relay) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._relays.discard(relay)
 
     def forward(self, send: Callable[[bytes], None], data: bytes) -> None:
-        """Send bytes now, or in their order as soon as the route no longer stalls."""
+        """Send data now or, if the route is stalled, in order when the stall ends."""
         if self._is_stalled:
             self._stalled_data.append(StalledData(send, data))
         else:
             send(data)
 
     def apply(self, fault: RouteFault) -> None:
-        """Let a fault happen, or end."""
+        """Begin or end a fault."""
         match fault:
             case RouteFault.MUTE:
                 self._listener.mute()
@@ -241,12 +241,12 @@
         stalled_data = self._stalled_data
         self._stalled_data = []
         for send, data in stalled_data:
-            with suppress(RuntimeError):  # the connection has ended meanwhile
+            with suppress(RuntimeError):  # the connection has ended in the meantime
                 send(data)
 
 
 async def main(plan: Path, event_file: Path) -> None:
-    """Listen for each route of the plan, print the addresses in its order, and follow the commands."""
+    """Listen for each route of the plan, print the addresses in the same order, and execute the commands."""
     events = EventWriter(event_file)
     routes: list[Route] = msgspec.json.decode(plan.read_bytes(), type=list[Route])
     proxies = {(route.gateway, route.server): RouteProxy(route, events) for route in routes}
--- a/sagetrack/lab/soak/request_trace.py
+++ b/sagetrack/lab/soak/request_trace.py
@@ -1,4 +1,4 @@
-"""The events of one run, gathered by request. Pure."""
+"""Groups the events of one run by request. No I/O."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """All that happened to one request, each list in the order of time."""
+    """The events of one request. Each list is in chronological order."""
 
-    sent: list[RequestSent] = field(default_factory=list)  # more than one if its client has resent it
+    sent: list[RequestSent] = field(default_factory=list)  # more than one event if the client has resent it
     responses: list[ResponseReceived] = field(default_factory=list)
     missing_responses: list[ResponseMissing] = field(default_factory=list)
     disconnect: ClientDisconnected | None = None
@@ -31,17 +31,17 @@
     rejections: list[RequestRejected] = field(default_factory=list)
 
     def last_sent_before(self, at_us: int) -> RequestSent | None:
-        """The last time that the client had sent the request at a moment; None before the first."""
+        """Return the last event at or before a time in which the client sent the request, if any."""
         sent = [event for event in self.sent if event.at_us <= at_us]
         return sent[-1] if sent else None
 
     def rejected_by(self, server: int) -> bool:
-        """Whether a server has rejected the request without processing it."""
+        """Return True if a server has rejected the request without processing it."""
         return any(rejection.server == server for rejection in self.rejections)
 
 
 def trace_requests(events: Sequence[AnyEvent]) -> dict[str, RequestTrace]:
-    """The trace of each request by its ID, from events in the order of time."""
+    """Build the trace of each request by its ID. The events must be in chronological order."""
     traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
     for event in events:
         match event:
--- a/sagetrack/lab/soak/response_body.py
+++ b/sagetrack/lab/soak/response_body.py
@@ -1,14 +1,14 @@
-"""The body that servers make for a request, by which its client knows the response as its own. Pure."""
+"""Response bodies that are unique to a request, so that its client can verify them. No I/O."""
 
 from __future__ import annotations
 
 
 def body_for(request_id: str) -> bytes:
-    """The body of the response to this request, which no other response has."""
+    """Build the body of the response to a request. It differs from that of every other request."""
     return f"answer to {request_id} ".encode() * 4
 
 
 def is_body_for(request_id: str, body: bytes) -> bool:
-    """Whether a body is `body_for` this request, once or several times over."""
+    """Return True if a body is one or more repetitions of `body_for` this request."""
     expected = body_for(request_id)
     return bool(body) and body == expected * (len(body) // len(expected))
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: its processes, its faults as they were drawn, and the verdict on it."""
+"""One run of the soak: starts the processes, injects the scheduled faults, and evaluates the events."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from sagetrack.lab.soak.shim import ShimError, build_library
 from sagetrack.lab.soak.verdict import SoakReport, evaluate_run
 
-FAULT_FREE_S = 0.5  # after the last fault, before the clients end
-DRAIN_S = 3.0  # after the last client: until then long bodies and late connections have ended
+FAULT_FREE_S = 0.5  # time from the last fault until the clients end
+DRAIN_S = 3.0  # time after the clients end during which long bodies and late connections complete
 NO_COMPILER_LIMITATION = "failing system calls: there is no C compiler"
 
 
 class SoakRun:
-    """One run of one seed."""
+    """One run with one seed."""
 
     def __init__(self, seed: int, size: SoakSize, folder: Path, library: Path | None) -> None:
         self._seed = seed
@@ -42,7 +42,7 @@
         self._injector = FaultInjector(self._fleet, self._lifecycle, size.servers, self._history)
 
     async def play(self) -> SoakReport:
-        """Play the run; whatever happens, no process of it is left."""
+        """Execute the run and return its report. No process is left behind, even after an error."""
         try:
             await self._start()
             await self._inject_faults()
@@ -57,7 +57,7 @@
         await self._fleet.start_clients()
 
     async def _inject_faults(self) -> None:
-        """Apply all faults, for as long as the run is meant to last or the last fault takes."""
+        """Apply all faults; returns when the last one is over and the planned duration has passed."""
         async with asyncio.TaskGroup() as group:
             for fault in self._faults:
                 group.create_task(self._injector.apply_when_due(fault))
@@ -66,7 +66,7 @@
             gateway.agent.recover()
 
     async def _finish(self) -> None:
-        """End the clients, look for leaks, and shut all gateways down."""
+        """End the clients, check for leaks, and shut down all gateways."""
         await asyncio.sleep(FAULT_FREE_S)
         await self._fleet.end_clients()
         await asyncio.sleep(DRAIN_S)
@@ -94,7 +94,7 @@
 
 
 def run_soak(seed: int, size: SoakSize, folder: Path) -> SoakReport:
-    """Play one seed; all processes keep their events and logs in the folder, which is made."""
+    """Run one seed. All processes write their events and logs to the folder, which is created if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     try:
         library: Path | None = build_library(folder)
@@ -108,5 +108,5 @@
 
 
 def create_run_folder() -> Path:
-    """A new folder for the runs of one command."""
+    """Create a temporary folder for the runs of one command."""
     return Path(tempfile.mkdtemp(prefix="sagetrack-soak-"))
--- a/sagetrack/lab/soak/server.py
+++ b/sagetrack/lab/soak/server.py
@@ -1,6 +1,7 @@
-"""An upstream server of the soak, as a process: `python -m sagetrack.lab.soak.server NUMBER PORT FILE SEED`.
+"""Upstream server process of the soak: `python -m sagetrack.lab.soak.server NUMBER PORT FILE SEED`.
 
-Its standard input says how it behaves from now on: one `Behaviour` a line. It ends with its standard input.
+FILE receives the events. Each line of standard input is a `Behaviour` that takes effect immediately. The
+process ends when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 WORK_S = (0.005, 0.03)
 SLOW_WORK_S = (0.3, 0.9)
 HANG_S = 30.0  # longer than any request's budget
-DUPLICATE_DELAY_S = (0.0005, 0.004)  # of a second response after the first
+DUPLICATE_DELAY_S = (0.0005, 0.004)  # range of the time between a response and its duplicate
 LAST_CHUNK_DELAY_S = (0.0, 0.08)
-TRUNCATED_DELAY_S = 0.02  # between half a response and the reset
-LONG_BODY_REPEATS = 2_000  # makes some 150 KB
+TRUNCATED_DELAY_S = 0.02  # time between half a response and the reset
+LONG_BODY_REPEATS = 2_000  # repetitions of the normal body, about 150 KB in total
 
 OK_CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ERROR_RESPONSE = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
@@ -30,30 +31,30 @@
 
 
 class Behaviour(Enum):
-    """How a server answers; the values are printed with the faults of a run."""
+    """How a server responds. The values are printed with the faults of a run."""
 
     NORMAL = "normal"
     SLOW = "slow"
     HANG = "hang"
     ERROR = "error"
     REJECT = "reject"
-    RESET = "reset"  # after the request was read
+    RESET = "reset"  # reset the connection after reading the request
     MALFORMED = "spoil"
     DUPLICATE = "twice"
-    ENDLESS = "unending"  # neither a length nor an end
+    ENDLESS = "unending"  # begin a chunked body and never end it
     CHUNKED = "unframed"
-    LONG = "long"  # more than a gateway buffers
-    TRUNCATED = "half"  # breaks off in the response's body
-    CLOSE = "close"  # right after a response
+    LONG = "long"  # send a body that exceeds a gateway's buffer
+    TRUNCATED = "half"  # reset the connection in the middle of the response body
+    CLOSE = "close"  # close the connection right after a response
 
 
 def ok_response(body: bytes) -> bytes:
-    """A complete 200 with a length."""
+    """Encode a complete 200 response with Content-Length."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 class Server:
-    """One server: its behaviour, which may be set at any time, and its connections."""
+    """One server. Its `behaviour` may be changed at any time and applies to all connections."""
 
     def __init__(self, number: int, events: EventWriter, rng: random.Random) -> None:
         self.behaviour = Behaviour.NORMAL
@@ -75,7 +76,7 @@
         }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the requests of one connection until either side ends it."""
+        """Respond to the requests of one connection until either side closes it."""
         try:
             while await self._respond(await read_message(reader), writer):
                 pass
@@ -85,7 +86,7 @@
             writer.close()
 
     async def _respond(self, request: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request as the server behaves when it comes; False if the connection ends with that."""
+        """Respond to a request with the behaviour set at its arrival. Returns False to end the connection."""
         behaviour = self.behaviour
         request_id = request.headers.get("x-call-id", "")
         work_s = SLOW_WORK_S if behaviour is Behaviour.SLOW else WORK_S
@@ -93,7 +94,7 @@
         respond = self._responders.get(behaviour, self._send_ok)
         return await respond(request_id, writer)
 
-    # One method for each behaviour; each returns whether the connection goes on.
+    # One method for each behaviour. Each returns True if the connection stays open.
 
     async def _send_ok(self, request_id: str, writer: asyncio.StreamWriter) -> bool:
         writer.write(ok_response(body_for(request_id)))
@@ -161,7 +162,7 @@
 
 
 async def follow_behaviour(server: Server) -> None:
-    """Behave as the lines of standard input say, until it ends."""
+    """Apply the behaviours read from standard input until it is closed."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -170,7 +171,7 @@
 
 
 async def main(number: int, port: int, event_file: Path, seed: int) -> None:
-    """Serve at a port of loopback until standard input ends."""
+    """Serve on a loopback port until standard input is closed."""
     server = Server(number, EventWriter(event_file), random.Random(seed))
     await asyncio.start_server(server.serve, "127.0.0.1", port, backlog=512)
     await follow_behaviour(server)
--- a/sagetrack/lab/soak/shim.c
+++ b/sagetrack/lab/soak/shim.c
@@ -1,8 +1,9 @@
-/* Makes system calls of one process fail, as Linux documents that they may, and steps its wall clock.
+/* Makes system calls of one process fail with errors that Linux documents for them, and steps its wall clock.
  *
- * Loaded with LD_PRELOAD into a gateway of the soak. The file SOAK_CONTROL, which both this library and the soak
- * map into memory, says what fails now: sagetrack/lab/soak/shim.py writes it. Rates are per 1,000 calls; at 0 a
- * call never fails. Opening fails only for files in SOAK_FOLDER, so that the program itself can be loaded.
+ * The library is loaded into a gateway of the soak with LD_PRELOAD. The control file named by SOAK_CONTROL holds
+ * the current failure rates; sagetrack/lab/soak/shim.py writes it, and both sides map it into memory. Rates are
+ * per 1,000 calls; at 0 a call never fails. Opening fails only for files in SOAK_FOLDER, so that the program
+ * itself can be loaded.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,20 +21,20 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The layout of the control file, as LAYOUT in shim.py has it. */
+/* The layout of the control file; LAYOUT in shim.py must match it. */
 struct control {
     int64_t wall_step_us;
     uint32_t accept_rate, connect_rate, socket_rate, read_rate, write_rate, file_rate, watch_rate;
-    uint32_t accept_error; /* an errno; 0: any of those that accept4 draws from */
-    uint32_t failed_calls; /* calls that were made to fail so far */
+    uint32_t accept_error; /* errno of failed accept calls; 0 for a random one */
+    uint32_t failed_calls; /* number of calls that this library has made to fail */
     uint32_t seed;
 };
 
 static struct control *mapped_control;
-static struct control no_faults; /* where there is no control file */
+static struct control no_faults; /* used if there is no control file */
 static __thread uint32_t random_state;
 
-/* What fails now; maps the control file at the first call. */
+/* Returns the current faults. The first call maps the control file. */
 static struct control *faults(void) {
     if (!mapped_control) {
         const char *path = getenv("SOAK_CONTROL");
@@ -50,7 +51,7 @@
     return mapped_control;
 }
 
-/* A random number (xorshift32), from a sequence for each thread that the seed and the process ID start. */
+/* Returns a random number (xorshift32). Each thread has its own state, seeded from the seed and the process ID. */
 static uint32_t draw(void) {
     if (!random_state)
         random_state = faults()->seed * 2654435761u + (uint32_t)getpid() + 1u;
@@ -60,7 +61,7 @@
     return random_state;
 }
 
-/* Whether this call fails; it is counted if it does. */
+/* Returns 1 if this call must fail, and counts it; otherwise 0. */
 static int fails(uint32_t rate) {
     if (!rate || draw() % 1000 >= rate)
         return 0;
@@ -68,18 +69,18 @@
     return 1;
 }
 
-/* Sets errno to one of the errors; returns -1, as a system call that fails does. */
+/* Sets errno to a random one of the errors and returns -1, like a failed system call. */
 static int fail_with_any(const int *errors, size_t count) {
     errno = errors[draw() % count];
     return -1;
 }
 
-/* Declares `real`, the function of the C library that the one here replaces. */
+/* Declares `real`, a pointer to the C library function that the function of this library replaces. */
 #define REAL(name) \
     static __typeof__(name) *real; \
     if (!real) \
         real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
-/* Returns from the function that uses it, with one of the errors. */
+/* Returns from the calling function with a random one of the errors. */
 #define FAIL_WITH(...) \
     do { \
         static const int errors[] = {__VA_ARGS__}; \
@@ -114,7 +115,7 @@
     return real(domain, type, protocol);
 }
 
-/* Whether a descriptor is a stream socket; errno stays as it was. */
+/* Returns 1 if a descriptor is a stream socket, without changing errno. */
 static int is_stream_socket(int fd) {
     int type;
     socklen_t length = sizeof type;
@@ -124,7 +125,7 @@
     return is_stream;
 }
 
-/* So many bytes at most pass in a read or write that is cut short. */
+/* Maximum number of bytes in a read or write that is shortened. */
 enum { SHORT_SIZE = 7 };
 
 static size_t shortened(size_t size) { return size > SHORT_SIZE ? SHORT_SIZE : size; }
@@ -218,7 +219,7 @@
 
 int epoll_ctl(int epfd, int op, int fd, struct epoll_event *event) {
     REAL(epoll_ctl);
-    /* Only watches for EPOLLRDHUP alone fail: an event loop cannot go on without its own. */
+    /* Only registrations for EPOLLRDHUP alone fail, because an event loop cannot work without its own ones. */
     if (op == EPOLL_CTL_ADD && event && event->events == EPOLLRDHUP && fails(faults()->watch_rate))
         FAIL_WITH(ENOSPC, ENOMEM);
     return real(epfd, op, fd, event);
--- a/sagetrack/lab/soak/verdict.py
+++ b/sagetrack/lab/soak/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on one run: what its events and its history show."""
+"""Evaluates one run from its events and its history."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from sagetrack.lab.soak.history import History
 from sagetrack.lab.soak.oracle import Rule, Violation, find_violations
 
-MIN_SERVED_SHARE = 0.2  # below it a run shows too little
+MIN_SERVED_SHARE = 0.2  # with a lower share of served requests a run is not meaningful
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What one seed has shown."""
+    """The results of one seed."""
 
     seed: int
     violations: list[Violation]
     faults: list[ScheduledFault]
-    sent: int  # requests, without those that were resent
-    served: int  # responses with status 200
+    sent: int  # number of requests, not counting resends
+    served: int  # number of responses with status 200
     failed_system_calls: int
-    limitations: list[str] = field(default_factory=list)  # what this machine cannot play
+    limitations: list[str] = field(default_factory=list)  # faults that this machine cannot inject
 
 
 def evaluate_run(
@@ -33,14 +33,15 @@
     faults: list[ScheduledFault],
     failed_system_calls: int,
 ) -> SoakReport:
-    """Judge one run by its events, in the order of time, and its history.
+    """Evaluate one run from its events, in chronological order, and its history.
 
-    Beside the oracle's rules there is `Rule.ENOUGH_SERVED`: at least `MIN_SERVED_SHARE` of the requests.
+    In addition to the oracle's rules, `Rule.ENOUGH_SERVED` requires that at least `MIN_SERVED_SHARE` of the
+    requests are served.
     """
     served = sum(isinstance(event, ResponseReceived) and event.status == 200 for event in events)
     sent = sum(isinstance(event, RequestSent) and not event.is_resend for event in events)
     violations = find_violations(events, history)
     if served < sent * MIN_SERVED_SHARE:
-        detail = f"{served} of {sent} served: the run shows too little"
+        detail = f"{served} of {sent} requests served, too few for a meaningful run"
         violations.append(Violation(Rule.ENOUGH_SERVED, detail))
     return SoakReport(seed, violations, faults, sent, served, failed_system_calls)
