--- a/sagetrack/lab/processes/gateway_fleet.py
+++ b/sagetrack/lab/processes/gateway_fleet.py
@@ -39,7 +39,7 @@
         self.clients = ClientTraffic(world, self.supervisor.ports, self.rng, self.background)
         self.hostile_clients = HostileClients(self.supervisor.ports, self.rng, self.background)
         self.servers: dict[int, AddressServer] = {}
-        self.agents: dict[int, DiscoveryAgent] = {}  # by gateway
+        self.agents: dict[int, DiscoveryAgent] = {}  # discovery agents by gateway
         self.peers = PeerNetwork(world) if world.scenario.peers.use else None
         self.dns = DnsTraffic(world) if world.scenario.dns.rate else None
         world.server_fleet.observer.started = self._add_server
--- a/sagetrack/lab/processes/gateway_process.py
+++ b/sagetrack/lab/processes/gateway_process.py
@@ -18,7 +18,11 @@
 
 READY_TIMEOUT_S = 15.0  # maximum time from a gateway's start until it reports that it is ready
 READY_POLL_S = 0.01
-INHERITED_SETTINGS = ("LB_ACCEPT_FD", "LB_OPERATOR", "LB_ADMIN")  # variables not passed on to a gateway
+EXCLUDED_VARIABLES = (
+    "LB_ACCEPT_FD",
+    "LB_OPERATOR",
+    "LB_ADMIN",
+)  # removed from the environment of gateways
 
 
 class Usage(NamedTuple):
@@ -49,7 +53,7 @@
         config_file.write_text(json.dumps(config))
         temp_folder = folder / "tmp"
         temp_folder.mkdir(exist_ok=True)
-        environment = {name: value for name, value in os.environ.items() if name not in INHERITED_SETTINGS}
+        environment = {name: value for name, value in os.environ.items() if name not in EXCLUDED_VARIABLES}
         environment |= {
             "LB_CONFIG": str(config_file),
             "TMPDIR": str(temp_folder),
--- a/sagetrack/lab/processes/hostile_clients.py
+++ b/sagetrack/lab/processes/hostile_clients.py
@@ -9,7 +9,7 @@
 
 from sagetrack.lab.processes.background_tasks import BackgroundTasks
 
-HALF_REQUEST = b"GET /lookup HTTP/1.1\r\nX-Half"
+PARTIAL_REQUEST = b"GET /lookup HTTP/1.1\r\nX-Half"
 MALFORMED_REQUESTS = (
     b"\x00\xff\x17nonsense\r\n\r\n",
     b"GET / HTTP/9.9\r\n\r\n",
@@ -57,7 +57,7 @@
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self._address(number))
-                writer.write(HALF_REQUEST)
+                writer.write(PARTIAL_REQUEST)
                 try:
                     await reader.read()
                 finally:
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -26,9 +26,9 @@
 
 RESERVED_DESCRIPTORS = 200
 DESCRIPTORS_PER_GATEWAY = 20
-OPEN_CONNECTION_S = 4  # connections of the requests of this many seconds may be open at once
+OPEN_CONNECTION_S = 4  # requests sent within this time may all have open connections at once
 POLL_INTERVAL_S = 0.05  # interval between checks whether the run is over or has failed
-END_SLACK_US = 200_000  # a run ends at the latest this long after the last request's longest deadline
+END_SLACK_US = 200_000  # a run ends at most this long after the last possible deadline of a request
 
 ProgressCallback = Callable[[float, World], None]  # receives the elapsed share of the run (0 to 1)
 
--- a/sagetrack/lab/soak/client.py
+++ b/sagetrack/lab/soak/client.py
@@ -41,7 +41,7 @@
 SPLIT_DELAY_S = (0.05, 0.6)
 IDLE_S = (0.3, 1.5)
 UPLOAD_BYTES = (70_000, 300_000)
-UPLOAD_PIECE = 16 * 1024
+UPLOAD_PIECE_BYTES = 16 * 1024
 UPLOAD_DELAY_S = (0.0, 0.0, 0.01)  # choices of the delay between pieces
 MALFORMED_REQUESTS = (
     b"no request at all\r\n\r\n",
@@ -103,11 +103,11 @@
     # Actions
 
     async def _send_plain(self) -> None:
-        await self._send_request(self._draw_request())
+        await self._send_request(self._random_request())
 
     async def _disconnect(self) -> None:
         """Send a request and close the connection before the response."""
-        request = self._draw_request()
+        request = self._random_request()
         connection = await self._connect()
         connection.writer.write(request.encode())
         self._record_sent(connection, request)
@@ -124,14 +124,14 @@
         connection = await self._connect()
         budget_ms = self._rng.choice(BUDGETS_MS)
         count = self._rng.randrange(2, 5)
-        requests = [self._draw_request()._replace(budget_ms=budget_ms) for _ in range(count)]
+        requests = [self._random_request()._replace(budget_ms=budget_ms) for _ in range(count)]
         connection.writer.write(b"".join(request.encode() for request in requests))
         for request in requests:
             self._record_sent(connection, request)
-        answered = True
+        got_response = True
         for request in requests:
-            if answered:
-                answered = await self._await_response(connection, request)
+            if got_response:
+                got_response = await self._await_response(connection, request)
             else:
                 self._events.write(ResponseMissing(now_us(), request.request_id, connection_closed=True))
         self._drop_connection()
@@ -141,7 +141,7 @@
 
         Whether its connection is fresh is determined when the second part is sent.
         """
-        request = self._draw_request()
+        request = self._random_request()
         connection = await self._connect()
         data = request.encode()
         split_at = self._rng.randrange(1, len(data))
@@ -156,12 +156,12 @@
 
         The request's budget counts from its last byte.
         """
-        request = self._draw_request()._replace(class_name="transfer")
+        request = self._random_request()._replace(class_name="transfer")
         connection = await self._connect()
         was_fresh = connection.is_fresh
         data = request.encode(padding=self._rng.randrange(*UPLOAD_BYTES))
-        for start in range(0, len(data), UPLOAD_PIECE):
-            connection.writer.write(data[start : start + UPLOAD_PIECE])
+        for start in range(0, len(data), UPLOAD_PIECE_BYTES):
+            connection.writer.write(data[start : start + UPLOAD_PIECE_BYTES])
             await connection.writer.drain()
             await asyncio.sleep(self._rng.choice(UPLOAD_DELAY_S))
         await self._finish(connection, request, was_fresh)
@@ -170,7 +170,7 @@
         """Leave a connection idle, then send a request on it."""
         await self._connect()
         await asyncio.sleep(self._rng.uniform(*IDLE_S))
-        await self._send_request(self._draw_request())
+        await self._send_request(self._random_request())
 
     async def _send_malformed(self) -> None:
         """Send a malformed request on a new connection and wait for an error response or a close."""
@@ -188,7 +188,7 @@
 
     # Helpers of the actions
 
-    def _draw_request(self) -> Request:
+    def _random_request(self) -> Request:
         self._request_count += 1
         class_name = self._rng.choice(CLASS_NAMES)
         return Request(f"{self._name}-{self._request_count}", class_name, self._rng.choice(BUDGETS_MS))
@@ -225,8 +225,8 @@
         new connection.
         """
         self._record_sent(connection, request, is_resend)
-        answered = await self._await_response(connection, request)
-        if not answered and not was_fresh and self._connection is None:
+        got_response = await self._await_response(connection, request)
+        if not got_response and not was_fresh and self._connection is None:
             await self._send_request(request, is_resend=True)
 
     def _record_sent(self, connection: Connection, request: Request, is_resend: bool = False) -> None:
--- a/sagetrack/lab/soak/fault_injection.py
+++ b/sagetrack/lab/soak/fault_injection.py
@@ -13,7 +13,7 @@
 from sagetrack.lab.soak.fleet import Fleet, set_behaviour
 from sagetrack.lab.soak.gateway import Gateway
 from sagetrack.lab.soak.gateway_lifecycle import GatewayLifecycle
-from sagetrack.lab.soak.history import MICROSECONDS, GatewaySpan, History, Restart, Withdrawal
+from sagetrack.lab.soak.history import US_PER_S, GatewaySpan, History, Restart, Withdrawal
 from sagetrack.lab.soak.proxy import FaultCommand, RouteFault
 from sagetrack.lab.soak.server import Behaviour
 from sagetrack.lab.soak.shim import NO_FAULTS, SystemCallFaults
@@ -113,7 +113,7 @@
         await self._apply_system_call_faults(fault, fault.system_call_faults)
 
     async def _step_clock(self, fault: ScheduledFault) -> None:
-        step = SystemCallFaults(wall_step_us=fault.clock_step_s * MICROSECONDS)
+        step = SystemCallFaults(wall_step_us=fault.clock_step_s * US_PER_S)
         await self._apply_system_call_faults(fault, step)
 
     async def _apply_system_call_faults(self, fault: ScheduledFault, faults: SystemCallFaults) -> None:
--- a/sagetrack/lab/soak/fault_schedule.py
+++ b/sagetrack/lab/soak/fault_schedule.py
@@ -103,7 +103,7 @@
                 return ""
 
 
-def draw_schedule(seed: int, seconds: float, gateways: int, servers: int) -> list[ScheduledFault]:
+def generate_schedule(seed: int, seconds: float, gateways: int, servers: int) -> list[ScheduledFault]:
     """Draw the faults of a run, ordered by start time. The same arguments give the same schedule.
 
     A fault starts every `MEAN_GAP_S` on average. A fault that ends a gateway's process is omitted while an
@@ -124,14 +124,14 @@
                 restarting_until_s[gateway] = at_s + MIN_RESTART_GAP_S
             behaviour = rng.choice([value for value in Behaviour if value is not Behaviour.NORMAL])
             step_s = rng.choice(CLOCK_STEPS_S)
-            faults = _draw_system_call_faults(rng)
+            faults = _random_system_call_faults(rng)
             fault = ScheduledFault(at_s, duration_s, kind, gateway, server, behaviour, faults, step_s)
             schedule.append(fault)
         at_s += rng.expovariate(1 / MEAN_GAP_S)
     return schedule
 
 
-def _draw_system_call_faults(rng: random.Random) -> SystemCallFaults:
+def _random_system_call_faults(rng: random.Random) -> SystemCallFaults:
     """Draw two groups of system calls that fail, each with its own failure rate."""
     groups = rng.sample(CALL_GROUPS, 2)
     return replace(NO_FAULTS, **{f"{group}_rate": rng.choice(FAILURE_RATES) for group in groups})
--- a/sagetrack/lab/soak/gateway_checks.py
+++ b/sagetrack/lab/soak/gateway_checks.py
@@ -7,8 +7,8 @@
 
 VIOLATIONS_METRIC = "svc_violations_total"
 OPEN_REQUESTS_METRIC = "svc_current"
-IDLE_DESCRIPTORS = 40  # limit for a gateway without clients, excluding idle connections to servers
-KEPT_CONNECTIONS = 2  # idle connections allowed to each server
+MAX_IDLE_DESCRIPTORS = 40  # limit for a gateway without clients, excluding idle connections to servers
+IDLE_CONNECTIONS_PER_SERVER = 2  # idle connections allowed to each server
 
 
 async def record_counted_violations(gateway: Gateway, history: History) -> None:
@@ -29,7 +29,7 @@
             f"gateway {gateway.number} without clients, open requests in its metrics: {found}"
         )
     descriptors = process.open_descriptors()
-    if descriptors > IDLE_DESCRIPTORS + KEPT_CONNECTIONS * servers:
+    if descriptors > MAX_IDLE_DESCRIPTORS + IDLE_CONNECTIONS_PER_SERVER * servers:
         history.leaks.append(f"gateway {gateway.number} without clients has {descriptors} open descriptors")
 
 
--- a/sagetrack/lab/soak/gateway_lifecycle.py
+++ b/sagetrack/lab/soak/gateway_lifecycle.py
@@ -11,7 +11,7 @@
 from sagetrack.lab.soak.gateway_checks import record_counted_violations
 from sagetrack.lab.soak.history import (
     ACCEPT_AFTER_SIGTERM_S,
-    MICROSECONDS,
+    US_PER_S,
     GatewaySpan,
     GatewayTime,
     History,
@@ -103,5 +103,5 @@
         """Record SIGTERM to the only process of a gateway, which stops accepting shortly afterwards."""
         sigterm_us = now_us()
         self._history.sigterms.append(GatewayTime(gateway.number, sigterm_us))
-        stops_accepting_us = sigterm_us + int(ACCEPT_AFTER_SIGTERM_S * MICROSECONDS)
+        stops_accepting_us = sigterm_us + int(ACCEPT_AFTER_SIGTERM_S * US_PER_S)
         self._stopped_accepting_us[gateway.number] = stops_accepting_us
--- a/sagetrack/lab/soak/history.py
+++ b/sagetrack/lab/soak/history.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MICROSECONDS = 1_000_000  # microseconds per second
+US_PER_S = 1_000_000  # microseconds per second
 SYSTEM_CALL_FAULT_GRACE_S = 6.0  # allowed delay until a gateway with failing system calls learns of a change
 ACCEPT_AFTER_SIGTERM_S = 0.7  # requests sent within this time after SIGTERM must still get a response
-SIGTERM_EXCUSE_S = 6.0  # a missing response is excused up to this time after SIGTERM
+SIGTERM_EXCUSE_S = 6.0  # requests sent later than that, but within this time, need not get a response
 KILL_BEFORE_REQUEST_S = 0.2  # a kill up to this time before a request excuses its missing response
 
 
@@ -73,12 +73,12 @@
         for span in self.down:
             if span.gateway == gateway and span.from_us <= sent_us <= span.to_us:
                 return True
-        earliest_kill_us = sent_us - int(KILL_BEFORE_REQUEST_S * MICROSECONDS)
+        earliest_kill_us = sent_us - int(KILL_BEFORE_REQUEST_S * US_PER_S)
         for kill in self.kills:
             if kill.gateway == gateway and earliest_kill_us <= kill.at_us <= until_us:
                 return True
-        stops_accepting_us = int(ACCEPT_AFTER_SIGTERM_S * MICROSECONDS)
-        excused_for_us = int(SIGTERM_EXCUSE_S * MICROSECONDS)
+        stops_accepting_us = int(ACCEPT_AFTER_SIGTERM_S * US_PER_S)
+        excused_for_us = int(SIGTERM_EXCUSE_S * US_PER_S)
         return any(
             sigterm.gateway == gateway and stops_accepting_us < sent_us - sigterm.at_us < excused_for_us
             for sigterm in self.sigterms
@@ -93,14 +93,14 @@
             span.gateway == gateway and span.from_us < until_us and span.to_us > from_us for span in self.down
         )
 
-    def change_effective_us(self, gateway: int, changed_us: int) -> int:
+    def change_known_us(self, gateway: int, changed_us: int) -> int:
         """Return the time at which a gateway counts as knowing a change of the endpoint list.
 
         This is the time of the change, or the time when discovery became reachable again. If the gateway's
         system calls fail around that time, a grace period is added.
         """
         effective_us = _end_of_adjacent_spans(self.discovery_unreachable, gateway, changed_us)
-        grace_us = int(SYSTEM_CALL_FAULT_GRACE_S * MICROSECONDS)
+        grace_us = int(SYSTEM_CALL_FAULT_GRACE_S * US_PER_S)
         for span in self.system_call_faults:
             if span.gateway != gateway:
                 continue
--- a/sagetrack/lab/soak/oracle.py
+++ b/sagetrack/lab/soak/oracle.py
@@ -1,7 +1,7 @@
 """The test oracle of the soak: finds the rules that the events of one run violate. No I/O.
 
 A violation is reported only if nothing in the run's `History` excuses it. Each comparison of timestamps from
-two processes allows `SCHEDULING_S`, because either process may be scheduled late.
+two processes allows `SCHEDULING_SLACK_S`, because either process may be scheduled late.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
     RequestSent,
     ResponseMissing,
 )
-from sagetrack.lab.soak.history import MICROSECONDS, History, Restart, Withdrawal
+from sagetrack.lab.soak.history import US_PER_S, History, Restart, Withdrawal
 from sagetrack.lab.soak.request_trace import RequestTrace, trace_requests
 from sagetrack.lab.soak.slow_start import SLOW_START_WINDOW_S, slow_start_budget
 
 # Tolerances of the comparisons
-SCHEDULING_S = 0.25  # scheduling delay between two processes
+SCHEDULING_SLACK_S = 0.25  # scheduling delay between two processes
 RESPONSE_SLACK_S = 0.5  # allowed time from the end of a request's budget until its response
 DISCONNECT_SLACK_S = 0.1  # allowed time from a client's close until the start of an attempt
 DRAIN_SLACK_S = 2.05  # allowed time from a gateway's knowledge of a withdrawal until the start of an attempt
@@ -49,7 +49,7 @@
     NO_ATTEMPT_AFTER_DISCONNECT = "after_close"
     ATTEMPT_BUDGET = "told"
     NO_ATTEMPT_AT_WITHDRAWN_SERVER = "drain"
-    MALFORMED_REQUEST_ANSWERED = "bad_client"
+    MALFORMED_REQUEST_HANDLED = "bad_client"
     SLOW_START = "cold"
     ENOUGH_SERVED = "service"  # applies to the run as a whole, see `verdict`
 
@@ -75,7 +75,7 @@
     for request_id, trace in trace_requests(events).items():
         for rule in REQUEST_RULES:
             found += rule(request_id, trace, history)
-    found += _malformed_requests_get_response(events, history)
+    found += _malformed_requests_are_handled(events, history)
     for restart in history.restarts:
         found += _slow_start_budget_is_kept(restart, events)
     return found
@@ -98,13 +98,13 @@
 def _response_is_within_budget(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`RESPONSE_IN_TIME`: the first response is complete within the request's budget.
 
-    Tolerance: `RESPONSE_SLACK_S` and scheduling. Exceptions: a truncated response, a client that has closed
-    its connection, and a gateway that was killed, ended or down.
+    Tolerance: `RESPONSE_SLACK_S` and scheduling. Excused: a truncated response, a client that has closed its
+    connection, and a gateway that was killed, ended or down.
     """
     if trace.disconnect is not None or not trace.sent or not trace.responses:
         return
     sent, response = trace.sent[-1], trace.responses[0]
-    due_us = sent.at_us + int((sent.budget_ms / 1000 + RESPONSE_SLACK_S + SCHEDULING_S) * MICROSECONDS)
+    due_us = sent.at_us + int((sent.budget_ms / 1000 + RESPONSE_SLACK_S + SCHEDULING_SLACK_S) * US_PER_S)
     if response.at_us <= due_us or not response.status:
         return
     if history.excuses_missing_response(sent.gateway, sent.at_us, response.at_us):
@@ -118,9 +118,9 @@
 def _request_gets_response(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`RESPONSE`: each request gets a response.
 
-    There is no tolerance, because the client waits longer than the budget. Exceptions: a client that has
-    closed its connection, a gateway that was killed, ended or down, and a reused connection that was closed
-    before any attempt started, since the client then resends the request.
+    There is no tolerance, because the client waits longer than the budget. Excused: a client that has closed
+    its connection, a gateway that was killed, ended or down, and a reused connection that was closed before
+    any attempt started, since the client then resends the request.
     """
     if trace.disconnect is not None or not trace.sent:
         return
@@ -147,7 +147,7 @@
 
 def _attempts_between(trace: RequestTrace, sent: RequestSent, missing: ResponseMissing) -> int:
     """Count the attempts of a request that got no response."""
-    earliest_us = sent.at_us - RESEND_OVERLAP_S * MICROSECONDS
+    earliest_us = sent.at_us - RESEND_OVERLAP_S * US_PER_S
     return sum(earliest_us <= attempt.at_us <= missing.at_us for attempt in trace.attempts_started)
 
 
@@ -164,7 +164,7 @@
 
     A single-shot request ("transfer") is never retried. A keyed request is retried only within the
     idempotency window and, if its key is known to one group only ("reserve"), only in that group.
-    Tolerance: scheduling, at the end of the window. Exceptions: attempts after a rejection, safe requests
+    Tolerance: scheduling, at the end of the window. Excused: attempts after a rejection, safe requests
     ("search"), and requests that the client itself has resent.
     """
     if len(trace.sent) != 1 or trace.sent[0].class_name == "search":
@@ -174,11 +174,11 @@
         if trace.rejected_by(earlier.server):
             continue
         same_group = history.server_groups[later.server] == history.server_groups[earlier.server]
-        apart_s = (later.at_us - earlier.at_us) / MICROSECONDS
+        apart_s = (later.at_us - earlier.at_us) / US_PER_S
         if class_name == "transfer" or (class_name == "reserve" and not same_group):
             where = f"at servers {earlier.server} and {later.server}"
             yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} {where}")
-        elif apart_s > IDEMPOTENCY_WINDOW_S + SCHEDULING_S:
+        elif apart_s > IDEMPOTENCY_WINDOW_S + SCHEDULING_SLACK_S:
             yield Violation(Rule.NO_DUPLICATE, f"{request_id} {class_name} retried after {apart_s:.2f} s")
 
 
@@ -189,7 +189,7 @@
     """
     if trace.disconnect is None:
         return
-    latest_us = trace.disconnect.at_us + (DISCONNECT_SLACK_S + SCHEDULING_S) * MICROSECONDS
+    latest_us = trace.disconnect.at_us + (DISCONNECT_SLACK_S + SCHEDULING_SLACK_S) * US_PER_S
     for attempt in trace.attempts_started:
         if attempt.at_us > latest_us:
             after_ms = (attempt.at_us - trace.disconnect.at_us) / 1000
@@ -202,14 +202,14 @@
 def _attempt_budget_is_within_remaining(request_id: str, trace: RequestTrace, history: History) -> Violations:
     """`ATTEMPT_BUDGET`: an attempt's budget does not exceed the remaining budget of its request.
 
-    Tolerance: `BUDGET_SLACK_S` and scheduling. Exception: requests that may have waited in the accept queue.
+    Tolerance: `BUDGET_SLACK_S` and scheduling. Excused: requests that may have waited in the accept queue.
     """
     for attempt in trace.attempts_started:
-        sent = trace.last_sent_before(attempt.at_us + int(SENT_STAMP_SLACK_S * MICROSECONDS))
+        sent = trace.last_sent_before(attempt.at_us + int(SENT_STAMP_SLACK_S * US_PER_S))
         if sent is None:
             continue
         left_ms = sent.budget_ms - (attempt.at_us - sent.at_us) / 1000
-        if attempt.budget_ms <= left_ms + (BUDGET_SLACK_S + SCHEDULING_S) * 1000:
+        if attempt.budget_ms <= left_ms + (BUDGET_SLACK_S + SCHEDULING_SLACK_S) * 1000:
             continue
         if not history.may_have_waited_in_backlog(attempt.gateway, sent.at_us, attempt.at_us):
             yield Violation(
@@ -243,22 +243,23 @@
         return 0.0
     if withdrawal.until_us is not None and attempt.at_us >= withdrawal.until_us:
         return 0.0
-    known_us = history.change_effective_us(attempt.gateway, withdrawal.at_us)
-    return (attempt.at_us - known_us) / MICROSECONDS - DRAIN_SLACK_S - SCHEDULING_S
+    known_us = history.change_known_us(attempt.gateway, withdrawal.at_us)
+    return (attempt.at_us - known_us) / US_PER_S - DRAIN_SLACK_S - SCHEDULING_SLACK_S
 
 
-def _malformed_requests_get_response(events: Sequence[AnyEvent], history: History) -> Violations:
-    """`MALFORMED_REQUEST_ANSWERED`: a malformed request gets an error or a close within the client's timeout.
+def _malformed_requests_are_handled(events: Sequence[AnyEvent], history: History) -> Violations:
+    """`MALFORMED_REQUEST_HANDLED`: a malformed request gets an error response or a close in time.
 
-    Exception: connections that may have waited in the accept queue.
+    The limit is the client's timeout, without further tolerance. Excused: connections that may have waited in
+    the accept queue.
     """
     for event in events:
         if not isinstance(event, MalformedRequestIgnored):
             continue
-        sent_us = event.at_us - int(MALFORMED_REQUEST_TIMEOUT_S * MICROSECONDS)
+        sent_us = event.at_us - int(MALFORMED_REQUEST_TIMEOUT_S * US_PER_S)
         if not history.may_have_waited_in_backlog(event.gateway, sent_us, event.at_us):
             yield Violation(
-                Rule.MALFORMED_REQUEST_ANSWERED, f"no reaction to {event.data!r} from gateway {event.gateway}"
+                Rule.MALFORMED_REQUEST_HANDLED, f"no reaction to {event.data!r} from gateway {event.gateway}"
             )
 
 
@@ -276,9 +277,9 @@
         and event.at_us >= restart.at_us
     ]
     for first, window_us in enumerate(times_us):
-        window_end_us = window_us + SLOW_START_WINDOW_S * MICROSECONDS
+        window_end_us = window_us + SLOW_START_WINDOW_S * US_PER_S
         received = sum(time_us < window_end_us for time_us in times_us[first:])
-        age_s = (window_us - restart.at_us) / MICROSECONDS
+        age_s = (window_us - restart.at_us) / US_PER_S
         budget = slow_start_budget(age_s + SLOW_START_WINDOW_S)
         if received > budget:
             detail = (
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -9,7 +9,7 @@
 from sagetrack.lab.soak.discovery import group_of
 from sagetrack.lab.soak.events import read_events
 from sagetrack.lab.soak.fault_injection import FaultInjector
-from sagetrack.lab.soak.fault_schedule import draw_schedule
+from sagetrack.lab.soak.fault_schedule import generate_schedule
 from sagetrack.lab.soak.fleet import Fleet, SoakSize
 from sagetrack.lab.soak.gateway_checks import (
     record_counted_violations,
@@ -34,7 +34,7 @@
         self._size = size
         self._folder = folder
         self._library = library
-        self._faults = draw_schedule(seed, size.seconds, size.gateways, size.servers)
+        self._faults = generate_schedule(seed, size.seconds, size.gateways, size.servers)
         server_groups = {server: group_of(server) for server in range(size.servers)}
         self._history = History(server_groups=server_groups)
         self._fleet = Fleet(seed, size, folder, library)
--- a/sagetrack/lab/stand_ins/address_server.py
+++ b/sagetrack/lab/stand_ins/address_server.py
@@ -1,7 +1,7 @@
 """A simulated upstream server on loopback sockets, independent of its protocol.
 
-Each gateway connects to each server at a separate address. This identifies the calling gateway and lets the
-lab cut the path between one gateway and one server.
+Each pair of a gateway and a server uses a separate address. The address identifies the calling gateway, and
+the lab can cut the path of one pair alone.
 """
 
 from __future__ import annotations
--- a/sagetrack/lab/stand_ins/discovery_agent.py
+++ b/sagetrack/lab/stand_ins/discovery_agent.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery service for one gateway, which long-polls the endpoint list over HTTP/1.1."""
+"""A stand-in discovery service, from which one gateway long-polls the endpoint list over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -16,9 +16,7 @@
 from sagetrack.lab.stand_ins.http1_parser import Http1Message, Http1Parser
 from sagetrack.lab.stand_ins.listener import SilenceableListener
 
-DELIVERY_TIMEOUT_US = (
-    6_000_000  # after this time a change counts as delivered even if the gateway did not poll
-)
+DELIVERY_TIMEOUT_US = 6_000_000  # a change counts as delivered after this time, even without a poll
 MAX_STORED_CHANGES = 1000  # a gateway that is further behind receives the full list
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
     ResponseReceived,
     read_events,
 )
-from sagetrack.lab.soak.fault_schedule import FaultKind, draw_schedule
+from sagetrack.lab.soak.fault_schedule import FaultKind, generate_schedule
 from sagetrack.lab.soak.fleet import SoakSize
 from sagetrack.lab.soak.history import GatewaySpan, GatewayTime, History, Restart, Withdrawal
 from sagetrack.lab.soak.oracle import find_violations
@@ -33,7 +33,13 @@
 
 def sent(at_us: int = 0, class_name: str = "transfer", budget_ms: int = 1_000, **flags: bool) -> RequestSent:
     return RequestSent(
-        at_us, "c", class_name, budget_ms, 0, flags.get("fresh", False), flags.get("again", False)
+        at_us,
+        "c",
+        class_name,
+        budget_ms,
+        0,
+        flags.get("first_on_connection", False),
+        flags.get("is_resend", False),
     )
 
 
@@ -61,7 +67,7 @@
     [
         ([sent(), ResponseReceived(30_000, "c", 200, False)], "wrong_answer"),
         ([sent(), ResponseReceived(2 * SECOND_US, "c", 503, True)], "late"),
-        ([sent(fresh=True), ResponseMissing(1_000, "c", True)], "lost"),
+        ([sent(first_on_connection=True), ResponseMissing(1_000, "c", True)], "lost"),
         ([sent(), ResponseMissing(2 * SECOND_US, "c", False)], "lost"),
         ([sent(), AttemptStarted(500, "c", 0, 1, 999), ResponseMissing(1_000, "c", True)], "lost"),
         (
@@ -115,7 +121,7 @@
         [
             sent(),
             ResponseMissing(1_000, "c", True),
-            sent(2_000, again=True, fresh=True),
+            sent(2_000, is_resend=True, first_on_connection=True),
             ResponseReceived(3_000, "c", 200, True),
         ]
     )
@@ -129,12 +135,12 @@
     ]
     history = History(server_groups=SERVER_GROUPS, withdrawals=[Withdrawal(1, 0)])
     assert violated_rules(late_attempt, history) == {"drain"}
-    history.discovery_unreachable = [
-        GatewaySpan(0, 0, 2 * SECOND_US)
-    ]  # the gateway learns of it when discovery is reachable again
+    # The gateway learns of the withdrawal only when discovery is reachable again.
+    history.discovery_unreachable = [GatewaySpan(0, 0, 2 * SECOND_US)]
     assert not violated_rules(late_attempt, history)
     history.discovery_unreachable = []
-    history.system_call_faults = [GatewaySpan(0, 0, SECOND_US)]  # failing system calls add a grace period
+    # Failing system calls add a grace period.
+    history.system_call_faults = [GatewaySpan(0, 0, SECOND_US)]
     assert not violated_rules(late_attempt, history)
     history.system_call_faults = []
     history.withdrawals[0].until_us = SECOND_US
@@ -150,7 +156,7 @@
 
 
 def test_missing_response_of_a_killed_gateway_is_excused() -> None:
-    events: list[AnyEvent] = [sent(fresh=True), ResponseMissing(1_000, "c", True)]
+    events: list[AnyEvent] = [sent(first_on_connection=True), ResponseMissing(1_000, "c", True)]
     assert not violated_rules(events, History(server_groups=SERVER_GROUPS, kills=[GatewayTime(0, 900)]))
     assert violated_rules(events, History(server_groups=SERVER_GROUPS, kills=[GatewayTime(1, 900)])) == {
         "lost"
@@ -158,7 +164,7 @@
 
 
 def test_missing_response_of_a_gateway_that_was_down_is_excused() -> None:
-    events: list[AnyEvent] = [sent(1_000, fresh=True), ResponseMissing(2_000, "c", True)]
+    events: list[AnyEvent] = [sent(1_000, first_on_connection=True), ResponseMissing(2_000, "c", True)]
     assert not violated_rules(events, History(server_groups=SERVER_GROUPS, down=[GatewaySpan(0, 500, 1_500)]))
     assert violated_rules(
         events, History(server_groups=SERVER_GROUPS, down=[GatewaySpan(0, 1_500, SECOND_US)])
@@ -172,7 +178,10 @@
     ("sent_us", "violated"), [(SECOND_US // 2, {"lost"}), (SECOND_US, set()), (7 * SECOND_US, {"lost"})]
 )
 def test_gateway_must_respond_for_a_short_time_after_sigterm(sent_us: int, violated: set[str]) -> None:
-    events: list[AnyEvent] = [sent(sent_us, fresh=True), ResponseMissing(sent_us + 1_000, "c", True)]
+    events: list[AnyEvent] = [
+        sent(sent_us, first_on_connection=True),
+        ResponseMissing(sent_us + 1_000, "c", True),
+    ]
     assert (
         violated_rules(events, History(server_groups=SERVER_GROUPS, sigterms=[GatewayTime(0, 0)])) == violated
     )
@@ -194,9 +203,9 @@
 
 
 def test_fault_schedule_is_deterministic_and_faults_overlap() -> None:
-    faults = draw_schedule(7, 60.0, 4, 6)
-    assert faults == draw_schedule(7, 60.0, 4, 6) and faults != draw_schedule(8, 60.0, 4, 6)
-    assert {fault.kind for fault in draw_schedule(1, 600.0, 4, 6)} == set(FaultKind)
+    faults = generate_schedule(7, 60.0, 4, 6)
+    assert faults == generate_schedule(7, 60.0, 4, 6) and faults != generate_schedule(8, 60.0, 4, 6)
+    assert {fault.kind for fault in generate_schedule(1, 600.0, 4, 6)} == set(FaultKind)
     overlapping = sum(later.at_s < earlier.at_s + earlier.duration_s for earlier, later in pairwise(faults))
     assert overlapping > len(faults) / 2
 
