--- a/sagetrack/lab/processes/gateway_supervisor.py
+++ b/sagetrack/lab/processes/gateway_supervisor.py
@@ -46,7 +46,7 @@
         self.launch_count = 0
         self.ended_cpu_s = 0.0  # CPU seconds of killed processes
         # In an upgrade both processes accept from the same listening socket, so the lab opens and keeps it.
-        self.passes_listeners = any(t.kind == "gateway-upgrade" for t in world.scenario.faults)
+        self.passes_listeners = any(fault.kind == "gateway-upgrade" for fault in world.scenario.faults)
 
     # Starting
 
--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -41,7 +41,7 @@
         self._lifecycle = GatewayLifecycle(self._history)
         self._injector = FaultInjector(self._fleet, self._lifecycle, size.servers, self._history)
 
-    async def play(self) -> SoakReport:
+    async def execute(self) -> SoakReport:
         """Execute the run and return its report. No process is left behind, even after an error."""
         try:
             await self._start()
@@ -101,10 +101,10 @@
     except ShimError:
         library = None
 
-    async def play() -> SoakReport:
-        return await SoakRun(seed, size, folder, library).play()
+    async def main() -> SoakReport:
+        return await SoakRun(seed, size, folder, library).execute()
 
-    return asyncio.run(play())
+    return asyncio.run(main())
 
 
 def create_run_folder() -> Path:
