--- a/sagetrack/lab/processes/gateway_process.py
+++ b/sagetrack/lab/processes/gateway_process.py
@@ -1,4 +1,4 @@
-"""One process of the gateway program."""
+"""One gateway process: its start, readiness check, resource usage and end."""
 
 from __future__ import annotations
 
@@ -16,25 +16,29 @@
 from sagetrack.lab.processes.resource_usage import cpu_s, memory_mb
 from sagetrack.lab.repository import ROOT
 
-READY_S = 15.0  # for a gateway to report that it is ready
+READY_TIMEOUT_S = 15.0  # maximum time from a gateway's start until it reports that it is ready
 READY_POLL_S = 0.01
-INHERITED_SETTINGS = ("LB_ACCEPT_FD", "LB_OPERATOR", "LB_ADMIN")  # of this process's own environment
+EXCLUDED_VARIABLES = (
+    "LB_ACCEPT_FD",
+    "LB_OPERATOR",
+    "LB_ADMIN",
+)  # removed from the environment of gateways
 
 
 class Usage(NamedTuple):
-    """Resources of one gateway or several."""
+    """Resource usage of one or more gateways."""
 
-    cpu_s: float  # since the start
-    memory_mb: float  # resident; the largest process's
+    cpu_s: float  # CPU seconds since the start
+    memory_mb: float  # resident megabytes; of several processes, those of the largest
 
 
 class GatewayProcess:
-    """A gateway that is started with this object and dies at the latest with this process.
+    """A gateway process. The constructor starts it; the kernel kills it if this process ends.
 
-    `folder` gets its configuration and its log; `number` tells apart processes that share a folder.
-    `listener`, if there is one, is handed down as the socket to accept from. `operator_settings` is the text
-    of its operator file, empty for none. `process` is the child process itself, `log` the file of what it
-    prints, `admin` the "host:port" of its admin interface.
+    `folder` receives its configuration and its log, and `number` distinguishes processes that share a
+    folder. The gateway inherits `listener`, if given, as the socket to accept from. `operator_settings` is
+    the text of its operator file; if it is empty, there is no such file. `process` is the child process,
+    `log` the file that receives its output, and `admin` the "host:port" of its admin interface.
     """
 
     def __init__(
@@ -47,10 +51,14 @@
     ) -> None:
         config_file = folder / f"config-{number}.json"
         config_file.write_text(json.dumps(config))
-        shared = folder / "tmp"
-        shared.mkdir(exist_ok=True)
-        environment = {name: value for name, value in os.environ.items() if name not in INHERITED_SETTINGS}
-        environment |= {"LB_CONFIG": str(config_file), "TMPDIR": str(shared), "PYTHONPATH": str(ROOT)}
+        temp_folder = folder / "tmp"
+        temp_folder.mkdir(exist_ok=True)
+        environment = {name: value for name, value in os.environ.items() if name not in EXCLUDED_VARIABLES}
+        environment |= {
+            "LB_CONFIG": str(config_file),
+            "TMPDIR": str(temp_folder),
+            "PYTHONPATH": str(ROOT),
+        }
         if operator_settings:
             operator_file = folder / f"operator-{number}.toml"
             operator_file.write_text(operator_settings)
@@ -75,27 +83,30 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended yet."""
+        """True until the process ends."""
         return self.process.poll() is None
 
     def last_log_line(self) -> str:
-        """The last line that it printed."""
+        """Return the last line of the process's output."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "no output"
 
-    def end_report(self) -> str:
-        """How an ended process ended, for people."""
-        return f"ended with status {self.process.returncode}: {self.last_log_line()}"
+    def describe_exit(self) -> str:
+        """Describe for error messages how an ended process ended: its exit status and last log line."""
+        return f"ended with status {self.process.returncode}; last log line: {self.last_log_line()}"
 
     def usage(self) -> Usage:
-        """What it has used so far; zeros once it has ended."""
+        """Return the resources used so far, or zeros once the process has ended."""
         try:
             return Usage(cpu_s(self.process.pid), memory_mb(self.process.pid))
         except OSError:
             return Usage(0.0, 0.0)
 
     async def reports_ready(self) -> bool:
-        """Whether its admin interface reports that it takes clients; False if it does not answer."""
+        """Return True if the admin interface reports that the gateway accepts clients.
+
+        Returns False if the admin interface cannot be reached.
+        """
         host, _, port = self.admin.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -107,13 +118,18 @@
         return line.startswith(b"SUCCESS")
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until it takes clients; LabError, which names it so, if it ends or is not ready in time."""
+        """Wait until the gateway accepts clients.
+
+        Raises LabError, whose message begins with `name`, if the gateway ends or is not ready in time.
+        """
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + READY_S
+        end_s = loop.time() + READY_TIMEOUT_S
         while loop.time() < end_s:
             if not self.is_running:
-                raise LabError(f"{name} {self.end_report()}")
+                raise LabError(f"{name} {self.describe_exit()}")
             if await self.reports_ready():
                 return
             await asyncio.sleep(READY_POLL_S)
-        raise LabError(f"{name} was not ready within {READY_S:g} s: {self.last_log_line()}")
+        raise LabError(
+            f"{name} was not ready within {READY_TIMEOUT_S:g} s; last log line: {self.last_log_line()}"
+        )
--- a/sagetrack/lab/processes/run.py
+++ b/sagetrack/lab/processes/run.py
@@ -1,7 +1,7 @@
-"""A run of a scenario in real time, with gateway processes over loopback sockets.
+"""Runs a scenario in real time, with gateway processes over loopback sockets.
 
-However a run ends, nothing that it started stays behind: gateways are ended by process id, and the kernel
-ends them if this process is killed.
+However a run ends, it leaves no process behind: it ends the gateways by process ID, and the kernel kills them
+if this process is killed.
 """
 
 from __future__ import annotations
@@ -24,28 +24,29 @@
 from sagetrack.lab.processes.clock import RealClock
 from sagetrack.lab.processes.gateway_fleet import GatewayFleet
 
-SPARE_DESCRIPTORS = 200
+RESERVED_DESCRIPTORS = 200
 DESCRIPTORS_PER_GATEWAY = 20
-REQUEST_S = 4  # of requests whose connections may be open at once
-CHECK_S = 0.05  # between two looks at how the run is going
-FINAL_SLACK_US = 200_000  # beyond the longest deadline, until a run ends at the latest
+OPEN_CONNECTION_S = 4  # requests sent within this time may all have open connections at once
+POLL_INTERVAL_S = 0.05  # interval between checks whether the run is over or has failed
+END_SLACK_US = 200_000  # a run ends at most this long after the last possible deadline of a request
 
-Progress = Callable[[float, World], None]  # the share of the run that is over
+ProgressCallback = Callable[[float, World], None]  # receives the elapsed share of the run (0 to 1)
 
 
 def play(
     scenario: Scenario,
     seed: int,
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
     sample_s: float = 0.0,
     records: Records | None = None,
 ) -> Records:
-    """Play a scenario in real time.
+    """Run a scenario in real time and return its records.
 
-    `progress` is called with the share of the run that is over. With `sample_s`, each server's load is
-    recorded that often. What happens goes into `records`, which are returned; by default they are new ones.
-    LabError if the scenario cannot be played; KeyboardInterrupt, once everything is ended, on SIGINT, SIGTERM
-    or SIGHUP.
+    `progress` is called with the elapsed share of the run. If `sample_s` is not 0, each server's load is
+    recorded every `sample_s` seconds. Events are added to `records`, or to a new object by default.
+
+    Raises LabError if the scenario cannot be run. On SIGINT, SIGTERM or SIGHUP it ends all processes and
+    raises KeyboardInterrupt.
     """
     run_records = records if records is not None else Records()
 
@@ -63,12 +64,12 @@
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
     except OSError as error:
-        raise LabError(f"no socket could be had: {error.strerror or error}") from None
+        raise LabError(f"cannot open a socket for the run: {error.strerror or error}") from None
     return run_records
 
 
 async def _play(
-    scenario: Scenario, seed: int, records: Records, progress: Progress | None, sample_s: float
+    scenario: Scenario, seed: int, records: Records, progress: ProgressCallback | None, sample_s: float
 ) -> None:
     require_file_descriptors(_descriptor_count(scenario))
     folder = Path(tempfile.mkdtemp(prefix="sagetrack-lab-"))
@@ -81,7 +82,7 @@
         world.prepare()
         gateways.start()
         await gateways.start_all()
-        _restart_time(clock, world, gateways)
+        _reset_time_base(clock, world, gateways)
         start_usage = gateways.supervisor.usage()
         world.start()
         if gateways.dns is not None:
@@ -96,22 +97,22 @@
 
 
 def _descriptor_count(scenario: Scenario) -> int:
-    """Descriptors that this process may need at once."""
+    """Return the number of descriptors that this process may need at once."""
     fleet = scenario.fleet
-    replacements = sum(trouble.kind in ("deploy", "vanish") for trouble in scenario.faults)
+    replacements = sum(fault.kind in ("deploy", "vanish") for fault in scenario.faults)
     listeners = (fleet.servers * (1 + replacements) + 1) * fleet.gateways
-    clients = int(scenario.rate * REQUEST_S)
-    return listeners + clients + fleet.gateways * DESCRIPTORS_PER_GATEWAY + SPARE_DESCRIPTORS
+    clients = int(scenario.rate * OPEN_CONNECTION_S)
+    return listeners + clients + fleet.gateways * DESCRIPTORS_PER_GATEWAY + RESERVED_DESCRIPTORS
 
 
 def _unix_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
-def _restart_time(clock: RealClock, world: World, gateways: GatewayFleet) -> None:
-    """Begin the run now that all gateways are ready: what came before counts as time 0."""
+def _reset_time_base(clock: RealClock, world: World, gateways: GatewayFleet) -> None:
+    """Restart the clock once all gateways are ready; everything recorded before counts as time 0."""
     clock.restart()
-    gateways.restart_base_time(_unix_ms())
+    gateways.set_base_time(_unix_ms())
     for server in world.server_fleet.servers.values():
         server.now_us = 0
         server.started_us = 0
@@ -119,15 +120,18 @@
 
 
 async def _wait_for_end(
-    world: World, gateways: GatewayFleet, progress: Progress | None, sampler: LoadSampler
+    world: World, gateways: GatewayFleet, progress: ProgressCallback | None, sampler: LoadSampler
 ) -> None:
-    """Wait until every request has its outcome or none can have one; LabError if a gateway fails."""
+    """Wait until every request has an outcome or the longest deadline has passed.
+
+    Raises LabError if a gateway or a background task fails.
+    """
     scenario = world.scenario
     arrivals_end_us = int(scenario.seconds * 1e6)
     longest_deadline_us = max(int(request_class.deadline_ms * 1000) for request_class in scenario.classes)
-    end_us = arrivals_end_us + longest_deadline_us + FINAL_SLACK_US
+    end_us = arrivals_end_us + longest_deadline_us + END_SLACK_US
     while world.clock.now_us() < end_us:
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         now_us = world.clock.now_us()
         _raise_failure(gateways)
         if progress is not None:
@@ -147,7 +151,7 @@
 
 
 class LoadSampler:
-    """Records each server's load every so many seconds; never, with a period of 0."""
+    """Records each server's load every `period_s` seconds, or never if that is 0."""
 
     def __init__(self, world: World, period_s: float) -> None:
         self.world = world
@@ -155,7 +159,7 @@
         self.next_s = 0.0
 
     def sample_if_due(self, now_us: int) -> None:
-        """Record the load if the time has come."""
+        """Record the load if the next sample is due."""
         now_s = now_us / 1e6
         if not self.period_s or now_s < self.next_s:
             return
--- a/tests/test_dns_service.py
+++ b/tests/test_dns_service.py
@@ -76,8 +76,8 @@
             response = await client.exchange(query(f"n{number}.example."))
             assert [r.to_text() for r in response.answer[0]] == ["192.0.2.1"]
         assert service.upstreams.counts.unmatched == 20 * 50
-        ports = {port for _, _, port in upstream.seen}
-        assert len(ports) > 1 and len({id_ for _, id_, _ in upstream.seen}) > 10
+        ports = {port for _, _, port in upstream.received_queries}
+        assert len(ports) > 1 and len({id_ for _, id_, _ in upstream.received_queries}) > 10
         client.transport.close()
 
 
