--- a/sagetrack/cli/demo.py
+++ b/sagetrack/cli/demo.py
@@ -38,8 +38,8 @@
     from rich.console import Console
 
     from sagetrack.cli.lab_play import verdict
-    from sagetrack.lab.analysis.figures import figures
-    from sagetrack.lab.analysis.judges import judge
+    from sagetrack.lab.analysis.figures import compute_figures
+    from sagetrack.lab.analysis.judges import find_violations
     from sagetrack.lab.analysis.records import Records
     from sagetrack.lab.errors import LabError
 
@@ -52,8 +52,8 @@
     except KeyboardInterrupt:
         print("sagetrack: ended; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
-    violations = judge(records, scenario)
-    results = figures(records, scenario, violations)
+    violations = find_violations(records, scenario)
+    results = compute_figures(records, scenario, violations)
     for violation in violations[:SHOWN]:
         print(f"broken: {violation}")
     if results.late:
@@ -132,7 +132,7 @@
     from sagetrack.lab.analysis.records import FaultStateChanged
 
     active: list[str] = []
-    for change in records.typed(FaultStateChanged):
+    for change in records.of_type(FaultStateChanged):
         if change.state == "begins":
             active.append(change.fault)
         elif change.fault in active:
--- a/sagetrack/cli/lab_play.py
+++ b/sagetrack/cli/lab_play.py
@@ -54,8 +54,8 @@
     fault: Annotated[str, typer.Option(help="a deliberate fault of the gateways; with --virtual")] = "",
 ) -> None:
     """Play a scenario and judge it; exit 0 only if no rule is broken and every expectation holds."""
-    from sagetrack.lab.analysis.figures import figures
-    from sagetrack.lab.analysis.judges import judge
+    from sagetrack.lab.analysis.figures import compute_figures
+    from sagetrack.lab.analysis.judges import find_violations
     from sagetrack.lab.virtual.faulty_gateways import FAULTS
 
     played = scenario_from(scenario, settings)
@@ -71,8 +71,8 @@
     except KeyboardInterrupt:
         print("sagetrack: ended; nothing is left running", file=sys.stderr)
         raise typer.Exit(INTERRUPTED) from None
-    violations = judge(records, played)
-    results = figures(records, played, violations)
+    violations = find_violations(records, played)
+    results = compute_figures(records, played, violations)
     write_files(records, records_file, plot)
     if as_json:
         print(json_of(records, results, violations))
@@ -87,9 +87,9 @@
         if records_file:
             records.write(records_file)
         if plot:
-            from sagetrack.lab.analysis.plots import draw
+            from sagetrack.lab.analysis.plots import draw_plot
 
-            draw(records, plot)
+            draw_plot(records, plot)
     except (OSError, ValueError) as error:
         raise fail(f"the run is played, but cannot be written: {error}") from None
 
@@ -97,7 +97,7 @@
 def json_of(records: Records, results: Figures, violations: list[Violation]) -> str:
     """A run as one JSON object."""
     row = {name: records.header[name] for name in ("scenario", "seed", "driver")}
-    row |= results.plain()
+    row |= results.to_json()
     row |= {key: value for key, value in records.header.items() if key.startswith("gateway_")}
     if results.dns_queries:
         row["http_service"] = round(results.service, 4)
@@ -172,11 +172,11 @@
     out: Annotated[str, typer.Argument(help="a .png or .svg")],
 ) -> None:
     """Draw a run from its records."""
-    from sagetrack.lab.analysis.plots import draw
-    from sagetrack.lab.analysis.records import read
+    from sagetrack.lab.analysis.plots import draw_plot
+    from sagetrack.lab.analysis.records import read_records
 
     try:
-        draw(read(records_file), out)
+        draw_plot(read_records(records_file), out)
     except (OSError, ValueError) as error:
         raise fail(str(error)) from None
     print(out)
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -148,7 +148,7 @@
 
     import msgspec
 
-    from sagetrack.lab.analysis.records import read
+    from sagetrack.lab.analysis.records import read_records
 
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         scenario_file = Path(folder) / "scenario.json"
@@ -172,4 +172,4 @@
             raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr else "no records")
         if json.loads(done.stdout.splitlines()[-1])["late"]:
             raise RuntimeError(f"seed {seed} ran late: lower --lanes")
-        return read(records_file)
+        return read_records(records_file)
--- a/sagetrack/lab/analysis/fairness.py
+++ b/sagetrack/lab/analysis/fairness.py
@@ -32,7 +32,7 @@
     return jain_index([mine / part for mine, part in zip(served, fair, strict=True) if part > 0])
 
 
-def fairness(records: Records, requests: Iterable[RequestFinished], scenario: Scenario) -> Fairness:
+def compute_fairness(records: Records, requests: Iterable[RequestFinished], scenario: Scenario) -> Fairness:
     """Fairness of these requests by their work: by share for members, even for the clients of a member.
 
     A member whose clients each come once, or that has one client, does not count for the clients' index.
@@ -61,7 +61,7 @@
     records: Records, requests: Iterable[RequestFinished], scenario: Scenario
 ) -> tuple[Work, Work]:
     """The work that was requested, and the part of it that was served."""
-    clients = {row.request: row.client for row in records.typed(RequestClient)}
+    clients = {row.request: row.client for row in records.of_type(RequestClient)}
     demand: Work = defaultdict(lambda: defaultdict(float))
     served: Work = defaultdict(lambda: defaultdict(float))
     for request in requests:
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrack.lab.analysis.fairness import fairness
+from sagetrack.lab.analysis.fairness import compute_fairness
 from sagetrack.lab.analysis.judges import RULES
 from sagetrack.lab.analysis.records import (
     CallAnswered,
@@ -31,7 +31,7 @@
 ADVICE_SLACK_US = 50_000  # more than that: clocks, scheduling
 
 
-def histogram() -> HdrHistogram:
+def latency_histogram() -> HdrHistogram:
     """A histogram of microseconds up to an hour, to three digits (Tene's HDR histogram)."""
     return HdrHistogram(1, LONGEST_US, 3)
 
@@ -70,7 +70,7 @@
     expect_held: bool = True
     expect_missed: list[str] = field(default_factory=list)
 
-    def plain(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Rounded, for JSON."""
         return {name: _rounded(value) for name, value in asdict(self).items()}
 
@@ -81,25 +81,25 @@
     return {key: _rounded(item) for key, item in value.items()} if isinstance(value, dict) else value
 
 
-def figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
+def compute_figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
     """Work out the figures, and compare them with the scenario's bounds.
 
     A latency runs from the moment that the request was due, not from when it could be sent: an answer that
     delayed later requests counts for these too (no coordinated omission).
     """
     settled_us = scenario.settle_s * 1e6
-    requests = [request for request in records.typed(RequestFinished) if request.due_us >= settled_us]
+    requests = [request for request in records.of_type(RequestFinished) if request.due_us >= settled_us]
     results = Figures(requests=len(requests))
     _count_outcomes(results, requests)
     _measure_service(results, requests, scenario)
     _measure_latency(results, requests)
-    results.attempts = sum(1 for _ in records.of("recv"))
+    results.attempts = sum(1 for _ in records.rows_of("recv"))
     broken = Counter(violation.rule for violation in violations)
     results.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
-    late_arrivals = sum(1 for _ in records.typed(LateArrival))
+    late_arrivals = sum(1 for _ in records.of_type(LateArrival))
     results.late = late_arrivals > LATE_SHARE * max(1, results.requests)
     _measure_advice(results, records)
-    results.jain_members, results.jain_clients = fairness(records, requests, scenario)
+    results.jain_members, results.jain_clients = compute_fairness(records, requests, scenario)
     results.duplicate_executions = _count_duplicates(records, scenario)
     _measure_dns(results, records, settled_us)
     results.expect_missed = _missed_bounds(results, scenario.expect, _members_without_faults(scenario))
@@ -170,7 +170,7 @@
 
 def _latencies(finished: Iterable[RequestFinished | DnsQueryFinished]) -> HdrHistogram:
     """From when each was due, of those that were answered in time or late."""
-    latencies = histogram()
+    latencies = latency_histogram()
     for row in finished:
         if row.outcome in ("served", "late"):
             latencies.record_value(max(1, row.time_us - row.due_us))
@@ -187,7 +187,7 @@
 
 
 def _measure_dns(results: Figures, records: Records, settled_us: float) -> None:
-    queries = [query for query in records.typed(DnsQueryFinished) if query.due_us >= settled_us]
+    queries = [query for query in records.of_type(DnsQueryFinished) if query.due_us >= settled_us]
     if not queries:
         return
     results.dns_queries = len(queries)
@@ -197,10 +197,10 @@
 
 def _count_duplicates(records: Records, scenario: Scenario) -> int:
     """Executions that took effect a second time within the key's window, at any server."""
-    class_of_key = {sent.key: sent.class_index for sent in records.typed(CallSent) if sent.key is not None}
+    class_of_key = {sent.key: sent.class_index for sent in records.of_type(CallSent) if sent.key is not None}
     last_us: dict[int, int] = {}
     duplicates = 0
-    for execution in records.typed(Execution):
+    for execution in records.of_type(Execution):
         key = execution.key
         if key is None or not execution.has_effect:
             continue
@@ -215,7 +215,7 @@
     advice_by_request: dict[str, RetryAdvised] = {}
     first_verdicts: dict[str, str] = {}
     followed: list[str] = []
-    for record in records.mixed(RetryAdvised, CallSent, CallAnswered):
+    for record in records.of_types(RetryAdvised, CallSent, CallAnswered):
         if isinstance(record, RetryAdvised):
             results.advised += 1
             advice_by_request[record.request] = record
--- a/sagetrack/lab/analysis/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -23,7 +23,7 @@
     StatusReceived,
 )
 from sagetrack.lab.analysis.violations import NO_SERVER, Violation
-from sagetrack.lab.analysis.warm_up import cold_budget, cold_sum
+from sagetrack.lab.analysis.warm_up import check_cold_budget, check_cold_sum
 from sagetrack.lab.model.scenario import RequestClass, Scenario
 
 SLACK_US = 50_000  # on every time limit: clocks, scheduling
@@ -36,13 +36,13 @@
 
 
 def _calls_sent(records: Records) -> dict[str, CallSent]:
-    return {sent.call: sent for sent in records.typed(CallSent)}
+    return {sent.call: sent for sent in records.of_type(CallSent)}
 
 
 def _downtimes(records: Records) -> dict[int, list[_Downtime]]:
     """By gateway, when none of its processes was up."""
     downtimes: dict[int, list[_Downtime]] = defaultdict(list)
-    for change in records.typed(GatewayStateChanged):
+    for change in records.of_type(GatewayStateChanged):
         spans = downtimes[change.gateway]
         if change.state in ("down", "left"):
             spans.append(_Downtime(change.time_us, math.inf))
@@ -51,17 +51,17 @@
     return downtimes
 
 
-def one_answer(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_one_answer(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """Each call that a gateway accepted gets one final answer before its client stops waiting.
 
     A call counts as accepted unless its gateway was down when it came, or died before it had answered.
     """
     answers: dict[str, list[CallAnswered]] = defaultdict(list)
-    for answer in records.typed(CallAnswered):
+    for answer in records.of_type(CallAnswered):
         answers[answer.call].append(answer)
     downtimes = _downtimes(records)
     last_us = records.last_us()
-    for sent in records.typed(CallSent):
+    for sent in records.of_type(CallSent):
         deadline_us = sent.time_us + sent.budget_us
         gateway_died = any(
             down.begin_us <= deadline_us and sent.time_us <= down.end_us for down in downtimes[sent.gateway]
@@ -90,15 +90,15 @@
         )
 
 
-def repeats(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_repeats(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """An attempt that may have been executed is repeated only as its class allows.
 
     An unsafe call runs once; a keyed one only where its key is dropped, and within its window.
     """
     calls = _calls_sent(records)
-    places = {start.server: start for start in records.typed(ServerStarted)}
+    places = {start.server: start for start in records.of_type(ServerStarted)}
     first_attempts: dict[str, AttemptReceived] = {}
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         if attempt.verdict == "rejected" or attempt.call not in calls:
             continue
         first = first_attempts.setdefault(attempt.call, attempt)
@@ -137,7 +137,7 @@
 ) -> Iterator[Violation]:
     """Calls that are not safe and had their effect a second time."""
     effects: dict[str, int] = {}
-    for execution in records.typed(Execution):
+    for execution in records.of_type(Execution):
         call = execution.call
         if not execution.has_effect or call not in calls:
             continue
@@ -149,17 +149,17 @@
         effects.setdefault(call, execution.server)
 
 
-def refused_harmless(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_refusals_after_execution(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """A call that may have been executed is not refused, unless its class allows a repeat anywhere.
 
     A refusal tells the client that trying again does no harm. Counted under the rule `repeats`.
     """
     calls = _calls_sent(records)
     executed: dict[str, AttemptReceived] = {}
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         if attempt.verdict != "rejected":
             executed.setdefault(attempt.call, attempt)
-    for answer in records.typed(CallAnswered):
+    for answer in records.of_type(CallAnswered):
         call = answer.call
         if answer.verdict != "refused" or call not in executed or call not in calls:
             continue
@@ -172,11 +172,11 @@
             yield Violation("repeats", answer.time_us, call, executed[call].server, why)
 
 
-def drains(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_drains(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """A gateway sends nothing new to a server longer than the grace after it learned that this one leaves."""
     grace_us = scenario.gateways.drain_grace_ms * 1000 + SLACK_US
     leaving_since: dict[tuple[int, int], int] = {}  # by gateway and server
-    for record in records.mixed(StatusReceived, AttemptReceived):
+    for record in records.of_types(StatusReceived, AttemptReceived):
         pair = (record.gateway, record.server)
         if isinstance(record, StatusReceived):
             if record.status == "SERVING":
@@ -195,7 +195,7 @@
     """By gateway, the times from a process's death until the next one was up."""
     died: dict[int, int] = {}
     restarts: dict[int, list[_Downtime]] = defaultdict(list)
-    for change in records.typed(GatewayStateChanged):
+    for change in records.of_type(GatewayStateChanged):
         if change.state == "down":
             died[change.gateway] = change.time_us
         elif change.state == "up" and change.gateway in died:
@@ -203,7 +203,7 @@
     return restarts
 
 
-def late_refusals(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_late_refusals(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """A gateway that gives up a call answers at once: not past half of its time with no attempt sent.
 
     Attempts that found no connection are not in the servers' records, so the time that these may take is
@@ -211,10 +211,10 @@
     no gateway has it until that one is up.
     """
     restarts = _restarts(records)
-    attempted = {attempt.call for attempt in records.typed(AttemptReceived)}
+    attempted = {attempt.call for attempt in records.of_type(AttemptReceived)}
     calls = _calls_sent(records)
     connecting_us = scenario.network.connect_timeout_ms * 1000 * scenario.gateways.max_attempts
-    for answer in records.typed(CallAnswered):
+    for answer in records.of_type(CallAnswered):
         call = answer.call
         if answer.verdict not in ("refused", "failed") or call in attempted or call not in calls:
             continue
@@ -230,20 +230,20 @@
             yield Violation("late_refusals", answer.time_us, call, NO_SERVER, why)
 
 
-Judge = Callable[[Records, Scenario], Iterator[Violation]]
-JUDGES: tuple[Judge, ...] = (
-    one_answer,
-    repeats,
-    refused_harmless,
-    drains,
-    cold_budget,
-    cold_sum,
-    late_refusals,
+Check = Callable[[Records, Scenario], Iterator[Violation]]
+CHECKS: tuple[Check, ...] = (
+    check_one_answer,
+    check_repeats,
+    check_refusals_after_execution,
+    check_drains,
+    check_cold_budget,
+    check_cold_sum,
+    check_late_refusals,
 )
 RULES = ("one_answer", "repeats", "drains", "cold_budget", "cold_sum", "late_refusals")
 
 
-def judge(records: Records, scenario: Scenario) -> list[Violation]:
+def find_violations(records: Records, scenario: Scenario) -> list[Violation]:
     """All violations, by time."""
-    found = [violation for judge in JUDGES for violation in judge(records, scenario)]
+    found = [violation for check in CHECKS for violation in check(records, scenario)]
     return sorted(found, key=lambda violation: (violation.time_us, violation.rule, violation.call))
--- a/sagetrack/lab/analysis/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -15,7 +15,7 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.figures import latency_histogram
 from sagetrack.lab.analysis.records import (
     AttemptReceived,
     FaultStateChanged,
@@ -50,7 +50,7 @@
     """All faults by their begin; one that did not end lasts until the last record."""
     begins: dict[str, list[float]] = defaultdict(list)
     spans = []
-    for change in records.typed(FaultStateChanged):
+    for change in records.of_type(FaultStateChanged):
         if change.state == "begins":
             begins[change.fault].append(change.time_us / 1e6)
         elif begins[change.fault]:
@@ -60,7 +60,7 @@
     return sorted(spans, key=lambda span: span.begin_s)
 
 
-def draw(records: Records, path: Path | str) -> None:
+def draw_plot(records: Records, path: Path | str) -> None:
     """Draw a run into a file; its suffix says what kind.
 
     Raises:
@@ -88,8 +88,8 @@
 def _draw_requests(records: Records, outcome_axes: Axes, latency_axes: Axes) -> None:
     """Outcomes and latencies, by the second in which each request was due."""
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in OUTCOMES}
-    latencies: dict[int, Any] = defaultdict(histogram)
-    for request in records.typed(RequestFinished):
+    latencies: dict[int, Any] = defaultdict(latency_histogram)
+    for request in records.of_type(RequestFinished):
         second = request.due_us // SECOND_US
         counts[request.outcome][second] += 1
         if request.outcome in ("served", "late"):
@@ -113,7 +113,7 @@
 def _draw_servers(records: Records, axes: Axes) -> None:
     """Each server's sampled requests in flight; without samples, the attempts that reached it."""
     samples: ServerPoints = defaultdict(list)
-    for sample in records.typed(ServerLoad):
+    for sample in records.of_type(ServerLoad):
         samples[sample.server].append((sample.time_us / 1e6, sample.in_flight))
     points_by_server = samples or _attempts_by_second(records)
     for server, points in sorted(points_by_server.items()):
@@ -126,6 +126,6 @@
 
 def _attempts_by_second(records: Records) -> ServerPoints:
     counts: dict[int, dict[float, int]] = defaultdict(lambda: defaultdict(int))
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         counts[attempt.server][attempt.time_us // SECOND_US] += 1
     return {server: sorted(by_second.items()) for server, by_second in counts.items()}
--- a/sagetrack/lab/analysis/records.py
+++ b/sagetrack/lab/analysis/records.py
@@ -4,7 +4,7 @@
 it is one JSON array a line, after a first line that names the scenario, the seed and the driver.
 
 The kinds are words of that file format. Here, and only here, each is given a type with named fields:
-`Records.typed(ServerStarted)` yields the `start` records in that form.
+`Records.of_type(ServerStarted)` yields the `start` records in that form.
 """
 
 from __future__ import annotations
@@ -227,19 +227,19 @@
         """Append a record of this kind, with the kind's own fields in their order."""
         self.rows.append((kind, time_us, *fields))
 
-    def of(self, *kinds: str) -> Iterator[Record]:
+    def rows_of(self, *kinds: str) -> Iterator[Record]:
         """The records of these kinds as bare tuples, in their order."""
         return (row for row in self.rows if row[0] in kinds)
 
-    def typed(self, record_type: type[RecordT]) -> Iterator[RecordT]:
+    def of_type(self, record_type: type[RecordT]) -> Iterator[RecordT]:
         """The records of one kind, with named fields, in their order."""
         kind = KINDS[record_type]
         return (record_type(*row) for row in self.rows if row[0] == kind)
 
-    def mixed(self, *record_types: type[Any]) -> Iterator[Any]:
+    def of_types(self, *record_types: type[Any]) -> Iterator[Any]:
         """The records of several kinds, with named fields, in the order in which they happened."""
         kinds = [KINDS[record_type] for record_type in record_types]
-        return (TYPES[row[0]](*row) for row in self.of(*kinds))
+        return (TYPES[row[0]](*row) for row in self.rows_of(*kinds))
 
     def last_us(self) -> int:
         """The latest time of any record; 0 without records."""
@@ -261,7 +261,7 @@
             path.write_text("".join(self.lines()), encoding="utf-8")
 
 
-def read(path: Path | str) -> Records:
+def read_records(path: Path | str) -> Records:
     """Read a file that `Records.write` wrote; a last line that was cut short is left out.
 
     Raises:
--- a/sagetrack/lab/analysis/warm_up.py
+++ b/sagetrack/lab/analysis/warm_up.py
@@ -17,7 +17,7 @@
 
 def _cold_starts(records: Records) -> dict[int, ServerStarted]:
     """By number, the start of each server that had to warm up."""
-    return {start.server: start for start in records.typed(ServerStarted) if start.is_cold}
+    return {start.server: start for start in records.of_type(ServerStarted) if start.is_cold}
 
 
 def _warmth(fleet: Fleet, since_start_us: int) -> float:
@@ -26,7 +26,7 @@
     return fleet.cold_share + (1.0 - fleet.cold_share) * since_start_us / warm_up_us
 
 
-def cold_budget(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_cold_budget(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """All gateways together stay within a cold server's budget of work.
 
     In no span of `fall_s` may more come than `fall_multiple` times what the server can do by then. Reported
@@ -35,7 +35,7 @@
     warm_up_us = scenario.fleet.cold_s * 1e6
     starts = _cold_starts(records)
     arrivals: dict[int, list[AttemptReceived]] = defaultdict(list)
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         start = starts.get(attempt.server)
         if start is not None and attempt.time_us - start.time_us < warm_up_us:
             arrivals[attempt.server].append(attempt)
@@ -77,12 +77,12 @@
     server: int
     calls: float
     work: float
-    planned: float  # N: what the settings allow the server by its warmth at the span's begin
+    planned_calls: float  # N: what the settings allow the server by its warmth at the span's begin
 
     @property
-    def budget(self) -> float:
+    def call_limit(self) -> float:
         """N, and what may come by chance beyond it."""
-        return self.planned + 2.0 * math.sqrt(self.planned) + 2.0
+        return self.planned_calls + 2.0 * math.sqrt(self.planned_calls) + 2.0
 
 
 class _Arrival(NamedTuple):
@@ -106,10 +106,10 @@
     starts = _cold_starts(records)
     calls_by_id = {
         sent.call: scenario.classes[sent.class_index].work_ms * 1000 / mean_work_us
-        for sent in records.typed(CallSent)
+        for sent in records.of_type(CallSent)
     }
     arrivals: dict[int, deque[_Arrival]] = defaultdict(deque)
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         start = starts.get(attempt.server)
         if start is None or attempt.time_us - start.time_us >= warm_up_us:
             continue
@@ -126,18 +126,18 @@
             server=attempt.server,
             calls=math.fsum(arrival.calls for arrival in window),
             work=math.fsum(arrival.work for arrival in window),
-            planned=fleet.fall_multiple * start.capacity * warmth * span_us / mean_work_us,
+            planned_calls=fleet.fall_multiple * start.capacity * warmth * span_us / mean_work_us,
         )
 
 
-def cold_sum(records: Records, scenario: Scenario) -> Iterator[Violation]:
+def check_cold_sum(records: Records, scenario: Scenario) -> Iterator[Violation]:
     """All gateways together send a cold server no more than N + 2 x root of N + 2 calls in any window.
 
     What is beyond N may come by chance, for any number of gateways. Reported once for each server.
     """
     reported: set[int] = set()
     for window in warm_up_windows(records, scenario):
-        if window.calls > window.budget and window.server not in reported:
+        if window.calls > window.call_limit and window.server not in reported:
             reported.add(window.server)
-            why = f"{window.calls:.0f} calls in {scenario.fleet.fall_s:g} s, N is {window.planned:.1f}"
+            why = f"{window.calls:.0f} calls in {scenario.fleet.fall_s:g} s, N is {window.planned_calls:.1f}"
             yield Violation("cold_sum", window.end_us, window.call, window.server, why)
--- a/sagetrack/lab/benchmarks/dns_load.py
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import Any, cast
 
-from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.figures import latency_histogram
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
 WINDOW = 64  # queries in flight at once
@@ -68,7 +68,7 @@
         self.lost = 0
         self.bad = 0
         self.stopped = False
-        self.latencies = histogram()
+        self.latencies = latency_histogram()
         self.name_suffix = f"{time.monotonic_ns():x}"
 
     def next_name(self) -> str:
--- a/sagetrack/lab/benchmarks/http_load.py
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.figures import latency_histogram
 
 RESPONSE_BODY = b"x" * 64
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + RESPONSE_BODY
@@ -100,7 +100,7 @@
         self.sent = 0
         self.succeeded = 0
         self.failed = 0
-        self.latencies = histogram()
+        self.latencies = latency_histogram()
         self.stopped = False
         self.idle: deque[LoadConnection] = deque()
         self.waiting: deque[float] = deque()  # due times of requests that no connection was idle for
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -14,7 +14,7 @@
 
 from msgspec.structs import replace
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.benchmarks.rows import rounded
@@ -96,7 +96,7 @@
     def __init__(self, records: Records) -> None:
         self.sent: Counter[int] = Counter()
         self.served: Counter[int] = Counter()
-        for _, _, _, _, _, outcome, asked_us, _ in records.of("request"):
+        for _, _, _, _, _, outcome, asked_us, _ in records.rows_of("request"):
             second = int(asked_us // 1_000_000)
             self.sent[second] += 1
             self.served[second] += outcome == "served"
@@ -131,7 +131,7 @@
     found.served = counts.served_share()
     in_flight: Counter[int] = Counter()
     overloaded = samples = 0
-    for _, time_us, _, held, _, is_overloaded in records.of("load"):
+    for _, time_us, _, held, _, is_overloaded in records.rows_of("load"):
         samples += 1
         overloaded += is_overloaded
         if burst.at_s <= time_us / 1e6 < burst_end_s:
@@ -168,4 +168,4 @@
         death = ScheduledFault(kind="gateway-death", at_s=at_s, seconds=scenario.seconds, share=dead_share)
         scenario = replace(scenario, faults=[*scenario.faults, death])
     records = play(scenario, seed, None, SAMPLE_INTERVAL_S, fault)
-    return figures(records, scenario), judge(records, scenario)
+    return figures(records, scenario), find_violations(records, scenario)
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.figures import latency_histogram
 from sagetrack.lab.benchmarks.dns_load import QUERY_IDS, DnsServer, answer_to, has_answer, query_id
 from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, LoadConnection, pace
 from sagetrack.lab.benchmarks.measured_process import open_servers
@@ -145,7 +145,7 @@
         self.answered = 0
         self.failed = 0
         self.in_time = 0
-        self.latencies = histogram()
+        self.latencies = latency_histogram()
         self.name_suffix = f"{time.monotonic_ns():x}"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -187,7 +187,7 @@
 
     worst_s = await pace(rate, seconds, send)
     await asyncio.sleep(LAST_ANSWERS_S + DNS_SLOW_S)
-    latencies = histogram()
+    latencies = latency_histogram()
     for each in sockets:
         latencies.add(each.latencies)
         each.transport.close()
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, altered
 
@@ -67,7 +67,7 @@
     """Return the gateways that came back, and when."""
     return [
         Revival(gateway, time_us)
-        for _, time_us, gateway, state in records.of("gateway")
+        for _, time_us, gateway, state in records.rows_of("gateway")
         if state == "up" and time_us > 0
     ]
 
@@ -81,11 +81,11 @@
         The share of the requests' priority weight that was served, and the mean latency in milliseconds of
         the requests that were served.
     """
-    first_attempts = {row[8]: row for row in records.of("ask") if row[9] == 1}  # by request
+    first_attempts = {row[8]: row for row in records.rows_of("ask") if row[9] == 1}  # by request
     total_weight = 0.0
     served_weight = 0.0
     latencies_ms = []
-    for _, time_us, request, class_index, _, outcome, due_us, _ in records.of("request"):
+    for _, time_us, request, class_index, _, outcome, due_us, _ in records.rows_of("request"):
         _, sent_us, _, gateway, *_ = first_attempts[request]
         if not any(revival.covers(gateway, sent_us, seconds) for revival in revived):
             continue
@@ -107,7 +107,7 @@
     for name, played in records.items():
         counted = revived if name == "never" else revivals(played)
         result.service[name], result.latency_ms[name] = first_seconds(played, scenario, counted)
-        result.violations += len(judge(played, scenarios[name]))
+        result.violations += len(find_violations(played, scenarios[name]))
     return result
 
 
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.benchmarks.slow_start_figures import SlowStartFigures, figures
 from sagetrack.lab.model.client_requests import ClientAttempt
@@ -217,4 +217,4 @@
         fault=fault,
         fleet=lambda world, clock, make: SlowStartGateways(case, world, clock, make),
     )
-    return figures(records, scenario, case.name), judge(records, scenario)
+    return figures(records, scenario, case.name), find_violations(records, scenario)
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -85,9 +85,9 @@
 
 
 def _servers(records: Records) -> list[_Server]:
-    stops = {server: (time_us, how) for _, time_us, server, how in records.of("stop")}
+    stops = {server: (time_us, how) for _, time_us, server, how in records.rows_of("stop")}
     servers = {}
-    for _, time_us, number, _, _, is_cold, capacity in records.of("start"):
+    for _, time_us, number, _, _, is_cold, capacity in records.rows_of("start"):
         stopped_us, how = stops.get(number, (math.inf, ""))
         servers[number] = _Server(number, time_us, stopped_us, how == "fell", bool(is_cold), capacity)
     return list(servers.values())
@@ -118,7 +118,7 @@
         _add_received(found, records, capacities, first_us + FIRST_US)
         found.in_time = sum(
             outcome == "served" and asked_us // STEP_US in steps
-            for _, _, _, _, _, outcome, asked_us, _ in records.of("request")
+            for _, _, _, _, _, outcome, asked_us, _ in records.rows_of("request")
         )
     return found
 
@@ -126,9 +126,9 @@
 def _add_windows(found: SlowStartFigures, records: Records, scenario: Scenario) -> None:
     for window in warm_up_windows(records, scenario):
         found.windows += 1
-        found.windows_over_budget += window.calls > window.budget
-        found.most_requests = max(found.most_requests, window.calls / window.budget)
-        found.most_work = max(found.most_work, window.work / window.budget)
+        found.windows_over_budget += window.calls > window.call_limit
+        found.most_requests = max(found.most_requests, window.calls / window.call_limit)
+        found.most_work = max(found.most_work, window.work / window.call_limit)
 
 
 def _offered_work_us(
@@ -136,7 +136,7 @@
 ) -> dict[int, float]:
     """Return the mean work of first attempts by step, and count those of `steps`."""
     offered_us: dict[int, float] = defaultdict(float)
-    for _, time_us, _, _, class_index, _, _, _, _, attempt in records.of("ask"):
+    for _, time_us, _, _, class_index, _, _, _, _, attempt in records.rows_of("ask"):
         if attempt == 1:
             step = time_us // STEP_US
             offered_us[step] += scenario.classes[class_index].work_ms * 1000
@@ -179,7 +179,7 @@
     """Count what cold servers received and answered before `end_us`."""
     received: dict[int, int] = defaultdict(int)
     last_server: dict[str, int] = {}  # by attempt of a client: the server that took it last
-    for _, time_us, call, server, _, verdict, _, _ in records.of("recv"):
+    for _, time_us, call, server, _, verdict, _, _ in records.rows_of("recv"):
         if verdict == "taken":
             last_server[call] = server
             received[server] += server in capacities and time_us < end_us
@@ -188,7 +188,7 @@
     )
     found.answered = sum(
         verdict == "served" and time_us < end_us and last_server.get(call) in capacities
-        for _, time_us, call, _, verdict, _ in records.of("answer")
+        for _, time_us, call, _, verdict, _ in records.rows_of("answer")
     )
 
 
--- a/sagetrack/lab/benchmarks/sweep.py
+++ b/sagetrack/lab/benchmarks/sweep.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from sagetrack.lab.analysis.figures import figures
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.figures import compute_figures
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.model.scenario import Scenario, altered
 
 Row = dict[str, Any]  # one run's results, as a line of the file
@@ -72,13 +72,13 @@
 
     start_s = time.perf_counter()
     records = play_virtual(job.scenario, job.seed, fault=job.fault)
-    found = figures(records, job.scenario, judge(records, job.scenario))
+    found = compute_figures(records, job.scenario, find_violations(records, job.scenario))
     return {
         "id": job.id,
         "scenario": job.scenario.name,
         "settings": dict(job.settings),
         "seed": job.seed,
-        **found.plain(),
+        **found.to_json(),
         "wall_s": round(time.perf_counter() - start_s, 3),
     }
 
--- a/sagetrack/lab/virtual/simulation.py
+++ b/sagetrack/lab/virtual/simulation.py
@@ -103,5 +103,5 @@
         self._event_count += 1
         if self._event_count % COMPLETION_CHECK_INTERVAL or self._world.clients.waiting:
             return False
-        ended = sum(1 for _ in self._world.records.of("request"))
+        ended = sum(1 for _ in self._world.records.rows_of("request"))
         return ended >= self._world.arrivals.count
--- a/tests/test_admission_gateway.py
+++ b/tests/test_admission_gateway.py
@@ -10,8 +10,8 @@
 from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
 from sagetrack.config.platform import ConfigError, parse
-from sagetrack.lab.analysis.figures import figures
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.figures import compute_figures
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.model.scenario import altered, load
 from sagetrack.lab.virtual.simulation import play
 from sagetrack.policy.rate_limit import Rate
@@ -28,7 +28,7 @@
     for use_admission in (True, False):
         variant = altered(scenario, {"door.use": use_admission})
         records = play(variant, 2)
-        results[use_admission] = figures(records, variant, judge(records, variant))
+        results[use_admission] = compute_figures(records, variant, find_violations(records, variant))
         assert not results[use_admission].rules_broken
     assert results[True].expect_held and not results[False].expect_held
     assert results[True].advice_right > 0.8 > results[False].advice_right
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 
 from sagetrack.cli.app import app
 from sagetrack.lab.analysis.records import Record, Records
-from sagetrack.lab.analysis.warm_up import cold_sum, warm_up_windows
+from sagetrack.lab.analysis.warm_up import check_cold_sum, warm_up_windows
 from sagetrack.lab.benchmarks.slow_start import CASES, Case, SlowStartGateways, measure
 from sagetrack.lab.benchmarks.slow_start_figures import figures
 from sagetrack.lab.model.scenario import Fleet, RequestClass, Scenario
@@ -52,18 +52,18 @@
 
 @pytest.mark.parametrize("verdict", ["taken", "rejected", "lost"])
 def test_one_call_beyond_chance_is_a_break_whoever_sent_it_and_whatever_became_of_it(verdict: str) -> None:
-    assert not list(cold_sum(records_of(burst(BUDGET), verdict=verdict), SCENARIO))
-    found = list(cold_sum(records_of(burst(BUDGET + 4), verdict=verdict), SCENARIO))
+    assert not list(check_cold_sum(records_of(burst(BUDGET), verdict=verdict), SCENARIO))
+    found = list(check_cold_sum(records_of(burst(BUDGET + 4), verdict=verdict), SCENARIO))
     assert [(v.rule, v.server, v.call) for v in found] == [("cold_sum", 2, f"{BUDGET}")]  # once a server
 
 
 def test_n_goes_by_the_warmth_when_the_window_begins() -> None:
     late = STARTED_US + 5_000_000  # the window begins 2 s after the start: 0.2 + 0.8 * 0.2
     (window,) = warm_up_windows(records_of([late]), SCENARIO)
-    assert window.planned == pytest.approx(4 * 0.36 * 3 / 0.1)
+    assert window.planned_calls == pytest.approx(4 * 0.36 * 3 / 0.1)
     early = STARTED_US + 2_000_000  # it would begin before the start
     (window,) = warm_up_windows(records_of([early]), SCENARIO)
-    assert window.planned == pytest.approx(PLANNED)
+    assert window.planned_calls == pytest.approx(PLANNED)
 
 
 def test_a_window_holds_what_came_within_its_span_and_not_before() -> None:
@@ -171,7 +171,7 @@
     assert all(
         p.load_balancer.fleet.processes == 2 for n in range(10) for p in (fleet.up[n], fleet.old_processes[n])
     )
-    came = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.of("ask"))  # first tries
+    came = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.rows_of("ask"))  # first tries
     new = sum(p.load_balancer.priorities.first_tries[0] for p in fleet.up.values())
     assert 0.4 < new / came < 0.6
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.errors import FileError
-from sagetrack.lab.analysis.figures import figures
-from sagetrack.lab.analysis.judges import RULES, judge
+from sagetrack.lab.analysis.figures import compute_figures
+from sagetrack.lab.analysis.judges import RULES, find_violations
 from sagetrack.lab.analysis.records import (
     TYPES,
     CallAnswered,
@@ -20,7 +20,7 @@
     Record,
     Records,
     ServerStarted,
-    read,
+    read_records,
 )
 from sagetrack.lab.benchmarks import sweep as sweeps
 from sagetrack.lab.benchmarks.comparison import compare
@@ -185,10 +185,10 @@
     records = play(altered(SHORT, {"seconds": 22.0, "load.use": 0.05}), 1)
     for name in ("r.jsonl", "r.gz"):
         records.write(tmp_path / name)
-        assert read(tmp_path / name).rows == records.rows
+        assert read_records(tmp_path / name).rows == records.rows
     whole = (tmp_path / "r.jsonl").read_bytes()
     (tmp_path / "cut").write_bytes(whole[:-9])
-    assert read(tmp_path / "cut").rows == records.rows[:-1]
+    assert read_records(tmp_path / "cut").rows == records.rows[:-1]
 
 
 def test_records_have_named_fields_and_stay_the_same_tuples() -> None:
@@ -198,8 +198,8 @@
     ]
     for records in runs:
         assert all(TYPES[row[0]](*row) == row for row in records.rows)
-        assert list(records.typed(ServerStarted)) == list(records.of("start"))
-        assert list(records.mixed(CallSent, CallAnswered)) == list(records.of("ask", "answer"))
+        assert list(records.of_type(ServerStarted)) == list(records.rows_of("start"))
+        assert list(records.of_types(CallSent, CallAnswered)) == list(records.rows_of("ask", "answer"))
         assert records.last_us() == max(row[1] for row in records.rows)
     seen = {row[0] for records in runs for row in records.rows}
     assert set(TYPES) - seen == {"dns", "late", "gone"}  # in real time only, and where clients give up
@@ -209,16 +209,16 @@
 def test_no_rule_is_broken_and_expectations_hold(path: str) -> None:
     scenario = load(SCENARIOS / f"{path}.toml")
     records = play(scenario, 2)
-    violations = judge(records, scenario)
+    violations = find_violations(records, scenario)
     assert not violations
-    assert figures(records, scenario, violations).expect_held
+    assert compute_figures(records, scenario, violations).expect_held
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_deliberate_fault_is_caught(fault: str) -> None:
     name, rule = SHOWN_BY[fault]
     scenario = load(SCENARIOS / f"{name}.toml")
-    found = [v for v in judge(play(scenario, 1, fault=fault), scenario) if v.rule == rule]
+    found = [v for v in find_violations(play(scenario, 1, fault=fault), scenario) if v.rule == rule]
     assert found and found[0].call and found[0].time_us > 0
 
 
@@ -267,7 +267,7 @@
 def test_a_judge_tells_right_from_wrong(rule: str, settings: dict[str, object], more: list[Record]) -> None:
     records = Records()
     records.rows = BASE + more
-    broken = {violation.rule for violation in judge(records, altered(KEYED, settings))}
+    broken = {violation.rule for violation in find_violations(records, altered(KEYED, settings))}
     assert broken == ({rule} if rule else set())
 
 
@@ -276,7 +276,7 @@
     ask = ("ask", 0, "c", 0, 0, 0, 3_000_000, None, "1", 1)
     for time, late in ((100_000, False), (2_900_000, True)):
         records.rows = [ask, ("answer", time, "c", 0, "refused", 0)]
-        assert [v.rule for v in judge(records, KEYED)] == (["late_refusals"] if late else [])
+        assert [v.rule for v in find_violations(records, KEYED)] == (["late_refusals"] if late else [])
     assert "late_refusals" in RULES
 
 
--- a/tests/test_lab_fairness.py
+++ b/tests/test_lab_fairness.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sagetrack.lab.analysis.fairness import fairness, fairness_index, jain_index
+from sagetrack.lab.analysis.fairness import compute_fairness, fairness_index, jain_index
 from sagetrack.lab.analysis.records import Records, RequestFinished
 from sagetrack.lab.model.scenario import Member, RequestClass, Scenario
 
@@ -32,6 +32,6 @@
     for number, ((member, client), outcome) in enumerate(outcomes.items()):
         records.add("client", number, f"r{number}", client)
         records.add("request", number, f"r{number}", 0, member, outcome, number, 1)
-    requests = list(records.typed(RequestFinished))
+    requests = list(records.of_type(RequestFinished))
     # Of 30 ms that were served each member's part is 15: 20 and 10 were.
-    assert fairness(records, requests, scenario) == pytest.approx((0.9, 0.5))
+    assert compute_fairness(records, requests, scenario) == pytest.approx((0.9, 0.5))
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, altered, load
 from sagetrack.lab.model.world import World
@@ -103,5 +103,5 @@
     ):
         records = Records()
         records.rows = [*states, ask, ("answer", answered_us, "c", 0, "refused", 0)]
-        found = [violation.rule for violation in judge(records, Scenario(name="k"))]
+        found = [violation.rule for violation in find_violations(records, Scenario(name="k"))]
         assert found == (["late_refusals"] if broken else []), (states, answered_us)
--- a/tests/test_store_persistence.py
+++ b/tests/test_store_persistence.py
@@ -8,7 +8,7 @@
 
 from sagetrack.config.errors import FileError
 from sagetrack.config.operator import load as load_operator
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.model.scenario import altered, load
 from sagetrack.lab.stand_ins.scripted import scripted_server
 from sagetrack.lab.virtual.gateway import VirtualGateway
@@ -66,5 +66,5 @@
     monkeypatch.setattr(VirtualGateway, "handle", counting_handle)
     for use in received:
         played = altered(scenario, {"store.use": use, "seconds": 13.0})
-        assert not judge(play(played, 1), played)
+        assert not find_violations(play(played, 1), played)
     assert received[True] >= 12 and not received[False]
