--- a/sagetrack/lab/analysis/fairness.py
+++ b/sagetrack/lab/analysis/fairness.py
@@ -10,7 +10,7 @@
 from sagetrack.lab.model.scenario import Scenario
 from sagetrack.policy.fair_queue import max_min_fair_shares
 
-Work = dict[int, dict[int, float]]  # milliseconds of work by member and client
+WorkByClient = dict[int, dict[int, float]]  # milliseconds of work by member and client
 
 
 class Fairness(NamedTuple):
@@ -28,8 +28,8 @@
 
 def fairness_index(demand: list[float], served: list[float], weights: list[float]) -> float:
     """Jain's index of what each was served over its max-min fair part of what was served in all."""
-    fair = max_min_fair_shares(demand, weights, sum(served))
-    return jain_index([mine / part for mine, part in zip(served, fair, strict=True) if part > 0])
+    fair_shares = max_min_fair_shares(demand, weights, sum(served))
+    return jain_index([work / share for work, share in zip(served, fair_shares, strict=True) if share > 0])
 
 
 def compute_fairness(records: Records, requests: Iterable[RequestFinished], scenario: Scenario) -> Fairness:
@@ -59,11 +59,11 @@
 
 def _work_by_client(
     records: Records, requests: Iterable[RequestFinished], scenario: Scenario
-) -> tuple[Work, Work]:
+) -> tuple[WorkByClient, WorkByClient]:
     """The work that was requested, and the part of it that was served."""
     clients = {row.request: row.client for row in records.of_type(RequestClient)}
-    demand: Work = defaultdict(lambda: defaultdict(float))
-    served: Work = defaultdict(lambda: defaultdict(float))
+    demand: WorkByClient = defaultdict(lambda: defaultdict(float))
+    served: WorkByClient = defaultdict(lambda: defaultdict(float))
     for request in requests:
         client = clients.get(request.request, 0)
         work_ms = scenario.classes[request.class_index].work_ms
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -16,7 +16,7 @@
     CallSent,
     DnsQueryFinished,
     Execution,
-    LateArrival,
+    LateSend,
     Records,
     RequestFinished,
     RetryAdvised,
@@ -25,15 +25,15 @@
 from sagetrack.lab.model.scenario import Expectations, Scenario
 
 WINDOW_S = 5
-LONGEST_US = 3_600_000_000
-LATE_SHARE = 0.01  # of the arrivals: more of them late, and the run is marked as late
+MAX_LATENCY_US = 3_600_000_000
+MAX_LATE_SHARE = 0.01  # of the arrivals: more of them late, and the run is marked as late
 ADVICE_TOLERANCE = 0.2  # of an advised wait: a retry within it has followed the advice
 ADVICE_SLACK_US = 50_000  # more than that: clocks, scheduling
 
 
 def latency_histogram() -> HdrHistogram:
     """A histogram of microseconds up to an hour, to three digits (Tene's HDR histogram)."""
-    return HdrHistogram(1, LONGEST_US, 3)
+    return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
@@ -96,8 +96,8 @@
     results.attempts = sum(1 for _ in records.rows_of("recv"))
     broken = Counter(violation.rule for violation in violations)
     results.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
-    late_arrivals = sum(1 for _ in records.of_type(LateArrival))
-    results.late = late_arrivals > LATE_SHARE * max(1, results.requests)
+    late_sends = sum(1 for _ in records.of_type(LateSend))
+    results.late = late_sends > MAX_LATE_SHARE * max(1, results.requests)
     _measure_advice(results, records)
     results.jain_members, results.jain_clients = compute_fairness(records, requests, scenario)
     results.duplicate_executions = _count_duplicates(records, scenario)
@@ -148,8 +148,8 @@
     tally = _ServiceTally()
     for request in requests:
         request_class = scenario.classes[request.class_index]
-        value_of_outcome = {"served": 1.0, "late": request_class.late_weight}
-        served = request_class.priority_weight * value_of_outcome.get(request.outcome, 0.0)
+        weight_of_outcome = {"served": 1.0, "late": request_class.late_weight}
+        served = request_class.priority_weight * weight_of_outcome.get(request.outcome, 0.0)
         for group in (
             _Group("all", 0),
             _Group("class", request.class_index),
@@ -221,7 +221,7 @@
             advice_by_request[record.request] = record
         elif isinstance(record, CallSent):
             advice = advice_by_request.pop(record.request, None)
-            if advice is not None and _follows(record, advice):
+            if advice is not None and _follows_advice(record, advice):
                 followed.append(record.call)
         elif isinstance(record, CallAnswered):
             first_verdicts.setdefault(record.call, record.verdict)
@@ -230,7 +230,7 @@
         results.advice_right = served / len(followed)
 
 
-def _follows(retry: CallSent, advice: RetryAdvised) -> bool:
+def _follows_advice(retry: CallSent, advice: RetryAdvised) -> bool:
     """Whether a retry came at about the advised time."""
     waited_us = retry.time_us - advice.time_us
     least_us = (1 - ADVICE_TOLERANCE) * advice.retry_after_us
@@ -240,27 +240,27 @@
 
 def _members_without_faults(scenario: Scenario) -> list[str]:
     """The members that no planned fault concerns."""
-    concerned = {fault.member for fault in scenario.faults if fault.member}
-    return [member.name for member in scenario.members if member.name not in concerned]
+    faulted = {fault.member for fault in scenario.faults if fault.member}
+    return [member.name for member in scenario.members if member.name not in faulted]
 
 
-def _missed_bounds(results: Figures, expect: Expectations, undisturbed: Sequence[str]) -> list[str]:
+def _missed_bounds(results: Figures, expect: Expectations, unaffected: Sequence[str]) -> list[str]:
     """The bounds that do not hold, in words that begin with the bound's key in the scenario."""
     requests = max(1, results.requests)
-    worst_undisturbed = min((results.by_member[name] for name in undisturbed), default=1.0)
-    least = {
+    worst_unaffected = min((results.by_member[name] for name in unaffected), default=1.0)
+    lower_bounds = {
         "service_min": (results.service, expect.service_min),
         "worst_member_min": (min(results.by_member.values(), default=1.0), expect.worst_member_min),
         "worst_window_min": (results.worst_window, expect.worst_window_min),
-        "others_min": (worst_undisturbed, expect.others_min),
+        "others_min": (worst_unaffected, expect.others_min),
         "advice_right_min": (results.advice_right, expect.advice_right_min),
         "dns_service_min": (results.dns_service, expect.dns_service_min),
     }
-    most = {
+    upper_bounds = {
         "refused_max": (results.refused / requests, expect.refused_max),
         "failed_max": ((results.failed + results.unanswered) / requests, expect.failed_max),
         "p99_ms_max": (results.p99_ms, expect.p99_ms_max),
     }
-    missed = [(name, value, bound) for name, (value, bound) in least.items() if value < bound]
-    missed += [(name, value, bound) for name, (value, bound) in most.items() if value > bound]
+    missed = [(name, value, bound) for name, (value, bound) in lower_bounds.items() if value < bound]
+    missed += [(name, value, bound) for name, (value, bound) in upper_bounds.items() if value > bound]
     return [f"{name} {bound:g}: was {value:.4g}" for name, value, bound in missed]
--- a/sagetrack/lab/analysis/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -66,23 +66,23 @@
         gateway_died = any(
             down.begin_us <= deadline_us and sent.time_us <= down.end_us for down in downtimes[sent.gateway]
         )
-        yield from _judge_answers(sent, answers.get(sent.call, []), gateway_died, last_us)
+        yield from _answer_violations(sent, answers.get(sent.call, []), gateway_died, last_us)
 
 
-def _judge_answers(
+def _answer_violations(
     sent: CallSent, answers: list[CallAnswered], gateway_died: bool, last_us: int
 ) -> Iterator[Violation]:
     """The breaches of `one_answer` by the answers to one call."""
     final = [answer for answer in answers if answer.verdict in FINAL_VERDICTS]
     if len(final) > 1:
-        why = f"gateway {sent.gateway} answered {len(final)} times"
-        yield Violation("one_answer", final[1].time_us, sent.call, NO_SERVER, why)
+        reason = f"gateway {sent.gateway} answered {len(final)} times"
+        yield Violation("one_answer", final[1].time_us, sent.call, NO_SERVER, reason)
     if gateway_died:
         return
     broken = [answer for answer in answers if answer.verdict == "broken"]
     if broken and not final:
-        why = f"gateway {sent.gateway} ended it without an answer"
-        yield Violation("one_answer", broken[0].time_us, sent.call, NO_SERVER, why)
+        reason = f"gateway {sent.gateway} ended it without an answer"
+        yield Violation("one_answer", broken[0].time_us, sent.call, NO_SERVER, reason)
     deadline_us = sent.time_us + sent.budget_us
     if not answers and deadline_us + SLACK_US <= last_us:
         yield Violation(
@@ -96,7 +96,7 @@
     An unsafe call runs once; a keyed one only where its key is dropped, and within its window.
     """
     calls = _calls_sent(records)
-    places = {start.server: start for start in records.of_type(ServerStarted)}
+    starts = {start.server: start for start in records.of_type(ServerStarted)}
     first_attempts: dict[str, AttemptReceived] = {}
     for attempt in records.of_type(AttemptReceived):
         if attempt.verdict == "rejected" or attempt.call not in calls:
@@ -105,29 +105,29 @@
         if first is attempt:
             continue
         request_class = scenario.classes[calls[attempt.call].class_index]
-        why = _forbidden_repeat(first, attempt, request_class, places)
-        if why is not None:
-            yield Violation("repeats", attempt.time_us, attempt.call, attempt.server, why)
+        reason = _retry_violation(first, attempt, request_class, starts)
+        if reason is not None:
+            yield Violation("repeats", attempt.time_us, attempt.call, attempt.server, reason)
     yield from _repeated_effects(records, scenario, calls)
 
 
-def _forbidden_repeat(
+def _retry_violation(
     first: AttemptReceived,
-    repeat: AttemptReceived,
+    retry: AttemptReceived,
     request_class: RequestClass,
-    places: dict[int, ServerStarted],
+    starts: dict[int, ServerStarted],
 ) -> str | None:
     """Why a class does not allow this repeat; None if it does."""
     if request_class.effect == "unsafe":
         return f"sent again after server {first.server} may have run it"
     if request_class.effect != "keyed":
         return None
-    place, first_place = places[repeat.server], places[first.server]
-    left_zone = request_class.scope == "zone" and place.zone != first_place.zone
-    left_rack = request_class.scope == "rack" and place.rack != first_place.rack
+    start, first_start = starts[retry.server], starts[first.server]
+    left_zone = request_class.scope == "zone" and start.zone != first_start.zone
+    left_rack = request_class.scope == "rack" and start.rack != first_start.rack
     if left_zone or left_rack:
         return f"a keyed call left the {request_class.scope} of server {first.server}"
-    if repeat.sent_us - first.sent_us > request_class.window_ms * 1000 + SLACK_US:
+    if retry.sent_us - first.sent_us > request_class.window_ms * 1000 + SLACK_US:
         return "a keyed call was sent again after its window"
     return None
 
@@ -144,8 +144,8 @@
         if scenario.classes[calls[call].class_index].effect == "safe":
             continue
         if call in effects:
-            why = f"had its effect twice, first at server {effects[call]}"
-            yield Violation("repeats", execution.time_us, call, execution.server, why)
+            reason = f"had its effect twice, first at server {effects[call]}"
+            yield Violation("repeats", execution.time_us, call, execution.server, reason)
         effects.setdefault(call, execution.server)
 
 
@@ -168,8 +168,8 @@
         request_class = scenario.classes[calls[call].class_index]
         is_scoped = request_class.effect == "keyed" and request_class.scope != "all"
         if request_class.effect == "unsafe" or is_scoped:
-            why = "refused though it may have run"
-            yield Violation("repeats", answer.time_us, call, executed[call].server, why)
+            reason = "refused though it may have run"
+            yield Violation("repeats", answer.time_us, call, executed[call].server, reason)
 
 
 def check_drains(records: Records, scenario: Scenario) -> Iterator[Violation]:
@@ -187,8 +187,8 @@
             since_us = leaving_since.get(pair)
             if since_us is not None and record.sent_us - since_us > grace_us:
                 late_s = (record.sent_us - since_us) / 1e6
-                why = f"gateway {record.gateway} sent it {late_s:.2f} s after word that the server leaves"
-                yield Violation("drains", record.sent_us, record.call, record.server, why)
+                reason = f"gateway {record.gateway} sent it {late_s:.2f} s after word that the server leaves"
+                yield Violation("drains", record.sent_us, record.call, record.server, reason)
 
 
 def _restarts(records: Records) -> dict[int, list[_Downtime]]:
@@ -226,8 +226,8 @@
         taken_us = answer.time_us - received_us
         if taken_us > max(budget_us / 2, min(connecting_us, 0.8 * budget_us)) + SLACK_US:
             share = taken_us / budget_us
-            why = f"gateway {answer.gateway} held it for {share:.0%} of its time and sent it nowhere"
-            yield Violation("late_refusals", answer.time_us, call, NO_SERVER, why)
+            reason = f"gateway {answer.gateway} held it for {share:.0%} of its time and sent it nowhere"
+            yield Violation("late_refusals", answer.time_us, call, NO_SERVER, reason)
 
 
 Check = Callable[[Records, Scenario], Iterator[Violation]]
--- a/sagetrack/lab/analysis/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -33,7 +33,7 @@
     "unanswered": "#5a2a6b",
 }
 PERCENTILES = {50: "#2a5f9f", 99: "#b02a2a"}
-MOST_IN_LEGEND = 24  # servers
+MAX_SERVERS_IN_LEGEND = 24  # servers
 
 ServerPoints = dict[int, list[tuple[float, int]]]  # by server: second of the run, value
 
@@ -70,12 +70,12 @@
     figure, (top, middle, bottom) = plt.subplots(3, 1, figsize=(11, 9), sharex=True, layout="constrained")
     _draw_requests(records, top, middle)
     _draw_servers(records, bottom)
-    for place, span in enumerate(fault_spans(records)):
+    for index, span in enumerate(fault_spans(records)):
         for axes in (top, middle, bottom):
             axes.axvspan(span.begin_s, span.end_s, color="#777777", alpha=0.13, linewidth=0)
         top.annotate(
             span.kind,
-            (span.begin_s, 0.80 - 0.09 * (place % 4)),
+            (span.begin_s, 0.80 - 0.09 * (index % 4)),
             xycoords=("data", "axes fraction"),
             fontsize=8,
             color="#333333",
@@ -120,7 +120,7 @@
         axes.plot(*zip(*points, strict=True), linewidth=0.9, label=f"s-{server}")
     axes.set_ylabel("requests in flight at each server" if samples else "attempts a second at each server")
     axes.set_xlabel("seconds since the run began")
-    if len(points_by_server) <= MOST_IN_LEGEND:
+    if len(points_by_server) <= MAX_SERVERS_IN_LEGEND:
         axes.legend(loc="upper left", ncols=8, fontsize=7)
 
 
--- a/sagetrack/lab/analysis/records.py
+++ b/sagetrack/lab/analysis/records.py
@@ -105,7 +105,7 @@
     kind: str
     time_us: int
     server: int
-    how: str
+    reason: str
 
 
 class GatewayStateChanged(NamedTuple):
@@ -151,7 +151,7 @@
     is_overloaded: bool
 
 
-class LateArrival(NamedTuple):
+class LateSend(NamedTuple):
     """`late`: the load generator sent a request late."""
 
     kind: str
@@ -202,7 +202,7 @@
     FaultStateChanged: "trouble",
     RequestFinished: "request",
     ServerLoad: "load",
-    LateArrival: "late",
+    LateSend: "late",
     RequestClient: "client",
     RetryAdvised: "advised",
     DnsQueryFinished: "dns",
@@ -255,8 +255,8 @@
         """Write the records to a file, compressed if its name ends with .gz."""
         path = Path(path)
         if path.suffix == ".gz":
-            with gzip.GzipFile(path, "wb", mtime=0) as packed:
-                packed.writelines(line.encode() for line in self.lines())
+            with gzip.GzipFile(path, "wb", mtime=0) as archive:
+                archive.writelines(line.encode() for line in self.lines())
         else:
             path.write_text("".join(self.lines()), encoding="utf-8")
 
--- a/sagetrack/lab/analysis/violations.py
+++ b/sagetrack/lab/analysis/violations.py
@@ -15,8 +15,8 @@
     time_us: int
     call: str
     server: int  # NO_SERVER if none was involved
-    why: str
+    reason: str
 
     def __str__(self) -> str:
         where = f" server {self.server}" if self.server >= 0 else ""
-        return f"{self.rule} at {self.time_us / 1e6:.3f} s: call {self.call or '-'}{where}: {self.why}"
+        return f"{self.rule} at {self.time_us / 1e6:.3f} s: call {self.call or '-'}{where}: {self.reason}"
--- a/sagetrack/lab/analysis/warm_up.py
+++ b/sagetrack/lab/analysis/warm_up.py
@@ -59,8 +59,8 @@
         warmth = _warmth(fleet, attempt.time_us - start.time_us)
         budget_us = fleet.fall_multiple * start.capacity * warmth * span_us
         if total_us > BUDGET_TOLERANCE * budget_us:
-            why = f"{total_us / budget_us:.2f} times its budget in {fleet.fall_s:g} s"
-            return Violation("cold_budget", attempt.time_us, attempt.call, attempt.server, why)
+            reason = f"{total_us / budget_us:.2f} times its budget in {fleet.fall_s:g} s"
+            return Violation("cold_budget", attempt.time_us, attempt.call, attempt.server, reason)
     return None
 
 
@@ -139,5 +139,7 @@
     for window in warm_up_windows(records, scenario):
         if window.calls > window.call_limit and window.server not in reported:
             reported.add(window.server)
-            why = f"{window.calls:.0f} calls in {scenario.fleet.fall_s:g} s, N is {window.planned_calls:.1f}"
-            yield Violation("cold_sum", window.end_us, window.call, window.server, why)
+            reason = (
+                f"{window.calls:.0f} calls in {scenario.fleet.fall_s:g} s, N is {window.planned_calls:.1f}"
+            )
+            yield Violation("cold_sum", window.end_us, window.call, window.server, reason)
