--- a/sagetrack/lab/__init__.py
+++ b/sagetrack/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet on this machine: its model, stand-ins, fault injection, judges and benchmarks."""
+"""Test fleets in virtual time or on one machine: model, stand-ins, fault injection, checks, benchmarks."""
--- a/sagetrack/lab/analysis/__init__.py
+++ b/sagetrack/lab/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""What the records of a run show: broken rules, figures and plots."""
+"""Analysis of a run's records: rule violations, metrics and plots."""
--- a/sagetrack/lab/analysis/fairness.py
+++ b/sagetrack/lab/analysis/fairness.py
@@ -1,4 +1,4 @@
-"""How evenly a run served members and clients: Jain's index over what each got of its max-min fair part."""
+"""Fairness of a run to members and clients: Jain's index over the served part of each max-min fair share."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 
 
 class Fairness(NamedTuple):
-    """Jain's index over members, and over the clients of the member whose clients differ the most."""
+    """Jain's index over the members, and the lowest index over the clients of any one member."""
 
     members: float
     clients: float
 
 
 def jain_index(values: list[float]) -> float:
-    """Jain's fairness index (Jain, Chiu, Hawe, 1984): 1 if all are equal, 1/n if one has all."""
+    """Return Jain's fairness index (Jain, Chiu, Hawe, 1984): 1 if all are equal, 1/n if one has all."""
     squares = sum(value * value for value in values)
     return min(1.0, sum(values) ** 2 / (len(values) * squares)) if squares else 1.0
 
 
 def fairness_index(demand: list[float], served: list[float], weights: list[float]) -> float:
-    """Jain's index of what each was served over its max-min fair part of what was served in all."""
+    """Return Jain's index of the ratios of served work to the max-min fair share of all served work."""
     fair_shares = max_min_fair_shares(demand, weights, sum(served))
     return jain_index([work / share for work, share in zip(served, fair_shares, strict=True) if share > 0])
 
 
 def compute_fairness(records: Records, requests: Iterable[RequestFinished], scenario: Scenario) -> Fairness:
-    """Fairness of these requests by their work: by share for members, even for the clients of a member.
+    """Return the fairness of the work served for these requests.
 
-    A member whose clients each come once, or that has one client, does not count for the clients' index.
+    Members are weighted by their configured shares; the clients of a member have equal weights. A member
+    with one client, or whose clients send a single request each, is left out of the clients' index.
     """
     demand, served = _work_by_client(records, requests, scenario)
     members = sorted(demand)
@@ -60,7 +61,7 @@
 def _work_by_client(
     records: Records, requests: Iterable[RequestFinished], scenario: Scenario
 ) -> tuple[WorkByClient, WorkByClient]:
-    """The work that was requested, and the part of it that was served."""
+    """Return the requested work, and the part of it that was served, by member and client."""
     clients = {row.request: row.client for row in records.of_type(RequestClient)}
     demand: WorkByClient = defaultdict(lambda: defaultdict(float))
     served: WorkByClient = defaultdict(lambda: defaultdict(float))
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run from its records: service, outcomes, latencies, by class, member and window of time."""
+"""Metrics of a run, computed from its records: service, outcomes and latencies."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 WINDOW_S = 5
 MAX_LATENCY_US = 3_600_000_000
-MAX_LATE_SHARE = 0.01  # of the arrivals: more of them late, and the run is marked as late
-ADVICE_TOLERANCE = 0.2  # of an advised wait: a retry within it has followed the advice
-ADVICE_SLACK_US = 50_000  # more than that: clocks, scheduling
+MAX_LATE_SHARE = 0.01  # of the requests; a run in which more are sent late is marked as late
+ADVICE_TOLERANCE = 0.2  # relative deviation from the advised wait within which a retry followed it
+ADVICE_SLACK_US = 50_000  # additional deviation, for clock differences and scheduling delays
 
 
 def latency_histogram() -> HdrHistogram:
-    """A histogram of microseconds up to an hour, to three digits (Tene's HDR histogram)."""
+    """Return an empty HDR histogram of microseconds, up to one hour with three significant digits."""
     return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
 class Figures:
-    """The results of a run. Shares are of requests that were due after the settling time.
+    """The results of a run. Only requests that were due after the settling time count.
 
-    The fields have the names of the keys in JSON results and in files of sweeps.
+    The fields have the names of the keys in JSON results and in sweep files.
     """
 
-    service: float = 0.0  # weight answered in time over weight requested
+    service: float = 0.0  # priority weight served, as a share of the weight requested
     requests: int = 0
     served: int = 0  # within the latency objective
-    too_late: int = 0  # within the deadline only
+    too_late: int = 0  # within the deadline, but not within the latency objective
     refused: int = 0
     failed: int = 0
     unanswered: int = 0
@@ -58,20 +58,20 @@
     by_class: dict[str, float] = field(default_factory=dict)
     by_member: dict[str, float] = field(default_factory=dict)
     rules_broken: dict[str, int] = field(default_factory=dict)
-    late: bool = False  # the load ran late: not to be scored
-    advised: int = 0  # refusals that said when to retry, to a client that follows such advice
-    advice_right: float = 1.0  # share of the retries at the advised time that were served
-    jain_members: float = 1.0  # Jain's index over members' service within their share
-    jain_clients: float = 1.0  # over the clients of the member in which they differ the most
-    duplicate_executions: int = 0  # of one key within its window, in its scope
+    late: bool = False  # too many requests were sent late, so the run must not be scored
+    advised: int = 0  # refusals with a retry time, sent to clients that honor it
+    advice_right: float = 1.0  # share of retries at the advised time that were served
+    jain_members: float = 1.0  # Jain's index over the members, weighted by their shares
+    jain_clients: float = 1.0  # lowest Jain's index over the clients of any one member
+    duplicate_executions: int = 0  # executions of an idempotency key that was executed within its window
     dns_queries: int = 0
-    dns_service: float = 1.0  # share of DNS queries answered within their latency objective
+    dns_service: float = 1.0  # share of DNS queries answered within the latency objective
     dns_p99_ms: float = 0.0
     expect_held: bool = True
     expect_missed: list[str] = field(default_factory=list)
 
     def to_json(self) -> dict[str, Any]:
-        """Rounded, for JSON."""
+        """Return the fields by name, with rounded numbers."""
         return {name: _rounded(value) for name, value in asdict(self).items()}
 
 
@@ -82,10 +82,10 @@
 
 
 def compute_figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
-    """Work out the figures, and compare them with the scenario's bounds.
+    """Compute the results of a run, and compare them with the scenario's expectations.
 
-    A latency runs from the moment that the request was due, not from when it could be sent: an answer that
-    delayed later requests counts for these too (no coordinated omission).
+    Latency is measured from the time at which a request was due rather than from when it was sent. A slow
+    response that delays later requests therefore adds to their latency, too (no coordinated omission).
     """
     settled_us = scenario.settle_s * 1e6
     requests = [request for request in records.of_type(RequestFinished) if request.due_us >= settled_us]
@@ -117,14 +117,14 @@
 
 
 class _Group(NamedTuple):
-    """Requests that are counted together: all, or those of one class, member or window."""
+    """Requests that are counted together: all, or those of one class, member or time window."""
 
     kind: str
     number: int
 
 
 class _ServiceTally:
-    """By group of requests, the weight that was requested and the part of it that was served."""
+    """Sums of the requested and the served priority weight for each group of requests."""
 
     def __init__(self) -> None:
         self._requested: dict[_Group, float] = defaultdict(float)
@@ -135,7 +135,7 @@
         self._served[group] += served
 
     def share(self, kind: str, number: int) -> float:
-        """The served share; 1 for a group without requests."""
+        """Return the share of the requested weight that was served, or 1 for a group without requests."""
         group = _Group(kind, number)
         requested = self._requested.get(group, 0.0)
         return self._served[group] / requested if requested else 1.0
@@ -169,7 +169,7 @@
 
 
 def _latencies(finished: Iterable[RequestFinished | DnsQueryFinished]) -> HdrHistogram:
-    """From when each was due, of those that were answered in time or late."""
+    """Return the latencies, from the due time, of requests or queries that were served or late."""
     latencies = latency_histogram()
     for row in finished:
         if row.outcome in ("served", "late"):
@@ -196,7 +196,7 @@
 
 
 def _count_duplicates(records: Records, scenario: Scenario) -> int:
-    """Executions that took effect a second time within the key's window, at any server."""
+    """Count executions of a key, at any server, that follow another one within the key's window."""
     class_of_key = {sent.key: sent.class_index for sent in records.of_type(CallSent) if sent.key is not None}
     last_us: dict[int, int] = {}
     duplicates = 0
@@ -211,7 +211,7 @@
 
 
 def _measure_advice(results: Figures, records: Records) -> None:
-    """Of the calls that retried at the advised time, how many were served."""
+    """Compute the share of retries sent at the advised time that were served."""
     advice_by_request: dict[str, RetryAdvised] = {}
     first_verdicts: dict[str, str] = {}
     followed: list[str] = []
@@ -231,7 +231,7 @@
 
 
 def _follows_advice(retry: CallSent, advice: RetryAdvised) -> bool:
-    """Whether a retry came at about the advised time."""
+    """Return whether a retry was sent at about the advised time."""
     waited_us = retry.time_us - advice.time_us
     least_us = (1 - ADVICE_TOLERANCE) * advice.retry_after_us
     most_us = (1 + ADVICE_TOLERANCE) * advice.retry_after_us + ADVICE_SLACK_US
@@ -239,13 +239,13 @@
 
 
 def _members_without_faults(scenario: Scenario) -> list[str]:
-    """The members that no planned fault concerns."""
+    """Return the names of the members that are not the target of a scheduled fault."""
     faulted = {fault.member for fault in scenario.faults if fault.member}
     return [member.name for member in scenario.members if member.name not in faulted]
 
 
 def _missed_bounds(results: Figures, expect: Expectations, unaffected: Sequence[str]) -> list[str]:
-    """The bounds that do not hold, in words that begin with the bound's key in the scenario."""
+    """Return a message for each unmet expectation, which starts with the bound's key in the scenario."""
     requests = max(1, results.requests)
     worst_unaffected = min((results.by_member[name] for name in unaffected), default=1.0)
     lower_bounds = {
--- a/sagetrack/lab/analysis/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -1,8 +1,8 @@
-"""Judges: which rules the records of a run show to be broken. They read records alone, never a gateway's.
+"""Checks of a run's records against the rules that every run must keep.
 
-Each judge yields violations that name the call, the server and the time. A rule that was broken is counted,
-and none may be. A judge has the name of its rule, as `rules_broken` in stored results and the scenarios'
-documents name it.
+The checks use only what clients, servers and discovery recorded, not the state of a gateway. Each check
+yields violations with the call, the server and the time. The names of the rules are those of `rules_broken`
+in stored results and of the scenarios' documentation.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from sagetrack.lab.analysis.warm_up import check_cold_budget, check_cold_sum
 from sagetrack.lab.model.scenario import RequestClass, Scenario
 
-SLACK_US = 50_000  # on every time limit: clocks, scheduling
+SLACK_US = 50_000  # added to every time limit, for clock differences and scheduling delays
 FINAL_VERDICTS = ("served", "refused", "failed")
 
 
 class _Downtime(NamedTuple):
     begin_us: int
-    end_us: float  # infinite if the gateway did not come back
+    end_us: float  # infinite if the gateway did not start again
 
 
 def _calls_sent(records: Records) -> dict[str, CallSent]:
@@ -40,7 +40,7 @@
 
 
 def _downtimes(records: Records) -> dict[int, list[_Downtime]]:
-    """By gateway, when none of its processes was up."""
+    """Return the spans in which none of a gateway's processes was running, by gateway."""
     downtimes: dict[int, list[_Downtime]] = defaultdict(list)
     for change in records.of_type(GatewayStateChanged):
         spans = downtimes[change.gateway]
@@ -52,9 +52,9 @@
 
 
 def check_one_answer(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """Each call that a gateway accepted gets one final answer before its client stops waiting.
+    """Check that each call accepted by a gateway gets one final response before its client stops waiting.
 
-    A call counts as accepted unless its gateway was down when it came, or died before it had answered.
+    A call counts as accepted unless its gateway was down at some time between its sending and its deadline.
     """
     answers: dict[str, list[CallAnswered]] = defaultdict(list)
     for answer in records.of_type(CallAnswered):
@@ -72,7 +72,7 @@
 def _answer_violations(
     sent: CallSent, answers: list[CallAnswered], gateway_died: bool, last_us: int
 ) -> Iterator[Violation]:
-    """The breaches of `one_answer` by the answers to one call."""
+    """Yield the violations of `one_answer` for one call."""
     final = [answer for answer in answers if answer.verdict in FINAL_VERDICTS]
     if len(final) > 1:
         reason = f"gateway {sent.gateway} answered {len(final)} times"
@@ -81,7 +81,7 @@
         return
     broken = [answer for answer in answers if answer.verdict == "broken"]
     if broken and not final:
-        reason = f"gateway {sent.gateway} ended it without an answer"
+        reason = f"gateway {sent.gateway} ended it without a response"
         yield Violation("one_answer", broken[0].time_us, sent.call, NO_SERVER, reason)
     deadline_us = sent.time_us + sent.budget_us
     if not answers and deadline_us + SLACK_US <= last_us:
@@ -91,9 +91,10 @@
 
 
 def check_repeats(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """An attempt that may have been executed is repeated only as its class allows.
+    """Check that an attempt which may have been executed is retried only as its class allows.
 
-    An unsafe call runs once; a keyed one only where its key is dropped, and within its window.
+    An unsafe call must not be retried. A keyed call may be retried only within the scope in which servers
+    drop duplicates of its idempotency key, and only within the key's window.
     """
     calls = _calls_sent(records)
     starts = {start.server: start for start in records.of_type(ServerStarted)}
@@ -117,25 +118,25 @@
     request_class: RequestClass,
     starts: dict[int, ServerStarted],
 ) -> str | None:
-    """Why a class does not allow this repeat; None if it does."""
+    """Return why the class forbids this retry, or None if it is allowed."""
     if request_class.effect == "unsafe":
-        return f"sent again after server {first.server} may have run it"
+        return f"sent again although server {first.server} may have executed it"
     if request_class.effect != "keyed":
         return None
     start, first_start = starts[retry.server], starts[first.server]
     left_zone = request_class.scope == "zone" and start.zone != first_start.zone
     left_rack = request_class.scope == "rack" and start.rack != first_start.rack
     if left_zone or left_rack:
-        return f"a keyed call left the {request_class.scope} of server {first.server}"
+        return f"keyed call retried outside the {request_class.scope} of server {first.server}"
     if retry.sent_us - first.sent_us > request_class.window_ms * 1000 + SLACK_US:
-        return "a keyed call was sent again after its window"
+        return "keyed call retried after the window of its key"
     return None
 
 
 def _repeated_effects(
     records: Records, scenario: Scenario, calls: dict[str, CallSent]
 ) -> Iterator[Violation]:
-    """Calls that are not safe and had their effect a second time."""
+    """Yield the calls that are not safe and took effect more than once."""
     effects: dict[str, int] = {}
     for execution in records.of_type(Execution):
         call = execution.call
@@ -144,15 +145,15 @@
         if scenario.classes[calls[call].class_index].effect == "safe":
             continue
         if call in effects:
-            reason = f"had its effect twice, first at server {effects[call]}"
+            reason = f"took effect twice, first at server {effects[call]}"
             yield Violation("repeats", execution.time_us, call, execution.server, reason)
         effects.setdefault(call, execution.server)
 
 
 def check_refusals_after_execution(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """A call that may have been executed is not refused, unless its class allows a repeat anywhere.
+    """Check that a call which may have been executed is refused only if its class allows a retry anywhere.
 
-    A refusal tells the client that trying again does no harm. Counted under the rule `repeats`.
+    A refusal tells the client that a retry is safe. Violations count under the rule `repeats`.
     """
     calls = _calls_sent(records)
     executed: dict[str, AttemptReceived] = {}
@@ -168,14 +169,17 @@
         request_class = scenario.classes[calls[call].class_index]
         is_scoped = request_class.effect == "keyed" and request_class.scope != "all"
         if request_class.effect == "unsafe" or is_scoped:
-            reason = "refused though it may have run"
+            reason = "refused although it may have been executed"
             yield Violation("repeats", answer.time_us, call, executed[call].server, reason)
 
 
 def check_drains(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """A gateway sends nothing new to a server longer than the grace after it learned that this one leaves."""
+    """Check that a gateway sends a leaving server no attempts once the drain grace period is over.
+
+    The period starts when discovery reports to the gateway that the server is no longer SERVING.
+    """
     grace_us = scenario.gateways.drain_grace_ms * 1000 + SLACK_US
-    leaving_since: dict[tuple[int, int], int] = {}  # by gateway and server
+    leaving_since: dict[tuple[int, int], int] = {}  # time in us by (gateway, server)
     for record in records.of_types(StatusReceived, AttemptReceived):
         pair = (record.gateway, record.server)
         if isinstance(record, StatusReceived):
@@ -187,12 +191,14 @@
             since_us = leaving_since.get(pair)
             if since_us is not None and record.sent_us - since_us > grace_us:
                 late_s = (record.sent_us - since_us) / 1e6
-                reason = f"gateway {record.gateway} sent it {late_s:.2f} s after word that the server leaves"
+                reason = (
+                    f"gateway {record.gateway} sent it {late_s:.2f} s after discovery reported it leaving"
+                )
                 yield Violation("drains", record.sent_us, record.call, record.server, reason)
 
 
 def _restarts(records: Records) -> dict[int, list[_Downtime]]:
-    """By gateway, the times from a process's death until the next one was up."""
+    """Return the spans from the end of a process to the start of the next one, by gateway."""
     died: dict[int, int] = {}
     restarts: dict[int, list[_Downtime]] = defaultdict(list)
     for change in records.of_type(GatewayStateChanged):
@@ -204,11 +210,12 @@
 
 
 def check_late_refusals(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """A gateway that gives up a call answers at once: not past half of its time with no attempt sent.
+    """Check that a gateway which refuses or fails a call without any attempt does so early.
 
-    Attempts that found no connection are not in the servers' records, so the time that these may take is
-    allowed. A call to a gateway that is down can wait in the listening socket that its next process inherits:
-    no gateway has it until that one is up.
+    The limit is half of the client's time budget. Failed connection attempts do not appear in the servers'
+    records, so the limit is raised to the time that they can take, up to 80% of the budget. A call to a
+    gateway that is down can wait in the listening socket that the next process inherits; its time counts
+    from the start of that process.
     """
     restarts = _restarts(records)
     attempted = {attempt.call for attempt in records.of_type(AttemptReceived)}
@@ -226,7 +233,7 @@
         taken_us = answer.time_us - received_us
         if taken_us > max(budget_us / 2, min(connecting_us, 0.8 * budget_us)) + SLACK_US:
             share = taken_us / budget_us
-            reason = f"gateway {answer.gateway} held it for {share:.0%} of its time and sent it nowhere"
+            reason = f"gateway {answer.gateway} held it for {share:.0%} of its time budget without an attempt"
             yield Violation("late_refusals", answer.time_us, call, NO_SERVER, reason)
 
 
@@ -244,6 +251,6 @@
 
 
 def find_violations(records: Records, scenario: Scenario) -> list[Violation]:
-    """All violations, by time."""
+    """Return the violations of all rules, sorted by time."""
     found = [violation for check in CHECKS for violation in check(records, scenario)]
     return sorted(found, key=lambda violation: (violation.time_us, violation.rule, violation.call))
--- a/sagetrack/lab/analysis/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -1,6 +1,6 @@
-"""Plots of a run over time: what was served, refused and failed, latencies, and each server's load.
+"""Plots of a run over time: request outcomes, latencies and the load of each server.
 
-One PNG or SVG by `matplotlib`, with the faults marked, from the records alone.
+A plot is a single PNG or SVG image drawn with `matplotlib`, in which the injected faults are marked.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
     "unanswered": "#5a2a6b",
 }
 PERCENTILES = {50: "#2a5f9f", 99: "#b02a2a"}
-MAX_SERVERS_IN_LEGEND = 24  # servers
+MAX_SERVERS_IN_LEGEND = 24
 
-ServerPoints = dict[int, list[tuple[float, int]]]  # by server: second of the run, value
+ServerPoints = dict[int, list[tuple[float, int]]]  # (second of the run, value) points by server
 
 
 class FaultSpan(NamedTuple):
-    """A fault's kind, with the seconds at which it began and ended."""
+    """The kind of a fault, and the seconds of the run at which it began and ended."""
 
     kind: str
     begin_s: float
@@ -47,7 +47,7 @@
 
 
 def fault_spans(records: Records) -> list[FaultSpan]:
-    """All faults by their begin; one that did not end lasts until the last record."""
+    """Return the faults in order of their start; a fault without an end lasts until the last record."""
     begins: dict[str, list[float]] = defaultdict(list)
     spans = []
     for change in records.of_type(FaultStateChanged):
@@ -61,11 +61,11 @@
 
 
 def draw_plot(records: Records, path: Path | str) -> None:
-    """Draw a run into a file; its suffix says what kind.
+    """Draw the plot of a run into a file, whose suffix selects the image format.
 
     Raises:
-        OSError: the file cannot be written.
-        ValueError: no such kind of file.
+        OSError: The file cannot be written.
+        ValueError: The image format is not supported.
     """
     figure, (top, middle, bottom) = plt.subplots(3, 1, figsize=(11, 9), sharex=True, layout="constrained")
     _draw_requests(records, top, middle)
@@ -86,7 +86,7 @@
 
 
 def _draw_requests(records: Records, outcome_axes: Axes, latency_axes: Axes) -> None:
-    """Outcomes and latencies, by the second in which each request was due."""
+    """Draw outcomes and latencies by the second in which the requests were due."""
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in OUTCOMES}
     latencies: dict[int, Any] = defaultdict(latency_histogram)
     for request in records.of_type(RequestFinished):
@@ -111,7 +111,7 @@
 
 
 def _draw_servers(records: Records, axes: Axes) -> None:
-    """Each server's sampled requests in flight; without samples, the attempts that reached it."""
+    """Draw each server's sampled requests in flight or, without samples, its attempts a second."""
     samples: ServerPoints = defaultdict(list)
     for sample in records.of_type(ServerLoad):
         samples[sample.server].append((sample.time_us / 1e6, sample.in_flight))
--- a/sagetrack/lab/analysis/records.py
+++ b/sagetrack/lab/analysis/records.py
@@ -1,10 +1,15 @@
-"""What happened in a run, as seen by clients, servers and discovery; judges and reports read nothing else.
+"""Records of the events of a run, as seen by clients, servers and discovery.
 
-One record is a tuple: kind, time in microseconds since the run began, then the kind's own fields. In a file
-it is one JSON array a line, after a first line that names the scenario, the seed and the driver.
+Rule checks and reports read only these records. They use three terms: a client's *request* is sent to
+gateways as one or more *calls* (one for each try by the client), and for each call a gateway sends one or
+more *attempts* to servers.
 
-The kinds are words of that file format. Here, and only here, each is given a type with named fields:
-`Records.of_type(ServerStarted)` yields the `start` records in that form.
+A record is a tuple: its kind, its time in microseconds since the start of the run, and the fields of its
+kind. A file of records starts with a JSON line that holds the scenario, the seed and the driver, followed by
+one JSON array per record.
+
+The kinds are short strings of the file format. This module maps each of them to a type with named fields:
+`Records.of_type(ServerStarted)` yields the `start` records as `ServerStarted` tuples.
 """
 
 from __future__ import annotations
@@ -19,7 +24,7 @@
 
 
 class CallSent(NamedTuple):
-    """`ask`: a client sent one call, a try of a request, to a gateway."""
+    """`ask`: a client sent a call, which is one try of a request, to a gateway."""
 
     kind: str
     time_us: int
@@ -27,14 +32,14 @@
     gateway: int
     class_index: int
     member: int
-    budget_us: int  # until the client gives up
+    budget_us: int  # time after which the client gives up
     key: int | None  # idempotency key
     request: str
-    try_number: int  # from 1
+    try_number: int  # starts at 1
 
 
 class CallAnswered(NamedTuple):
-    """`answer`: how a call ended for its client."""
+    """`answer`: a call ended, with the result that its client saw."""
 
     kind: str
     time_us: int
@@ -54,7 +59,7 @@
 
 
 class AttemptReceived(NamedTuple):
-    """`recv`: an attempt of a gateway reached a server."""
+    """`recv`: a gateway's attempt reached a server."""
 
     kind: str
     time_us: int
@@ -62,23 +67,23 @@
     server: int
     gateway: int
     verdict: str  # taken, rejected or lost
-    work_us: int  # as drawn, on a standard core
+    work_us: int  # randomly drawn CPU time of this attempt on a standard core
     sent_us: int
 
 
 class Execution(NamedTuple):
-    """`run`: a server finished the work of an attempt."""
+    """`run`: a server finished executing an attempt."""
 
     kind: str
     time_us: int
     call: str
     server: int
     key: int | None
-    has_effect: int  # 1; 0 if the server dropped it as a duplicate of its key
+    has_effect: int  # 0 if the server dropped the attempt as a duplicate by its idempotency key, else 1
 
 
 class StatusReceived(NamedTuple):
-    """`told`: discovery gave a gateway the status of a server."""
+    """`told`: discovery reported a server's status to a gateway."""
 
     kind: str
     time_us: int
@@ -88,15 +93,15 @@
 
 
 class ServerStarted(NamedTuple):
-    """`start`: a server process began."""
+    """`start`: a server process started."""
 
     kind: str
     time_us: int
     server: int
     zone: int
     rack: int
-    is_cold: int  # 1 if it has to warm up
-    capacity: float  # standard cores, once warm
+    is_cold: int  # 1 if the server has to warm up, else 0
+    capacity: float  # in standard cores, when warm
 
 
 class ServerStopped(NamedTuple):
@@ -109,7 +114,7 @@
 
 
 class GatewayStateChanged(NamedTuple):
-    """`gateway`: a gateway process came up or went down."""
+    """`gateway`: a gateway process started, stopped or began an upgrade."""
 
     kind: str
     time_us: int
@@ -118,7 +123,7 @@
 
 
 class FaultStateChanged(NamedTuple):
-    """`trouble`: a planned fault began or ended."""
+    """`trouble`: a scheduled fault began or ended."""
 
     kind: str
     time_us: int
@@ -128,7 +133,7 @@
 
 
 class RequestFinished(NamedTuple):
-    """`request`: what became of a request over all its tries."""
+    """`request`: a request ended, with its outcome after all tries."""
 
     kind: str
     time_us: int
@@ -136,12 +141,12 @@
     class_index: int
     member: int
     outcome: str  # served, late, refused, failed or unanswered
-    due_us: int  # when the schedule had it sent, also if the load ran late
+    due_us: int  # scheduled send time; the load generator may have sent the request later
     tries: int
 
 
 class ServerLoad(NamedTuple):
-    """`load`: a sample of one server's load."""
+    """`load`: a sample of a server's load."""
 
     kind: str
     time_us: int
@@ -152,7 +157,7 @@
 
 
 class LateSend(NamedTuple):
-    """`late`: the load generator sent a request late."""
+    """`late`: the load generator sent a request later than scheduled."""
 
     kind: str
     time_us: int
@@ -160,7 +165,7 @@
 
 
 class RequestClient(NamedTuple):
-    """`client`: which of its member's clients sent a request."""
+    """`client`: the client, among those of the member, that sent a request."""
 
     kind: str
     time_us: int
@@ -169,7 +174,7 @@
 
 
 class RetryAdvised(NamedTuple):
-    """`advised`: a refusal said when to retry, to a client that follows such advice."""
+    """`advised`: a refusal with a retry time reached a client that honors such advice."""
 
     kind: str
     time_us: int
@@ -180,7 +185,7 @@
 
 
 class DnsQueryFinished(NamedTuple):
-    """`dns`: what became of a DNS query."""
+    """`dns`: a DNS query ended, with its outcome."""
 
     kind: str
     time_us: int
@@ -207,7 +212,7 @@
     RetryAdvised: "advised",
     DnsQueryFinished: "dns",
 }
-"""By type, the word for its records in a file."""
+"""The kind of each record type in a file."""
 
 TYPES = {kind: record_type for record_type, kind in KINDS.items()}
 
@@ -215,7 +220,7 @@
 
 
 class Records:
-    """Records of one run, in order of time."""
+    """The records of one run, ordered by time."""
 
     __slots__ = ("header", "rows")
 
@@ -224,35 +229,35 @@
         self.rows: list[Record] = []
 
     def add(self, kind: str, time_us: int, *fields: Any) -> None:
-        """Append a record of this kind, with the kind's own fields in their order."""
+        """Append a record; `fields` are the fields of its kind, in the order of the kind's type."""
         self.rows.append((kind, time_us, *fields))
 
     def rows_of(self, *kinds: str) -> Iterator[Record]:
-        """The records of these kinds as bare tuples, in their order."""
+        """Iterate over the records of these kinds as plain tuples, ordered by time."""
         return (row for row in self.rows if row[0] in kinds)
 
     def of_type(self, record_type: type[RecordT]) -> Iterator[RecordT]:
-        """The records of one kind, with named fields, in their order."""
+        """Iterate over the records of one type, ordered by time."""
         kind = KINDS[record_type]
         return (record_type(*row) for row in self.rows if row[0] == kind)
 
     def of_types(self, *record_types: type[Any]) -> Iterator[Any]:
-        """The records of several kinds, with named fields, in the order in which they happened."""
+        """Iterate over the records of several types, ordered by time."""
         kinds = [KINDS[record_type] for record_type in record_types]
         return (TYPES[row[0]](*row) for row in self.rows_of(*kinds))
 
     def last_us(self) -> int:
-        """The latest time of any record; 0 without records."""
+        """Return the time of the latest record, or 0 without records."""
         return max((row[1] for row in self.rows), default=0)
 
     def lines(self) -> Iterator[str]:
-        """The file's lines; byte for byte the same for the same run in virtual time."""
+        """Iterate over the lines of the file. The same run in virtual time gives the same bytes."""
         yield json.dumps(self.header, sort_keys=True, separators=(",", ":")) + "\n"
         for row in self.rows:
             yield json.dumps(row, separators=(",", ":")) + "\n"
 
     def write(self, path: Path | str) -> None:
-        """Write the records to a file, compressed if its name ends with .gz."""
+        """Write the records to a file, gzip-compressed if its name ends with .gz."""
         path = Path(path)
         if path.suffix == ".gz":
             with gzip.GzipFile(path, "wb", mtime=0) as archive:
@@ -262,23 +267,23 @@
 
 
 def read_records(path: Path | str) -> Records:
-    """Read a file that `Records.write` wrote; a last line that was cut short is left out.
+    """Read a file written by `Records.write`; an incomplete last line is ignored.
 
     Raises:
-        ValueError: the file has no records, or a line is not JSON; the message names the line.
+        ValueError: The file has no complete line, or a line is not JSON; the message has the line's number.
     """
     path = Path(path)
     data = gzip.decompress(path.read_bytes()) if path.suffix == ".gz" else path.read_bytes()
     lines = data.decode("utf-8").split("\n")
     complete = lines[:-1]
     if not complete:
-        raise ValueError(f"{path}: no records")
+        raise ValueError(f"{path}: the file has no complete line")
     records = Records()
     for number, line in enumerate(complete, 1):
         try:
             value = json.loads(line)
         except ValueError as error:
-            raise ValueError(f"{path}:{number}: not a record: {error}") from None
+            raise ValueError(f"{path}:{number}: the line is not valid JSON: {error}") from None
         if number == 1:
             records.header = value
         else:
--- a/sagetrack/lab/analysis/violations.py
+++ b/sagetrack/lab/analysis/violations.py
@@ -1,4 +1,4 @@
-"""What a judge reports: one breach of a rule, with the time, the call and the server."""
+"""Violation of a rule, as reported by the rule checks in `judges`."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One breach: the rule, when (microseconds since the run began), which call and which server."""
+    """One violation of a rule; `time_us` is in microseconds since the start of the run."""
 
     rule: str
     time_us: int
     call: str
-    server: int  # NO_SERVER if none was involved
+    server: int  # NO_SERVER if no server was involved
     reason: str
 
     def __str__(self) -> str:
--- a/sagetrack/lab/analysis/warm_up.py
+++ b/sagetrack/lab/analysis/warm_up.py
@@ -1,4 +1,4 @@
-"""Judges of slow start: what all gateways together send to a server that is still warming up."""
+"""Checks of slow start: the load that all gateways together send to a server that is still warming up."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from sagetrack.lab.analysis.violations import Violation
 from sagetrack.lab.model.scenario import Fleet, Scenario
 
-BUDGET_TOLERANCE = 1.1  # times a cold server's budget, for chance
+BUDGET_TOLERANCE = 1.1  # factor on a cold server's budget, for random variation
 
 
 def _cold_starts(records: Records) -> dict[int, ServerStarted]:
-    """By number, the start of each server that had to warm up."""
+    """Return the start of each server that had to warm up, by server."""
     return {start.server: start for start in records.of_type(ServerStarted) if start.is_cold}
 
 
 def _warmth(fleet: Fleet, since_start_us: int) -> float:
-    """The share of its capacity that a cold server has so long after its start."""
+    """Return the share of its full capacity that a cold server has this long after its start."""
     warm_up_us = fleet.cold_s * 1e6
     return fleet.cold_share + (1.0 - fleet.cold_share) * since_start_us / warm_up_us
 
 
 def check_cold_budget(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """All gateways together stay within a cold server's budget of work.
+    """Check that all gateways together stay within a cold server's budget of work.
 
-    In no span of `fall_s` may more come than `fall_multiple` times what the server can do by then. Reported
-    once for each server.
+    The work that arrives in any span of `fall_s` may not exceed `fall_multiple` times what the server can do
+    in that time, at the capacity that it has at the end of the span. Each server is reported at most once.
     """
     warm_up_us = scenario.fleet.cold_s * 1e6
     starts = _cold_starts(records)
@@ -59,17 +59,17 @@
         warmth = _warmth(fleet, attempt.time_us - start.time_us)
         budget_us = fleet.fall_multiple * start.capacity * warmth * span_us
         if total_us > BUDGET_TOLERANCE * budget_us:
-            reason = f"{total_us / budget_us:.2f} times its budget in {fleet.fall_s:g} s"
+            reason = f"{total_us / budget_us:.2f} times its work budget in {fleet.fall_s:g} s"
             return Violation("cold_budget", attempt.time_us, attempt.call, attempt.server, reason)
     return None
 
 
 @dataclass(slots=True, frozen=True)
 class WarmUpWindow:
-    """The span of `fall_s` that ends with one call's arrival at a cold server, over all gateways together.
+    """Calls from all gateways to a cold server in the span of `fall_s` that ends with one call's arrival.
 
-    All in calls of mean work. `calls` counts each call as the mean of its class, which is what a gateway can
-    know; `work` counts it as the work that was drawn for it.
+    The unit of all amounts is a call of mean work. `calls` counts each call by the mean work of its class,
+    which is what a gateway can know; `work` counts it by the work that was randomly drawn for it.
     """
 
     end_us: int
@@ -77,27 +77,27 @@
     server: int
     calls: float
     work: float
-    planned_calls: float  # N: what the settings allow the server by its warmth at the span's begin
+    planned_calls: float  # N: what the settings allow at the server's capacity at the start of the span
 
     @property
     def call_limit(self) -> float:
-        """N, and what may come by chance beyond it."""
+        """Return N plus the excess that random variation may cause."""
         return self.planned_calls + 2.0 * math.sqrt(self.planned_calls) + 2.0
 
 
 class _Arrival(NamedTuple):
     time_us: int
-    calls: float  # the mean work of its class, in calls of mean work
-    work: float  # the work that was drawn for it, likewise
+    calls: float  # mean work of the call's class, in calls of mean work
+    work: float  # work that was drawn for the call, in calls of mean work
 
 
 def warm_up_windows(records: Records, scenario: Scenario) -> Iterator[WarmUpWindow]:
-    """Every window of every cold server: one for each call that reached it, accepted or rejected.
+    """Iterate over the windows of all cold servers, one for each accepted or rejected call at a server.
 
-    All processes of all gateways count, also the old and the new one of an upgrade: the server's own records
-    say what came. N goes by the server's true capacity and by its warmth when the window begins, or when
-    the server started if that is later: the least that it has within the window, so that nothing passes
-    that any other moment would forbid. A server counts as cold until `cold_s` after its start.
+    The calls of all gateway processes count, including both processes during an upgrade, because the
+    windows are taken from the servers' records. N is computed from the server's actual capacity and its
+    warmth at the start of the window, or at the start of the server if that is later. This is the lowest
+    warmth in the window, so it gives the strictest limit. A server is cold until `cold_s` after its start.
     """
     fleet = scenario.fleet
     span_us = int(fleet.fall_s * 1e6)
@@ -131,9 +131,10 @@
 
 
 def check_cold_sum(records: Records, scenario: Scenario) -> Iterator[Violation]:
-    """All gateways together send a cold server no more than N + 2 x root of N + 2 calls in any window.
+    """Check that all gateways together send a cold server at most N + 2 * sqrt(N) + 2 calls in any window.
 
-    What is beyond N may come by chance, for any number of gateways. Reported once for each server.
+    The margin above N covers random variation, for any number of gateways. Each server is reported at most
+    once.
     """
     reported: set[int] = set()
     for window in warm_up_windows(records, scenario):
--- a/sagetrack/lab/errors.py
+++ b/sagetrack/lab/errors.py
@@ -1,7 +1,7 @@
-"""The lab's own error."""
+"""The error that the lab reports to its user."""
 
 from __future__ import annotations
 
 
 class LabError(RuntimeError):
-    """The lab cannot play this; the message says why, in one line."""
+    """A lab run cannot be started or completed; the message gives the reason in one line."""
--- a/sagetrack/lab/repository.py
+++ b/sagetrack/lab/repository.py
@@ -1,4 +1,4 @@
-"""Paths of the repository that the lab plays from."""
+"""Paths in the repository that contains the lab."""
 
 from __future__ import annotations
 
