--- a/sagetrack/lab/analysis/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -191,9 +191,7 @@
             since_us = leaving_since.get(pair)
             if since_us is not None and record.sent_us - since_us > grace_us:
                 late_s = (record.sent_us - since_us) / 1e6
-                reason = (
-                    f"gateway {record.gateway} sent it {late_s:.2f} s after discovery reported it leaving"
-                )
+                reason = f"gateway {record.gateway} sent it {late_s:.2f} s after it was reported leaving"
                 yield Violation("drains", record.sent_us, record.call, record.server, reason)
 
 
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -9,7 +9,7 @@
 
 from sagetrack.lab.scale.meter import Meter, Values
 from sagetrack.lab.scale.probe import Probe
-from sagetrack.lab.scale.target import CHANGE_IN_FORCE_S, CHANGES_PER_DAY, CONTROL_MACHINES, DAY_S
+from sagetrack.lab.scale.target import CHANGE_PROPAGATION_S, CHANGES_PER_DAY, CONTROL_MACHINES, DAY_S
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
 
@@ -19,7 +19,7 @@
     return {
         "bytes": float(text * size),
         "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
-        "machine_bytes_per_s": text * size / CHANGE_IN_FORCE_S / CONTROL_MACHINES,
+        "machine_bytes_per_s": text * size / CHANGE_PROPAGATION_S / CONTROL_MACHINES,
         "messages": float(size),
     }
 
--- a/sagetrack/lab/scale/meter.py
+++ b/sagetrack/lab/scale/meter.py
@@ -26,7 +26,7 @@
 
 
 @contextmanager
-def _collector_paused() -> Iterator[None]:
+def _gc_paused() -> Iterator[None]:
     """Pause the garbage collector: finalizers of earlier objects would be counted with the event."""
     was_enabled = gc.isenabled()
     gc.disable()
@@ -52,7 +52,7 @@
         return count_opcode
 
     tracer_before = sys.gettrace()
-    with _collector_paused():
+    with _gc_paused():
         sys.settrace(enter_frame)
         try:
             call()
@@ -67,13 +67,13 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        made = make()
+        retained = make()
         gc.collect()
-        grown = tracemalloc.get_traced_memory()[0] - before
+        growth_bytes = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
-    del made
-    return float(max(0, grown))
+    del retained
+    return float(max(0, growth_bytes))
 
 
 def _do_nothing() -> None:
@@ -83,8 +83,8 @@
 class Meter:
     """Measures events; takes times only if `takes_times`, as they mean nothing on a busy machine."""
 
-    def __init__(self, takes_times: bool) -> None:
-        self.takes_times = takes_times
+    def __init__(self, measures_times: bool) -> None:
+        self.measures_times = measures_times
 
     def measure_event(
         self,
@@ -104,7 +104,7 @@
             prepare()
             samples.append(count_steps(call))
         values: Values = {"steps": statistics.median(samples)}
-        return values | self._time_event(call, prepare) if self.takes_times else values
+        return values | self._time_event(call, prepare) if self.measures_times else values
 
     def _time_event(self, call: Callable[[], object], prepare: Callable[[], object]) -> Values:
         """CPU time over some rounds (median, least, most) and the longest single event."""
--- a/sagetrack/lab/scale/page/failures.py
+++ b/sagetrack/lab/scale/page/failures.py
@@ -16,13 +16,13 @@
 from sagetrack.lab.scale.results import StoredResults
 from sagetrack.lab.scale.target import (
     CHANGES_PER_DAY,
-    FAILED_PER_DAY,
+    FAILURES_PER_DAY,
     MACHINES_PER_RACK,
-    RESTARTED_PER_DAY,
+    RESTARTS_PER_DAY,
 )
 
 ENTRIES_PER_FAILURE = 2  # of the list: the server is deleted, and listed again
-Text = Callable[[FigureReader], str]
+TextBuilder = Callable[[FigureReader], str]
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,8 +31,8 @@
 
     name: str
     frequency: str
-    cost: Text
-    recovery: Text
+    cost: TextBuilder
+    recovery: TextBuilder
 
 
 def _list_bytes(figures: FigureReader, entries: float) -> str:
@@ -61,7 +61,7 @@
     return f"{format_figure(sent)} B to all, if it were sent whole"
 
 
-def _gateway_known(figures: FigureReader) -> str:
+def _gateway_failure_known(figures: FigureReader) -> str:
     median_s = figures.at_target("membership-by-gateways", "known_s")
     p99_s = figures.at_target("membership-by-gateways", "known_p99_s")
     median, p99 = format_figure(median_s), format_figure(p99_s)
@@ -100,7 +100,7 @@
     return f"views are equal {format_figure(healed_s)} s after the end (a third cut off for 60 s)"
 
 
-def _list_taken(phase: str) -> Text:
+def _list_applied(phase: str) -> TextBuilder:
     """A text with the time until the real gateway had taken a phase's changes."""
 
     def text(figures: FigureReader) -> str:
@@ -109,7 +109,7 @@
     return text
 
 
-def _constant(text: str) -> Text:
+def _fixed_text(text: str) -> TextBuilder:
     """A text without figures."""
     return lambda figures: text
 
@@ -119,33 +119,33 @@
         "a configuration changes",
         f"{CHANGES_PER_DAY:,} a day",
         _configuration_cost,
-        _constant("not before someone sends SIGHUP on each machine: no channel"),
+        _fixed_text("not before someone sends SIGHUP on each machine: no channel"),
     ),
     Failure(
         "a machine with a gateway fails",
-        f"a part of {FAILED_PER_DAY} a day",
-        _constant("its clients' connections; its part of budgets lies idle"),
-        _gateway_known,
+        f"a part of {FAILURES_PER_DAY} a day",
+        _fixed_text("its clients' connections; its part of budgets lies idle"),
+        _gateway_failure_known,
     ),
     Failure(
         "a machine with a server fails",
-        f"a part of {FAILED_PER_DAY} a day",
+        f"a part of {FAILURES_PER_DAY} a day",
         lambda figures: _entries_cost(figures, ENTRIES_PER_FAILURE),
-        _constant("at each gateway with its first refused connection or overdue attempt, or the list"),
+        _fixed_text("at each gateway with its first refused connection or overdue attempt, or the list"),
     ),
     Failure(
         "a server is restarted or replaced",
-        f"{RESTARTED_PER_DAY:,} a day, gateways among them",
+        f"{RESTARTS_PER_DAY:,} a day, gateways among them",
         lambda figures: _entries_cost(figures, ENTRIES_PER_RESTART),
-        _list_taken("changes"),
+        _list_applied("changes"),
     ),
     Failure("a gateway is restarted", "a part of those", _gateway_restart_cost, _gateway_ready),
-    Failure("a rack or switch goes", "every week", _rack_cost, _list_taken("changes")),
-    Failure("a zone goes", "a few times a year", _zone_cost, _list_taken("zone")),
+    Failure("a rack or switch goes", "every week", _rack_cost, _list_applied("changes")),
+    Failure("a zone goes", "a few times a year", _zone_cost, _list_applied("zone")),
     Failure(
         "regions lose each other",
         "for an hour, now and then",
-        _constant(
+        _fixed_text(
             "half of the members are held for dead on each side; no side has the majority, so no "
             "gateway takes over another's part (`policy/fleet_size.py`)"
         ),
@@ -164,7 +164,7 @@
     return lines
 
 
-def _text_or_not_run(text: Text, results: StoredResults) -> str:
+def _text_or_not_run(text: TextBuilder, results: StoredResults) -> str:
     try:
         return text(FigureReader(results))
     except FigureNotRunError:
--- a/sagetrack/lab/scale/page/rendering.py
+++ b/sagetrack/lab/scale/page/rendering.py
@@ -9,7 +9,7 @@
 from sagetrack.lab.scale.page.tables import ranking_lines, requirements_table, work_table
 from sagetrack.lab.scale.results import StoredResults
 
-BEGIN_MARK, END_MARK = "<!-- measured: begin -->", "<!-- measured: end -->"
+BEGIN_MARKER, END_MARKER = "<!-- measured: begin -->", "<!-- measured: end -->"
 
 
 def render_page(text: str, before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
@@ -19,12 +19,12 @@
         ValueError: The page's marks are not there, once each and in order.
         KeyError, TypeError: These are no stored results.
     """
-    is_marked = text.count(BEGIN_MARK) == 1 and text.count(END_MARK) == 1
-    if not is_marked or text.index(BEGIN_MARK) > text.index(END_MARK):
-        raise ValueError(f"it needs the lines {BEGIN_MARK} and {END_MARK}, once each")
-    head, _, rest = text.partition(BEGIN_MARK)
-    tail = rest.partition(END_MARK)[2]
-    return f"{head}{BEGIN_MARK}\n{render_measurements(before, after)}\n{END_MARK}{tail}"
+    is_marked = text.count(BEGIN_MARKER) == 1 and text.count(END_MARKER) == 1
+    if not is_marked or text.index(BEGIN_MARKER) > text.index(END_MARKER):
+        raise ValueError(f"it needs the lines {BEGIN_MARKER} and {END_MARKER}, once each")
+    head, _, rest = text.partition(BEGIN_MARKER)
+    tail = rest.partition(END_MARKER)[2]
+    return f"{head}{BEGIN_MARKER}\n{render_measurements(before, after)}\n{END_MARKER}{tail}"
 
 
 def render_measurements(before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
@@ -50,7 +50,7 @@
     options += ["`--quick`"] if results.quick else []
     sizes = ", ".join(f"{count:,} {size}" for size, count in asdict(results.sizes).items())
     return (
-        f"{name}: {results.made}, Python {results.python}, seed {results.seed}, {results.seconds:g} s"
+        f"{name}: {results.date}, Python {results.python}, seed {results.seed}, {results.duration_s:g} s"
         f"{', ' + ', '.join(options) if options else ''}; {sizes}; services of {results.smallest_service} to "
         f"{results.largest_service} servers."
     )
--- a/sagetrack/lab/scale/page/requirement.py
+++ b/sagetrack/lab/scale/page/requirement.py
@@ -7,11 +7,11 @@
 
 from sagetrack.lab.scale.page.figures import FigureNotRunError, FigureReader
 from sagetrack.lab.scale.results import StoredResults
-from sagetrack.lab.scale.target import DAY_S, FAILED_PER_DAY, RESTARTED_PER_DAY
+from sagetrack.lab.scale.target import DAY_S, FAILURES_PER_DAY, RESTARTS_PER_DAY
 
 READY_S = 10.0  # allowed for a restarted process
 ENTRIES_PER_RESTART = 3  # of the list: the server drains, is deleted, and is listed again
-LIST_CHANGES_PER_S = (ENTRIES_PER_RESTART * RESTARTED_PER_DAY + 2 * FAILED_PER_DAY) / DAY_S
+LIST_CHANGES_PER_S = (ENTRIES_PER_RESTART * RESTARTS_PER_DAY + 2 * FAILURES_PER_DAY) / DAY_S
 MIB = 1024.0 * 1024.0
 
 
--- a/sagetrack/lab/scale/page/requirements.py
+++ b/sagetrack/lab/scale/page/requirements.py
@@ -11,7 +11,7 @@
     probe_figure,
 )
 from sagetrack.lab.scale.target import (
-    CHANGE_IN_FORCE_S,
+    CHANGE_PROPAGATION_S,
     CONTROL_BYTES,
     CONTROL_BYTES_PER_S,
     CONTROL_CORES,
@@ -173,7 +173,7 @@
         allowed=CONTROL_BYTES_PER_S,
         needed=lambda figures: figures.at_target("change-to-gateways", "bytes")
         / figures.sizes.gateways
-        / CHANGE_IN_FORCE_S,
+        / CHANGE_PROPAGATION_S,
         basis="reckoned",
     ),
     Requirement(
--- a/sagetrack/lab/scale/page/tables.py
+++ b/sagetrack/lab/scale/page/tables.py
@@ -62,9 +62,9 @@
 def _basis_cell(requirement: Requirement, figures: FigureReader) -> str:
     """What the figure rests on, and whether the target's sizes were run or extrapolated."""
     rows = figures.probe_rows()
-    beyond = [f"{row.axis} from {row.reached:,}" for row in rows if row.extrapolated]
-    if beyond:
-        return f"{requirement.basis}, extrapolated in {', '.join(beyond)}"
+    extrapolated_axes = [f"{row.axis} from {row.reached:,}" for row in rows if row.extrapolated]
+    if extrapolated_axes:
+        return f"{requirement.basis}, extrapolated in {', '.join(extrapolated_axes)}"
     return requirement.basis + (", size reached" if rows else "")
 
 
@@ -98,9 +98,9 @@
 def ranking_lines(results: StoredResults) -> list[str]:
     """Return the ranked list of what is over its allowance."""
     lines = [
-        f"{place}. {requirement.role}: {requirement.description}, "
+        f"{rank}. {requirement.role}: {requirement.description}, "
         f"{format_figure(factor)} times what is allowed"
-        for place, (factor, requirement) in enumerate(over_allowance(results), 1)
+        for rank, (factor, requirement) in enumerate(over_allowance(results), 1)
     ]
     not_run = sum(
         bool(requirement.allowed) and evaluate(requirement, results).needed is None
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -22,7 +22,7 @@
 from sagetrack.policy.peer_observations import Observation
 
 WARM_UP_S = 5.0  # of the membership benchmark, before the death
-WATCHED_S = 100.0  # after the death
+OBSERVED_S = 100.0  # after the death
 PARTITION_S = 60.0
 HEALING_LIMIT_S = 240.0  # how long the end of the partition is watched
 OBSERVATIONS_PER_DATAGRAM = 10
@@ -31,7 +31,7 @@
 def membership_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """One of `size` gateways fails: when the others know, and what membership costs each of them."""
     began_ns = time.thread_time_ns()
-    outcome = death(size, fleet.seed, 0.0, WATCHED_S)
+    outcome = death(size, fleet.seed, 0.0, OBSERVED_S)
     spent_us = (time.thread_time_ns() - began_ns) / 1000
     retained = retained_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
     values: Values = {
@@ -43,8 +43,8 @@
         "held_bytes": retained / size,
         "each_bytes": retained / size / size,
     }
-    if meter.takes_times:
-        values["cpu_us_per_s"] = spent_us / size / (WATCHED_S + WARM_UP_S)
+    if meter.measures_times:
+        values["cpu_us_per_s"] = spent_us / size / (OBSERVED_S + WARM_UP_S)
     return values
 
 
--- a/sagetrack/lab/scale/probe.py
+++ b/sagetrack/lab/scale/probe.py
@@ -46,13 +46,13 @@
     points: list[Point] = field(default_factory=list)
     fits: dict[str, Fit] = field(default_factory=dict)
 
-    def fit_all(self) -> None:
+    def fit_measures(self) -> None:
         """Fit each measure that has enough points for it."""
         sizes = [float(point.size) for point in self.points]
         for measure in self.points[0].values:
-            made = fit_points(sizes, [point.values[measure] for point in self.points])
-            if made is not None:
-                self.fits[measure] = made
+            fit = fit_points(sizes, [point.values[measure] for point in self.points])
+            if fit is not None:
+                self.fits[measure] = fit
 
     @property
     def reached(self) -> int:
@@ -85,5 +85,5 @@
     for size in geometric_sizes(probe.smallest, largest):
         result.points.append(Point(size, probe.run(fleet, size, meter)))
         on_point()
-    result.fit_all()
+    result.fit_measures()
     return result
--- a/sagetrack/lab/scale/real_gateway/discovery.py
+++ b/sagetrack/lab/scale/real_gateway/discovery.py
@@ -33,7 +33,7 @@
     def __init__(self, fleet: TargetFleet, addresses: Sequence[str]) -> None:
         self.index = 1
         self.sent_bytes = 0
-        self._texts = {
+        self._entries_by_status = {
             status: [
                 json.dumps(fleet.discovery_entry(number, status, addresses[number % len(addresses)])).encode()
                 for number in range(fleet.sizes.servers)
@@ -48,9 +48,9 @@
     def change(self, numbers: Sequence[int], status: str = "SERVING") -> None:
         """Set the status of these servers from now on, and answer the polls that wait."""
         self.index += 1
-        texts = [self._texts[status][number] for number in numbers]
-        self._changes.append(Change(self.index, texts))
-        for number, text in zip(numbers, texts, strict=True):
+        changed_entries = [self._entries_by_status[status][number] for number in numbers]
+        self._changes.append(Change(self.index, changed_entries))
+        for number, text in zip(numbers, changed_entries, strict=True):
             if status == "DELETED":
                 self._entries.pop(number, None)
             else:
@@ -58,7 +58,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def list_text(self, since: int = FULL_LIST) -> bytes:
+    def list_json(self, since: int = FULL_LIST) -> bytes:
         """Return the changes after an index, or the full list."""
         is_full = since == FULL_LIST
         newer = (entry for change in self._changes if change.list_index > since for entry in change.entries)
@@ -78,11 +78,11 @@
             with suppress(TimeoutError):
                 async with asyncio.timeout(int(query["hold_ms"][0]) / 1000):
                     await self._changed.wait()
-        data = http_response(200, self.list_text(since))
+        data = http_response(200, self.list_json(since))
         self.sent_bytes += len(data)
         exchange.respond(data)
 
-    async def wait_until_taken(self) -> None:
+    async def wait_until_applied(self) -> None:
         """Wait until the gateway polls for what comes after the current index, so has taken all before it.
 
         Raises:
@@ -96,7 +96,7 @@
         except TimeoutError:
             raise LabError(f"the gateway has not taken its list within {LIST_TIMEOUT_S:g} s") from None
 
-    def forget_polls(self) -> None:
+    def discard_polls(self) -> None:
         """Forget the polls so far, those of a process that has ended."""
         while not self._polls.empty():
             self._polls.get_nowait()
--- a/sagetrack/lab/scale/real_gateway/measurement.py
+++ b/sagetrack/lab/scale/real_gateway/measurement.py
@@ -19,7 +19,7 @@
 from sagetrack.lab.scale.real_gateway.admin import START_TIMEOUT_S, request_totals, wait_until_ready
 from sagetrack.lab.scale.real_gateway.discovery import ScriptedDiscovery
 from sagetrack.lab.scale.real_gateway.launcher import GatewayLauncher
-from sagetrack.lab.scale.real_gateway.trial import FIRST_SERVERS, LoadTrial
+from sagetrack.lab.scale.real_gateway.trial import INITIAL_SERVERS, LoadTrial
 from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.lab.stand_ins.scripted import ScriptedServer, scripted_server
 
@@ -28,7 +28,7 @@
 PHASE_S, QUICK_PHASE_S = 15.0, 5.0
 WARM_UP_S = 1.0
 ECHO_SERVERS = 64  # whose addresses the entries share
-DESCRIPTORS = 1000  # that this process needs
+REQUIRED_DESCRIPTORS = 1000  # that this process needs
 
 
 async def _run_trial(trial: LoadTrial, phase_s: float, on_step: Callable[[], None]) -> None:
@@ -42,7 +42,7 @@
     await trial.run_phase("listing", phase_s, trial.list_all)
     figures["listing_bytes"] = float(trial.discovery.sent_bytes)
     on_step()
-    await trial.run_phase("changes", phase_s, trial.change_some)
+    await trial.run_phase("changes", phase_s, trial.drain_some)
     on_step()
     await trial.run_phase("zone", phase_s, trial.lose_zone)
     figures["all_answered"] = (await request_totals(trial.gateway.process)).served
@@ -50,11 +50,11 @@
 
 async def _start_with_full_list(launcher: GatewayLauncher, discovery: ScriptedDiscovery) -> dict[str, float]:
     """Start a process that knows the whole list, and return how long it took."""
-    known = json.loads(discovery.list_text())
-    discovery.forget_polls()
+    known = json.loads(discovery.list_json())
+    discovery.discard_polls()
     gateway = launcher.start(known)
     ready_s = await wait_until_ready(gateway.process)
-    await discovery.wait_until_taken()
+    await discovery.wait_until_applied()
     return {"ready_full_list_s": ready_s, "ready_memory_mb": memory_mb(gateway.pid)}
 
 
@@ -85,7 +85,7 @@
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         async with _echo_servers(ECHO_SERVERS) as addresses:
             discovery = ScriptedDiscovery(fleet, addresses)
-            discovery.change(range(FIRST_SERVERS))
+            discovery.change(range(INITIAL_SERVERS))
             async with scripted_server(discovery.serve) as listener:
                 with GatewayLauncher(fleet, Path(folder), listener.address, core) as launcher:
                     trial = LoadTrial(fleet, discovery, launcher.start({}))
@@ -107,7 +107,7 @@
     Raises:
         LabError: It cannot be measured here.
     """
-    require_file_descriptors(DESCRIPTORS)
+    require_file_descriptors(REQUIRED_DESCRIPTORS)
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2:
         raise LabError("one core is too few: the gateway and the load need one each")
--- a/sagetrack/lab/scale/real_gateway/trial.py
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -15,12 +15,12 @@
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
 CONNECTIONS = 32  # of the load
-FIRST_SERVERS = 25  # in the list that the gateway starts with
+INITIAL_SERVERS = 25  # in the list that the gateway starts with
 CHANGED_SERVERS, CHANGE_S = 200, 1.0
 TICK_S = 0.001
 
 
-async def longest_gap_ms() -> float:
+async def max_loop_delay_ms() -> float:
     """Measure the longest time for which this process's own event loop was blocked, until cancelled.
 
     The lab itself may be the cause of that part of the longest latency.
@@ -37,9 +37,9 @@
         return longest_s * 1000
 
 
-def percentile_ms(run: HttpLoad, percentile: float) -> float:
+def percentile_ms(load: HttpLoad, percentile: float) -> float:
     """Return a percentile of a load's latencies."""
-    return float(run.latencies.get_value_at_percentile(percentile)) / 1000
+    return float(load.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 class LoadTrial:
@@ -60,25 +60,25 @@
         totals_before = await request_totals(process)
         cpu_before_s = cpu_s(self.gateway.pid)
         began_s = time.monotonic()
-        gap = asyncio.create_task(longest_gap_ms())
+        delay_task = asyncio.create_task(max_loop_delay_ms())
         change_task = asyncio.create_task(change())
         load_task = asyncio.create_task(
             run_http_load(self.gateway.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
         )
         await change_task
         change_s = time.monotonic() - began_s
-        run = await load_task
-        gap.cancel()
+        load = await load_task
+        delay_task.cancel()
         # The gateway's own counts: the load counts also those requests as failed that it cuts off at its end.
         totals = await request_totals(process) - totals_before
         self.figures |= {
-            f"{name}_own_hold_ms": await gap,
-            f"{name}_p50_ms": percentile_ms(run, 50),
-            f"{name}_p99_ms": percentile_ms(run, 99),
-            f"{name}_longest_ms": float(run.latencies.get_max_value()) / 1000,
+            f"{name}_own_hold_ms": await delay_task,
+            f"{name}_p50_ms": percentile_ms(load, 50),
+            f"{name}_p99_ms": percentile_ms(load, 99),
+            f"{name}_longest_ms": float(load.latencies.get_max_value()) / 1000,
             f"{name}_refused": totals.rejected,
             f"{name}_failed": totals.failed,
-            f"{name}_done": float(run.succeeded),
+            f"{name}_done": float(load.succeeded),
             f"{name}_core": (cpu_s(self.gateway.pid) - cpu_before_s) / (time.monotonic() - began_s),
             f"{name}_over_s": change_s,
             f"{name}_memory_mb": memory_mb(self.gateway.pid),
@@ -89,9 +89,9 @@
 
     async def list_all(self) -> None:
         """List all servers at once."""
-        await self._change([range(FIRST_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
+        await self._change([range(INITIAL_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
 
-    async def change_some(self) -> None:
+    async def drain_some(self) -> None:
         """Set 200 servers to draining, one after another within a second; a quarter of a smaller fleet."""
         changed = min(CHANGED_SERVERS, self.fleet.sizes.servers // 4)
         batches = [range(number, number + 1) for number in range(changed)]
@@ -109,4 +109,4 @@
         for count, numbers in enumerate(batches, 1):
             self.discovery.change(numbers, status)
             await asyncio.sleep(max(0.0, began_s + count * interval_s - loop.time()))
-        await self.discovery.wait_until_taken()
+        await self.discovery.wait_until_applied()
--- a/sagetrack/lab/scale/results.py
+++ b/sagetrack/lab/scale/results.py
@@ -107,10 +107,10 @@
 class StoredResults:
     """The stored results of one run."""
 
-    made: str  # its date
+    date: str  # its date
     python: str
     seed: int
-    seconds: float  # that it took
+    duration_s: float  # that it took
     quick: bool
     times: bool
     sizes: Sizes
@@ -123,10 +123,10 @@
     def from_json(cls, data: dict[str, Any]) -> StoredResults:
         """Read what `lab scale --json` wrote. KeyError or TypeError if it is something else."""
         return cls(
-            made=data["made"],
+            date=data["made"],
             python=data["python"],
             seed=data["seed"],
-            seconds=data["seconds"],
+            duration_s=data["seconds"],
             quick=data["quick"],
             times=data["times"],
             sizes=Sizes(**data["sizes"]),
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -104,8 +104,8 @@
     check_sizes(sizes)
     probes = select_probes(names)
     fleet = TargetFleet(sizes, seed)
-    is_real_run = times and (not names or measurement.NAME in names)
-    progress = Progress(len(probes) * POINTS + is_real_run * measurement.STEPS, report)
+    includes_real_gateway = times and (not names or measurement.NAME in names)
+    progress = Progress(len(probes) * POINTS + includes_real_gateway * measurement.STEPS, report)
     began_s = time.monotonic()
     settings = {"seed": seed, "quick": quick, "times": times, "sizes": asdict(sizes)}
     return {
@@ -113,7 +113,7 @@
         **_environment(),
         **settings,
         "rows": [_run_probe(probe, fleet, Meter(times), quick, progress) for probe in probes],
-        "real": _measure_real_gateway(fleet, quick, progress) if is_real_run else None,
+        "real": _measure_real_gateway(fleet, quick, progress) if includes_real_gateway else None,
         **_fleet_summary(fleet),
         "seconds": round(time.monotonic() - began_s, 1),
     }
@@ -135,7 +135,7 @@
 
 def _fleet_summary(fleet: TargetFleet) -> dict[str, Any]:
     """What was generated: the events of a day by kind, and the bounds of the services' sizes."""
-    events_by_kind = Counter(event.kind for event in fleet.day())
+    events_by_kind = Counter(event.kind for event in fleet.day_events())
     return {
         "day": dict(sorted(events_by_kind.items())),
         "largest_service": max(fleet.service_sizes),
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -12,11 +12,11 @@
 from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-WATCHED_S = 30.0
+OBSERVED_S = 30.0
 IDLE_TIMEOUT_S = 10.0  # after which an unused connection is closed
 
 
-class Expiry(NamedTuple):
+class IdleCheck(NamedTuple):
     """When a connection is to be looked at: it is closed unless it was used since."""
 
     due_s: float
@@ -29,16 +29,16 @@
 
     def __init__(self, servers: int) -> None:
         self.open_by_server = [0] * servers
-        self.most_open = 0  # at one server, at any time
+        self.max_open = 0  # at one server, at any time
         self.handshakes = 0
         self.attempts = 0
         self._used_s: dict[tuple[int, int], float] = {}  # last use, by gateway and server
-        self._expiries: list[Expiry] = []  # a heap
+        self._idle_checks: list[IdleCheck] = []  # a heap
 
     def close_idle(self, now_s: float) -> None:
         """Close the connections that have been idle for long enough."""
-        while self._expiries and self._expiries[0].due_s <= now_s:
-            _, gateway, server = heapq.heappop(self._expiries)
+        while self._idle_checks and self._idle_checks[0].due_s <= now_s:
+            _, gateway, server = heapq.heappop(self._idle_checks)
             used_s = self._used_s.get((gateway, server))
             if used_s is not None and used_s + IDLE_TIMEOUT_S <= now_s:
                 del self._used_s[gateway, server]
@@ -50,14 +50,14 @@
         if (gateway, server) not in self._used_s:
             self.handshakes += 1
             self.open_by_server[server] += 1
-            self.most_open = max(self.most_open, self.open_by_server[server])
+            self.max_open = max(self.max_open, self.open_by_server[server])
         self._used_s[gateway, server] = now_s
-        heapq.heappush(self._expiries, Expiry(now_s + IDLE_TIMEOUT_S, gateway, server))
+        heapq.heappush(self._idle_checks, IdleCheck(now_s + IDLE_TIMEOUT_S, gateway, server))
 
 
 def connections_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """One service of the mean size behind all gateways: Poisson arrivals, each at a random gateway."""
-    draw = random.Random(f"{fleet.seed}/connections")
+    rng = random.Random(f"{fleet.seed}/connections")
     servers = fleet.sizes.servers_per_service
     settings = [fleet.settings(FEW_TENANTS, size, number) for number in range(size)]
     listed = fleet.listed_servers(servers)
@@ -65,9 +65,9 @@
     rate_per_s = fleet.sizes.requests_per_s / fleet.sizes.services
     connections = ConnectionTable(servers)
     now_s = 0.0
-    while now_s < WATCHED_S:
-        now_s += draw.expovariate(rate_per_s)
-        number = draw.randrange(size)
+    while now_s < OBSERVED_S:
+        now_s += rng.expovariate(rate_per_s)
+        number = rng.randrange(size)
         gateway = gateways[number]
         gateway.now_us = max(gateway.now_us, int(START_US + now_s * 1e6))
         connections.close_idle(now_s)
@@ -75,10 +75,10 @@
             connections.use(number, server, now_s)
     return {
         "open_each": sum(connections.open_by_server) / servers,
-        "open_most": float(connections.most_open),
+        "open_most": float(connections.max_open),
         "calls": float(connections.attempts),
         "handshakes_per_call": connections.handshakes / max(1, connections.attempts),
-        "messages_per_s": connections.handshakes / WATCHED_S / servers,
+        "messages_per_s": connections.handshakes / OBSERVED_S / servers,
     }
 
 
--- a/sagetrack/lab/scale/simulated_gateway.py
+++ b/sagetrack/lab/scale/simulated_gateway.py
@@ -26,8 +26,8 @@
 REQUEST_TIMEOUT_US = 3_000_000
 EXPIRED_TIMEOUT_US = 1_000  # too short for a retry to be answered in time
 LATENCY_US = 4_000  # of each attempt
-GAP_US = 8_200  # between requests: 122 a second
-RECOVERY_GAP_US = 500_000  # between requests that let breakers and retry budgets recover
+REQUEST_INTERVAL_US = 8_200  # between requests: 122 a second
+RECOVERY_INTERVAL_US = 500_000  # between requests that let breakers and retry budgets recover
 RECOVERY_REQUESTS = 6
 
 
@@ -36,7 +36,7 @@
 
     def __init__(self, settings: Settings, servers: tuple[ListedServer, ...], seed: int = 1) -> None:
         self.balancer = LoadBalancer(settings, seed)
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now_us = START_US
         self.request_count = 0
         self.timers: list[int] = []  # set by the request that is under way
@@ -58,22 +58,22 @@
         self.request_count += 1
         self.timers = []
         name = f"{self.request_count:x}"
-        tenant = self.draw.randrange(max(1, self.tenants))
+        tenant = self.rng.randrange(max(1, self.tenants))
         arrived = RequestArrived(name, class_index, REQUEST_TIMEOUT_US, key=self.request_count, tenant=tenant)
         to_send = self.handle(arrived)
         attempt = 0
-        used: list[int] = []
+        attempted_servers: list[int] = []
         while to_send:
             server = to_send[0].server
-            used.append(server)
+            attempted_servers.append(server)
             self.now_us += LATENCY_US
             outcome = Outcome.ERROR if attempt < failures else Outcome.OK
             to_send = self.handle(AttemptEnded(name, attempt, server, outcome, LATENCY_US))
             attempt += 1
         for token in self.timers:
             self.handle(TimerFired(token))
-        self.now_us += GAP_US
-        return used
+        self.now_us += REQUEST_INTERVAL_US
+        return attempted_servers
 
     def reject_request(self) -> None:
         """Play a client's retry that comes too late to be answered: it is rejected with a Retry-After."""
@@ -85,4 +85,4 @@
         """Play requests that succeed, so that retry budgets fill and circuit breakers close."""
         for _ in range(RECOVERY_REQUESTS):
             self.send_request()
-            self.now_us += RECOVERY_GAP_US
+            self.now_us += RECOVERY_INTERVAL_US
--- a/sagetrack/lab/scale/target.py
+++ b/sagetrack/lab/scale/target.py
@@ -7,18 +7,18 @@
 REQUESTS_PER_S = 89_000.0  # by the whole fleet
 ADDED_P99_MS = 6.4  # added by the gateway, 99th percentile
 CHANGES_PER_DAY = 1_100  # of configuration
-CHANGE_IN_FORCE_S = 18.0  # within which each of them is in force everywhere
+CHANGE_PROPAGATION_S = 18.0  # within which each of them is in force everywhere
 CONTROL_CORES = 0.015  # of each gateway
 CONTROL_BYTES = 128 * 1024 * 1024
 CONTROL_BYTES_PER_S = 16 * 1024
 CONTROL_MACHINES = 5
-FAILED_PER_DAY, RESTARTED_PER_DAY = 13, 2_200  # machines
+FAILURES_PER_DAY, RESTARTS_PER_DAY = 13, 2_200  # machines
 REGIONS, ZONES_PER_REGION = 2, 4
 DAY_S = 86_400.0
 
 # Assumed, as the target leaves them open
 MACHINES_PER_RACK = 40
-ZONE_LOSSES_PER_YEAR = REGION_CUTS_PER_YEAR = 3
+ZONE_LOSSES_PER_YEAR = REGION_PARTITIONS_PER_YEAR = 3
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/lab/scale/target_fleet.py
+++ b/sagetrack/lab/scale/target_fleet.py
@@ -13,10 +13,10 @@
 from sagetrack.lab.scale.target import (
     CHANGES_PER_DAY,
     DAY_S,
-    FAILED_PER_DAY,
+    FAILURES_PER_DAY,
     MACHINES_PER_RACK,
-    REGION_CUTS_PER_YEAR,
-    RESTARTED_PER_DAY,
+    REGION_PARTITIONS_PER_YEAR,
+    RESTARTS_PER_DAY,
     ZONE_LOSSES_PER_YEAR,
     Sizes,
 )
@@ -57,7 +57,7 @@
     return [share / total for share in raw]
 
 
-def lognormal_sizes(total: int, parts: int, draw: random.Random) -> list[int]:
+def lognormal_sizes(total: int, parts: int, rng: random.Random) -> list[int]:
     """Return `parts` lognormal sizes that add up to `total`, each at least 1.
 
     Raises:
@@ -65,7 +65,7 @@
     """
     if not 1 <= parts <= total:
         raise ValueError(f"{total} servers are too few for {parts} services")
-    raw = [draw.lognormvariate(0.0, SERVICE_SIZE_SIGMA) for _ in range(parts)]
+    raw = [rng.lognormvariate(0.0, SERVICE_SIZE_SIGMA) for _ in range(parts)]
     spare = total - parts
     raw_total = sum(raw)
     ends = [round(spare * reached / raw_total) for reached in accumulate(raw)]
@@ -78,8 +78,8 @@
     def __init__(self, sizes: Sizes, seed: int) -> None:
         self.sizes = sizes
         self.seed = seed
-        draw = random.Random(f"{seed}/fleet ahead")  # this text is part of the seed of the stored results
-        self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, draw)
+        rng = random.Random(f"{seed}/fleet ahead")  # this text is part of the seed of the stored results
+        self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, rng)
         self.tenant_shares = zipf_shares(sizes.tenants)
         self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # as many in each
 
@@ -144,24 +144,24 @@
         """Return those of the first `count` servers that are in a zone."""
         return tuple(number for number in range(count) if self.zone_by_server[number] == zone)
 
-    def day(self) -> list[FleetEvent]:
+    def day_events(self) -> list[FleetEvent]:
         """Return the changes and failures of a day, in order of time."""
-        draw = random.Random(f"{self.seed}/day")
+        rng = random.Random(f"{self.seed}/day")
         servers = self.sizes.servers
-        events = [FleetEvent(draw.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
-        for kind, count in (("machine", FAILED_PER_DAY), ("restart", RESTARTED_PER_DAY)):
+        events = [FleetEvent(rng.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
+        for kind, count in (("machine", FAILURES_PER_DAY), ("restart", RESTARTS_PER_DAY)):
             events += [
-                FleetEvent(draw.uniform(0, DAY_S), kind, (draw.randrange(servers),)) for _ in range(count)
+                FleetEvent(rng.uniform(0, DAY_S), kind, (rng.randrange(servers),)) for _ in range(count)
             ]
-        if draw.random() < RACK_LOSSES_PER_DAY:
-            first = draw.randrange(max(1, servers - MACHINES_PER_RACK))
+        if rng.random() < RACK_LOSSES_PER_DAY:
+            first = rng.randrange(max(1, servers - MACHINES_PER_RACK))
             lost = tuple(range(first, first + MACHINES_PER_RACK))
-            events.append(FleetEvent(draw.uniform(0, DAY_S), "rack", lost))
-        for kind, per_year in (("zone", ZONE_LOSSES_PER_YEAR), ("region", REGION_CUTS_PER_YEAR)):
-            if draw.random() < per_year / 365:
-                zone = draw.randrange(self.sizes.zones)
+            events.append(FleetEvent(rng.uniform(0, DAY_S), "rack", lost))
+        for kind, per_year in (("zone", ZONE_LOSSES_PER_YEAR), ("region", REGION_PARTITIONS_PER_YEAR)):
+            if rng.random() < per_year / 365:
+                zone = rng.randrange(self.sizes.zones)
                 lost = self.servers_in_zone(zone, servers) if kind == "zone" else ()
-                events.append(FleetEvent(draw.uniform(0, DAY_S), kind, lost))
+                events.append(FleetEvent(rng.uniform(0, DAY_S), kind, lost))
         return sorted(events, key=lambda event: event.at_s)
 
 
