--- a/sagetrack/lab/scale/__init__.py
+++ b/sagetrack/lab/scale/__init__.py
@@ -1,7 +1,8 @@
-"""A fleet of the target's sizes, measured on one machine: probes that each sweep one size of it.
+"""Scale benchmark: estimates on one machine what a large target fleet costs.
 
-Each role has a module of probes: `gateway`, `agent`, `peers`, `servers`, `control`. They run a simulated
-gateway: the state machines of the real one (settings, policy, membership, datagrams), fed by hand, without
-sockets. `real_gateway` measures one real process beside them. docs/design/scale.md says how the figures are
-made, docs/CAPACITY.md what they are.
+Each probe sweeps one size of the fleet, such as the number of servers, while the other sizes are fixed. There
+is one module of probes per role: `gateway`, `agent`, `peers`, `servers` and `control`. Most probes run a
+simulated gateway, which uses the state machines of the real one (settings, policy, membership, datagrams)
+with direct calls instead of sockets. `real_gateway` measures one real process. docs/design/scale.md describes
+the method, and docs/CAPACITY.md has the results.
 """
--- a/sagetrack/lab/scale/agent.py
+++ b/sagetrack/lab/scale/agent.py
@@ -1,4 +1,4 @@
-"""Probes of a gateway's agent for endpoint lists: the text of a list is read, and written again."""
+"""Probes of the endpoint list client of a gateway: decoding a list and writing it for the next process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def text_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The JSON of a full list is read; the check of each entry shows only at the real gateway."""
+    """Measure the JSON decoding of a full list. Only the real gateway also validates each entry."""
     text = json.dumps(fleet.full_list(size))
     delta = json.dumps(fleet.delta("DELETED"))
     retained = retained_bytes(lambda: json.loads(text))
@@ -21,7 +21,7 @@
 
 
 def handover_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The current list is written as a text for the gateway's next process."""
+    """Measure the JSON encoding of the current list for the gateway's next process."""
     handover = {"discovery": [], "known": fleet.full_list(size)}
     values = meter.measure_event(lambda: json.dumps(handover).encode(), step_samples=1)
     return values | {"bytes": float(len(json.dumps(handover)))}
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -1,6 +1,7 @@
-"""Estimates for the machines of the control plane, on which no part of the program runs.
+"""Estimates of the bytes that a control plane would send to the gateways.
 
-They are of what a change of the configuration would have them send, from the texts that a gateway reads.
+No part of this program runs on the control plane's machines. The estimates are computed from the sizes of the
+configuration and endpoint lists that a gateway reads.
 """
 
 from __future__ import annotations
@@ -14,7 +15,10 @@
 
 
 def change_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """Each change is sent to each gateway as a whole configuration, which is what a gateway reads today."""
+    """Estimate the traffic if each change is sent to each gateway as a complete configuration.
+
+    A gateway reads only complete configurations today.
+    """
     text = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
     return {
         "bytes": float(text * size),
@@ -25,7 +29,7 @@
 
 
 def lists_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A full list is sent to `size` gateways that start, and one changed entry to as many."""
+    """Estimate the bytes of a full list, and of one changed entry, sent to each of `size` gateways."""
     full = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
     delta = len(json.dumps(fleet.delta()))
     return {"bytes": float(full * size), "change_bytes": float(delta * size), "messages": float(size)}
--- a/sagetrack/lab/scale/fit.py
+++ b/sagetrack/lab/scale/fit.py
@@ -1,4 +1,4 @@
-"""How a figure grows with a size: a power law and a straight line through points, by least squares."""
+"""Least-squares fits of a measure over a size: a power law and a straight line."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
     exponent: float
     factor: float
-    residual: float  # of the power law: root mean square of the logarithm's; 0.1 is about 10% off
+    residual: float  # of the power law: root mean square in ln(y); 0.1 is an error of about 10%
     slope: float
     intercept: float
-    slope_residual: float  # of the line: root mean square over the mean of y
+    slope_residual: float  # of the line: root mean square divided by the mean of y
 
     def predict(self, size: float) -> float:
-        """Return the figure at a size, by whichever of the two has the smaller residual."""
+        """Return the value at a size, from the line or power law, whichever has the smaller residual."""
         if self.slope_residual <= self.residual:
             return self.intercept + self.slope * size
         return self.factor * float(size**self.exponent)
 
 
 class Line(NamedTuple):
-    """A straight line through points."""
+    """A straight line fitted to points."""
 
     slope: float
     intercept: float
-    residual: float  # root mean square
+    residual: float  # root mean square error
 
 
 def fit_line(xs: Sequence[float], ys: Sequence[float]) -> Line:
-    """Return the least-squares line; its slope is 0 if all `xs` are equal."""
+    """Return the least-squares line, whose slope is 0 if all `xs` are equal."""
     count = len(xs)
     mean_x = sum(xs) / count
     mean_y = sum(ys) / count
@@ -50,7 +50,7 @@
 
 
 def fit_points(xs: Sequence[float], ys: Sequence[float]) -> Fit | None:
-    """Fit the points above 0; None if there are fewer than three of them."""
+    """Fit the points with positive coordinates; return None if there are fewer than three."""
     points = [(x, y) for x, y in zip(xs, ys, strict=True) if x > 0 and y > 0]
     if len(points) < MIN_POINTS:
         return None
--- a/sagetrack/lab/scale/gateway.py
+++ b/sagetrack/lab/scale/gateway.py
@@ -1,4 +1,4 @@
-"""Probes of the gateway's own work: deciding, rejecting, taking endpoint lists, reading its configuration."""
+"""Probes of the gateway's own work: routing and rejecting requests, endpoint lists, configuration."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from sagetrack.policy.events import EndpointList, ListedServer, ListKind, ServerStatus
 from sagetrack.policy.load_balancer import LoadBalancer
 
-FEW_TENANTS, FEW_SERVERS = 10, 25  # the fixed sizes while another one grows
-REQUESTS_PER_S = 122  # of one gateway
+FEW_TENANTS, FEW_SERVERS = 10, 25  # sizes that are fixed while another size is swept
+REQUESTS_PER_S = 122  # load of one gateway
 
 
 def memory_values(retained: float, size: int) -> Values:
-    """Return the measures of memory: of all, and of one of what is swept."""
+    """Return the retained memory in total and for each unit of the swept size."""
     return {"held_bytes": retained, "each_bytes": retained / size}
 
 
 def decision_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of a gateway with `size` tenants, and the memory of its policy and settings."""
+    """Measure one request at a gateway with `size` tenants, and the memory of its policy and settings."""
     gateway = SimulatedGateway(fleet.settings(size), fleet.listed_servers(FEW_SERVERS))
     gateway.recover()
     retained = retained_bytes(
@@ -33,7 +33,7 @@
 
 
 def decision_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of a gateway with `size` servers, and the memory of its policy without its settings."""
+    """Measure one request at a gateway with `size` servers, and the memory of its policy without settings."""
     settings = fleet.settings(FEW_TENANTS)
     servers = fleet.listed_servers(size)
     gateway = SimulatedGateway(settings, servers)
@@ -43,7 +43,7 @@
 
 
 def decision_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request of one of `size` gateways."""
+    """Measure one request at one of `size` gateways."""
     settings = fleet.settings(FEW_TENANTS, size, size // 2)
     gateway = SimulatedGateway(settings, fleet.listed_servers(FEW_SERVERS))
     gateway.recover()
@@ -51,7 +51,7 @@
 
 
 def decision_by_services(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """Requests to a policy for each service, one after another, as in a gateway that knew services."""
+    """Measure requests to one policy per service in turn, as in a gateway that distinguished services."""
 
     def make() -> list[SimulatedGateway]:
         settings = fleet.settings(FEW_TENANTS)
@@ -72,7 +72,7 @@
 
 
 def retry_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One request with an idempotency key whose first attempt fails."""
+    """Measure a request with an idempotency key whose first attempt fails."""
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
     attempts: list[int] = []
     values = meter.measure_event(
@@ -82,14 +82,14 @@
 
 
 def rejection_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One rejected request."""
+    """Measure a rejected request."""
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
     gateway.recover()
     return meter.measure_event(gateway.reject_request)
 
 
 def list_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A new policy takes its first full list."""
+    """Measure how a new policy handles its first full endpoint list."""
     settings = fleet.settings(FEW_TENANTS)
     event = EndpointList(ListKind.FULL, fleet.listed_servers(size))
     balancer = LoadBalancer(settings, 1)
@@ -102,7 +102,7 @@
 
 
 def change_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A server is replaced by a restarted one."""
+    """Measure the handling of a list in which one server was restarted."""
     listed = fleet.listed_servers(size)
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), listed)
     restarts = count(1)
@@ -117,7 +117,7 @@
 
 
 def zone_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """All servers of a zone are deleted by one list."""
+    """Measure the handling of a list that deletes all servers of a zone."""
     listed = fleet.listed_servers(size)
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), listed)
     lost = [listed[number] for number in fleet.servers_in_zone(0, size)]
@@ -135,7 +135,7 @@
 
 
 def observations_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The gateway's observations are collected after a second's requests, as for its peers."""
+    """Measure the collection of observations for the peers after the requests of one second."""
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
     for _ in range(REQUESTS_PER_S):
         gateway.send_request()
@@ -145,7 +145,7 @@
 
 
 def configuration_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The whole configuration file is read again, as after SIGHUP."""
+    """Measure the reloading of the whole configuration file, as after SIGHUP."""
     settings = fleet.platform_settings(size)
     text = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings})
     retained = retained_bytes(lambda: parse(json.loads(text)))
@@ -153,7 +153,7 @@
     return values | {"bytes": float(len(text))} | memory_values(retained, size)
 
 
-# Names of probes and their texts are those of the stored results and of docs/CAPACITY.md
+# The names and texts of the probes are part of the stored results and of docs/CAPACITY.md.
 POLICY = "sagetrack/policy"
 FIXED_TENANTS = f"{FEW_TENANTS} tenants, 1 gateway"
 PROBES = (
--- a/sagetrack/lab/scale/meter.py
+++ b/sagetrack/lab/scale/meter.py
@@ -1,8 +1,8 @@
-"""Measures one event: steps of the interpreter, CPU time, the longest duration, memory.
+"""Measurement of one event: interpreter steps, CPU time, longest duration and memory.
 
-Steps are bytecodes that Python runs: they are the same every time on one version of Python, whatever else
-the machine does, and a loop over n entries shows as n. What runs inside C (a sort, a sum, a JSON text)
-counts as one step; its growth shows in the times alone.
+A step is one executed bytecode. The number of steps is reproducible on a given version of Python, whatever
+the load of the machine, and a loop over n entries shows as a term proportional to n. A call into C code, such
+as a sort, a sum or the encoding of JSON, counts as one step, so that its growth shows only in the times.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from typing import Any
 
 ROUNDS = 5
-ROUND_S = 0.05  # approximate CPU time of a round
+ROUND_S = 0.05  # approximate CPU time of each round
 MAX_EVENTS_PER_ROUND = 200
-MIN_EVENT_S = 1e-7  # assumed of an event too short for the clock
-Values = dict[str, float]  # by measure; the names are those of the stored results
+MIN_EVENT_S = 1e-7  # assumed duration of an event that is too short for the clock
+Values = dict[str, float]  # value by measure, with the names of the stored results
 TIMES = ("cpu_us", "cpu_us_least", "cpu_us_most", "longest_ms")
 
 
 @contextmanager
 def _gc_paused() -> Iterator[None]:
-    """Pause the garbage collector: finalizers of earlier objects would be counted with the event."""
+    """Pause garbage collection, as finalizers of earlier objects would be counted with the event."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -38,7 +38,7 @@
 
 
 def count_steps(call: Callable[[], object]) -> int:
-    """Return the number of bytecodes that a call runs. Tracing that was on before is on again afterwards."""
+    """Return the number of bytecodes that a call executes. A trace function set before is restored."""
     count = 0
 
     def count_opcode(frame: FrameType, event: str, arg: object) -> Any:
@@ -62,7 +62,7 @@
 
 
 def retained_bytes(make: Callable[[], object]) -> float:
-    """Return Python's own count of the bytes that stay allocated once something is made."""
+    """Return the bytes that stay allocated after a call of `make`, as traced by tracemalloc."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -77,11 +77,11 @@
 
 
 def _do_nothing() -> None:
-    """Prepare nothing."""
+    """Default preparation of an event."""
 
 
 class Meter:
-    """Measures events; takes times only if `takes_times`, as they mean nothing on a busy machine."""
+    """Measures events; times are optional, because they are meaningless on a busy machine."""
 
     def __init__(self, measures_times: bool) -> None:
         self.measures_times = measures_times
@@ -92,12 +92,12 @@
         prepare: Callable[[], object] = _do_nothing,
         step_samples: int = 3,
     ) -> Values:
-        """Return the steps of one event, and its times if they are taken.
+        """Return the steps of one event, and its times if the meter measures times.
 
         Args:
-            call: The event.
-            prepare: Runs before each event and is not counted.
-            step_samples: Events whose steps are counted; the median is returned.
+            call: Runs the event.
+            prepare: Called before each event; not counted.
+            step_samples: Number of events whose steps are counted; the median is returned.
         """
         samples = []
         for _ in range(step_samples):
@@ -107,7 +107,7 @@
         return values | self._time_event(call, prepare) if self.measures_times else values
 
     def _time_event(self, call: Callable[[], object], prepare: Callable[[], object]) -> Values:
-        """CPU time over some rounds (median, least, most) and the longest single event."""
+        """Return the median, least and most CPU time of an event over the rounds, and the longest event."""
         prepare()
         began_ns = time.thread_time_ns()
         call()
--- a/sagetrack/lab/scale/page/__init__.py
+++ b/sagetrack/lab/scale/page/__init__.py
@@ -1,7 +1,8 @@
-"""The measured part of docs/CAPACITY.md, made from stored results alone, so that both always agree.
+"""Generation of the measured part of docs/CAPACITY.md from stored results.
 
-`figures` reads a figure and notes which ones a row rests on, `requirement` says what a row is,
-`gateway_requirements` and `requirements` have the rows, `failures` the costs of failures, `tables` the
-tables, `rendering` the whole part. The texts are the page's: some of its words ("hollow" for a simulated
-gateway, "reckoned" for an estimate) are those of the stored results.
+The part is generated from stored results only, so that the page always agrees with them. `figures` reads
+figures and tracks which of them a table row uses, `requirement` defines a row, `gateway_requirements` and
+`requirements` list the rows, `failures` describes the costs of failures, `tables` formats the tables, and
+`rendering` assembles the part. The texts are those of the page, in which "hollow" stands for a simulated
+gateway and "reckoned" for an estimate.
 """
--- a/sagetrack/lab/scale/page/failures.py
+++ b/sagetrack/lab/scale/page/failures.py
@@ -1,4 +1,4 @@
-"""What each of the target's failures costs, and when it is over: texts with figures in them."""
+"""The table of the target's failures, with the cost and the recovery of each."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     RESTARTS_PER_DAY,
 )
 
-ENTRIES_PER_FAILURE = 2  # of the list: the server is deleted, and listed again
+ENTRIES_PER_FAILURE = 2  # changed list entries: the server is deleted, and later listed again
 TextBuilder = Callable[[FigureReader], str]
 
 
 @dataclass(slots=True, frozen=True)
 class Failure:
-    """One kind of failure: how often it happens, what it costs, when it is over."""
+    """A kind of failure, with texts for its frequency, its cost and its recovery."""
 
     name: str
     frequency: str
@@ -36,14 +36,14 @@
 
 
 def _list_bytes(figures: FigureReader, entries: float) -> str:
-    """Bytes of changed entries, sent to one gateway and to all."""
+    """Return a text with the bytes of changed list entries sent to one gateway and to all gateways."""
     to_one = figures.at_target("text-by-servers", "change_bytes") * entries
     to_all = to_one * figures.sizes.gateways
     return f"{format_figure(to_one)} B to each gateway, {format_figure(to_all)} B to all"
 
 
 def _policy_work(figures: FigureReader, entries: float) -> str:
-    """Work of taking changed entries at each gateway."""
+    """Return a text with the work of handling changed list entries at each gateway."""
     steps = figures.at_target("change-by-servers", "steps") * entries
     try:
         spent = f"{format_figure(change_cpu_us(figures) * entries / 1e3)} ms of a core"
@@ -101,7 +101,7 @@
 
 
 def _list_applied(phase: str) -> TextBuilder:
-    """A text with the time until the real gateway had taken a phase's changes."""
+    """Return a builder of a text with the time until the real gateway had applied a phase's changes."""
 
     def text(figures: FigureReader) -> str:
         return f"taken {format_figure(figures.real(f'{phase}_over_s'))} s after it was told (real)"
@@ -110,7 +110,7 @@
 
 
 def _fixed_text(text: str) -> TextBuilder:
-    """A text without figures."""
+    """Return a builder of a text without figures."""
     return lambda figures: text
 
 
@@ -155,7 +155,7 @@
 
 
 def failures_table(results: StoredResults) -> list[str]:
-    """Return the table of failures; a text whose figures were not run says so."""
+    """Return the table of failures; a text whose figures were not run is replaced by NOT_RUN."""
     lines = ["| failure | how often | what it costs | over |", "| --- | --- | --- | --- |"]
     for failure in FAILURES:
         cost = _text_or_not_run(failure.cost, results)
--- a/sagetrack/lab/scale/page/gateway_requirements.py
+++ b/sagetrack/lab/scale/page/gateway_requirements.py
@@ -1,4 +1,4 @@
-"""What a gateway itself needs at the target."""
+"""Requirements of the gateway itself at the target's sizes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def _requests_per_s(figures: FigureReader) -> float:
-    """Requests of one gateway."""
+    """Return the request rate of one gateway."""
     return figures.sizes.requests_per_s / figures.sizes.gateways
 
 
 def _retained_mib(figures: FigureReader) -> float:
-    """Tenants and servers in the policy, the settings, and the list as it is kept for the next process."""
+    """Return the memory of tenants and servers in the policy, the settings, and the stored endpoint list."""
     parts = (
         ("decision-by-tenants", "held_bytes"),
         ("decision-by-servers", "held_bytes"),
--- a/sagetrack/lab/scale/page/rendering.py
+++ b/sagetrack/lab/scale/page/rendering.py
@@ -1,4 +1,4 @@
-"""Renders the measured part of docs/CAPACITY.md and puts it between the page's marks."""
+"""Renders the measured part of docs/CAPACITY.md and inserts it between the page's markers."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 def render_page(text: str, before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
-    """Return the page with its measured part made anew from stored results.
+    """Return the page with its measured part rendered from stored results.
 
     Raises:
-        ValueError: The page's marks are not there, once each and in order.
-        KeyError, TypeError: These are no stored results.
+        ValueError: The page does not have each marker exactly once, in the right order.
+        KeyError, TypeError: The stored results are malformed.
     """
     is_marked = text.count(BEGIN_MARKER) == 1 and text.count(END_MARKER) == 1
     if not is_marked or text.index(BEGIN_MARKER) > text.index(END_MARKER):
-        raise ValueError(f"it needs the lines {BEGIN_MARKER} and {END_MARKER}, once each")
+        raise ValueError(f"the page must have the lines {BEGIN_MARKER} and {END_MARKER}, once each")
     head, _, rest = text.partition(BEGIN_MARKER)
     tail = rest.partition(END_MARKER)[2]
     return f"{head}{BEGIN_MARKER}\n{render_measurements(before, after)}\n{END_MARKER}{tail}"
 
 
 def render_measurements(before: dict[str, Any], after: dict[str, Any] | None = None) -> str:
-    """Return the part between the marks; `after` are stored results of the changed program."""
+    """Return the part between the markers; `after` has stored results of an improved version."""
     first = StoredResults.from_json(before)
     second = StoredResults.from_json(after) if after is not None else None
     lines = [_run_line(first, "Run")]
@@ -45,7 +45,7 @@
 
 
 def _run_line(results: StoredResults, name: str) -> str:
-    """When and how a run was made."""
+    """Return a line with the date, the environment, the options and the sizes of a run."""
     options = [] if results.times else ["`--counts` (no times)"]
     options += ["`--quick`"] if results.quick else []
     sizes = ", ".join(f"{count:,} {size}" for size, count in asdict(results.sizes).items())
--- a/sagetrack/lab/scale/page/requirements.py
+++ b/sagetrack/lab/scale/page/requirements.py
@@ -1,4 +1,4 @@
-"""What a gateway's agent and its peers, the servers and the control plane need at the target."""
+"""All requirements: those of the gateway, its agent and peers, the servers and the control plane."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     CONTROL_CORES,
 )
 
-DEATH_KNOWN_S = 5.0  # assumed: the target says "within seconds"
-DEMANDS_READ_PER_S = 6  # datagrams of peers
-WARM_START_PEERS = 3  # that answer a gateway which has started
+DEATH_KNOWN_S = 5.0  # assumed, because the target only requires "within seconds"
+DEMANDS_READ_PER_S = 6  # demand datagrams received from peers
+WARM_START_PEERS = 3  # peers that respond to a gateway that has started
 
 REQUIREMENTS = (
     *GATEWAY_REQUIREMENTS,
--- a/sagetrack/lab/scale/page/tables.py
+++ b/sagetrack/lab/scale/page/tables.py
@@ -1,4 +1,4 @@
-"""The tables of requirements and of work by size, and the ranking of what is over its allowance."""
+"""Tables of requirements and of work by size, and the ranking of requirements over their allowance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def requirements_table(before: StoredResults, after: StoredResults | None) -> list[str]:
-    """Return a line for each requirement; the figures of `after` have a column of their own."""
+    """Return the table of requirements, with a separate column for the values in `after`."""
     lines = [
         "| role | what | allowed | needed | factor | after the mends | spread | basis | probe | carried by |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -42,7 +42,7 @@
 
 
 def _mechanism(row: StoredRow) -> str:
-    """The file that does a probe's work today; as stored for a probe that is gone."""
+    """Return the current mechanism of a probe, or the stored one if the probe no longer exists."""
     probe = PROBES_BY_NAME.get(row.probe)
     return row.mechanism if probe is None else probe.mechanism
 
@@ -54,13 +54,13 @@
 
 
 def _later_cell(later: Evaluation) -> str:
-    """The figure after the changes, and its factor."""
+    """Return the value and the factor in the later run."""
     factor = later.factor
     return _needed_cell(later) + ("" if factor is None else f" ({format_figure(factor)})")
 
 
 def _basis_cell(requirement: Requirement, figures: FigureReader) -> str:
-    """What the figure rests on, and whether the target's sizes were run or extrapolated."""
+    """Return the basis of a value, and whether the target's sizes were run or extrapolated."""
     rows = figures.probe_rows()
     extrapolated_axes = [f"{row.axis} from {row.reached:,}" for row in rows if row.extrapolated]
     if extrapolated_axes:
@@ -69,12 +69,12 @@
 
 
 def _spread_cell(figures: FigureReader) -> str:
-    """The spread of each figure that the row rests on."""
+    """Return the spread of each figure that the row uses."""
     return ", ".join(dict.fromkeys(_spread(figures.rows.get(key.probe), key) for key in figures.keys_read))
 
 
 def _spread(row: StoredRow | None, key: FigureKey) -> str:
-    """Half of most less least for times, the residual of the better fit for the rest."""
+    """Return half the range as a percentage for times, and the residual of the better fit otherwise."""
     if row is None:
         return "one play"
     last = row.points[-1].values
@@ -86,7 +86,7 @@
 
 
 def over_allowance(results: StoredResults) -> list[tuple[float, Requirement]]:
-    """Return the requirements over their allowance with their factors, the worst first."""
+    """Return the requirements over their allowance with their factors, in descending order."""
     over = []
     for requirement in REQUIREMENTS:
         factor = evaluate(requirement, results).factor
@@ -96,7 +96,7 @@
 
 
 def ranking_lines(results: StoredResults) -> list[str]:
-    """Return the ranked list of what is over its allowance."""
+    """Return the ranked list of requirements over their allowance."""
     lines = [
         f"{rank}. {requirement.role}: {requirement.description}, "
         f"{format_figure(factor)} times what is allowed"
@@ -112,7 +112,7 @@
 
 
 def work_table(results: StoredResults) -> list[str]:
-    """Return the steps of each probe's event by size."""
+    """Return the table of the steps of each probe's event by size."""
     lines = [
         "| probe | event | swept | held | steps at each size | steps for one more | longest hold, ms |",
         "| --- | --- | --- | --- | --- | --- | --- |",
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -1,6 +1,6 @@
-"""Probes of what gateways send each other: membership, demands, warm starts.
+"""Probes of the messages between gateways: membership, demand gossip and warm starts.
 
-How soon a death is known is in simulated time, which no other work on the machine changes.
+Times to detect a dead gateway are in simulated time, so that other load on the machine does not affect them.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from sagetrack.policy.events import ObservationsReceived
 from sagetrack.policy.peer_observations import Observation
 
-WARM_UP_S = 5.0  # of the membership benchmark, before the death
-OBSERVED_S = 100.0  # after the death
+WARM_UP_S = 5.0  # simulated time before the gateway's death; must match the membership benchmark
+OBSERVED_S = 100.0  # simulated time after the gateway's death
 PARTITION_S = 60.0
-HEALING_LIMIT_S = 240.0  # how long the end of the partition is watched
+HEALING_LIMIT_S = 240.0  # simulated time after the partition within which all views must agree
 OBSERVATIONS_PER_DATAGRAM = 10
 
 
 def membership_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One of `size` gateways fails: when the others know, and what membership costs each of them."""
+    """Fail one of `size` gateways; measure when the others know, and the cost of membership for each."""
     began_ns = time.thread_time_ns()
     outcome = death(size, fleet.seed, 0.0, OBSERVED_S)
     spent_us = (time.thread_time_ns() - began_ns) / 1000
@@ -49,13 +49,13 @@
 
 
 def healing_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A third of the gateways is cut off, for longer than it takes until a death is known."""
+    """Partition off a third of the gateways, for longer than the detection of a dead gateway takes."""
     healed_s = partition(size, fleet.seed, 0.0, PARTITION_S, HEALING_LIMIT_S).healed_s
     return {"healed_s": healed_s if healed_s >= 0 else HEALING_LIMIT_S, "unhealed": float(healed_s < 0)}
 
 
 def demands_by_tenants(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The demands of a second are made a datagram, and one that was received is read."""
+    """Measure the encoding of the demands of one second, and the decoding of one received message."""
     demands = [share * 1e9 for share in fleet.tenant_shares[:size]]
     message = demand_message(demands)
     assert message is not None
@@ -72,7 +72,7 @@
 
 
 def warm_start_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A gateway that has observed all servers answers one that has just started."""
+    """Measure the response of a gateway that has observed all servers to one that has just started."""
     observations = [Observation(number, 0, 0, START_US, weight=0.5) for number in range(size)]
     parts = divide_response(1, observations, [], START_US)
     values = meter.measure_event(lambda: divide_response(1, observations, [], START_US), step_samples=1)
@@ -86,7 +86,7 @@
 
 
 def learned_by_servers(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """The policy takes the observations of one datagram."""
+    """Measure how the policy handles the observations of one datagram."""
     gateway = SimulatedGateway(fleet.settings(FEW_TENANTS), fleet.listed_servers(size))
     receptions = count(1)
 
--- a/sagetrack/lab/scale/probe.py
+++ b/sagetrack/lab/scale/probe.py
@@ -1,4 +1,4 @@
-"""What a probe is, and how it is swept over the sizes of its axis."""
+"""Probes, and the sweep of a probe over the sizes of its axis."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from sagetrack.lab.scale.meter import Meter, Values
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-POINTS = 5
+POINTS = 5  # sizes at which a probe is run
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """One question: how a figure grows with one size of the fleet while the others are fixed."""
+    """A measurement of how the cost of an event grows with one size of the fleet, with the others fixed."""
 
     name: str
     role: str  # gateway, agent, control, peers or servers
-    event: str  # what the figures are of
-    axis: str  # the size that is swept, by its name in Sizes
-    fixed: str  # the other sizes, in words
-    mechanism: str  # the file that does the work
+    event: str  # description of the measured event
+    axis: str  # name in Sizes of the size that is swept
+    fixed: str  # description of the sizes that are fixed
+    mechanism: str  # file and function that do the work
     run: Callable[[TargetFleet, int, Meter], Values]
     smallest: int = 10
-    largest: int = 0  # the largest size that is run; 0: the target's
-    quick_largest: int = 0  # the same of a quick run
-    simulated: tuple[str, ...] = ()  # measures in simulated time: valid whatever the machine does
+    largest: int = 0  # largest size that is run; 0 for the target's size
+    quick_largest: int = 0  # largest size in a quick run; 0 for `largest`
+    simulated: tuple[str, ...] = ()  # measures in simulated time, which the machine's load does not affect
 
 
 class Point(NamedTuple):
-    """The figures at one size."""
+    """The measured values at one size."""
 
     size: int
     values: Values
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class SweepResult:
-    """The figures of a probe at each size, and how each measure grows."""
+    """The values of a probe at each size, and a fit of each measure over the size."""
 
     probe: Probe
     target: int
@@ -47,7 +47,7 @@
     fits: dict[str, Fit] = field(default_factory=dict)
 
     def fit_measures(self) -> None:
-        """Fit each measure that has enough points for it."""
+        """Fit each measure that has enough points."""
         sizes = [float(point.size) for point in self.points]
         for measure in self.points[0].values:
             fit = fit_points(sizes, [point.values[measure] for point in self.points])
@@ -56,11 +56,11 @@
 
     @property
     def reached(self) -> int:
-        """The largest size that was run."""
+        """Return the largest size that was run."""
         return self.points[-1].size
 
     def at_target(self) -> Values:
-        """Return the figures at the target's size: measured if it was run, else those that a fit predicts."""
+        """Return the values at the target's size: measured if it was run, else predicted by the fits."""
         last = self.points[-1].values
         if self.reached == self.target:
             return dict(last)
@@ -68,7 +68,7 @@
 
 
 def geometric_sizes(smallest: int, largest: int, points: int = POINTS) -> list[int]:
-    """Return at most `points` sizes from the smallest to the largest, evenly spaced by their logarithm."""
+    """Return at most `points` sizes from the smallest to the largest, spaced geometrically."""
     smallest = max(1, min(smallest, largest))
     raw = [round(smallest * (largest / smallest) ** (step / (points - 1))) for step in range(points)]
     return sorted(set(raw))
@@ -77,7 +77,7 @@
 def run_sweep(
     probe: Probe, fleet: TargetFleet, meter: Meter, quick: bool, on_point: Callable[[], None]
 ) -> SweepResult:
-    """Run a probe at each of its sizes; `on_point` is called after each."""
+    """Run a probe at each of its sizes; `on_point` is called after each size."""
     target = int(getattr(fleet.sizes, probe.axis))
     limit = probe.quick_largest if quick and probe.quick_largest else probe.largest
     largest = min(target, limit) if limit else target
--- a/sagetrack/lab/scale/probes.py
+++ b/sagetrack/lab/scale/probes.py
@@ -1,4 +1,4 @@
-"""All probes, by role."""
+"""The probes of all roles."""
 
 from __future__ import annotations
 
--- a/sagetrack/lab/scale/real_gateway/__init__.py
+++ b/sagetrack/lab/scale/real_gateway/__init__.py
@@ -1,7 +1,7 @@
-"""One real gateway process with the full list and all tenants, under its part of the load.
+"""Measurement of one real gateway process with all servers and tenants, under its share of the load.
 
-It is measured while the servers are listed, while 200 of them change within a second, and while a zone is
-lost. The entries of all servers share a few addresses: one echo server stands in for many of them.
-`launcher` starts its processes, `admin` asks them for their state, `discovery` serves their list, `trial`
-puts load on one, `measurement` runs everything.
+The phases measure the listing of all servers, the change of 200 servers within a second, and the loss of a
+zone. The endpoint list entries share the addresses of a few echo servers. `launcher` starts the gateway
+processes, `admin` sends them admin commands, `discovery` serves the endpoint list, `trial` generates load
+and list changes, and `measurement` runs all phases.
 """
--- a/sagetrack/lab/scale/real_gateway/admin.py
+++ b/sagetrack/lab/scale/real_gateway/admin.py
@@ -1,4 +1,4 @@
-"""Commands to a gateway process over its admin socket."""
+"""Admin commands to a gateway process."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.processes.gateway_process import GatewayProcess
 
-START_TIMEOUT_S = 90.0  # for a gateway to be ready: its one core may be busy with other work
+START_TIMEOUT_S = 90.0  # for readiness; generous, as the gateway's core may be busy with other work
 READY_POLL_S = 0.01
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTotals:
-    """A gateway's own counts of its requests since it started."""
+    """The request counters of a gateway since its start."""
 
     served: float
     rejected: float
     failed: float
 
     def __sub__(self, earlier: RequestTotals) -> RequestTotals:
-        """The requests between two counts."""
+        """Return the requests since an earlier reading."""
         return RequestTotals(
             self.served - earlier.served, self.rejected - earlier.rejected, self.failed - earlier.failed
         )
 
 
 async def run_command(process: GatewayProcess, command: bytes, terminator: bytes) -> bytes:
-    """Return the gateway's answer to an admin command, up to the terminator."""
+    """Return the gateway's response to an admin command, up to and including the terminator."""
     host, _, port = process.admin.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -41,10 +41,10 @@
 
 
 async def wait_until_ready(process: GatewayProcess) -> float:
-    """Wait until a gateway is ready for clients; return the seconds that it took.
+    """Wait until a gateway is ready for clients; return the waiting time in seconds.
 
     Raises:
-        LabError: It has ended, or is not ready within 90 s.
+        LabError: The process has ended, or is not ready within 90 s.
     """
     began_s = time.monotonic()
     while process.process.poll() is None and time.monotonic() < began_s + START_TIMEOUT_S:
@@ -52,13 +52,13 @@
             if (await run_command(process, b"status", b"\n")).startswith(b"SUCCESS"):
                 return time.monotonic() - began_s
         await asyncio.sleep(READY_POLL_S)
-    raise LabError(f"the gateway is not ready: {process.last_log_line()}")
+    raise LabError(f"the gateway ended or did not become ready in time: {process.last_log_line()}")
 
 
 async def request_totals(process: GatewayProcess) -> RequestTotals:
-    """Return the gateway's counts of requests, summed over the labels of each metric."""
+    """Return the gateway's request counters, each summed over its labels."""
     text = (await run_command(process, b"stats", b"EOT\n")).decode()
-    sums = dict.fromkeys(("answered", "deferred", "errored"), 0.0)  # as the metrics are named
+    sums = dict.fromkeys(("answered", "deferred", "errored"), 0.0)  # as in the names of the metrics
     for line in text.splitlines():
         name, _, value = line.rpartition(" ")
         for kind in sums:
--- a/sagetrack/lab/scale/real_gateway/discovery.py
+++ b/sagetrack/lab/scale/real_gateway/discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service whose list the lab changes, for one gateway that polls it."""
+"""A scripted discovery service for one gateway."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.lab.stand_ins.scripted import Exchange, http_response
 
-LIST_TIMEOUT_S = 30.0  # for the gateway to take a full list
-FULL_LIST = -1  # a poll's index if it asks for the full list
+LIST_TIMEOUT_S = 30.0  # for the gateway to apply a full list
+FULL_LIST = -1  # index that stands for a poll of the full list
 
 
 class Change(NamedTuple):
-    """Entries that changed with one index of the list."""
+    """The changed entries of one version of the list."""
 
     list_index: int
     entries: list[bytes]
 
 
 class ScriptedDiscovery:
-    """The current list, its changes, and the polls that wait for the next one.
+    """The current endpoint list, its history of changes, and the pending long polls.
 
-    All texts are made beforehand: the load runs on the same event loop, which must not be blocked.
+    The JSON of all entries is encoded in advance, so that it does not block the event loop, on which the load
+    generator runs, too.
     """
 
     def __init__(self, fleet: TargetFleet, addresses: Sequence[str]) -> None:
@@ -42,11 +43,11 @@
         }
         self._entries: dict[int, bytes] = {}
         self._changes: list[Change] = []
-        self._changed = asyncio.Event()  # replaced at each change
-        self._polls: asyncio.Queue[int] = asyncio.Queue()  # the index that each asks from
+        self._changed = asyncio.Event()  # set at the next change, and then replaced
+        self._polls: asyncio.Queue[int] = asyncio.Queue()  # start index of each poll
 
     def change(self, numbers: Sequence[int], status: str = "SERVING") -> None:
-        """Set the status of these servers from now on, and answer the polls that wait."""
+        """Set the status of these servers, and release the pending polls."""
         self.index += 1
         changed_entries = [self._entries_by_status[status][number] for number in numbers]
         self._changes.append(Change(self.index, changed_entries))
@@ -59,7 +60,7 @@
         self._changed = asyncio.Event()
 
     def list_json(self, since: int = FULL_LIST) -> bytes:
-        """Return the changes after an index, or the full list."""
+        """Return the changes after an index, or the full list, as JSON."""
         is_full = since == FULL_LIST
         newer = (entry for change in self._changes if change.list_index > since for entry in change.entries)
         entries = b", ".join(self._entries.values() if is_full else newer)
@@ -70,7 +71,7 @@
         )
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer a poll as soon as there is a newer list, or when its long-poll timeout is over."""
+        """Respond to a poll once there is a newer list or the poll's timeout has passed."""
         query = parse_qs(urlsplit(exchange.message.start_line.split(" ")[1]).query)
         since = int(query["from"][0]) if "from" in query else FULL_LIST
         self._polls.put_nowait(since)
@@ -83,10 +84,10 @@
         exchange.respond(data)
 
     async def wait_until_applied(self) -> None:
-        """Wait until the gateway polls for what comes after the current index, so has taken all before it.
+        """Wait until the gateway has applied the current list, which shows in its next poll.
 
         Raises:
-            LabError: It has not within 30 s.
+            LabError: The gateway has not polled from the current index within 30 s.
         """
         index = self.index
         try:
@@ -94,9 +95,9 @@
                 while await self._polls.get() < index:
                     pass
         except TimeoutError:
-            raise LabError(f"the gateway has not taken its list within {LIST_TIMEOUT_S:g} s") from None
+            raise LabError(f"the gateway did not apply its list within {LIST_TIMEOUT_S:g} s") from None
 
     def discard_polls(self) -> None:
-        """Forget the polls so far, those of a process that has ended."""
+        """Discard the recorded polls, which are from a process that has ended."""
         while not self._polls.empty():
             self._polls.get_nowait()
--- a/sagetrack/lab/scale/real_gateway/launcher.py
+++ b/sagetrack/lab/scale/real_gateway/launcher.py
@@ -1,4 +1,4 @@
-"""Starts a gateway's processes on a core of their own, and ends them."""
+"""Starts and ends gateway processes on a dedicated core."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 
 @dataclass(slots=True, frozen=True)
 class RunningGateway:
-    """A gateway process and the port that clients reach it on."""
+    """A gateway process and the port on which it serves clients."""
 
     port: int
     process: GatewayProcess
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Return the process id."""
         return self.process.process.pid
 
     def kill(self) -> None:
-        """End it by its id, and wait until it has ended."""
+        """Kill the process, and wait until it has ended."""
         if self.process.process.poll() is None:
             os.kill(self.pid, signal.SIGKILL)
         self.process.process.wait()
 
 
 class GatewayLauncher:
-    """Starts the gateway's processes, one after another; as a context it ends those that are left."""
+    """Starts gateway processes; as a context manager it kills the remaining ones on exit."""
 
     def __init__(self, fleet: TargetFleet, folder: Path, discovery: str, core: int) -> None:
         self.fleet = fleet
         self.folder = folder
-        self.discovery = discovery  # its address
+        self.discovery = discovery  # address of the discovery service
         self.core = core
         self.started: list[RunningGateway] = []
 
@@ -57,9 +57,9 @@
             gateway.kill()
 
     def start(self, known: dict[str, object]) -> RunningGateway:
-        """Start a process that knows a list (in discovery's form; empty: none), on its core."""
+        """Start a process with an initial endpoint list in the JSON form of discovery; empty for none."""
         incarnation = len(self.started) + 1
-        # It inherits a listening socket: without one it would not write its list for the next process.
+        # Without an inherited listening socket, the process would not write its list for the next process.
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
             config = self._config(incarnation, port, known)
@@ -70,7 +70,7 @@
         return gateway
 
     def _config(self, incarnation: int, port: int, known: dict[str, object]) -> dict[str, Any]:
-        """The configuration file; its keys are the file's."""
+        """Return the content of the configuration file."""
         return {
             "name": f"g{incarnation}",
             "listen": f"127.0.0.1:{port}",
--- a/sagetrack/lab/scale/real_gateway/measurement.py
+++ b/sagetrack/lab/scale/real_gateway/measurement.py
@@ -1,4 +1,4 @@
-"""Runs the phases of the real gateway, then the start of another process with all that it knew."""
+"""Measures a real gateway process in all phases, then the start of another process with the full list."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.lab.stand_ins.scripted import ScriptedServer, scripted_server
 
-NAME = "real-gateway"  # beside the names of the probes
-STEPS = 5  # that `measure` reports
+NAME = "real-gateway"  # as the name of a probe
+STEPS = 5  # number of calls of `on_step`
 PHASE_S, QUICK_PHASE_S = 15.0, 5.0
 WARM_UP_S = 1.0
-ECHO_SERVERS = 64  # whose addresses the entries share
-REQUIRED_DESCRIPTORS = 1000  # that this process needs
+ECHO_SERVERS = 64  # the endpoint list entries share their addresses
+REQUIRED_DESCRIPTORS = 1000  # file descriptors of this process
 
 
 async def _run_trial(trial: LoadTrial, phase_s: float, on_step: Callable[[], None]) -> None:
-    """All phases of one gateway, from its start with a short list."""
+    """Run all phases of a gateway, from its start with a short list."""
     figures = trial.figures
     figures["ready_short_list_s"] = await wait_until_ready(trial.gateway.process)
     await trial.run_phase("warm", min(WARM_UP_S, phase_s), trial.change_nothing)
@@ -49,7 +49,7 @@
 
 
 async def _start_with_full_list(launcher: GatewayLauncher, discovery: ScriptedDiscovery) -> dict[str, float]:
-    """Start a process that knows the whole list, and return how long it took."""
+    """Start a process with the full list; return its time until readiness and its memory."""
     known = json.loads(discovery.list_json())
     discovery.discard_polls()
     gateway = launcher.start(known)
@@ -59,7 +59,7 @@
 
 
 async def _release_polls(discovery: ScriptedDiscovery, listener: ScriptedServer) -> None:
-    """Answer the polls that wait, and wait until their ended callers' connections are seen to be closed."""
+    """Release the pending polls of ended gateways, and wait until their connections are closed."""
     discovery.change([])
     async with asyncio.timeout(START_TIMEOUT_S):
         while listener.closed_connections < listener.opened_connections:
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def _echo_servers(count: int) -> AsyncIterator[list[str]]:
-    """Run echo servers, and yield their addresses."""
+    """Run `count` echo servers and yield their addresses."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(EchoServer, "127.0.0.1", 0, backlog=256) for _ in range(count)]
     try:
@@ -81,7 +81,7 @@
 async def _measure(
     fleet: TargetFleet, phase_s: float, core: int, on_step: Callable[[], None]
 ) -> dict[str, float]:
-    """All phases of a gateway, then the start of another one with all that it knew."""
+    """Run all phases of a gateway, then the start of another one with the full list."""
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         async with _echo_servers(ECHO_SERVERS) as addresses:
             discovery = ScriptedDiscovery(fleet, addresses)
@@ -100,17 +100,17 @@
 
 
 def measure(fleet: TargetFleet, phase_s: float, on_step: Callable[[], None]) -> dict[str, float]:
-    """Return the figures of a real gateway by their stored names; `on_step` is called 5 times.
+    """Return the measures of a real gateway under their stored names; `on_step` is called 5 times.
 
-    The gateway has the first core that this process may use; this process uses the others meanwhile.
+    The gateway runs on the first core of this process's CPU affinity, and this process on the other ones.
 
     Raises:
-        LabError: It cannot be measured here.
+        LabError: There are too few cores or file descriptors, or a gateway fails to start or respond.
     """
     require_file_descriptors(REQUIRED_DESCRIPTORS)
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2:
-        raise LabError("one core is too few: the gateway and the load need one each")
+        raise LabError("at least two cores are required: one for the gateway and one for the load")
     try:
         os.sched_setaffinity(0, cores[1:])
         figures = uvloop.run(_measure(fleet, phase_s, cores[0], on_step))
--- a/sagetrack/lab/scale/real_gateway/trial.py
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -1,4 +1,4 @@
-"""A running gateway under load while its list changes."""
+"""Load on a running gateway while its endpoint list changes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from sagetrack.lab.scale.real_gateway.launcher import RunningGateway
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-CONNECTIONS = 32  # of the load
-INITIAL_SERVERS = 25  # in the list that the gateway starts with
-CHANGED_SERVERS, CHANGE_S = 200, 1.0
-TICK_S = 0.001
+CONNECTIONS = 32  # of the load generator
+INITIAL_SERVERS = 25  # in the first endpoint list
+CHANGED_SERVERS, CHANGE_S = 200, 1.0  # number of servers, and time within which they change
+TICK_S = 0.001  # sleep time of the event loop monitor
 
 
 async def max_loop_delay_ms() -> float:
-    """Measure the longest time for which this process's own event loop was blocked, until cancelled.
+    """Measure, until cancelled, the longest time for which this process's event loop was blocked.
 
-    The lab itself may be the cause of that part of the longest latency.
+    This delay of the load generator itself may be part of the longest measured latency.
     """
     longest_s = 0.0
     last_s = time.monotonic()
@@ -38,12 +38,12 @@
 
 
 def percentile_ms(load: HttpLoad, percentile: float) -> float:
-    """Return a percentile of a load's latencies."""
+    """Return a percentile of the latencies of a load."""
     return float(load.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 class LoadTrial:
-    """One running gateway under load, and the changes of its list. Figures have their stored names."""
+    """A running gateway under load, and the changes of its list; `figures` have their stored names."""
 
     def __init__(self, fleet: TargetFleet, discovery: ScriptedDiscovery, gateway: RunningGateway) -> None:
         self.fleet = fleet
@@ -54,7 +54,7 @@
     async def run_phase(
         self, name: str, seconds: float, change: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """Put load on the gateway during a change; store latencies, counts and CPU under the phase's name."""
+        """Send load during a list change; store latencies, counts and CPU usage with the phase's name."""
         process = self.gateway.process
         sizes = self.fleet.sizes
         totals_before = await request_totals(process)
@@ -69,7 +69,7 @@
         change_s = time.monotonic() - began_s
         load = await load_task
         delay_task.cancel()
-        # The gateway's own counts: the load counts also those requests as failed that it cuts off at its end.
+        # The gateway's own counters are used, as the load counts the requests that it cuts off as failed.
         totals = await request_totals(process) - totals_before
         self.figures |= {
             f"{name}_own_hold_ms": await delay_task,
@@ -85,25 +85,25 @@
         }
 
     async def change_nothing(self) -> None:
-        """Leave the list as it is."""
+        """Leave the list unchanged."""
 
     async def list_all(self) -> None:
         """List all servers at once."""
         await self._change([range(INITIAL_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
 
     async def drain_some(self) -> None:
-        """Set 200 servers to draining, one after another within a second; a quarter of a smaller fleet."""
+        """Set 200 servers (at most a quarter of them) to DRAINING, one after another within a second."""
         changed = min(CHANGED_SERVERS, self.fleet.sizes.servers // 4)
         batches = [range(number, number + 1) for number in range(changed)]
         await self._change(batches, "DRAINING", CHANGE_S / changed)
 
     async def lose_zone(self) -> None:
-        """Delete the servers of the last zone at once."""
+        """Delete all servers of the last zone at once."""
         sizes = self.fleet.sizes
         await self._change([self.fleet.servers_in_zone(sizes.zones - 1, sizes.servers)], "DELETED", 0.0)
 
     async def _change(self, batches: Sequence[Sequence[int]], status: str, interval_s: float) -> None:
-        """Change the list in batches, and wait until the gateway has taken all of them."""
+        """Change the list in batches, and wait until the gateway has applied all of them."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         for count, numbers in enumerate(batches, 1):
--- a/sagetrack/lab/scale/results.py
+++ b/sagetrack/lab/scale/results.py
@@ -1,8 +1,8 @@
-"""The stored form of results, written and read: its keys are those of the files in docs/capacity/.
+"""Conversion of results to and from their stored JSON form, which the files in docs/capacity/ have.
 
-Keys that are not ordinary terms are translated here and nowhere else: `about` is a probe's event, `held` its
-fixed sizes, `virtual` its measures in simulated time, `base` a line's intercept, `kind` "hollow" a simulated
-gateway. Names of probes and measures are the same in the code and in the files.
+Only this module uses the keys of the files that differ from the names in the code: `about` is a probe's
+event, `held` its fixed sizes, `virtual` its measures in simulated time, `base` the intercept of a line, and
+the `kind` "hollow" a simulated gateway. Names of probes and measures are the same in code and files.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def round_values(values: Values) -> Values:
-    """Return the values with six significant digits, more than any of them has."""
+    """Return the values rounded to six significant digits, which is more than their precision."""
     return {name: float(f"{value:.6g}") for name, value in values.items()}
 
 
 def row_to_json(result: SweepResult, command: str) -> dict[str, Any]:
-    """Return the stored form of a probe's figures; `command` is what runs the probe again."""
+    """Return the stored form of a probe's result; `command` is the command line that runs the probe."""
     probe = result.probe
     return {
         "probe": probe.name,
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredRow:
-    """The stored figures of one probe."""
+    """The stored result of one probe."""
 
     probe: str
     event: str
@@ -88,7 +88,7 @@
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> StoredRow:
-        """Read a row. KeyError or TypeError if it is not one."""
+        """Convert a stored row. Raises KeyError or TypeError if it is malformed."""
         return cls(
             probe=data["probe"],
             event=data["about"],
@@ -107,21 +107,21 @@
 class StoredResults:
     """The stored results of one run."""
 
-    date: str  # its date
+    date: str  # of the run, as YYYY-MM-DD
     python: str
     seed: int
-    duration_s: float  # that it took
+    duration_s: float  # of the run
     quick: bool
     times: bool
     sizes: Sizes
     smallest_service: int
     largest_service: int
     rows: list[StoredRow]
-    real: Values  # of the real gateway; empty if it was not run
+    real: Values  # measures of the real gateway; empty if it was not run
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> StoredResults:
-        """Read what `lab scale --json` wrote. KeyError or TypeError if it is something else."""
+        """Convert the output of `lab scale --json`. Raises KeyError or TypeError if it is malformed."""
         return cls(
             date=data["made"],
             python=data["python"],
--- a/sagetrack/lab/scale/run.py
+++ b/sagetrack/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""Runs all probes, or some of them, one after another."""
+"""Runs the probes of the scale benchmark, one after another, and tabulates their results."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class ScaleError(ValueError):
-    """This cannot be measured here; the message says why, in one line."""
+    """The requested sizes or probes cannot be measured here; the message gives the reason in one line."""
 
 
 def check_sizes(sizes: Sizes) -> None:
-    """Check that sizes make a fleet which fits into half of the machine's memory.
+    """Check that the sizes are consistent and that the fleet fits into half of the machine's memory.
 
     Raises:
-        ScaleError: They do not.
+        ScaleError: There are more services than servers, or the fleet does not fit.
     """
     if sizes.services > sizes.servers:
         raise ScaleError(f"{sizes.services} services need at least as many servers, not {sizes.servers}")
@@ -43,7 +43,7 @@
 
 
 def select_probes(names: Sequence[str]) -> list[Probe]:
-    """Return the probes of these names, all if none is given.
+    """Return the probes with these names, or all probes if no name is given.
 
     Raises:
         ScaleError: No probe has one of these names.
@@ -51,12 +51,12 @@
     known = [*(probe.name for probe in PROBES), measurement.NAME]
     for name in names:
         if name not in known:
-            raise ScaleError(f"no probe is called {name}; there are {', '.join(known)}")
+            raise ScaleError(f"no probe is called {name}; the probes are {', '.join(known)}")
     return [probe for probe in PROBES if not names or probe.name in names]
 
 
 class Progress:
-    """Counts steps and reports the share that is done."""
+    """Counts completed steps and reports the completed share."""
 
     def __init__(self, total: int, report: Callable[[float], None]) -> None:
         self.total = max(1, total)
@@ -72,7 +72,7 @@
 def _run_probe(
     probe: Probe, fleet: TargetFleet, meter: Meter, quick: bool, progress: Progress
 ) -> dict[str, Any]:
-    """Run a probe at all its sizes, and return its figures in their stored form."""
+    """Run a probe at all its sizes and return its results in their stored form."""
     result = run_sweep(probe, fleet, meter, quick, progress.step)
     return row_to_json(result, probe_command(probe.name, quick))
 
@@ -86,19 +86,19 @@
     quick: bool,
     times: bool,
 ) -> dict[str, Any]:
-    """Run all probes, or those that are named, and return the results in their stored form.
+    """Run the probes with these names, or all of them, and return the results in their stored form.
 
     Args:
         sizes: The target's sizes.
-        seed: What the generated fleet follows from.
-        names: Probes; none means all.
-        report: Called with the share that is done.
-        quick: Stop at smaller sizes where the rest is slow.
-        times: Take times too. Without it only what is the same every time is measured (steps, bytes,
-            messages, memory, simulated time), and the real gateway, which is all times, is left out.
+        seed: Seed of the generated fleet.
+        names: Names of the probes to run; empty for all.
+        report: Called with the completed share, from 0 to 1.
+        quick: Run slow probes at smaller sizes only.
+        times: Also measure CPU time and durations, and the real gateway. Otherwise only reproducible
+            measures are taken: steps, bytes, messages, memory and simulated time.
 
     Raises:
-        ScaleError: The sizes or names are no good.
+        ScaleError: The sizes or names are invalid.
         LabError: The real gateway cannot be measured.
     """
     check_sizes(sizes)
@@ -125,7 +125,7 @@
 
 
 def _environment() -> dict[str, Any]:
-    """When and where the results are made."""
+    """Return the date, the Python version and the number of cores of this run."""
     return {
         "made": time.strftime("%Y-%m-%d"),
         "python": platform.python_version(),
@@ -134,7 +134,7 @@
 
 
 def _fleet_summary(fleet: TargetFleet) -> dict[str, Any]:
-    """What was generated: the events of a day by kind, and the bounds of the services' sizes."""
+    """Return the number of events of a day by kind, and the smallest and largest service."""
     events_by_kind = Counter(event.kind for event in fleet.day_events())
     return {
         "day": dict(sorted(events_by_kind.items())),
@@ -144,15 +144,15 @@
 
 
 def probe_command(name: str, quick: bool) -> str:
-    """Return the command that runs a probe again."""
+    """Return the command line that runs a probe."""
     return f"./run.sh lab scale --probe {name}{' --quick' if quick else ''}"
 
 
 def result_table(stored: dict[str, Any]) -> list[list[str]]:
-    """Return a line for each measure of each probe, from results in their stored form.
+    """Return a table row for each measure of each probe, from results in their stored form.
 
-    Its columns: probe, measure, sizes swept, figures at each, exponent, slope, figure at the target, and
-    whether that size was reached.
+    The columns are probe, measure, swept sizes, value at each size, exponent, slope, value at the target
+    size, and whether that size was run or the value is extrapolated.
     """
     results = StoredResults.from_json(stored)
     lines = [
@@ -169,7 +169,7 @@
 
 
 def _measure_line(row: StoredRow, measure: str) -> list[str]:
-    """One measure of a probe."""
+    """Return the table row of one measure of a probe."""
     fit = row.fits.get(measure)
     at_target = row.at_target.get(measure)
     return [
--- a/sagetrack/lab/scale/servers.py
+++ b/sagetrack/lab/scale/servers.py
@@ -1,4 +1,4 @@
-"""Probes of what servers see of the gateways: the connections that are kept open to them, and handshakes."""
+"""Probes of the connections and handshakes that servers receive from the gateways."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sagetrack.lab.scale.simulated_gateway import START_US, SimulatedGateway
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-OBSERVED_S = 30.0
-IDLE_TIMEOUT_S = 10.0  # after which an unused connection is closed
+OBSERVED_S = 30.0  # simulated time
+IDLE_TIMEOUT_S = 10.0  # idle time after which a connection is closed
 
 
 class IdleCheck(NamedTuple):
-    """When a connection is to be looked at: it is closed unless it was used since."""
+    """A check at `due_s` that closes a connection if it has been idle for the timeout."""
 
     due_s: float
     gateway: int
@@ -25,18 +25,18 @@
 
 
 class ConnectionTable:
-    """The open connections from all gateways to the servers of one service, one for each pair."""
+    """The open connections from all gateways to the servers of a service, at most one per pair."""
 
     def __init__(self, servers: int) -> None:
         self.open_by_server = [0] * servers
-        self.max_open = 0  # at one server, at any time
+        self.max_open = 0  # highest number of connections at one server at any time
         self.handshakes = 0
         self.attempts = 0
-        self._used_s: dict[tuple[int, int], float] = {}  # last use, by gateway and server
+        self._used_s: dict[tuple[int, int], float] = {}  # time of last use by (gateway, server)
         self._idle_checks: list[IdleCheck] = []  # a heap
 
     def close_idle(self, now_s: float) -> None:
-        """Close the connections that have been idle for long enough."""
+        """Close the connections that have been idle for the timeout."""
         while self._idle_checks and self._idle_checks[0].due_s <= now_s:
             _, gateway, server = heapq.heappop(self._idle_checks)
             used_s = self._used_s.get((gateway, server))
@@ -45,7 +45,7 @@
                 self.open_by_server[server] -= 1
 
     def use(self, gateway: int, server: int, now_s: float) -> None:
-        """Send an attempt over a gateway's connection to a server, which is opened if there is none."""
+        """Send an attempt over a gateway's connection to a server; open the connection if there is none."""
         self.attempts += 1
         if (gateway, server) not in self._used_s:
             self.handshakes += 1
@@ -56,7 +56,7 @@
 
 
 def connections_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """One service of the mean size behind all gateways: Poisson arrivals, each at a random gateway."""
+    """Measure the connections to a mean-sized service; Poisson arrivals go to random gateways."""
     rng = random.Random(f"{fleet.seed}/connections")
     servers = fleet.sizes.servers_per_service
     settings = [fleet.settings(FEW_TENANTS, size, number) for number in range(size)]
--- a/sagetrack/lab/scale/simulated_gateway.py
+++ b/sagetrack/lab/scale/simulated_gateway.py
@@ -1,6 +1,7 @@
-"""A gateway's policy without sockets: requests are answered at once, timers fire when a request is over.
+"""A simulated gateway: the policy of a gateway without sockets.
 
-docs/CAPACITY.md and the stored results call this "hollow".
+Attempts end after a fixed simulated latency, and the timers of a request fire when it has ended.
+docs/CAPACITY.md and the stored results call a simulated gateway "hollow".
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 
 START_US = 1_000_000_000
 REQUEST_TIMEOUT_US = 3_000_000
-EXPIRED_TIMEOUT_US = 1_000  # too short for a retry to be answered in time
-LATENCY_US = 4_000  # of each attempt
-REQUEST_INTERVAL_US = 8_200  # between requests: 122 a second
-RECOVERY_INTERVAL_US = 500_000  # between requests that let breakers and retry budgets recover
+EXPIRED_TIMEOUT_US = 1_000  # too short for a response in time, so that the request is rejected
+LATENCY_US = 4_000  # simulated duration of each attempt
+REQUEST_INTERVAL_US = 8_200  # 122 requests per second
+RECOVERY_INTERVAL_US = 500_000  # between requests while breakers and retry budgets recover
 RECOVERY_REQUESTS = 6
 
 
 class SimulatedGateway:
-    """One load balancer with its clock, its servers' answers and its timers."""
+    """A load balancer with a simulated clock, simulated server responses and timers."""
 
     def __init__(self, settings: Settings, servers: tuple[ListedServer, ...], seed: int = 1) -> None:
         self.balancer = LoadBalancer(settings, seed)
         self.rng = random.Random(seed)
         self.now_us = START_US
         self.request_count = 0
-        self.timers: list[int] = []  # set by the request that is under way
+        self.timers: list[int] = []  # tokens of the timers set by the current request
         self.tenants = len(settings.tenants)
         self.balancer.handle(self.now_us, EndpointList(ListKind.FULL, servers))
 
     def handle(self, event: Event) -> list[SendAttempt]:
-        """Pass an event to the policy; return the attempts to send, and keep the timers that it sets."""
+        """Pass an event to the policy; return the attempts to send, and store the timers that it sets."""
         attempts = []
         for action in self.balancer.handle(self.now_us, event):
             if isinstance(action, SendAttempt):
@@ -54,7 +55,7 @@
         return attempts
 
     def send_request(self, class_index: int = SAFE, failures: int = 0) -> list[int]:
-        """Play one request whose first `failures` attempts fail; return the servers it was sent to."""
+        """Simulate a request whose first `failures` attempts fail; return the servers of its attempts."""
         self.request_count += 1
         self.timers = []
         name = f"{self.request_count:x}"
@@ -76,13 +77,13 @@
         return attempted_servers
 
     def reject_request(self) -> None:
-        """Play a client's retry that comes too late to be answered: it is rejected with a Retry-After."""
+        """Simulate a client's retry with too short a deadline, which is rejected with a Retry-After."""
         self.request_count += 1
         self.timers = []
         self.handle(RequestArrived(f"{self.request_count:x}", SAFE, EXPIRED_TIMEOUT_US, is_retry=True))
 
     def recover(self) -> None:
-        """Play requests that succeed, so that retry budgets fill and circuit breakers close."""
+        """Simulate successful requests, so that retry budgets refill and circuit breakers close."""
         for _ in range(RECOVERY_REQUESTS):
             self.send_request()
             self.now_us += RECOVERY_INTERVAL_US
--- a/sagetrack/lab/scale/target_fleet.py
+++ b/sagetrack/lab/scale/target_fleet.py
@@ -1,6 +1,7 @@
-"""A fleet of the target's sizes, all of which follows from a seed.
+"""Generates a fleet of the target's sizes from a seed.
 
-It has services of unequal size, zones, tenants by Zipf's law, and a day of changes and failures.
+The fleet has services of unequal size, zones, tenants with Zipf-distributed shares, and a day of changes and
+failures.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 from sagetrack.policy.events import ListedServer
 from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings, Tenant
 
-ZIPF_EXPONENT = 1.1  # the share of the tenant at rank r is proportional to r to the minus this
+ZIPF_EXPONENT = 1.1  # the share of the tenant at rank r is proportional to r ** -ZIPF_EXPONENT
 SERVICE_SIZE_SIGMA = 1.2  # standard deviation of the logarithm of a service's size
 RACK_LOSSES_PER_DAY = 1 / 7
 SERVERS_PER_GROUP = 4
-SAFE, KEYED, UNSAFE = range(3)  # indexes of CLASSES
+SAFE, KEYED, UNSAFE = range(3)  # indices of CLASSES
 CLASSES = (
     RequestClass(latency_objective_us=1_000_000, request_timeout_us=3_000_000, effect=Effect.SAFE),
     RequestClass(
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetEvent:
-    """A change or failure, and when it happens, in seconds since the start of the day."""
+    """A change or failure, with its time in seconds since the start of the day."""
 
     at_s: float
     kind: str  # change, machine, restart, rack, zone or region
@@ -51,17 +52,17 @@
 
 
 def zipf_shares(count: int) -> list[float]:
-    """Return the share of each of `count` tenants, the largest first; they add up to 1."""
+    """Return the shares of `count` tenants in descending order; their sum is 1."""
     raw = [rank**-ZIPF_EXPONENT for rank in range(1, count + 1)]
     total = sum(raw)
     return [share / total for share in raw]
 
 
 def lognormal_sizes(total: int, parts: int, rng: random.Random) -> list[int]:
-    """Return `parts` lognormal sizes that add up to `total`, each at least 1.
+    """Return `parts` lognormally distributed sizes of at least 1 whose sum is `total`.
 
     Raises:
-        ValueError: There are fewer servers than services.
+        ValueError: `total` is less than `parts`, or `parts` is less than 1.
     """
     if not 1 <= parts <= total:
         raise ValueError(f"{total} servers are too few for {parts} services")
@@ -73,25 +74,25 @@
 
 
 class TargetFleet:
-    """Services, servers and tenants of a fleet of these sizes."""
+    """The services, servers and tenants of a fleet, generated from its sizes and a seed."""
 
     def __init__(self, sizes: Sizes, seed: int) -> None:
         self.sizes = sizes
         self.seed = seed
-        rng = random.Random(f"{seed}/fleet ahead")  # this text is part of the seed of the stored results
+        rng = random.Random(f"{seed}/fleet ahead")  # stored results depend on this seed text
         self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, rng)
         self.tenant_shares = zipf_shares(sizes.tenants)
-        self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # as many in each
+        self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # spread evenly
 
     def listed_servers(self, count: int, first: int = 0) -> tuple[ListedServer, ...]:
-        """Return `count` servers in the form of the policy; none is in slow start."""
+        """Return endpoint list entries of `count` servers for the policy; no server is in slow start."""
         return tuple(
             ListedServer(number, zone=self.zone_by_server[number], group=number // SERVERS_PER_GROUP)
             for number in range(first, first + count)
         )
 
     def settings(self, tenants: int, gateways: int = 1, gateway: int = 0) -> Settings:
-        """Return a gateway's settings with the first `tenants` tenants, whose shares then add up to 1."""
+        """Return a gateway's policy settings; the shares of the first `tenants` tenants are scaled to 1."""
         total = sum(self.tenant_shares[:tenants]) or 1.0
         return Settings(
             classes=CLASSES,
@@ -102,7 +103,7 @@
         )
 
     def platform_settings(self, tenants: int) -> dict[str, Any]:
-        """Return the settings object of a gateway's file (with the file's keys) with `tenants` tenants."""
+        """Return the `settings` object of a gateway's configuration with the first `tenants` tenants."""
         return {
             "balancers": self.sizes.gateways,
             "index": 0,
@@ -119,7 +120,7 @@
         }
 
     def discovery_entry(self, number: int, status: str = "SERVING", address: str = "") -> dict[str, Any]:
-        """Return a server's entry in discovery's form."""
+        """Return a server's entry in the JSON form of discovery."""
         return {
             "name": f"s-{number:014d}",
             "address": address or f"10.0.{number // 250}.{number % 250}:8080",
@@ -132,20 +133,20 @@
         }
 
     def full_list(self, count: int) -> dict[str, Any]:
-        """Return a full list of the first `count` servers in discovery's form."""
+        """Return a full endpoint list of the first `count` servers in the JSON form of discovery."""
         endpoints = [self.discovery_entry(number) for number in range(count)]
         return {"index": 1, "snapshot": True, "endpoints": endpoints}
 
     def delta(self, status: str = "SERVING") -> dict[str, Any]:
-        """Return the list of one changed entry in discovery's form."""
+        """Return an endpoint list with one changed entry in the JSON form of discovery."""
         return {"index": 2, "snapshot": False, "endpoints": [self.discovery_entry(0, status)]}
 
     def servers_in_zone(self, zone: int, count: int) -> tuple[int, ...]:
-        """Return those of the first `count` servers that are in a zone."""
+        """Return the servers of a zone among the first `count` servers."""
         return tuple(number for number in range(count) if self.zone_by_server[number] == zone)
 
     def day_events(self) -> list[FleetEvent]:
-        """Return the changes and failures of a day, in order of time."""
+        """Return the changes and failures of one day, ordered by time."""
         rng = random.Random(f"{self.seed}/day")
         servers = self.sizes.servers
         events = [FleetEvent(rng.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
@@ -166,5 +167,5 @@
 
 
 def tenant_name(number: int) -> str:
-    """Return a tenant's name; the first is the one that the load of the throughput benchmark has."""
+    """Return a tenant's name; the first tenant is the one that the benchmarks' HTTP load sends."""
     return "acme" if number == 0 else f"tenant-{number:09d}"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""The scale tests: what grows with the fleet, counted and never timed; the generator, the page, bad input.
+"""Scale benchmark: the generated fleet, growth of work with its size, the capacity page, invalid options.
 
-Work is asserted as ceilings in steps of the interpreter, which are the same every time.
+Work is asserted by ceilings on interpreter steps, which are reproducible, and never by times.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @pytest.fixture(scope="module")
 def small_results() -> dict[str, Any]:
-    """All probes at small sizes, counts alone."""
+    """Run all probes at small sizes without times."""
     return run_probes(SMALL, 1, [], lambda share: None, quick=False, times=False)
 
 
@@ -63,7 +63,7 @@
 def test_tenant_shares_have_a_long_tail() -> None:
     shares = zipf_shares(39_000)
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
-    assert sum(shares[:390]) > 0.5 and shares[-1] > 0  # one in a hundred has more than half
+    assert sum(shares[:390]) > 0.5 and shares[-1] > 0  # 1% of the tenants have more than half
 
 
 def test_a_day_has_the_targets_events_and_is_the_same_for_a_seed() -> None:
@@ -104,7 +104,7 @@
 
     assert loop_steps(1_000) - loop_steps(500) == 5 * (loop_steps(400) - loop_steps(300)) > 0
     assert loop_steps(1_000) == loop_steps(1_000)
-    assert sys.gettrace() is None or count_steps.__module__  # tracing that was on is on again
+    assert sys.gettrace() is None or count_steps.__module__  # a trace function set before is restored
 
 
 def test_times_are_measured_only_on_request() -> None:
@@ -116,14 +116,15 @@
     assert set(Meter(False).measure_event(lambda: None)) == {"steps"}
 
 
-# Work, and the sizes that it grows with
+# Growth of work with size
 
 
-# The slope of the steps as it is now, that is, steps for one more of the size that is swept: none may grow.
-# `list` and `zone` were 346 and 23.5 when each changed entry walked and sorted all servers. An index of the
-# servers is kept now: the first full list and a list that deletes many at once cost more, and nothing else.
-# `gateways` has no slope but one rise of 71 steps from four gateways on, where a request computes this
-# gateway's share of the places at the servers.
+# Ceilings for the slope of the steps, which is the number of steps per additional unit of the swept size.
+# They are the present slopes, so that no slope may grow. `list-by-servers` and `zone-by-servers` were 346 and
+# 23.5 when each changed entry iterated over and sorted all servers. The policy now keeps an index of the
+# servers, so that only the first full list and a list that deletes many servers at once cost more.
+# `decision-by-gateways` has no slope but a single rise of 71 steps from four gateways on, where a request
+# computes this gateway's share of the slots at the servers.
 CEILINGS = {
     "decision-by-tenants": 0.1,
     "decision-by-servers": 0.5,
@@ -217,7 +218,7 @@
         PROBES_BY_NAME["warm-start-by-servers"].run(TargetFleet(Sizes(), 1), size, Meter(False))
         for size in (100, 1_000, 2_000)
     ]
-    assert points[0]["entries"] == 100  # all of them
+    assert points[0]["entries"] == 100  # all servers
     assert [point["messages"] for point in points[1:]] == [32, 32]
     assert points[1]["entries"] == points[2]["entries"] < 1_000
     assert all(point["bytes"] <= 3 * 32 * 256 for point in points)
@@ -243,7 +244,7 @@
     assert [point["bytes"] for point in points] == [text * point["size"] for point in points]
 
 
-# What the results say of each figure
+# Metadata of the stored results
 
 
 def test_each_row_states_its_largest_size_and_whether_it_is_extrapolated(
@@ -395,7 +396,7 @@
 
 
 def children() -> set[str]:
-    """Return the ids of the running processes that this one has started."""
+    """Return the ids of this process's running child processes."""
     shown = subprocess.run(["ps", "-e", "-o", "pid=,ppid=,comm="], capture_output=True, text=True).stdout
     rows = [line.split(None, 2) for line in shown.splitlines()]
     return {pid for pid, parent, name in rows if parent == str(os.getpid()) and name != "ps"}
@@ -407,8 +408,9 @@
     result = measurement.measure(TargetFleet(SMALL, 1), 0.5, lambda: steps_done.append(1))
     assert len(steps_done) == measurement.STEPS
     phases = ("warm", "calm", "listing", "changes", "zone")
-    # How many are rejected depends on the machine's other work; none may fail in any case.
+    # The number of rejected requests depends on other load of the machine; no request may fail.
     assert all(result[f"{name}_failed"] == 0 for name in phases), result
     assert sum(result[f"{name}_done"] for name in phases) <= result["all_answered"] > 0, result
     assert result["listing_bytes"] > 200 * 100 and result["ready_full_list_s"] > 0
-    assert children() <= before and os.sched_getaffinity(0) == cores  # nothing stays behind
+    # No process is left, and the CPU affinity is restored.
+    assert children() <= before and os.sched_getaffinity(0) == cores
