--- a/sagetrack/lab/analysis/records.py
+++ b/sagetrack/lab/analysis/records.py
@@ -2,7 +2,7 @@
 
 Rule checks and reports read only these records. They use three terms: a client's *request* is sent to
 gateways as one or more *calls* (one for each try by the client), and for each call a gateway sends one or
-more *attempts* to servers.
+more *attempts* to servers. A *member* is a tenant of the scenario.
 
 A record is a tuple: its kind, its time in microseconds since the start of the run, and the fields of its
 kind. A file of records starts with a JSON line that holds the scenario, the seed and the driver, followed by
@@ -45,7 +45,7 @@
     time_us: int
     call: str
     gateway: int
-    verdict: str  # served, refused, failed, broken or unreachable
+    verdict: str  # served, refused, failed, broken (ended without a response) or unreachable
     retry_after_us: int
 
 
@@ -66,8 +66,8 @@
     call: str
     server: int
     gateway: int
-    verdict: str  # taken, rejected or lost
-    work_us: int  # randomly drawn CPU time of this attempt on a standard core
+    verdict: str  # taken (accepted), rejected or lost (the server does not respond)
+    work_us: int  # randomly drawn work, as time on a standard core
     sent_us: int
 
 
@@ -119,7 +119,7 @@
     kind: str
     time_us: int
     gateway: int
-    state: str  # up, down, left or upgrade
+    state: str  # up, down, left or upgrade (a hot restart begins)
 
 
 class FaultStateChanged(NamedTuple):
@@ -191,7 +191,7 @@
     time_us: int
     gateway: int
     outcome: str  # served, late, refused, failed or unanswered
-    due_us: int
+    due_us: int  # scheduled send time
 
 
 KINDS: dict[type[Any], str] = {
--- a/sagetrack/lab/scale/page/failures.py
+++ b/sagetrack/lab/scale/page/failures.py
@@ -110,7 +110,7 @@
 
 
 def _fixed_text(text: str) -> TextBuilder:
-    """Return a builder of a text without figures."""
+    """Return a builder that always gives this text."""
     return lambda figures: text
 
 
--- a/sagetrack/lab/scale/page/requirement.py
+++ b/sagetrack/lab/scale/page/requirement.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Requirement:
-    """A need of one role at the target's sizes, in the unit of its allowance."""
+    """A requirement of one role at the target's sizes, in the unit of its allowance."""
 
     role: str
     description: str
@@ -33,7 +33,7 @@
 
     requirement: Requirement
     needed: float | None  # None if a figure was not run
-    figures: FigureReader  # has the keys of the figures that were used
+    figures: FigureReader  # tracks which figures were used
 
     @property
     def factor(self) -> float | None:
--- a/sagetrack/lab/scale/probe.py
+++ b/sagetrack/lab/scale/probe.py
@@ -10,7 +10,7 @@
 from sagetrack.lab.scale.meter import Meter, Values
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-POINTS = 5  # sizes at which a probe is run
+POINTS = 5  # maximum number of sizes at which a probe is run
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/lab/scale/real_gateway/measurement.py
+++ b/sagetrack/lab/scale/real_gateway/measurement.py
@@ -23,7 +23,7 @@
 from sagetrack.lab.scale.target_fleet import TargetFleet
 from sagetrack.lab.stand_ins.scripted import ScriptedServer, scripted_server
 
-NAME = "real-gateway"  # as the name of a probe
+NAME = "real-gateway"  # selects this measurement in the list of probe names
 STEPS = 5  # number of calls of `on_step`
 PHASE_S, QUICK_PHASE_S = 15.0, 5.0
 WARM_UP_S = 1.0
--- a/sagetrack/lab/scale/real_gateway/trial.py
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -69,7 +69,8 @@
         change_s = time.monotonic() - began_s
         load = await load_task
         delay_task.cancel()
-        # The gateway's own counters are used, as the load counts the requests that it cuts off as failed.
+        # These are the gateway's own counters, because the load generator also counts as failed the requests
+        # that it cuts off at its end.
         totals = await request_totals(process) - totals_before
         self.figures |= {
             f"{name}_own_hold_ms": await delay_task,
--- a/sagetrack/lab/scale/target.py
+++ b/sagetrack/lab/scale/target.py
@@ -53,6 +53,6 @@
 
 
 def needed_bytes(sizes: Sizes) -> int:
-    """Return an upper bound of the memory of the largest fleet, in which all gateways know each other."""
+    """Return an upper bound of the memory of the probes at these sizes; each gateway knows all others."""
     largest = max(sizes.gateways**2 * PEER_BYTES, sizes.servers * SERVER_BYTES, sizes.tenants * TENANT_BYTES)
     return TRACING_FACTOR * largest
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -123,8 +123,9 @@
 # They are the present slopes, so that no slope may grow. `list-by-servers` and `zone-by-servers` were 346 and
 # 23.5 when each changed entry iterated over and sorted all servers. The policy now keeps an index of the
 # servers, so that only the first full list and a list that deletes many servers at once cost more.
-# `decision-by-gateways` has no slope but a single rise of 71 steps from four gateways on, where a request
-# computes this gateway's share of the slots at the servers.
+# `decision-by-gateways` has no slope but a single rise of 71 steps from four gateways on, where the limit of
+# requests in flight per server is too small for one request per gateway, and a request has to compute its
+# gateway's share of it.
 CEILINGS = {
     "decision-by-tenants": 0.1,
     "decision-by-servers": 0.5,
