--- a/sagetrack/lab/analysis/judges.py
+++ b/sagetrack/lab/analysis/judges.py
@@ -218,7 +218,7 @@
     restarts = _restarts(records)
     attempted = {attempt.call for attempt in records.of_type(AttemptReceived)}
     calls = _calls_sent(records)
-    connecting_us = scenario.network.connect_timeout_ms * 1000 * scenario.gateways.max_attempts
+    connect_limit_us = scenario.network.connect_timeout_ms * 1000 * scenario.gateways.max_attempts
     for answer in records.of_type(CallAnswered):
         call = answer.call
         if answer.verdict not in ("refused", "failed") or call in attempted or call not in calls:
@@ -228,9 +228,9 @@
         received_us = max(
             (span.end_us for span in spans if span.begin_us <= sent_us < span.end_us), default=sent_us
         )
-        taken_us = answer.time_us - received_us
-        if taken_us > max(budget_us / 2, min(connecting_us, 0.8 * budget_us)) + SLACK_US:
-            share = taken_us / budget_us
+        elapsed_us = answer.time_us - received_us
+        if elapsed_us > max(budget_us / 2, min(connect_limit_us, 0.8 * budget_us)) + SLACK_US:
+            share = elapsed_us / budget_us
             reason = f"gateway {answer.gateway} held it for {share:.0%} of its time budget without an attempt"
             yield Violation("late_refusals", answer.time_us, call, NO_SERVER, reason)
 
@@ -250,5 +250,5 @@
 
 def find_violations(records: Records, scenario: Scenario) -> list[Violation]:
     """Return the violations of all rules, sorted by time."""
-    found = [violation for check in CHECKS for violation in check(records, scenario)]
-    return sorted(found, key=lambda violation: (violation.time_us, violation.rule, violation.call))
+    violations = [violation for check in CHECKS for violation in check(records, scenario)]
+    return sorted(violations, key=lambda violation: (violation.time_us, violation.rule, violation.call))
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -19,20 +19,20 @@
 
     A gateway reads only complete configurations today.
     """
-    text = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
+    configuration_bytes = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
     return {
-        "bytes": float(text * size),
-        "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
-        "machine_bytes_per_s": text * size / CHANGE_PROPAGATION_S / CONTROL_MACHINES,
+        "bytes": float(configuration_bytes * size),
+        "bytes_per_s": configuration_bytes * size * CHANGES_PER_DAY / DAY_S,
+        "machine_bytes_per_s": configuration_bytes * size / CHANGE_PROPAGATION_S / CONTROL_MACHINES,
         "messages": float(size),
     }
 
 
 def lists_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """Estimate the bytes of a full list, and of one changed entry, sent to each of `size` gateways."""
-    full = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
+    full_bytes = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
     delta = len(json.dumps(fleet.delta()))
-    return {"bytes": float(full * size), "change_bytes": float(delta * size), "messages": float(size)}
+    return {"bytes": float(full_bytes * size), "change_bytes": float(delta * size), "messages": float(size)}
 
 
 PROBES = (
--- a/sagetrack/lab/scale/page/tables.py
+++ b/sagetrack/lab/scale/page/tables.py
@@ -87,12 +87,12 @@
 
 def over_allowance(results: StoredResults) -> list[tuple[float, Requirement]]:
     """Return the requirements over their allowance with their factors, in descending order."""
-    over = []
+    exceeded = []
     for requirement in REQUIREMENTS:
         factor = evaluate(requirement, results).factor
         if factor is not None and factor > 1.0:
-            over.append((factor, requirement))
-    return sorted(over, key=lambda pair: -pair[0])
+            exceeded.append((factor, requirement))
+    return sorted(exceeded, key=lambda pair: -pair[0])
 
 
 def ranking_lines(results: StoredResults) -> list[str]:
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -32,7 +32,7 @@
     """Fail one of `size` gateways; measure when the others know, and the cost of membership for each."""
     began_ns = time.thread_time_ns()
     outcome = death(size, fleet.seed, 0.0, OBSERVED_S)
-    spent_us = (time.thread_time_ns() - began_ns) / 1000
+    cpu_us = (time.thread_time_ns() - began_ns) / 1000
     retained = retained_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
     values: Values = {
         "known_s": outcome.median_s,
@@ -44,7 +44,7 @@
         "each_bytes": retained / size / size,
     }
     if meter.measures_times:
-        values["cpu_us_per_s"] = spent_us / size / (OBSERVED_S + WARM_UP_S)
+        values["cpu_us_per_s"] = cpu_us / size / (OBSERVED_S + WARM_UP_S)
     return values
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -179,9 +179,9 @@
 
 def test_counts_are_reproducible(small_results: dict[str, Any]) -> None:
     names = ["decision-by-tenants", "repeat-by-servers", "connections-by-gateways", "membership-by-gateways"]
-    again = run_probes(SMALL, 1, names, lambda share: None, quick=False, times=False)
+    second_run = run_probes(SMALL, 1, names, lambda share: None, quick=False, times=False)
     for name in names:
-        first, second = probe_row(small_results, name)["points"], probe_row(again, name)["points"]
+        first, second = probe_row(small_results, name)["points"], probe_row(second_run, name)["points"]
         same = [
             {key: value for key, value in point.items() if "bytes" not in key or key == "bytes_per_s"}
             for point in (*first, *second)
@@ -194,8 +194,8 @@
 
 def test_a_list_has_as_many_bytes_as_its_entries(small_results: dict[str, Any]) -> None:
     points = probe_row(small_results, "text-by-servers")["points"]
-    one = len(json.dumps(TargetFleet(SMALL, 1).discovery_entry(100)))
-    assert points[-1]["size"] == 200 and abs(points[-1]["bytes"] / 200 - one) < 3
+    entry_bytes = len(json.dumps(TargetFleet(SMALL, 1).discovery_entry(100)))
+    assert points[-1]["size"] == 200 and abs(points[-1]["bytes"] / 200 - entry_bytes) < 3
     assert {point["change_bytes"] for point in points} == {198}
 
 
@@ -227,8 +227,8 @@
 
 def test_idle_connections_are_closed_and_opened_again() -> None:
     result = PROBES_BY_NAME["connections-by-gateways"].run(TargetFleet(Sizes(), 1), 185, Meter(False))
-    made = result["handshakes_per_call"] * result["calls"]
-    assert result["open_each"] * Sizes().servers_per_service < made - 1 and result["open_most"] <= 185
+    handshakes = result["handshakes_per_call"] * result["calls"]
+    assert result["open_each"] * Sizes().servers_per_service < handshakes - 1 and result["open_most"] <= 185
 
 
 def test_a_server_has_no_more_connections_than_gateways(small_results: dict[str, Any]) -> None:
@@ -283,31 +283,31 @@
 
 def test_the_page_is_rendered_between_its_marks_only(small_results: dict[str, Any]) -> None:
     page = f"# before\n{BEGIN_MARKER}\nstale\n{END_MARKER}\nafter\n"
-    once = render_page(page, small_results)
+    rendered = render_page(page, small_results)
     assert (
-        once.startswith(f"# before\n{BEGIN_MARKER}\n")
-        and once.endswith(f"\n{END_MARKER}\nafter\n")
-        and "stale" not in once
+        rendered.startswith(f"# before\n{BEGIN_MARKER}\n")
+        and rendered.endswith(f"\n{END_MARKER}\nafter\n")
+        and "stale" not in rendered
     )
-    assert render_page(once, small_results) == once
+    assert render_page(rendered, small_results) == rendered
     with pytest.raises(ValueError, match="once each"):
         render_page("nothing", small_results)
 
 
 def test_measured_times_are_ranked_before_and_after(small_results: dict[str, Any]) -> None:
-    slow = json.loads(json.dumps(small_results))
-    for result in slow["rows"]:
+    slow_results = json.loads(json.dumps(small_results))
+    for result in slow_results["rows"]:
         if result["probe"] in ("decision-by-tenants", "repeat-by-servers"):
             result["at_target"]["cpu_us"] = 64_000.0 if result["probe"] == "repeat-by-servers" else 12_800.0
             for point in result["points"]:
                 point |= {"cpu_us": 1.0, "cpu_us_least": 0.9, "cpu_us_most": 1.1, "longest_ms": 1.0}
     order = [
         requirement.description
-        for factor, requirement in over_allowance(StoredResults.from_json(slow))
+        for factor, requirement in over_allowance(StoredResults.from_json(slow_results))
         if factor in (10.0, 2.0)
     ]
     assert order == ["a keyed call with one repeat", "one call, all tenants"]
-    text = render_measurements(slow, small_results)
+    text = render_measurements(slow_results, small_results)
     assert "### After the mends" in text and "| 64 ms | 10 | not run |" in text and "±10%" in text
 
 
