--- a/sagetrack/lab/analysis/plots.py
+++ b/sagetrack/lab/analysis/plots.py
@@ -1,6 +1,6 @@
-"""Plots of a run over time: what was served, refused and failed, latencies, and each server's load.
+"""Plots of a run over time: request outcomes, latencies and the load of each server.
 
-One PNG or SVG by `matplotlib`, with the faults marked, from the records alone.
+A plot is a single PNG or SVG image drawn with `matplotlib`, in which the injected faults are marked.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from sagetrack.lab.analysis.figures import histogram
+from sagetrack.lab.analysis.figures import latency_histogram
 from sagetrack.lab.analysis.records import (
     AttemptReceived,
     FaultStateChanged,
@@ -33,13 +33,13 @@
     "unanswered": "#5a2a6b",
 }
 PERCENTILES = {50: "#2a5f9f", 99: "#b02a2a"}
-MOST_IN_LEGEND = 24  # servers
+MAX_SERVERS_IN_LEGEND = 24
 
-ServerPoints = dict[int, list[tuple[float, int]]]  # by server: second of the run, value
+ServerPoints = dict[int, list[tuple[float, int]]]  # (second of the run, value) points by server
 
 
 class FaultSpan(NamedTuple):
-    """A fault's kind, with the seconds at which it began and ended."""
+    """The kind of a fault, and the seconds of the run at which it began and ended."""
 
     kind: str
     begin_s: float
@@ -47,10 +47,10 @@
 
 
 def fault_spans(records: Records) -> list[FaultSpan]:
-    """All faults by their begin; one that did not end lasts until the last record."""
+    """Return the faults in order of their start; a fault without an end lasts until the last record."""
     begins: dict[str, list[float]] = defaultdict(list)
     spans = []
-    for change in records.typed(FaultStateChanged):
+    for change in records.of_type(FaultStateChanged):
         if change.state == "begins":
             begins[change.fault].append(change.time_us / 1e6)
         elif begins[change.fault]:
@@ -60,22 +60,22 @@
     return sorted(spans, key=lambda span: span.begin_s)
 
 
-def draw(records: Records, path: Path | str) -> None:
-    """Draw a run into a file; its suffix says what kind.
+def draw_plot(records: Records, path: Path | str) -> None:
+    """Draw the plot of a run into a file, whose suffix selects the image format.
 
     Raises:
-        OSError: the file cannot be written.
-        ValueError: no such kind of file.
+        OSError: The file cannot be written.
+        ValueError: The image format is not supported.
     """
     figure, (top, middle, bottom) = plt.subplots(3, 1, figsize=(11, 9), sharex=True, layout="constrained")
     _draw_requests(records, top, middle)
     _draw_servers(records, bottom)
-    for place, span in enumerate(fault_spans(records)):
+    for index, span in enumerate(fault_spans(records)):
         for axes in (top, middle, bottom):
             axes.axvspan(span.begin_s, span.end_s, color="#777777", alpha=0.13, linewidth=0)
         top.annotate(
             span.kind,
-            (span.begin_s, 0.80 - 0.09 * (place % 4)),
+            (span.begin_s, 0.80 - 0.09 * (index % 4)),
             xycoords=("data", "axes fraction"),
             fontsize=8,
             color="#333333",
@@ -86,10 +86,10 @@
 
 
 def _draw_requests(records: Records, outcome_axes: Axes, latency_axes: Axes) -> None:
-    """Outcomes and latencies, by the second in which each request was due."""
+    """Draw outcomes and latencies by the second in which the requests were due."""
     counts: dict[str, dict[int, int]] = {name: defaultdict(int) for name in OUTCOMES}
-    latencies: dict[int, Any] = defaultdict(histogram)
-    for request in records.typed(RequestFinished):
+    latencies: dict[int, Any] = defaultdict(latency_histogram)
+    for request in records.of_type(RequestFinished):
         second = request.due_us // SECOND_US
         counts[request.outcome][second] += 1
         if request.outcome in ("served", "late"):
@@ -111,21 +111,21 @@
 
 
 def _draw_servers(records: Records, axes: Axes) -> None:
-    """Each server's sampled requests in flight; without samples, the attempts that reached it."""
+    """Draw each server's sampled requests in flight or, without samples, its attempts a second."""
     samples: ServerPoints = defaultdict(list)
-    for sample in records.typed(ServerLoad):
+    for sample in records.of_type(ServerLoad):
         samples[sample.server].append((sample.time_us / 1e6, sample.in_flight))
     points_by_server = samples or _attempts_by_second(records)
     for server, points in sorted(points_by_server.items()):
         axes.plot(*zip(*points, strict=True), linewidth=0.9, label=f"s-{server}")
     axes.set_ylabel("requests in flight at each server" if samples else "attempts a second at each server")
     axes.set_xlabel("seconds since the run began")
-    if len(points_by_server) <= MOST_IN_LEGEND:
+    if len(points_by_server) <= MAX_SERVERS_IN_LEGEND:
         axes.legend(loc="upper left", ncols=8, fontsize=7)
 
 
 def _attempts_by_second(records: Records) -> ServerPoints:
     counts: dict[int, dict[float, int]] = defaultdict(lambda: defaultdict(int))
-    for attempt in records.typed(AttemptReceived):
+    for attempt in records.of_type(AttemptReceived):
         counts[attempt.server][attempt.time_us // SECOND_US] += 1
     return {server: sorted(by_second.items()) for server, by_second in counts.items()}
--- a/sagetrack/lab/scale/control.py
+++ b/sagetrack/lab/scale/control.py
@@ -1,6 +1,7 @@
-"""Estimates for the machines of the control plane, on which no part of the program runs.
+"""Estimates of the bytes that a control plane would send to the gateways.
 
-They are of what a change of the configuration would have them send, from the texts that a gateway reads.
+No part of this program runs on the control plane's machines. The estimates are computed from the sizes of the
+configuration and endpoint lists that a gateway reads.
 """
 
 from __future__ import annotations
@@ -9,26 +10,29 @@
 
 from sagetrack.lab.scale.meter import Meter, Values
 from sagetrack.lab.scale.probe import Probe
-from sagetrack.lab.scale.target import CHANGE_IN_FORCE_S, CHANGES_PER_DAY, CONTROL_MACHINES, DAY_S
+from sagetrack.lab.scale.target import CHANGE_PROPAGATION_S, CHANGES_PER_DAY, CONTROL_MACHINES, DAY_S
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
 
 def change_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """Each change is sent to each gateway as a whole configuration, which is what a gateway reads today."""
-    text = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
+    """Estimate the traffic if each change is sent to each gateway as a complete configuration.
+
+    A gateway reads only complete configurations today.
+    """
+    configuration_bytes = len(json.dumps(fleet.platform_settings(fleet.sizes.tenants)))
     return {
-        "bytes": float(text * size),
-        "bytes_per_s": text * size * CHANGES_PER_DAY / DAY_S,
-        "machine_bytes_per_s": text * size / CHANGE_IN_FORCE_S / CONTROL_MACHINES,
+        "bytes": float(configuration_bytes * size),
+        "bytes_per_s": configuration_bytes * size * CHANGES_PER_DAY / DAY_S,
+        "machine_bytes_per_s": configuration_bytes * size / CHANGE_PROPAGATION_S / CONTROL_MACHINES,
         "messages": float(size),
     }
 
 
 def lists_to_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
-    """A full list is sent to `size` gateways that start, and one changed entry to as many."""
-    full = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
+    """Estimate the bytes of a full list, and of one changed entry, sent to each of `size` gateways."""
+    full_bytes = len(json.dumps(fleet.full_list(fleet.sizes.servers)))
     delta = len(json.dumps(fleet.delta()))
-    return {"bytes": float(full * size), "change_bytes": float(delta * size), "messages": float(size)}
+    return {"bytes": float(full_bytes * size), "change_bytes": float(delta * size), "messages": float(size)}
 
 
 PROBES = (
--- a/sagetrack/lab/scale/page/requirements.py
+++ b/sagetrack/lab/scale/page/requirements.py
@@ -1,4 +1,4 @@
-"""What a gateway's agent and its peers, the servers and the control plane need at the target."""
+"""All requirements: those of the gateway, its agent and peers, the servers and the control plane."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
     probe_figure,
 )
 from sagetrack.lab.scale.target import (
-    CHANGE_IN_FORCE_S,
+    CHANGE_PROPAGATION_S,
     CONTROL_BYTES,
     CONTROL_BYTES_PER_S,
     CONTROL_CORES,
 )
 
-DEATH_KNOWN_S = 5.0  # assumed: the target says "within seconds"
-DEMANDS_READ_PER_S = 6  # datagrams of peers
-WARM_START_PEERS = 3  # that answer a gateway which has started
+DEATH_KNOWN_S = 5.0  # assumed, because the target only requires "within seconds"
+DEMANDS_READ_PER_S = 6  # demand datagrams received from peers
+WARM_START_PEERS = 3  # peers that respond to a gateway that has started
 
 REQUIREMENTS = (
     *GATEWAY_REQUIREMENTS,
@@ -173,7 +173,7 @@
         allowed=CONTROL_BYTES_PER_S,
         needed=lambda figures: figures.at_target("change-to-gateways", "bytes")
         / figures.sizes.gateways
-        / CHANGE_IN_FORCE_S,
+        / CHANGE_PROPAGATION_S,
         basis="reckoned",
     ),
     Requirement(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from sagetrack.config.errors import FileError
-from sagetrack.lab.analysis.figures import figures
-from sagetrack.lab.analysis.judges import RULES, judge
+from sagetrack.lab.analysis.figures import compute_figures
+from sagetrack.lab.analysis.judges import RULES, find_violations
 from sagetrack.lab.analysis.records import (
     TYPES,
     CallAnswered,
@@ -20,7 +20,7 @@
     Record,
     Records,
     ServerStarted,
-    read,
+    read_records,
 )
 from sagetrack.lab.benchmarks import sweep as sweeps
 from sagetrack.lab.benchmarks.comparison import compare
@@ -188,10 +188,10 @@
     records = simulate(with_overrides(SHORT, {"seconds": 22.0, "load.use": 0.05}), 1)
     for name in ("r.jsonl", "r.gz"):
         records.write(tmp_path / name)
-        assert read(tmp_path / name).rows == records.rows
+        assert read_records(tmp_path / name).rows == records.rows
     content = (tmp_path / "r.jsonl").read_bytes()
     (tmp_path / "cut").write_bytes(content[:-9])
-    assert read(tmp_path / "cut").rows == records.rows[:-1]
+    assert read_records(tmp_path / "cut").rows == records.rows[:-1]
 
 
 def test_typed_records_equal_the_plain_tuples() -> None:
@@ -201,8 +201,8 @@
     ]
     for records in runs:
         assert all(TYPES[row[0]](*row) == row for row in records.rows)
-        assert list(records.typed(ServerStarted)) == list(records.of("start"))
-        assert list(records.mixed(CallSent, CallAnswered)) == list(records.of("ask", "answer"))
+        assert list(records.of_type(ServerStarted)) == list(records.rows_of("start"))
+        assert list(records.of_types(CallSent, CallAnswered)) == list(records.rows_of("ask", "answer"))
         assert records.last_us() == max(row[1] for row in records.rows)
     seen = {row[0] for records in runs for row in records.rows}
     # "dns" and "late" records occur in real time only, "gone" only if clients stop waiting.
@@ -213,16 +213,16 @@
 def test_no_rule_is_violated_and_expectations_hold(path: str) -> None:
     scenario = load_scenario(SCENARIOS / f"{path}.toml")
     records = simulate(scenario, 2)
-    violations = judge(records, scenario)
+    violations = find_violations(records, scenario)
     assert not violations
-    assert figures(records, scenario, violations).expect_held
+    assert compute_figures(records, scenario, violations).expect_held
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_deliberate_fault_is_detected(fault: str) -> None:
     name, rule = DETECTED_BY[fault]
     scenario = load_scenario(SCENARIOS / f"{name}.toml")
-    found = [v for v in judge(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
+    found = [v for v in find_violations(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
     assert found and found[0].call and found[0].time_us > 0
 
 
@@ -273,7 +273,7 @@
 ) -> None:
     records = Records()
     records.rows = BASE + added
-    broken = {violation.rule for violation in judge(records, with_overrides(KEYED, settings))}
+    broken = {violation.rule for violation in find_violations(records, with_overrides(KEYED, settings))}
     assert broken == ({rule} if rule else set())
 
 
@@ -282,7 +282,7 @@
     ask = ("ask", 0, "c", 0, 0, 0, 3_000_000, None, "1", 1)
     for time, late in ((100_000, False), (2_900_000, True)):
         records.rows = [ask, ("answer", time, "c", 0, "refused", 0)]
-        assert [v.rule for v in judge(records, KEYED)] == (["late_refusals"] if late else [])
+        assert [v.rule for v in find_violations(records, KEYED)] == (["late_refusals"] if late else [])
     assert "late_refusals" in RULES
 
 
--- a/tests/test_lab_fairness.py
+++ b/tests/test_lab_fairness.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sagetrack.lab.analysis.fairness import fairness, fairness_index, jain_index
+from sagetrack.lab.analysis.fairness import compute_fairness, fairness_index, jain_index
 from sagetrack.lab.analysis.records import Records, RequestFinished
 from sagetrack.lab.model.scenario import RequestClass, Scenario, Tenant
 
@@ -32,6 +32,6 @@
     for number, ((tenant, client), outcome) in enumerate(outcomes.items()):
         records.add("client", number, f"r{number}", client)
         records.add("request", number, f"r{number}", 0, tenant, outcome, number, 1)
-    requests = list(records.typed(RequestFinished))
+    requests = list(records.of_type(RequestFinished))
     # 30 ms of work were served; the fair share of each tenant is 15 ms, and they received 20 and 10 ms.
-    assert fairness(records, requests, scenario) == pytest.approx((0.9, 0.5))
+    assert compute_fairness(records, requests, scenario) == pytest.approx((0.9, 0.5))
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, load_scenario, with_overrides
 from sagetrack.lab.model.world import World
@@ -113,5 +113,5 @@
     ):
         records = Records()
         records.rows = [*states, request, ("answer", response_us, "c", 0, "refused", 0)]
-        violated_rules = [violation.rule for violation in judge(records, Scenario(name="k"))]
+        violated_rules = [violation.rule for violation in find_violations(records, Scenario(name="k"))]
         assert violated_rules == (["late_refusals"] if is_violated else []), (states, response_us)
