--- a/run.sh
+++ b/run.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Any command of the program, in a virtual environment that is made on the first use: ./run.sh demo
+# Runs a command of the program, such as `./run.sh demo`. Its virtual environment is created on first use, and
+# again when requirements-tools.txt changes.
 set -eu
 root=$(cd "$(dirname "$0")" && pwd)
 venv=$root/.venv-run
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Lint, types and tests, in a virtual environment made from the pinned requirements.
+# Runs the linters, the type checker and the tests, in a virtual environment with the pinned requirements.
+# The environment is created again when the requirements change.
 set -eu
 cd "$(dirname "$0")"
 python=.venv-dev/bin/python
