--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -32,9 +32,9 @@
 )
 
 
-def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def command(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "sagetrack", *words],
+        [sys.executable, "-m", "sagetrack", *arguments],
         cwd=ROOT,
         env=os.environ | environment,
         text=True,
@@ -48,9 +48,9 @@
     operator.write_text('[log]\nlevel = "loud"\nburts = 1\n')
     scenario.write_text('name = "x"\nsecnds = 3\n')
     config.write_text(json.dumps(configuration("127.0.0.1:1")))
-    done = command("check", "--config", str(config), "--operator", str(operator), str(scenario))
-    assert done.returncode == 2 and done.stdout == f"{config}: fine\n"
-    lines = done.stderr.splitlines()
+    result = command("check", "--config", str(config), "--operator", str(operator), str(scenario))
+    assert result.returncode == 2 and result.stdout == f"{config}: fine\n"
+    lines = result.stderr.splitlines()
     assert len(lines) == 3 and "o.toml:2: log.level" in lines[0] and "s.toml:2: secnds" in lines[2]
 
 
@@ -58,13 +58,13 @@
     config, operator = tmp_path / "c.json", tmp_path / "o.toml"
     config.write_text(json.dumps(configuration("127.0.0.1:1")))
     operator.write_text('[log]\nformat = "xml"\n')
-    done = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
-    assert 'log.format = "xml" is not allowed; it must be one of console, json, plain' in done.stderr
+    result = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert 'log.format = "xml" is not allowed; it must be one of console, json, plain' in result.stderr
 
 
 def test_a_gateway_started_by_the_platform_imports_no_command_line_library(tmp_path: Path) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-X", "importtime", "-m", "sagetrack"],
         cwd=ROOT,
         text=True,
@@ -72,7 +72,7 @@
         env=os.environ | {"LB_CONFIG": str(tmp_path / "none")},
         timeout=60,
     )
-    assert done.returncode == 2
+    assert result.returncode == 2
     for library in (
         "typer",
         "click",
@@ -83,11 +83,11 @@
         "sagetrack.cli",
         "sagetrack.lab",
     ):
-        assert f" {library}\n" not in done.stderr
+        assert f" {library}\n" not in result.stderr
 
 
 @pytest.mark.parametrize(
-    ("words", "why"),
+    ("arguments", "message"),
     [
         (("lab", "run", "none.toml"), "none.toml: No such file"),
         (("lab", "run", "scenarios/everyday.toml", "--set", "load.use=9"), "load.use = 9 is not allowed"),
@@ -101,9 +101,9 @@
         (("check",), "nothing to check"),
     ],
 )
-def test_invalid_arguments_print_one_line_and_exit_with_2(words: tuple[str, ...], why: str) -> None:
-    done = command(*words, LB_CONFIG="", LB_OPERATOR="")
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and why in done.stderr
+def test_invalid_arguments_print_one_line_and_exit_with_2(arguments: tuple[str, ...], message: str) -> None:
+    result = command(*arguments, LB_CONFIG="", LB_OPERATOR="")
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and message in result.stderr
 
 
 def test_a_run_prints_one_json_object_and_an_injected_fault_exits_with_1() -> None:
@@ -117,13 +117,13 @@
 
 
 def test_a_real_fleet_survives_a_gateway_crash_and_an_upgrade(tmp_path: Path) -> None:
-    """Run real processes, with deadlines that do not depend on the speed of the machine.
+    """The deadlines are long, so that the result does not depend on the speed of the machine.
 
     An overloaded machine responds late, but it still responds.
     """
-    file = tmp_path / "records.gz"
-    long_deadlines = [f"class.{n}.{what}=20000" for n in (1, 2, 3) for what in ("deadline_ms", "aim_ms")]
-    done = command(
+    records_path = tmp_path / "records.gz"
+    long_deadlines = [f"class.{n}.{key}=20000" for n in (1, 2, 3) for key in ("deadline_ms", "aim_ms")]
+    result = command(
         "lab",
         "run",
         "scenarios/upgrade.toml",
@@ -143,16 +143,16 @@
         'trouble.3.kind="deploy"',
         "--set",
         "discovery.drain_s=0.5",
-        *(part for words in long_deadlines for part in ("--set", words)),
+        *(part for override in long_deadlines for part in ("--set", override)),
         "--records",
-        str(file),
+        str(records_path),
         "--plot",
         str(tmp_path / "run.png"),
     )
-    assert done.stdout, f"exit status {done.returncode}, stderr: {done.stderr}"
-    row = json.loads(done.stdout.splitlines()[-1])
-    assert row["rules_broken"] == {}, (row["violations"], done.stderr)
-    assert row["served"] > 0.6 * row["requests"] and file.exists(), (row, done.stderr)
+    assert result.stdout, f"exit status {result.returncode}, stderr: {result.stderr}"
+    row = json.loads(result.stdout.splitlines()[-1])
+    assert row["rules_broken"] == {}, (row["violations"], result.stderr)
+    assert row["served"] > 0.6 * row["requests"] and records_path.exists(), (row, result.stderr)
     assert (tmp_path / "run.png").read_bytes().startswith(b"\x89PNG")
 
 
@@ -168,25 +168,25 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        end = time.monotonic() + 30
-        while len(processes_with(marker)) < 4 and time.monotonic() < end:
+        timeout_at_s = time.monotonic() + 30
+        while len(processes_with(marker)) < 4 and time.monotonic() < timeout_at_s:
             assert process.poll() is None
         process.send_signal(signum)
-        _, errors = process.communicate(timeout=30)
-        assert process.returncode == 130 and "nothing is left running" in errors
+        _, stderr_text = process.communicate(timeout=30)
+        assert process.returncode == 130 and "nothing is left running" in stderr_text
         assert processes_with(marker) == []
 
 
 def processes_with(marker: str) -> list[int]:
     """Return the ids of processes whose environment contains the marker."""
-    found = []
+    process_ids = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
             if marker.encode() in path.read_bytes():
-                found.append(int(path.parent.name))
+                process_ids.append(int(path.parent.name))
         except OSError:
             continue
-    return found
+    return process_ids
 
 
 def test_a_gateway_that_fails_to_start_is_reported_and_leaves_no_process(
@@ -205,8 +205,8 @@
 
 def test_a_startup_failure_is_logged_even_at_level_error(tmp_path: Path) -> None:
     config, operator = tmp_path / "c.json", tmp_path / "o.toml"
-    foreign_address = {"listen": "192.0.2.1:1"}  # not an address of this machine
+    foreign_address = {"listen": "192.0.2.1:1"}  # a documentation address, which no interface has
     config.write_text(json.dumps(configuration("127.0.0.1:1") | foreign_address))
     operator.write_text('[log]\nlevel = "error"\n')
-    done = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
-    assert done.returncode == 1 and "cannot listen on 192.0.2.1:1" in done.stderr
+    result = command(LB_CONFIG=str(config), LB_OPERATOR=str(operator))
+    assert result.returncode == 1 and "cannot listen on 192.0.2.1:1" in result.stderr
--- a/tests/test_config_validation.py
+++ b/tests/test_config_validation.py
@@ -78,12 +78,12 @@
 
 
 def test_the_example_operator_file_sets_nothing_and_is_valid_when_uncommented(tmp_path: Path) -> None:
-    example = Path(__file__).parent.parent / "deploy" / "operator.toml"
-    assert load(str(example)) == Operator()
-    lines = example.read_text().splitlines()
-    first = lines.index("# [log]")
+    example_path = Path(__file__).parent.parent / "deploy" / "operator.toml"
+    assert load(str(example_path)) == Operator()
+    lines = example_path.read_text().splitlines()
+    first_table = lines.index("# [log]")
     uncommented = tmp_path / "all.toml"
-    uncommented.write_text("\n".join(line.removeprefix("# ") for line in lines[first:]))
+    uncommented.write_text("\n".join(line.removeprefix("# ") for line in lines[first_table:]))
     operator = load(str(uncommented))
     assert operator.log == Operator().log and operator.peers.use == Operator().peers.use
     assert len(operator.peers.addresses) == 2
@@ -131,9 +131,9 @@
     ],
 )
 def test_bounds_are_described_in_words(key: str, allowed: str) -> None:
-    value, found = decode({key: "x"}, Numbers)
+    value, reported = decode({key: "x"}, Numbers)
     assert value is None
-    assert [fault.message for fault in found] == [f'{key} = "x" is not allowed; it must be {allowed}']
+    assert [fault.message for fault in reported] == [f'{key} = "x" is not allowed; it must be {allowed}']
 
 
 def test_other_types_are_described_in_words() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -60,11 +60,11 @@
         with_overrides(SHORT, {"fleet.serverz.x": 1})
 
 
-# The model of a server
+# The server model
 
 
 class ServerRig:
-    """One server, with the results of its jobs and whether each had an effect."""
+    """A server under test, which records the result of each job and whether the job had an effect."""
 
     def __init__(
         self, cold: bool = False, keys: dict[str, IdempotencyKeys] | None = None, **fleet_settings: object
@@ -102,9 +102,9 @@
     for _ in range(9):
         rig.send(0)
     for _ in range(3):
-        due = rig.server.next_event_us()
-        assert due is not None
-        rig.server.advance(due)
+        next_us = rig.server.next_event_us()
+        assert next_us is not None
+        rig.server.advance(next_us)
     assert [now for now, _ in rig.results] == [10_000] * 4 + [20_000] * 4 + [30_000]
 
 
@@ -115,12 +115,12 @@
     # The server has a fifth of its speed at the start, and slightly more at the end of the request.
     assert 49_000 <= rig.results[0][0] <= 50_000
     budget_us = 1.1 * 4.0 * 0.2 * 3_000_000
-    sent = 0.0
+    sent_work_us = 0.0
     while not rig.server.down:
-        sent += 50_000
+        sent_work_us += 50_000
         rig.send(200_001, 50_000)
-        assert sent < 2 * budget_us
-    assert budget_us - 100_000 <= sent <= budget_us * 1.1
+        assert sent_work_us < 2 * budget_us
+    assert budget_us - 100_000 <= sent_work_us <= budget_us * 1.1
     assert rig.results[-1][1] is Result.RESET
 
 
@@ -136,23 +136,23 @@
     assert math.isclose(rig.server.rate(1_000_000), 0.25)
     while rig.server.request_count:
         rig.server.advance(rig.server.now_us + 100_000)
-    idle_us = rig.server.now_us
+    idle_since_us = rig.server.now_us
     assert rig.server.is_degraded
-    rig.server.advance(idle_us + 1_000_000)
+    rig.server.advance(idle_since_us + 1_000_000)
     assert rig.server.is_degraded
-    rig.server.advance(idle_us + 4_000_000)
+    rig.server.advance(idle_since_us + 4_000_000)
     assert not rig.server.is_degraded
 
 
 def test_a_key_has_one_effect_per_rack_within_its_window() -> None:
     shared_keys = {"all": IdempotencyKeys(), "zone": IdempotencyKeys(), "rack": IdempotencyKeys()}
-    one, other = ServerRig(keys=shared_keys), ServerRig(keys=shared_keys)
+    first, same_rack = ServerRig(keys=shared_keys), ServerRig(keys=shared_keys)
     other_rack = ServerRig()
-    one.send(0, key=7)
-    other.send(1_000, key=7)
+    first.send(0, key=7)
+    same_rack.send(1_000, key=7)
     other_rack.send(1_000, key=7)
-    other.send(5_100_000, key=7)
-    assert (one.effects, other.effects, other_rack.effects) == ([True], [False, True], [True])
+    same_rack.send(5_100_000, key=7)
+    assert (first.effects, same_rack.effects, other_rack.effects) == ([True], [False, True], [True])
 
 
 @settings(max_examples=60)
@@ -164,9 +164,9 @@
         now += wait
         accepted += rig.send(now, work) is None
     while rig.server.request_count:
-        due = rig.server.next_event_us()
-        assert due is not None
-        rig.server.advance(due)
+        next_us = rig.server.next_event_us()
+        assert next_us is not None
+        rig.server.advance(next_us)
     assert len(rig.results) == accepted
 
 
@@ -174,14 +174,14 @@
 
 
 def test_the_same_seed_gives_the_same_records_with_one_process_and_with_four(tmp_path: Path) -> None:
-    here = "".join(simulate(SHORT, 3).lines())
-    assert here == "".join(simulate(SHORT, 3).lines()) != "".join(simulate(SHORT, 4).lines())
+    records_text = "".join(simulate(SHORT, 3).lines())
+    assert records_text == "".join(simulate(SHORT, 3).lines()) != "".join(simulate(SHORT, 4).lines())
     jobs = sweeps.plan(SHORT, range(1, 5), {})
-    four = sweeps.sweep(jobs, tmp_path / "four", 4)
-    one = sweeps.sweep(jobs, tmp_path / "one", 1)
-    for row in (*four, *one):
+    rows_of_four = sweeps.sweep(jobs, tmp_path / "four", 4)
+    rows_of_one = sweeps.sweep(jobs, tmp_path / "one", 1)
+    for row in (*rows_of_four, *rows_of_one):
         del row["wall_s"]
-    assert four == one
+    assert rows_of_four == rows_of_one
 
 
 def test_records_survive_a_round_trip_and_a_truncated_line_is_skipped(tmp_path: Path) -> None:
@@ -204,14 +204,14 @@
         assert list(records.typed(ServerStarted)) == list(records.of("start"))
         assert list(records.mixed(CallSent, CallAnswered)) == list(records.of("ask", "answer"))
         assert records.last_us() == max(row[1] for row in records.rows)
-    seen = {row[0] for records in runs for row in records.rows}
+    seen_kinds = {row[0] for records in runs for row in records.rows}
     # "dns" and "late" records occur in real time only, "gone" only if clients stop waiting.
-    assert set(TYPES) - seen == {"dns", "late", "gone"}
+    assert set(TYPES) - seen_kinds == {"dns", "late", "gone"}
 
 
-@pytest.mark.parametrize("path", ["everyday", "rolling-deploy", "all-at-once", "partition"])
-def test_no_rule_is_violated_and_expectations_hold(path: str) -> None:
-    scenario = load_scenario(SCENARIOS / f"{path}.toml")
+@pytest.mark.parametrize("name", ["everyday", "rolling-deploy", "all-at-once", "partition"])
+def test_no_rule_is_violated_and_expectations_hold(name: str) -> None:
+    scenario = load_scenario(SCENARIOS / f"{name}.toml")
     records = simulate(scenario, 2)
     violations = judge(records, scenario)
     assert not violations
@@ -220,13 +220,13 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_deliberate_fault_is_detected(fault: str) -> None:
-    name, rule = DETECTED_BY[fault]
-    scenario = load_scenario(SCENARIOS / f"{name}.toml")
-    found = [v for v in judge(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
-    assert found and found[0].call and found[0].time_us > 0
+    scenario_name, rule = DETECTED_BY[fault]
+    scenario = load_scenario(SCENARIOS / f"{scenario_name}.toml")
+    violations = [v for v in judge(simulate(scenario, 1, fault=fault), scenario) if v.rule == rule]
+    assert violations and violations[0].call and violations[0].time_us > 0
 
 
-# Judges, on handmade records
+# Judges, on handwritten records
 
 KEYED = Scenario(name="k")
 BASE: list[Record] = [
@@ -273,15 +273,15 @@
 ) -> None:
     records = Records()
     records.rows = BASE + added
-    broken = {violation.rule for violation in judge(records, with_overrides(KEYED, settings))}
-    assert broken == ({rule} if rule else set())
+    violated = {violation.rule for violation in judge(records, with_overrides(KEYED, settings))}
+    assert violated == ({rule} if rule else set())
 
 
 def test_a_delayed_refusal_is_detected() -> None:
     records = Records()
-    ask = ("ask", 0, "c", 0, 0, 0, 3_000_000, None, "1", 1)
+    request = ("ask", 0, "c", 0, 0, 0, 3_000_000, None, "1", 1)
     for time, late in ((100_000, False), (2_900_000, True)):
-        records.rows = [ask, ("answer", time, "c", 0, "refused", 0)]
+        records.rows = [request, ("answer", time, "c", 0, "refused", 0)]
         assert [v.rule for v in judge(records, KEYED)] == (["late_refusals"] if late else [])
     assert "late_refusals" in RULES
 
@@ -290,17 +290,17 @@
 
 
 def test_an_interrupted_sweep_resumes_where_it_stopped(tmp_path: Path) -> None:
-    small = with_overrides(SHORT, {"load.use": 0.05})
-    jobs = sweeps.plan(small, range(1, 4), {"clients.retries": [0, 2]})
+    light_load = with_overrides(SHORT, {"load.use": 0.05})
+    jobs = sweeps.plan(light_load, range(1, 4), {"clients.retries": [0, 2]})
     out = tmp_path / "out.jsonl"
     rows = sweeps.sweep(jobs, out, 2)
     assert len(rows) == 6 and {row["settings"]["clients.retries"] for row in rows} == {0, 2}
     lines = out.read_text().splitlines()
     out.write_text("\n".join(lines[:4]) + "\n" + lines[4][:40])
     resumed = sweeps.sweep(jobs, out, 2)
-    kept = {json.loads(line)["id"]: json.loads(line)["wall_s"] for line in lines[:4]}
+    wall_times = {json.loads(line)["id"]: json.loads(line)["wall_s"] for line in lines[:4]}
     assert [row["service"] for row in resumed] == [row["service"] for row in rows]
-    assert all(row["wall_s"] == kept[row["id"]] for row in resumed if row["id"] in kept)
+    assert all(row["wall_s"] == wall_times[row["id"]] for row in resumed if row["id"] in wall_times)
 
 
 def test_a_comparison_pairs_seeds_and_distinguishes_noise(tmp_path: Path) -> None:
@@ -310,8 +310,8 @@
         return tmp_path / name
 
     a = write("a", [0.90, 0.80, 0.95, 0.85])
-    clear = compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
-    assert clear.is_clear and math.isclose(clear.difference, 0.02) and clear.larger_in_b == 4
+    comparison = compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
+    assert comparison.is_clear and math.isclose(comparison.difference, 0.02) and comparison.larger_in_b == 4
     assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_clear
     with pytest.raises(ValueError, match="no figure"):
         compare(a, a, "speed")
