--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -30,8 +30,8 @@
     drain.begin_standby(100.0)
     assert not drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S / 2, 0.0, True)
     assert drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S, 0.0, True)
-    # Idle connections are closed within 2 s of `standby`, so a request that arrives on one before that is at
-    # least 2 s old when 4 s have passed since `standby`.
+    # A request on a connection that is idle at `standby` arrives within 2 s, before the connection is closed.
+    # It is therefore at least 2 s old when 4 s have passed since `standby`.
     assert STANDBY_IDLE_DELAY_S + FIRST_REQUEST_TIMEOUT_S < 2.0
     drain.begin_shutdown(200.0)
     assert not drain.may_close_idle(200.0, 0.0, True)
