--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -118,16 +118,16 @@
                 async with asyncio.timeout(self.limits.initial_list_timeout_s):
                     await self._first_call_ended.wait()
 
-    def watch(self, on: bool) -> None:
+    def watch(self, enabled: bool) -> None:
         """Start or stop the watch; starting has no effect on a watch that is already running."""
         if self._closed:
             return
         if self._rewatch_timer is not None:
             self._rewatch_timer.cancel()
-        if not on and self.watch_task is not None:
+        if not enabled and self.watch_task is not None:
             self.watch_task.cancel()
             self.watch_task = None
-        elif on and self.watch_task is None:
+        elif enabled and self.watch_task is None:
             self.watch_task = asyncio.get_running_loop().create_task(
                 self._run_and_report_failure(self._watch)
             )
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -41,7 +41,7 @@
         self.tcp_servers: list[asyncio.Server] = []
         self.connections: dict[DownstreamTcpConnection, None] = {}  # an ordered set, oldest first
         self.shutting_down = False
-        self.is_on_standby: Callable[[], bool] = lambda: False
+        self.is_standby: Callable[[], bool] = lambda: False
 
     async def start(self, addresses: list[Address], shared: bool = False) -> list[Address]:
         """Listen over UDP and TCP on each address, with `SO_REUSEPORT` if `shared`.
@@ -100,7 +100,7 @@
 
     def is_draining(self) -> bool:
         """Return whether connections should close once their queries are answered."""
-        return self.shutting_down or self.is_on_standby()
+        return self.shutting_down or self.is_standby()
 
     # Shutdown
 
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -216,7 +216,7 @@
 
     def set_standby_check(self, is_draining: Callable[[], bool]) -> None:
         """Set the check for standby: while it returns true, client connections close once answered."""
-        self.listener.is_on_standby = is_draining
+        self.listener.is_standby = is_draining
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Wait for the queries in flight, until `until_s` on the loop's clock at the latest, then close."""
--- a/sagetrack/dns/tcp_connection.py
+++ b/sagetrack/dns/tcp_connection.py
@@ -104,7 +104,7 @@
         else:
             attempt.complete(response)
 
-    def forget(self, attempt: DnsAttempt) -> None:
+    def discard(self, attempt: DnsAttempt) -> None:
         """Remove an attempt; after the last one, the idle timeout starts."""
         if self.waiting.get(attempt.id) is attempt:
             del self.waiting[attempt.id]
--- a/sagetrack/dns/udp_socket.py
+++ b/sagetrack/dns/udp_socket.py
@@ -109,12 +109,12 @@
         if response is None:
             self.counts.unmatched += 1
         elif response.truncated:
-            self.forget(attempt)
+            self.discard(attempt)
             self.on_truncated(attempt)
         else:
             attempt.complete(response)
 
-    def forget(self, attempt: DnsAttempt) -> None:
+    def discard(self, attempt: DnsAttempt) -> None:
         """Remove an attempt; a retired socket closes after its last one."""
         if self.waiting.get(attempt.id) is attempt:
             del self.waiting[attempt.id]
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -31,7 +31,7 @@
 class AttemptCarrier(Protocol):
     """The UDP socket or TCP connection on which an attempt waits for its response."""
 
-    def forget(self, attempt: DnsAttempt) -> None:
+    def discard(self, attempt: DnsAttempt) -> None:
         """Remove an attempt that has ended."""
 
 
@@ -86,7 +86,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.carrier is not None:
-            self.carrier.forget(self)
+            self.carrier.discard(self)
         self.observer.on_attempt_ended(self, outcome, response, None)
 
 
--- a/sagetrack/grpc/downstream_connection.py
+++ b/sagetrack/grpc/downstream_connection.py
@@ -14,7 +14,7 @@
 
 from sagetrack.core.clock import now_us
 from sagetrack.core.peer_close import has_peer_closed
-from sagetrack.grpc.downstream_stream import MAX_MESSAGE_BYTES, DownstreamStream
+from sagetrack.grpc.downstream_stream import MAX_REQUEST_MESSAGE_BYTES, DownstreamStream
 from sagetrack.grpc.flood_guard import FloodGuard
 from sagetrack.grpc.http2_protocol import MAX_HEADER_LIST_BYTES, Http2Protocol
 from sagetrack.grpc.messages import goaway_frame
@@ -53,7 +53,7 @@
         settings: dict[h2.settings.SettingCodes, int] = {
             codes.MAX_CONCURRENT_STREAMS: MAX_STREAMS,
             codes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
-            codes.INITIAL_WINDOW_SIZE: MAX_MESSAGE_BYTES,
+            codes.INITIAL_WINDOW_SIZE: MAX_REQUEST_MESSAGE_BYTES,
         }
         super().__init__(False, settings)
         self.intake = intake
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -17,7 +17,7 @@
 from sagetrack.grpc.withheld_bytes import WithheldBytes
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be retried
-MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # limit of a request message: body and fields
+MAX_REQUEST_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # limit of a request message: body and fields
 MAX_PENDING_RESPONSE_BYTES = 128 * 1024  # the server is paused if more unsent bytes are buffered
 
 
@@ -53,7 +53,7 @@
     connection: StreamConnection
     id: int
     headers: list[tuple[str, str]]
-    unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_MESSAGE_BYTES))
+    unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_REQUEST_MESSAGE_BYTES))
     messages: list[bytes] = field(default_factory=list)  # received messages until the request is submitted
     buffered_bytes: int = 0  # total size of `messages`
     streamed_body: StreamedBody | None = None  # set if the body is too long to be buffered
--- a/sagetrack/grpc/listener.py
+++ b/sagetrack/grpc/listener.py
@@ -12,7 +12,7 @@
 from sagetrack.core.gateway import Gateway
 from sagetrack.core.transient_errors import require_sockets
 from sagetrack.grpc.downstream_connection import GrpcDownstreamConnection
-from sagetrack.grpc.request_intake import RequestIntake, RequestReader
+from sagetrack.grpc.request_intake import RequestBuilder, RequestIntake
 
 MAX_CONNECTIONS = 256
 LISTEN_BACKLOG = 256
@@ -25,7 +25,7 @@
 
     Args:
         gateway: Handles the requests.
-        request_reader: Creates a request of the gateway from its parts.
+        request_builder: Creates a request of the gateway from its parts.
         is_standby: Returns whether the process is on standby, so that connections drain.
         body_budget: Memory limit for streamed bodies.
     """
@@ -33,11 +33,11 @@
     def __init__(
         self,
         gateway: Gateway,
-        request_reader: RequestReader,
+        request_builder: RequestBuilder,
         is_standby: Callable[[], bool],
         body_budget: BodyMemoryBudget,
     ) -> None:
-        self.intake = RequestIntake(gateway, request_reader, body_budget)
+        self.intake = RequestIntake(gateway, request_builder, body_budget)
         self.is_standby = is_standby
         self.connections: set[GrpcDownstreamConnection] = set()
         self.servers: list[asyncio.Server] = []
--- a/sagetrack/grpc/request_intake.py
+++ b/sagetrack/grpc/request_intake.py
@@ -13,7 +13,7 @@
 from sagetrack.grpc.outcomes import StatusCode
 from sagetrack.grpc.translate import request_body_chunk, request_to_http1, split_head
 
-RequestReader = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Request]
+RequestBuilder = Callable[[str, bytes, list[Header], bytes, int, Client, StreamedBody | None], Request]
 """Creates a request from the method, target, headers, body, time budget in microseconds (0: the default of
 the class), client, and the streamed body, if any. Raises RequestReadError if the request is invalid."""
 
@@ -23,15 +23,15 @@
 
     Args:
         gateway: Handles the requests.
-        request_reader: Creates a request of the gateway from its parts.
+        request_builder: Creates a request of the gateway from its parts.
         body_budget: Memory limit for streamed bodies.
     """
 
     def __init__(
-        self, gateway: Gateway, request_reader: RequestReader, body_budget: BodyMemoryBudget
+        self, gateway: Gateway, request_builder: RequestBuilder, body_budget: BodyMemoryBudget
     ) -> None:
         self.gateway = gateway
-        self.request_reader = request_reader
+        self.request_builder = request_builder
         self.body_budget = body_budget
         self.max_buffered_body = MAX_BUFFERED_BODY_BYTES
         self.counts = DownstreamCounts()
@@ -120,4 +120,4 @@
         if streamed:
             stream.start_streaming_body(length, self.body_budget).feed(body)
             body = b""
-        return self.request_reader(method, target, headers, body, budget_us, stream, stream.streamed_body)
+        return self.request_builder(method, target, headers, body, budget_us, stream, stream.streamed_body)
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -69,7 +69,7 @@
 
     def drain(self, upstream: PooledServer) -> None:
         """Send no new attempts to a server; attempts in flight continue."""
-        upstream.mark_drained()
+        upstream.mark_withdrawn()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
@@ -86,8 +86,10 @@
 
     # Attempts
 
-    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Start an attempt with a timeout of `wait_us`; return None if the server is not listed."""
+    def begin(
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
+    ) -> Attempt | None:
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         upstream = self.servers.get(server)
         if upstream is None:
             return None
@@ -102,7 +104,7 @@
         attempt = Attempt(
             upstream,
             payload,
-            wait_us,
+            timeout_us,
             on_attempt_ended,
             observer.may_begin,
             observer.on_first_byte,
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -76,7 +76,7 @@
     def keep(self, connection: UpstreamConnection) -> None:
         """Keep a connection for reuse, or close it if its server is draining, was restarted or is gone."""
         upstream = connection.upstream
-        if upstream.drained_us is not None or connection.incarnation != upstream.incarnation:
+        if upstream.withdrawn_since_us is not None or connection.incarnation != upstream.incarnation:
             connection.close()
             return
         connection.idle_since_us = now_us()
--- a/sagetrack/http1/upstream_server.py
+++ b/sagetrack/http1/upstream_server.py
@@ -25,7 +25,7 @@
         name: The name of the server in the endpoint list.
         address: The address on which the server listens.
         started_us: The start time of the server, as reported by service discovery.
-        drained_us: When this gateway learned that the server is draining or gone; None while it is serving.
+        withdrawn_since_us: Time since which the server is draining or gone; None while it is serving.
         idle: The idle connections, the most recently used last.
         open_connections: The number of connections that are open or connecting.
     """
@@ -34,7 +34,7 @@
     name: str
     address: Address
     started_us: int = 0
-    drained_us: int | None = None
+    withdrawn_since_us: int | None = None
     idle: list[Connection] = field(default_factory=list)
     open_connections: int = 0
 
@@ -45,7 +45,7 @@
 
     def state(self, incarnation: Incarnation) -> ServerState:
         """Return the current state of the server, compared with this earlier incarnation."""
-        if self.drained_us is not None:
+        if self.withdrawn_since_us is not None:
             return ServerState.WITHDRAWN
         return ServerState.SERVING if self.incarnation == incarnation else ServerState.RESTARTED
 
@@ -56,14 +56,14 @@
         self.address, self.started_us = incarnation
         return True
 
-    def mark_drained(self) -> None:
+    def mark_withdrawn(self) -> None:
         """Mark the server as draining or gone; the time of the first call is kept."""
-        if self.drained_us is None:
-            self.drained_us = now_us()
+        if self.withdrawn_since_us is None:
+            self.withdrawn_since_us = now_us()
 
     def mark_serving(self) -> None:
         """Mark the server as serving."""
-        self.drained_us = None
+        self.withdrawn_since_us = None
 
     def on_connection_opening(self) -> None:
         """Count a connection that is about to be opened."""
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class MembershipCounters:
+class MembershipCounts:
     """Counters since the start of the process.
 
     Attributes:
@@ -99,7 +99,7 @@
         """
         self.own_number = own_number
         self.incarnation = incarnation
-        self.counts = MembershipCounters()
+        self.counts = MembershipCounts()
         self.on_change: Callable[[int, MemberState], None] = lambda member, state: None
         self._settings = settings
         self._send_datagram = send
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -25,7 +25,7 @@
 from sagetrack.peers.demand_gossip import DemandGossipSchedule, decode_demands, demand_message
 from sagetrack.peers.errors import CodecError
 from sagetrack.peers.member_table import MemberState
-from sagetrack.peers.membership import Membership, MembershipCounters
+from sagetrack.peers.membership import Membership, MembershipCounts
 from sagetrack.peers.observation_codec import decode_latencies
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.status_report import describe_datagrams, describe_warm_start
@@ -106,7 +106,7 @@
         self._closed = False
 
     @property
-    def counts(self) -> MembershipCounters:
+    def counts(self) -> MembershipCounts:
         """Counters of datagrams and membership."""
         return self.membership.counts
 
--- a/sagetrack/peers/status_report.py
+++ b/sagetrack/peers/status_report.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from sagetrack.peers.membership import MembershipCounters
+from sagetrack.peers.membership import MembershipCounts
 from sagetrack.peers.warm_start import WarmStartResult
 
 
-def describe_datagrams(counts: MembershipCounters, responses_rate_limited: int) -> str:
+def describe_datagrams(counts: MembershipCounts, responses_rate_limited: int) -> str:
     """Return the line about the datagrams of this gateway.
 
     Args:
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class TenantCounters:
+class TenantCounts:
     """Counts of the requests of one tenant."""
 
     requested: int = 0
@@ -126,7 +126,7 @@
         self.class_rates = [RateLimiter(rate, count) if rate else None for rate in settings.class_rates]
         limiters = (self.tenant_rate, self.client_rate, *self.class_rates)
         self.has_rate_limits = any(limiter is not None for limiter in limiters)
-        self.counters = [TenantCounters() for _ in range(count)]
+        self.counts = [TenantCounts() for _ in range(count)]
         self.reserve_bytes = min(settings.memory_bytes // 4, count * (QUEUE_ENTRY_BYTES + FLOW_BYTES))
         self.denials = dict.fromkeys(AdmissionDenial, 0)
         self.work = WorkEstimator()
@@ -136,7 +136,7 @@
 
     def tenant_index(self, tenant: int) -> int:
         """Return the index of a tenant, or 0 for a tenant that is not in the settings."""
-        return tenant if 0 <= tenant < len(self.counters) else 0
+        return tenant if 0 <= tenant < len(self.counts) else 0
 
     def check_arrival(
         self, now_us: int, requester: Requester, class_index: int, work_us: float, is_retry: bool
@@ -147,7 +147,7 @@
         request that claims a reservation skips the other checks, because it passed them before.
         """
         tenant, client, _ = requester
-        self.counters[tenant].requested += 1
+        self.counts[tenant].requested += 1
         free_bytes = self.settings.memory_bytes - self.memory_used() - FLOW_BYTES
         flow = self.queues.flow_index(tenant, client)
         self.demand.record(tenant, flow, work_us, now_us, free_bytes >= 0)
@@ -234,7 +234,7 @@
         """Queue a request; its flow is ordered by priority weight and then by due time."""
         self.queues.max_catch_up = self.service_rate.per_us * MAX_CATCH_UP_US / sum(self.shares)
         self.queues.enqueue(item, requester.tenant, requester.client, work_us, priority_weight, due_us)
-        self.counters[requester.tenant].waiting += 1
+        self.counts[requester.tenant].waiting += 1
 
     def has_capacity(self, in_flight: int) -> bool:
         """Return whether the concurrency limit allows one more request in flight."""
@@ -247,14 +247,14 @@
     def dequeue(self, item: Item, now_us: int) -> None:
         """Remove the request that `peek` returned from the queue, because it has been sent."""
         entry = self.queues.dequeue(item)
-        self.counters[entry.tenant].waiting -= 1
+        self.counts[entry.tenant].waiting -= 1
         self.service_rate.record(entry.work_us, now_us, len(self.queues) > 0)
 
     def remove(self, item: Item) -> None:
         """Remove a request that will not be served from the queue, if it is queued."""
         entry = self.queues.remove(item)
         if entry is not None:
-            self.counters[entry.tenant].waiting -= 1
+            self.counts[entry.tenant].waiting -= 1
             if not len(self.queues):
                 self.service_rate.stop_measuring()
 
@@ -303,11 +303,11 @@
 
     def record_rejected(self, tenant: int) -> None:
         """Count a rejected request of a tenant, whatever the reason."""
-        self.counters[tenant].rejected += 1
+        self.counts[tenant].rejected += 1
 
     def record_served(self, tenant: int) -> None:
         """Count a request of a tenant that was served."""
-        self.counters[tenant].served += 1
+        self.counts[tenant].served += 1
 
     def retry_after_us(
         self, now_us: int, requester: Requester, work_us: float, limits: RetryAfterLimits
@@ -354,7 +354,7 @@
         flows = (self.queues.flow_count + self.demand.flow_count) * FLOW_BYTES
         return queued + flows + self.reservations.count * RESERVATION_BYTES + rate_entries * RATE_ENTRY_BYTES
 
-    def metrics(self, names: Sequence[str]) -> dict[str, float]:
+    def metric_values(self, names: Sequence[str]) -> dict[str, float]:
         """Return the exported metrics by name; `names` are the names of the tenants in order."""
         found: dict[str, float] = {
             "door_limit": round(self.concurrency_limit.limit, 1),
@@ -364,14 +364,14 @@
         }
         for denial, count in self.denials.items():
             found[f"door_refused_{denial.value}_total"] = count
-        for number, counters in enumerate(self.counters):
+        for number, counts in enumerate(self.counts):
             name = names[number] if number < len(names) else str(number)
             found |= {
                 f"member_{name}_share": round(self.shares[number] / sum(self.shares), 4),
-                f"member_{name}_asked_total": counters.requested,
-                f"member_{name}_served_total": counters.served,
-                f"member_{name}_refused_total": counters.rejected,
-                f"member_{name}_waiting": counters.waiting,
+                f"member_{name}_asked_total": counts.requested,
+                f"member_{name}_served_total": counts.served,
+                f"member_{name}_refused_total": counts.rejected,
+                f"member_{name}_waiting": counts.waiting,
                 f"member_{name}_advised_total": self.reservations.issued[number],
                 f"member_{name}_kept_total": self.reservations.honored[number],
                 f"member_{name}_ignored_total": self.reservations.ignored[number],
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -98,7 +98,7 @@
     def _refresh_zone(self) -> None:
         """Update the zone with the servers that are not draining, ordered by weight."""
         self._zone_timer = asyncio.get_running_loop().call_later(ZONE_REFRESH_S, self._refresh_zone)
-        candidates = [host for host in self.pools.servers.values() if host.drained_us is None]
+        candidates = [host for host in self.pools.servers.values() if host.withdrawn_since_us is None]
         servers = self.gateway.balancer.servers
         self.service.set_zone_servers(
             (host.name, host.address, servers[host.id].entry.weight)
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -103,7 +103,7 @@
         admission = gateway.balancer.admission
         if admission is not None:
             tenants = [name.decode() for name in config.names.tenants]
-            gateway.metrics.metric_sources.append(lambda: admission.metrics(tenants))
+            gateway.metrics.metric_sources.append(lambda: admission.metric_values(tenants))
         return gateway
 
     def _class_names(self) -> list[str]:
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -28,7 +28,7 @@
     from sagetrack.config.operator import GrpcSettings, Operator
     from sagetrack.grpc.mirroring import RequestMirror
     from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactorsByIndex
-    from sagetrack.grpc.request_intake import RequestReader
+    from sagetrack.grpc.request_intake import RequestBuilder
     from sagetrack.grpc.tls import TlsCredentials
 
 WEIGHT_REFRESH_S = 1.0  # interval between updates of the server weights from the traffic share
@@ -36,7 +36,7 @@
 NOT_FOUND = 404  # HTTP status for a path that no class handles
 
 
-def create_request_reader(config: Config) -> RequestReader:
+def create_request_builder(config: Config) -> RequestBuilder:
     """Return a function that converts a gRPC request with the parser and the rules of HTTP/1.1 requests.
 
     The function raises `sagetrack.grpc.errors.RequestReadError` if the request is rejected.
@@ -219,15 +219,15 @@
 def traffic_shares(config: Config, settings: GrpcSettings) -> tuple[dict[int, float], dict[int, float]]:
     """Return the gRPC traffic shares by class and by tenant number; ConfigError for unknown names."""
     return (
-        _shares_by_number("class", settings.share_by_class, config.names.classes),
-        _shares_by_number("member", settings.share_by_member, config.names.tenants),
+        _shares_by_index("class", settings.share_by_class, config.names.classes),
+        _shares_by_index("member", settings.share_by_member, config.names.tenants),
     )
 
 
-def _shares_by_number(kind: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
-    numbers = {name.decode(): number for name, number in known.items()}
+def _shares_by_index(kind: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
+    indices = {name.decode(): index for name, index in known.items()}
     for name in shares:
-        if name not in numbers:
-            known_names = ", ".join(numbers)
+        if name not in indices:
+            known_names = ", ".join(indices)
             raise ConfigError(f"newer.share_by_{kind}: no {kind} {name!r}; there are {known_names}")
-    return {numbers[name]: share for name, share in shares.items()}
+    return {indices[name]: share for name, share in shares.items()}
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -12,7 +12,7 @@
 from sagetrack.http1.connection_pool import ConnectionPools
 from sagetrack.http1.listener import HttpListener
 from sagetrack.policy.events import ListKind
-from sagetrack.server.grpc_upstreams import create_request_reader
+from sagetrack.server.grpc_upstreams import create_request_builder
 
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
@@ -77,7 +77,7 @@
 
         drain = http.drain
         listener = GrpcListener(
-            self.gateway, create_request_reader(self.config), lambda: drain.is_draining, http.body_budget
+            self.gateway, create_request_builder(self.config), lambda: drain.is_draining, http.body_budget
         )
         tls_context = tls_keys.create_server_context() if tls_keys is not None else None
         addresses = [parse_address(address, "newer.listen") for address in settings.listen]
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class WriterCounters:
+class WriterCounts:
     """Totals since the start.
 
     Attributes:
@@ -67,7 +67,7 @@
 
     Attributes:
         store: The store; None until it is open.
-        counters: Totals since the start.
+        counts: Totals since the start.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._sync_policy = sync_policy
         self._sync_interval_s = sync_interval_s
         self.store: Store | None = None
-        self.counters = WriterCounters()
+        self.counts = WriterCounts()
         self._queue = BatchQueue()
         self._outage = Outage()
         self._thread: threading.Thread | None = None
@@ -148,7 +148,7 @@
         """
         queued = self._queue.offer(QueuedBatch(records, on_durable))
         if not queued:
-            self.counters.dropped += 1
+            self.counts.dropped += 1
             if on_durable is not None:
                 self._notify([on_durable], False)
         return queued
@@ -162,22 +162,22 @@
 
     def record_failure(self, reason: str) -> None:
         """Count a failure, postpone the next attempt, and log the failure if it starts an outage."""
-        self.counters.failures += 1
+        self.counts.failures += 1
         if self._outage.begin():
             self._log(f"store writes failing, records are dropped until it recovers: {reason}")
 
     def metric_values(self) -> dict[str, float]:
         """Return the current values of the exported metrics by name."""
-        counters = self.counters
+        counts = self.counts
         store = self.store
         return {
-            "store_batches_total": counters.batches,
-            "store_syncs_total": counters.syncs,
-            "store_dropped_total": counters.dropped,
-            "store_failures_total": counters.failures,
-            "store_bases_total": counters.checkpoints,
+            "store_batches_total": counts.batches,
+            "store_syncs_total": counts.syncs,
+            "store_dropped_total": counts.dropped,
+            "store_failures_total": counts.failures,
+            "store_bases_total": counts.checkpoints,
             "store_failing": int(self._outage.active),
-            "store_slowest_commit_ms": round(counters.slowest_commit_ms, 1),
+            "store_slowest_commit_ms": round(counts.slowest_commit_ms, 1),
             "store_waiting_bytes": self._queue.queued_bytes,
             "store_bytes": store.bytes_used if store is not None else 0,
         }
@@ -222,7 +222,7 @@
             return
         try:
             store.write([batch.records for batch in batches])
-            self.counters.batches += len(batches)
+            self.counts.batches += len(batches)
             self._awaiting_sync += callbacks
             if self._sync_policy == "batch":
                 self._sync(store)
@@ -236,7 +236,7 @@
             self._drop(len(batches), callbacks)
             self.record_failure(_error_text(error))
         elapsed_ms = (time.monotonic() - started_s) * 1000
-        self.counters.slowest_commit_ms = max(self.counters.slowest_commit_ms, elapsed_ms)
+        self.counts.slowest_commit_ms = max(self.counts.slowest_commit_ms, elapsed_ms)
 
     def _usable_store(self) -> Store | None:
         """Return the store if it can be written to; open it if necessary and if a retry is due."""
@@ -248,7 +248,7 @@
         return None if self._outage.backing_off else self.store
 
     def _drop(self, count: int, callbacks: list[OnDurable]) -> None:
-        self.counters.dropped += count
+        self.counts.dropped += count
         self._notify(callbacks, False)
 
     def _sync_if_due(self, closing: bool) -> None:
@@ -266,7 +266,7 @@
 
     def _sync(self, store: Store) -> None:
         store.sync()
-        self.counters.syncs += 1
+        self.counts.syncs += 1
         self._synced_at_s = time.monotonic()
         callbacks = self._awaiting_sync
         self._awaiting_sync = []
@@ -296,7 +296,7 @@
                 return
             if self._is_finished_within_step(self._compaction, started_s):
                 self._compaction = None
-                self.counters.checkpoints += 1
+                self.counts.checkpoints += 1
         except (OSError, CorruptionError) as error:
             self._compaction = None
             self.record_failure(_error_text(error))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -135,9 +135,9 @@
     simulation.run_until(simulation.now_us + 5 * SECOND_US)
     assert sum(name.startswith("small") for name in simulation.sent) == 20
     assert len(simulation.rejected) > 100 and not len(simulation.balancer.admission.queues)  # type: ignore[union-attr]
-    counters = simulation.balancer.admission.counters  # type: ignore[union-attr]
-    assert counters[1].served == counters[1].requested == 20 and counters[0].waiting == 0
-    assert counters[0].served + counters[0].rejected == counters[0].requested
+    counts = simulation.balancer.admission.counts  # type: ignore[union-attr]
+    assert counts[1].served == counts[1].requested == 20 and counts[0].waiting == 0
+    assert counts[0].served + counts[0].rejected == counts[0].requested
 
 
 def test_a_retry_at_its_retry_after_is_admitted_and_an_immediate_one_is_rejected() -> None:
--- a/tests/test_dns_rules.py
+++ b/tests/test_dns_rules.py
@@ -55,9 +55,7 @@
 
 
 def test_draining_server_is_withdrawn() -> None:
-    states = [
-        UpstreamServerRecord(1, "n", ("127.0.0.1", 53), 0, drained_us).state for drained_us in (None, 0)
-    ]
+    states = [UpstreamServerRecord(1, "n", ("127.0.0.1", 53), 0, since_us).state for since_us in (None, 0)]
     assert states == [ServerState.SERVING, ServerState.WITHDRAWN]
 
 
--- a/tests/test_failing_system.py
+++ b/tests/test_failing_system.py
@@ -64,7 +64,7 @@
         try:
             async with running_gateway(configuration(upstream, discovery=discovery.address)) as run:
                 hosts = run.assembly.pools.servers
-                await wait_until(lambda: hosts[server_id(0)].drained_us is not None)
+                await wait_until(lambda: hosts[server_id(0)].withdrawn_since_us is not None)
         finally:
             sys.stderr = stream
             os.dup2(kept, 2)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -89,9 +89,9 @@
     good.has_sent = True
     fixture.idle.keep(good)
     assert fixture.server.idle == [good] and not good.closed and not good.has_sent
-    fixture.server.drained_us = 1
+    fixture.server.withdrawn_since_us = 1
     fixture.idle.keep(drained)
-    fixture.server.drained_us = None
+    fixture.server.withdrawn_since_us = None
     fixture.server.started_us += 1
     fixture.idle.keep(restarted)
     assert drained.closed and restarted.closed and fixture.server.idle == [good]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -392,7 +392,7 @@
         AttemptRunner,
         "may_send",
         lambda self, attempt, incarnation: (
-            attempt.upstream.drained_us is None and attempt.upstream.incarnation == incarnation
+            attempt.upstream.withdrawn_since_us is None and attempt.upstream.incarnation == incarnation
         ),
     )
 
--- a/tests/test_store_writer.py
+++ b/tests/test_store_writer.py
@@ -53,7 +53,7 @@
         assert files.is_blocked.wait(5)  # the first append blocks, so later batches are queued
     while writer.submit([Record("s", b"big", bytes(100_000), 1)]):
         pass  # fills the queue until it rejects a batch
-    assert time.monotonic() - started_s < 5 and writer.counters.dropped == 1 and not outcomes
+    assert time.monotonic() - started_s < 5 and writer.counts.dropped == 1 and not outcomes
     files.errors_by_call = {"sync": errno.EIO, "append": errno.ENOSPC}
     files.go.set()
     writer.close()
