--- a/sagetrack/policy/actions.py
+++ b/sagetrack/policy/actions.py
@@ -21,7 +21,7 @@
 
 
 class RejectReason(Enum):
-    """Why a request is rejected. The values are exported in metrics and the event trace."""
+    """Reason for the rejection of a request. The values are exported in metrics and the event trace."""
 
     SHED = "shed"  # rejected by load shedding, or too late to be of use
     NO_CAPACITY = "no_room"  # no server has capacity for it in time
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -22,7 +22,7 @@
 from sagetrack.policy.work_estimate import WorkEstimator
 
 Item = TypeVar("Item", bound=Hashable)
-# Measured memory per entry of each kind of table, in bytes (docs/operators/fairness.md)
+# Memory per entry of each kind of table, in bytes (docs/operators/fairness.md)
 QUEUE_ENTRY_BYTES, FLOW_BYTES, RESERVATION_BYTES, RATE_ENTRY_BYTES = 3500, 700, 420, 240
 MIN_MEMORY_BYTES = 64 * 1024
 MAX_WAIT_FRACTION = 0.5  # upper bound of `AdmissionSettings.max_wait_fraction`
@@ -39,12 +39,12 @@
         ValueError: A value is out of its range.
     """
 
-    shares: tuple[float, ...] = ()  # by tenant; empty: the shares from the platform's settings
+    shares: tuple[float, ...] = ()  # shares by tenant; empty: the shares from the platform's settings
     flows: int = 256  # number of flows per tenant; clients are hashed to flows
     # Maximum queueing time, as a fraction of the slack until the latency objective
     max_wait_fraction: float = 0.5
     memory_bytes: int = 16 * 1024 * 1024  # bound for all tables and queues together
-    adaptive: bool = True  # whether an adaptive concurrency limit applies
+    adaptive: bool = True  # True if an adaptive concurrency limit applies
     retry_ratio: float = 0.2  # client retries allowed per first try while capacity is short
     tenant_rate: Rate | None = None
     client_rate: Rate | None = None
@@ -62,7 +62,7 @@
 
 
 class AdmissionDenial(Enum):
-    """Why admission control denies a request. The values are part of metric names."""
+    """Reason for a denial by admission control. The values are part of metric names."""
 
     BEFORE_RETRY_AFTER = "early"  # the client retried before its Retry-After had passed
     RATE_LIMIT = "rate"  # the rate limit of its tenant, client or class is exceeded
@@ -77,8 +77,8 @@
     """The decision on a request at its arrival."""
 
     denial: AdmissionDenial | None = None  # None: admitted, it may be queued
-    retry_after_us: int = 0  # with a denial; 0: call `AdmissionController.retry_after_us`
-    reserved: bool = False  # whether it has claimed a reservation, which gives it priority
+    retry_after_us: int = 0  # Retry-After of a denied request; 0: call `AdmissionController.retry_after_us`
+    reserved: bool = False  # True if it has claimed a reservation, which gives it priority
 
 
 ADMITTED = AdmissionDecision()
@@ -115,9 +115,8 @@
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
         self.demand = TenantDemand(self.shares)
-        table_bytes = (
-            settings.memory_bytes // 4
-        )  # a quarter of the memory per kind of table; a quarter for queues
+        # A quarter of the memory for each kind of table, and a quarter for the queues.
+        table_bytes = settings.memory_bytes // 4
         self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
         self.retry_budget = ClientRetryBudget(count, settings.retry_ratio)
         entries = table_bytes // (2 * RATE_ENTRY_BYTES)
@@ -284,8 +283,8 @@
             latency_us: Latency of the attempt.
             size: Work of the request relative to the mean of its class.
             in_flight: Number of other attempts in flight.
-            succeeded: Whether the attempt had a successful response.
-            rejected: Whether the server rejected the attempt.
+            succeeded: True if the attempt had a successful response.
+            rejected: True if the server rejected the attempt.
         """
         if self.settings.adaptive and self.work.is_reliable(class_index):
             baseline_us = self.work.estimate_us(class_index, size)
@@ -347,7 +346,7 @@
         return self.reservations.count
 
     def memory_used(self) -> int:
-        """Return the estimated memory of all tables and queues in bytes, from the measured entry sizes."""
+        """Return the estimated memory of all tables and queues in bytes, from the sizes of the entries."""
         limiters = (self.tenant_rate, self.client_rate)
         rate_entries = sum(len(limiter.table) for limiter in limiters if limiter is not None)
         queued = len(self.queues) * QUEUE_ENTRY_BYTES
--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-WINDOW = 10  # Outcomes; at most about a second of one gateway's traffic to one server.
-MIN_OUTCOMES_TO_OPEN = 5  # With fewer outcomes, chance failures would open the breaker.
-FAILURE_THRESHOLD = 0.5  # Failure share that opens the breaker if the other servers have no failures.
-HALF_OPEN_TRIALS = 3  # Trial attempts per half-open period.
-FIRST_COOLDOWN_US = 1_000_000  # The cooldown doubles each time a half-open breaker opens again.
+WINDOW = 10  # number of outcomes; at most about a second of one gateway's traffic to one server
+MIN_OUTCOMES_TO_OPEN = 5  # with fewer outcomes, chance failures would open the breaker
+FAILURE_THRESHOLD = 0.5  # failure share that opens the breaker if the other servers have no failures
+HALF_OPEN_TRIALS = 3  # trial attempts per half-open period
+FIRST_COOLDOWN_US = 1_000_000  # the cooldown doubles each time a half-open breaker opens again
 MAX_COOLDOWN_US = 8_000_000
 
 
@@ -26,15 +26,16 @@
 class Breaker:
     """Circuit breaker of one server, or of one request class at a server."""
 
-    min_outcomes: int = MIN_OUTCOMES_TO_OPEN  # Outcomes in the window before the breaker may open.
-    window: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))  # Last outcomes; True: failed.
-    failures: int = 0  # In the window.
+    min_outcomes: int = MIN_OUTCOMES_TO_OPEN  # outcomes in the window before the breaker may open
+    window: deque[bool] = field(default_factory=lambda: deque(maxlen=WINDOW))  # last outcomes; True: failed
+    failures: int = 0  # number of failures in the window
     state: State = State.CLOSED
     open_until_us: int = 0
     cooldown_us: int = FIRST_COOLDOWN_US
-    half_open_period: int = 0  # Number of half-open periods so far.
+    half_open_period: int = 0  # number of half-open periods so far
     trials_in_flight: int = 0
-    trial_results: list[bool] = field(default_factory=list)  # Of the current period; True: failed.
+    # Outcomes of the trials in the current half-open period; True: failed.
+    trial_results: list[bool] = field(default_factory=list)
 
     def allows_request(self, now_us: int) -> bool:
         """Return whether a request may be sent; an open breaker whose cooldown is over becomes half-open."""
@@ -63,7 +64,7 @@
 
         Args:
             now_us: The current time.
-            failed: Whether the attempt failed.
+            failed: True if the attempt failed.
             half_open_period: What `take_trial` returned for the attempt.
             common_failure_share: The recent failure share of the other servers.
 
@@ -75,10 +76,11 @@
         limit = 1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - common_failure_share) ** 2
         if self.state is State.HALF_OPEN:
             if half_open_period != self.half_open_period:
-                return None  # While half-open, only the outcomes of trials count.
+                return None  # while half-open, only the outcomes of trials count
             self.trials_in_flight -= 1
             self.trial_results.append(failed)
-            if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:  # Decided already.
+            # Later trials cannot change this result.
+            if sum(self.trial_results) >= HALF_OPEN_TRIALS * limit:
                 return self.reopen(now_us)
             return self.close() if len(self.trial_results) == HALF_OPEN_TRIALS else None
         if len(self.window) == WINDOW:
--- a/sagetrack/policy/concurrency_share.py
+++ b/sagetrack/policy/concurrency_share.py
@@ -16,15 +16,15 @@
 
 from __future__ import annotations
 
-MAX_SAVED_US = 500_000.0  # Maximum saved credit, as time at the full share.
-MAX_DEBT_US = 4_000_000.0  # Maximum debt, which bounds the time that hanging servers block a gateway.
+MAX_SAVED_US = 500_000.0  # maximum saved credit, as time at the full share
+MAX_DEBT_US = 4_000_000.0  # maximum debt, which bounds the time that hanging servers block a gateway
 MIN_CREDIT_US = -MAX_DEBT_US
-BOOST_CREDIT_US = 100_000.0  # Credit needed per attempt in flight beyond the share, as saved time.
+BOOST_CREDIT_US = 100_000.0  # credit needed per attempt in flight beyond the share, as saved time
 # Bounds of prompt and late responses, as the ratio of their queueing time to the baseline latency.
 PROMPT_QUEUEING, LATE_QUEUEING = 1.0, 2.0
-BOOST_STEP, BOOST_CUT = 0.15, 0.7  # Added after a prompt response; factor after a late one.
-MAX_BOOST = 16.0  # Multiple of the share; large enough for servers with many cores.
-MIN_SHARE = 1e-3  # Avoids division by zero without servers, when nothing is sent anyway.
+BOOST_STEP, BOOST_CUT = 0.15, 0.7  # step added after a prompt response; factor applied after a late one
+MAX_BOOST = 16.0  # multiple of the share; large enough for servers with many cores
+MIN_SHARE = 1e-3  # avoids division by zero without servers, when nothing is sent anyway
 
 
 class ConcurrencyShare:
@@ -33,11 +33,11 @@
     __slots__ = ("_as_of_us", "_credit_us", "_share", "_was_exhausted", "boost")
 
     def __init__(self) -> None:
-        self._share = MIN_SHARE  # Average number of attempts in flight, boost included.
-        self._credit_us = 0.0  # Attempts in flight times microseconds.
-        self._as_of_us = 0  # Time up to which the credit is accounted for.
-        self._was_exhausted = False  # The share was used up since the last response.
-        self.boost = 1.0  # Factor of the share.
+        self._share = MIN_SHARE  # average number of attempts in flight, boost included
+        self._credit_us = 0.0  # unused credit, in attempts in flight times microseconds
+        self._as_of_us = 0  # time up to which the credit is accounted for
+        self._was_exhausted = False  # True if the share was used up since the last response
+        self.boost = 1.0  # factor applied to the share
 
     def wait_us(self, now_us: int, in_flight: int, share: float) -> int | None:
         """Return the time until one more attempt may start.
--- a/sagetrack/policy/decayed_sums.py
+++ b/sagetrack/policy/decayed_sums.py
@@ -18,9 +18,9 @@
         """Set the decay factor, which is between 0 and 1, and the initial sums by key."""
         self._decay_factor = decay_factor
         self._sums = list(initial)
-        self._stored_at = [0] * len(self._sums)  # Number of the addition at which each sum was stored.
+        self._stored_at = [0] * len(self._sums)  # number of the addition at which each sum was stored
         self._additions = 0
-        self.total = sum(self._sums)  # Current total of all sums.
+        self.total = sum(self._sums)  # current total of all sums
 
     def __len__(self) -> int:
         return len(self._sums)
--- a/sagetrack/policy/discovery_backoff.py
+++ b/sagetrack/policy/discovery_backoff.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-MIN_FIRST_DELAY_US = 10_000  # Avoids a busy loop if the poll interval is 0.
+MIN_FIRST_DELAY_US = 10_000  # avoids a busy loop if the poll interval is 0
 # Bound after the first failure. It is short because detecting a silent watch has taken most of the time.
 MAX_FIRST_DELAY_US = 500_000
 # Bound after any number of failures. Two such delays and two polls must fit into the six seconds.
--- a/sagetrack/policy/endpoint_ring.py
+++ b/sagetrack/policy/endpoint_ring.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item")
-SORT_FRACTION = 16  # If more than one item in 16 has changed, sorting the whole ring is cheaper.
+SORT_FRACTION = 16  # if more than one item in 16 has changed, sorting the whole ring is cheaper
 # Weights are summed as integer multiples of 1 / UNIT. This is exact for weights above 2**-11, as a float has
 # 53 significant bits.
 UNIT = 2.0**64
@@ -22,9 +22,9 @@
 class RingPosition(Generic[Item]):
     """An item's position in the ring."""
 
-    rank: float  # Constant while the item is in the ring.
+    rank: float  # constant while the item is in the ring
     item: Item
-    scopes: tuple[Hashable, ...] = ()  # The groups of items that this item belongs to.
+    scopes: tuple[Hashable, ...] = ()  # the groups of items that this item belongs to
 
 
 class Ring(Generic[Item]):
@@ -36,10 +36,10 @@
 
     def __init__(self, gateway: int, gateways: int) -> None:
         self._gateway, self._gateways = gateway, gateways
-        self.ranked: list[Item] = []  # Always the same list object.
-        self._positions: dict[int, RingPosition[Item]] = {}  # By the item's number.
-        self._order: list[tuple[float, int]] = []  # Rank and number of every item.
-        self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # The order within each scope.
+        self.ranked: list[Item] = []  # always the same list object
+        self._positions: dict[int, RingPosition[Item]] = {}  # positions by item number
+        self._order: list[tuple[float, int]] = []  # rank and number of every item
+        self._scopes: dict[Hashable, list[tuple[float, int]]] = {}  # the same for the items of each scope
         self._first = 0
 
     def within(self, scope: Hashable) -> Iterator[Item]:
--- a/sagetrack/policy/endpoints.py
+++ b/sagetrack/policy/endpoints.py
@@ -12,11 +12,11 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server, rendezvous
 
-CROSS_ZONE_FACTOR = 80.0  # Servers in other zones have their weight divided by 1 + this * prices.cross_zone.
+CROSS_ZONE_FACTOR = 80.0  # servers in other zones have their weight divided by 1 + this * prices.cross_zone
 
 
 class Endpoints:
-    """Servers by number, updated from endpoint lists."""
+    """Servers by id, updated from endpoint lists."""
 
     def __init__(
         self,
@@ -26,16 +26,16 @@
     ) -> None:
         self._context = policy_context.event_context
         self._settings = policy_context.settings
-        self._ring = ring  # Contains the ready servers.
+        self._ring = ring  # the ready servers
         self._slow_start = slow_start
         self._timers = policy_context.timers
         self.servers: dict[int, Server] = {}
-        self.tripped: set[Server] = set()  # Ready servers whose breaker is not closed.
+        self.tripped: set[Server] = set()  # ready servers whose breaker is not closed
         self._incarnations = Incarnations()
-        self._weights = ExactSum()  # Sum of the feedback controller's weights of all servers.
+        self._weights = ExactSum()  # sum of the feedback controller's weights of all servers
         # Time of the last received list. A list from disk does not count, as it may be old.
         self._listed_at_us: int | None = None
-        self._failed_polls = 0  # Number of consecutive failed polls.
+        self._failed_polls = 0  # number of consecutive failed polls
 
     @property
     def usable_count(self) -> int:
@@ -70,7 +70,7 @@
             changed = self.servers.keys() - {entry.server for entry in event.servers}
             for number in changed:
                 self._detach(self.servers.pop(number))
-        first_use_us = self._slow_start.max_initial_use_us()  # The same for all new servers of this list.
+        first_use_us = self._slow_start.max_initial_use_us()  # the same for all new servers of this list
         changed |= {entry.server for entry in event.servers if self._apply_entry(entry, event, first_use_us)}
         self._ring.change({number: self.ring_position(number) for number in changed})
         if event.kind is not ListKind.DISK:
@@ -97,7 +97,7 @@
     def _back_off(self) -> None:
         self._failed_polls += 1
         wait_us = float(max_poll_delay_us(self._failed_polls, self._settings.max_poll_interval_us))
-        wait_us *= self._context.random.uniform(0.5, 1.0)  # Jitter, as many gateways fail at the same time.
+        wait_us *= self._context.random.uniform(0.5, 1.0)  # jitter, as many gateways fail at the same time
         self._context.log("endpoint list poll failed; polling again after a backoff")
         self._timers.set_for_endpoint_list(self._context.now_us + int(wait_us))
 
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -46,7 +46,7 @@
     start_tag: float = 0.0  # virtual start time of its next item
     work_us: float = 0.0
     count: int = 0
-    in_heap: bool = False  # whether the flow is in its tenant's heap
+    in_heap: bool = False  # True if the flow is in its tenant's heap
 
 
 @dataclass(slots=True, eq=False)
@@ -61,7 +61,7 @@
     start_tag: float = 0.0
     work_us: float = 0.0
     count: int = 0
-    in_heap: bool = False  # whether the tenant is in the heap of tenants
+    in_heap: bool = False  # True if the tenant is in the heap of tenants
     backlogged: int = 0  # number of flows that are not empty
     salt: int = 1  # salt of the hash that maps clients to flows
 
--- a/sagetrack/policy/fleet_size.py
+++ b/sagetrack/policy/fleet_size.py
@@ -12,7 +12,7 @@
 
 from sagetrack.policy.settings import Settings
 
-MAX_TAKEOVER = 0.25  # Largest fraction of all shares that is taken over from dead gateways.
+MAX_TAKEOVER = 0.25  # largest fraction of all shares that is taken over from dead gateways
 # Requests in flight at one server, from all gateways. More would slow the server down for a long time.
 DEFAULT_MAX_CONCURRENCY = 3.0
 
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -21,7 +21,7 @@
 from sagetrack.policy.slow_start import SlowStart
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Server
 
-OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # Peers' observations are ignored for this long after a local outcome.
+OWN_OUTCOME_PRECEDENCE_US = 2_000_000  # peers' observations are ignored for this long after a local outcome
 GOSSIP_STATES = {State.CLOSED: CLOSED, State.OPEN: OPEN, State.HALF_OPEN: HALF_OPEN}
 
 
@@ -41,7 +41,7 @@
         self._ranked = ring.ranked
         self._latency = policy_context.latency
         self._slow_start = slow_start
-        self.received: dict[tuple[int, int], Observation] = {}  # By server and observing gateway.
+        self.received: dict[tuple[int, int], Observation] = {}  # by server id and observing gateway
 
     def own_observations(self) -> list[Observation]:
         """Return this gateway's own observations of servers."""
--- a/sagetrack/policy/incarnations.py
+++ b/sagetrack/policy/incarnations.py
@@ -16,7 +16,7 @@
 # leave the list and return without a restart.
 MAX_INCARNATIONS = 32_768
 
-Incarnation = tuple[int, int]  # The server's number and its reported start time.
+Incarnation = tuple[int, int]  # the server's id and its reported start time
 
 
 class Incarnations:
@@ -31,7 +31,7 @@
         """Return the estimated start time of an incarnation, not later than now.
 
         Args:
-            server: The server's number.
+            server: The id of the server.
             reported_start_us: Its start time on the clock of service discovery.
             now_us: The current time on this gateway's clock.
             wall_us: The gateway's Unix time when the reported start time was received.
--- a/sagetrack/policy/latency.py
+++ b/sagetrack/policy/latency.py
@@ -11,13 +11,13 @@
 from sagetrack.policy.peer_observations import ClassLatency
 from sagetrack.policy.settings import RequestClass
 
-SMOOTHING = 0.05  # Weight of the newest response in the smoothed latency.
+SMOOTHING = 0.05  # weight of the newest response in the smoothed latency
 # Relative rise of the baseline per response. It is slow so that latencies in an overload do not become the
 # baseline.
 BASELINE_DRIFT = 0.0005
-STALL_FACTOR = 4.0  # An attempt that takes more than this times the smoothed latency has stalled.
-MIN_OWN_RESPONSES = 20  # With fewer successful responses of a class, peers' latencies are used.
-MAX_PEER_FACTOR = 2.0  # Peers' latencies are capped at this times the initial estimate.
+STALL_FACTOR = 4.0  # an attempt that takes more than this times the smoothed latency has stalled
+MIN_OWN_RESPONSES = 20  # with fewer successful responses of a class, peers' latencies are used
+MAX_PEER_FACTOR = 2.0  # peers' latencies are capped at this times the initial estimate
 
 
 class LatencyEstimator:
@@ -28,8 +28,9 @@
         self.smoothed_us = list(self.initial_us)
         self.baseline_us = list(self.initial_us)
         self.response_counts = [0] * len(classes)
-        self.latency_sums_us = [0.0] * len(classes)  # Sum of the latencies, by class.
-        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)  # In flight for longer: stalled.
+        self.latency_sums_us = [0.0] * len(classes)  # sum of the latencies by class
+        # An attempt that is in flight for longer has stalled.
+        self.stall_timeout_us = STALL_FACTOR * max(self.smoothed_us)
 
     def learn(self, class_index: int, relative_work: float, latency_us: int) -> None:
         """Update the estimates with the latency of a successful response."""
--- a/sagetrack/policy/load_balancer.py
+++ b/sagetrack/policy/load_balancer.py
@@ -204,7 +204,7 @@
 
     @property
     def servers(self) -> Mapping[int, Server]:
-        """The servers of the endpoint list, by server number."""
+        """The servers of the endpoint list, by server id."""
         return self.endpoints.servers
 
     def unhealthy_count(self) -> int:
--- a/sagetrack/policy/peer_observations.py
+++ b/sagetrack/policy/peer_observations.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-HALF_LIFE_US = 6_000_000  # Age at which an observation counts half.
-MAX_OBSERVATION_AGE_US = 60_000_000  # Age from which an observation is ignored.
-MAX_EJECTED_FRACTION = 1 / 3  # Largest fraction of the ready servers that peers' observations may eject.
-MIN_CONFIDENCE_TO_EJECT = 0.3  # Minimum sum of the confidences of unhealthy observations.
-OVERLOAD_EJECTION_US = 250_000  # Ejection time of an overloaded server.
+HALF_LIFE_US = 6_000_000  # age at which an observation counts half
+MAX_OBSERVATION_AGE_US = 60_000_000  # age from which an observation is ignored
+MAX_EJECTED_FRACTION = 1 / 3  # largest fraction of the ready servers that peers' observations may eject
+MIN_CONFIDENCE_TO_EJECT = 0.3  # minimum sum of the confidences of unhealthy observations
+OVERLOAD_EJECTION_US = 250_000  # ejection time of an overloaded server
 
-CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # Circuit breaker states, as sent to peers.
-NOT_EJECTED = -1  # Value of ServerAdvice.open_us.
+CLOSED, OPEN, HALF_OPEN = 0, 1, 2  # circuit breaker states, as sent to peers
+NOT_EJECTED = -1  # value of ServerAdvice.open_us
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,14 +25,14 @@
     """One gateway's measurements of one server. Times are in microseconds on the local gateway's clock."""
 
     server: int
-    started_us: int  # Identifies the server's incarnation.
-    by: int  # Number of the observing gateway.
-    seen_us: int  # Time of the last observation.
+    started_us: int  # identifies the server's incarnation
+    by: int  # number of the observing gateway
+    seen_us: int  # time of the last observation
     state: int = CLOSED
     open_until_us: int = 0
     weight: float = 1.0
-    overloaded: bool = False  # An attempt was in flight for longer than the stall timeout.
-    slow_start_used_us: int = 0  # Level of the slow-start bucket: see SlowStart.
+    overloaded: bool = False  # an attempt was in flight for longer than the stall timeout
+    slow_start_used_us: int = 0  # level of the slow-start bucket: see SlowStart
 
     @property
     def precedence(self) -> tuple[int, int, int, int, float, bool, int]:
@@ -49,7 +49,7 @@
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether the gateway has ejected the server or found it overloaded."""
+        """True if the gateway has ejected the server or found it overloaded."""
         return self.state != CLOSED or self.overloaded
 
 
@@ -59,7 +59,7 @@
 
     class_index: int
     smoothed_us: float
-    baseline_us: float  # Latency without queueing.
+    baseline_us: float  # latency without queueing
 
 
 def merge_observations(*sources: Iterable[Observation]) -> dict[tuple[int, int], Observation]:
@@ -82,9 +82,9 @@
     """The combined result of peers' observations of one server."""
 
     server: int
-    confidence: float  # That of the newest observation, from 0 to 1.
-    weight: float  # Average of the observed weights, by confidence.
-    open_us: int  # Ejection time, or NOT_EJECTED.
+    confidence: float  # confidence of the newest observation, from 0 to 1
+    weight: float  # average of the observed weights, weighted by confidence
+    open_us: int  # ejection time, or NOT_EJECTED
 
 
 def confidence(age_us: int) -> float:
@@ -107,8 +107,8 @@
     confidence, and equally low weights of all servers do not change weighted selection.
 
     Args:
-        observations: From any number of gateways, in any order.
-        incarnations: Start times of the ready servers, by number.
+        observations: The observations of any number of gateways, in any order.
+        incarnations: Start times of the ready servers, by server id.
         now_us: The current time.
         max_ejected: The maximum number of servers to eject.
     """
--- a/sagetrack/policy/server_health.py
+++ b/sagetrack/policy/server_health.py
@@ -12,10 +12,10 @@
 from sagetrack.policy.latency import LatencyEstimator
 from sagetrack.policy.state import MAX_WEIGHT, MIN_WEIGHT, Attempt, ClassHealth, Request, Server
 
-RECENT_OUTCOMES = 100  # Outcomes of all servers from which the common failure share is computed.
-WEIGHT_STEP = 0.02  # Added to the weight after a success.
-WEIGHT_CUT = 0.7  # Factor applied to the weight after a failure or a slow response.
-SLOW_FACTOR = 2.0  # A response is slow if it takes more than this times the expected latency.
+RECENT_OUTCOMES = 100  # outcomes of all servers from which the common failure share is computed
+WEIGHT_STEP = 0.02  # added to the weight after a success
+WEIGHT_CUT = 0.7  # factor applied to the weight after a failure or a slow response
+SLOW_FACTOR = 2.0  # a response is slow if it takes more than this times the expected latency
 # Outcomes that count for the breaker of the request's class. Others, such as connection failures, count only
 # for the whole server.
 CLASS_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT})
@@ -35,7 +35,8 @@
         self._endpoints = endpoints
         self._latency = latency
         self._client_timeouts = client_timeouts
-        self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)  # Server, class, failed.
+        # Server id, class index, and True if the attempt failed.
+        self._recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT_OUTCOMES)
 
     def record_outcome(self, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
         """Record an outcome; return False if it says nothing about the health or load of the whole server."""
@@ -58,7 +59,7 @@
             others = [h.last_succeeded for h in server.health_by_class.values() if h is not health]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
                 server.breaker.return_trial(attempt.half_open_period)
-                return False  # The server is healthy for the other classes.
+                return False  # the server is healthy for the other classes
         self._record_server_outcome(attempt, outcome, is_slow)
         return True
 
--- a/sagetrack/policy/service_rate.py
+++ b/sagetrack/policy/service_rate.py
@@ -4,19 +4,19 @@
 
 import math
 
-DECAY_TIME_US = 1_000_000  # Measurements decay to 1/e in this time.
-MAX_GAP_US = 250_000  # Longer gaps are counted as this long, as they may be clock jumps.
-MIN_MEASURED_US = MAX_GAP_US / 5  # With less measured time, the assumed rate is used.
-MIN_RATE = 1e-6  # Keeps the measured rate above 0.
+DECAY_TIME_US = 1_000_000  # measurements decay to 1/e in this time
+MAX_GAP_US = 250_000  # longer gaps are counted as this long, as they may be clock jumps
+MIN_MEASURED_US = MAX_GAP_US / 5  # with less measured time, the assumed rate is used
+MIN_RATE = 1e-6  # keeps the measured rate above 0
 
 
 class ServiceRate:
     """Work done per microsecond by all servers that this gateway uses."""
 
     def __init__(self) -> None:
-        self.assumed_rate = 1.0  # Used until enough time has been measured.
-        self._work_us, self._time_us = 0.0, 0.0  # Decayed sums of work and measured time.
-        self._last_us: int | None = None  # Time of the last record; None: no request has been queued since.
+        self.assumed_rate = 1.0  # used until enough time has been measured
+        self._work_us, self._time_us = 0.0, 0.0  # decayed sums of work and measured time
+        self._last_us: int | None = None  # time of the last record; None: no request has been queued since
 
     @property
     def per_us(self) -> float:
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -16,9 +16,9 @@
 class Effect(Enum):
     """The effect of executing the same request a second time."""
 
-    SAFE = "safe"  # Idempotent: it can be retried without restrictions.
-    KEYED = "keyed"  # Servers of one scope deduplicate by idempotency key for a limited time.
-    UNSAFE = "unsafe"  # The effect would occur twice.
+    SAFE = "safe"  # idempotent: it can be retried without restrictions
+    KEYED = "keyed"  # servers of one scope deduplicate by idempotency key for a limited time
+    UNSAFE = "unsafe"  # the effect would occur twice
 
 
 class Scope(Enum):
@@ -53,15 +53,15 @@
         ValueError: A value is out of range.
     """
 
-    latency_objective_us: int  # A response within this time earns the full priority weight.
-    request_timeout_us: int  # The client's timeout, over all of the client's own retries.
+    latency_objective_us: int  # a response within this time earns the full priority weight
+    request_timeout_us: int  # the client's timeout, over all of the client's own retries
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # Fraction of the weight earned by later responses.
+    late_priority_weight: float = 0.0  # fraction of the weight earned by later responses
     effect: Effect = Effect.UNSAFE
-    scope: Scope = Scope.ALL  # Used if the effect is KEYED.
+    scope: Scope = Scope.ALL  # used if the effect is KEYED
     # Used if the effect is KEYED: the deduplication period, which starts when the first attempt is sent.
     window_us: int = 0
-    in_order: bool = False  # Requests with the same key run one at a time, in order of arrival.
+    in_order: bool = False  # requests with the same key run one at a time, in order of arrival
     # The latency objective is extended by the request's expected work times this factor, up to the timeout.
     latency_objective_stretch: float = 0.0
 
@@ -86,10 +86,11 @@
         ValueError: A weight is below 0 or not finite.
     """
 
-    overall: float = 1.0  # Over all requests.
-    worst_window: float = 0.0  # In the worst time window of the day.
-    worst_class: float = 0.0  # For the class that is served worst.
-    worst_tenant: float = 0.0  # For the tenant that is served worst, counting only requests within its quota.
+    overall: float = 1.0  # weight of the measure over all requests
+    worst_window: float = 0.0  # weight of the measure in the worst time window of the day
+    worst_class: float = 0.0  # weight of the measure for the class that is served worst
+    # Weight of the measure for the tenant that is served worst, counting only requests within its quota.
+    worst_tenant: float = 0.0
 
     def __post_init__(self) -> None:
         _check(self, minimums=dict.fromkeys(("overall", "worst_window", "worst_class", "worst_tenant"), 0))
@@ -103,8 +104,8 @@
         ValueError: The share is not from 0 to 1, or the allowance is negative.
     """
 
-    share: float = 0.0  # Guaranteed fraction of all requests; 0 if nothing is guaranteed.
-    allowance_per_s: float = math.inf  # Requests per second within the quota, summed over all gateways.
+    share: float = 0.0  # guaranteed fraction of all requests; 0 if nothing is guaranteed
+    allowance_per_s: float = math.inf  # requests per second within the quota, summed over all gateways
 
     def __post_init__(self) -> None:
         _check(self, minimums={}, fractions=("share",))
@@ -120,14 +121,14 @@
         ValueError: A price is below 0 or not finite.
     """
 
-    cross_zone: float = 0.0  # Per attempt to a server in another zone.
-    handshake: float = 0.0  # Per new connection.
-    waste: float = 0.0  # Per unit of server work whose response is not used.
-    late_fail: float = 0.0  # Per priority weight that is not served within the latency objective.
-    connection: float = 0.0  # Per hundred open connections to one server.
-    probe: float = 0.0  # Per health probe.
-    peer: float = 0.0  # Per message of 256 bytes to one peer.
-    endpoint_list: float = 0.0  # Per hundred entries of received endpoint lists.
+    cross_zone: float = 0.0  # price per attempt to a server in another zone
+    handshake: float = 0.0  # price per new connection
+    waste: float = 0.0  # price per unit of server work whose response is not used
+    late_fail: float = 0.0  # price per priority weight that is not served within the latency objective
+    connection: float = 0.0  # price per hundred open connections to one server
+    probe: float = 0.0  # price per health probe
+    peer: float = 0.0  # price per message of 256 bytes to one peer
+    endpoint_list: float = 0.0  # price per hundred entries of received endpoint lists
 
     def __post_init__(self) -> None:
         _check(self, minimums=dict.fromkeys(self.__dataclass_fields__, 0))
@@ -136,9 +137,9 @@
 class LoadReporting(Enum):
     """The way in which servers report their load."""
 
-    RESPONSES = "answers"  # In each response.
-    PROBES = "probes"  # Only in responses to probes.
-    NONE = "none"  # Not at all.
+    RESPONSES = "answers"  # servers report their load in each response
+    PROBES = "probes"  # servers report their load only in responses to probes
+    NONE = "none"  # servers do not report their load
 
 
 @dataclass(slots=True, frozen=True)
@@ -151,43 +152,43 @@
 
     classes: tuple[RequestClass, ...]
     goal: Goal = field(default_factory=Goal)
-    priority_per_work: bool = False  # Priority weights apply per unit of work instead of per request.
-    gateway_count: int = 1  # Number of gateways that share the servers.
-    gateway_index: int = 0  # This gateway's number, from 0.
-    zone: int = 0  # Zone of this gateway.
+    priority_per_work: bool = False  # priority weights apply per unit of work instead of per request
+    gateway_count: int = 1  # number of gateways that share the servers
+    gateway_index: int = 0  # this gateway's number, from 0
+    zone: int = 0  # zone of this gateway
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_priority: float = 1.0  # Factor applied to the weight of requests over quota.
-    clients_mark_retries: bool = False  # Clients flag requests that are their own retries.
-    grpc_kinds: frozenset[int] = frozenset()  # Values of `ListedServer.kind` that denote gRPC servers.
-    max_attempts: int = 3  # Maximum attempts per request.
-    may_cancel: bool = True  # Attempts can be cancelled.
-    hedging: bool = False  # Two attempts of one request may be in flight at the same time.
-    may_probe: bool = False  # The gateway may send health probes.
-    may_message_peers: bool = False  # The gateway may exchange messages with other gateways.
+    over_quota_priority: float = 1.0  # factor applied to the weight of requests over quota
+    clients_mark_retries: bool = False  # clients flag requests that are their own retries
+    grpc_kinds: frozenset[int] = frozenset()  # values of `ListedServer.kind` that denote gRPC servers
+    max_attempts: int = 3  # maximum attempts per request
+    may_cancel: bool = True  # attempts can be cancelled
+    hedging: bool = False  # two attempts of one request may be in flight at the same time
+    may_probe: bool = False  # the gateway may send health probes
+    may_message_peers: bool = False  # the gateway may exchange messages with other gateways
     reports: LoadReporting = LoadReporting.NONE
-    attempts_per_connection: int = 1  # Concurrent attempts per connection.
-    keepalive_us: int = 60_000_000  # Idle connections are closed after this time.
-    connect_timeout_us: int = 1_000_000  # Timeout for opening a connection to a server.
-    answer_slack_us: int = 0  # How long after its deadline a final response is still accepted.
+    attempts_per_connection: int = 1  # concurrent attempts per connection
+    keepalive_us: int = 60_000_000  # idle connections are closed after this time
+    connect_timeout_us: int = 1_000_000  # timeout for opening a connection to a server
+    answer_slack_us: int = 0  # how long after its deadline a final response is still accepted
     # Time allowed to stop sending after an endpoint list reports a server as draining or gone.
     stop_sending_within_us: int = 0
-    cpu_us_per_s: int = 0  # CPU budget of this gateway; 0: no known limit.
-    warm_keys: bool = False  # A server needs less work for a key that it has served recently.
-    endpoints_are_pushed: bool = True  # If False, changes are sent only after a WatchEndpoints action.
-    max_poll_interval_us: int = 10_000_000  # Longest time between two polls of service discovery.
-    max_retry_after_us: int = 1_000_000  # Longest Retry-After that may be sent to a client.
-    start_capacity: float = 1.0  # Fraction of full capacity that a starting server has at least.
-    warm_after_us: int = 0  # A server reaches full capacity this long after its start.
+    cpu_us_per_s: int = 0  # CPU budget of this gateway; 0: no known limit
+    warm_keys: bool = False  # a server needs less work for a key that it has served recently
+    endpoints_are_pushed: bool = True  # if False, changes are sent only after a WatchEndpoints action
+    max_poll_interval_us: int = 10_000_000  # longest time between two polls of service discovery
+    max_retry_after_us: int = 1_000_000  # longest Retry-After that may be sent to a client
+    start_capacity: float = 1.0  # fraction of full capacity that a starting server has at least
+    warm_after_us: int = 0  # a server reaches full capacity this long after its start
     # A server that is warming up is overloaded if it is sent more than `overload_multiple` times its current
     # capacity for `overload_window_us`.
     overload_multiple: float = 1.0
     overload_window_us: int = 1_000_000
-    rejection_may_have_run: bool = False  # An attempt with Outcome.REJECTED may have been executed.
-    lossy: bool = False  # Attempts can be lost silently in transit, as UDP datagrams can.
+    rejection_may_have_run: bool = False  # an attempt with Outcome.REJECTED may have been executed
+    lossy: bool = False  # attempts can be lost silently in transit, as UDP datagrams can
     # Limit on attempts in flight at one server, from all gateways together; 0: a built-in default.
     max_concurrency: float = 0.0
-    admission: AdmissionSettings | None = None  # Fair queueing and limits; None: disabled.
+    admission: AdmissionSettings | None = None  # fair queueing and limits; None: disabled
     # For classes in order: time for which a key is blocked after an attempt that may still be running.
     key_cooldown_us: int = 0
 
--- a/sagetrack/policy/slow_start.py
+++ b/sagetrack/policy/slow_start.py
@@ -17,16 +17,16 @@
 from sagetrack.policy.state import Request, Server
 from sagetrack.policy.subset_size import SubsetSize
 
-BUDGET_MARGIN = 0.7  # Fraction of the budget that is used; the rest covers estimation errors and chance.
-MAX_COST = 1.25  # Upper bound of a request's cost, as a multiple of the baseline latency.
-PRIOR_RESPONSES = 0.5  # Number of responses that the initial latency estimate counts for.
+BUDGET_MARGIN = 0.7  # fraction of the budget that is used; the rest covers estimation errors and chance
+MAX_COST = 1.25  # upper bound of a request's cost, as a multiple of the baseline latency
+PRIOR_RESPONSES = 0.5  # number of responses that the initial latency estimate counts for
 
 
 class BudgetTerms(NamedTuple):
     """The drain of a bucket and the cost of a request, in microseconds of one core."""
 
-    drained_us: float  # Drains from the bucket in one overload window.
-    cost_us: float  # Added to the bucket by the request.
+    drained_us: float  # drains from the bucket in one overload window
+    cost_us: float  # added to the bucket by the request
 
 
 class SlowStart:
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -12,7 +12,7 @@
 # Outcomes of one class at one server before its breaker may open. It is low because a gateway sees only a
 # few such outcomes per minute.
 CLASS_MIN_OUTCOMES = 2
-MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # Range of the feedback controller's weights.
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # range of the feedback controller's weights
 # The 64-bit golden ratio multiplier of Fibonacci hashing, which spreads nearby integers over the whole range.
 HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1
 
@@ -27,7 +27,7 @@
 
     breaker: Breaker
     weight: float = MAX_WEIGHT
-    last_succeeded: bool = False  # The last outcome of the class was a success.
+    last_succeeded: bool = False  # the last outcome of the class was a success
 
 
 @dataclass(slots=True, eq=False)
@@ -35,18 +35,18 @@
     """This gateway's state for one incarnation of a server."""
 
     entry: ListedServer
-    feedback_weight: float  # Read and set through the property `weight`.
-    rank: float  # Position in the ring: a hash that is the same at every gateway.
-    zone_factor: float  # Weight factor: 1 in this zone, less in others according to prices.cross_zone.
-    warm_at_us: int  # Latest end of the warm-up, on this gateway's clock.
+    feedback_weight: float  # read and set through the property `weight`
+    rank: float  # position in the ring: a hash that is the same at every gateway
+    zone_factor: float  # weight factor: 1 in this zone, less in others according to prices.cross_zone
+    warm_at_us: int  # latest end of the warm-up, on this gateway's clock
     breaker: Breaker = field(default_factory=Breaker)
     health_by_class: dict[int, ClassHealth] = field(default_factory=dict)
-    in_flight: dict[Attempt, int] = field(default_factory=dict)  # Send time by attempt, oldest first.
-    last_success_us: int = 0  # Time of the last outcome if it was a success, else 0.
-    last_outcome_us: int = 0  # Time of the last outcome that reflects the server's health.
-    slow_start_used_us: float = 0.0  # Level of the slow-start leaky bucket: see SlowStart.
-    slow_start_used_at_us: int = 0  # Time at which that level was computed.
-    weights: ExactSum | None = None  # Sum over all listed servers; None for one that is not listed.
+    in_flight: dict[Attempt, int] = field(default_factory=dict)  # send time by attempt, oldest first
+    last_success_us: int = 0  # time of the last outcome if it was a success, else 0
+    last_outcome_us: int = 0  # time of the last outcome that reflects the server's health
+    slow_start_used_us: float = 0.0  # level of the slow-start leaky bucket: see SlowStart
+    slow_start_used_at_us: int = 0  # time at which that level was computed
+    weights: ExactSum | None = None  # sum over all listed servers; None for one that is not listed
 
     @property
     def weight(self) -> float:
@@ -72,11 +72,11 @@
 
     server: Server
     sent_at_us: int
-    half_open_period: int  # Result of Breaker.take_trial of the server: 0 if the attempt is no trial.
-    class_half_open_period: int  # The same for the breaker of the request's class at the server.
+    half_open_period: int  # result of Breaker.take_trial of the server: 0 if the attempt is no trial
+    class_half_open_period: int  # the same for the breaker of the request's class at the server
     ended: bool = False
     may_have_run: bool = True
-    stalled: bool = False  # In flight for longer than a response usually takes.
+    stalled: bool = False  # in flight for longer than a response usually takes
 
 
 @dataclass(slots=True, eq=False)
@@ -87,24 +87,24 @@
     class_index: int
     key: int | None
     deadline_us: int
-    objective_at_us: int  # Time by which a response meets the latency objective.
-    relative_work: float  # Expected work divided by the mean of the class.
-    is_first_try: bool  # False if the client has sent the request before.
-    quota_excess: float  # Excess over its tenant's quota: see TenantQuota.count_request.
+    objective_at_us: int  # time by which a response meets the latency objective
+    relative_work: float  # expected work divided by the mean of the class
+    is_first_try: bool  # False if the client has sent the request before
+    quota_excess: float  # excess over its tenant's quota: see TenantQuota.count_request
     attempts: list[Attempt] = field(default_factory=list)
-    in_flight: int = 0  # Number of attempts in flight.
-    finished: bool = False  # The final response was sent, or the client has cancelled.
-    streaming: bool = False  # A streamed response has begun.
-    response_began_us: int = 0  # Start time of a streamed response; 0 if there is none.
-    uploading: bool = False  # The body has not been received completely.
-    single_use_body: bool = False  # The body cannot be sent a second time.
-    admission_tenant: int = 0  # Index of its tenant in admission control.
-    client: int = 0  # Number of the client within its tenant; 0: unknown. See RequestArrived.
-    has_reservation: bool = False  # The client retries at the time that an earlier Retry-After gave it.
-    retry_after_us: int = -1  # Set by admission control; -1: not set.
+    in_flight: int = 0  # number of attempts in flight
+    finished: bool = False  # the final response was sent, or the client has cancelled
+    streaming: bool = False  # a streamed response has begun
+    response_began_us: int = 0  # start time of a streamed response; 0 if there is none
+    uploading: bool = False  # the body has not been received completely
+    single_use_body: bool = False  # the body cannot be sent a second time
+    admission_tenant: int = 0  # index of its tenant in admission control
+    client: int = 0  # number of the client within its tenant; 0: unknown; see RequestArrived
+    has_reservation: bool = False  # the client retries at the time that an earlier Retry-After gave it
+    retry_after_us: int = -1  # set by admission control; -1: not set
     tenant: int = 0
-    mirror_target: int = -1  # -1: not mirrored; mirrored to 1: gRPC servers only, 0: other servers only.
-    key_cooldown_until_us: int = 0  # For classes in order: an attempt may still be running until then.
+    mirror_target: int = -1  # -1: not mirrored; mirrored to 1: gRPC servers only, 0: other servers only
+    key_cooldown_until_us: int = 0  # for classes in order: an attempt may still be running until then
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
--- a/sagetrack/policy/subset_size.py
+++ b/sagetrack/policy/subset_size.py
@@ -5,7 +5,7 @@
 # Small enough that each breaker gets many outcomes, and large enough to tolerate a third of unhealthy
 # servers.
 MIN_SUBSET = 3
-DECAY = 0.98  # Factor applied to the size above the minimum with each attempt.
+DECAY = 0.98  # factor applied to the size above the minimum with each attempt
 # The same if concurrency is scarce. It shrinks faster, as a larger subset overlaps with more gateways.
 DECAY_SCARCE = 0.8
 
--- a/sagetrack/policy/tenant_demand.py
+++ b/sagetrack/policy/tenant_demand.py
@@ -13,12 +13,12 @@
 
 # Demand decays to 1/e in this time. A tenant that was idle for about as long has its full share again.
 DECAY_TIME_US = 1_000_000
-PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # Time for which demand reported by a peer is used.
-EVALUATION_INTERVAL_US = 50_000  # Time between two evaluations of the fair limits.
-EVALUATION_STEP = 0.2  # A change of the fraction to reject by this much triggers an evaluation earlier.
-MIN_EXCESS_FRACTION = 0.001  # A smaller excess over the share is ignored.
-MIN_LOCAL_FRACTION = 0.01  # Minimum fraction of each tenant's share that a gateway has.
-MIN_FLOW_WORK_US = 1.0  # Flows with less recent work are removed.
+PEER_DEMAND_TTL_US = 3 * DECAY_TIME_US  # time for which demand reported by a peer is used
+EVALUATION_INTERVAL_US = 50_000  # time between two evaluations of the fair limits
+EVALUATION_STEP = 0.2  # a change of the fraction to reject by this much triggers an evaluation earlier
+MIN_EXCESS_FRACTION = 0.001  # a smaller excess over the share is ignored
+MIN_LOCAL_FRACTION = 0.01  # minimum fraction of each tenant's share that a gateway has
+MIN_FLOW_WORK_US = 1.0  # flows with less recent work are removed
 
 
 class DecayedDemand:
@@ -58,10 +58,10 @@
 class FairLimits:
     """Result of one evaluation: the tenants and flows in excess of their fair shares."""
 
-    excess_fraction: list[float]  # By tenant: fraction of its demand beyond its share.
-    flow_limit_us: list[float]  # By tenant: work that each flow may request.
-    evaluated_at_us: int = -EVALUATION_INTERVAL_US  # Time of the evaluation.
-    reject_fraction: float = -1.0  # Fraction of all work that had to be rejected.
+    excess_fraction: list[float]  # fraction of the demand beyond the share, by tenant
+    flow_limit_us: list[float]  # work that each flow may request, by tenant
+    evaluated_at_us: int = -EVALUATION_INTERVAL_US  # time of the evaluation
+    reject_fraction: float = -1.0  # fraction of all work that had to be rejected
 
 
 @dataclass(slots=True, eq=False)
@@ -78,11 +78,12 @@
 
     shares: Sequence[float]
     by_tenant: DecayedDemand = field(init=False)
-    by_flow: list[dict[int, FlowDemand]] = field(init=False)  # By tenant, then by flow.
-    # By gateway: its demand by tenant, and when it was received.
+    by_flow: list[dict[int, FlowDemand]] = field(init=False)  # recent demand by tenant, then by flow
+    # Demand by tenant and time of receipt, by gateway.
     peer_demands: dict[int, tuple[list[float], int]] = field(default_factory=dict)
-    flow_count: int = 0  # Over all tenants.
-    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)  # For low-priority and for other requests.
+    flow_count: int = 0  # number of flows of all tenants
+    # Limits for low-priority and for other requests.
+    fair_limits: tuple[FairLimits, FairLimits] = field(init=False)
     evaluations: int = 0
 
     def __post_init__(self) -> None:
@@ -110,7 +111,7 @@
             self.peer_demands[gateway] = (demands, now_us)
 
     def local_demands(self, now_us: int) -> list[float]:
-        """This gateway's demand by tenant, in microseconds of work per DECAY_TIME_US."""
+        """Return this gateway's demand by tenant, in microseconds of work per DECAY_TIME_US."""
         return [self.by_tenant.at(tenant, now_us) for tenant in range(len(self.shares))]
 
     def fleet_demands(self, now_us: int, gateways: int) -> list[float]:
--- a/sagetrack/policy/tenant_quota.py
+++ b/sagetrack/policy/tenant_quota.py
@@ -7,8 +7,8 @@
 from sagetrack.policy.decayed_sums import DecayingSums
 from sagetrack.policy.settings import Tenant
 
-TENANT_DECAY = 0.98  # Factor applied to all request counts with each request.
-EXCESS_THRESHOLD = 1.5  # Requests beyond this times the tenant's share are excess; fewer may be chance.
+TENANT_DECAY = 0.98  # factor applied to all request counts with each request
+EXCESS_THRESHOLD = 1.5  # requests beyond this times the tenant's share are excess; fewer may be chance
 
 
 class TenantQuota:
--- a/sagetrack/policy/work_estimate.py
+++ b/sagetrack/policy/work_estimate.py
@@ -5,9 +5,9 @@
 # With fewer samples, a class also uses samples taken while requests are queued, and its estimate is mixed
 # with the mean of all classes.
 MIN_SAMPLES = 50
-PRIOR_SAMPLES = 20.0  # Number of samples that the mean of all classes counts for in that mix.
-SMOOTHING = 0.01  # Minimum weight of the newest sample.
-DEFAULT_WORK_US = 50_000.0  # Estimate for any request before the first sample.
+PRIOR_SAMPLES = 20.0  # number of samples that the mean of all classes counts for in that mix
+SMOOTHING = 0.01  # minimum weight of the newest sample
+DEFAULT_WORK_US = 50_000.0  # estimate for any request before the first sample
 
 
 class WorkEstimator:
