--- a/sagetrack/http1/attempt.py
+++ b/sagetrack/http1/attempt.py
@@ -30,19 +30,19 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the connection has ever been established."""
+        """True if the connection has ever been established."""
 
     @property
     def has_sent(self) -> bool:
-        """Whether any byte of an attempt may have been sent since the connection was last idle."""
+        """True if any byte of an attempt may have been sent since the connection was last idle."""
 
     @property
     def is_paused(self) -> bool:
-        """Whether reading is paused because the client reads too slowly."""
+        """True if reading is paused because the client reads too slowly."""
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the kernel has accepted all written data."""
+        """True if the kernel has accepted all written data."""
 
     def abandon(self) -> None:
         """Close at once, without reporting an outcome to its attempts."""
@@ -64,15 +64,15 @@
             streamed.
         on_response_data: Called with each part of the body of a streamed response.
         streamed_body: The request body that is sent after the payload; None if the payload contains it.
-        written: Whether the kernel has accepted the last byte of the request.
-        is_streaming: Whether the response is being streamed.
+        written: True if the kernel has accepted the last byte of the request.
+        is_streaming: True if the response is being streamed.
         last_progress_us: Time at which a part of a streamed body was last transferred.
         sent_us: Start time of the attempt.
         latency_us: Duration of the attempt, or the time until a streamed response has started.
         connection: The connection that the attempt uses or waits for.
         connect_task: The task that opens a connection for the attempt.
         timers: The timeouts, and the timer of a wait for a connection that may be reused soon.
-        ended: Whether the attempt has an outcome.
+        ended: True if the attempt has an outcome.
     """
 
     upstream: UpstreamServer[Any]
@@ -97,7 +97,7 @@
 
     @property
     def server(self) -> int:
-        """The ID of the upstream server in the endpoint list."""
+        """The id of the server."""
         return self.upstream.id
 
     @property
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -42,7 +42,7 @@
         Args:
             reason: The reason for the close.
             request: The request in progress; None if there is none.
-            awaits_response: Whether no byte of its response has been written although the client is reading.
+            awaits_response: True if no byte of its response has been written although the client is reading.
             has_disconnected: Returns whether the client has closed the connection.
         """
         if reason == CLIENT_LEFT:
--- a/sagetrack/http1/codec.py
+++ b/sagetrack/http1/codec.py
@@ -119,12 +119,12 @@
 
     @property
     def needs_streaming(self) -> bool:
-        """Whether the response is too long to be buffered and a part of its body has been received."""
+        """True if the response is too long to be buffered and a part of its body has been received."""
         return self.in_body and self._size > 0 and max(self._size, self._length or 0) > self._limit
 
     @property
     def has_unknown_length(self) -> bool:
-        """Whether the response has no Content-Length, so that it may be too long to be buffered."""
+        """True if the response has no Content-Length, so that it may be too long to be buffered."""
         return self.in_body and self._length is None
 
     def head(self) -> Response:
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -39,7 +39,7 @@
 
     @property
     def listed(self) -> Collection[int]:
-        """The IDs of the servers in the endpoint list."""
+        """The ids of the listed servers."""
         return self.servers.keys()
 
     @property
@@ -48,7 +48,7 @@
         return self.attempts.open_connections
 
     def server_start_times(self) -> dict[int, int]:
-        """Return the start time of each listed server in microseconds, by server ID."""
+        """Return the start time of each listed server in microseconds, by server id."""
         return {number: upstream.started_us for number, upstream in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
--- a/sagetrack/http1/descriptors.py
+++ b/sagetrack/http1/descriptors.py
@@ -65,12 +65,12 @@
 
     @property
     def has_many_clients(self) -> bool:
-        """Whether so many clients are connected that idle ones are closed sooner."""
+        """True if so many clients are connected that idle ones are closed sooner."""
         return self.count_clients() > self.max_clients / MANY_CLIENTS_DIVISOR
 
     @property
     def is_full(self) -> bool:
-        """Whether no descriptor is left apart from the reserve."""
+        """True if no descriptor is left apart from the reserve."""
         return self.count_clients() + self.pools.open_connections + RESERVE >= self.limit
 
     def has_capacity(self) -> bool:
--- a/sagetrack/http1/discovery_connection.py
+++ b/sagetrack/http1/discovery_connection.py
@@ -57,7 +57,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be sent."""
+        """True if a request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     async def request(self, head: bytes) -> Response:
--- a/sagetrack/http1/exchange.py
+++ b/sagetrack/http1/exchange.py
@@ -90,10 +90,10 @@
         self.transport: asyncio.Transport | None = None
         self.message: HttpRequest | None = None  # the request in progress, as parsed from the connection
         self.request: Request | None = None  # the same request, as submitted to the gateway
-        self.source: ResponseSource | None = None  # of a streamed response in progress
-        self.chunked = False  # whether the streamed response uses chunked transfer encoding
-        self.ends_connection = False  # whether the connection is closed after the streamed response
-        self.has_responded = False  # whether a response has been written on this connection
+        self.source: ResponseSource | None = None  # source of a streamed response in progress
+        self.chunked = False  # True if the streamed response uses chunked transfer encoding
+        self.ends_connection = False  # True if the connection is closed after the streamed response
+        self.has_responded = False  # True if a response has been written on this connection
 
     # Requests
 
@@ -130,7 +130,7 @@
             raise RequestError(400, "this X-Call-Id is in use")
 
     def _address_id(self) -> int:
-        """Return an ID made from the client address; negative, as several clients may share an address."""
+        """Return an id made from the client address; negative, as several clients may share an address."""
         assert self.transport is not None
         peer = self.transport.get_extra_info("peername")
         return -stable_id(peer[0], 8) if peer else 0
@@ -160,12 +160,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is in progress."""
+        """True if a request is in progress."""
         return self.message is not None
 
     @property
     def awaits_response(self) -> bool:
-        """Whether a submitted request is in progress and no byte of its response has been written."""
+        """True if a submitted request is in progress and no byte of its response has been written."""
         return self.request is not None and self.source is None
 
     # Responses
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class PoolCounts:
-    """Connection pool counters since the start of the process."""
+    """Counters over all connection pools since the start of the process."""
 
     opened: int = 0
     reused: int = 0
--- a/sagetrack/http1/listener.py
+++ b/sagetrack/http1/listener.py
@@ -70,12 +70,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this process accepts clients and can serve them."""
+        """True if this process accepts clients and can serve them."""
         return may_accept_clients(self.drain.is_draining, self.is_listening, self.gateway.can_serve) is None
 
     @property
     def is_listening(self) -> bool:
-        """Whether the listening socket is open in this process."""
+        """True if the listening socket is open in this process."""
         return self.acceptor.listener is not None
 
     @property
--- a/sagetrack/http1/read_pause.py
+++ b/sagetrack/http1/read_pause.py
@@ -18,7 +18,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether reading is paused."""
+        """True if reading is paused."""
         return self._since_s is not None
 
     def begin(self, transport: asyncio.Transport) -> bool:
--- a/sagetrack/http1/request_reader.py
+++ b/sagetrack/http1/request_reader.py
@@ -12,7 +12,7 @@
 from sagetrack.http1.requests import HttpRequest, RequestError
 
 PARSE_SLICE = 4096  # bytes parsed between checks of the number of waiting requests
-BODY_SLICE = 32 * 1024  # the same within a streamed body of known length
+BODY_SLICE = 32 * 1024  # bytes parsed at a time within a streamed body of known length
 
 
 class RequestReader:
@@ -43,14 +43,14 @@
         self.in_body = False
         self.expects_continue = False  # the client waits for `100 Continue` before it sends the body
         self._unreported = 0  # bytes parsed since the parser last reported a complete head or a body part
-        self._fed_us = 0  # when the last data was received, which includes the unparsed data
+        self._fed_us = 0  # time at which the last data was received, parsed or not
         self.requests: deque[HttpRequest] = deque()  # requests that were parsed and are not handled yet
         self.unparsed = b""  # not parsed yet, as enough requests are waiting or a streamed body is full
         self.has_failed = False  # a request was invalid, and no more data is parsed
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether an incomplete request or unparsed data has been received."""
+        """True if an incomplete request or unparsed data has been received."""
         return self.current_request is not None or self._unreported > 0 or bool(self.unparsed)
 
     @property
--- a/sagetrack/http1/requests.py
+++ b/sagetrack/http1/requests.py
@@ -55,7 +55,7 @@
         self.error = error
         self.streamed_body: StreamedBody | None = None  # the body, if it is too long to be buffered
         self.version = "1.1"
-        self.received_us = 0  # when the last byte of the request was received
+        self.received_us = 0  # time at which the last byte of the request was received
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/http1/upstream_connection.py
+++ b/sagetrack/http1/upstream_connection.py
@@ -18,7 +18,7 @@
     """The interface that an upstream connection uses to report its events to the object that opened it."""
 
     loop: asyncio.AbstractEventLoop
-    buffer: memoryview  # the read buffer of all connections; its content is copied after each read
+    buffer: memoryview  # read buffer of all connections; its content is copied after each read
 
     def on_connected(self, connection: UpstreamConnection) -> None:
         """Handle an established connection."""
@@ -45,11 +45,11 @@
         incarnation: The incarnation of the server to which the connection was opened.
         attempt: The attempt that uses the connection.
         waiting_attempt: The next attempt, which waits until the connection may be reused.
-        has_sent: Whether any byte of the current attempt may have been sent.
+        has_sent: True if any byte of the current attempt may have been sent.
         transport: The transport; None until the connection is established.
         responses: The parser of responses.
-        is_paused: Whether reading is paused because the client reads too slowly.
-        is_flushed: Whether the kernel has accepted all written data.
+        is_paused: True if reading is paused because the client reads too slowly.
+        is_flushed: True if the kernel has accepted all written data.
         idle_since_us: Time of the last response, while the connection is idle.
         last_response_us: Duration of the last response, from the start of its attempt.
     """
@@ -81,9 +81,9 @@
         self.waiting_attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.responses = ResponseReader(streams=True)
-        self.stream_timer: asyncio.TimerHandle | None = None  # for a response of unknown length
+        self.stream_timer: asyncio.TimerHandle | None = None  # starts to stream a response of unknown length
         self.is_paused = False
-        self.body_written = True  # whether the whole request has been passed to the transport
+        self.body_written = True  # True if the whole request has been passed to the transport
         self.is_flushed = True
         self.idle_since_us = 0
         self.last_response_us = 0
@@ -99,7 +99,7 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the connection has ever been established."""
+        """True if the connection has ever been established."""
         return self.transport is not None
 
     def is_usable(self) -> bool:
--- a/sagetrack/http1/upstream_server.py
+++ b/sagetrack/http1/upstream_server.py
@@ -21,7 +21,7 @@
     which connections are kept and reused.
 
     Attributes:
-        id: The ID of the server in the endpoint list.
+        id: The id of the server in the endpoint list.
         name: The name of the server in the endpoint list.
         address: The address on which the server listens.
         started_us: The start time of the server, as reported by service discovery.
