--- a/sagetrack/server/admin.py
+++ b/sagetrack/server/admin.py
@@ -16,8 +16,8 @@
 
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 12
-CALL_TIMEOUT_S = 5.0  # for the client to send its line
-LINGER_S = 1.0  # for the client to read the response and close the connection
+CALL_TIMEOUT_S = 5.0  # time allowed for the client to send its line
+LINGER_S = 1.0  # time allowed for the client to read the response and close the connection
 BACKLOG = 64
 
 
@@ -54,7 +54,7 @@
 
     def __init__(self, operations: AdminOperations) -> None:
         self.server: asyncio.Server | None = None
-        self._connections: dict[AdminConnection, None] = {}  # oldest first
+        self._connections: dict[AdminConnection, None] = {}  # open connections, oldest first
         self._calls: dict[str, Callable[[], str]] = {
             "status": lambda: _format_outcome(operations.status(), "takes clients", "takes no clients"),
             "stats": lambda: f"SUCCESS\n{operations.stats()}EOT\n",
--- a/sagetrack/server/admission_settings.py
+++ b/sagetrack/server/admission_settings.py
@@ -17,7 +17,7 @@
     """Return the configuration with admission control added if the operator's file enables it.
 
     Raises:
-        ConfigError: the operator's file names a class or tenant that is not in the configuration.
+        ConfigError: The operator's file names a class or tenant that is not in the configuration.
     """
     if operator is None or not operator.queues.use:
         return config
@@ -61,10 +61,10 @@
 
 
 def tenant_shares(config: Config, operator: Operator) -> tuple[float, ...]:
-    """Return the share of each tenant, in the order of tenant numbers; tenants not in the file keep theirs.
+    """Return the share of each tenant, in the order of tenant indices; tenants not in the file keep theirs.
 
     Raises:
-        ConfigError: the operator's file names a tenant that is not in the configuration.
+        ConfigError: The operator's file names a tenant that is not in the configuration.
     """
     shares_by_name = operator.queues.shares
     tenants = {name.decode(): number for name, number in config.names.tenants.items()}
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -35,15 +35,15 @@
         """Build the service; it listens only after `start`.
 
         Args:
-            config: the platform's configuration.
-            settings: the operator's `dns` table, with at least one listening address.
-            gateway: the gateway whose servers the zone lists.
-            pools: the connection pools of these servers.
-            is_draining: returns whether this process is draining.
+            config: The platform's configuration.
+            settings: The operator's `dns` table, with at least one listening address.
+            gateway: The gateway whose servers the zone lists.
+            pools: The connection pools of these servers.
+            is_draining: Returns whether this process is draining.
             listed: DNS servers known so far from the endpoint list.
 
         Raises:
-            ConfigError: an address or a zone is invalid.
+            ConfigError: An address or a zone is invalid.
         """
         self.config = config
         self.settings = settings
--- a/sagetrack/server/endpoint_list_file.py
+++ b/sagetrack/server/endpoint_list_file.py
@@ -49,8 +49,8 @@
         """Write the changed list, but not before WRITE_INTERVAL_S have passed since the last write.
 
         Args:
-            discovery: address of the discovery service that the list comes from.
-            source: called at the time of the write, so that one write covers several changes.
+            discovery: Address of the discovery service that the list comes from.
+            source: Called at the time of the write, so that one write covers several changes.
         """
         if self.folder is None:
             return
@@ -93,13 +93,13 @@
         """Return the list of the predecessor or the configured one, whichever is newer.
 
         Args:
-            discovery: address of the discovery service; a list from another service is ignored.
-            configured: the list in the platform's configuration.
-            is_usable: returns whether at least one entry of the predecessor's list can be parsed.
+            discovery: Address of the discovery service; a list from another service is ignored.
+            configured: The list in the platform's configuration.
+            is_usable: Returns whether at least one entry of the predecessor's list can be parsed.
 
         Returns:
             The predecessor's list if it is complete, usable, from the same discovery service and has a
-            higher index; `configured` otherwise. An unusable file is logged.
+            higher version; `configured` otherwise. An unusable file is logged.
         """
         if self.folder is None:
             return configured
--- a/sagetrack/server/gateway_assembly.py
+++ b/sagetrack/server/gateway_assembly.py
@@ -60,14 +60,14 @@
         """Build the components; no address is bound before `start`.
 
         Args:
-            config: the platform's configuration.
-            operator: the operator's file; without it, all optional features are off.
-            timing: records how long the phases of the start take.
+            config: The platform's configuration.
+            operator: The operator's file; without it, all optional features are off.
+            timing: Records how long the phases of the start take.
 
         Raises:
-            ConfigError: the operator's file names a class or tenant that is not in the configuration, or TLS
+            ConfigError: The operator's file names a class or tenant that is not in the configuration, or TLS
                 keys that cannot be used.
-            RuntimeError: no event loop is running.
+            RuntimeError: No event loop is running.
         """
         asyncio.get_running_loop()
         self.timing = timing if timing is not None else StartupTiming()
@@ -148,8 +148,8 @@
         time; clients wait for nothing else.
 
         Raises:
-            OSError: the listening address of the platform's configuration cannot be bound.
-            ConfigError: the inherited socket or an address in the operator's file cannot be used.
+            OSError: The listening address of the platform's configuration cannot be bound.
+            ConfigError: The inherited socket or an address in the operator's file cannot be used.
         """
         end_phase = self.timing.end_phase
         end_phase("decisions")
@@ -216,11 +216,11 @@
         """Apply the settings of the operator's file that can change at run time: traffic and tenant shares.
 
         Args:
-            config: the reloaded platform configuration, which defines the class and tenant names.
-            operator: the reloaded operator's file.
+            config: The reloaded platform configuration, which defines the class and tenant names.
+            operator: The reloaded operator's file.
 
         Raises:
-            ConfigError: the operator's file names a class or tenant that is not in the configuration.
+            ConfigError: The operator's file names a class or tenant that is not in the configuration.
         """
         shares = tenant_shares(config, operator)
         if self.grpc_upstreams is not None:
@@ -241,7 +241,7 @@
         """
         self.observation_exchange.close()
         http_drain_task = asyncio.get_running_loop().create_task(self.http_listener.shut_down())
-        await asyncio.sleep(0)  # lets `leave` begin, which sets `response_cutoff_s`
+        await asyncio.sleep(0)  # lets `shut_down` begin, which sets `response_cutoff_s`
         other_drain_tasks = self.protocol_listeners.begin_drain(
             self.http_listener.drain.response_cutoff_s + EXIT_MARGIN_S / 2
         )
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -77,8 +77,8 @@
         """Start to refresh the weights; requires a running event loop.
 
         Args:
-            router: routes each attempt to the connection pool of the server's protocol.
-            gateway: receives the endpoint list with weights adjusted to the traffic shares.
+            router: Routes each attempt to the connection pool of the server's protocol.
+            gateway: Receives the endpoint list with weights adjusted to the traffic shares.
         """
         self.router = router
         self.gateway = gateway
@@ -100,9 +100,9 @@
         """Mirror some requests to a server of the other protocol, and compare the responses.
 
         Args:
-            settings: the rate of mirrored requests and the headers that are not compared.
-            class_names: the names of the classes, in the order of class numbers.
-            is_active: returns whether requests may be mirrored now.
+            settings: The rate of mirrored requests and the headers that are not compared.
+            class_names: The names of the classes, in the order of class indices.
+            is_active: Returns whether requests may be mirrored now.
         """
         from sagetrack.grpc.mirroring import RequestMirror
 
@@ -186,13 +186,13 @@
     """Create the router for both protocols, or None if no gRPC servers are configured.
 
     Args:
-        config: the platform's configuration.
-        operator: the operator's file; `newer.types` lists the server types that speak gRPC.
-        http_pools: the connection pools of HTTP/1.1 servers.
-        keys: the TLS keys; None for connections without TLS.
+        config: The platform's configuration.
+        operator: The operator's file; `newer.types` lists the server types that speak gRPC.
+        http_pools: The connection pools of HTTP/1.1 servers.
+        keys: The TLS keys; None for connections without TLS.
 
     Raises:
-        ConfigError: a traffic share is configured for an unknown class or tenant.
+        ConfigError: A traffic share is configured for an unknown class or tenant.
     """
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.types:
@@ -217,7 +217,7 @@
 
 
 def traffic_shares(config: Config, settings: GrpcSettings) -> tuple[dict[int, float], dict[int, float]]:
-    """Return the gRPC traffic shares by class and by tenant number; ConfigError for unknown names."""
+    """Return the gRPC traffic shares by class index and by tenant index; ConfigError for unknown names."""
     return (
         _shares_by_index("class", settings.share_by_class, config.names.classes),
         _shares_by_index("member", settings.share_by_member, config.names.tenants),
--- a/sagetrack/server/health_handover.py
+++ b/sagetrack/server/health_handover.py
@@ -12,8 +12,8 @@
 from sagetrack.policy.events import ObservationsReceived
 from sagetrack.server.hot_restart import HotRestart
 
-EXCHANGE_INTERVAL_S = 0.5  # between reads, and between writes while a sibling process runs
-READ_PERIOD_S = 15.0  # how long a successor reads after its start
+EXCHANGE_INTERVAL_S = 0.5  # interval between reads, and between writes while a sibling runs
+READ_PERIOD_S = 15.0  # time for which a successor reads after its start
 
 
 class HealthHandover:
@@ -28,9 +28,9 @@
         """Start the exchange in the next iteration of the running event loop.
 
         Args:
-            hot_restart: the other processes of this gateway; its folder is usable.
-            config: the platform's configuration.
-            gateway: provides the observations and receives those of the predecessor.
+            hot_restart: The other processes of this gateway; its folder is usable.
+            config: The platform's configuration.
+            gateway: Provides the observations and receives those of the predecessor.
         """
         assert hot_restart.folder is not None
         self.folder: Path = hot_restart.folder
@@ -41,7 +41,7 @@
         self._is_successor = hot_restart.serving_sibling_count > 0
         self._read_until_s = self._loop.time() + READ_PERIOD_S
         self._last_restored_us = 0  # write time of the newest observations restored
-        self._restored_count = 0  # number of observations
+        self._restored_count = 0  # number of observations restored
         self._timer: asyncio.Handle = self._loop.call_soon(self._exchange)
 
     def _exchange(self) -> None:
--- a/sagetrack/server/lifecycle.py
+++ b/sagetrack/server/lifecycle.py
@@ -50,11 +50,11 @@
         """Store the arguments; `run` opens sockets and files.
 
         Args:
-            config: the platform's configuration.
-            operator: the content of the operator's file, if there is one.
-            operator_path: its path, from which it is reloaded on SIGHUP.
-            timing: records how long the phases of the start take.
-            early_reloads: contains an element for each SIGHUP that arrived before `run` handles the signal.
+            config: The platform's configuration.
+            operator: The content of the operator's file, if there is one.
+            operator_path: Its path, from which it is reloaded on SIGHUP.
+            timing: Records how long the phases of the start take.
+            early_reloads: Contains an element for each SIGHUP that arrived before `run` handles the signal.
         """
         self.config = config
         self.operator = operator
--- a/sagetrack/server/listen.py
+++ b/sagetrack/server/listen.py
@@ -23,7 +23,7 @@
     It must be closed, never shut down: a shutdown would affect the other processes as well.
 
     Raises:
-        ConfigError: the descriptor is not a listening TCP socket.
+        ConfigError: The descriptor is not a listening TCP socket.
     """
     try:
         os.set_inheritable(descriptor, False)
--- a/sagetrack/server/observation_exchange.py
+++ b/sagetrack/server/observation_exchange.py
@@ -23,9 +23,9 @@
         """Store the arguments; the exchange begins with `start`.
 
         Args:
-            config: the platform's configuration.
-            operator: the operator's file, which may enable or disable messages between gateways.
-            gateway: provides observations and receives those of others.
+            config: The platform's configuration.
+            operator: The operator's file, which may enable or disable messages between gateways.
+            gateway: Provides observations and receives those of others.
         """
         self.config = config
         self.operator = operator
@@ -37,11 +37,11 @@
         """Start to exchange observations; requires a running event loop.
 
         Args:
-            http: reports the state of the peers through the admin interface.
-            hot_restart: the other processes of this gateway.
+            http: Reports the state of the peers through the admin interface.
+            hot_restart: The other processes of this gateway.
 
         Raises:
-            ConfigError: the operator enables messages between gateways, but addresses are missing.
+            ConfigError: The operator enables messages between gateways, but addresses are missing.
         """
         self.peer_node = build_peer_node(self.config, self.operator, self.gateway)
         if self.peer_node is not None:
--- a/sagetrack/server/peer_node.py
+++ b/sagetrack/server/peer_node.py
@@ -30,7 +30,7 @@
     """Return the addresses for messages between gateways, or None if these are disabled.
 
     Raises:
-        ConfigError: the operator enables messages between gateways, but addresses are missing or invalid.
+        ConfigError: The operator enables messages between gateways, but addresses are missing or invalid.
     """
     settings = operator.peers if operator is not None else None
     use = settings.use if settings is not None else "platform"
@@ -57,7 +57,7 @@
     """Create the node without starting it, or return None if messages between gateways are disabled.
 
     Raises:
-        ConfigError: the operator enables messages between gateways, but addresses are missing or invalid.
+        ConfigError: The operator enables messages between gateways, but addresses are missing or invalid.
     """
     addresses = peer_addresses(config, operator)
     if addresses is None:
--- a/sagetrack/server/persistence.py
+++ b/sagetrack/server/persistence.py
@@ -44,9 +44,9 @@
         writer tries again.
 
         Args:
-            config: the platform's configuration.
-            settings: the operator's `store` table, in which a folder is set.
-            gateway: provides observations and receives the restored ones.
+            config: The platform's configuration.
+            settings: The operator's `store` table, in which a folder is set.
+            gateway: Provides observations and receives the restored ones.
         """
         self.config = config
         self.settings = settings
--- a/sagetrack/server/process.py
+++ b/sagetrack/server/process.py
@@ -84,7 +84,7 @@
         if LB_OPERATOR is not set.
 
     Raises:
-        StartupError: one of the files is missing or invalid.
+        StartupError: One of the files is missing or invalid.
     """
     from sagetrack.config.platform import ConfigError, load, read_file
     from sagetrack.core.transient_errors import retry_while_transient_blocking
--- a/sagetrack/server/protocol_listeners.py
+++ b/sagetrack/server/protocol_listeners.py
@@ -28,9 +28,9 @@
         """Open no listener; `start_dns` and `start_grpc` do so.
 
         Args:
-            config: the platform's configuration.
-            operator: the operator's file, which enables the listeners.
-            gateway: handles the requests and exports the metrics.
+            config: The platform's configuration.
+            operator: The operator's file, which enables the listeners.
+            gateway: Handles the requests and exports the metrics.
         """
         self.config = config
         self.operator = operator
@@ -42,12 +42,12 @@
         """Start the DNS service if the operator has enabled it.
 
         Args:
-            http: the HTTP listener; while it is draining, DNS connections are closed after a response.
-            pools: connection pools of the servers that the authoritative zone lists.
+            http: The HTTP listener; while it is draining, DNS connections are closed after a response.
+            pools: Connection pools of the servers that the authoritative zone lists.
             listed: DNS servers known so far from the endpoint list.
 
         Raises:
-            ConfigError: an address or a zone is invalid, or an address cannot be bound.
+            ConfigError: An address or a zone is invalid, or an address cannot be bound.
         """
         settings = self.operator.dns if self.operator is not None else None
         if settings is None or not settings.listen:
@@ -63,12 +63,12 @@
         """Start the gRPC listener if the operator has enabled it.
 
         Args:
-            http: the HTTP listener; gRPC connections drain while it is draining, and both share the memory
+            http: The HTTP listener; gRPC connections drain while it is draining, and both share the memory
                 limit for streamed bodies.
-            tls_keys: the TLS keys of the listener; None for a listener without TLS.
+            tls_keys: The TLS keys of the listener; None for a listener without TLS.
 
         Raises:
-            ConfigError: an address is invalid or cannot be bound.
+            ConfigError: An address is invalid or cannot be bound.
         """
         settings = self.operator.newer if self.operator is not None else None
         if settings is None or not settings.listen:
@@ -98,7 +98,7 @@
         """Start to shut down gracefully.
 
         Args:
-            until_s: the latest time at which both close, on the clock of the event loop.
+            until_s: The latest time at which both close, on the clock of the event loop.
 
         Returns:
             Tasks that end when no request is in flight.
--- a/sagetrack/server/reload.py
+++ b/sagetrack/server/reload.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from sagetrack.config.operator import Operator
 
-MAX_ATTEMPTS = 8  # per signal, while the files are unusable
+MAX_ATTEMPTS = 8  # reload attempts per signal while the files are unusable
 BACKOFF_STEP_S = 0.1  # the backoff after the n-th failure is n times this, 2.8 s in total
 
 ApplyOperator = Callable[[Config, "Operator"], None]
@@ -47,10 +47,10 @@
         """Create a reloader that reads nothing before `request`.
 
         Args:
-            discovery: the discovery client, whose address is updated from the platform's configuration.
-            operator_path: path of the operator's file; None if there is none.
-            apply_operator: applies the content of both files; it may raise ConfigError.
-            reload_tls_keys: reloads the TLS keys; None if there are none.
+            discovery: The discovery client, whose address is updated from the platform's configuration.
+            operator_path: Path of the operator's file; None if there is none.
+            apply_operator: Applies the content of both files; it may raise ConfigError.
+            reload_tls_keys: Reloads the TLS keys; None if there are none.
         """
         self.discovery = discovery
         self.operator_path = operator_path
