--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -71,7 +71,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the response is complete; data of the request that still arrives is ignored."""
+        """True if the response is complete; data of the request that still arrives is ignored."""
         return self.trailers is not None
 
     def record_progress(self) -> None:
@@ -103,7 +103,7 @@
 
     @property
     def withholds_window(self) -> bool:
-        """Whether the stream's flow-control window is not extended, as the body's buffer is full."""
+        """True if the stream's flow-control window is not extended, as the body's buffer is full."""
         return self.streamed_body is not None and self.streamed_body.is_full
 
     # Interface `Client`: the gateway delivers the response
@@ -169,12 +169,12 @@
 
     @property
     def is_trailers_only(self) -> bool:
-        """Whether the response is complete without a message, and is sent as one block of headers."""
+        """True if the response is complete without a message, and is sent as one block of headers."""
         return self.trailers is not None and not self.headers_sent and not self.pending
 
     @property
     def needs_headers(self) -> bool:
-        """Whether the response headers must be sent now, before the first message."""
+        """True if the response headers must be sent now, before the first message."""
         return bool(self.pending) and not self.headers_sent
 
     def on_headers_sent(self) -> None:
--- a/sagetrack/grpc/mirroring.py
+++ b/sagetrack/grpc/mirroring.py
@@ -77,7 +77,8 @@
     rejected: int = 0  # mirrored requests rejected for lack of capacity or of a server of the other protocol
     failed: int = 0  # mirrored requests without a response
     too_long: int = 0  # mirrored requests whose response was too long to be buffered
-    differences: dict[tuple[int, str], int] = field(default_factory=dict)  # by class index and difference
+    # Counts by class index and difference
+    differences: dict[tuple[int, str], int] = field(default_factory=dict)
     logged_us: dict[tuple[int, str], int] = field(default_factory=dict)
     max_differences: int = 200  # further keys are counted together as "other"
 
--- a/sagetrack/grpc/outcomes.py
+++ b/sagetrack/grpc/outcomes.py
@@ -62,8 +62,8 @@
     Args:
         status: The value of `grpc-status`; None if it is missing or invalid, which counts as an error after
             which the request may have run.
-        complete: Whether at least one message arrived before, and none is incomplete.
-        rejected: Whether the trailers contain `x-rejected: 1`.
+        complete: True if at least one message arrived before, and none is incomplete.
+        rejected: True if the trailers contain `x-rejected: 1`.
     """
     if status == StatusCode.OK:
         return Outcome.OK if complete else Outcome.ERROR
--- a/sagetrack/grpc/protocol_router.py
+++ b/sagetrack/grpc/protocol_router.py
@@ -90,8 +90,8 @@
         self.grpc_kinds = frozenset(grpc_kinds)
         self.migration = migration
         self.on_fallback = on_fallback
-        self.endpoints: dict[int, Endpoint] = {}  # by server id, with unscaled weights
-        self.weight_factors = (1.0, 1.0)  # of HTTP/1.1 and of gRPC servers
+        self.endpoints: dict[int, Endpoint] = {}  # listed endpoints with unscaled weights, by server id
+        self.weight_factors = (1.0, 1.0)  # weight factors of HTTP/1.1 and of gRPC servers
         # Additional factors by class and by tenant, on top of `weight_factors`
         self.override_factors: tuple[WeightFactorsByIndex, WeightFactorsByIndex] = {}, {}
         self.on_override_factors: Callable[[WeightFactorsByIndex, WeightFactorsByIndex], None] | None = None
--- a/sagetrack/grpc/response_reader.py
+++ b/sagetrack/grpc/response_reader.py
@@ -74,12 +74,12 @@
 
     @property
     def exceeds_buffer(self) -> bool:
-        """Whether the buffered body exceeds `BUFFERED_RESPONSE_BYTES`."""
+        """True if the buffered body exceeds `BUFFERED_RESPONSE_BYTES`."""
         return self._response_head is not None and len(self._body) > BUFFERED_RESPONSE_BYTES
 
     @property
     def exceeds_limit(self) -> bool:
-        """Whether the response exceeds the limit for streamed bodies."""
+        """True if the response exceeds the limit for streamed bodies."""
         return self._message_bytes > STREAMED_BODY_LIMIT + FRAMING_ALLOWANCE_BYTES
 
     def outcome(self) -> Outcome:
--- a/sagetrack/grpc/upstream_attempt.py
+++ b/sagetrack/grpc/upstream_attempt.py
@@ -115,7 +115,7 @@
 
     @property
     def all_sent(self) -> bool:
-        """Whether all of the request has been sent, and no more of its body will arrive."""
+        """True if all of the request has been sent, and no more of its body will arrive."""
         streamed_body = self.request.streamed_body
         return not self.pending and (
             streamed_body is None or (streamed_body.is_complete and not streamed_body.chunks)
@@ -160,7 +160,7 @@
 
     @property
     def should_stream(self) -> bool:
-        """Whether streaming should start, as the response is too long to be buffered."""
+        """True if streaming should start, as the response is too long to be buffered."""
         return not self.streaming and self.response_reader.exceeds_buffer
 
     def is_stalled(self, now: int) -> bool:
--- a/sagetrack/grpc/upstream_connection.py
+++ b/sagetrack/grpc/upstream_connection.py
@@ -84,7 +84,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the connection carries no attempts."""
+        """True if the connection carries no attempts."""
         return not self.attempts
 
     # Sending
