--- a/sagetrack/dns/cache.py
+++ b/sagetrack/dns/cache.py
@@ -12,7 +12,7 @@
 
 from sagetrack.dns.answer import DnsResponse
 
-ENTRY_OVERHEAD_BYTES = 700  # resident memory per entry besides the message, measured over 100,000 names
+ENTRY_OVERHEAD_BYTES = 700  # resident memory per entry besides the message
 TTL_OVERHEAD_BYTES = 36  # memory per TTL offset
 STALE_TTL_S = 30  # TTL that clients see in a stale response (RFC 8767, section 4)
 # A popular response is refreshed once this fraction of its TTL remains, so that it does not expire.
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class CacheCounts:
-    """Totals since the start."""
+    """Counters since the start of the process."""
 
     hits: int = 0
     misses: int = 0
--- a/sagetrack/dns/listener.py
+++ b/sagetrack/dns/listener.py
@@ -79,7 +79,7 @@
         is none, the new connection is rejected.
 
         Returns:
-            Whether the connection was registered.
+            True if the connection was registered.
         """
         from_host = sum(other.host == connection.host for other in self.connections)
         if from_host >= self.limits.max_connections_per_client or not self.handler.access.allows(
--- a/sagetrack/dns/message.py
+++ b/sagetrack/dns/message.py
@@ -107,7 +107,7 @@
     """EDNS parameters of a query (RFC 6891).
 
     Attributes:
-        is_present: Whether the query has an OPT record.
+        is_present: True if the query has an OPT record.
         udp_payload_bytes: The size of the largest UDP response that the sender accepts.
         dnssec_ok: The DO bit.
     """
--- a/sagetrack/dns/query_handler.py
+++ b/sagetrack/dns/query_handler.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class QueryCounts:
-    """Totals since the start.
+    """Counters since the start of the process.
 
     Every query in `queries` ends in exactly one of `answered`, `refused` and `failed`.
     """
@@ -49,7 +49,7 @@
     failed: int = 0
     retransmitted: int = 0  # retransmissions of a query in flight
     shared: int = 0  # queries that joined the upstream request of another query
-    denied: int = 0  # messages of clients that the access rules deny
+    denied: int = 0  # messages from clients that the access rules deny
     invalid: int = 0  # malformed or unsupported messages
     truncated: int = 0  # UDP responses sent with TC set
 
@@ -85,7 +85,7 @@
         in_flight: Limits the number of queries in flight.
         client_timeout_us: Time for which clients are expected to wait for a response.
         resolve_locally: Resolves queries from the local zones.
-        has_upstreams: Whether the configuration has any source of upstream servers.
+        has_upstreams: True if the configuration has any source of upstream servers.
     """
 
     def __init__(
@@ -122,11 +122,11 @@
             data: The message.
             host: IP address of the client.
             client: Identifies the client: its address and port, or its connection.
-            is_udp: Whether the message was received over UDP.
+            is_udp: True if the message was received over UDP.
             write: Sends the response; called at most once.
 
         Returns:
-            Whether the message is a new valid query, which is answered now or later.
+            True if the message is a new valid query, which is answered now or later.
         """
         if not self.access.allows(host):
             self.counts.denied += 1
@@ -172,7 +172,7 @@
         """Respond from a local zone or the cache, or with an error if the gateway cannot serve.
 
         Returns:
-            Whether a response was sent; if not, the query has to be forwarded.
+            True if a response was sent; if not, the query has to be forwarded.
         """
         query = waiting.query
         local = self.resolve_locally(query)
--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -53,7 +53,7 @@
 
     listen: Sequence[Address]
     upstreams: Sequence[Address]
-    uses_endpoint_list: bool = False  # whether the endpoint list adds to `upstreams`
+    uses_endpoint_list: bool = False  # True if the endpoint list adds to `upstreams`
     latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
     cache_bytes: int = 32 * 1024 * 1024
--- a/sagetrack/dns/upstream_attempt.py
+++ b/sagetrack/dns/upstream_attempt.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class UpstreamCounts:
-    """Totals since the start."""
+    """Counters since the start of the process."""
 
     udp_attempts: int = 0
     tcp_retries: int = 0  # attempts repeated over TCP
