--- a/sagetrack/discovery/call_history.py
+++ b/sagetrack/discovery/call_history.py
@@ -41,7 +41,7 @@
         self.no_list_since_failure = True
         self._failing_since_us: int | None = None  # time of the first failure of the current series
         self._last_response_us: int | None = None
-        self._overload_responses = 0  # number since the last list
+        self._overload_responses = 0  # number of overload responses since the last list
 
     @property
     def time_without_contact_us(self) -> int | None:
--- a/sagetrack/discovery/endpoint_list_json.py
+++ b/sagetrack/discovery/endpoint_list_json.py
@@ -29,8 +29,8 @@
     """
 
     def __init__(self) -> None:
-        self._encoded: dict[str, bytes] = {}  # by name; entries as JSON
-        self._changed: dict[str, dict[str, Any]] = {}  # by name; entries that are not encoded yet
+        self._encoded: dict[str, bytes] = {}  # entries as JSON, by name
+        self._changed: dict[str, dict[str, Any]] = {}  # entries that are not encoded yet, by name
         self._version: int | None = None
 
     def apply(self, raw: dict[str, Any], version: int | None, is_complete: bool) -> None:
--- a/sagetrack/peers/codec.py
+++ b/sagetrack/peers/codec.py
@@ -18,7 +18,7 @@
 from sagetrack.peers.errors import CodecError
 
 VERSION = 1
-DATAGRAM_LIMIT = 256  # bytes
+DATAGRAM_LIMIT = 256  # maximum size of a datagram in bytes
 VERSION_BYTES = 1
 CHECKSUM_BYTES = 4
 HEADER_BYTES = VERSION_BYTES + CHECKSUM_BYTES
@@ -88,7 +88,7 @@
         server: Id of the server.
         start_id: Start time of the server in milliseconds, modulo 2**24; distinguishes its incarnations.
         state: State of the circuit breaker for the server: closed, open or half-open.
-        overloaded: Whether the server is overloaded.
+        overloaded: True if the server is overloaded.
         weight: Load-balancing weight of the server, in hundredths.
         cooldown: Time until the circuit breaker leaves the open state, in tenths of a second.
         age: Time since the observation was made, in hundredths of a second.
--- a/sagetrack/peers/handover.py
+++ b/sagetrack/peers/handover.py
@@ -54,7 +54,7 @@
         latencies: Latencies of request classes.
 
     Returns:
-        Whether the file was written; a failure is logged.
+        True if the file was written; a failure is logged.
     """
     record = HandoverRecord(gateway, now_us, list(observations), list(latencies))
     body = encode_record(record)
--- a/sagetrack/peers/member_table.py
+++ b/sagetrack/peers/member_table.py
@@ -117,7 +117,7 @@
         """Add a member's confirmation of a suspicion, which shortens the suspicion.
 
         Returns:
-            Whether the confirmation is new and the limit of confirmations was not reached before.
+            True if the confirmation is new and the limit of confirmations was not reached before.
         """
         peer = self.peers[member]
         if reporter in peer.confirmations or len(peer.confirmations) > self._settings.confirmations:
--- a/sagetrack/peers/membership.py
+++ b/sagetrack/peers/membership.py
@@ -72,7 +72,7 @@
     Attributes:
         own_number: Number of this member.
         incarnation: Incarnation of this member.
-        counts: Counters since the start.
+        counts: Counters since the start of the process.
         on_change: Called with a member and its new state whenever the state changes.
     """
 
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -61,7 +61,7 @@
         post: Passes an event to the load balancer.
         observations: Returns the observations and latencies of this gateway.
         start_times: Returns the start time in microseconds of each listed server, by server id.
-        use_warm_start: Whether to request observations from peers at the start.
+        use_warm_start: True to request observations from peers at the start.
         demands: Returns the demand by tenant; None if fair queuing is off.
     """
 
--- a/sagetrack/peers/probes.py
+++ b/sagetrack/peers/probes.py
@@ -39,8 +39,8 @@
         retry_us: Time at which the ping is sent once more.
         indirect_us: Time at which other members are asked for an indirect ping.
         deadline_us: Time at which the probe fails.
-        was_retried: Whether the ping was sent once more.
-        is_indirect: Whether other members were asked for an indirect ping.
+        was_retried: True if the ping was sent once more.
+        is_indirect: True if other members were asked for an indirect ping.
         unresponsive_helpers: Members that were asked for an indirect ping and have not sent a nack.
     """
 
@@ -70,7 +70,7 @@
         requester_sequence: Sequence number of the request.
         target: The member that is pinged.
         due_us: Time at which the nack is sent; after that, the time at which the ping is discarded.
-        was_nacked: Whether the nack was sent.
+        was_nacked: True if the nack was sent.
     """
 
     requester: int
--- a/sagetrack/peers/token_bucket.py
+++ b/sagetrack/peers/token_bucket.py
@@ -16,7 +16,7 @@
         """Take `count` tokens, or none if fewer are available.
 
         Returns:
-            Whether the tokens were taken.
+            True if the tokens were taken.
         """
         accrued = (now_us - self._updated_us) / 1e6 * self._rate_per_s
         self._tokens = min(self._burst, self._tokens + accrued)
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -96,7 +96,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether all responses are complete or the limit of attempts is reached."""
+        """True if all responses are complete or the limit of attempts is reached."""
         return len(self.completed) == len(self.requests) or self._attempts >= MAX_ATTEMPTS
 
     def tick(self, now_us: int) -> None:
--- a/sagetrack/store/compaction.py
+++ b/sagetrack/store/compaction.py
@@ -29,7 +29,7 @@
 MAX_LOG_KEYS = 50_000  # number of keys in the log at which compaction is due
 STEP_RECORDS = 200  # records that are processed in one step
 SORT_KEYS = 4_000  # keys per sorted run; bounds the duration of one sort
-WRITE_BYTES = 64 * 1024  # buffered before each append
+WRITE_BYTES = 64 * 1024  # number of bytes that are buffered before each append
 
 HashedKey = tuple[int, Key]
 
@@ -111,7 +111,7 @@
 
     @property
     def due(self) -> bool:
-        """Whether the size of the log or of all files requires a compaction."""
+        """True if the size of the log or of all files requires a compaction."""
         newest = self._checkpoints.newest
         log_bytes = self._log.size_after(None if newest is None else newest.sequence)
         checkpoint_bytes = 0 if newest is None else newest.size
--- a/sagetrack/store/engine.py
+++ b/sagetrack/store/engine.py
@@ -126,7 +126,7 @@
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether some written batches are not durable yet."""
+        """True if some written batches are not durable yet."""
         return self.log.has_unsynced
 
     @property
@@ -141,7 +141,7 @@
 
     @property
     def compaction_due(self) -> bool:
-        """Whether a compaction should start, if none is running."""
+        """True if a compaction should start unless one is already running."""
         return self._compactor.due
 
     def compact(self, now_ms: int) -> Generator[None, None, None]:
--- a/sagetrack/store/file_names.py
+++ b/sagetrack/store/file_names.py
@@ -50,5 +50,5 @@
 
 
 def is_store_file(name: str) -> bool:
-    """Whether the name has the form of one of the store's own files."""
+    """True if the name has the form of one of the store's own files."""
     return _STORE_FILE.fullmatch(name) is not None
--- a/sagetrack/store/log_index.py
+++ b/sagetrack/store/log_index.py
@@ -87,7 +87,7 @@
         return iter(self._frozen)
 
     def is_frozen(self, key: Key) -> bool:
-        """Whether the frozen generation contains the key."""
+        """True if the frozen generation contains the key."""
         return key in self._frozen
 
     def frozen_location(self, key: Key) -> RecordLocation:
--- a/sagetrack/store/options.py
+++ b/sagetrack/store/options.py
@@ -11,7 +11,7 @@
 
     Attributes:
         max_age_ms: Age at which a record expires, in milliseconds; 0 means never.
-        evictable: Whether the oldest records of the space may be evicted when the store reaches its limit.
+        evictable: True if the oldest records of the space may be evicted when the store reaches its limit.
     """
 
     max_age_ms: int = 0
--- a/sagetrack/store/outage.py
+++ b/sagetrack/store/outage.py
@@ -18,7 +18,7 @@
 
     @property
     def backing_off(self) -> bool:
-        """Whether an outage is active and the retry is not due yet."""
+        """True if an outage is active and the retry is not due yet."""
         return self.active and time.monotonic() < self._retry_at_s
 
     def begin(self) -> bool:
--- a/sagetrack/store/write_ahead_log.py
+++ b/sagetrack/store/write_ahead_log.py
@@ -108,7 +108,7 @@
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether some appended batches are not durable yet."""
+        """True if some appended batches are not durable yet."""
         return bool(self._unsynced)
 
     def size_after(self, sequence: int | None) -> int:
--- a/sagetrack/store/writer.py
+++ b/sagetrack/store/writer.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class WriterCounts:
-    """Totals since the start.
+    """Counters since the start of the process.
 
     Attributes:
         batches: Written batches.
@@ -67,7 +67,7 @@
 
     Attributes:
         store: The store; None until it is open.
-        counts: Totals since the start.
+        counts: Counters since the start of the process.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
             on_durable: Called with True once the batch is durable, or with False if it is dropped.
 
         Returns:
-            Whether the batch was queued; otherwise it was dropped.
+            True if the batch was queued; otherwise it was dropped.
         """
         queued = self._queue.offer(QueuedBatch(records, on_durable))
         if not queued:
