--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failures: tests that show a real fault which is not mended yet, as KNOWN-RED.txt lists them.
+"""Known failures: tests that show a real fault that is not fixed yet, as listed in KNOWN-RED.txt.
 
-They run like all others and are printed at the end; one that passes again fails the run until its line is
-taken off the list.
+They run like all other tests and are printed at the end. If one of them passes again, the run fails until its
+line is removed from the list.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 from _pytest.terminal import TerminalReporter
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3  # known failures at a time
-SEPARATOR = " | "  # between a line's fields: test, cause, issue
+MOST = 3  # maximum number of known failures
+SEPARATOR = " | "  # separates the fields of a line: test, cause, issue
 
 
 def known_failures() -> dict[str, str]:
-    """The cause and the issue of each known failure, by the test's node id; UsageError for a bad list."""
+    """Return the cause and the issue of each known failure by test id; UsageError for an invalid list."""
     if not LIST.exists():
         return {}
     failures = {}
     for line in LIST.read_text().splitlines():
         fields = [field.strip() for field in line.split(SEPARATOR)]
         if len(fields) != 3 or not all(fields):
-            raise pytest.UsageError(f"{LIST.name}: 'test{SEPARATOR}cause{SEPARATOR}issue' is wanted: {line}")
+            raise pytest.UsageError(
+                f"{LIST.name}: expected 'test{SEPARATOR}cause{SEPARATOR}issue', got: {line}"
+            )
         test, cause, issue = fields
         failures[test] = f"{cause} ({issue})"
     if len(failures) > MOST:
-        raise pytest.UsageError(f"{LIST.name}: {len(failures)} known failures, and {MOST} at most may stand")
+        raise pytest.UsageError(f"{LIST.name}: {len(failures)} known failures, at most {MOST} are allowed")
     return failures
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -106,7 +106,7 @@
 
 
 def final_actions(actions: list[Action]) -> list[Reject | Fail]:
-    """Return the final answers that the gateway gives itself."""
+    """Return the final responses that the gateway generates itself."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -57,13 +57,11 @@
     "wait_until",
 ]
 
-TEST_TIMEOUT_S = (
-    30.0  # for anything that should happen: how long a broken test takes, never how long a good one
-)
+TEST_TIMEOUT_S = 30.0  # reached only by a failing test
 
 
 def on_event_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on the loop that the program runs on."""
+    """Run a test on an event loop of the kind that the gateway uses."""
 
     @functools.wraps(test)
     def run(*args: Any, **named: Any) -> None:
@@ -78,13 +76,13 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until something holds that no event tells of."""
+    """Poll until a condition holds for which there is no event to wait for."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 async def wait_for_reusable_connections(run: RunningGateway) -> None:
-    """Wait until every kept connection to a host may be used again."""
+    """Wait until every idle upstream connection may be reused."""
     oldest_us = int(REUSE_DELAY_S * 1e6)
     hosts = run.assembly.pools.servers.values()
     await wait_until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
@@ -93,7 +91,7 @@
 def configuration(
     *upstreams: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object
 ) -> dict[str, Any]:
-    """A configuration for these hosts; no list is asked for unless `membershipMode` is changed."""
+    """Return a configuration for these servers; lists are polled only if `membershipMode` is changed."""
     addresses = [host if isinstance(host, str) else host.address for host in upstreams]
     lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
     return {
@@ -133,7 +131,7 @@
 
 @dataclass
 class RunningGateway:
-    """The gateway in this process, listening on a port of its own."""
+    """A gateway in the process of the test, which listens on a port of its own."""
 
     assembly: GatewayAssembly
     gateway: Gateway
@@ -190,7 +188,7 @@
 
 
 def request(class_name: str = "search", body: bytes = b"", budget_ms: int = 20_000, **headers: str) -> bytes:
-    """A client's request in full; a header's name is given with _ for -, and None for its value drops it."""
+    """Return a client's request; in header names, _ stands for -, and a value of None omits the header."""
     global _count
     _count += 1
     fields: dict[str, str] = {
--- a/tests/test_dns_tcp_clients.py
+++ b/tests/test_dns_tcp_clients.py
@@ -26,10 +26,8 @@
 
 @on_event_loop
 async def test_tcp_queries_are_reassembled_and_answered_in_any_order() -> None:
-    long_deadlines = {
-        "latency_objective_us": 20_000_000,
-        "deadline_us": 20_000_000,
-    }  # long enough that no query is shed on a busy machine
+    # Long enough that no query is shed on a busy machine.
+    long_deadlines = {"latency_objective_us": 20_000_000, "deadline_us": 20_000_000}
     async with (
         nameserver(NameserverBehaviour(records=100)) as upstream,
         running_service(upstream, **long_deadlines) as (_, address),
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -30,9 +30,8 @@
     drain.begin_standby(100.0)
     assert not drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S / 2, 0.0, True)
     assert drain.may_close_idle(100.0 + STANDBY_IDLE_DELAY_S, 0.0, True)
-    assert (
-        STANDBY_IDLE_DELAY_S + FIRST_REQUEST_TIMEOUT_S < 2.0
-    )  # a request on such a connection arrives by then, and is at least 2 s old 4 s after `standby`
+    # A request on such a connection arrives by then, and is at least 2 s old 4 s after `standby`.
+    assert STANDBY_IDLE_DELAY_S + FIRST_REQUEST_TIMEOUT_S < 2.0
     drain.begin_shutdown(200.0)
     assert not drain.may_close_idle(200.0, 0.0, True)
     assert drain.may_close_idle(200.0 + SHUTDOWN_IDLE_DELAY_S, 0.0, True)
--- a/tests/test_endpoint_parsing.py
+++ b/tests/test_endpoint_parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of endpoint lists, their encoding for a successor process, and rejection of outdated check."""
+"""Parsing of endpoint lists, their encoding for a successor process, and rejection of outdated lists."""
 
 from __future__ import annotations
 
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -89,7 +89,6 @@
         for grant, demand, share in zip(grants, demands, shares, strict=True)
         if grant < demand - 1e-3
     ]
-    for grant, share in zip(
-        grants, shares, strict=True
-    ):  # no tenant has more per share than one whose demand is not met
+    # No tenant has more per share than one whose demand is not met.
+    for grant, share in zip(grants, shares, strict=True):
         assert not limited or grant / share <= min(limited) * (1 + 1e-6) + 1e-3
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -60,11 +60,8 @@
     [
         (respond_with(http_response(200, b"a book")), Outcome.OK, 200),
         (respond_with(http_response(500)), Outcome.ERROR, 502),
-        (
-            respond_with(http_response(503)),
-            Outcome.ERROR,
-            502,
-        ),  # without X-Rejected, the request may have run
+        # Without X-Rejected, the request may have run.
+        (respond_with(http_response(503)), Outcome.ERROR, 502),
         (respond_with(http_response(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
         (respond_with(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
         (respond_with(REJECTED_RESPONSE), Outcome.REJECTED, 503),
@@ -139,9 +136,8 @@
         ended = outcomes(run)
         assert (await run.request(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
-        await wait_until(
-            lambda: upstream.closed_connections == 1
-        )  # the server can notice that no client waits
+        # The server can notice that no client waits.
+        await wait_until(lambda: upstream.closed_connections == 1)
         assert run.assembly.pools.open_connections == 0 and not run.gateway.in_flight
 
 
--- a/tests/test_grpc_traffic_shift.py
+++ b/tests/test_grpc_traffic_shift.py
@@ -43,9 +43,8 @@
     assert fractions == sorted(fractions) and fractions[0] == 0.1 and fractions[-1] == 1.0
     similar = Migration(0.25)
     rng = random.Random(1)
-    assert not any(
-        similar.record(bool(n % 2), rng.random() < 0.2, now) for n in range(4000)
-    )  # both protocols fail equally often, so there is no fallback
+    # Both protocols fail equally often, so there is no fallback.
+    assert not any(similar.record(bool(n % 2), rng.random() < 0.2, now) for n in range(4000))
 
 
 def test_classes_and_tenants_override_the_share_and_a_mirrored_request_has_one_protocol() -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -101,9 +101,8 @@
 
         run.gateway.balancer.handle = record_event  # type: ignore[method-assign,assignment]
         assert (await run.request(request())).status == 200
-        await wait_for_reusable_connections(
-            run
-        )  # an idle upstream connection exists, so that nothing would delay a request
+        # An idle upstream connection exists, so that nothing would delay a request.
+        await wait_for_reusable_connections(run)
         for class_name in ("search", "transfer"):
             with socket.create_connection(("127.0.0.1", run.port)) as client:
                 client.sendall(request(class_name))
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -1,4 +1,4 @@
-"""The addresses a gateway exchanges messages at, by the platform's configuration and the operator's file."""
+"""Addresses for messages between gateways, from the platform's configuration and the operator's file."""
 
 from __future__ import annotations
 
@@ -26,28 +26,30 @@
     return Operator(peers=PeerSettings(**settings))
 
 
-def test_the_platforms_addresses_are_used_where_it_allows_messages() -> None:
+def test_addresses_of_the_platform_are_used_if_it_allows_messages() -> None:
     expected = PeerAddresses(1, SECOND, [FIRST, SECOND])
     assert peer_addresses(config(), None) == expected
     assert peer_addresses(config(), operator()) == expected
     assert peer_addresses(config(may_message_peers=False), None) is None
-    assert peer_addresses(config(peers=("127.0.0.1:7001",)), None) is None  # not one for each gateway
+    # There must be one address for each gateway.
+    assert peer_addresses(config(peers=("127.0.0.1:7001",)), None) is None
 
 
-def test_the_operator_can_switch_messages_off() -> None:
+def test_the_operator_can_disable_messages() -> None:
     assert peer_addresses(config(), operator(use="off")) is None
 
 
-def test_the_operators_addresses_go_before_the_platforms() -> None:
+def test_addresses_of_the_operator_take_precedence_over_those_of_the_platform() -> None:
     found = peer_addresses(
         config(may_message_peers=False),
         operator(use="on", listen="127.0.0.1:7003", addresses=["127.0.0.1:7003", "127.0.0.1:7001"], me=0),
     )
     assert found == PeerAddresses(0, ("127.0.0.1", 7003), [("127.0.0.1", 7003), FIRST])
-    assert peer_addresses(config(), operator(use="on", addresses=["127.0.0.1:7002"], me=0)) is None  # alone
+    # There are no peers.
+    assert peer_addresses(config(), operator(use="on", addresses=["127.0.0.1:7002"], me=0)) is None
 
 
-def test_addresses_that_do_not_suffice_are_an_error_where_the_operator_asks_for_messages() -> None:
+def test_missing_or_invalid_addresses_are_an_error_if_the_operator_enables_messages() -> None:
     without = parse(configuration("127.0.0.1:1"))
     with pytest.raises(ConfigError, match="needs peers.listen and peers.addresses"):
         peer_addresses(without, operator(use="on"))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -41,7 +41,7 @@
         self.attempts = run.assembly.pools.attempts
         self.held: list[UpstreamConnection] = []
         self.original_on_connected = self.attempts.on_connected
-        self.only = only  # server ID; None for all servers
+        self.only = only  # server id; None for all servers
         self.attempts.on_connected = self.on_connected  # type: ignore[method-assign]
 
     def on_connected(self, connection: UpstreamConnection) -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -102,13 +102,14 @@
     "small-door": (replace(WITH_ADMISSION_CONTROL, tenants=TENANTS[:2], max_concurrency=2.0), 6),
 }
 SEEDS = (1, 2, 3)
+# Actions are hashed by a reason's position in this tuple: never reorder it.
 REASONS = (
     RejectReason.SHED,
     RejectReason.NO_CAPACITY,
     RejectReason.QUEUE,
     RejectReason.ATTEMPTS_FAILED,
     RejectReason.OTHER,
-)  # Hashed by position: never reorder.
+)
 LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # Values in a log line, without its wording.
 
 
