--- a/sagetrack/core/requests.py
+++ b/sagetrack/core/requests.py
@@ -70,7 +70,7 @@
     Attributes:
         id: The request id, unique among the requests in flight.
         class_index: The index of the request class in the settings.
-        client_timeout_us: How long the client waits, counted from the last byte of the request.
+        client_timeout_us: Time that the client waits, counted from the last byte of the request.
         key: The hash of the ordering or idempotency key; None if there is none.
         work_us: The work that the request announces, in microseconds; None if it announces none.
         is_retry: True if the client has sent the request before.
--- a/sagetrack/discovery/client.py
+++ b/sagetrack/discovery/client.py
@@ -248,7 +248,7 @@
         Args:
             connection: An open connection.
             target: The request target.
-            poll_wait_s: How long discovery may hold back the response.
+            poll_wait_s: Time for which discovery may hold back the response.
         """
         host, port = self.address
         head = b"GET %s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (target, host.encode(), port)
--- a/sagetrack/dns/limits.py
+++ b/sagetrack/dns/limits.py
@@ -18,7 +18,7 @@
 
 
 class RateLimitAction(Enum):
-    """What the rate limiter does with a response."""
+    """The action of the rate limiter on a response."""
 
     SEND = "answer"
     TRUNCATE = "cut"  # send only the question, with TC set
--- a/sagetrack/http1/client_closes.py
+++ b/sagetrack/http1/client_closes.py
@@ -15,7 +15,7 @@
 RESPONDED = "answered"
 DRAINED = "drain"
 ABORTED = "aborted"
-CLIENT_LEFT = "client_left"  # closed by the client; not counted
+CLIENT_DISCONNECTED = "client_left"  # closed by the client; not counted
 NOT_TRACED = frozenset({RESPONDED, CloseReason.IDLE.value})
 
 
@@ -45,7 +45,7 @@
             awaits_response: True if no byte of its response has been written although the client is reading.
             has_disconnected: Returns whether the client has closed the connection.
         """
-        if reason == CLIENT_LEFT:
+        if reason == CLIENT_DISCONNECTED:
             return
         self.counts.add(reason)
         if reason not in NOT_TRACED:
--- a/sagetrack/http1/connection_phases.py
+++ b/sagetrack/http1/connection_phases.py
@@ -12,7 +12,7 @@
     DenialReason,
 )
 
-FIRST_BYTE_TIMEOUT_S = REQUEST_HEAD_TIMEOUT_S  # from the accept to the first byte
+FIRST_BYTE_TIMEOUT_S = REQUEST_HEAD_TIMEOUT_S  # time limit from the accept to the first byte
 # Time limit of a request without a streamed body, from its first byte (first request: from the accept).
 REQUEST_TIMEOUT_S = 2.4
 KEEPALIVE_S = 20.0  # idle timeout between requests
--- a/sagetrack/http1/downstream.py
+++ b/sagetrack/http1/downstream.py
@@ -10,7 +10,7 @@
 from sagetrack.core.drain import Drain
 from sagetrack.core.peer_close import PeerCloseWatcher, has_peer_closed
 from sagetrack.core.send_rules import ClientConnectionState, CloseReason, DenialReason, may_close
-from sagetrack.http1.client_closes import ABORTED, CLIENT_LEFT, DRAINED, RESPONDED, ClientCloses
+from sagetrack.http1.client_closes import ABORTED, CLIENT_DISCONNECTED, DRAINED, RESPONDED, ClientCloses
 from sagetrack.http1.codec import READ_SIZE
 from sagetrack.http1.connection_phases import ConnectionPhases, PhaseTracker
 from sagetrack.http1.exchange import Exchange, ExchangeContext
@@ -92,7 +92,7 @@
         self.discarded_body: StreamedBody | None = None  # read to its end after the response has been sent
         self.phase = PhaseTracker(self, context.phases)
         self.read_pause = ReadPause(self.phase)
-        self.opened_s = 0.0  # when the connection was accepted, in event loop time
+        self.opened_s = 0.0  # time at which the connection was accepted, in event loop time
         self.is_closing = False  # the connection is being closed and no more requests are parsed
         self.write_blocked = False  # the write buffer is full because the client reads too slowly
         self.descriptor = -1
@@ -121,7 +121,7 @@
     def eof_received(self) -> None:
         """Handle a close by the client; data that was written is still flushed. Called by the event loop."""
         self.cancel_requests()
-        self.close(CLIENT_LEFT)
+        self.close(CLIENT_DISCONNECTED)
 
     def cancel_requests(self) -> None:
         """Cancel the request of a disconnected client, and drop those that were read ahead."""
@@ -132,7 +132,7 @@
 
     def on_hangup(self) -> None:
         """Handle a disconnect while reading is paused and the event loop cannot see it."""
-        self.abort(CLIENT_LEFT)
+        self.abort(CLIENT_DISCONNECTED)
         self.cancel_requests()
 
     def has_disconnected(self) -> bool:
--- a/sagetrack/peers/warm_start.py
+++ b/sagetrack/peers/warm_start.py
@@ -33,7 +33,7 @@
 MAX_PARTS = 32  # parts of one response: about 350 servers, the least healthy first
 MAX_CLASSES = 16  # request classes in one response
 ARRAY_BYTES = 8  # upper bound for the larger headers of the two arrays when they are filled
-RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # in datagrams, shared by all peers
+RESPONSES_PER_S, RESPONSE_BURST = 60.0, 120.0  # rate limit in datagrams, shared by all peers
 
 
 @dataclass(slots=True)
--- a/sagetrack/policy/circuit_breaker.py
+++ b/sagetrack/policy/circuit_breaker.py
@@ -65,7 +65,7 @@
         Args:
             now_us: The current time.
             failed: True if the attempt failed.
-            half_open_period: What `take_trial` returned for the attempt.
+            half_open_period: The value that `take_trial` returned for the attempt.
             common_failure_share: The recent failure share of the other servers.
 
         Returns:
--- a/sagetrack/policy/client_timeouts.py
+++ b/sagetrack/policy/client_timeouts.py
@@ -19,7 +19,7 @@
     """Estimate of the timeout that the clients of one tenant give first tries of one class."""
 
     usual_us: int
-    votes: int = 0  # for `usual_us`: counter of the Boyer-Moore majority vote
+    votes: int = 0  # counter of the Boyer-Moore majority vote for `usual_us`
     usual_fraction: float = 1.0  # smoothed fraction of recent requests with the usual timeout
 
 
--- a/sagetrack/policy/events.py
+++ b/sagetrack/policy/events.py
@@ -22,7 +22,7 @@
 
 
 class ListKind(Enum):
-    """What the server entries of an EndpointList event represent."""
+    """The meaning of the server entries of an EndpointList event."""
 
     DELTA = "delta"  # only the servers that changed
     FULL = "full"  # all servers; a server that is not listed is gone
@@ -31,7 +31,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The way in which an attempt ended."""
 
     OK = "ok"
     ERROR = "error"  # error response; the request may have run
@@ -185,7 +185,7 @@
 class ShutdownStarted:
     """Graceful shutdown has started: every request, including later ones, must be answered by its end."""
 
-    at_us: int  # when the shutdown ends, on the caller's clock
+    at_us: int  # time at which the shutdown ends, on the caller's clock
 
 
 @dataclass(slots=True, frozen=True)
@@ -219,7 +219,7 @@
 class TenantSharesChanged:
     """The operator has changed the shares of the tenants."""
 
-    shares: tuple[float, ...]  # in the order of `Settings.tenants`
+    shares: tuple[float, ...]  # shares in the order of `Settings.tenants`
 
 
 @dataclass(slots=True, frozen=True)
--- a/sagetrack/policy/fair_queue.py
+++ b/sagetrack/policy/fair_queue.py
@@ -73,7 +73,7 @@
         self.max_flows = flows
         self.tenants: list[TenantQueue[Item]] = [TenantQueue(max(share, MIN_SHARE)) for share in shares]
         self.heap: list[tuple[float, int, int]] = []  # start tag, insertion order, tenant
-        self.virtual_time = 0.0  # in units of work divided by share
+        self.virtual_time = 0.0  # virtual time of all tenants, in work divided by share
         self.max_catch_up = 0.0  # maximum virtual time by which an idle tenant's start tag may lag behind
         self.order = 0
         self.flow_count = 0
--- a/sagetrack/policy/gossip.py
+++ b/sagetrack/policy/gossip.py
@@ -41,7 +41,7 @@
         self._ranked = ring.ranked
         self._latency = policy_context.latency
         self._slow_start = slow_start
-        self.received: dict[tuple[int, int], Observation] = {}  # by server id and observing gateway
+        self.received: dict[tuple[int, int], Observation] = {}  # observations by server id and gateway
 
     def own_observations(self) -> list[Observation]:
         """Return this gateway's own observations of servers."""
--- a/sagetrack/policy/migration.py
+++ b/sagetrack/policy/migration.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 MAX_EXCESS_FAILURE_RATE = 0.05  # a larger excess over the old servers' failure rate may cause a fallback
-SIGNIFICANCE = 2.6  # in standard errors of the difference; exceeded by chance in one of 200 checks
+SIGNIFICANCE = 2.6  # limit in standard errors of the difference; exceeded by chance in one of 200 checks
 MIN_OUTCOMES = 30  # outcomes of new servers needed before a fallback
 DECAY_TIME_US = 10_000_000  # the weight of an outcome falls to 1/e in this time
 FALLBACK_US = 15_000_000  # duration of the first fallback; it doubles with each further one
--- a/sagetrack/policy/reservations.py
+++ b/sagetrack/policy/reservations.py
@@ -45,7 +45,7 @@
         # By requester: the scheduled time of each reservation, and the earliest time to claim it
         self.table: OrderedDict[Requester, list[tuple[int, int]]] = OrderedDict()
         self.capacity, self.count = capacity, 0
-        self.count_by_client: dict[tuple[int, int], int] = {}  # by tenant and client, for known clients
+        self.count_by_client: dict[tuple[int, int], int] = {}  # for known clients, by tenant and client
         self.booked_until_us = [0.0] * tenants
         self.issued, self.honored, self.ignored = [0] * tenants, [0] * tenants, [0] * tenants
 
--- a/sagetrack/policy/settings.py
+++ b/sagetrack/policy/settings.py
@@ -170,7 +170,7 @@
     attempts_per_connection: int = 1  # concurrent attempts per connection
     keepalive_us: int = 60_000_000  # idle connections are closed after this time
     connect_timeout_us: int = 1_000_000  # timeout for opening a connection to a server
-    answer_slack_us: int = 0  # how long after its deadline a final response is still accepted
+    answer_slack_us: int = 0  # time after its deadline for which a final response is accepted
     # Time allowed to stop sending after an endpoint list reports a server as draining or gone.
     stop_sending_within_us: int = 0
     cpu_us_per_s: int = 0  # CPU budget of this gateway; 0: no known limit
--- a/sagetrack/policy/state.py
+++ b/sagetrack/policy/state.py
@@ -27,7 +27,7 @@
 
     breaker: Breaker
     weight: float = MAX_WEIGHT
-    last_succeeded: bool = False  # the last outcome of the class was a success
+    last_succeeded: bool = False  # True if the last outcome of the class was a success
 
 
 @dataclass(slots=True, eq=False)
@@ -76,7 +76,7 @@
     class_half_open_period: int  # the same for the breaker of the request's class at the server
     ended: bool = False
     may_have_run: bool = True
-    stalled: bool = False  # in flight for longer than a response usually takes
+    stalled: bool = False  # True if in flight for longer than a response usually takes
 
 
 @dataclass(slots=True, eq=False)
@@ -104,7 +104,7 @@
     retry_after_us: int = -1  # set by admission control; -1: not set
     tenant: int = 0
     mirror_target: int = -1  # -1: not mirrored; mirrored to 1: gRPC servers only, 0: other servers only
-    key_cooldown_until_us: int = 0  # for classes in order: an attempt may still be running until then
+    key_cooldown_until_us: int = 0  # in-order classes: an attempt may run until then
 
 
 def rendezvous(key: int, server: int, weight: float) -> float:
--- a/sagetrack/policy/timers.py
+++ b/sagetrack/policy/timers.py
@@ -13,7 +13,7 @@
 
 
 class TimerPurpose(Enum):
-    """What to do when a timer fires."""
+    """The action to take when a timer fires."""
 
     ENDPOINT_LIST = "endpoint list"  # restart the watch of the endpoint list
     CONCURRENCY_SHARE = "concurrency share"  # send queued requests, as concurrency quota is available again
