--- a/tests/test_concurrency_share.py
+++ b/tests/test_concurrency_share.py
@@ -107,8 +107,8 @@
     credit.wait_us(0, 0, 0.5)
     now_us = 3600 * SECOND_US
     assert credit.wait_us(now_us, 0, 0.5) == 0
-    used_us = int(MAX_SAVED_US) + 2  # Half of the credit used by one attempt is earned back.
-    assert credit.wait_us(now_us + used_us, 1, 0.5) is None  # One attempt in flight exceeds the share.
+    used_us = int(MAX_SAVED_US) + 2  # half of the credit used by one attempt is earned back
+    assert credit.wait_us(now_us + used_us, 1, 0.5) is None  # one attempt in flight exceeds the share
     assert credit.wait_us(now_us + used_us, 0, 0.5) in range(1, 4)
 
 
@@ -116,13 +116,13 @@
     credit = ConcurrencyShare()
     credit.wait_us(0, 0, 1.0)
     credit.learn(0.0)
-    assert credit.boost == 1.0  # The share was not exhausted.
+    assert credit.boost == 1.0  # the share was not exhausted
     for _ in range(20):
         assert credit.wait_us(0, 99, 1.0) is None
         credit.learn(0.5)
     boosted = credit.boost
     assert boosted == pytest.approx(1.0 + 20 * BOOST_STEP)
-    credit.learn(1.5)  # It queued, but it is not late.
+    credit.learn(1.5)  # it queued, but it is not late
     assert credit.boost == boosted
     credit.learn(2.5)
     assert credit.boost == pytest.approx(boosted * BOOST_CUT)
@@ -136,7 +136,7 @@
 
 
 def test_a_request_without_credit_waits_for_a_timer_and_is_then_sent() -> None:
-    driver = Driver(MANY_GATEWAYS, servers=4)  # The share is 0.85 * 3 * 4 / 20 = 0.51.
+    driver = Driver(MANY_GATEWAYS, servers=4)  # the share is 0.85 * 3 * 4 / 20 = 0.51
     first, actions = driver.arrive()
     (send,) = send_actions(actions)
     driver.now_us += 200_000
@@ -202,7 +202,7 @@
     ]
     failing = driver.balancer.ring.ranked[0].entry
     driver.list_servers(*(s.entry for s in driver.balancer.ring.ranked[1:]), replace(failing, started_us=1))
-    assert not driver.balancer.endpoints.tripped  # The restarted server has a new breaker.
+    assert not driver.balancer.endpoints.tripped  # the restarted server has a new breaker
 
 
 def test_draining_servers_with_open_breakers_do_not_lower_the_share() -> None:
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -11,7 +11,7 @@
 from tests.helpers import SAFE
 
 CLASSES = (replace(SAFE, latency_objective_us=200_000), replace(SAFE, latency_objective_us=400_000))
-INITIAL_US = 50_000.0  # A quarter of the latency objective of the first class.
+INITIAL_US = 50_000.0  # a quarter of the latency objective of the first class
 
 
 def test_the_initial_estimate_is_a_quarter_of_the_latency_objective() -> None:
--- a/tests/test_peer_observations.py
+++ b/tests/test_peer_observations.py
@@ -93,7 +93,7 @@
     assert servers[4].weight == pytest.approx(0.2) and servers[5].weight == 1.0
     assert driver.balancer.latency.smoothed_us[0] == 9_000.0
     driver.now_us += FIRST_COOLDOWN_US
-    assert servers[3].breaker.allows_request(driver.now_us)  # Trials decide, as after any cooldown.
+    assert servers[3].breaker.allows_request(driver.now_us)  # trials decide, as after any cooldown
 
 
 def test_own_observations_outweigh_those_of_peers_which_cannot_make_ready_or_add_a_server() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -60,7 +60,7 @@
 from sagetrack.policy.settings import Effect, Goal, Prices, RequestClass, Scope, Settings, Tenant
 from tests.helpers import KEYED, SAFE, START_US, UNSAFE
 
-EVENTS = 6000  # Per day.
+EVENTS = 6000  # per day
 QUARTERS = 4
 ZONE_KEYED = replace(KEYED, scope=Scope.ZONE, window_us=500_000)
 ALL_KEYED = replace(KEYED, scope=Scope.ALL, window_us=500_000)
@@ -85,7 +85,7 @@
     warm_keys=True,
 )
 WITH_ADMISSION_CONTROL = replace(WARMING_UP, admission=AdmissionSettings(), clients_mark_retries=True)
-DAYS: dict[str, tuple[Settings, int]] = {  # Settings and number of servers.
+DAYS: dict[str, tuple[Settings, int]] = {  # settings and number of servers
     "plain": (PLAIN, 12),
     "keyed": (
         replace(PLAIN, classes=(CLASSES[1], ZONE_KEYED, ALL_KEYED), gateway_count=3, gateway_index=1),
@@ -110,7 +110,7 @@
     RejectReason.ATTEMPTS_FAILED,
     RejectReason.OTHER,
 )
-LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # Values in a log line, without its wording.
+LOG_VALUES = re.compile(r"\d[\d.]*|open|closed|class")  # values in a log line, without its wording
 
 
 def digest_form(action: Action) -> tuple[object, ...]:
@@ -144,11 +144,11 @@
         self.server_count = servers
         self.next_server = 0
         self.next_request = 0
-        self.in_flight: list[tuple[SendAttempt, int, int]] = []  # Attempt, its number and send time.
-        self.attempts: dict[str, int] = {}  # Attempts so far by request, until its final response.
+        self.in_flight: list[tuple[SendAttempt, int, int]] = []  # attempt, its number and send time
+        self.attempts: dict[str, int] = {}  # attempts so far by request, until its final response
         self.timers: list[tuple[int, int]] = []
         self.slow_until_us = 0
-        self.failing: set[int] = set()  # Servers with a high failure rate.
+        self.failing: set[int] = set()  # servers with a high failure rate
         self.digest = hashlib.blake2b(digest_size=8)
         self.counts: dict[str, int] = {}
 
@@ -269,7 +269,7 @@
             if choice == 3:
                 entry = replace(self.entries[number], status=ServerStatus.DRAINING)
             elif choice == 4 and len(self.entries) > 3:
-                entry = ListedServer(number, ServerStatus.GONE)  # Such an entry has no other fields.
+                entry = ListedServer(number, ServerStatus.GONE)  # such an entry has no other fields
             elif choice == 5:
                 entry = replace(self.entries[number], status=ServerStatus.READY)
             if entry.status is ServerStatus.GONE:
@@ -278,7 +278,7 @@
                 self.entries[number] = entry
             changed.append(entry)
         if rng.random() < 0.1:
-            changed.append(ListedServer(10_000, ServerStatus.GONE))  # It was never listed.
+            changed.append(ListedServer(10_000, ServerStatus.GONE))  # it was never listed
         self.handle(EndpointList(ListKind.DELTA, tuple(changed)))
 
     def receive_observations(self) -> None:
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -81,7 +81,7 @@
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
         name, actions = driver.arrive()
         driver.end(name, send_actions(actions)[0].server, outcome)
-    assert driver.balancer.servers[0].breaker.state is State.OPEN  # The second failure in a row.
+    assert driver.balancer.servers[0].breaker.state is State.OPEN  # the second failure in a row
 
 
 def test_a_timeout_shorter_than_the_usual_latency_does_not_count_as_a_failure() -> None:
@@ -104,7 +104,7 @@
     names = [driver.arrive(class_index=2)[0] for _ in range(2)]
     trip(server.breaker, driver.now_us)
     weight = server.weight
-    driver.end(names[0], 0, Outcome.ERROR)  # Sent before the breaker opened.
+    driver.end(names[0], 0, Outcome.ERROR)  # sent before the breaker opened
     assert server.weight == weight
     driver.now_us = server.breaker.open_until_us
     driver.end(names[1], 0, Outcome.ERROR)
@@ -137,7 +137,7 @@
     driver.end(name, 0, Outcome.RESET)
     assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(class_index=2)
-    driver.end(name, 0, Outcome.ERROR)  # The other class succeeded last, so only this class is affected.
+    driver.end(name, 0, Outcome.ERROR)  # the other class succeeded last, so only this class is affected
     assert (
         server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
         and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
--- a/tests/test_service_rate.py
+++ b/tests/test_service_rate.py
@@ -21,7 +21,7 @@
     rate = ServiceRate()
     for n in range(101):
         rate.record(1000.0, n * 1000, still_queueing=n < 100)
-    rate.record(1000.0, 60_000_000, still_queueing=True)  # No request was queued in between.
+    rate.record(1000.0, 60_000_000, still_queueing=True)  # no request was queued in between
     rate.stop_measuring()
     rate.record(1000.0, 90_000_000, still_queueing=True)
     assert rate.per_us == pytest.approx(1.0)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -47,7 +47,7 @@
 
 def test_all_gateways_together_keep_a_warming_up_server_within_its_budget() -> None:
     """Guards against forty gateways sending their first request as soon as a server is listed."""
-    work_us = [0.0] * 20  # By window of half a second.
+    work_us = [0.0] * 20  # by window of half a second
     for gateway_index in range(40):
         driver = Driver(replace(WARMING_UP, gateway_index=gateway_index), servers=0, seed=gateway_index)
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
@@ -80,14 +80,14 @@
     request = next(iter(driver.balancer.requests), None)
     assert request is not None
     drained_us, cost_us = driver.balancer.slow_start.budget_terms(driver.now_us, server, request)
-    assert cost_us == MAX_COST * SECOND_US  # The initial estimate is a quarter of the objective.
+    assert cost_us == MAX_COST * SECOND_US  # the initial estimate is a quarter of the objective
     # Five responses of 100 ms each.
     driver.balancer.latency.response_counts[0], driver.balancer.latency.latency_sums_us[0] = 5, 500_000.0
     drained_after_learning_us, cost_after_learning_us = driver.balancer.slow_start.budget_terms(
         driver.now_us, server, request
     )
     assert cost_after_learning_us == cost_us and drained_after_learning_us > 4 * drained_us
-    assert drained_after_learning_us <= cost_us  # At most one request per window.
+    assert drained_after_learning_us <= cost_us  # at most one request per window
 
 
 def test_learned_latency_does_not_change_a_budget_that_holds_a_request() -> None:
@@ -171,7 +171,7 @@
         slow_start.charge(0, server, request)
         sent += 1
     assert sent == int(drained_us / cost_us)
-    assert slow_start.has_budget(SECOND_US, server, request)  # The bucket has drained completely.
+    assert slow_start.has_budget(SECOND_US, server, request)  # the bucket has drained completely
     assert server.slow_start_used_us == 0.0
 
 
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -114,9 +114,9 @@
     ListedServer(3, weight=2.0),
     ListedServer(4, ServerStatus.DRAINING),
     ListedServer(4),
-    ListedServer(5, started_us=7),  # Restarted.
+    ListedServer(5, started_us=7),  # restarted
     ListedServer(6, ServerStatus.GONE),
-    ListedServer(999_999),  # New.
+    ListedServer(999_999),  # new
 )
 
 
@@ -171,7 +171,7 @@
     ring.change(positions)
     CountingRank.comparisons = 0
     ring.change({**positions, 7: RingPosition(positions[7].rank, "restarted"), 8: None})
-    assert CountingRank.comparisons <= 2 * 11  # A binary search halves 2000 entries 11 times.
+    assert CountingRank.comparisons <= 2 * 11  # a binary search halves 2000 entries 11 times
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,7 @@
         if number in servers and rng.random() < 0.5:
             removed = servers[number]
             driver.list_servers(ListedServer(number, ServerStatus.GONE), kind=ListKind.DELTA)
-            removed.weight = 0.05  # An attempt that is still in flight fails.
+            removed.weight = 0.05  # an attempt that is still in flight fails
         others = [server.weight for n, server in servers.items() if n != number]
         driver.list_servers(ListedServer(number, started_us=step + 1), kind=ListKind.DELTA)
         assert servers[number].weight == pytest.approx(sum(others) / len(others), rel=1e-12)
@@ -351,7 +351,7 @@
     discovery = make_discovery_client(hot_restart)
     first = [endpoint(f"s-{n}", f"127.0.0.1:{n + 1}") for n in range(500)]
     receive_changes(discovery, 1, *first, is_full=True)
-    assert (writes.lists, writes.entries) == (1, 500)  # The first change is written at once.
+    assert (writes.lists, writes.entries) == (1, 500)  # the first change is written at once
     for n in range(200):
         receive_changes(discovery, 2 + n, endpoint(f"s-{n % 50}", "127.0.0.1:9", status="DRAINING"))
     receive_changes(discovery, 202, endpoint("s-499", "127.0.0.1:9", status="DELETED"))
@@ -359,7 +359,7 @@
     receive_changes(discovery, 204, endpoint("s-new", "127.0.0.1:8", status="DELETED"))
     assert (writes.lists, writes.entries) == (1, 500)
     hot_restart.release()
-    assert (writes.lists, writes.entries) == (2, 551)  # The last changes are written on exit at the latest.
+    assert (writes.lists, writes.entries) == (2, 551)  # the last changes are written on exit at the latest
     draining = [endpoint(f"s-{n}", "127.0.0.1:9", status="DRAINING") for n in range(50)]
     expected = endpoint_list(204, *draining, *first[50:498], endpoint("s-498", "127.0.0.1:9"))
     assert hot_restart.endpoint_list.select_newest(REGISTRY, {}) == expected
@@ -387,7 +387,7 @@
     hot_restart, successor = HotRestart(str(tmp_path)), HotRestart(str(tmp_path))
     discovery = make_discovery_client(hot_restart)
     receive_changes(discovery, 1, endpoint("s-1", "127.0.0.1:1"), is_full=True)
-    receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # Rate limited: not written yet.
+    receive_changes(discovery, 2, endpoint("s-2", "127.0.0.1:1"))  # rate limited: not written yet
     successor.endpoint_list.write(REGISTRY, endpoint_list(3, endpoint("s-3", "127.0.0.1:1")))
     hot_restart.serving_sibling_count = 1
     hot_restart.release()
