--- a/sagetrack/lab/soak/run.py
+++ b/sagetrack/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: its processes, its faults as they were drawn, and the verdict on it."""
+"""One run of the soak: starts the processes, injects the scheduled faults, and evaluates the events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sagetrack.lab.soak.discovery import group_of
 from sagetrack.lab.soak.events import read_events
 from sagetrack.lab.soak.fault_injection import FaultInjector
-from sagetrack.lab.soak.fault_schedule import draw_schedule
+from sagetrack.lab.soak.fault_schedule import generate_schedule
 from sagetrack.lab.soak.fleet import Fleet, SoakSize
 from sagetrack.lab.soak.gateway_checks import (
     record_counted_violations,
@@ -19,30 +19,30 @@
 from sagetrack.lab.soak.gateway_lifecycle import GatewayLifecycle
 from sagetrack.lab.soak.history import GatewaySpan, History
 from sagetrack.lab.soak.shim import ShimError, build_library
-from sagetrack.lab.soak.verdict import SoakReport, reach_verdict
+from sagetrack.lab.soak.verdict import SoakReport, evaluate_run
 
-CALM_S = 0.5  # after the last fault, before the clients end
-DRAINED_S = 3.0  # after the last client: until then long bodies and late connections have ended
-NO_COMPILER = "failing system calls: there is no C compiler"
+FAULT_FREE_S = 0.5  # time from the last fault until the clients end
+DRAIN_S = 3.0  # time after the clients end during which long bodies and late connections complete
+NO_COMPILER_LIMITATION = "failing system calls: there is no C compiler"
 
 
 class SoakRun:
-    """One run of one seed."""
+    """One run with one seed."""
 
     def __init__(self, seed: int, size: SoakSize, folder: Path, library: Path | None) -> None:
         self._seed = seed
         self._size = size
         self._folder = folder
         self._library = library
-        self._faults = draw_schedule(seed, size.seconds, size.gateways, size.servers)
+        self._faults = generate_schedule(seed, size.seconds, size.gateways, size.servers)
         server_groups = {server: group_of(server) for server in range(size.servers)}
         self._history = History(server_groups=server_groups)
         self._fleet = Fleet(seed, size, folder, library)
         self._lifecycle = GatewayLifecycle(self._history)
         self._injector = FaultInjector(self._fleet, self._lifecycle, size.servers, self._history)
 
-    async def play(self) -> SoakReport:
-        """Play the run; whatever happens, no process of it is left."""
+    async def execute(self) -> SoakReport:
+        """Execute the run and return its report. No process is left behind, even after an error."""
         try:
             await self._start()
             await self._inject_faults()
@@ -57,7 +57,7 @@
         await self._fleet.start_clients()
 
     async def _inject_faults(self) -> None:
-        """Apply all faults, for as long as the run is meant to last or the last fault takes."""
+        """Apply all faults; returns when the last one is over and the planned duration has passed."""
         async with asyncio.TaskGroup() as group:
             for fault in self._faults:
                 group.create_task(self._injector.apply_when_due(fault))
@@ -66,10 +66,10 @@
             gateway.agent.recover()
 
     async def _finish(self) -> None:
-        """End the clients, look for leaks, and shut all gateways down."""
-        await asyncio.sleep(CALM_S)
+        """End the clients, check for leaks, and shut down all gateways."""
+        await asyncio.sleep(FAULT_FREE_S)
         await self._fleet.end_clients()
-        await asyncio.sleep(DRAINED_S)
+        await asyncio.sleep(DRAIN_S)
         gateways = self._fleet.gateways
         for gateway in gateways:
             await record_counted_violations(gateway, self._history)
@@ -82,31 +82,31 @@
         history = self._history
         gateways = self._fleet.gateways
         for gateway in gateways:
-            spans = [GatewaySpan(gateway.number, *span) for span in gateway.agent.unreachable]
+            spans = [GatewaySpan(gateway.number, *span) for span in gateway.agent.unreachable_spans]
             history.discovery_unreachable += spans
             record_unexpected_exits(gateway, history)
         failed_calls = sum(gateway.system_calls.failed_calls for gateway in gateways)
         events = read_events(self._folder)
-        report = reach_verdict(self._seed, events, history, self._faults, failed_calls)
+        report = evaluate_run(self._seed, events, history, self._faults, failed_calls)
         if self._library is None:
-            report.limitations.append(NO_COMPILER)
+            report.limitations.append(NO_COMPILER_LIMITATION)
         return report
 
 
 def run_soak(seed: int, size: SoakSize, folder: Path) -> SoakReport:
-    """Play one seed; all processes keep their events and logs in the folder, which is made."""
+    """Run one seed. All processes write their events and logs to the folder, which is created if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     try:
         library: Path | None = build_library(folder)
     except ShimError:
         library = None
 
-    async def play() -> SoakReport:
-        return await SoakRun(seed, size, folder, library).play()
+    async def main() -> SoakReport:
+        return await SoakRun(seed, size, folder, library).execute()
 
-    return asyncio.run(play())
+    return asyncio.run(main())
 
 
-def make_folder() -> Path:
-    """A new folder for the runs of one command."""
+def create_run_folder() -> Path:
+    """Create a temporary folder for the runs of one command."""
     return Path(tempfile.mkdtemp(prefix="sagetrack-soak-"))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failures: tests that show a real fault that is not fixed yet, as listed in KNOWN-RED.txt.
+"""Known failures: tests that fail because of an unfixed bug, listed in KNOWN-RED.txt.
 
-They run like all other tests and are printed at the end. If one of them passes again, the run fails until its
-line is removed from the list.
+They run like all other tests and are listed in the summary. If one passes, the run fails until its line is
+removed from the file.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from _pytest.terminal import TerminalReporter
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3  # maximum number of known failures
-SEPARATOR = " | "  # separates the fields of a line: test, cause, issue
+MAX_KNOWN_FAILURES = 3
+SEPARATOR = " | "  # between the fields of a line: test, cause, issue
 
 
 def known_failures() -> dict[str, str]:
-    """Return the cause and the issue of each known failure by test id; UsageError for an invalid list."""
+    """Return cause and issue of each known failure, by test node id; UsageError if the file is invalid."""
     if not LIST.exists():
         return {}
     failures = {}
@@ -29,8 +29,10 @@
             )
         test, cause, issue = fields
         failures[test] = f"{cause} ({issue})"
-    if len(failures) > MOST:
-        raise pytest.UsageError(f"{LIST.name}: {len(failures)} known failures, at most {MOST} are allowed")
+    if len(failures) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"{LIST.name}: {len(failures)} known failures, at most {MAX_KNOWN_FAILURES} are allowed"
+        )
     return failures
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback ports, and the real gateway between them."""
+"""A real gateway in the test process, with scripted clients and servers on loopback ports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import uvloop
 
 from sagetrack.config.operator import Operator
-from sagetrack.config.platform import parse, stable_id
+from sagetrack.config.platform import parse, stable_hash
 from sagetrack.core.clock import now_us
 from sagetrack.core.deadlines import REUSE_DELAY_S
 from sagetrack.core.gateway import Gateway
@@ -57,11 +57,11 @@
     "wait_until",
 ]
 
-TEST_TIMEOUT_S = 30.0  # reached only by a failing test
+TEST_TIMEOUT_S = 30.0  # limit of each test; only a failing test takes this long
 
 
 def on_event_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on an event loop of the kind that the gateway uses."""
+    """Run an async test on uvloop, the event loop of the gateway, with a time limit."""
 
     @functools.wraps(test)
     def run(*args: Any, **named: Any) -> None:
@@ -76,13 +76,13 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Poll until a condition holds for which there is no event to wait for."""
+    """Poll a condition that no event reports, until it holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 async def wait_for_reusable_connections(run: RunningGateway) -> None:
-    """Wait until every idle upstream connection may be reused."""
+    """Wait until every idle connection to a server may be reused."""
     oldest_us = int(REUSE_DELAY_S * 1e6)
     hosts = run.assembly.pools.servers.values()
     await wait_until(lambda: all(now_us() - c.idle_since_us > oldest_us for host in hosts for c in host.idle))
@@ -91,7 +91,10 @@
 def configuration(
     *upstreams: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object
 ) -> dict[str, Any]:
-    """Return a configuration for these servers; lists are polled only if `membershipMode` is changed."""
+    """Return a configuration for these servers.
+
+    The gateway fetches no endpoint list unless the test changes `membershipMode`.
+    """
     addresses = [host if isinstance(host, str) else host.address for host in upstreams]
     lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
     return {
@@ -126,12 +129,12 @@
 
 
 def server_id(number: int) -> int:
-    return stable_id(f"s-{number}", 4)
+    return stable_hash(f"s-{number}", 4)
 
 
 @dataclass
 class RunningGateway:
-    """A gateway in the process of the test, which listens on a port of its own."""
+    """A gateway in the test process that listens on its own port."""
 
     assembly: GatewayAssembly
     gateway: Gateway
@@ -188,7 +191,10 @@
 
 
 def request(class_name: str = "search", body: bytes = b"", budget_ms: int = 20_000, **headers: str) -> bytes:
-    """Return a client's request; in header names, _ stands for -, and a value of None omits the header."""
+    """Return the bytes of a complete client request.
+
+    Header names are written with _ for -; a header with the value None is left out.
+    """
     global _count
     _count += 1
     fields: dict[str, str] = {
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -207,9 +207,9 @@
         (("--gateways", "0"), "--gateways 0: each is from 1 to 1000"),
         (("--gateways", "3,1001"), "--gateways 3,1001: each is from 1 to 1000"),
         (("--gateways", "many"), "--gateways many: the form is 3,20,30"),
-        (("--case", "most,none"), "--case most,none: there are most, few"),
-        (("--seed", "-1"), "--seed -1: it is from 0"),
-        (("--seeds", "0"), "--seeds 0: they are from 1"),
+        (("--case", "most,none"), "--case most,none: allowed are most, few"),
+        (("--seed", "-1"), "--seed -1: it must be from 0"),
+        (("--seeds", "0"), "--seeds 0: they must be from 1"),
         (("--fault", "crowds-cold"), "--fault crowds-cold: allowed are counts-others-only"),
     ],
 )
