--- a/sagetrack/dns/service.py
+++ b/sagetrack/dns/service.py
@@ -53,7 +53,7 @@
 
     listen: Sequence[Address]
     upstreams: Sequence[Address]
-    uses_endpoint_list: bool = False  # whether the endpoint list adds to `upstreams`
+    uses_endpoint_list: bool = False  # True if the endpoint list adds to `upstreams`
     latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
     cache_bytes: int = 32 * 1024 * 1024
@@ -216,7 +216,7 @@
 
     def set_standby_check(self, is_draining: Callable[[], bool]) -> None:
         """Set the check for standby: while it returns true, client connections close once answered."""
-        self.listener.is_on_standby = is_draining
+        self.listener.is_standby = is_draining
 
     def drain(self, until_s: float) -> Coroutine[Any, Any, None]:
         """Wait for the queries in flight, until `until_s` on the loop's clock at the latest, then close."""
--- a/sagetrack/grpc/downstream_stream.py
+++ b/sagetrack/grpc/downstream_stream.py
@@ -17,7 +17,7 @@
 from sagetrack.grpc.withheld_bytes import WithheldBytes
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer request body is streamed, and cannot be retried
-MAX_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # limit of a request message: body and fields
+MAX_REQUEST_MESSAGE_BYTES = MAX_BUFFERED_BODY_BYTES + 32 * 1024  # limit of a request message: body and fields
 MAX_PENDING_RESPONSE_BYTES = 128 * 1024  # the server is paused if more unsent bytes are buffered
 
 
@@ -53,7 +53,7 @@
     connection: StreamConnection
     id: int
     headers: list[tuple[str, str]]
-    unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_MESSAGE_BYTES))
+    unpacker: Unpacker = field(default_factory=lambda: Unpacker(MAX_REQUEST_MESSAGE_BYTES))
     messages: list[bytes] = field(default_factory=list)  # received messages until the request is submitted
     buffered_bytes: int = 0  # total size of `messages`
     streamed_body: StreamedBody | None = None  # set if the body is too long to be buffered
@@ -71,7 +71,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the response is complete; data of the request that still arrives is ignored."""
+        """True if the response is complete; data of the request that still arrives is ignored."""
         return self.trailers is not None
 
     def record_progress(self) -> None:
@@ -103,7 +103,7 @@
 
     @property
     def withholds_window(self) -> bool:
-        """Whether the stream's flow-control window is not extended, as the body's buffer is full."""
+        """True if the stream's flow-control window is not extended, as the body's buffer is full."""
         return self.streamed_body is not None and self.streamed_body.is_full
 
     # Interface `Client`: the gateway delivers the response
@@ -169,12 +169,12 @@
 
     @property
     def is_trailers_only(self) -> bool:
-        """Whether the response is complete without a message, and is sent as one block of headers."""
+        """True if the response is complete without a message, and is sent as one block of headers."""
         return self.trailers is not None and not self.headers_sent and not self.pending
 
     @property
     def needs_headers(self) -> bool:
-        """Whether the response headers must be sent now, before the first message."""
+        """True if the response headers must be sent now, before the first message."""
         return bool(self.pending) and not self.headers_sent
 
     def on_headers_sent(self) -> None:
--- a/sagetrack/http1/connection_pool.py
+++ b/sagetrack/http1/connection_pool.py
@@ -39,7 +39,7 @@
 
     @property
     def listed(self) -> Collection[int]:
-        """The IDs of the servers in the endpoint list."""
+        """The ids of the listed servers."""
         return self.servers.keys()
 
     @property
@@ -48,7 +48,7 @@
         return self.attempts.open_connections
 
     def server_start_times(self) -> dict[int, int]:
-        """Return the start time of each listed server in microseconds, by server ID."""
+        """Return the start time of each listed server in microseconds, by server id."""
         return {number: upstream.started_us for number, upstream in self.servers.items()}
 
     def put(self, entry: Endpoint) -> None:
@@ -69,7 +69,7 @@
 
     def drain(self, upstream: PooledServer) -> None:
         """Send no new attempts to a server; attempts in flight continue."""
-        upstream.mark_drained()
+        upstream.mark_withdrawn()
         self.idle.close_all(upstream)
 
     def remove(self, id_: int) -> None:
@@ -86,8 +86,10 @@
 
     # Attempts
 
-    def begin(self, request: Request, server: int, wait_us: int, observer: AttemptObserver) -> Attempt | None:
-        """Start an attempt with a timeout of `wait_us`; return None if the server is not listed."""
+    def begin(
+        self, request: Request, server: int, timeout_us: int, observer: AttemptObserver
+    ) -> Attempt | None:
+        """Start an attempt that times out after `timeout_us`; returns None if the server is not listed."""
         upstream = self.servers.get(server)
         if upstream is None:
             return None
@@ -102,7 +104,7 @@
         attempt = Attempt(
             upstream,
             payload,
-            wait_us,
+            timeout_us,
             on_attempt_ended,
             observer.may_begin,
             observer.on_first_byte,
--- a/sagetrack/http1/idle_connections.py
+++ b/sagetrack/http1/idle_connections.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class PoolCounts:
-    """Connection pool counters since the start of the process."""
+    """Counters over all connection pools since the start of the process."""
 
     opened: int = 0
     reused: int = 0
@@ -76,7 +76,7 @@
     def keep(self, connection: UpstreamConnection) -> None:
         """Keep a connection for reuse, or close it if its server is draining, was restarted or is gone."""
         upstream = connection.upstream
-        if upstream.drained_us is not None or connection.incarnation != upstream.incarnation:
+        if upstream.withdrawn_since_us is not None or connection.incarnation != upstream.incarnation:
             connection.close()
             return
         connection.idle_since_us = now_us()
--- a/sagetrack/peers/node.py
+++ b/sagetrack/peers/node.py
@@ -25,7 +25,7 @@
 from sagetrack.peers.demand_gossip import DemandGossipSchedule, decode_demands, demand_message
 from sagetrack.peers.errors import CodecError
 from sagetrack.peers.member_table import MemberState
-from sagetrack.peers.membership import Membership, MembershipCounters
+from sagetrack.peers.membership import Membership, MembershipCounts
 from sagetrack.peers.observation_codec import decode_latencies
 from sagetrack.peers.settings import MembershipSettings
 from sagetrack.peers.status_report import describe_datagrams, describe_warm_start
@@ -61,7 +61,7 @@
         post: Passes an event to the load balancer.
         observations: Returns the observations and latencies of this gateway.
         start_times: Returns the start time in microseconds of each listed server, by server id.
-        use_warm_start: Whether to request observations from peers at the start.
+        use_warm_start: True to request observations from peers at the start.
         demands: Returns the demand by tenant; None if fair queuing is off.
     """
 
@@ -106,7 +106,7 @@
         self._closed = False
 
     @property
-    def counts(self) -> MembershipCounters:
+    def counts(self) -> MembershipCounts:
         """Counters of datagrams and membership."""
         return self.membership.counts
 
--- a/sagetrack/policy/admission.py
+++ b/sagetrack/policy/admission.py
@@ -22,7 +22,7 @@
 from sagetrack.policy.work_estimate import WorkEstimator
 
 Item = TypeVar("Item", bound=Hashable)
-# Measured memory per entry of each kind of table, in bytes (docs/operators/fairness.md)
+# Memory per entry of each kind of table, in bytes (docs/operators/fairness.md)
 QUEUE_ENTRY_BYTES, FLOW_BYTES, RESERVATION_BYTES, RATE_ENTRY_BYTES = 3500, 700, 420, 240
 MIN_MEMORY_BYTES = 64 * 1024
 MAX_WAIT_FRACTION = 0.5  # upper bound of `AdmissionSettings.max_wait_fraction`
@@ -39,12 +39,12 @@
         ValueError: A value is out of its range.
     """
 
-    shares: tuple[float, ...] = ()  # by tenant; empty: the shares from the platform's settings
+    shares: tuple[float, ...] = ()  # shares by tenant; empty: the shares from the platform's settings
     flows: int = 256  # number of flows per tenant; clients are hashed to flows
     # Maximum queueing time, as a fraction of the slack until the latency objective
     max_wait_fraction: float = 0.5
     memory_bytes: int = 16 * 1024 * 1024  # bound for all tables and queues together
-    adaptive: bool = True  # whether an adaptive concurrency limit applies
+    adaptive: bool = True  # True if an adaptive concurrency limit applies
     retry_ratio: float = 0.2  # client retries allowed per first try while capacity is short
     tenant_rate: Rate | None = None
     client_rate: Rate | None = None
@@ -62,7 +62,7 @@
 
 
 class AdmissionDenial(Enum):
-    """Why admission control denies a request. The values are part of metric names."""
+    """Reason for a denial by admission control. The values are part of metric names."""
 
     BEFORE_RETRY_AFTER = "early"  # the client retried before its Retry-After had passed
     RATE_LIMIT = "rate"  # the rate limit of its tenant, client or class is exceeded
@@ -77,8 +77,8 @@
     """The decision on a request at its arrival."""
 
     denial: AdmissionDenial | None = None  # None: admitted, it may be queued
-    retry_after_us: int = 0  # with a denial; 0: call `AdmissionController.retry_after_us`
-    reserved: bool = False  # whether it has claimed a reservation, which gives it priority
+    retry_after_us: int = 0  # Retry-After of a denied request; 0: call `AdmissionController.retry_after_us`
+    reserved: bool = False  # True if it has claimed a reservation, which gives it priority
 
 
 ADMITTED = AdmissionDecision()
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class TenantCounters:
+class TenantCounts:
     """Counts of the requests of one tenant."""
 
     requested: int = 0
@@ -115,9 +115,8 @@
         self.queues: FairQueues[Item] = FairQueues(self.shares, settings.flows)
         self.concurrency_limit = ConcurrencyLimit()
         self.demand = TenantDemand(self.shares)
-        table_bytes = (
-            settings.memory_bytes // 4
-        )  # a quarter of the memory per kind of table; a quarter for queues
+        # A quarter of the memory for each kind of table, and a quarter for the queues.
+        table_bytes = settings.memory_bytes // 4
         self.reservations = Reservations(count, table_bytes // RESERVATION_BYTES)
         self.retry_budget = ClientRetryBudget(count, settings.retry_ratio)
         entries = table_bytes // (2 * RATE_ENTRY_BYTES)
@@ -126,7 +125,7 @@
         self.class_rates = [RateLimiter(rate, count) if rate else None for rate in settings.class_rates]
         limiters = (self.tenant_rate, self.client_rate, *self.class_rates)
         self.has_rate_limits = any(limiter is not None for limiter in limiters)
-        self.counters = [TenantCounters() for _ in range(count)]
+        self.counts = [TenantCounts() for _ in range(count)]
         self.reserve_bytes = min(settings.memory_bytes // 4, count * (QUEUE_ENTRY_BYTES + FLOW_BYTES))
         self.denials = dict.fromkeys(AdmissionDenial, 0)
         self.work = WorkEstimator()
@@ -136,7 +135,7 @@
 
     def tenant_index(self, tenant: int) -> int:
         """Return the index of a tenant, or 0 for a tenant that is not in the settings."""
-        return tenant if 0 <= tenant < len(self.counters) else 0
+        return tenant if 0 <= tenant < len(self.counts) else 0
 
     def check_arrival(
         self, now_us: int, requester: Requester, class_index: int, work_us: float, is_retry: bool
@@ -147,7 +146,7 @@
         request that claims a reservation skips the other checks, because it passed them before.
         """
         tenant, client, _ = requester
-        self.counters[tenant].requested += 1
+        self.counts[tenant].requested += 1
         free_bytes = self.settings.memory_bytes - self.memory_used() - FLOW_BYTES
         flow = self.queues.flow_index(tenant, client)
         self.demand.record(tenant, flow, work_us, now_us, free_bytes >= 0)
@@ -234,7 +233,7 @@
         """Queue a request; its flow is ordered by priority weight and then by due time."""
         self.queues.max_catch_up = self.service_rate.per_us * MAX_CATCH_UP_US / sum(self.shares)
         self.queues.enqueue(item, requester.tenant, requester.client, work_us, priority_weight, due_us)
-        self.counters[requester.tenant].waiting += 1
+        self.counts[requester.tenant].waiting += 1
 
     def has_capacity(self, in_flight: int) -> bool:
         """Return whether the concurrency limit allows one more request in flight."""
@@ -247,14 +246,14 @@
     def dequeue(self, item: Item, now_us: int) -> None:
         """Remove the request that `peek` returned from the queue, because it has been sent."""
         entry = self.queues.dequeue(item)
-        self.counters[entry.tenant].waiting -= 1
+        self.counts[entry.tenant].waiting -= 1
         self.service_rate.record(entry.work_us, now_us, len(self.queues) > 0)
 
     def remove(self, item: Item) -> None:
         """Remove a request that will not be served from the queue, if it is queued."""
         entry = self.queues.remove(item)
         if entry is not None:
-            self.counters[entry.tenant].waiting -= 1
+            self.counts[entry.tenant].waiting -= 1
             if not len(self.queues):
                 self.service_rate.stop_measuring()
 
@@ -284,8 +283,8 @@
             latency_us: Latency of the attempt.
             size: Work of the request relative to the mean of its class.
             in_flight: Number of other attempts in flight.
-            succeeded: Whether the attempt had a successful response.
-            rejected: Whether the server rejected the attempt.
+            succeeded: True if the attempt had a successful response.
+            rejected: True if the server rejected the attempt.
         """
         if self.settings.adaptive and self.work.is_reliable(class_index):
             baseline_us = self.work.estimate_us(class_index, size)
@@ -303,11 +302,11 @@
 
     def record_rejected(self, tenant: int) -> None:
         """Count a rejected request of a tenant, whatever the reason."""
-        self.counters[tenant].rejected += 1
+        self.counts[tenant].rejected += 1
 
     def record_served(self, tenant: int) -> None:
         """Count a request of a tenant that was served."""
-        self.counters[tenant].served += 1
+        self.counts[tenant].served += 1
 
     def retry_after_us(
         self, now_us: int, requester: Requester, work_us: float, limits: RetryAfterLimits
@@ -347,14 +346,14 @@
         return self.reservations.count
 
     def memory_used(self) -> int:
-        """Return the estimated memory of all tables and queues in bytes, from the measured entry sizes."""
+        """Return the estimated memory of all tables and queues in bytes, from the sizes of the entries."""
         limiters = (self.tenant_rate, self.client_rate)
         rate_entries = sum(len(limiter.table) for limiter in limiters if limiter is not None)
         queued = len(self.queues) * QUEUE_ENTRY_BYTES
         flows = (self.queues.flow_count + self.demand.flow_count) * FLOW_BYTES
         return queued + flows + self.reservations.count * RESERVATION_BYTES + rate_entries * RATE_ENTRY_BYTES
 
-    def metrics(self, names: Sequence[str]) -> dict[str, float]:
+    def metric_values(self, names: Sequence[str]) -> dict[str, float]:
         """Return the exported metrics by name; `names` are the names of the tenants in order."""
         found: dict[str, float] = {
             "door_limit": round(self.concurrency_limit.limit, 1),
@@ -364,14 +363,14 @@
         }
         for denial, count in self.denials.items():
             found[f"door_refused_{denial.value}_total"] = count
-        for number, counters in enumerate(self.counters):
+        for number, counts in enumerate(self.counts):
             name = names[number] if number < len(names) else str(number)
             found |= {
                 f"member_{name}_share": round(self.shares[number] / sum(self.shares), 4),
-                f"member_{name}_asked_total": counters.requested,
-                f"member_{name}_served_total": counters.served,
-                f"member_{name}_refused_total": counters.rejected,
-                f"member_{name}_waiting": counters.waiting,
+                f"member_{name}_asked_total": counts.requested,
+                f"member_{name}_served_total": counts.served,
+                f"member_{name}_refused_total": counts.rejected,
+                f"member_{name}_waiting": counts.waiting,
                 f"member_{name}_advised_total": self.reservations.issued[number],
                 f"member_{name}_kept_total": self.reservations.honored[number],
                 f"member_{name}_ignored_total": self.reservations.ignored[number],
--- a/sagetrack/server/dns_assembly.py
+++ b/sagetrack/server/dns_assembly.py
@@ -35,15 +35,15 @@
         """Build the service; it listens only after `start`.
 
         Args:
-            config: the platform's configuration.
-            settings: the operator's `dns` table, with at least one listening address.
-            gateway: the gateway whose servers the zone lists.
-            pools: the connection pools of these servers.
-            is_draining: returns whether this process is draining.
+            config: The platform's configuration.
+            settings: The operator's `dns` table, with at least one listening address.
+            gateway: The gateway whose servers the zone lists.
+            pools: The connection pools of these servers.
+            is_draining: Returns whether this process is draining.
             listed: DNS servers known so far from the endpoint list.
 
         Raises:
-            ConfigError: an address or a zone is invalid.
+            ConfigError: An address or a zone is invalid.
         """
         self.config = config
         self.settings = settings
@@ -98,7 +98,7 @@
     def _refresh_zone(self) -> None:
         """Update the zone with the servers that are not draining, ordered by weight."""
         self._zone_timer = asyncio.get_running_loop().call_later(ZONE_REFRESH_S, self._refresh_zone)
-        candidates = [host for host in self.pools.servers.values() if host.drained_us is None]
+        candidates = [host for host in self.pools.servers.values() if host.withdrawn_since_us is None]
         servers = self.gateway.balancer.servers
         self.service.set_zone_servers(
             (host.name, host.address, servers[host.id].entry.weight)
--- a/sagetrack/server/grpc_upstreams.py
+++ b/sagetrack/server/grpc_upstreams.py
@@ -28,7 +28,7 @@
     from sagetrack.config.operator import GrpcSettings, Operator
     from sagetrack.grpc.mirroring import RequestMirror
     from sagetrack.grpc.protocol_router import ProtocolRouter, WeightFactorsByIndex
-    from sagetrack.grpc.request_intake import RequestReader
+    from sagetrack.grpc.request_intake import RequestBuilder
     from sagetrack.grpc.tls import TlsCredentials
 
 WEIGHT_REFRESH_S = 1.0  # interval between updates of the server weights from the traffic share
@@ -36,7 +36,7 @@
 NOT_FOUND = 404  # HTTP status for a path that no class handles
 
 
-def create_request_reader(config: Config) -> RequestReader:
+def create_request_builder(config: Config) -> RequestBuilder:
     """Return a function that converts a gRPC request with the parser and the rules of HTTP/1.1 requests.
 
     The function raises `sagetrack.grpc.errors.RequestReadError` if the request is rejected.
@@ -77,8 +77,8 @@
         """Start to refresh the weights; requires a running event loop.
 
         Args:
-            router: routes each attempt to the connection pool of the server's protocol.
-            gateway: receives the endpoint list with weights adjusted to the traffic shares.
+            router: Routes each attempt to the connection pool of the server's protocol.
+            gateway: Receives the endpoint list with weights adjusted to the traffic shares.
         """
         self.router = router
         self.gateway = gateway
@@ -100,9 +100,9 @@
         """Mirror some requests to a server of the other protocol, and compare the responses.
 
         Args:
-            settings: the rate of mirrored requests and the headers that are not compared.
-            class_names: the names of the classes, in the order of class numbers.
-            is_active: returns whether requests may be mirrored now.
+            settings: The rate of mirrored requests and the headers that are not compared.
+            class_names: The names of the classes, in the order of class indices.
+            is_active: Returns whether requests may be mirrored now.
         """
         from sagetrack.grpc.mirroring import RequestMirror
 
@@ -186,13 +186,13 @@
     """Create the router for both protocols, or None if no gRPC servers are configured.
 
     Args:
-        config: the platform's configuration.
-        operator: the operator's file; `newer.types` lists the server types that speak gRPC.
-        http_pools: the connection pools of HTTP/1.1 servers.
-        keys: the TLS keys; None for connections without TLS.
+        config: The platform's configuration.
+        operator: The operator's file; `newer.types` lists the server types that speak gRPC.
+        http_pools: The connection pools of HTTP/1.1 servers.
+        keys: The TLS keys; None for connections without TLS.
 
     Raises:
-        ConfigError: a traffic share is configured for an unknown class or tenant.
+        ConfigError: A traffic share is configured for an unknown class or tenant.
     """
     settings = operator.newer if operator is not None else None
     if settings is None or not settings.types:
@@ -217,17 +217,17 @@
 
 
 def traffic_shares(config: Config, settings: GrpcSettings) -> tuple[dict[int, float], dict[int, float]]:
-    """Return the gRPC traffic shares by class and by tenant number; ConfigError for unknown names."""
+    """Return the gRPC traffic shares by class index and by tenant index; ConfigError for unknown names."""
     return (
-        _shares_by_number("class", settings.share_by_class, config.names.classes),
-        _shares_by_number("member", settings.share_by_member, config.names.tenants),
+        _shares_by_index("class", settings.share_by_class, config.names.classes),
+        _shares_by_index("member", settings.share_by_member, config.names.tenants),
     )
 
 
-def _shares_by_number(kind: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
-    numbers = {name.decode(): number for name, number in known.items()}
+def _shares_by_index(kind: str, shares: Mapping[str, float], known: Mapping[bytes, int]) -> dict[int, float]:
+    indices = {name.decode(): index for name, index in known.items()}
     for name in shares:
-        if name not in numbers:
-            known_names = ", ".join(numbers)
+        if name not in indices:
+            known_names = ", ".join(indices)
             raise ConfigError(f"newer.share_by_{kind}: no {kind} {name!r}; there are {known_names}")
-    return {numbers[name]: share for name, share in shares.items()}
+    return {indices[name]: share for name, share in shares.items()}
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -60,11 +60,8 @@
     [
         (respond_with(http_response(200, b"a book")), Outcome.OK, 200),
         (respond_with(http_response(500)), Outcome.ERROR, 502),
-        (
-            respond_with(http_response(503)),
-            Outcome.ERROR,
-            502,
-        ),  # without X-Rejected, the request may have run
+        # Without X-Rejected, the request may have run.
+        (respond_with(http_response(503)), Outcome.ERROR, 502),
         (respond_with(http_response(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
         (respond_with(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
         (respond_with(REJECTED_RESPONSE), Outcome.REJECTED, 503),
