--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -11,8 +11,8 @@
 from sagetrack.cli.lab_app import fail, integers_of, measuring, print_table, progress_bar
 
 if TYPE_CHECKING:
-    from sagetrack.lab.benchmarks.membership import Outcome
-    from sagetrack.lab.benchmarks.readiness import Reading
+    from sagetrack.lab.benchmarks.membership import MembershipResult
+    from sagetrack.lab.benchmarks.readiness import CaseResult
 
 MOST_SERVERS = 5000
 MODULES = ("sagetrack", "cloverkeel")  # a checkout of any version of the gateway has one of these
@@ -61,7 +61,7 @@
     seconds: Annotated[float, typer.Option(help="played after the death", min=5, max=3600)] = 60.0,
 ) -> None:
     """Play membership in virtual time: how soon a death is known, who is wrongly declared, what it costs."""
-    from sagetrack.lab.benchmarks.membership import death, partition
+    from sagetrack.lab.benchmarks.membership import simulate_deaths, simulate_partition
 
     try:
         sizes = [int(size) for size in gateways.split(",")]
@@ -73,21 +73,23 @@
     print("gateways  loss  known after (median, p99)  missed  false deaths  sent/s (most)  bytes/s  healed")
     with progress_bar("membership", False) as progress:
         for number, (size, share) in enumerate((size, share) for size in sizes for share in losses):
-            runs = [death(size, seed, share, seconds) for seed in range(1, seeds + 1)]
-            partitions = [partition(size, seed, share) for seed in range(1, seeds + 1)]
+            runs = [simulate_deaths(size, seed, share, seconds) for seed in range(1, seeds + 1)]
+            partitions = [simulate_partition(size, seed, share) for seed in range(1, seeds + 1)]
             print(_membership_line(size, share, runs, partitions), flush=True)
             progress((number + 1) / (len(sizes) * len(losses)))
 
 
-def _membership_line(size: int, loss: float, runs: list[Outcome], partitions: list[Outcome]) -> str:
+def _membership_line(
+    size: int, loss: float, runs: list[MembershipResult], partitions: list[MembershipResult]
+) -> str:
     median_s = sorted(run.median_s for run in runs)[len(runs) // 2]
     last_s = max(run.p99_s for run in runs)
-    missed = sum(run.missed for run in runs)
+    missed = sum(run.undetected for run in runs)
     false_deaths = sum(run.false_deaths for run in runs)
     sent_per_s = sum(run.sent_per_s for run in runs) / len(runs)
-    most_per_s = max(run.most_per_s for run in runs)
+    most_per_s = max(run.max_sent_per_s for run in runs)
     bytes_per_s = sum(run.bytes_per_s for run in runs) / len(runs)
-    healed_s = [run.healed_s for run in partitions]
+    healed_s = [run.convergence_s for run in partitions]
     healed = "never" if min(healed_s) < 0 else f"{max(healed_s):.1f} s at most"
     return (
         f"{size:8}  {loss:4.2f}  {median_s:8.1f} s, {last_s:.1f} s  {missed:13}  {false_deaths:12}  "
@@ -166,7 +168,7 @@
     as_json: Annotated[bool, typer.Option("--json", help="a JSON line for each case")] = False,
 ) -> None:
     """Measure CPU time from a gateway's start to ready; exit 1 if a quarter of a core is too little."""
-    from sagetrack.lab.benchmarks.readiness import CASES, MOST_S, measure
+    from sagetrack.lab.benchmarks.readiness import CASES, READY_LIMIT_S, measure
 
     cases = tuple(case for case in CASES if only in case.name)
     if not cases:
@@ -174,31 +176,31 @@
     slow = False
     with measuring("readiness", as_json) as progress:
         for reading in measure(rounds, cases, progress):
-            slow |= reading.quarter_s > MOST_S
+            slow |= reading.quarter_core_s > READY_LIMIT_S
             print(_readiness_json(reading) if as_json else _readiness_lines(reading), flush=True)
     raise typer.Exit(1 if slow else 0)
 
 
-def _readiness_json(reading: Reading) -> str:
-    from sagetrack.lab.benchmarks.readiness import nine_in_ten
+def _readiness_json(reading: CaseResult) -> str:
+    from sagetrack.lab.benchmarks.readiness import percentile_90
 
     row: dict[str, Any] = {
         "case": reading.case.name,
         "starts": len(reading.cpu_s),
-        "cpu_s": nine_in_ten(reading.cpu_s),
-        "quarter_s": reading.quarter_s,
-        "elapsed_s": nine_in_ten(reading.elapsed_s),
+        "cpu_s": percentile_90(reading.cpu_s),
+        "quarter_s": reading.quarter_core_s,
+        "elapsed_s": percentile_90(reading.elapsed_s),
         "parts": reading.parts,
     }
     return json.dumps(row)
 
 
-def _readiness_lines(reading: Reading) -> str:
-    from sagetrack.lab.benchmarks.readiness import nine_in_ten
+def _readiness_lines(reading: CaseResult) -> str:
+    from sagetrack.lab.benchmarks.readiness import percentile_90
 
     return (
         f"{reading.case.name}: {len(reading.cpu_s)} starts, nine in ten within "
-        f"{nine_in_ten(reading.cpu_s):.2f} s of CPU "
-        f"({reading.quarter_s:.1f} s on a quarter of a core), "
-        f"{nine_in_ten(reading.elapsed_s):.1f} s elapsed\n    {reading.parts}"
+        f"{percentile_90(reading.cpu_s):.2f} s of CPU "
+        f"({reading.quarter_core_s:.1f} s on a quarter of a core), "
+        f"{percentile_90(reading.elapsed_s):.1f} s elapsed\n    {reading.parts}"
     )
--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -106,7 +106,7 @@
         result = compare_files(Path(a), Path(b), figure)
     except (OSError, ValueError) as error:
         raise fail(str(error)) from None
-    verdict = "clear" if result.is_clear else "within the noise"
+    verdict = "clear" if result.is_significant else "within the noise"
     print(
         f"{result.figure}: A {result.mean_a:.4f}, B {result.mean_b:.4f}, B - A {result.difference:+.4f} "
         f"± {result.half_width:.4f} over {result.pairs} pairs ({result.larger_in_b} with B larger): {verdict}"
--- a/sagetrack/cli/lab_virtual_fleets.py
+++ b/sagetrack/cli/lab_virtual_fleets.py
@@ -92,10 +92,10 @@
 
     Exit 0 only if no rule is broken.
     """
-    from sagetrack.lab.benchmarks.slow_start import CASES, MOST_GATEWAYS, measure
+    from sagetrack.lab.benchmarks.slow_start import CASES, MAX_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import COLD_FAULTS
 
-    sizes = fleet_sizes_of(gateways, MOST_GATEWAYS)
+    sizes = fleet_sizes_of(gateways, MAX_GATEWAYS)
     names = list(CASES) if cases == "all" else cases.split(",")
     if not set(names) <= set(CASES):
         raise fail(f"--case {cases}: there are {', '.join(CASES)}")
@@ -104,11 +104,15 @@
 
     def play(size: int, name: str, number: int) -> Played:
         results, violations = measure(CASES[name], size, number, fault)
-        part = f"{results.received:.0f} of {results.usable:.0f}" if results.usable else "-"
+        part = (
+            f"{results.received_requests:.0f} of {results.usable_requests:.0f}"
+            if results.usable_requests
+            else "-"
+        )
         line = (
             f"{name:12} {size:8}  {number:4}  {results.windows_over_budget:4} of {results.windows:5}  "
-            f"{results.most_requests:14.2f}  {results.used_share:4.0%} {part:>10} {results.answered:8}  "
-            f"{results.in_time} of {results.first_attempts}"
+            f"{results.max_window_requests:14.2f}  {results.used_share:4.0%} {part:>10} "
+            f"{results.answered:8}  {results.served_in_time} of {results.first_attempts}"
         )
         return Played(results.to_json(), line, violations)
 
@@ -128,10 +132,10 @@
 
     Exit 0 only if no rule is broken.
     """
-    from sagetrack.lab.benchmarks.overload import MOST_GATEWAYS, measure
+    from sagetrack.lab.benchmarks.overload import MAX_GATEWAYS, measure
     from sagetrack.lab.virtual.faulty_gateways import JAM_FAULTS
 
-    counts = fleet_sizes_of(gateways, MOST_GATEWAYS)
+    counts = fleet_sizes_of(gateways, MAX_GATEWAYS)
     try:
         bursts = [float(size) for size in sizes.split(",")]
     except ValueError:
@@ -144,8 +148,9 @@
         results, violations = measure(count, size, number, fault)
         held = " ".join(f"{value:3}" for value in results.in_flight.values())
         line = (
-            f"{count:8} {size:5.1f} {number:5}  {results.served_before:13.3f}  {results.during:14.2f} "
-            f"{results.after:6.2f}      {held}  {results.overloaded:6.2f}  {results.served:6.3f}"
+            f"{count:8} {size:5.1f} {number:5}  {results.served_share_before:13.3f}  "
+            f"{results.goodput_during:14.2f} {results.goodput_after:6.2f}      {held}  "
+            f"{results.overloaded_share:6.2f}  {results.served_share:6.3f}"
         )
         return Played(results.to_json(), line, violations)
 
--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -32,10 +32,10 @@
     gateway_environment,
 )
 from sagetrack.lab.benchmarks.measured_process import (
-    await_listening,
     forked_process,
     measured_process,
     open_servers,
+    wait_until_listening,
 )
 from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
@@ -238,7 +238,7 @@
         process: subprocess.Popen[bytes] = stack.enter_context(
             measured_process(GATEWAY_COMMAND, environment, stderr=None)
         )
-        await_listening(port, process)
+        wait_until_listening(port, process)
         return uvloop.run(_play(_Gateway(process.pid, port, pipes), streams, size, progress))
 
 
--- a/sagetrack/lab/benchmarks/comparison.py
+++ b/sagetrack/lab/benchmarks/comparison.py
@@ -33,7 +33,7 @@
     larger_in_b: int  # pairs
 
     @property
-    def is_clear(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether the interval leaves out 0."""
         return self.pairs > 1 and abs(self.difference) > self.half_width
 
--- a/sagetrack/lab/benchmarks/dns_load.py
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -21,7 +21,7 @@
 A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"  # of the question's name, for an hour
 
 
-def answer_to(query: bytes) -> bytes:
+def response_to(query: bytes) -> bytes:
     """Return a true answer to an A query, made without a codec."""
     end = HEADER_BYTES
     while query[end]:
@@ -49,7 +49,7 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Answer a query."""
-        self.transport.sendto(answer_to(data), addr)
+        self.transport.sendto(response_to(data), addr)
 
 
 class DnsLoad:
--- a/sagetrack/lab/benchmarks/dns_throughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -24,11 +24,11 @@
     gateway_environment,
 )
 from sagetrack.lab.benchmarks.measured_process import (
-    await_dns_answer,
     forked_process,
     measured_process,
     pinned_to,
     require_cores,
+    wait_for_dns_response,
 )
 from sagetrack.lab.benchmarks.relays import relay_command, relay_environment
 from sagetrack.lab.errors import LabError
@@ -104,7 +104,7 @@
         tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder,
         _start(subject, port, upstream_port, Path(folder), core) as process,
     ):
-        await_dns_answer(port, process)
+        wait_for_dns_response(port, process)
         load, spent_s, elapsed_s = uvloop.run(_put_load(subject, port, process.pid, seconds, names))
         answered = max(1, load.answered)
         if load.bad > MOST_BAD * answered:
--- a/sagetrack/lab/benchmarks/http_load.py
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -22,7 +22,7 @@
 LAST_RESPONSES_S = 0.05  # for responses that are still in transit at the end
 
 
-class EchoServer(asyncio.Protocol):
+class FixedResponseServer(asyncio.Protocol):
     """A connection to a server that answers each request at once."""
 
     def __init__(self) -> None:
--- a/sagetrack/lab/benchmarks/measured_process.py
+++ b/sagetrack/lab/benchmarks/measured_process.py
@@ -97,7 +97,7 @@
         process.wait()
 
 
-def await_listening(port: int, process: subprocess.Popen[bytes]) -> None:
+def wait_until_listening(port: int, process: subprocess.Popen[bytes]) -> None:
     """Return when the process accepts TCP connections on a port of loopback.
 
     Raises:
@@ -113,7 +113,7 @@
     raise LabError("the measured process does not listen")
 
 
-def await_dns_answer(port: int, process: subprocess.Popen[bytes]) -> None:
+def wait_for_dns_response(port: int, process: subprocess.Popen[bytes]) -> None:
     """Return when the process answers a DNS query over UDP on a port of loopback.
 
     Raises:
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -24,28 +24,30 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class MembershipResult:
     """What one run showed. Times in seconds."""
 
     gateways: int
     loss: float  # share of datagrams
-    known_s: list[float] = field(default_factory=list)  # for each survivor, until it knew of a death
-    missed: int = 0  # pairs of survivor and dead that never became known
+    detection_s: list[float] = field(default_factory=list)  # for each survivor, until it knew of a death
+    undetected: int = 0  # pairs of survivor and dead that never became known
     false_deaths: int = 0  # pairs of a member and a living one that it declared or believed dead
     sent_per_s: float = 0.0  # datagrams of a gateway
     bytes_per_s: float = 0.0  # the same in bytes
-    most_per_s: float = 0.0  # datagrams of the gateway that sent the most
-    healed_s: float = NEVER_S  # after a partition, until all views were equal and all alive
+    max_sent_per_s: float = 0.0  # datagrams of the gateway that sent the most
+    convergence_s: float = NEVER_S  # after a partition, until all views were equal and all alive
 
     @property
     def median_s(self) -> float:
         """Median time until a death was known; -1 if none ever was."""
-        return statistics.median(self.known_s) if self.known_s else NEVER_S
+        return statistics.median(self.detection_s) if self.detection_s else NEVER_S
 
     @property
     def p99_s(self) -> float:
         """99th percentile of that time; -1 if no death ever was known."""
-        return sorted(self.known_s)[int(0.99 * (len(self.known_s) - 1))] if self.known_s else NEVER_S
+        return (
+            sorted(self.detection_s)[int(0.99 * (len(self.detection_s) - 1))] if self.detection_s else NEVER_S
+        )
 
 
 class StateChange(NamedTuple):
@@ -163,24 +165,24 @@
         )
 
 
-def _first_known_s(deaths_seen: list[StateChange]) -> dict[tuple[int, int], float]:
+def _first_detection_s(deaths_seen: list[StateChange]) -> dict[tuple[int, int], float]:
     """Return by observer and member when it was first taken for dead, in seconds after the warm-up."""
-    known_s: dict[tuple[int, int], float] = {}
+    detection_s: dict[tuple[int, int], float] = {}
     for change in deaths_seen:
         if change.time_us >= WARM_UP_US:
             pair = (change.observer, change.member)
-            known_s.setdefault(pair, (change.time_us - WARM_UP_US) / 1e6)
-    return known_s
+            detection_s.setdefault(pair, (change.time_us - WARM_UP_US) / 1e6)
+    return detection_s
 
 
-def death(
+def simulate_deaths(
     count: int,
     seed: int,
     loss: float,
     seconds: float = 60.0,
     deaths: int = 1,
     settings: MembershipSettings | None = None,
-) -> Outcome:
+) -> MembershipResult:
     """Let some members die at once after a while: until when is it known, and who else is taken for dead?
 
     Args:
@@ -196,23 +198,25 @@
     victims = set(fleet.draw.sample(range(count), deaths))
     fleet.dead = set(victims)
     fleet.run(WARM_UP_US + int(seconds * 1e6))
-    outcome = Outcome(count, loss)
+    outcome = MembershipResult(count, loss)
     deaths_seen = [change for change in fleet.changes if change.state is MemberState.DEAD]
     outcome.false_deaths = sum(change.member not in victims for change in deaths_seen)
     survivors = [number for number in range(count) if number not in victims]
     pairs = [(survivor, victim) for survivor in survivors for victim in victims]
-    known_s = _first_known_s(deaths_seen)
-    outcome.known_s = [known_s[pair] for pair in pairs if pair in known_s]
-    outcome.missed = len(pairs) - len(outcome.known_s)
+    detection_s = _first_detection_s(deaths_seen)
+    outcome.detection_s = [detection_s[pair] for pair in pairs if pair in detection_s]
+    outcome.undetected = len(pairs) - len(outcome.detection_s)
     played_s = WARM_UP_US / 1e6 + seconds
     counts = [fleet.members[survivor].counts for survivor in survivors]
     outcome.sent_per_s = statistics.fmean(each.sent / played_s for each in counts)
-    outcome.most_per_s = max(each.sent / played_s for each in counts)
+    outcome.max_sent_per_s = max(each.sent / played_s for each in counts)
     outcome.bytes_per_s = statistics.fmean(each.sent_bytes / played_s for each in counts)
     return outcome
 
 
-def partition(count: int, seed: int, loss: float, seconds: float = 10.0, longest: float = 120.0) -> Outcome:
+def simulate_partition(
+    count: int, seed: int, loss: float, seconds: float = 10.0, longest: float = 120.0
+) -> MembershipResult:
     """Cut off a third of the members for a while: how long after its end are all views equal again?
 
     Args:
@@ -223,7 +227,7 @@
         longest: seconds after its end for which the views are watched.
     """
     fleet = Fleet(count, seed, loss, MembershipSettings())
-    outcome = Outcome(count, loss)
+    outcome = MembershipResult(count, loss)
     fleet.run(WARM_UP_US)
     fleet.sides = {number: int(number < count // 3) for number in range(count)}
     end_us = WARM_UP_US + int(seconds * 1e6)
@@ -231,7 +235,7 @@
     fleet.sides = {}
     while fleet.clock.now_us() < end_us + longest * 1e6:
         if fleet.views_equal():
-            outcome.healed_s = (fleet.clock.now_us() - end_us) / 1e6
+            outcome.convergence_s = (fleet.clock.now_us() - end_us) / 1e6
             break
         fleet.run(fleet.clock.now_us() + VIEW_CHECK_US)
     return outcome
--- a/sagetrack/lab/benchmarks/mixed_protocols.py
+++ b/sagetrack/lab/benchmarks/mixed_protocols.py
@@ -27,11 +27,11 @@
 )
 from sagetrack.lab.benchmarks.http_load import run_http_load
 from sagetrack.lab.benchmarks.measured_process import (
-    await_dns_answer,
     forked_process,
     measured_process,
     pinned_to,
     require_cores,
+    wait_for_dns_response,
 )
 from sagetrack.lab.benchmarks.paced_loads import (
     DNS_OBJECTIVE_S,
@@ -103,7 +103,7 @@
         self.gateway = stack.enter_context(
             measured_process(GATEWAY_COMMAND, environment, cores[GATEWAY_CORE])
         )
-        await_dns_answer(self.ports[Protocol.DNS], self.gateway)
+        wait_for_dns_response(self.ports[Protocol.DNS], self.gateway)
 
     def capacities(self) -> dict[Protocol, float]:
         """Return the highest throughput of each protocol alone, in requests a second."""
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -27,7 +27,7 @@
 SETTLED_S = 4.0  # of the run, after which the usual goodput is taken
 RAMP_UP_S = 2.0  # of the burst, after which its goodput is taken
 RECOVERY_S = 5.0  # after the burst's end, by when goodput has to be back
-MOST_GATEWAYS = 1000
+MAX_GATEWAYS = 1000
 PERCENTILES = (("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0))
 
 
@@ -39,12 +39,12 @@
     burst_size: float  # times the usual load
     seed: int
     goodput_before: float = 0.0
-    served_before: float = 0.0  # share of the requests before the burst
-    during: float = 0.0  # goodput in the burst, as a share of `goodput_before`
-    after: float = 0.0  # the same from RECOVERY_S after the burst on
-    served: float = 0.0  # share of all requests of the run
+    served_share_before: float = 0.0  # share of the requests before the burst
+    goodput_during: float = 0.0  # goodput in the burst, as a share of `goodput_before`
+    goodput_after: float = 0.0  # the same from RECOVERY_S after the burst on
+    served_share: float = 0.0  # share of all requests of the run
     in_flight: dict[str, int] = field(default_factory=dict)  # at a server in the burst: percentiles by name
-    overloaded: float = 0.0  # share of servers and samples in which a server was overloaded
+    overloaded_share: float = 0.0  # share of servers and samples in which a server was overloaded
 
     def to_json(self) -> dict[str, Any]:
         """Return the figures rounded to 4 digits.
@@ -56,12 +56,12 @@
             "size": self.burst_size,
             "seed": self.seed,
             "before": self.goodput_before,
-            "served_before": self.served_before,
-            "during": self.during,
-            "after": self.after,
-            "served": self.served,
+            "served_before": self.served_share_before,
+            "during": self.goodput_during,
+            "after": self.goodput_after,
+            "served": self.served_share,
             "held": self.in_flight,
-            "jammed": self.overloaded,
+            "jammed": self.overloaded_share,
         }
         return rounded(plain, 4)
 
@@ -76,7 +76,7 @@
     return altered(load(SCENARIO), {**sizes, **(settings or {})})
 
 
-def percentiles(counts: Counter[int]) -> dict[str, int]:
+def percentiles_by_name(counts: Counter[int]) -> dict[str, int]:
     """Return the percentiles of counted whole numbers by name; zeros where there are none."""
     found = {name: 0 for name, _ in PERCENTILES}
     missing = list(PERCENTILES)
@@ -124,11 +124,11 @@
     found.goodput_before = counts.goodput(SETTLED_S, burst.at_s)
     settled_s = int(burst.at_s) - int(SETTLED_S)
     sent_before = counts.sent_between(SETTLED_S, burst.at_s)
-    found.served_before = found.goodput_before * settled_s / max(1, sent_before)
+    found.served_share_before = found.goodput_before * settled_s / max(1, sent_before)
     usual_goodput = max(1e-9, found.goodput_before)
-    found.during = counts.goodput(burst.at_s + RAMP_UP_S, burst_end_s) / usual_goodput
-    found.after = counts.goodput(burst_end_s + RECOVERY_S, scenario.seconds) / usual_goodput
-    found.served = counts.served_share()
+    found.goodput_during = counts.goodput(burst.at_s + RAMP_UP_S, burst_end_s) / usual_goodput
+    found.goodput_after = counts.goodput(burst_end_s + RECOVERY_S, scenario.seconds) / usual_goodput
+    found.served_share = counts.served_share()
     in_flight: Counter[int] = Counter()
     overloaded = samples = 0
     for _, time_us, _, held, _, is_overloaded in records.of("load"):
@@ -136,8 +136,8 @@
         overloaded += is_overloaded
         if burst.at_s <= time_us / 1e6 < burst_end_s:
             in_flight[held] += 1
-    found.in_flight = percentiles(in_flight)
-    found.overloaded = overloaded / max(1, samples)
+    found.in_flight = percentiles_by_name(in_flight)
+    found.overloaded_share = overloaded / max(1, samples)
     return found
 
 
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from sagetrack.lab.analysis.figures import histogram
-from sagetrack.lab.benchmarks.dns_load import QUERY_IDS, DnsServer, answer_to, has_answer, query_id
-from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, LoadConnection, pace
+from sagetrack.lab.benchmarks.dns_load import QUERY_IDS, DnsServer, has_answer, query_id, response_to
+from sagetrack.lab.benchmarks.http_load import FixedResponseServer, HttpLoad, LoadConnection, pace
 from sagetrack.lab.benchmarks.measured_process import open_servers
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
@@ -50,7 +50,7 @@
     is_late: bool  # the load itself ran late
 
 
-class _HttpServer(EchoServer):
+class _HttpServer(FixedResponseServer):
     def __init__(self, is_slow: Callable[[], bool]) -> None:
         super().__init__()
         self.is_slow = is_slow
@@ -73,7 +73,7 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         if self.is_slow():
             loop = asyncio.get_running_loop()
-            loop.call_later(DNS_SLOW_S, self.transport.sendto, answer_to(data), addr)
+            loop.call_later(DNS_SLOW_S, self.transport.sendto, response_to(data), addr)
         else:
             super().datagram_received(data, addr)
 
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -35,7 +35,7 @@
 from sagetrack.store.options import StoreOptions
 
 CORE_SHARE = 0.25  # of a core, that a restarted process may have
-MOST_S = 10.0  # that nine in ten restarted processes may take
+READY_LIMIT_S = 10.0  # that nine in ten restarted processes may take
 READY_TIMEOUT_S = 120.0
 POLL_INTERVAL_S = 0.02
 SLOW_DISCOVERY_S = 2.0  # that a slow discovery takes for an answer
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class CaseResult:
     """One case: the worst of nine in ten starts, and the parts of the median one."""
 
     case: Case
@@ -78,12 +78,12 @@
     parts: str = ""
 
     @property
-    def quarter_s(self) -> float:
+    def quarter_core_s(self) -> float:
         """Seconds to ready on a quarter of a core, of nine in ten."""
-        return nine_in_ten(self.cpu_s) / CORE_SHARE
+        return percentile_90(self.cpu_s) / CORE_SHARE
 
 
-def nine_in_ten(values: list[float]) -> float:
+def percentile_90(values: list[float]) -> float:
     """Return the value that nine in ten do not pass; the list is in order of size."""
     return values[-(-9 * len(values) // 10) - 1]
 
@@ -115,7 +115,7 @@
         asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().answer, connection, since)
 
 
-def fill(folder: Path, values: int) -> None:
+def write_store(folder: Path, values: int) -> None:
     """Write a store of so many values, as the process before left it."""
     store = Store(DiskDirectory(folder), StoreOptions())
     store.open()
@@ -171,7 +171,7 @@
     elapsed_s: float
 
 
-def launch(case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path) -> Start:
+def start_gateway(case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path) -> Start:
     """Start a process of the case.
 
     Args:
@@ -183,7 +183,7 @@
     folder.mkdir()
     operator = ""
     if case.stored_values:
-        fill(folder / "store", case.stored_values)
+        write_store(folder / "store", case.stored_values)
         operator = f'[log]\nformat = "plain"\nlevel = "debug"\n[store]\nfolder = "{folder / "store"}"\n'
     host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"  # nobody sends requests from there
     listen = f"{host}:{free_port()}"
@@ -214,7 +214,7 @@
     return status_line.startswith(b"HTTP/1.1 200")
 
 
-async def first_ready(start: Start) -> Ready:
+async def wait_until_ready(start: Start) -> Ready:
     """Wait for a process's first 200 and return what it took.
 
     Raises:
@@ -233,7 +233,7 @@
     raise LabError(f"a gateway was not ready within {READY_TIMEOUT_S:g} s: {gateway.last_log_line()}")
 
 
-async def play(case: Case, rounds: int, folder: Path) -> Reading:
+async def measure_case(case: Case, rounds: int, folder: Path) -> CaseResult:
     """Play one case so many times.
 
     Raises:
@@ -247,8 +247,8 @@
         starts: list[Start] = []
         try:
             for place in range(case.simultaneous_starts):
-                starts.append(launch(case, agent, settings, folder / f"{number}-{place}"))
-            ready = await asyncio.gather(*map(first_ready, starts))
+                starts.append(start_gateway(case, agent, settings, folder / f"{number}-{place}"))
+            ready = await asyncio.gather(*map(wait_until_ready, starts))
             found += zip(ready, (start.logged_parts() for start in starts), strict=True)
         finally:
             for start in starts:
@@ -256,7 +256,7 @@
                 start.process.process.wait()
     agent.listener.close()
     found.sort()
-    return Reading(
+    return CaseResult(
         case,
         cpu_s=[ready.cpu_s for ready, _ in found],
         elapsed_s=sorted(ready.elapsed_s for ready, _ in found),
@@ -264,7 +264,7 @@
     )
 
 
-def measure(rounds: int, cases: tuple[Case, ...], progress: Callable[[float], None]) -> Iterator[Reading]:
+def measure(rounds: int, cases: tuple[Case, ...], progress: Callable[[float], None]) -> Iterator[CaseResult]:
     """Play every case so many times; `progress` is called with the share of cases that are done.
 
     Raises:
@@ -275,5 +275,5 @@
         for number, case in enumerate(cases):
             case_folder = Path(folder) / str(number)
             case_folder.mkdir()
-            yield asyncio.run(play(case, rounds, case_folder))
+            yield asyncio.run(measure_case(case, rounds, case_folder))
             progress((number + 1) / len(cases))
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -34,7 +34,7 @@
 )
 
 SCENARIO = SCENARIOS / "cold-fleet.toml"
-MOST_GATEWAYS = 1000
+MAX_GATEWAYS = 1000
 OVERLAP_S = 6.0  # that an old and a new process both take requests
 
 
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -27,22 +27,22 @@
     gateways: int
     case: str
     seed: int
-    warming_servers: int  # that started cold
+    cold_servers: int  # that started cold
     crashed: int  # of these
     windows: int = 0
     windows_over_budget: int = 0  # with more than N + 2 x root of N + 2 requests
-    most_requests: float = 0.0  # that a window had, as a share of its budget
-    most_work: float = 0.0  # the same by the work that was drawn for each request
-    usable: float = 0.0  # requests that cold servers could have done in FIRST_US, as far as there was work
-    received: float = 0.0  # that reached them then, no more of them than a server can do
+    max_window_requests: float = 0.0  # that a window had, as a share of its budget
+    max_window_work: float = 0.0  # the same by the work that was drawn for each request
+    usable_requests: float = 0.0  # that cold servers could have done in FIRST_US, as far as there was work
+    received_requests: float = 0.0  # that reached them then, no more of them than a server can do
     answered: int = 0  # by them then, and taken by the client
     first_attempts: int = 0  # in that time
-    in_time: int = 0  # requests asked for in that time that were answered within their objective
+    served_in_time: int = 0  # requests asked for in that time that were answered within their objective
 
     @property
     def used_share(self) -> float:
         """Share of the usable requests that were received; 1 where there was no work for cold servers."""
-        return min(1.0, self.received / self.usable) if self.usable else 1.0
+        return min(1.0, self.received_requests / self.usable_requests) if self.usable_requests else 1.0
 
     def to_json(self) -> dict[str, Any]:
         """Return the figures rounded to 4 digits.
@@ -53,17 +53,17 @@
             "gateways": self.gateways,
             "case": self.case,
             "seed": self.seed,
-            "cold": self.warming_servers,
+            "cold": self.cold_servers,
             "fell": self.crashed,
             "windows": self.windows,
             "past_budget": self.windows_over_budget,
-            "most_calls": self.most_requests,
-            "most_work": self.most_work,
-            "could": self.usable,
-            "sent": self.received,
+            "most_calls": self.max_window_requests,
+            "most_work": self.max_window_work,
+            "could": self.usable_requests,
+            "sent": self.received_requests,
             "answered": self.answered,
             "asked": self.first_attempts,
-            "in_time": self.in_time,
+            "in_time": self.served_in_time,
             "used": self.used_share,
         }
         return rounded(plain, 4)
@@ -106,7 +106,7 @@
         gateways=scenario.fleet.gateways,
         case=case,
         seed=int(records.header["seed"]),
-        warming_servers=len(cold),
+        cold_servers=len(cold),
         crashed=sum(server.crashed for server in cold),
     )
     _add_windows(found, records, scenario)
@@ -116,7 +116,7 @@
         offered_us = _offered_work_us(found, records, scenario, steps)
         capacities = _add_usable(found, scenario, servers, offered_us, steps)
         _add_received(found, records, capacities, first_us + FIRST_US)
-        found.in_time = sum(
+        found.served_in_time = sum(
             outcome == "served" and asked_us // STEP_US in steps
             for _, _, _, _, _, outcome, asked_us, _ in records.of("request")
         )
@@ -127,8 +127,8 @@
     for window in warm_up_windows(records, scenario):
         found.windows += 1
         found.windows_over_budget += window.calls > window.budget
-        found.most_requests = max(found.most_requests, window.calls / window.budget)
-        found.most_work = max(found.most_work, window.work / window.budget)
+        found.max_window_requests = max(found.max_window_requests, window.calls / window.budget)
+        found.max_window_work = max(found.max_window_work, window.work / window.budget)
 
 
 def _offered_work_us(
@@ -167,7 +167,7 @@
         cold_us = math.fsum(cold_cores.values()) * STEP_US
         left_us = max(0.0, recent_us / OFFERED_STEPS - warm_cores * STEP_US)
         usable_share = min(1.0, left_us / cold_us) if cold_us else 0.0
-        found.usable += usable_share * cold_us / mean_work_us
+        found.usable_requests += usable_share * cold_us / mean_work_us
         for number, cores in cold_cores.items():
             capacities[number] += cores * STEP_US / mean_work_us
     return capacities
@@ -183,7 +183,7 @@
         if verdict == "taken":
             last_server[call] = server
             received[server] += server in capacities and time_us < end_us
-    found.received = math.fsum(
+    found.received_requests = math.fsum(
         min(float(count), capacities[server]) for server, count in received.items() if server in capacities
     )
     found.answered = sum(
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -28,14 +28,14 @@
     gateway_configuration,
     gateway_environment,
 )
-from sagetrack.lab.benchmarks.http_load import EchoServer, HttpLoad, run_http_load
+from sagetrack.lab.benchmarks.http_load import FixedResponseServer, HttpLoad, run_http_load
 from sagetrack.lab.benchmarks.measured_process import (
-    await_listening,
     forked_process,
     measured_process,
     open_servers,
     pinned_to,
     require_cores,
+    wait_until_listening,
 )
 from sagetrack.lab.benchmarks.relays import relay_command, relay_environment
 from sagetrack.lab.errors import LabError
@@ -101,7 +101,7 @@
     os.sched_setaffinity(0, {core})
 
     async def main() -> None:
-        ports = await open_servers(EchoServer, count, backlog=256)
+        ports = await open_servers(FixedResponseServer, count, backlog=256)
         (discovery_port,) = await open_servers(asyncio.Protocol, 1)
         pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
@@ -174,7 +174,7 @@
         tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder,
         _start(subject, port, servers, Path(folder), core) as process,
     ):
-        await_listening(port, process)
+        wait_until_listening(port, process)
         closed_loop, open_loop, rate, spent_s = uvloop.run(_put_load(port, process.pid, seconds))
         ended = open_loop.succeeded + open_loop.failed
         if open_loop.failed > MOST_FAILED * max(1, ended):
--- a/sagetrack/lab/fault_injection/dns_spoofing.py
+++ b/sagetrack/lab/fault_injection/dns_spoofing.py
@@ -17,14 +17,14 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.dns_load import answer_to
+from sagetrack.lab.benchmarks.dns_load import response_to
 from sagetrack.lab.benchmarks.gateway_files import gateway_configuration
-from sagetrack.lab.benchmarks.measured_process import await_dns_answer
+from sagetrack.lab.benchmarks.measured_process import wait_for_dns_response
 from sagetrack.lab.processes.resource_usage import free_port
 from sagetrack.lab.repository import ROOT
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
-GENUINE_ADDRESS = answer_to(wire_query("a.example", 0))[-4:]
+GENUINE_ADDRESS = response_to(wire_query("a.example", 0))[-4:]
 SPOOFED_ADDRESS = b"\xc6\x33\x64\x42"  # 198.51.100.66
 QUERIES_PER_S = 100
 SEND_INTERVAL_S = 0.005  # interval at which due queries are sent
@@ -55,7 +55,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        genuine_response = answer_to(data)
+        genuine_response = response_to(data)
         for number in range(self.spoofed_per_query):
             spoofed = bytearray(genuine_response[:-4] + SPOOFED_ADDRESS)
             match number % 3:
@@ -161,7 +161,7 @@
     )
     try:
         with gateway.running(upstream.get_extra_info("sockname")[1]) as process:
-            await asyncio.to_thread(await_dns_answer, gateway.dns_port, process)
+            await asyncio.to_thread(wait_for_dns_response, gateway.dns_port, process)
             report.sent = 0
             await _send_queries(client, seconds, report, progress)
             await asyncio.sleep(LAST_RESPONSES_WAIT_S)
--- a/sagetrack/lab/scale/peers.py
+++ b/sagetrack/lab/scale/peers.py
@@ -8,7 +8,7 @@
 import time
 from itertools import count
 
-from sagetrack.lab.benchmarks.membership import Fleet, death, partition
+from sagetrack.lab.benchmarks.membership import Fleet, simulate_deaths, simulate_partition
 from sagetrack.lab.scale.gateway import FEW_TENANTS
 from sagetrack.lab.scale.meter import Meter, Values, retained_bytes
 from sagetrack.lab.scale.probe import Probe
@@ -31,13 +31,13 @@
 def membership_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """One of `size` gateways fails: when the others know, and what membership costs each of them."""
     began_ns = time.thread_time_ns()
-    outcome = death(size, fleet.seed, 0.0, WATCHED_S)
+    outcome = simulate_deaths(size, fleet.seed, 0.0, WATCHED_S)
     spent_us = (time.thread_time_ns() - began_ns) / 1000
     retained = retained_bytes(lambda: Fleet(size, fleet.seed, 0.0, MembershipSettings()))
     values: Values = {
         "known_s": outcome.median_s,
         "known_p99_s": outcome.p99_s,
-        "missed": float(outcome.missed),
+        "missed": float(outcome.undetected),
         "messages_per_s": outcome.sent_per_s,
         "bytes_per_s": outcome.bytes_per_s,
         "held_bytes": retained / size,
@@ -50,7 +50,7 @@
 
 def healing_by_gateways(fleet: TargetFleet, size: int, meter: Meter) -> Values:
     """A third of the gateways is cut off, for longer than it takes until a death is known."""
-    healed_s = partition(size, fleet.seed, 0.0, PARTITION_S, HEALING_LIMIT_S).healed_s
+    healed_s = simulate_partition(size, fleet.seed, 0.0, PARTITION_S, HEALING_LIMIT_S).convergence_s
     return {"healed_s": healed_s if healed_s >= 0 else HEALING_LIMIT_S, "unhealed": float(healed_s < 0)}
 
 
--- a/sagetrack/lab/scale/real_gateway/measurement.py
+++ b/sagetrack/lab/scale/real_gateway/measurement.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.http_load import EchoServer
+from sagetrack.lab.benchmarks.http_load import FixedResponseServer
 from sagetrack.lab.errors import LabError
 from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import memory_mb
@@ -70,7 +70,9 @@
 async def _echo_servers(count: int) -> AsyncIterator[list[str]]:
     """Run echo servers, and yield their addresses."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(EchoServer, "127.0.0.1", 0, backlog=256) for _ in range(count)]
+    servers = [
+        await loop.create_server(FixedResponseServer, "127.0.0.1", 0, backlog=256) for _ in range(count)
+    ]
     try:
         yield [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
     finally:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -90,11 +90,11 @@
     cold one could do its own share of a core, 7.8 s of work in its first 12 s."""
     records = records_of([n * 50_000 for n in range(1, 280)])
     made = figures(records, SCENARIO, "x")
-    assert made.usable == pytest.approx(80, rel=0.03)
-    assert made.received == pytest.approx(80, rel=0.03)  # it was sent more than it could do
-    assert made.used_share == 1.0 and made.warming_servers == 1
+    assert made.usable_requests == pytest.approx(80, rel=0.03)
+    assert made.received_requests == pytest.approx(80, rel=0.03)  # it was sent more than it could do
+    assert made.used_share == 1.0 and made.cold_servers == 1
     half = records_of([n * 100_000 for n in range(1, 140)])  # the warm server could do all of it
-    assert figures(half, SCENARIO, "x").usable < 1
+    assert figures(half, SCENARIO, "x").usable_requests < 1
 
 
 # The virtual fleet
@@ -106,7 +106,7 @@
 def test_each_planted_fault_breaks_the_rule(fault: str) -> None:
     seconds = 7.0 if fault == "three-for-granted" else SHORT_S
     made, found = measure(CASES[COLD_SHOWN_BY[fault]], 30, 1, fault, seconds=seconds)
-    assert made.windows_over_budget > 0 and made.most_requests > 1.0
+    assert made.windows_over_budget > 0 and made.max_window_requests > 1.0
     assert "cold_sum" in {violation.rule for violation in found}
 
 
@@ -116,8 +116,8 @@
 def test_correct_gateways_stay_within_the_budget(gateways: int, case: str) -> None:
     made, found = measure(CASES[case], gateways, 1, seconds=6.5)
     assert not found
-    assert made.windows > 0 and 0.0 < made.most_requests <= 1.0
-    assert made.warming_servers == (3 if "few" in case else 15)
+    assert made.windows > 0 and 0.0 < made.max_window_requests <= 1.0
+    assert made.cold_servers == (3 if "few" in case else 15)
 
 
 def test_the_verdict_is_the_same_every_time() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -305,7 +305,7 @@
 
     a = write("a", [0.90, 0.80, 0.95, 0.85])
     clear = compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
-    assert clear.is_clear and math.isclose(clear.difference, 0.02) and clear.larger_in_b == 4
-    assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_clear
+    assert clear.is_significant and math.isclose(clear.difference, 0.02) and clear.larger_in_b == 4
+    assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_significant
     with pytest.raises(ValueError, match="no figure"):
         compare(a, a, "speed")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagetrack.lab.benchmarks.membership import Fleet, death, partition
+from sagetrack.lab.benchmarks.membership import Fleet, simulate_deaths, simulate_partition
 from sagetrack.peers.codec import (
     Datagram,
     Ping,
@@ -21,17 +21,17 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
 def test_a_death_is_detected_by_all_members_without_false_positives(loss: float) -> None:
-    result = death(8, 1, loss, 40.0)
-    assert result.missed == 0 and result.false_deaths == 0 and result.p99_s < 20.0
+    result = simulate_deaths(8, 1, loss, 40.0)
+    assert result.undetected == 0 and result.false_deaths == 0 and result.p99_s < 20.0
 
 
 def test_the_message_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
-    small, large = death(4, 1, 0.0, 20.0), death(60, 1, 0.0, 20.0)
-    assert large.most_per_s < 1.5 * small.most_per_s + 1.0
+    small, large = simulate_deaths(4, 1, 0.0, 20.0), simulate_deaths(60, 1, 0.0, 20.0)
+    assert large.max_sent_per_s < 1.5 * small.max_sent_per_s + 1.0
 
 
 def test_a_partition_heals() -> None:
-    assert 0 <= partition(8, 1, 0.05).healed_s < 30
+    assert 0 <= simulate_partition(8, 1, 0.05).convergence_s < 30
 
 
 def test_a_member_that_restarts_overrides_the_updates_of_its_death() -> None:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -14,7 +14,7 @@
 import pytest
 
 from sagetrack.config.operator import load as load_operator
-from sagetrack.lab.benchmarks.readiness import Case, fill, nine_in_ten
+from sagetrack.lab.benchmarks.readiness import Case, percentile_90, write_store
 from sagetrack.store.directory import DiskDirectory
 from tests.sockets import configuration, on_event_loop, request, running_gateway, scripted_server
 
@@ -140,9 +140,9 @@
 
 
 def test_the_readiness_benchmark_computes_p90_and_fills_a_store(tmp_path: Path) -> None:
-    assert nine_in_ten([1.0]) == 1.0 and nine_in_ten([float(n) for n in range(1, 21)]) == 18.0
+    assert percentile_90([1.0]) == 1.0 and percentile_90([float(n) for n in range(1, 21)]) == 18.0
     assert Case("x").stored_values == 0
-    fill(tmp_path / "store", 2_500)
+    write_store(tmp_path / "store", 2_500)
     line = [sys.executable, "-m", "sagetrack", "store", "verify", str(tmp_path / "store")]
     done = subprocess.run(line, cwd=ROOT, text=True, capture_output=True, timeout=60)
     assert done.returncode == 0 and "2500 values" in done.stdout
