--- a/sagetrack/cli/lab_benchmarks.py
+++ b/sagetrack/cli/lab_benchmarks.py
@@ -190,7 +190,7 @@
         "cpu_s": percentile_90(reading.cpu_s),
         "quarter_s": reading.quarter_core_s,
         "elapsed_s": percentile_90(reading.elapsed_s),
-        "parts": reading.parts,
+        "parts": reading.phases,
     }
     return json.dumps(row)
 
@@ -202,5 +202,5 @@
         f"{reading.case.name}: {len(reading.cpu_s)} starts, nine in ten within "
         f"{percentile_90(reading.cpu_s):.2f} s of CPU "
         f"({reading.quarter_core_s:.1f} s on a quarter of a core), "
-        f"{percentile_90(reading.elapsed_s):.1f} s elapsed\n    {reading.parts}"
+        f"{percentile_90(reading.elapsed_s):.1f} s elapsed\n    {reading.phases}"
     )
--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -52,7 +52,7 @@
 SAMPLE_INTERVAL_S = 0.02
 READ_INTERVAL_S = 0.001  # between two chunks that a client reads
 SERVER_PROCESSES = 4  # one alone is slower than the gateway, which would take it for dead
-LEAST_SERVERS = 8
+MIN_SERVERS = 8
 REQUESTS_PER_SERVER = 2
 MEMORY_LIMIT_MB = 1024
 
@@ -84,7 +84,7 @@
         else:
             super().on_event(event)
 
-    def answer_long(self, request: GrpcRequest, size: int) -> None:
+    def respond_long(self, request: GrpcRequest, size: int) -> None:
         """Answer with a body of so many bytes, as the flow control windows allow."""
         request.outgoing += pack(Answer(length=size).SerializeToString())
         self.bytes_left[request.stream_id] = size
@@ -119,7 +119,7 @@
         request.outgoing += pack(Answer(body=bytes(size)).SerializeToString())
 
 
-class _DelayedAnswers:
+class _DelayedResponses:
     """The requests of one server process, which are answered when no more have come for a while."""
 
     def __init__(self, size: int, pipe: Connection) -> None:
@@ -135,12 +135,12 @@
         self.unanswered.append((connection, request))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_later(QUIET_S, self._answer_all)
+        self.timer = self.loop.call_later(QUIET_S, self._respond_to_all)
 
-    def _answer_all(self) -> None:
+    def _respond_to_all(self) -> None:
         self.pipe.send("all")
         for connection, request in self.unanswered:
-            connection.answer_long(request, self.size)
+            connection.respond_long(request, self.size)
         self.unanswered.clear()
 
 
@@ -151,8 +151,8 @@
     """
 
     async def main() -> None:
-        answers = _DelayedAnswers(size, pipe)
-        ports = await open_servers(lambda: _BodySink(answers.take), count, backlog=64)
+        responses = _DelayedResponses(size, pipe)
+        ports = await open_servers(lambda: _BodySink(responses.take), count, backlog=64)
         (discovery_port,) = await open_servers(asyncio.Protocol, 1)
         pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
@@ -190,7 +190,7 @@
     port: int
     server_pipes: list[Connection]  # readable once that process has had all its bodies
 
-    def all_bodies_came(self) -> bool:
+    def all_bodies_received(self) -> bool:
         return any(pipe.poll() for pipe in self.server_pipes)
 
 
@@ -220,7 +220,7 @@
     """
     require_file_descriptors(4 * streams + 2000)
     size = body_kb * 1000
-    servers_needed = max(LEAST_SERVERS, -(-streams // REQUESTS_PER_SERVER))
+    servers_needed = max(MIN_SERVERS, -(-streams // REQUESTS_PER_SERVER))
     server_count = servers_needed // SERVER_PROCESSES
     with ExitStack() as stack:
         server_ports: list[int] = []
@@ -239,10 +239,12 @@
             measured_process(GATEWAY_COMMAND, environment, stderr=None)
         )
         wait_until_listening(port, process)
-        return uvloop.run(_play(_Gateway(process.pid, port, pipes), streams, size, progress))
+        return uvloop.run(_run_round(_Gateway(process.pid, port, pipes), streams, size, progress))
 
 
-async def _play(gateway: _Gateway, streams: int, size: int, progress: Callable[[float], None]) -> MemoryUse:
+async def _run_round(
+    gateway: _Gateway, streams: int, size: int, progress: Callable[[float], None]
+) -> MemoryUse:
     begin = asyncio.Event()
     clients = [
         asyncio.create_task(_send_and_read(gateway.port, number, size, begin)) for number in range(streams)
@@ -256,17 +258,17 @@
         await asyncio.sleep(SAMPLE_INTERVAL_S)
         now_mb = memory_mb(gateway.pid)
         peak_mb = max(peak_mb, now_mb)
-        all_sent = all_sent or gateway.all_bodies_came()
+        all_sent = all_sent or gateway.all_bodies_received()
         if not all_sent:
             sending_mb = max(sending_mb, now_mb)
         progress(sum(task.done() for task in clients) / streams)
     for task in clients:
         task.cancel()
-    answers = await asyncio.gather(*clients, return_exceptions=True)
+    lengths = await asyncio.gather(*clients, return_exceptions=True)
     return MemoryUse(
         streams=streams,
         body_kb=size // 1000,
-        complete=sum(answer == size for answer in answers),
+        complete=sum(length == size for length in lengths),
         idle_mb=round(idle_mb, 1),
         sending_mb=round(sending_mb, 1),
         peak_mb=round(peak_mb, 1),
--- a/sagetrack/lab/benchmarks/comparison.py
+++ b/sagetrack/lab/benchmarks/comparison.py
@@ -11,13 +11,13 @@
 
 # Quantiles of Student's t for 95 in 100, both sides, by degrees of freedom from 1 (standard tables).
 # fmt: off
-T95 = (
+T_QUANTILES_95 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
     2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
     2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 )
 # fmt: on
-T95_OF_MANY = 1.96  # beyond that table
+NORMAL_QUANTILE_95 = 1.96  # beyond that table
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,7 +50,7 @@
     count = len(differences)
     if count < 2:
         return math.inf
-    quantile = T95[count - 2] if count - 2 < len(T95) else T95_OF_MANY
+    quantile = T_QUANTILES_95[count - 2] if count - 2 < len(T_QUANTILES_95) else NORMAL_QUANTILE_95
     return quantile * statistics.stdev(differences) / math.sqrt(count)
 
 
--- a/sagetrack/lab/benchmarks/dns_load.py
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -15,7 +15,7 @@
 CACHED_NAMES = 100  # where answers are to come from the cache
 QUERY_TIMEOUT_S = 2.0
 CHECK_INTERVAL_S = 0.05
-LAST_ANSWERS_S = 0.1  # for answers that are still in transit at the end
+RESPONSE_GRACE_S = 0.1  # for answers that are still in transit at the end
 HEADER_BYTES = 12
 QUERY_IDS = 65_536
 A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"  # of the question's name, for an hour
@@ -56,27 +56,27 @@
     """The queries of one measurement and what became of them.
 
     Attributes:
-        answered: queries that any answer came to; `bad` of these had no record in it.
+        answered: queries that any answer came to; `invalid` of these had no record in it.
         lost: queries without an answer within `QUERY_TIMEOUT_S`.
         latencies: histogram in microseconds of the queries that were answered.
     """
 
     def __init__(self, unique_names: bool) -> None:
         self.unique_names = unique_names
-        self.names_given = 0
+        self.names_used = 0
         self.answered = 0
         self.lost = 0
-        self.bad = 0
+        self.invalid = 0
         self.stopped = False
         self.latencies = histogram()
         self.name_suffix = f"{time.monotonic_ns():x}"
 
     def next_name(self) -> str:
         """Return the name of the next query: a new one, or one of `CACHED_NAMES` in turn."""
-        self.names_given += 1
+        self.names_used += 1
         if self.unique_names:
-            return f"n{self.names_given}.{self.name_suffix}.example"
-        return f"n{self.names_given % CACHED_NAMES}.example"
+            return f"n{self.names_used}.{self.name_suffix}.example"
+        return f"n{self.names_used % CACHED_NAMES}.example"
 
 
 class _LoadSocket(asyncio.DatagramProtocol):
@@ -104,13 +104,13 @@
             return
         load = self.load
         if not has_answer(data):
-            load.bad += 1
+            load.invalid += 1
         load.answered += 1
         load.latencies.record_value(max(1, int((time.perf_counter() - sent_s) * 1e6)))
         if not load.stopped:
             self.send()
 
-    def give_up(self, before_s: float) -> None:
+    def expire(self, before_s: float) -> None:
         """Count queries that were sent before this time and not answered as lost."""
         while self.order and self.order[0][1] < before_s:
             id_, sent_s = self.order.popleft()
@@ -121,8 +121,8 @@
                     self.send()
 
 
-async def run_dns_load(port: int, seconds: float, unique_names: bool, most: int = 0) -> DnsLoad:
-    """Keep `WINDOW` queries in flight for so long, or until `most` are answered if that is not 0."""
+async def run_dns_load(port: int, seconds: float, unique_names: bool, max_answered: int = 0) -> DnsLoad:
+    """Keep `WINDOW` queries in flight for so long, or until `max_answered` are answered if that is not 0."""
     loop = asyncio.get_running_loop()
     load = DnsLoad(unique_names)
     sockets = []
@@ -135,12 +135,12 @@
         for _ in range(WINDOW // SOCKETS):
             each.send()
     end_s = loop.time() + seconds
-    while loop.time() < end_s and (not most or load.answered < most):
+    while loop.time() < end_s and (not max_answered or load.answered < max_answered):
         await asyncio.sleep(CHECK_INTERVAL_S)
         for each in sockets:
-            each.give_up(time.perf_counter() - QUERY_TIMEOUT_S)
+            each.expire(time.perf_counter() - QUERY_TIMEOUT_S)
     load.stopped = True
-    await asyncio.sleep(LAST_ANSWERS_S)
+    await asyncio.sleep(RESPONSE_GRACE_S)
     for each in sockets:
         each.transport.close()
     return load
--- a/sagetrack/lab/benchmarks/dns_throughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.dns_load import LAST_ANSWERS_S, DnsLoad, DnsServer, run_dns_load
+from sagetrack.lab.benchmarks.dns_load import RESPONSE_GRACE_S, DnsLoad, DnsServer, run_dns_load
 from sagetrack.lab.benchmarks.gateway_files import (
     GATEWAY_COMMAND,
     gateway_configuration,
@@ -36,10 +36,10 @@
 
 RELAY, CACHED, FORWARDED = "relay", "cached", "forwarded"
 SUBJECTS = (RELAY, CACHED, FORWARDED)
-WARM_UP_S = 0.5  # of load before a measurement, at the most
-FILL_LIMIT_S = 600.0  # for a run that goes on until the cache keeps so many names
+MAX_WARM_UP_S = 0.5  # of load before a measurement, at the most
+FILL_TIMEOUT_S = 600.0  # for a run that goes on until the cache keeps so many names
 MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")  # of a printed row
-MOST_BAD = 0.01  # share of answers without a record, beyond which a measurement is worthless
+MAX_INVALID = 0.01  # share of answers without a record, beyond which a measurement is worthless
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,7 +61,7 @@
     elapsed_s: float
 
 
-def _serve_names(core: int, pipe: Connection) -> None:
+def _serve_upstream(core: int, pipe: Connection) -> None:
     """Run the upstream server until killed; its port goes into the pipe."""
     os.sched_setaffinity(0, {core})
 
@@ -88,13 +88,13 @@
     return measured_process(GATEWAY_COMMAND, environment, core)
 
 
-async def _put_load(subject: str, port: int, pid: int, seconds: float, names: int) -> _Measurement:
-    await run_dns_load(port, min(WARM_UP_S, seconds / 3), False)
+async def _run_load(subject: str, port: int, pid: int, seconds: float, names: int) -> _Measurement:
+    await run_dns_load(port, min(MAX_WARM_UP_S, seconds / 3), False)
     cpu_before_s = cpu_s(pid)
     start_s = time.monotonic()
-    limit_s = FILL_LIMIT_S if names else seconds
+    limit_s = FILL_TIMEOUT_S if names else seconds
     load = await run_dns_load(port, limit_s, subject == FORWARDED, names)
-    return _Measurement(load, cpu_s(pid) - cpu_before_s, time.monotonic() - start_s - LAST_ANSWERS_S)
+    return _Measurement(load, cpu_s(pid) - cpu_before_s, time.monotonic() - start_s - RESPONSE_GRACE_S)
 
 
 def _measure_round(subject: str, core: int, upstream_port: int, seconds: float, names: int = 0) -> Result:
@@ -105,10 +105,10 @@
         _start(subject, port, upstream_port, Path(folder), core) as process,
     ):
         wait_for_dns_response(port, process)
-        load, spent_s, elapsed_s = uvloop.run(_put_load(subject, port, process.pid, seconds, names))
+        load, spent_s, elapsed_s = uvloop.run(_run_load(subject, port, process.pid, seconds, names))
         answered = max(1, load.answered)
-        if load.bad > MOST_BAD * answered:
-            raise LabError(f"{subject}: {load.bad} of {load.answered} answers were no good")
+        if load.invalid > MAX_INVALID * answered:
+            raise LabError(f"{subject}: {load.invalid} of {load.answered} answers were no good")
         return Result(
             subject=subject,
             per_s=load.answered / elapsed_s,
@@ -153,7 +153,7 @@
     cores = require_cores(3, "gateway, upstream and load need one each")
     total = len(SUBJECTS) * rounds + bool(names)
     results: dict[str, list[Result]] = {subject: [] for subject in SUBJECTS}
-    with forked_process(_serve_names, cores[1]) as upstream, pinned_to(cores[2]):
+    with forked_process(_serve_upstream, cores[1]) as upstream, pinned_to(cores[2]):
         port = upstream.recv()
         for number in range(rounds):
             for place, subject in enumerate(SUBJECTS, 1):
--- a/sagetrack/lab/benchmarks/fair_queue.py
+++ b/sagetrack/lab/benchmarks/fair_queue.py
@@ -51,7 +51,7 @@
     reserved: int  # open reservations at the end
     allocated_kb: float  # by Python's own count, since the module was made; 0 if not traced
     counted_kb: float  # what the queues count against their bound
-    bound_kb: float
+    limit_kb: float
 
 
 def settings(fair_queues: bool, memory_kb: int) -> Settings:
@@ -66,62 +66,62 @@
         for objective_us in LATENCY_OBJECTIVES_US
     )
     tenants = tuple(Tenant(1.0 / TENANTS) for _ in range(TENANTS))
-    without = Settings(classes=classes, tenants=tenants, max_attempts=3, max_retry_after_us=TIMEOUT_US)
+    base = Settings(classes=classes, tenants=tenants, max_attempts=3, max_retry_after_us=TIMEOUT_US)
     if not fair_queues:
-        return without
-    return replace(without, admission=AdmissionSettings(memory_bytes=memory_kb * 1024))
+        return base
+    return replace(base, admission=AdmissionSettings(memory_bytes=memory_kb * 1024))
 
 
 class _Simulation:
     """A load balancer, its servers with one core each, and what is planned on the simulated clock."""
 
-    def __init__(self, balancer_settings: Settings, seed: int, draw: random.Random) -> None:
-        self.draw = draw
+    def __init__(self, balancer_settings: Settings, seed: int, rng: random.Random) -> None:
+        self.rng = rng
         self.balancer = LoadBalancer(balancer_settings, seed)
         self.now_us = 0
         self.cpu_ns = 0  # of the balancer, in events that are counted
-        self.planned: list[tuple[int, int, Event]] = []  # a heap: time, order of planning, event
+        self.scheduled: list[tuple[int, int, Event]] = []  # a heap: time, order of planning, event
         self.actions = 0
         self.free_us = [0] * SERVERS  # when each server has done what it was given
         self.attempts: dict[str, int] = {}  # by request
         servers = tuple(ListedServer(number) for number in range(SERVERS))
         self.balancer.handle(0, EndpointList(ListKind.FULL, servers))
 
-    def handle(self, event: Event, counted: bool) -> None:
+    def handle(self, event: Event, measured: bool) -> None:
         """Hand an event to the balancer now and plan what follows from its actions."""
         start_ns = time.process_time_ns()
         actions = self.balancer.handle(self.now_us, event)
-        if counted:
+        if measured:
             self.cpu_ns += time.process_time_ns() - start_ns
         for action in actions:
             self.actions += 1
             if isinstance(action, SendAttempt):
                 end_us, ended = self._attempt(action)
-                self._plan(end_us, ended)
+                self._schedule(end_us, ended)
             elif isinstance(action, SetTimer):
-                self._plan(action.due_us, TimerFired(action.token))
+                self._schedule(action.due_us, TimerFired(action.token))
 
-    def advance(self, until_us: float, counted: bool) -> None:
+    def advance(self, until_us: float, measured: bool) -> None:
         """Handle what is planned up to that time."""
-        while self.planned and self.planned[0][0] <= until_us:
-            self.now_us, _, event = heapq.heappop(self.planned)
-            self.handle(event, counted)
+        while self.scheduled and self.scheduled[0][0] <= until_us:
+            self.now_us, _, event = heapq.heappop(self.scheduled)
+            self.handle(event, measured)
         self.now_us = int(until_us)
 
-    def forget(self) -> None:
+    def release(self) -> None:
         """Drop what only the simulation holds, so that it does not count as the balancer's memory."""
         self.attempts.clear()
-        self.planned.clear()
+        self.scheduled.clear()
 
-    def _plan(self, due_us: int, event: Event) -> None:
-        heapq.heappush(self.planned, (due_us, self.actions, event))
+    def _schedule(self, due_us: int, event: Event) -> None:
+        heapq.heappush(self.scheduled, (due_us, self.actions, event))
 
     def _attempt(self, action: SendAttempt) -> tuple[int, AttemptEnded]:
         """Return when an attempt ends, and how: its server does one after the other."""
         number = self.attempts.get(action.request, 0)
         self.attempts[action.request] = number + 1
         start_us = max(self.now_us, self.free_us[action.server])
-        end_us = start_us + int(self.draw.expovariate(1 / MEAN_WORK_US))
+        end_us = start_us + int(self.rng.expovariate(1 / MEAN_WORK_US))
         self.free_us[action.server] = end_us
         outcome = Outcome.OK
         if end_us - self.now_us > action.timeout_us:
@@ -144,7 +144,7 @@
         tracemalloc.stop()
 
 
-def drive(
+def run_round(
     clients: int, requests: int, fair_queues: bool, memory_kb: int, seed: int, trace: bool, load: float = 2.0
 ) -> Cost:
     """Play one round.
@@ -158,21 +158,21 @@
         trace: whether to count allocated memory, which makes CPU time worthless.
         load: times what the servers can do.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     gc.collect()
     with _tracing(trace):
-        simulation = _Simulation(settings(fair_queues, memory_kb), seed, draw)
-        _send_requests(simulation, clients, requests, draw, load)
+        simulation = _Simulation(settings(fair_queues, memory_kb), seed, rng)
+        _send_requests(simulation, clients, requests, rng, load)
         allocated_kb = 0.0
         if trace:
-            simulation.forget()
+            simulation.release()
             gc.collect()
             allocated_kb = tracemalloc.get_traced_memory()[0] / 1024
     request_us = simulation.cpu_ns / 1000 / requests
     admission = simulation.balancer.admission
     if admission is None:
         queued = len(simulation.balancer.capacity_wait)
-        return Cost(clients, request_us, queued, 0, allocated_kb, counted_kb=0.0, bound_kb=0.0)
+        return Cost(clients, request_us, queued, 0, allocated_kb, counted_kb=0.0, limit_kb=0.0)
     return Cost(
         clients=clients,
         request_us=request_us,
@@ -180,20 +180,20 @@
         reserved=admission.open_reservations,
         allocated_kb=allocated_kb,
         counted_kb=admission.memory_used() / 1024,
-        bound_kb=memory_kb,
+        limit_kb=memory_kb,
     )
 
 
 def _send_requests(
-    simulation: _Simulation, clients: int, requests: int, draw: random.Random, load: float
+    simulation: _Simulation, clients: int, requests: int, rng: random.Random, load: float
 ) -> None:
     mean_gap_us = MEAN_WORK_US / SERVERS / load
     arrival_us = 0.0
     for number in range(WARM_UP_REQUESTS + requests):
-        counted = number >= WARM_UP_REQUESTS
-        arrival_us += draw.expovariate(1 / mean_gap_us)
-        simulation.advance(arrival_us, counted)
-        client = draw.randrange(clients) + 1
+        measured = number >= WARM_UP_REQUESTS
+        arrival_us += rng.expovariate(1 / mean_gap_us)
+        simulation.advance(arrival_us, measured)
+        client = rng.randrange(clients) + 1
         arrived = RequestArrived(
             f"{number:x}",
             number % len(LATENCY_OBJECTIVES_US),
@@ -202,7 +202,7 @@
             tenant=client % TENANTS,
             client=client,
         )
-        simulation.handle(arrived, counted)
+        simulation.handle(arrived, measured)
 
 
 def measure(
@@ -233,10 +233,12 @@
         costs: dict[bool, list[Cost]] = {True: [], False: []}  # by whether there are fair queues
         for number in range(rounds):
             for fair_queues in (True, False) if number % 2 else (False, True):
-                costs[fair_queues].append(drive(size, requests, fair_queues, memory_kb, number, False, load))
+                costs[fair_queues].append(
+                    run_round(size, requests, fair_queues, memory_kb, number, False, load)
+                )
                 done += 1
                 progress(done / total)
-        traced = drive(size, max(requests, 2 * size), True, memory_kb, 0, True, load)
+        traced = run_round(size, max(requests, 2 * size), True, memory_kb, 0, True, load)
         done += 1
         progress(done / total)
         rows.append(_summary_row(traced, costs[True], costs[False]))
@@ -255,7 +257,7 @@
         "promised": traced.reserved,
         "held_kb": traced.allocated_kb,
         "counted_kb": traced.counted_kb,
-        "bound_kb": traced.bound_kb,
+        "bound_kb": traced.limit_kb,
         "off_us": off_us,
         "times": on_us / off_us,
         "times_from": min(ratios),
--- a/sagetrack/lab/benchmarks/http_load.py
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -19,7 +19,7 @@
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + RESPONSE_BODY
 END_OF_HEAD = b"\r\n\r\n"
 PACE_STEP_S = 0.0005  # between two looks at which requests are due
-LAST_RESPONSES_S = 0.05  # for responses that are still in transit at the end
+RESPONSE_GRACE_S = 0.05  # for responses that are still in transit at the end
 
 
 class FixedResponseServer(asyncio.Protocol):
@@ -167,15 +167,15 @@
     """
     start_s = time.perf_counter()
     sent = 0
-    worst_s = 0.0
+    max_delay_s = 0.0
     while (now_s := time.perf_counter()) < start_s + seconds:
         while sent < (now_s - start_s) * rate:
             due_s = start_s + sent / rate
             sent += 1
-            worst_s = max(worst_s, time.perf_counter() - due_s)
+            max_delay_s = max(max_delay_s, time.perf_counter() - due_s)
             send(due_s)
         await asyncio.sleep(PACE_STEP_S)
-    return worst_s
+    return max_delay_s
 
 
 async def run_http_load(port: int, connections: int, seconds: float, rate: float = 0.0) -> HttpLoad:
@@ -189,7 +189,7 @@
     else:
         await pace(rate, seconds, load.offer)
     load.stopped = True
-    await asyncio.sleep(LAST_RESPONSES_S)
+    await asyncio.sleep(RESPONSE_GRACE_S)
     for connection in opened:
         connection.transport.abort()
     return load
--- a/sagetrack/lab/benchmarks/measured_process.py
+++ b/sagetrack/lab/benchmarks/measured_process.py
@@ -22,8 +22,8 @@
 CONNECT_TIMEOUT_S = 1.0
 PORT_POLL_S = 0.01
 DNS_POLL_S = 0.02
-DNS_ANSWER_TIMEOUT_S = 0.1
-LARGEST_DNS_ANSWER = 600
+DNS_RESPONSE_TIMEOUT_S = 0.1
+MAX_DNS_RESPONSE_BYTES = 600
 
 
 def require_cores(count: int, reason: str) -> list[int]:
@@ -57,11 +57,11 @@
         This side of the pipe to the process.
     """
     context = multiprocessing.get_context("fork")
-    here, there = context.Pipe()
-    process = context.Process(target=target, args=(*arguments, there), daemon=True)
+    parent_end, child_end = context.Pipe()
+    process = context.Process(target=target, args=(*arguments, child_end), daemon=True)
     process.start()
     try:
-        yield here
+        yield parent_end
     finally:
         process.kill()
         process.join()
@@ -121,11 +121,11 @@
     """
     deadline = time.monotonic() + START_TIMEOUT_S
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-        probe.settimeout(DNS_ANSWER_TIMEOUT_S)
+        probe.settimeout(DNS_RESPONSE_TIMEOUT_S)
         while time.monotonic() < deadline and process.poll() is None:
             try:
                 probe.sendto(wire_query("ready.example", 1), ("127.0.0.1", port))
-                probe.recv(LARGEST_DNS_ANSWER)
+                probe.recv(MAX_DNS_RESPONSE_BYTES)
                 return
             except OSError:
                 time.sleep(DNS_POLL_S)
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -77,7 +77,7 @@
         delay_us: tuple[int, int] = DELAY_US,
     ) -> None:
         self.clock = SimClock()
-        self.draw = random.Random(f"{seed}/membership")
+        self.rng = random.Random(f"{seed}/membership")
         self.loss = loss
         self.delay_us = delay_us
         self.settings = settings
@@ -85,7 +85,7 @@
         self.dead: set[int] = set()
         self.sides: dict[int, int] = {}
         self.members: dict[int, Membership] = {}
-        self.planned_us: dict[int, int] = {}  # by member: when its next tick is planned
+        self.next_tick_us: dict[int, int] = {}  # by member: when its next tick is planned
         self.changes: list[StateChange] = []
         for number in range(count):
             self.start(number, 1)
@@ -97,7 +97,7 @@
             number,
             self.count,
             self.settings,
-            self.draw.getrandbits(32),
+            self.rng.getrandbits(32),
             self.clock.now_us(),
             self._sender(number),
             incarnation,
@@ -106,7 +106,7 @@
             StateChange(self.clock.now_us(), number, other, state)
         )
         self.members[number] = member
-        self._plan_tick(number, member)
+        self._schedule_tick(number, member)
 
     def _sender(self, source: int) -> Callable[[int, Datagram], None]:
         def send(target: int, datagram: Datagram) -> None:
@@ -115,9 +115,9 @@
             member.counts.sent += 1
             member.counts.sent_bytes += len(data)
             is_cut_off = self.sides.get(source, 0) != self.sides.get(target, 0)
-            if is_cut_off or self.draw.random() < self.loss:
+            if is_cut_off or self.rng.random() < self.loss:
                 return
-            due_us = self.clock.now_us() + self.draw.randint(*self.delay_us)
+            due_us = self.clock.now_us() + self.rng.randint(*self.delay_us)
             self.clock.at(due_us, lambda: self._deliver(target, data))
 
         return send
@@ -127,21 +127,21 @@
             return
         member = self.members[target]
         member.handle(self.clock.now_us(), decode(data))
-        self._plan_tick(target, member)
+        self._schedule_tick(target, member)
 
-    def _plan_tick(self, number: int, member: Membership) -> None:
+    def _schedule_tick(self, number: int, member: Membership) -> None:
         def tick() -> None:
             if number in self.dead or self.members[number] is not member:
                 return
             if self.clock.now_us() >= member.next_us():
                 member.tick(self.clock.now_us())
-            self._plan_tick(number, member)
+            self._schedule_tick(number, member)
 
         due_us = member.next_us()
-        planned_us = self.planned_us.get(number, -1)
-        if planned_us == due_us and planned_us > self.clock.now_us():
+        next_tick_us = self.next_tick_us.get(number, -1)
+        if next_tick_us == due_us and next_tick_us > self.clock.now_us():
             return
-        self.planned_us[number] = due_us
+        self.next_tick_us[number] = due_us
         self.clock.at(due_us, tick)
 
     def run(self, until_us: int) -> None:
@@ -195,7 +195,7 @@
     """
     fleet = Fleet(count, seed, loss, settings or MembershipSettings())
     fleet.run(WARM_UP_US)
-    victims = set(fleet.draw.sample(range(count), deaths))
+    victims = set(fleet.rng.sample(range(count), deaths))
     fleet.dead = set(victims)
     fleet.run(WARM_UP_US + int(seconds * 1e6))
     outcome = MembershipResult(count, loss)
@@ -206,16 +206,16 @@
     detection_s = _first_detection_s(deaths_seen)
     outcome.detection_s = [detection_s[pair] for pair in pairs if pair in detection_s]
     outcome.undetected = len(pairs) - len(outcome.detection_s)
-    played_s = WARM_UP_US / 1e6 + seconds
+    duration_s = WARM_UP_US / 1e6 + seconds
     counts = [fleet.members[survivor].counts for survivor in survivors]
-    outcome.sent_per_s = statistics.fmean(each.sent / played_s for each in counts)
-    outcome.max_sent_per_s = max(each.sent / played_s for each in counts)
-    outcome.bytes_per_s = statistics.fmean(each.sent_bytes / played_s for each in counts)
+    outcome.sent_per_s = statistics.fmean(each.sent / duration_s for each in counts)
+    outcome.max_sent_per_s = max(each.sent / duration_s for each in counts)
+    outcome.bytes_per_s = statistics.fmean(each.sent_bytes / duration_s for each in counts)
     return outcome
 
 
 def simulate_partition(
-    count: int, seed: int, loss: float, seconds: float = 10.0, longest: float = 120.0
+    count: int, seed: int, loss: float, seconds: float = 10.0, timeout_s: float = 120.0
 ) -> MembershipResult:
     """Cut off a third of the members for a while: how long after its end are all views equal again?
 
@@ -224,7 +224,7 @@
         seed: of all that is drawn.
         loss: share of datagrams.
         seconds: length of the partition.
-        longest: seconds after its end for which the views are watched.
+        timeout_s: seconds after its end for which the views are watched.
     """
     fleet = Fleet(count, seed, loss, MembershipSettings())
     outcome = MembershipResult(count, loss)
@@ -233,7 +233,7 @@
     end_us = WARM_UP_US + int(seconds * 1e6)
     fleet.run(end_us)
     fleet.sides = {}
-    while fleet.clock.now_us() < end_us + longest * 1e6:
+    while fleet.clock.now_us() < end_us + timeout_s * 1e6:
         if fleet.views_equal():
             outcome.convergence_s = (fleet.clock.now_us() - end_us) / 1e6
             break
--- a/sagetrack/lab/benchmarks/mixed_protocols.py
+++ b/sagetrack/lab/benchmarks/mixed_protocols.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.dns_load import LAST_ANSWERS_S, run_dns_load
+from sagetrack.lab.benchmarks.dns_load import RESPONSE_GRACE_S, run_dns_load
 from sagetrack.lab.benchmarks.gateway_files import (
     GATEWAY_COMMAND,
     gateway_configuration,
@@ -40,7 +40,7 @@
     HTTP_SLOW_S,
     LoadOutcome,
     Protocol,
-    put_load,
+    run_load,
     serve,
 )
 from sagetrack.lab.benchmarks.rows import rounded
@@ -49,7 +49,7 @@
 
 CAPACITY_S = 3.0  # length of the closed loop that finds the highest throughput
 RECOVERY_S = HTTP_SLOW_S + DNS_SLOW_S + 8.0  # between two measurements: circuit breakers close again
-PLANS = ((Protocol.HTTP,), (Protocol.DNS,), (Protocol.HTTP, Protocol.DNS))
+LOAD_COMBINATIONS = ((Protocol.HTTP,), (Protocol.DNS,), (Protocol.HTTP, Protocol.DNS))
 GATEWAY_CORE = 0  # this and the following are places among the cores that may be used
 SERVER_CORES = {Protocol.HTTP: 1, Protocol.DNS: 2}
 LOAD_CORES = {Protocol.HTTP: 3, Protocol.DNS: 4}
@@ -60,7 +60,7 @@
     """One load of one measurement."""
 
     protocol: Protocol
-    beside: str  # the protocol of the load that ran beside it, or -
+    concurrent: str  # the protocol of the load that ran beside it, or -
     rate: float  # requests a second
     cpu: float  # share of the gateway's core that was used, by all loads
     outcome: LoadOutcome
@@ -69,7 +69,7 @@
         """Return the result for JSON and the printed table, whose keys stay as they were from the first."""
         row = {
             "load": self.protocol.value,
-            "beside": self.beside,
+            "beside": self.concurrent,
             "rate": self.rate,
             "asked": self.outcome.sent,
             "within": self.outcome.in_time_share,
@@ -83,7 +83,7 @@
         return rounded(row, 4)
 
 
-class _Bench:
+class _TestBed:
     """The servers and the gateway, on which loads are put one measurement after the other."""
 
     def __init__(self, cores: list[int], stack: ExitStack) -> None:
@@ -111,7 +111,7 @@
         dns = uvloop.run(run_dns_load(self.ports[Protocol.DNS], CAPACITY_S, True))
         return {
             Protocol.HTTP: http.succeeded / CAPACITY_S,
-            Protocol.DNS: dns.answered / (CAPACITY_S + LAST_ANSWERS_S),
+            Protocol.DNS: dns.answered / (CAPACITY_S + RESPONSE_GRACE_S),
         }
 
     def measure(self, rates: dict[Protocol, float], seconds: float) -> list[LoadResult]:
@@ -127,15 +127,15 @@
             time.sleep(seconds)
             cpu = (cpu_s(self.gateway.pid) - cpu_before_s) / (time.monotonic() - start_s)
             for protocol, rate in rates.items():
-                beside = "".join(rates.keys() - {protocol}) or "-"
-                results.append(LoadResult(protocol, beside, rate, cpu, pipes[protocol].recv()))
+                concurrent = "".join(rates.keys() - {protocol}) or "-"
+                results.append(LoadResult(protocol, concurrent, rate, cpu, pipes[protocol].recv()))
                 self.slow[protocol].value = 0
         return results
 
     def _load(self, protocol: Protocol, rate: float, seconds: float) -> AbstractContextManager[Connection]:
         core = self.cores[LOAD_CORES[protocol]]
         port = self.ports[protocol]
-        return forked_process(put_load, core, protocol, port, rate, seconds, self.slow[protocol])
+        return forked_process(run_load, core, protocol, port, rate, seconds, self.slow[protocol])
 
 
 def _gateway_environment(
@@ -171,15 +171,15 @@
         LabError: there are too few cores, or the gateway did not start.
     """
     cores = require_cores(5, "5 are needed, one for each process")
-    total = rounds * len(PLANS)
+    total = rounds * len(LOAD_COMBINATIONS)
     rows = []
     with ExitStack() as stack:
-        bench = _Bench(cores, stack)
-        capacities = bench.capacities()
+        test_bed = _TestBed(cores, stack)
+        capacities = test_bed.capacities()
         for number in range(total):
-            plan = PLANS[number % len(PLANS)]
-            rates = {protocol: share * capacities[protocol] for protocol in plan}
-            rows += [result.row() for result in bench.measure(rates, seconds)]
+            protocols = LOAD_COMBINATIONS[number % len(LOAD_COMBINATIONS)]
+            rates = {protocol: share * capacities[protocol] for protocol in protocols}
+            rows += [result.row() for result in test_bed.measure(rates, seconds)]
             time.sleep(RECOVERY_S)
             progress((number + 1) / total)
     return {
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -51,7 +51,7 @@
 
         The keys stay as they were stored from the first; the fields have today's names.
         """
-        plain = {
+        row = {
             "gateways": self.gateways,
             "size": self.burst_size,
             "seed": self.seed,
@@ -63,7 +63,7 @@
             "held": self.in_flight,
             "jammed": self.overloaded_share,
         }
-        return rounded(plain, 4)
+        return rounded(row, 4)
 
 
 def scenario_for(gateways: int, size: float, settings: dict[str, Any] | None = None) -> Scenario:
@@ -78,7 +78,7 @@
 
 def percentiles_by_name(counts: Counter[int]) -> dict[str, int]:
     """Return the percentiles of counted whole numbers by name; zeros where there are none."""
-    found = {name: 0 for name, _ in PERCENTILES}
+    result = {name: 0 for name, _ in PERCENTILES}
     missing = list(PERCENTILES)
     total = counts.total()
     seen = 0
@@ -86,8 +86,8 @@
         seen += counts[value]
         while missing and seen >= missing[0][1] * total:
             name, _ = missing.pop(0)
-            found[name] = value
-    return found
+            result[name] = value
+    return result
 
 
 class _RequestCounts:
@@ -96,8 +96,8 @@
     def __init__(self, records: Records) -> None:
         self.sent: Counter[int] = Counter()
         self.served: Counter[int] = Counter()
-        for _, _, _, _, _, outcome, asked_us, _ in records.of("request"):
-            second = int(asked_us // 1_000_000)
+        for _, _, _, _, _, outcome, due_us, _ in records.of("request"):
+            second = int(due_us // 1_000_000)
             self.sent[second] += 1
             self.served[second] += outcome == "served"
 
@@ -120,25 +120,25 @@
     burst = scenario.faults[0]
     burst_end_s = burst.at_s + burst.seconds
     counts = _RequestCounts(records)
-    found = OverloadFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
-    found.goodput_before = counts.goodput(SETTLED_S, burst.at_s)
+    result = OverloadFigures(scenario.fleet.gateways, burst.size, int(records.header["seed"]))
+    result.goodput_before = counts.goodput(SETTLED_S, burst.at_s)
     settled_s = int(burst.at_s) - int(SETTLED_S)
     sent_before = counts.sent_between(SETTLED_S, burst.at_s)
-    found.served_share_before = found.goodput_before * settled_s / max(1, sent_before)
-    usual_goodput = max(1e-9, found.goodput_before)
-    found.goodput_during = counts.goodput(burst.at_s + RAMP_UP_S, burst_end_s) / usual_goodput
-    found.goodput_after = counts.goodput(burst_end_s + RECOVERY_S, scenario.seconds) / usual_goodput
-    found.served_share = counts.served_share()
+    result.served_share_before = result.goodput_before * settled_s / max(1, sent_before)
+    usual_goodput = max(1e-9, result.goodput_before)
+    result.goodput_during = counts.goodput(burst.at_s + RAMP_UP_S, burst_end_s) / usual_goodput
+    result.goodput_after = counts.goodput(burst_end_s + RECOVERY_S, scenario.seconds) / usual_goodput
+    result.served_share = counts.served_share()
     in_flight: Counter[int] = Counter()
     overloaded = samples = 0
-    for _, time_us, _, held, _, is_overloaded in records.of("load"):
+    for _, time_us, _, requests, _, is_overloaded in records.of("load"):
         samples += 1
         overloaded += is_overloaded
         if burst.at_s <= time_us / 1e6 < burst_end_s:
-            in_flight[held] += 1
-    found.in_flight = percentiles_by_name(in_flight)
-    found.overloaded_share = overloaded / max(1, samples)
-    return found
+            in_flight[requests] += 1
+    result.in_flight = percentiles_by_name(in_flight)
+    result.overloaded_share = overloaded / max(1, samples)
+    return result
 
 
 def measure(
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -27,8 +27,8 @@
 SERVERS = 8
 HTTP_CONNECTIONS = 128
 DNS_SOCKETS = 8
-LAST_ANSWERS_S = 2.0  # for answers that are still in transit at the end
-LATE_ABOVE_S = 0.02  # a load whose requests left later than that ran late itself
+RESPONSE_GRACE_S = 2.0  # for answers that are still in transit at the end
+MAX_SEND_DELAY_S = 0.02  # a load whose requests left later than that ran late itself
 
 
 class Protocol(StrEnum):
@@ -107,7 +107,7 @@
     uvloop.run(main())
 
 
-class _HttpLoadInTime(HttpLoad):
+class _ObjectiveHttpLoad(HttpLoad):
     """An open loop that also counts the requests that were served within the objective."""
 
     def __init__(self) -> None:
@@ -124,16 +124,16 @@
         super().request_succeeded(connection)
 
 
-async def _put_http_load(port: int, rate: float, seconds: float) -> LoadOutcome:
-    load = _HttpLoadInTime()
+async def _run_http_load(port: int, rate: float, seconds: float) -> LoadOutcome:
+    load = _ObjectiveHttpLoad()
     connections = await load.connect(port, HTTP_CONNECTIONS)
-    worst_s = await pace(rate, seconds, load.offer)
-    await asyncio.sleep(LAST_ANSWERS_S)
+    max_delay_s = await pace(rate, seconds, load.offer)
+    await asyncio.sleep(RESPONSE_GRACE_S)
     load.stopped = True
     for connection in connections:
         connection.transport.abort()
     lost = load.offered - load.succeeded - load.failed
-    return _outcome(load.offered, load.in_time, load.failed, lost, load.latencies, worst_s)
+    return _outcome(load.offered, load.in_time, load.failed, lost, load.latencies, max_delay_s)
 
 
 class _DnsSocket(asyncio.DatagramProtocol):
@@ -172,7 +172,7 @@
             self.failed += 1
 
 
-async def _put_dns_load(port: int, rate: float, seconds: float) -> LoadOutcome:
+async def _run_dns_load(port: int, rate: float, seconds: float) -> LoadOutcome:
     loop = asyncio.get_running_loop()
     sockets = []
     for _ in range(DNS_SOCKETS):
@@ -185,19 +185,19 @@
         sent += 1
         sockets[sent % len(sockets)].send(due_s)
 
-    worst_s = await pace(rate, seconds, send)
-    await asyncio.sleep(LAST_ANSWERS_S + DNS_SLOW_S)
+    max_delay_s = await pace(rate, seconds, send)
+    await asyncio.sleep(RESPONSE_GRACE_S + DNS_SLOW_S)
     latencies = histogram()
     for each in sockets:
         latencies.add(each.latencies)
         each.transport.close()
     failed = sum(each.failed for each in sockets)
     lost = sent - failed - sum(each.answered for each in sockets)
-    return _outcome(sent, sum(each.in_time for each in sockets), failed, lost, latencies, worst_s)
+    return _outcome(sent, sum(each.in_time for each in sockets), failed, lost, latencies, max_delay_s)
 
 
 def _outcome(
-    sent: int, in_time: int, failed: int, lost: int, latencies: Any, worst_late_s: float
+    sent: int, in_time: int, failed: int, lost: int, latencies: Any, max_delay_s: float
 ) -> LoadOutcome:
     return LoadOutcome(
         sent=sent,
@@ -206,11 +206,11 @@
         lost=lost,
         p50_ms=latencies.get_value_at_percentile(50) / 1000,
         p99_ms=latencies.get_value_at_percentile(99) / 1000,
-        is_late=worst_late_s > LATE_ABOVE_S,
+        is_late=max_delay_s > MAX_SEND_DELAY_S,
     )
 
 
-def put_load(
+def run_load(
     core: int, protocol: Protocol, port: int, rate: float, seconds: float, slow: Any, pipe: Connection
 ) -> None:
     """Put load on a gateway; its `LoadOutcome` goes into the pipe.
@@ -231,7 +231,7 @@
 
     async def main() -> LoadOutcome:
         asyncio.get_running_loop().call_later(SLOW_AFTER * seconds, make_slow)
-        put = _put_dns_load if protocol is Protocol.DNS else _put_http_load
-        return await put(port, rate, seconds)
+        run = _run_dns_load if protocol is Protocol.DNS else _run_http_load
+        return await run(port, rate, seconds)
 
     pipe.send(uvloop.run(main()))
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -39,7 +39,7 @@
 READY_TIMEOUT_S = 120.0
 POLL_INTERVAL_S = 0.02
 SLOW_DISCOVERY_S = 2.0  # that a slow discovery takes for an answer
-PARTS_MARK = "started; ms of CPU/elapsed: "  # in the log, before the parts of a start
+PHASES_PREFIX = "started; ms of CPU/elapsed: "  # in the log, before the parts of a start
 STORED_VALUE = bytes(150)  # as long as a second's record
 STORE_BATCH = 1000  # values that are written at once
 SERVERS_PER_RACK = 20
@@ -75,7 +75,7 @@
     case: Case
     cpu_s: list[float] = field(default_factory=list)  # of each start, in order of size
     elapsed_s: list[float] = field(default_factory=list)  # the same
-    parts: str = ""
+    phases: str = ""
 
     @property
     def quarter_core_s(self) -> float:
@@ -107,7 +107,7 @@
 )
 
 
-class SlowAgent(DiscoveryAgent):
+class SlowDiscoveryAgent(DiscoveryAgent):
     """Discovery that takes its time."""
 
     def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
@@ -141,7 +141,9 @@
 
 def _discovery_of(case: Case, world: World) -> DiscoveryAgent:
     """Return the case's discovery, which knows all servers."""
-    agent = (SlowAgent if case.discovery is Discovery.SLOW else DiscoveryAgent)(world, 0, address_of, 0)
+    agent = (SlowDiscoveryAgent if case.discovery is Discovery.SLOW else DiscoveryAgent)(
+        world, 0, address_of, 0
+    )
     zones = len(world.scenario.fleet.zones)
     for server in range(1, case.servers + 1):
         agent.entries[server] = EndpointEntry(server, server % zones, server // SERVERS_PER_RACK)
@@ -151,27 +153,29 @@
     return agent
 
 
-class Start(NamedTuple):
+class StartedGateway(NamedTuple):
     """A process that was started, and where it will listen."""
 
     process: GatewayProcess
     listen: str
     started_s: float  # on the event loop's clock
 
-    def logged_parts(self) -> str:
+    def logged_phases(self) -> str:
         """Return the parts of the start as the process logged them; empty if it has not yet."""
         log = self.process.log.read_text(errors="replace")
-        return log.partition(PARTS_MARK)[2].partition("\n")[0]
+        return log.partition(PHASES_PREFIX)[2].partition("\n")[0]
 
 
-class Ready(NamedTuple):
+class ReadyTime(NamedTuple):
     """What a process took until it was ready."""
 
     cpu_s: float
     elapsed_s: float
 
 
-def start_gateway(case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path) -> Start:
+def start_gateway(
+    case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path
+) -> StartedGateway:
     """Start a process of the case.
 
     Args:
@@ -201,10 +205,10 @@
         peers = [f"127.40.{number // 250}.{number % 250 + 1}:9" for number in range(case.gateways)]
         config |= {"peer_listen": f"{host}:{free_port()}", "peers": peers}
     process = GatewayProcess(folder, config, None, 1, operator)
-    return Start(process, listen, asyncio.get_running_loop().time())
+    return StartedGateway(process, listen, asyncio.get_running_loop().time())
 
 
-async def _answers_ready(listen: str) -> bool:
+async def _is_ready(listen: str) -> bool:
     """Return whether /health/ready is answered with 200; OSError if nobody listens."""
     host, _, port = listen.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -214,7 +218,7 @@
     return status_line.startswith(b"HTTP/1.1 200")
 
 
-async def wait_until_ready(start: Start) -> Ready:
+async def wait_until_ready(start: StartedGateway) -> ReadyTime:
     """Wait for a process's first 200 and return what it took.
 
     Raises:
@@ -227,8 +231,8 @@
         if gateway.process.poll() is not None:
             raise LabError(f"a gateway ended as it started: {gateway.last_log_line()}")
         with suppress(OSError):
-            if await _answers_ready(start.listen):
-                return Ready(cpu_s(gateway.process.pid), loop.time() - start.started_s)
+            if await _is_ready(start.listen):
+                return ReadyTime(cpu_s(gateway.process.pid), loop.time() - start.started_s)
         await asyncio.sleep(POLL_INTERVAL_S)
     raise LabError(f"a gateway was not ready within {READY_TIMEOUT_S:g} s: {gateway.last_log_line()}")
 
@@ -242,25 +246,25 @@
     world = world_of(case)
     settings = platform_settings(world.scenario, 0)
     agent = _discovery_of(case, world)
-    found: list[tuple[Ready, str]] = []  # with the parts of the start
+    results: list[tuple[ReadyTime, str]] = []  # with the parts of the start
     for number in range(rounds):
-        starts: list[Start] = []
+        starts: list[StartedGateway] = []
         try:
             for place in range(case.simultaneous_starts):
                 starts.append(start_gateway(case, agent, settings, folder / f"{number}-{place}"))
             ready = await asyncio.gather(*map(wait_until_ready, starts))
-            found += zip(ready, (start.logged_parts() for start in starts), strict=True)
+            results += zip(ready, (start.logged_phases() for start in starts), strict=True)
         finally:
             for start in starts:
                 start.process.process.kill()
                 start.process.process.wait()
     agent.listener.close()
-    found.sort()
+    results.sort()
     return CaseResult(
         case,
-        cpu_s=[ready.cpu_s for ready, _ in found],
-        elapsed_s=sorted(ready.elapsed_s for ready, _ in found),
-        parts=found[len(found) // 2][1],
+        cpu_s=[ready.cpu_s for ready, _ in results],
+        elapsed_s=sorted(ready.elapsed_s for ready, _ in results),
+        phases=results[len(results) // 2][1],
     )
 
 
--- a/sagetrack/lab/benchmarks/relays.py
+++ b/sagetrack/lab/benchmarks/relays.py
@@ -15,8 +15,8 @@
 
 def relay_command(function: str, *arguments: object) -> list[str]:
     """Return the command that calls a function of this module in a process of its own."""
-    written = ", ".join(repr(argument) for argument in arguments)
-    return [sys.executable, "-c", f"from {__name__} import {function}; {function}({written})"]
+    argument_list = ", ".join(repr(argument) for argument in arguments)
+    return [sys.executable, "-c", f"from {__name__} import {function}; {function}({argument_list})"]
 
 
 def relay_environment() -> Mapping[str, str]:
@@ -31,11 +31,11 @@
         self.other: _RelaySide | None = None
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task[Any] | None = None  # kept, since the loop alone holds tasks weakly
-        self.early: list[bytes] = []  # to be written once there is a connection
+        self.pending_writes: list[bytes] = []  # to be written once there is a connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        for data in self.early:
+        for data in self.pending_writes:
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
@@ -43,7 +43,7 @@
         if other is not None and other.transport is not None:
             other.transport.write(data)
         elif other is not None:
-            other.early.append(data)
+            other.pending_writes.append(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.other is not None and self.other.transport is not None:
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -17,13 +17,13 @@
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, altered
 
-FIRST_S = 10.0  # after a gateway is up again
+MEASURED_S = 10.0  # after a gateway is up again
 VARIANTS = ("never", "without", "with", "store")
-VARIANT_NAMES = {"without": "without help", "with": "with help", "store": "with a store"}
+VARIANT_LABELS = {"without": "without help", "with": "with help", "store": "with a store"}
 Play = Callable[[Scenario, int], Records]
 
 
-class Revival(NamedTuple):
+class Restart(NamedTuple):
     """A gateway that came back."""
 
     gateway: int
@@ -53,27 +53,27 @@
     deaths = [n for n, fault in enumerate(scenario.faults, 1) if fault.kind == "gateway-death"]
     if not deaths:
         raise ValueError(f"{scenario.name}: no gateway dies in it")
-    no_help = {"peers.use": False, "store.use": False}
+    no_saved_state = {"peers.use": False, "store.use": False}
     no_deaths = {f"trouble.{n}.kind": "reload" for n in deaths}
     return {
-        "never": altered(scenario, no_help | no_deaths),
-        "without": altered(scenario, no_help),
-        "with": altered(scenario, no_help | {"peers.use": True}),
-        "store": altered(scenario, no_help | {"store.use": True}),
+        "never": altered(scenario, no_saved_state | no_deaths),
+        "without": altered(scenario, no_saved_state),
+        "with": altered(scenario, no_saved_state | {"peers.use": True}),
+        "store": altered(scenario, no_saved_state | {"store.use": True}),
     }
 
 
-def revivals(records: Records) -> list[Revival]:
+def restarts(records: Records) -> list[Restart]:
     """Return the gateways that came back, and when."""
     return [
-        Revival(gateway, time_us)
+        Restart(gateway, time_us)
         for _, time_us, gateway, state in records.of("gateway")
         if state == "up" and time_us > 0
     ]
 
 
-def first_seconds(
-    records: Records, scenario: Scenario, revived: list[Revival], seconds: float = FIRST_S
+def service_after_restarts(
+    records: Records, scenario: Scenario, counted: list[Restart], seconds: float = MEASURED_S
 ) -> tuple[float, float]:
     """Return the service and the mean latency of requests in the gateways' first seconds.
 
@@ -87,7 +87,7 @@
     latencies_ms = []
     for _, time_us, request, class_index, _, outcome, due_us, _ in records.of("request"):
         _, sent_us, _, gateway, *_ = first_attempts[request]
-        if not any(revival.covers(gateway, sent_us, seconds) for revival in revived):
+        if not any(restart.covers(gateway, sent_us, seconds) for restart in counted):
             continue
         weight = scenario.classes[class_index].priority_weight
         total_weight += weight
@@ -103,10 +103,10 @@
     result = SeedResult(seed)
     scenarios = variants(scenario)
     records = {name: play(variant, seed) for name, variant in scenarios.items()}
-    revived = revivals(records["with"])
+    reference = restarts(records["with"])
     for name, played in records.items():
-        counted = revived if name == "never" else revivals(played)
-        result.service[name], result.latency_ms[name] = first_seconds(played, scenario, counted)
+        counted = reference if name == "never" else restarts(played)
+        result.service[name], result.latency_ms[name] = service_after_restarts(played, scenario, counted)
         result.violations += len(judge(played, scenarios[name]))
     return result
 
@@ -134,7 +134,7 @@
             f"mean latency {latency_ms:.0f} ms"
         )
     losses = []
-    for name, description in VARIANT_NAMES.items():
+    for name, description in VARIANT_LABELS.items():
         lost = [result.service["never"] - result.service[name] for result in results]
         spread = statistics.stdev(lost) if len(lost) > 1 else 0.0
         losses.append(f"{description} {statistics.fmean(lost):+.4f} (sd {spread:.4f})")
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -68,8 +68,8 @@
     return ScheduledFault(kind="gateway-death", at_s=at_s, seconds=seconds, share=share)
 
 
-FEW = {"trouble.1.part": 0.12}
-SHORT = {  # attempts are cut short, so that capacity is soon free again
+FEW_COLD = {"trouble.1.part": 0.12}
+SHORT_LIMITS = {  # attempts are cut short, so that capacity is soon free again
     "class.1.aim_ms": 1000,
     "class.1.deadline_ms": 3000,
 }
@@ -79,9 +79,9 @@
     case.name: case
     for case in (
         Case("most", "six in ten servers cold, steady load"),
-        Case("few", "three of 25 servers cold, steady load", FEW),
-        Case("most-jump", "six in ten cold, short objectives, load jumps 2.5 times", SHORT, (BURST,)),
-        Case("few-jump", "three of 25 cold, load jumps 2.5 times", FEW | {"load.rate": 120}, (BURST,)),
+        Case("few", "three of 25 servers cold, steady load", FEW_COLD),
+        Case("most-jump", "six in ten cold, short objectives, load jumps 2.5 times", SHORT_LIMITS, (BURST,)),
+        Case("few-jump", "three of 25 cold, load jumps 2.5 times", FEW_COLD | {"load.rate": 120}, (BURST,)),
         Case(
             "deaths",
             "a third of the gateways is killed four times; the number is known 5 s late",
@@ -91,7 +91,7 @@
         Case(
             "restarts",
             "all gateways end in order and start again every 0.6 s",
-            SHORT,
+            SHORT_LIMITS,
             (BURST, *ROLLING_RESTARTS),
             saves_at_exit=True,
         ),
@@ -159,11 +159,11 @@
         self.old_processes[gateway] = old
         self.handle_in_all_processes(gateway, ProcessCountChanged(2))
 
-        def leave() -> None:
+        def stop_old_process() -> None:
             del self.old_processes[gateway]
             self.handle_in_all_processes(gateway, ProcessCountChanged(1))
 
-        self.clock.at(self.clock.now_us() + int(self.case.overlap_s * 1e6), leave)
+        self.clock.at(self.clock.now_us() + int(self.case.overlap_s * 1e6), stop_old_process)
 
     def send(self, attempt: ClientAttempt) -> None:
         """Send a request to a gateway; of two processes, to each in turn."""
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -15,7 +15,7 @@
 from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario
 
-FIRST_US = 12_000_000  # after the first cold start: capacity and work of that time are compared
+COMPARED_US = 12_000_000  # after the first cold start: capacity and work of that time are compared
 STEP_US = 100_000  # in which they are compared
 OFFERED_STEPS = 1_000_000 // STEP_US  # over which the work that is asked for is averaged
 
@@ -49,7 +49,7 @@
 
         The keys stay as they were stored from the first; the fields have today's names.
         """
-        plain = {
+        row = {
             "gateways": self.gateways,
             "case": self.case,
             "seed": self.seed,
@@ -66,7 +66,7 @@
             "in_time": self.served_in_time,
             "used": self.used_share,
         }
-        return rounded(plain, 4)
+        return rounded(row, 4)
 
 
 class _Server(NamedTuple):
@@ -102,37 +102,37 @@
     """
     servers = _servers(records)
     cold = [server for server in servers if server.is_cold]
-    found = SlowStartFigures(
+    result = SlowStartFigures(
         gateways=scenario.fleet.gateways,
         case=case,
         seed=int(records.header["seed"]),
         cold_servers=len(cold),
         crashed=sum(server.crashed for server in cold),
     )
-    _add_windows(found, records, scenario)
+    _add_windows(result, records, scenario)
     if cold:
         first_us = min(server.started_us for server in cold)
-        steps = range(first_us // STEP_US, (first_us + FIRST_US) // STEP_US)
-        offered_us = _offered_work_us(found, records, scenario, steps)
-        capacities = _add_usable(found, scenario, servers, offered_us, steps)
-        _add_received(found, records, capacities, first_us + FIRST_US)
-        found.served_in_time = sum(
-            outcome == "served" and asked_us // STEP_US in steps
-            for _, _, _, _, _, outcome, asked_us, _ in records.of("request")
+        steps = range(first_us // STEP_US, (first_us + COMPARED_US) // STEP_US)
+        offered_us = _offered_work_us(result, records, scenario, steps)
+        capacities = _add_usable(result, scenario, servers, offered_us, steps)
+        _add_received(result, records, capacities, first_us + COMPARED_US)
+        result.served_in_time = sum(
+            outcome == "served" and due_us // STEP_US in steps
+            for _, _, _, _, _, outcome, due_us, _ in records.of("request")
         )
-    return found
+    return result
 
 
-def _add_windows(found: SlowStartFigures, records: Records, scenario: Scenario) -> None:
+def _add_windows(result: SlowStartFigures, records: Records, scenario: Scenario) -> None:
     for window in warm_up_windows(records, scenario):
-        found.windows += 1
-        found.windows_over_budget += window.calls > window.budget
-        found.max_window_requests = max(found.max_window_requests, window.calls / window.budget)
-        found.max_window_work = max(found.max_window_work, window.work / window.budget)
+        result.windows += 1
+        result.windows_over_budget += window.calls > window.budget
+        result.max_window_requests = max(result.max_window_requests, window.calls / window.budget)
+        result.max_window_work = max(result.max_window_work, window.work / window.budget)
 
 
 def _offered_work_us(
-    found: SlowStartFigures, records: Records, scenario: Scenario, steps: range
+    result: SlowStartFigures, records: Records, scenario: Scenario, steps: range
 ) -> dict[int, float]:
     """Return the mean work of first attempts by step, and count those of `steps`."""
     offered_us: dict[int, float] = defaultdict(float)
@@ -140,12 +140,12 @@
         if attempt == 1:
             step = time_us // STEP_US
             offered_us[step] += scenario.classes[class_index].work_ms * 1000
-            found.first_attempts += step in steps
+            result.first_attempts += step in steps
     return offered_us
 
 
 def _add_usable(
-    found: SlowStartFigures,
+    result: SlowStartFigures,
     scenario: Scenario,
     servers: list[_Server],
     offered_us: dict[int, float],
@@ -156,7 +156,7 @@
     capacities: dict[int, float] = {server.number: 0.0 for server in servers if server.is_cold}
     for step in steps:
         start_us = step * STEP_US
-        recent_us = math.fsum(offered_us.get(step - n, 0.0) for n in range(OFFERED_STEPS))
+        offered_last_second_us = math.fsum(offered_us.get(step - n, 0.0) for n in range(OFFERED_STEPS))
         up = [server for server in servers if server.is_up(start_us)]
         warm_cores = math.fsum(server.capacity for server in up if not server.is_cold)
         cold_cores = {
@@ -165,16 +165,16 @@
             if server.is_cold and server.started_us <= start_us
         }
         cold_us = math.fsum(cold_cores.values()) * STEP_US
-        left_us = max(0.0, recent_us / OFFERED_STEPS - warm_cores * STEP_US)
-        usable_share = min(1.0, left_us / cold_us) if cold_us else 0.0
-        found.usable_requests += usable_share * cold_us / mean_work_us
+        available_us = max(0.0, offered_last_second_us / OFFERED_STEPS - warm_cores * STEP_US)
+        usable_share = min(1.0, available_us / cold_us) if cold_us else 0.0
+        result.usable_requests += usable_share * cold_us / mean_work_us
         for number, cores in cold_cores.items():
             capacities[number] += cores * STEP_US / mean_work_us
     return capacities
 
 
 def _add_received(
-    found: SlowStartFigures, records: Records, capacities: dict[int, float], end_us: int
+    result: SlowStartFigures, records: Records, capacities: dict[int, float], end_us: int
 ) -> None:
     """Count what cold servers received and answered before `end_us`."""
     received: dict[int, int] = defaultdict(int)
@@ -183,10 +183,10 @@
         if verdict == "taken":
             last_server[call] = server
             received[server] += server in capacities and time_us < end_us
-    found.received_requests = math.fsum(
+    result.received_requests = math.fsum(
         min(float(count), capacities[server]) for server, count in received.items() if server in capacities
     )
-    found.answered = sum(
+    result.answered = sum(
         verdict == "served" and time_us < end_us and last_server.get(call) in capacities
         for _, time_us, call, _, verdict, _ in records.of("answer")
     )
--- a/sagetrack/lab/benchmarks/sweep.py
+++ b/sagetrack/lab/benchmarks/sweep.py
@@ -38,12 +38,12 @@
     @property
     def id(self) -> str:
         """The same for the same scenario, settings, seed and fault."""
-        plain = json.dumps(
+        serialized = json.dumps(
             [msgspec.to_builtins(self.scenario), self.settings, self.seed, self.fault],
             sort_keys=True,
             default=str,
         )
-        return hashlib.blake2b(plain.encode(), digest_size=8).hexdigest()
+        return hashlib.blake2b(serialized.encode(), digest_size=8).hexdigest()
 
 
 def plan(scenario: Scenario, seeds: range, settings: dict[str, list[Any]], fault: str = "") -> list[Job]:
@@ -72,13 +72,13 @@
 
     start_s = time.perf_counter()
     records = play_virtual(job.scenario, job.seed, fault=job.fault)
-    found = figures(records, job.scenario, judge(records, job.scenario))
+    result = figures(records, job.scenario, judge(records, job.scenario))
     return {
         "id": job.id,
         "scenario": job.scenario.name,
         "settings": dict(job.settings),
         "seed": job.seed,
-        **found.plain(),
+        **result.plain(),
         "wall_s": round(time.perf_counter() - start_s, 3),
     }
 
@@ -111,7 +111,7 @@
 
 
 def sweep(
-    jobs: list[Job], path: Path, workers: int, progress: Callable[[int, int], None] = lambda at, of: None
+    jobs: list[Job], path: Path, workers: int, progress: Callable[[int, int], None] = lambda done, total: None
 ) -> list[Row]:
     """Play the jobs that a file has no row of, and append their rows.
 
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -47,9 +47,9 @@
 OPEN_LOOP_RATE = 1000.0  # a second; the same for every subject, so that the cost of a request can be compared
 CLOSED_LOOP_CONNECTIONS = 32
 OPEN_LOOP_CONNECTIONS = 4 * CLOSED_LOOP_CONNECTIONS
-WARM_UP_S = 1.0  # of load before a measurement, at the most
-MOST_FAILED = 0.01  # share of the open loop's requests, beyond which a measurement is worthless
-LATE_BELOW = 0.99  # share of the planned requests: with fewer, the load ran late
+MAX_WARM_UP_S = 1.0  # of load before a measurement, at the most
+MAX_FAILED = 0.01  # share of the open loop's requests, beyond which a measurement is worthless
+MIN_COMPLETED = 0.99  # share of the planned requests: with fewer, the load ran late
 GATEWAY_CORE, SERVER_CORE, LOAD_CORE, NEWER_SERVER_CORE = range(4)  # places among the cores that may be used
 SPARE_FILES = 2000
 FILES_PER_SERVER = 4
@@ -158,9 +158,9 @@
     return measured_process([sys.executable, "-m", module], environment, core, subject.build)
 
 
-async def _put_load(port: int, pid: int, seconds: float) -> _Measurement:
+async def _run_load(port: int, pid: int, seconds: float) -> _Measurement:
     """Warm up, find the highest throughput in a closed loop, then measure in an open loop."""
-    await run_http_load(port, CLOSED_LOOP_CONNECTIONS, min(WARM_UP_S, seconds / 3))
+    await run_http_load(port, CLOSED_LOOP_CONNECTIONS, min(MAX_WARM_UP_S, seconds / 3))
     closed_loop = await run_http_load(port, CLOSED_LOOP_CONNECTIONS, seconds)
     rate = max(1.0, min(OPEN_LOOP_RATE, OPEN_LOOP_SHARE * closed_loop.succeeded / seconds))
     cpu_before_s = cpu_s(pid)
@@ -175,23 +175,23 @@
         _start(subject, port, servers, Path(folder), core) as process,
     ):
         wait_until_listening(port, process)
-        closed_loop, open_loop, rate, spent_s = uvloop.run(_put_load(port, process.pid, seconds))
-        ended = open_loop.succeeded + open_loop.failed
-        if open_loop.failed > MOST_FAILED * max(1, ended):
+        closed_loop, open_loop, rate, spent_s = uvloop.run(_run_load(port, process.pid, seconds))
+        completed = open_loop.succeeded + open_loop.failed
+        if open_loop.failed > MAX_FAILED * max(1, completed):
             raise LabError(
-                f"{subject.name}: {open_loop.failed} of {ended} requests failed at {rate:.0f} a second"
+                f"{subject.name}: {open_loop.failed} of {completed} requests failed at {rate:.0f} a second"
             )
         return Result(
             subject=subject.name,
             servers=len(servers.ports),
             requests_per_s=closed_loop.succeeded / seconds,
             failed_share=closed_loop.failed / max(1, closed_loop.succeeded + closed_loop.failed),
-            cpu_us=spent_s * 1e6 / max(1, ended),
+            cpu_us=spent_s * 1e6 / max(1, completed),
             p50_ms=open_loop.latency_ms(50),
             p99_ms=open_loop.latency_ms(99),
             p999_ms=open_loop.latency_ms(99.9),
             memory_mb=memory_mb(process.pid),
-            is_late=ended < LATE_BELOW * rate * seconds,
+            is_late=completed < MIN_COMPLETED * rate * seconds,
         )
 
 
