--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -118,7 +118,7 @@
             if is_cut_off or self.rng.random() < self.loss:
                 return
             due_us = self.clock.now_us() + self.rng.randint(*self.delay_us)
-            self.clock.at(due_us, lambda: self._deliver(target, data))
+            self.clock.call_at(due_us, lambda: self._deliver(target, data))
 
         return send
 
@@ -142,7 +142,7 @@
         if next_tick_us == due_us and next_tick_us > self.clock.now_us():
             return
         self.next_tick_us[number] = due_us
-        self.clock.at(due_us, tick)
+        self.clock.call_at(due_us, tick)
 
     def run(self, until_us: int) -> None:
         """Let time pass up to then."""
@@ -152,7 +152,7 @@
             nonlocal has_ended
             has_ended = True
 
-        self.clock.at(until_us, end)
+        self.clock.call_at(until_us, end)
         self.clock.run(lambda: has_ended, lambda: until_us)
 
     def views_equal(self) -> bool:
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -15,7 +15,7 @@
 
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.model.scenario import Scenario, altered
+from sagetrack.lab.model.scenario import Scenario, with_overrides
 
 MEASURED_S = 10.0  # after a gateway is up again
 VARIANTS = ("never", "without", "with", "store")
@@ -56,10 +56,10 @@
     no_saved_state = {"peers.use": False, "store.use": False}
     no_deaths = {f"trouble.{n}.kind": "reload" for n in deaths}
     return {
-        "never": altered(scenario, no_saved_state | no_deaths),
-        "without": altered(scenario, no_saved_state),
-        "with": altered(scenario, no_saved_state | {"peers.use": True}),
-        "store": altered(scenario, no_saved_state | {"store.use": True}),
+        "never": with_overrides(scenario, no_saved_state | no_deaths),
+        "without": with_overrides(scenario, no_saved_state),
+        "with": with_overrides(scenario, no_saved_state | {"peers.use": True}),
+        "store": with_overrides(scenario, no_saved_state | {"store.use": True}),
     }
 
 
