--- a/sagetrack/lab/benchmarks/__init__.py
+++ b/sagetrack/lab/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: what a request, a restart, a queue or an overload costs."""
+"""Benchmarks of throughput, latency, memory, restarts, fair queues and behaviour under overload."""
--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -1,8 +1,8 @@
 """Memory of the gateway while many requests with long bodies are in flight to servers of the newer format.
 
-Clients of the older format send so many bodies at once; servers, in several processes, answer when no further
-body has come for a while, each with as long a body, and the clients read slowly. The gateway is a process of
-its own, whose resident memory is sampled all the time.
+Clients of the older format (HTTP/1.1) send long request bodies at the same time. The servers, in several
+processes, respond once no further body has arrived for `QUIET_S`, each with a body of the same length, which
+the clients read slowly. The resident memory of the gateway process is sampled throughout.
 """
 
 from __future__ import annotations
@@ -41,17 +41,18 @@
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 
-CHUNK_BYTES = 16_000  # of a body, sent or read at a time
+CHUNK_BYTES = 16_000  # of a body that are sent or read at once
 REQUEST_HEAD = (
     b"GET /lookup/1 HTTP/1.1\r\nHost: g\r\nX-Call-Id: b%x\r\nX-Call-Class: lookup\r\n"
     b"X-Caller: acme\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
 )
-TIMEOUT_S = 300.0  # of every request
-QUIET_S = 3.0  # without a further body: all have come
-CONNECT_S = 1.0  # for all clients to connect
+TIMEOUT_S = 300.0  # of every request and of the whole round
+QUIET_S = 3.0  # time without a further request body after which all are taken to have arrived
+CONNECT_S = 1.0  # time allowed for all clients to connect
 SAMPLE_INTERVAL_S = 0.02
-READ_INTERVAL_S = 0.001  # between two chunks that a client reads
-SERVER_PROCESSES = 4  # one alone is slower than the gateway, which would take it for dead
+READ_INTERVAL_S = 0.001  # pause of a client between two reads
+# A single process is slower than the gateway, which would then consider its servers dead.
+SERVER_PROCESSES = 4
 MIN_SERVERS = 8
 REQUESTS_PER_SERVER = 2
 MEMORY_LIMIT_MB = 1024
@@ -59,24 +60,24 @@
 
 @dataclass(slots=True, frozen=True)
 class MemoryUse:
-    """What one round showed. Megabytes are resident ones of the gateway."""
+    """Results of one round. Memory is the resident set size of the gateway process."""
 
     streams: int
     body_kb: int
-    complete: int  # answers of the full length
-    idle_mb: float  # connections open, before the first body
-    sending_mb: float  # the most until all bodies had come
+    complete: int  # number of responses of the full length
+    idle_mb: float  # with all connections open, before the first body
+    sending_mb: float  # maximum until the servers had received all request bodies
     peak_mb: float
-    per_stream_kb: float  # the peak less the idle memory, for each stream
+    per_stream_kb: float  # difference between peak and idle memory, per stream
     seconds: float
 
 
 class _BodySink(GrpcServerConnection):
-    """A server that keeps no body, and makes its own answer as it goes."""
+    """A server that discards request bodies and generates response bodies chunk by chunk."""
 
     def __init__(self, on_call: Callable[[GrpcServerConnection, GrpcRequest], None]) -> None:
         super().__init__(on_call)
-        self.bytes_left: dict[int, int] = {}  # of the answer's body, by stream
+        self.bytes_left: dict[int, int] = {}  # remaining length of the response body, by stream id
 
     def on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.DataReceived):
@@ -85,7 +86,7 @@
             super().on_event(event)
 
     def respond_long(self, request: GrpcRequest, size: int) -> None:
-        """Answer with a body of so many bytes, as the flow control windows allow."""
+        """Respond with a body of `size` bytes, sent as the flow control windows allow."""
         request.outgoing += pack(Answer(length=size).SerializeToString())
         self.bytes_left[request.stream_id] = size
         request.trailers = [("grpc-status", "0")]
@@ -120,7 +121,7 @@
 
 
 class _DelayedResponses:
-    """The requests of one server process, which are answered when no more have come for a while."""
+    """Holds the requests of one server process until none has arrived for `QUIET_S`, then responds to all."""
 
     def __init__(self, size: int, pipe: Connection) -> None:
         self.size = size
@@ -130,7 +131,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def take(self, connection: GrpcServerConnection, request: GrpcRequest) -> None:
-        """Take a request whose body has come whole."""
+        """Hold a request whose body has arrived completely."""
         assert isinstance(connection, _BodySink)
         self.unanswered.append((connection, request))
         if self.timer is not None:
@@ -145,9 +146,9 @@
 
 
 def _serve(count: int, size: int, pipe: Connection) -> None:
-    """Run servers and a silent discovery until killed.
+    """Run servers and a discovery that never responds until killed.
 
-    Their ports go into the pipe first, and a message each time that all bodies have come.
+    Sends the ports through the pipe first, then a message each time that all request bodies have arrived.
     """
 
     async def main() -> None:
@@ -161,7 +162,7 @@
 
 
 async def _send_and_read(port: int, number: int, size: int, begin: asyncio.Event) -> int:
-    """Send a long body and read a long answer, both slowly; returns the bytes of the answer's body."""
+    """Send a request body and slowly read the response; returns the length of the response body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=16 * 1024)
     try:
         await begin.wait()
@@ -184,11 +185,11 @@
 
 
 class _Gateway(NamedTuple):
-    """What the clients and the sampling of memory need to know of the gateway."""
+    """The gateway process under test, and the pipes of the server processes behind it."""
 
     pid: int
     port: int
-    server_pipes: list[Connection]  # readable once that process has had all its bodies
+    server_pipes: list[Connection]  # each is readable once its process has received all request bodies
 
     def all_bodies_received(self) -> bool:
         return any(pipe.poll() for pipe in self.server_pipes)
@@ -208,15 +209,15 @@
 
 
 def measure(streams: int, body_kb: int, progress: Callable[[float], None]) -> MemoryUse:
-    """Play one round.
+    """Measure one round.
 
     Args:
-        streams: requests in flight at once.
-        body_kb: kilobytes of each body, of the request and of the answer.
+        streams: number of concurrent requests.
+        body_kb: length of each request body and each response body, in kilobytes.
         progress: called with the share of requests that have ended.
 
     Raises:
-        LabError: the gateway does not start, or too few descriptors are allowed.
+        LabError: the gateway does not start, or the limit of file descriptors is too low.
     """
     require_file_descriptors(4 * streams + 2000)
     size = body_kb * 1000
@@ -249,7 +250,7 @@
     clients = [
         asyncio.create_task(_send_and_read(gateway.port, number, size, begin)) for number in range(streams)
     ]
-    await asyncio.sleep(CONNECT_S)  # all connect, and none has sent: idle memory is that of a gateway in use
+    await asyncio.sleep(CONNECT_S)  # so that the idle memory includes the open connections
     idle_mb = peak_mb = sending_mb = memory_mb(gateway.pid)
     start_s = time.monotonic()
     begin.set()
--- a/sagetrack/lab/benchmarks/comparison.py
+++ b/sagetrack/lab/benchmarks/comparison.py
@@ -1,4 +1,7 @@
-"""Two files of a sweep's results compared by pairs of one scenario and seed, with a confidence interval."""
+"""Paired comparison of two sweep result files, with a confidence interval.
+
+A pair is the two runs of the same scenario and seed, one from each file.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from sagetrack.lab.benchmarks.sweep import Row, read_rows
 
-# Quantiles of Student's t for 95 in 100, both sides, by degrees of freedom from 1 (standard tables).
+# Two-sided 95% quantiles of Student's t-distribution, for 1 to 30 degrees of freedom (standard tables).
 # fmt: off
 T_QUANTILES_95 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
@@ -17,32 +20,32 @@
     2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 )
 # fmt: on
-NORMAL_QUANTILE_95 = 1.96  # beyond that table
+NORMAL_QUANTILE_95 = 1.96  # for more degrees of freedom than the table has: the normal quantile
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """B less A over pairs of one seed each."""
+    """The mean of B - A over all pairs."""
 
     figure: str
     pairs: int
     mean_a: float
     mean_b: float
     difference: float
-    half_width: float  # of the 95% confidence interval
-    larger_in_b: int  # pairs
+    half_width: float  # half the width of the 95% confidence interval
+    larger_in_b: int  # number of pairs whose value is larger in B
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval leaves out 0."""
+        """True if there are at least two pairs and the confidence interval excludes 0."""
         return self.pairs > 1 and abs(self.difference) > self.half_width
 
 
 def _rows_by_run(path: Path) -> dict[tuple[str, int], Row]:
-    """Return the rows of a file by scenario and seed; ValueError if there are none."""
+    """Return a file's rows keyed by scenario and seed; raises ValueError if it has none."""
     rows = read_rows(path)
     if not rows:
-        raise ValueError(f"{path}: no results")
+        raise ValueError(f"{path}: no results in this file")
     return {(row["scenario"], row["seed"]): row for row in rows.values()}
 
 
@@ -55,10 +58,10 @@
 
 
 def compare(a: Path, b: Path, figure: str = "service") -> Difference:
-    """Compare a figure of two files of results by pairs of the same scenario and seed.
+    """Compare one figure of two result files, paired by scenario and seed.
 
     Raises:
-        ValueError: a file has no results, there is no pair, or the results have no such figure.
+        ValueError: a file has no results, the files share no scenario and seed, or the figure is unknown.
     """
     rows_a = _rows_by_run(a)
     rows_b = _rows_by_run(b)
@@ -69,7 +72,7 @@
         values_a = [float(rows_a[pair][figure]) for pair in pairs]
         values_b = [float(rows_b[pair][figure]) for pair in pairs]
     except (KeyError, TypeError):
-        raise ValueError(f"{figure} is no figure of these results") from None
+        raise ValueError(f"the results have no figure {figure}") from None
     differences = [in_b - in_a for in_a, in_b in zip(values_a, values_b, strict=True)]
     return Difference(
         figure=figure,
--- a/sagetrack/lab/benchmarks/dns_load.py
+++ b/sagetrack/lab/benchmarks/dns_load.py
@@ -1,4 +1,4 @@
-"""DNS servers that answer at once, and a closed loop of queries to a gateway in front of them."""
+"""A DNS server that responds immediately, and a closed-loop DNS load generator."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from sagetrack.lab.analysis.figures import histogram
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
-WINDOW = 64  # queries in flight at once
+WINDOW = 64  # queries in flight over all sockets
 SOCKETS = 8
-CACHED_NAMES = 100  # where answers are to come from the cache
+CACHED_NAMES = 100  # number of distinct names when responses are to come from the cache
 QUERY_TIMEOUT_S = 2.0
 CHECK_INTERVAL_S = 0.05
-RESPONSE_GRACE_S = 0.1  # for answers that are still in transit at the end
+RESPONSE_GRACE_S = 0.1  # wait at the end of the load for responses still in transit
 HEADER_BYTES = 12
 QUERY_IDS = 65_536
-A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"  # of the question's name, for an hour
+# 192.0.2.1 for the name in the question, with a TTL of one hour.
+A_RECORD = b"\xc0\x0c\0\1\0\1\0\0\x0e\x10\0\4\xc0\0\2\1"
 
 
 def response_to(query: bytes) -> bytes:
-    """Return a true answer to an A query, made without a codec."""
+    """Return a valid response to an A query; it is assembled without a DNS codec."""
     end = HEADER_BYTES
     while query[end]:
         end += 1 + query[end]
-    end += 5  # the root label, the type and the class
+    end += 5  # skips the root label, the type and the class
     return query[:2] + b"\x81\x80\0\1\0\1\0\0\0\0" + query[HEADER_BYTES:end] + A_RECORD
 
 
@@ -36,29 +37,30 @@
 
 
 def has_answer(message: bytes) -> bool:
-    """Return whether a response has no error code and at least one answer record."""
+    """Return whether a response has RCODE 0 and at least one answer record."""
     return not message[3] & 0xF and message[7] != 0
 
 
 class DnsServer(asyncio.DatagramProtocol):
-    """A server that answers each query at once."""
+    """A server that responds to each query immediately."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport of the new connection."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Answer a query."""
+        """Respond to a query."""
         self.transport.sendto(response_to(data), addr)
 
 
 class DnsLoad:
-    """The queries of one measurement and what became of them.
+    """The queries of one measurement and their outcomes.
 
     Attributes:
-        answered: queries that any answer came to; `invalid` of these had no record in it.
-        lost: queries without an answer within `QUERY_TIMEOUT_S`.
-        latencies: histogram in microseconds of the queries that were answered.
+        answered: queries that received a response.
+        invalid: the number of these responses that had an error code or no answer record.
+        lost: queries without a response within `QUERY_TIMEOUT_S`.
+        latencies: histogram of the answered queries' latencies, in microseconds.
     """
 
     def __init__(self, unique_names: bool) -> None:
@@ -72,7 +74,7 @@
         self.name_suffix = f"{time.monotonic_ns():x}"
 
     def next_name(self) -> str:
-        """Return the name of the next query: a new one, or one of `CACHED_NAMES` in turn."""
+        """Return the name of the next query: a unique one, or the next of `CACHED_NAMES` names."""
         self.names_used += 1
         if self.unique_names:
             return f"n{self.names_used}.{self.name_suffix}.example"
@@ -80,12 +82,13 @@
 
 
 class _LoadSocket(asyncio.DatagramProtocol):
-    """One socket of the load: a window of queries, the next as soon as one is answered or given up."""
+    """One client socket: sends the next query as soon as one is answered or timed out."""
 
     def __init__(self, load: DnsLoad) -> None:
         self.load = load
-        self.sent_s: dict[int, float] = {}  # by id, of the queries in flight
-        self.order: deque[tuple[int, float]] = deque()  # id and time, the oldest first; answered ones too
+        self.sent_s: dict[int, float] = {}  # send times of the queries in flight, by id
+        # Ids and send times of queries, oldest first. Answered queries stay until they would have timed out.
+        self.order: deque[tuple[int, float]] = deque()
         self.last_id = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -111,7 +114,7 @@
             self.send()
 
     def expire(self, before_s: float) -> None:
-        """Count queries that were sent before this time and not answered as lost."""
+        """Count unanswered queries that were sent before `before_s` as lost."""
         while self.order and self.order[0][1] < before_s:
             id_, sent_s = self.order.popleft()
             if self.sent_s.get(id_) == sent_s:
@@ -122,7 +125,7 @@
 
 
 async def run_dns_load(port: int, seconds: float, unique_names: bool, max_answered: int = 0) -> DnsLoad:
-    """Keep `WINDOW` queries in flight for so long, or until `max_answered` are answered if that is not 0."""
+    """Keep `WINDOW` queries in flight for `seconds`, or until `max_answered` are answered if it is not 0."""
     loop = asyncio.get_running_loop()
     load = DnsLoad(unique_names)
     sockets = []
--- a/sagetrack/lab/benchmarks/dns_throughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -1,4 +1,4 @@
-"""Queries a second on one core, cached and forwarded, beside a bare UDP relay in the same run."""
+"""DNS throughput and CPU cost on one core, cached and forwarded, compared with a minimal UDP relay."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 
 RELAY, CACHED, FORWARDED = "relay", "cached", "forwarded"
 SUBJECTS = (RELAY, CACHED, FORWARDED)
-MAX_WARM_UP_S = 0.5  # of load before a measurement, at the most
-FILL_TIMEOUT_S = 600.0  # for a run that goes on until the cache keeps so many names
-MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")  # of a printed row
-MAX_INVALID = 0.01  # share of answers without a record, beyond which a measurement is worthless
+MAX_WARM_UP_S = 0.5  # maximum duration of the load before a measurement
+FILL_TIMEOUT_S = 600.0  # limit of a run that lasts until the cache holds a given number of names
+MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")
+MAX_INVALID = 0.01  # a measurement with a larger share of invalid responses is rejected
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """One measurement."""
+    """Result of one measurement."""
 
-    subject: str  # one of SUBJECTS
+    subject: str  # an element of `SUBJECTS`
     per_s: float
-    cpu_us: float  # of the measured process for each query
+    cpu_us: float  # CPU time of the measured process per query
     p50_ms: float
     p99_ms: float
     memory_mb: float
@@ -57,12 +57,12 @@
 
 class _Measurement(NamedTuple):
     load: DnsLoad
-    cpu_s: float  # of the measured process
+    cpu_s: float  # CPU time of the measured process
     elapsed_s: float
 
 
 def _serve_upstream(core: int, pipe: Connection) -> None:
-    """Run the upstream server until killed; its port goes into the pipe."""
+    """Run the upstream server until killed, and send its port through the pipe."""
     os.sched_setaffinity(0, {core})
 
     async def main() -> None:
@@ -98,7 +98,7 @@
 
 
 def _measure_round(subject: str, core: int, upstream_port: int, seconds: float, names: int = 0) -> Result:
-    """Measure one subject for so long, or until `names` queries are answered if that is not 0."""
+    """Measure one subject for `seconds`, or until `names` queries are answered if it is not 0."""
     port = free_port()
     with (
         tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder,
@@ -108,7 +108,9 @@
         load, spent_s, elapsed_s = uvloop.run(_run_load(subject, port, process.pid, seconds, names))
         answered = max(1, load.answered)
         if load.invalid > MAX_INVALID * answered:
-            raise LabError(f"{subject}: {load.invalid} of {load.answered} answers were no good")
+            raise LabError(
+                f"{subject}: {load.invalid} of {load.answered} responses had an error or no record"
+            )
         return Result(
             subject=subject,
             per_s=load.answered / elapsed_s,
@@ -121,7 +123,7 @@
 
 
 def _summary(results: dict[str, list[Result]]) -> list[dict[str, Any]]:
-    """Return a row of medians for each subject, with its CPU time as a multiple of the relay's."""
+    """Return a row of medians per subject, with the CPU time per query as a multiple of the relay's."""
     relay_cpu_us = statistics.median(result.cpu_us for result in results[RELAY])
     rows = []
     for subject, rounds in results.items():
@@ -136,19 +138,19 @@
 def measure(
     seconds: float, rounds: int, names: int, progress: Callable[[int, int], None]
 ) -> list[dict[str, Any]]:
-    """Measure relay, cached and forwarded queries by turns.
+    """Measure the relay, cached queries and forwarded queries, in alternation.
 
     Args:
-        seconds: length of each measurement.
-        rounds: measurements of each subject.
-        names: if not 0, one more measurement forwards queries until the cache keeps so many names.
-        progress: called with the number of measurements that are done and of all.
+        seconds: duration of each measurement.
+        rounds: number of measurements of each subject.
+        names: if not 0, one more measurement forwards queries until the cache holds this many names.
+        progress: called with the number of finished measurements and the number of all measurements.
 
     Returns:
-        A row of medians for each subject: `what` it is, the fields of `Result`, and `times_relay`.
+        A row per subject: `what` (its name), medians of the fields of `Result`, and `times_relay`.
 
     Raises:
-        LabError: there are too few cores, or a measurement failed.
+        LabError: fewer than 3 cores are available, or a measurement failed.
     """
     cores = require_cores(3, "gateway, upstream and load need one each")
     total = len(SUBJECTS) * rounds + bool(names)
--- a/sagetrack/lab/benchmarks/fair_queue.py
+++ b/sagetrack/lab/benchmarks/fair_queue.py
@@ -1,7 +1,7 @@
-"""What fair queues cost, by the number of clients: CPU time of a request, and memory. A simulated clock.
+"""CPU time per request and memory of fair queues, by number of clients.
 
-The whole decision module runs, at a stated multiple of what its servers can do, with fair queues on and off
-by turns in one process.
+The complete load balancer runs on a simulated clock, with a load that is a given multiple of the servers'
+capacity. Rounds with and without fair queues alternate in one process.
 """
 
 from __future__ import annotations
@@ -34,28 +34,28 @@
 from sagetrack.policy.settings import Effect, RequestClass, Settings, Tenant
 
 SERVERS = 20
-MEAN_WORK_US = 50_000  # of a request on its server
+MEAN_WORK_US = 50_000  # mean service time of a request
 TENANTS = 10
 TIMEOUT_US = 8_000_000
-LATENCY_OBJECTIVES_US = (1_500_000, 6_000_000)  # by class
-WARM_UP_REQUESTS = 2_000  # before those that are measured
+LATENCY_OBJECTIVES_US = (1_500_000, 6_000_000)  # by class index
+WARM_UP_REQUESTS = 2_000  # requests before the measured ones
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """One round."""
+    """Results of one round."""
 
     clients: int
-    request_us: float  # CPU time of all events of one request, arrival to end
-    queued: int  # at the end
+    request_us: float  # CPU time per request, over all of its events from arrival to end
+    queued: int  # requests queued at the end
     reserved: int  # open reservations at the end
-    allocated_kb: float  # by Python's own count, since the module was made; 0 if not traced
-    counted_kb: float  # what the queues count against their bound
-    limit_kb: float
+    allocated_kb: float  # memory that Python allocated for the load balancer; 0 if not traced
+    counted_kb: float  # memory that the queues count towards their limit
+    limit_kb: float  # the limit of the queues' memory
 
 
 def settings(fair_queues: bool, memory_kb: int) -> Settings:
-    """Return the settings of a round; `memory_kb` bounds the queues."""
+    """Return the load balancer settings of a round; `memory_kb` limits the memory of the queues."""
     classes = tuple(
         RequestClass(
             latency_objective_us=objective_us,
@@ -73,22 +73,22 @@
 
 
 class _Simulation:
-    """A load balancer, its servers with one core each, and what is planned on the simulated clock."""
+    """A load balancer, its single-core servers, and the events scheduled on the simulated clock."""
 
     def __init__(self, balancer_settings: Settings, seed: int, rng: random.Random) -> None:
         self.rng = rng
         self.balancer = LoadBalancer(balancer_settings, seed)
         self.now_us = 0
-        self.cpu_ns = 0  # of the balancer, in events that are counted
-        self.scheduled: list[tuple[int, int, Event]] = []  # a heap: time, order of planning, event
+        self.cpu_ns = 0  # CPU time of the load balancer in the measured events
+        self.scheduled: list[tuple[int, int, Event]] = []  # heap of due time, sequence number and event
         self.actions = 0
-        self.free_us = [0] * SERVERS  # when each server has done what it was given
-        self.attempts: dict[str, int] = {}  # by request
+        self.free_us = [0] * SERVERS  # time at which each server has finished its attempts
+        self.attempts: dict[str, int] = {}  # number of attempts by request
         servers = tuple(ListedServer(number) for number in range(SERVERS))
         self.balancer.handle(0, EndpointList(ListKind.FULL, servers))
 
     def handle(self, event: Event, measured: bool) -> None:
-        """Hand an event to the balancer now and plan what follows from its actions."""
+        """Pass an event to the load balancer, and schedule the events that result from its actions."""
         start_ns = time.process_time_ns()
         actions = self.balancer.handle(self.now_us, event)
         if measured:
@@ -102,14 +102,14 @@
                 self._schedule(action.due_us, TimerFired(action.token))
 
     def advance(self, until_us: float, measured: bool) -> None:
-        """Handle what is planned up to that time."""
+        """Handle all events scheduled up to `until_us`, and set the clock to it."""
         while self.scheduled and self.scheduled[0][0] <= until_us:
             self.now_us, _, event = heapq.heappop(self.scheduled)
             self.handle(event, measured)
         self.now_us = int(until_us)
 
     def release(self) -> None:
-        """Drop what only the simulation holds, so that it does not count as the balancer's memory."""
+        """Drop the simulation's own state, so that it is not counted as memory of the load balancer."""
         self.attempts.clear()
         self.scheduled.clear()
 
@@ -117,7 +117,7 @@
         heapq.heappush(self.scheduled, (due_us, self.actions, event))
 
     def _attempt(self, action: SendAttempt) -> tuple[int, AttemptEnded]:
-        """Return when an attempt ends, and how: its server does one after the other."""
+        """Return when an attempt ends, and its result; each server processes attempts one at a time."""
         number = self.attempts.get(action.request, 0)
         self.attempts[action.request] = number + 1
         start_us = max(self.now_us, self.free_us[action.server])
@@ -147,16 +147,16 @@
 def run_round(
     clients: int, requests: int, fair_queues: bool, memory_kb: int, seed: int, trace: bool, load: float = 2.0
 ) -> Cost:
-    """Play one round.
+    """Run one round.
 
     Args:
-        clients: each sends as many requests as any other, on average.
-        requests: how many are measured, after `WARM_UP_REQUESTS`.
-        fair_queues: whether the balancer has them.
-        memory_kb: their bound.
-        seed: of all that is drawn.
-        trace: whether to count allocated memory, which makes CPU time worthless.
-        load: times what the servers can do.
+        clients: number of clients, which all send at the same mean rate.
+        requests: number of measured requests, after `WARM_UP_REQUESTS`.
+        fair_queues: whether fair queues are enabled.
+        memory_kb: memory limit of the queues.
+        seed: seed of the random numbers.
+        trace: whether to trace allocated memory, which makes the CPU time useless.
+        load: offered load as a multiple of the servers' capacity.
     """
     rng = random.Random(seed)
     gc.collect()
@@ -213,24 +213,24 @@
     progress: Callable[[float], None],
     load: float = 2.0,
 ) -> list[dict[str, Any]]:
-    """Measure each number of clients, fair queues on and off by turns, and memory in a round of its own.
+    """Measure with and without fair queues in alternation, and memory in a separate round.
 
     Args:
-        sizes: numbers of clients.
-        requests: measured in each round.
-        rounds: with fair queues, and as many without.
-        memory_kb: bound of the queues.
-        progress: called with the share of rounds that are done.
-        load: times what the servers can do.
+        sizes: numbers of clients to measure with.
+        requests: number of measured requests per round.
+        rounds: number of rounds with fair queues; the same number runs without.
+        memory_kb: memory limit of the queues.
+        progress: called with the share of rounds that are finished.
+        load: offered load as a multiple of the servers' capacity.
 
     Returns:
-        A row of medians for each number of clients, for the printed table.
+        A row of medians per number of clients, for the printed table.
     """
     rows = []
     total = len(sizes) * (2 * rounds + 1)
     done = 0
     for size in sizes:
-        costs: dict[bool, list[Cost]] = {True: [], False: []}  # by whether there are fair queues
+        costs: dict[bool, list[Cost]] = {True: [], False: []}  # keyed by whether fair queues are enabled
         for number in range(rounds):
             for fair_queues in (True, False) if number % 2 else (False, True):
                 costs[fair_queues].append(
@@ -249,7 +249,7 @@
     on_us = statistics.median(cost.request_us for cost in with_queues)
     off_us = statistics.median(cost.request_us for cost in without)
     ratios = [on.request_us / off.request_us for on, off in zip(with_queues, without, strict=True)]
-    # The keys are the printed table's columns, which stay; the fields have today's names.
+    # The keys are the columns of the printed table, which are kept for compatibility.
     row = {
         "clients": traced.clients,
         "call_us": on_us,
--- a/sagetrack/lab/benchmarks/gateway_files.py
+++ b/sagetrack/lab/benchmarks/gateway_files.py
@@ -1,4 +1,4 @@
-"""The configuration that a benchmark starts a gateway with, and the environment that points to it."""
+"""Configuration files and environment variables of the gateways that benchmarks start."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sagetrack.lab.repository import ROOT
 
 GATEWAY_COMMAND = [sys.executable, "-m", "sagetrack"]
-NEWER_TYPE = "newer"  # of servers that take gRPC
+NEWER_TYPE = "newer"  # endpoint type of servers that use the newer protocol format, gRPC
 NEWER_OPERATOR_SETTINGS = f'[newer]\ntypes = ["{NEWER_TYPE}"]\n'
 SERVERS_PER_GROUP = 4
 
@@ -21,9 +21,9 @@
 def gateway_configuration(
     port: int, server_ports: list[int], discovery_port: int, admin_port: int, server_type: str = "plain"
 ) -> dict[str, Any]:
-    """Return the configuration of a gateway on loopback that knows all its servers from the start.
+    """Return the configuration of a loopback gateway whose endpoint list is complete from the start.
 
-    It has one class of requests, `lookup`, with limits that no benchmark reaches by itself.
+    It has a single request class, `lookup`, whose limits are too high for any benchmark to reach.
     """
     lookup = RequestClass(name="lookup", work_ms=1, latency_objective_ms=1000, deadline_ms=3000)
     fleet = Fleet(servers=len(server_ports), gateways=1)
@@ -56,13 +56,13 @@
 def gateway_environment(
     folder: Path, configuration: dict[str, Any], operator_settings: str = "", build: Path = ROOT
 ) -> dict[str, str]:
-    """Write a gateway's files into a folder and return the environment that it starts with.
+    """Write a gateway's configuration files and return the environment variables to start it with.
 
     Args:
-        folder: also the gateway's folder for temporary files.
-        configuration: the platform's, see `gateway_configuration`.
-        operator_settings: text of the operator's TOML file; no such file if empty.
-        build: the checkout whose code runs.
+        folder: where the files are written; also the gateway's directory for temporary files.
+        configuration: platform configuration, see `gateway_configuration`.
+        operator_settings: content of the operator's TOML file; if empty, no such file is written.
+        build: source checkout from which the gateway runs.
     """
     configuration_file = folder / "config.json"
     configuration_file.write_text(json.dumps(configuration))
--- a/sagetrack/lab/benchmarks/http_load.py
+++ b/sagetrack/lab/benchmarks/http_load.py
@@ -1,7 +1,7 @@
-"""HTTP servers that answer at once, and the load on a gateway in front of them: closed loop or open loop.
+"""HTTP servers that respond immediately, and a closed-loop or open-loop load generator.
 
-In an open loop latencies count from when each request was due, not from when it was sent, so that a slow
-gateway doesn't slow down its own measurement (no coordinated omission).
+In an open loop, latency is measured from the time at which a request was due rather than sent, so that a slow
+gateway cannot delay its own measurement (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 RESPONSE_BODY = b"x" * 64
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + RESPONSE_BODY
 END_OF_HEAD = b"\r\n\r\n"
-PACE_STEP_S = 0.0005  # between two looks at which requests are due
-RESPONSE_GRACE_S = 0.05  # for responses that are still in transit at the end
+PACE_STEP_S = 0.0005  # how often an open loop checks which requests are due
+RESPONSE_GRACE_S = 0.05  # wait at the end of the load for responses still in transit
 
 
 class FixedResponseServer(asyncio.Protocol):
-    """A connection to a server that answers each request at once."""
+    """Server side of a connection: sends a fixed response to each request immediately."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer each request whose head is complete; requests have no body."""
+        """Respond to each request whose head is complete; requests have no body."""
         self.buffer += data
         while (end := self.buffer.find(END_OF_HEAD)) >= 0:
             self.buffer = self.buffer[end + len(END_OF_HEAD) :]
             self.respond()
 
     def respond(self) -> None:
-        """Answer one request."""
+        """Send the response to one request."""
         self.transport.write(RESPONSE)
 
 
 class LoadConnection(asyncio.Protocol):
-    """One client connection of the load, with one request at a time."""
+    """One client connection, with at most one request in flight."""
 
     def __init__(self, load: HttpLoad) -> None:
         self.load = load
@@ -54,17 +54,21 @@
         self.is_busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, due_s: float) -> None:
-        """Send a request that was due at `due_s` on the load's clock."""
+        """Send a request whose latency is measured from `due_s`, a time of `time.perf_counter`."""
         self.is_busy = True
         self.due_s = due_s
         self.transport.write(self.load.next_request())
 
     def data_received(self, data: bytes) -> None:
-        """Count a response as long as `RESPONSE` as a success; a shorter one fails unless it is a 200."""
+        """Record the outcome once the response is complete.
+
+        A response whose body is at least as long as `RESPONSE_BODY` counts as a success; a shorter one counts
+        as a failure unless its status is 200, in which case the rest of the body is awaited.
+        """
         self.buffer += data
         end = self.buffer.find(END_OF_HEAD)
         if end < 0:
@@ -81,18 +85,18 @@
         self.is_busy = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the request that was in flight as failed."""
+        """Count a request in flight as failed."""
         if self.is_busy:
             self.load.failed += 1
 
 
 class HttpLoad:
-    """The requests of one measurement and what became of them.
+    """The requests of one measurement and their outcomes.
 
     Attributes:
-        succeeded: requests that were answered with 200.
-        failed: requests that were answered otherwise, or not at all.
-        latencies: histogram in microseconds of the requests that succeeded.
+        succeeded: requests that received a complete response, see `LoadConnection.data_received`.
+        failed: requests that received another response, or none.
+        latencies: histogram of the successful requests' latencies, in microseconds.
     """
 
     def __init__(self, closed_loop: bool) -> None:
@@ -103,12 +107,12 @@
         self.latencies = histogram()
         self.stopped = False
         self.idle: deque[LoadConnection] = deque()
-        self.waiting: deque[float] = deque()  # due times of requests that no connection was idle for
-        self.now_s = time.perf_counter  # the event loop's own clock counts whole milliseconds
+        self.waiting: deque[float] = deque()  # due times of requests that wait for an idle connection
+        self.now_s = time.perf_counter  # the event loop's clock has a resolution of only 1 ms
         self.id_prefix = f"{os.getpid():x}{time.monotonic_ns():x}".encode()
 
     def next_request(self) -> bytes:
-        """Return a request with an id that no other has."""
+        """Return a request with a unique id."""
         self.sent += 1
         return (
             b"GET /lookup/1 HTTP/1.1\r\nHost: g\r\nX-Call-Id: %s%x\r\nX-Call-Class: lookup\r\n"
@@ -116,20 +120,20 @@
         )
 
     def offer(self, due_s: float) -> None:
-        """Send a request of an open loop now, or when a connection is next idle."""
+        """Send a request on an idle connection, or queue it until a connection becomes idle (open loop)."""
         if self.idle:
             self.idle.popleft().send(due_s)
         else:
             self.waiting.append(due_s)
 
     def request_succeeded(self, connection: LoadConnection) -> None:
-        """Count a success, and go on with the connection."""
+        """Record a success and reuse the connection."""
         self.succeeded += 1
         self.latencies.record_value(max(1, int((self.now_s() - connection.due_s) * 1e6)))
         self._connection_idle(connection)
 
     def request_failed(self, connection: LoadConnection) -> None:
-        """Count a failure, and go on with the connection."""
+        """Record a failure and reuse the connection."""
         self.failed += 1
         self._connection_idle(connection)
 
@@ -144,7 +148,7 @@
             self.idle.append(connection)
 
     async def connect(self, port: int, count: int) -> list[LoadConnection]:
-        """Open so many connections to a port of loopback; those of an open loop are idle then."""
+        """Open `count` connections to a loopback port; in an open loop they start as idle."""
         loop = asyncio.get_running_loop()
         connections = []
         for _ in range(count):
@@ -155,15 +159,15 @@
         return connections
 
     def latency_ms(self, percentile: float) -> float:
-        """Return a percentile, 0 to 100, of the latencies in milliseconds."""
+        """Return a latency percentile (0 to 100) in milliseconds."""
         return float(self.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 async def pace(rate: float, seconds: float, send: Callable[[float], None]) -> float:
-    """Call `send` at an even rate with the time, of `time.perf_counter`, at which each call was due.
+    """Call `send` at a constant rate with the time, of `time.perf_counter`, at which each call was due.
 
     Returns:
-        By how many seconds the worst of these calls was late.
+        The largest delay of a call after its due time, in seconds.
     """
     start_s = time.perf_counter()
     sent = 0
@@ -179,7 +183,7 @@
 
 
 async def run_http_load(port: int, connections: int, seconds: float, rate: float = 0.0) -> HttpLoad:
-    """Put load on a gateway for so long: an open loop at `rate` a second, or a closed loop if it is 0."""
+    """Run a load for `seconds`: an open loop of `rate` requests per second, or a closed loop if it is 0."""
     load = HttpLoad(closed_loop=rate <= 0)
     opened = await load.connect(port, connections)
     if load.closed_loop:
--- a/sagetrack/lab/benchmarks/measured_process.py
+++ b/sagetrack/lab/benchmarks/measured_process.py
@@ -1,4 +1,4 @@
-"""Processes of a benchmark: the measured one on a core of its own, stand-in servers, and this one's cores."""
+"""Process management for benchmarks: starting the measured process and stand-in servers, and CPU pinning."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 def require_cores(count: int, reason: str) -> list[int]:
-    """Return the cores that this process may use, in order.
+    """Return the CPU cores in this process's affinity mask, in ascending order.
 
     Raises:
-        LabError: there are fewer than `count`; the message ends with `reason`.
+        LabError: fewer than `count` cores are available; the message ends with `reason`.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < count:
-        raise LabError(f"{len(cores)} cores are too few: {reason}")
+        raise LabError(f"not enough CPU cores ({len(cores)} available): {reason}")
     return cores
 
 
 @contextmanager
 def pinned_to(core: int) -> Iterator[None]:
-    """Keep this process on one core for as long as the block runs."""
+    """Pin this process to one core while the block runs, then restore its previous affinity."""
     cores_before = os.sched_getaffinity(0)
     os.sched_setaffinity(0, {core})
     try:
@@ -51,10 +51,10 @@
 
 @contextmanager
 def forked_process(target: Callable[..., None], *arguments: Any) -> Iterator[Connection]:
-    """Run `target(*arguments, pipe)` in a forked process that is killed when the block ends.
+    """Run `target(*arguments, pipe)` in a forked process, and kill the process when the block ends.
 
     Yields:
-        This side of the pipe to the process.
+        The parent's end of the pipe.
     """
     context = multiprocessing.get_context("fork")
     parent_end, child_end = context.Pipe()
@@ -68,7 +68,7 @@
 
 
 async def open_servers(make: Callable[[], asyncio.Protocol], count: int, backlog: int = 100) -> list[int]:
-    """Listen on so many ports of loopback until the event loop ends, and return the ports."""
+    """Listen on `count` loopback ports until the event loop stops, and return the port numbers."""
     loop = asyncio.get_running_loop()
     ports = []
     for _ in range(count):
@@ -86,7 +86,7 @@
     stdout: int | None = subprocess.DEVNULL,
     stderr: int | None = subprocess.DEVNULL,
 ) -> Iterator[subprocess.Popen[bytes]]:
-    """Run a command in `folder`, on one core if one is given; it is killed when the block ends."""
+    """Run a command in `folder`, pinned to `core` if given, and kill it when the block ends."""
     process = subprocess.Popen(command, cwd=folder, env=environment, stdout=stdout, stderr=stderr)
     try:
         if core is not None:
@@ -98,10 +98,10 @@
 
 
 def wait_until_listening(port: int, process: subprocess.Popen[bytes]) -> None:
-    """Return when the process accepts TCP connections on a port of loopback.
+    """Wait until the process accepts TCP connections on a loopback port.
 
     Raises:
-        LabError: the process ended, or did not listen within `START_TIMEOUT_S`.
+        LabError: the process exited, or did not listen within `START_TIMEOUT_S`.
     """
     deadline = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline and process.poll() is None:
@@ -110,14 +110,14 @@
             return
         except OSError:
             time.sleep(PORT_POLL_S)
-    raise LabError("the measured process does not listen")
+    raise LabError("the measured process exited or did not listen on its TCP port in time")
 
 
 def wait_for_dns_response(port: int, process: subprocess.Popen[bytes]) -> None:
-    """Return when the process answers a DNS query over UDP on a port of loopback.
+    """Wait until the process responds to a DNS query over UDP on a loopback port.
 
     Raises:
-        LabError: the process ended, or did not answer within `START_TIMEOUT_S`.
+        LabError: the process exited, or did not respond within `START_TIMEOUT_S`.
     """
     deadline = time.monotonic() + START_TIMEOUT_S
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
@@ -129,4 +129,4 @@
                 return
             except OSError:
                 time.sleep(DNS_POLL_S)
-    raise LabError("the measured process does not answer DNS")
+    raise LabError("the measured process exited or did not respond to DNS queries in time")
--- a/sagetrack/lab/benchmarks/membership.py
+++ b/sagetrack/lab/benchmarks/membership.py
@@ -1,6 +1,7 @@
-"""Membership among many gateways in virtual time: detection of deaths, false deaths, and what they cost.
+"""Membership of many gateways in virtual time: detection time of failures, false positives, and traffic.
 
-The state machines are those of the gateways; the network between them loses and delays datagrams as set.
+The members run the same state machines as real gateways. The simulated network delays datagrams and drops a
+configurable share of them.
 """
 
 from __future__ import annotations
@@ -17,41 +18,42 @@
 from sagetrack.peers.membership import Membership
 from sagetrack.peers.settings import MembershipSettings
 
-WARM_UP_US = 5_000_000  # before anything happens
-VIEW_CHECK_US = 250_000  # between two looks at whether all views are equal
-DELAY_US = (1_000, 10_000)  # of a datagram: the least and the most
-NEVER_S = -1.0
+WARM_UP_US = 5_000_000  # simulated time before the failure or partition
+VIEW_CHECK_US = 250_000  # interval at which the views are compared after a partition
+DELAY_US = (1_000, 10_000)  # minimum and maximum network delay of a datagram
+NEVER_S = -1.0  # reported instead of a time if the event did not happen
 
 
 @dataclass(slots=True)
 class MembershipResult:
-    """What one run showed. Times in seconds."""
+    """Results of one run."""
 
     gateways: int
-    loss: float  # share of datagrams
-    detection_s: list[float] = field(default_factory=list)  # for each survivor, until it knew of a death
-    undetected: int = 0  # pairs of survivor and dead that never became known
-    false_deaths: int = 0  # pairs of a member and a living one that it declared or believed dead
-    sent_per_s: float = 0.0  # datagrams of a gateway
-    bytes_per_s: float = 0.0  # the same in bytes
-    max_sent_per_s: float = 0.0  # datagrams of the gateway that sent the most
-    convergence_s: float = NEVER_S  # after a partition, until all views were equal and all alive
+    loss: float  # share of datagrams that are lost
+    # Time until the survivor detected the death, for each pair of a survivor and a dead member.
+    detection_s: list[float] = field(default_factory=list)
+    undetected: int = 0  # pairs of a survivor and a dead member whose death it did not detect
+    false_deaths: int = 0  # how often a member took a living one for dead
+    sent_per_s: float = 0.0  # mean datagrams sent per second by a gateway
+    bytes_per_s: float = 0.0  # mean bytes sent per second by a gateway
+    max_sent_per_s: float = 0.0  # datagrams per second of the gateway that sent the most
+    convergence_s: float = NEVER_S  # time from the end of a partition until all views are correct
 
     @property
     def median_s(self) -> float:
-        """Median time until a death was known; -1 if none ever was."""
+        """Median detection time; -1 if no death was detected."""
         return statistics.median(self.detection_s) if self.detection_s else NEVER_S
 
     @property
     def p99_s(self) -> float:
-        """99th percentile of that time; -1 if no death ever was known."""
+        """99th percentile of the detection times; -1 if no death was detected."""
         return (
             sorted(self.detection_s)[int(0.99 * (len(self.detection_s) - 1))] if self.detection_s else NEVER_S
         )
 
 
 class StateChange(NamedTuple):
-    """A member's view of another has changed."""
+    """A change of an observer's view of another member."""
 
     time_us: int
     observer: int
@@ -60,12 +62,12 @@
 
 
 class Fleet:
-    """So many members on one simulated clock.
+    """A simulated network of members on a virtual clock.
 
     Attributes:
         dead: members that neither receive nor send.
-        sides: while the network is partitioned, the side of each member; those of one side reach each other.
-        changes: all changes of views, in order of time.
+        sides: side of each member while the network is partitioned; members reach only those of their side.
+        changes: all changes of the members' views, in chronological order.
     """
 
     def __init__(
@@ -85,13 +87,13 @@
         self.dead: set[int] = set()
         self.sides: dict[int, int] = {}
         self.members: dict[int, Membership] = {}
-        self.next_tick_us: dict[int, int] = {}  # by member: when its next tick is planned
+        self.next_tick_us: dict[int, int] = {}  # time of each member's next scheduled tick
         self.changes: list[StateChange] = []
         for number in range(count):
             self.start(number, 1)
 
     def start(self, number: int, incarnation: int) -> None:
-        """Start a member, or start it again with a higher incarnation."""
+        """Start a member, or restart it with a higher incarnation."""
         self.dead.discard(number)
         member = Membership(
             number,
@@ -145,7 +147,7 @@
         self.clock.call_at(due_us, tick)
 
     def run(self, until_us: int) -> None:
-        """Let time pass up to then."""
+        """Advance the virtual clock to `until_us`."""
         has_ended = False
 
         def end() -> None:
@@ -156,7 +158,7 @@
         self.clock.run(lambda: has_ended, lambda: until_us)
 
     def views_equal(self) -> bool:
-        """Return whether every living member takes every dead one for dead, and no other."""
+        """Return whether every living member's view has exactly the dead members as dead."""
         return all(
             (peer.state is MemberState.DEAD) == (other in self.dead)
             for number, member in self.members.items()
@@ -166,7 +168,7 @@
 
 
 def _first_detection_s(deaths_seen: list[StateChange]) -> dict[tuple[int, int], float]:
-    """Return by observer and member when it was first taken for dead, in seconds after the warm-up."""
+    """Return the first detection time by observer and member, in seconds after the warm-up."""
     detection_s: dict[tuple[int, int], float] = {}
     for change in deaths_seen:
         if change.time_us >= WARM_UP_US:
@@ -183,15 +185,15 @@
     deaths: int = 1,
     settings: MembershipSettings | None = None,
 ) -> MembershipResult:
-    """Let some members die at once after a while: until when is it known, and who else is taken for dead?
+    """Stop some members at the same time, and measure detection time, false positives and traffic.
 
     Args:
-        count: of all members.
-        seed: of all that is drawn.
-        loss: share of datagrams.
-        seconds: played after the death.
-        deaths: how many die.
-        settings: of all members; the default ones if None.
+        count: number of members.
+        seed: seed of the random numbers.
+        loss: share of datagrams that are lost.
+        seconds: simulated time after the deaths.
+        deaths: number of members that die.
+        settings: settings of all members; defaults if None.
     """
     fleet = Fleet(count, seed, loss, settings or MembershipSettings())
     fleet.run(WARM_UP_US)
@@ -217,14 +219,14 @@
 def simulate_partition(
     count: int, seed: int, loss: float, seconds: float = 10.0, timeout_s: float = 120.0
 ) -> MembershipResult:
-    """Cut off a third of the members for a while: how long after its end are all views equal again?
+    """Partition a third of the members from the rest, and measure how long the views then take to converge.
 
     Args:
-        count: of all members.
-        seed: of all that is drawn.
-        loss: share of datagrams.
-        seconds: length of the partition.
-        timeout_s: seconds after its end for which the views are watched.
+        count: number of members.
+        seed: seed of the random numbers.
+        loss: share of datagrams that are lost.
+        seconds: duration of the partition.
+        timeout_s: how long to wait for convergence after the partition ends.
     """
     fleet = Fleet(count, seed, loss, MembershipSettings())
     outcome = MembershipResult(count, loss)
--- a/sagetrack/lab/benchmarks/mixed_protocols.py
+++ b/sagetrack/lab/benchmarks/mixed_protocols.py
@@ -1,8 +1,8 @@
-"""DNS and HTTP on one gateway, each at a share of what it takes alone, with one slow server of each.
+"""Mutual influence of DNS and HTTP on one gateway, when one server of each protocol becomes slow.
 
-The gateway has one core; HTTP servers, DNS servers and each load have cores of their own. The highest
-throughput of each is found in a closed loop first; then each load runs alone, and both together, in open
-loops, with latencies counted from when each request was due.
+The gateway, the HTTP servers, the DNS servers and each load run on separate cores. A closed loop first finds
+the maximum throughput of each protocol alone. Then open loops at a share of it run each load alone and both
+together; latency is measured from when each request was due.
 """
 
 from __future__ import annotations
@@ -47,26 +47,27 @@
 from sagetrack.lab.benchmarks.throughput import CLOSED_LOOP_CONNECTIONS
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port
 
-CAPACITY_S = 3.0  # length of the closed loop that finds the highest throughput
-RECOVERY_S = HTTP_SLOW_S + DNS_SLOW_S + 8.0  # between two measurements: circuit breakers close again
+CAPACITY_S = 3.0  # duration of the closed loop that finds the maximum throughput
+RECOVERY_S = HTTP_SLOW_S + DNS_SLOW_S + 8.0  # pause between measurements, so that open breakers close again
 LOAD_COMBINATIONS = ((Protocol.HTTP,), (Protocol.DNS,), (Protocol.HTTP, Protocol.DNS))
-GATEWAY_CORE = 0  # this and the following are places among the cores that may be used
+# Positions in the list of available cores.
+GATEWAY_CORE = 0
 SERVER_CORES = {Protocol.HTTP: 1, Protocol.DNS: 2}
 LOAD_CORES = {Protocol.HTTP: 3, Protocol.DNS: 4}
 
 
 @dataclass(slots=True, frozen=True)
 class LoadResult:
-    """One load of one measurement."""
+    """Result of one load in one measurement."""
 
     protocol: Protocol
-    concurrent: str  # the protocol of the load that ran beside it, or -
-    rate: float  # requests a second
-    cpu: float  # share of the gateway's core that was used, by all loads
+    concurrent: str  # protocol of the load that ran at the same time, or "-"
+    rate: float  # requests per second
+    cpu: float  # share of its core that the gateway used, over all loads
     outcome: LoadOutcome
 
     def row(self) -> dict[str, Any]:
-        """Return the result for JSON and the printed table, whose keys stay as they were from the first."""
+        """Return a row for JSON and the printed table, whose keys are kept for compatibility."""
         row = {
             "load": self.protocol.value,
             "beside": self.concurrent,
@@ -84,10 +85,10 @@
 
 
 class _TestBed:
-    """The servers and the gateway, on which loads are put one measurement after the other."""
+    """The running servers and gateway, shared by all measurements."""
 
     def __init__(self, cores: list[int], stack: ExitStack) -> None:
-        """Start all; `stack` ends it."""
+        """Start the servers and the gateway; closing `stack` stops them."""
         self.cores = cores
         shared = get_context("fork")
         self.slow = {protocol: shared.Value("i", 0) for protocol in Protocol}
@@ -106,7 +107,7 @@
         wait_for_dns_response(self.ports[Protocol.DNS], self.gateway)
 
     def capacities(self) -> dict[Protocol, float]:
-        """Return the highest throughput of each protocol alone, in requests a second."""
+        """Return the maximum throughput of each protocol alone, in requests per second."""
         http = uvloop.run(run_http_load(self.ports[Protocol.HTTP], CLOSED_LOOP_CONNECTIONS, CAPACITY_S))
         dns = uvloop.run(run_dns_load(self.ports[Protocol.DNS], CAPACITY_S, True))
         return {
@@ -115,7 +116,7 @@
         }
 
     def measure(self, rates: dict[Protocol, float], seconds: float) -> list[LoadResult]:
-        """Put these loads on the gateway at the same time."""
+        """Run loads of the given rates (requests per second) on the gateway at the same time."""
         cpu_before_s = cpu_s(self.gateway.pid)
         start_s = time.monotonic()
         results = []
@@ -156,19 +157,19 @@
 def measure(
     share: float, seconds: float, rounds: int, progress: Callable[[float], None] = lambda share: None
 ) -> dict[str, Any]:
-    """Find the capacities, then measure each load alone and both together by turns.
+    """Find the capacities, then measure each load alone and both together, in alternation.
 
     Args:
-        share: of its capacity alone, at which each load runs.
-        seconds: length of each load.
-        rounds: measurements of each plan.
-        progress: called with the share of measurements that are done.
+        share: rate of each load, as a share of its protocol's capacity when it runs alone.
+        seconds: duration of each load.
+        rounds: number of measurements of each entry of `LOAD_COMBINATIONS`.
+        progress: called with the share of measurements that are finished.
 
     Returns:
-        `capacity_http` and `capacity_dns` in requests a second, and `rows` as of `LoadResult.row`.
+        `capacity_http` and `capacity_dns` in requests per second, and `rows` as returned by `LoadResult.row`.
 
     Raises:
-        LabError: there are too few cores, or the gateway did not start.
+        LabError: fewer than 5 cores are available, or the gateway did not start.
     """
     cores = require_cores(5, "5 are needed, one for each process")
     total = rounds * len(LOAD_COMBINATIONS)
--- a/sagetrack/lab/benchmarks/overload.py
+++ b/sagetrack/lab/benchmarks/overload.py
@@ -1,9 +1,9 @@
-"""A virtual fleet under more load than usual: whether its servers are overloaded, and what goodput is left.
+"""Goodput and server overload of a virtual fleet during and after a burst.
 
-The scenario is scenarios/fleet-burst.toml: servers that hold too many requests for a while turn slow and stay
-so until they have been left alone. A collapse sustains itself: goodput falls far under what it was with less
-load, and does not return when the load does. The clock is simulated: the same figures for the same seed
-everywhere.
+In the scenario, scenarios/fleet-burst.toml, a server with too many requests in flight for some time becomes
+slow, and stays slow until its load has dropped for a while. This allows a metastable collapse: goodput falls
+far below that of the usual load, and does not recover when the load returns to normal. The clock is
+simulated, so a seed gives the same figures on every machine.
 """
 
 from __future__ import annotations
@@ -23,33 +23,34 @@
 from sagetrack.lab.virtual.simulation import simulate
 
 SCENARIO = SCENARIOS / "fleet-burst.toml"
-SAMPLE_INTERVAL_S = 0.25  # between two samples of what servers hold
-SETTLED_S = 4.0  # of the run, after which the usual goodput is taken
-RAMP_UP_S = 2.0  # of the burst, after which its goodput is taken
-RECOVERY_S = 5.0  # after the burst's end, by when goodput has to be back
+SAMPLE_INTERVAL_S = 0.25  # interval at which the requests in flight at servers are sampled
+SETTLED_S = 4.0  # start of the period, within the run, in which the usual goodput is measured
+RAMP_UP_S = 2.0  # initial part of the burst that is excluded from its goodput
+RECOVERY_S = 5.0  # time after the end of the burst by which goodput has to have recovered
 MAX_GATEWAYS = 1000
 PERCENTILES = (("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0))
 
 
 @dataclass(slots=True)
 class OverloadFigures:
-    """What a burst came to. Goodput is the number of requests that are served in a second."""
+    """Figures of one run. Goodput is the number of requests served per second."""
 
     gateways: int
-    burst_size: float  # times the usual load
+    burst_size: float  # multiple of the usual load
     seed: int
     goodput_before: float = 0.0
-    served_share_before: float = 0.0  # share of the requests before the burst
-    goodput_during: float = 0.0  # goodput in the burst, as a share of `goodput_before`
-    goodput_after: float = 0.0  # the same from RECOVERY_S after the burst on
-    served_share: float = 0.0  # share of all requests of the run
-    in_flight: dict[str, int] = field(default_factory=dict)  # at a server in the burst: percentiles by name
-    overloaded_share: float = 0.0  # share of servers and samples in which a server was overloaded
+    served_share_before: float = 0.0  # served share of the requests before the burst
+    goodput_during: float = 0.0  # goodput in the burst, relative to `goodput_before`
+    goodput_after: float = 0.0  # goodput from RECOVERY_S after the burst, relative to `goodput_before`
+    served_share: float = 0.0  # served share of all requests of the run
+    # Percentiles, by name, of the requests in flight at a server during the burst.
+    in_flight: dict[str, int] = field(default_factory=dict)
+    overloaded_share: float = 0.0  # share of the load samples, over all servers, with the server overloaded
 
     def to_json(self) -> dict[str, Any]:
         """Return the figures rounded to 4 digits.
 
-        The keys stay as they were stored from the first; the fields have today's names.
+        The keys are kept for compatibility with stored results, so some differ from the field names.
         """
         row = {
             "gateways": self.gateways,
@@ -67,7 +68,7 @@
 
 
 def scenario_for(gateways: int, size: float, settings: dict[str, Any] | None = None) -> Scenario:
-    """Return the scenario with so many gateways, a burst of this size and further settings.
+    """Return the scenario with the given number of gateways, burst size and further settings.
 
     Raises:
         FileError: a value is out of range.
@@ -77,7 +78,7 @@
 
 
 def percentiles_by_name(counts: Counter[int]) -> dict[str, int]:
-    """Return the percentiles of counted whole numbers by name; zeros where there are none."""
+    """Return percentiles of a distribution of integers, by name; all 0 if it is empty."""
     result = {name: 0 for name, _ in PERCENTILES}
     missing = list(PERCENTILES)
     total = counts.total()
@@ -91,7 +92,7 @@
 
 
 class _RequestCounts:
-    """Requests of a run, and those of them that were served, by the second in which they were sent."""
+    """All requests and the served requests of a run, by the second in which they were due."""
 
     def __init__(self, records: Records) -> None:
         self.sent: Counter[int] = Counter()
@@ -102,21 +103,21 @@
             self.served[second] += outcome == "served"
 
     def goodput(self, from_s: float, to_s: float) -> float:
-        """Return the requests served in a second between two whole seconds."""
+        """Return the requests served per second, of those due between two whole seconds."""
         served = sum(self.served[second] for second in range(int(from_s), int(to_s)))
         return served / max(1, int(to_s) - int(from_s))
 
     def sent_between(self, from_s: float, to_s: float) -> int:
-        """Return the requests that were sent between two whole seconds."""
+        """Return the number of requests due between two whole seconds."""
         return sum(self.sent[second] for second in range(int(from_s), int(to_s)))
 
     def served_share(self) -> float:
-        """Return the share of all requests that were served."""
+        """Return the served share of all requests."""
         return self.served.total() / max(1, self.sent.total())
 
 
 def figures(records: Records, scenario: Scenario) -> OverloadFigures:
-    """Work out the figures from a run's records, with `load` sampled."""
+    """Compute the figures of a run from its records, which must include `load` samples."""
     burst = scenario.faults[0]
     burst_end_s = burst.at_s + burst.seconds
     counts = _RequestCounts(records)
@@ -149,15 +150,15 @@
     settings: dict[str, Any] | None = None,
     dead_share: float = 0.0,
 ) -> tuple[OverloadFigures, list[Violation]]:
-    """Play the burst and judge it by all rules.
+    """Run the scenario and check all rules.
 
     Args:
-        gateways: their number.
-        size: of the burst, times the usual load.
-        seed: of all that is drawn.
-        fault: a deliberate fault of the gateways, by its name; none if empty.
-        settings: further ones of the scenario, as `lab run --set` has them.
-        dead_share: of the gateways that die as the burst begins and stay dead; the others don't learn it.
+        gateways: number of gateways.
+        size: load during the burst as a multiple of the usual load.
+        seed: seed of the random numbers.
+        fault: name of the fault to inject into the gateways; empty for none.
+        settings: further scenario settings, named as for `lab run --set`.
+        dead_share: share of the gateways that die for good when the burst begins; the others are not told.
 
     Raises:
         FileError: a value is out of range.
--- a/sagetrack/lab/benchmarks/paced_loads.py
+++ b/sagetrack/lab/benchmarks/paced_loads.py
@@ -1,6 +1,6 @@
-"""HTTP and DNS loads at an even rate on one gateway, and servers one of which turns slow meanwhile.
+"""Constant-rate HTTP and DNS loads on one gateway, and servers of which one becomes slow during the load.
 
-Each runs in a process of its own on one core; see `mixed_protocols`.
+Each load and each protocol's servers run in a process pinned to its own core, see `mixed_protocols`.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 from sagetrack.lab.benchmarks.measured_process import open_servers
 from sagetrack.lab.stand_ins.dns_clients import wire_query
 
-HTTP_OBJECTIVE_S, DNS_OBJECTIVE_S = 0.25, 0.5  # within which an answer is in time
-HTTP_SLOW_S, DNS_SLOW_S = 0.4, 1.0  # what a slow server takes
-SLOW_AFTER = 0.3  # share of the load's time during which all servers are well
+HTTP_OBJECTIVE_S, DNS_OBJECTIVE_S = 0.25, 0.5  # latency objectives: a response within them is in time
+HTTP_SLOW_S, DNS_SLOW_S = 0.4, 1.0  # response delay of the slow server
+SLOW_AFTER = 0.3  # share of the load's duration after which one server becomes slow
 SERVERS = 8
 HTTP_CONNECTIONS = 128
 DNS_SOCKETS = 8
-RESPONSE_GRACE_S = 2.0  # for answers that are still in transit at the end
-MAX_SEND_DELAY_S = 0.02  # a load whose requests left later than that ran late itself
+RESPONSE_GRACE_S = 2.0  # wait at the end of the load for responses still in transit
+MAX_SEND_DELAY_S = 0.02  # a load that sent a request later than this after its due time ran late
 
 
 class Protocol(StrEnum):
-    """What a load and its servers speak."""
+    """Protocol of a load and its servers."""
 
     HTTP = "http"
     DNS = "dns"
 
 
 class LoadOutcome(NamedTuple):
-    """What became of the requests of one load."""
+    """Outcomes of the requests of one load."""
 
     sent: int
-    in_time_share: float  # served within the objective
-    failed_share: float  # refused or failed
-    lost: int  # neither served nor failed
+    in_time_share: float  # share served within the latency objective
+    failed_share: float  # share rejected or failed
+    lost: int  # requests without any outcome
     p50_ms: float
     p99_ms: float
-    is_late: bool  # the load itself ran late
+    is_late: bool  # the load generator fell behind its rate, so the result is unreliable
 
 
 class _HttpServer(FixedResponseServer):
@@ -79,13 +79,13 @@
 
 
 def serve(core: int, protocol: Protocol, slow: Any, pipe: Connection) -> None:
-    """Run servers until killed; their ports go into the pipe.
+    """Run servers until killed, and send their ports through the pipe.
 
     Args:
-        core: where they run.
-        protocol: what they speak.
-        slow: a shared integer; the first server is slow while it isn't 0.
-        pipe: takes the list of ports.
+        core: CPU core to run on.
+        protocol: protocol of the servers.
+        slow: shared integer; the first server is slow while it is not 0.
+        pipe: receives the list of ports.
     """
     os.sched_setaffinity(0, {core})
 
@@ -108,7 +108,7 @@
 
 
 class _ObjectiveHttpLoad(HttpLoad):
-    """An open loop that also counts the requests that were served within the objective."""
+    """An open-loop load that also counts the requests served within the latency objective."""
 
     def __init__(self) -> None:
         super().__init__(closed_loop=False)
@@ -137,10 +137,10 @@
 
 
 class _DnsSocket(asyncio.DatagramProtocol):
-    """One client socket, whose queries are told apart by their id."""
+    """One client socket; its queries are matched to responses by their id."""
 
     def __init__(self) -> None:
-        self.due_s: dict[int, float] = {}  # by id, of the queries in flight
+        self.due_s: dict[int, float] = {}  # due times of the queries in flight, by id
         self.sent = 0
         self.answered = 0
         self.failed = 0
@@ -152,7 +152,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def send(self, due_s: float) -> None:
-        """Send a query, unless its id is still in use: it counts as lost then."""
+        """Send a query; if its id is still in use, the query is not sent and counts as lost."""
         self.sent += 1
         id_ = self.sent % QUERY_IDS
         if id_ not in self.due_s:
@@ -213,16 +213,16 @@
 def run_load(
     core: int, protocol: Protocol, port: int, rate: float, seconds: float, slow: Any, pipe: Connection
 ) -> None:
-    """Put load on a gateway; its `LoadOutcome` goes into the pipe.
+    """Run a load on a gateway, and send its `LoadOutcome` through the pipe.
 
     Args:
-        core: where the load runs.
-        protocol: what it speaks.
-        port: the gateway's, on loopback.
-        rate: requests a second.
-        seconds: length of the load.
-        slow: a shared integer that becomes 1 after `SLOW_AFTER` of that time, see `serve`.
-        pipe: takes the outcome.
+        core: CPU core to run on.
+        protocol: protocol of the load.
+        port: the gateway's loopback port.
+        rate: requests per second.
+        seconds: duration of the load.
+        slow: shared integer, set to 1 after the share `SLOW_AFTER` of the duration, see `serve`.
+        pipe: receives the outcome.
     """
     os.sched_setaffinity(0, {core})
 
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -1,9 +1,9 @@
-"""How long the real program takes from its start to its first 200 on /health/ready, by part.
+"""Time from the start of a real gateway process to its first 200 on /health/ready, by startup phase.
 
-What counts is CPU time, since a restarted process may have as little as a quarter of a core: of CPU seconds
-to ready, four times as many pass there if nothing else is waited for. CPU time is the kernel's count for the
-process: other work on the machine lengthens the elapsed times, and CPU time through caches that it shares.
-The parts are as the process logs them itself, in milliseconds of CPU and elapsed.
+The criterion is CPU time, because a restarted process may have as little as a quarter of a core: there,
+startup takes four times its CPU time if it waits for nothing else. CPU time is the kernel's count for the
+process. Other work on the machine increases the elapsed time, and through shared caches also the CPU time.
+The process logs the CPU and elapsed milliseconds of each startup phase itself.
 """
 
 from __future__ import annotations
@@ -34,20 +34,20 @@
 from sagetrack.store.format import Record
 from sagetrack.store.options import StoreOptions
 
-CORE_SHARE = 0.25  # of a core, that a restarted process may have
-READY_LIMIT_S = 10.0  # that nine in ten restarted processes may take
+CORE_SHARE = 0.25  # the share of a core that a restarted process may be limited to
+READY_LIMIT_S = 10.0  # the time within which 9 of 10 restarted processes have to be ready
 READY_TIMEOUT_S = 120.0
 POLL_INTERVAL_S = 0.02
-SLOW_DISCOVERY_S = 2.0  # that a slow discovery takes for an answer
-PHASES_PREFIX = "started; ms of CPU/elapsed: "  # in the log, before the parts of a start
-STORED_VALUE = bytes(150)  # as long as a second's record
-STORE_BATCH = 1000  # values that are written at once
+SLOW_DISCOVERY_S = 2.0  # response time of a slow discovery
+PHASES_PREFIX = "started; ms of CPU/elapsed: "  # of the log line that lists the startup phases
+STORED_VALUE = bytes(150)  # as long as the record that a gateway stores every second
+STORE_BATCH = 1000  # values per write
 SERVERS_PER_RACK = 20
 READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"
 
 
 class Discovery(StrEnum):
-    """How discovery behaves while a process starts."""
+    """Behaviour of discovery while a process starts."""
 
     ANSWERS = "answers"
     SLOW = "slow"
@@ -57,39 +57,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """What a process starts with, and who answers."""
+    """Conditions under which a process starts."""
 
     name: str
     servers: int = 25
     tenants: int = 10
-    gateways: int = 1  # the others listen for no datagram: with more than one, peers are silent
+    gateways: int = 1  # only one runs; the others are configured as peers that never respond
     discovery: Discovery = Discovery.ANSWERS
-    stored_values: int = 0  # 0: no store
+    stored_values: int = 0  # without a store if 0
     simultaneous_starts: int = 1
 
 
 @dataclass(slots=True)
 class CaseResult:
-    """One case: the worst of nine in ten starts, and the parts of the median one."""
+    """Startup times of one case, and the startup phases of the median start."""
 
     case: Case
-    cpu_s: list[float] = field(default_factory=list)  # of each start, in order of size
-    elapsed_s: list[float] = field(default_factory=list)  # the same
+    cpu_s: list[float] = field(default_factory=list)  # CPU time of each start, ascending
+    elapsed_s: list[float] = field(default_factory=list)  # elapsed time of each start, ascending
     phases: str = ""
 
     @property
     def quarter_core_s(self) -> float:
-        """Seconds to ready on a quarter of a core, of nine in ten."""
+        """90th percentile of the time to ready on a quarter of a core, in seconds."""
         return percentile_90(self.cpu_s) / CORE_SHARE
 
 
 def percentile_90(values: list[float]) -> float:
-    """Return the value that nine in ten do not pass; the list is in order of size."""
+    """Return the 90th percentile of a non-empty ascending list."""
     return values[-(-9 * len(values) // 10) - 1]
 
 
 def _target(name: str, **more: Any) -> Case:
-    """Return a case of the size that gateways are planned for."""
+    """Return a case of the fleet size that gateways are designed for."""
     return Case(name, servers=9_600, tenants=39_000, gateways=730, **more)
 
 
@@ -108,15 +108,15 @@
 
 
 class SlowDiscoveryAgent(DiscoveryAgent):
-    """Discovery that takes its time."""
+    """A discovery agent that delays its responses."""
 
     def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
-        """Answer after `SLOW_DISCOVERY_S`."""
+        """Respond after `SLOW_DISCOVERY_S`."""
         asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().answer, connection, since)
 
 
 def write_store(folder: Path, values: int) -> None:
-    """Write a store of so many values, as the process before left it."""
+    """Write a store with `values` values, as a previous process would have left it."""
     store = Store(DiskDirectory(folder), StoreOptions())
     store.open()
     at_ms = int(time.time() * 1000)
@@ -127,7 +127,7 @@
 
 
 def world_of(case: Case) -> World:
-    """Return a world of the case's size."""
+    """Return a simulated environment of the case's size."""
     tenants = [Tenant(f"t-{number}") for number in range(case.tenants)]
     fleet = Fleet(servers=case.servers, gateways=case.gateways)
     scenario = Scenario(name="readiness", fleet=fleet, tenants=tenants, peers=Peers(use=case.gateways > 1))
@@ -135,12 +135,12 @@
 
 
 def address_of(gateway: int, server: int) -> str:
-    """Return a server's address, where nobody listens: nothing is sent there."""
+    """Return a server's address. Nothing listens there, because no requests are sent."""
     return f"127.20.{server // 250}.{server % 250 + 1}:8000"
 
 
 def _discovery_of(case: Case, world: World) -> DiscoveryAgent:
-    """Return the case's discovery, which knows all servers."""
+    """Return the case's discovery agent, which lists all servers."""
     agent = (SlowDiscoveryAgent if case.discovery is Discovery.SLOW else DiscoveryAgent)(
         world, 0, address_of, 0
     )
@@ -154,20 +154,20 @@
 
 
 class StartedGateway(NamedTuple):
-    """A process that was started, and where it will listen."""
+    """A started process and its listen address."""
 
     process: GatewayProcess
     listen: str
-    started_s: float  # on the event loop's clock
+    started_s: float  # time of the event loop's clock
 
     def logged_phases(self) -> str:
-        """Return the parts of the start as the process logged them; empty if it has not yet."""
+        """Return the startup phases that the process logged; empty if it has not logged them yet."""
         log = self.process.log.read_text(errors="replace")
         return log.partition(PHASES_PREFIX)[2].partition("\n")[0]
 
 
 class ReadyTime(NamedTuple):
-    """What a process took until it was ready."""
+    """Time that a process took until it was ready."""
 
     cpu_s: float
     elapsed_s: float
@@ -176,20 +176,21 @@
 def start_gateway(
     case: Case, agent: DiscoveryAgent, settings: dict[str, Any], folder: Path
 ) -> StartedGateway:
-    """Start a process of the case.
+    """Start a gateway process under the conditions of the case.
 
     Args:
-        case: what it starts with.
-        agent: its discovery.
-        settings: the platform's.
-        folder: made for it; its name ends with a number that no other process of this time has.
+        case: conditions of the start.
+        agent: discovery agent of the process.
+        settings: platform settings.
+        folder: directory to create; its name ends with "-" and a number unique among concurrent starts.
     """
     folder.mkdir()
     operator = ""
     if case.stored_values:
         write_store(folder / "store", case.stored_values)
         operator = f'[log]\nformat = "plain"\nlevel = "debug"\n[store]\nfolder = "{folder / "store"}"\n'
-    host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"  # nobody sends requests from there
+    # Unique per concurrent process, and outside the addresses that requests are sent from.
+    host = f"127.11.{int(folder.name.rpartition('-')[2]) + 1}.1"
     listen = f"{host}:{free_port()}"
     config: dict[str, Any] = {
         "name": "g0",
@@ -209,7 +210,7 @@
 
 
 async def _is_ready(listen: str) -> bool:
-    """Return whether /health/ready is answered with 200; OSError if nobody listens."""
+    """Return whether /health/ready responds with 200; raises OSError if the connection fails."""
     host, _, port = listen.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(READY_REQUEST)
@@ -219,26 +220,28 @@
 
 
 async def wait_until_ready(start: StartedGateway) -> ReadyTime:
-    """Wait for a process's first 200 and return what it took.
+    """Wait until a process is ready, and return the time it took.
 
     Raises:
-        LabError: the process ended, or was not ready within `READY_TIMEOUT_S`.
+        LabError: the process exited, or was not ready within `READY_TIMEOUT_S`.
     """
     loop = asyncio.get_running_loop()
     gateway = start.process
     deadline_s = loop.time() + READY_TIMEOUT_S
     while loop.time() < deadline_s:
         if gateway.process.poll() is not None:
-            raise LabError(f"a gateway ended as it started: {gateway.last_log_line()}")
+            raise LabError(f"gateway exited during startup; last log line: {gateway.last_log_line()}")
         with suppress(OSError):
             if await _is_ready(start.listen):
                 return ReadyTime(cpu_s(gateway.process.pid), loop.time() - start.started_s)
         await asyncio.sleep(POLL_INTERVAL_S)
-    raise LabError(f"a gateway was not ready within {READY_TIMEOUT_S:g} s: {gateway.last_log_line()}")
+    raise LabError(
+        f"gateway not ready within {READY_TIMEOUT_S:g} s; last log line: {gateway.last_log_line()}"
+    )
 
 
 async def measure_case(case: Case, rounds: int, folder: Path) -> CaseResult:
-    """Play one case so many times.
+    """Measure `rounds` rounds of one case.
 
     Raises:
         LabError: a gateway did not start.
@@ -246,7 +249,7 @@
     world = world_of(case)
     settings = platform_settings(world.scenario, 0)
     agent = _discovery_of(case, world)
-    results: list[tuple[ReadyTime, str]] = []  # with the parts of the start
+    results: list[tuple[ReadyTime, str]] = []  # times and startup phases of each start
     for number in range(rounds):
         starts: list[StartedGateway] = []
         try:
@@ -269,12 +272,12 @@
 
 
 def measure(rounds: int, cases: tuple[Case, ...], progress: Callable[[float], None]) -> Iterator[CaseResult]:
-    """Play every case so many times; `progress` is called with the share of cases that are done.
+    """Measure `rounds` rounds of every case; `progress` is called with the share of finished cases.
 
     Raises:
         LabError: a gateway did not start.
     """
-    os.environ["SAGETRACK_STARTUP"] = "1"  # the process logs its parts
+    os.environ["SAGETRACK_STARTUP"] = "1"  # makes the process log its startup phases
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         for number, case in enumerate(cases):
             case_folder = Path(folder) / str(number)
--- a/sagetrack/lab/benchmarks/relays.py
+++ b/sagetrack/lab/benchmarks/relays.py
@@ -1,4 +1,8 @@
-"""Bare relays of TCP and UDP: the least that any gateway in Python would cost. They run until killed."""
+"""Minimal TCP and UDP relays, the baseline that the gateway's cost is compared with.
+
+They do nothing but forward bytes, so their cost is a lower bound for any proxy written in Python. Each relay
+runs in its own process until it is killed.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +18,25 @@
 
 
 def relay_command(function: str, *arguments: object) -> list[str]:
-    """Return the command that calls a function of this module in a process of its own."""
+    """Return the command line that calls a function of this module in a separate Python process."""
     argument_list = ", ".join(repr(argument) for argument in arguments)
     return [sys.executable, "-c", f"from {__name__} import {function}; {function}({argument_list})"]
 
 
 def relay_environment() -> Mapping[str, str]:
-    """Return the environment in which `relay_command` finds this module."""
+    """Return the environment variables with which the command of `relay_command` can import this module."""
     return os.environ | {"PYTHONPATH": str(ROOT)}
 
 
 class _RelaySide(asyncio.Protocol):
-    """One of the two connections of a relayed client."""
+    """One end of a relayed TCP connection: towards the client or towards the server."""
 
     def __init__(self) -> None:
         self.other: _RelaySide | None = None
         self.transport: asyncio.Transport | None = None
-        self.connecting: asyncio.Task[Any] | None = None  # kept, since the loop alone holds tasks weakly
-        self.pending_writes: list[bytes] = []  # to be written once there is a connection
+        # The event loop keeps only weak references to tasks, so this one prevents garbage collection.
+        self.connecting: asyncio.Task[Any] | None = None
+        self.pending_writes: list[bytes] = []  # received before this end was connected
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -51,7 +56,7 @@
 
 
 def relay_tcp(port: int, target_ports: list[int]) -> None:
-    """Relay the bytes of each client's connection to one server, taken in turn, and back."""
+    """Relay each client connection to one of the servers, chosen round-robin, in both directions."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -75,7 +80,7 @@
 
 
 class _RelayedClient(asyncio.DatagramProtocol):
-    """The socket towards the server that belongs to one client."""
+    """The upstream socket of one client: returns the server's datagrams to that client."""
 
     def __init__(self, listening: asyncio.DatagramTransport, client_address: Any) -> None:
         self.listening = listening
@@ -86,12 +91,12 @@
 
 
 class _DatagramRelay(asyncio.DatagramProtocol):
-    """The socket that clients send to."""
+    """The listening socket: forwards each client's datagrams through an upstream socket of its own."""
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
         self.loop = asyncio.get_running_loop()
-        self.sockets: dict[Any, asyncio.DatagramTransport] = {}  # towards the server, by client
+        self.sockets: dict[Any, asyncio.DatagramTransport] = {}  # upstream sockets by client address
         self.opening: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -116,7 +121,7 @@
 
 
 def relay_udp(port: int, target_port: int) -> None:
-    """Relay datagrams: each client has a socket of its own towards the server."""
+    """Relay datagrams between clients and one server, with one upstream socket per client."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -1,8 +1,8 @@
-"""What a gateway's restart costs: service in its first seconds, beside one that never died, by paired seeds.
+"""Effect of a gateway restart: service in the first seconds after it, compared with no restart at all.
 
-Each seed is played four times: the gateway never dies, it comes back without help, it comes back and asks
-its peers, it comes back with a store of its own. Counted are the requests whose first attempt went to the
-gateways that died, from when they were up again.
+Each seed runs in four variants: the gateway never dies, it restarts without any state, it restarts and
+requests state from its peers, or it restarts with a persistent store. Only requests whose first attempt goes
+to a restarted gateway within `MEASURED_S` after its restart count.
 """
 
 from __future__ import annotations
@@ -17,42 +17,42 @@
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, with_overrides
 
-MEASURED_S = 10.0  # after a gateway is up again
+MEASURED_S = 10.0  # time after a restart in which requests count
 VARIANTS = ("never", "without", "with", "store")
-VARIANT_LABELS = {"without": "without help", "with": "with help", "store": "with a store"}
+VARIANT_LABELS = {"without": "without saved state", "with": "with state from peers", "store": "with a store"}
 Play = Callable[[Scenario, int], Records]
 
 
 class Restart(NamedTuple):
-    """A gateway that came back."""
+    """A restart of a gateway."""
 
     gateway: int
     up_us: int
 
     def covers(self, gateway: int, time_us: int, seconds: float) -> bool:
-        """Return whether a time is within the gateway's first seconds."""
+        """Return whether `time_us` at this gateway is within `seconds` after the restart."""
         return gateway == self.gateway and self.up_us <= time_us < self.up_us + seconds * 1e6
 
 
 @dataclass(slots=True)
 class SeedResult:
-    """One seed in its variants."""
+    """Results of one seed, over all variants."""
 
     seed: int
-    service: dict[str, float] = field(default_factory=dict)  # share of the priority weight served, by variant
-    latency_ms: dict[str, float] = field(default_factory=dict)  # mean, by variant
-    violations: int = 0  # of rules, in all variants
+    service: dict[str, float] = field(default_factory=dict)  # served share of the priority weight, by variant
+    latency_ms: dict[str, float] = field(default_factory=dict)  # mean latency, by variant
+    violations: int = 0  # rule violations over all variants
 
 
 def variants(scenario: Scenario) -> dict[str, Scenario]:
-    """Return what is played, by the names in `VARIANTS`.
+    """Return the scenario of each variant, keyed by the names in `VARIANTS`.
 
     Raises:
-        ValueError: no gateway dies in the scenario.
+        ValueError: the scenario has no gateway death.
     """
     deaths = [n for n, fault in enumerate(scenario.faults, 1) if fault.kind == "gateway-death"]
     if not deaths:
-        raise ValueError(f"{scenario.name}: no gateway dies in it")
+        raise ValueError(f"{scenario.name}: the scenario has no gateway death")
     no_saved_state = {"peers.use": False, "store.use": False}
     no_deaths = {f"trouble.{n}.kind": "reload" for n in deaths}
     return {
@@ -64,7 +64,7 @@
 
 
 def restarts(records: Records) -> list[Restart]:
-    """Return the gateways that came back, and when."""
+    """Return the restarts of gateways in a run."""
     return [
         Restart(gateway, time_us)
         for _, time_us, gateway, state in records.of("gateway")
@@ -75,13 +75,13 @@
 def service_after_restarts(
     records: Records, scenario: Scenario, counted: list[Restart], seconds: float = MEASURED_S
 ) -> tuple[float, float]:
-    """Return the service and the mean latency of requests in the gateways' first seconds.
+    """Return the service and the mean latency of the requests within `seconds` after the given restarts.
 
     Returns:
-        The share of the requests' priority weight that was served, and the mean latency in milliseconds of
-        the requests that were served.
+        The served share of the requests' priority weight, and the mean latency of the served requests in
+        milliseconds.
     """
-    first_attempts = {row[8]: row for row in records.of("ask") if row[9] == 1}  # by request
+    first_attempts = {row[8]: row for row in records.of("ask") if row[9] == 1}  # keyed by request
     total_weight = 0.0
     served_weight = 0.0
     latencies_ms = []
@@ -99,11 +99,11 @@
 
 
 def play_seed(scenario: Scenario, seed: int, play: Play) -> SeedResult:
-    """Play one seed in its variants."""
+    """Run one seed in all variants."""
     result = SeedResult(seed)
     scenarios = variants(scenario)
     records = {name: play(variant, seed) for name, variant in scenarios.items()}
-    reference = restarts(records["with"])
+    reference = restarts(records["with"])  # the measured times of the variant without restarts
     for name, played in records.items():
         counted = reference if name == "never" else restarts(played)
         result.service[name], result.latency_ms[name] = service_after_restarts(played, scenario, counted)
@@ -114,7 +114,7 @@
 def play_seeds(
     scenario: Scenario, seeds: range, play: Play, workers: int, progress: Callable[[float], None]
 ) -> list[SeedResult]:
-    """Play all seeds, so many at a time; `progress` is called with the share that is done."""
+    """Run all seeds, `workers` at a time; `progress` is called with the share of finished seeds."""
     results = []
     with ThreadPoolExecutor(workers) as pool:
         for result in pool.map(lambda seed: play_seed(scenario, seed, play), seeds):
@@ -124,7 +124,7 @@
 
 
 def summary(results: list[SeedResult]) -> list[str]:
-    """Return lines for people, with the spread over seeds."""
+    """Return a human-readable summary: means over the seeds, with their range and standard deviation."""
     lines = []
     for name in VARIANTS:
         service = [result.service[name] for result in results]
@@ -139,5 +139,5 @@
         spread = statistics.stdev(lost) if len(lost) > 1 else 0.0
         losses.append(f"{description} {statistics.fmean(lost):+.4f} (sd {spread:.4f})")
     violations = sum(result.violations for result in results)
-    lines.append(f"lost {', '.join(losses)}, over {len(results)} seeds; {violations} rules broken")
+    lines.append(f"service lost {', '.join(losses)}, over {len(results)} seeds; {violations} rule violations")
     return lines
--- a/sagetrack/lab/benchmarks/rows.py
+++ b/sagetrack/lab/benchmarks/rows.py
@@ -1,4 +1,4 @@
-"""Rows of results for JSON and printed tables."""
+"""Formatting of result rows for JSON output and printed tables."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def rounded(row: dict[str, Any], digits: int) -> dict[str, Any]:
-    """Return the row with its floats rounded; other values stay as they are."""
+    """Return a copy of the row whose floats are rounded to `digits` decimal places."""
     return {key: round(value, digits) if isinstance(value, float) else value for key, value in row.items()}
--- a/sagetrack/lab/benchmarks/slow_start.py
+++ b/sagetrack/lab/benchmarks/slow_start.py
@@ -1,7 +1,7 @@
-"""A virtual fleet in front of cold servers: do all gateways together send them no more than they can bear?
+"""Slow start in a virtual fleet: whether all gateways together overload servers that start cold.
 
-Each case is scenarios/cold-fleet.toml, altered. The clock is simulated: the same figures for the same case,
-size and seed on every machine. What is counted is in `slow_start_figures`.
+Each case is a variation of scenarios/cold-fleet.toml. The clock is simulated, so a case, number of gateways
+and seed give the same figures on every machine. `slow_start_figures` computes the figures.
 """
 
 from __future__ import annotations
@@ -35,23 +35,24 @@
 
 SCENARIO = SCENARIOS / "cold-fleet.toml"
 MAX_GATEWAYS = 1000
-OVERLAP_S = 6.0  # that an old and a new process both take requests
+OVERLAP_S = 6.0  # time for which the old and the new process of an upgrade both accept requests
 
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """One way in which servers start cold."""
+    """One set of conditions under which servers start cold."""
 
     name: str
     description: str
-    settings: dict[str, Any] = field(default_factory=dict)  # of the scenario, as `lab run --set` has them
-    faults: tuple[ScheduledFault, ...] = ()  # beside those of the scenario
-    fleet_size_delay_s: float = 0.0  # until all learn how many gateways live; 0: they never do
-    overlap_s: float = 0.0  # that both processes of an upgrade take requests
-    saves_at_exit: bool = False  # gateways that end save what they know then; else only once a second
+    settings: dict[str, Any] = field(default_factory=dict)  # scenario settings, named as for `lab run --set`
+    faults: tuple[ScheduledFault, ...] = ()  # in addition to those of the scenario
+    # Delay until gateways learn how many gateways are alive after a change; if 0, they never learn it.
+    fleet_size_delay_s: float = 0.0
+    overlap_s: float = 0.0  # time for which both processes of an upgrade accept requests
+    saves_at_exit: bool = False  # whether gateways save their observations on exit, not only once a second
 
     def scenario(self, gateways: int, seconds: float = 0.0) -> Scenario:
-        """Return what is played, at another length than the scenario's if `seconds` is not 0.
+        """Return the scenario of the case, with a duration of `seconds` if it is not 0.
 
         Raises:
             FileError: a value is out of range.
@@ -69,11 +70,12 @@
 
 
 FEW_COLD = {"trouble.1.part": 0.12}
-SHORT_LIMITS = {  # attempts are cut short, so that capacity is soon free again
+SHORT_LIMITS = {  # short time limits: attempts are cancelled early, which soon frees capacity
     "class.1.aim_ms": 1000,
     "class.1.deadline_ms": 3000,
 }
-BURST = ScheduledFault(kind="burst", at_s=3.5, seconds=14.5, size=2.5)  # just as the cold servers are listed
+# The burst starts when the cold servers enter the endpoint list.
+BURST = ScheduledFault(kind="burst", at_s=3.5, seconds=14.5, size=2.5)
 ROLLING_RESTARTS = tuple(_gateway_death(4.0 + 0.6 * number, 0.1, 1.0) for number in range(12))
 CASES = {
     case.name: case
@@ -84,26 +86,26 @@
         Case("few-jump", "three of 25 cold, load jumps 2.5 times", FEW_COLD | {"load.rate": 120}, (BURST,)),
         Case(
             "deaths",
-            "a third of the gateways is killed four times; the number is known 5 s late",
+            "a third of the gateways is killed four times; the fleet size is known 5 s late",
             faults=tuple(_gateway_death(at_s, 0.3, 0.34) for at_s in (4.5, 5.5, 7.0, 10.0)),
             fleet_size_delay_s=5.0,
         ),
         Case(
             "restarts",
-            "all gateways end in order and start again every 0.6 s",
+            "all gateways shut down gracefully and restart every 0.6 s",
             SHORT_LIMITS,
             (BURST, *ROLLING_RESTARTS),
             saves_at_exit=True,
         ),
         Case(
             "late-number",
-            "four in ten gateways die and return; the others know 5 s later",
+            "four in ten gateways die and return; the others learn it 5 s later",
             faults=(_gateway_death(0.5, 6.0, 0.4),),
             fleet_size_delay_s=5.0,
         ),
         Case(
             "overlap",
-            "all gateways are upgraded: old and new process take requests for 6 s",
+            "all gateways are upgraded: old and new processes accept requests for 6 s",
             faults=(ScheduledFault(kind="gateway-upgrade", at_s=3.5, seconds=1, share=1.0),),
             overlap_s=OVERLAP_S,
         ),
@@ -112,24 +114,24 @@
 
 
 class SlowStartGateways(VirtualGateways):
-    """Gateways that learn their number late, and whose old process takes requests beside the new one."""
+    """Gateways that learn the fleet size late, and whose processes overlap during an upgrade."""
 
     def __init__(
         self, case: Case, world: World, clock: SimClock, make: Callable[..., VirtualGateway]
     ) -> None:
         super().__init__(world, clock, make)
         self.case = case
-        self.old_processes: dict[int, VirtualGateway] = {}  # by gateway, while an upgrade goes on
-        self.sent = 0  # requests; every second one goes to the old process if there are two
+        self.old_processes: dict[int, VirtualGateway] = {}  # by gateway number, during an upgrade
+        self.sent = 0  # number of requests; during an upgrade, every second one goes to the old process
 
     def handle_in_all_processes(self, number: int, event: Event) -> None:
-        """Hand an event to each process of a gateway."""
+        """Pass an event to each process of a gateway."""
         for process in (self.running.get(number), self.old_processes.get(number)):
             if process is not None:
                 process.handle(event)
 
     def kill(self, gateway: int) -> None:
-        """End a gateway; it saves what it knows first if the case says so."""
+        """Stop a gateway; it saves its observations first if the case has `saves_at_exit`."""
         if self.case.saves_at_exit:
             observations, latencies = self.running[gateway].balancer.own_observations()
             self.stored_observations[gateway] = ObservationsReceived(tuple(observations), tuple(latencies))
@@ -137,7 +139,7 @@
         self._announce_fleet_size_later()
 
     def restart(self, gateway: int) -> None:
-        """Start a gateway again."""
+        """Restart a gateway."""
         super().restart(gateway)
         self._announce_fleet_size_later()
 
@@ -148,12 +150,12 @@
             self.clock.call_at(due_us, lambda: self.announce_fleet_size(alive))
 
     def announce_fleet_size(self, alive: int) -> None:
-        """Let all gateways know that so many live."""
+        """Tell all gateways how many gateways are alive."""
         for number in sorted(self.running):
             self.handle_in_all_processes(number, FleetSizeChanged(alive))
 
     def upgrade(self, gateway: int) -> None:
-        """Start a gateway's new process; the old one leaves after the case's overlap."""
+        """Start the new process of a gateway; the old one stops after the overlap time of the case."""
         old = self.running[gateway]
         super().upgrade(gateway)
         self.old_processes[gateway] = old
@@ -166,7 +168,7 @@
         self.clock.call_at(self.clock.now_us() + int(self.case.overlap_s * 1e6), stop_old_process)
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Send a request to a gateway; of two processes, to each in turn."""
+        """Send a request to a gateway; during an upgrade, to its two processes in alternation."""
         old = self.old_processes.get(attempt.gateway)
         self.sent += 1
         if old is None or self.sent % 2:
@@ -175,13 +177,13 @@
         self.clock.call_at(self.clock.now_us() + self.network.client_delay_us(), lambda: old.receive(attempt))
 
     def disconnect(self, attempt: ClientAttempt) -> None:
-        """Let each process know that a client has gone."""
+        """Tell each process that the client has disconnected."""
         super().disconnect(attempt)
         if (old := self.old_processes.get(attempt.gateway)) is not None:
             old.on_disconnect(attempt)
 
     def send_endpoints(self, gateway: int, entries: list[EndpointEntry], is_complete: bool) -> None:
-        """Send entries of the endpoint list, or all of it, to each process of a gateway."""
+        """Send an update of the endpoint list, or the complete list, to each process of a gateway."""
         super().send_endpoints(gateway, entries, is_complete)
         if (old := self.old_processes.get(gateway)) is not None:
             kind = ListKind.FULL if is_complete else ListKind.DELTA
@@ -196,15 +198,15 @@
     progress: Callable[[float], None] | None = None,
     seconds: float = 0.0,
 ) -> tuple[SlowStartFigures, list[Violation]]:
-    """Play a case and judge it by all rules.
+    """Run a case and check all rules.
 
     Args:
-        case: what is played.
-        gateways: their number.
-        seed: of all that is drawn.
-        fault: a deliberate fault of the gateways, by its name; none if empty.
-        progress: called with the share of the run that has been played.
-        seconds: length of the run, if not 0 instead of the scenario's.
+        case: the case to run.
+        gateways: number of gateways.
+        seed: seed of the random numbers.
+        fault: name of the fault to inject into the gateways; empty for none.
+        progress: called with the share of the run that is finished.
+        seconds: duration of the run; if 0, the duration of the scenario.
 
     Raises:
         FileError: a value is out of range.
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -1,6 +1,6 @@
-"""Figures of servers that start cold and warm up: what all gateways sent to them, and what they could do.
+"""Slow start figures: the load that all gateways sent to cold servers, compared with the servers' capacity.
 
-They are worked out from a run's records alone; `records.FIELDS` says what a record holds.
+The figures are computed from the records of a run; `records.FIELDS` describes the fields of a record.
 """
 
 from __future__ import annotations
@@ -15,39 +15,45 @@
 from sagetrack.lab.benchmarks.rows import rounded
 from sagetrack.lab.model.scenario import Scenario
 
-COMPARED_US = 12_000_000  # after the first cold start: capacity and work of that time are compared
-STEP_US = 100_000  # in which they are compared
-OFFERED_STEPS = 1_000_000 // STEP_US  # over which the work that is asked for is averaged
+# Time after the first cold start over which the load on cold servers is compared with their capacity.
+COMPARED_US = 12_000_000
+STEP_US = 100_000  # time step of that comparison
+OFFERED_STEPS = 1_000_000 // STEP_US  # number of steps over which offered work is averaged
 
 
 @dataclass(slots=True)
 class SlowStartFigures:
-    """What servers that started cold were sent, over all gateways. Requests are of mean work."""
+    """Load on servers that start cold, summed over all gateways.
+
+    Capacity is given in requests of the scenario's mean work.
+    """
 
     gateways: int
     case: str
     seed: int
-    cold_servers: int  # that started cold
-    crashed: int  # of these
-    windows: int = 0
-    windows_over_budget: int = 0  # with more than N + 2 x root of N + 2 requests
-    max_window_requests: float = 0.0  # that a window had, as a share of its budget
-    max_window_work: float = 0.0  # the same by the work that was drawn for each request
-    usable_requests: float = 0.0  # that cold servers could have done in FIRST_US, as far as there was work
-    received_requests: float = 0.0  # that reached them then, no more of them than a server can do
-    answered: int = 0  # by them then, and taken by the client
-    first_attempts: int = 0  # in that time
-    served_in_time: int = 0  # requests asked for in that time that were answered within their objective
+    cold_servers: int  # number of servers that started cold
+    crashed: int  # number of these that crashed
+    windows: int = 0  # number of warm-up windows, see `warm_up_windows`
+    # Windows with more than N + 2 * sqrt(N) + 2 requests, where N is the budget that its warm-up allows.
+    windows_over_budget: int = 0
+    max_window_requests: float = 0.0  # maximum of a window's requests relative to its budget
+    max_window_work: float = 0.0  # the same for the actual work of the requests
+    # The following are counted within COMPARED_US after the first cold start.
+    usable_requests: float = 0.0  # capacity of cold servers for which there was work
+    received_requests: float = 0.0  # requests that reached cold servers, at most the capacity of each
+    answered: int = 0  # responses of cold servers that the clients accepted
+    first_attempts: int = 0  # first attempts of all requests
+    served_in_time: int = 0  # requests due in that time that were served within their objective
 
     @property
     def used_share(self) -> float:
-        """Share of the usable requests that were received; 1 where there was no work for cold servers."""
+        """`received_requests` relative to `usable_requests`; 1 if there was no work for cold servers."""
         return min(1.0, self.received_requests / self.usable_requests) if self.usable_requests else 1.0
 
     def to_json(self) -> dict[str, Any]:
         """Return the figures rounded to 4 digits.
 
-        The keys stay as they were stored from the first; the fields have today's names.
+        The keys are kept for compatibility with stored results, so some differ from the field names.
         """
         row = {
             "gateways": self.gateways,
@@ -70,17 +76,17 @@
 
 
 class _Server(NamedTuple):
-    """A server's life. Times in microseconds of the run."""
+    """Start, stop and capacity of a server. Times are microseconds since the start of the run."""
 
     number: int
     started_us: int
-    stopped_us: float  # infinite if it did not
+    stopped_us: float  # infinity if it did not stop
     crashed: bool
-    is_cold: bool  # when it starts
-    capacity: float  # in cores, when it is warm
+    is_cold: bool  # whether it starts cold
+    capacity: float  # number of cores that it has when warm
 
     def is_up(self, time_us: int) -> bool:
-        """Return whether it has not stopped by then."""
+        """Return whether the server has not stopped by `time_us`."""
         return self.stopped_us > time_us
 
 
@@ -94,11 +100,11 @@
 
 
 def figures(records: Records, scenario: Scenario, case: str = "") -> SlowStartFigures:
-    """Work out the figures of a run.
+    """Compute the figures of a run.
 
-    The work that there is for cold servers is that of the first attempts in the second before, less what the
-    warm servers can do. What cold servers could have done is the smaller of that and of their capacity, step
-    by step, as they warm up.
+    The work available for cold servers is the offered work, averaged over the last second of first attempts,
+    less the capacity of the warm servers. The usable capacity of cold servers is the smaller of this and
+    their capacity while warming up, summed over all time steps.
     """
     servers = _servers(records)
     cold = [server for server in servers if server.is_cold]
@@ -134,7 +140,7 @@
 def _offered_work_us(
     result: SlowStartFigures, records: Records, scenario: Scenario, steps: range
 ) -> dict[int, float]:
-    """Return the mean work of first attempts by step, and count those of `steps`."""
+    """Return the offered work of first attempts by step, and count the first attempts within `steps`."""
     offered_us: dict[int, float] = defaultdict(float)
     for _, time_us, _, _, class_index, _, _, _, _, attempt in records.of("ask"):
         if attempt == 1:
@@ -151,7 +157,7 @@
     offered_us: dict[int, float],
     steps: range,
 ) -> dict[int, float]:
-    """Add up what cold servers could have done; returns each one's capacity in requests over all steps."""
+    """Sum up the usable capacity of cold servers, and return each one's total capacity in requests."""
     mean_work_us = scenario.mean_work_ms * 1000
     capacities: dict[int, float] = {server.number: 0.0 for server in servers if server.is_cold}
     for step in steps:
@@ -176,9 +182,9 @@
 def _add_received(
     result: SlowStartFigures, records: Records, capacities: dict[int, float], end_us: int
 ) -> None:
-    """Count what cold servers received and answered before `end_us`."""
+    """Count the requests that cold servers received and answered before `end_us`."""
     received: dict[int, int] = defaultdict(int)
-    last_server: dict[str, int] = {}  # by attempt of a client: the server that took it last
+    last_server: dict[str, int] = {}  # the last server that accepted each client attempt
     for _, time_us, call, server, _, verdict, _, _ in records.of("recv"):
         if verdict == "taken":
             last_server[call] = server
@@ -193,7 +199,7 @@
 
 
 def warmth(scenario: Scenario, age_us: int) -> float:
-    """Return the share of its capacity that a server has at an age after a cold start, as in the model."""
+    """Return the share of its full capacity that the model gives a server `age_us` after a cold start."""
     fleet = scenario.fleet
     warm_up_us = fleet.cold_s * 1e6
     if age_us >= warm_up_us:
--- a/sagetrack/lab/benchmarks/sweep.py
+++ b/sagetrack/lab/benchmarks/sweep.py
@@ -1,7 +1,7 @@
-"""Many runs over seeds and settings, on all cores, which can be interrupted and resumed.
+"""Parallel runs of a scenario over seeds and settings, which can be interrupted and resumed.
 
-Results are JSON lines, one a run, in the order of the plan. A run that is in the file already is
-not played again, so that a sweep which was cut off goes on where it stopped. `comparison` compares two files.
+The result file has one JSON line per run, in the order of the jobs. A run that the file already contains is
+not repeated, so an interrupted sweep resumes where it stopped. `comparison` compares two result files.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from sagetrack.lab.analysis.judges import judge
 from sagetrack.lab.model.scenario import Scenario, with_overrides
 
-Row = dict[str, Any]  # one run's results, as a line of the file
+Row = dict[str, Any]  # the results of one run: one line of the file
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
 
     @property
     def id(self) -> str:
-        """The same for the same scenario, settings, seed and fault."""
+        """Hash of the scenario, settings, seed and fault, which identifies the job across sweeps."""
         serialized = json.dumps(
             [msgspec.to_builtins(self.scenario), self.settings, self.seed, self.fault],
             sort_keys=True,
@@ -47,13 +47,13 @@
 
 
 def plan(scenario: Scenario, seeds: range, settings: dict[str, list[Any]], fault: str = "") -> list[Job]:
-    """Return a job for each combination of values and each seed.
+    """Return one job per combination of setting values and seed.
 
     Args:
-        scenario: what is played.
-        seeds: of the runs.
-        settings: values to try, by the scenario's setting.
-        fault: a deliberate fault of the gateways, by its name; none if empty.
+        scenario: the scenario before the settings are applied.
+        seeds: seeds of the runs.
+        settings: values to try, by setting name.
+        fault: name of the fault to inject into the gateways; empty for none.
 
     Raises:
         FileError: the scenario has no such setting.
@@ -67,7 +67,7 @@
 
 
 def play(job: Job) -> Row:
-    """Play one run in virtual time and return its row."""
+    """Run one job in virtual time and return its row."""
     from sagetrack.lab.virtual.simulation import simulate
 
     start_s = time.perf_counter()
@@ -84,9 +84,9 @@
 
 
 def read_rows(path: Path) -> dict[str, Row]:
-    """Return the rows of a file by their job's id; none if there is no file.
+    """Return the rows of a file by job id; an empty dict if the file does not exist.
 
-    Lines that are no row are left out: the last one may have been cut short.
+    Invalid lines are skipped, because an interrupted sweep may leave a truncated last line.
     """
     rows: dict[str, Row] = {}
     if path.exists():
@@ -100,11 +100,11 @@
 
 
 def _ignore_interrupts() -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends the workers
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process stops the workers
 
 
 def _end_last_line(path: Path) -> None:
-    """See that what is appended begins a new line, also after one that was cut short."""
+    """End a truncated last line with a newline, so that appended rows start on a new line."""
     if path.exists() and path.stat().st_size and not path.read_bytes().endswith(b"\n"):
         with path.open("a") as file:
             file.write("\n")
@@ -113,16 +113,16 @@
 def sweep(
     jobs: list[Job], path: Path, workers: int, progress: Callable[[int, int], None] = lambda done, total: None
 ) -> list[Row]:
-    """Play the jobs that a file has no row of, and append their rows.
+    """Run the jobs whose results a file does not have, and append their rows to it.
 
     Args:
-        jobs: all of the sweep.
-        path: the file; made with its folder if it isn't there.
-        workers: processes at the most.
-        progress: called with the number of rows there are and of all jobs.
+        jobs: all jobs of the sweep.
+        path: the result file; created with its directory if missing.
+        workers: maximum number of worker processes.
+        progress: called with the number of finished jobs and the number of all jobs.
 
     Returns:
-        The rows of all jobs, in their order.
+        The rows of all jobs, in the order of the jobs.
     """
     rows = read_rows(path)
     missing = [job for job in jobs if job.id not in rows]
@@ -131,7 +131,7 @@
     path.parent.mkdir(parents=True, exist_ok=True)
     _end_last_line(path)
     if missing:
-        # Not by plain forks: a child of a process with threads may wait for a lock that it was born with.
+        # Not "fork": the child of a multithreaded process may inherit a held lock and deadlock on it.
         context = multiprocessing.get_context("forkserver")
         with (
             path.open("a") as file,
--- a/sagetrack/lab/benchmarks/throughput.py
+++ b/sagetrack/lab/benchmarks/throughput.py
@@ -1,8 +1,8 @@
-"""What a request costs: the gateway on one core, beside a bare relay on the same core in the same run.
+"""Throughput, latency and CPU cost of a request: the gateway on one core, compared with a minimal relay.
 
-Servers answer at once, so that all that is measured is the gateway. Rounds of the relay and of each build
-take turns; the load comes from other cores, in a closed loop to find the highest throughput, then in an open
-loop at a share of that, see `http_load`.
+Servers respond immediately, so that only the gateway is measured. Rounds of the relay and of each build
+alternate on the same core. The load runs on another core: a closed loop finds the maximum throughput, then an
+open loop runs at a fixed rate or at a share of the maximum, whichever is lower; see `http_load`.
 """
 
 from __future__ import annotations
@@ -43,14 +43,15 @@
 from sagetrack.lab.processes.resource_usage import cpu_s, free_port, memory_mb
 
 RELAY = "relay"
-OPEN_LOOP_SHARE = 0.6  # of the highest throughput: the open loop's rate at the most
-OPEN_LOOP_RATE = 1000.0  # a second; the same for every subject, so that the cost of a request can be compared
+OPEN_LOOP_SHARE = 0.6  # upper limit of the open loop's rate, as a share of the maximum throughput
+# Requests per second. All subjects have the same rate, so that their CPU time per request is comparable.
+OPEN_LOOP_RATE = 1000.0
 CLOSED_LOOP_CONNECTIONS = 32
 OPEN_LOOP_CONNECTIONS = 4 * CLOSED_LOOP_CONNECTIONS
-MAX_WARM_UP_S = 1.0  # of load before a measurement, at the most
-MAX_FAILED = 0.01  # share of the open loop's requests, beyond which a measurement is worthless
-MIN_COMPLETED = 0.99  # share of the planned requests: with fewer, the load ran late
-GATEWAY_CORE, SERVER_CORE, LOAD_CORE, NEWER_SERVER_CORE = range(4)  # places among the cores that may be used
+MAX_WARM_UP_S = 1.0  # maximum duration of the load before a measurement
+MAX_FAILED = 0.01  # a measurement with a larger share of failed open-loop requests is rejected
+MIN_COMPLETED = 0.99  # with a smaller share of the planned requests completed, the load ran late
+GATEWAY_CORE, SERVER_CORE, LOAD_CORE, NEWER_SERVER_CORE = range(4)  # positions in the list of available cores
 SPARE_FILES = 2000
 FILES_PER_SERVER = 4
 PACKAGE, PACKAGE_OF_OLD_BUILDS = "sagetrack", "cloverkeel"
@@ -58,31 +59,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Subject:
-    """What is measured: the relay, or a build of the gateway."""
+    """A measured program: the relay, or a build of the gateway."""
 
     name: str
-    build: Path | None = None  # None: the relay
-    newer: bool = False  # in front of servers of the newer format
+    build: Path | None = None  # source checkout of the gateway; None for the relay
+    newer: bool = False  # the servers use the newer protocol format (gRPC)
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """One round."""
+    """Result of one round."""
 
     subject: str
     servers: int
-    requests_per_s: float  # served, closed loop
-    failed_share: float  # of requests, closed loop
-    cpu_us: float  # of the measured process for each request, open loop
-    p50_ms: float  # this and the following: open loop
+    requests_per_s: float  # requests served per second in the closed loop
+    failed_share: float  # share of the closed loop's requests
+    cpu_us: float  # CPU time of the measured process per request of the open loop
+    p50_ms: float  # latency percentiles of the open loop
     p99_ms: float
     p999_ms: float
     memory_mb: float
-    is_late: bool  # the load itself ran late
+    is_late: bool  # the load generator fell behind its rate, so the result is unreliable
 
 
 class _Servers(NamedTuple):
-    """Where the servers of a round are."""
+    """Ports of the servers of a round."""
 
     ports: list[int]
     newer_ports: list[int]
@@ -97,7 +98,7 @@
 
 
 def _serve(count: int, core: int, pipe: Connection) -> None:
-    """Run servers and a silent discovery until killed; their ports go into the pipe."""
+    """Run servers and a discovery that never responds until killed, and send their ports through the pipe."""
     os.sched_setaffinity(0, {core})
 
     async def main() -> None:
@@ -110,7 +111,7 @@
 
 
 def _serve_newer(count: int, core: int, pipe: Connection) -> None:
-    """Run servers of the newer format until killed; their ports go into the pipe."""
+    """Run servers of the newer format until killed, and send their ports through the pipe."""
     from sagetrack.lab.stand_ins.grpc_server import GrpcServerConnection
 
     os.sched_setaffinity(0, {core})
@@ -159,7 +160,7 @@
 
 
 async def _run_load(port: int, pid: int, seconds: float) -> _Measurement:
-    """Warm up, find the highest throughput in a closed loop, then measure in an open loop."""
+    """Warm up, find the maximum throughput in a closed loop, then measure in an open loop."""
     await run_http_load(port, CLOSED_LOOP_CONNECTIONS, min(MAX_WARM_UP_S, seconds / 3))
     closed_loop = await run_http_load(port, CLOSED_LOOP_CONNECTIONS, seconds)
     rate = max(1.0, min(OPEN_LOOP_RATE, OPEN_LOOP_SHARE * closed_loop.succeeded / seconds))
@@ -179,7 +180,7 @@
         completed = open_loop.succeeded + open_loop.failed
         if open_loop.failed > MAX_FAILED * max(1, completed):
             raise LabError(
-                f"{subject.name}: {open_loop.failed} of {completed} requests failed at {rate:.0f} a second"
+                f"{subject.name}: {open_loop.failed} of {completed} requests failed at {rate:.0f} requests/s"
             )
         return Result(
             subject=subject.name,
@@ -196,7 +197,7 @@
 
 
 def _subjects(round_number: int, builds: list[Path], newer: bool) -> Iterator[Subject]:
-    """Yield what is measured in a round: relay first and builds in order, then the other way round."""
+    """Yield the subjects of a round: relay first, then the builds; in the reverse order in odd rounds."""
     order = [None, *builds] if round_number % 2 == 0 else [*reversed(builds), None]
     for build in order:
         if build is None:
@@ -215,18 +216,18 @@
     progress: Callable[[int, int], None],
     newer: bool = False,
 ) -> list[Result]:
-    """Measure the relay and each build by turns, for each number of servers.
+    """Measure the relay and each build in alternation, for each number of servers.
 
     Args:
-        sizes: numbers of servers.
-        seconds: length of each load.
-        rounds: measurements of each subject at each size.
-        builds: checkouts of the gateway.
-        progress: called with the number of measurements that are done and of all.
-        newer: the first build also in front of as many servers of the newer format, on a core of their own.
+        sizes: numbers of servers to measure with.
+        seconds: duration of each load.
+        rounds: number of measurements of each subject at each size.
+        builds: source checkouts of the gateway.
+        progress: called with the number of finished measurements and the number of all measurements.
+        newer: also measure the first build with servers of the newer format, which need a fourth core.
 
     Raises:
-        LabError: there are too few cores or descriptors, or a round failed.
+        LabError: too few cores or file descriptors are available, or a round failed.
     """
     cores = require_cores(3, "the gateway, the servers and the load need one each")
     require_file_descriptors(SPARE_FILES + FILES_PER_SERVER * max(sizes))
@@ -244,10 +245,10 @@
 
 
 def summary(results: list[Result]) -> list[dict[str, Any]]:
-    """Return a row of medians over rounds for each size and subject, for JSON and the printed table.
+    """Return a row of medians over the rounds per size and subject, for JSON and the printed table.
 
-    `cpu_us_range` is the smallest and largest CPU time of a request, `times_relay` the median as a multiple
-    of the relay's.
+    `cpu_us_range` is the smallest and the largest CPU time per request over the rounds. `times_relay` is the
+    median CPU time per request as a multiple of the relay's.
     """
     rows = []
     for size in dict.fromkeys(result.servers for result in results):
@@ -264,7 +265,7 @@
         return float(statistics.median(getattr(result, field) for result in rounds))
 
     cpu_us = [result.cpu_us for result in rounds]
-    # The keys stay as they were stored and printed from the first; the fields have today's names.
+    # The keys are kept for compatibility with stored results, so some differ from the field names.
     return {
         "what": rounds[0].subject,
         "servers": rounds[0].servers,
