--- a/sagetrack/cli/lab_app.py
+++ b/sagetrack/cli/lab_app.py
@@ -1,4 +1,4 @@
-"""What the commands of `sagetrack lab` share: options, exit statuses, plain errors, progress, tables."""
+"""Shared code of the `sagetrack lab` commands: options, exit statuses, errors, progress, tables."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 if TYPE_CHECKING:
     from sagetrack.lab.model.scenario import Scenario
 
-INTERRUPTED = 130
-SHOWN = 10  # violations or failures that are printed
+INTERRUPTED = 130  # exit status after SIGINT, as shells report it
+MAX_PRINTED_FAILURES = 10
 
 SetOption = Annotated[
-    list[str] | None, typer.Option("--set", help="another value, as in load.use=0.7; may be given again")
+    list[str] | None,
+    typer.Option("--set", help="override a scenario value, for example load.use=0.7; repeatable"),
 ]
 
 
-def fail(line: str) -> typer.Exit:
-    """Print one line that says why a command cannot continue; exit 2."""
+def error_exit(line: str) -> typer.Exit:
+    """Print a one-line error; return the exception that exits with status 2."""
     print(f"sagetrack: {line}", file=sys.stderr)
     return typer.Exit(2)
 
 
 def check_fault(fault: str, known: Sequence[str]) -> None:
-    """Exit 2 with one line for a deliberate fault that is not known."""
+    """Reject an unknown name of an injected fault: print one line and exit with status 2."""
     if fault and fault not in known:
-        raise fail(f"--fault {fault}: allowed are {', '.join(known)}")
+        raise error_exit(f"--fault {fault}: allowed are {', '.join(known)}")
 
 
-def exit_with(failures: list[str]) -> typer.Exit:
-    """Print the first failures; exit 1 if there are any."""
-    for line in failures[:SHOWN]:
+def failures_exit(failures: list[str]) -> typer.Exit:
+    """Print the first failures; return the exception that exits with status 1 if there are any."""
+    for line in failures[:MAX_PRINTED_FAILURES]:
         print(line)
     return typer.Exit(1 if failures else 0)
 
 
-def integers_of(option: str, text: str, example: str, most: int | None = None) -> list[int]:
-    """Integers from 1, as `3,20,30`; exit 2 with one line for other forms and for larger ones than `most`."""
+def parse_integers(option: str, text: str, example: str, most: int | None = None) -> list[int]:
+    """Parse positive integers such as `3,20,30`, each at most `most`; exit 2 if invalid."""
     try:
         numbers = [int(part) for part in text.split(",")]
     except ValueError:
-        raise fail(f"{option} {text}: the form is {example}") from None
+        raise error_exit(f"{option} {text}: the form is {example}") from None
     if most is None and min(numbers) < 1:
-        raise fail(f"{option} {text}: each is at least 1")
+        raise error_exit(f"{option} {text}: each is at least 1")
     if most is not None and not all(1 <= number <= most for number in numbers):
-        raise fail(f"{option} {text}: each is from 1 to {most}")
+        raise error_exit(f"{option} {text}: each is from 1 to {most}")
     return numbers
 
 
-def value_of(text: str) -> Any:
-    """A value as TOML writes it; anything else is a string."""
+def parse_toml_value(text: str) -> Any:
+    """Parse a TOML value; text that is not TOML is returned as a string."""
     import tomllib
 
     try:
@@ -62,42 +63,42 @@
         return text
 
 
-def settings_of(pairs: list[str] | None) -> dict[str, str]:
-    """Values by key of all `--set key=value`; exit 2 with one line for another form."""
+def parse_set_options(pairs: list[str] | None) -> dict[str, str]:
+    """Parse all `--set key=value` options into a dict; exit with status 2 if one has another form."""
     values = {}
     for pair in pairs or []:
-        name, mark, value = pair.partition("=")
-        if not mark or not name:
-            raise fail(f"--set {pair}: the form is key=value, as in load.use=0.7")
+        name, separator, value = pair.partition("=")
+        if not separator or not name:
+            raise error_exit(f"--set {pair}: the form is key=value, for example load.use=0.7")
         values[name.strip()] = value.strip()
     return values
 
 
 @contextmanager
-def progress_bar(what: str, quiet: bool) -> Iterator[Callable[[float], None]]:
-    """A progress bar on standard error, where that is a terminal; call what it yields with the share done."""
+def progress_bar(description: str, quiet: bool) -> Iterator[Callable[[float], None]]:
+    """Show a progress bar if standard error is a terminal; yield a function that sets the completed share."""
     if quiet or not sys.stderr.isatty():
         yield lambda share: None
         return
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TaskProgressColumn, TextColumn, TimeRemainingColumn
 
-    columns = (TextColumn(what), BarColumn(), TaskProgressColumn(), TimeRemainingColumn())
+    columns = (TextColumn(description), BarColumn(), TaskProgressColumn(), TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True), transient=True) as shown:
-        task = shown.add_task(what, total=1.0)
+        task = shown.add_task(description, total=1.0)
         yield lambda share: shown.update(task, completed=share)
 
 
 @contextmanager
-def measuring(what: str, quiet: bool) -> Iterator[Callable[[float], None]]:
-    """A progress bar round a measurement; LabError is one line and exit 2, an interrupt exit 130."""
+def measuring(description: str, quiet: bool) -> Iterator[Callable[[float], None]]:
+    """Show a progress bar during a measurement; LabError exits with status 2 and SIGINT with 130."""
     from sagetrack.lab.errors import LabError
 
     try:
-        with progress_bar(what, quiet) as progress:
+        with progress_bar(description, quiet) as progress:
             yield progress
     except LabError as error:
-        raise fail(str(error)) from None
+        raise error_exit(str(error)) from None
     except KeyboardInterrupt:
         raise typer.Exit(INTERRUPTED) from None
 
@@ -105,7 +106,7 @@
 def print_table(
     title: str, rows: Sequence[Mapping[str, object]], width: int | None = None, left: Iterable[str] = ()
 ) -> None:
-    """Rows of the same keys as a table; all columns but the `left` ones are aligned to the right."""
+    """Print rows with the same keys as a table; columns not named in `left` are right-aligned."""
     from rich.console import Console
     from rich.table import Table
 
@@ -117,10 +118,10 @@
     Console(width=width).print(table)
 
 
-def scenario_from(path: str, settings: list[str] | None) -> Scenario:
+def load_altered_scenario(path: str, settings: list[str] | None) -> Scenario:
     """Load a scenario and apply all `--set` options to it."""
     from sagetrack.lab.model.scenario import load_scenario, with_overrides
 
     scenario = load_scenario(path)
-    chosen = {name: value_of(value) for name, value in settings_of(settings).items()}
+    chosen = {name: parse_toml_value(value) for name, value in parse_set_options(settings).items()}
     return with_overrides(scenario, chosen) if chosen else scenario
--- a/sagetrack/lab/benchmarks/readiness.py
+++ b/sagetrack/lab/benchmarks/readiness.py
@@ -110,9 +110,9 @@
 class SlowDiscoveryAgent(DiscoveryAgent):
     """A discovery agent that delays its responses."""
 
-    def answer(self, connection: DiscoveryConnection, since: int | None) -> None:
+    def respond_to_poll(self, connection: DiscoveryConnection, since: int | None) -> None:
         """Respond after `SLOW_DISCOVERY_S`."""
-        asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().answer, connection, since)
+        asyncio.get_running_loop().call_later(SLOW_DISCOVERY_S, super().respond_to_poll, connection, since)
 
 
 def write_store(folder: Path, values: int) -> None:
