--- a/sagetrack/cli/lab_sweep.py
+++ b/sagetrack/cli/lab_sweep.py
@@ -154,7 +154,7 @@
 
     import msgspec
 
-    from sagetrack.lab.analysis.records import read
+    from sagetrack.lab.analysis.records import read_records
 
     with tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder:
         scenario_file = Path(folder) / "scenario.json"
@@ -182,4 +182,4 @@
             )
         if json.loads(completed.stdout.splitlines()[-1])["late"]:
             raise RuntimeError(f"seed {seed}: the load was sent late; lower --lanes")
-        return read(records_file)
+        return read_records(records_file)
--- a/sagetrack/lab/analysis/figures.py
+++ b/sagetrack/lab/analysis/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run from its records: service, outcomes, latencies, by class, member and window of time."""
+"""Metrics of a run, computed from its records: service, outcomes and latencies."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrack.lab.analysis.fairness import fairness
+from sagetrack.lab.analysis.fairness import compute_fairness
 from sagetrack.lab.analysis.judges import RULES
 from sagetrack.lab.analysis.records import (
     CallAnswered,
     CallSent,
     DnsQueryFinished,
     Execution,
-    LateArrival,
+    LateSend,
     Records,
     RequestFinished,
     RetryAdvised,
@@ -25,28 +25,28 @@
 from sagetrack.lab.model.scenario import Expectations, Scenario
 
 WINDOW_S = 5
-LONGEST_US = 3_600_000_000
-LATE_SHARE = 0.01  # of the arrivals: more of them late, and the run is marked as late
-ADVICE_TOLERANCE = 0.2  # of an advised wait: a retry within it has followed the advice
-ADVICE_SLACK_US = 50_000  # more than that: clocks, scheduling
+MAX_LATENCY_US = 3_600_000_000
+MAX_LATE_SHARE = 0.01  # of the requests; a run in which more are sent late is marked as late
+ADVICE_TOLERANCE = 0.2  # relative deviation from the advised wait within which a retry followed it
+ADVICE_SLACK_US = 50_000  # additional deviation, for clock differences and scheduling delays
 
 
-def histogram() -> HdrHistogram:
-    """A histogram of microseconds up to an hour, to three digits (Tene's HDR histogram)."""
-    return HdrHistogram(1, LONGEST_US, 3)
+def latency_histogram() -> HdrHistogram:
+    """Return an empty HDR histogram of microseconds, up to one hour with three significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
 class Figures:
-    """The results of a run. Shares are of requests that were due after the settling time.
+    """The results of a run. Only requests that were due after the settling time count.
 
-    The fields have the names of the keys in JSON results and in files of sweeps.
+    The fields have the names of the keys in JSON results and in sweep files.
     """
 
-    service: float = 0.0  # weight answered in time over weight requested
+    service: float = 0.0  # priority weight served, as a share of the weight requested
     requests: int = 0
     served: int = 0  # within the latency objective
-    too_late: int = 0  # within the deadline only
+    too_late: int = 0  # within the deadline, but not within the latency objective
     refused: int = 0
     failed: int = 0
     unanswered: int = 0
@@ -58,20 +58,20 @@
     by_class: dict[str, float] = field(default_factory=dict)
     by_member: dict[str, float] = field(default_factory=dict)
     rules_broken: dict[str, int] = field(default_factory=dict)
-    late: bool = False  # the load ran late: not to be scored
-    advised: int = 0  # refusals that said when to retry, to a client that follows such advice
-    advice_right: float = 1.0  # share of the retries at the advised time that were served
-    jain_members: float = 1.0  # Jain's index over members' service within their share
-    jain_clients: float = 1.0  # over the clients of the member in which they differ the most
-    duplicate_executions: int = 0  # of one key within its window, in its scope
+    late: bool = False  # too many requests were sent late, so the run must not be scored
+    advised: int = 0  # refusals with a retry time, sent to clients that honor it
+    advice_right: float = 1.0  # share of retries at the advised time that were served
+    jain_members: float = 1.0  # Jain's index over the members, weighted by their shares
+    jain_clients: float = 1.0  # lowest Jain's index over the clients of any one member
+    duplicate_executions: int = 0  # executions of an idempotency key that was executed within its window
     dns_queries: int = 0
-    dns_service: float = 1.0  # share of DNS queries answered within their latency objective
+    dns_service: float = 1.0  # share of DNS queries answered within the latency objective
     dns_p99_ms: float = 0.0
     expect_held: bool = True
     expect_missed: list[str] = field(default_factory=list)
 
-    def plain(self) -> dict[str, Any]:
-        """Rounded, for JSON."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the fields by name, with rounded numbers."""
         return {name: _rounded(value) for name, value in asdict(self).items()}
 
 
@@ -81,25 +81,25 @@
     return {key: _rounded(item) for key, item in value.items()} if isinstance(value, dict) else value
 
 
-def figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
-    """Work out the figures, and compare them with the scenario's bounds.
+def compute_figures(records: Records, scenario: Scenario, violations: list[Violation]) -> Figures:
+    """Compute the results of a run, and compare them with the scenario's expectations.
 
-    A latency runs from the moment that the request was due, not from when it could be sent: an answer that
-    delayed later requests counts for these too (no coordinated omission).
+    Latency is measured from the time at which a request was due rather than from when it was sent. A slow
+    response that delays later requests therefore adds to their latency, too (no coordinated omission).
     """
     settled_us = scenario.settle_s * 1e6
-    requests = [request for request in records.typed(RequestFinished) if request.due_us >= settled_us]
+    requests = [request for request in records.of_type(RequestFinished) if request.due_us >= settled_us]
     results = Figures(requests=len(requests))
     _count_outcomes(results, requests)
     _measure_service(results, requests, scenario)
     _measure_latency(results, requests)
-    results.attempts = sum(1 for _ in records.of("recv"))
+    results.attempts = sum(1 for _ in records.rows_of("recv"))
     broken = Counter(violation.rule for violation in violations)
     results.rules_broken = {rule: broken[rule] for rule in RULES if broken[rule]}
-    late_arrivals = sum(1 for _ in records.typed(LateArrival))
-    results.late = late_arrivals > LATE_SHARE * max(1, results.requests)
+    late_sends = sum(1 for _ in records.of_type(LateSend))
+    results.late = late_sends > MAX_LATE_SHARE * max(1, results.requests)
     _measure_advice(results, records)
-    results.jain_members, results.jain_clients = fairness(records, requests, scenario)
+    results.jain_members, results.jain_clients = compute_fairness(records, requests, scenario)
     results.duplicate_executions = _count_duplicates(records, scenario)
     _measure_dns(results, records, settled_us)
     results.expect_missed = _missed_bounds(results, scenario.expect, _members_without_faults(scenario))
@@ -117,14 +117,14 @@
 
 
 class _Group(NamedTuple):
-    """Requests that are counted together: all, or those of one class, member or window."""
+    """Requests that are counted together: all, or those of one class, member or time window."""
 
     kind: str
     number: int
 
 
 class _ServiceTally:
-    """By group of requests, the weight that was requested and the part of it that was served."""
+    """Sums of the requested and the served priority weight for each group of requests."""
 
     def __init__(self) -> None:
         self._requested: dict[_Group, float] = defaultdict(float)
@@ -135,7 +135,7 @@
         self._served[group] += served
 
     def share(self, kind: str, number: int) -> float:
-        """The served share; 1 for a group without requests."""
+        """Return the share of the requested weight that was served, or 1 for a group without requests."""
         group = _Group(kind, number)
         requested = self._requested.get(group, 0.0)
         return self._served[group] / requested if requested else 1.0
@@ -148,8 +148,8 @@
     tally = _ServiceTally()
     for request in requests:
         request_class = scenario.classes[request.class_index]
-        value_of_outcome = {"served": 1.0, "late": request_class.late_weight}
-        served = request_class.priority_weight * value_of_outcome.get(request.outcome, 0.0)
+        weight_of_outcome = {"served": 1.0, "late": request_class.late_weight}
+        served = request_class.priority_weight * weight_of_outcome.get(request.outcome, 0.0)
         for group in (
             _Group("all", 0),
             _Group("class", request.class_index),
@@ -169,8 +169,8 @@
 
 
 def _latencies(finished: Iterable[RequestFinished | DnsQueryFinished]) -> HdrHistogram:
-    """From when each was due, of those that were answered in time or late."""
-    latencies = histogram()
+    """Return the latencies, from the due time, of requests or queries that were served or late."""
+    latencies = latency_histogram()
     for row in finished:
         if row.outcome in ("served", "late"):
             latencies.record_value(max(1, row.time_us - row.due_us))
@@ -187,7 +187,7 @@
 
 
 def _measure_dns(results: Figures, records: Records, settled_us: float) -> None:
-    queries = [query for query in records.typed(DnsQueryFinished) if query.due_us >= settled_us]
+    queries = [query for query in records.of_type(DnsQueryFinished) if query.due_us >= settled_us]
     if not queries:
         return
     results.dns_queries = len(queries)
@@ -196,11 +196,11 @@
 
 
 def _count_duplicates(records: Records, scenario: Scenario) -> int:
-    """Executions that took effect a second time within the key's window, at any server."""
-    class_of_key = {sent.key: sent.class_index for sent in records.typed(CallSent) if sent.key is not None}
+    """Count executions of a key, at any server, that follow another one within the key's window."""
+    class_of_key = {sent.key: sent.class_index for sent in records.of_type(CallSent) if sent.key is not None}
     last_us: dict[int, int] = {}
     duplicates = 0
-    for execution in records.typed(Execution):
+    for execution in records.of_type(Execution):
         key = execution.key
         if key is None or not execution.has_effect:
             continue
@@ -211,17 +211,17 @@
 
 
 def _measure_advice(results: Figures, records: Records) -> None:
-    """Of the calls that retried at the advised time, how many were served."""
+    """Compute the share of retries sent at the advised time that were served."""
     advice_by_request: dict[str, RetryAdvised] = {}
     first_verdicts: dict[str, str] = {}
     followed: list[str] = []
-    for record in records.mixed(RetryAdvised, CallSent, CallAnswered):
+    for record in records.of_types(RetryAdvised, CallSent, CallAnswered):
         if isinstance(record, RetryAdvised):
             results.advised += 1
             advice_by_request[record.request] = record
         elif isinstance(record, CallSent):
             advice = advice_by_request.pop(record.request, None)
-            if advice is not None and _follows(record, advice):
+            if advice is not None and _follows_advice(record, advice):
                 followed.append(record.call)
         elif isinstance(record, CallAnswered):
             first_verdicts.setdefault(record.call, record.verdict)
@@ -230,8 +230,8 @@
         results.advice_right = served / len(followed)
 
 
-def _follows(retry: CallSent, advice: RetryAdvised) -> bool:
-    """Whether a retry came at about the advised time."""
+def _follows_advice(retry: CallSent, advice: RetryAdvised) -> bool:
+    """Return whether a retry was sent at about the advised time."""
     waited_us = retry.time_us - advice.time_us
     least_us = (1 - ADVICE_TOLERANCE) * advice.retry_after_us
     most_us = (1 + ADVICE_TOLERANCE) * advice.retry_after_us + ADVICE_SLACK_US
@@ -239,28 +239,28 @@
 
 
 def _members_without_faults(scenario: Scenario) -> list[str]:
-    """The members that no planned fault concerns."""
-    concerned = {fault.member for fault in scenario.faults if fault.member}
-    return [member.name for member in scenario.tenants if member.name not in concerned]
+    """Return the names of the members that are not the target of a scheduled fault."""
+    faulted = {fault.member for fault in scenario.faults if fault.member}
+    return [member.name for member in scenario.tenants if member.name not in faulted]
 
 
-def _missed_bounds(results: Figures, expect: Expectations, undisturbed: Sequence[str]) -> list[str]:
-    """The bounds that do not hold, in words that begin with the bound's key in the scenario."""
+def _missed_bounds(results: Figures, expect: Expectations, unaffected: Sequence[str]) -> list[str]:
+    """Return a message for each unmet expectation, which starts with the bound's key in the scenario."""
     requests = max(1, results.requests)
-    worst_undisturbed = min((results.by_member[name] for name in undisturbed), default=1.0)
-    least = {
+    worst_unaffected = min((results.by_member[name] for name in unaffected), default=1.0)
+    lower_bounds = {
         "service_min": (results.service, expect.service_min),
         "worst_member_min": (min(results.by_member.values(), default=1.0), expect.worst_member_min),
         "worst_window_min": (results.worst_window, expect.worst_window_min),
-        "others_min": (worst_undisturbed, expect.others_min),
+        "others_min": (worst_unaffected, expect.others_min),
         "advice_right_min": (results.advice_right, expect.advice_right_min),
         "dns_service_min": (results.dns_service, expect.dns_service_min),
     }
-    most = {
+    upper_bounds = {
         "refused_max": (results.refused / requests, expect.refused_max),
         "failed_max": ((results.failed + results.unanswered) / requests, expect.failed_max),
         "p99_ms_max": (results.p99_ms, expect.p99_ms_max),
     }
-    missed = [(name, value, bound) for name, (value, bound) in least.items() if value < bound]
-    missed += [(name, value, bound) for name, (value, bound) in most.items() if value > bound]
+    missed = [(name, value, bound) for name, (value, bound) in lower_bounds.items() if value < bound]
+    missed += [(name, value, bound) for name, (value, bound) in upper_bounds.items() if value > bound]
     return [f"{name} {bound:g}: was {value:.4g}" for name, value, bound in missed]
--- a/sagetrack/lab/benchmarks/restart.py
+++ b/sagetrack/lab/benchmarks/restart.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from sagetrack.lab.analysis.judges import judge
+from sagetrack.lab.analysis.judges import find_violations
 from sagetrack.lab.analysis.records import Records
 from sagetrack.lab.model.scenario import Scenario, with_overrides
 
@@ -67,7 +67,7 @@
     """Return the restarts of gateways in a run."""
     return [
         Restart(gateway, time_us)
-        for _, time_us, gateway, state in records.of("gateway")
+        for _, time_us, gateway, state in records.rows_of("gateway")
         if state == "up" and time_us > 0
     ]
 
@@ -81,11 +81,11 @@
         The served share of the requests' priority weight, and the mean latency of the served requests in
         milliseconds.
     """
-    first_attempts = {row[8]: row for row in records.of("ask") if row[9] == 1}  # keyed by request
+    first_attempts = {row[8]: row for row in records.rows_of("ask") if row[9] == 1}  # keyed by request
     total_weight = 0.0
     served_weight = 0.0
     latencies_ms = []
-    for _, time_us, request, class_index, _, outcome, due_us, _ in records.of("request"):
+    for _, time_us, request, class_index, _, outcome, due_us, _ in records.rows_of("request"):
         _, sent_us, _, gateway, *_ = first_attempts[request]
         if not any(restart.covers(gateway, sent_us, seconds) for restart in counted):
             continue
@@ -107,7 +107,7 @@
     for name, played in records.items():
         counted = reference if name == "never" else restarts(played)
         result.service[name], result.latency_ms[name] = service_after_restarts(played, scenario, counted)
-        result.violations += len(judge(played, scenarios[name]))
+        result.violations += len(find_violations(played, scenarios[name]))
     return result
 
 
--- a/sagetrack/lab/benchmarks/slow_start_figures.py
+++ b/sagetrack/lab/benchmarks/slow_start_figures.py
@@ -91,9 +91,9 @@
 
 
 def _servers(records: Records) -> list[_Server]:
-    stops = {server: (time_us, how) for _, time_us, server, how in records.of("stop")}
+    stops = {server: (time_us, how) for _, time_us, server, how in records.rows_of("stop")}
     servers = {}
-    for _, time_us, number, _, _, is_cold, capacity in records.of("start"):
+    for _, time_us, number, _, _, is_cold, capacity in records.rows_of("start"):
         stopped_us, how = stops.get(number, (math.inf, ""))
         servers[number] = _Server(number, time_us, stopped_us, how == "fell", bool(is_cold), capacity)
     return list(servers.values())
@@ -124,7 +124,7 @@
         _add_received(result, records, capacities, first_us + COMPARED_US)
         result.served_in_time = sum(
             outcome == "served" and due_us // STEP_US in steps
-            for _, _, _, _, _, outcome, due_us, _ in records.of("request")
+            for _, _, _, _, _, outcome, due_us, _ in records.rows_of("request")
         )
     return result
 
@@ -132,9 +132,9 @@
 def _add_windows(result: SlowStartFigures, records: Records, scenario: Scenario) -> None:
     for window in warm_up_windows(records, scenario):
         result.windows += 1
-        result.windows_over_budget += window.calls > window.budget
-        result.max_window_requests = max(result.max_window_requests, window.calls / window.budget)
-        result.max_window_work = max(result.max_window_work, window.work / window.budget)
+        result.windows_over_budget += window.calls > window.call_limit
+        result.max_window_requests = max(result.max_window_requests, window.calls / window.call_limit)
+        result.max_window_work = max(result.max_window_work, window.work / window.call_limit)
 
 
 def _offered_work_us(
@@ -142,7 +142,7 @@
 ) -> dict[int, float]:
     """Return the offered work of first attempts by step, and count the first attempts within `steps`."""
     offered_us: dict[int, float] = defaultdict(float)
-    for _, time_us, _, _, class_index, _, _, _, _, attempt in records.of("ask"):
+    for _, time_us, _, _, class_index, _, _, _, _, attempt in records.rows_of("ask"):
         if attempt == 1:
             step = time_us // STEP_US
             offered_us[step] += scenario.classes[class_index].work_ms * 1000
@@ -185,7 +185,7 @@
     """Count the requests that cold servers received and answered before `end_us`."""
     received: dict[int, int] = defaultdict(int)
     last_server: dict[str, int] = {}  # the last server that accepted each client attempt
-    for _, time_us, call, server, _, verdict, _, _ in records.of("recv"):
+    for _, time_us, call, server, _, verdict, _, _ in records.rows_of("recv"):
         if verdict == "taken":
             last_server[call] = server
             received[server] += server in capacities and time_us < end_us
@@ -194,7 +194,7 @@
     )
     result.answered = sum(
         verdict == "served" and time_us < end_us and last_server.get(call) in capacities
-        for _, time_us, call, _, verdict, _ in records.of("answer")
+        for _, time_us, call, _, verdict, _ in records.rows_of("answer")
     )
 
 
--- a/sagetrack/lab/scale/real_gateway/trial.py
+++ b/sagetrack/lab/scale/real_gateway/trial.py
@@ -1,4 +1,4 @@
-"""A running gateway under load while its list changes."""
+"""Load on a running gateway while its endpoint list changes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from sagetrack.lab.scale.real_gateway.launcher import RunningGateway
 from sagetrack.lab.scale.target_fleet import TargetFleet
 
-CONNECTIONS = 32  # of the load
-FIRST_SERVERS = 25  # in the list that the gateway starts with
-CHANGED_SERVERS, CHANGE_S = 200, 1.0
-TICK_S = 0.001
+CONNECTIONS = 32  # of the load generator
+INITIAL_SERVERS = 25  # in the first endpoint list
+CHANGED_SERVERS, CHANGE_S = 200, 1.0  # number of servers, and time within which they change
+TICK_S = 0.001  # sleep time of the event loop monitor
 
 
-async def longest_gap_ms() -> float:
-    """Measure the longest time for which this process's own event loop was blocked, until cancelled.
+async def max_loop_delay_ms() -> float:
+    """Measure, until cancelled, the longest time for which this process's event loop was blocked.
 
-    The lab itself may be the cause of that part of the longest latency.
+    This delay of the load generator itself may be part of the longest measured latency.
     """
     longest_s = 0.0
     last_s = time.monotonic()
@@ -37,13 +37,13 @@
         return longest_s * 1000
 
 
-def percentile_ms(run: HttpLoad, percentile: float) -> float:
-    """Return a percentile of a load's latencies."""
-    return float(run.latencies.get_value_at_percentile(percentile)) / 1000
+def percentile_ms(load: HttpLoad, percentile: float) -> float:
+    """Return a percentile of the latencies of a load."""
+    return float(load.latencies.get_value_at_percentile(percentile)) / 1000
 
 
 class LoadTrial:
-    """One running gateway under load, and the changes of its list. Figures have their stored names."""
+    """A running gateway under load, and the changes of its list; `figures` have their stored names."""
 
     def __init__(self, fleet: TargetFleet, discovery: ScriptedDiscovery, gateway: RunningGateway) -> None:
         self.fleet = fleet
@@ -54,59 +54,60 @@
     async def run_phase(
         self, name: str, seconds: float, change: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """Put load on the gateway during a change; store latencies, counts and CPU under the phase's name."""
+        """Send load during a list change; store latencies, counts and CPU usage with the phase's name."""
         process = self.gateway.process
         sizes = self.fleet.sizes
         totals_before = await request_totals(process)
         cpu_before_s = cpu_s(self.gateway.pid)
         began_s = time.monotonic()
-        gap = asyncio.create_task(longest_gap_ms())
+        delay_task = asyncio.create_task(max_loop_delay_ms())
         change_task = asyncio.create_task(change())
         load_task = asyncio.create_task(
             run_http_load(self.gateway.port, CONNECTIONS, seconds, sizes.requests_per_s / sizes.gateways)
         )
         await change_task
         change_s = time.monotonic() - began_s
-        run = await load_task
-        gap.cancel()
-        # The gateway's own counts: the load counts also those requests as failed that it cuts off at its end.
+        load = await load_task
+        delay_task.cancel()
+        # These are the gateway's own counters, because the load generator also counts as failed the requests
+        # that it cuts off at its end.
         totals = await request_totals(process) - totals_before
         self.figures |= {
-            f"{name}_own_hold_ms": await gap,
-            f"{name}_p50_ms": percentile_ms(run, 50),
-            f"{name}_p99_ms": percentile_ms(run, 99),
-            f"{name}_longest_ms": float(run.latencies.get_max_value()) / 1000,
+            f"{name}_own_hold_ms": await delay_task,
+            f"{name}_p50_ms": percentile_ms(load, 50),
+            f"{name}_p99_ms": percentile_ms(load, 99),
+            f"{name}_longest_ms": float(load.latencies.get_max_value()) / 1000,
             f"{name}_refused": totals.rejected,
             f"{name}_failed": totals.failed,
-            f"{name}_done": float(run.succeeded),
+            f"{name}_done": float(load.succeeded),
             f"{name}_core": (cpu_s(self.gateway.pid) - cpu_before_s) / (time.monotonic() - began_s),
             f"{name}_over_s": change_s,
             f"{name}_memory_mb": memory_mb(self.gateway.pid),
         }
 
     async def change_nothing(self) -> None:
-        """Leave the list as it is."""
+        """Leave the list unchanged."""
 
     async def list_all(self) -> None:
         """List all servers at once."""
-        await self._change([range(FIRST_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
+        await self._change([range(INITIAL_SERVERS, self.fleet.sizes.servers)], "SERVING", 0.0)
 
-    async def change_some(self) -> None:
-        """Set 200 servers to draining, one after another within a second; a quarter of a smaller fleet."""
+    async def drain_some(self) -> None:
+        """Set 200 servers (at most a quarter of them) to DRAINING, one after another within a second."""
         changed = min(CHANGED_SERVERS, self.fleet.sizes.servers // 4)
         batches = [range(number, number + 1) for number in range(changed)]
         await self._change(batches, "DRAINING", CHANGE_S / changed)
 
     async def lose_zone(self) -> None:
-        """Delete the servers of the last zone at once."""
+        """Delete all servers of the last zone at once."""
         sizes = self.fleet.sizes
         await self._change([self.fleet.servers_in_zone(sizes.zones - 1, sizes.servers)], "DELETED", 0.0)
 
     async def _change(self, batches: Sequence[Sequence[int]], status: str, interval_s: float) -> None:
-        """Change the list in batches, and wait until the gateway has taken all of them."""
+        """Change the list in batches, and wait until the gateway has applied all of them."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         for count, numbers in enumerate(batches, 1):
             self.discovery.change(numbers, status)
             await asyncio.sleep(max(0.0, began_s + count * interval_s - loop.time()))
-        await self.discovery.wait_until_taken()
+        await self.discovery.wait_until_applied()
--- a/sagetrack/lab/scale/target_fleet.py
+++ b/sagetrack/lab/scale/target_fleet.py
@@ -1,6 +1,7 @@
-"""A fleet of the target's sizes, all of which follows from a seed.
+"""Generates a fleet of the target's sizes from a seed.
 
-It has services of unequal size, zones, tenants by Zipf's law, and a day of changes and failures.
+The fleet has services of unequal size, zones, tenants with Zipf-distributed shares, and a day of changes and
+failures.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from sagetrack.lab.scale.target import (
     CHANGES_PER_DAY,
     DAY_S,
-    FAILED_PER_DAY,
+    FAILURES_PER_DAY,
     MACHINES_PER_RACK,
-    REGION_CUTS_PER_YEAR,
-    RESTARTED_PER_DAY,
+    REGION_PARTITIONS_PER_YEAR,
+    RESTARTS_PER_DAY,
     ZONE_LOSSES_PER_YEAR,
     Sizes,
 )
 from sagetrack.policy.events import ListedServer
 from sagetrack.policy.settings import Effect, RequestClass, Scope, Settings, Tenant
 
-ZIPF_EXPONENT = 1.1  # the share of the tenant at rank r is proportional to r to the minus this
+ZIPF_EXPONENT = 1.1  # the share of the tenant at rank r is proportional to r ** -ZIPF_EXPONENT
 SERVICE_SIZE_SIGMA = 1.2  # standard deviation of the logarithm of a service's size
 RACK_LOSSES_PER_DAY = 1 / 7
 SERVERS_PER_GROUP = 4
-SAFE, KEYED, UNSAFE = range(3)  # indexes of CLASSES
+SAFE, KEYED, UNSAFE = range(3)  # indices of CLASSES
 CLASSES = (
     RequestClass(latency_objective_us=1_000_000, request_timeout_us=3_000_000, effect=Effect.SAFE),
     RequestClass(
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetEvent:
-    """A change or failure, and when it happens, in seconds since the start of the day."""
+    """A change or failure, with its time in seconds since the start of the day."""
 
     at_s: float
     kind: str  # change, machine, restart, rack, zone or region
@@ -51,21 +52,21 @@
 
 
 def zipf_shares(count: int) -> list[float]:
-    """Return the share of each of `count` tenants, the largest first; they add up to 1."""
+    """Return the shares of `count` tenants in descending order; their sum is 1."""
     raw = [rank**-ZIPF_EXPONENT for rank in range(1, count + 1)]
     total = sum(raw)
     return [share / total for share in raw]
 
 
-def lognormal_sizes(total: int, parts: int, draw: random.Random) -> list[int]:
-    """Return `parts` lognormal sizes that add up to `total`, each at least 1.
+def lognormal_sizes(total: int, parts: int, rng: random.Random) -> list[int]:
+    """Return `parts` lognormally distributed sizes of at least 1 whose sum is `total`.
 
     Raises:
-        ValueError: There are fewer servers than services.
+        ValueError: `total` is less than `parts`, or `parts` is less than 1.
     """
     if not 1 <= parts <= total:
         raise ValueError(f"{total} servers are too few for {parts} services")
-    raw = [draw.lognormvariate(0.0, SERVICE_SIZE_SIGMA) for _ in range(parts)]
+    raw = [rng.lognormvariate(0.0, SERVICE_SIZE_SIGMA) for _ in range(parts)]
     spare = total - parts
     raw_total = sum(raw)
     ends = [round(spare * reached / raw_total) for reached in accumulate(raw)]
@@ -73,25 +74,25 @@
 
 
 class TargetFleet:
-    """Services, servers and tenants of a fleet of these sizes."""
+    """The services, servers and tenants of a fleet, generated from its sizes and a seed."""
 
     def __init__(self, sizes: Sizes, seed: int) -> None:
         self.sizes = sizes
         self.seed = seed
-        draw = random.Random(f"{seed}/fleet ahead")  # this text is part of the seed of the stored results
-        self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, draw)
+        rng = random.Random(f"{seed}/fleet ahead")  # stored results depend on this seed text
+        self.service_sizes = lognormal_sizes(sizes.servers, sizes.services, rng)
         self.tenant_shares = zipf_shares(sizes.tenants)
-        self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # as many in each
+        self.zone_by_server = [number % sizes.zones for number in range(sizes.servers)]  # spread evenly
 
     def listed_servers(self, count: int, first: int = 0) -> tuple[ListedServer, ...]:
-        """Return `count` servers in the form of the policy; none is in slow start."""
+        """Return endpoint list entries of `count` servers for the policy; no server is in slow start."""
         return tuple(
             ListedServer(number, zone=self.zone_by_server[number], group=number // SERVERS_PER_GROUP)
             for number in range(first, first + count)
         )
 
     def settings(self, tenants: int, gateways: int = 1, gateway: int = 0) -> Settings:
-        """Return a gateway's settings with the first `tenants` tenants, whose shares then add up to 1."""
+        """Return a gateway's policy settings; the shares of the first `tenants` tenants are scaled to 1."""
         total = sum(self.tenant_shares[:tenants]) or 1.0
         return Settings(
             classes=CLASSES,
@@ -102,7 +103,7 @@
         )
 
     def platform_settings(self, tenants: int) -> dict[str, Any]:
-        """Return the settings object of a gateway's file (with the file's keys) with `tenants` tenants."""
+        """Return the `settings` object of a gateway's configuration with the first `tenants` tenants."""
         return {
             "balancers": self.sizes.gateways,
             "index": 0,
@@ -119,7 +120,7 @@
         }
 
     def discovery_entry(self, number: int, status: str = "SERVING", address: str = "") -> dict[str, Any]:
-        """Return a server's entry in discovery's form."""
+        """Return a server's entry in the JSON form of discovery."""
         return {
             "name": f"s-{number:014d}",
             "address": address or f"10.0.{number // 250}.{number % 250}:8080",
@@ -132,39 +133,39 @@
         }
 
     def full_list(self, count: int) -> dict[str, Any]:
-        """Return a full list of the first `count` servers in discovery's form."""
+        """Return a full endpoint list of the first `count` servers in the JSON form of discovery."""
         endpoints = [self.discovery_entry(number) for number in range(count)]
         return {"index": 1, "snapshot": True, "endpoints": endpoints}
 
     def delta(self, status: str = "SERVING") -> dict[str, Any]:
-        """Return the list of one changed entry in discovery's form."""
+        """Return an endpoint list with one changed entry in the JSON form of discovery."""
         return {"index": 2, "snapshot": False, "endpoints": [self.discovery_entry(0, status)]}
 
     def servers_in_zone(self, zone: int, count: int) -> tuple[int, ...]:
-        """Return those of the first `count` servers that are in a zone."""
+        """Return the servers of a zone among the first `count` servers."""
         return tuple(number for number in range(count) if self.zone_by_server[number] == zone)
 
-    def day(self) -> list[FleetEvent]:
-        """Return the changes and failures of a day, in order of time."""
-        draw = random.Random(f"{self.seed}/day")
+    def day_events(self) -> list[FleetEvent]:
+        """Return the changes and failures of one day, ordered by time."""
+        rng = random.Random(f"{self.seed}/day")
         servers = self.sizes.servers
-        events = [FleetEvent(draw.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
-        for kind, count in (("machine", FAILED_PER_DAY), ("restart", RESTARTED_PER_DAY)):
+        events = [FleetEvent(rng.uniform(0, DAY_S), "change") for _ in range(CHANGES_PER_DAY)]
+        for kind, count in (("machine", FAILURES_PER_DAY), ("restart", RESTARTS_PER_DAY)):
             events += [
-                FleetEvent(draw.uniform(0, DAY_S), kind, (draw.randrange(servers),)) for _ in range(count)
+                FleetEvent(rng.uniform(0, DAY_S), kind, (rng.randrange(servers),)) for _ in range(count)
             ]
-        if draw.random() < RACK_LOSSES_PER_DAY:
-            first = draw.randrange(max(1, servers - MACHINES_PER_RACK))
+        if rng.random() < RACK_LOSSES_PER_DAY:
+            first = rng.randrange(max(1, servers - MACHINES_PER_RACK))
             lost = tuple(range(first, first + MACHINES_PER_RACK))
-            events.append(FleetEvent(draw.uniform(0, DAY_S), "rack", lost))
-        for kind, per_year in (("zone", ZONE_LOSSES_PER_YEAR), ("region", REGION_CUTS_PER_YEAR)):
-            if draw.random() < per_year / 365:
-                zone = draw.randrange(self.sizes.zones)
+            events.append(FleetEvent(rng.uniform(0, DAY_S), "rack", lost))
+        for kind, per_year in (("zone", ZONE_LOSSES_PER_YEAR), ("region", REGION_PARTITIONS_PER_YEAR)):
+            if rng.random() < per_year / 365:
+                zone = rng.randrange(self.sizes.zones)
                 lost = self.servers_in_zone(zone, servers) if kind == "zone" else ()
-                events.append(FleetEvent(draw.uniform(0, DAY_S), kind, lost))
+                events.append(FleetEvent(rng.uniform(0, DAY_S), kind, lost))
         return sorted(events, key=lambda event: event.at_s)
 
 
 def tenant_name(number: int) -> str:
-    """Return a tenant's name; the first is the one that the load of the throughput benchmark has."""
+    """Return a tenant's name; the first tenant is the one that the benchmarks' HTTP load sends."""
     return "acme" if number == 0 else f"tenant-{number:09d}"
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,7 @@
 
 from sagetrack.cli.app import app
 from sagetrack.lab.analysis.records import Record, Records
-from sagetrack.lab.analysis.warm_up import cold_sum, warm_up_windows
+from sagetrack.lab.analysis.warm_up import check_cold_sum, warm_up_windows
 from sagetrack.lab.benchmarks.slow_start import CASES, Case, SlowStartGateways, measure
 from sagetrack.lab.benchmarks.slow_start_figures import figures
 from sagetrack.lab.model.scenario import Fleet, RequestClass, Scenario
@@ -56,8 +56,8 @@
 
 @pytest.mark.parametrize("verdict", ["taken", "rejected", "lost"])
 def test_calls_over_the_budget_violate_the_rule_whatever_their_verdict(verdict: str) -> None:
-    assert not list(cold_sum(records_of(burst(BUDGET), verdict=verdict), SCENARIO))
-    violations = list(cold_sum(records_of(burst(BUDGET + 4), verdict=verdict), SCENARIO))
+    assert not list(check_cold_sum(records_of(burst(BUDGET), verdict=verdict), SCENARIO))
+    violations = list(check_cold_sum(records_of(burst(BUDGET + 4), verdict=verdict), SCENARIO))
     # Violations are reported once per server.
     assert [(v.rule, v.server, v.call) for v in violations] == [("cold_sum", 2, f"{BUDGET}")]
 
@@ -65,10 +65,10 @@
 def test_the_planned_calls_follow_the_capacity_at_the_start_of_the_window() -> None:
     late = STARTED_US + 5_000_000  # the window begins 2 s after the start; the capacity is 0.2 + 0.8 * 0.2
     (window,) = warm_up_windows(records_of([late]), SCENARIO)
-    assert window.planned == pytest.approx(4 * 0.36 * 3 / 0.1)
+    assert window.planned_calls == pytest.approx(4 * 0.36 * 3 / 0.1)
     early = STARTED_US + 2_000_000  # the window would begin before the server starts
     (window,) = warm_up_windows(records_of([early]), SCENARIO)
-    assert window.planned == pytest.approx(PLANNED)
+    assert window.planned_calls == pytest.approx(PLANNED)
 
 
 def test_a_window_contains_only_the_calls_within_its_span() -> None:
@@ -180,7 +180,7 @@
         for n in range(10)
         for p in (fleet.running[n], fleet.old_processes[n])
     )
-    sent = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.of("ask"))  # first attempts
+    sent = sum(row[1] >= 3_500_000 and row[9] == 1 for row in records.rows_of("ask"))  # first attempts
     new = sum(p.load_balancer.priorities.first_tries[0] for p in fleet.running.values())
     assert 0.4 < new / sent < 0.6
 
