--- a/sagetrack/lab/benchmarks/bodies.py
+++ b/sagetrack/lab/benchmarks/bodies.py
@@ -1,8 +1,8 @@
 """Memory of the gateway while many requests with long bodies are in flight to servers of the newer format.
 
-Clients of the older format send so many bodies at once; servers, in several processes, answer when no further
-body has come for a while, each with as long a body, and the clients read slowly. The gateway is a process of
-its own, whose resident memory is sampled all the time.
+Clients of the older format (HTTP/1.1) send long request bodies at the same time. The servers, in several
+processes, respond once no further body has arrived for `QUIET_S`, each with a body of the same length, which
+the clients read slowly. The resident memory of the gateway process is sampled throughout.
 """
 
 from __future__ import annotations
@@ -32,51 +32,52 @@
     gateway_environment,
 )
 from sagetrack.lab.benchmarks.measured_process import (
-    await_listening,
     forked_process,
     measured_process,
     open_servers,
+    wait_until_listening,
 )
 from sagetrack.lab.processes.child_process import require_file_descriptors
 from sagetrack.lab.processes.resource_usage import free_port, memory_mb
 from sagetrack.lab.stand_ins.grpc_server import GrpcRequest, GrpcServerConnection
 
-CHUNK_BYTES = 16_000  # of a body, sent or read at a time
+CHUNK_BYTES = 16_000  # of a body that are sent or read at once
 REQUEST_HEAD = (
     b"GET /lookup/1 HTTP/1.1\r\nHost: g\r\nX-Call-Id: b%x\r\nX-Call-Class: lookup\r\n"
     b"X-Caller: acme\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
 )
-TIMEOUT_S = 300.0  # of every request
-QUIET_S = 3.0  # without a further body: all have come
-CONNECT_S = 1.0  # for all clients to connect
+TIMEOUT_S = 300.0  # of every request and of the whole round
+QUIET_S = 3.0  # time without a further request body after which all are taken to have arrived
+CONNECT_S = 1.0  # time allowed for all clients to connect
 SAMPLE_INTERVAL_S = 0.02
-READ_INTERVAL_S = 0.001  # between two chunks that a client reads
-SERVER_PROCESSES = 4  # one alone is slower than the gateway, which would take it for dead
-LEAST_SERVERS = 8
+READ_INTERVAL_S = 0.001  # pause of a client between two reads
+# A single process is slower than the gateway, which would then consider its servers dead.
+SERVER_PROCESSES = 4
+MIN_SERVERS = 8
 REQUESTS_PER_SERVER = 2
 MEMORY_LIMIT_MB = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class MemoryUse:
-    """What one round showed. Megabytes are resident ones of the gateway."""
+    """Results of one round. Memory is the resident set size of the gateway process."""
 
     streams: int
     body_kb: int
-    complete: int  # answers of the full length
-    idle_mb: float  # connections open, before the first body
-    sending_mb: float  # the most until all bodies had come
+    complete: int  # number of responses of the full length
+    idle_mb: float  # with all connections open, before the first body
+    sending_mb: float  # maximum until the servers had received all request bodies
     peak_mb: float
-    per_stream_kb: float  # the peak less the idle memory, for each stream
+    per_stream_kb: float  # difference between peak and idle memory, per stream
     seconds: float
 
 
 class _BodySink(GrpcServerConnection):
-    """A server that keeps no body, and makes its own answer as it goes."""
+    """A server that discards request bodies and generates response bodies chunk by chunk."""
 
     def __init__(self, on_call: Callable[[GrpcServerConnection, GrpcRequest], None]) -> None:
         super().__init__(on_call)
-        self.bytes_left: dict[int, int] = {}  # of the answer's body, by stream
+        self.bytes_left: dict[int, int] = {}  # remaining length of the response body, by stream id
 
     def on_event(self, event: h2.events.Event) -> None:
         if isinstance(event, h2.events.DataReceived):
@@ -84,8 +85,8 @@
         else:
             super().on_event(event)
 
-    def answer_long(self, request: GrpcRequest, size: int) -> None:
-        """Answer with a body of so many bytes, as the flow control windows allow."""
+    def respond_long(self, request: GrpcRequest, size: int) -> None:
+        """Respond with a body of `size` bytes, sent as the flow control windows allow."""
         request.outgoing += pack(Answer(length=size).SerializeToString())
         self.bytes_left[request.stream_id] = size
         request.trailers = [("grpc-status", "0")]
@@ -119,8 +120,8 @@
         request.outgoing += pack(Answer(body=bytes(size)).SerializeToString())
 
 
-class _DelayedAnswers:
-    """The requests of one server process, which are answered when no more have come for a while."""
+class _DelayedResponses:
+    """Holds the requests of one server process until none has arrived for `QUIET_S`, then responds to all."""
 
     def __init__(self, size: int, pipe: Connection) -> None:
         self.size = size
@@ -130,29 +131,29 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def take(self, connection: GrpcServerConnection, request: GrpcRequest) -> None:
-        """Take a request whose body has come whole."""
+        """Hold a request whose body has arrived completely."""
         assert isinstance(connection, _BodySink)
         self.unanswered.append((connection, request))
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_later(QUIET_S, self._answer_all)
+        self.timer = self.loop.call_later(QUIET_S, self._respond_to_all)
 
-    def _answer_all(self) -> None:
+    def _respond_to_all(self) -> None:
         self.pipe.send("all")
         for connection, request in self.unanswered:
-            connection.answer_long(request, self.size)
+            connection.respond_long(request, self.size)
         self.unanswered.clear()
 
 
 def _serve(count: int, size: int, pipe: Connection) -> None:
-    """Run servers and a silent discovery until killed.
+    """Run servers and a discovery that never responds until killed.
 
-    Their ports go into the pipe first, and a message each time that all bodies have come.
+    Sends the ports through the pipe first, then a message each time that all request bodies have arrived.
     """
 
     async def main() -> None:
-        answers = _DelayedAnswers(size, pipe)
-        ports = await open_servers(lambda: _BodySink(answers.take), count, backlog=64)
+        responses = _DelayedResponses(size, pipe)
+        ports = await open_servers(lambda: _BodySink(responses.take), count, backlog=64)
         (discovery_port,) = await open_servers(asyncio.Protocol, 1)
         pipe.send((ports, discovery_port))
         await asyncio.Event().wait()
@@ -161,7 +162,7 @@
 
 
 async def _send_and_read(port: int, number: int, size: int, begin: asyncio.Event) -> int:
-    """Send a long body and read a long answer, both slowly; returns the bytes of the answer's body."""
+    """Send a request body and slowly read the response; returns the length of the response body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=16 * 1024)
     try:
         await begin.wait()
@@ -184,13 +185,13 @@
 
 
 class _Gateway(NamedTuple):
-    """What the clients and the sampling of memory need to know of the gateway."""
+    """The gateway process under test, and the pipes of the server processes behind it."""
 
     pid: int
     port: int
-    server_pipes: list[Connection]  # readable once that process has had all its bodies
+    server_pipes: list[Connection]  # each is readable once its process has received all request bodies
 
-    def all_bodies_came(self) -> bool:
+    def all_bodies_received(self) -> bool:
         return any(pipe.poll() for pipe in self.server_pipes)
 
 
@@ -208,19 +209,19 @@
 
 
 def measure(streams: int, body_kb: int, progress: Callable[[float], None]) -> MemoryUse:
-    """Play one round.
+    """Measure one round.
 
     Args:
-        streams: requests in flight at once.
-        body_kb: kilobytes of each body, of the request and of the answer.
+        streams: number of concurrent requests.
+        body_kb: length of each request body and each response body, in kilobytes.
         progress: called with the share of requests that have ended.
 
     Raises:
-        LabError: the gateway does not start, or too few descriptors are allowed.
+        LabError: the gateway does not start, or the limit of file descriptors is too low.
     """
     require_file_descriptors(4 * streams + 2000)
     size = body_kb * 1000
-    servers_needed = max(LEAST_SERVERS, -(-streams // REQUESTS_PER_SERVER))
+    servers_needed = max(MIN_SERVERS, -(-streams // REQUESTS_PER_SERVER))
     server_count = servers_needed // SERVER_PROCESSES
     with ExitStack() as stack:
         server_ports: list[int] = []
@@ -238,16 +239,18 @@
         process: subprocess.Popen[bytes] = stack.enter_context(
             measured_process(GATEWAY_COMMAND, environment, stderr=None)
         )
-        await_listening(port, process)
-        return uvloop.run(_play(_Gateway(process.pid, port, pipes), streams, size, progress))
+        wait_until_listening(port, process)
+        return uvloop.run(_run_round(_Gateway(process.pid, port, pipes), streams, size, progress))
 
 
-async def _play(gateway: _Gateway, streams: int, size: int, progress: Callable[[float], None]) -> MemoryUse:
+async def _run_round(
+    gateway: _Gateway, streams: int, size: int, progress: Callable[[float], None]
+) -> MemoryUse:
     begin = asyncio.Event()
     clients = [
         asyncio.create_task(_send_and_read(gateway.port, number, size, begin)) for number in range(streams)
     ]
-    await asyncio.sleep(CONNECT_S)  # all connect, and none has sent: idle memory is that of a gateway in use
+    await asyncio.sleep(CONNECT_S)  # so that the idle memory includes the open connections
     idle_mb = peak_mb = sending_mb = memory_mb(gateway.pid)
     start_s = time.monotonic()
     begin.set()
@@ -256,17 +259,17 @@
         await asyncio.sleep(SAMPLE_INTERVAL_S)
         now_mb = memory_mb(gateway.pid)
         peak_mb = max(peak_mb, now_mb)
-        all_sent = all_sent or gateway.all_bodies_came()
+        all_sent = all_sent or gateway.all_bodies_received()
         if not all_sent:
             sending_mb = max(sending_mb, now_mb)
         progress(sum(task.done() for task in clients) / streams)
     for task in clients:
         task.cancel()
-    answers = await asyncio.gather(*clients, return_exceptions=True)
+    lengths = await asyncio.gather(*clients, return_exceptions=True)
     return MemoryUse(
         streams=streams,
         body_kb=size // 1000,
-        complete=sum(answer == size for answer in answers),
+        complete=sum(length == size for length in lengths),
         idle_mb=round(idle_mb, 1),
         sending_mb=round(sending_mb, 1),
         peak_mb=round(peak_mb, 1),
--- a/sagetrack/lab/benchmarks/dns_throughput.py
+++ b/sagetrack/lab/benchmarks/dns_throughput.py
@@ -1,4 +1,4 @@
-"""Queries a second on one core, cached and forwarded, beside a bare UDP relay in the same run."""
+"""DNS throughput and CPU cost on one core, cached and forwarded, compared with a minimal UDP relay."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 import uvloop
 
-from sagetrack.lab.benchmarks.dns_load import LAST_ANSWERS_S, DnsLoad, DnsServer, run_dns_load
+from sagetrack.lab.benchmarks.dns_load import RESPONSE_GRACE_S, DnsLoad, DnsServer, run_dns_load
 from sagetrack.lab.benchmarks.gateway_files import (
     GATEWAY_COMMAND,
     gateway_configuration,
     gateway_environment,
 )
 from sagetrack.lab.benchmarks.measured_process import (
-    await_dns_answer,
     forked_process,
     measured_process,
     pinned_to,
     require_cores,
+    wait_for_dns_response,
 )
 from sagetrack.lab.benchmarks.relays import relay_command, relay_environment
 from sagetrack.lab.errors import LabError
@@ -36,19 +36,19 @@
 
 RELAY, CACHED, FORWARDED = "relay", "cached", "forwarded"
 SUBJECTS = (RELAY, CACHED, FORWARDED)
-WARM_UP_S = 0.5  # of load before a measurement, at the most
-FILL_LIMIT_S = 600.0  # for a run that goes on until the cache keeps so many names
-MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")  # of a printed row
-MOST_BAD = 0.01  # share of answers without a record, beyond which a measurement is worthless
+MAX_WARM_UP_S = 0.5  # maximum duration of the load before a measurement
+FILL_TIMEOUT_S = 600.0  # limit of a run that lasts until the cache holds a given number of names
+MEDIAN_COLUMNS = ("per_s", "cpu_us", "p50_ms", "p99_ms", "memory_mb", "unanswered")
+MAX_INVALID = 0.01  # a measurement with a larger share of invalid responses is rejected
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """One measurement."""
+    """Result of one measurement."""
 
-    subject: str  # one of SUBJECTS
+    subject: str  # an element of `SUBJECTS`
     per_s: float
-    cpu_us: float  # of the measured process for each query
+    cpu_us: float  # CPU time of the measured process per query
     p50_ms: float
     p99_ms: float
     memory_mb: float
@@ -57,12 +57,12 @@
 
 class _Measurement(NamedTuple):
     load: DnsLoad
-    cpu_s: float  # of the measured process
+    cpu_s: float  # CPU time of the measured process
     elapsed_s: float
 
 
-def _serve_names(core: int, pipe: Connection) -> None:
-    """Run the upstream server until killed; its port goes into the pipe."""
+def _serve_upstream(core: int, pipe: Connection) -> None:
+    """Run the upstream server until killed, and send its port through the pipe."""
     os.sched_setaffinity(0, {core})
 
     async def main() -> None:
@@ -88,27 +88,29 @@
     return measured_process(GATEWAY_COMMAND, environment, core)
 
 
-async def _put_load(subject: str, port: int, pid: int, seconds: float, names: int) -> _Measurement:
-    await run_dns_load(port, min(WARM_UP_S, seconds / 3), False)
+async def _run_load(subject: str, port: int, pid: int, seconds: float, names: int) -> _Measurement:
+    await run_dns_load(port, min(MAX_WARM_UP_S, seconds / 3), False)
     cpu_before_s = cpu_s(pid)
     start_s = time.monotonic()
-    limit_s = FILL_LIMIT_S if names else seconds
+    limit_s = FILL_TIMEOUT_S if names else seconds
     load = await run_dns_load(port, limit_s, subject == FORWARDED, names)
-    return _Measurement(load, cpu_s(pid) - cpu_before_s, time.monotonic() - start_s - LAST_ANSWERS_S)
+    return _Measurement(load, cpu_s(pid) - cpu_before_s, time.monotonic() - start_s - RESPONSE_GRACE_S)
 
 
 def _measure_round(subject: str, core: int, upstream_port: int, seconds: float, names: int = 0) -> Result:
-    """Measure one subject for so long, or until `names` queries are answered if that is not 0."""
+    """Measure one subject for `seconds`, or until `names` queries are answered if it is not 0."""
     port = free_port()
     with (
         tempfile.TemporaryDirectory(prefix="sagetrack-lab-") as folder,
         _start(subject, port, upstream_port, Path(folder), core) as process,
     ):
-        await_dns_answer(port, process)
-        load, spent_s, elapsed_s = uvloop.run(_put_load(subject, port, process.pid, seconds, names))
+        wait_for_dns_response(port, process)
+        load, spent_s, elapsed_s = uvloop.run(_run_load(subject, port, process.pid, seconds, names))
         answered = max(1, load.answered)
-        if load.bad > MOST_BAD * answered:
-            raise LabError(f"{subject}: {load.bad} of {load.answered} answers were no good")
+        if load.invalid > MAX_INVALID * answered:
+            raise LabError(
+                f"{subject}: {load.invalid} of {load.answered} responses had an error or no record"
+            )
         return Result(
             subject=subject,
             per_s=load.answered / elapsed_s,
@@ -121,7 +123,7 @@
 
 
 def _summary(results: dict[str, list[Result]]) -> list[dict[str, Any]]:
-    """Return a row of medians for each subject, with its CPU time as a multiple of the relay's."""
+    """Return a row of medians per subject, with the CPU time per query as a multiple of the relay's."""
     relay_cpu_us = statistics.median(result.cpu_us for result in results[RELAY])
     rows = []
     for subject, rounds in results.items():
@@ -136,24 +138,24 @@
 def measure(
     seconds: float, rounds: int, names: int, progress: Callable[[int, int], None]
 ) -> list[dict[str, Any]]:
-    """Measure relay, cached and forwarded queries by turns.
+    """Measure the relay, cached queries and forwarded queries, in alternation.
 
     Args:
-        seconds: length of each measurement.
-        rounds: measurements of each subject.
-        names: if not 0, one more measurement forwards queries until the cache keeps so many names.
-        progress: called with the number of measurements that are done and of all.
+        seconds: duration of each measurement.
+        rounds: number of measurements of each subject.
+        names: if not 0, one more measurement forwards queries until the cache holds this many names.
+        progress: called with the number of finished measurements and the number of all measurements.
 
     Returns:
-        A row of medians for each subject: `what` it is, the fields of `Result`, and `times_relay`.
+        A row per subject: `what` (its name), medians of the fields of `Result`, and `times_relay`.
 
     Raises:
-        LabError: there are too few cores, or a measurement failed.
+        LabError: fewer than 3 cores are available, or a measurement failed.
     """
     cores = require_cores(3, "gateway, upstream and load need one each")
     total = len(SUBJECTS) * rounds + bool(names)
     results: dict[str, list[Result]] = {subject: [] for subject in SUBJECTS}
-    with forked_process(_serve_names, cores[1]) as upstream, pinned_to(cores[2]):
+    with forked_process(_serve_upstream, cores[1]) as upstream, pinned_to(cores[2]):
         port = upstream.recv()
         for number in range(rounds):
             for place, subject in enumerate(SUBJECTS, 1):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -97,11 +97,11 @@
     """
     records = records_of([n * 50_000 for n in range(1, 280)])
     measured = figures(records, SCENARIO, "x")
-    assert measured.usable == pytest.approx(80, rel=0.03)
-    assert measured.received == pytest.approx(80, rel=0.03)  # it receives more than it can do
-    assert measured.used_share == 1.0 and measured.warming_servers == 1
+    assert measured.usable_requests == pytest.approx(80, rel=0.03)
+    assert measured.received_requests == pytest.approx(80, rel=0.03)  # it receives more than it can do
+    assert measured.used_share == 1.0 and measured.cold_servers == 1
     half = records_of([n * 100_000 for n in range(1, 140)])  # the warm server alone can do all the work
-    assert figures(half, SCENARIO, "x").usable < 1
+    assert figures(half, SCENARIO, "x").usable_requests < 1
 
 
 # The virtual fleet
@@ -113,7 +113,7 @@
 def test_each_deliberate_fault_violates_the_rule(fault: str) -> None:
     seconds = 7.0 if fault == "three-for-granted" else SHORT_S
     measured, violations = measure(CASES[SLOW_START_FAULT_CASES[fault]], 30, 1, fault, seconds=seconds)
-    assert measured.windows_over_budget > 0 and measured.most_requests > 1.0
+    assert measured.windows_over_budget > 0 and measured.max_window_requests > 1.0
     assert "cold_sum" in {violation.rule for violation in violations}
 
 
@@ -123,8 +123,8 @@
 def test_correct_gateways_stay_within_the_budget(gateways: int, case: str) -> None:
     measured, violations = measure(CASES[case], gateways, 1, seconds=6.5)
     assert not violations
-    assert measured.windows > 0 and 0.0 < measured.most_requests <= 1.0
-    assert measured.warming_servers == (3 if "few" in case else 15)
+    assert measured.windows > 0 and 0.0 < measured.max_window_requests <= 1.0
+    assert measured.cold_servers == (3 if "few" in case else 15)
 
 
 def test_the_same_seed_gives_the_same_verdict() -> None:
--- a/tests/test_jams.py
+++ b/tests/test_jams.py
@@ -10,7 +10,13 @@
 
 from sagetrack.cli.app import app
 from sagetrack.lab.analysis.records import Records
-from sagetrack.lab.benchmarks.overload import OverloadFigures, figures, measure, percentiles, scenario_for
+from sagetrack.lab.benchmarks.overload import (
+    OverloadFigures,
+    figures,
+    measure,
+    percentiles_by_name,
+    scenario_for,
+)
 
 # A small fleet and a short run, to keep the tests fast.
 SMALL = {"fleet.servers": 20, "seconds": 30, "trouble.1.at_s": 8, "trouble.1.seconds": 7}
@@ -26,36 +32,43 @@
 @pytest.mark.parametrize("gateways", [20, 80])
 def test_goodput_holds_during_and_after_a_burst(gateways: int, size: float) -> None:
     measured = measure_small(gateways, size)
-    assert measured.during >= 0.9 and measured.after >= 0.9
+    assert measured.goodput_during >= 0.9 and measured.goodput_after >= 0.9
 
 
 @pytest.mark.parametrize("gateways", [20, 80])
 def test_goodput_collapses_without_the_concurrency_limit_and_does_not_recover(gateways: int) -> None:
     """The fault `whole-places` removes the limit; servers degrade as operators have observed."""
     measured = measure_small(gateways, 2.5, "whole-places")
-    assert measured.during < 0.5 and measured.after < 0.7 and measured.overloaded > 0.3
+    assert measured.goodput_during < 0.5 and measured.goodput_after < 0.7 and measured.overloaded_share > 0.3
 
 
 def test_few_gateways_need_no_shared_concurrency_limit() -> None:
     """A server has a slot for each of three gateways, so the fault `whole-places` changes nothing."""
     correct, faulty = measure_small(3, 2.5), measure_small(3, 2.5, "whole-places")
-    assert correct.during >= 0.9 and correct.after >= 0.9
-    assert correct.in_flight == faulty.in_flight and correct.served == pytest.approx(faulty.served, abs=0.01)
+    assert correct.goodput_during >= 0.9 and correct.goodput_after >= 0.9
+    assert correct.in_flight == faulty.in_flight and correct.served_share == pytest.approx(
+        faulty.served_share, abs=0.01
+    )
 
 
 def test_servers_with_many_cores_exceed_the_limit_assumed_for_one_core() -> None:
     """The limit assumes one core per server; responses without queueing show that there is more capacity."""
     cores: dict[str, Any] = {"fleet.servers": 10, "fleet.cores": 4, "load.use": 0.7}
     measured, violations = measure(20, 1.3, 1, "", SMALL | cores)
-    assert not violations and measured.served_before > 0.97 and measured.during > 1.1 and measured.after > 0.9
+    assert (
+        not violations
+        and measured.served_share_before > 0.97
+        and measured.goodput_during > 1.1
+        and measured.goodput_after > 0.9
+    )
 
 
 @pytest.mark.parametrize("dead", [0.25, 0.5])
 def test_goodput_holds_while_dead_gateways_are_undetected(dead: float) -> None:
     """Each gateway assumes the configured fleet size, so its share of the limit is too small at worst."""
     measured, violations = measure(40, 1.5, 1, "", SMALL, dead)
-    assert not violations and measured.overloaded < 0.05
-    assert measured.after >= 0.9
+    assert not violations and measured.overloaded_share < 0.05
+    assert measured.goodput_after >= 0.9
 
 
 def test_figures_of_handmade_records() -> None:
@@ -69,16 +82,16 @@
             records.rows.append(row)
         records.rows.append(("load", second * 1_000_000, 1, second % 3, 1, second in (12, 13, 14)))
     measured = figures(records, scenario)
-    assert (measured.goodput_before, measured.served_before) == (8.0, 0.8)
-    assert (measured.during, measured.after) == (0.5, 0.75)
-    assert measured.overloaded == pytest.approx(0.1)
+    assert (measured.goodput_before, measured.served_share_before) == (8.0, 0.8)
+    assert (measured.goodput_during, measured.goodput_after) == (0.5, 0.75)
+    assert measured.overloaded_share == pytest.approx(0.1)
     assert measured.in_flight == {"p50": 1, "p90": 2, "p99": 2, "max": 2}  # the samples are 1, 2, 0, 1, 2
 
 
 def test_percentiles_without_samples_are_0() -> None:
     from collections import Counter
 
-    assert percentiles(Counter()) == {"p50": 0, "p90": 0, "p99": 0, "max": 0}
+    assert percentiles_by_name(Counter()) == {"p50": 0, "p90": 0, "p99": 0, "max": 0}
 
 
 def test_the_command_prints_a_json_array() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -311,7 +311,11 @@
 
     a = write("a", [0.90, 0.80, 0.95, 0.85])
     comparison = compare(a, write("b", [0.92, 0.82, 0.97, 0.87]))
-    assert comparison.is_clear and math.isclose(comparison.difference, 0.02) and comparison.larger_in_b == 4
-    assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_clear
+    assert (
+        comparison.is_significant
+        and math.isclose(comparison.difference, 0.02)
+        and comparison.larger_in_b == 4
+    )
+    assert not compare(a, write("c", [0.95, 0.75, 0.99, 0.81])).is_significant
     with pytest.raises(ValueError, match="no figure"):
         compare(a, a, "speed")
